--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -25,6 +25,7 @@
 // Load is the wire name of the task.
 func (k Key) Load() string { return job.TaskName(k.Job, k.Index) }
 
+// String is the key as job.index.try, which also names the attempt's folder.
 func (k Key) String() string { return fmt.Sprintf("%s.%d.%d", k.Job, k.Index, k.Try) }
 
 // phase is where an attempt stands. The first ones are reported as they are
--- a/internal/dataset/manifest.go
+++ b/internal/dataset/manifest.go
@@ -41,6 +41,7 @@
 // Sum hashes data.
 func Sum(data []byte) Hash { return blake3.Sum256(data) }
 
+// String is the hash in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
 // MarshalText writes the hash in hexadecimal.
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -33,6 +33,7 @@
 	Trace                []string // the steps that lead there
 }
 
+// String is the result in one line, followed by the steps that lead to the broken promise.
 func (r Result) String() string {
 	s := fmt.Sprintf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Whole)
 	if r.Broken != "" {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -54,6 +54,7 @@
 
 var names = [Steps]string{"evidence", "commit ending", "room", "commit start", "tell", "image"}
 
+// String is the step's name in reports.
 func (s Step) String() string { return names[s] }
 
 // Event is a line of a log that matters here.
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -33,6 +33,7 @@
 
 var kinds = [...]string{"?", "tick", "request", "reply", "peer"}
 
+// String is the kind's name, "?" of an unknown kind.
 func (k Kind) String() string {
 	if int(k) < len(kinds) {
 		return kinds[k]
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -122,6 +122,7 @@
 	Text    string    `json:"text"`
 }
 
+// String is the line as people read it: the time of day, the node, its revision and the text.
 func (l Line) String() string {
 	return fmt.Sprintf("%s %s at %d: %s", l.Wall.UTC().Format("15:04:05.000"), l.Node, l.Ledger, l.Text)
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -116,7 +116,7 @@
 	return names
 }
 
-// Load reads a scenario: a shipped one by its name, any other by its file.
+// LoadScenario reads a scenario: a shipped one by its name, any other by its file.
 func LoadScenario(nameOrFile string) (*Scenario, error) {
 	raw, err := shipped.ReadFile("scenarios/" + nameOrFile + ".yaml")
 	if err != nil {
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -36,6 +36,7 @@
 	Reason string
 }
 
+// Error is the status and the reason.
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
 func bad(status int, reason string) *StatusError { return &StatusError{status, reason} }
