--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -107,7 +107,7 @@
 // TestWhatUsersAreToldOfBadRequests is the table of bad and repeated requests, at a controller that knows the job and at one whose
 // mirror lacks it: the field is named, a known job is never refused, and nothing is said of unknown ones without a look.
 func TestWhatUsersAreToldOfBadRequests(t *testing.T) {
-	s := newSim(49_000, 0)
+	s := newSim(t, 49_000, 0)
 	s.run(10 * time.Second)
 	valid := func(id string) map[string]any {
 		return map[string]any{"ref": id, "jobclass": "arr", "crew": "blue", "shape": "batch", "urgency": "idle", "loads": 2, "cpus": 1, "accelerators": 0, "ramGb": 1,
@@ -189,7 +189,7 @@
 // the next report, and they had begun by then.
 func TestNothingBeginsAfterACancellation(t *testing.T) {
 	for seed := uint64(49_100); seed < 49_103; seed++ {
-		s := newSim(seed, 0)
+		s := newSim(t, seed, 0)
 		s.met.quickBoots = true // each machine comes up
 		s.after(time.Second, func() {
 			s.submit(&job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 6, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
--- a/internal/coordination/apart_test.go
+++ b/internal/coordination/apart_test.go
@@ -10,8 +10,8 @@
 )
 
 // apartDay is a calm site with jobs of two or three tasks that end far apart, and nothing else.
-func apartDay(seed uint64) *sim {
-	s := newSim(seed, 0)
+func apartDay(t testing.TB, seed uint64) *sim {
+	s := newSim(t, seed, 0)
 	s.after(time.Second, func() {
 		for i := range 8 {
 			u := s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2 + i%2,
@@ -53,7 +53,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(43_000); seed < 43_004; seed++ {
-				s := apartDay(seed)
+				s := apartDay(t, seed)
 				s.after(36*time.Second, func() { change(s) })
 				s.finish(t, 150*time.Second)
 				s.report(t)
@@ -72,7 +72,7 @@
 // limit and no task runs twice (the checkers say), and then it is free without the cloud's help, while they are still deaf, and runs in the end.
 func TestMachinesThatHearNobodyWhenTheirLeaderEnds(t *testing.T) {
 	for seed := uint64(43_100); seed < 43_106; seed++ {
-		s := newSim(seed, 0)
+		s := newSim(t, seed, 0)
 		s.after(time.Second, func() {
 			for i := range 10 {
 				s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "svc", Team: []string{"red", "blue"}[i%2], Shape: job.Service, Priority: job.Production, Tasks: 2,
@@ -186,7 +186,7 @@
 		share int // of four machines, so many can't be reached
 		kept  bool
 	}{{"all of them", 4, true}, {"a few of them", 1, false}} {
-		s := newSim(43_200, 0)
+		s := newSim(t, 43_200, 0)
 		for k := range s.cloud.free {
 			s.cloud.free[k] = map[string]int{"small": 6}[k.rig]
 		}
--- a/internal/coordination/begin_test.go
+++ b/internal/coordination/begin_test.go
@@ -26,7 +26,7 @@
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(48_000); seed < 48_004; seed++ {
-				s := newSim(seed, 0)
+				s := newSim(t, seed, 0)
 				for k := range s.cloud.free {
 					s.cloud.free[k] *= 2
 				}
@@ -67,7 +67,7 @@
 // nothing was rented for what waited until they heard again.
 func TestNothingWaitsForRoomOnDeafMachines(t *testing.T) {
 	for seed := uint64(48_100); seed < 48_104; seed++ {
-		s := newSim(seed, 0)
+		s := newSim(t, seed, 0)
 		for k := range s.cloud.free {
 			s.cloud.free[k] = map[string]int{"large": 4}[k.rig]
 		}
--- a/internal/coordination/blackstart_test.go
+++ b/internal/coordination/blackstart_test.go
@@ -162,7 +162,7 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
-			s := grownSim(50_000)
+			s := grownSim(t, 50_000)
 			s.unordered = true
 			s.loadGrown(200 * time.Second)
 			s.run(100 * time.Second)
--- a/internal/coordination/blame_test.go
+++ b/internal/coordination/blame_test.go
@@ -15,7 +15,7 @@
 // mistaken, 642 were rented in place of 385.
 func TestJobsThatFailEverywhereCostOthersNothing(t *testing.T) {
 	day := func(mistaken bool) (rented, drains, failures int) {
-		s := newSim(71, 0)
+		s := newSim(t, 71, 0)
 		for i := range 6 {
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 6, Priority: job.Normal,
 				CPUs: 4, GPUs: 1, MemoryGB: 8}, 10, 0)
@@ -58,7 +58,7 @@
 // TestAFaultyMachineIsStillFound is the other side: jobs that work elsewhere fail on
 // one machine, which is returned.
 func TestAFaultyMachineIsStillFound(t *testing.T) {
-	s := newSim(73, 0)
+	s := newSim(t, 73, 0)
 	for i := range 8 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 8, Priority: job.Normal,
 			CPUs: 4, GPUs: 1, MemoryGB: 8}, 6, 0)
--- a/internal/coordination/conform_test.go
+++ b/internal/coordination/conform_test.go
@@ -37,7 +37,7 @@
 // product's own state service, cloud and agents.
 func TestStandInsConformToProtocol(t *testing.T) {
 	quietSim := func() *sim {
-		s := newSim(1, 0)
+		s := newSim(t, 1, 0)
 		s.nodes, s.q = nil, nil // no controllers and nothing else that happens
 		var expire func()
 		expire = func() { s.kv.expire(); s.after(100*time.Millisecond, expire) }
@@ -78,7 +78,7 @@
 // without: the former's are told by every controller, also after a restart, and
 // the latter's record is what it always was.
 func TestDescriptionsReachWorkers(t *testing.T) {
-	s := newSim(61, 0)
+	s := newSim(t, 61, 0)
 	s.run(10 * time.Second)
 	body := func(id, more string) []byte {
 		return []byte(fmt.Sprintf(`{"ref":%q,"jobclass":"arr","crew":"blue","shape":"batch","urgency":"idle","loads":2,"cpus":1,"accelerators":0,"ramGb":1,
@@ -143,7 +143,7 @@
 func TestRulesHoldWithDataSets(t *testing.T) {
 	warm, cold, withdrawn := 0, 0, 0
 	for seed := uint64(300); seed < 308; seed++ {
-		s := newSim(seed, 0.004)
+		s := newSim(t, seed, 0.004)
 		for i := range 4 {
 			s.sets = append(s.sets, protocol.DataSet{Set: fmt.Sprint("set", i), Version: "1", Digest: strings.Repeat(fmt.Sprint(i), 64), Bytes: 800e6, Sources: []string{"127.0.0.1:1"}})
 		}
@@ -196,7 +196,7 @@
 // TestAnnouncementEndsWhenMet guards against copies that are kept for work that
 // has come.
 func TestAnnouncementEndsWhenMet(t *testing.T) {
-	s := newSim(1, 0)
+	s := newSim(t, 1, 0)
 	s.sets = []protocol.DataSet{{Set: "set0", Version: "1"}}
 	s.run(time.Second)
 	c := s.nodes[0].core
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -15,8 +15,8 @@
 	"silvergate/internal/protocol"
 )
 
-func newSim(seed uint64, noise float64) *sim {
-	s := &sim{logged: os.Getenv("SIM_LOGGED") != "", rnd: rand.New(rand.NewPCG(seed, 7)), work: map[string]*simWorker{}, users: map[string]*simUser{}, noise: noise}
+func newSim(t testing.TB, seed uint64, noise float64) *sim {
+	s := &sim{digest: newEffectsDigest(t, seed), logged: os.Getenv("SIM_LOGGED") != "", rnd: rand.New(rand.NewPCG(seed, 7)), work: map[string]*simWorker{}, users: map[string]*simUser{}, noise: noise}
 	s.facts = config.Facts{Count: 3, Zones: []string{"a", "b", "c"},
 		Teams:      []config.Team{{Name: "red", GPUs: 4, GPUsMax: 10}, {Name: "blue"}},
 		Objectives: []config.Objective{{Kind: "wait", Class: "svc", Within: 5}, {Kind: "finished", Class: "arr", Within: 60}},
@@ -284,7 +284,7 @@
 }
 
 func TestQuietDayEndsEverything(t *testing.T) {
-	s := newSim(1, 0)
+	s := newSim(t, 1, 0)
 	s.load(2 * time.Minute)
 	s.finish(t, 3*time.Minute)
 	s.report(t)
@@ -301,7 +301,7 @@
 	for seed := uint64(100); seed < 100+days; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := newSim(seed, 0.004)
+			s := newSim(t, seed, 0.004)
 			s.traceTo(t, seed)
 			s.load(4 * time.Minute)
 			s.after(20*time.Second, func() { s.trouble(4 * time.Minute) })
@@ -357,7 +357,7 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= v.seeds; seed++ {
-				s := newSim(seed, 0.002)
+				s := newSim(t, seed, 0.002)
 				v.spoil(s)
 				for i := range 8 {
 					s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
@@ -384,7 +384,7 @@
 // service saw its workers move to its peers, called them silent from its stale
 // mirror, and had the healthy machines deleted once it was back.
 func TestCutOffControllerDoesNotCondemnMachines(t *testing.T) {
-	s := newSim(5, 0)
+	s := newSim(t, 5, 0)
 	s.load(time.Minute)
 	s.run(50 * time.Second)
 	up := len(s.cloud.sorted())
@@ -405,7 +405,7 @@
 // an outage of the state service that all of them see, no cancellation can be
 // acknowledged, so workers are answered however long it lasts.
 func TestLongOutageKeepsTasksRunning(t *testing.T) {
-	s := newSim(11, 0)
+	s := newSim(t, 11, 0)
 	for i := range 6 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
 			Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
@@ -443,7 +443,7 @@
 // records keep to the state service's limits (the stand-in checks them), the
 // others run, and a cancellation clears everything.
 func TestLargestJobRunsWithinLimits(t *testing.T) {
-	s := newSim(21, 0)
+	s := newSim(t, 21, 0)
 	big := s.submit(&job.Spec{ID: "wk-800000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: protocol.MaxTasks,
 		Priority: job.Low, CPUs: 1, GPUs: 1, MemoryGB: 1, Spot: true}, 3, 0)
 	s.run(30 * time.Second)
@@ -471,7 +471,7 @@
 // TestEarlyHandOverIsKept guards against tasks lost for two publishing
 // intervals: a peer's hand-over often comes before the watch brings the job.
 func TestEarlyHandOverIsKept(t *testing.T) {
-	s := newSim(3, 0)
+	s := newSim(t, 3, 0)
 	s.run(20 * time.Second)
 	c := s.nodes[0].core
 	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 3, CPUs: 1, GPUs: 1, MemoryGB: 1}
@@ -508,7 +508,7 @@
 // restartAll crashes all controllers of a small site and tells how many
 // workers they adopted.
 func restartAll(t *testing.T, seed uint64) (adopted uint64) {
-	s := newSim(seed, 0)
+	s := newSim(t, seed, 0)
 	for i := range 8 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
 			Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: []string{"a", "b"}[i%2]}, 0, 0)
@@ -548,7 +548,7 @@
 func TestRestartAdoptsWorkersWhoseLeasesEnded(t *testing.T) {
 	var adopted, claims uint64
 	for seed := uint64(1); seed <= 8; seed++ {
-		s := newSim(seed, 0)
+		s := newSim(t, seed, 0)
 		for i := range 8 {
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
 				Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: []string{"a", "b"}[i%2]}, 0, 0)
@@ -578,7 +578,7 @@
 // arrays: machines of several controllers, all with lower tasks on them, are
 // cleared for the marked gang, and it starts soon.
 func TestGangGetsABlockCleared(t *testing.T) {
-	s := newSim(23, 0)
+	s := newSim(t, 23, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 	s.told = s.facts
 	for i := range 4 {
@@ -601,7 +601,7 @@
 // stay down: a machine that hangs while its controller restarts reports to
 // nobody, and the new life has to look for it.
 func TestHungMachineOfARestartedControllerIsReturned(t *testing.T) {
-	s := newSim(29, 0)
+	s := newSim(t, 29, 0)
 	for i := range 12 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
 			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
@@ -637,7 +637,7 @@
 // for more than a minute although no zone has machines for it: smaller ones of
 // other controllers start meanwhile.
 func TestGangWithoutABlockLetsOthersStart(t *testing.T) {
-	s := newSim(41, 0)
+	s := newSim(t, 41, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 	s.told = s.facts
 	gang := func(id string, tasks int) *simUser {
@@ -668,7 +668,7 @@
 // up before their refusal comes: in an outage whoever asks gets 503 at once,
 // except about jobs that are over.
 func TestUsersAreToldAtOnceThatTheStateServiceIsAway(t *testing.T) {
-	s := newSim(43, 0)
+	s := newSim(t, 43, 0)
 	u := s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 2, 0)
 	open := s.submit(&job.Spec{ID: "wk-700001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
 	s.run(60 * time.Second)
@@ -698,7 +698,7 @@
 // machine that was returned fell silent, and "idle" and "silent" replaced one
 // another in its drain at every sweep until its records went.
 func TestDrainsDoNotTakeTurns(t *testing.T) {
-	s := newSim(47, 0)
+	s := newSim(t, 47, 0)
 	for i := range 8 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
 			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
@@ -737,7 +737,7 @@
 // the two, and the task ran twice.
 func TestEvidenceDoesNotOutliveItsClaim(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		s := newSim(53, 0)
+		s := newSim(t, 53, 0)
 		s.submit(&job.Spec{ID: "wk-700000", Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1, Priority: job.Production,
 			CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
 		s.run(40 * time.Second)
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -14,7 +14,7 @@
 // grownCore is a controller of a deployment of hundreds of machines, with work
 // on them, and a machine of its own that holds some.
 func grownCore(t testing.TB) (*sim, *Core, *machine) {
-	s := grownSim(31)
+	s := grownSim(t, 31)
 	s.loadGrown(80 * time.Second)
 	s.run(60 * time.Second)
 	c := s.nodes[0].core
--- a/internal/coordination/cutoff_test.go
+++ b/internal/coordination/cutoff_test.go
@@ -15,7 +15,7 @@
 // tokens wait. SIM_DAYS plays more of them.
 func TestRulesHoldWhenAZoneIsCutOff(t *testing.T) {
 	drawnDays(t, 5000, 12, func(t *testing.T, seed uint64) {
-		s := newSim(seed, 0.004)
+		s := newSim(t, seed, 0.004)
 		s.unordered = true
 		s.traceTo(t, seed)
 		s.load(3 * time.Minute)
--- /dev/null
+++ b/internal/coordination/digest_test.go
@@ -0,0 +1,206 @@
+package coordination
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"math"
+	"os"
+	"reflect"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// digestVariable names the file to which each simulated day appends a line with
+// the digest of its effects.
+const digestVariable = "SIM_DIGEST"
+
+// effectsDigest sums up every effect of every core of a simulated day, in order.
+// Two versions of the core that give the same digest for a day did the same on it.
+type effectsDigest struct {
+	day     string // test and seed
+	hash    *xxhash.Digest
+	effects int
+	buffer  []byte
+}
+
+// digestLines serializes the lines of days that are played in parallel, and
+// numbers the days of one test that have the same seed.
+var digestLines = struct {
+	sync.Mutex
+	days map[string]int
+}{days: map[string]int{}}
+
+// newEffectsDigest is nil, which takes in nothing, unless SIM_DIGEST is set. The
+// line is written at the end of the test.
+func newEffectsDigest(t testing.TB, seed uint64) *effectsDigest {
+	file := os.Getenv(digestVariable)
+	if file == "" {
+		return nil
+	}
+	d := &effectsDigest{day: fmt.Sprintf("%s %d", t.Name(), seed), hash: xxhash.New()}
+	t.Cleanup(func() {
+		if err := d.appendLine(file); err != nil {
+			t.Error(err)
+		}
+	})
+	return d
+}
+
+// add takes in what a controller did at a time.
+func (d *effectsDigest) add(node string, now time.Duration, e Effects) {
+	if d == nil {
+		return
+	}
+	count := len(e.Answers) + len(e.Calls) + len(e.Sends)
+	if count == 0 {
+		return
+	}
+	if d.effects == 0 {
+		d.day = numberDay(d.day)
+	}
+	d.effects += count
+	d.buffer = appendValue(d.buffer[:0], reflect.ValueOf(node))
+	d.buffer = appendValue(d.buffer, reflect.ValueOf(now))
+	d.buffer = appendValue(d.buffer, reflect.ValueOf(e))
+	_, _ = d.hash.Write(d.buffer)
+}
+
+// numberDay tells the days of one test that have the same seed apart.
+func numberDay(day string) string {
+	digestLines.Lock()
+	defer digestLines.Unlock()
+	digestLines.days[day]++
+	if nth := digestLines.days[day]; nth > 1 {
+		return fmt.Sprintf("%s#%d", day, nth)
+	}
+	return day
+}
+
+// appendLine writes no line for a simulation that was not played.
+func (d *effectsDigest) appendLine(file string) error {
+	if d.effects == 0 {
+		return nil
+	}
+	digestLines.Lock()
+	defer digestLines.Unlock()
+	f, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	if err != nil {
+		return err
+	}
+	if _, err := fmt.Fprintf(f, "%s %016x %d\n", d.day, d.hash.Sum64(), d.effects); err != nil {
+		_ = f.Close()
+		return err
+	}
+	return f.Close()
+}
+
+// appendValue encodes a value by its kinds, lengths, nil-ness and contents, in the
+// order of fields. Names of types and fields are left out, so that renaming them
+// changes no digest; the entries of maps are sorted.
+func appendValue(b []byte, v reflect.Value) []byte {
+	b = append(b, byte(v.Kind()))
+	switch v.Kind() {
+	case reflect.Bool:
+		if v.Bool() {
+			return append(b, 1)
+		}
+		return append(b, 0)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		return binary.LittleEndian.AppendUint64(b, uint64(v.Int()))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		return binary.LittleEndian.AppendUint64(b, v.Uint())
+	case reflect.Float32, reflect.Float64:
+		return binary.LittleEndian.AppendUint64(b, math.Float64bits(v.Float()))
+	case reflect.String:
+		return append(appendLength(b, v.Len()), v.String()...)
+	case reflect.Pointer, reflect.Interface:
+		if v.IsNil() {
+			return append(b, 0)
+		}
+		return appendValue(append(b, 1), v.Elem())
+	case reflect.Slice:
+		if v.IsNil() {
+			return append(b, 0)
+		}
+		return appendElements(append(b, 1), v)
+	case reflect.Array:
+		return appendElements(b, v)
+	case reflect.Map:
+		if v.IsNil() {
+			return append(b, 0)
+		}
+		return appendEntries(append(b, 1), v)
+	case reflect.Struct:
+		b = appendLength(b, v.NumField())
+		for i := range v.NumField() {
+			b = appendValue(b, v.Field(i))
+		}
+		return b
+	default:
+		panic(fmt.Sprintf("an effect holds a %v, which has no digest", v.Type()))
+	}
+}
+
+func appendLength(b []byte, n int) []byte { return binary.LittleEndian.AppendUint64(b, uint64(n)) }
+
+func appendElements(b []byte, v reflect.Value) []byte {
+	b = appendLength(b, v.Len())
+	if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8 {
+		return append(b, v.Bytes()...)
+	}
+	for i := range v.Len() {
+		b = appendValue(b, v.Index(i))
+	}
+	return b
+}
+
+func appendEntries(b []byte, v reflect.Value) []byte {
+	var entries [][]byte
+	for it := v.MapRange(); it.Next(); {
+		entries = append(entries, appendValue(appendValue(nil, it.Key()), it.Value()))
+	}
+	slices.SortFunc(entries, bytes.Compare)
+	b = appendLength(b, len(entries))
+	for _, entry := range entries {
+		b = append(b, entry...)
+	}
+	return b
+}
+
+// TestDigestsTellEffectsApart shows which differences a digest sees, and that
+// names and the order of maps are none.
+func TestDigestsTellEffectsApart(t *testing.T) {
+	encoded := func(v any) string { return string(appendValue(nil, reflect.ValueOf(v))) }
+	base := func() Effects {
+		return Effects{
+			Answers: []Answer{{ID: 1, Status: 200, Body: []byte("{}"), RetryAfter: 2}},
+			Sends:   []Send{{To: "n1", Message: Message{Forward: &Forward{Job: "j", Tasks: []int{1, 2}}}}},
+		}
+	}
+	for name, change := range map[string]func(e *Effects){
+		"status":       func(e *Effects) { e.Answers[0].Status = 201 },
+		"body":         func(e *Effects) { e.Answers[0].Body = []byte("[]") },
+		"urgent":       func(e *Effects) { e.Answers[0].Urgent = true },
+		"recipient":    func(e *Effects) { e.Sends[0].To = "n2" },
+		"order":        func(e *Effects) { slices.Reverse(e.Sends[0].Message.Forward.Tasks) },
+		"kind":         func(e *Effects) { m := &e.Sends[0].Message; m.Return, m.Forward = m.Forward, nil },
+		"empty or nil": func(e *Effects) { e.Sends[0].Message.Beat = &Beat{} },
+		"none":         func(e *Effects) { e.Sends = nil },
+	} {
+		changed := base()
+		change(&changed)
+		if encoded(changed) == encoded(base()) {
+			t.Errorf("%s: the digest does not see the difference", name)
+		}
+	}
+	type before struct{ Lit map[string]int }
+	type after struct{ Heard map[string]int }
+	if encoded(before{map[string]int{"a": 1, "b": 2}}) != encoded(after{map[string]int{"b": 2, "a": 1}}) {
+		t.Error("the digest depends on names or on the order of a map")
+	}
+}
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/endlog_test.go
@@ -14,7 +14,7 @@
 // TestRulesHoldWithTheEndingLog plays days of troubles with the log of endings switched on.
 func TestRulesHoldWithTheEndingLog(t *testing.T) {
 	drawnDays(t, 12_500, 12, func(t *testing.T, seed uint64) {
-		s := newSim(seed, 0.01)
+		s := newSim(t, seed, 0.01)
 		s.logged = true
 		s.traceTo(t, seed)
 		s.load(2 * time.Minute)
@@ -28,7 +28,7 @@
 // that nothing of it is left when all is over.
 func TestEndingLogSavesChanges(t *testing.T) {
 	play := func(logged bool) (changes uint64, left int) {
-		s := grownSim(91)
+		s := grownSim(t, 91)
 		s.logged = logged
 		for i := range s.facts.Teams {
 			s.facts.Teams[i].GPUsMax = 0 // limited teams' endings go with their pages
@@ -104,7 +104,7 @@
 
 // TestEndingLogAmongEarlierVersions: nothing goes to the log while a peer does not read it.
 func TestEndingLogAmongEarlierVersions(t *testing.T) {
-	s := newSim(3, 0)
+	s := newSim(t, 3, 0)
 	s.logged = true
 	s.run(2 * time.Second)
 	c := s.nodes[0].core
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -11,8 +11,8 @@
 
 // grownSim is a deployment of five controllers and some hundred machines, with
 // the limits of a real state service.
-func grownSim(seed uint64) *sim {
-	s := newSim(seed, 0)
+func grownSim(t testing.TB, seed uint64) *sim {
+	s := newSim(t, seed, 0)
 	s.facts.Workers.Report = 4
 	s.facts.State = config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 12}
 	s.facts.Cloud = config.Cloud{RPS: 5, ListLag: 8}
@@ -71,7 +71,7 @@
 // failures: dozens of machines hang, a third of the spot machines is taken,
 // and all controllers crash. The rules hold and everything ends.
 func TestGrownDeployment(t *testing.T) {
-	s := grownSim(31)
+	s := grownSim(t, 31)
 	s.loadGrown(150 * time.Second)
 	s.after(60*time.Second, func() {
 		for i, w := range s.cloud.sorted() {
@@ -121,7 +121,7 @@
 // TestIdleControllerSleeps guards the processor of small machines: a controller
 // with nothing to do is woken for its sweeps alone, not by a fixed clock.
 func TestIdleControllerSleeps(t *testing.T) {
-	s := newSim(5, 0)
+	s := newSim(t, 5, 0)
 	s.run(20 * time.Second)
 	before := map[string]int{}
 	for _, n := range s.nodes {
@@ -140,7 +140,7 @@
 // that can't be reached for less than a lease: its machines are not returned and
 // its tasks go on, while a few silent machines elsewhere are returned.
 func TestZoneThatIsCutOffKeepsItsMachines(t *testing.T) {
-	s := grownSim(37)
+	s := grownSim(t, 37)
 	s.loadGrown(120 * time.Second)
 	s.run(100 * time.Second)
 	cut, single := map[string]bool{}, map[string]bool{}
@@ -184,7 +184,7 @@
 func TestWorkersOfASilentControllerAreTakenInTime(t *testing.T) {
 	ended, held := 0, 0
 	for seed := uint64(51); seed < 54; seed++ {
-		s := grownSim(seed)
+		s := grownSim(t, seed)
 		s.loadGrown(120 * time.Second)
 		s.run(100 * time.Second)
 		shifts := map[string]uint64{}
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -164,7 +164,7 @@
 // TestAnOlderPublicationIsWrittenOver guards against a publication without an answer that is carried out
 // after newer ones: it has no condition, and would stay until the list's length changes.
 func TestAnOlderPublicationIsWrittenOver(t *testing.T) {
-	s := newSim(41_000, 0)
+	s := newSim(t, 41_000, 0)
 	s.run(30 * time.Second)
 	n := s.nodes[0]
 	old := encode(member{n.core.life - 1, 99, 0, latestFormat})
@@ -190,7 +190,7 @@
 		{"an outage", func(s *sim, n *simNode) { s.kv.down = time.Hour }, 200},
 		{"an outage, and no peers", func(s *sim, n *simNode) { s.kv.down, n.cut["peers"] = time.Hour, time.Hour }, 200},
 	} {
-		s := newSim(41_100, 0)
+		s := newSim(t, 41_100, 0)
 		s.run(20 * time.Second)
 		n := s.nodes[0]
 		v.spoil(s, n)
--- a/internal/coordination/late_test.go
+++ b/internal/coordination/late_test.go
@@ -27,7 +27,7 @@
 }
 
 func newScript(t *testing.T) *script {
-	facts := newSim(1, 0).facts
+	facts := newSim(t, 1, 0).facts
 	facts.Teams = []config.Team{{Name: "blue"}}
 	cfg := &config.Settings{Node: "n1", Zone: "a", Peers: []config.Peer{{Node: "n0", Zone: "b"}}, Facts: facts, Operator: config.DefaultOperator()}
 	return &script{t: t, c: New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 2)), 7), next: 1 << 40}
@@ -225,7 +225,7 @@
 // transaction did not name the machine's drain, since an ending on the same machine
 // had named its claim before.
 func TestAPlacementBesideAnEndingHeedsTheDrain(t *testing.T) {
-	s := newSim(67, 0)
+	s := newSim(t, 67, 0)
 	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal, CPUs: 1, GPUs: 1, MemoryGB: 1, Types: []string{"large"}}
 	s.submit(sp, 500, 0)
 	s.run(40 * time.Second)
--- a/internal/coordination/meeting_test.go
+++ b/internal/coordination/meeting_test.go
@@ -86,8 +86,8 @@
 }
 
 // meetingSim is a calm site whose controllers' and workers' clocks are apart by what PROTOCOL allows.
-func meetingSim(seed uint64, m meeting) *sim {
-	s := newSim(seed, 0)
+func meetingSim(t testing.TB, seed uint64, m meeting) *sim {
+	s := newSim(t, seed, 0)
 	for i := 3; i < m.nodes; i++ {
 		n := &simNode{s: s, name: fmt.Sprintf("n%d", i), zone: s.facts.Zones[i%2], cut: map[string]time.Duration{}}
 		s.nodes = append(s.nodes, n)
@@ -118,7 +118,7 @@
 
 // play plays the day.
 func (m meeting) play(t *testing.T, seed uint64) (*sim, outcome) {
-	s := meetingSim(seed, m)
+	s := meetingSim(t, seed, m)
 	s.traceTo(t, seed)
 	long, n := 3600.0, 0
 	submit := func(shape job.Shape, p job.Priority, tasks int) {
@@ -321,7 +321,7 @@
 		}
 	}
 	drawnDays(t, 21_000, 40, func(t *testing.T, seed uint64) {
-		m := drawMeeting(newSim(seed, 0))
+		m := drawMeeting(newSim(t, seed, 0))
 		s, o := m.play(t, seed)
 		m.judge(t, s, o)
 	})
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -547,7 +547,7 @@
 
 // play plays the day. Nothing is judged here but by the checkers that are always there.
 func (d *meetingDay) play(t *testing.T, nodes int, seed uint64, spoil func(s *sim)) *sim {
-	s := meetingSim(seed, meeting{nodes: nodes, workers: "well"})
+	s := meetingSim(t, seed, meeting{nodes: nodes, workers: "well"})
 	if d.world != nil {
 		d.world(s)
 	}
--- a/internal/coordination/page_test.go
+++ b/internal/coordination/page_test.go
@@ -102,7 +102,7 @@
 // TestPagesAreListsAmongEarlierVersions guards a rolling upgrade: as long as a
 // peer has not published that it reads the compact form, none is written.
 func TestPagesAreListsAmongEarlierVersions(t *testing.T) {
-	s := newSim(3, 0)
+	s := newSim(t, 3, 0)
 	s.run(time.Second)
 	c := s.nodes[0].core
 	clear(c.formats)
--- a/internal/coordination/reach_test.go
+++ b/internal/coordination/reach_test.go
@@ -208,7 +208,7 @@
 // a loss of machines. Every rule is judged, and no urgent task may be killed
 // by its lease on a machine that had a way to the state service the whole time.
 func TestPairsOfCuts(t *testing.T) {
-	kinds := newSim(1, 0).cuts()
+	kinds := newSim(t, 1, 0).cuts()
 	type cut struct {
 		node int
 		kind string
@@ -229,7 +229,7 @@
 			other, lost, days := 0, 0, 0
 			for j, b := range all[i+1:] {
 				for k, die := range []int{0, 3} {
-					s := newSim(seed+uint64(2*j+k), 0)
+					s := newSim(t, seed+uint64(2*j+k), 0)
 					cutDay(s, die, func() { s.cutLink(s.nodes[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.nodes[b.node], b.kind, 40*time.Second) })
 					days++
 					if len(s.broken) > 0 || s.saved.urgent > 0 {
@@ -257,7 +257,7 @@
 }
 
 func drawnCuts(t *testing.T, seed uint64) *sim {
-	s := grownSim(seed)
+	s := grownSim(t, seed)
 	s.traceTo(t, seed)
 	s.unordered = true // cuts and late watches: see judgeOrder
 	s.loadGrown(3 * time.Minute)
@@ -300,7 +300,7 @@
 // workers lose urgent tasks that had a way.
 func TestWaysAreJudged(t *testing.T) {
 	day := func(noCarrier bool) *sim {
-		s := newSim(9900, 0)
+		s := newSim(t, 9900, 0)
 		s.noCarrier = noCarrier
 		cutDay(s, 0, func() { s.cutLink(s.nodes[0], "state", time.Minute) }, func() { s.cutLink(s.nodes[1], "state", time.Minute) },
 			func() { s.cutLink(s.nodes[2], "workers", time.Minute) })
@@ -318,7 +318,7 @@
 // rents soon, and it stays so. Where the cloud answers nobody, the lease stays where it is.
 func TestRenterWithoutTheCloudGivesWay(t *testing.T) {
 	for _, all := range []bool{false, true} {
-		s := newSim(9950, 0)
+		s := newSim(t, 9950, 0)
 		s.load(3 * time.Minute)
 		s.run(50 * time.Second)
 		var first *simNode
@@ -357,7 +357,7 @@
 // TestRulesDoNotDependOnRows has beats tell drawn rows, on days with drawn cuts.
 func TestRulesDoNotDependOnRows(t *testing.T) {
 	drawnDays(t, 9700, 12, func(t *testing.T, seed uint64) {
-		s := newSim(seed, 0.004)
+		s := newSim(t, seed, 0.004)
 		s.unordered, s.lies = true, true
 		s.load(3 * time.Minute)
 		s.after(20*time.Second, func() { s.trouble(3 * time.Minute) })
@@ -371,7 +371,7 @@
 // version before rows while links fail, and then all the new one.
 func TestRollingRestartFromTheVersionBefore(t *testing.T) {
 	for old := 1; old <= 2; old++ {
-		s := newSim(uint64(9800+old), 0.002)
+		s := newSim(t, uint64(9800+old), 0.002)
 		s.unordered = true
 		for i := range old {
 			s.nodes[i].old = true
@@ -444,7 +444,7 @@
 		if gob.NewDecoder(bytes.NewReader(data)).Decode(&m) != nil {
 			return
 		}
-		s := newSim(9990, 0)
+		s := newSim(t, 9990, 0)
 		s.run(4 * time.Second) // the records are read
 		n := s.nodes[0]
 		for _, from := range []string{"n1", "nobody"} {
--- a/internal/coordination/recorded_test.go
+++ b/internal/coordination/recorded_test.go
@@ -105,7 +105,7 @@
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				s := newSim(7000+seed, 0.004)
+				s := newSim(t, 7000+seed, 0.004)
 				s.load(3 * time.Minute)
 				s.after(20*time.Second, func() { s.trouble(3 * time.Minute) })
 				s.run(4 * time.Minute)
@@ -140,7 +140,7 @@
 
 // TestReplaysNoticeAnotherCore shows that the comparison can fail.
 func TestReplaysNoticeAnotherCore(t *testing.T) {
-	s := newSim(3, 0)
+	s := newSim(t, 3, 0)
 	s.load(30 * time.Second)
 	s.run(time.Minute)
 	x := s.tapes[0]
@@ -175,7 +175,7 @@
 // it is and with a recorder in front, and tells what an input takes and how many bytes
 // it leaves.
 func BenchmarkRecorded(b *testing.B) {
-	s := grownSim(41)
+	s := grownSim(b, 41)
 	s.loadGrown(100 * time.Second)
 	s.run(120 * time.Second)
 	var raw []byte
--- a/internal/coordination/recover_test.go
+++ b/internal/coordination/recover_test.go
@@ -18,7 +18,7 @@
 // lost, while gangs of lower priority went on (carbura-iasi-fleet, day zone).
 func TestUrgentWorkGetsRoomFromGangs(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		s := newSim(seed, 0)
+		s := newSim(t, seed, 0)
 		for k := range s.cloud.free {
 			s.cloud.free[k] = 0
 			if k.rig == "large" && k.depot == "a" && !k.spot {
@@ -93,7 +93,7 @@
 // as late, and their free room was planned with meanwhile (carbura-iasi-fleet,
 // day zone: replicas without room for 45 s).
 func TestMostOfAControllersMachinesHang(t *testing.T) {
-	s := grownSim(41)
+	s := grownSim(t, 41)
 	s.told.Limits.MaxSockets = 2000
 	s.loadGrown(140 * time.Second)
 	s.run(100 * time.Second)
@@ -133,7 +133,7 @@
 // that production is idle work, the controllers do just that, and the checker says so.
 func TestUrgentWorkGoesFirst(t *testing.T) {
 	day := func(seed uint64, misled bool) *sim {
-		s := grownSim(seed)
+		s := grownSim(t, seed)
 		s.misled = misled
 		s.loadGrown(130 * time.Second)
 		s.after(80*time.Second, func() {
--- a/internal/coordination/returns_test.go
+++ b/internal/coordination/returns_test.go
@@ -26,7 +26,7 @@
 func TestNoMachineIsReturnedThatIsInUse(t *testing.T) {
 	met := 0
 	for seed := uint64(45_000); seed < 45_006; seed++ {
-		s := newSim(seed, 0)
+		s := newSim(t, seed, 0)
 		s.after(time.Second, func() {
 			for i := range 6 {
 				s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 1, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
@@ -64,7 +64,7 @@
 // may be read although its claim, written meanwhile, was not, and a machine with tasks and no claim is one to be returned.
 func TestATornMirrorReturnsNothing(t *testing.T) {
 	for _, torn := range []bool{true, false} {
-		s := newSim(45_100, 0)
+		s := newSim(t, 45_100, 0)
 		s.run(20 * time.Second)
 		l := s.leading()
 		c := l.core
@@ -138,7 +138,7 @@
 			t.Parallel()
 			held := 0
 			for seed := uint64(45_200); seed < 45_206; seed++ {
-				s := newSim(seed, 0)
+				s := newSim(t, seed, 0)
 				more := func(from, n int) {
 					for i := range n {
 						s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", from+i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8}, 20, 0)
@@ -231,7 +231,7 @@
 			t.Parallel()
 			longest, replaced, met := time.Duration(0), 0, 0
 			for seed := uint64(45_300); seed < 45_304; seed++ {
-				s := meetingSim(seed, meeting{nodes: 3 + 2*int(seed%2), workers: "well"})
+				s := meetingSim(t, seed, meeting{nodes: 3 + 2*int(seed%2), workers: "well"})
 				s.unordered = true
 				s.met.quickBoots = seed%2 == 0
 				s.load(140 * time.Second)
@@ -294,7 +294,7 @@
 
 // TestWhatWasClaimedSinceIsNotCondemned guards against a judgement that had waited for the budget while the machine was claimed.
 func TestWhatWasClaimedSinceIsNotCondemned(t *testing.T) {
-	s := newSim(45_400, 0)
+	s := newSim(t, 45_400, 0)
 	s.submit(&job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
 	s.run(50 * time.Second)
 	l := s.leading()
--- a/internal/coordination/served_test.go
+++ b/internal/coordination/served_test.go
@@ -182,7 +182,7 @@
 			})
 		}},
 	} {
-		s := newSim(42_000, 0)
+		s := newSim(t, 42_000, 0)
 		s.after(time.Second, func() {
 			for i := range 6 {
 				s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 4, GPUs: 1, MemoryGB: 8}, 30, 0)
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -42,6 +42,7 @@
 
 type sim struct {
 	launched  func(*simWorker, protocol.Order) // sees launches; may be nil
+	digest    *effectsDigest                   // of what the controllers do; nil: not wanted
 	rnd       *rand.Rand
 	now       time.Duration
 	seq       int
@@ -270,6 +271,7 @@
 	s := n.s
 	life := n.life
 	n.plan()
+	s.digest.add(n.name, s.now, e)
 	n.judgeOrder(e)
 	for _, a := range e.Answers {
 		delete(n.askers, a.ID)
--- a/internal/coordination/start_test.go
+++ b/internal/coordination/start_test.go
@@ -54,7 +54,7 @@
 // reading took, and the time of its steps until it answers a health check, a user
 // and a worker of its earlier life.
 func startCore(tb testing.TB, keys []string, data map[string][]byte) (requests int, whole, longest time.Duration) {
-	facts := newSim(1, 0).facts
+	facts := newSim(tb, 1, 0).facts
 	facts.Teams = []config.Team{{Name: "blue"}}
 	cfg := &config.Settings{Node: "n0", Zone: "a", Facts: facts, Operator: config.DefaultOperator()}
 	c := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 2)), 2)
--- a/internal/coordination/takeovers_test.go
+++ b/internal/coordination/takeovers_test.go
@@ -32,7 +32,7 @@
 
 // playTakeover plays a grown deployment with times as many machines and as much work.
 func playTakeover(t *testing.T, seed uint64, times int, grouped, all bool) takeoverDay {
-	s := grownSim(seed)
+	s := grownSim(t, seed)
 	s.alone = !grouped
 	for k := range s.cloud.free {
 		s.cloud.free[k] *= times
@@ -125,7 +125,7 @@
 		if grouped.takeovers == 0 || alone.takeovers > 0 || grouped.changes*3 > alone.changes {
 			t.Errorf("%d times: %d changes by the group, %d one by one", n, grouped.changes, alone.changes)
 		}
-		if lease := seconds(grownSim(1).facts.Workers.Lease); grouped.most > 3*lease/4 {
+		if lease := seconds(grownSim(t, 1).facts.Workers.Lease); grouped.most > 3*lease/4 {
 			t.Errorf("%d times: nine tenths are answered after %s, and a lease is %s", n, grouped.most, lease)
 		}
 		if os.Getenv("SIM_TIMES") == "" {
@@ -212,7 +212,7 @@
 	for _, seed := range []uint64{81, 82, 83} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			s := grownSim(seed)
+			s := grownSim(t, seed)
 			s.unordered = true
 			for _, n := range s.nodes {
 				n.legacy = true
@@ -258,7 +258,7 @@
 // epoch, so that a second loss is taken over by the group, too; and records that nothing stands on
 // are dropped.
 func TestAGroupThatPassesOnTwice(t *testing.T) {
-	s := grownSim(84)
+	s := grownSim(t, 84)
 	s.loadGrown(260 * time.Second)
 	for _, at := range []time.Duration{60, 150} {
 		s.after(at*time.Second, func() { s.cutLink(s.nodes[0], "workers", 30*time.Second) })
--- a/internal/coordination/troubles_test.go
+++ b/internal/coordination/troubles_test.go
@@ -165,7 +165,7 @@
 	k := len(troubleKinds)
 	drawnDays(t, 0, k*(k+1)/2, func(t *testing.T, seed uint64) {
 		a, b := pairOf(seed)
-		s := newSim(31_000+seed, 0.002)
+		s := newSim(t, 31_000+seed, 0.002)
 		// Room for the largest.
 		for k := range s.cloud.free {
 			s.cloud.free[k] *= 2
--- a/internal/coordination/unshipped_test.go
+++ b/internal/coordination/unshipped_test.go
@@ -25,7 +25,7 @@
 		{"until the archive's word", 120 * time.Second, 200, 115 * time.Second, 160 * time.Second},
 		{"until the deadline", 400 * time.Second, 100, 95 * time.Second, 180 * time.Second},
 	} {
-		s := newSim(5, 0)
+		s := newSim(t, 5, 0)
 		for _, n := range s.nodes {
 			n.archive = &config.Archive{GrantKey: "x", HoldS: c.hold, Key: make([]byte, archive.KeySize)}
 			n.crash(0)
@@ -55,7 +55,7 @@
 // archive, or with a word for another attempt or machine; and against one for a job
 // whose owner is not the one that was accepted.
 func TestLaunchesAreSealed(t *testing.T) {
-	s := newSim(6, 0)
+	s := newSim(t, 6, 0)
 	key := archive.GrantKey(make([]byte, archive.KeySize))
 	seals := 0
 	s.launched = func(w *simWorker, o protocol.Order) {
