--- /dev/null
+++ b/internal/coordination/storedrecords_test.go
@@ -0,0 +1,189 @@
+package coordination
+
+import (
+	"bytes"
+	"encoding/json"
+	"log/slog"
+	"reflect"
+	"strings"
+	"testing"
+
+	"silvergate/internal/endings"
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+	"silvergate/internal/takeover"
+)
+
+// storedRecord is a record of the state service: docs/design.md, "Records".
+type storedRecord struct {
+	name   string
+	file   string // golden file, in testdata/records
+	key    string // as it stands in the state service
+	built  string // the same, as the code makes it
+	encode func() []byte
+	check  func(t *testing.T, data []byte) // reads it to the same meaning and writes the same bytes
+}
+
+// wholeRecord is a record with every field set. partialRecord lacks those that are left out
+// when they have no value.
+func wholeRecord[T any](name, file, key, built string, want T) storedRecord {
+	r := partialRecord(name, file, key, built, want)
+	check := r.check
+	r.check = func(t *testing.T, data []byte) {
+		requireNoZeroFields(t, name, want)
+		check(t, data)
+	}
+	return r
+}
+
+func partialRecord[T any](name, file, key, built string, want T) storedRecord {
+	check := func(t *testing.T, data []byte) {
+		var got T
+		if !decode(slog.New(slog.DiscardHandler), key, data, &got) {
+			t.Fatal("unreadable")
+		}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("read as %+v, not %+v", got, want)
+		}
+		requireSameBytes(t, encode(got), data)
+		// Some records are read by protocol.Decode, which refuses what it does not know.
+		var strict T
+		if err := protocol.Decode(data, &strict); err != nil || !reflect.DeepEqual(strict, want) {
+			t.Errorf("read as %+v, not %+v: %v", strict, want, err)
+		}
+	}
+	return storedRecord{name, file, key, built, func() []byte { return encode(want) }, check}
+}
+
+// pageRecord is a page of tasks in one of its two layouts.
+func pageRecord(name, file, key, built string, want []job.Task, write func([]job.Task) json.RawMessage) storedRecord {
+	check := func(t *testing.T, data []byte) {
+		got := make([]job.Task, len(want))
+		changes, err := readPage(data, got, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, change := range changes {
+			got[change.index] = change.task
+		}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("read as %+v, not %+v", got, want)
+		}
+		requireSameBytes(t, write(got), data)
+	}
+	return storedRecord{name, file, key, built, func() []byte { return write(want) }, check}
+}
+
+func requireSameBytes(t *testing.T, got, want []byte) {
+	t.Helper()
+	if !bytes.Equal(got, want) {
+		t.Errorf("written as\n%s\nnot\n%s", got, want)
+	}
+}
+
+func goldenSpec(id string, shape job.Shape, priority job.Priority) *job.Spec {
+	deadline := 3600.5
+	return &job.Spec{ID: id, Class: "train<1>", Team: "red", Shape: shape, Priority: priority, Tasks: 5, CPUs: 1.5, GPUs: 2, MemoryGB: 3.25,
+		Image: "img-a", ImageGB: 4.5, Types: []string{"g4", "c8"}, Zone: "z-a", OneZone: true, Spread: true, Spot: true, Estimate: 60.5,
+		Checkpoint: 7.5, Save: 8.5, Deadline: &deadline, Extended: true, Inputs: []string{"maps/v1", "maps/v2"}}
+}
+
+// goldenTasks has each phase, with and without failures, and tasks alike.
+func goldenTasks() []job.Task {
+	return []job.Task{
+		{}, {}, {},
+		{Phase: job.Pending, Try: 1},
+		{Phase: job.Pending, Try: 2, Fails: 1},
+		{Phase: job.Bound, Try: 1, Machine: "i-000231", Session: 1},
+		{Phase: job.Bound, Try: 4, Machine: "i-000232", Session: 1 << 62, Fails: 3},
+		{Phase: job.Finished, Try: 1}, {Phase: job.Finished, Try: 1},
+		{Phase: job.Finished, Try: 6, Fails: 5},
+	}
+}
+
+func storedRecords() []storedRecord {
+	depot := "z-b"
+	announced := announcement{AtMS: 1767225600001}
+	announced.Staging = protocol.Staging{Ref: "night", Set: "maps", Version: "v1", Crew: "red", Urgency: "high", ByS: 90.5, Machines: 4, Depot: &depot}
+	holder := takeover.Holder{Node: "n1", Life: 1767225600000000007, Epoch: 2}
+	passed := takeover.Group{Holder: holder, Zone: "z a/1", Number: 3}
+	ended := []string{
+		endings.Ending{Task: endings.Task{Job: "wk-000042", Index: 7}, Try: 2, Machine: "i-000231", Session: 1 << 62}.String(),
+		endings.Ending{Task: endings.Task{Job: "wk-000043", Index: 0}, Try: 1, Machine: "i-000232", Session: 1}.String(),
+	}
+	whole := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
+		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Place: "in/maps"}}}
+	set := protocol.DataSet{Set: "maps", Version: "v1", Digest: strings.Repeat("0123456789abcdef", 4), Bytes: 1 << 40, Sources: []string{"127.0.0.1:7000"}, AtMS: 1767225600002}
+	rigs := protocol.Flavors{Rigs: []protocol.Flavor{{SKU: "g4", CPUs: 8.5, GPUs: 4, RAM: 64.5, LocalGB: 100, PullRate: 0.25, Hourly: 2.5,
+		SpotPrice: 0.75, StartupS: 30, Depots: []string{"z-a", "z-b"}}}}
+	return []storedRecord{
+		wholeRecord("job, open", "j-open.json", "sg/j/wk-000042", keyJob+"wk-000042",
+			storedJob{goldenSpec("wk-000042", job.Gang, job.Production), job.Open, 1767225600000, "n1"}),
+		wholeRecord("job, done", "j-done.json", "sg/j/wk-000043", keyJob+"wk-000043",
+			storedJob{goldenSpec("wk-000043", job.Array, job.High), job.Done, 1767225600003, "n2"}),
+		wholeRecord("job, cancelled", "j-cancelled.json", "sg/j/wk-000044", keyJob+"wk-000044",
+			storedJob{goldenSpec("wk-000044", job.Service, job.Normal), job.Cancelled, 1767225600004, "n3"}),
+		partialRecord("job, the least", "j-least.json", "sg/j/wk-000045", keyJob+"wk-000045",
+			storedJob{&job.Spec{ID: "wk-000045", Class: "c", Team: "red", Shape: job.Array, Priority: job.Low, Tasks: 1}, job.Open, 1, "n1"}),
+		pageRecord("page of words", "p-words.json", "sg/p/wk-000042/3", keyPage+pageKeyOf("wk-000042", 3), goldenTasks(), writePage),
+		pageRecord("page as a list", "p-list.json", "sg/p/wk-000042/3", keyPage+pageKeyOf("wk-000042", 3), goldenTasks(),
+			func(tasks []job.Task) json.RawMessage { return encode(tasks) }),
+		wholeRecord("team", "q.json", "sg/q/red", keyTeam+"red", usage{CPUs: 12.5, GPUs: 3}),
+		wholeRecord("claim", "c.json", "sg/c/i-000231", keyClaim+"i-000231",
+			claim{Owner: "n1", Life: 1767225600000000007, Address: "127.0.0.1:9000", Type: "g4", Zone: "z-a", Spot: true, Epoch: 2}),
+		partialRecord("claim, without an epoch", "c-least.json", "sg/c/i-000232", keyClaim+"i-000232",
+			claim{Owner: "n1", Life: 7, Address: "127.0.0.1:9001", Type: "c8", Zone: "z-b"}),
+		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyTakeover+passed.Key(),
+			takeover.Holder{Node: "n2", Life: 8, Epoch: 1}),
+		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyEndings+"n1/7-1", endings.Record{Endings: ended}),
+		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drain{Why: drainIdle}),
+		wholeRecord("drains of all reasons", "x-reasons.json", "sg/x/", keyDrain,
+			[]drain{{drainIdle}, {drainSilent}, {drainRecall}, {drainFaulty}, {drainFailed}, {drainStray}, {drainLost}}),
+		wholeRecord("member", "m.json", "sg/m/n1", keyMember+"n1", member{Life: 7, Idle: 5, Machines: 6, Format: endingFormat}),
+		partialRecord("member, of the first format", "m-least.json", "sg/m/n2", keyMember+"n2", member{Life: 8, Idle: 1, Machines: 2}),
+		wholeRecord("fleet", "fleet.json", "sg/fleet", keyFleet, lease{Owner: "n1", Life: 7}),
+		wholeRecord("rental", "h.json", "sg/h/n1-7-1", keyRental+"n1-7-1",
+			rental{Rig: "g4", Depot: "z-a", Spot: true, Number: 3, At: 1767225600005, Names: []string{"i-000233", "i-000234"}}),
+		partialRecord("rental, not answered yet", "h-least.json", "sg/h/n1-7-2", keyRental+"n1-7-2", rental{Rig: "c8", Depot: "z-b", Number: 1, At: 6}),
+		wholeRecord("what to run", "sgx-d.json", "sgx/d/wk-000042", keyExtra+"wk-000042", *whole),
+		wholeRecord("data set", "d.json", "sg/d/maps/v1", keyData+"maps/v1", set),
+		wholeRecord("announced work", "s.json", "sg/s/night", keyStaging+"night", announced),
+		wholeRecord("gang", "gang.json", "sg/gang", keyGang, gangLease{Job: "wk-000042", Owner: "n1", Life: 7}),
+		wholeRecord("flavors", "flavors.json", "sg/flavors", keyFlavors, rigs),
+	}
+}
+
+// pageKeyOf is a page's key without the prefix.
+func pageKeyOf(id string, num int) string { return strings.TrimPrefix(pageKey(id, num), keyPage) }
+
+// TestStoredRecordsKeepTheirBytes has the code read each golden record and write it again.
+func TestStoredRecordsKeepTheirBytes(t *testing.T) {
+	for _, r := range storedRecords() {
+		t.Run(r.name, func(t *testing.T) {
+			if r.built != r.key {
+				t.Errorf("its key is %s, not %s", r.built, r.key)
+			}
+			r.check(t, golden(t, "records/"+r.file, r.encode))
+		})
+	}
+}
+
+// TestKeysOfGroupsAreReadAsWritten checks the key of a take-over and the words of an ending,
+// which have their own encoders.
+func TestKeysOfGroupsAreReadAsWritten(t *testing.T) {
+	want := takeover.Group{Holder: takeover.Holder{Node: "n1", Life: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
+	if g, ok := takeover.ParseKey("n1/1767225600000000007.2/z%20a%2F1/3"); !ok || g != want {
+		t.Errorf("read as %+v", g)
+	}
+	// Which group a worker is in is part of the records' meaning: all controllers must agree.
+	for worker, number := range map[string]int{"i-000231": 1, "i-000232": 0, "i-000233": 3, "i-000234": 2} {
+		if g := takeover.Of(want.Holder, worker, "z-a"); g.Number != number {
+			t.Errorf("%s is in group %d, not %d", worker, g.Number, number)
+		}
+	}
+	ending := endings.Ending{Task: endings.Task{Job: "wk-000042", Index: 7}, Try: 2, Machine: "i-000231", Session: 1 << 62}
+	const words = "wk-000042/7.2 i-000231 4611686018427387904"
+	if e, err := endings.Parse(words); err != nil || e != ending || e.String() != words {
+		t.Errorf("%s is read as %+v: %v", words, e, err)
+	}
+}
