--- /dev/null
+++ b/internal/coordination/recordinggolden_test.go
@@ -0,0 +1,148 @@
+package coordination
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"silvergate/internal/recorder"
+)
+
+// goldenRecordings are of a day of 40 s with every fault, of three controllers, one of
+// which starts again. Between them they hold inputs and peer messages of all kinds. A change
+// of what a core decides makes its effects differ; only then may they be written anew.
+var goldenRecordings = []string{
+	"n0-00000000000000001208-000000.rec", // before its restart
+	"n0-00000000000000010133-000000.rec",
+	"n1-00000000000000001139-000000.rec",
+	"n2-00000000000000001227-000000.rec",
+}
+
+// recordDay plays the day and returns its recordings by their files' names.
+func recordDay(t *testing.T) map[string][]byte {
+	const day = 40 * time.Second
+	s := newSim(3, 0.004)
+	s.logged = true
+	s.load(day / 2)
+	s.after(5*time.Second, func() { s.trouble(day * 2 / 3) })
+	s.run(day)
+	recordings := map[string][]byte{}
+	for _, tape := range s.tapes {
+		if err := tape.w.Close(); err != nil {
+			t.Fatal(err)
+		}
+		recordings[tape.name] = tape.out.Bytes()
+	}
+	return recordings
+}
+
+// TestGoldenRecordingsReplay puts recordings of an earlier build through a core: not one
+// effect may differ, and no kind of input or message may be missing.
+func TestGoldenRecordingsReplay(t *testing.T) {
+	var day map[string][]byte
+	if goldenUpdate() {
+		day = recordDay(t)
+	}
+	kinds := map[recorder.Kind]bool{}
+	messages := map[string]bool{}
+	for _, name := range goldenRecordings {
+		data := golden(t, "recordings/"+name, func() []byte { return day[name] })
+		inputs, different := replayTape(t, data)
+		if inputs < 50 || different != "" {
+			t.Errorf("%s: %d inputs, %s", name, inputs, different)
+		}
+		noteKinds(t, data, kinds, messages)
+	}
+	if len(kinds) != 4 {
+		t.Errorf("inputs of kinds %v only", kinds)
+	}
+	if n := reflect.TypeFor[Message]().NumField(); len(messages) != n {
+		t.Errorf("peer messages of %d kinds of %d: %v", len(messages), n, messages)
+	}
+	files, err := filepath.Glob(filepath.Join(goldenFolder, "recordings", "*.rec"))
+	if err != nil || len(files) != len(goldenRecordings) {
+		t.Errorf("files %v: %v", files, err)
+	}
+}
+
+// noteKinds notes of which kinds a recording's inputs and peer messages are. Each input
+// must carry the digest of what the core did, but for questions about the process.
+func noteKinds(t *testing.T, data []byte, kinds map[recorder.Kind]bool, messages map[string]bool) {
+	t.Helper()
+	r, err := recorder.NewReader(bytes.NewReader(data))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for {
+		var in recorder.Input
+		if err := r.Next(&in); err != nil {
+			if !errors.Is(err, io.EOF) {
+				t.Error(err)
+			}
+			return
+		}
+		kinds[in.Kind] = true
+		if in.Effects == 0 && in.Path != PathStats {
+			t.Errorf("a %v at %v has no digest of its effects", in.Kind, in.Steady)
+		}
+		if in.Kind == recorder.Peer {
+			noteMessage(t, in.Body, messages)
+		}
+	}
+}
+
+func noteMessage(t *testing.T, body []byte, messages map[string]bool) {
+	t.Helper()
+	var m frozenMessage
+	if err := cbor.Unmarshal(body, &m); err != nil {
+		t.Fatal(err)
+	}
+	v := reflect.ValueOf(m)
+	for i := range v.NumField() {
+		if !v.Field(i).IsNil() {
+			messages[v.Type().Field(i).Name] = true
+		}
+	}
+}
+
+// TestGoldenRecordingsKeepTheirHeaders makes each golden recording's core, and from its
+// settings the header anew: the same bytes.
+func TestGoldenRecordingsKeepTheirHeaders(t *testing.T) {
+	lives := map[string]int64{goldenRecordings[0]: 1208, goldenRecordings[1]: 10133, goldenRecordings[2]: 1139, goldenRecordings[3]: 1227}
+	for _, name := range goldenRecordings {
+		data, err := os.ReadFile(filepath.Join(goldenFolder, "recordings", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r, err := recorder.NewReader(bytes.NewReader(data))
+		if err != nil {
+			t.Fatal(err)
+		}
+		h := r.Header
+		if h.Version != 1 || h.Build != "simulation" || h.Node != name[:2] || h.Life != lives[name] || h.Seed[0] == 0 || h.Seed[1] != 1 || h.Segment != 0 {
+			t.Errorf("%s: header %+v", name, h)
+		}
+		c, err := FromHeader(&h, slog.New(slog.DiscardHandler))
+		if err != nil {
+			t.Fatal(err)
+		}
+		again, err := RecordingHeader(c.cfg, h.Build, h.Life, h.Seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		again.Version = h.Version // given by the writer
+		requireSameBytes(t, again.Settings, h.Settings)
+		requireSameBytes(t, again.Operator, h.Operator)
+		if !reflect.DeepEqual(again, h) {
+			t.Errorf("%s: header %+v, not %+v", name, again, h)
+		}
+	}
+}
--- /dev/null
+++ b/internal/recorder/golden_test.go
@@ -0,0 +1,182 @@
+package recorder
+
+import (
+	"bytes"
+	"encoding/binary"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/klauspost/compress/zstd"
+)
+
+// frozenHeader and frozenInput are a copy of the types of recordings that exist. They
+// change only with the format's version, never with the code.
+
+type frozenHeader struct {
+	Version  int
+	Build    string
+	Node     string
+	Life     int64
+	Seed     [2]uint64
+	Settings []byte
+	Operator []byte
+	Segment  int
+}
+
+type frozenInput struct {
+	_       struct{} `cbor:",toarray"`
+	Kind    uint8
+	Steady  time.Duration
+	Wall    int64
+	ID      uint64
+	Method  string
+	Path    string
+	Status  int
+	Sent    bool
+	Retry   int
+	From    string
+	Body    []byte
+	Effects uint64
+}
+
+// The golden segment is the second of its life, so that its number is not 0.
+const goldenSegment = "north-0-00000000000000000007-000001.rec"
+
+func goldenHeader() Header {
+	return Header{Version: 1, Build: "v1.2.3", Node: "north-0", Life: 7, Seed: [2]uint64{8, 9}, Settings: []byte(`{"Node":"north-0"}`), Operator: []byte("pace: 1s\n"), Segment: 1}
+}
+
+func goldenInput() Input {
+	return Input{Kind: Reply, Steady: 10 * time.Second, Wall: 1767225600000000011, ID: 12, Method: "POST", Path: "/txn", Status: 200, Sent: true,
+		Retry: 13, From: "north-1", Body: []byte(`{"ledger":14}`), Effects: 1 << 63}
+}
+
+// writeSegments records the golden input twice, each in a segment of its own, and returns
+// the second one.
+func writeSegments(t *testing.T) []byte {
+	dir := t.TempDir()
+	w, err := NewWriter(Options{Dir: dir, Max: 1 << 20, Segment: 1, Flush: time.Second}, goldenHeader())
+	if err != nil {
+		t.Fatal(err)
+	}
+	first, second := goldenInput(), goldenInput()
+	first.Steady = 0
+	for _, in := range []Input{first, second, second} { // the second one ends the first frame
+		w.Put(&in)
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	data, err := os.ReadFile(filepath.Join(dir, goldenSegment))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// frames takes a segment apart without the package's reader: the frames' contents.
+func frames(t *testing.T, data []byte) (out [][]byte) {
+	t.Helper()
+	const magic = "silvergate recording\n"
+	rest, found := bytes.CutPrefix(data, []byte(magic))
+	if !found {
+		t.Fatalf("begins with %q", data[:min(len(data), len(magic))])
+	}
+	z, err := zstd.NewReader(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer z.Close()
+	for len(rest) >= 8 {
+		size := binary.BigEndian.Uint32(rest)
+		content, err := z.DecodeAll(rest[8:8+size], nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out, rest = append(out, content), rest[8+size:]
+	}
+	return out
+}
+
+// TestGoldenSegment reads a segment of an earlier build, and compares what is written now
+// with it, frame by frame: how zstd compresses may change with its version.
+func TestGoldenSegment(t *testing.T) {
+	path := filepath.Join("testdata", goldenSegment)
+	if os.Getenv("GOLDEN_UPDATE") == "1" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, writeSegments(t), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := NewReader(bytes.NewReader(data))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(r.Header, goldenHeader()) {
+		t.Errorf("header %+v, not %+v", r.Header, goldenHeader())
+	}
+	var in Input
+	if err := r.Next(&in); err != nil || !reflect.DeepEqual(in, goldenInput()) {
+		t.Errorf("input %+v, not %+v: %v", in, goldenInput(), err)
+	}
+	if err := r.Next(&in); err != io.EOF {
+		t.Errorf("after the last input: %v", err)
+	}
+	if kinds := []Kind{Tick, Request, Reply, Peer}; !reflect.DeepEqual(kinds, []Kind{1, 2, 3, 4}) {
+		t.Errorf("the kinds' numbers are %d", kinds)
+	}
+	if want, got := frames(t, data), frames(t, writeSegments(t)); !reflect.DeepEqual(got, want) {
+		t.Errorf("written as\n%q\nnot\n%q", got, want)
+	}
+}
+
+// TestFrozenSegment reads the golden segment with the frozen types: it holds a value for
+// every field of them, and the present types have no field beside those.
+func TestFrozenSegment(t *testing.T) {
+	data, err := os.ReadFile(filepath.Join("testdata", goldenSegment))
+	if err != nil {
+		t.Fatal(err)
+	}
+	contents := frames(t, data)
+	if len(contents) != 2 {
+		t.Fatalf("%d frames", len(contents))
+	}
+	var h frozenHeader
+	var in frozenInput
+	if err := cbor.Unmarshal(contents[0], &h); err != nil {
+		t.Fatal(err)
+	}
+	if err := cbor.Unmarshal(contents[1], &in); err != nil {
+		t.Fatal(err)
+	}
+	for _, v := range []any{h, in, goldenHeader(), goldenInput()} {
+		requireNoZeroField(t, v)
+	}
+	if n, m := reflect.TypeFor[Header]().NumField(), reflect.TypeFor[frozenHeader]().NumField(); n != m {
+		t.Errorf("a header has %d fields, not %d", n, m)
+	}
+	if n, m := reflect.TypeFor[Input]().NumField(), reflect.TypeFor[frozenInput]().NumField(); n != m {
+		t.Errorf("an input has %d fields, not %d", n, m)
+	}
+}
+
+func requireNoZeroField(t *testing.T, v any) {
+	t.Helper()
+	value := reflect.ValueOf(v)
+	for i := range value.NumField() {
+		if field := value.Type().Field(i); field.IsExported() && value.Field(i).IsZero() {
+			t.Errorf("%v.%s has no value", value.Type(), field.Name)
+		}
+	}
+}
