--- /dev/null
+++ b/internal/losses/golden_test.go
@@ -0,0 +1,98 @@
+package losses
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The golden log has a debug line of each kind that is read here, a second apart, as an
+// earlier build of the controller wrote them: the steps of eight attempts, which end in
+// each way that there is. A test of internal/coordination compares it with what is
+// written now. The golden report is what comes of it.
+const (
+	goldenLog    = "controller.log"
+	goldenReport = "report.json"
+)
+
+func readGolden(t *testing.T, name string) string {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(data)
+}
+
+// goldenEvents are what the lines say, in their order.
+func goldenEvents() (events []Event) {
+	at := time.Duration(0)
+	add := func(e Event) {
+		e.At = at
+		at += time.Second
+		events = append(events, e)
+	}
+	for index, why := range []string{"done", "error", "stopped", "peers", "session", "absent", "lease", "cloud"} {
+		load := fmt.Sprintf("wk-000042/%d", index)
+		silent := 25 * time.Second
+		if why == "lease" {
+			silent = 7 * time.Second
+		}
+		end := Event{Load: load, Try: 1, Class: "night run", Why: why, Done: why == "done", Silent: silent, Urgent: 3}
+		for _, msg := range []string{"evidence", "ended"} {
+			end.Msg = msg
+			add(end)
+		}
+		add(Event{Msg: "placing", Load: load})
+		for _, msg := range []string{"bound", "launch", "began"} {
+			add(Event{Msg: msg, Load: load, Try: 2})
+		}
+	}
+	return events
+}
+
+// TestGoldenLinesAreRead parses each line of the golden log, as it is and with the mark of
+// a bench in front.
+func TestGoldenLinesAreRead(t *testing.T) {
+	lines := strings.Split(strings.TrimSuffix(readGolden(t, goldenLog), "\n"), "\n")
+	want := goldenEvents()
+	if len(lines) != len(want) {
+		t.Fatalf("%d lines, not %d", len(lines), len(want))
+	}
+	plain, marked := NewReader(), NewReader()
+	for i, line := range lines {
+		if e, ok := plain.Parse(line); !ok || e != want[i] {
+			t.Errorf("%s\nis read as %+v, not %+v", line, e, want[i])
+		}
+		late := want[i]
+		late.At += 100 * time.Second
+		if e, ok := marked.Parse(fmt.Sprintf("%8.3f n1 %s", late.At.Seconds(), line)); !ok || e != late {
+			t.Errorf("%s\nwith a mark is read as %+v, not %+v", line, e, late)
+		}
+	}
+}
+
+// TestGoldenReport reads the golden log as a whole. The report's JSON goes to users.
+func TestGoldenReport(t *testing.T) {
+	r := NewReader()
+	if err := r.Read(strings.NewReader(readGolden(t, goldenLog))); err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.MarshalIndent(r.Report(-time.Hour), "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got = append(got, '\n')
+	if os.Getenv("GOLDEN_UPDATE") == "1" {
+		if err := os.WriteFile(filepath.Join("testdata", goldenReport), got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := readGolden(t, goldenReport); string(got) != want {
+		t.Errorf("the report is\n%s\nnot\n%s", got, want)
+	}
+}
