--- a/internal/coordination/recordinggolden_test.go
+++ b/internal/coordination/recordinggolden_test.go
@@ -29,7 +29,7 @@
 // recordDay plays the day and returns its recordings by their files' names.
 func recordDay(t *testing.T) map[string][]byte {
 	const day = 40 * time.Second
-	s := newSim(3, 0.004)
+	s := newSim(t, 3, 0.004)
 	s.logged = true
 	s.load(day / 2)
 	s.after(5*time.Second, func() { s.trouble(day * 2 / 3) })
