--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -95,7 +95,7 @@
 			return "", 0, fmt.Errorf("%q: write JOB or JOB/TASK", s)
 		}
 	}
-	if !protocol.ValidRef(job) {
+	if !protocol.ValidJobID(job) {
 		return "", 0, fmt.Errorf("%q is no job id: it has the form wk-000412", job)
 	}
 	return job, task, nil
@@ -501,13 +501,13 @@
 	users := newClient()
 	users.site, users.address, users.timeout = k.site, address, k.timeout
 	if k.site != "" || address != "" {
-		var s protocol.RunState
-		if err := users.get(protocol.PathRuns+"/"+job, &s); err == nil {
+		var s protocol.JobState
+		if err := users.get(protocol.PathJobs+"/"+job, &s); err == nil {
 			story = append(story, Event{Text: "now: " + describe(s)})
 		}
 		var p protocol.JobPage
-		if err := users.get(fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobs, before(job)), &p); err == nil && len(p.Jobs) > 0 && p.Jobs[0].Ref == job && p.Jobs[0].Waits != "" {
-			story = append(story, Event{Text: "waits for: " + p.Jobs[0].Waits})
+		if err := users.get(fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobList, before(job)), &p); err == nil && len(p.Jobs) > 0 && p.Jobs[0].ID == job && p.Jobs[0].WaitingFor != "" {
+			story = append(story, Event{Text: "waits for: " + p.Jobs[0].WaitingFor})
 		}
 	}
 	return story, nil
@@ -525,9 +525,9 @@
 		return "its program failed"
 	case protocol.CauseStopped:
 		return "stopped for other work, a drain or a cancel, with time to save"
-	case protocol.CausePeers:
+	case protocol.CauseGangMemberLost:
 		return "ended as another task of its gang was gone"
-	case protocol.CauseAlone:
+	case protocol.CauseLeaseExpired:
 		return "ended as the rest of its gang did not come"
 	}
 	return cause
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -86,7 +86,7 @@
 		if r.Status == 200 || r.Status == 201 {
 			return r, nil
 		}
-		var p protocol.Problem
+		var p protocol.ErrorResponse
 		if json.Unmarshal(r.Body, &p) != nil || p.Error == "" {
 			p.Error = strings.TrimSpace(string(r.Body))
 		}
@@ -182,7 +182,7 @@
 // readJob reads a job in JSON, or in YAML with its usual values filled in.
 func readJob(raw []byte) ([]byte, error) {
 	if t := strings.TrimLeft(string(raw), " \t\r\n"); strings.HasPrefix(t, "{") {
-		_, err := protocol.ParseRun(raw)
+		_, err := protocol.ParseSubmission(raw)
 		if err == nil {
 			_, err = protocol.ParseExtra(raw)
 		}
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := protocol.ParseRun(body); err != nil {
+	if _, err := protocol.ParseSubmission(body); err != nil {
 		return nil, err
 	}
 	_, err = protocol.ParseExtra(body)
@@ -211,11 +211,11 @@
 
 // submit submits a job as the protocol has users do it: the same request again
 // for up to a minute.
-func (k *client) submit(body []byte) (protocol.RunState, error) {
-	var s protocol.RunState
+func (k *client) submit(body []byte) (protocol.JobState, error) {
+	var s protocol.JobState
 	until := time.Now().Add(time.Minute)
 	for {
-		r, err := k.do("POST", protocol.PathRuns, body)
+		r, err := k.do("POST", protocol.PathJobs, body)
 		if err == nil {
 			return s, json.Unmarshal(r.Body, &s)
 		}
@@ -228,11 +228,11 @@
 }
 
 // wait polls until a job is over, or limit has passed (0: for ever).
-func (k *client) wait(ref string, limit time.Duration, each func(protocol.RunState)) (protocol.RunState, error) {
+func (k *client) wait(ref string, limit time.Duration, each func(protocol.JobState)) (protocol.JobState, error) {
 	begin := time.Now()
 	for {
-		var s protocol.RunState
-		err := k.get(protocol.PathRuns+"/"+ref, &s)
+		var s protocol.JobState
+		err := k.get(protocol.PathJobs+"/"+ref, &s)
 		switch {
 		case err == nil:
 			each(s)
@@ -281,7 +281,7 @@
 			}
 			if wait {
 				last := ""
-				s, err = k.wait(s.Ref, limit, func(s protocol.RunState) {
+				s, err = k.wait(s.ID, limit, func(s protocol.JobState) {
 					if now := describe(s); now != last {
 						fmt.Fprintln(c.ErrOrStderr(), now)
 						last = now
@@ -295,7 +295,7 @@
 				return err
 			}
 			if wait && s.Status == "cancelled" {
-				return exitCode{exitCancelled, fmt.Errorf("%s was cancelled", s.Ref)}
+				return exitCode{exitCancelled, fmt.Errorf("%s was cancelled", s.ID)}
 			}
 			return nil
 		},
@@ -307,8 +307,8 @@
 }
 
 // describe tells a job's state in a line.
-func describe(s protocol.RunState) string {
-	line := s.Ref + " " + s.Status
+func describe(s protocol.JobState) string {
+	line := s.ID + " " + s.Status
 	if s.Done != nil && s.Running != nil {
 		line += fmt.Sprintf(", %d done, %d running", *s.Done, *s.Running)
 	}
@@ -319,14 +319,14 @@
 	c := &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if !protocol.ValidRef(args[0]) {
+			if !protocol.ValidJobID(args[0]) {
 				return fmt.Errorf("%q is no job id: it has the form wk-000412", args[0])
 			}
-			r, err := k.do(method, protocol.PathRuns+"/"+args[0]+suffix, nil)
+			r, err := k.do(method, protocol.PathJobs+"/"+args[0]+suffix, nil)
 			if err != nil {
 				return err
 			}
-			var s protocol.RunState
+			var s protocol.JobState
 			if err := json.Unmarshal(r.Body, &s); err != nil {
 				return err
 			}
@@ -372,19 +372,19 @@
 	c := &cobra.Command{
 		Use: "jobs", Short: "List the jobs that are not over, and what they wait for", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			jobs := []protocol.JobLine{}
-			if err := pages(k, fmt.Sprintf("%s?all=%t&from=", protocol.PathJobs, all), func(p *protocol.JobPage) string {
+			jobs := []protocol.JobSummary{}
+			if err := pages(k, fmt.Sprintf("%s?all=%t&from=", protocol.PathJobList, all), func(p *protocol.JobPage) string {
 				jobs = append(jobs, p.Jobs...)
 				if !p.Truncated || len(p.Jobs) == 0 {
 					return ""
 				}
-				return p.Jobs[len(p.Jobs)-1].Ref
+				return p.Jobs[len(p.Jobs)-1].ID
 			}); err != nil {
 				return err
 			}
 			var rows [][]string
 			for _, j := range jobs {
-				rows = append(rows, []string{j.Ref, j.Status, j.Urgency, j.JobClass, j.Crew, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Loads), fmt.Sprint(j.Running), age(j.AgeS), j.Waits})
+				rows = append(rows, []string{j.ID, j.Status, j.Priority, j.Class, j.Team, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Tasks), fmt.Sprint(j.Running), age(j.AgeS), j.WaitingFor})
 			}
 			return k.list(c, jobs, "JOB STATUS URGENCY CLASS TEAM SHAPE DONE RUNNING AGE WAITS-FOR", rows)
 		},
@@ -410,24 +410,24 @@
 	c := &cobra.Command{
 		Use: "nodes", Short: "List the machines, what they hold and who leads them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			nodes := []protocol.NodeLine{}
-			if err := pages(k, protocol.PathNodes+"?from=", func(p *protocol.NodePage) string {
-				nodes = append(nodes, p.Nodes...)
-				if !p.Truncated || len(p.Nodes) == 0 {
+			nodes := []protocol.MachineSummary{}
+			if err := pages(k, protocol.PathMachineList+"?from=", func(p *protocol.MachinePage) string {
+				nodes = append(nodes, p.Machines...)
+				if !p.Truncated || len(p.Machines) == 0 {
 					return ""
 				}
-				return p.Nodes[len(p.Nodes)-1].Stoker
+				return p.Machines[len(p.Machines)-1].Machine
 			}); err != nil {
 				return err
 			}
 			var rows [][]string
 			for _, n := range nodes {
 				kind := "ordinary"
-				if n.Casual {
+				if n.Spot {
 					kind = "spot"
 				}
-				rows = append(rows, []string{n.Stoker, n.Rig, n.Depot, kind, n.Status, fmt.Sprint(n.Loads), fmt.Sprintf("%g/%g", n.CPUs, n.CPUsAll),
-					fmt.Sprintf("%g/%g", n.GPUs, n.GPUsAll), fmt.Sprintf("%.3g/%g", n.RAM, n.RAMAll), n.Owner, n.Address})
+				rows = append(rows, []string{n.Machine, n.MachineType, n.Zone, kind, n.Status, fmt.Sprint(n.Tasks), fmt.Sprintf("%g/%g", n.CPUs, n.CPUCapacity),
+					fmt.Sprintf("%g/%g", n.GPUs, n.GPUCapacity), fmt.Sprintf("%.3g/%g", n.MemoryGB, n.MemoryCapacityGB), n.Owner, n.Address})
 			}
 			return k.list(c, nodes, "MACHINE TYPE ZONE KIND STATUS TASKS CPUS ACCELERATORS RAM-GB CONTROLLER ADDRESS", rows)
 		},
@@ -454,7 +454,7 @@
 	return []*cobra.Command{
 		newClient().submitCommand(),
 		newClient().byRef("show JOB", "Show a job's state", "GET", ""),
-		newClient().byRef("cancel JOB", "Cancel a job", "POST", "/"+protocol.PathAbort),
+		newClient().byRef("cancel JOB", "Cancel a job", "POST", "/"+protocol.PathCancel),
 		newClient().jobsCommand(),
 		newClient().nodesCommand(),
 		reachCommand(),
--- a/cmd/silvergate/data.go
+++ b/cmd/silvergate/data.go
@@ -198,15 +198,15 @@
 			if a.Set, a.Version, ok = strings.Cut(args[0], "/"); !ok {
 				return fmt.Errorf("%q: must be SET/VERSION", args[0])
 			}
-			if a.Ref == "" {
+			if a.ID == "" {
 				ref, err := newRef()
 				if err != nil {
 					return err
 				}
-				a.Ref = ref
+				a.ID = ref
 			}
 			if depot != "" {
-				a.Depot = &depot
+				a.Zone = &depot
 			}
 			a.ByS = by.Seconds()
 			if err := a.Check(); err != nil {
@@ -215,14 +215,14 @@
 			if err := k.post(protocol.PathStagings, a, &a); err != nil {
 				return err
 			}
-			return k.show(c, a, fmt.Sprintf("%s: %s/%s on %d machines within %s", a.Ref, a.Set, a.Version, a.Machines, by))
+			return k.show(c, a, fmt.Sprintf("%s: %s/%s on %d machines within %s", a.ID, a.Set, a.Version, a.Machines, by))
 		},
 	}
 	k.users(c)
 	f := c.Flags()
-	f.StringVar(&a.Ref, "ref", "", "the announcement's name; default: drawn")
-	f.StringVar(&a.Crew, "crew", "", "the team whose work it is")
-	f.StringVar(&a.Urgency, "urgency", "standard", "of the work: prod, urgent, standard or idle")
+	f.StringVar(&a.ID, "ref", "", "the announcement's name; default: drawn")
+	f.StringVar(&a.Team, "crew", "", "the team whose work it is")
+	f.StringVar(&a.Priority, "urgency", "standard", "of the work: prod, urgent, standard or idle")
 	f.IntVar(&a.Machines, "machines", 1, "how many machines are to hold it")
 	f.DurationVar(&by, "within", 0, "how soon it is to be there")
 	f.StringVar(&depot, "zone", "", "only machines of this zone")
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -155,7 +155,7 @@
 		n.log.Error("metrics can't be shown", "err", err)
 	case path == coordination.PathStats:
 		n.core.Stats.Connections = n.server.ConnLimiter.Stats()
-	case r.Query != "" && (path == protocol.PathJobs || path == protocol.PathNodes || path == protocol.PathDataSets):
+	case r.Query != "" && (path == protocol.PathJobList || path == protocol.PathMachineList || path == protocol.PathDataSets):
 		path += "?" + r.Query
 	}
 	n.do(n.in.Request(n.clock(), id, r.Method, path, r.Body))
@@ -164,9 +164,9 @@
 // class tells what a request's connection is used for.
 func class(r *transport.Request) connlimit.Class {
 	switch {
-	case r.Path == protocol.PathCheckin:
+	case r.Path == protocol.PathHeartbeat:
 		return connlimit.Worker
-	case r.Path == protocol.PathRuns, strings.HasPrefix(r.Path, protocol.PathRuns+"/"):
+	case r.Path == protocol.PathJobs, strings.HasPrefix(r.Path, protocol.PathJobs+"/"):
 		return connlimit.User
 	}
 	return connlimit.Operator
@@ -292,7 +292,7 @@
 func (n *node) fetch(k protocol.Call) {
 	pool, addr := n.work, k.Address
 	switch k.Target {
-	case protocol.ToState:
+	case protocol.ToStateService:
 		pool, addr = n.state, n.cfg.Services.State
 	case protocol.ToCloud:
 		pool, addr = n.cloud, n.cfg.Services.Cloud
--- a/cmd/silvergate/staging_test.go
+++ b/cmd/silvergate/staging_test.go
@@ -117,7 +117,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		refs = append(refs, s.Ref)
+		refs = append(refs, s.ID)
 	}
 	for i := range 4 {
 		publish(fmt.Sprint("set", i), "1")
@@ -127,7 +127,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	publish("set0", "2") // while the first is being fetched and read
-	a := protocol.Staging{Ref: "morning", Set: "set0", Version: "2", Crew: "office", Urgency: "urgent", ByS: 3, Machines: 2}
+	a := protocol.Staging{ID: "morning", Set: "set0", Version: "2", Team: "office", Priority: "urgent", ByS: 3, Machines: 2}
 	if err := k.post(protocol.PathStagings, a, &a); err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 		submit(100+i, "urgent", "set0", []string{"2", "1"}[i%2])
 	}
 	for _, ref := range refs {
-		if s, err := k.wait(ref, 2*time.Minute, func(protocol.RunState) {}); err != nil || s.Status != "done" {
+		if s, err := k.wait(ref, 2*time.Minute, func(protocol.JobState) {}); err != nil || s.Status != "done" {
 			t.Fatalf("%s: %+v %v", ref, s, err)
 		}
 	}
--- a/cmd/silvergate/up.go
+++ b/cmd/silvergate/up.go
@@ -104,9 +104,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "submitted examples/hello.yaml as %s\n", st.Ref)
+	fmt.Fprintf(out, "submitted examples/hello.yaml as %s\n", st.ID)
 	last := ""
-	st, err = k.wait(st.Ref, demoLimit, func(st protocol.RunState) {
+	st, err = k.wait(st.ID, demoLimit, func(st protocol.JobState) {
 		if now := describe(st); now != last {
 			fmt.Fprintln(out, now)
 			last = now
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	files, err := s.Outputs(st.Ref)
+	files, err := s.Outputs(st.ID)
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 		f.Close()
 	}
 	if lines == 0 {
-		return fmt.Errorf("%s is %s, but its tasks wrote nothing; see %s", st.Ref, st.Status, filepath.Join(s.Dir, "cloud"))
+		return fmt.Errorf("%s is %s, but its tasks wrote nothing; see %s", st.ID, st.Status, filepath.Join(s.Dir, "cloud"))
 	}
 	return nil
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -190,7 +190,7 @@
 	heard   time.Duration // when a report was last answered
 	data    *inputs       // nil: no data sets
 	keeper  *keeper       // nil: no archive
-	places  map[Key][]protocol.GangPlace
+	places  map[Key][]protocol.GangMember
 	before  map[Key]int   // a task's newest checkpoint when it was told to stop
 	watch   *os.File      // to the watchdog
 	told    time.Duration // the end of the lease, as the watchdog knows it
@@ -211,7 +211,7 @@
 	}
 	a := &Agent{cfg: cfg, log: log, pool: transport.NewPool(32), out: outside{cfg.Outside}, begun: bootClock(),
 		exec: []string{self, "task-exec"}, guard: []string{self, "agent-watchdog", cfg.Dir},
-		places: map[Key][]protocol.GangPlace{}, before: map[Key]int{}}
+		places: map[Key][]protocol.GangMember{}, before: map[Key]int{}}
 	a.stats.Endings = map[string]uint64{}
 	raw, err := os.ReadFile(filepath.Join(cfg.Dir, stateFile))
 	switch {
@@ -315,7 +315,7 @@
 	if err := renameio.WriteFile(filepath.Join(a.cfg.Dir, AddressFile), []byte(address), 0o600); err != nil {
 		a.fail(err)
 	}
-	me := protocol.Report{Stoker: a.cfg.Stoker, Address: address, Rig: a.cfg.Rig, Depot: a.cfg.Depot, Casual: a.cfg.Casual}
+	me := protocol.Heartbeat{Worker: a.cfg.Stoker, Address: address, MachineType: a.cfg.Rig, Zone: a.cfg.Depot, Spot: a.cfg.Casual}
 	a.begun = bootClock()
 	a.w = NewWorker(me, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.kept.Shift, a.kept.Baton, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	a.run.open(a.kept.Shift)
@@ -487,7 +487,7 @@
 func (a *Agent) send(s *Send) {
 	a.stats.Reports++
 	a.data.told()
-	a.pool.Start(transport.Call{Addr: s.Node.Address, Method: http.MethodPost, Target: protocol.PathCheckin, Body: s.Body, Timeout: patience,
+	a.pool.Start(transport.Call{Addr: s.Node.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: patience,
 		Done: func(r *transport.Response, _ bool, err error) {
 			a.step(func() Effects {
 				if err != nil {
@@ -525,9 +525,9 @@
 func (a *Agent) describe(id string, asked int) {
 	n := len(a.cfg.Controllers)
 	node := a.cfg.Controllers[(a.w.node+asked)%n]
-	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathRuns + "/" + id + "/" + protocol.PathDescription, Timeout: patience,
+	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: patience,
 		Done: func(r *transport.Response, _ bool, err error) {
-			var d protocol.Description
+			var d protocol.JobDescription
 			switch {
 			case err == nil && r.Status == http.StatusOK && protocol.Decode(r.Body, &d) == nil:
 				a.step(func() Effects { return a.w.Described(a.clock(), id, &d, false) })
@@ -549,7 +549,7 @@
 }
 
 // start starts an attempt's program.
-func (a *Agent) start(session uint64, k Key, d *protocol.Description) {
+func (a *Agent) start(session uint64, k Key, d *protocol.JobDescription) {
 	if d == nil {
 		return
 	}
@@ -561,7 +561,7 @@
 	p, err := a.program(k, d)
 	if err == nil {
 		a.keeper.begin(k, d)
-		err = a.run.start(session, k, p, d.RAM)
+		err = a.run.start(session, k, p, d.MemoryGB)
 	}
 	if errors.Is(err, errSession) {
 		a.keeper.ended(k, "its session was over", -1)
@@ -585,8 +585,8 @@
 }
 
 // program makes an attempt's folder and says what is to be run in it.
-func (a *Agent) program(k Key, d *protocol.Description) (p program, err error) {
-	folder, image, ok := a.images.folder(d.Kit)
+func (a *Agent) program(k Key, d *protocol.JobDescription) (p program, err error) {
+	folder, image, ok := a.images.folder(d.Image)
 	if !ok {
 		return p, errors.New("its image was evicted")
 	}
@@ -607,13 +607,13 @@
 		command = image.Command
 	}
 	if len(command) == 0 {
-		return p, fmt.Errorf("neither the job nor its image %s has a command", d.Kit)
+		return p, fmt.Errorf("neither the job nor its image %s has a command", d.Image)
 	}
 	p.Argv = append([]string(nil), command...)
 	if p.Argv[0], err = find(command[0], folder); err != nil {
 		return p, err
 	}
-	p.Nice, p.Files = a.cfg.Nice.of(d.Urgency), a.cfg.OpenFiles
+	p.Nice, p.Files = a.cfg.Nice.of(d.Priority), a.cfg.OpenFiles
 	env := map[string]string{"PATH": os.Getenv("PATH"), "HOME": p.Dir, "LANG": "C.UTF-8"}
 	for _, v := range a.cfg.Environment {
 		name, value, _ := strings.Cut(v, "=")
@@ -622,13 +622,13 @@
 	for name, value := range x.Env {
 		env[name] = value
 	}
-	own := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Try), "LOADS": strconv.Itoa(d.Loads),
-		"IMAGE": folder, "MACHINE": a.cfg.Stoker, "ZONE": a.cfg.Depot, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.RAM)}
-	if d.Waypoint > 0 && a.cfg.Outside != "" {
+	own := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Try), "LOADS": strconv.Itoa(d.Tasks),
+		"IMAGE": folder, "MACHINE": a.cfg.Stoker, "ZONE": a.cfg.Depot, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.MemoryGB)}
+	if d.CheckpointIntervalS > 0 && a.cfg.Outside != "" {
 		if own["CHECKPOINTS"], err = a.out.prepare(k.Job, k.Index); err != nil {
 			return p, err
 		}
-		if n := a.out.resume(k.Job, k.Index, d.Loads, d.Shape == job.Gang); n > 0 {
+		if n := a.out.resume(k.Job, k.Index, d.Tasks, d.Shape == job.Gang); n > 0 {
 			own["RESUME"] = strconv.Itoa(n)
 		}
 	}
@@ -704,7 +704,7 @@
 }
 
 // ask asks the agents of a gang's other tasks how they are.
-func (a *Agent) ask(k Key, d *protocol.Description) {
+func (a *Agent) ask(k Key, d *protocol.JobDescription) {
 	if d == nil {
 		return
 	}
@@ -713,20 +713,20 @@
 	node := a.cfg.Controllers[a.w.node]
 	states := a.w.Gang(k.Job, k.Try)
 	a.mu.Unlock()
-	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathRuns, k.Job, protocol.PathGang, k.Try)
+	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Try)
 	limit := seconds(a.cfg.Workers.GangPeer / 2)
 	// Before it runs, a gang can still get a task on another machine.
-	if len(places) < d.Loads || !a.running(k) {
+	if len(places) < d.Tasks || !a.running(k) {
 		if r, _, err := a.pool.Do(node.Address, http.MethodGet, path, nil, limit); err == nil && r.Status == http.StatusOK {
-			var p protocol.GangPlaces
-			if protocol.Decode(r.Body, &p) == nil && len(p.Loads) >= len(places) {
-				places = p.Loads
+			var p protocol.GangMembers
+			if protocol.Decode(r.Body, &p) == nil && len(p.Members) >= len(places) {
+				places = p.Members
 			}
 		}
 	}
 	addresses := map[string]bool{}
 	for _, p := range places {
-		if p.Stoker != a.cfg.Stoker && p.Address != "" {
+		if p.Machine != a.cfg.Stoker && p.Address != "" {
 			addresses[p.Address] = true
 		}
 	}
@@ -767,10 +767,10 @@
 		if status == http.StatusServiceUnavailable {
 			retry = 1
 		}
-		a.server.Answer(id, status, protocol.Encode(protocol.Problem{Error: why}), retry)
+		a.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: why}), retry)
 	}
 	switch {
-	case r.Path == protocol.PathOrders && r.Method == http.MethodPost:
+	case r.Path == protocol.PathCommands && r.Method == http.MethodPost:
 		status, body, e := a.w.Direct(a.clock(), r.Body)
 		a.do(e)
 		a.server.Answer(id, status, body, 0)
@@ -785,14 +785,14 @@
 	case strings.HasPrefix(r.Path, pathGang) && r.Method == http.MethodGet:
 		ref, try, _ := strings.Cut(r.Path[len(pathGang):], "/")
 		n, err := strconv.Atoi(try)
-		if err != nil || !protocol.ValidRef(ref) {
+		if err != nil || !protocol.ValidJobID(ref) {
 			problem(http.StatusBadRequest, "the path must name a job and an attempt")
 			return
 		}
 		a.server.Answer(id, http.StatusOK, protocol.Encode(a.w.Gang(ref, n)), 0)
 	case a.data.serve(id, r.Method, r.Path):
 	case a.Extra != nil && a.Extra(id, r.Method, r.Path):
-	case r.Path == protocol.PathOrders || r.Path == protocol.PathStatus:
+	case r.Path == protocol.PathCommands || r.Path == protocol.PathStatus:
 		problem(http.StatusMethodNotAllowed, "method not allowed")
 	default:
 		problem(http.StatusNotFound, "no such path")
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -65,16 +65,16 @@
 	t      *testing.T
 	srv    *httptest.Server
 	mu     sync.Mutex
-	orders []protocol.Order
-	jobs   map[string]protocol.Description
-	last   protocol.Report
+	orders []protocol.Command
+	jobs   map[string]protocol.JobDescription
+	last   protocol.Heartbeat
 	causes map[string]string // by "load#try"
 	silent bool
-	each   func(r protocol.Report)
+	each   func(r protocol.Heartbeat)
 }
 
 func newController(t *testing.T) *controller {
-	c := &controller{t: t, jobs: map[string]protocol.Description{}, causes: map[string]string{}}
+	c := &controller{t: t, jobs: map[string]protocol.JobDescription{}, causes: map[string]string{}}
 	c.srv = httptest.NewServer(http.HandlerFunc(c.serve))
 	t.Cleanup(c.srv.Close)
 	return c
@@ -83,7 +83,7 @@
 func (c *controller) serve(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ref, ok := strings.CutPrefix(r.URL.Path, protocol.PathRuns+"/"); ok {
+	if ref, ok := strings.CutPrefix(r.URL.Path, protocol.PathJobs+"/"); ok {
 		if d, ok := c.jobs[strings.TrimSuffix(ref, "/"+protocol.PathDescription)]; ok {
 			_ = json.NewEncoder(w).Encode(d)
 			return
@@ -91,30 +91,30 @@
 		w.WriteHeader(404)
 		return
 	}
-	var rep protocol.Report
+	var rep protocol.Heartbeat
 	_ = json.NewDecoder(r.Body).Decode(&rep)
 	c.last = rep
 	if c.each != nil {
 		c.each(rep)
 	}
-	for _, l := range rep.Loads {
-		if l.Status == protocol.LoadEnded {
+	for _, l := range rep.Tasks {
+		if l.Status == protocol.TaskEnded {
 			cause := l.Cause
-			if l.Saved {
+			if l.Checkpointed {
 				cause += "+saved"
 			}
-			c.causes[fmt.Sprintf("%s#%d", l.Load, l.Try)] = cause
+			c.causes[fmt.Sprintf("%s#%d", l.Task, l.Attempt)] = cause
 		}
 	}
 	if c.silent {
 		w.WriteHeader(503)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(protocol.CheckinAnswer{Baton: 1, Orders: append([]protocol.Order{}, c.orders...)})
+	_ = json.NewEncoder(w).Encode(protocol.HeartbeatResponse{FencingToken: 1, Commands: append([]protocol.Command{}, c.orders...)})
 	c.orders = nil
 }
 
-func (c *controller) order(o ...protocol.Order) {
+func (c *controller) order(o ...protocol.Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders = append(c.orders, o...)
@@ -138,8 +138,8 @@
 	}
 }
 
-func (c *controller) job(id, script string, change func(*protocol.Description)) {
-	d := protocol.Description{Ref: id, Shape: job.Array, Loads: 9, CPUs: 0.1, RAM: 0.5, Kit: "sh", Urgency: "idle",
+func (c *controller) job(id, script string, change func(*protocol.JobDescription)) {
+	d := protocol.JobDescription{ID: id, Shape: job.Array, Tasks: 9, CPUs: 0.1, MemoryGB: 0.5, Image: "sh", Priority: "idle",
 		Extra: &job.Extra{Command: []string{"/bin/sh", "-c", script}}}
 	if change != nil {
 		change(&d)
@@ -160,8 +160,8 @@
 	return cfg
 }
 
-func launch(id string, i int) protocol.Order {
-	return protocol.Order{Verb: "launch", Load: job.TaskName(id, i), Try: 1}
+func launch(id string, i int) protocol.Command {
+	return protocol.Command{Verb: "launch", Task: job.TaskName(id, i), Attempt: 1}
 }
 
 func runAgent(t *testing.T, cfg Config) *Agent {
@@ -186,14 +186,14 @@
 func TestTasksRunAndEndWhole(t *testing.T) {
 	c := newController(t)
 	cfg := testConfig(t, c)
-	c.job("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.Description) { d.Extra.Env = map[string]string{"WORD": "hello"} })
+	c.job("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.JobDescription) { d.Extra.Env = map[string]string{"WORD": "hello"} })
 	c.job("wk-000002", `exit 3`, nil)
-	c.job("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.Description) { d.RAM = 0.1 })
+	c.job("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.JobDescription) { d.MemoryGB = 0.1 })
 	c.job("wk-000004", `setsid sleep 1000 & echo $! > left; sleep 1000 & wait`, nil)
 	c.job("wk-000005", `trap 'echo saved > $SILVERGATE_CHECKPOINTS/7; touch $SILVERGATE_CHECKPOINTS/7.complete; exit 0' TERM; echo ready; while :; do sleep 0.05; done`,
-		func(d *protocol.Description) { d.Waypoint, d.Stow = 100, 1 })
-	c.job("wk-000006", ``, func(d *protocol.Description) { d.Extra.Command = []string{"no-such-program"} })
-	c.job("wk-000007", ``, func(d *protocol.Description) { d.Kit = "unknown" })
+		func(d *protocol.JobDescription) { d.CheckpointIntervalS, d.CheckpointSaveS = 100, 1 })
+	c.job("wk-000006", ``, func(d *protocol.JobDescription) { d.Extra.Command = []string{"no-such-program"} })
+	c.job("wk-000007", ``, func(d *protocol.JobDescription) { d.Image = "unknown" })
 	runAgent(t, cfg)
 	for i := 1; i <= 8; i++ { // the last is of a job that nobody knows
 		c.order(launch(fmt.Sprintf("wk-%06d", i), 0))
@@ -221,7 +221,7 @@
 		t.Fatal(err)
 	}
 	grace := 10.0
-	c.order(protocol.Order{Verb: "kill", Load: "wk-000004/0", Try: 1}, protocol.Order{Verb: "kill", Load: "wk-000005/0", Try: 1, WindDownS: &grace})
+	c.order(protocol.Command{Verb: "kill", Task: "wk-000004/0", Attempt: 1}, protocol.Command{Verb: "kill", Task: "wk-000005/0", Attempt: 1, GracePeriodS: &grace})
 	c.await("the kills", func() bool { return len(c.causes) == 8 })
 	if c.causes["wk-000004/0#1"] != "stopped" || id.Alive() {
 		t.Errorf("%s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
@@ -230,7 +230,7 @@
 		t.Errorf("saved: %s", c.causes["wk-000005/0#1"])
 	}
 	// The result is kept: the same task started again does not run again.
-	c.order(protocol.Order{Verb: "forget", Load: "wk-000001/0", Try: 1}, protocol.Order{Verb: "launch", Load: "wk-000001/0", Try: 2})
+	c.order(protocol.Command{Verb: "forget", Task: "wk-000001/0", Attempt: 1}, protocol.Command{Verb: "launch", Task: "wk-000001/0", Attempt: 2})
 	c.await("the repeated task", func() bool { return c.causes["wk-000001/0#2"] == "done" })
 	if exists(filepath.Join(cfg.Dir, tasksDir, "wk-000001.0.2", execFile)) {
 		t.Error("a task that was done ran again")
@@ -272,13 +272,13 @@
 				if err == nil {
 					id, err = proc.Identify(pid)
 				}
-				return err == nil && len(c.last.Loads) == 1 && c.last.Loads[0].Status == protocol.LoadRunning
+				return err == nil && len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning
 			})
 			// From now on a report of another session is evidence.
 			early := false
 			c.mu.Lock()
-			shift := c.last.Shift
-			c.each = func(r protocol.Report) { early = early || r.Shift > shift && id.Alive() }
+			shift := c.last.AgentEpoch
+			c.each = func(r protocol.Heartbeat) { early = early || r.AgentEpoch > shift && id.Alive() }
 			c.mu.Unlock()
 			if how == "killed" {
 				cmd.Process.Kill()
@@ -289,7 +289,7 @@
 				c.await("the end of the task whose agent hangs", func() bool { return !id.Alive() })
 				cmd.Process.Signal(syscall.SIGCONT)
 			}
-			c.await("a new session without tasks", func() bool { return c.last.Shift > shift && len(c.last.Loads) == 0 })
+			c.await("a new session without tasks", func() bool { return c.last.AgentEpoch > shift && len(c.last.Tasks) == 0 })
 			if id.Alive() || early {
 				t.Fatalf("the task runs on: %v; told too early: %v", id.Alive(), early)
 			}
@@ -371,7 +371,7 @@
 	conformance.Run(t, conformance.Worker, true, func(t *testing.T) conformance.Target {
 		c := newController(t)
 		c.silent = true // the table gives the orders
-		c.job("wk-000001", "exec sleep 1000", func(d *protocol.Description) { d.CPUs = 4 })
+		c.job("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
 		cfg := testConfig(t, c)
 		cfg.Workers.Lease = 60
 		a := runAgent(t, cfg)
--- a/internal/agent/archive.go
+++ b/internal/agent/archive.go
@@ -65,18 +65,18 @@
 
 // begin follows an attempt whose folder is there, before its program starts. Without
 // the archive's word that it can be, the program starts all the same.
-func (k *keeper) begin(key Key, d *protocol.Description) {
+func (k *keeper) begin(key Key, d *protocol.JobDescription) {
 	if k == nil {
 		return
 	}
 	k.a.mu.Lock()
 	seal := k.a.w.Seal(key)
 	k.a.mu.Unlock()
-	if seal == "" || d.Seal == "" {
+	if seal == "" || d.Grant == "" {
 		k.a.log.Warn("what a task writes can't be kept: its controller has no archive.grant_key", "load", key.Load(), "try", key.Try)
 		return
 	}
-	g := archive.Grant{Attempt: k.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: seal, TermsSeal: d.Seal}
+	g := archive.Grant{Attempt: k.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: seal, TermsSeal: d.Grant}
 	if err := k.ship.Begin(g, k.a.run.folder(key)); err != nil {
 		k.a.log.Error("what a task writes can't be kept", "load", key.Load(), "try", key.Try, "err", err)
 	}
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -128,11 +128,11 @@
 }
 
 // bring has an attempt's inputs fetched and pinned.
-func (d *inputs) bring(k Key, desc *protocol.Description) {
+func (d *inputs) bring(k Key, desc *protocol.JobDescription) {
 	if desc == nil {
 		return
 	}
-	urgent := protocol.Pressing(desc.Urgency)
+	urgent := protocol.IsUrgent(desc.Priority)
 	var wants []datastore.Want
 	var broken error
 	for i := range desc.Inputs {
@@ -272,11 +272,11 @@
 	}
 	for i := range list {
 		w, err := want(&list[i].DataSet, false)
-		if err == nil && !protocol.ValidPlace(list[i].Place) {
+		if err == nil && !protocol.ValidRelativePath(list[i].Path) {
 			err = errors.New("not a path inside")
 		}
 		if err == nil {
-			err = d.store.Place(w.ID, filepath.Join(dir, filepath.FromSlash(list[i].Place)))
+			err = d.store.Place(w.ID, filepath.Join(dir, filepath.FromSlash(list[i].Path)))
 		}
 		if err != nil {
 			return fmt.Errorf("inputs[%d] (%s/%s): %w", i, list[i].Set, list[i].Version, err)
@@ -305,7 +305,7 @@
 		if status == http.StatusServiceUnavailable {
 			retry = 1
 		}
-		d.a.server.Answer(id, status, protocol.Encode(protocol.Problem{Error: string(body)}), retry)
+		d.a.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: string(body)}), retry)
 	}()
 	return true
 }
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -45,9 +45,9 @@
 )
 
 // wire is how each phase is reported. One that is ending still takes its room.
-var wire = [...]string{describing: protocol.LoadPulling, fetching: protocol.LoadPulling, waiting: protocol.LoadWaiting,
-	running: protocol.LoadRunning, finished: protocol.LoadRunning, saving: protocol.LoadSaving, saved: protocol.LoadSaving,
-	ending: protocol.LoadRunning, ended: protocol.LoadEnded}
+var wire = [...]string{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
+	running: protocol.TaskRunning, finished: protocol.TaskRunning, saving: protocol.TaskCheckpointing, saved: protocol.TaskCheckpointing,
+	ending: protocol.TaskRunning, ended: protocol.TaskEnded}
 
 // gangNames is how each phase is shown to the agents of a gang's other tasks.
 var gangNames = [...]string{describing: "pulling", fetching: "pulling", waiting: "waiting", running: "running", finished: "finished",
@@ -58,7 +58,7 @@
 
 type load struct {
 	key   Key
-	desc  *protocol.Description // nil while describing
+	desc  *protocol.JobDescription // nil while describing
 	phase phase
 	cause string
 	saved bool
@@ -141,7 +141,7 @@
 // Worker is a worker's side of the protocol: a state machine without I/O. Time
 // and events go in, Effects come out. It owns the attempts on its machine.
 type Worker struct {
-	me      protocol.Report // the fields that stay
+	me      protocol.Heartbeat // the fields that stay
 	room    Room
 	periods Periods
 	nodes   []Node
@@ -170,7 +170,7 @@
 	unshipped int
 
 	loads map[Key]*load
-	specs map[string]*protocol.Description
+	specs map[string]*protocol.JobDescription
 	asked map[string]bool // jobs being described
 	image map[string]bool // images that are here
 	pulls map[string]bool // images being fetched
@@ -179,10 +179,10 @@
 
 // NewWorker makes a worker that begins a session. baton is the highest token
 // that an earlier process on this machine has kept.
-func NewWorker(me protocol.Report, room Room, p Periods, nodes []Node, shift, baton uint64, rnd *rand.Rand) *Worker {
-	me.Loads = nil
+func NewWorker(me protocol.Heartbeat, room Room, p Periods, nodes []Node, shift, baton uint64, rnd *rand.Rand) *Worker {
+	me.Tasks = nil
 	return &Worker{me: me, room: room, periods: p, nodes: nodes, rnd: rnd, shift: shift, baton: baton, node: rnd.IntN(len(nodes)),
-		loads: map[Key]*load{}, specs: map[string]*protocol.Description{}, asked: map[string]bool{}, image: map[string]bool{},
+		loads: map[Key]*load{}, specs: map[string]*protocol.JobDescription{}, asked: map[string]bool{}, image: map[string]bool{},
 		pulls: map[string]bool{}, done: map[Key]time.Duration{}}
 }
 
@@ -229,7 +229,7 @@
 		case waiting:
 			next = min(next, l.since+seconds(w.periods.GangWait), l.ask)
 		case running:
-			if l.desc.Shape == job.Gang && l.desc.Loads > 1 {
+			if l.desc.Shape == job.Gang && l.desc.Tasks > 1 {
 				next = min(next, l.ask)
 			}
 			if l.next > 0 {
@@ -290,7 +290,7 @@
 		w.end(l, protocol.CauseStopped)
 	}
 	if l.phase == running && l.next > 0 && w.now >= l.next {
-		l.next = w.now + seconds(l.desc.Waypoint)
+		l.next = w.now + seconds(l.desc.CheckpointIntervalS)
 		w.out.Save = append(w.out.Save, l.key)
 	}
 	if !w.gang(l) {
@@ -305,12 +305,12 @@
 
 // gang tells whether the attempt has others that it depends on.
 func (w *Worker) gang(l *load) bool {
-	return l.desc != nil && l.desc.Shape == job.Gang && l.desc.Loads > 1
+	return l.desc != nil && l.desc.Shape == job.Gang && l.desc.Tasks > 1
 }
 
 // all tells whether every other task of the gang is in one of the states.
 func (l *load) all(states ...string) bool {
-	for i := range l.desc.Loads {
+	for i := range l.desc.Tasks {
 		if i != l.key.Index && !slices.Contains(states, l.peers[i]) {
 			return false
 		}
@@ -327,13 +327,13 @@
 		case l.all("waiting", "running", "finished", gangDone):
 			w.start(l)
 		case w.now-l.since >= seconds(w.periods.GangWait):
-			w.over(l, protocol.CauseAlone)
+			w.over(l, protocol.CauseLeaseExpired)
 		}
 	case running:
 		if l.all("waiting", "running", "finished", "saving", "saved", gangDone) {
 			l.whole = w.now
 		} else if w.now-l.whole > peer {
-			w.end(l, protocol.CausePeers)
+			w.end(l, protocol.CauseGangMemberLost)
 		}
 	case finished:
 		switch {
@@ -342,7 +342,7 @@
 		case l.all("running", "finished", gangDone):
 			l.whole = w.now
 		case w.now-l.whole > peer:
-			w.over(l, protocol.CausePeers)
+			w.over(l, protocol.CauseGangMemberLost)
 		}
 	case saved:
 		switch {
@@ -351,7 +351,7 @@
 			w.over(l, protocol.CauseStopped)
 		case l.all("saving", "saved", "ended") && w.now < l.until:
 		case w.now-l.told > peer:
-			w.over(l, protocol.CausePeers)
+			w.over(l, protocol.CauseGangMemberLost)
 		}
 	}
 }
@@ -374,22 +374,22 @@
 
 // idleImage gives a fetch up that no task waits for any more.
 func (w *Worker) idleImage(l *load) {
-	if l.desc == nil || !w.pulls[l.desc.Kit] {
+	if l.desc == nil || !w.pulls[l.desc.Image] {
 		return
 	}
 	for _, o := range w.loads {
-		if o.phase == fetching && o.desc.Kit == l.desc.Kit {
+		if o.phase == fetching && o.desc.Image == l.desc.Image {
 			return
 		}
 	}
-	delete(w.pulls, l.desc.Kit)
+	delete(w.pulls, l.desc.Image)
 	// What one step begins and gives up again is not begun at all: effects of
 	// a step have no order among kinds.
-	if i := slices.Index(w.out.Fetch, l.desc.Kit); i >= 0 {
+	if i := slices.Index(w.out.Fetch, l.desc.Image); i >= 0 {
 		w.out.Fetch = slices.Delete(w.out.Fetch, i, i+1)
 		return
 	}
-	w.out.Leave = append(w.out.Leave, l.desc.Kit)
+	w.out.Leave = append(w.out.Leave, l.desc.Image)
 }
 
 // end ends an attempt that has a process; it is over when that is gone.
@@ -402,25 +402,25 @@
 func (w *Worker) start(l *load) {
 	w.set(l, running)
 	l.whole = w.now
-	if l.desc.Waypoint > 0 {
-		l.next = w.now + seconds(l.desc.Waypoint)
+	if l.desc.CheckpointIntervalS > 0 {
+		l.next = w.now + seconds(l.desc.CheckpointIntervalS)
 	}
 	w.out.Start = append(w.out.Start, l.key)
 }
 
 // current writes the report as things stand.
-func (w *Worker) current() protocol.Report {
+func (w *Worker) current() protocol.Heartbeat {
 	w.tally++
 	r := w.me
-	r.Store, r.Unshipped = w.store, w.unshipped
-	r.Shift, r.Tally, r.Baton = w.shift, w.tally, w.baton
+	r.DataStore, r.Unshipped = w.store, w.unshipped
+	r.AgentEpoch, r.Sequence, r.FencingToken = w.shift, w.tally, w.baton
 	if w.recalled {
 		left := max(0, (w.recall - w.now).Seconds())
-		r.RecallS = &left
+		r.PreemptionNoticeS = &left
 	}
-	r.Loads = make([]protocol.Load, 0, len(w.loads))
+	r.Tasks = make([]protocol.TaskStatus, 0, len(w.loads))
 	for _, l := range w.sorted() {
-		r.Loads = append(r.Loads, protocol.Load{Load: l.key.Load(), Try: l.key.Try, Status: wire[l.phase], Cause: l.cause, Saved: l.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.key.Load(), Attempt: l.key.Try, Status: wire[l.phase], Cause: l.cause, Checkpointed: l.saved})
 	}
 	return r
 }
@@ -438,18 +438,18 @@
 	switch status {
 	case http.StatusOK:
 		w.reportAt = w.now + seconds(w.periods.Report*(0.75+0.5*w.rnd.Float64()))
-		var a protocol.CheckinAnswer
-		if s.Shift != w.shift || w.clearing || w.now-s.At > patience || protocol.Decode(body, &a) != nil || a.Baton == 0 || a.Baton < w.baton {
+		var a protocol.HeartbeatResponse
+		if s.Shift != w.shift || w.clearing || w.now-s.At > patience || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.baton {
 			break // dropped: neither obeyed nor renewing
 		}
 		w.answered = max(w.answered, s.At)
-		w.token(a.Baton)
-		w.obey(a.Orders)
-		w.out.Store = a.Store
+		w.token(a.FencingToken)
+		w.obey(a.Commands)
+		w.out.Store = a.DataStore
 	case http.StatusMisdirectedRequest:
 		var r protocol.Redirect
 		_ = protocol.Decode(body, &r)
-		to := slices.IndexFunc(w.nodes, func(n Node) bool { return n.Name == r.Dispatcher })
+		to := slices.IndexFunc(w.nodes, func(n Node) bool { return n.Name == r.Controller })
 		if to >= 0 && to != w.node {
 			w.node = to
 			w.reportAt = w.now + time.Duration(w.rnd.Float64()*float64(soonest))
@@ -497,12 +497,12 @@
 func (w *Worker) Direct(now time.Duration, body []byte) (status int, answer []byte, e Effects) {
 	w.advance(now)
 	var d struct {
-		Baton  *uint64          `json:"baton"`
-		Shift  *uint64          `json:"shift"`
-		Orders []protocol.Order `json:"orders"`
+		Baton  *uint64            `json:"baton"`
+		Shift  *uint64            `json:"shift"`
+		Orders []protocol.Command `json:"orders"`
 	}
 	refuse := func(status int, why string) (int, []byte, Effects) {
-		return status, protocol.Encode(protocol.Problem{Error: why}), w.take()
+		return status, protocol.Encode(protocol.ErrorResponse{Error: why}), w.take()
 	}
 	if err := json.Unmarshal(body, &d); err != nil {
 		return refuse(http.StatusBadRequest, "the body is malformed: "+err.Error())
@@ -523,21 +523,21 @@
 }
 
 // obey executes orders one after the other.
-func (w *Worker) obey(orders []protocol.Order) {
+func (w *Worker) obey(orders []protocol.Command) {
 	for _, o := range orders {
-		id, index, err := job.SplitTaskName(o.Load)
-		if err != nil || !protocol.ValidRef(id) {
+		id, index, err := job.SplitTaskName(o.Task)
+		if err != nil || !protocol.ValidJobID(id) {
 			continue
 		}
-		k := Key{id, index, o.Try}
+		k := Key{id, index, o.Attempt}
 		l := w.loads[k]
 		switch {
 		case o.Verb == protocol.VerbLaunch && l == nil:
-			w.launch(k, o.Seal)
+			w.launch(k, o.Grant)
 		case o.Verb == protocol.VerbKill && l != nil:
 			grace := 0.0
-			if o.WindDownS != nil {
-				grace = *o.WindDownS
+			if o.GracePeriodS != nil {
+				grace = *o.GracePeriodS
 			}
 			w.kill(l, grace)
 		case o.Verb == protocol.VerbForget && l != nil && l.phase == ended:
@@ -588,19 +588,19 @@
 }
 
 // describe goes on with an attempt whose job is known now.
-func (w *Worker) describe(l *load, d *protocol.Description) {
-	if l.key.Index >= d.Loads {
+func (w *Worker) describe(l *load, d *protocol.JobDescription) {
+	if l.key.Index >= d.Tasks {
 		w.over(l, protocol.CauseUnknown)
 		return
 	}
 	used := Room{}
 	for _, o := range w.loads {
 		if o.desc != nil && o.phase != ended {
-			used = Room{used.CPUs + o.desc.CPUs, used.GPUs + o.desc.GPUs, used.RAM + o.desc.RAM}
+			used = Room{used.CPUs + o.desc.CPUs, used.GPUs + o.desc.GPUs, used.RAM + o.desc.MemoryGB}
 		}
 	}
 	const eps = 1e-6 // sums of decimal amounts
-	if used.CPUs+d.CPUs > w.room.CPUs+eps || used.GPUs+d.GPUs > w.room.GPUs+eps || used.RAM+d.RAM > w.room.RAM+eps {
+	if used.CPUs+d.CPUs > w.room.CPUs+eps || used.GPUs+d.GPUs > w.room.GPUs+eps || used.RAM+d.MemoryGB > w.room.RAM+eps {
 		w.over(l, protocol.CauseNoRoom)
 		return
 	}
@@ -609,15 +609,15 @@
 	if l.needs = len(d.Inputs) > 0; l.needs {
 		w.out.Inputs = append(w.out.Inputs, l.key)
 	}
-	if w.image[d.Kit] {
+	if w.image[d.Image] {
 		w.ready(l)
-	} else if !w.pulls[d.Kit] {
-		w.pulls[d.Kit] = true
-		if i := slices.Index(w.out.Leave, d.Kit); i >= 0 {
+	} else if !w.pulls[d.Image] {
+		w.pulls[d.Image] = true
+		if i := slices.Index(w.out.Leave, d.Image); i >= 0 {
 			w.out.Leave = slices.Delete(w.out.Leave, i, i+1) // it goes on
 			return
 		}
-		w.out.Fetch = append(w.out.Fetch, d.Kit)
+		w.out.Fetch = append(w.out.Fetch, d.Image)
 	}
 }
 
@@ -635,7 +635,7 @@
 		w.over(l, protocol.CauseNoRoom)
 	case err != nil:
 		w.over(l, protocol.CauseError)
-	case w.image[l.desc.Kit]:
+	case w.image[l.desc.Image]:
 		w.ready(l)
 	}
 	return w.take()
@@ -680,7 +680,7 @@
 
 // Described takes a job's description; a nil one with unknown set when no
 // controller knows the job. A nil one without it is asked for again.
-func (w *Worker) Described(now time.Duration, id string, d *protocol.Description, unknown bool) Effects {
+func (w *Worker) Described(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
 	w.advance(now)
 	delete(w.asked, id)
 	if w.clearing {
@@ -720,7 +720,7 @@
 	}
 	for _, l := range w.sorted() {
 		switch {
-		case l.phase != fetching || l.desc.Kit != kit:
+		case l.phase != fetching || l.desc.Image != kit:
 		case err != nil:
 			w.over(l, protocol.CauseError)
 		default:
@@ -736,7 +736,7 @@
 // Wanted tells whether a task that is not over needs an image.
 func (w *Worker) Wanted(kit string) bool {
 	for _, l := range w.loads {
-		if l.desc != nil && l.desc.Kit == kit && l.phase != ended {
+		if l.desc != nil && l.desc.Image == kit && l.phase != ended {
 			return true
 		}
 	}
@@ -761,7 +761,7 @@
 		}
 	case running:
 		l.told = w.now
-		if l.desc.Waypoint > 0 && grace >= l.desc.Stow && grace > 0 {
+		if l.desc.CheckpointIntervalS > 0 && grace >= l.desc.CheckpointSaveS && grace > 0 {
 			l.until = w.now + seconds(grace)
 			w.set(l, saving)
 			w.out.Stop = append(w.out.Stop, l.key)
@@ -858,7 +858,7 @@
 		for _, l := range w.sorted() {
 			w.out.Forget = append(w.out.Forget, l.key)
 		}
-		w.loads, w.specs = map[Key]*load{}, map[string]*protocol.Description{}
+		w.loads, w.specs = map[Key]*load{}, map[string]*protocol.JobDescription{}
 		w.asked, w.done = map[string]bool{}, map[Key]time.Duration{}
 		w.shift++
 		w.began = w.now
@@ -872,10 +872,10 @@
 func (w *Worker) Session() uint64 { return w.shift }
 
 // Description is the job's, nil if no attempt of it is here.
-func (w *Worker) Description(id string) *protocol.Description { return w.specs[id] }
+func (w *Worker) Description(id string) *protocol.JobDescription { return w.specs[id] }
 
 // Descriptions lists the jobs of which attempts are here, in no order.
-func (w *Worker) Descriptions() []*protocol.Description {
+func (w *Worker) Descriptions() []*protocol.JobDescription {
 	return slices.Collect(maps.Values(w.specs))
 }
 
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -35,7 +35,7 @@
 }
 
 func newBench(fail func(string, ...any)) *bench {
-	me := protocol.Report{Stoker: "i-1", Address: "127.0.0.1:9", Rig: "r", Depot: "z"}
+	me := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
 	return &bench{w: NewWorker(me, testRoom, testPeriods, testNodes, 1, 0, rand.New(rand.NewPCG(1, 2))),
 		alive: map[Key]bool{}, pulls: map[string]bool{}, started: map[Key]int{}, fail: fail}
 }
@@ -89,7 +89,7 @@
 		}
 		if l.desc != nil && l.phase != ended {
 			used.CPUs += l.desc.CPUs
-			used.RAM += l.desc.RAM
+			used.RAM += l.desc.MemoryGB
 		}
 	}
 	if used.CPUs > testRoom.CPUs || used.RAM > testRoom.RAM {
@@ -108,8 +108,8 @@
 	b.take(b.w.Answered(b.now, r, status, protocol.Encode(v)))
 }
 
-func describe(id string, shape job.Shape, loads int) *protocol.Description {
-	return &protocol.Description{Ref: id, Shape: shape, Loads: loads, CPUs: 1, RAM: 1, Kit: "img", Urgency: "standard"}
+func describe(id string, shape job.Shape, loads int) *protocol.JobDescription {
+	return &protocol.JobDescription{ID: id, Shape: shape, Tasks: loads, CPUs: 1, MemoryGB: 1, Image: "img", Priority: "standard"}
 }
 
 // TestWorkerKeepsTheProtocolsRules draws orders, answers, ends, pauses and lost
@@ -117,17 +117,17 @@
 func TestWorkerKeepsTheProtocolsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench(t.Fatalf)
-		jobs := map[string]*protocol.Description{"wk-000001": describe("wk-000001", job.Array, 3), "wk-000002": describe("wk-000002", job.Service, 2)}
-		jobs["wk-000001"].Waypoint, jobs["wk-000001"].Stow = 5, 1
+		jobs := map[string]*protocol.JobDescription{"wk-000001": describe("wk-000001", job.Array, 3), "wk-000002": describe("wk-000002", job.Service, 2)}
+		jobs["wk-000001"].CheckpointIntervalS, jobs["wk-000001"].CheckpointSaveS = 5, 1
 		highest, session := uint64(0), uint64(1)
 		answeredAt := time.Duration(0)
-		orders := func() []protocol.Order {
-			var out []protocol.Order
+		orders := func() []protocol.Command {
+			var out []protocol.Command
 			for range rapid.IntRange(0, 3).Draw(t, "orders") {
 				grace := rapid.SampledFrom([]float64{0, 2, 10}).Draw(t, "grace")
-				out = append(out, protocol.Order{Verb: rapid.SampledFrom([]string{"launch", "launch", "launch", "kill", "forget"}).Draw(t, "verb"),
-					Load: fmt.Sprintf("wk-%06d/%d", rapid.IntRange(1, 3).Draw(t, "job"), rapid.IntRange(0, 2).Draw(t, "index")),
-					Try:  rapid.IntRange(1, 2).Draw(t, "try"), WindDownS: &grace})
+				out = append(out, protocol.Command{Verb: rapid.SampledFrom([]string{"launch", "launch", "launch", "kill", "forget"}).Draw(t, "verb"),
+					Task:    fmt.Sprintf("wk-%06d/%d", rapid.IntRange(1, 3).Draw(t, "job"), rapid.IntRange(0, 2).Draw(t, "index")),
+					Attempt: rapid.IntRange(1, 2).Draw(t, "try"), GracePeriodS: &grace})
 			}
 			return out
 		}
@@ -147,7 +147,7 @@
 				token := rapid.SampledFrom([]uint64{0, highest, highest, highest + 1, highest / 2}).Draw(t, "token")
 				r, shift := b.report, b.w.Session()
 				o := orders()
-				b.answer(200, protocol.CheckinAnswer{Baton: token, Orders: o})
+				b.answer(200, protocol.HeartbeatResponse{FencingToken: token, Commands: o})
 				switch taken := token > 0 && token >= highest && r.Shift == shift && b.now-r.At <= patience && !b.w.clearing; {
 				case taken:
 					highest, answeredAt = token, max(answeredAt, r.At)
@@ -156,12 +156,12 @@
 				}
 			case 4:
 				if b.report != nil {
-					b.answer(rapid.SampledFrom([]int{0, 421, 503}).Draw(t, "status"), protocol.Redirect{Dispatcher: "b"})
+					b.answer(rapid.SampledFrom([]int{0, 421, 503}).Draw(t, "status"), protocol.Redirect{Controller: "b"})
 				}
 			case 5:
 				token := rapid.SampledFrom([]uint64{highest, highest + 1, highest / 2}).Draw(t, "token")
 				shift := rapid.SampledFrom([]uint64{session, session, session + 1}).Draw(t, "shift")
-				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectOrders{Baton: token, Shift: shift, Orders: orders()}))
+				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: shift, Commands: orders()}))
 				b.take(e)
 				if want := token >= highest && shift == session && !b.w.clearing; (st == 200) != want {
 					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, shift, session)
@@ -224,7 +224,7 @@
 func TestNewSessionIsEvidence(t *testing.T) {
 	b := newBench(t.Fatalf)
 	b.tick(0)
-	b.answer(200, protocol.CheckinAnswer{Baton: 7, Orders: []protocol.Order{{Verb: "launch", Load: "wk-000001/0", Try: 1}}})
+	b.answer(200, protocol.HeartbeatResponse{FencingToken: 7, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
 	b.take(b.w.Described(b.now, "wk-000001", describe("wk-000001", job.Array, 1), false))
 	b.take(b.w.Fetched(b.now, "img", nil))
 	if len(b.alive) != 1 {
@@ -246,8 +246,8 @@
 	b.clear = false
 	b.take(b.w.Cleared(b.now))
 	b.tick(0)
-	var r protocol.Report
-	if b.report == nil || json.Unmarshal(b.report.Body, &r) != nil || r.Shift != 2 || len(r.Loads) != 0 || r.Baton != 7 {
+	var r protocol.Heartbeat
+	if b.report == nil || json.Unmarshal(b.report.Body, &r) != nil || r.AgentEpoch != 2 || len(r.Tasks) != 0 || r.FencingToken != 7 {
 		t.Fatalf("first report of the new session: %+v", r)
 	}
 }
@@ -256,7 +256,7 @@
 func TestAnswerOfAnEarlierSessionIsDropped(t *testing.T) {
 	b := newBench(t.Fatalf)
 	b.tick(0)
-	b.answer(200, protocol.CheckinAnswer{Baton: 5})
+	b.answer(200, protocol.HeartbeatResponse{FencingToken: 5})
 	b.tick(17 * time.Second)
 	late := b.report
 	b.tick(1100 * time.Millisecond)
@@ -265,7 +265,7 @@
 	}
 	b.clear = false
 	b.take(b.w.Cleared(b.now))
-	b.answer(200, protocol.CheckinAnswer{Baton: 6, Orders: []protocol.Order{{Verb: "launch", Load: "wk-000001/0", Try: 1}}})
+	b.answer(200, protocol.HeartbeatResponse{FencingToken: 6, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
 	if all, _ := b.w.Count(); all != 0 || b.w.baton != 5 {
 		t.Fatalf("%d attempts, token %d", all, b.w.baton)
 	}
@@ -278,12 +278,12 @@
 		const n = 3
 		id := "wk-000009"
 		d := describe(id, job.Gang, n)
-		d.Waypoint, d.Stow = 10, 1
+		d.CheckpointIntervalS, d.CheckpointSaveS = 10, 1
 		var bs []*bench
 		for i := range n {
 			b := newBench(t.Fatalf)
 			b.tick(0)
-			b.answer(200, protocol.CheckinAnswer{Baton: 1, Orders: []protocol.Order{{Verb: "launch", Load: fmt.Sprintf("%s/%d", id, i), Try: 4}}})
+			b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{{Verb: "launch", Task: fmt.Sprintf("%s/%d", id, i), Attempt: 4}}})
 			b.take(b.w.Described(b.now, id, d, false))
 			bs = append(bs, b)
 		}
@@ -308,7 +308,7 @@
 				k := Key{id, i, 4}
 				if q == stopAt && (i != lost || q < lostAt) {
 					grace := 8.0
-					_, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectOrders{Baton: 1, Shift: 1, Orders: []protocol.Order{{Verb: "kill", Load: k.Load(), Try: 4, WindDownS: &grace}}}))
+					_, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.Load(), Attempt: 4, GracePeriodS: &grace}}}))
 					b.take(e)
 				}
 				if i == lost && q >= lostAt && lostAt < 100 {
@@ -348,7 +348,7 @@
 					b.take(b.w.Peers(b.now, k, states))
 				}
 				if b.report != nil {
-					b.answer(200, protocol.CheckinAnswer{Baton: 1, Orders: []protocol.Order{}})
+					b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{}})
 				}
 				b.tick(250 * time.Millisecond)
 			}
@@ -390,11 +390,11 @@
 func TestLargestReportFitsIntoARequest(t *testing.T) {
 	b := newBench(t.Fatalf)
 	b.tick(0)
-	var orders []protocol.Order
+	var orders []protocol.Command
 	for i := range 5000 {
-		orders = append(orders, protocol.Order{Verb: "launch", Load: fmt.Sprintf("wk-%021d/%d", 1, 99_000+i), Try: 1 << 30})
+		orders = append(orders, protocol.Command{Verb: "launch", Task: fmt.Sprintf("wk-%021d/%d", 1, 99_000+i), Attempt: 1 << 30})
 	}
-	b.answer(200, protocol.CheckinAnswer{Baton: 1 << 60, Orders: orders})
+	b.answer(200, protocol.HeartbeatResponse{FencingToken: 1 << 60, Commands: orders})
 	s := &protocol.StoreReport{Digest: "0123456789abcdef", Listed: true}
 	for range listed {
 		s.Copies = append(s.Copies, "0123456789abcdef0123456789abcdef")
@@ -408,8 +408,8 @@
 	if b.report == nil || len(b.report.Body) > protocol.MaxBody {
 		t.Fatalf("%d bytes", len(b.report.Body))
 	}
-	var r protocol.Report
-	if json.Unmarshal(b.report.Body, &r) != nil || len(r.Loads) < 300 {
-		t.Fatalf("%d attempts are told", len(r.Loads))
+	var r protocol.Heartbeat
+	if json.Unmarshal(b.report.Body, &r) != nil || len(r.Tasks) < 300 {
+		t.Fatalf("%d attempts are told", len(r.Tasks))
 	}
 }
--- a/internal/archive/grant.go
+++ b/internal/archive/grant.go
@@ -45,8 +45,8 @@
 }
 
 // TermsOf are the terms of the job that a description describes.
-func TermsOf(d *protocol.Description) Terms {
-	t := Terms{Owner: Owner{Team: d.Crew}, Class: d.JobClass, Urgency: d.Urgency, Shape: protocol.ShapeName(d.Shape)}
+func TermsOf(d *protocol.JobDescription) Terms {
+	t := Terms{Owner: Owner{Team: d.Team}, Class: d.Class, Urgency: d.Priority, Shape: protocol.ShapeName(d.Shape)}
 	if x := d.Extra; x != nil {
 		t.Customer, t.Keep = x.Customer, x.Keep
 	}
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -63,7 +63,7 @@
 
 // Check tells whether the attempt can be.
 func (a Attempt) Check() error {
-	if !protocol.ValidRef(a.Job) || a.Task < 0 || a.Task > maxNumber || a.Try < 0 || a.Try > maxNumber || !identity.ValidName(a.Machine) {
+	if !protocol.ValidJobID(a.Job) || a.Task < 0 || a.Task > maxNumber || a.Try < 0 || a.Try > maxNumber || !identity.ValidName(a.Machine) {
 		return fmt.Errorf("no attempt: %.100q", a.String())
 	}
 	return nil
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -223,7 +223,7 @@
 		return fmt.Errorf("%s: %w", filepath.Join(dir, grantFile), err)
 	}
 	f.proof = archive.NewRecord(a, archive.KindGrant, "", archive.Encode(f.grant))
-	f.urgent = protocol.Pressing(f.grant.Urgency)
+	f.urgent = protocol.IsUrgent(f.grant.Urgency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.all[a] != nil {
--- a/internal/archive/stream.go
+++ b/internal/archive/stream.go
@@ -143,7 +143,7 @@
 // SafePath tells whether a file's name leads nowhere but below the folder that it
 // is relative to, on any machine that it may be written to later.
 func SafePath(p string) bool {
-	return protocol.ValidPlace(p) && !slices.ContainsFunc(strings.Split(p, "/"), func(e string) bool { return len(e) > 255 })
+	return protocol.ValidRelativePath(p) && !slices.ContainsFunc(strings.Split(p, "/"), func(e string) bool { return len(e) > 255 })
 }
 
 // Visible makes output safe to print on a terminal: control characters but the
--- a/internal/bookkeeping/store.go
+++ b/internal/bookkeeping/store.go
@@ -153,8 +153,8 @@
 }
 
 // Txn sends a transaction. After OK the mirror holds its changes.
-func (s *Store) Txn(class budget.Class, conds []protocol.Cond, ops []protocol.Op, done func(Outcome, []string, uint64)) {
-	body := protocol.Encode(protocol.Txn{If: conds, Then: ops})
+func (s *Store) Txn(class budget.Class, conds []protocol.Compare, ops []protocol.Op, done func(Outcome, []string, uint64)) {
+	body := protocol.Encode(protocol.Txn{Compares: conds, Ops: ops})
 	s.put(&request{class: class, method: http.MethodPost, path: protocol.PathTxn, body: body,
 		writes: float64(len(ops)), deadline: s.now + patience(class), done: func(r protocol.Reply) {
 			var t protocol.TxnResult
@@ -165,16 +165,16 @@
 					return
 				}
 				for _, o := range ops {
-					if o.Write != "" {
-						s.local(o.Write, o.Data, t.Ledger)
+					if o.Put != "" {
+						s.local(o.Put, o.Value, t.Revision)
 					} else {
-						s.local(o.Drop, nil, t.Ledger)
+						s.local(o.Delete, nil, t.Revision)
 					}
 				}
-				done(OK, nil, t.Ledger)
+				done(OK, nil, t.Revision)
 			case http.StatusConflict:
 				_ = protocol.DecodeState(r.Body, &t)
-				done(Conflict, t.Failed, t.Ledger)
+				done(Conflict, t.Failed, t.Revision)
 			case http.StatusBadRequest:
 				done(NoLease, nil, 0)
 			case 0:
@@ -193,13 +193,13 @@
 func (s *Store) Get(class budget.Class, key string, done func(ok bool)) {
 	s.put(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
-			var e protocol.Entry
+			var e protocol.KeyValue
 			if (r.Status != http.StatusOK && r.Status != http.StatusNotFound) || protocol.DecodeState(r.Body, &e) != nil {
 				done(false)
 				return
 			}
 			if r.Status == http.StatusOK {
-				s.local(key, e.Data, e.Stamp)
+				s.local(key, e.Value, e.ModRevision)
 			}
 			done(true)
 		}})
@@ -210,35 +210,35 @@
 func (s *Store) Read(class budget.Class, key string, done func(data json.RawMessage, ok bool)) {
 	s.put(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
-			var e protocol.Entry
+			var e protocol.KeyValue
 			switch {
 			case r.Status == http.StatusNotFound:
 				done(nil, true)
 			case r.Status != http.StatusOK || protocol.DecodeState(r.Body, &e) != nil:
 				done(nil, false)
 			default:
-				done(e.Data, true)
+				done(e.Value, true)
 			}
 		}})
 }
 
 // Grant asks for a lease, Touch renews one.
 func (s *Store) Grant(ttl time.Duration, done func(permit uint64)) {
-	body := protocol.Encode(protocol.Grant{TTLMs: ttl.Milliseconds()})
-	s.put(&request{class: budget.Rules, method: http.MethodPost, path: protocol.PathGrants, body: body,
+	body := protocol.Encode(protocol.LeaseRequest{TTLMs: ttl.Milliseconds()})
+	s.put(&request{class: budget.Rules, method: http.MethodPost, path: protocol.PathLeases, body: body,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
-			var g protocol.Granted
+			var g protocol.LeaseResponse
 			if r.Status == http.StatusOK {
 				_ = protocol.DecodeState(r.Body, &g)
 			}
-			done(g.Permit)
+			done(g.Lease)
 		}})
 }
 
 // Touch renews a lease. gone is true when it has ended.
 func (s *Store) Touch(permit uint64, done func(ok, gone bool)) {
 	s.put(&request{class: budget.Rules, method: http.MethodPost,
-		path:     protocol.PathGrants + "/" + strconv.FormatUint(permit, 10) + "/" + protocol.PathTouch,
+		path:     protocol.PathLeases + "/" + strconv.FormatUint(permit, 10) + "/" + protocol.PathKeepAlive,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			done(r.Status == http.StatusOK, r.Status == http.StatusNotFound)
 		}})
@@ -346,7 +346,7 @@
 
 func (s *Store) dispatch(r *request) {
 	s.inflight++
-	s.Send(protocol.Call{Target: protocol.ToState, Method: r.method, Path: r.path, Body: r.body, Timeout: callTimeout}, func(rep protocol.Reply) {
+	s.Send(protocol.Call{Target: protocol.ToStateService, Method: r.method, Path: r.path, Body: r.body, Timeout: callTimeout}, func(rep protocol.Reply) {
 		s.inflight--
 		s.note(rep)
 		if rep.Status == http.StatusTooManyRequests {
@@ -383,24 +383,24 @@
 	}
 	if s.seen != nil {
 		s.loading = true
-		s.Send(protocol.Call{Target: protocol.ToState, Method: http.MethodGet, Timeout: 2 * callTimeout,
+		s.Send(protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Timeout: 2 * callTimeout,
 			Path: protocol.PathKeys + "?under=" + Root + "&from=" + url.QueryEscape(s.from) + "&page=1000"}, func(r protocol.Reply) {
 			s.loading = false
 			s.note(r)
-			var p protocol.EntryPage
+			var p protocol.KeyValuePage
 			if r.Status != http.StatusOK || protocol.DecodeState(r.Body, &p) != nil {
 				s.nextOpen = s.now + callTimeout/5
 				return
 			}
 			if s.start == 0 {
-				s.start = p.Ledger
+				s.start = p.Revision
 			}
-			for _, e := range p.Entries {
+			for _, e := range p.KeyValues {
 				s.seen[e.Key] = true
 				s.from = e.Key
-				s.local(e.Key, e.Data, e.Stamp)
+				s.local(e.Key, e.Value, e.ModRevision)
 			}
-			if p.Truncated && len(p.Entries) > 0 {
+			if p.Truncated && len(p.KeyValues) > 0 {
 				return
 			}
 			for k, v := range s.stamps {
@@ -413,7 +413,7 @@
 		return
 	}
 	s.watching = true
-	s.Send(protocol.Call{Target: protocol.ToState, Method: http.MethodGet, Timeout: s.block + 2*callTimeout,
+	s.Send(protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Timeout: s.block + 2*callTimeout,
 		Path: protocol.PathWatch + "?under=" + Root + "&from=" + strconv.FormatUint(s.ledger, 10) +
 			"&blockMs=" + strconv.FormatInt(s.block.Milliseconds(), 10)}, func(r protocol.Reply) {
 		s.watching = false
@@ -425,14 +425,14 @@
 			if protocol.DecodeState(r.Body, &w) != nil {
 				return
 			}
-			for _, n := range w.News {
-				if n.Write != "" {
-					s.local(n.Write, n.Data, n.Stamp)
+			for _, n := range w.Events {
+				if n.Put != "" {
+					s.local(n.Put, n.Value, n.ModRevision)
 				} else {
-					s.local(n.Drop, nil, n.Stamp)
+					s.local(n.Delete, nil, n.ModRevision)
 				}
 			}
-			s.ledger = max(s.ledger, w.Ledger)
+			s.ledger = max(s.ledger, w.Revision)
 			s.fresh, s.whole = sent, true
 			for k, v := range s.graves {
 				if v <= s.ledger {
--- a/internal/bookkeeping/store_test.go
+++ b/internal/bookkeeping/store_test.go
@@ -58,9 +58,9 @@
 	if c == nil {
 		t.Fatal("the store does not read its keys")
 	}
-	p := protocol.EntryPage{Ledger: ledger}
+	p := protocol.KeyValuePage{Revision: ledger}
 	for k, stamp := range keys {
-		p.Entries = append(p.Entries, protocol.Entry{Key: k, Data: raw(k), Stamp: stamp})
+		p.KeyValues = append(p.KeyValues, protocol.KeyValue{Key: k, Value: raw(k), ModRevision: stamp})
 	}
 	c.done(reply(200, p))
 }
@@ -69,7 +69,7 @@
 	s, calls, mirror := newStore(300, 120)
 	s.Tick(time.Second)
 	first := take(calls, protocol.PathKeys+"?")
-	first.done(reply(200, protocol.EntryPage{Ledger: 10, Truncated: true, Entries: []protocol.Entry{{Key: "sg/a", Data: raw("1"), Stamp: 3}}}))
+	first.done(reply(200, protocol.KeyValuePage{Revision: 10, Truncated: true, KeyValues: []protocol.KeyValue{{Key: "sg/a", Value: raw("1"), ModRevision: 3}}}))
 	if s.Ready() {
 		t.Fatal("ready before the last page")
 	}
@@ -79,7 +79,7 @@
 	if u.Query().Get("from") != "sg/a" {
 		t.Fatal(second.call.Path)
 	}
-	second.done(reply(200, protocol.EntryPage{Ledger: 12, Entries: []protocol.Entry{{Key: "sg/b", Data: raw("2"), Stamp: 12}}}))
+	second.done(reply(200, protocol.KeyValuePage{Revision: 12, KeyValues: []protocol.KeyValue{{Key: "sg/b", Value: raw("2"), ModRevision: 12}}}))
 	// The watch starts at the first page's revision: what changed between
 	// the pages comes again and is not applied twice.
 	s.Tick(3 * time.Second)
@@ -87,7 +87,7 @@
 	if u, _ := url.Parse(w.call.Path); u.Query().Get("from") != "10" {
 		t.Fatal(w.call.Path)
 	}
-	w.done(reply(200, protocol.WatchResult{Ledger: 14, News: []protocol.News{{Write: "sg/b", Data: raw("old"), Stamp: 11}, {Drop: "sg/a", Stamp: 13}, {Write: "sg/c", Data: raw("3"), Stamp: 14}}}))
+	w.done(reply(200, protocol.WatchResult{Revision: 14, Events: []protocol.WatchEvent{{Put: "sg/b", Value: raw("old"), ModRevision: 11}, {Delete: "sg/a", ModRevision: 13}, {Put: "sg/c", Value: raw("3"), ModRevision: 14}}}))
 	if fmt.Sprint(mirror) != `map[sg/b:"2" sg/c:"3"]` || s.Ledger() != 14 || s.Fresh() != 3*time.Second {
 		t.Fatalf("%v at %d, fresh at %v", mirror, s.Ledger(), s.Fresh())
 	}
@@ -112,14 +112,14 @@
 	s, calls, mirror := newStore(300, 120)
 	s.Tick(time.Second)
 	load(t, s, calls, 10, map[string]uint64{"sg/a": 3})
-	s.Txn(budget.Rules, nil, []protocol.Op{{Drop: "sg/a"}}, func(o Outcome, _ []string, _ uint64) {
+	s.Txn(budget.Rules, nil, []protocol.Op{{Delete: "sg/a"}}, func(o Outcome, _ []string, _ uint64) {
 		if o != OK {
 			t.Error(o)
 		}
 	})
 	s.Tick(2 * time.Second)
-	take(calls, protocol.PathTxn).done(reply(200, protocol.TxnResult{Ledger: 20}))
-	take(calls, protocol.PathWatch).done(reply(200, protocol.WatchResult{Ledger: 15, News: []protocol.News{{Write: "sg/a", Data: raw("x"), Stamp: 15}}}))
+	take(calls, protocol.PathTxn).done(reply(200, protocol.TxnResult{Revision: 20}))
+	take(calls, protocol.PathWatch).done(reply(200, protocol.WatchResult{Revision: 15, Events: []protocol.WatchEvent{{Put: "sg/a", Value: raw("x"), ModRevision: 15}}}))
 	if len(mirror) != 0 {
 		t.Fatal(mirror)
 	}
@@ -131,9 +131,9 @@
 		s.Tick(time.Second)
 		load(t, s, calls, 10, nil)
 		got := Outcome(-1)
-		s.Txn(budget.Users, nil, []protocol.Op{{Write: "sg/a", Data: raw("1")}}, func(o Outcome, _ []string, _ uint64) { got = o })
+		s.Txn(budget.Users, nil, []protocol.Op{{Put: "sg/a", Value: raw("1")}}, func(o Outcome, _ []string, _ uint64) { got = o })
 		s.Tick(2 * time.Second)
-		take(calls, protocol.PathTxn).done(reply(status, protocol.TxnResult{Ledger: 11, Failed: []string{"sg/a"}}))
+		take(calls, protocol.PathTxn).done(reply(status, protocol.TxnResult{Revision: 11, Failed: []string{"sg/a"}}))
 		if got != want || (len(mirror) == 1) != (want == OK) {
 			t.Errorf("status %d: outcome %d, mirror %v", status, got, mirror)
 		}
@@ -166,9 +166,9 @@
 	s.Tick(time.Second)
 	load(t, s, calls, 10, nil)
 	for i := 0; i < 40; i++ {
-		s.Txn(budget.Rest, nil, []protocol.Op{{Write: fmt.Sprint("sg/rest", i), Data: raw("")}}, func(Outcome, []string, uint64) {})
+		s.Txn(budget.Rest, nil, []protocol.Op{{Put: fmt.Sprint("sg/rest", i), Value: raw("")}}, func(Outcome, []string, uint64) {})
 	}
-	s.Txn(budget.Rules, nil, []protocol.Op{{Write: "sg/rules", Data: raw("")}}, func(Outcome, []string, uint64) {})
+	s.Txn(budget.Rules, nil, []protocol.Op{{Put: "sg/rules", Value: raw("")}}, func(Outcome, []string, uint64) {})
 	n := 0
 	for at := time.Second; at <= 2*time.Second; at += 20 * time.Millisecond {
 		s.Tick(at)
@@ -181,7 +181,7 @@
 				t.Fatalf("first: %s", c.call.Body)
 			}
 			n++
-			c.done(reply(200, protocol.TxnResult{Ledger: uint64(20 + n)}))
+			c.done(reply(200, protocol.TxnResult{Revision: uint64(20 + n)}))
 		}
 	}
 	// A share of ten a second, and the burst of half a second's worth or one
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -16,7 +16,7 @@
 )
 
 // canRun tells by trying every way of laying a job's tasks into zones, however many machines there are, whether it can ever run.
-func canRun(s *job.Spec, types []protocol.Flavor, teams []config.Team) bool {
+func canRun(s *job.Spec, types []protocol.MachineType, teams []config.Team) bool {
 	n := 1 // tasks that must be there at the same time
 	if s.Shape != job.Array {
 		n = s.Tasks
@@ -29,10 +29,10 @@
 	for _, f := range types {
 		allowed := s.Types == nil
 		for _, t := range s.Types {
-			allowed = allowed || t == f.SKU
+			allowed = allowed || t == f.Name
 		}
-		if allowed && s.CPUs <= f.CPUs && s.GPUs <= f.GPUs && s.MemoryGB <= f.RAM {
-			for _, z := range f.Depots {
+		if allowed && s.CPUs <= f.CPUs && s.GPUs <= f.GPUs && s.MemoryGB <= f.MemoryGB {
+			for _, z := range f.Zones {
 				holds[z] = true
 			}
 		}
@@ -65,14 +65,14 @@
 func TestNothingThatCanRunIsRefused(t *testing.T) {
 	teams := []config.Team{{Name: "red", GPUsMax: 3, CPUsMax: 20}, {Name: "blue"}}
 	accepted, refused := 0, 0
-	for _, types := range [][]protocol.Flavor{
-		{{SKU: "small", CPUs: 4, GPUs: 1, RAM: 8, Depots: []string{"a"}}},
-		{{SKU: "small", CPUs: 4, GPUs: 1, RAM: 8, Depots: []string{"a", "b", "c"}}, {SKU: "large", CPUs: 16, GPUs: 4, RAM: 64, Depots: []string{"b"}}},
-		{{SKU: "small", CPUs: 4, GPUs: 0, RAM: 8, Depots: []string{"a", "b"}}, {SKU: "large", CPUs: 16, GPUs: 4, RAM: 64, Depots: []string{"b", "c"}}},
+	for _, types := range [][]protocol.MachineType{
+		{{Name: "small", CPUs: 4, GPUs: 1, MemoryGB: 8, Zones: []string{"a"}}},
+		{{Name: "small", CPUs: 4, GPUs: 1, MemoryGB: 8, Zones: []string{"a", "b", "c"}}, {Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"b"}}},
+		{{Name: "small", CPUs: 4, GPUs: 0, MemoryGB: 8, Zones: []string{"a", "b"}}, {Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"b", "c"}}},
 	} {
 		facts := config.Facts{Count: 1, Zones: []string{"a", "b", "c"}, Teams: teams, Workers: config.Workers{Report: 3, Lease: 18, Cancel: 48}, State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 5, ListLag: 3}}
 		c := New(&config.Settings{Node: "n0", Zone: "a", Facts: facts, Operator: config.DefaultOperator()}, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)), 1)
-		c.setCatalogue(&protocol.Flavors{Rigs: types})
+		c.setCatalogue(&protocol.MachineTypes{MachineTypes: types})
 		for _, shape := range []job.Shape{job.Array, job.Gang, job.Service} {
 			for _, n := range []int{1, 2, 3, 5} {
 				for _, team := range []string{"red", "blue", "nobody"} {
@@ -127,7 +127,7 @@
 		}
 		return encode(m)
 	}
-	if st, answer := ask(0, "POST", protocol.PathRuns, encode(valid("wk-700000"))); st != 201 {
+	if st, answer := ask(0, "POST", protocol.PathJobs, encode(valid("wk-700000"))); st != 201 {
 		t.Fatal(st, answer)
 	}
 	type bad struct {
@@ -147,18 +147,18 @@
 	}
 	for i, k := range cases {
 		id := fmt.Sprintf("wk-71%04d", i)
-		if st, answer := ask(i%3, "POST", protocol.PathRuns, with(id, k.field, k.v)); st != k.status || !strings.Contains(answer, k.says) {
+		if st, answer := ask(i%3, "POST", protocol.PathJobs, with(id, k.field, k.v)); st != k.status || !strings.Contains(answer, k.says) {
 			t.Errorf("%s = %v: %d %s", k.field, k.v, st, answer)
 		}
-		if st, answer := ask((i+1)%3, "GET", protocol.PathRuns+"/"+id, nil); st != 404 {
+		if st, answer := ask((i+1)%3, "GET", protocol.PathJobs+"/"+id, nil); st != 404 {
 			t.Errorf("%s = %v: then %d %s", k.field, k.v, st, answer)
 		}
 		// The same as a repetition of a known job.
-		if st, answer := ask((i+1)%3, "POST", protocol.PathRuns, with("wk-700000", k.field, k.v)); st != 200 {
+		if st, answer := ask((i+1)%3, "POST", protocol.PathJobs, with("wk-700000", k.field, k.v)); st != 200 {
 			t.Errorf("repeated with %s = %v: %d %s", k.field, k.v, st, answer)
 		}
 	}
-	if st, _ := ask(1, "POST", protocol.PathRuns+"/wk-799999/abort", nil); st != 404 {
+	if st, _ := ask(1, "POST", protocol.PathJobs+"/wk-799999/abort", nil); st != 404 {
 		t.Errorf("cancelling an unknown job: %d", st)
 	}
 	// A job that is known by a record that can't be read is not unknown, and a job that is done is not cancelled.
@@ -170,16 +170,16 @@
 		t.Fatalf("the job is %q", u.final)
 	}
 	for n := range s.nodes {
-		if st, answer := ask(n, "POST", protocol.PathRuns+"/wk-700001/abort", nil); st != 200 || !strings.Contains(answer, `"done"`) {
+		if st, answer := ask(n, "POST", protocol.PathJobs+"/wk-700001/abort", nil); st != 200 || !strings.Contains(answer, `"done"`) {
 			t.Errorf("cancelling what is done, at n%d: %d %s", n, st, answer)
 		}
-		if st, answer := ask(n, "GET", protocol.PathRuns+"/wk-700002", nil); st != 503 {
+		if st, answer := ask(n, "GET", protocol.PathJobs+"/wk-700002", nil); st != 503 {
 			t.Errorf("asking for what can't be read, at n%d: %d %s", n, st, answer)
 		}
-		if st, answer := ask(n, "POST", protocol.PathRuns+"/wk-700002/abort", nil); st != 503 {
+		if st, answer := ask(n, "POST", protocol.PathJobs+"/wk-700002/abort", nil); st != 503 {
 			t.Errorf("cancelling what can't be read, at n%d: %d %s", n, st, answer)
 		}
-		if st, answer := ask(n, "POST", protocol.PathRuns, with("wk-700002", "loads", 0)); st != 503 {
+		if st, answer := ask(n, "POST", protocol.PathJobs, with("wk-700002", "loads", 0)); st != 503 {
 			t.Errorf("repeating what can't be read, at n%d: %d %s", n, st, answer)
 		}
 	}
--- a/internal/coordination/apart_test.go
+++ b/internal/coordination/apart_test.go
@@ -128,47 +128,47 @@
 // TestOldReportsChangeNothing sends copies of old reports, of an earlier session, attempt, holder and of after the
 // forgetting, at every later moment of a machine's story: none has anything written or launched.
 func TestOldReportsChangeNothing(t *testing.T) {
-	running := protocol.Load{Load: "wk-700000/0", Try: 1, Status: protocol.LoadRunning}
-	over := protocol.Load{Load: "wk-700000/0", Try: 1, Status: protocol.LoadEnded, Cause: protocol.CauseDone}
+	running := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}
+	over := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseDone}
 	type old struct {
 		baton, shift, tally uint64
-		loads               []protocol.Load
+		loads               []protocol.TaskStatus
 	}
 	copies := []old{
-		{0, 1, 1, nil},                        // before the claim
-		{50, 1, 1, []protocol.Load{over}},     // of an earlier holder's time
-		{120, 1, 2, nil},                      // before the launch
-		{120, 1, 4, []protocol.Load{running}}, // while it ran
-		{120, 1, 4, []protocol.Load{over}},    // a tally that is not newer
-		{120, 1, 4, []protocol.Load{{Load: "wk-700000/0", Try: 0, Status: protocol.LoadEnded}}},
+		{0, 1, 1, nil},                              // before the claim
+		{50, 1, 1, []protocol.TaskStatus{over}},     // of an earlier holder's time
+		{120, 1, 2, nil},                            // before the launch
+		{120, 1, 4, []protocol.TaskStatus{running}}, // while it ran
+		{120, 1, 4, []protocol.TaskStatus{over}},    // a tally that is not newer
+		{120, 1, 4, []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 0, Status: protocol.TaskEnded}}},
 	}
 	for i, k := range copies {
 		for _, later := range []string{"it runs", "in the next session", "under a new token"} {
 			s := launching(t)
-			s.reply(protocol.PathOrders, protocol.VerbLaunch, 200, protocol.Report{Stoker: "i-000001", Shift: 1, Tally: 4, Baton: 120, Loads: []protocol.Load{running}})
+			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120, Tasks: []protocol.TaskStatus{running}})
 			s.at += time.Second
 			s.report(120, 5, running)
 			switch later {
 			case "in the next session":
 				s.next++
-				s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathCheckin, encode(protocol.Report{Stoker: "i-000001", Address: "10.1.0.1:9000",
-					Rig: "small", Depot: "a", Shift: 2, Tally: 9, Baton: 120, Loads: []protocol.Load{}})))
+				s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
+					MachineType: "small", Zone: "a", AgentEpoch: 2, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}})))
 				s.pass(time.Second) // its release is under way
 			case "under a new token":
 				s.report(130, 6, running) // as if a peer had answered it: a claim is due
-				s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Ledger: 140})
+				s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 140})
 			}
 			open := len(s.todo)
 			s.next++
 			s.ans = nil
-			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathCheckin, encode(protocol.Report{Stoker: "i-000001", Address: "10.1.0.1:9000",
-				Rig: "small", Depot: "a", Shift: k.shift, Tally: k.tally, Baton: k.baton, Loads: append([]protocol.Load{}, k.loads...)})))
+			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
+				MachineType: "small", Zone: "a", AgentEpoch: k.shift, Sequence: k.tally, FencingToken: k.baton, Tasks: append([]protocol.TaskStatus{}, k.loads...)})))
 			for _, c := range s.todo[open:] {
-				if c.Path == protocol.PathTxn || c.Path == protocol.PathOrders {
+				if c.Path == protocol.PathTxn || c.Path == protocol.PathCommands {
 					t.Errorf("copy %d when %s: %s %s", i, later, c.Path, c.Body)
 				}
 			}
-			for _, o := range s.answer().Orders {
+			for _, o := range s.answer().Commands {
 				if o.Verb != protocol.VerbKill {
 					t.Errorf("copy %d when %s: ordered %+v", i, later, o)
 				}
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -23,7 +23,7 @@
 	charge  bool // the team's record is changed too
 	use     usage
 	named   map[string]bool // keys that conds names already
-	conds   []protocol.Cond
+	conds   []protocol.Compare
 	ops     []protocol.Op
 	size    int // of the transaction at the most, in bytes
 	parts   []part
@@ -187,7 +187,7 @@
 		return
 	}
 	d := &draft{c: c, b: b, p: p, tasks: append([]job.Task(nil), p.tasks...), base: p.num * c.pageTasks(), use: b.use,
-		conds: []protocol.Cond{{Key: keyJob + p.id, Stamp: r.stamp}, {Key: pageKey(p.id, p.num), Stamp: p.stamp}},
+		conds: []protocol.Compare{{Key: keyJob + p.id, ModRevision: r.stamp}, {Key: pageKey(p.id, p.num), ModRevision: p.stamp}},
 		room:  4*c.cfg.Facts.State.TxnOps - 4 - len(b.conds)}
 	for _, ch := range p.queue {
 		if ch.place {
@@ -230,7 +230,7 @@
 	tasks  []job.Task // as they will be
 	base   int        // number of the page's first task
 	use    usage      // of the team
-	conds  []protocol.Cond
+	conds  []protocol.Compare
 	room   int      // for conditions
 	fresh  []string // keys that the batch did not name before
 	taken  []change
@@ -242,8 +242,8 @@
 //
 // Guards against a placement that was not conditional on the absence of a
 // drain, since an ending on the same machine had named its claim before.
-func (d *draft) under(conditions ...protocol.Cond) bool {
-	conditions = slices.DeleteFunc(conditions, func(k protocol.Cond) bool { return d.b.named[k.Key] })
+func (d *draft) under(conditions ...protocol.Compare) bool {
+	conditions = slices.DeleteFunc(conditions, func(k protocol.Compare) bool { return d.b.named[k.Key] })
 	if len(d.conds)+len(conditions) > d.room {
 		return false
 	}
@@ -281,7 +281,7 @@
 		d.spoilt = multi(r)
 		return
 	}
-	if !d.under(append(m.holding(), protocol.Cond{Key: keyDrain + m.id})...) {
+	if !d.under(append(m.holding(), protocol.Compare{Key: keyDrain + m.id})...) {
 		d.rest = append(d.rest, ch)
 		return
 	}
@@ -344,7 +344,7 @@
 // write adds the page, and its job where that changes, to the batch.
 func (d *draft) write() {
 	c, b, p, r := d.c, d.b, d.p, d.p.rec
-	b.ops = append(b.ops, protocol.Op{Write: pageKey(p.id, p.num), Data: c.encodePage(d.tasks)})
+	b.ops = append(b.ops, protocol.Op{Put: pageKey(p.id, p.num), Value: c.encodePage(d.tasks)})
 	finished := r.finished
 	for i := range d.tasks {
 		if d.tasks[i].Phase == job.Finished && p.tasks[i].Phase != job.Finished {
@@ -355,11 +355,11 @@
 	switch {
 	case finished == r.spec.Tasks && r.status == job.Open:
 		// Finished tasks stay finished, so the other pages need no condition.
-		b.ops = append(b.ops, protocol.Op{Write: keyJob + p.id, Data: encode(r.stored(job.Done))})
+		b.ops = append(b.ops, protocol.Op{Put: keyJob + p.id, Value: encode(r.stored(job.Done))})
 	case spansPages:
 		// Zones are judged over all pages; rewriting the job record makes
 		// placements of different pages exclude one another.
-		b.ops = append(b.ops, protocol.Op{Write: keyJob + p.id, Data: encode(r.stored(r.status))})
+		b.ops = append(b.ops, protocol.Op{Put: keyJob + p.id, Value: encode(r.stored(r.status))})
 	}
 	b.conds = append(b.conds, d.conds...)
 	b.size += len(d.tasks)*taskBytes + jobBytes + len(d.conds)*condBytes
@@ -373,8 +373,8 @@
 	tm := b.team
 	if b.charge {
 		key := keyTeam + tm.cfg.Name
-		b.conds = append(b.conds, protocol.Cond{Key: key, Stamp: tm.stamp})
-		b.ops = append(b.ops, protocol.Op{Write: key, Data: encode(b.use)})
+		b.conds = append(b.conds, protocol.Compare{Key: key, ModRevision: tm.stamp})
+		b.ops = append(b.ops, protocol.Op{Put: key, Value: encode(b.use)})
 		tm.busy = true
 	}
 	for _, part := range b.parts {
--- a/internal/coordination/blackstart_test.go
+++ b/internal/coordination/blackstart_test.go
@@ -39,22 +39,22 @@
 		}
 	}
 	b.up = len(up)
-	s.launched = func(w *simWorker, o protocol.Order) {
-		id, _, _ := job.SplitTaskName(o.Load)
-		if l := w.loads[o.Load+"#"+strconv.Itoa(o.Try)]; l != nil {
+	s.launched = func(w *simWorker, o protocol.Command) {
+		id, _, _ := job.SplitTaskName(o.Task)
+		if l := w.loads[o.Task+"#"+strconv.Itoa(o.Attempt)]; l != nil {
 			b.again++
 		}
 		if u := s.users[id]; u != nil && u.final != "" {
 			b.over++
 		}
 	}
-	s.met.killed = func(w *simWorker, o protocol.Order) {
-		id, index, _ := job.SplitTaskName(o.Load)
+	s.met.killed = func(w *simWorker, o protocol.Command) {
+		id, index, _ := job.SplitTaskName(o.Task)
 		u := s.users[id]
-		if l := w.loads[o.Load+"#"+strconv.Itoa(o.Try)]; l == nil || !l.on() || u == nil || u.asked {
+		if l := w.loads[o.Task+"#"+strconv.Itoa(o.Attempt)]; l == nil || !l.on() || u == nil || u.asked {
 			return
 		}
-		if t := s.recordOf(id, index); t != nil && t.Machine == w.name && t.Session == w.shift && t.Try == o.Try {
+		if t := s.recordOf(id, index); t != nil && t.Machine == w.name && t.Session == w.shift && t.Try == o.Attempt {
 			b.kills++
 		}
 	}
--- a/internal/coordination/checker_test.go
+++ b/internal/coordination/checker_test.go
@@ -82,7 +82,7 @@
 
 func (u *simUser) send() {
 	s, before := u.s, u.told()
-	s.anyNode().request("users", "POST", protocol.PathRuns, u.body, func(st int, body []byte) {
+	s.anyNode().request("users", "POST", protocol.PathJobs, u.body, func(st int, body []byte) {
 		switch st {
 		case 200, 201:
 			if !u.accepted {
@@ -114,8 +114,8 @@
 			u.lookClosely()
 		}
 	}()
-	var r protocol.RunState
-	if json.Unmarshal(body, &r) != nil || r.Ref != u.spec.ID {
+	var r protocol.JobState
+	if json.Unmarshal(body, &r) != nil || r.ID != u.spec.ID {
 		u.s.breaks("format", "%s: %q", u.spec.ID, body)
 		return
 	}
@@ -145,7 +145,7 @@
 
 func (u *simUser) poll() {
 	s, before := u.s, u.told()
-	s.anyNode().request("users", "GET", protocol.PathRuns+"/"+u.spec.ID, nil, func(st int, body []byte) {
+	s.anyNode().request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) {
 		u.polled(st, body, before)
 		if u.final == "" || s.rnd.IntN(4) == 0 {
 			s.after(s.ms(2000, 5000), u.poll)
@@ -161,7 +161,7 @@
 	if n == nil || n.core == nil {
 		n = s.anyNode()
 	}
-	n.request("users", "POST", protocol.PathRuns+"/"+u.spec.ID+"/abort", nil, func(st int, body []byte) {
+	n.request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, body []byte) {
 		if !u.aborted(st, body, before) {
 			s.after(time.Second, u.cancel)
 		}
@@ -171,7 +171,7 @@
 // stranger asks about jobs that nobody has submitted.
 func (s *sim) stranger() {
 	id := fmt.Sprintf("wk-%06d", 900000+s.rnd.IntN(1000))
-	s.anyNode().request("users", "GET", protocol.PathRuns+"/"+id, nil, func(st int, _ []byte) {
+	s.anyNode().request("users", "GET", protocol.PathJobs+"/"+id, nil, func(st int, _ []byte) {
 		if st == 200 {
 			s.breaks("invented", "%s", id)
 		}
@@ -271,9 +271,9 @@
 	if len(waits) == 0 || s.unordered {
 		return
 	}
-	launches := func(m *machine, orders []protocol.Order) {
+	launches := func(m *machine, orders []protocol.Command) {
 		for _, o := range orders {
-			id, index, err := job.SplitTaskName(o.Load)
+			id, index, err := job.SplitTaskName(o.Task)
 			if err != nil || o.Verb != protocol.VerbLaunch || m == nil || s.users[id].spec.Priority == job.Production {
 				continue
 			}
@@ -289,25 +289,25 @@
 				fits := c.fits(r, m) && !c.barred(m)
 				m.use(lesser, 1)
 				if fits {
-					s.breaks("lesser first", "%s is launched on %s, where %s/%d would fit that had waited for %v", o.Load, m.id, k.id, k.index, committed-since)
+					s.breaks("lesser first", "%s is launched on %s, where %s/%d would fit that had waited for %v", o.Task, m.id, k.id, k.index, committed-since)
 				}
 			}
 		}
 	}
 	for _, k := range e.Calls {
-		var d protocol.DirectOrders
-		if k.Path == protocol.PathOrders && json.Unmarshal(k.Body, &d) == nil {
+		var d protocol.DirectCommands
+		if k.Path == protocol.PathCommands && json.Unmarshal(k.Body, &d) == nil {
 			for _, m := range c.ours {
 				if m.claim.Address == k.Address {
-					launches(m, d.Orders)
+					launches(m, d.Commands)
 				}
 			}
 		}
 	}
 	for _, a := range e.Answers {
-		var d protocol.CheckinAnswer
+		var d protocol.HeartbeatResponse
 		if who := n.askers[a.ID]; who != "" && a.Status == 200 && json.Unmarshal(a.Body, &d) == nil {
-			launches(c.machines[who], d.Orders)
+			launches(c.machines[who], d.Commands)
 		}
 	}
 }
--- a/internal/coordination/checkin.go
+++ b/internal/coordination/checkin.go
@@ -13,7 +13,7 @@
 // checkin takes a worker's report.
 func (c *Core) checkin(id uint64, body []byte) {
 	c.Stats.Checkins++
-	r, err := protocol.ParseReport(body)
+	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		c.refuse(id, 400, err.Error())
 		return
@@ -22,15 +22,15 @@
 		c.refuse(id, 503, "starting")
 		return
 	}
-	c.reach.WorkerHeard(r.Depot)
+	c.reach.WorkerHeard(r.Zone)
 	c.hear(id, r, false)
 }
 
 // hear answers a report, at once or after a claim or the take-over of its worker's group.
 // alone has the worker claimed alone where it needs a claim.
-func (c *Core) hear(id uint64, r *protocol.Report, alone bool) {
+func (c *Core) hear(id uint64, r *protocol.Heartbeat, alone bool) {
 	if peer := c.betterPlaced(r); peer != "" {
-		c.answer(id, 421, protocol.Redirect{Dispatcher: peer}, 0)
+		c.answer(id, 421, protocol.Redirect{Controller: peer}, 0)
 		return
 	}
 	if c.now-c.proof() > c.horizon() {
@@ -38,9 +38,9 @@
 		c.refuse(id, 503, "cut off from the state service")
 		return
 	}
-	m := c.machine(r.Stoker)
-	if peer := c.better(m, r.Depot); peer != "" {
-		c.answer(id, 421, protocol.Redirect{Dispatcher: peer}, 0)
+	m := c.machine(r.Worker)
+	if peer := c.better(m, r.Zone); peer != "" {
+		c.answer(id, 421, protocol.Redirect{Controller: peer}, 0)
 		return
 	}
 	c.adopt(m, r)
@@ -59,7 +59,7 @@
 		return
 	}
 	if c.hasHolder(m, r) {
-		c.answer(id, 421, protocol.Redirect{Dispatcher: m.claim.Owner}, 0)
+		c.answer(id, 421, protocol.Redirect{Controller: m.claim.Owner}, 0)
 		return
 	}
 	if c.cutOff() && c.isolated() {
@@ -81,14 +81,14 @@
 }
 
 // take writes the claim for a new token.
-func (c *Core) take(m *machine, r *protocol.Report, tries int, done func(*machine, bool)) {
+func (c *Core) take(m *machine, r *protocol.Heartbeat, tries int, done func(*machine, bool)) {
 	m.claiming = true
 	c.claims++
 	again := c.mine(m) && c.proved(m) // nobody else can have held it since
-	k := claim{c.cfg.Node, c.life, r.Address, r.Rig, r.Depot, r.Casual, c.ownEpoch()}
+	k := claim{c.cfg.Node, c.life, r.Address, r.MachineType, r.Zone, r.Spot, c.ownEpoch()}
 	class := m.class()
 	c.store.Txn(class, m.holding(),
-		[]protocol.Op{{Write: keyClaim + m.id, Data: encode(k)}}, func(o bookkeeping.Outcome, _ []string, _ uint64) {
+		[]protocol.Op{{Put: keyClaim + m.id, Value: encode(k)}}, func(o bookkeeping.Outcome, _ []string, _ uint64) {
 			m.claiming = false
 			c.claims--
 			// The machine may have been forgotten and met again meanwhile.
@@ -117,7 +117,7 @@
 }
 
 // accept answers a report under our claim.
-func (c *Core) accept(id uint64, m *machine, r *protocol.Report) {
+func (c *Core) accept(id uint64, m *machine, r *protocol.Heartbeat) {
 	if !c.mine(m) {
 		c.refuse(id, 503, "the claim was lost")
 		return
@@ -128,17 +128,17 @@
 		c.refuse(id, 503, "an older report")
 		return
 	}
-	m.session, m.tally, m.heard, m.mute = r.Shift, r.Tally, c.now, 0
-	m.recalled = r.RecallS != nil
-	if r.Baton == m.stamp && !m.shown {
+	m.session, m.tally, m.heard, m.mute = r.AgentEpoch, r.Sequence, c.now, 0
+	m.recalled = r.PreemptionNoticeS != nil
+	if r.FencingToken == m.stamp && !m.shown {
 		m.shown, m.shownAt = true, c.now
 	}
-	ans := protocol.CheckinAnswer{Baton: m.stamp, Orders: []protocol.Order{}}
+	ans := protocol.HeartbeatResponse{FencingToken: m.stamp, Commands: []protocol.Command{}}
 	if hearing != evidence.Believe {
-		ans.Orders = c.killFinal(m, r)
+		ans.Commands = c.killFinal(m, r)
 		c.outlived(m, r)
 	} else {
-		ans.Orders = c.orders(m, r)
+		ans.Commands = c.orders(m, r)
 		m.released = false
 		if m.recalled {
 			c.drain(m, drainRecall)
@@ -146,13 +146,13 @@
 		c.join(m)
 	}
 	c.fleet.unshipped.report(m, r)
-	ans.Store = c.data.report(m, r.Store)
+	ans.DataStore = c.data.report(m, r.DataStore)
 	m.answered = c.now
 	c.out.Answers = append(c.out.Answers, Answer{ID: id, Status: 200, Body: encode(ans), Urgent: m.urgent()})
 }
 
 // outlived releases what a report that is not believed shows to be of an earlier session.
-func (c *Core) outlived(m *machine, r *protocol.Report) {
+func (c *Core) outlived(m *machine, r *protocol.Heartbeat) {
 	for _, k := range m.tasks() {
 		rec := m.bound[k]
 		a, ok := c.boundHere(m, k)
@@ -175,21 +175,21 @@
 //
 // Also what is bound to the machine and not listed: a report that a direct launch has overtaken lacks what
 // runs by now, and its answer renews the lease. (The model found it; a stop of what is not there does nothing.)
-func (c *Core) killFinal(m *machine, r *protocol.Report) []protocol.Order {
-	orders := []protocol.Order{}
+func (c *Core) killFinal(m *machine, r *protocol.Heartbeat) []protocol.Command {
+	orders := []protocol.Command{}
 	listed := map[string]bool{}
-	for i := range r.Loads {
-		l := &r.Loads[i]
-		listed[l.Load] = true
-		id, _, err := job.SplitTaskName(l.Load)
-		if err == nil && l.Status != protocol.LoadEnded && c.over(id) {
+	for i := range r.Tasks {
+		l := &r.Tasks[i]
+		listed[l.Task] = true
+		id, _, err := job.SplitTaskName(l.Task)
+		if err == nil && l.Status != protocol.TaskEnded && c.over(id) {
 			orders = append(orders, kill(l, 0))
 		}
 	}
 	for _, k := range m.tasks() {
 		name := job.TaskName(k.id, k.index)
-		if a, ok := c.boundHere(m, k); ok && m.bound[k].final() && a.Session == r.Shift && !listed[name] {
-			orders = append(orders, kill(&protocol.Load{Load: name, Try: a.Try}, 0))
+		if a, ok := c.boundHere(m, k); ok && m.bound[k].final() && a.Session == r.AgentEpoch && !listed[name] {
+			orders = append(orders, kill(&protocol.TaskStatus{Task: name, Attempt: a.Try}, 0))
 		}
 	}
 	return orders
@@ -202,12 +202,12 @@
 }
 
 // kill stops what a worker lists, within a time in seconds.
-func kill(l *protocol.Load, grace float64) protocol.Order {
-	return protocol.Order{Verb: protocol.VerbKill, Load: l.Load, Try: l.Try, WindDownS: &grace}
+func kill(l *protocol.TaskStatus, grace float64) protocol.Command {
+	return protocol.Command{Verb: protocol.VerbKill, Task: l.Task, Attempt: l.Attempt, GracePeriodS: &grace}
 }
 
 // launch starts an attempt that evidence has let pass.
-func (c *Core) launch(m *machine, a attempt) protocol.Order {
+func (c *Core) launch(m *machine, a attempt) protocol.Command {
 	c.traceStart(losses.Launch, a.id, a.index, a.try, m.id)
-	return protocol.Order{Verb: protocol.VerbLaunch, Load: job.TaskName(a.id, a.index), Try: a.try, Seal: c.view.sealLaunch(m, a.taskKey, a.try)}
+	return protocol.Command{Verb: protocol.VerbLaunch, Task: job.TaskName(a.id, a.index), Attempt: a.try, Grant: c.view.sealLaunch(m, a.taskKey, a.try)}
 }
--- a/internal/coordination/conclude_test.go
+++ b/internal/coordination/conclude_test.go
@@ -17,30 +17,30 @@
 		s := newScript(t)
 		sp := lateSpec()
 		sp.Shape, sp.Tasks = job.Array, 2*s.c.pageTasks()
-		page := func(num, finished int, stamp uint64) protocol.News {
+		page := func(num, finished int, stamp uint64) protocol.WatchEvent {
 			tasks := make([]job.Task, s.c.pageTasks())
 			for i := range finished {
 				tasks[i] = job.Task{Phase: job.Finished, Try: 1}
 			}
-			return protocol.News{Write: pageKey(sp.ID, num), Data: writePage(tasks), Stamp: stamp}
+			return protocol.WatchEvent{Put: pageKey(sp.ID, num), Value: writePage(tasks), ModRevision: stamp}
 		}
 		n := s.c.pageTasks()
 		s.pass(100 * time.Millisecond)
-		p := protocol.EntryPage{Ledger: 100, Entries: []protocol.Entry{
-			{Key: keyJob + sp.ID, Data: encode(storedJob{sp, job.Open, 1, home}), Stamp: 90},
-			{Key: keyMember + "n0", Data: encode(member{1, 0, 0, latestFormat}), Stamp: 91}}}
+		p := protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
+			{Key: keyJob + sp.ID, Value: encode(storedJob{sp, job.Open, 1, home}), ModRevision: 90},
+			{Key: keyMember + "n0", Value: encode(member{1, 0, 0, latestFormat}), ModRevision: 91}}}
 		for num := range 2 {
 			w := page(num, n-1, 92+uint64(num))
-			p.Entries = append(p.Entries, protocol.Entry{Key: w.Write, Data: w.Data, Stamp: w.Stamp})
+			p.KeyValues = append(p.KeyValues, protocol.KeyValue{Key: w.Put, Value: w.Value, ModRevision: w.ModRevision})
 		}
 		s.reply(protocol.PathKeys+"?", "", 200, p)
 		s.pass(200 * time.Millisecond)
-		s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: 110, News: []protocol.News{page(0, n, 105), page(1, n, 106)}})
+		s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 110, Events: []protocol.WatchEvent{page(0, n, 105), page(1, n, 106)}})
 		s.pass(time.Second)
 		said := 0
 		for _, k := range s.todo {
 			var txn protocol.Txn
-			if k.Path == protocol.PathTxn && protocol.Decode(k.Body, &txn) == nil && len(txn.Then) == 1 && txn.Then[0].Write == keyJob+sp.ID {
+			if k.Path == protocol.PathTxn && protocol.Decode(k.Body, &txn) == nil && len(txn.Ops) == 1 && txn.Ops[0].Put == keyJob+sp.ID {
 				said++
 			}
 		}
@@ -48,10 +48,10 @@
 			t.Errorf("kept by %s: %d transactions call the job done, want %d", home, said, want)
 		}
 		if home == "n1" {
-			s.reply(protocol.PathTxn, `"write":"`+keyJob+sp.ID, 200, protocol.TxnResult{Ledger: 111})
+			s.reply(protocol.PathTxn, `"write":"`+keyJob+sp.ID, 200, protocol.TxnResult{Revision: 111})
 			s.ans = nil
-			s.take(s.c.Request(s.clock(), 1, "GET", protocol.PathRuns+"/"+sp.ID, nil))
-			var r protocol.RunState
+			s.take(s.c.Request(s.clock(), 1, "GET", protocol.PathJobs+"/"+sp.ID, nil))
+			var r protocol.JobState
 			if len(s.ans) != 1 || protocol.Decode(s.ans[0].Body, &r) != nil || r.Status != string(job.Done) {
 				t.Errorf("the user is told %+v", s.ans)
 			}
--- a/internal/coordination/conform_test.go
+++ b/internal/coordination/conform_test.go
@@ -59,7 +59,7 @@
 			s := quietSim()
 			s.facts.Cloud.ListLag = 1
 			s.cloud.page = 500
-			s.cloud.types = map[string]protocol.Flavor{"small": {SKU: "small", StartupS: 1000, Depots: []string{"a", "b"}}}
+			s.cloud.types = map[string]protocol.MachineType{"small": {Name: "small", StartupS: 1000, Zones: []string{"a", "b"}}}
 			s.cloud.free = map[place]int{{"small", "a", false}: 2, {"small", "b", false}: 1}
 			return standIn{s, s.cloud.serve}
 		})
@@ -96,14 +96,14 @@
 		{`,"inputs":[{"set":"a","version":"1","place":"x"},{"set":"b","version":"1","place":"x/y"}]`, "inputs[1].place"},
 		{`,"command":["` + strings.Repeat("x", 9000) + `","` + strings.Repeat("y", 9000) + `"]`, "larger than 16 KiB"},
 	} {
-		if st, answer := ask(0, "POST", protocol.PathRuns, body("wk-600000", c.more)); st != 400 || !strings.Contains(answer, c.want) {
+		if st, answer := ask(0, "POST", protocol.PathJobs, body("wk-600000", c.more)); st != 400 || !strings.Contains(answer, c.want) {
 			t.Errorf("%.60s: %d %s", c.more, st, answer)
 		}
 	}
-	if st, answer := ask(0, "POST", protocol.PathRuns, body("wk-600001", `,"command":["run","-v"],"env":{"A":"b"}`)); st != 201 {
+	if st, answer := ask(0, "POST", protocol.PathJobs, body("wk-600001", `,"command":["run","-v"],"env":{"A":"b"}`)); st != 201 {
 		t.Fatal(st, answer)
 	}
-	if st, answer := ask(1, "POST", protocol.PathRuns, body("wk-600002", `,"unknown":1,"env":{},"inputs":null`)); st != 201 {
+	if st, answer := ask(1, "POST", protocol.PathJobs, body("wk-600002", `,"unknown":1,"env":{},"inputs":null`)); st != 201 {
 		t.Fatal(st, answer)
 	}
 	if raw := s.kv.keys[keyJob+"wk-600002"].data; bytes.Contains(raw, []byte(`"x"`)) {
@@ -113,22 +113,22 @@
 	s.run(s.now + 10*time.Second)
 	for n := range s.nodes {
 		for range 2 { // the second time from the cache
-			st, answer := ask(n, "GET", protocol.PathRuns+"/wk-600001/description", nil)
-			var d protocol.Description
-			if protocol.Decode([]byte(answer), &d) != nil || st != 200 || d.Loads != 2 || d.Kit != "k" || d.Extra == nil || len(d.Extra.Command) != 2 || d.Extra.Env["A"] != "b" {
+			st, answer := ask(n, "GET", protocol.PathJobs+"/wk-600001/description", nil)
+			var d protocol.JobDescription
+			if protocol.Decode([]byte(answer), &d) != nil || st != 200 || d.Tasks != 2 || d.Image != "k" || d.Extra == nil || len(d.Extra.Command) != 2 || d.Extra.Env["A"] != "b" {
 				t.Errorf("node %d: %d %s", n, st, answer)
 			}
 		}
-		if st, answer := ask(n, "GET", protocol.PathRuns+"/wk-600002/description", nil); st != 200 || strings.Contains(answer, "extra") {
+		if st, answer := ask(n, "GET", protocol.PathJobs+"/wk-600002/description", nil); st != 200 || strings.Contains(answer, "extra") {
 			t.Errorf("node %d: %d %s", n, st, answer)
 		}
-		if st, _ := ask(n, "GET", protocol.PathRuns+"/wk-600003/description", nil); st != 404 {
+		if st, _ := ask(n, "GET", protocol.PathJobs+"/wk-600003/description", nil); st != 404 {
 			t.Errorf("node %d: %d for a job that nobody submitted", n, st)
 		}
-		if st, answer := ask(n, "GET", protocol.PathJobs+"?all=true&from=", nil); st != 200 || strings.Count(answer, `"ref":"wk-60000`) != 2 {
+		if st, answer := ask(n, "GET", protocol.PathJobList+"?all=true&from=", nil); st != 200 || strings.Count(answer, `"ref":"wk-60000`) != 2 {
 			t.Errorf("node %d: jobs: %d %s", n, st, answer)
 		}
-		if st, answer := ask(n, "GET", protocol.PathNodes, nil); st != 200 || !strings.Contains(answer, `"stoker":"i-`) {
+		if st, answer := ask(n, "GET", protocol.PathMachineList, nil); st != 200 || !strings.Contains(answer, `"stoker":"i-`) {
 			t.Errorf("node %d: nodes: %d %s", n, st, answer)
 		}
 	}
@@ -164,7 +164,7 @@
 		}
 		s.after(20*time.Second, func() {
 			zone := "a"
-			s.anyNode().request("users", "POST", protocol.PathStagings, encode(protocol.Staging{Ref: "x", Set: "set0", Version: "latest", Crew: "red", Urgency: "urgent", ByS: 30, Machines: 2, Depot: &zone}),
+			s.anyNode().request("users", "POST", protocol.PathStagings, encode(protocol.Staging{ID: "x", Set: "set0", Version: "latest", Team: "red", Priority: "urgent", ByS: 30, Machines: 2, Zone: &zone}),
 				func(st int, body []byte) {
 					if st != 201 && st != 503 && st != 0 {
 						s.breaks("announcements", "%d %s", st, body)
@@ -200,7 +200,7 @@
 	s.sets = []protocol.DataSet{{Set: "set0", Version: "1"}}
 	s.run(time.Second)
 	c := s.nodes[0].core
-	a := &announcement{Staging: protocol.Staging{Set: "set0", Version: "1", Crew: "red", Urgency: "urgent", Machines: 3}}
+	a := &announcement{Staging: protocol.Staging{Set: "set0", Version: "1", Team: "red", Priority: "urgent", Machines: 3}}
 	put := func(id, team string, p job.Priority, input string, bound, finished int) {
 		c.jobs[id] = &record{spec: &job.Spec{ID: id, Team: team, Priority: p, Inputs: []string{input}}, bound: bound, finished: finished}
 	}
--- a/internal/coordination/consolidate.go
+++ b/internal/coordination/consolidate.go
@@ -108,7 +108,7 @@
 		f := c.kind(t)
 		u := used[t]
 		if t.cpus+u.CPUs+r.spec.CPUs <= f.CPUs+tolerance && t.gpus+u.GPUs+r.spec.GPUs <= f.GPUs+tolerance &&
-			t.ram+r.spec.MemoryGB <= f.RAM+tolerance {
+			t.ram+r.spec.MemoryGB <= f.MemoryGB+tolerance {
 			return t
 		}
 	}
@@ -148,7 +148,7 @@
 			if !m.pulling[k] || r.spec.Shape != job.Service || r.final() {
 				continue
 			}
-			left := max(c.fetchTime(r.spec, m), r.spec.ImageGB/c.kind(m).PullRate-(c.now-m.boundAt[k].at).Seconds())
+			left := max(c.fetchTime(r.spec, m), r.spec.ImageGB/c.kind(m).ImagePullGBPerS-(c.now-m.boundAt[k].at).Seconds())
 			t := c.pop(r)
 			if t == nil || t == m || c.fetchTime(r.spec, t)+c.cfg.Facts.Workers.Report/2 > left/2 {
 				continue
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -89,7 +89,7 @@
 	orphans  map[string]orphan
 	early    map[string][]early // handed over before their jobs' records came
 
-	catalogue map[string]*protocol.Flavor
+	catalogue map[string]*protocol.MachineType
 	flavorsAt time.Duration
 	flavorsIn bool
 
@@ -162,7 +162,7 @@
 		cfg: cfg, log: log, rnd: rnd, life: life,
 		calls: map[uint64]func(protocol.Reply){}, jobs: map[string]*record{}, machines: map[string]*machine{},
 		teams: map[string]*team{}, members: map[string]*member{}, formats: map[string]int{}, listed: map[taskKey]bool{}, drains: map[string]drain{}, writes: newPageWrites(),
-		orphans: map[string]orphan{}, early: map[string][]early{}, catalogue: map[string]*protocol.Flavor{}, open: map[string]*record{}, holders: newHolders(), latency: map[string]*hdrhistogram.Histogram{},
+		orphans: map[string]orphan{}, early: map[string][]early{}, catalogue: map[string]*protocol.MachineType{}, open: map[string]*record{}, holders: newHolders(), latency: map[string]*hdrhistogram.Histogram{},
 	}
 	for i := range cfg.Facts.Teams {
 		t := &cfg.Facts.Teams[i]
@@ -307,18 +307,18 @@
 		retry = c.retryAfter()
 		c.Stats.Unavailable++
 	}
-	c.answer(id, status, protocol.Problem{Error: why}, retry)
+	c.answer(id, status, protocol.ErrorResponse{Error: why}, retry)
 }
 
 func (c *Core) route(id uint64, method, path string, body []byte) {
 	switch {
-	case path == protocol.PathCheckin:
+	case path == protocol.PathHeartbeat:
 		if method != "POST" {
 			c.refuse(id, 405, "use POST")
 			return
 		}
 		c.checkin(id, body)
-	case path == protocol.PathUp:
+	case path == protocol.PathHealth:
 		if method != "GET" {
 			c.refuse(id, 405, "use GET")
 			return
@@ -330,21 +330,21 @@
 			return
 		}
 		c.answer(id, 200, c.stats(), 0)
-	case path == protocol.PathRuns:
+	case path == protocol.PathJobs:
 		if method != "POST" {
 			c.refuse(id, 405, "use POST")
 			return
 		}
 		c.submit(id, body)
-	case strings.HasPrefix(path, protocol.PathRuns+"/"):
-		ref, verb, hasVerb := strings.Cut(path[len(protocol.PathRuns)+1:], "/")
+	case strings.HasPrefix(path, protocol.PathJobs+"/"):
+		ref, verb, hasVerb := strings.Cut(path[len(protocol.PathJobs)+1:], "/")
 		switch {
 		case hasVerb && method == "GET" && c.view.job(id, ref, verb):
-		case hasVerb && verb != protocol.PathAbort:
+		case hasVerb && verb != protocol.PathCancel:
 			c.refuse(id, 404, "no such path")
 		case hasVerb && method != "POST", !hasVerb && method != "GET":
 			c.refuse(id, 405, "method not allowed")
-		case !protocol.ValidRef(ref):
+		case !protocol.ValidJobID(ref):
 			c.refuse(id, 404, "no such job")
 		case hasVerb:
 			c.cancel(id, ref, 0)
@@ -453,7 +453,7 @@
 		c.applyGang(data)
 	case keyFlavors:
 		if len(c.catalogue) == 0 && data != nil {
-			var f protocol.Flavors
+			var f protocol.MachineTypes
 			if protocol.Decode(data, &f) == nil {
 				c.setCatalogue(&f)
 			}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -26,9 +26,9 @@
 	s.told = s.facts
 	s.kv = &simState{s: s, drains: map[string]int{}, drainedAs: map[string]string{}, keys: map[string]simKey{}, rev: 1, leases: map[uint64]time.Duration{}, ttls: map[uint64]time.Duration{},
 		memory: 300, page: 40} // short, so that 410 and paging are met often
-	s.cloud = &simCloud{s: s, page: 7, free: map[place]int{}, hires: map[string][]string{}, all: map[string]*simWorker{}, types: map[string]protocol.Flavor{
-		"small": {SKU: "small", CPUs: 16, GPUs: 2, RAM: 64, PullRate: 1, Hourly: 4, SpotPrice: 1.5, StartupS: 8, Depots: []string{"a", "b", "c"}},
-		"large": {SKU: "large", CPUs: 64, GPUs: 8, RAM: 256, PullRate: 1, Hourly: 12, SpotPrice: 4, StartupS: 12, Depots: []string{"a", "b"}}}}
+	s.cloud = &simCloud{s: s, page: 7, free: map[place]int{}, hires: map[string][]string{}, all: map[string]*simWorker{}, types: map[string]protocol.MachineType{
+		"small": {Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 64, ImagePullGBPerS: 1, OnDemandPrice: 4, SpotPrice: 1.5, StartupS: 8, Zones: []string{"a", "b", "c"}},
+		"large": {Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 12, Zones: []string{"a", "b"}}}}
 	for _, z := range []string{"a", "b", "c"} {
 		for _, spot := range []bool{true, false} {
 			s.cloud.free[place{"small", z, spot}] = 2
@@ -533,7 +533,7 @@
 	}
 	for _, w := range s.cloud.sorted() {
 		for name, l := range w.loads {
-			if l.status == protocol.LoadEnded {
+			if l.status == protocol.TaskEnded {
 				t.Errorf("%s on %s was never forgotten", name, w.name)
 			}
 		}
@@ -682,10 +682,10 @@
 		body         []byte
 		want         int
 	}{
-		{"GET", protocol.PathRuns + "/wk-700000", nil, 200},
-		{"GET", protocol.PathRuns + "/wk-700001", nil, 503},
-		{"GET", protocol.PathRuns + "/wk-999999", nil, 503},
-		{"POST", protocol.PathRuns, []byte(strings.Replace(string(open.body), "wk-700001", "wk-700002", 1)), 503},
+		{"GET", protocol.PathJobs + "/wk-700000", nil, 200},
+		{"GET", protocol.PathJobs + "/wk-700001", nil, 503},
+		{"GET", protocol.PathJobs + "/wk-999999", nil, 503},
+		{"POST", protocol.PathJobs, []byte(strings.Replace(string(open.body), "wk-700001", "wk-700002", 1)), 503},
 	} {
 		e := s.nodes[0].core.Request(s.nodes[0].clock(), 1<<40, c.method, c.path, c.body)
 		if len(e.Answers) != 1 || e.Answers[0].Status != c.want || (c.want == 503) != (e.Answers[0].RetryAfter > 0) {
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -34,20 +34,20 @@
 // changed, at a size at which a sweep over machines or jobs would show.
 func TestCostOfAReport(t *testing.T) {
 	s, c, m := grownCore(t)
-	r := protocol.Report{Stoker: m.id, Address: m.claim.Address, Rig: m.claim.Type, Depot: m.claim.Zone, Casual: m.claim.Spot,
-		Shift: m.session, Tally: m.tally, Baton: m.stamp}
+	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.Type, Zone: m.claim.Zone, Spot: m.claim.Spot,
+		AgentEpoch: m.session, Sequence: m.tally, FencingToken: m.stamp}
 	for _, k := range m.tasks() {
-		r.Loads = append(r.Loads, protocol.Load{Load: job.TaskName(k.id, k.index), Try: m.bound[k].task(c, k.index).Try, Status: protocol.LoadRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: m.bound[k].task(c, k.index).Try, Status: protocol.TaskRunning})
 	}
 	var bodies [][]byte
 	for range 202 {
-		r.Tally++
+		r.Sequence++
 		bodies = append(bodies, encode(r))
 	}
 	n := 0
 	answered := 0
 	allocs := testing.AllocsPerRun(200, func() {
-		e := c.Request(s.nodes[0].clock(), uint64(1e9)+uint64(n), "POST", protocol.PathCheckin, bodies[n])
+		e := c.Request(s.nodes[0].clock(), uint64(1e9)+uint64(n), "POST", protocol.PathHeartbeat, bodies[n])
 		for _, a := range e.Answers {
 			if a.Status == 200 {
 				answered++
@@ -55,11 +55,11 @@
 		}
 		n++
 	})
-	t.Logf("%.1f allocations for a report with %d tasks", allocs, len(r.Loads))
+	t.Logf("%.1f allocations for a report with %d tasks", allocs, len(r.Tasks))
 	if answered < 200 {
 		t.Fatalf("%d reports answered", answered)
 	}
-	if limit := 15 + 3*float64(len(r.Loads)); allocs > limit {
+	if limit := 15 + 3*float64(len(r.Tasks)); allocs > limit {
 		t.Errorf("%.1f allocations, at most %.0f", allocs, limit)
 	}
 }
--- a/internal/coordination/data.go
+++ b/internal/coordination/data.go
@@ -380,7 +380,7 @@
 func (d *data) met(a *announcement) bool {
 	placed, name := 0, a.Set+"/"+a.Version
 	for _, r := range d.c.jobs {
-		if r.spec.Team == a.Crew && r.spec.Priority >= protocol.PriorityOf(a.Urgency) && slices.Contains(r.spec.Inputs, name) {
+		if r.spec.Team == a.Team && r.spec.Priority >= protocol.PriorityOf(a.Priority) && slices.Contains(r.spec.Inputs, name) {
 			placed += r.bound + r.finished
 		}
 	}
@@ -430,7 +430,7 @@
 		if over := c.now - by; over > seconds(c.cfg.Facts.Workers.Lease) || d.met(a) {
 			if !a.ending && c.successor(c.cfg.Node) == c.cfg.Node && c.leads() {
 				a.ending = true
-				c.store.Txn(budget.Rest, []protocol.Cond{{Key: keyStaging + name, Stamp: a.stamp}}, []protocol.Op{{Drop: keyStaging + name}},
+				c.store.Txn(budget.Rest, []protocol.Compare{{Key: keyStaging + name, ModRevision: a.stamp}}, []protocol.Op{{Delete: keyStaging + name}},
 					func(bookkeeping.Outcome, []string, uint64) { a.ending = false })
 			}
 			continue
@@ -450,7 +450,7 @@
 		have := 0
 		var list []staging.Candidate
 		for _, m := range c.ours {
-			if c.barred(m) || a.Depot != nil && m.claim.Zone != *a.Depot {
+			if c.barred(m) || a.Zone != nil && m.claim.Zone != *a.Zone {
 				continue
 			}
 			if d.p.Holds(m.id, []staging.ID{id}) {
@@ -462,7 +462,7 @@
 		held, coming := d.p.Holders(id)
 		if want := share - have - coming; want > 0 && held < a.Machines {
 			for _, m := range staging.Place(list, want+coming, func(m string) time.Duration { return d.p.Expect(c.now, m, []staging.ID{id}) }, func(string) bool { return false }) {
-				d.p.Promise(c.now, m, id, class(protocol.PriorityOf(a.Urgency)), a.Crew, by)
+				d.p.Promise(c.now, m, id, class(protocol.PriorityOf(a.Priority)), a.Team, by)
 			}
 		}
 	}
@@ -529,7 +529,7 @@
 		tell(200)
 		return
 	}
-	c.store.Txn(budget.Users, []protocol.Cond{{Key: keyData + name}}, []protocol.Op{{Write: keyData + name, Data: encode(s)}},
+	c.store.Txn(budget.Users, []protocol.Compare{{Key: keyData + name}}, []protocol.Op{{Put: keyData + name, Value: encode(s)}},
 		func(o bookkeeping.Outcome, _ []string, _ uint64) {
 			switch o {
 			case bookkeeping.OK:
@@ -559,7 +559,7 @@
 		v = d.latest[a.Set]
 	}
 	switch {
-	case c.teams[a.Crew] == nil:
+	case c.teams[a.Team] == nil:
 		c.refuse(id, 422, "crew: unknown team")
 		return
 	case v == nil:
@@ -567,8 +567,8 @@
 		return
 	}
 	a.Version, a.AtMS = v.Version, c.wall.UnixMilli()+int64(a.ByS*1000)
-	key := keyStaging + a.Ref
-	c.store.Txn(budget.Users, []protocol.Cond{{Key: key}}, []protocol.Op{{Write: key, Data: encode(a)}},
+	key := keyStaging + a.ID
+	c.store.Txn(budget.Users, []protocol.Compare{{Key: key}}, []protocol.Op{{Put: key, Value: encode(a)}},
 		func(o bookkeeping.Outcome, _ []string, _ uint64) {
 			switch o {
 			case bookkeeping.OK:
--- a/internal/coordination/endlog.go
+++ b/internal/coordination/endlog.go
@@ -89,7 +89,7 @@
 	w.waiting, w.since, w.writing = w.waiting[len(taken):], c.now, true
 	w.seq++
 	key := keyEndings + c.cfg.Node + "/" + strconv.FormatInt(c.life, 10) + "-" + strconv.Itoa(w.seq)
-	c.store.Txn(budget.Work, []protocol.Cond{{Key: key}}, []protocol.Op{{Write: key, Data: record}}, func(o bookkeeping.Outcome, _ []string, _ uint64) {
+	c.store.Txn(budget.Work, []protocol.Compare{{Key: key}}, []protocol.Op{{Put: key, Value: record}}, func(o bookkeeping.Outcome, _ []string, _ uint64) {
 		w.writing = false
 		if o != bookkeeping.OK { // again, under another key: an entry that is there twice is the same entry
 			w.waiting = append(taken, w.waiting...)
@@ -263,13 +263,13 @@
 
 // dropSpent drops records of the log that no page needs any more.
 func (c *Core) dropSpent() {
-	var conds []protocol.Cond
+	var conds []protocol.Compare
 	var ops []protocol.Op
 	for _, name := range c.writes.log.Spent() {
 		key := keyEndings + name
 		if stamp := c.store.Stamp(key); stamp != 0 && len(ops) < c.cfg.Facts.State.TxnOps {
-			conds = append(conds, protocol.Cond{Key: key, Stamp: stamp})
-			ops = append(ops, protocol.Op{Drop: key})
+			conds = append(conds, protocol.Compare{Key: key, ModRevision: stamp})
+			ops = append(ops, protocol.Op{Delete: key})
 		}
 	}
 	if len(ops) > 0 {
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/endlog_test.go
@@ -69,7 +69,7 @@
 		{"nonsense", false},
 	} {
 		s := newScript(t)
-		s.held(protocol.News{Write: pageKey("wk-700000", 0), Data: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), Stamp: 125})
+		s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125})
 		s.c.applyEndings("n9/1-1", encode(endings.Record{Endings: []string{c.entry}}))
 		if ended := s.c.jobs["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != c.ends {
 			t.Errorf("%s: ended %v", c.entry, ended)
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -29,8 +29,8 @@
 	calls    bucket
 	lastFill time.Duration
 
-	listed   map[string]protocol.Listed
-	listing  map[string]protocol.Listed
+	listed   map[string]protocol.RentedMachine
+	listing  map[string]protocol.RentedMachine
 	listFrom string
 	listBusy bool
 	listAt   time.Duration // when the last whole list was asked for
@@ -132,7 +132,7 @@
 	f.refused, f.strikes = map[place]time.Duration{}, map[place]int{}
 	f.fenced = map[string]bool{}
 	f.gone, f.deleting, f.lost, f.condemned = map[string]time.Duration{}, map[string]bool{}, map[string]time.Duration{}, map[string]string{}
-	f.listed, f.listing = map[string]protocol.Listed{}, map[string]protocol.Listed{}
+	f.listed, f.listing = map[string]protocol.RentedMachine{}, map[string]protocol.RentedMachine{}
 }
 
 func (f *fleet) applyLease(data json.RawMessage, stamp uint64) {
@@ -184,17 +184,17 @@
 		return
 	}
 	c.flavorsIn = true
-	c.cloud(http.MethodGet, protocol.PathFlavors, nil, func(r protocol.Reply) {
+	c.cloud(http.MethodGet, protocol.PathMachineTypes, nil, func(r protocol.Reply) {
 		c.flavorsIn = false
-		var v protocol.Flavors
-		if r.Status != http.StatusOK || protocol.Decode(r.Body, &v) != nil || len(v.Rigs) == 0 {
+		var v protocol.MachineTypes
+		if r.Status != http.StatusOK || protocol.Decode(r.Body, &v) != nil || len(v.MachineTypes) == 0 {
 			c.flavorsAt = c.now + time.Second
 			return
 		}
 		c.flavorsAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
 		c.setCatalogue(&v)
 		if c.store.Ready() && c.store.Stamp(keyFlavors) == 0 {
-			c.store.Txn(budget.Rest, []protocol.Cond{{Key: keyFlavors}}, []protocol.Op{{Write: keyFlavors, Data: encode(v)}},
+			c.store.Txn(budget.Rest, []protocol.Compare{{Key: keyFlavors}}, []protocol.Op{{Put: keyFlavors, Value: encode(v)}},
 				func(bookkeeping.Outcome, []string, uint64) {})
 		}
 	})
@@ -234,8 +234,8 @@
 	}
 	if f.stamp == 0 && c.permit != 0 && !f.taking {
 		f.taking, f.permit = true, c.permit
-		c.store.Txn(budget.Work, []protocol.Cond{{Key: keyFleet}},
-			[]protocol.Op{{Write: keyFleet, Data: encode(lease{c.cfg.Node, c.life}), Permit: c.permit}},
+		c.store.Txn(budget.Work, []protocol.Compare{{Key: keyFleet}},
+			[]protocol.Op{{Put: keyFleet, Value: encode(lease{c.cfg.Node, c.life}), Lease: c.permit}},
 			func(o bookkeeping.Outcome, _ []string, _ uint64) {
 				f.taking = false
 				if o == bookkeeping.OK {
@@ -265,7 +265,7 @@
 		return
 	}
 	f.taking = true
-	c.store.Txn(budget.Work, []protocol.Cond{{Key: keyFleet, Stamp: f.stamp}}, []protocol.Op{{Drop: keyFleet}},
+	c.store.Txn(budget.Work, []protocol.Compare{{Key: keyFleet, ModRevision: f.stamp}}, []protocol.Op{{Delete: keyFleet}},
 		func(o bookkeeping.Outcome, _ []string, _ uint64) {
 			f.taking = false
 			if o == bookkeeping.OK {
@@ -282,7 +282,7 @@
 	}
 	f.listBusy = true
 	if f.listFrom == "" {
-		f.listing = map[string]protocol.Listed{}
+		f.listing = map[string]protocol.RentedMachine{}
 		f.listAt = c.now + seconds(c.cfg.Facts.Cloud.ListLag/3)
 	}
 	c.cloud(http.MethodGet, protocol.PathRentals+"?from="+url.QueryEscape(f.listFrom)+"&page=500", nil, func(r protocol.Reply) {
@@ -292,11 +292,11 @@
 			f.listFrom = ""
 			return
 		}
-		for _, m := range l.Stokers {
-			f.listing[m.Ref] = m
-			f.listFrom = m.Ref
+		for _, m := range l.Machines {
+			f.listing[m.Name] = m
+			f.listFrom = m.Name
 		}
-		if !l.Truncated || len(l.Stokers) == 0 {
+		if !l.Truncated || len(l.Machines) == 0 {
 			f.listed, f.listFrom = f.listing, ""
 			c.listIn()
 		}
@@ -317,25 +317,25 @@
 		}
 		r.busy = true
 		where := place{r.Rig, r.Depot, r.Spot}
-		c.cloud(http.MethodPost, protocol.PathRentals, protocol.Rental{Hire: name, Rig: r.Rig, Depot: r.Depot, Casual: r.Spot, Number: r.Number}, func(rep protocol.Reply) {
+		c.cloud(http.MethodPost, protocol.PathRentals, protocol.RentalRequest{RequestID: name, MachineType: r.Rig, Zone: r.Depot, Spot: r.Spot, Count: r.Number}, func(rep protocol.Reply) {
 			r.busy = false
-			var n protocol.Names
+			var n protocol.MachineNames
 			switch {
 			case rep.Status == http.StatusOK && protocol.Decode(rep.Body, &n) == nil:
-				c.Stats.Rented += uint64(len(n.Stokers))
-				c.log.Info("rented", "hire", name, "rig", r.Rig, "depot", r.Depot, "casual", r.Spot, "stokers", n.Stokers)
-				if len(n.Stokers) < r.Number {
+				c.Stats.Rented += uint64(len(n.Machines))
+				c.log.Info("rented", "hire", name, "rig", r.Rig, "depot", r.Depot, "casual", r.Spot, "stokers", n.Machines)
+				if len(n.Machines) < r.Number {
 					c.noCapacity(where)
 				} else {
 					f.strikes[where] = 0
 				}
-				if len(n.Stokers) == 0 {
+				if len(n.Machines) == 0 {
 					c.dropRental(name)
 					return
 				}
-				r.Names = n.Stokers
-				c.store.Txn(budget.Work, []protocol.Cond{{Key: keyRental + name, Stamp: c.store.Stamp(keyRental + name)}},
-					[]protocol.Op{{Write: keyRental + name, Data: encode(r)}}, func(bookkeeping.Outcome, []string, uint64) {})
+				r.Names = n.Machines
+				c.store.Txn(budget.Work, []protocol.Compare{{Key: keyRental + name, ModRevision: c.store.Stamp(keyRental + name)}},
+					[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(bookkeeping.Outcome, []string, uint64) {})
 			case rep.Status == http.StatusServiceUnavailable && string(rep.Body) != "" && !isTrouble(rep.Body):
 				c.noCapacity(where)
 				c.dropRental(name)
@@ -350,7 +350,7 @@
 }
 
 func isTrouble(body []byte) bool {
-	var p protocol.Problem
+	var p protocol.ErrorResponse
 	return protocol.Decode(body, &p) != nil || p.Error != "no capacity"
 }
 
@@ -361,8 +361,8 @@
 }
 
 func (c *Core) dropRental(name string) {
-	c.store.Txn(budget.Work, []protocol.Cond{{Key: keyRental + name, Stamp: c.store.Stamp(keyRental + name)}},
-		[]protocol.Op{{Drop: keyRental + name}}, func(bookkeeping.Outcome, []string, uint64) {})
+	c.store.Txn(budget.Work, []protocol.Compare{{Key: keyRental + name, ModRevision: c.store.Stamp(keyRental + name)}},
+		[]protocol.Op{{Delete: keyRental + name}}, func(bookkeeping.Outcome, []string, uint64) {})
 }
 
 // settleRental drops a rental's record once its machines have all reported,
@@ -447,8 +447,8 @@
 	if urgent {
 		class = budget.Rescue
 	}
-	c.store.Txn(class, []protocol.Cond{{Key: keyRental + name}, {Key: keyFleet, Stamp: f.stamp}},
-		[]protocol.Op{{Write: keyRental + name, Data: encode(r)}}, func(bookkeeping.Outcome, []string, uint64) {})
+	c.store.Txn(class, []protocol.Compare{{Key: keyRental + name}, {Key: keyFleet, ModRevision: f.stamp}},
+		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(bookkeeping.Outcome, []string, uint64) {})
 }
 
 // rentalSize is the most machines that a request may ask for (PROTOCOL).
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -204,7 +204,7 @@
 			continue
 		}
 		f := c.kind(m)
-		left, cost := slot{cpus: f.CPUs - m.cpus, gpus: f.GPUs - m.gpus, ram: f.RAM - m.ram}, c.fetchTime(r.spec, m)
+		left, cost := slot{cpus: f.CPUs - m.cpus, gpus: f.GPUs - m.gpus, ram: f.MemoryGB - m.ram}, c.fetchTime(r.spec, m)
 		for k, v := range m.bound {
 			if v.spec.Priority < r.spec.Priority && !multi(v) && m.gone[k] == nil {
 				left.cpus, left.gpus, left.ram = left.cpus+v.spec.CPUs, left.gpus+v.spec.GPUs, left.ram+v.spec.MemoryGB
@@ -395,7 +395,7 @@
 				}
 				r.unmarked = c.now + seconds(rest)
 			}
-			c.store.Txn(budget.Work, []protocol.Cond{{Key: keyGang, Stamp: c.store.Stamp(keyGang)}}, []protocol.Op{{Drop: keyGang}},
+			c.store.Txn(budget.Work, []protocol.Compare{{Key: keyGang, ModRevision: c.store.Stamp(keyGang)}}, []protocol.Op{{Delete: keyGang}},
 				func(bookkeeping.Outcome, []string, uint64) { c.marking = false })
 		}
 		return
@@ -407,8 +407,8 @@
 	}
 	if r != nil && c.successor(r.home) == c.cfg.Node {
 		c.marking, c.markedAt = true, c.now
-		c.store.Txn(budget.Work, []protocol.Cond{{Key: keyGang}},
-			[]protocol.Op{{Write: keyGang, Data: encode(gangLease{r.spec.ID, c.cfg.Node, c.life}), Permit: c.permit}},
+		c.store.Txn(budget.Work, []protocol.Compare{{Key: keyGang}},
+			[]protocol.Op{{Put: keyGang, Value: encode(gangLease{r.spec.ID, c.cfg.Node, c.life}), Lease: c.permit}},
 			func(bookkeeping.Outcome, []string, uint64) { c.marking = false })
 	}
 }
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -15,7 +15,7 @@
 // in session 1, launched directly and not yet answered.
 func launching(t *testing.T) *script {
 	s := newScript(t)
-	s.held(protocol.News{Write: pageKey("wk-700000", 0), Data: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), Stamp: 125})
+	s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125})
 	if s.launches() != 1 {
 		t.Fatalf("%d direct launches", s.launches())
 	}
@@ -26,27 +26,27 @@
 // direct launch and its time-out was answered under the old token though the job had been
 // cancelled meanwhile, which gave the launch another lease to be carried out in.
 func TestNoAnswerWhileACancelledLaunchMayCome(t *testing.T) {
-	load := protocol.Load{Load: "wk-700000/0", Try: 1, Status: protocol.LoadPulling}
+	load := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}
 	for _, v := range []struct {
 		name   string
 		vouch  []string
-		loads  []protocol.Load
+		loads  []protocol.TaskStatus
 		answer bool
 	}{
 		{"not cancelled", nil, nil, true},
 		{"cancelled, and the launch has not come", []string{"wk-700000"}, nil, false},
-		{"cancelled, and the launch has come", []string{"wk-700000"}, []protocol.Load{load}, true},
+		{"cancelled, and the launch has come", []string{"wk-700000"}, []protocol.TaskStatus{load}, true},
 	} {
 		s := launching(t)
 		s.take(s.c.Peer(s.clock(), "n0", Message{Vouch: &Vouch{Cancelled: v.vouch}}))
 		s.at += 300 * time.Millisecond
 		a := s.report(120, 3, v.loads...)
-		if (a.Baton == 120) != v.answer {
+		if (a.FencingToken == 120) != v.answer {
 			t.Errorf("%s: answered with %+v", v.name, a)
 		}
 		if !v.answer { // a new token settles it
-			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Ledger: 130})
-			if a := s.answer(); a.Baton != 130 {
+			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 130})
+			if a := s.answer(); a.FencingToken != 130 {
 				t.Errorf("%s: after the claim answered with %+v", v.name, a)
 			}
 		}
@@ -59,18 +59,18 @@
 func TestALaterSessionEndsWhatADeafMachineRan(t *testing.T) {
 	for _, session := range []uint64{1, 2} {
 		s := launching(t)
-		s.reply(protocol.PathOrders, protocol.VerbLaunch, 200, protocol.Report{Stoker: "i-000001", Shift: 1, Tally: 3, Baton: 120,
-			Loads: []protocol.Load{{Load: "wk-700000/0", Try: 1, Status: protocol.LoadRunning}}})
+		s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 3, FencingToken: 120,
+			Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}}})
 		// Another controller claims it and the worker does not hear of it; it comes back here.
 		s.pass(time.Second)
-		s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: 140, News: []protocol.News{{Write: keyClaim + "i-000001",
-			Data: encode(claim{"n0", 3, "10.1.0.1:9000", "small", "a", false, 1}), Stamp: 140}}})
+		s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 140, Events: []protocol.WatchEvent{{Put: keyClaim + "i-000001",
+			Value: encode(claim{"n0", 3, "10.1.0.1:9000", "small", "a", false, 1}), ModRevision: 140}}})
 		s.next++
 		s.ans = nil
-		s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathCheckin, encode(protocol.Report{Stoker: "i-000001", Address: "10.1.0.1:9000",
-			Rig: "small", Depot: "a", Shift: session, Tally: 9, Baton: 120, Loads: []protocol.Load{}})))
-		s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Ledger: 150})
-		if a := s.answer(); a.Baton != 150 {
+		s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
+			MachineType: "small", Zone: "a", AgentEpoch: session, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}})))
+		s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 150})
+		if a := s.answer(); a.FencingToken != 150 {
 			t.Fatalf("session %d: answered with %+v", session, a)
 		}
 		s.pass(time.Second)
@@ -111,14 +111,14 @@
 	} {
 		s := newScript(t)
 		s.pass(100 * time.Millisecond)
-		s.reply(protocol.PathKeys+"?", "", 200, protocol.EntryPage{Ledger: 120, Entries: []protocol.Entry{{Key: keyClaim + "i-000001",
-			Data: encode(claim{"n0", 3, "10.1.0.1:9000", "small", "b", false, 1}), Stamp: 110}}})
+		s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 120, KeyValues: []protocol.KeyValue{{Key: keyClaim + "i-000001",
+			Value: encode(claim{"n0", 3, "10.1.0.1:9000", "small", "b", false, 1}), ModRevision: 110}}})
 		for end := s.at + v.after; s.at < end; {
 			s.pass(200 * time.Millisecond)
 			if !v.outage {
 				for _, k := range s.todo {
 					if strings.HasPrefix(k.Path, protocol.PathWatch) {
-						s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: 120})
+						s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 120})
 						break
 					}
 				}
@@ -135,9 +135,9 @@
 		if v.repeats {
 			n = 2
 		}
-		status, loads := 0, []protocol.Load{}
+		status, loads := 0, []protocol.TaskStatus{}
 		if v.busy {
-			loads = append(loads, protocol.Load{Load: "wk-700000/0", Try: 1, Status: protocol.LoadRunning})
+			loads = append(loads, protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning})
 		}
 		for i := range n {
 			if i > 0 && v.pause > 0 {
@@ -146,8 +146,8 @@
 			}
 			s.next++
 			s.ans = nil
-			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathCheckin, encode(protocol.Report{Stoker: "i-000001", Address: "10.1.0.1:9000",
-				Rig: "small", Depot: "b", Shift: 1, Tally: 9, Baton: v.baton, Loads: loads})))
+			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
+				MachineType: "small", Zone: "b", AgentEpoch: 1, Sequence: 9, FencingToken: v.baton, Tasks: loads})))
 			status = 0
 			for _, a := range s.ans {
 				if a.ID == s.next {
@@ -196,7 +196,7 @@
 		v.spoil(s, n)
 		s.run(28 * time.Second)
 		got := 0
-		n.request("users", "GET", protocol.PathUp, nil, func(st int, _ []byte) { got = st })
+		n.request("users", "GET", protocol.PathHealth, nil, func(st int, _ []byte) { got = st })
 		s.run(29 * time.Second)
 		if got != v.status {
 			t.Errorf("%s: /up says %d, want %d", v.name, got, v.status)
@@ -219,13 +219,13 @@
 func TestAnOvertakenReportIsAnsweredWithStops(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		s := launching(t)
-		s.reply(protocol.PathOrders, protocol.VerbLaunch, 200, protocol.Report{Stoker: "i-000001", Shift: 1, Tally: 4, Baton: 120,
-			Loads: []protocol.Load{{Load: "wk-700000/0", Try: 1, Status: protocol.LoadPulling}}})
+		s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120,
+			Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}}})
 		if cancelled {
 			s.take(s.c.Peer(s.clock(), "n0", Message{Vouch: &Vouch{Cancelled: []string{"wk-700000"}}}))
 		}
 		a := s.report(120, 3) // sent before the launch came
-		if a.Baton != 120 || len(a.Orders) > 0 != cancelled || cancelled && (a.Orders[0].Verb != protocol.VerbKill || a.Orders[0].Load != "wk-700000/0" || a.Orders[0].Try != 1) {
+		if a.FencingToken != 120 || len(a.Commands) > 0 != cancelled || cancelled && (a.Commands[0].Verb != protocol.VerbKill || a.Commands[0].Task != "wk-700000/0" || a.Commands[0].Attempt != 1) {
 			t.Errorf("cancelled %v: answered with %+v", cancelled, a)
 		}
 	}
@@ -235,37 +235,37 @@
 // then an answer of the state service came that had been given before the cancellation. The job counted as open
 // again, the peer's word went on being a proof that no cancellation is unknown, and the worker was answered without a stop.
 func TestACancellationOnceKnownStays(t *testing.T) {
-	older := protocol.News{Write: keyJob + "wk-700000", Data: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), Stamp: 135}
-	load := protocol.Load{Load: "wk-700000/0", Try: 1, Status: protocol.LoadRunning}
+	older := protocol.WatchEvent{Put: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 135}
+	load := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}
 	for _, v := range []struct {
 		name    string
 		unknown bool // the job's record had not been read when the peer named it
 		named   bool
 	}{{"known, and not cancelled", false, false}, {"known", false, true}, {"not known", true, true}} {
 		s := newScript(t)
-		here := protocol.News{Write: pageKey("wk-700000", 0), Data: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), Stamp: 125}
+		here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125}
 		if v.unknown { // the machine is ours, and the records are those of before the job
 			s.pass(100 * time.Millisecond)
-			s.reply(protocol.PathKeys+"?", "", 200, protocol.EntryPage{Ledger: 100})
+			s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100})
 			s.pass(200 * time.Millisecond)
 			s.report(0, 1)
-			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Ledger: 120})
+			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120})
 			s.at += 500 * time.Millisecond
 			s.report(120, 2)
-			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: 120})
+			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 120})
 		} else {
 			s.held(here)
-			s.reply(protocol.PathOrders, "", 200, protocol.Report{Stoker: "i-000001", Shift: 1, Tally: 3, Baton: 120, Loads: []protocol.Load{load}})
+			s.reply(protocol.PathCommands, "", 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 3, FencingToken: 120, Tasks: []protocol.TaskStatus{load}})
 		}
 		s.pass(1200 * time.Millisecond) // the next watch is opened, and its answer is held up
 		if v.named {
 			s.take(s.c.Peer(s.clock(), "n0", Message{Vouch: &Vouch{Cancelled: []string{"wk-700000"}, At: s.at, Life: 7}}))
 		}
-		s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: 136, News: []protocol.News{here, older}})
+		s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 136, Events: []protocol.WatchEvent{here, older}})
 		s.at += 500 * time.Millisecond
 		stopped := false
-		for _, o := range s.report(120, 9, load).Orders {
-			stopped = stopped || o.Verb == protocol.VerbKill && o.Load == "wk-700000/0"
+		for _, o := range s.report(120, 9, load).Commands {
+			stopped = stopped || o.Verb == protocol.VerbKill && o.Task == "wk-700000/0"
 		}
 		if stopped != v.named {
 			t.Errorf("%s: stopped %v by the next answer", v.name, stopped)
--- a/internal/coordination/late_test.go
+++ b/internal/coordination/late_test.go
@@ -65,28 +65,28 @@
 // launches counts the open direct calls that launch a task.
 func (s *script) launches() (n int) {
 	for _, k := range s.todo {
-		if k.Path == protocol.PathOrders {
+		if k.Path == protocol.PathCommands {
 			n += strings.Count(string(k.Body), protocol.VerbLaunch)
 		}
 	}
 	return n
 }
 
-func (s *script) report(baton, tally uint64, loads ...protocol.Load) protocol.CheckinAnswer {
+func (s *script) report(baton, tally uint64, loads ...protocol.TaskStatus) protocol.HeartbeatResponse {
 	s.t.Helper()
 	s.next++
 	s.ans = nil
-	r := protocol.Report{Stoker: "i-000001", Address: "10.1.0.1:9000", Rig: "small", Depot: "a",
-		Shift: 1, Tally: tally, Baton: baton, Loads: append([]protocol.Load{}, loads...)}
+	r := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a",
+		AgentEpoch: 1, Sequence: tally, FencingToken: baton, Tasks: append([]protocol.TaskStatus{}, loads...)}
 	if s.recall > 0 {
-		r.RecallS = &s.recall
+		r.PreemptionNoticeS = &s.recall
 	}
-	s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathCheckin, encode(r)))
+	s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(r)))
 	return s.answer()
 }
 
-func (s *script) answer() protocol.CheckinAnswer {
-	var a protocol.CheckinAnswer
+func (s *script) answer() protocol.HeartbeatResponse {
+	var a protocol.HeartbeatResponse
 	for _, x := range s.ans {
 		if x.ID == s.next && x.Status == 200 {
 			_ = protocol.Decode(x.Body, &a)
@@ -102,43 +102,43 @@
 // ending had been committed and forgotten since, and the task ran elsewhere. The
 // launch that was sent at once started it again.
 func TestNothingIsLaunchedFromThePast(t *testing.T) {
-	page := func(stamp uint64, tasks ...job.Task) protocol.News {
-		return protocol.News{Write: pageKey("wk-700000", 0), Data: writePage(tasks), Stamp: stamp}
+	page := func(stamp uint64, tasks ...job.Task) protocol.WatchEvent {
+		return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage(tasks), ModRevision: stamp}
 	}
 	here := job.Task{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}
 	there := job.Task{Phase: job.Bound, Try: 2, Machine: "i-000002", Session: 1}
 	for _, v := range []struct {
 		name     string
 		ledger   uint64
-		news     []protocol.News
+		news     []protocol.WatchEvent
 		launches int
 	}{
-		{"a watch answered late", 110, []protocol.News{page(105, here)}, 0},
-		{"all since in one answer", 130, []protocol.News{page(105, here), page(115, there)}, 0},
-		{"bound under our claim", 130, []protocol.News{page(125, here)}, 1},
-		{"bound under our claim and gone", 130, []protocol.News{page(125, here), page(128, there)}, 0},
-		{"cancelled since", 130, []protocol.News{page(125, here),
-			{Write: keyJob + "wk-700000", Data: encode(storedJob{lateSpec(), job.Cancelled, 1, "n0"}), Stamp: 129}}, 0},
+		{"a watch answered late", 110, []protocol.WatchEvent{page(105, here)}, 0},
+		{"all since in one answer", 130, []protocol.WatchEvent{page(105, here), page(115, there)}, 0},
+		{"bound under our claim", 130, []protocol.WatchEvent{page(125, here)}, 1},
+		{"bound under our claim and gone", 130, []protocol.WatchEvent{page(125, here), page(128, there)}, 0},
+		{"cancelled since", 130, []protocol.WatchEvent{page(125, here),
+			{Put: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Cancelled, 1, "n0"}), ModRevision: 129}}, 0},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			s := newScript(t)
 			s.pass(100 * time.Millisecond)
-			s.reply(protocol.PathKeys+"?", "", 200, protocol.EntryPage{Ledger: 100, Entries: []protocol.Entry{
-				{Key: keyJob + "wk-700000", Data: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), Stamp: 90}}})
+			s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
+				{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 90}}})
 			s.pass(200 * time.Millisecond) // the watch is opened, and hangs
 			s.report(50, 1)
-			s.reply(protocol.PathTxn, keyClaim, 409, protocol.TxnResult{Failed: []string{keyClaim + "i-000001"}, Ledger: 119})
-			s.reply(protocol.PathKeys+"/", "", 200, protocol.Entry{Key: keyClaim + "i-000001", Stamp: 101,
-				Data: encode(claim{"n0", 3, "10.1.0.1:9000", "small", "a", false, 1})})
-			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Ledger: 120})
-			if a := s.answer(); a.Baton != 120 {
-				t.Fatalf("the claim was answered with token %d", a.Baton)
+			s.reply(protocol.PathTxn, keyClaim, 409, protocol.TxnResult{Failed: []string{keyClaim + "i-000001"}, Revision: 119})
+			s.reply(protocol.PathKeys+"/", "", 200, protocol.KeyValue{Key: keyClaim + "i-000001", ModRevision: 101,
+				Value: encode(claim{"n0", 3, "10.1.0.1:9000", "small", "a", false, 1})})
+			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120})
+			if a := s.answer(); a.FencingToken != 120 {
+				t.Fatalf("the claim was answered with token %d", a.FencingToken)
 			}
 			s.at += 500 * time.Millisecond
-			if a := s.report(120, 2); a.Baton != 120 || len(a.Orders) > 0 {
+			if a := s.report(120, 2); a.FencingToken != 120 || len(a.Commands) > 0 {
 				t.Fatalf("the report that shows the token was answered with %+v", a)
 			}
-			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: v.ledger, News: v.news})
+			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: v.ledger, Events: v.news})
 			if n := s.launches(); n != v.launches {
 				t.Errorf("%d launches are sent, want %d", n, v.launches)
 			}
@@ -152,17 +152,17 @@
 
 // held drives a script to where machine i-000001 is ours and has shown its token, 120,
 // and a watch is answered with what is given.
-func (s *script) held(news ...protocol.News) {
+func (s *script) held(news ...protocol.WatchEvent) {
 	s.t.Helper()
 	s.pass(100 * time.Millisecond)
-	s.reply(protocol.PathKeys+"?", "", 200, protocol.EntryPage{Ledger: 100, Entries: []protocol.Entry{
-		{Key: keyJob + "wk-700000", Data: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), Stamp: 90}}})
+	s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
+		{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 90}}})
 	s.pass(200 * time.Millisecond)
 	s.report(0, 1)
-	s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Ledger: 120})
+	s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120})
 	s.at += 500 * time.Millisecond
 	s.report(120, 2)
-	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: 130, News: news})
+	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 130, Events: news})
 }
 
 // releases counts the open transactions that end the task.
@@ -180,7 +180,7 @@
 // out and answered. Its list lacks the attempt; the notice that it brought made the
 // attempt unwanted, and it was released for being absent while it ran.
 func TestAReportThatALaunchOvertookProvesNoAbsence(t *testing.T) {
-	here := protocol.News{Write: pageKey("wk-700000", 0), Data: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), Stamp: 125}
+	here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125}
 	for _, v := range []struct {
 		tally    uint64 // of the report that comes after the launch's answer, whose own is 4
 		releases int
@@ -190,10 +190,10 @@
 		if s.launches() != 1 {
 			t.Fatal("the attempt is not launched directly")
 		}
-		s.reply(protocol.PathOrders, "", 200, protocol.Report{Stoker: "i-000001", Shift: 1, Tally: 4, Baton: 120,
-			Loads: []protocol.Load{{Load: "wk-700000/0", Try: 1, Status: protocol.LoadPulling}}})
+		s.reply(protocol.PathCommands, "", 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120,
+			Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}}})
 		s.recall = 10
-		if a := s.report(120, v.tally); a.Baton != 120 {
+		if a := s.report(120, v.tally); a.FencingToken != 120 {
 			t.Errorf("the report is not answered: %+v", a)
 		}
 		s.pass(200 * time.Millisecond)
@@ -208,15 +208,15 @@
 // forgotten, and its launch, carried out late, started it again.
 func TestAnEndedAttemptIsNotForgottenForTheNextOnesLaunch(t *testing.T) {
 	s := newScript(t)
-	bound := func(try int, stamp uint64) protocol.News {
-		return protocol.News{Write: pageKey("wk-700000", 0), Data: writePage([]job.Task{{Phase: job.Bound, Try: try, Machine: "i-000001", Session: 1}}), Stamp: stamp}
+	bound := func(try int, stamp uint64) protocol.WatchEvent {
+		return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: try, Machine: "i-000001", Session: 1}}), ModRevision: stamp}
 	}
 	s.held(bound(1, 125)) // its launch is not answered
 	s.pass(200 * time.Millisecond)
-	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Ledger: 140, News: []protocol.News{bound(2, 135)}})
-	a := s.report(120, 3, protocol.Load{Load: "wk-700000/0", Try: 1, Status: protocol.LoadEnded, Cause: protocol.CauseError},
-		protocol.Load{Load: "wk-700000/0", Try: 2, Status: protocol.LoadPulling})
-	if a.Baton != 120 || len(a.Orders) > 0 {
+	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 140, Events: []protocol.WatchEvent{bound(2, 135)}})
+	a := s.report(120, 3, protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseError},
+		protocol.TaskStatus{Task: "wk-700000/0", Attempt: 2, Status: protocol.TaskPulling})
+	if a.FencingToken != 120 || len(a.Commands) > 0 {
 		t.Errorf("while a launch of the first attempt is unanswered the answer is %+v", a)
 	}
 }
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -35,7 +35,7 @@
 	for _, m := range c.launching {
 		queued, st := m.queuedLaunches, c.standing(m)
 		m.queuedLaunches = nil
-		var orders []protocol.Order
+		var orders []protocol.Command
 		var sent []attempt
 		for _, a := range queued {
 			b, ok := c.boundHere(m, a.taskKey)
@@ -59,19 +59,19 @@
 			continue
 		}
 		token := m.stamp
-		body := encode(protocol.DirectOrders{Baton: token, Shift: m.session, Orders: orders})
-		c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: "POST", Path: protocol.PathOrders,
+		body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.session, Commands: orders})
+		c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: "POST", Path: protocol.PathCommands,
 			Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) {
 			if m.stamp != token {
 				return // a newer token was taken meanwhile
 			}
-			var rep protocol.Report
+			var rep protocol.Heartbeat
 			carried := r.Status == http.StatusOK && protocol.Decode(r.Body, &rep) == nil
 			if !carried && (r.Status == 0 && r.Sent || r.Status == http.StatusOK || r.Status >= 500) {
 				m.tainted = true // it may have been carried out, or may yet be
 				return
 			}
-			if at := (evidence.Mark{Shift: rep.Shift, Tally: rep.Tally}); carried && m.launchedAt.Before(at) {
+			if at := (evidence.Mark{Shift: rep.AgentEpoch, Tally: rep.Sequence}); carried && m.launchedAt.Before(at) {
 				m.launchedAt = at
 			}
 			c.observe(m, token, r)
@@ -137,6 +137,6 @@
 }
 
 // head is a report without its list.
-func head(r *protocol.Report) evidence.Report {
-	return evidence.Report{Baton: r.Baton, Shift: r.Shift, Tally: r.Tally}
+func head(r *protocol.Heartbeat) evidence.Report {
+	return evidence.Report{Baton: r.FencingToken, Shift: r.AgentEpoch, Tally: r.Sequence}
 }
--- a/internal/coordination/losslines_test.go
+++ b/internal/coordination/losslines_test.go
@@ -43,7 +43,7 @@
 		{kind: evidence.Ended, cause: protocol.CauseDone, done: true},
 		{kind: evidence.Ended, cause: protocol.CauseError, failed: true},
 		{kind: evidence.Ended, cause: protocol.CauseStopped},
-		{kind: evidence.Ended, cause: protocol.CausePeers},
+		{kind: evidence.Ended, cause: protocol.CauseGangMemberLost},
 		{kind: evidence.Session},
 		{kind: evidence.Absent},
 		{kind: evidence.Lease},
--- a/internal/coordination/meeting_test.go
+++ b/internal/coordination/meeting_test.go
@@ -229,8 +229,8 @@
 				w.partly = 0.5
 			}
 			for _, l := range w.loads {
-				if u := s.users[l.id]; m.saving && u != nil && u.spec.Shape == job.Gang && l.status == protocol.LoadRunning {
-					l.status = protocol.LoadSaving
+				if u := s.users[l.id]; m.saving && u != nil && u.spec.Shape == job.Gang && l.status == protocol.TaskRunning {
+					l.status = protocol.TaskCheckpointing
 				}
 			}
 		}
--- a/internal/coordination/members.go
+++ b/internal/coordination/members.go
@@ -146,7 +146,7 @@
 	if string(data) != c.published && c.now >= c.publishAt {
 		c.publishAt = c.now + c.cfg.Operator.PublishInterval
 		c.published = string(data)
-		c.store.Txn(budget.Rest, nil, []protocol.Op{{Write: keyMember + c.cfg.Node, Data: data, Permit: c.permit}},
+		c.store.Txn(budget.Rest, nil, []protocol.Op{{Put: keyMember + c.cfg.Node, Value: data, Lease: c.permit}},
 			func(o bookkeeping.Outcome, _ []string, _ uint64) {
 				if o == bookkeeping.NoLease {
 					c.permit = 0
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -68,7 +68,7 @@
 	if f.GPUs > 0 && c.plain == 0 && f.GPUs-m.gpus < tolerance {
 		return false
 	}
-	return f.CPUs-m.cpus > tolerance && f.RAM-m.ram > tolerance
+	return f.CPUs-m.cpus > tolerance && f.MemoryGB-m.ram > tolerance
 }
 
 const tolerance = 1e-6
@@ -83,7 +83,7 @@
 	if m.holdFor != s.ID && c.now < m.holdTill {
 		return false
 	}
-	if m.cpus+s.CPUs > f.CPUs+tolerance || m.gpus+s.GPUs > f.GPUs+tolerance || m.ram+s.MemoryGB > f.RAM+tolerance {
+	if m.cpus+s.CPUs > f.CPUs+tolerance || m.gpus+s.GPUs > f.GPUs+tolerance || m.ram+s.MemoryGB > f.MemoryGB+tolerance {
 		return false
 	}
 	return c.zoneOK(r, m.claim.Zone)
@@ -689,12 +689,12 @@
 }
 
 // setCatalogue takes the machine types.
-func (c *Core) setCatalogue(f *protocol.Flavors) {
-	for _, t := range f.Rigs {
-		if k := c.catalogue[t.SKU]; k != nil {
+func (c *Core) setCatalogue(f *protocol.MachineTypes) {
+	for _, t := range f.MachineTypes {
+		if k := c.catalogue[t.Name]; k != nil {
 			*k = t // machines point to it
 		} else {
-			c.catalogue[t.SKU] = &t
+			c.catalogue[t.Name] = &t
 		}
 	}
 }
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -94,9 +94,9 @@
 	if !ok {
 		return
 	}
-	s := &slot{id: id, where: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.RAM}
+	s := &slot{id: id, where: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.MemoryGB}
 	if m != nil {
-		s.cpus, s.gpus, s.ram, s.bound = t.CPUs-m.cpus, t.GPUs-m.gpus, t.RAM-m.ram, len(m.bound) > 0
+		s.cpus, s.gpus, s.ram, s.bound = t.CPUs-m.cpus, t.GPUs-m.gpus, t.MemoryGB-m.ram, len(m.bound) > 0
 	}
 	p.slots = append(p.slots, s)
 }
@@ -129,7 +129,7 @@
 		}
 		p.known[id] = true
 		p.booting++
-		p.add(id, place{l.Rig, l.Depot, l.Casual}, nil)
+		p.add(id, place{l.MachineType, l.Zone, l.Spot}, nil)
 	}
 }
 
@@ -263,7 +263,7 @@
 // wish has a machine rented, with a task of a job on it.
 func (p *packing) wish(where place, sp *job.Spec) {
 	t := p.c.catalogue[where.rig]
-	s := &slot{where: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.RAM, fresh: true}
+	s := &slot{where: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.MemoryGB, fresh: true}
 	s.put(sp)
 	p.slots = append(p.slots, s)
 	p.want[where]++
@@ -282,7 +282,7 @@
 			continue
 		}
 		if c.now-m.idleAt > seconds(idleShare*c.kind(m).StartupS) && !c.fleet.unshipped.holds(m.id) {
-			c.drain(m, drainIdle, protocol.Cond{Key: keyFleet, Stamp: c.fleet.stamp}) // one that was replaced returns nothing
+			c.drain(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.fleet.stamp}) // one that was replaced returns nothing
 		}
 	}
 }
@@ -334,11 +334,11 @@
 			if spot && !s.Spot {
 				continue
 			}
-			price := t.Hourly
+			price := t.OnDemandPrice
 			if spot {
 				price = t.SpotPrice
 			}
-			for _, z := range t.Depots {
+			for _, z := range t.Zones {
 				w := place{sku, z, spot}
 				if (s.Zone != "" && s.Zone != z) || c.now < c.fleet.refused[w] || (avoid != nil && avoid[z] >= s.SpreadLimit()) {
 					continue
@@ -354,9 +354,9 @@
 }
 
 // perMachine is how many such tasks a machine of a type holds.
-func perMachine(t *protocol.Flavor, s *job.Spec) float64 {
+func perMachine(t *protocol.MachineType, s *job.Spec) float64 {
 	fit := 1e9
-	for _, d := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.RAM, s.MemoryGB}} {
+	for _, d := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
 		if d[1] > 0 {
 			fit = min(fit, float64(int(d[0]/d[1]+tolerance)))
 		}
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -221,13 +221,13 @@
 	s := r.spec
 	cpus, gpus, ram := m.cpus, m.gpus, m.ram
 	for _, v := range all {
-		if cpus+s.CPUs <= f.CPUs+tolerance && gpus+s.GPUs <= f.GPUs+tolerance && ram+s.MemoryGB <= f.RAM+tolerance {
+		if cpus+s.CPUs <= f.CPUs+tolerance && gpus+s.GPUs <= f.GPUs+tolerance && ram+s.MemoryGB <= f.MemoryGB+tolerance {
 			break
 		}
 		cpus, gpus, ram = cpus-v.rec.spec.CPUs, gpus-v.rec.spec.GPUs, ram-v.rec.spec.MemoryGB
 		set, cost = append(set, v.k), cost+v.cost
 	}
-	ok = len(set) > 0 && cpus+s.CPUs <= f.CPUs+tolerance && gpus+s.GPUs <= f.GPUs+tolerance && ram+s.MemoryGB <= f.RAM+tolerance
+	ok = len(set) > 0 && cpus+s.CPUs <= f.CPUs+tolerance && gpus+s.GPUs <= f.GPUs+tolerance && ram+s.MemoryGB <= f.MemoryGB+tolerance
 	return set, cost, ok
 }
 
@@ -256,7 +256,7 @@
 	if at, ok := m.images[s.Image]; ok {
 		return max(0, (at - c.now).Seconds())
 	}
-	if f.PullRate <= 0 {
+	if f.ImagePullGBPerS <= 0 {
 		return 0
 	}
 	busy := 1.0
@@ -265,7 +265,7 @@
 			busy++
 		}
 	}
-	return busy * s.ImageGB / f.PullRate
+	return busy * s.ImageGB / f.ImagePullGBPerS
 }
 
 // fetching notes that a machine will have an image, and when.
@@ -291,17 +291,17 @@
 		grace = rec.spec.Save * 2
 	}
 	m.stops[k] = stop{grace, why, c.now}
-	c.kill(m, kill(&protocol.Load{Load: job.TaskName(k.id, k.index), Try: t.Try}, grace))
+	c.kill(m, kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Try}, grace))
 }
 
 // kill tells a worker directly to stop attempts.
-func (c *Core) kill(m *machine, orders ...protocol.Order) {
+func (c *Core) kill(m *machine, orders ...protocol.Command) {
 	if m.claim.Address == "" || !m.shown {
 		return
 	}
 	token := m.stamp
-	body := encode(protocol.DirectOrders{Baton: token, Shift: m.session, Orders: orders})
-	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodPost, Path: protocol.PathOrders,
+	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.session, Commands: orders})
+	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodPost, Path: protocol.PathCommands,
 		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.observe(m, token, r) })
 }
 
@@ -311,7 +311,7 @@
 	if r.status != job.Cancelled || r.bound == 0 {
 		return
 	}
-	orders := map[string][]protocol.Order{}
+	orders := map[string][]protocol.Command{}
 	for _, p := range r.pages {
 		for i := range p.tasks {
 			t := &p.tasks[i]
@@ -320,7 +320,7 @@
 			}
 			k := taskKey{p.id, p.num*c.pageTasks() + i}
 			if m := c.machines[t.Machine]; m != nil && c.mine(m) && t.Session == m.session && m.begun[k] == 0 {
-				orders[m.id] = append(orders[m.id], kill(&protocol.Load{Load: job.TaskName(k.id, k.index), Try: t.Try}, 0))
+				orders[m.id] = append(orders[m.id], kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Try}, 0))
 			}
 		}
 	}
@@ -332,8 +332,8 @@
 // observe takes the report in the answer to direct commands. Only endings are
 // read from it: they stay true however late it comes.
 func (c *Core) observe(m *machine, token uint64, r protocol.Reply) {
-	var rep protocol.Report
-	if r.Status != http.StatusOK || m.stamp != token || protocol.Decode(r.Body, &rep) != nil || rep.Baton != token || c.store.Ledger() < token {
+	var rep protocol.Heartbeat
+	if r.Status != http.StatusOK || m.stamp != token || protocol.Decode(r.Body, &rep) != nil || rep.FencingToken != token || c.store.Ledger() < token {
 		return
 	}
 	left := len(m.gone)
@@ -342,10 +342,10 @@
 			c.freed(m.id)
 		}
 	}()
-	for i := range rep.Loads {
-		l := &rep.Loads[i]
-		id, index, err := job.SplitTaskName(l.Load)
-		if l.Status != protocol.LoadEnded || err != nil {
+	for i := range rep.Tasks {
+		l := &rep.Tasks[i]
+		id, index, err := job.SplitTaskName(l.Task)
+		if l.Status != protocol.TaskEnded || err != nil {
 			continue
 		}
 		k := taskKey{id, index}
@@ -353,7 +353,7 @@
 		if rec == nil {
 			continue
 		}
-		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Session == rep.Shift && t.Try == l.Try && !c.ending(rec, index) {
+		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Session == rep.AgentEpoch && t.Try == l.Attempt && !c.ending(rec, index) {
 			c.ended(m, rec, k, t, l)
 		}
 	}
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -49,7 +49,7 @@
 		c.log.Info("the link to the state service", "now", how, "via", via, "deaf", c.reach.Deaf())
 	}
 	if c.reach.Probe() {
-		c.call(protocol.Call{Target: protocol.ToState, Method: "GET", Path: protocol.PathKeys + "/" + keyFleet, Timeout: time.Second},
+		c.call(protocol.Call{Target: protocol.ToStateService, Method: "GET", Path: protocol.PathKeys + "/" + keyFleet, Timeout: time.Second},
 			func(r protocol.Reply) { c.reach.Probed(r.Status) })
 	}
 	for _, zone := range c.reach.Silent() {
@@ -137,17 +137,17 @@
 // service by any way: one that can serve it, by a word that is new. If there is no new
 // word, and nobody carries for us, one that could when it was last heard, and in an order
 // that has urgent work claimed there before our own time to answer is over.
-func (c *Core) betterPlaced(r *protocol.Report) string {
+func (c *Core) betterPlaced(r *protocol.Heartbeat) string {
 	limit := seconds(c.cfg.Facts.Workers.Report)
 	alone := c.now - c.store.Fresh() - limit
 	if alone < 0 || !c.store.Ready() {
 		return ""
 	}
-	now, m, from := c.reach.Picture(), c.machine(r.Stoker), ""
+	now, m, from := c.reach.Picture(), c.machine(r.Worker), ""
 	if m.stamp != 0 && !c.mine(m) {
 		from = m.claim.Owner
 	}
-	if to := reach.Receiver(&now, r.Depot, r.Stoker, from, limit); to != "" {
+	if to := reach.Receiver(&now, r.Zone, r.Worker, from, limit); to != "" {
 		c.reach.Stats.HandedOn++
 		return to
 	}
@@ -167,7 +167,7 @@
 	if left > 0 && c.mine(m) && !reach.HandOver(level, alone, left) {
 		return ""
 	}
-	to := reach.Receiver(&now, r.Depot, r.Stoker, from, c.leaseOver())
+	to := reach.Receiver(&now, r.Zone, r.Worker, from, c.leaseOver())
 	if to != "" {
 		m.redirectedAt = c.now
 		c.reach.Stats.HandedOn++
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -162,8 +162,8 @@
 	}
 	r.concluding = true
 	// Finished tasks stay finished, so the pages need no condition.
-	c.store.Txn(budget.Users, []protocol.Cond{{Key: keyJob + r.spec.ID, Stamp: r.stamp}},
-		[]protocol.Op{{Write: keyJob + r.spec.ID, Data: encode(r.stored(job.Done))}},
+	c.store.Txn(budget.Users, []protocol.Compare{{Key: keyJob + r.spec.ID, ModRevision: r.stamp}},
+		[]protocol.Op{{Put: keyJob + r.spec.ID, Value: encode(r.stored(job.Done))}},
 		func(bookkeeping.Outcome, []string, uint64) { r.concluding = false })
 }
 
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -13,14 +13,14 @@
 // orders compares a report with the records: what should be on the machine is
 // launched, what should not be is stopped, and endings are proposed for commit
 // and forgotten once committed.
-func (c *Core) orders(m *machine, r *protocol.Report) []protocol.Order {
-	orders := []protocol.Order{}
+func (c *Core) orders(m *machine, r *protocol.Heartbeat) []protocol.Command {
+	orders := []protocol.Command{}
 	st := c.standing(m)
 	m.deferredLaunches = nil // what it lacks is judged again
 	listed := c.listed
 	clear(listed)
-	for i := range r.Loads {
-		orders = c.judgeListed(orders, m, st, r, &r.Loads[i], listed)
+	for i := range r.Tasks {
+		orders = c.judgeListed(orders, m, st, r, &r.Tasks[i], listed)
 	}
 	for _, k := range m.unlisted(listed) {
 		orders = c.judgeLacking(orders, m, st, r, k)
@@ -35,20 +35,20 @@
 
 // judgeListed judges an attempt that a believed report lists, and adds what the worker is to be told.
 // What is bound here as it is listed is noted in listed.
-func (c *Core) judgeListed(orders []protocol.Order, m *machine, st evidence.Standing, r *protocol.Report, l *protocol.Load, listed map[taskKey]bool) []protocol.Order {
-	id, index, err := job.SplitTaskName(l.Load)
+func (c *Core) judgeListed(orders []protocol.Command, m *machine, st evidence.Standing, r *protocol.Heartbeat, l *protocol.TaskStatus, listed map[taskKey]bool) []protocol.Command {
+	id, index, err := job.SplitTaskName(l.Task)
 	if err != nil {
 		return orders
 	}
 	k := taskKey{id, index}
 	a, bound := c.boundHere(m, k)
-	act, _ := st.Listed(head(r), evidence.Load{Try: l.Try, Ended: l.Status == protocol.LoadEnded}, a, bound, m.direct[attempt{k, l.Try}])
+	act, _ := st.Listed(head(r), evidence.Load{Try: l.Attempt, Ended: l.Status == protocol.TaskEnded}, a, bound, m.direct[attempt{k, l.Attempt}])
 	switch act {
 	case evidence.Renew:
 		m.tainted = true
 		return orders
 	case evidence.Forget:
-		return append(orders, protocol.Order{Verb: protocol.VerbForget, Load: l.Load, Try: l.Try})
+		return append(orders, protocol.Command{Verb: protocol.VerbForget, Task: l.Task, Attempt: l.Attempt})
 	case evidence.Kill:
 		return append(orders, kill(l, 0))
 	case evidence.Hold:
@@ -57,7 +57,7 @@
 	rec := c.jobs[id]
 	listed[k] = true
 	if c.verbose {
-		c.log.Debug("reported", "load", l.Load, "try", l.Try, "status", l.Status, "cause", l.Cause, "stoker", m.id)
+		c.log.Debug("reported", "load", l.Task, "try", l.Attempt, "status", l.Status, "cause", l.Cause, "stoker", m.id)
 	}
 	if act == evidence.Release {
 		c.ended(m, rec, k, rec.task(c, index), l)
@@ -67,22 +67,22 @@
 	if rec.final() {
 		return append(orders, kill(l, 0))
 	}
-	if s, ok := m.stops[k]; ok && l.Status != protocol.LoadSaving {
+	if s, ok := m.stops[k]; ok && l.Status != protocol.TaskCheckpointing {
 		return append(orders, kill(l, s.grace))
 	}
 	return orders
 }
 
 // noteProgress takes from a report how far an attempt is: running, or waiting for its image.
-func (c *Core) noteProgress(m *machine, rec *record, k taskKey, l *protocol.Load) {
+func (c *Core) noteProgress(m *machine, rec *record, k taskKey, l *protocol.TaskStatus) {
 	switch l.Status {
-	case protocol.LoadRunning:
+	case protocol.TaskRunning:
 		if m.began(k, c.now) {
-			c.traceStart(losses.Began, k.id, k.index, l.Try, m.id)
+			c.traceStart(losses.Began, k.id, k.index, l.Attempt, m.id)
 		}
 		m.images[rec.spec.Image] = min(m.images[rec.spec.Image], c.now)
 		delete(m.pulling, k)
-	case protocol.LoadPulling:
+	case protocol.TaskPulling:
 		m.pulling[k] = true
 		if at := c.now + seconds(c.cfg.Facts.Workers.Report); m.images[rec.spec.Image] < at {
 			m.images[rec.spec.Image] = at // it takes longer than expected
@@ -91,7 +91,7 @@
 }
 
 // judgeLacking judges what is bound to the machine and not on a believed report's list.
-func (c *Core) judgeLacking(orders []protocol.Order, m *machine, st evidence.Standing, r *protocol.Report, k taskKey) []protocol.Order {
+func (c *Core) judgeLacking(orders []protocol.Command, m *machine, st evidence.Standing, r *protocol.Heartbeat, k taskKey) []protocol.Command {
 	rec := m.bound[k]
 	t := rec.task(c, k.index)
 	_, stopping := m.stops[k]
@@ -111,7 +111,7 @@
 	case evidence.Launch:
 		return append(orders, c.launch(m, a))
 	case evidence.Keep:
-		if wanted && t.Session == r.Shift {
+		if wanted && t.Session == r.AgentEpoch {
 			m.deferLaunch(a)
 		}
 	}
@@ -148,10 +148,10 @@
 	return p.busy
 }
 
-func (c *Core) ended(m *machine, rec *record, k taskKey, t *job.Task, l *protocol.Load) {
+func (c *Core) ended(m *machine, rec *record, k taskKey, t *job.Task, l *protocol.TaskStatus) {
 	ch := change{machine: m.id, session: t.Session, try: t.Try, kind: evidence.Ended, done: l.Cause == protocol.CauseDone, failed: l.Cause == protocol.CauseError, cause: l.Cause}
 	if ch.failed {
-		c.log.Info("task failed", "load", l.Load, "stoker", m.id, "fails", t.Fails+1)
+		c.log.Info("task failed", "load", l.Task, "stoker", m.id, "fails", t.Fails+1)
 	}
 	m.vacate(k, rec)
 	c.propose(rec, k.index, ch)
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -22,7 +22,7 @@
 		if t, ok := f.gone[id]; ok && c.now-t < seconds(4*c.cfg.Facts.Cloud.ListLag) {
 			continue
 		}
-		t, known := c.catalogue[l.Rig]
+		t, known := c.catalogue[l.MachineType]
 		m := c.machines[id]
 		switch {
 		case l.Status == protocol.StatusFailed:
@@ -130,7 +130,7 @@
 		f.gone[id] = c.now // not again while this is under way
 		delete(f.fenced, id)
 	}
-	c.cloud(http.MethodPost, protocol.PathDelete, protocol.Names{Stokers: names}, func(r protocol.Reply) {
+	c.cloud(http.MethodPost, protocol.PathRentalsDelete, protocol.MachineNames{Machines: names}, func(r protocol.Reply) {
 		if r.Status != http.StatusOK {
 			for _, id := range names {
 				f.deleting[id] = true
@@ -165,26 +165,26 @@
 	if f.condemning || f.taking || len(f.condemned) == 0 {
 		return
 	}
-	conds := []protocol.Cond{{Key: keyFleet, Stamp: f.stamp}}
+	conds := []protocol.Compare{{Key: keyFleet, ModRevision: f.stamp}}
 	var ops []protocol.Op
 	for _, id := range sortedKeys(f.condemned) {
-		held := []protocol.Cond{{Key: keyDrain + id}, {Key: keyClaim + id}}
+		held := []protocol.Compare{{Key: keyDrain + id}, {Key: keyClaim + id}}
 		if m := c.machines[id]; m != nil {
 			held = append(m.holding(), held[0])
 		}
-		held = slices.DeleteFunc(held, func(k protocol.Cond) bool { return slices.Contains(conds, k) })
+		held = slices.DeleteFunc(held, func(k protocol.Compare) bool { return slices.Contains(conds, k) })
 		if len(ops) == c.cfg.Facts.State.TxnOps || len(conds)+len(held) > 4*c.cfg.Facts.State.TxnOps {
 			break
 		}
 		conds = append(conds, held...)
-		ops = append(ops, protocol.Op{Write: keyDrain + id, Data: encode(drain{f.condemned[id]})})
+		ops = append(ops, protocol.Op{Put: keyDrain + id, Value: encode(drain{f.condemned[id]})})
 	}
 	f.condemning = true
 	c.store.Txn(budget.Work, conds, ops, func(o bookkeeping.Outcome, failed []string, _ uint64) {
 		f.condemning = false
 		if o == bookkeeping.OK {
 			for _, op := range ops {
-				id := strings.TrimPrefix(op.Write, keyDrain)
+				id := strings.TrimPrefix(op.Put, keyDrain)
 				c.log.Info("giving a machine up", "stoker", id, "why", c.drains[id].Why)
 			}
 		}
@@ -218,12 +218,12 @@
 	} else if m != nil {
 		m.forgetting = c.now + time.Second
 	}
-	var conds []protocol.Cond
+	var conds []protocol.Compare
 	var ops []protocol.Op
 	for _, key := range []string{keyClaim + id, keyDrain + id} {
 		if s := c.store.Stamp(key); s != 0 {
-			conds = append(conds, protocol.Cond{Key: key, Stamp: s})
-			ops = append(ops, protocol.Op{Drop: key})
+			conds = append(conds, protocol.Compare{Key: key, ModRevision: s})
+			ops = append(ops, protocol.Op{Delete: key})
 		}
 	}
 	if len(ops) > 0 {
--- a/internal/coordination/returns_test.go
+++ b/internal/coordination/returns_test.go
@@ -35,7 +35,7 @@
 		s.run(50 * time.Second)
 		l := s.leading()
 		l.lag = time.Hour // its watch is answered late
-		s.launched = func(w *simWorker, o protocol.Order) {
+		s.launched = func(w *simWorker, o protocol.Command) {
 			m := l.core.machines[w.name]
 			if m == nil || m.stamp == 0 || len(m.bound) > 0 || l.core.mine(m) {
 				return
@@ -78,7 +78,7 @@
 		asked := 0
 		count := func(e Effects) Effects {
 			for _, k := range e.Calls {
-				if k.Path == protocol.PathDelete {
+				if k.Path == protocol.PathRentalsDelete {
 					asked++
 				}
 			}
--- a/internal/coordination/routing.go
+++ b/internal/coordination/routing.go
@@ -100,14 +100,14 @@
 // all that it lists is treated as launches under way: none is forgotten or
 // released for being absent before a new token is seen, which is taken when one
 // of them ends.
-func (c *Core) adopt(m *machine, r *protocol.Report) {
-	if c.mine(m) || m.claiming || m.stamp == 0 || m.claim.Owner != c.cfg.Node || m.claim.Life == c.life || r.Baton != m.stamp {
+func (c *Core) adopt(m *machine, r *protocol.Heartbeat) {
+	if c.mine(m) || m.claiming || m.stamp == 0 || m.claim.Owner != c.cfg.Node || m.claim.Life == c.life || r.FencingToken != m.stamp {
 		return
 	}
 	listed := map[attempt]bool{}
-	for _, l := range r.Loads {
-		if id, i, err := job.SplitTaskName(l.Load); err == nil {
-			listed[attempt{taskKey{id, i}, l.Try}] = true
+	for _, l := range r.Tasks {
+		if id, i, err := job.SplitTaskName(l.Task); err == nil {
+			listed[attempt{taskKey{id, i}, l.Attempt}] = true
 		}
 	}
 	for k := range m.bound {
@@ -127,13 +127,13 @@
 // longer: one in its zone that was there a moment ago and, if it comes back,
 // goes on without a new claim. A quarter of the lease leaves time to take the
 // worker over.
-func (c *Core) awaitsHolder(m *machine, r *protocol.Report) bool {
-	if m.stamp == 0 || r.Baton != m.stamp {
+func (c *Core) awaitsHolder(m *machine, r *protocol.Heartbeat) bool {
+	if m.stamp == 0 || r.FencingToken != m.stamp {
 		return false
 	}
 	now := c.reach.Picture()
 	p := now.Find(m.claim.Owner)
-	if p == nil || p.Zone != r.Depot {
+	if p == nil || p.Zone != r.Zone {
 		return false
 	}
 	if p.Word < now.Report && p.FreshMS < starting.Milliseconds() {
@@ -155,7 +155,7 @@
 // that is over may still be carried out on it: until the call is given up nothing else
 // shows that it is late, and an answer under the old token would let it start what was cancelled
 // for a lease longer. What the worker lists has come; a launch of that does nothing.
-func (c *Core) voidLaunches(m *machine, r *protocol.Report) {
+func (c *Core) voidLaunches(m *machine, r *protocol.Heartbeat) {
 	if !c.mine(m) || m.tainted || len(m.direct) == 0 {
 		return
 	}
@@ -164,7 +164,7 @@
 			continue
 		}
 		name := job.TaskName(a.id, a.index)
-		if !slices.ContainsFunc(r.Loads, func(l protocol.Load) bool { return l.Load == name && l.Try == a.try }) {
+		if !slices.ContainsFunc(r.Tasks, func(l protocol.TaskStatus) bool { return l.Task == name && l.Attempt == a.try }) {
 			m.tainted = true
 			return
 		}
@@ -183,7 +183,7 @@
 // waits for the claim's refusal here keeps a whole site's workers from going to and fro. One that comes back within
 // it was not answered there: sent home each time, it spent its whole lease between a controller whose
 // link to the state service flapped and one that could not hear its zone.
-func (c *Core) hasHolder(m *machine, r *protocol.Report) bool {
+func (c *Core) hasHolder(m *machine, r *protocol.Heartbeat) bool {
 	if m.stamp == 0 || c.mine(m) || !c.reach.HolderHeard(m.claim.Owner) {
 		return false
 	}
@@ -192,7 +192,7 @@
 	// But not if it says that it does not hear the zone.
 	now := c.reach.Picture()
 	passed := m.passed() && !reach.Lost(&now, m.claim.Owner, m.claim.Zone)
-	unheard := (len(r.Loads) == 0 || passed) && r.Baton < m.stamp && c.now-m.claimedAt < seconds(c.cfg.Facts.Workers.Lease/3)
+	unheard := (len(r.Tasks) == 0 || passed) && r.FencingToken < m.stamp && c.now-m.claimedAt < seconds(c.cfg.Facts.Workers.Lease/3)
 	if !c.cutOff() && !unheard || m.redirectedToHolder > 0 && c.now-m.redirectedToHolder < c.leaseOver() {
 		return false
 	}
--- a/internal/coordination/served_test.go
+++ b/internal/coordination/served_test.go
@@ -60,7 +60,7 @@
 // askAt polls once more at a node.
 func (u *simUser) askAt(n *simNode) {
 	before := u.told()
-	n.request("users", "GET", protocol.PathRuns+"/"+u.spec.ID, nil, func(st int, body []byte) { u.polled(st, body, before) })
+	n.request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) { u.polled(st, body, before) })
 }
 
 // polled judges a poll's answer.
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -41,8 +41,8 @@
 func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
 type sim struct {
-	launched  func(*simWorker, protocol.Order) // sees launches; may be nil
-	digest    *effectsDigest                   // of what the controllers do; nil: not wanted
+	launched  func(*simWorker, protocol.Command) // sees launches; may be nil
+	digest    *effectsDigest                     // of what the controllers do; nil: not wanted
 	rnd       *rand.Rand
 	now       time.Duration
 	seq       int
@@ -259,9 +259,9 @@
 			}
 		})
 	}
-	if path == protocol.PathCheckin {
-		if r, err := protocol.ParseReport(body); err == nil {
-			n.askers[id] = r.Stoker
+	if path == protocol.PathHeartbeat {
+		if r, err := protocol.ParseHeartbeat(body); err == nil {
+			n.askers[id] = r.Worker
 		}
 	}
 	n.effects(n.tape.Request(n.clock(), id, method, path, body))
@@ -321,7 +321,7 @@
 		}
 		serve := func(reply func(int, []byte)) {
 			switch k.Target {
-			case protocol.ToState:
+			case protocol.ToStateService:
 				s.kv.serve(n, k, reply)
 			case protocol.ToCloud:
 				s.cloud.serve(k, reply)
@@ -337,7 +337,7 @@
 		}
 		watch := strings.HasPrefix(k.Path, protocol.PathWatch)
 		switch { // troubles that are no noise: see meeting_test.go
-		case k.Path == protocol.PathOrders && n.holding > s.now:
+		case k.Path == protocol.PathCommands && n.holding > s.now:
 			s.met.heldUp++
 			s.after(n.holding-s.now+s.ms(0, 5000), func() { serve(func(int, []byte) {}) })
 			continue
@@ -384,7 +384,7 @@
 	s         *sim
 	keys      map[string]simKey
 	rev       uint64
-	news      []protocol.News
+	news      []protocol.WatchEvent
 	leases    map[uint64]time.Duration
 	ttls      map[uint64]time.Duration
 	next      uint64
@@ -449,11 +449,11 @@
 // every key that it writes or drops is among its conditions. Member records are the one exception, which
 // nothing but time hangs on; what a job is to run goes with its acceptance.
 func (k *simState) judgeCondition(t protocol.Txn, o protocol.Op) {
-	key := o.Write + o.Drop
+	key := o.Put + o.Delete
 	if strings.HasPrefix(key, keyMember) || strings.HasPrefix(key, keyExtra) {
 		return
 	}
-	for _, f := range t.If {
+	for _, f := range t.Compares {
 		if f.Key == key {
 			return
 		}
@@ -482,10 +482,10 @@
 	k.s.claimed(key, data)
 	if data == nil {
 		delete(k.keys, key)
-		k.news = append(k.news, protocol.News{Drop: key, Stamp: rev})
+		k.news = append(k.news, protocol.WatchEvent{Delete: key, ModRevision: rev})
 	} else {
 		k.keys[key] = simKey{data, rev, permit}
-		k.news = append(k.news, protocol.News{Write: key, Data: data, Stamp: rev})
+		k.news = append(k.news, protocol.WatchEvent{Put: key, Value: data, ModRevision: rev})
 	}
 }
 
@@ -499,14 +499,14 @@
 			rest = append(rest, w)
 			continue
 		}
-		r := protocol.WatchResult{Ledger: k.rev, News: []protocol.News{}}
-		at := sort.Search(len(k.news), func(i int) bool { return k.news[i].Stamp > w.from })
+		r := protocol.WatchResult{Revision: k.rev, Events: []protocol.WatchEvent{}}
+		at := sort.Search(len(k.news), func(i int) bool { return k.news[i].ModRevision > w.from })
 		for _, n := range k.news[at:] {
-			if strings.HasPrefix(n.Write+n.Drop, w.under) {
-				r.News = append(r.News, n)
+			if strings.HasPrefix(n.Put+n.Delete, w.under) {
+				r.Events = append(r.Events, n)
 			}
 		}
-		if len(r.News) == 0 && k.s.now < w.until {
+		if len(r.Events) == 0 && k.s.now < w.until {
 			rest = append(rest, w)
 			continue
 		}
@@ -530,7 +530,7 @@
 	if n.legacy {
 		t, reply = withoutTakeovers(t), unseenTakeovers(reply)
 	}
-	if k.over(len(t.Then)) {
+	if k.over(len(t.Ops)) {
 		reply(429, nil)
 		return
 	}
@@ -539,9 +539,9 @@
 		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 		block, _ := strconv.Atoi(q.Get("blockMs"))
 		if len(k.news) > k.memory {
-			k.news = append([]protocol.News(nil), k.news[k.memory*2/3:]...)
+			k.news = append([]protocol.WatchEvent(nil), k.news[k.memory*2/3:]...)
 		}
-		if len(k.news) > 0 && from+1 < k.news[0].Stamp && from < k.rev {
+		if len(k.news) > 0 && from+1 < k.news[0].ModRevision && from < k.rev {
 			reply(410, nil)
 			return
 		}
@@ -550,62 +550,62 @@
 		k.s.after(d, k.wake)
 		k.wake()
 	case u.Path == protocol.PathTxn:
-		if len(t.Then) > k.s.facts.State.TxnOps || len(t.If) > 4*k.s.facts.State.TxnOps || len(c.Body) > 64<<10 {
-			k.s.breaks("state limits", "%d ops, %d conditions, %d bytes", len(t.Then), len(t.If), len(c.Body))
+		if len(t.Ops) > k.s.facts.State.TxnOps || len(t.Compares) > 4*k.s.facts.State.TxnOps || len(c.Body) > 64<<10 {
+			k.s.breaks("state limits", "%d ops, %d conditions, %d bytes", len(t.Ops), len(t.Compares), len(c.Body))
 		}
 		var failed []string
-		for _, f := range t.If {
-			if k.keys[f.Key].stamp != f.Stamp && !k.blind && !(k.s.met.agrees && len(t.Then) == 0) {
+		for _, f := range t.Compares {
+			if k.keys[f.Key].stamp != f.ModRevision && !k.blind && !(k.s.met.agrees && len(t.Ops) == 0) {
 				failed = append(failed, f.Key)
 			}
 		}
-		for _, o := range t.Then {
+		for _, o := range t.Ops {
 			k.judgeCondition(t, o)
-			if len(o.Data) > int(k.s.facts.State.ValueKB*1024) {
-				k.s.breaks("state limits", "value of %d bytes at %s", len(o.Data), o.Write)
+			if len(o.Value) > int(k.s.facts.State.ValueKB*1024) {
+				k.s.breaks("state limits", "value of %d bytes at %s", len(o.Value), o.Put)
 			}
-			if _, ok := k.leases[o.Permit]; o.Permit != 0 && !ok {
+			if _, ok := k.leases[o.Lease]; o.Lease != 0 && !ok {
 				reply(400, nil)
 				return
 			}
 		}
 		if failed != nil {
 			k.failed++
-			reply(409, encode(protocol.TxnResult{Failed: failed, Ledger: k.rev}))
+			reply(409, encode(protocol.TxnResult{Failed: failed, Revision: k.rev}))
 			return
 		}
-		if len(t.Then) > 0 {
-			for _, o := range t.Then {
-				if o.Write != "" {
-					k.change(o.Write, o.Data, o.Permit, k.rev+1)
-				} else if _, ok := k.keys[o.Drop]; ok {
-					k.change(o.Drop, nil, 0, k.rev+1)
+		if len(t.Ops) > 0 {
+			for _, o := range t.Ops {
+				if o.Put != "" {
+					k.change(o.Put, o.Value, o.Lease, k.rev+1)
+				} else if _, ok := k.keys[o.Delete]; ok {
+					k.change(o.Delete, nil, 0, k.rev+1)
 				}
 			}
 			k.rev++
 		}
-		reply(200, encode(protocol.TxnResult{Ledger: k.rev}))
+		reply(200, encode(protocol.TxnResult{Revision: k.rev}))
 		k.wake()
 	case u.Path == protocol.PathKeys:
 		page, _ := strconv.Atoi(q.Get("page"))
-		r := protocol.EntryPage{Ledger: k.rev}
+		r := protocol.KeyValuePage{Revision: k.rev}
 		for _, key := range k.sorted(q.Get("from")) {
 			if !strings.HasPrefix(key, q.Get("under")) {
 				continue
 			}
-			if len(r.Entries) == min(page, k.page) {
+			if len(r.KeyValues) == min(page, k.page) {
 				r.Truncated = true
 				break
 			}
-			r.Entries = append(r.Entries, protocol.Entry{Key: key, Data: k.keys[key].data, Stamp: k.keys[key].stamp})
+			r.KeyValues = append(r.KeyValues, protocol.KeyValue{Key: key, Value: k.keys[key].data, ModRevision: k.keys[key].stamp})
 		}
 		reply(200, encode(r))
 	case strings.HasPrefix(u.Path, protocol.PathKeys+"/"):
 		key := u.Path[len(protocol.PathKeys)+1:]
 		if v, ok := k.keys[key]; ok {
-			reply(200, encode(protocol.Entry{Key: key, Data: v.data, Stamp: v.stamp, Permit: v.permit}))
+			reply(200, encode(protocol.KeyValue{Key: key, Value: v.data, ModRevision: v.stamp, Lease: v.permit}))
 		} else {
-			reply(404, encode(protocol.EntryPage{Ledger: k.rev}))
+			reply(404, encode(protocol.KeyValuePage{Revision: k.rev}))
 		}
 	case c.Method == "DELETE":
 		p, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
@@ -616,14 +616,14 @@
 		k.leases[p] = k.s.now
 		k.expire()
 		reply(200, nil)
-	case u.Path == protocol.PathGrants:
-		var g protocol.Grant
+	case u.Path == protocol.PathLeases:
+		var g protocol.LeaseRequest
 		_ = json.Unmarshal(c.Body, &g)
 		k.next++
 		k.ttls[k.next] = time.Duration(g.TTLMs) * time.Millisecond
 		k.leases[k.next] = k.s.now + k.ttls[k.next]
-		reply(200, encode(protocol.Granted{Permit: k.next}))
-	case strings.HasSuffix(u.Path, "/"+protocol.PathTouch):
+		reply(200, encode(protocol.LeaseResponse{Lease: k.next}))
+	case strings.HasSuffix(u.Path, "/"+protocol.PathKeepAlive):
 		p, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
 		if _, ok := k.leases[p]; !ok {
 			reply(404, nil)
@@ -640,7 +640,7 @@
 
 type simCloud struct {
 	s     *sim
-	types map[string]protocol.Flavor
+	types map[string]protocol.MachineType
 	free  map[place]int
 	hires map[string][]string
 	next  int
@@ -651,11 +651,11 @@
 
 type listSnap struct {
 	at   time.Duration
-	list []protocol.Listed
+	list []protocol.RentedMachine
 }
 
 func (c *simCloud) snapshot() {
-	var l []protocol.Listed
+	var l []protocol.RentedMachine
 	for _, n := range sortedKeys(c.all) {
 		w := c.all[n]
 		st := protocol.StatusRunning
@@ -664,7 +664,7 @@
 		} else if !w.up {
 			st = protocol.StatusBooting
 		}
-		l = append(l, protocol.Listed{Ref: w.name, Address: w.addr, Rig: w.rig, Depot: w.zone, Casual: w.spot, Status: st, AgeS: (c.s.now - w.rented).Seconds()})
+		l = append(l, protocol.RentedMachine{Name: w.name, Address: w.addr, MachineType: w.rig, Zone: w.zone, Spot: w.spot, Status: st, AgeS: (c.s.now - w.rented).Seconds()})
 	}
 	c.hist = append(c.hist, listSnap{c.s.now, l})
 	if len(c.hist) > 60 {
@@ -676,20 +676,20 @@
 func (c *simCloud) serve(k protocol.Call, reply func(int, []byte)) {
 	s := c.s
 	switch {
-	case k.Path == protocol.PathFlavors:
-		var f protocol.Flavors
+	case k.Path == protocol.PathMachineTypes:
+		var f protocol.MachineTypes
 		for _, n := range sortedKeys(c.types) {
-			f.Rigs = append(f.Rigs, c.types[n])
+			f.MachineTypes = append(f.MachineTypes, c.types[n])
 		}
 		reply(200, encode(f))
-	case k.Path == protocol.PathDelete:
-		var n protocol.Names
+	case k.Path == protocol.PathRentalsDelete:
+		var n protocol.MachineNames
 		_ = json.Unmarshal(k.Body, &n)
-		if f := s.met.returns; f != nil && f(n.Stokers) { // held up: carried out later, and unanswered
+		if f := s.met.returns; f != nil && f(n.Machines) { // held up: carried out later, and unanswered
 			s.after(s.ms(10_000, 30_000), func() { s.met.returns = nil; c.serve(k, func(int, []byte) {}); s.met.returns = f })
 			return
 		}
-		for _, name := range n.Stokers {
+		for _, name := range n.Machines {
 			if w := c.all[name]; w != nil {
 				s.judgeReturn(w)
 				w.die()
@@ -702,17 +702,17 @@
 		reply(200, []byte("{}"))
 	case strings.HasPrefix(k.Path, protocol.PathRentals+"?"):
 		lag := seconds(s.facts.Cloud.ListLag * (1 + s.rnd.Float64()))
-		r := protocol.RentalList{Stokers: []protocol.Listed{}}
+		r := protocol.RentalList{Machines: []protocol.RentedMachine{}}
 		u, _ := url.Parse(k.Path)
 		for i := len(c.hist) - 1; i >= 0; i-- {
 			if c.hist[i].at <= s.now-lag {
 				for _, l := range c.hist[i].list {
-					if l.Ref > u.Query().Get("from") {
-						if page, err := strconv.Atoi(u.Query().Get("page")); len(r.Stokers) == c.page || err == nil && len(r.Stokers) == page {
+					if l.Name > u.Query().Get("from") {
+						if page, err := strconv.Atoi(u.Query().Get("page")); len(r.Machines) == c.page || err == nil && len(r.Machines) == page {
 							r.Truncated = true
 							break
 						}
-						r.Stokers = append(r.Stokers, l)
+						r.Machines = append(r.Machines, l)
 					}
 				}
 				break
@@ -720,14 +720,14 @@
 		}
 		reply(200, encode(r))
 	case k.Path == protocol.PathRentals:
-		var r protocol.Rental
+		var r protocol.RentalRequest
 		_ = json.Unmarshal(k.Body, &r)
-		if old, ok := c.hires[r.Hire]; ok {
-			reply(200, encode(protocol.Names{Stokers: old}))
+		if old, ok := c.hires[r.RequestID]; ok {
+			reply(200, encode(protocol.MachineNames{Machines: old}))
 			return
 		}
-		p := place{r.Rig, r.Depot, r.Casual}
-		n := min(r.Number, c.free[p])
+		p := place{r.MachineType, r.Zone, r.Spot}
+		n := min(r.Count, c.free[p])
 		if n == 0 {
 			reply(503, []byte(`{"error":"no capacity"}`))
 			return
@@ -735,7 +735,7 @@
 		c.free[p] -= n
 		names := []string{}
 		for i := 0; i < n; i++ {
-			w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.next), rig: r.Rig, zone: r.Depot, spot: r.Casual, rented: s.now, loads: map[string]*simLoad{}}
+			w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.next), rig: r.MachineType, zone: r.Zone, spot: r.Spot, rented: s.now, loads: map[string]*simLoad{}}
 			c.next++
 			w.addr = "w:" + w.name
 			s.work[w.addr] = w
@@ -744,11 +744,11 @@
 			if s.met.quickBoots {
 				s.after(s.ms(50, 2000), w.boot)
 			} else if s.rnd.IntN(20) > 0 {
-				s.after(seconds(c.types[r.Rig].StartupS*(0.6+0.9*s.rnd.Float64())), w.boot)
+				s.after(seconds(c.types[r.MachineType].StartupS*(0.6+0.9*s.rnd.Float64())), w.boot)
 			}
 		}
-		c.hires[r.Hire] = names
-		reply(200, encode(protocol.Names{Stokers: names}))
+		c.hires[r.RequestID] = names
+		reply(200, encode(protocol.MachineNames{Machines: names}))
 	}
 }
 
@@ -764,7 +764,7 @@
 }
 
 func (l *simLoad) on() bool {
-	return l.status == protocol.LoadRunning || l.status == protocol.LoadWaiting || l.status == protocol.LoadSaving
+	return l.status == protocol.TaskRunning || l.status == protocol.TaskWaiting || l.status == protocol.TaskCheckpointing
 }
 
 type simWorker struct {
@@ -800,7 +800,7 @@
 	w.dead = true
 	w.up = false
 	for _, l := range w.loads {
-		l.status, l.gen = protocol.LoadEnded, l.gen+1
+		l.status, l.gen = protocol.TaskEnded, l.gen+1
 	}
 	w.loads = map[string]*simLoad{}
 }
@@ -829,7 +829,7 @@
 		}
 		if !w.s.met.noLease {
 			for _, l := range w.loads {
-				l.status, l.gen = protocol.LoadEnded, l.gen+1
+				l.status, l.gen = protocol.TaskEnded, l.gen+1
 			}
 			w.loads = map[string]*simLoad{}
 		}
@@ -840,9 +840,9 @@
 	w.s.after(over-w.s.now+time.Millisecond, w.leaseLoop)
 }
 
-func (w *simWorker) state() protocol.Report {
+func (w *simWorker) state() protocol.Heartbeat {
 	w.tally++
-	r := protocol.Report{Stoker: w.name, Address: w.addr, Rig: w.rig, Depot: w.tellsZone(), Casual: w.spot, Shift: w.shift, Tally: w.tally, Baton: w.baton, Loads: []protocol.Load{}}
+	r := protocol.Heartbeat{Worker: w.name, Address: w.addr, MachineType: w.rig, Zone: w.tellsZone(), Spot: w.spot, AgentEpoch: w.shift, Sequence: w.tally, FencingToken: w.baton, Tasks: []protocol.TaskStatus{}}
 	if w.unkept > w.s.now {
 		r.Unshipped = 1
 	}
@@ -856,20 +856,20 @@
 	sort.Strings(names)
 	for _, n := range names {
 		l := w.loads[n]
-		r.Loads = append(r.Loads, protocol.Load{Load: l.id + "/" + strconv.Itoa(l.index), Try: l.try, Status: l.status, Cause: l.cause})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.id + "/" + strconv.Itoa(l.index), Attempt: l.try, Status: l.status, Cause: l.cause})
 	}
 	if w.s.sets != nil {
-		r.Store = &protocol.StoreReport{Listed: w.s.rnd.IntN(2) == 0} // lists are seldom whole in time
+		r.DataStore = &protocol.StoreReport{Listed: w.s.rnd.IntN(2) == 0} // lists are seldom whole in time
 		var held []dataset.ID
 		for _, id := range sortedKeys(w.copies) {
 			if w.copies[id] {
 				held = append(held, dataset.ID(id))
-				if r.Store.Listed {
-					r.Store.Copies = append(r.Store.Copies, id)
+				if r.DataStore.Listed {
+					r.DataStore.Copies = append(r.DataStore.Copies, id)
 				}
 			}
 		}
-		r.Store.Digest = datastore.DigestOf(held)
+		r.DataStore.Digest = datastore.DigestOf(held)
 	}
 	return r
 }
@@ -897,16 +897,16 @@
 		link = "zone:" + w.zone
 	}
 	if s.copies > 0 && s.rnd.Float64() < s.copies {
-		s.after(s.ms(2000, 1300*s.facts.Workers.Lease), func() { n.deliver("POST", protocol.PathCheckin, encode(rep), func(int, []byte) {}) })
+		s.after(s.ms(2000, 1300*s.facts.Workers.Lease), func() { n.deliver("POST", protocol.PathHeartbeat, encode(rep), func(int, []byte) {}) })
 	}
 	s.keepCopy(w, rep)
-	ask := func(done func(int, []byte)) { n.request(link, "POST", protocol.PathCheckin, encode(rep), done) }
+	ask := func(done func(int, []byte)) { n.request(link, "POST", protocol.PathHeartbeat, encode(rep), done) }
 	if s.holdBack(w, rep) {
 		ask = func(done func(int, []byte)) { s.after(4*time.Second, func() { done(0, nil) }) }
 	}
 	ask(func(st int, body []byte) {
 		if s.trace != nil {
-			fmt.Fprintf(s.trace, "%8.3f CHECKIN stoker=%s node=%s shift=%d tally=%d baton=%d sent=%.3f status=%d %s\n", s.now.Seconds(), w.name, n.name, shift, rep.Tally, rep.Baton, sent.Seconds(), st, body)
+			fmt.Fprintf(s.trace, "%8.3f CHECKIN stoker=%s node=%s shift=%d tally=%d baton=%d sent=%.3f status=%d %s\n", s.now.Seconds(), w.name, n.name, shift, rep.Sequence, rep.FencingToken, sent.Seconds(), st, body)
 		}
 		if w.dead {
 			return
@@ -917,27 +917,27 @@
 			w.node = (w.node + 1) % len(s.nodes)
 			next = max(0, sent+4*time.Second-s.now) + time.Second
 		case st == 200:
-			var a protocol.CheckinAnswer
+			var a protocol.HeartbeatResponse
 			_ = json.Unmarshal(body, &a)
 			// A hung machine takes nothing in, and drops what is over 4 s old.
-			if s.now >= w.hung && a.Baton >= w.baton && a.Baton > 0 && shift == w.shift && s.now-sent <= 4*time.Second {
-				if a.Baton > w.baton {
+			if s.now >= w.hung && a.FencingToken >= w.baton && a.FencingToken > 0 && shift == w.shift && s.now-sent <= 4*time.Second {
+				if a.FencingToken > w.baton {
 					next = 500 * time.Millisecond
 				}
-				w.baton, w.answered = a.Baton, sent
-				if a.Store != nil {
-					for _, f := range a.Store.Fetch {
+				w.baton, w.answered = a.FencingToken, sent
+				if a.DataStore != nil {
+					for _, f := range a.DataStore.Fetch {
 						w.fetch(f.CopyID())
 					}
 				}
-				w.execute(a.Orders)
+				w.execute(a.Commands)
 			}
 		case st == 421:
 			var r protocol.Redirect
 			_ = json.Unmarshal(body, &r)
 			w.node = (w.node + 1) % len(s.nodes)
 			for i, o := range s.nodes {
-				if o.name == r.Dispatcher {
+				if o.name == r.Controller {
 					w.node = i
 				}
 			}
@@ -972,22 +972,22 @@
 		reply(200, encode(w.state()))
 		return
 	}
-	var d protocol.DirectOrders
+	var d protocol.DirectCommands
 	_ = json.Unmarshal(k.Body, &d)
-	if d.Baton < w.baton || d.Shift != w.shift {
+	if d.FencingToken < w.baton || d.AgentEpoch != w.shift {
 		reply(409, encode(w.state()))
 		return
 	}
-	w.baton = d.Baton
-	w.execute(d.Orders)
+	w.baton = d.FencingToken
+	w.execute(d.Commands)
 	reply(200, encode(w.state()))
 }
 
-func (w *simWorker) execute(orders []protocol.Order) {
+func (w *simWorker) execute(orders []protocol.Command) {
 	s := w.s
 	for _, o := range orders {
-		key := o.Load + "#" + strconv.Itoa(o.Try)
-		id, index, err := job.SplitTaskName(o.Load)
+		key := o.Task + "#" + strconv.Itoa(o.Attempt)
+		id, index, err := job.SplitTaskName(o.Task)
 		if err != nil {
 			continue
 		}
@@ -999,20 +999,20 @@
 			if w.loads[key] != nil {
 				continue
 			}
-			l := &simLoad{id: id, index: index, try: o.Try, status: protocol.LoadPulling}
+			l := &simLoad{id: id, index: index, try: o.Attempt, status: protocol.TaskPulling}
 			u := s.users[id]
 			if u == nil {
-				l.status, l.cause = protocol.LoadEnded, protocol.CauseUnknown
+				l.status, l.cause = protocol.TaskEnded, protocol.CauseUnknown
 				w.loads[key] = l
 				continue
 			}
 			if w.busy(id, index) {
-				l.status, l.cause = protocol.LoadEnded, protocol.CauseBusy
+				l.status, l.cause = protocol.TaskEnded, protocol.CauseBusy
 				w.loads[key] = l
 				continue
 			}
 			if !w.room(u.spec) {
-				l.status, l.cause = protocol.LoadEnded, protocol.CauseNoRoom
+				l.status, l.cause = protocol.TaskEnded, protocol.CauseNoRoom
 				w.loads[key] = l
 				continue
 			}
@@ -1028,11 +1028,11 @@
 			if s.met.killed != nil {
 				s.met.killed(w, o)
 			}
-			if l := w.loads[key]; l != nil && !s.met.noKills && l.status != protocol.LoadEnded {
-				l.status, l.cause, l.gen = protocol.LoadEnded, protocol.CauseStopped, l.gen+1
+			if l := w.loads[key]; l != nil && !s.met.noKills && l.status != protocol.TaskEnded {
+				l.status, l.cause, l.gen = protocol.TaskEnded, protocol.CauseStopped, l.gen+1
 			}
 		case protocol.VerbForget:
-			if l := w.loads[key]; l != nil && l.status == protocol.LoadEnded {
+			if l := w.loads[key]; l != nil && l.status == protocol.TaskEnded {
 				delete(w.loads, key)
 			}
 		}
@@ -1059,7 +1059,7 @@
 
 func (w *simWorker) busy(id string, index int) bool {
 	for _, l := range w.loads {
-		if l.id == id && l.index == index && l.status != protocol.LoadEnded {
+		if l.id == id && l.index == index && l.status != protocol.TaskEnded {
 			return true
 		}
 	}
@@ -1070,7 +1070,7 @@
 	t := w.s.cloud.types[w.rig]
 	g, c := sp.GPUs, sp.CPUs
 	for _, l := range w.loads {
-		if l.status != protocol.LoadEnded {
+		if l.status != protocol.TaskEnded {
 			g, c = g+w.s.users[l.id].spec.GPUs, c+w.s.users[l.id].spec.CPUs
 		}
 	}
@@ -1080,7 +1080,7 @@
 // begin is the moment from which a task is on its machine.
 func (w *simWorker) begin(u *simUser, l *simLoad, gen int) {
 	s := w.s
-	if w.dead || l.gen != gen || l.status != protocol.LoadPulling {
+	if w.dead || l.gen != gen || l.status != protocol.TaskPulling {
 		return
 	}
 	if s.now < w.hung {
@@ -1099,14 +1099,14 @@
 	s.checkStart(w, u, l)
 	s.countLateStart(u)
 	u.start(l.index, w)
-	l.status = protocol.LoadRunning
+	l.status = protocol.TaskRunning
 	if u.done[l.index] {
-		l.status, l.cause = protocol.LoadEnded, protocol.CauseDone
+		l.status, l.cause = protocol.TaskEnded, protocol.CauseDone
 		return
 	}
 	if w.faulty || u.mistaken {
 		u.failures++
-		l.status, l.cause = protocol.LoadEnded, protocol.CauseError
+		l.status, l.cause = protocol.TaskEnded, protocol.CauseError
 		return
 	}
 	if u.spec.Shape == job.Service {
@@ -1116,14 +1116,14 @@
 }
 
 func (w *simWorker) finish(u *simUser, l *simLoad, gen int) {
-	if w.dead || l.gen != gen || l.status != protocol.LoadRunning {
+	if w.dead || l.gen != gen || l.status != protocol.TaskRunning {
 		return
 	}
 	if w.s.now < w.hung {
 		w.s.after(w.hung-w.s.now+time.Millisecond, func() { w.finish(u, l, gen) })
 		return
 	}
-	l.status, l.cause = protocol.LoadEnded, protocol.CauseDone
+	l.status, l.cause = protocol.TaskEnded, protocol.CauseDone
 	if u.spec.Shape == job.Gang { // the tasks of a gang complete together
 		for i := range u.done {
 			u.done[i] = true
--- a/internal/coordination/slopes_test.go
+++ b/internal/coordination/slopes_test.go
@@ -16,14 +16,14 @@
 //	go test -run XXX -bench Slope -count 5 ./internal/coordination
 
 // reportOf is a report as the holder of a machine expects it, with so many running tasks.
-func reportOf(c *Core, m *machine, extra int) protocol.Report {
-	r := protocol.Report{Stoker: m.id, Address: m.claim.Address, Rig: m.claim.Type, Depot: m.claim.Zone, Casual: m.claim.Spot,
-		Shift: m.session, Tally: m.tally, Baton: m.stamp}
+func reportOf(c *Core, m *machine, extra int) protocol.Heartbeat {
+	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.Type, Zone: m.claim.Zone, Spot: m.claim.Spot,
+		AgentEpoch: m.session, Sequence: m.tally, FencingToken: m.stamp}
 	for _, k := range m.tasks() {
-		r.Loads = append(r.Loads, protocol.Load{Load: job.TaskName(k.id, k.index), Try: m.bound[k].task(c, k.index).Try, Status: protocol.LoadRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: m.bound[k].task(c, k.index).Try, Status: protocol.TaskRunning})
 	}
 	for i := range extra {
-		r.Loads = append(r.Loads, protocol.Load{Load: fmt.Sprintf("wk-999999/%d", i), Try: 1, Status: protocol.LoadEnded, Cause: protocol.CauseDone})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", i), Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseDone})
 	}
 	return r
 }
@@ -36,13 +36,13 @@
 	clock, id := s.nodes[0].clock(), uint64(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Tally++
+		r.Sequence++
 		id++
-		if e := c.Request(clock, id, "POST", protocol.PathCheckin, encode(r)); len(e.Answers) != 1 || e.Answers[0].Status != 200 {
+		if e := c.Request(clock, id, "POST", protocol.PathHeartbeat, encode(r)); len(e.Answers) != 1 || e.Answers[0].Status != 200 {
 			b.Fatalf("%+v", e.Answers)
 		}
 	}
-	b.ReportMetric(float64(len(r.Loads)), "tasks")
+	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 }
 
 // BenchmarkSlopeReport is a report in which nothing has changed.
@@ -103,7 +103,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		if e := c.Request(clock, id, "GET", protocol.PathRuns+"/"+over, nil); len(e.Answers) != 1 {
+		if e := c.Request(clock, id, "GET", protocol.PathJobs+"/"+over, nil); len(e.Answers) != 1 {
 			b.Fatalf("%+v", e.Answers)
 		}
 	}
@@ -117,7 +117,7 @@
 	for b.Loop() {
 		id++
 		body := fmt.Sprintf(`{"ref":"wk-%09d","jobclass":"arr","crew":"blue","shape":"batch","urgency":"standard","loads":100,"cpus":1,"accelerators":0,"ramGb":1,"kit":"img","sizeGb":1,"rigs":null,"depot":null,"oneZone":false,"apart":false,"casual":true,"etaS":10,"waypointS":0,"stowS":0,"dueS":null}`, id)
-		c.Request(clock, id, "POST", protocol.PathRuns, []byte(body))
+		c.Request(clock, id, "POST", protocol.PathJobs, []byte(body))
 		clock.Steady += time.Second // the budget fills up, and what waits is given up on
 	}
 }
--- a/internal/coordination/start_test.go
+++ b/internal/coordination/start_test.go
@@ -21,7 +21,7 @@
 // tasks of jobs of twenty-five, a fifth of them services, and as many jobs again
 // that are over.
 func fleetRecords(machines int, owner string) (keys []string, data map[string][]byte) {
-	data = map[string][]byte{keyFlavors: encode(protocol.Flavors{Rigs: []protocol.Flavor{{SKU: "large", CPUs: 64, GPUs: 8, RAM: 256, PullRate: 1, Hourly: 12, SpotPrice: 4, StartupS: 40, Depots: []string{"a", "b"}}}})}
+	data = map[string][]byte{keyFlavors: encode(protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 40, Zones: []string{"a", "b"}}}})}
 	for i := range machines {
 		data[fmt.Sprintf("%si-%06d", keyClaim, i)] = encode(claim{owner, 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), "large", []string{"a", "b"}[i%2], i%2 == 0, 1})
 	}
@@ -88,23 +88,23 @@
 			k := todo[0]
 			todo = todo[1:]
 			r := protocol.Reply{ID: k.ID, Sent: true, Status: 200, Body: []byte(`{"ledger":7,"permit":1,"news":[]}`)}
-			if u, _ := url.Parse(k.Path); k.Target == protocol.ToState && u.Path == protocol.PathKeys {
+			if u, _ := url.Parse(k.Path); k.Target == protocol.ToStateService && u.Path == protocol.PathKeys {
 				requests++
-				p := protocol.EntryPage{Ledger: 7}
+				p := protocol.KeyValuePage{Revision: 7}
 				size := 0
 				for i := sort.SearchStrings(keys, u.Query().Get("from")); i < len(keys); i++ {
 					if keys[i] == u.Query().Get("from") {
 						continue
 					}
-					if size += len(data[keys[i]]) + 80; len(p.Entries) == 1000 || size > 512<<10 {
+					if size += len(data[keys[i]]) + 80; len(p.KeyValues) == 1000 || size > 512<<10 {
 						p.Truncated = true
 						break
 					}
-					p.Entries = append(p.Entries, protocol.Entry{Key: keys[i], Data: data[keys[i]], Stamp: 5})
+					p.KeyValues = append(p.KeyValues, protocol.KeyValue{Key: keys[i], Value: data[keys[i]], ModRevision: 5})
 				}
 				r.Body = encode(p)
 			} else if strings.HasPrefix(k.Path, protocol.PathWatch) || k.Target == protocol.ToCloud {
-				if k.Path != protocol.PathFlavors {
+				if k.Path != protocol.PathMachineTypes {
 					continue
 				}
 				r.Status = 503
@@ -112,17 +112,17 @@
 			todo = append(todo, step(func() Effects { return c.Reply(clock(), r) }).Calls...)
 		}
 		if !up {
-			up = ask("GET", protocol.PathUp, nil) == 200
+			up = ask("GET", protocol.PathHealth, nil) == 200
 		}
 		if !served {
-			served = ask("GET", protocol.PathRuns+"/wk-000001", nil) == 200 // over
+			served = ask("GET", protocol.PathJobs+"/wk-000001", nil) == 200 // over
 		}
 		if up && !answered {
-			rep := protocol.Report{Stoker: "i-000000", Address: "10.1.0.0:9000", Rig: "large", Depot: "a", Casual: true, Shift: 1, Tally: 9, Baton: 5}
+			rep := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
 			for i := range 8 {
-				rep.Loads = append(rep.Loads, protocol.Load{Load: job.TaskName("wk-000000", i), Try: 1, Status: protocol.LoadRunning})
+				rep.Tasks = append(rep.Tasks, protocol.TaskStatus{Task: job.TaskName("wk-000000", i), Attempt: 1, Status: protocol.TaskRunning})
 			}
-			answered = ask("POST", protocol.PathCheckin, encode(rep)) == 200
+			answered = ask("POST", protocol.PathHeartbeat, encode(rep)) == 200
 		}
 		if up && served && answered {
 			return requests, whole, longest
--- a/internal/coordination/storedrecords_test.go
+++ b/internal/coordination/storedrecords_test.go
@@ -104,7 +104,7 @@
 func storedRecords() []storedRecord {
 	depot := "z-b"
 	announced := announcement{AtMS: 1767225600001}
-	announced.Staging = protocol.Staging{Ref: "night", Set: "maps", Version: "v1", Crew: "red", Urgency: "high", ByS: 90.5, Machines: 4, Depot: &depot}
+	announced.Staging = protocol.Staging{ID: "night", Set: "maps", Version: "v1", Team: "red", Priority: "high", ByS: 90.5, Machines: 4, Zone: &depot}
 	holder := takeover.Holder{Node: "n1", Life: 1767225600000000007, Epoch: 2}
 	passed := takeover.Group{Holder: holder, Zone: "z a/1", Number: 3}
 	ended := []string{
@@ -114,8 +114,8 @@
 	whole := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
 		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Place: "in/maps"}}}
 	set := protocol.DataSet{Set: "maps", Version: "v1", Digest: strings.Repeat("0123456789abcdef", 4), Bytes: 1 << 40, Sources: []string{"127.0.0.1:7000"}, AtMS: 1767225600002}
-	rigs := protocol.Flavors{Rigs: []protocol.Flavor{{SKU: "g4", CPUs: 8.5, GPUs: 4, RAM: 64.5, LocalGB: 100, PullRate: 0.25, Hourly: 2.5,
-		SpotPrice: 0.75, StartupS: 30, Depots: []string{"z-a", "z-b"}}}}
+	rigs := protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g4", CPUs: 8.5, GPUs: 4, MemoryGB: 64.5, LocalGB: 100, ImagePullGBPerS: 0.25, OnDemandPrice: 2.5,
+		SpotPrice: 0.75, StartupS: 30, Zones: []string{"z-a", "z-b"}}}}
 	return []storedRecord{
 		wholeRecord("job, open", "j-open.json", "sg/j/wk-000042", keyJob+"wk-000042",
 			storedJob{goldenSpec("wk-000042", job.Gang, job.Production), job.Open, 1767225600000, "n1"}),
