--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -35,7 +35,7 @@
 // heldReport is a worker's report that is not answered yet.
 type heldReport struct {
 	id     uint64
-	report *protocol.Report
+	report *protocol.Heartbeat
 }
 
 func newHolders() holders {
@@ -157,14 +157,14 @@
 //
 // Guards against a controller that has lost the zone itself, and takes a group over by a report that
 // was held back on its way: all the group's workers were sent to where nobody heard them.
-func (c *Core) takeGroup(id uint64, m *machine, r *protocol.Report) bool {
+func (c *Core) takeGroup(id uint64, m *machine, r *protocol.Heartbeat) bool {
 	g, ok := m.nextGroup()
 	if !ok || !c.cfg.Operator.GroupTakeover || m.own.Token == 0 || !c.allRead(takeoverFormat) {
 		return false
 	}
 	w := c.holders.awaited[g]
 	if w == nil {
-		if !c.holders.book.Waiting(g) && (c.reach.LostZone(r.Depot) || !c.abandoned(m) || c.groupSize(g) < leastGroup) {
+		if !c.holders.book.Waiting(g) && (c.reach.LostZone(r.Zone) || !c.abandoned(m) || c.groupSize(g) < leastGroup) {
 			return false
 		}
 		w = &awaitedTakeover{since: c.now}
@@ -207,12 +207,12 @@
 // tells what came of it. Where the holder is gone the record is conditional on that: a
 // controller that is back goes on with its workers itself.
 func (c *Core) writeTakeover(g takeover.Group) {
-	conds := []protocol.Cond{{Key: keyTakeover + g.Key()}}
+	conds := []protocol.Compare{{Key: keyTakeover + g.Key()}}
 	if !c.alive(g.Node) {
-		conds = append(conds, protocol.Cond{Key: keyMember + g.Node})
+		conds = append(conds, protocol.Compare{Key: keyMember + g.Node})
 	}
 	heir := takeover.Holder{Node: c.cfg.Node, Life: c.life, Epoch: c.ownEpoch()}
-	c.store.Txn(budget.Claims, conds, []protocol.Op{{Write: keyTakeover + g.Key(), Data: encode(heir)}}, func(o bookkeeping.Outcome, failed []string, _ uint64) {
+	c.store.Txn(budget.Claims, conds, []protocol.Op{{Put: keyTakeover + g.Key(), Value: encode(heir)}}, func(o bookkeeping.Outcome, failed []string, _ uint64) {
 		switch {
 		case o == bookkeeping.OK:
 			c.Stats.Takeovers++
@@ -256,12 +256,12 @@
 	}
 	unused := c.holders.book.Unused(inUse)
 	sortGroups(unused)
-	var conds []protocol.Cond
+	var conds []protocol.Compare
 	var ops []protocol.Op
 	for _, g := range unused[:min(len(unused), c.cfg.Facts.State.TxnOps)] {
 		key := keyTakeover + g.Key()
-		conds = append(conds, protocol.Cond{Key: key, Stamp: c.holders.book.Stamp(g)})
-		ops = append(ops, protocol.Op{Drop: key})
+		conds = append(conds, protocol.Compare{Key: key, ModRevision: c.holders.book.Stamp(g)})
+		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
 		c.store.Txn(budget.Rest, conds, ops, func(bookkeeping.Outcome, []string, uint64) {})
--- a/internal/coordination/takeovers_test.go
+++ b/internal/coordination/takeovers_test.go
@@ -150,20 +150,20 @@
 // withoutTakeovers is a transaction as the version before take-overs writes it: its claims and
 // member records know of none, and nothing is conditional on any.
 func withoutTakeovers(t protocol.Txn) protocol.Txn {
-	t.If = slices.DeleteFunc(slices.Clone(t.If), func(k protocol.Cond) bool { return strings.HasPrefix(k.Key, keyTakeover) })
-	t.Then = slices.Clone(t.Then)
-	for i, o := range t.Then {
+	t.Compares = slices.DeleteFunc(slices.Clone(t.Compares), func(k protocol.Compare) bool { return strings.HasPrefix(k.Key, keyTakeover) })
+	t.Ops = slices.Clone(t.Ops)
+	for i, o := range t.Ops {
 		switch {
-		case strings.HasPrefix(o.Write, keyClaim):
+		case strings.HasPrefix(o.Put, keyClaim):
 			var k claim
-			_ = json.Unmarshal(o.Data, &k)
+			_ = json.Unmarshal(o.Value, &k)
 			k.Epoch = 0
-			t.Then[i].Data = encode(k)
-		case strings.HasPrefix(o.Write, keyMember):
+			t.Ops[i].Value = encode(k)
+		case strings.HasPrefix(o.Put, keyMember):
 			var m member
-			_ = json.Unmarshal(o.Data, &m)
+			_ = json.Unmarshal(o.Value, &m)
 			m.Format = wordsFormat
-			t.Then[i].Data = encode(m)
+			t.Ops[i].Value = encode(m)
 		}
 	}
 	return t
@@ -173,21 +173,21 @@
 func unseenTakeovers(reply func(int, []byte)) func(int, []byte) {
 	return func(status int, body []byte) {
 		var watch protocol.WatchResult
-		var page protocol.EntryPage
+		var page protocol.KeyValuePage
 		switch {
 		case status != 200:
-		case json.Unmarshal(body, &watch) == nil && len(watch.News) > 0:
-			watch.News = slices.DeleteFunc(watch.News, func(n protocol.News) bool { return strings.HasPrefix(n.Write+n.Drop, keyTakeover) })
-			for i := range watch.News {
-				watch.News[i].Data = withoutEpoch(watch.News[i].Write, watch.News[i].Data)
+		case json.Unmarshal(body, &watch) == nil && len(watch.Events) > 0:
+			watch.Events = slices.DeleteFunc(watch.Events, func(n protocol.WatchEvent) bool { return strings.HasPrefix(n.Put+n.Delete, keyTakeover) })
+			for i := range watch.Events {
+				watch.Events[i].Value = withoutEpoch(watch.Events[i].Put, watch.Events[i].Value)
 			}
 			body = encode(watch)
-		case json.Unmarshal(body, &page) == nil && len(page.Entries) > 0:
-			if page.Entries = slices.DeleteFunc(page.Entries, func(e protocol.Entry) bool { return strings.HasPrefix(e.Key, keyTakeover) }); len(page.Entries) == 0 {
+		case json.Unmarshal(body, &page) == nil && len(page.KeyValues) > 0:
+			if page.KeyValues = slices.DeleteFunc(page.KeyValues, func(e protocol.KeyValue) bool { return strings.HasPrefix(e.Key, keyTakeover) }); len(page.KeyValues) == 0 {
 				page.Truncated = false
 			}
-			for i := range page.Entries {
-				page.Entries[i].Data = withoutEpoch(page.Entries[i].Key, page.Entries[i].Data)
+			for i := range page.KeyValues {
+				page.KeyValues[i].Value = withoutEpoch(page.KeyValues[i].Key, page.KeyValues[i].Value)
 			}
 			body = encode(page)
 		}
--- a/internal/coordination/tenure.go
+++ b/internal/coordination/tenure.go
@@ -44,11 +44,11 @@
 
 // holding is what a transaction is conditional on for a machine to be held as it is: its
 // claim, the groups by which it has passed, and that it has not passed by the next one.
-func (m *machine) holding() []protocol.Cond {
-	conds := make([]protocol.Cond, 0, 2+len(m.links))
-	conds = append(conds, protocol.Cond{Key: keyClaim + m.id, Stamp: m.own.Token})
+func (m *machine) holding() []protocol.Compare {
+	conds := make([]protocol.Compare, 0, 2+len(m.links))
+	conds = append(conds, protocol.Compare{Key: keyClaim + m.id, ModRevision: m.own.Token})
 	for _, l := range m.links {
-		conds = append(conds, protocol.Cond{Key: keyTakeover + l.Group.Key(), Stamp: l.Stamp})
+		conds = append(conds, protocol.Compare{Key: keyTakeover + l.Group.Key(), ModRevision: l.Stamp})
 	}
 	return conds
 }
--- a/internal/coordination/troublemakers_test.go
+++ b/internal/coordination/troublemakers_test.go
@@ -39,11 +39,11 @@
 	astray     bool // some workers tell a wrong zone
 	forged     bool // old reports show the newest token, and tell that everything is done
 
-	killed  func(*simWorker, protocol.Order) // sees stops; may be nil
-	short   bool                             // there is less room than work
-	byKind  map[string]int                   // answers lost, by the kind of record
-	changes int                              // of leaders
-	hungNow int                              // machines that hang as their jobs are called off
+	killed  func(*simWorker, protocol.Command) // sees stops; may be nil
+	short   bool                               // there is less room than work
+	byKind  map[string]int                     // answers lost, by the kind of record
+	changes int                                // of leaders
+	hungNow int                                // machines that hang as their jobs are called off
 
 	direct     int // orders and questions that reached a mute machine
 	heldUp     int // orders held up, by a link or a machine that hangs
@@ -73,12 +73,12 @@
 
 // loses tells whether a call is a transaction whose answer alone is lost.
 func (n *simNode) loses(k protocol.Call) bool {
-	if n.s.met.loses == nil || k.Target != protocol.ToState || k.Path != protocol.PathTxn {
+	if n.s.met.loses == nil || k.Target != protocol.ToStateService || k.Path != protocol.PathTxn {
 		return false
 	}
 	var t protocol.Txn
 	_ = json.Unmarshal(k.Body, &t)
-	if len(t.Then) == 0 || !n.s.met.loses(n, t) {
+	if len(t.Ops) == 0 || !n.s.met.loses(n, t) {
 		return false
 	}
 	n.s.met.answers++
@@ -93,8 +93,8 @@
 
 // touches tells whether a transaction writes or drops a kind of record.
 func touches(t protocol.Txn, kind string) bool {
-	for _, o := range t.Then {
-		if strings.HasPrefix(o.Write+o.Drop, kind) {
+	for _, o := range t.Ops {
+		if strings.HasPrefix(o.Put+o.Delete, kind) {
 			return true
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // keepCopy keeps a report's copy for whoever leads next.
-func (s *sim) keepCopy(w *simWorker, rep protocol.Report) {
+func (s *sim) keepCopy(w *simWorker, rep protocol.Heartbeat) {
 	if s.met.kept > 0 && s.rnd.Float64() < s.met.kept {
 		if s.met.copies == nil {
 			s.met.copies = map[string][]byte{}
@@ -112,7 +112,7 @@
 }
 
 // holdBack keeps a report itself: it does not arrive before a new leader has acted.
-func (s *sim) holdBack(w *simWorker, rep protocol.Report) bool {
+func (s *sim) holdBack(w *simWorker, rep protocol.Heartbeat) bool {
 	if s.met.held == 0 || s.rnd.Float64() >= s.met.held {
 		return false
 	}
@@ -202,21 +202,21 @@
 	if !s.met.forged {
 		return body
 	}
-	var r protocol.Report
+	var r protocol.Heartbeat
 	_ = json.Unmarshal(body, &r)
-	r.Baton, r.Tally = s.kv.keys[keyClaim+name].stamp, r.Tally+1_000_000
+	r.FencingToken, r.Sequence = s.kv.keys[keyClaim+name].stamp, r.Sequence+1_000_000
 	if w := s.cloud.all[name]; w != nil {
-		r.Shift, r.Loads = w.shift, w.state().Loads
+		r.AgentEpoch, r.Tasks = w.shift, w.state().Tasks
 	}
-	for i := range r.Loads {
-		r.Loads[i].Status, r.Loads[i].Cause = protocol.LoadEnded, protocol.CauseDone
+	for i := range r.Tasks {
+		r.Tasks[i].Status, r.Tasks[i].Cause = protocol.TaskEnded, protocol.CauseDone
 	}
 	return encode(r)
 }
 
 // hearsLate has a controller get a report that was kept; nobody waits for its answer.
 func (n *simNode) hearsLate(name string, body []byte) {
-	n.deliver("POST", protocol.PathCheckin, n.s.old(name, body), func(int, []byte) {})
+	n.deliver("POST", protocol.PathHeartbeat, n.s.old(name, body), func(int, []byte) {})
 }
 
 // countEarly counts machines that are up before anybody could have read that they were rented.
@@ -275,7 +275,7 @@
 
 func (w *simWorker) holds(id string) bool {
 	for _, l := range w.loads {
-		if l.id == id && l.status != protocol.LoadEnded {
+		if l.id == id && l.status != protocol.TaskEnded {
 			return true
 		}
 	}
@@ -332,7 +332,7 @@
 // repeat submits the job once more at a node: once known, it is never refused.
 func (u *simUser) repeat(n *simNode, body []byte) {
 	before := u.told()
-	n.request("users", "POST", protocol.PathRuns, body, func(st int, b []byte) {
+	n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
 		switch {
 		case st == 200 || st == 201 && !before.known:
 			u.accepted = true
@@ -346,7 +346,7 @@
 // cancelAgain asks once for a cancellation of what is over or was cancelled before.
 func (u *simUser) cancelAgain() {
 	before := u.told()
-	u.s.anyNode().request("users", "POST", protocol.PathRuns+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.aborted(st, b, before) })
+	u.s.anyNode().request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.aborted(st, b, before) })
 }
 
 // aborted judges the answer to a cancellation, and tells whether it is one.
@@ -383,7 +383,7 @@
 		id := fmt.Sprintf("wk-8%05d", s.rnd.IntN(100_000))
 		if s.users[id] == nil {
 			n, body := s.anyNode(), oddBody(s, u.body, id)
-			n.request("users", "POST", protocol.PathRuns, body, func(st int, b []byte) {
+			n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
 				if st == 200 || st == 201 {
 					s.breaks("accepted", "%s: %d %s", body, st, b)
 				}
@@ -434,7 +434,7 @@
 		return
 	}
 	for _, k := range sortedKeys(w.loads) {
-		if u := s.users[w.loads[k].id]; u != nil && w.loads[k].status != protocol.LoadEnded && u.final == "" && !u.asked && !w.outdated(w.loads[k]) {
+		if u := s.users[w.loads[k].id]; u != nil && w.loads[k].status != protocol.TaskEnded && u.final == "" && !u.asked && !w.outdated(w.loads[k]) {
 			s.met.inUse++
 			if s.trace != nil {
 				fmt.Fprintf(s.trace, "%8.3f INUSE %s returned with %s\n", s.now.Seconds(), w.name, k)
@@ -475,7 +475,7 @@
 	for _, w := range s.work {
 		for _, l := range w.loads {
 			u := s.users[l.id]
-			if u == nil || l.status == protocol.LoadEnded {
+			if u == nil || l.status == protocol.TaskEnded {
 				continue
 			}
 			use[u.spec.Team] += u.spec.GPUs
@@ -537,7 +537,7 @@
 			t := s.cloud.types[w.rig]
 			g, c := t.GPUs, t.CPUs
 			for _, l := range w.loads {
-				if o := s.users[l.id]; o != nil && l.status != protocol.LoadEnded {
+				if o := s.users[l.id]; o != nil && l.status != protocol.TaskEnded {
 					g, c = g-o.spec.GPUs, c-o.spec.CPUs
 				}
 			}
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -34,7 +34,7 @@
 }
 
 // report takes a machine's report in.
-func (u *unshipped) report(m *machine, r *protocol.Report) {
+func (u *unshipped) report(m *machine, r *protocol.Heartbeat) {
 	if r.Unshipped == 0 {
 		delete(u.ours, m.id)
 		delete(u.known, m.id)
--- a/internal/coordination/unshipped_test.go
+++ b/internal/coordination/unshipped_test.go
@@ -58,10 +58,10 @@
 	s := newSim(t, 6, 0)
 	key := archive.GrantKey(make([]byte, archive.KeySize))
 	seals := 0
-	s.launched = func(w *simWorker, o protocol.Order) {
-		id, index, _ := job.SplitTaskName(o.Load)
-		if o.Seal != key.SealLaunch(archive.Attempt{Job: id, Task: index, Try: o.Try, Machine: w.name}) {
-			s.breaks("seal", "%s try %d on %s: %q", o.Load, o.Try, w.name, o.Seal)
+	s.launched = func(w *simWorker, o protocol.Command) {
+		id, index, _ := job.SplitTaskName(o.Task)
+		if o.Grant != key.SealLaunch(archive.Attempt{Job: id, Task: index, Try: o.Attempt, Machine: w.name}) {
+			s.breaks("seal", "%s try %d on %s: %q", o.Task, o.Attempt, w.name, o.Grant)
 		}
 		seals++
 	}
@@ -71,10 +71,10 @@
 	}
 	s.submit(&job.Spec{ID: "wk-000001", Class: "one", Team: s.facts.Teams[0].Name, Shape: job.Array, Priority: job.High, Tasks: 5, CPUs: 1, MemoryGB: 1}, 20, 0)
 	s.run(150 * time.Second)
-	var d protocol.Description
-	s.nodes[0].request("workers", "GET", protocol.PathRuns+"/wk-000001/"+protocol.PathDescription, nil, func(st int, b []byte) { _ = protocol.Decode(b, &d) })
+	var d protocol.JobDescription
+	s.nodes[0].request("workers", "GET", protocol.PathJobs+"/wk-000001/"+protocol.PathDescription, nil, func(st int, b []byte) { _ = protocol.Decode(b, &d) })
 	s.run(s.now + 10*time.Second)
-	if seals < 5 || d.Seal != key.SealTerms("wk-000001", archive.TermsOf(&d)) || d.Crew != s.facts.Teams[0].Name {
+	if seals < 5 || d.Grant != key.SealTerms("wk-000001", archive.TermsOf(&d)) || d.Team != s.facts.Teams[0].Name {
 		t.Errorf("%d launches, description %+v", seals, d)
 	}
 	s.report(t)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -48,8 +48,8 @@
 	return c.now-c.proof() > c.horizon()
 }
 
-func (c *Core) state(r *record) protocol.RunState {
-	s := protocol.RunState{Ref: r.spec.ID, Status: string(r.status)}
+func (c *Core) state(r *record) protocol.JobState {
+	s := protocol.JobState{ID: r.spec.ID, Status: string(r.status)}
 	done, running := r.finished, r.bound
 	switch r.status {
 	case job.Done:
@@ -117,11 +117,11 @@
 		c.polls = nil
 	}
 	seen := map[string]bool{}
-	var conds []protocol.Cond
+	var conds []protocol.Compare
 	for _, p := range batch {
 		if !seen[p.ref] {
 			seen[p.ref] = true
-			conds = append(conds, protocol.Cond{Key: keyJob + p.ref, Stamp: c.store.Stamp(keyJob + p.ref)})
+			conds = append(conds, protocol.Compare{Key: keyJob + p.ref, ModRevision: c.store.Stamp(keyJob + p.ref)})
 		}
 	}
 	c.store.Txn(budget.Users, conds, nil, func(o bookkeeping.Outcome, failed []string, _ uint64) {
@@ -172,7 +172,7 @@
 }
 
 func (c *Core) submit(id uint64, body []byte) {
-	ref, err := protocol.RunRef(body)
+	ref, err := protocol.SubmissionID(body)
 	if err != nil {
 		c.refuse(id, 400, err.Error())
 		return
@@ -189,7 +189,7 @@
 		c.refuse(id, 503, "the state service can't be reached now")
 		return
 	}
-	spec, err := protocol.ParseRun(body)
+	spec, err := protocol.ParseSubmission(body)
 	status := 400
 	var extra json.RawMessage
 	if err == nil {
@@ -219,17 +219,17 @@
 	}
 	key := keyJob + ref
 	rec := storedJob{spec, job.Open, c.wall.UnixMilli(), c.cfg.Node}
-	ops := []protocol.Op{{Write: key, Data: encode(rec)}}
+	ops := []protocol.Op{{Put: key, Value: encode(rec)}}
 	if extra != nil {
-		ops = append(ops, protocol.Op{Write: keyExtra + ref, Data: extra})
+		ops = append(ops, protocol.Op{Put: keyExtra + ref, Value: extra})
 	}
-	c.store.Txn(budget.Users, []protocol.Cond{{Key: key}}, ops,
+	c.store.Txn(budget.Users, []protocol.Compare{{Key: key}}, ops,
 		func(o bookkeeping.Outcome, _ []string, _ uint64) {
 			switch o {
 			case bookkeeping.OK:
 				c.Stats.Submitted++
 				c.log.Debug("accepted", "job", ref, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-				c.answer(id, 201, protocol.RunState{Ref: ref, Status: "queued"}, 0)
+				c.answer(id, 201, protocol.JobState{ID: ref, Status: "queued"}, 0)
 				c.dispatchJob(c.jobs[ref])
 			case bookkeeping.Conflict, bookkeeping.Unknown:
 				// Known already, or the answer was lost: the record tells.
@@ -266,7 +266,7 @@
 		if !s.TypeAllowed(name) || !holds(f, s) {
 			continue
 		}
-		for _, z := range f.Depots {
+		for _, z := range f.Zones {
 			if s.Zone == "" || s.Zone == z {
 				zones[z] = true
 			}
@@ -289,8 +289,8 @@
 	return nil
 }
 
-func holds(f *protocol.Flavor, s *job.Spec) bool {
-	return s.CPUs <= f.CPUs && s.GPUs <= f.GPUs && s.MemoryGB <= f.RAM
+func holds(f *protocol.MachineType, s *job.Spec) bool {
+	return s.CPUs <= f.CPUs && s.GPUs <= f.GPUs && s.MemoryGB <= f.MemoryGB
 }
 
 func (c *Core) cancel(id uint64, ref string, tries int) {
@@ -300,7 +300,7 @@
 	}
 	r := c.jobs[ref]
 	if r != nil && r.final() {
-		c.answer(id, 200, protocol.RunState{Ref: ref, Status: string(r.status)}, 0)
+		c.answer(id, 200, protocol.JobState{ID: ref, Status: string(r.status)}, 0)
 		return
 	}
 	key := keyJob + ref
@@ -321,12 +321,12 @@
 		return
 	}
 	rec := r.stored(job.Cancelled)
-	c.store.Txn(budget.Rules, []protocol.Cond{{Key: key, Stamp: r.stamp}}, []protocol.Op{{Write: key, Data: encode(rec)}},
+	c.store.Txn(budget.Rules, []protocol.Compare{{Key: key, ModRevision: r.stamp}}, []protocol.Op{{Put: key, Value: encode(rec)}},
 		func(o bookkeeping.Outcome, _ []string, _ uint64) {
 			switch o {
 			case bookkeeping.OK:
 				c.Stats.Cancelled++
-				c.answer(id, 200, protocol.RunState{Ref: ref, Status: string(job.Cancelled)}, 0)
+				c.answer(id, 200, protocol.JobState{ID: ref, Status: string(job.Cancelled)}, 0)
 				c.spread(ref)
 			case bookkeeping.Conflict, bookkeeping.Unknown:
 				reread()
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -73,7 +73,7 @@
 // job answers questions about one job; false if verb is none of them.
 func (v *view) job(id uint64, ref, verb string) bool {
 	try, isGang := strings.CutPrefix(verb, protocol.PathGang+"/")
-	if verb != protocol.PathDescription && !isGang || !protocol.ValidRef(ref) {
+	if verb != protocol.PathDescription && !isGang || !protocol.ValidJobID(ref) {
 		return false
 	}
 	c := v.c
@@ -108,8 +108,8 @@
 
 func (v *view) describe(id uint64, r *record) {
 	c, s := v.c, r.spec
-	d := protocol.Description{Ref: s.ID, JobClass: s.Class, Crew: s.Team, Shape: s.Shape, Urgency: protocol.UrgencyName(s.Priority),
-		Loads: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, RAM: s.MemoryGB, Kit: s.Image, Size: s.ImageGB, Waypoint: s.Checkpoint, Stow: s.Save,
+	d := protocol.JobDescription{ID: s.ID, Class: s.Class, Team: s.Team, Shape: s.Shape, Priority: protocol.PriorityName(s.Priority),
+		Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Image: s.Image, ImageGB: s.ImageGB, CheckpointIntervalS: s.Checkpoint, CheckpointSaveS: s.Save,
 		Complete: s.Shape == job.Gang && (r.finished > 0 || r.status == job.Done)}
 	v.withExtra(id, r, func(x *job.Extra) {
 		if d.Extra = x; x == nil {
@@ -126,7 +126,7 @@
 				c.refuse(id, 503, "an input's record is not known yet")
 				return
 			}
-			d.Inputs = append(d.Inputs, protocol.InputCopy{DataSet: *s, Place: in.Place})
+			d.Inputs = append(d.Inputs, protocol.InputCopy{DataSet: *s, Path: in.Place})
 		}
 		v.sealTerms(&d)
 		c.answer(id, 200, d, 0)
@@ -165,9 +165,9 @@
 }
 
 // sealTerms adds to a description the half of the grant that is the job's.
-func (v *view) sealTerms(d *protocol.Description) {
+func (v *view) sealTerms(d *protocol.JobDescription) {
 	if v.seal != nil {
-		d.Seal = v.seal.SealTerms(d.Ref, archive.TermsOf(d))
+		d.Grant = v.seal.SealTerms(d.ID, archive.TermsOf(d))
 	}
 }
 
@@ -181,12 +181,12 @@
 }
 
 // gang tells where the tasks of an attempt are, as far as the mirror shows.
-func (v *view) gang(r *record, try int) protocol.GangPlaces {
-	out := protocol.GangPlaces{Loads: []protocol.GangPlace{}}
+func (v *view) gang(r *record, try int) protocol.GangMembers {
+	out := protocol.GangMembers{Members: []protocol.GangMember{}}
 	for _, p := range r.pages {
 		for i := range p.tasks {
 			if t := &p.tasks[i]; t.Phase == job.Bound && t.Try == try {
-				out.Loads = append(out.Loads, protocol.GangPlace{Index: p.num*v.c.pageTasks() + i, Stoker: t.Machine, Address: v.c.machine(t.Machine).claim.Address})
+				out.Members = append(out.Members, protocol.GangMember{Index: p.num*v.c.pageTasks() + i, Machine: t.Machine, Address: v.c.machine(t.Machine).claim.Address})
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 // list answers an operator's list; false if path is none.
 func (v *view) list(id uint64, path string) bool {
 	path, query, _ := strings.Cut(path, "?")
-	if path != protocol.PathJobs && path != protocol.PathNodes {
+	if path != protocol.PathJobList && path != protocol.PathMachineList {
 		return false
 	}
 	c := v.c
@@ -213,7 +213,7 @@
 		c.refuse(id, 503, "starting")
 		return true
 	}
-	if path == protocol.PathNodes {
+	if path == protocol.PathMachineList {
 		c.answer(id, 200, v.nodes(q.Get("from")), 0)
 	} else {
 		c.answer(id, 200, v.jobs(q.Get("from"), q.Get("all") == "true"), 0)
@@ -243,13 +243,13 @@
 		which = c.jobs
 	}
 	names, more := after(which, from, func(*record) bool { return true })
-	out := protocol.JobPage{Jobs: []protocol.JobLine{}, Truncated: more}
+	out := protocol.JobPage{Jobs: []protocol.JobSummary{}, Truncated: more}
 	for _, n := range names {
 		r := c.jobs[n]
 		s := c.state(r)
-		out.Jobs = append(out.Jobs, protocol.JobLine{Ref: n, Status: s.Status, JobClass: r.spec.Class, Crew: r.spec.Team,
-			Shape: protocol.ShapeName(r.spec.Shape), Urgency: protocol.UrgencyName(r.spec.Priority), Loads: r.spec.Tasks,
-			Done: *s.Done, Running: *s.Running, AgeS: float64(c.wall.UnixMilli()-r.at) / 1000, Waits: v.waits(r)})
+		out.Jobs = append(out.Jobs, protocol.JobSummary{ID: n, Status: s.Status, Class: r.spec.Class, Team: r.spec.Team,
+			Shape: protocol.ShapeName(r.spec.Shape), Priority: protocol.PriorityName(r.spec.Priority), Tasks: r.spec.Tasks,
+			Done: *s.Done, Running: *s.Running, AgeS: float64(c.wall.UnixMilli()-r.at) / 1000, WaitingFor: v.waits(r)})
 	}
 	return out
 }
@@ -274,10 +274,10 @@
 	return "room"
 }
 
-func (v *view) nodes(from string) protocol.NodePage {
+func (v *view) nodes(from string) protocol.MachinePage {
 	c := v.c
 	names, more := after(c.machines, from, func(m *machine) bool { return m.stamp != 0 })
-	out := protocol.NodePage{Nodes: []protocol.NodeLine{}, Truncated: more}
+	out := protocol.MachinePage{Machines: []protocol.MachineSummary{}, Truncated: more}
 	for _, n := range names {
 		m := c.machines[n]
 		k := c.kind(m)
@@ -285,13 +285,13 @@
 		if d, ok := c.drains[n]; ok {
 			status = "draining: " + d.Why
 		}
-		line := protocol.NodeLine{Stoker: n, Rig: m.claim.Type, Depot: m.claim.Zone, Casual: m.claim.Spot, Address: m.claim.Address,
-			Owner: m.claim.Owner, Status: status, Loads: len(m.bound), CPUsAll: k.CPUs, GPUsAll: k.GPUs, RAMAll: k.RAM}
+		line := protocol.MachineSummary{Machine: n, MachineType: m.claim.Type, Zone: m.claim.Zone, Spot: m.claim.Spot, Address: m.claim.Address,
+			Owner: m.claim.Owner, Status: status, Tasks: len(m.bound), CPUCapacity: k.CPUs, GPUCapacity: k.GPUs, MemoryCapacityGB: k.MemoryGB}
 		for _, k := range m.tasks() { // in order, so that equal inputs give equal sums
 			s := m.bound[k].spec
-			line.CPUs, line.GPUs, line.RAM = line.CPUs+s.CPUs, line.GPUs+s.GPUs, line.RAM+s.MemoryGB
+			line.CPUs, line.GPUs, line.MemoryGB = line.CPUs+s.CPUs, line.GPUs+s.GPUs, line.MemoryGB+s.MemoryGB
 		}
-		out.Nodes = append(out.Nodes, line)
+		out.Machines = append(out.Machines, line)
 	}
 	return out
 }
--- a/internal/coordination/welcome_test.go
+++ b/internal/coordination/welcome_test.go
@@ -13,7 +13,7 @@
 // believed, as the mirror has not reached the claim, was answered without orders, its
 // lease renewed, for as long as the watch was late.
 func TestEveryAnswerStopsWhatIsCancelled(t *testing.T) {
-	load := protocol.Load{Load: "wk-700000/0", Try: 1, Status: protocol.LoadRunning}
+	load := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}
 	for _, v := range []struct {
 		name   string
 		status job.Status
@@ -28,19 +28,19 @@
 	} {
 		s := newScript(t)
 		s.pass(100 * time.Millisecond)
-		p := protocol.EntryPage{Ledger: 100}
+		p := protocol.KeyValuePage{Revision: 100}
 		if v.status != "" {
-			p.Entries = []protocol.Entry{{Key: keyJob + "wk-700000", Data: encode(storedJob{lateSpec(), v.status, 1, "n0"}), Stamp: 90}}
+			p.KeyValues = []protocol.KeyValue{{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), v.status, 1, "n0"}), ModRevision: 90}}
 		}
 		s.reply(protocol.PathKeys+"?", "", 200, p)
 		if v.vouch != nil {
 			s.take(s.c.Peer(s.clock(), "n0", Message{Vouch: v.vouch}))
 		}
 		s.report(0, 1, load)
-		s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Ledger: 120}) // which the watch does not reach
+		s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120}) // which the watch does not reach
 		s.at += 500 * time.Millisecond
 		a := s.report(120, 2, load)
-		if a.Baton != 120 || len(a.Orders) != v.kills || v.kills > 0 && a.Orders[0].Verb != protocol.VerbKill {
+		if a.FencingToken != 120 || len(a.Commands) != v.kills || v.kills > 0 && a.Commands[0].Verb != protocol.VerbKill {
 			t.Errorf("%s: answered with %+v, want %d kills", v.name, a, v.kills)
 		}
 	}
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -89,7 +89,7 @@
 
 // load is the work on a machine, by the records and by what is planned.
 type load struct {
-	kind     *protocol.Flavor // of its type, nil while that is not known
+	kind     *protocol.MachineType // of its type, nil while that is not known
 	bound    map[taskKey]*record
 	boundAt  map[taskKey]binding     // when it was bound
 	gone     map[taskKey]*record     // bound by the records, but known to have left: their room is free
@@ -141,11 +141,11 @@
 }
 
 // unknownKind stands for a type that the catalogue lacks; it holds nothing.
-var unknownKind protocol.Flavor
+var unknownKind protocol.MachineType
 
 // kind is a machine's type.
-func (c *Core) kind(m *machine) *protocol.Flavor {
-	if m.kind == nil || m.kind.SKU != m.claim.Type {
+func (c *Core) kind(m *machine) *protocol.MachineType {
+	if m.kind == nil || m.kind.Name != m.claim.Type {
 		if m.kind = c.catalogue[m.claim.Type]; m.kind == nil {
 			return &unknownKind
 		}
@@ -274,7 +274,7 @@
 }
 
 // drain writes a machine's drain record, under further conditions if any.
-func (c *Core) drain(m *machine, why string, conds ...protocol.Cond) {
+func (c *Core) drain(m *machine, why string, conds ...protocol.Compare) {
 	// Guards against two judgements that take turns on one machine and eat up
 	// the state service's rate: only a graver one replaces an earlier one, and
 	// only while it makes a difference to what is on the machine.
@@ -286,9 +286,9 @@
 	c.log.Debug("draining", "stoker", m.id, "why", why)
 	// The claim is a condition too: a controller that was cut off must not
 	// judge machines that have long reported to another.
-	conds = append(conds, protocol.Cond{Key: keyDrain + m.id, Stamp: c.store.Stamp(keyDrain + m.id)})
+	conds = append(conds, protocol.Compare{Key: keyDrain + m.id, ModRevision: c.store.Stamp(keyDrain + m.id)})
 	c.store.Txn(m.class(), append(conds, m.holding()...),
-		[]protocol.Op{{Write: keyDrain + m.id, Data: encode(drain{why})}}, func(bookkeeping.Outcome, []string, uint64) {
+		[]protocol.Op{{Put: keyDrain + m.id, Value: encode(drain{why})}}, func(bookkeeping.Outcome, []string, uint64) {
 			m.draining = false
 		})
 }
--- a/internal/dataset/manifest.go
+++ b/internal/dataset/manifest.go
@@ -125,7 +125,7 @@
 	}
 	for i := range m.Files {
 		f := &m.Files[i]
-		if !protocol.ValidPlace(f.Path) {
+		if !protocol.ValidRelativePath(f.Path) {
 			return fmt.Errorf("files[%d].path: not a path inside", i)
 		}
 		if i > 0 && m.Files[i-1].Path >= f.Path {
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -37,7 +37,7 @@
 // goroutines.
 type Observer interface {
 	// Describe returns a job's description; false: nobody has submitted it.
-	Describe(id string) (*protocol.Description, bool)
+	Describe(id string) (*protocol.JobDescription, bool)
 	// RunTime is how long a task runs; 0: until it is stopped.
 	RunTime(id string, index int) time.Duration
 	// Started and Stopped bracket the time for which a task is on a machine. done
@@ -122,7 +122,7 @@
 		return fmt.Errorf("worker %s: %w", m.Name, err)
 	}
 	w := &worker{fleet: f, machine: m, address: listener.Addr().String(), running: map[agent.Key]*time.Timer{}, images: map[string]bool{}}
-	me := protocol.Report{Stoker: m.Name, Address: w.address, Rig: m.Type, Depot: m.Zone, Casual: m.Spot}
+	me := protocol.Heartbeat{Worker: m.Name, Address: w.address, MachineType: m.Type, Zone: m.Zone, Spot: m.Spot}
 	w.state = agent.NewWorker(me, m.Room, f.periods, f.nodes, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: reportPatience, ErrorLog: nil}
 	f.mu.Lock()
@@ -367,8 +367,8 @@
 // sizeOf is the size of an image that a task here waits for, in GB.
 func (w *worker) sizeOf(name string) float64 {
 	for _, d := range w.state.Descriptions() {
-		if d.Kit == name {
-			return d.Size
+		if d.Image == name {
+			return d.ImageGB
 		}
 	}
 	return 0
@@ -466,7 +466,7 @@
 	stats.Reports.Add(1)
 	stats.BytesOut.Add(int64(len(s.Body) + headBytes))
 	sent := w.fleet.clock()
-	w.fleet.pool.Start(transport.Call{Addr: s.Node.Address, Method: http.MethodPost, Target: protocol.PathCheckin, Body: s.Body, Timeout: reportPatience,
+	w.fleet.pool.Start(transport.Call{Addr: s.Node.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: reportPatience,
 		Done: func(r *transport.Response, _ bool, err error) {
 			w.step(func(now time.Duration) agent.Effects {
 				if err != nil {
@@ -504,7 +504,7 @@
 
 func (w *worker) serve(method, path string, body []byte) (status int, answer []byte) {
 	problem := func(status int, why string) (int, []byte) {
-		return status, protocol.Encode(protocol.Problem{Error: why})
+		return status, protocol.Encode(protocol.ErrorResponse{Error: why})
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -512,7 +512,7 @@
 	switch {
 	case w.stopped:
 		return problem(http.StatusServiceUnavailable, "the machine is gone")
-	case path == protocol.PathOrders && method == http.MethodPost:
+	case path == protocol.PathCommands && method == http.MethodPost:
 		w.fleet.Stats.Orders.Add(1)
 		status, answer, e = w.state.Direct(w.fleet.clock(), body)
 	case path == protocol.PathStatus && method == http.MethodGet:
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -21,8 +21,8 @@
 	mu      sync.Mutex
 	silent  bool
 	token   uint64
-	launch  []protocol.Order
-	reports []protocol.Report
+	launch  []protocol.Command
+	reports []protocol.Heartbeat
 	started int
 	done    int
 	stopped int
@@ -31,7 +31,7 @@
 
 func (s *scripted) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	var report protocol.Report
+	var report protocol.Heartbeat
 	_ = json.Unmarshal(body, &report)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,11 +40,11 @@
 		return
 	}
 	s.reports = append(s.reports, report)
-	_ = json.NewEncoder(out).Encode(protocol.CheckinAnswer{Baton: s.token, Orders: s.launch})
+	_ = json.NewEncoder(out).Encode(protocol.HeartbeatResponse{FencingToken: s.token, Commands: s.launch})
 }
 
-func (s *scripted) Describe(id string) (*protocol.Description, bool) {
-	return &protocol.Description{Ref: id, Shape: job.Array, Loads: 3, CPUs: 1, Kit: "img", Size: 0.01}, id == "wk-000001"
+func (s *scripted) Describe(id string) (*protocol.JobDescription, bool) {
+	return &protocol.JobDescription{ID: id, Shape: job.Array, Tasks: 3, CPUs: 1, Image: "img", ImageGB: 0.01}, id == "wk-000001"
 }
 
 func (s *scripted) RunTime(_ string, index int) time.Duration {
@@ -92,7 +92,7 @@
 // A hollow worker starts what it is told, reports its end, drops orders under a lower token, and
 // kills everything when its lease ends.
 func TestHollowWorker(t *testing.T) {
-	s := &scripted{token: 7, launch: []protocol.Order{{Verb: protocol.VerbLaunch, Load: "wk-000001/0", Try: 1}, {Verb: protocol.VerbLaunch, Load: "wk-000001/1", Try: 1}}}
+	s := &scripted{token: 7, launch: []protocol.Command{{Verb: protocol.VerbLaunch, Task: "wk-000001/0", Attempt: 1}, {Verb: protocol.VerbLaunch, Task: "wk-000001/1", Attempt: 1}}}
 	controller := httptest.NewServer(s)
 	defer controller.Close()
 	f := NewFleet([]agent.Node{{Name: "stoker-0", Address: controller.Listener.Addr().String()}}, agent.Periods{Report: 0.2, Lease: 1.5, GangWait: 5, GangPeer: 1}, "127.0.0.1", 8, s)
@@ -103,13 +103,13 @@
 	s.eventually(t, "two started, one done", func() bool { return s.started == 2 && s.done == 1 })
 	s.eventually(t, "the ending is reported", func() bool {
 		last := s.reports[len(s.reports)-1]
-		return last.Baton == 7 && len(last.Loads) == 2 && last.Loads[0].Status == protocol.LoadEnded && last.Loads[1].Status == protocol.LoadRunning
+		return last.FencingToken == 7 && len(last.Tasks) == 2 && last.Tasks[0].Status == protocol.TaskEnded && last.Tasks[1].Status == protocol.TaskRunning
 	})
 	if tasks, answered := f.Running(); tasks != 1 || answered != 1 {
 		t.Errorf("%d tasks, %d workers answered", tasks, answered)
 	}
-	body := protocol.Encode(protocol.DirectOrders{Baton: 6, Shift: 1, Orders: []protocol.Order{{Verb: protocol.VerbKill, Load: "wk-000001/1", Try: 1}}})
-	answer, err := http.Post("http://"+f.Address("i-1")+protocol.PathOrders, "application/json", bytes.NewReader(body))
+	body := protocol.Encode(protocol.DirectCommands{FencingToken: 6, AgentEpoch: 1, Commands: []protocol.Command{{Verb: protocol.VerbKill, Task: "wk-000001/1", Attempt: 1}}})
+	answer, err := http.Post("http://"+f.Address("i-1")+protocol.PathCommands, "application/json", bytes.NewReader(body))
 	if err != nil || answer.StatusCode != http.StatusConflict {
 		t.Errorf("a lower token: %v %v", answer, err)
 	}
@@ -122,10 +122,10 @@
 	s.mu.Unlock()
 	s.eventually(t, "the next session", func() bool {
 		last := s.reports[len(s.reports)-1]
-		return last.Shift == 2 && len(last.Loads) == 0
+		return last.AgentEpoch == 2 && len(last.Tasks) == 0
 	})
 	f.Restart("i-1")
-	s.eventually(t, "the session after a restart", func() bool { return s.reports[len(s.reports)-1].Shift == 3 })
+	s.eventually(t, "the session after a restart", func() bool { return s.reports[len(s.reports)-1].AgentEpoch == 3 })
 	f.Remove("i-1")
 	if len(f.Names("")) != 0 || f.Address("i-1") != "" {
 		t.Error("the worker is still there")
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -7,7 +7,7 @@
 
 // Targets.
 const (
-	ToState Target = iota
+	ToStateService Target = iota
 	ToCloud
 	ToWorker
 )
--- a/internal/protocol/data.go
+++ b/internal/protocol/data.go
@@ -53,7 +53,7 @@
 // accepted.
 const LatestVersion = "latest"
 
-func knownUrgency(s string) bool {
+func validPriority(s string) bool {
 	_, ok := priorities[s]
 	return ok
 }
@@ -82,30 +82,30 @@
 
 // Staging announces work: so many machines are to hold a data set by a time.
 type Staging struct {
-	Ref      string  `json:"ref"` // chosen by whoever announces; unique
+	ID       string  `json:"ref"` // chosen by whoever announces; unique
 	Set      string  `json:"set"`
 	Version  string  `json:"version"`
-	Crew     string  `json:"crew"`
-	Urgency  string  `json:"urgency"` // of the work that will come
+	Team     string  `json:"crew"`
+	Priority string  `json:"urgency"` // of the work that will come
 	ByS      float64 `json:"byS"`     // from now
 	Machines int     `json:"machines"`
-	Depot    *string `json:"depot"`
+	Zone     *string `json:"depot"`
 }
 
 // Check names the first field that can't be.
 func (s *Staging) Check() error {
 	switch {
-	case !ValidName(s.Ref) || len(s.Ref) > 60:
+	case !ValidName(s.ID) || len(s.ID) > 60:
 		return errors.New("ref: missing, too long or not a name")
 	case !ValidName(s.Set):
 		return errors.New("set: missing or not a name")
 	case !ValidName(s.Version):
 		return errors.New("version: missing or not a name")
-	case s.Crew == "":
+	case s.Team == "":
 		return errors.New("crew: missing")
-	case !knownUrgency(s.Urgency):
+	case !validPriority(s.Priority):
 		return errors.New("urgency: unknown")
-	case !amount(s.ByS) || s.ByS > 7*86400:
+	case !isFiniteAmount(s.ByS) || s.ByS > 7*86400:
 		return errors.New("byS: missing, or more than a week")
 	case s.Machines < 1 || s.Machines > 10_000:
 		return errors.New("machines: missing, or not from 1 to 10000")
@@ -148,5 +148,5 @@
 // InputCopy is an input of a job as its description tells it.
 type InputCopy struct {
 	DataSet
-	Place string `json:"place"`
+	Path string `json:"place"`
 }
--- a/internal/protocol/extra.go
+++ b/internal/protocol/extra.go
@@ -15,8 +15,8 @@
 const (
 	PathDescription = "description" // after a job's path: all that a worker needs
 	PathGang        = "gang"        // after a job's path, with an attempt: where its tasks are
-	PathJobs        = "/v2/list/jobs"
-	PathNodes       = "/v2/list/nodes"
+	PathJobList     = "/v2/list/jobs"
+	PathMachineList = "/v2/list/nodes"
 )
 
 // Limits of the extension fields.
@@ -78,7 +78,7 @@
 		return nil, fmt.Errorf("keep: more than %d patterns", maxKeep)
 	}
 	for i, p := range x.Keep {
-		if _, err := path.Match(p, "x"); err != nil || !ValidPlace(p) {
+		if _, err := path.Match(p, "x"); err != nil || !ValidRelativePath(p) {
 			return nil, fmt.Errorf("keep[%d]: not a pattern of files inside the working directory", i)
 		}
 	}
@@ -94,7 +94,7 @@
 		if in.Version == nil || !ValidName(*in.Version) {
 			return nil, fmt.Errorf("inputs[%d].version: missing or not a version", i)
 		}
-		if in.Place == nil || !ValidPlace(*in.Place) {
+		if in.Place == nil || !ValidRelativePath(*in.Place) {
 			return nil, fmt.Errorf("inputs[%d].place: missing or not a path inside the working directory", i)
 		}
 		for p := range places {
@@ -132,37 +132,37 @@
 
 // ValidName tells whether s can name a data set, a version or an image: it is
 // safe in a key, in a path and as a file's name.
-func ValidName(s string) bool { return keySafe(s) && s[0] != '.' && s[0] != '-' }
+func ValidName(s string) bool { return validKeySegment(s) && s[0] != '.' && s[0] != '-' }
 
 // ValidPlace tells whether s is a clean relative path that leads nowhere else.
-func ValidPlace(s string) bool {
+func ValidRelativePath(s string) bool {
 	return s != "" && len(s) <= 1000 && utf8.ValidString(s) && !strings.ContainsAny(s, "\x00\\") && path.Clean(s) == s &&
 		s != "." && s != ".." && !strings.HasPrefix(s, "/") && !strings.HasPrefix(s, "../")
 }
 
 // Description is all that a worker needs to run a job's tasks.
-type Description struct {
-	Ref      string      `json:"ref"`
-	JobClass string      `json:"jobclass"`
-	Crew     string      `json:"crew"`
-	Shape    job.Shape   `json:"shape"`
-	Urgency  string      `json:"urgency"`
-	Loads    int         `json:"loads"`
-	CPUs     float64     `json:"cpus"`
-	GPUs     float64     `json:"accelerators"`
-	RAM      float64     `json:"ramGb"`
-	Kit      string      `json:"kit"`
-	Size     float64     `json:"sizeGb"`
-	Waypoint float64     `json:"waypointS"`
-	Stow     float64     `json:"stowS"`
-	Complete bool        `json:"complete,omitempty"` // a gang of which a task is done: all are
-	Extra    *job.Extra  `json:"extra,omitempty"`
-	Inputs   []InputCopy `json:"inputs,omitempty"` // with the versions resolved
-	Seal     string      `json:"seal,omitempty"`   // of the terms of archive.Grant
+type JobDescription struct {
+	ID                  string      `json:"ref"`
+	Class               string      `json:"jobclass"`
+	Team                string      `json:"crew"`
+	Shape               job.Shape   `json:"shape"`
+	Priority            string      `json:"urgency"`
+	Tasks               int         `json:"loads"`
+	CPUs                float64     `json:"cpus"`
+	GPUs                float64     `json:"accelerators"`
+	MemoryGB            float64     `json:"ramGb"`
+	Image               string      `json:"kit"`
+	ImageGB             float64     `json:"sizeGb"`
+	CheckpointIntervalS float64     `json:"waypointS"`
+	CheckpointSaveS     float64     `json:"stowS"`
+	Complete            bool        `json:"complete,omitempty"` // a gang of which a task is done: all are
+	Extra               *job.Extra  `json:"extra,omitempty"`
+	Inputs              []InputCopy `json:"inputs,omitempty"` // with the versions resolved
+	Grant               string      `json:"seal,omitempty"`   // of the terms of archive.Grant
 }
 
 // UrgencyName is the wire name of a priority.
-func UrgencyName(p job.Priority) string {
+func PriorityName(p job.Priority) string {
 	for n, v := range priorities {
 		if v == p {
 			return n
@@ -172,7 +172,7 @@
 }
 
 // Pressing tells whether the wire name of a priority is one that others wait for.
-func Pressing(urgency string) bool { return urgency == "prod" || urgency == "urgent" }
+func IsUrgent(urgency string) bool { return urgency == "prod" || urgency == "urgent" }
 
 // ShapeName is the wire name of a shape.
 func ShapeName(s job.Shape) string {
@@ -185,58 +185,58 @@
 }
 
 // GangPlaces tells where the tasks of a gang's attempt are.
-type GangPlaces struct {
-	Loads []GangPlace `json:"loads"`
+type GangMembers struct {
+	Members []GangMember `json:"loads"`
 }
 
 // GangPlace is one task's machine.
-type GangPlace struct {
+type GangMember struct {
 	Index   int    `json:"index"`
-	Stoker  string `json:"stoker"`
+	Machine string `json:"stoker"`
 	Address string `json:"address"`
 }
 
 // JobLine is a job as operators list it.
-type JobLine struct {
-	Ref      string  `json:"ref"`
-	Status   string  `json:"status"`
-	JobClass string  `json:"jobclass"`
-	Crew     string  `json:"crew"`
-	Shape    string  `json:"shape"`
-	Urgency  string  `json:"urgency"`
-	Loads    int     `json:"loads"`
-	Done     int     `json:"done"`
-	Running  int     `json:"running"`
-	AgeS     float64 `json:"ageS"`
-	Waits    string  `json:"waits,omitempty"` // what an open job's tasks wait for
+type JobSummary struct {
+	ID         string  `json:"ref"`
+	Status     string  `json:"status"`
+	Class      string  `json:"jobclass"`
+	Team       string  `json:"crew"`
+	Shape      string  `json:"shape"`
+	Priority   string  `json:"urgency"`
+	Tasks      int     `json:"loads"`
+	Done       int     `json:"done"`
+	Running    int     `json:"running"`
+	AgeS       float64 `json:"ageS"`
+	WaitingFor string  `json:"waits,omitempty"` // what an open job's tasks wait for
 }
 
 // JobPage is a page of jobs, in the order of their names.
 type JobPage struct {
-	Jobs      []JobLine `json:"jobs"`
-	Truncated bool      `json:"truncated"`
+	Jobs      []JobSummary `json:"jobs"`
+	Truncated bool         `json:"truncated"`
 }
 
 // NodeLine is a machine as operators list it.
-type NodeLine struct {
-	Stoker  string  `json:"stoker"`
-	Rig     string  `json:"rig"`
-	Depot   string  `json:"depot"`
-	Casual  bool    `json:"casual"`
-	Address string  `json:"address"`
-	Owner   string  `json:"owner"`
-	Status  string  `json:"status"`
-	Loads   int     `json:"loads"`
-	CPUs    float64 `json:"cpus"`
-	CPUsAll float64 `json:"cpusOf"`
-	GPUs    float64 `json:"accelerators"`
-	GPUsAll float64 `json:"acceleratorsOf"`
-	RAM     float64 `json:"ramGb"`
-	RAMAll  float64 `json:"ramGbOf"`
+type MachineSummary struct {
+	Machine          string  `json:"stoker"`
+	MachineType      string  `json:"rig"`
+	Zone             string  `json:"depot"`
+	Spot             bool    `json:"casual"`
+	Address          string  `json:"address"`
+	Owner            string  `json:"owner"`
+	Status           string  `json:"status"`
+	Tasks            int     `json:"loads"`
+	CPUs             float64 `json:"cpus"`
+	CPUCapacity      float64 `json:"cpusOf"`
+	GPUs             float64 `json:"accelerators"`
+	GPUCapacity      float64 `json:"acceleratorsOf"`
+	MemoryGB         float64 `json:"ramGb"`
+	MemoryCapacityGB float64 `json:"ramGbOf"`
 }
 
 // NodePage is a page of machines, in the order of their names.
-type NodePage struct {
-	Nodes     []NodeLine `json:"nodes"`
-	Truncated bool       `json:"truncated"`
+type MachinePage struct {
+	Machines  []MachineSummary `json:"nodes"`
+	Truncated bool             `json:"truncated"`
 }
--- a/internal/protocol/json_test.go
+++ b/internal/protocol/json_test.go
@@ -11,15 +11,15 @@
 
 // drawReport makes a report, or with luck something close to one.
 func drawReport(t *rapid.T) []byte {
-	r := Report{Stoker: rapid.StringMatching(`i-[0-9]{6}`).Draw(t, "stoker"), Address: "10.1.0.232:9000", Rig: "g8",
-		Depot: rapid.String().Draw(t, "depot"), Shift: rapid.Uint64().Draw(t, "shift"), Tally: rapid.Uint64().Draw(t, "tally")}
+	r := Heartbeat{Worker: rapid.StringMatching(`i-[0-9]{6}`).Draw(t, "stoker"), Address: "10.1.0.232:9000", MachineType: "g8",
+		Zone: rapid.String().Draw(t, "depot"), AgentEpoch: rapid.Uint64().Draw(t, "shift"), Sequence: rapid.Uint64().Draw(t, "tally")}
 	if rapid.Bool().Draw(t, "recalled") {
 		s := rapid.Float64Range(0, 1e6).Draw(t, "recallS")
-		r.RecallS = &s
+		r.PreemptionNoticeS = &s
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "loads") {
-		r.Loads = append(r.Loads, Load{Load: rapid.StringMatching(`wk-[0-9]{6}/[0-9]`).Draw(t, "load"), Try: rapid.Int().Draw(t, "try"),
-			Status: rapid.String().Draw(t, "status"), Saved: rapid.Bool().Draw(t, "saved")})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: rapid.StringMatching(`wk-[0-9]{6}/[0-9]`).Draw(t, "load"), Attempt: rapid.Int().Draw(t, "try"),
+			Status: rapid.String().Draw(t, "status"), Checkpointed: rapid.Bool().Draw(t, "saved")})
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -44,7 +44,7 @@
 func TestDecodeAgreesWithTheStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawReport(t)
-		var got, want Report
+		var got, want Heartbeat
 		err, plain := Decode(b, &got), json.Unmarshal(b, &want)
 		if (err == nil) != (plain == nil) {
 			t.Fatalf("%s: %v, the standard library says %v", b, err, plain)
@@ -59,9 +59,9 @@
 // the other reads alike.
 func TestEncodeAgreesWithTheStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Op{Write: rapid.String().Draw(t, "key"), Permit: rapid.Uint64().Draw(t, "permit"),
-			Data: Encode(Order{Verb: rapid.String().Draw(t, "verb"), Load: "<&>\u2028", Try: rapid.Int().Draw(t, "try")})}
-		x := Txn{If: []Cond{{Key: o.Write, Stamp: o.Permit}}, Then: []Op{o, {Drop: "x"}}}
+		o := Op{Put: rapid.String().Draw(t, "key"), Lease: rapid.Uint64().Draw(t, "permit"),
+			Value: Encode(Command{Verb: rapid.String().Draw(t, "verb"), Task: "<&>\u2028", Attempt: rapid.Int().Draw(t, "try")})}
+		x := Txn{Compares: []Compare{{Key: o.Put, ModRevision: o.Lease}}, Ops: []Op{o, {Delete: "x"}}}
 		want, err := json.Marshal(x)
 		if err != nil {
 			t.Fatal(err)
@@ -77,7 +77,7 @@
 func TestDecodeRefusesDeepNesting(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`, `[{"a":`} {
 		body := `{"stoker":"i-1","x":` + strings.Repeat(open, 60_000/len(open))
-		if _, err := ParseReport([]byte(body)); err != errNesting {
+		if _, err := ParseHeartbeat([]byte(body)); err != errNesting {
 			t.Errorf("%s: %v", open, err)
 		}
 	}
@@ -87,14 +87,14 @@
 }
 
 func BenchmarkParseReport(b *testing.B) {
-	r := Report{Stoker: "i-000231", Address: "10.1.0.232:9000", Rig: "g8", Depot: "a", Shift: 1, Tally: 88, Baton: 41}
+	r := Heartbeat{Worker: "i-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", AgentEpoch: 1, Sequence: 88, FencingToken: 41}
 	for range 8 {
-		r.Loads = append(r.Loads, Load{Load: "wk-000412/3", Try: 1, Status: LoadRunning})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: "wk-000412/3", Attempt: 1, Status: TaskRunning})
 	}
 	body := Encode(r)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := ParseReport(body); err != nil {
+		if _, err := ParseHeartbeat(body); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return ParseRun(b)
+	return ParseSubmission(b)
 }
 
 func TestParseRun(t *testing.T) {
@@ -82,7 +82,7 @@
 
 func TestParseRunRefusesOtherBodies(t *testing.T) {
 	for _, b := range []string{"", "null", "[]", "7", `"wk-000001"`, "{", `{"ref":"wk-000001"} x`, `{"ref":7}`, `{"ref":"wk-12"}`, `{"ref":"job-000001"}`, `{"ref":"wk-00000a"}`} {
-		if _, err := ParseRun([]byte(b)); err == nil {
+		if _, err := ParseSubmission([]byte(b)); err == nil {
 			t.Errorf("%q passed", b)
 		}
 	}
@@ -98,13 +98,13 @@
 func TestParseReport(t *testing.T) {
 	good := `{"stoker":"i-000231","address":"10.1.0.232:9000","rig":"g8","depot":"a","casual":true,"shift":1,"tally":88,"baton":41,"recallS":null,
 	 "loads":[{"load":"wk-000412/3","try":2,"status":"running"},{"load":"wk-000398/0","try":1,"status":"ended","cause":"done"}],"new":1}`
-	r, err := ParseReport([]byte(good))
-	if err != nil || r.Baton != 41 || len(r.Loads) != 2 || r.Loads[1].Cause != CauseDone || r.RecallS != nil {
+	r, err := ParseHeartbeat([]byte(good))
+	if err != nil || r.FencingToken != 41 || len(r.Tasks) != 2 || r.Tasks[1].Cause != CauseDone || r.PreemptionNoticeS != nil {
 		t.Fatalf("%+v %v", r, err)
 	}
 	for _, bad := range []string{"", "{}", `{"stoker":"a b","rig":"g","depot":"a","shift":1}`, `{"stoker":"i/1","rig":"g","depot":"a","shift":1}`,
 		`{"stoker":"i-1","rig":"g","depot":"a"}`, `{"stoker":"i-1","rig":"g","depot":"a","shift":-1}`} {
-		if _, err := ParseReport([]byte(bad)); err == nil {
+		if _, err := ParseHeartbeat([]byte(bad)); err == nil {
 			t.Errorf("%q passed", bad)
 		}
 	}
@@ -134,12 +134,12 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if r, err := ParseReport(raw); err == nil && (!keySafe(r.Stoker) || r.Shift == 0) {
+		if r, err := ParseHeartbeat(raw); err == nil && (!validKeySegment(r.Worker) || r.AgentEpoch == 0) {
 			t.Fatalf("%+v", r)
 		}
 		if x, err := ParseExtra(raw); err == nil && x != nil {
 			for _, in := range x.Inputs {
-				if !ValidPlace(in.Place) || strings.HasPrefix(in.Place, "/") || strings.Contains("/"+in.Place+"/", "/../") {
+				if !ValidRelativePath(in.Place) || strings.HasPrefix(in.Place, "/") || strings.Contains("/"+in.Place+"/", "/../") {
 					t.Fatalf("%+v", in)
 				}
 			}
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -159,18 +159,18 @@
 }
 
 // Flavors is the catalogue.
-func (m *Market) Flavors() protocol.Flavors {
-	f := protocol.Flavors{Rigs: []protocol.Flavor{}}
+func (m *Market) Flavors() protocol.MachineTypes {
+	f := protocol.MachineTypes{MachineTypes: []protocol.MachineType{}}
 	for _, t := range m.types {
 		depots := []string{}
 		for z := range t.Depots {
 			depots = append(depots, z)
 		}
 		slices.Sort(depots)
-		f.Rigs = append(f.Rigs, protocol.Flavor{SKU: t.SKU, CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAM, LocalGB: t.LocalGB, PullRate: t.PullRate,
-			Hourly: t.Hourly, SpotPrice: t.SpotPrice, StartupS: t.StartupS, Depots: depots})
+		f.MachineTypes = append(f.MachineTypes, protocol.MachineType{Name: t.SKU, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.RAM, LocalGB: t.LocalGB, ImagePullGBPerS: t.PullRate,
+			OnDemandPrice: t.Hourly, SpotPrice: t.SpotPrice, StartupS: t.StartupS, Zones: depots})
 	}
-	slices.SortFunc(f.Rigs, func(a, b protocol.Flavor) int { return strings.Compare(a.SKU, b.SKU) })
+	slices.SortFunc(f.MachineTypes, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
 	return f
 }
 
@@ -188,32 +188,32 @@
 }
 
 // Rent grants a request, or repeats what it answered before.
-func (m *Market) Rent(now time.Time, r protocol.Rental) ([]string, Effects, error) {
+func (m *Market) Rent(now time.Time, r protocol.RentalRequest) ([]string, Effects, error) {
 	var e Effects
-	if h := m.hires[r.Hire]; h != nil {
+	if h := m.hires[r.RequestID]; h != nil {
 		return h.Stokers, e, nil
 	}
-	t := m.types[r.Rig]
+	t := m.types[r.MachineType]
 	if t == nil {
-		return nil, e, fmt.Errorf("rig: no type %q", r.Rig)
+		return nil, e, fmt.Errorf("rig: no type %q", r.MachineType)
 	}
-	room, ok := t.Depots[r.Depot]
+	room, ok := t.Depots[r.Zone]
 	if !ok {
-		return nil, e, fmt.Errorf("depot: type %s can't be had in %q", r.Rig, r.Depot)
+		return nil, e, fmt.Errorf("depot: type %s can't be had in %q", r.MachineType, r.Zone)
 	}
-	n := min(r.Number, room-m.taken(r.Rig, r.Depot))
+	n := min(r.Count, room-m.taken(r.MachineType, r.Zone))
 	if n <= 0 {
 		return nil, e, ErrNoCapacity
 	}
-	h := &Hire{Name: r.Hire, Stokers: []string{}}
+	h := &Hire{Name: r.RequestID, Stokers: []string{}}
 	price := t.Hourly
-	if r.Casual {
+	if r.Spot {
 		price = t.SpotPrice
 	}
 	for range n {
 		m.next++
-		x := &Machine{Name: fmt.Sprintf("i-%08d", m.next), Rig: r.Rig, Depot: r.Depot, Casual: r.Casual, RentedMS: now.UnixMilli(), Hourly: price}
-		if r.Casual && m.spot.MeanLifeS > 0 {
+		x := &Machine{Name: fmt.Sprintf("i-%08d", m.next), Rig: r.MachineType, Depot: r.Zone, Casual: r.Spot, RentedMS: now.UnixMilli(), Hourly: price}
+		if r.Spot && m.spot.MeanLifeS > 0 {
 			x.RecallMS = now.UnixMilli() + int64(m.rnd.ExpFloat64()*m.spot.MeanLifeS*1000)
 		}
 		m.machines[x.Name] = x
@@ -347,13 +347,13 @@
 
 // List is a page of the machines in the order of their names, after from.
 func (m *Market) List(now time.Time, from string, page int) protocol.RentalList {
-	out := protocol.RentalList{Stokers: []protocol.Listed{}}
+	out := protocol.RentalList{Machines: []protocol.RentedMachine{}}
 	for _, n := range m.names() {
 		x := m.machines[n]
 		if n <= from || x.Taken {
 			continue
 		}
-		if len(out.Stokers) == page {
+		if len(out.Machines) == page {
 			out.Truncated = true
 			break
 		}
@@ -364,7 +364,7 @@
 		case x.address != "":
 			status = protocol.StatusRunning
 		}
-		out.Stokers = append(out.Stokers, protocol.Listed{Ref: n, Address: x.address, Rig: x.Rig, Depot: x.Depot, Casual: x.Casual, Status: status,
+		out.Machines = append(out.Machines, protocol.RentedMachine{Name: n, Address: x.address, MachineType: x.Rig, Zone: x.Depot, Spot: x.Casual, Status: status,
 			AgeS: math.Max(0, float64(now.UnixMilli()-x.RentedMS)/1000)})
 	}
 	return out
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -607,14 +607,14 @@
 			retry = 1
 			p.stats.Refused++
 		}
-		p.server.Answer(id, status, protocol.Encode(protocol.Problem{Error: fmt.Sprintf(format, args...)}), retry)
+		p.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)}), retry)
 	}
 	if !p.m.Admit(now) {
 		refuse(http.StatusTooManyRequests, "more than %g requests a second", p.cfg.RPS)
 		return
 	}
 	switch {
-	case r.Path == protocol.PathFlavors && r.Method == http.MethodGet:
+	case r.Path == protocol.PathMachineTypes && r.Method == http.MethodGet:
 		p.server.Answer(id, http.StatusOK, protocol.Encode(p.m.Flavors()), 0)
 	case r.Path == protocol.PathRentals && r.Method == http.MethodPost:
 		q, err := readRental(r.Body)
@@ -630,9 +630,9 @@
 			refuse(http.StatusBadRequest, "%v", err)
 		case p.do(e):
 			p.stats.Rented += uint64(len(e.Store))
-			p.server.Answer(id, http.StatusOK, protocol.Encode(protocol.Names{Stokers: names}), 0)
+			p.server.Answer(id, http.StatusOK, protocol.Encode(protocol.MachineNames{Machines: names}), 0)
 		}
-	case r.Path == protocol.PathDelete && r.Method == http.MethodPost:
+	case r.Path == protocol.PathRentalsDelete && r.Method == http.MethodPost:
 		names, err := readNames(r.Body)
 		if err != nil {
 			refuse(http.StatusBadRequest, "%v", err)
@@ -655,7 +655,7 @@
 			return
 		}
 		p.server.Answer(id, http.StatusOK, protocol.Encode(p.m.List(now, from, page)), 0)
-	case slices.Contains([]string{protocol.PathFlavors, protocol.PathRentals, protocol.PathDelete, PathRecalls}, r.Path):
+	case slices.Contains([]string{protocol.PathMachineTypes, protocol.PathRentals, protocol.PathRentalsDelete, PathRecalls}, r.Path):
 		refuse(http.StatusMethodNotAllowed, "method not allowed")
 	default:
 		refuse(http.StatusNotFound, "no such path")
@@ -679,7 +679,7 @@
 	}
 }
 
-func readRental(body []byte) (r protocol.Rental, err error) {
+func readRental(body []byte) (r protocol.RentalRequest, err error) {
 	var v struct {
 		Hire   *string  `json:"hire"`
 		Rig    *string  `json:"rig"`
@@ -702,7 +702,7 @@
 	case v.Number == nil || *v.Number != float64(int(*v.Number)) || *v.Number < 1 || *v.Number > maxRental:
 		return r, fmt.Errorf("number: missing or not between 1 and %d", maxRental)
 	}
-	return protocol.Rental{Hire: *v.Hire, Rig: *v.Rig, Depot: *v.Depot, Casual: *v.Casual, Number: int(*v.Number)}, nil
+	return protocol.RentalRequest{RequestID: *v.Hire, MachineType: *v.Rig, Zone: *v.Depot, Spot: *v.Casual, Count: int(*v.Number)}, nil
 }
 
 type namesBody struct {
@@ -749,7 +749,7 @@
 	now := time.Now()
 	s := p.stats
 	s.Machines = map[string]int{}
-	for _, l := range p.m.List(now, "", 1<<30).Stokers {
+	for _, l := range p.m.List(now, "", 1<<30).Machines {
 		s.Machines[l.Status]++
 	}
 	s.Paid = p.m.Paid(now)
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -115,11 +115,11 @@
 			all := m.names()
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0, 1:
-				r := protocol.Rental{Hire: fmt.Sprint("h", rapid.IntRange(0, 12).Draw(t, "hire")), Rig: "t",
-					Depot: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "depot"), Casual: rapid.Bool().Draw(t, "casual"), Number: rapid.IntRange(1, 4).Draw(t, "number")}
+				r := protocol.RentalRequest{RequestID: fmt.Sprint("h", rapid.IntRange(0, 12).Draw(t, "hire")), MachineType: "t",
+					Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "depot"), Spot: rapid.Bool().Draw(t, "casual"), Count: rapid.IntRange(1, 4).Draw(t, "number")}
 				got, e, err := m.Rent(now, r)
 				store(e)
-				old, known := answers[r.Hire]
+				old, known := answers[r.RequestID]
 				switch {
 				case known && (err != nil || !slices.Equal(old, got) || e.Hire != nil):
 					t.Fatalf("a repeated request got %v %v instead of %v", got, err, old)
@@ -131,8 +131,8 @@
 						}
 						names[n] = true
 					}
-					answers[r.Hire] = got
-				case r.Depot != "c" && !errors.Is(err, ErrNoCapacity):
+					answers[r.RequestID] = got
+				case r.Zone != "c" && !errors.Is(err, ErrNoCapacity):
 					t.Fatal(err)
 				}
 			case 2:
@@ -183,7 +183,7 @@
 				}
 			}
 			l := m.List(now, "", 1<<20)
-			if !slices.IsSortedFunc(l.Stokers, func(a, b protocol.Listed) int { return strings.Compare(a.Ref, b.Ref) }) {
+			if !slices.IsSortedFunc(l.Machines, func(a, b protocol.RentedMachine) int { return strings.Compare(a.Name, b.Name) }) {
 				t.Fatal("the list is not in order")
 			}
 		}
@@ -258,7 +258,7 @@
 		}
 	}
 	addr := start()
-	rent := protocol.Rental{Hire: "r-1", Rig: "t", Depot: "a", Number: 2}
+	rent := protocol.RentalRequest{RequestID: "r-1", MachineType: "t", Zone: "a", Count: 2}
 	st, first := do(addr, "POST", protocol.PathRentals, rent)
 	if st != 200 {
 		t.Fatal(st, first)
@@ -282,13 +282,13 @@
 	addr = start()
 	running(addr, 2)
 	// A deletion is asked for and the provider killed at once.
-	var names protocol.Names
+	var names protocol.MachineNames
 	_ = json.Unmarshal([]byte(first), &names)
-	go do(addr, "POST", protocol.PathDelete, names)
+	go do(addr, "POST", protocol.PathRentalsDelete, names)
 	time.Sleep(3 * time.Millisecond)
 	kill()
 	addr = start()
-	if st, body := do(addr, "POST", protocol.PathDelete, names); st != 200 {
+	if st, body := do(addr, "POST", protocol.PathRentalsDelete, names); st != 200 {
 		t.Fatal(st, body)
 	}
 	if left := agents(); len(left) > 0 {
@@ -336,7 +336,7 @@
 		t.Fatal(err)
 	}
 	p.mu.Lock()
-	_, e, err := p.m.Rent(time.Now(), protocol.Rental{Hire: "h", Rig: "t", Depot: "a", Number: 2})
+	_, e, err := p.m.Rent(time.Now(), protocol.RentalRequest{RequestID: "h", MachineType: "t", Zone: "a", Count: 2})
 	if err != nil || p.store(e) != nil {
 		t.Fatal(err)
 	}
--- a/internal/reach/relay.go
+++ b/internal/reach/relay.go
@@ -191,7 +191,7 @@
 	r.desk.carried[from]++
 	r.desk.all++
 	r.Stats.Carried++
-	return protocol.Call{Target: protocol.ToState, Method: c.Method, Path: c.Path, Body: c.Body, Timeout: wait}, nil
+	return protocol.Call{Target: protocol.ToStateService, Method: c.Method, Path: c.Path, Body: c.Body, Timeout: wait}, nil
 }
 
 // allowed tells whether a call is one that controllers make of the state service.
@@ -204,7 +204,7 @@
 	case http.MethodGet:
 		return path == protocol.PathKeys || strings.HasPrefix(path, protocol.PathKeys+"/") || path == protocol.PathWatch
 	case http.MethodPost:
-		return path == protocol.PathTxn || path == protocol.PathGrants || strings.HasPrefix(path, protocol.PathGrants+"/")
+		return path == protocol.PathTxn || path == protocol.PathLeases || strings.HasPrefix(path, protocol.PathLeases+"/")
 	}
 	return false
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -233,7 +233,7 @@
 		delete(t.txns, in.ID)
 		var r protocol.TxnResult
 		if in.Status == 200 && json.Unmarshal(in.Body, &r) == nil {
-			line.Commits = r.Ledger
+			line.Commits = r.Revision
 		}
 	}
 	for i := range e.Calls {
@@ -266,17 +266,17 @@
 	if in.Kind != recorder.Request || !strings.Contains(string(in.Body), `"`+name+`"`) && !strings.Contains(in.Path, name) {
 		return ""
 	}
-	if in.Path != protocol.PathCheckin {
+	if in.Path != protocol.PathHeartbeat {
 		return "is asked " + in.Method + " " + in.Path
 	}
-	r, err := protocol.ParseReport(in.Body)
+	r, err := protocol.ParseHeartbeat(in.Body)
 	if err != nil {
 		return ""
 	}
-	out := fmt.Sprintf("hears %s, session %d, tally %d, token %d", r.Stoker, r.Shift, r.Tally, r.Baton)
-	for _, l := range r.Loads {
-		if l.Load == name {
-			out += fmt.Sprintf(": attempt %d %s %s", l.Try, l.Status, l.Cause)
+	out := fmt.Sprintf("hears %s, session %d, tally %d, token %d", r.Worker, r.AgentEpoch, r.Sequence, r.FencingToken)
+	for _, l := range r.Tasks {
+		if l.Task == name {
+			out += fmt.Sprintf(": attempt %d %s %s", l.Attempt, l.Status, l.Cause)
 		}
 	}
 	return out
@@ -287,20 +287,20 @@
 	quoted := `"` + name + `"`
 	for i := range e.Answers {
 		a := &e.Answers[i]
-		var c protocol.CheckinAnswer
+		var c protocol.HeartbeatResponse
 		if strings.Contains(string(a.Body), quoted) && json.Unmarshal(a.Body, &c) == nil {
-			out = append(out, orders("answers with", c.Baton, c.Orders, name))
+			out = append(out, orders("answers with", c.FencingToken, c.Commands, name))
 		}
 	}
 	for i := range e.Calls {
 		k := &e.Calls[i]
 		switch {
-		case k.Path == protocol.PathOrders && strings.Contains(string(k.Body), quoted):
-			var d protocol.DirectOrders
+		case k.Path == protocol.PathCommands && strings.Contains(string(k.Body), quoted):
+			var d protocol.DirectCommands
 			if json.Unmarshal(k.Body, &d) == nil {
-				out = append(out, orders("sends to "+k.Address, d.Baton, d.Orders, name))
+				out = append(out, orders("sends to "+k.Address, d.FencingToken, d.Commands, name))
 			}
-		case k.Path == protocol.PathDelete && strings.Contains(string(k.Body), quoted):
+		case k.Path == protocol.PathRentalsDelete && strings.Contains(string(k.Body), quoted):
 			out = append(out, "asks the cloud to delete "+name)
 		case k.Path == protocol.PathTxn && strings.Contains(string(k.Body), "/"+name+`"`):
 			out = append(out, "sends a transaction on it")
@@ -309,11 +309,11 @@
 	return out
 }
 
-func orders(how string, token uint64, list []protocol.Order, name string) string {
+func orders(how string, token uint64, list []protocol.Command, name string) string {
 	out := fmt.Sprintf("%s token %d", how, token)
 	for _, o := range list {
-		if o.Load == name {
-			out += fmt.Sprintf(", %s attempt %d", o.Verb, o.Try)
+		if o.Task == name {
+			out += fmt.Sprintf(", %s attempt %d", o.Verb, o.Attempt)
 		}
 	}
 	return out
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -97,9 +97,9 @@
 		todo = append(todo, tape.Tick(clock()).Calls...)
 		if i%20 == 10 {
 			tally++
-			r := protocol.Report{Stoker: "i-000001", Address: "10.1.0.1:9000", Rig: "small", Depot: "a", Shift: 1, Tally: tally, Baton: baton,
-				Loads: []protocol.Load{{Load: "wk-700000/0", Try: 1, Status: protocol.LoadRunning}}}
-			todo = append(todo, tape.Request(clock(), tally, "POST", protocol.PathCheckin, protocol.Encode(r)).Calls...)
+			r := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: baton,
+				Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}}}
+			todo = append(todo, tape.Request(clock(), tally, "POST", protocol.PathHeartbeat, protocol.Encode(r)).Calls...)
 		}
 		for len(todo) > 0 && rnd.IntN(3) > 0 {
 			k := todo[0]
@@ -107,17 +107,17 @@
 			reply := protocol.Reply{ID: k.ID, Status: 200, Sent: true, Body: []byte(`{}`)}
 			switch {
 			case strings.HasPrefix(k.Path, protocol.PathKeys+"?"):
-				reply.Body = protocol.Encode(protocol.EntryPage{Ledger: rev})
+				reply.Body = protocol.Encode(protocol.KeyValuePage{Revision: rev})
 			case strings.HasPrefix(k.Path, protocol.PathWatch):
-				reply.Body = protocol.Encode(protocol.WatchResult{Ledger: rev})
+				reply.Body = protocol.Encode(protocol.WatchResult{Revision: rev})
 			case k.Path == protocol.PathTxn:
 				rev++
-				reply.Body = protocol.Encode(protocol.TxnResult{Ledger: rev})
+				reply.Body = protocol.Encode(protocol.TxnResult{Revision: rev})
 				if strings.Contains(string(k.Body), "i-000001") {
 					baton = rev
 				}
-			case k.Path == protocol.PathGrants:
-				reply.Body = protocol.Encode(protocol.Granted{Permit: 1})
+			case k.Path == protocol.PathLeases:
+				reply.Body = protocol.Encode(protocol.LeaseResponse{Lease: 1})
 			default:
 				reply.Status = 503
 			}
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -414,7 +414,7 @@
 // Describe, RunTime, Started, Stopped and LeaseEnded make the cell the fleet's observer.
 
 // Describe returns a job's description.
-func (c *cell) Describe(id string) (*protocol.Description, bool) { return c.checker.describe(id) }
+func (c *cell) Describe(id string) (*protocol.JobDescription, bool) { return c.checker.describe(id) }
 
 // RunTime is how long a task runs.
 func (c *cell) RunTime(id string, index int) time.Duration { return c.checker.runTime(id, index) }
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -187,7 +187,7 @@
 }
 
 // describe is the job's description, for workers.
-func (c *checker) describe(id string) (*protocol.Description, bool) {
+func (c *checker) describe(id string) (*protocol.JobDescription, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if j := c.jobs[id]; j != nil {
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -90,44 +90,44 @@
 	now := time.Now()
 	if !c.market.Admit(now) {
 		c.refused++
-		return http.StatusTooManyRequests, protocol.Problem{Error: "too many requests"}
+		return http.StatusTooManyRequests, protocol.ErrorResponse{Error: "too many requests"}
 	}
 	switch {
-	case r.URL.Path == protocol.PathFlavors && r.Method == http.MethodGet:
+	case r.URL.Path == protocol.PathMachineTypes && r.Method == http.MethodGet:
 		return http.StatusOK, c.market.Flavors()
 	case r.URL.Path == protocol.PathRentals && r.Method == http.MethodPost:
 		return c.rent(now, body)
 	case r.URL.Path == protocol.PathRentals && r.Method == http.MethodGet:
 		page, err := strconv.Atoi(r.URL.Query().Get("page"))
 		if err != nil || page < 1 {
-			return http.StatusBadRequest, protocol.Problem{Error: "page: missing or not a number"}
+			return http.StatusBadRequest, protocol.ErrorResponse{Error: "page: missing or not a number"}
 		}
 		return http.StatusOK, c.market.List(now, r.URL.Query().Get("from"), min(page, 500))
-	case r.URL.Path == protocol.PathDelete && r.Method == http.MethodPost:
+	case r.URL.Path == protocol.PathRentalsDelete && r.Method == http.MethodPost:
 		return c.delete(now, body)
 	}
-	return http.StatusNotFound, protocol.Problem{Error: "no such path"}
+	return http.StatusNotFound, protocol.ErrorResponse{Error: "no such path"}
 }
 
 // rent grants a request; the machines come up after their boot time.
 func (c *cloud) rent(now time.Time, body []byte) (int, any) {
-	var r protocol.Rental
-	if err := json.Unmarshal(body, &r); err != nil || r.Number < 1 || r.Number > 50 {
-		return http.StatusBadRequest, protocol.Problem{Error: "malformed"}
+	var r protocol.RentalRequest
+	if err := json.Unmarshal(body, &r); err != nil || r.Count < 1 || r.Count > 50 {
+		return http.StatusBadRequest, protocol.ErrorResponse{Error: "malformed"}
 	}
 	names, effects, err := c.market.Rent(now, r)
 	switch {
 	case errors.Is(err, provider.ErrNoCapacity):
 		c.refused++
-		return http.StatusServiceUnavailable, protocol.Problem{Error: err.Error()}
+		return http.StatusServiceUnavailable, protocol.ErrorResponse{Error: err.Error()}
 	case err != nil:
-		return http.StatusBadRequest, protocol.Problem{Error: err.Error()}
+		return http.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()}
 	}
 	for _, m := range effects.Store {
 		machine := *m
 		time.AfterFunc(c.startup, func() { c.bootOne(machine) })
 	}
-	return http.StatusOK, protocol.Names{Stokers: names}
+	return http.StatusOK, protocol.MachineNames{Machines: names}
 }
 
 // bootOne brings a machine up, unless it was deleted meanwhile.
@@ -149,11 +149,11 @@
 }
 
 func (c *cloud) delete(now time.Time, body []byte) (int, any) {
-	var names protocol.Names
-	if err := json.Unmarshal(body, &names); err != nil || len(names.Stokers) > 100 {
-		return http.StatusBadRequest, protocol.Problem{Error: "malformed"}
+	var names protocol.MachineNames
+	if err := json.Unmarshal(body, &names); err != nil || len(names.Machines) > 100 {
+		return http.StatusBadRequest, protocol.ErrorResponse{Error: "malformed"}
 	}
-	_, effects := c.market.Delete(names.Stokers)
+	_, effects := c.market.Delete(names.Machines)
 	c.remove(effects.End)
 	for _, name := range effects.End {
 		c.market.Gone(now, name)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -265,7 +265,7 @@
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	for {
-		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+protocol.PathUp, nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+protocol.PathHealth, nil)
 		if err != nil {
 			return err
 		}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -63,9 +63,9 @@
 var shapes = map[string]job.Shape{"batch": job.Array, "ensemble": job.Gang, "standing": job.Service}
 
 // description is what a worker fetches of the job.
-func (s *submission) description() *protocol.Description {
-	return &protocol.Description{Ref: s.Ref, JobClass: s.Class, Crew: s.Crew, Shape: shapes[s.Shape], Urgency: s.Urgency, Loads: s.Loads,
-		CPUs: s.CPUs, GPUs: s.GPUs, RAM: s.RAM, Kit: s.Kit, Size: s.Size}
+func (s *submission) description() *protocol.JobDescription {
+	return &protocol.JobDescription{ID: s.Ref, Class: s.Class, Team: s.Crew, Shape: shapes[s.Shape], Priority: s.Urgency, Tasks: s.Loads,
+		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.RAM, Image: s.Kit, ImageGB: s.Size}
 }
 
 // runTime is from half to one and a half of the mean, the same for every attempt of a
@@ -229,7 +229,7 @@
 	if err != nil {
 		return 0, "", leastRetry
 	}
-	var state protocol.RunState
+	var state protocol.JobState
 	_ = json.Unmarshal(r.Body, &state)
 	return r.Status, state.Status, max(leastRetry, time.Duration(r.RetryAfter)*time.Second)
 }
@@ -237,7 +237,7 @@
 func (u *users) submit(s *submission, stop <-chan struct{}) bool {
 	body := protocol.Encode(s)
 	for {
-		code, status, retry := u.ask(http.MethodPost, protocol.PathRuns, body, answerPatience)
+		code, status, retry := u.ask(http.MethodPost, protocol.PathJobs, body, answerPatience)
 		switch {
 		case code == http.StatusCreated || code == http.StatusOK:
 			u.cell.checker.answered(s.Ref, status)
@@ -262,7 +262,7 @@
 
 // poll asks for a job's state and tells whether it is over.
 func (u *users) poll(s *submission) bool {
-	code, status, _ := u.ask(http.MethodGet, protocol.PathRuns+"/"+s.Ref, nil, pollPatience)
+	code, status, _ := u.ask(http.MethodGet, protocol.PathJobs+"/"+s.Ref, nil, pollPatience)
 	switch code {
 	case http.StatusOK:
 		u.cell.checker.answered(s.Ref, status)
@@ -274,7 +274,7 @@
 
 func (u *users) cancel(s *submission) bool {
 	u.cell.checker.callOff(s.Ref)
-	code, status, _ := u.ask(http.MethodPost, protocol.PathRuns+"/"+s.Ref+"/"+protocol.PathAbort, nil, answerPatience)
+	code, status, _ := u.ask(http.MethodPost, protocol.PathJobs+"/"+s.Ref+"/"+protocol.PathCancel, nil, answerPatience)
 	if code != http.StatusOK {
 		return false
 	}
--- a/internal/site/outside.go
+++ b/internal/site/outside.go
@@ -49,7 +49,7 @@
 		switch {
 		case strings.HasPrefix(e.Name(), gonePrefix):
 			errs = append(errs, os.RemoveAll(filepath.Join(dir, e.Name())))
-		case e.IsDir() && protocol.ValidRef(e.Name()):
+		case e.IsDir() && protocol.ValidJobID(e.Name()):
 			at, err := newest(filepath.Join(dir, e.Name()))
 			if err == nil && now.Sub(at) > keep {
 				old = append(old, folder{e.Name(), at})
@@ -120,9 +120,9 @@
 // changes. No answer, and a job that they don't know, are no.
 func (s *Site) over(pool *transport.Pool, ref string) bool {
 	for _, a := range s.Ports.Addresses() {
-		r := ask(pool, a, protocol.PathRuns+"/"+ref)
-		var st protocol.RunState
-		if r != nil && json.Unmarshal(r.Body, &st) == nil && st.Ref == ref {
+		r := ask(pool, a, protocol.PathJobs+"/"+ref)
+		var st protocol.JobState
+		if r != nil && json.Unmarshal(r.Body, &st) == nil && st.ID == ref {
 			return st.Status == string(job.Done) || st.Status == string(job.Cancelled)
 		}
 	}
--- a/internal/site/up.go
+++ b/internal/site/up.go
@@ -328,7 +328,7 @@
 	pool := transport.NewPool(4)
 	for {
 		for _, a := range s.Ports.Addresses() {
-			if ask(pool, a, protocol.PathUp) != nil {
+			if ask(pool, a, protocol.PathHealth) != nil {
 				return nil
 			}
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -238,7 +238,7 @@
 	if err != nil {
 		panic(err) // only our own types are written
 	}
-	st, answer := s.do("POST", protocol.PathRuns, body)
+	st, answer := s.do("POST", protocol.PathJobs, body)
 	switch st {
 	case 200, 201:
 		s.loads[ref(n)] = loads
@@ -265,8 +265,8 @@
 		if asked++; asked > 10 {
 			continue
 		}
-		st, body := s.do("GET", protocol.PathRuns+"/"+id, nil)
-		var r protocol.RunState
+		st, body := s.do("GET", protocol.PathJobs+"/"+id, nil)
+		var r protocol.JobState
 		switch {
 		case st == 404:
 			s.broke("%s was accepted and is not known", id)
@@ -286,14 +286,14 @@
 func (s *soak) readLedger() {
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?page=1", nil)
-		var p protocol.EntryPage
+		var p protocol.KeyValuePage
 		if st != 200 || json.Unmarshal(body, &p) != nil {
 			continue
 		}
-		if p.Ledger < s.ledger {
-			s.broke("the ledger went back from %d to %d", s.ledger, p.Ledger)
+		if p.Revision < s.ledger {
+			s.broke("the ledger went back from %d to %d", s.ledger, p.Revision)
 		}
-		s.ledger = p.Ledger
+		s.ledger = p.Revision
 		return
 	}
 	s.broke("the state service did not come back")
@@ -459,15 +459,15 @@
 	from := ""
 	for {
 		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?under="+bookkeeping.Root+"p/&from="+url.QueryEscape(from), nil)
-		var p protocol.EntryPage
+		var p protocol.KeyValuePage
 		if st != 200 || json.Unmarshal(body, &p) != nil {
 			s.broke("the records can't be read: %d", st)
 			return out
 		}
-		for _, e := range p.Entries {
+		for _, e := range p.KeyValues {
 			from = e.Key
 			id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, bookkeeping.Root+"p/"), "/")
-			n, err := countFinished(e.Data)
+			n, err := countFinished(e.Value)
 			if err != nil {
 				s.broke("%s: %v", e.Key, err)
 			}
--- a/internal/statestore/disk.go
+++ b/internal/statestore/disk.go
@@ -418,18 +418,18 @@
 
 func (w *writer) txn(t *protocol.Txn) (outcome, error) {
 	o := outcome{ledger: w.h.Ledger}
-	for _, op := range t.Then {
-		if op.Permit != 0 && w.grants.Get(be64(op.Permit)) == nil {
+	for _, op := range t.Ops {
+		if op.Lease != 0 && w.grants.Get(be64(op.Lease)) == nil {
 			o.noLease = true // whatever the conditions
 			return o, nil
 		}
 	}
-	for _, c := range t.If {
+	for _, c := range t.Compares {
 		r, ok, err := w.read(c.Key)
 		if err != nil {
 			return o, err
 		}
-		if ok && r.stamp != c.Stamp || !ok && c.Stamp != 0 {
+		if ok && r.stamp != c.ModRevision || !ok && c.ModRevision != 0 {
 			o.failed = append(o.failed, c.Key)
 		}
 	}
@@ -437,12 +437,12 @@
 		return o, nil
 	}
 	changed := false
-	for _, op := range t.Then {
+	for _, op := range t.Ops {
 		did, err := true, error(nil)
-		if op.Write != "" {
-			err = w.write(op.Write, op.Data, op.Permit, w.h.Ledger+1)
+		if op.Put != "" {
+			err = w.write(op.Put, op.Value, op.Lease, w.h.Ledger+1)
 		} else {
-			did, err = w.drop(op.Drop, w.h.Ledger+1)
+			did, err = w.drop(op.Delete, w.h.Ledger+1)
 		}
 		if err != nil {
 			return o, err
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -32,17 +32,17 @@
 
 // goldenOrders write keys, replace and drop some, and make grants, of which one has ended.
 func goldenOrders() []order {
-	write := func(ops ...protocol.Op) order { return order{txn: &protocol.Txn{Then: ops}} }
+	write := func(ops ...protocol.Op) order { return order{txn: &protocol.Txn{Ops: ops}} }
 	return []order{
 		{ttl: 10 * time.Second},
 		{ttl: 1500 * time.Millisecond},
-		write(protocol.Op{Write: "sg/m/n1", Data: json.RawMessage(`{"l":7}`), Permit: 1}, protocol.Op{Write: "sg/m/n2", Data: json.RawMessage(`{"l":8}`), Permit: 2}),
-		write(protocol.Op{Write: "sg/j/wk-000001", Data: json.RawMessage(`{"st":"open"}`)}),
-		write(protocol.Op{Write: "sg/p/wk-000001/0", Data: json.RawMessage(`"p0*3"`)}, protocol.Op{Write: "sg/x/i-1", Data: json.RawMessage(`null`)}),
-		{txn: &protocol.Txn{If: []protocol.Cond{{Key: "sg/j/wk-000001", Stamp: 2}}, Then: []protocol.Op{{Write: "sg/j/wk-000001", Data: json.RawMessage(`{"st":"done"}`)}}}},
+		write(protocol.Op{Put: "sg/m/n1", Value: json.RawMessage(`{"l":7}`), Lease: 1}, protocol.Op{Put: "sg/m/n2", Value: json.RawMessage(`{"l":8}`), Lease: 2}),
+		write(protocol.Op{Put: "sg/j/wk-000001", Value: json.RawMessage(`{"st":"open"}`)}),
+		write(protocol.Op{Put: "sg/p/wk-000001/0", Value: json.RawMessage(`"p0*3"`)}, protocol.Op{Put: "sg/x/i-1", Value: json.RawMessage(`null`)}),
+		{txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/j/wk-000001", ModRevision: 2}}, Ops: []protocol.Op{{Put: "sg/j/wk-000001", Value: json.RawMessage(`{"st":"done"}`)}}}},
 		{ends: 2},
-		write(protocol.Op{Drop: "sg/x/i-1"}),
-		write(protocol.Op{Write: "sgx/d/wk-000001", Data: json.RawMessage(`{"command":["ü"]}`)}),
+		write(protocol.Op{Delete: "sg/x/i-1"}),
+		write(protocol.Op{Put: "sgx/d/wk-000001", Value: json.RawMessage(`{"command":["ü"]}`)}),
 	}
 }
 
@@ -218,7 +218,7 @@
 		t.Fatal(err)
 	}
 	defer d.close()
-	out, _, err := d.commit([]order{{ends: 1}, {ttl: time.Second}, {txn: &protocol.Txn{If: []protocol.Cond{{Key: "sg/m/n1"}}}}})
+	out, _, err := d.commit([]order{{ends: 1}, {ttl: time.Second}, {txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/m/n1"}}}}})
 	if err != nil || out[0].gone || out[1].grant != 3 || out[2].failed != nil {
 		t.Errorf("went on with %+v: %v", out, err)
 	}
--- a/internal/statestore/machine.go
+++ b/internal/statestore/machine.go
@@ -195,7 +195,7 @@
 func (m *machine) gone(id uint64) { delete(m.grants, id) }
 
 func problem(status int, format string, args ...any) verdict {
-	v := verdict{status: status, body: protocol.Encode(protocol.Problem{Error: fmt.Sprintf(format, args...)})}
+	v := verdict{status: status, body: protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)})}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		v.retry = 1
 	}
@@ -210,7 +210,7 @@
 	}
 	m.reads.level--
 	rest, isKey := strings.CutPrefix(path, protocol.PathKeys+"/")
-	grantRest, isGrant := strings.CutPrefix(path, protocol.PathGrants+"/")
+	grantRest, isGrant := strings.CutPrefix(path, protocol.PathLeases+"/")
 	switch {
 	case isKey:
 		return only(method, "GET", func() verdict { return m.one(rest) })
@@ -218,7 +218,7 @@
 		return only(method, "GET", func() verdict { return m.list(query) })
 	case path == protocol.PathTxn:
 		return only(method, "POST", func() verdict { return m.txn(body) })
-	case path == protocol.PathGrants:
+	case path == protocol.PathLeases:
 		return only(method, "POST", func() verdict { return m.grant(body) })
 	case isGrant:
 		return m.grantVerb(method, grantRest)
@@ -355,10 +355,10 @@
 		if err := checkKey(*c.Key); err != nil {
 			return nil, fmt.Errorf("if[%d].key: %w", i, err)
 		}
-		out.If = append(out.If, protocol.Cond{Key: *c.Key, Stamp: *c.Stamp})
+		out.Compares = append(out.Compares, protocol.Compare{Key: *c.Key, ModRevision: *c.Stamp})
 	}
 	for i, o := range t.Then {
-		op := protocol.Op{Data: o.Data}
+		op := protocol.Op{Value: o.Data}
 		name, field := o.Write, "write"
 		if o.Drop != nil {
 			name, field = o.Drop, "drop"
@@ -375,14 +375,14 @@
 			return nil, fmt.Errorf("then[%d].%s: %w", i, field, err)
 		}
 		if o.Drop != nil {
-			op = protocol.Op{Drop: *name}
+			op = protocol.Op{Delete: *name}
 		} else {
-			op.Write = *name
+			op.Put = *name
 			if o.Permit != nil {
-				op.Permit = *o.Permit
+				op.Lease = *o.Permit
 			}
 		}
-		out.Then = append(out.Then, op)
+		out.Ops = append(out.Ops, op)
 	}
 	return out, nil
 }
@@ -392,13 +392,13 @@
 	if err != nil {
 		return problem(http.StatusBadRequest, "%v", err)
 	}
-	if m.writes.level < float64(len(t.Then)) {
+	if m.writes.level < float64(len(t.Ops)) {
 		m.refused++
 		return problem(http.StatusTooManyRequests, "more than %g writes a second", m.limits.WriteRPS)
 	}
-	m.writes.level -= float64(len(t.Then))
-	for _, o := range t.Then {
-		if g := m.grants[o.Permit]; o.Permit != 0 && (g == nil || g.ended) {
+	m.writes.level -= float64(len(t.Ops))
+	for _, o := range t.Ops {
+		if g := m.grants[o.Lease]; o.Lease != 0 && (g == nil || g.ended) {
 			return problem(http.StatusBadRequest, "no such lease")
 		}
 	}
@@ -435,7 +435,7 @@
 	switch {
 	case err != nil:
 		return problem(http.StatusBadRequest, "the grant's number is malformed")
-	case hasVerb && verb != protocol.PathTouch:
+	case hasVerb && verb != protocol.PathKeepAlive:
 		return problem(http.StatusNotFound, "no such path")
 	case hasVerb && method != "POST", !hasVerb && method != "DELETE":
 		return problem(http.StatusMethodNotAllowed, "method not allowed")
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -337,7 +337,7 @@
 		v := problem(http.StatusBadRequest, "no such lease")
 		s.server.Answer(id, v.status, v.body, 0)
 	case o.txn != nil && res.failed != nil:
-		s.json(id, http.StatusConflict, protocol.TxnResult{Ledger: res.ledger, Failed: res.failed})
+		s.json(id, http.StatusConflict, protocol.TxnResult{Revision: res.ledger, Failed: res.failed})
 	case o.txn != nil:
 		s.json(id, http.StatusOK, struct {
 			Ledger uint64 `json:"ledger"`
@@ -349,7 +349,7 @@
 		s.server.Answer(id, http.StatusOK, []byte("{}"), 0)
 	default:
 		s.m.granted(res.grant, o.ttl)
-		s.json(id, http.StatusOK, protocol.Granted{Permit: res.grant})
+		s.json(id, http.StatusOK, protocol.LeaseResponse{Lease: res.grant})
 	}
 }
 
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -119,27 +119,27 @@
 					txn := &protocol.Txn{}
 					for range rapid.IntRange(0, 2).Draw(t, "conds") {
 						k := key.Draw(t, "key")
-						txn.If = append(txn.If, protocol.Cond{Key: k, Stamp: rapid.SampledFrom([]uint64{0, model[k].stamp}).Draw(t, "stamp")})
+						txn.Compares = append(txn.Compares, protocol.Compare{Key: k, ModRevision: rapid.SampledFrom([]uint64{0, model[k].stamp}).Draw(t, "stamp")})
 					}
 					for range rapid.IntRange(0, 3).Draw(t, "ops") {
 						if k := key.Draw(t, "key"); rapid.Bool().Draw(t, "drop") {
-							txn.Then = append(txn.Then, protocol.Op{Drop: k})
+							txn.Ops = append(txn.Ops, protocol.Op{Delete: k})
 						} else {
 							v := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "value"))
-							txn.Then = append(txn.Then, protocol.Op{Write: k, Data: json.RawMessage(v), Permit: rapid.Uint64Range(0, 3).Draw(t, "permit")})
+							txn.Ops = append(txn.Ops, protocol.Op{Put: k, Value: json.RawMessage(v), Lease: rapid.Uint64Range(0, 3).Draw(t, "permit")})
 						}
 					}
 					batch = append(batch, order{txn: txn})
 					check = append(check, func(o outcome) {
 						var failed []string
-						for _, c := range txn.If {
-							if model[c.Key].stamp != c.Stamp {
+						for _, c := range txn.Compares {
+							if model[c.Key].stamp != c.ModRevision {
 								failed = append(failed, c.Key)
 							}
 						}
 						noLease := false
-						for _, op := range txn.Then {
-							noLease = noLease || op.Permit != 0 && !grants[op.Permit]
+						for _, op := range txn.Ops {
+							noLease = noLease || op.Lease != 0 && !grants[op.Lease]
 						}
 						if o.noLease != noLease || !noLease && !slices.Equal(failed, o.failed) {
 							t.Fatalf("%+v: %+v, expected failed %v, no lease %v", txn, o, failed, noLease)
@@ -148,14 +148,14 @@
 							return
 						}
 						changed := false
-						for _, op := range txn.Then {
-							if op.Write != "" {
-								model[op.Write] = val{string(op.Data), ledger + 1, op.Permit}
-								log = append(log, change{op.Write, op.Data, ledger + 1})
+						for _, op := range txn.Ops {
+							if op.Put != "" {
+								model[op.Put] = val{string(op.Value), ledger + 1, op.Lease}
+								log = append(log, change{op.Put, op.Value, ledger + 1})
 								changed = true
-							} else if _, ok := model[op.Drop]; ok {
-								delete(model, op.Drop)
-								log = append(log, change{op.Drop, nil, ledger + 1})
+							} else if _, ok := model[op.Delete]; ok {
+								delete(model, op.Delete)
+								log = append(log, change{op.Delete, nil, ledger + 1})
 								changed = true
 							}
 						}
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	for i := range 60 {
-		txn := &protocol.Txn{Then: []protocol.Op{{Write: fmt.Sprintf("k/%02d", i%40), Data: json.RawMessage(`"` + strings.Repeat("x", 40*i) + `"`)}}}
+		txn := &protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("k/%02d", i%40), Value: json.RawMessage(`"` + strings.Repeat("x", 40*i) + `"`)}}}
 		if _, _, err := d.commit([]order{{txn: txn}}); err != nil {
 			t.Fatal(err)
 		}
@@ -408,7 +408,7 @@
 				pool := transport.NewPool(2)
 				for n := answered[c] + 1; ; n++ {
 					key := fmt.Sprintf("c%d/%06d", c, n)
-					st, body := do(pool, addr, "POST", "/txn", protocol.Txn{Then: []protocol.Op{{Write: key, Data: protocol.Encode(n)}}})
+					st, body := do(pool, addr, "POST", "/txn", protocol.Txn{Ops: []protocol.Op{{Put: key, Value: protocol.Encode(n)}}})
 					if st != 200 {
 						return
 					}
@@ -416,7 +416,7 @@
 					_ = json.Unmarshal(body, &r)
 					mu.Lock()
 					answered[c] = n
-					ledger = max(ledger, r.Ledger)
+					ledger = max(ledger, r.Revision)
 					mu.Unlock()
 				}
 			}()
@@ -463,12 +463,12 @@
 	addr, stop := serve(t, dir, wide)
 	pool := transport.NewPool(4)
 	write := func(i int) uint64 {
-		st, body := do(pool, addr, "POST", "/txn", protocol.Txn{Then: []protocol.Op{{Write: "a", Data: protocol.Encode(i)}}})
+		st, body := do(pool, addr, "POST", "/txn", protocol.Txn{Ops: []protocol.Op{{Put: "a", Value: protocol.Encode(i)}}})
 		var r protocol.TxnResult
 		if json.Unmarshal(body, &r) != nil || st != 200 {
 			t.Fatalf("%d %s", st, body)
 		}
-		return r.Ledger
+		return r.Revision
 	}
 	first := write(1)
 	st, body := do(pool, addr, "POST", PathBackup, Backup{"one"})
@@ -492,11 +492,11 @@
 	}
 	addr, _ = serve(t, other, wide)
 	_, body = do(pool, addr, "GET", "/keys/a", nil)
-	var e protocol.Entry
-	if json.Unmarshal(body, &e) != nil || string(e.Data) != "1" || e.Stamp <= last {
+	var e protocol.KeyValue
+	if json.Unmarshal(body, &e) != nil || string(e.Value) != "1" || e.ModRevision <= last {
 		t.Errorf("restored: %s", body)
 	}
-	if st, _ := do(pool, addr, "POST", "/txn", protocol.Txn{If: []protocol.Cond{{Key: "a", Stamp: first}}, Then: []protocol.Op{{Drop: "a"}}}); st != 409 {
+	if st, _ := do(pool, addr, "POST", "/txn", protocol.Txn{Compares: []protocol.Compare{{Key: "a", ModRevision: first}}, Ops: []protocol.Op{{Delete: "a"}}}); st != 409 {
 		t.Errorf("an old stamp was taken: %d", st)
 	}
 	if st, _ := do(pool, addr, "GET", fmt.Sprintf("/watch?from=%d", last), nil); st != 410 {
@@ -516,11 +516,11 @@
 		if err != nil {
 			return
 		}
-		if len(txn.Then) > 2 || len(txn.If) > 8 {
+		if len(txn.Ops) > 2 || len(txn.Compares) > 8 {
 			t.Fatalf("too much: %+v", txn)
 		}
-		for _, o := range txn.Then {
-			if (o.Write == "") == (o.Drop == "") || checkKey(o.Write+o.Drop) != nil || len(o.Data) > 102 || o.Write != "" && !json.Valid(o.Data) {
+		for _, o := range txn.Ops {
+			if (o.Put == "") == (o.Delete == "") || checkKey(o.Put+o.Delete) != nil || len(o.Value) > 102 || o.Put != "" && !json.Valid(o.Value) {
 				t.Fatalf("bad: %+v", o)
 			}
 		}
@@ -550,14 +550,14 @@
 					}
 					now := time.Now()
 					mu.Lock()
-					for _, n := range r.News {
+					for _, n := range r.Events {
 						var i int
-						_ = json.Unmarshal(n.Data, &i)
+						_ = json.Unmarshal(n.Value, &i)
 						late = append(late, now.Sub(sent[i]))
 					}
 					mu.Unlock()
-					left -= len(r.News)
-					from = r.Ledger
+					left -= len(r.Events)
+					from = r.Revision
 				}
 			}()
 			b.ResetTimer()
@@ -571,7 +571,7 @@
 						mu.Lock()
 						sent[i] = time.Now()
 						mu.Unlock()
-						do(pool, addr, "POST", "/txn", protocol.Txn{Then: []protocol.Op{{Write: fmt.Sprintf("c%d/%d", c, n%100), Data: protocol.Encode(i)}}})
+						do(pool, addr, "POST", "/txn", protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("c%d/%d", c, n%100), Value: protocol.Encode(i)}}})
 					}
 				}()
 			}
@@ -598,7 +598,7 @@
 	for n := 0; n < b.N; {
 		var batch []order
 		for range 50 {
-			batch = append(batch, order{txn: &protocol.Txn{Then: []protocol.Op{{Write: fmt.Sprintf("k/%d", n*7919%1000), Data: value}}}})
+			batch = append(batch, order{txn: &protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("k/%d", n*7919%1000), Value: value}}}})
 			n++
 		}
 		if _, _, err := d.commit(batch); err != nil {
