--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -525,7 +525,7 @@
 // obey executes orders one after the other.
 func (w *Worker) obey(orders []protocol.Command) {
 	for _, o := range orders {
-		id, index, err := job.SplitTaskName(o.Task)
+		id, index, err := job.ParseTaskName(o.Task)
 		if err != nil || !protocol.ValidJobID(id) {
 			continue
 		}
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -27,8 +27,8 @@
 	}
 	holds := map[string]bool{}
 	for _, f := range types {
-		allowed := s.Types == nil
-		for _, t := range s.Types {
+		allowed := s.MachineTypes == nil
+		for _, t := range s.MachineTypes {
 			allowed = allowed || t == f.Name
 		}
 		if allowed && s.CPUs <= f.CPUs && s.GPUs <= f.GPUs && s.MemoryGB <= f.MemoryGB {
@@ -80,7 +80,7 @@
 						for _, rigs := range [][]string{nil, {"small"}, {"large"}, {"none"}, {}} {
 							for _, zone := range []string{"", "a", "c", "z"} {
 								for flags := range 8 {
-									s := &job.Spec{ID: "wk-000001", Shape: shape, Tasks: n, Team: team, CPUs: need[0], GPUs: need[1], MemoryGB: need[2], Types: rigs, Zone: zone,
+									s := &job.Spec{ID: "wk-000001", Shape: shape, Tasks: n, Team: team, CPUs: need[0], GPUs: need[1], MemoryGB: need[2], MachineTypes: rigs, Zone: zone,
 										OneZone: flags&1 > 0, Spread: flags&2 > 0, Spot: flags&4 > 0}
 									err := c.feasible(s)
 									if want := canRun(s, types, teams); want != (err == nil) {
--- a/internal/coordination/apart_test.go
+++ b/internal/coordination/apart_test.go
@@ -193,7 +193,7 @@
 		s.after(time.Second, func() {
 			for i := range 16 {
 				s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2,
-					CPUs: 2, GPUs: 1, MemoryGB: 8, Types: []string{"small"}}, 0, 0)
+					CPUs: 2, GPUs: 1, MemoryGB: 8, MachineTypes: []string{"small"}}, 0, 0)
 			}
 		})
 		s.run(60 * time.Second)
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -286,9 +286,9 @@
 		return
 	}
 	d.use = u
-	*t = job.Task{Phase: job.Bound, Try: t.Try + 1, Machine: m.id, Session: ch.session, Fails: t.Fails}
+	*t = job.Task{Phase: job.Bound, Attempt: t.Attempt + 1, Machine: m.id, Epoch: ch.session, Failures: t.Failures}
 	if r.spec.Shape == job.Gang {
-		t.Try = max(t.Try, ch.try)
+		t.Attempt = max(t.Attempt, ch.try)
 	}
 	d.taken = append(d.taken, ch)
 }
@@ -296,7 +296,7 @@
 // end takes an ending in, unless another change was ahead of it or its evidence is void.
 func (d *draft) end(ch change) {
 	c, t := d.c, &d.tasks[ch.index]
-	if t.Phase != job.Bound || t.Machine != ch.machine || t.Session != ch.session || t.Try != ch.try {
+	if t.Phase != job.Bound || t.Machine != ch.machine || t.Epoch != ch.session || t.Attempt != ch.try {
 		return // overtaken
 	}
 	m := c.machine(ch.machine)
@@ -316,11 +316,11 @@
 		return
 	}
 	d.use = d.use.plus(d.p.rec.spec, -1)
-	next := job.Task{Try: t.Try, Fails: t.Fails}
+	next := job.Task{Attempt: t.Attempt, Failures: t.Failures}
 	if ch.done {
 		next.Phase = job.Finished
 	} else if ch.failed {
-		next.Fails++
+		next.Failures++
 	}
 	*t = next
 	d.taken = append(d.taken, ch)
--- a/internal/coordination/blackstart_test.go
+++ b/internal/coordination/blackstart_test.go
@@ -40,7 +40,7 @@
 	}
 	b.up = len(up)
 	s.launched = func(w *simWorker, o protocol.Command) {
-		id, _, _ := job.SplitTaskName(o.Task)
+		id, _, _ := job.ParseTaskName(o.Task)
 		if l := w.loads[o.Task+"#"+strconv.Itoa(o.Attempt)]; l != nil {
 			b.again++
 		}
@@ -49,12 +49,12 @@
 		}
 	}
 	s.met.killed = func(w *simWorker, o protocol.Command) {
-		id, index, _ := job.SplitTaskName(o.Task)
+		id, index, _ := job.ParseTaskName(o.Task)
 		u := s.users[id]
 		if l := w.loads[o.Task+"#"+strconv.Itoa(o.Attempt)]; l == nil || !l.on() || u == nil || u.asked {
 			return
 		}
-		if t := s.recordOf(id, index); t != nil && t.Machine == w.name && t.Session == w.shift && t.Try == o.Attempt {
+		if t := s.recordOf(id, index); t != nil && t.Machine == w.name && t.Epoch == w.shift && t.Attempt == o.Attempt {
 			b.kills++
 		}
 	}
--- a/internal/coordination/checker_test.go
+++ b/internal/coordination/checker_test.go
@@ -53,7 +53,7 @@
 		urgency = prio[job.Low]
 	}
 	body := map[string]any{"ref": sp.ID, "jobclass": sp.Class, "crew": sp.Team, "shape": names[sp.Shape], "urgency": urgency,
-		"loads": sp.Tasks, "cpus": sp.CPUs, "accelerators": sp.GPUs, "ramGb": sp.MemoryGB, "kit": "img", "sizeGb": 1.0, "rigs": sp.Types, "depot": depot,
+		"loads": sp.Tasks, "cpus": sp.CPUs, "accelerators": sp.GPUs, "ramGb": sp.MemoryGB, "kit": "img", "sizeGb": 1.0, "rigs": sp.MachineTypes, "depot": depot,
 		"oneZone": sp.OneZone, "apart": sp.Spread, "casual": sp.Spot, "etaS": runs, "waypointS": 0.0, "stowS": 0.0, "dueS": nil}
 	if s.sets != nil && s.now > 15*time.Second { // registered by then
 		v := s.sets[s.rnd.IntN(len(s.sets))]
@@ -207,7 +207,7 @@
 			s.breaks("quota", "%s: team %s uses %v", name, t.Name, gpus)
 		}
 	}
-	if !sp.TypeAllowed(w.rig) || (w.spot && !sp.Spot) || (sp.Zone != "" && sp.Zone != w.zone) ||
+	if !sp.AllowsMachineType(w.rig) || (w.spot && !sp.Spot) || (sp.Zone != "" && sp.Zone != w.zone) ||
 		(sp.Spread && zones[w.zone]+1 > sp.SpreadLimit()) || (sp.OneZone && len(zones) > 0 && zones[w.zone] == 0) {
 		s.breaks("wrong_place", "%s", name)
 	}
@@ -273,7 +273,7 @@
 	}
 	launches := func(m *machine, orders []protocol.Command) {
 		for _, o := range orders {
-			id, index, err := job.SplitTaskName(o.Task)
+			id, index, err := job.ParseTaskName(o.Task)
 			if err != nil || o.Verb != protocol.VerbLaunch || m == nil || s.users[id].spec.Priority == job.Production {
 				continue
 			}
--- a/internal/coordination/checkin.go
+++ b/internal/coordination/checkin.go
@@ -181,7 +181,7 @@
 	for i := range r.Tasks {
 		l := &r.Tasks[i]
 		listed[l.Task] = true
-		id, _, err := job.SplitTaskName(l.Task)
+		id, _, err := job.ParseTaskName(l.Task)
 		if err == nil && l.Status != protocol.TaskEnded && c.over(id) {
 			orders = append(orders, kill(l, 0))
 		}
--- a/internal/coordination/conclude_test.go
+++ b/internal/coordination/conclude_test.go
@@ -20,7 +20,7 @@
 		page := func(num, finished int, stamp uint64) protocol.WatchEvent {
 			tasks := make([]job.Task, s.c.pageTasks())
 			for i := range finished {
-				tasks[i] = job.Task{Phase: job.Finished, Try: 1}
+				tasks[i] = job.Task{Phase: job.Finished, Attempt: 1}
 			}
 			return protocol.WatchEvent{Put: pageKey(sp.ID, num), Value: writePage(tasks), ModRevision: stamp}
 		}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -93,7 +93,7 @@
 		case 2:
 			sp.Zone = []string{"a", "b"}[s.rnd.IntN(2)]
 		case 3:
-			sp.Types = []string{"small", "large"}
+			sp.MachineTypes = []string{"small", "large"}
 		}
 		if cancel == 0 && s.rnd.IntN(6) == 0 {
 			cancel = s.ms(100, 20_000)
@@ -587,7 +587,7 @@
 	}
 	s.run(90 * time.Second)
 	gang := s.submit(&job.Spec{ID: "wk-700000", Class: "gng", Team: "red", Shape: job.Gang, Tasks: 3, Priority: job.High,
-		CPUs: 2, GPUs: 2, MemoryGB: 1, Spot: true, OneZone: true, Types: []string{"small", "large"}}, 5, 0)
+		CPUs: 2, GPUs: 2, MemoryGB: 1, Spot: true, OneZone: true, MachineTypes: []string{"small", "large"}}, 5, 0)
 	s.run(105 * time.Second)
 	for i, d := range gang.done {
 		if !d {
@@ -642,7 +642,7 @@
 	s.told = s.facts
 	gang := func(id string, tasks int) *simUser {
 		return s.submit(&job.Spec{ID: id, Class: "gng", Team: "red", Shape: job.Gang, Tasks: tasks, Priority: job.High,
-			CPUs: 16, GPUs: 2, MemoryGB: 1, Spot: true, OneZone: true, Types: []string{"small"}}, 5, 0)
+			CPUs: 16, GPUs: 2, MemoryGB: 1, Spot: true, OneZone: true, MachineTypes: []string{"small"}}, 5, 0)
 	}
 	for i := range 4 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 40,
@@ -750,7 +750,7 @@
 					r := m.bound[k]
 					task := *r.task(c, k.index)
 					c.begin(n.clock())
-					c.propose(r, k.index, change{machine: m.id, session: task.Session, try: task.Try, kind: evidence.Lease})
+					c.propose(r, k.index, change{machine: m.id, session: task.Epoch, try: task.Attempt, kind: evidence.Lease})
 					if again {
 						c.apply(keyClaim+m.id, encode(m.claim), c.store.Ledger()+1)
 					}
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -37,7 +37,7 @@
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.Type, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.session, Sequence: m.tally, FencingToken: m.stamp}
 	for _, k := range m.tasks() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: m.bound[k].task(c, k.index).Try, Status: protocol.TaskRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: m.bound[k].task(c, k.index).Attempt, Status: protocol.TaskRunning})
 	}
 	var bodies [][]byte
 	for range 202 {
@@ -82,7 +82,7 @@
 	tasks := slices.Clone(p.tasks)
 	var pages [][]byte
 	for i := range 202 {
-		tasks[7] = job.Task{Phase: job.Finished, Try: 1000 + i}
+		tasks[7] = job.Task{Phase: job.Finished, Attempt: 1000 + i}
 		pages = append(pages, writePage(tasks))
 	}
 	n := 0
@@ -92,7 +92,7 @@
 		n++
 	})
 	t.Logf("%.1f allocations for a page of %d tasks", allocs, len(tasks))
-	if p.tasks[7].Try != 1000+200 {
+	if p.tasks[7].Attempt != 1000+200 {
 		t.Fatalf("the page was not read: %+v", p.tasks[7])
 	}
 	if allocs > 4 {
--- a/internal/coordination/data.go
+++ b/internal/coordination/data.go
@@ -213,7 +213,7 @@
 		if s.Shape == job.Service || s.CPUs < r.spec.CPUs || s.GPUs < r.spec.GPUs {
 			continue
 		}
-		left := seconds(s.Estimate)
+		left := seconds(s.EstimateS)
 		if at, ok := m.begun[k]; ok {
 			left = max(0, left-(c.now-at))
 		}
@@ -260,7 +260,7 @@
 		if clear, victims = c.victims(r, true); clear != nil {
 			stop = seconds(c.cfg.Facts.Workers.Report / 4)
 			for _, v := range victims {
-				stop = max(stop, seconds(2*clear.bound[v].spec.Save))
+				stop = max(stop, seconds(2*clear.bound[v].spec.CheckpointSaveS))
 			}
 		}
 	}
--- a/internal/coordination/endlog.go
+++ b/internal/coordination/endlog.go
@@ -148,7 +148,7 @@
 	switch {
 	case bindsAttempt(t, e):
 		c.completeTask(p, k, t)
-	case t.Phase == job.Finished || t.Try > e.Try || t.Phase == job.Pending && t.Try == e.Try:
+	case t.Phase == job.Finished || t.Attempt > e.Try || t.Phase == job.Pending && t.Attempt == e.Try:
 		c.writes.log.Settle(e.Task) // taken in, or another change was ahead of it
 	}
 }
@@ -174,12 +174,12 @@
 
 // bindsAttempt tells whether a task is bound as an ending names it.
 func bindsAttempt(t *job.Task, e endings.Ending) bool {
-	return t.Phase == job.Bound && t.Try == e.Try && t.Session == e.Session && t.Machine == e.Machine
+	return t.Phase == job.Bound && t.Attempt == e.Try && t.Epoch == e.Session && t.Machine == e.Machine
 }
 
 // completed is a bound task that has completed.
 func completed(t *job.Task) job.Task {
-	return job.Task{Phase: job.Finished, Try: t.Try, Fails: t.Fails}
+	return job.Task{Phase: job.Finished, Attempt: t.Attempt, Failures: t.Failures}
 }
 
 // withEndings looks at what has changed in a page beside the log: what the page binds, and the log
@@ -193,7 +193,7 @@
 	kept := changes[:0]
 	for _, ch := range changes {
 		t := &ch.task
-		if t.Phase == job.Bound && (over || c.writes.log.Has(endings.Ending{Task: endings.Task{Job: p.id, Index: base + ch.index}, Try: t.Try, Machine: t.Machine, Session: t.Session})) {
+		if t.Phase == job.Bound && (over || c.writes.log.Has(endings.Ending{Task: endings.Task{Job: p.id, Index: base + ch.index}, Try: t.Attempt, Machine: t.Machine, Session: t.Epoch})) {
 			binds[base+ch.index] = true
 			if ch.task = completed(t); p.tasks[ch.index] == ch.task {
 				continue
@@ -217,7 +217,7 @@
 			t = changes[i].task
 		}
 	}
-	return t.Phase != job.Finished && c.writes.log.Later(endings.Task{Job: p.id, Index: p.num*c.pageTasks() + at}, t.Try)
+	return t.Phase != job.Finished && c.writes.log.Later(endings.Task{Job: p.id, Index: p.num*c.pageTasks() + at}, t.Attempt)
 }
 
 // unfolded tells whether the log holds an ending that a page has not taken in.
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/endlog_test.go
@@ -69,7 +69,7 @@
 		{"nonsense", false},
 	} {
 		s := newScript(t)
-		s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125})
+		s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
 		s.c.applyEndings("n9/1-1", encode(endings.Record{Endings: []string{c.entry}}))
 		if ended := s.c.jobs["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != c.ends {
 			t.Errorf("%s: ended %v", c.entry, ended)
@@ -85,7 +85,7 @@
 	c := s.c
 	c.applyEndings("n9/1-1", encode(endings.Record{Endings: []string{"wk-700000/0.1 i-000001 1"}}))
 	page := func(try int) []byte {
-		return writePage([]job.Task{{Phase: job.Bound, Try: try, Machine: "i-000001", Session: 1}})
+		return writePage([]job.Task{{Phase: job.Bound, Attempt: try, Machine: "i-000001", Epoch: 1}})
 	}
 	c.applyPage("wk-700000/0", page(1), 130)
 	task := &c.jobs["wk-700000"].pages[0].tasks[0]
@@ -97,7 +97,7 @@
 		t.Errorf("%+v", *task)
 	}
 	c.applyPage("wk-700000/0", page(2), 132)
-	if task.Phase != job.Bound || task.Try != 2 || len(c.writes.log.Spent()) != 1 {
+	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writes.log.Spent()) != 1 {
 		t.Errorf("%+v, %v", *task, c.writes.log.Spent())
 	}
 }
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -13,7 +13,7 @@
 // Known says in a line what this controller knows of a task ("wk-000412/3"), a job or a
 // machine, "" if nothing. It is for the stories that replays tell.
 func (c *Core) Known(name string) string {
-	if id, index, err := job.SplitTaskName(name); err == nil {
+	if id, index, err := job.ParseTaskName(name); err == nil {
 		return c.knownTask(id, index)
 	}
 	if r := c.jobs[name]; r != nil {
@@ -38,13 +38,13 @@
 	p := r.pages[index/c.pageTasks()]
 	switch t.Phase {
 	case job.Pending:
-		out += fmt.Sprintf("; pending after %d attempts, %d failed", t.Try, t.Fails)
+		out += fmt.Sprintf("; pending after %d attempts, %d failed", t.Attempt, t.Failures)
 	case job.Finished:
-		out += fmt.Sprintf("; finished by attempt %d", t.Try)
+		out += fmt.Sprintf("; finished by attempt %d", t.Attempt)
 	case job.Bound:
-		out += fmt.Sprintf("; attempt %d bound to %s in session %d", t.Try, t.Machine, t.Session)
+		out += fmt.Sprintf("; attempt %d bound to %s in session %d", t.Attempt, t.Machine, t.Epoch)
 		if m := c.machines[t.Machine]; m != nil {
-			a := attempt{taskKey{id, index}, t.Try}
+			a := attempt{taskKey{id, index}, t.Attempt}
 			out += fmt.Sprintf(" since %d", m.boundAt[a.taskKey].since)
 			if m.direct[a] {
 				out += ", a direct launch unanswered"
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -55,7 +55,7 @@
 		switch s.rnd.IntN(8) {
 		case 0:
 			sp := spec(job.Gang, "gng", job.High, 1+s.rnd.IntN(4))
-			sp.CPUs, sp.GPUs, sp.OneZone, sp.Types = 50, 8, true, []string{"large"}
+			sp.CPUs, sp.GPUs, sp.OneZone, sp.MachineTypes = 50, 8, true, []string{"large"}
 			s.submit(sp, 20, 0)
 		default:
 			sp := spec(job.Array, "arr", job.Normal, 20+s.rnd.IntN(60))
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -15,7 +15,7 @@
 // in session 1, launched directly and not yet answered.
 func launching(t *testing.T) *script {
 	s := newScript(t)
-	s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125})
+	s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
 	if s.launches() != 1 {
 		t.Fatalf("%d direct launches", s.launches())
 	}
@@ -243,7 +243,7 @@
 		named   bool
 	}{{"known, and not cancelled", false, false}, {"known", false, true}, {"not known", true, true}} {
 		s := newScript(t)
-		here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125}
+		here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125}
 		if v.unknown { // the machine is ours, and the records are those of before the job
 			s.pass(100 * time.Millisecond)
 			s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100})
--- a/internal/coordination/late_test.go
+++ b/internal/coordination/late_test.go
@@ -105,8 +105,8 @@
 	page := func(stamp uint64, tasks ...job.Task) protocol.WatchEvent {
 		return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage(tasks), ModRevision: stamp}
 	}
-	here := job.Task{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}
-	there := job.Task{Phase: job.Bound, Try: 2, Machine: "i-000002", Session: 1}
+	here := job.Task{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}
+	there := job.Task{Phase: job.Bound, Attempt: 2, Machine: "i-000002", Epoch: 1}
 	for _, v := range []struct {
 		name     string
 		ledger   uint64
@@ -180,7 +180,7 @@
 // out and answered. Its list lacks the attempt; the notice that it brought made the
 // attempt unwanted, and it was released for being absent while it ran.
 func TestAReportThatALaunchOvertookProvesNoAbsence(t *testing.T) {
-	here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-000001", Session: 1}}), ModRevision: 125}
+	here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125}
 	for _, v := range []struct {
 		tally    uint64 // of the report that comes after the launch's answer, whose own is 4
 		releases int
@@ -209,7 +209,7 @@
 func TestAnEndedAttemptIsNotForgottenForTheNextOnesLaunch(t *testing.T) {
 	s := newScript(t)
 	bound := func(try int, stamp uint64) protocol.WatchEvent {
-		return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Try: try, Machine: "i-000001", Session: 1}}), ModRevision: stamp}
+		return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: try, Machine: "i-000001", Epoch: 1}}), ModRevision: stamp}
 	}
 	s.held(bound(1, 125)) // its launch is not answered
 	s.pass(200 * time.Millisecond)
@@ -226,7 +226,7 @@
 // had named its claim before.
 func TestAPlacementBesideAnEndingHeedsTheDrain(t *testing.T) {
 	s := newSim(t, 67, 0)
-	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal, CPUs: 1, GPUs: 1, MemoryGB: 1, Types: []string{"large"}}
+	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal, CPUs: 1, GPUs: 1, MemoryGB: 1, MachineTypes: []string{"large"}}
 	s.submit(sp, 500, 0)
 	s.run(40 * time.Second)
 	for _, n := range s.nodes {
@@ -239,9 +239,9 @@
 			r := c.jobs[sp.ID]
 			first, second := r.task(c, 0), r.task(c, 1)
 			c.unindex(r, taskKey{sp.ID, 1}, second)
-			*second = job.Task{Try: 1}
+			*second = job.Task{Attempt: 1}
 			r.pages[0].pending++
-			c.propose(r, 0, change{machine: m.id, session: first.Session, try: first.Try, kind: evidence.Lease})
+			c.propose(r, 0, change{machine: m.id, session: first.Epoch, try: first.Attempt, kind: evidence.Lease})
 			c.assign(r, 1, m)
 			c.flush()
 			for _, k := range c.out.Calls {
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -133,7 +133,7 @@
 	if t == nil || t.Phase != job.Bound || t.Machine != m.id {
 		return evidence.Attempt{}, false
 	}
-	return evidence.Attempt{Try: t.Try, Session: t.Session, Since: m.boundAt[k].since}, true
+	return evidence.Attempt{Try: t.Attempt, Session: t.Epoch, Since: m.boundAt[k].since}, true
 }
 
 // head is a report without its list.
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -47,16 +47,16 @@
 		}
 		switch t.Phase {
 		case job.Bound:
-			b = strconv.AppendInt(append(b, 'b'), int64(t.Try), 10)
+			b = strconv.AppendInt(append(b, 'b'), int64(t.Attempt), 10)
 			b = append(append(append(b, '/'), t.Machine...), '/')
-			b = strconv.AppendUint(b, t.Session, 10)
+			b = strconv.AppendUint(b, t.Epoch, 10)
 		case job.Finished:
-			b = strconv.AppendInt(append(b, 'd'), int64(t.Try), 10)
+			b = strconv.AppendInt(append(b, 'd'), int64(t.Attempt), 10)
 		default:
-			b = strconv.AppendInt(append(b, 'p'), int64(t.Try), 10)
+			b = strconv.AppendInt(append(b, 'p'), int64(t.Attempt), 10)
 		}
-		if t.Fails != 0 {
-			b = strconv.AppendInt(append(b, '!'), int64(t.Fails), 10)
+		if t.Failures != 0 {
+			b = strconv.AppendInt(append(b, '!'), int64(t.Failures), 10)
 		}
 		if n > 1 {
 			b = strconv.AppendInt(append(b, '*'), int64(n), 10)
@@ -91,7 +91,7 @@
 		}
 		for ; n > 0 && i < len(old); n, i = n-1, i+1 {
 			o := &old[i]
-			if o.Phase == t.Phase && o.Try == t.Try && o.Session == t.Session && o.Fails == t.Fails && o.Machine == string(machine) {
+			if o.Phase == t.Phase && o.Attempt == t.Attempt && o.Epoch == t.Epoch && o.Failures == t.Failures && o.Machine == string(machine) {
 				continue
 			}
 			t.Machine = string(machine)
@@ -136,7 +136,7 @@
 		rest = rest[1:]
 		return true
 	}
-	t.Try = int(number())
+	t.Attempt = int(number())
 	switch kind {
 	case 'p':
 	case 'd':
@@ -151,12 +151,12 @@
 			return t, nil, 0, errPage
 		}
 		machine, rest = rest[:end], rest[end+1:]
-		t.Session = number()
+		t.Epoch = number()
 	default:
 		return t, nil, 0, errPage
 	}
 	if mark('!') {
-		t.Fails = int(number())
+		t.Failures = int(number())
 	}
 	n = 1
 	if mark('*') {
--- a/internal/coordination/page_test.go
+++ b/internal/coordination/page_test.go
@@ -17,16 +17,16 @@
 		switch x := &tasks[i]; rapid.IntRange(0, 5).Draw(t, "kind") {
 		case 0:
 		case 1:
-			*x = job.Task{Try: rapid.IntRange(0, 9).Draw(t, "try"), Fails: rapid.IntRange(0, 2).Draw(t, "fails")}
+			*x = job.Task{Attempt: rapid.IntRange(0, 9).Draw(t, "try"), Failures: rapid.IntRange(0, 2).Draw(t, "fails")}
 		case 2:
-			*x = job.Task{Phase: job.Finished, Try: rapid.IntRange(1, 1000).Draw(t, "try")}
+			*x = job.Task{Phase: job.Finished, Attempt: rapid.IntRange(1, 1000).Draw(t, "try")}
 		case 3:
 			if i > 0 {
 				*x = tasks[i-1]
 			}
 		default:
-			*x = job.Task{Phase: job.Bound, Try: 1, Machine: rapid.StringMatching(`[A-Za-z0-9._-]{1,12}`).Draw(t, "machine"),
-				Session: rapid.Uint64Range(1, 1<<60).Draw(t, "session"), Fails: rapid.IntRange(0, 2).Draw(t, "fails")}
+			*x = job.Task{Phase: job.Bound, Attempt: 1, Machine: rapid.StringMatching(`[A-Za-z0-9._-]{1,12}`).Draw(t, "machine"),
+				Epoch: rapid.Uint64Range(1, 1<<60).Draw(t, "session"), Failures: rapid.IntRange(0, 2).Draw(t, "fails")}
 		}
 	}
 	return tasks
@@ -106,7 +106,7 @@
 	s.run(time.Second)
 	c := s.nodes[0].core
 	clear(c.formats)
-	tasks := []job.Task{{Phase: job.Bound, Try: 1, Machine: "m", Session: 1}}
+	tasks := []job.Task{{Phase: job.Bound, Attempt: 1, Machine: "m", Epoch: 1}}
 	if b := c.encodePage(tasks); b[0] != '[' {
 		t.Errorf("peers are not known, and %s was written", b)
 	}
@@ -125,7 +125,7 @@
 func BenchmarkReadPage(b *testing.B) {
 	tasks := make([]job.Task, 128)
 	for i := range tasks {
-		tasks[i] = job.Task{Phase: job.Bound, Try: 1, Machine: "i-000231", Session: uint64(1 + i%2)}
+		tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: "i-000231", Epoch: uint64(1 + i%2)}
 	}
 	old := slices.Clone(tasks)
 	old[77] = job.Task{}
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -77,7 +77,7 @@
 func (c *Core) fits(r *record, m *machine) bool {
 	s := r.spec
 	f := c.kind(m)
-	if f == &unknownKind || !s.TypeAllowed(m.claim.Type) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
+	if f == &unknownKind || !s.AllowsMachineType(m.claim.Type) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
 		return false
 	}
 	if m.holdFor != s.ID && c.now < m.holdTill {
@@ -104,7 +104,7 @@
 func (c *Core) couldHold(r *record, m *machine) bool {
 	s := r.spec
 	f := c.kind(m)
-	return f != &unknownKind && s.TypeAllowed(m.claim.Type) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && holds(f, s)
+	return f != &unknownKind && s.AllowsMachineType(m.claim.Type) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && holds(f, s)
 }
 
 // pop takes an entry of the idle list whose remaining room holds the task: a
@@ -506,14 +506,14 @@
 			tm.need = tm.need.plus(s, float64(s.Tasks-r.finished))
 			r.entitled = tm.guarantees(tm.need)
 		}
-		left := float64(s.Tasks-r.finished-r.bound) * s.Estimate
+		left := float64(s.Tasks-r.finished-r.bound) * s.EstimateS
 		share := 0.0
 		if s.GPUs > 0 && c.capacity.GPUs > 0 {
 			share = left * s.GPUs / c.capacity.GPUs
 		} else if c.capacity.CPUs > 0 {
 			share = left * s.CPUs / c.capacity.CPUs
 		}
-		last := float64(r.at)/1000 + r.due - s.Estimate
+		last := float64(r.at)/1000 + r.due - s.EstimateS
 		r.turn = last + sizeWeight*share
 		if now > last {
 			r.turn += r.due
@@ -593,8 +593,8 @@
 // within is the time a job has to finish: its deadline, or the tightest aim of
 // its class, or the loosest of all.
 func (c *Core) within(s *job.Spec) float64 {
-	if s.Deadline != nil {
-		return *s.Deadline
+	if s.DeadlineS != nil {
+		return *s.DeadlineS
 	}
 	tight, loose := 0.0, 0.0
 	for _, o := range c.cfg.Facts.Objectives {
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -23,7 +23,7 @@
 }
 
 func (s *slot) takes(sp *job.Spec) bool {
-	if !sp.TypeAllowed(s.where.rig) || (sp.Zone != "" && sp.Zone != s.where.depot) || (s.where.spot && !sp.Spot) {
+	if !sp.AllowsMachineType(s.where.rig) || (sp.Zone != "" && sp.Zone != s.where.depot) || (s.where.spot && !sp.Spot) {
 		return false
 	}
 	return sp.CPUs <= s.cpus+tolerance && sp.GPUs <= s.gpus+tolerance && sp.MemoryGB <= s.ram+tolerance
@@ -326,7 +326,7 @@
 	bestCost, bestLoad, found := 0.0, 0, false
 	for _, sku := range sortedKeys(c.catalogue) {
 		t := c.catalogue[sku]
-		if !s.TypeAllowed(sku) || !holds(t, s) {
+		if !s.AllowsMachineType(sku) || !holds(t, s) {
 			continue
 		}
 		fit := perMachine(t, s)
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -25,7 +25,7 @@
 				continue
 			}
 			m, victims := c.victims(r, false)
-			if m == nil && r.task(c, w.key.index).Try > 0 {
+			if m == nil && r.task(c, w.key.index).Attempt > 0 {
 				m, victims = c.gangVictims(r) // it ran before
 			}
 			if m == nil {
@@ -239,8 +239,8 @@
 		return 0
 	}
 	ran := (c.now - at).Seconds()
-	if r.spec.Checkpoint > 0 {
-		return min(ran, r.spec.Checkpoint)
+	if r.spec.CheckpointIntervalS > 0 {
+		return min(ran, r.spec.CheckpointIntervalS)
 	}
 	return ran
 }
@@ -287,11 +287,11 @@
 	}
 	t := rec.task(c, k.index)
 	grace := 0.0
-	if rec.spec.Checkpoint > 0 && !multi(rec) { // a gang saves when all are told in time
-		grace = rec.spec.Save * 2
+	if rec.spec.CheckpointIntervalS > 0 && !multi(rec) { // a gang saves when all are told in time
+		grace = rec.spec.CheckpointSaveS * 2
 	}
 	m.stops[k] = stop{grace, why, c.now}
-	c.kill(m, kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Try}, grace))
+	c.kill(m, kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Attempt}, grace))
 }
 
 // kill tells a worker directly to stop attempts.
@@ -319,8 +319,8 @@
 				continue
 			}
 			k := taskKey{p.id, p.num*c.pageTasks() + i}
-			if m := c.machines[t.Machine]; m != nil && c.mine(m) && t.Session == m.session && m.begun[k] == 0 {
-				orders[m.id] = append(orders[m.id], kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Try}, 0))
+			if m := c.machines[t.Machine]; m != nil && c.mine(m) && t.Epoch == m.session && m.begun[k] == 0 {
+				orders[m.id] = append(orders[m.id], kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Attempt}, 0))
 			}
 		}
 	}
@@ -344,7 +344,7 @@
 	}()
 	for i := range rep.Tasks {
 		l := &rep.Tasks[i]
-		id, index, err := job.SplitTaskName(l.Task)
+		id, index, err := job.ParseTaskName(l.Task)
 		if l.Status != protocol.TaskEnded || err != nil {
 			continue
 		}
@@ -353,7 +353,7 @@
 		if rec == nil {
 			continue
 		}
-		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Session == rep.AgentEpoch && t.Try == l.Attempt && !c.ending(rec, index) {
+		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == rep.AgentEpoch && t.Attempt == l.Attempt && !c.ending(rec, index) {
 			c.ended(m, rec, k, t, l)
 		}
 	}
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -309,8 +309,8 @@
 			t.Machine = c.machine(t.Machine).id // one string for each machine
 		}
 		old := p.tasks[at]
-		if t.Fails > old.Fails {
-			defer c.failedAt(r, old, t.Fails)
+		if t.Failures > old.Failures {
+			defer c.failedAt(r, old, t.Failures)
 		}
 		c.unindex(r, taskKey{id, base + at}, &old)
 		p.tasks[at] = *t
@@ -325,7 +325,7 @@
 }
 
 func (c *Core) index(r *record, k taskKey, t *job.Task, since uint64) {
-	r.last = max(r.last, t.Try)
+	r.last = max(r.last, t.Attempt)
 	switch t.Phase {
 	case job.Bound:
 		r.bound++
@@ -348,10 +348,10 @@
 		delete(r.placed, k.index)
 		c.unline(r, k.index)
 		if c.mine(m) {
-			c.traceStart(losses.Bound, k.id, k.index, t.Try, m.id)
+			c.traceStart(losses.Bound, k.id, k.index, t.Attempt, m.id)
 		}
-		if t.Session == m.session {
-			c.queueLaunch(m.id, k, t.Try) // also when a peer's gang was bound to our machine
+		if t.Epoch == m.session {
+			c.queueLaunch(m.id, k, t.Attempt) // also when a peer's gang was bound to our machine
 		}
 	case job.Finished:
 		r.finished++
--- a/internal/coordination/recover_test.go
+++ b/internal/coordination/recover_test.go
@@ -27,10 +27,10 @@
 		}
 		s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 		s.told = s.facts
-		gang := s.submit(&job.Spec{ID: "wk-000001", Class: "gng", Team: "red", Shape: job.Gang, Priority: job.High, Tasks: 2, CPUs: 8, GPUs: 8, MemoryGB: 8, Types: []string{"large"}}, 120, 0)
+		gang := s.submit(&job.Spec{ID: "wk-000001", Class: "gng", Team: "red", Shape: job.Gang, Priority: job.High, Tasks: 2, CPUs: 8, GPUs: 8, MemoryGB: 8, MachineTypes: []string{"large"}}, 120, 0)
 		s.run(30 * time.Second)
 		for i := range 3 {
-			s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", 2+i), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, Types: []string{"large"}}, 0, 70*time.Second)
+			s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", 2+i), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, MachineTypes: []string{"large"}}, 0, 70*time.Second)
 		}
 		s.run(60 * time.Second)
 		on := func(ids ...string) (n int) {
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -36,7 +36,7 @@
 // judgeListed judges an attempt that a believed report lists, and adds what the worker is to be told.
 // What is bound here as it is listed is noted in listed.
 func (c *Core) judgeListed(orders []protocol.Command, m *machine, st evidence.Standing, r *protocol.Heartbeat, l *protocol.TaskStatus, listed map[taskKey]bool) []protocol.Command {
-	id, index, err := job.SplitTaskName(l.Task)
+	id, index, err := job.ParseTaskName(l.Task)
 	if err != nil {
 		return orders
 	}
@@ -96,7 +96,7 @@
 	t := rec.task(c, k.index)
 	_, stopping := m.stops[k]
 	wanted := !rec.final() && !stopping && !m.recalled
-	a := attempt{k, t.Try}
+	a := attempt{k, t.Attempt}
 	b, _ := c.boundHere(m, k)
 	act, kind := st.Lacking(head(r), b, m.direct[a], wanted, c.ending(rec, k.index))
 	switch act {
@@ -104,14 +104,14 @@
 		m.tainted = true
 	case evidence.Release:
 		m.vacate(k, rec)
-		c.propose(rec, k.index, change{machine: m.id, session: t.Session, try: t.Try, kind: kind})
+		c.propose(rec, k.index, change{machine: m.id, session: t.Epoch, try: t.Attempt, kind: kind})
 		if kind == evidence.Absent {
 			delete(m.stops, k)
 		}
 	case evidence.Launch:
 		return append(orders, c.launch(m, a))
 	case evidence.Keep:
-		if wanted && t.Session == r.AgentEpoch {
+		if wanted && t.Epoch == r.AgentEpoch {
 			m.deferLaunch(a)
 		}
 	}
@@ -149,9 +149,9 @@
 }
 
 func (c *Core) ended(m *machine, rec *record, k taskKey, t *job.Task, l *protocol.TaskStatus) {
-	ch := change{machine: m.id, session: t.Session, try: t.Try, kind: evidence.Ended, done: l.Cause == protocol.CauseDone, failed: l.Cause == protocol.CauseError, cause: l.Cause}
+	ch := change{machine: m.id, session: t.Epoch, try: t.Attempt, kind: evidence.Ended, done: l.Cause == protocol.CauseDone, failed: l.Cause == protocol.CauseError, cause: l.Cause}
 	if ch.failed {
-		c.log.Info("task failed", "load", l.Task, "stoker", m.id, "fails", t.Fails+1)
+		c.log.Info("task failed", "load", l.Task, "stoker", m.id, "fails", t.Failures+1)
 	}
 	m.vacate(k, rec)
 	c.propose(rec, k.index, ch)
--- a/internal/coordination/returns_test.go
+++ b/internal/coordination/returns_test.go
@@ -70,7 +70,7 @@
 		c := l.core
 		// A job of one task that runs on a machine of which the mirror has no claim.
 		spec := encode(storedJob{&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, job.Open, 1, l.name})
-		page := json.RawMessage(writePage([]job.Task{{Phase: job.Bound, Try: 1, Machine: "i-900000", Session: 1}}))
+		page := json.RawMessage(writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-900000", Epoch: 1}}))
 		write := func(key string, data json.RawMessage) {
 			s.kv.rev++
 			s.kv.change(key, data, 0, s.kv.rev)
--- a/internal/coordination/routing.go
+++ b/internal/coordination/routing.go
@@ -106,7 +106,7 @@
 	}
 	listed := map[attempt]bool{}
 	for _, l := range r.Tasks {
-		if id, i, err := job.SplitTaskName(l.Task); err == nil {
+		if id, i, err := job.ParseTaskName(l.Task); err == nil {
 			listed[attempt{taskKey{id, i}, l.Attempt}] = true
 		}
 	}
--- a/internal/coordination/served_test.go
+++ b/internal/coordination/served_test.go
@@ -178,7 +178,7 @@
 		{"not served: largest of class arr", func(s *sim) { // no machine of the type that the largest job wants
 			s.cloud.free = map[place]int{{"small", "a", false}: 4}
 			s.after(2*time.Second, func() {
-				s.submit(&job.Spec{ID: "wk-600000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 60, CPUs: 4, GPUs: 1, MemoryGB: 8, Types: []string{"large"}}, 30, 0)
+				s.submit(&job.Spec{ID: "wk-600000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 60, CPUs: 4, GPUs: 1, MemoryGB: 8, MachineTypes: []string{"large"}}, 30, 0)
 			})
 		}},
 	} {
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -64,8 +64,8 @@
 			for _, k := range m.tasks() {
 				rec := m.bound[k]
 				t := rec.task(c, k.index)
-				if t.Session <= m.session && !c.ending(rec, k.index) {
-					c.propose(rec, k.index, change{machine: m.id, session: t.Session, try: t.Try, kind: evidence.Lease})
+				if t.Epoch <= m.session && !c.ending(rec, k.index) {
+					c.propose(rec, k.index, change{machine: m.id, session: t.Epoch, try: t.Attempt, kind: evidence.Lease})
 				}
 			}
 		}
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -987,7 +987,7 @@
 	s := w.s
 	for _, o := range orders {
 		key := o.Task + "#" + strconv.Itoa(o.Attempt)
-		id, index, err := job.SplitTaskName(o.Task)
+		id, index, err := job.ParseTaskName(o.Task)
 		if err != nil {
 			continue
 		}
--- a/internal/coordination/slopes_test.go
+++ b/internal/coordination/slopes_test.go
@@ -20,7 +20,7 @@
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.Type, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.session, Sequence: m.tally, FencingToken: m.stamp}
 	for _, k := range m.tasks() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: m.bound[k].task(c, k.index).Try, Status: protocol.TaskRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: m.bound[k].task(c, k.index).Attempt, Status: protocol.TaskRunning})
 	}
 	for i := range extra {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", i), Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseDone})
@@ -58,11 +58,11 @@
 	c.applyJob(spec.ID, encode(storedJob{spec, job.Open, 1, "n0"}), 1)
 	tasks := make([]job.Task, 128)
 	for i := range tasks {
-		tasks[i] = job.Task{Phase: job.Bound, Try: 1, Machine: c.ours[i%len(c.ours)].id, Session: 1}
+		tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: c.ours[i%len(c.ours)].id, Epoch: 1}
 	}
 	var pages [2][]byte
 	for i := range pages {
-		tasks[7].Try = 1 + i
+		tasks[7].Attempt = 1 + i
 		pages[i] = writePage(tasks)
 	}
 	stamp := uint64(1 << 40)
--- a/internal/coordination/start_test.go
+++ b/internal/coordination/start_test.go
@@ -36,9 +36,9 @@
 		for i := range tasks {
 			if j%2 == 1 {
 				rec.Status = job.Done
-				tasks[i] = job.Task{Phase: job.Finished, Try: 1}
+				tasks[i] = job.Task{Phase: job.Finished, Attempt: 1}
 			} else {
-				tasks[i] = job.Task{Phase: job.Bound, Try: 1, Machine: fmt.Sprintf("i-%06d", (j/2*each+i)/8), Session: 1}
+				tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: fmt.Sprintf("i-%06d", (j/2*each+i)/8), Epoch: 1}
 			}
 		}
 		data[keyJob+sp.ID], data[pageKey(sp.ID, 0)] = encode(rec), writePage(tasks)
--- a/internal/coordination/storedrecords_test.go
+++ b/internal/coordination/storedrecords_test.go
@@ -84,20 +84,20 @@
 func goldenSpec(id string, shape job.Shape, priority job.Priority) *job.Spec {
 	deadline := 3600.5
 	return &job.Spec{ID: id, Class: "train<1>", Team: "red", Shape: shape, Priority: priority, Tasks: 10, CPUs: 1.5, GPUs: 2, MemoryGB: 3.25,
-		Image: "img-a", ImageGB: 4.5, Types: []string{"g4", "c8"}, Zone: "z-a", OneZone: true, Spread: true, Spot: true, Estimate: 60.5,
-		Checkpoint: 7.5, Save: 8.5, Deadline: &deadline, Extended: true, Inputs: []string{"maps/v1", "maps/v2"}}
+		Image: "img-a", ImageGB: 4.5, MachineTypes: []string{"g4", "c8"}, Zone: "z-a", OneZone: true, Spread: true, Spot: true, EstimateS: 60.5,
+		CheckpointIntervalS: 7.5, CheckpointSaveS: 8.5, DeadlineS: &deadline, Extended: true, Inputs: []string{"maps/v1", "maps/v2"}}
 }
 
 // goldenTasks has each phase, with and without failures, and tasks alike.
 func goldenTasks() []job.Task {
 	return []job.Task{
 		{}, {}, {},
-		{Phase: job.Pending, Try: 1},
-		{Phase: job.Pending, Try: 2, Fails: 1},
-		{Phase: job.Bound, Try: 1, Machine: "i-000231", Session: 1},
-		{Phase: job.Bound, Try: 4, Machine: "i-000232", Session: 1 << 62, Fails: 3},
-		{Phase: job.Finished, Try: 1}, {Phase: job.Finished, Try: 1},
-		{Phase: job.Finished, Try: 6, Fails: 5},
+		{Phase: job.Pending, Attempt: 1},
+		{Phase: job.Pending, Attempt: 2, Failures: 1},
+		{Phase: job.Bound, Attempt: 1, Machine: "i-000231", Epoch: 1},
+		{Phase: job.Bound, Attempt: 4, Machine: "i-000232", Epoch: 1 << 62, Failures: 3},
+		{Phase: job.Finished, Attempt: 1}, {Phase: job.Finished, Attempt: 1},
+		{Phase: job.Finished, Attempt: 6, Failures: 5},
 	}
 }
 
@@ -112,7 +112,7 @@
 		endings.Ending{Task: endings.Task{Job: "wk-000043", Index: 0}, Try: 1, Machine: "i-000232", Session: 1}.String(),
 	}
 	whole := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
-		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Place: "in/maps"}}}
+		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Path: "in/maps"}}}
 	set := protocol.DataSet{Set: "maps", Version: "v1", Digest: strings.Repeat("0123456789abcdef", 4), Bytes: 1 << 40, Sources: []string{"127.0.0.1:7000"}, AtMS: 1767225600002}
 	rigs := protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g4", CPUs: 8.5, GPUs: 4, MemoryGB: 64.5, LocalGB: 100, ImagePullGBPerS: 0.25, OnDemandPrice: 2.5,
 		SpotPrice: 0.75, StartupS: 30, Zones: []string{"z-a", "z-b"}}}}
--- a/internal/coordination/troublemakers_test.go
+++ b/internal/coordination/troublemakers_test.go
@@ -450,7 +450,7 @@
 			continue
 		}
 		if r := n.core.jobs[l.id]; r != nil {
-			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Try == l.try {
+			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == l.try {
 				return false
 			}
 		}
@@ -531,7 +531,7 @@
 	for _, only := range s.facts.Zones {
 		found, spread := 0, map[string]int{}
 		for _, w := range usable {
-			if !sp.TypeAllowed(w.rig) || w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone || sp.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
+			if !sp.AllowsMachineType(w.rig) || w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone || sp.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
 				continue
 			}
 			t := s.cloud.types[w.rig]
--- a/internal/coordination/unshipped_test.go
+++ b/internal/coordination/unshipped_test.go
@@ -59,7 +59,7 @@
 	key := archive.GrantKey(make([]byte, archive.KeySize))
 	seals := 0
 	s.launched = func(w *simWorker, o protocol.Command) {
-		id, index, _ := job.SplitTaskName(o.Task)
+		id, index, _ := job.ParseTaskName(o.Task)
 		if o.Grant != key.SealLaunch(archive.Attempt{Job: id, Task: index, Try: o.Attempt, Machine: w.name}) {
 			s.breaks("seal", "%s try %d on %s: %q", o.Task, o.Attempt, w.name, o.Grant)
 		}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -263,7 +263,7 @@
 	}
 	zones := map[string]bool{} // in which a machine can hold a task
 	for name, f := range c.catalogue {
-		if !s.TypeAllowed(name) || !holds(f, s) {
+		if !s.AllowsMachineType(name) || !holds(f, s) {
 			continue
 		}
 		for _, z := range f.Zones {
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -109,7 +109,7 @@
 func (v *view) describe(id uint64, r *record) {
 	c, s := v.c, r.spec
 	d := protocol.JobDescription{ID: s.ID, Class: s.Class, Team: s.Team, Shape: s.Shape, Priority: protocol.PriorityName(s.Priority),
-		Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Image: s.Image, ImageGB: s.ImageGB, CheckpointIntervalS: s.Checkpoint, CheckpointSaveS: s.Save,
+		Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Image: s.Image, ImageGB: s.ImageGB, CheckpointIntervalS: s.CheckpointIntervalS, CheckpointSaveS: s.CheckpointSaveS,
 		Complete: s.Shape == job.Gang && (r.finished > 0 || r.status == job.Done)}
 	v.withExtra(id, r, func(x *job.Extra) {
 		if d.Extra = x; x == nil {
@@ -126,7 +126,7 @@
 				c.refuse(id, 503, "an input's record is not known yet")
 				return
 			}
-			d.Inputs = append(d.Inputs, protocol.InputCopy{DataSet: *s, Path: in.Place})
+			d.Inputs = append(d.Inputs, protocol.InputCopy{DataSet: *s, Path: in.Path})
 		}
 		v.sealTerms(&d)
 		c.answer(id, 200, d, 0)
@@ -185,7 +185,7 @@
 	out := protocol.GangMembers{Members: []protocol.GangMember{}}
 	for _, p := range r.pages {
 		for i := range p.tasks {
-			if t := &p.tasks[i]; t.Phase == job.Bound && t.Try == try {
+			if t := &p.tasks[i]; t.Phase == job.Bound && t.Attempt == try {
 				out.Members = append(out.Members, protocol.GangMember{Index: p.num*v.c.pageTasks() + i, Machine: t.Machine, Address: v.c.machine(t.Machine).claim.Address})
 			}
 		}
--- a/internal/job/extra.go
+++ b/internal/job/extra.go
@@ -26,7 +26,7 @@
 	// the job is accepted.
 	Version string `json:"version"`
 	// Place is where it appears, relative to the task's working directory.
-	Place string `json:"place"`
+	Path string `json:"place"`
 }
 
 // Empty tells whether there is nothing in it.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -31,26 +31,26 @@
 
 // Spec is what a user asked for.
 type Spec struct {
-	ID         string   `json:"id"`
-	Class      string   `json:"cl"`
-	Team       string   `json:"tm"`
-	Shape      Shape    `json:"sh"`
-	Priority   Priority `json:"pr"`
-	Tasks      int      `json:"n"`
-	CPUs       float64  `json:"c,omitempty"`
-	GPUs       float64  `json:"g,omitempty"`
-	MemoryGB   float64  `json:"m,omitempty"`
-	Image      string   `json:"im,omitempty"`
-	ImageGB    float64  `json:"ig,omitempty"`
-	Types      []string `json:"ty,omitempty"`
-	Zone       string   `json:"z,omitempty"`
-	OneZone    bool     `json:"oz,omitempty"`
-	Spread     bool     `json:"sp,omitempty"`
-	Spot       bool     `json:"ca,omitempty"`
-	Estimate   float64  `json:"es,omitempty"`
-	Checkpoint float64  `json:"ck,omitempty"`
-	Save       float64  `json:"sv,omitempty"`
-	Deadline   *float64 `json:"dl,omitempty"`
+	ID                  string   `json:"id"`
+	Class               string   `json:"cl"`
+	Team                string   `json:"tm"`
+	Shape               Shape    `json:"sh"`
+	Priority            Priority `json:"pr"`
+	Tasks               int      `json:"n"`
+	CPUs                float64  `json:"c,omitempty"`
+	GPUs                float64  `json:"g,omitempty"`
+	MemoryGB            float64  `json:"m,omitempty"`
+	Image               string   `json:"im,omitempty"`
+	ImageGB             float64  `json:"ig,omitempty"`
+	MachineTypes        []string `json:"ty,omitempty"`
+	Zone                string   `json:"z,omitempty"`
+	OneZone             bool     `json:"oz,omitempty"`
+	Spread              bool     `json:"sp,omitempty"`
+	Spot                bool     `json:"ca,omitempty"`
+	EstimateS           float64  `json:"es,omitempty"`
+	CheckpointIntervalS float64  `json:"ck,omitempty"`
+	CheckpointSaveS     float64  `json:"sv,omitempty"`
+	DeadlineS           *float64 `json:"dl,omitempty"`
 	// Extended tells that there is an Extra, kept under a key of its own.
 	Extended bool `json:"x,omitempty"`
 	// Inputs are the versions that its tasks read, as set/version, resolved.
@@ -80,22 +80,22 @@
 
 // Task is one task's record.
 type Task struct {
-	Phase   Phase  `json:"s,omitempty"`
-	Try     int    `json:"t,omitempty"`
-	Machine string `json:"m,omitempty"`
-	Session uint64 `json:"h,omitempty"`
-	Fails   int    `json:"f,omitempty"`
+	Phase    Phase  `json:"s,omitempty"`
+	Attempt  int    `json:"t,omitempty"`
+	Machine  string `json:"m,omitempty"`
+	Epoch    uint64 `json:"h,omitempty"`
+	Failures int    `json:"f,omitempty"`
 }
 
 // SpreadLimit is the most tasks a spread job may have in one zone.
 func (s *Spec) SpreadLimit() int { return (s.Tasks + 1) / 2 }
 
 // TypeAllowed tells whether the job may use a machine type.
-func (s *Spec) TypeAllowed(name string) bool {
-	if s.Types == nil {
+func (s *Spec) AllowsMachineType(name string) bool {
+	if s.MachineTypes == nil {
 		return true
 	}
-	for _, t := range s.Types {
+	for _, t := range s.MachineTypes {
 		if t == name {
 			return true
 		}
@@ -107,7 +107,7 @@
 func TaskName(id string, index int) string { return id + "/" + strconv.Itoa(index) }
 
 // SplitTaskName undoes TaskName.
-func SplitTaskName(name string) (id string, index int, err error) {
+func ParseTaskName(name string) (id string, index int, err error) {
 	id, num, ok := strings.Cut(name, "/")
 	if !ok {
 		return "", 0, fmt.Errorf("task name %q has no index", name)
--- a/internal/protocol/extra.go
+++ b/internal/protocol/extra.go
@@ -103,7 +103,7 @@
 			}
 		}
 		places[*in.Place] = true
-		e.Inputs = append(e.Inputs, job.Input{Set: *in.Set, Version: *in.Version, Place: *in.Place})
+		e.Inputs = append(e.Inputs, job.Input{Set: *in.Set, Version: *in.Version, Path: *in.Place})
 	}
 	if e.Empty() {
 		return nil, nil
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -141,7 +141,7 @@
 		v    *float64
 		dst  *float64
 	}{{"cpus", r.CPUs, &s.CPUs}, {"accelerators", r.GPUs, &s.GPUs}, {"ramGb", r.MemoryGB, &s.MemoryGB}, {"sizeGb", r.ImageGB, &s.ImageGB},
-		{"etaS", r.EstimateS, &s.Estimate}, {"waypointS", r.CheckpointIntervalS, &s.Checkpoint}, {"stowS", r.CheckpointSaveS, &s.Save}} {
+		{"etaS", r.EstimateS, &s.EstimateS}, {"waypointS", r.CheckpointIntervalS, &s.CheckpointIntervalS}, {"stowS", r.CheckpointSaveS, &s.CheckpointSaveS}} {
 		if f.v == nil || !isFiniteAmount(*f.v) {
 			return nil, fmt.Errorf("%s: missing or not an amount", f.name)
 		}
@@ -178,7 +178,7 @@
 		if !isFiniteAmount(*r.DeadlineS) {
 			return nil, errors.New("dueS: not an amount")
 		}
-		s.Deadline = r.DeadlineS
+		s.DeadlineS = r.DeadlineS
 	}
 	if r.Zone != nil {
 		if *r.Zone == "" || len(*r.Zone) > 200 {
@@ -187,7 +187,7 @@
 		s.Zone = *r.Zone
 	}
 	if r.MachineTypes != nil {
-		s.Types = r.MachineTypes
+		s.MachineTypes = r.MachineTypes
 	}
 	return s, nil
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	if s.ID != "wk-000412" || s.Shape != job.Gang || s.Priority != job.High || s.Tasks != 16 || !s.OneZone || !s.Spot || s.Zone != "" ||
-		!s.TypeAllowed("g8") || s.TypeAllowed("g4") || *s.Deadline != 900 {
+		!s.AllowsMachineType("g8") || s.AllowsMachineType("g4") || *s.DeadlineS != 900 {
 		t.Fatalf("%+v", s)
 	}
 	for _, nullable := range []string{"rigs", "depot", "dueS"} {
@@ -114,13 +114,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`wk-[0-9]{6}`).Draw(t, "id")
 		i := rapid.IntRange(0, MaxTasks).Draw(t, "index")
-		gotID, gotI, err := job.SplitTaskName(job.TaskName(id, i))
+		gotID, gotI, err := job.ParseTaskName(job.TaskName(id, i))
 		if err != nil || gotID != id || gotI != i {
 			t.Fatalf("%q %d %v", gotID, gotI, err)
 		}
 	})
 	for _, bad := range []string{"", "wk-000001", "wk-000001/", "wk-000001/-1", "wk-000001/x"} {
-		if _, _, err := job.SplitTaskName(bad); err == nil {
+		if _, _, err := job.ParseTaskName(bad); err == nil {
 			t.Errorf("%q passed", bad)
 		}
 	}
@@ -139,7 +139,7 @@
 		}
 		if x, err := ParseExtra(raw); err == nil && x != nil {
 			for _, in := range x.Inputs {
-				if !ValidRelativePath(in.Place) || strings.HasPrefix(in.Place, "/") || strings.Contains("/"+in.Place+"/", "/../") {
+				if !ValidRelativePath(in.Path) || strings.HasPrefix(in.Path, "/") || strings.Contains("/"+in.Path+"/", "/../") {
 					t.Fatalf("%+v", in)
 				}
 			}
