--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -305,7 +305,7 @@
 	// over, while a peer answered the worker. When the worker came
 	// back, the release was committed under the new claim, and the
 	// task ran twice.
-	ok, onClaim := c.standing(m).Commit(evidence.Found{Kind: ch.kind, Token: ch.token})
+	ok, onClaim := c.standing(m).MayRelease(evidence.Evidence{Proof: ch.kind, Token: ch.token})
 	if !ok {
 		c.log.Debug("release refused: the evidence is void", "load", job.TaskName(d.p.id, d.base+ch.index), "try", ch.try, "stoker", m.id, "kind", ch.kind.String(),
 			"found", ch.token, "token", m.stamp)
--- a/internal/coordination/checkin.go
+++ b/internal/coordination/checkin.go
@@ -46,7 +46,7 @@
 	c.adopt(m, r)
 	c.voidLaunches(m, r)
 	// What has passed by a group is claimed alone where a peer could not see who holds it.
-	if c.standing(m).Hear(head(r)) != evidence.Claim && !(m.passed() && c.earlierVersion(takeoverFormat)) {
+	if c.standing(m).JudgeHeartbeat(head(r)) != evidence.NeedsClaim && !(m.passed() && c.earlierVersion(takeoverFormat)) {
 		c.accept(id, m, r)
 		return
 	}
@@ -122,7 +122,7 @@
 		c.refuse(id, 503, "the claim was lost")
 		return
 	}
-	hearing := c.standing(m).Hear(head(r))
+	hearing := c.standing(m).JudgeHeartbeat(head(r))
 	if hearing == evidence.Stale {
 		// Its list is old and its sender has given up on it.
 		c.refuse(id, 503, "an older report")
@@ -134,7 +134,7 @@
 		m.shown, m.shownAt = true, c.now
 	}
 	ans := protocol.HeartbeatResponse{FencingToken: m.stamp, Commands: []protocol.Command{}}
-	if hearing != evidence.Believe {
+	if hearing != evidence.Trust {
 		ans.Commands = c.killFinal(m, r)
 		c.outlived(m, r)
 	} else {
@@ -159,8 +159,8 @@
 		if !ok || c.ending(rec, k.index) {
 			continue
 		}
-		if act, kind := evidence.Outlived(head(r), a); act == evidence.Release {
-			c.propose(rec, k.index, change{machine: m.id, session: a.Session, try: a.Try, kind: kind})
+		if act, kind := evidence.JudgeEarlierEpoch(head(r), a); act == evidence.Release {
+			c.propose(rec, k.index, change{machine: m.id, session: a.Epoch, try: a.Number, kind: kind})
 		}
 	}
 }
@@ -188,8 +188,8 @@
 	}
 	for _, k := range m.tasks() {
 		name := job.TaskName(k.id, k.index)
-		if a, ok := c.boundHere(m, k); ok && m.bound[k].final() && a.Session == r.AgentEpoch && !listed[name] {
-			orders = append(orders, kill(&protocol.TaskStatus{Task: name, Attempt: a.Try}, 0))
+		if a, ok := c.boundHere(m, k); ok && m.bound[k].final() && a.Epoch == r.AgentEpoch && !listed[name] {
+			orders = append(orders, kill(&protocol.TaskStatus{Task: name, Attempt: a.Number}, 0))
 		}
 	}
 	return orders
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -474,7 +474,7 @@
 // horizon is how old the last proof about cancellations may be for workers to be answered.
 func (c *Core) horizon() time.Duration {
 	w := &c.cfg.Facts.Workers
-	return evidence.Horizon(seconds(w.Cancel), seconds(w.Lease))
+	return evidence.CancelHorizon(seconds(w.Cancel), seconds(w.Lease))
 }
 
 // leaseOver is how long after an answered report's arrival its worker has
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -750,7 +750,7 @@
 					r := m.bound[k]
 					task := *r.task(c, k.index)
 					c.begin(n.clock())
-					c.propose(r, k.index, change{machine: m.id, session: task.Epoch, try: task.Attempt, kind: evidence.Lease})
+					c.propose(r, k.index, change{machine: m.id, session: task.Epoch, try: task.Attempt, kind: evidence.LeaseExpired})
 					if again {
 						c.apply(keyClaim+m.id, encode(m.claim), c.store.Ledger()+1)
 					}
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -207,8 +207,8 @@
 // TestOutlivedNeedsALaterSession is the table of evidence.Outlived.
 func TestOutlivedNeedsALaterSession(t *testing.T) {
 	for shift := uint64(1); shift <= 3; shift++ {
-		act, kind := evidence.Outlived(evidence.Report{Shift: shift}, evidence.Attempt{Session: 2})
-		if (act == evidence.Release && kind == evidence.Session) != (shift == 3) {
+		act, kind := evidence.JudgeEarlierEpoch(evidence.Heartbeat{Epoch: shift}, evidence.Attempt{Epoch: 2})
+		if (act == evidence.Release && kind == evidence.NewerEpoch) != (shift == 3) {
 			t.Errorf("session %d: %v %v", shift, act, kind)
 		}
 	}
--- a/internal/coordination/late_test.go
+++ b/internal/coordination/late_test.go
@@ -241,7 +241,7 @@
 			c.unindex(r, taskKey{sp.ID, 1}, second)
 			*second = job.Task{Attempt: 1}
 			r.pages[0].pending++
-			c.propose(r, 0, change{machine: m.id, session: first.Epoch, try: first.Attempt, kind: evidence.Lease})
+			c.propose(r, 0, change{machine: m.id, session: first.Epoch, try: first.Attempt, kind: evidence.LeaseExpired})
 			c.assign(r, 1, m)
 			c.flush()
 			for _, k := range c.out.Calls {
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -39,14 +39,14 @@
 		var sent []attempt
 		for _, a := range queued {
 			b, ok := c.boundHere(m, a.taskKey)
-			if !ok || b.Try != a.try || m.bound[a.taskKey].final() {
+			if !ok || b.Number != a.try || m.bound[a.taskKey].final() {
 				c.log.Debug("launch withheld: the attempt is over", "load", job.TaskName(a.id, a.index), "try", a.try, "stoker", m.id)
 				continue
 			}
-			if !st.Direct(b) {
-				if b.Session == m.session {
+			if !st.MayLaunchDirectly(b) {
+				if b.Epoch == m.session {
 					c.log.Debug("launch withheld: the records are behind", "load", job.TaskName(a.id, a.index), "try", a.try, "stoker", m.id,
-						"ledger", c.store.Ledger(), "token", m.stamp, "since", b.Since)
+						"ledger", c.store.Ledger(), "token", m.stamp, "since", b.BoundAt)
 					m.deferLaunch(a)
 				}
 				continue
@@ -71,7 +71,7 @@
 				m.tainted = true // it may have been carried out, or may yet be
 				return
 			}
-			if at := (evidence.Mark{Shift: rep.AgentEpoch, Tally: rep.Sequence}); carried && m.launchedAt.Before(at) {
+			if at := (evidence.Position{Epoch: rep.AgentEpoch, Sequence: rep.Sequence}); carried && m.launchedAt.Before(at) {
 				m.launchedAt = at
 			}
 			c.observe(m, token, r)
@@ -101,7 +101,7 @@
 	for _, a := range deferred {
 		_, stopping := m.stops[a.taskKey]
 		b, ok := c.boundHere(m, a.taskKey)
-		if !ok || b.Try != a.try || stopping || m.recalled || m.direct[a] || c.ending(m.bound[a.taskKey], a.index) {
+		if !ok || b.Number != a.try || stopping || m.recalled || m.direct[a] || c.ending(m.bound[a.taskKey], a.index) {
 			continue
 		}
 		c.queueLaunch(m.id, a.taskKey, a.try)
@@ -109,9 +109,9 @@
 }
 
 // standing is what this controller knows of a machine, for a decision.
-func (c *Core) standing(m *machine) evidence.Standing {
-	return evidence.Standing{Ours: c.mine(m), Adopted: m.adopted, Token: m.stamp, Ledger: c.store.Ledger(), Shown: m.shown, Proved: c.proved(m),
-		Tainted: m.tainted, Session: m.session, Tally: m.tally, Newest: m.launchedAt}
+func (c *Core) standing(m *machine) evidence.WorkerState {
+	return evidence.WorkerState{Held: c.mine(m), Adopted: m.adopted, Token: m.stamp, AppliedRevision: c.store.Ledger(), TokenSeen: m.shown, MirrorComplete: c.proved(m),
+		LaunchInDoubt: m.tainted, Epoch: m.session, Sequence: m.tally, LastLaunch: m.launchedAt}
 }
 
 // proved tells whether the mirror was complete at a moment when the worker had
@@ -133,10 +133,10 @@
 	if t == nil || t.Phase != job.Bound || t.Machine != m.id {
 		return evidence.Attempt{}, false
 	}
-	return evidence.Attempt{Try: t.Attempt, Session: t.Epoch, Since: m.boundAt[k].since}, true
+	return evidence.Attempt{Number: t.Attempt, Epoch: t.Epoch, BoundAt: m.boundAt[k].since}, true
 }
 
 // head is a report without its list.
-func head(r *protocol.Heartbeat) evidence.Report {
-	return evidence.Report{Baton: r.FencingToken, Shift: r.AgentEpoch, Tally: r.Sequence}
+func head(r *protocol.Heartbeat) evidence.Heartbeat {
+	return evidence.Heartbeat{Token: r.FencingToken, Epoch: r.AgentEpoch, Sequence: r.Sequence}
 }
--- a/internal/coordination/losslines_test.go
+++ b/internal/coordination/losslines_test.go
@@ -44,10 +44,10 @@
 		{kind: evidence.Ended, cause: protocol.CauseError, failed: true},
 		{kind: evidence.Ended, cause: protocol.CauseStopped},
 		{kind: evidence.Ended, cause: protocol.CauseGangMemberLost},
-		{kind: evidence.Session},
-		{kind: evidence.Absent},
-		{kind: evidence.Lease},
-		{kind: evidence.Cloud},
+		{kind: evidence.NewerEpoch},
+		{kind: evidence.NotListed},
+		{kind: evidence.LeaseExpired},
+		{kind: evidence.MachineDeleted},
 	}
 	for index, ch := range endings {
 		ch.try, ch.machine = 1, "i-000001"
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -443,9 +443,9 @@
 	try     int
 	done    bool
 	failed  bool
-	kind    evidence.Kind // what proves that it has left, and of which claim
-	token   uint64        // under which that was found
-	cause   string        // of an attempt that ended, as its worker tells
+	kind    evidence.Proof // what proves that it has left, and of which claim
+	token   uint64         // under which that was found
+	cause   string         // of an attempt that ended, as its worker tells
 	at      time.Duration
 }
 
@@ -490,7 +490,7 @@
 	if m := c.machines[ch.machine]; m != nil && m.heard > 0 {
 		silent = c.now - m.heard
 	}
-	if ch.kind == evidence.Lease { // as far as anybody can know, it ran on until then
+	if ch.kind == evidence.LeaseExpired { // as far as anybody can know, it ran on until then
 		silent = max(0, silent-seconds(c.cfg.Facts.Workers.Lease))
 	}
 	c.log.Debug(step, "load", job.TaskName(r.spec.ID, index), "try", ch.try, "stoker", ch.machine, "class", r.spec.Class,
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -35,23 +35,23 @@
 
 // judgeListed judges an attempt that a believed report lists, and adds what the worker is to be told.
 // What is bound here as it is listed is noted in listed.
-func (c *Core) judgeListed(orders []protocol.Command, m *machine, st evidence.Standing, r *protocol.Heartbeat, l *protocol.TaskStatus, listed map[taskKey]bool) []protocol.Command {
+func (c *Core) judgeListed(orders []protocol.Command, m *machine, st evidence.WorkerState, r *protocol.Heartbeat, l *protocol.TaskStatus, listed map[taskKey]bool) []protocol.Command {
 	id, index, err := job.ParseTaskName(l.Task)
 	if err != nil {
 		return orders
 	}
 	k := taskKey{id, index}
 	a, bound := c.boundHere(m, k)
-	act, _ := st.Listed(head(r), evidence.Load{Try: l.Attempt, Ended: l.Status == protocol.TaskEnded}, a, bound, m.direct[attempt{k, l.Attempt}])
+	act, _ := st.JudgeListed(head(r), evidence.ListedAttempt{Number: l.Attempt, Ended: l.Status == protocol.TaskEnded}, a, bound, m.direct[attempt{k, l.Attempt}])
 	switch act {
-	case evidence.Renew:
+	case evidence.RenewToken:
 		m.tainted = true
 		return orders
 	case evidence.Forget:
 		return append(orders, protocol.Command{Verb: protocol.VerbForget, Task: l.Task, Attempt: l.Attempt})
 	case evidence.Kill:
 		return append(orders, kill(l, 0))
-	case evidence.Hold:
+	case evidence.Defer:
 		return orders // to be forgotten later
 	}
 	rec := c.jobs[id]
@@ -91,21 +91,21 @@
 }
 
 // judgeLacking judges what is bound to the machine and not on a believed report's list.
-func (c *Core) judgeLacking(orders []protocol.Command, m *machine, st evidence.Standing, r *protocol.Heartbeat, k taskKey) []protocol.Command {
+func (c *Core) judgeLacking(orders []protocol.Command, m *machine, st evidence.WorkerState, r *protocol.Heartbeat, k taskKey) []protocol.Command {
 	rec := m.bound[k]
 	t := rec.task(c, k.index)
 	_, stopping := m.stops[k]
 	wanted := !rec.final() && !stopping && !m.recalled
 	a := attempt{k, t.Attempt}
 	b, _ := c.boundHere(m, k)
-	act, kind := st.Lacking(head(r), b, m.direct[a], wanted, c.ending(rec, k.index))
+	act, kind := st.JudgeMissing(head(r), b, m.direct[a], wanted, c.ending(rec, k.index))
 	switch act {
-	case evidence.Renew:
+	case evidence.RenewToken:
 		m.tainted = true
 	case evidence.Release:
 		m.vacate(k, rec)
 		c.propose(rec, k.index, change{machine: m.id, session: t.Epoch, try: t.Attempt, kind: kind})
-		if kind == evidence.Absent {
+		if kind == evidence.NotListed {
 			delete(m.stops, k)
 		}
 	case evidence.Launch:
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -47,7 +47,7 @@
 		rec := m.bound[k]
 		t := rec.task(c, k.index)
 		if !c.ending(rec, k.index) {
-			c.propose(rec, k.index, change{machine: id, session: t.Epoch, try: t.Attempt, kind: evidence.Cloud})
+			c.propose(rec, k.index, change{machine: id, session: t.Epoch, try: t.Attempt, kind: evidence.MachineDeleted})
 		}
 	}
 }
--- a/internal/coordination/routing.go
+++ b/internal/coordination/routing.go
@@ -111,7 +111,7 @@
 		}
 	}
 	for k := range m.bound {
-		if a, ok := c.boundHere(m, k); ok && !evidence.Adoptable(head(r), a, listed[attempt{k, a.Try}]) {
+		if a, ok := c.boundHere(m, k); ok && !evidence.Adoptable(head(r), a, listed[attempt{k, a.Number}]) {
 			return
 		}
 	}
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -59,13 +59,13 @@
 			c.unlist(m)
 		}
 		c.sendDeferred(m)
-		if c.standing(m).LeaseOver(c.now, m.answered, c.leaseOver()) {
+		if c.standing(m).LeaseExpired(c.now, m.answered, c.leaseOver()) {
 			m.released = true
 			for _, k := range m.tasks() {
 				rec := m.bound[k]
 				t := rec.task(c, k.index)
 				if t.Epoch <= m.session && !c.ending(rec, k.index) {
-					c.propose(rec, k.index, change{machine: m.id, session: t.Epoch, try: t.Attempt, kind: evidence.Lease})
+					c.propose(rec, k.index, change{machine: m.id, session: t.Epoch, try: t.Attempt, kind: evidence.LeaseExpired})
 				}
 			}
 		}
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -58,10 +58,10 @@
 type contact struct {
 	session    uint64
 	tally      uint64
-	launchedAt evidence.Mark // of the newest answer to a direct launch
-	shown      bool          // a report carried our token
-	shownAt    time.Duration // when one first did
-	proved     bool          // the mirror was complete after that
+	launchedAt evidence.Position // of the newest answer to a direct launch
+	shown      bool              // a report carried our token
+	shownAt    time.Duration     // when one first did
+	proved     bool              // the mirror was complete after that
 	heard      time.Duration
 	answered   time.Duration // arrival of the last report answered with 200
 	asking     bool          // asked for its status
--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -14,78 +14,78 @@
 // Kind is what proves that an attempt is not on its machine any more and can't
 // come back. These are all there are: silence, a list's absence alone, or a dead
 // peer prove nothing.
-type Kind uint8
+type Proof uint8
 
 // Kinds of evidence.
 const (
 	// Ended: a report under our token shows the attempt as ended. It stays true
 	// under any claim, as an attempt that has ended does not start again before it
 	// is forgotten, and it is forgotten only after its release.
-	Ended Kind = iota + 1
+	Ended Proof = iota + 1
 	// Session: a report, under whatever token, is of a later session than the attempt's.
 	// It stays true under any claim: a session never comes back.
-	Session
+	NewerEpoch
 	// Absent: a report under our token lacks an attempt that is not wanted any
 	// more, and no launch of it can be under way. True under this claim alone.
-	Absent
+	NotListed
 	// Lease: the lease has certainly ended since the last report that we answered,
 	// and nobody else can have answered one. True under this claim alone.
-	Lease
+	LeaseExpired
 	// Cloud: the cloud has answered that the machine is deleted, or lists it as
 	// failed. It stays true: a machine's name never comes back.
-	Cloud
+	MachineDeleted
 )
 
 // Names of the kinds, in logs and recordings.
-var names = [...]string{"none", "ended", "session", "absent", "lease", "cloud"}
+var proofNames = [...]string{"none", "ended", "session", "absent", "lease", "cloud"}
 
-func (k Kind) String() string {
-	if int(k) < len(names) {
-		return names[k]
+func (k Proof) String() string {
+	if int(k) < len(proofNames) {
+		return proofNames[k]
 	}
 	return "unknown"
 }
 
 // Standing is what a controller knows of a machine at the moment of a decision.
-type Standing struct {
-	Ours    bool   // the claim names us, in this life or as adopted from an earlier one
-	Adopted bool   // the latter
-	Token   uint64 // the claim's stamp, by which the worker knows its holder
-	Ledger  uint64 // the revision up to which our mirror of the records is complete
-	Shown   bool   // the worker has shown the token: it drops what earlier holders say
-	Proved  bool   // the mirror is known to be complete as of a moment after that
-	Tainted bool   // a direct launch of ours may be carried out until a new token is seen
-	Session uint64 // of the newest report taken
-	Tally   uint64 // the same
-	Newest  Mark   // the newest answer to a direct launch
+type WorkerState struct {
+	Held            bool     // the claim names us, in this life or as adopted from an earlier one
+	Adopted         bool     // the latter
+	Token           uint64   // the claim's stamp, by which the worker knows its holder
+	AppliedRevision uint64   // the revision up to which our mirror of the records is complete
+	TokenSeen       bool     // the worker has shown the token: it drops what earlier holders say
+	MirrorComplete  bool     // the mirror is known to be complete as of a moment after that
+	LaunchInDoubt   bool     // a direct launch of ours may be carried out until a new token is seen
+	Epoch           uint64   // of the newest report taken
+	Sequence        uint64   // the same
+	LastLaunch      Position // the newest answer to a direct launch
 }
 
 // Mark is a place in the order of what a worker says: reports and answers.
-type Mark struct{ Shift, Tally uint64 }
+type Position struct{ Epoch, Sequence uint64 }
 
 // Before tells whether m was said before o.
-func (m Mark) Before(o Mark) bool {
-	return m.Shift < o.Shift || m.Shift == o.Shift && m.Tally < o.Tally
+func (m Position) Before(o Position) bool {
+	return m.Epoch < o.Epoch || m.Epoch == o.Epoch && m.Sequence < o.Sequence
 }
 
 // Report is the head of a worker's report.
-type Report struct {
-	Baton uint64 // the highest token that the worker has seen
-	Shift uint64 // its session
-	Tally uint64
+type Heartbeat struct {
+	Token    uint64 // the highest token that the worker has seen
+	Epoch    uint64 // its session
+	Sequence uint64
 }
 
-func (r Report) mark() Mark { return Mark{r.Shift, r.Tally} }
+func (r Heartbeat) position() Position { return Position{r.Epoch, r.Sequence} }
 
 // Hearing is what to do with a report.
-type Hearing uint8
+type Verdict uint8
 
 // Hearings.
 const (
-	Claim   Hearing = iota // it needs a claim, or a new one, before it can be answered
-	Stale                  // it was held back: a newer one has been taken; it is refused
-	Welcome                // it is answered with our token, and nothing in it is believed
-	Believe                // it is answered, and its list is compared with the records
+	NeedsClaim  Verdict = iota // it needs a claim, or a new one, before it can be answered
+	Stale                      // it was held back: a newer one has been taken; it is refused
+	Acknowledge                // it is answered with our token, and nothing in it is believed
+	Trust                      // it is answered, and its list is compared with the records
 )
 
 // Hear judges a report.
@@ -98,43 +98,43 @@
 // was carried out, it arrives after the launch's answer, and lacks an attempt that
 // runs. Was that not wanted any more, by a notice in that same report, it was released
 // for being absent. Such a report is answered, and its list is not believed.
-func (s Standing) Hear(r Report) Hearing {
+func (s WorkerState) JudgeHeartbeat(r Heartbeat) Verdict {
 	switch {
-	case !s.Ours || r.Baton > s.Token || s.Tainted && r.Baton == s.Token:
-		return Claim
-	case !Mark{s.Session, s.Tally}.Before(r.mark()):
+	case !s.Held || r.Token > s.Token || s.LaunchInDoubt && r.Token == s.Token:
+		return NeedsClaim
+	case !Position{s.Epoch, s.Sequence}.Before(r.position()):
 		return Stale
-	case r.Baton == s.Token && s.Ledger >= s.Token && !r.mark().Before(s.Newest):
-		return Believe
+	case r.Token == s.Token && s.AppliedRevision >= s.Token && !r.position().Before(s.LastLaunch):
+		return Trust
 	}
-	return Welcome
+	return Acknowledge
 }
 
 // Attempt is a task's attempt as the records bind it to the machine.
 type Attempt struct {
-	Try     int
-	Session uint64 // in which it is bound
-	Since   uint64 // the revision that bound it, or an earlier one that is known
+	Number  int
+	Epoch   uint64 // in which it is bound
+	BoundAt uint64 // the revision that bound it, or an earlier one that is known
 }
 
 // Load is an attempt on a report's list.
-type Load struct {
-	Try   int
-	Ended bool
+type ListedAttempt struct {
+	Number int
+	Ended  bool
 }
 
 // Act is what to do about one attempt.
-type Act uint8
+type Action uint8
 
 // Acts.
 const (
-	Keep    Act = iota // it is as it should be, or it is to be waited for
-	Hold               // nothing can be said to the worker yet: a launch of it may still come
-	Launch             // tell the worker to start it
-	Kill               // tell the worker to stop it at once
-	Forget             // tell the worker that its ending is known
-	Release            // propose its release, on the evidence returned with it
-	Renew              // it can't be settled under this token: take a new one
+	Keep       Action = iota // it is as it should be, or it is to be waited for
+	Defer                    // nothing can be said to the worker yet: a launch of it may still come
+	Launch                   // tell the worker to start it
+	Kill                     // tell the worker to stop it at once
+	Forget                   // tell the worker that its ending is known
+	Release                  // propose its release, on the evidence returned with it
+	RenewToken               // it can't be settled under this token: take a new one
 )
 
 // Listed judges an attempt that a believed report lists. a is what the records bind
@@ -145,15 +145,15 @@
 // A launch that may still come would start a forgotten attempt again, so it is
 // forgotten only after the launch's answer; under an adopted claim that answer went
 // to an earlier life, and a new token settles it.
-func (s Standing) Listed(r Report, l Load, a Attempt, bound, direct bool) (Act, Kind) {
-	if !bound || a.Session != r.Shift || a.Try != l.Try {
+func (s WorkerState) JudgeListed(r Heartbeat, l ListedAttempt, a Attempt, bound, direct bool) (Action, Proof) {
+	if !bound || a.Epoch != r.Epoch || a.Number != l.Number {
 		switch {
 		case !l.Ended:
 			return Kill, 0
 		case direct && s.Adopted:
-			return Renew, 0
+			return RenewToken, 0
 		case direct:
-			return Hold, 0
+			return Defer, 0
 		}
 		return Forget, 0
 	}
@@ -171,22 +171,22 @@
 // carried out or dropped when this one was sent. With no direct launch of the attempt
 // unanswered (direct), nothing can bring what it lacks; it is released if not wanted.
 // One that is wanted is launched, if it may be (see launchable).
-func (s Standing) Lacking(r Report, a Attempt, direct, wanted, ending bool) (Act, Kind) {
+func (s WorkerState) JudgeMissing(r Heartbeat, a Attempt, direct, wanted, ending bool) (Action, Proof) {
 	switch {
-	case a.Session < r.Shift:
-		return Outlived(r, a)
-	case a.Session > r.Shift:
+	case a.Epoch < r.Epoch:
+		return JudgeEarlierEpoch(r, a)
+	case a.Epoch > r.Epoch:
 		return Keep, 0
 	case wanted && !ending && s.launchable(a):
 		return Launch, 0
 	case wanted:
 		return Keep, 0
 	case direct && s.Adopted:
-		return Renew, 0
+		return RenewToken, 0
 	case direct:
-		return Hold, 0
+		return Defer, 0
 	}
-	return Release, Absent
+	return Release, NotListed
 }
 
 // Outlived judges an attempt that is bound to the machine when a report comes that is
@@ -196,9 +196,9 @@
 //
 // Guards against tasks that stay bound to a machine that hears nobody, for as long as it is deaf:
 // it shows no token, so nothing in its reports is believed, while its lease has ended all they ran.
-func Outlived(r Report, a Attempt) (Act, Kind) {
-	if a.Session < r.Shift {
-		return Release, Session
+func JudgeEarlierEpoch(r Heartbeat, a Attempt) (Action, Proof) {
+	if a.Epoch < r.Epoch {
+		return Release, NewerEpoch
 	}
 	return Keep, 0
 }
@@ -212,7 +212,7 @@
 // shows the attempt bound here. It is not launched unless it was bound under our
 // claim, which only we can have ended, or the mirror is known to be complete as of a
 // moment after the token was shown, when all that the earlier holder did was done.
-func (s Standing) launchable(a Attempt) bool { return a.Since > s.Token || s.Proved }
+func (s WorkerState) launchable(a Attempt) bool { return a.BoundAt > s.Token || s.MirrorComplete }
 
 // Direct tells whether an attempt that the records bind to the machine may be
 // launched by a direct command now. The worker refuses one that names another
@@ -222,8 +222,8 @@
 // that ran twice: the watch of a controller was answered late, and brought as news
 // that an attempt was bound to a machine that it had taken over since; its ending
 // had been committed and forgotten before the claim.
-func (s Standing) Direct(a Attempt) bool {
-	return s.Ours && s.Shown && !s.Tainted && s.Ledger >= s.Token && a.Session == s.Session && s.launchable(a)
+func (s WorkerState) MayLaunchDirectly(a Attempt) bool {
+	return s.Held && s.TokenSeen && !s.LaunchInDoubt && s.AppliedRevision >= s.Token && a.Epoch == s.Epoch && s.launchable(a)
 }
 
 // LeaseOver tells whether a worker has killed everything of the sessions up to
@@ -234,13 +234,13 @@
 // The worker counts from the sending of that report, which came before its arrival,
 // and once it has shown our token it drops everybody else's answers. Whether another
 // controller has taken it over meanwhile, the claim's condition tells at the commit.
-func (s Standing) LeaseOver(now, answered, over time.Duration) bool {
-	return s.Ours && s.Shown && answered > 0 && now-answered > over
+func (s WorkerState) LeaseExpired(now, answered, over time.Duration) bool {
+	return s.Held && s.TokenSeen && answered > 0 && now-answered > over
 }
 
 // Found is evidence as it was found: of which kind, and under which token.
-type Found struct {
-	Kind  Kind
+type Evidence struct {
+	Proof Proof
 	Token uint64
 }
 
@@ -251,12 +251,12 @@
 //
 // Evidence that is true under one claim alone is void under the next one, also if
 // that is ours again: a peer may have answered the worker in between.
-func (s Standing) Commit(f Found) (ok, onClaim bool) {
-	switch f.Kind {
-	case Ended, Session, Cloud:
+func (s WorkerState) MayRelease(f Evidence) (ok, onClaim bool) {
+	switch f.Proof {
+	case Ended, NewerEpoch, MachineDeleted:
 		return true, false
-	case Absent, Lease:
-		return s.Ours && s.Token == f.Token, true
+	case NotListed, LeaseExpired:
+		return s.Held && s.Token == f.Token, true
 	}
 	return false, false // evidence of no known kind proves nothing
 }
@@ -269,6 +269,6 @@
 // The earlier life forgot and released nothing while a direct launch of it was
 // unanswered. So what may still be carried out late are launches of attempts that
 // are bound; of what the worker has, a launch does nothing.
-func Adoptable(r Report, a Attempt, listed bool) bool {
-	return a.Session < r.Shift || a.Session == r.Shift && listed
+func Adoptable(r Heartbeat, a Attempt, listed bool) bool {
+	return a.Epoch < r.Epoch || a.Epoch == r.Epoch && listed
 }
--- a/internal/evidence/horizon.go
+++ b/internal/evidence/horizon.go
@@ -19,7 +19,7 @@
 // An answer under way adds nothing, since the lease does not count from its arrival, and neither does a machine
 // that hangs: it goes on within its lease or not at all. A tenth of the room between lease_s and
 // cancel_s is kept, for what a machine takes to stop.
-func Horizon(cancel, lease time.Duration) time.Duration {
+func CancelHorizon(cancel, lease time.Duration) time.Duration {
 	room := float64(cancel - lease)
 	return max(0, time.Duration(0.9*room-Drift*float64(cancel)))
 }
--- a/internal/evidence/horizon_test.go
+++ b/internal/evidence/horizon_test.go
@@ -27,7 +27,7 @@
 		}
 		drift := rapid.Float64Range(0, 0.0005).Draw(t, "drift")
 		sent := time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "under way"))
-		h := Horizon(lease+room, lease)
+		h := CancelHorizon(lease+room, lease)
 		if h > 0 && goneBy(h, lease, drift, sent) > lease+room {
 			t.Fatalf("lease %v, cancel %v: horizon %v, gone after %v", lease, lease+room, h, goneBy(h, lease, drift, sent))
 		}
@@ -41,10 +41,10 @@
 	if h := time.Duration(0.9 * float64(cancel-lease)); goneBy(h, lease, 0.0005, 0) <= cancel {
 		t.Error("no term for drift, and nothing breaks")
 	}
-	if h := Horizon(cancel, lease); h != 0 {
+	if h := CancelHorizon(cancel, lease); h != 0 {
 		t.Errorf("cancel_s hardly above lease_s leaves a horizon of %v", h)
 	}
-	if h := Horizon(48*time.Second, 18*time.Second); goneBy(h, 18*time.Second, 0.0005, -4*time.Second) <= 48*time.Second {
+	if h := CancelHorizon(48*time.Second, 18*time.Second); goneBy(h, 18*time.Second, 0.0005, -4*time.Second) <= 48*time.Second {
 		t.Error("leases that count from the answer's arrival, and nothing breaks")
 	}
 }
--- a/internal/evidence/model_test.go
+++ b/internal/evidence/model_test.go
@@ -224,23 +224,23 @@
 // token is that by which a controller knows a machine to be held.
 func (md *model) token(s *world, c, m uint8) uint8 { return md.held(s, c, m).token }
 
-func (md *model) standing(s *world, c, m uint8) Standing {
+func (md *model) standing(s *world, c, m uint8) WorkerState {
 	n, v := &s.c[c], &s.c[c].v[m]
 	k := md.held(s, c, m)
-	st := Standing{Ours: k.owner == c+1 && (k.life == n.life || v.adopted), Adopted: v.adopted, Token: uint64(k.token), Ledger: uint64(n.ledger),
-		Shown: v.shown, Proved: v.proved, Tainted: v.tainted, Session: uint64(v.session), Tally: uint64(v.tally),
-		Newest: Mark{uint64(v.directIn), uint64(v.directAt)}}
+	st := WorkerState{Held: k.owner == c+1 && (k.life == n.life || v.adopted), Adopted: v.adopted, Token: uint64(k.token), AppliedRevision: uint64(n.ledger),
+		TokenSeen: v.shown, MirrorComplete: v.proved, LaunchInDoubt: v.tainted, Epoch: uint64(v.session), Sequence: uint64(v.tally),
+		LastLaunch: Position{uint64(v.directIn), uint64(v.directAt)}}
 	if md.d.overtaken {
-		st.Newest = Mark{}
+		st.LastLaunch = Position{}
 	}
 	if md.d.noLedger {
-		st.Ledger = 1 << 20
+		st.AppliedRevision = 1 << 20
 	}
 	if md.d.unproved {
-		st.Proved = true
+		st.MirrorComplete = true
 	}
 	if md.d.leaseUnshown {
-		st.Shown = true
+		st.TokenSeen = true
 	}
 	return st
 }
@@ -248,7 +248,7 @@
 // bound is what a controller's records bind to a machine.
 func (md *model) bound(s *world, c, m uint8) (Attempt, bool) {
 	t := s.of(c, taskKey)
-	return Attempt{Try: int(t.b), Session: uint64(t.d), Since: uint64(s.c[c].since)}, t.a == 1 && t.c == m
+	return Attempt{Number: int(t.b), Epoch: uint64(t.d), BoundAt: uint64(s.c[c].since)}, t.a == 1 && t.c == m
 }
 
 // learn brings a key's revision into a controller's mirror. reached is whether the mirror is
@@ -304,12 +304,12 @@
 			continue
 		}
 		st := md.standing(s, c, m)
-		if md.d.anyDirect && st.Ours && st.Shown && !st.Tainted && a.Session == st.Session || st.Direct(a) {
-			n.direct[slot] = launch{on: true, m: m, token: md.token(s, c, m), session: n.v[m].session, try: uint8(a.Try)}
+		if md.d.anyDirect && st.Held && st.TokenSeen && !st.LaunchInDoubt && a.Epoch == st.Epoch || st.MayLaunchDirectly(a) {
+			n.direct[slot] = launch{on: true, m: m, token: md.token(s, c, m), session: n.v[m].session, try: uint8(a.Number)}
 			if md.d.oneSlot {
 				n.v[m].direct = 0
 			}
-			n.v[m].direct |= 1 << a.Try
+			n.v[m].direct |= 1 << a.Number
 		}
 	}
 }
@@ -320,10 +320,10 @@
 	if s.over && !n.knows && !md.d.noHorizon {
 		return x // the last proof is older than the horizon
 	}
-	head := Report{Baton: uint64(r.baton), Shift: uint64(r.shift), Tally: uint64(r.tally)}
+	head := Heartbeat{Token: uint64(r.baton), Epoch: uint64(r.shift), Sequence: uint64(r.tally)}
 	a, isBound := md.bound(s, c, m)
 	if k := md.held(s, c, m); k.owner == c+1 && k.life < n.life && !v.adopted && r.baton == k.token && n.claim.kind == 0 &&
-		(!isBound || md.d.adoptAll || Adoptable(head, a, r.loads[a.Try] != nothing)) {
+		(!isBound || md.d.adoptAll || Adoptable(head, a, r.loads[a.Number] != nothing)) {
 		*v = view{adopted: true, proved: true}
 		for t, l := range r.loads {
 			if l != nothing && !md.d.adoptBlind {
@@ -337,11 +337,11 @@
 		}
 	}
 	st := md.standing(s, c, m)
-	hearing := st.Hear(head)
+	hearing := st.JudgeHeartbeat(head)
 	switch hearing {
-	case Claim:
+	case NeedsClaim:
 		if n.claim.kind == 0 {
-			n.claim = txn{kind: claiming, m: m, ifClaim: n.known[m], ifGroups: md.held(s, c, m).groups, again: st.Ours && v.proved}
+			n.claim = txn{kind: claiming, m: m, ifClaim: n.known[m], ifGroups: md.held(s, c, m).groups, again: st.Held && v.proved}
 		}
 		return x
 	case Stale:
@@ -362,17 +362,17 @@
 		}
 	}
 	if n.knows && isBound && !md.d.noUnlisted && !md.d.noKill {
-		x.kill |= 1 << a.Try // also one that the report lacks, as a launch has overtaken it
+		x.kill |= 1 << a.Number // also one that the report lacks, as a launch has overtaken it
 	}
-	if hearing != Believe {
+	if hearing != Trust {
 		if !isBound || md.d.unheard {
-			if md.d.unheard && isBound && r.loads[a.Try] == nothing { // what an unbelieved list lacks
-				n.p = proposal{uint8(Session), m, uint8(a.Session), uint8(a.Try), token}
+			if md.d.unheard && isBound && r.loads[a.Number] == nothing { // what an unbelieved list lacks
+				n.p = proposal{uint8(NewerEpoch), m, uint8(a.Epoch), uint8(a.Number), token}
 			}
 			return x
 		}
-		if act, kind := Outlived(head, a); act == Release {
-			n.p = proposal{uint8(kind), m, uint8(a.Session), uint8(a.Try), token}
+		if act, kind := JudgeEarlierEpoch(head, a); act == Release {
+			n.p = proposal{uint8(kind), m, uint8(a.Epoch), uint8(a.Number), token}
 		}
 		return x
 	}
@@ -382,17 +382,17 @@
 		if r.loads[t] == nothing {
 			continue
 		}
-		listed = listed || isBound && a.Session == uint64(r.shift) && a.Try == t
-		act, kind := st.Listed(head, Load{Try: t, Ended: r.loads[t] == ended}, a, isBound, v.direct>>t&1 == 1 && !md.d.noDirect)
+		listed = listed || isBound && a.Epoch == uint64(r.shift) && a.Number == t
+		act, kind := st.JudgeListed(head, ListedAttempt{Number: t, Ended: r.loads[t] == ended}, a, isBound, v.direct>>t&1 == 1 && !md.d.noDirect)
 		switch act {
 		case Kill:
 			x.kill |= 1 << t
 		case Forget:
 			x.forget |= 1 << t
-		case Renew:
+		case RenewToken:
 			v.tainted = true
 		case Release:
-			n.p = proposal{uint8(kind), m, uint8(a.Session), uint8(a.Try), token}
+			n.p = proposal{uint8(kind), m, uint8(a.Epoch), uint8(a.Number), token}
 		case Keep:
 			if n.unwanted || n.knows && !md.d.noKill {
 				x.kill |= 1 << t
@@ -400,13 +400,13 @@
 		}
 	}
 	if isBound && !listed {
-		switch act, kind := st.Lacking(head, a, v.direct>>a.Try&1 == 1 && !md.d.noDirect, !n.unwanted && !n.knows, n.p.kind != 0 || n.page.kind != 0); act {
+		switch act, kind := st.JudgeMissing(head, a, v.direct>>a.Number&1 == 1 && !md.d.noDirect, !n.unwanted && !n.knows, n.p.kind != 0 || n.page.kind != 0); act {
 		case Release:
-			n.p = proposal{uint8(kind), m, uint8(a.Session), uint8(a.Try), token}
-		case Renew:
+			n.p = proposal{uint8(kind), m, uint8(a.Epoch), uint8(a.Number), token}
+		case RenewToken:
 			v.tainted = true
 		case Launch:
-			x.launch = uint8(a.Try)
+			x.launch = uint8(a.Number)
 		}
 	}
 	return x
@@ -554,12 +554,12 @@
 		try(func() {
 			n, p := &t.c[c], t.c[c].p
 			a, ok := md.bound(t, c, p.m)
-			found := Found{Kind(p.kind), uint64(p.token)}
+			found := Evidence{Proof(p.kind), uint64(p.token)}
 			if md.d.noToken {
 				found.Token = uint64(md.token(t, c, p.m))
 			}
-			may, onClaim := md.standing(t, c, p.m).Commit(found)
-			if !ok || a.Session != uint64(p.session) || a.Try != int(p.try) || !may {
+			may, onClaim := md.standing(t, c, p.m).MayRelease(found)
+			if !ok || a.Epoch != uint64(p.session) || a.Number != int(p.try) || !may {
 				n.p = proposal{}
 				return
 			}
@@ -573,21 +573,21 @@
 	for m := uint8(0); m < md.b.machines; m++ {
 		st, v := md.standing(s, c, m), &n.v[m]
 		_, bound := md.bound(s, c, m)
-		if task.a == 0 && task.b < md.b.tries && n.page.kind == 0 && st.Ours && v.shown && (n.claim.kind == 0 || n.claim.m != m) {
+		if task.a == 0 && task.b < md.b.tries && n.page.kind == 0 && st.Held && v.shown && (n.claim.kind == 0 || n.claim.m != m) {
 			try(func() {
 				t.c[c].page = txn{kind: placing, m: m, try: task.b + 1, session: v.session, ifTask: n.known[taskKey], ifClaim: n.known[m],
 					ifGroups: md.held(t, c, m).groups}
 			})
 		}
-		if bound && st.Ours && !n.unwanted && !md.b.quiet {
+		if bound && st.Held && !n.unwanted && !md.b.quiet {
 			try(func() { t.c[c].unwanted = true })
 		}
 		// The lease has ended if the worker is in a later session, or somebody else has
 		// renewed it: then our clock may say so all the same.
 		w := &s.w[m]
 		if !md.b.quiet && bound && task.d <= v.session && n.p.kind == 0 && n.page.kind == 0 && (w.gone || w.session > v.answeredIn || w.renewed > v.answered) &&
-			st.LeaseOver(time.Hour, time.Duration(v.answered), time.Minute) {
-			try(func() { t.c[c].p = proposal{uint8(Lease), m, task.d, task.b, md.token(t, c, m)} })
+			st.LeaseExpired(time.Hour, time.Duration(v.answered), time.Minute) {
+			try(func() { t.c[c].p = proposal{uint8(LeaseExpired), m, task.d, task.b, md.token(t, c, m)} })
 		}
 		if h := md.held(s, c, m); h.next > 0 && h.owner != c+1 && n.claim.kind == 0 && s.takeovers < md.b.takeovers {
 			try(func() {
@@ -596,7 +596,7 @@
 			})
 		}
 		if bound && w.gone && n.p.kind == 0 && n.page.kind == 0 {
-			try(func() { t.c[c].p = proposal{uint8(Cloud), m, task.d, task.b, md.token(t, c, m)} })
+			try(func() { t.c[c].p = proposal{uint8(MachineDeleted), m, task.d, task.b, md.token(t, c, m)} })
 		}
 	}
 	for i, d := range n.direct {
@@ -852,7 +852,7 @@
 			out += fmt.Sprintf("controller %d's watch brings nothing; ", c)
 		}
 		if y.p.kind != 0 && x.p != y.p {
-			out += fmt.Sprintf("controller %d finds %v of attempt %d on machine %d under token %d; ", c, Kind(y.p.kind), y.p.try, y.p.m, y.p.token)
+			out += fmt.Sprintf("controller %d finds %v of attempt %d on machine %d under token %d; ", c, Proof(y.p.kind), y.p.try, y.p.m, y.p.token)
 		}
 		for i, kind := range [][2]txn{{x.claim, y.claim}, {x.page, y.page}, {x.late, y.late}} {
 			what := [...]string{"", "a claim", "a release", "a placement", "a take-over of the group"}
