--- a/internal/coordination/endlog.go
+++ b/internal/coordination/endlog.go
@@ -24,9 +24,9 @@
 	delayed bool          // the last flush left something to the clock
 
 	log     *endings.Log
-	waiting []endings.Ending // to be written
-	since   time.Duration    // of the first of them
-	queued  map[taskKey]bool // to be written, or being written
+	waiting []endings.Completion // to be written
+	since   time.Duration        // of the first of them
+	queued  map[taskKey]bool     // to be written, or being written
 	writing bool
 	seq     int
 	foldAt  time.Duration
@@ -76,7 +76,7 @@
 	if len(w.waiting) == 0 {
 		w.since = c.now
 	}
-	w.waiting = append(w.waiting, endings.Ending{Task: endings.Task{Job: k.id, Index: k.index}, Try: ch.try, Machine: ch.machine, Session: ch.session})
+	w.waiting = append(w.waiting, endings.Completion{Task: endings.Task{Job: k.id, Index: k.index}, Attempt: ch.try, Machine: ch.machine, Epoch: ch.session})
 }
 
 // flushEndings writes a record of the log when endings have waited for long enough.
@@ -103,7 +103,7 @@
 }
 
 // fillRecord takes as many endings as a value may hold.
-func (c *Core) fillRecord() (taken []endings.Ending, record json.RawMessage) {
+func (c *Core) fillRecord() (taken []endings.Completion, record json.RawMessage) {
 	var r endings.Record
 	room := int(recordShare * c.cfg.Facts.State.ValueKB * 1024)
 	for _, e := range c.writes.waiting {
@@ -112,7 +112,7 @@
 			break
 		}
 		taken = append(taken, e)
-		r.Endings = append(r.Endings, s)
+		r.Completions = append(r.Completions, s)
 	}
 	return taken, encode(r)
 }
@@ -133,7 +133,7 @@
 }
 
 // complete takes that an attempt has completed, if its page binds it.
-func (c *Core) complete(e endings.Ending) {
+func (c *Core) complete(e endings.Completion) {
 	r := c.jobs[e.Job]
 	if r == nil {
 		return // its records come later
@@ -148,7 +148,7 @@
 	switch {
 	case bindsAttempt(t, e):
 		c.completeTask(p, k, t)
-	case t.Phase == job.Finished || t.Attempt > e.Try || t.Phase == job.Pending && t.Attempt == e.Try:
+	case t.Phase == job.Finished || t.Attempt > e.Attempt || t.Phase == job.Pending && t.Attempt == e.Attempt:
 		c.writes.log.Settle(e.Task) // taken in, or another change was ahead of it
 	}
 }
@@ -173,8 +173,8 @@
 }
 
 // bindsAttempt tells whether a task is bound as an ending names it.
-func bindsAttempt(t *job.Task, e endings.Ending) bool {
-	return t.Phase == job.Bound && t.Attempt == e.Try && t.Epoch == e.Session && t.Machine == e.Machine
+func bindsAttempt(t *job.Task, e endings.Completion) bool {
+	return t.Phase == job.Bound && t.Attempt == e.Attempt && t.Epoch == e.Epoch && t.Machine == e.Machine
 }
 
 // completed is a bound task that has completed.
@@ -185,7 +185,7 @@
 // withEndings looks at what has changed in a page beside the log: what the page binds, and the log
 // says has completed, has; and what the page shows otherwise, it has taken in.
 func (c *Core) withEndings(p *page, base int, changes []taskChange) []taskChange {
-	logged, over := c.writes.log.Of(p.id), c.concluded(p.rec)
+	logged, over := c.writes.log.TasksOf(p.id), c.concluded(p.rec)
 	if len(logged) == 0 && !over {
 		return changes
 	}
@@ -193,7 +193,7 @@
 	kept := changes[:0]
 	for _, ch := range changes {
 		t := &ch.task
-		if t.Phase == job.Bound && (over || c.writes.log.Has(endings.Ending{Task: endings.Task{Job: p.id, Index: base + ch.index}, Try: t.Attempt, Machine: t.Machine, Session: t.Epoch})) {
+		if t.Phase == job.Bound && (over || c.writes.log.Has(endings.Completion{Task: endings.Task{Job: p.id, Index: base + ch.index}, Attempt: t.Attempt, Machine: t.Machine, Epoch: t.Epoch})) {
 			binds[base+ch.index] = true
 			if ch.task = completed(t); p.tasks[ch.index] == ch.task {
 				continue
@@ -217,13 +217,13 @@
 			t = changes[i].task
 		}
 	}
-	return t.Phase != job.Finished && c.writes.log.Later(endings.Task{Job: p.id, Index: p.num*c.pageTasks() + at}, t.Attempt)
+	return t.Phase != job.Finished && c.writes.log.HasLaterAttempt(endings.Task{Job: p.id, Index: p.num*c.pageTasks() + at}, t.Attempt)
 }
 
 // unfolded tells whether the log holds an ending that a page has not taken in.
 func (c *Core) unfolded(p *page) bool {
 	base := p.num * c.pageTasks()
-	for _, index := range c.writes.log.Of(p.id) {
+	for _, index := range c.writes.log.TasksOf(p.id) {
 		if index >= base && index < base+len(p.tasks) {
 			return true
 		}
@@ -243,7 +243,7 @@
 	if c.earlierVersion(endingFormat) {
 		before = c.now // it sees the pages alone
 	}
-	for _, task := range w.log.Old(before) {
+	for _, task := range w.log.OpenBefore(before) {
 		r := c.jobs[task.Job]
 		if r == nil || r.status == job.Done || c.successor(r.home) != c.cfg.Node {
 			continue
@@ -265,7 +265,7 @@
 func (c *Core) dropSpent() {
 	var conds []protocol.Compare
 	var ops []protocol.Op
-	for _, name := range c.writes.log.Spent() {
+	for _, name := range c.writes.log.Settled() {
 		key := keyEndings + name
 		if stamp := c.store.Stamp(key); stamp != 0 && len(ops) < c.cfg.Facts.State.TxnOps {
 			conds = append(conds, protocol.Compare{Key: key, ModRevision: stamp})
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/endlog_test.go
@@ -70,7 +70,7 @@
 	} {
 		s := newScript(t)
 		s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
-		s.c.applyEndings("n9/1-1", encode(endings.Record{Endings: []string{c.entry}}))
+		s.c.applyEndings("n9/1-1", encode(endings.Record{Completions: []string{c.entry}}))
 		if ended := s.c.jobs["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != c.ends {
 			t.Errorf("%s: ended %v", c.entry, ended)
 		}
@@ -83,7 +83,7 @@
 	s := newScript(t)
 	s.held()
 	c := s.c
-	c.applyEndings("n9/1-1", encode(endings.Record{Endings: []string{"wk-700000/0.1 i-000001 1"}}))
+	c.applyEndings("n9/1-1", encode(endings.Record{Completions: []string{"wk-700000/0.1 i-000001 1"}}))
 	page := func(try int) []byte {
 		return writePage([]job.Task{{Phase: job.Bound, Attempt: try, Machine: "i-000001", Epoch: 1}})
 	}
@@ -97,8 +97,8 @@
 		t.Errorf("%+v", *task)
 	}
 	c.applyPage("wk-700000/0", page(2), 132)
-	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writes.log.Spent()) != 1 {
-		t.Errorf("%+v, %v", *task, c.writes.log.Spent())
+	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writes.log.Settled()) != 1 {
+		t.Errorf("%+v, %v", *task, c.writes.log.Settled())
 	}
 }
 
--- a/internal/coordination/slopes_test.go
+++ b/internal/coordination/slopes_test.go
@@ -133,7 +133,7 @@
 		var g takeover.Group
 		for i, n := 0, 0; n < workers; i++ {
 			name := fmt.Sprintf("i-9%06d", i)
-			if of := takeover.Of(takeover.Holder{Node: "n9", Life: 1, Epoch: 1}, name, k.Zone); of.Number == 0 {
+			if of := takeover.GroupOf(takeover.Holder{Node: "n9", Incarnation: 1, Epoch: 1}, name, k.Zone); of.Number == 0 {
 				g, n = of, n+1
 				c.applyClaim(name, encode(k), 1<<30)
 			}
@@ -146,7 +146,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		stamp++
-		c.applyTakeover(g.Key(), encode(takeover.Holder{Node: "n1", Life: 1, Epoch: 1}), stamp)
+		c.applyTakeover(g.Key(), encode(takeover.Holder{Node: "n1", Incarnation: 1, Epoch: 1}), stamp)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/workers, "ns/worker")
 }
--- a/internal/coordination/storedkeys_test.go
+++ b/internal/coordination/storedkeys_test.go
@@ -27,8 +27,8 @@
 // each to one of its own, and looks for what it knows then.
 func TestStoredRecordsAreTakenUnderTheirKeys(t *testing.T) {
 	const stamp = 99
-	ending := endings.Ending{Task: endings.Task{Job: "wk-000043", Index: 0}, Try: 1, Machine: "i-000232", Session: 1}
-	passed := takeover.Group{Holder: takeover.Holder{Node: "n1", Life: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
+	ending := endings.Completion{Task: endings.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}
+	passed := takeover.Group{Holder: takeover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
 	tests := []struct {
 		key, file string
 		known     func(c *Core) bool
@@ -45,7 +45,7 @@
 			m := c.machines["i-000231"]
 			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.own.Token == stamp && m.own.Epoch == 2
 		}},
-		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.holders.book.Waiting(passed) }},
+		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.holders.book.Pending(passed) }},
 		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writes.log.Has(ending) && c.writes.log.Len() == 1 }},
 		{"sg/x/i-000231", "x.json", func(c *Core) bool { return c.drains["i-000231"].Why == "idle" }},
 		{"sg/m/n1", "m.json", func(c *Core) bool {
--- a/internal/coordination/storedrecords_test.go
+++ b/internal/coordination/storedrecords_test.go
@@ -105,11 +105,11 @@
 	depot := "z-b"
 	announced := announcement{AtMS: 1767225600001}
 	announced.Staging = protocol.Staging{ID: "night", Set: "maps", Version: "v1", Team: "red", Priority: "high", ByS: 90.5, Machines: 4, Zone: &depot}
-	holder := takeover.Holder{Node: "n1", Life: 1767225600000000007, Epoch: 2}
+	holder := takeover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}
 	passed := takeover.Group{Holder: holder, Zone: "z a/1", Number: 3}
 	ended := []string{
-		endings.Ending{Task: endings.Task{Job: "wk-000042", Index: 7}, Try: 2, Machine: "i-000231", Session: 1 << 62}.String(),
-		endings.Ending{Task: endings.Task{Job: "wk-000043", Index: 0}, Try: 1, Machine: "i-000232", Session: 1}.String(),
+		endings.Completion{Task: endings.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}.String(),
+		endings.Completion{Task: endings.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}.String(),
 	}
 	whole := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
 		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Path: "in/maps"}}}
@@ -134,8 +134,8 @@
 		partialRecord("claim, without an epoch", "c-least.json", "sg/c/i-000232", keyClaim+"i-000232",
 			claim{Owner: "n1", Life: 7, Address: "127.0.0.1:9001", Type: "c8", Zone: "z-b"}),
 		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyTakeover+passed.Key(),
-			takeover.Holder{Node: "n2", Life: 8, Epoch: 1}),
-		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyEndings+"n1/7-1", endings.Record{Endings: ended}),
+			takeover.Holder{Node: "n2", Incarnation: 8, Epoch: 1}),
+		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyEndings+"n1/7-1", endings.Record{Completions: ended}),
 		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drain{Why: drainIdle}),
 		wholeRecord("drains of all reasons", "x-reasons.json", "sg/x/", keyDrain,
 			[]drain{{drainIdle}, {drainSilent}, {drainRecall}, {drainFaulty}, {drainFailed}, {drainStray}, {drainLost}}),
@@ -168,17 +168,17 @@
 // TestKeysOfGroupsAreReadAsWritten checks the key of a take-over and the words of an ending,
 // which have their own encoders.
 func TestKeysOfGroupsAreReadAsWritten(t *testing.T) {
-	want := takeover.Group{Holder: takeover.Holder{Node: "n1", Life: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
+	want := takeover.Group{Holder: takeover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
 	if g, ok := takeover.ParseKey("n1/1767225600000000007.2/z%20a%2F1/3"); !ok || g != want {
 		t.Errorf("read as %+v", g)
 	}
 	// Which group a worker is in is part of the records' meaning: all controllers must agree.
 	for worker, number := range map[string]int{"i-000231": 1, "i-000232": 0, "i-000233": 3, "i-000234": 2} {
-		if g := takeover.Of(want.Holder, worker, "z-a"); g.Number != number {
+		if g := takeover.GroupOf(want.Holder, worker, "z-a"); g.Number != number {
 			t.Errorf("%s is in group %d, not %d", worker, g.Number, number)
 		}
 	}
-	ending := endings.Ending{Task: endings.Task{Job: "wk-000042", Index: 7}, Try: 2, Machine: "i-000231", Session: 1 << 62}
+	ending := endings.Completion{Task: endings.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}
 	const words = "wk-000042/7.2 i-000231 4611686018427387904"
 	if e, err := endings.Parse(words); err != nil || e != ending || e.String() != words {
 		t.Errorf("%s is read as %+v: %v", words, e, err)
--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -20,7 +20,7 @@
 // have passed from one to another, and the take-overs that reports of workers wait for.
 type holders struct {
 	count map[string]int
-	book  *takeover.Book
+	book  *takeover.Table
 	// awaited are the groups whose take-over is under way here, with the reports that it is
 	// to answer.
 	awaited map[takeover.Group]*awaitedTakeover
@@ -39,7 +39,7 @@
 }
 
 func newHolders() holders {
-	return holders{count: map[string]int{}, book: takeover.NewBook(), awaited: map[takeover.Group]*awaitedTakeover{}}
+	return holders{count: map[string]int{}, book: takeover.NewTable(), awaited: map[takeover.Group]*awaitedTakeover{}}
 }
 
 // takeoverPatience is how long a report waits for the take-over of its worker's group: the
@@ -50,7 +50,7 @@
 const leastGroup = 2
 
 // ownEpoch is the epoch of the claims that we write now.
-func (c *Core) ownEpoch() int { return c.holders.book.Epoch(c.cfg.Node, c.life) }
+func (c *Core) ownEpoch() int { return c.holders.book.NextEpoch(c.cfg.Node, c.life) }
 
 // resolve finds who holds a machine by its own claim and the take-overs of groups, and takes
 // the machine up or gives it up where that has changed.
@@ -63,7 +63,7 @@
 	if m.stamp != 0 {
 		c.holders.count[m.claim.Owner]--
 	}
-	m.claim.Owner, m.claim.Life, m.stamp, m.claimedAt = held.Node, held.Life, held.Token, c.now
+	m.claim.Owner, m.claim.Life, m.stamp, m.claimedAt = held.Node, held.Incarnation, held.Token, c.now
 	m.shown, m.proved, m.released, m.adopted, m.awaitingHolderSince = false, false, false, false, 0
 	m.queuedLaunches, m.deferredLaunches = nil, nil
 	m.reoccupy()
@@ -93,13 +93,13 @@
 		return
 	}
 	if data == nil {
-		if c.holders.book.Drop(g) {
+		if c.holders.book.Delete(g) {
 			c.regroup(g)
 		}
 		return
 	}
 	var heir takeover.Holder
-	if decode(c.log, name, data, &heir) && c.holders.book.Set(g, heir, stamp) {
+	if decode(c.log, name, data, &heir) && c.holders.book.Put(g, heir, stamp) {
 		c.regroup(g)
 	}
 }
@@ -164,12 +164,12 @@
 	}
 	w := c.holders.awaited[g]
 	if w == nil {
-		if !c.holders.book.Waiting(g) && (c.reach.LostZone(r.Zone) || !c.abandoned(m) || c.groupSize(g) < leastGroup) {
+		if !c.holders.book.Pending(g) && (c.reach.LostZone(r.Zone) || !c.abandoned(m) || c.groupSize(g) < leastGroup) {
 			return false
 		}
 		w = &awaitedTakeover{since: c.now}
 		c.holders.awaited[g] = w
-		if !c.holders.book.Waiting(g) {
+		if !c.holders.book.Pending(g) {
 			c.writeTakeover(g)
 		}
 	}
@@ -211,7 +211,7 @@
 	if !c.alive(g.Node) {
 		conds = append(conds, protocol.Compare{Key: keyMember + g.Node})
 	}
-	heir := takeover.Holder{Node: c.cfg.Node, Life: c.life, Epoch: c.ownEpoch()}
+	heir := takeover.Holder{Node: c.cfg.Node, Incarnation: c.life, Epoch: c.ownEpoch()}
 	c.store.Txn(budget.Claims, conds, []protocol.Op{{Put: keyTakeover + g.Key(), Value: encode(heir)}}, func(o bookkeeping.Outcome, failed []string, _ uint64) {
 		switch {
 		case o == bookkeeping.OK:
@@ -260,7 +260,7 @@
 	var ops []protocol.Op
 	for _, g := range unused[:min(len(unused), c.cfg.Facts.State.TxnOps)] {
 		key := keyTakeover + g.Key()
-		conds = append(conds, protocol.Compare{Key: key, ModRevision: c.holders.book.Stamp(g)})
+		conds = append(conds, protocol.Compare{Key: key, ModRevision: c.holders.book.Revision(g)})
 		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
--- a/internal/coordination/takeovers_test.go
+++ b/internal/coordination/takeovers_test.go
@@ -281,7 +281,7 @@
 	used := map[string]bool{}
 	for _, m := range s.nodes[0].core.machines {
 		for _, l := range m.links {
-			if l.Stamp > 0 {
+			if l.Revision > 0 {
 				used[l.Group.Key()] = true
 			}
 		}
--- a/internal/coordination/tenure.go
+++ b/internal/coordination/tenure.go
@@ -34,12 +34,12 @@
 }
 
 // passed tells whether the machine has come to its holder by its group.
-func (t *tenure) passed() bool { return takeover.Held{Links: t.links}.Passed() }
+func (t *tenure) passed() bool { return takeover.Ownership{Links: t.links}.FailedOver() }
 
 // nextGroup is the group by which the machine would pass to another controller; ok is false if it
 // can't.
 func (t *tenure) nextGroup() (g takeover.Group, ok bool) {
-	return takeover.Held{Links: t.links}.Next()
+	return takeover.Ownership{Links: t.links}.NextGroup()
 }
 
 // holding is what a transaction is conditional on for a machine to be held as it is: its
@@ -48,7 +48,7 @@
 	conds := make([]protocol.Compare, 0, 2+len(m.links))
 	conds = append(conds, protocol.Compare{Key: keyClaim + m.id, ModRevision: m.own.Token})
 	for _, l := range m.links {
-		conds = append(conds, protocol.Compare{Key: keyTakeover + l.Group.Key(), ModRevision: l.Stamp})
+		conds = append(conds, protocol.Compare{Key: keyTakeover + l.Group.Key(), ModRevision: l.Revision})
 	}
 	return conds
 }
--- a/internal/coordination/troublemakers_test.go
+++ b/internal/coordination/troublemakers_test.go
@@ -158,8 +158,8 @@
 	for _, id := range sortedKeys(s.cloud.all) {
 		var own claim
 		_ = json.Unmarshal(s.kv.keys[keyClaim+id].data, &own)
-		holder := takeover.Holder{Node: own.Owner, Life: own.Life, Epoch: own.Epoch}
-		if takeover.Of(holder, id, own.Zone) == g {
+		holder := takeover.Holder{Node: own.Owner, Incarnation: own.Life, Epoch: own.Epoch}
+		if takeover.GroupOf(holder, id, own.Zone) == g {
 			s.changesHands(id, heir.Node)
 		}
 	}
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -197,7 +197,7 @@
 		c.holders.count[m.claim.Owner]--
 		m.stamp = 0
 	}
-	m.claim, m.own = k, takeover.Claim{Holder: takeover.Holder{Node: k.Owner, Life: k.Life, Epoch: k.Epoch}, Token: stamp}
+	m.claim, m.own = k, takeover.Claim{Holder: takeover.Holder{Node: k.Owner, Incarnation: k.Life, Epoch: k.Epoch}, Token: stamp}
 	c.resolve(m)
 }
 
--- a/internal/endings/endings.go
+++ b/internal/endings/endings.go
@@ -27,48 +27,48 @@
 }
 
 // Ending is an attempt that has completed.
-type Ending struct {
+type Completion struct {
 	Task
-	Try     int
+	Attempt int
 	Machine string
-	Session uint64
+	Epoch   uint64
 }
 
 // String is the ending as records hold it: job/index.try machine session.
-func (e Ending) String() string {
-	return e.Job + "/" + strconv.Itoa(e.Index) + "." + strconv.Itoa(e.Try) + " " + e.Machine + " " + strconv.FormatUint(e.Session, 10)
+func (e Completion) String() string {
+	return e.Job + "/" + strconv.Itoa(e.Index) + "." + strconv.Itoa(e.Attempt) + " " + e.Machine + " " + strconv.FormatUint(e.Epoch, 10)
 }
 
-var errEnding = errors.New("not an ending")
+var errMalformedCompletion = errors.New("not an ending")
 
 // Parse reads what String writes.
-func Parse(s string) (e Ending, err error) {
+func Parse(s string) (e Completion, err error) {
 	words := strings.Split(s, " ")
 	if len(words) != 3 {
-		return e, errEnding
+		return e, errMalformedCompletion
 	}
 	id, rest, found := strings.Cut(words[0], "/")
-	index, try, dotted := strings.Cut(rest, ".")
+	index, attempt, dotted := strings.Cut(rest, ".")
 	var errs [3]error
 	e.Job, e.Machine = id, words[1]
 	e.Index, errs[0] = strconv.Atoi(index)
-	e.Try, errs[1] = strconv.Atoi(try)
-	e.Session, errs[2] = strconv.ParseUint(words[2], 10, 64)
-	if !found || !dotted || id == "" || e.Machine == "" || e.Index < 0 || e.Try < 1 || errors.Join(errs[:]...) != nil {
-		return Ending{}, errEnding
+	e.Attempt, errs[1] = strconv.Atoi(attempt)
+	e.Epoch, errs[2] = strconv.ParseUint(words[2], 10, 64)
+	if !found || !dotted || id == "" || e.Machine == "" || e.Index < 0 || e.Attempt < 1 || errors.Join(errs[:]...) != nil {
+		return Completion{}, errMalformedCompletion
 	}
 	return e, nil
 }
 
 // Record is what a key holds.
 type Record struct {
-	Endings []string `json:"e"`
+	Completions []string `json:"e"`
 }
 
 // record is a record of the log with the entries that no page has taken in yet.
 type record struct {
 	since time.Duration // when it came to be known
-	open  map[Task]Ending
+	open  map[Task]Completion
 }
 
 // Log holds the records. The zero value is not usable; see NewLog.
@@ -84,13 +84,13 @@
 }
 
 // Add takes a record; what is not an ending in it is passed over.
-func (l *Log) Add(name string, r Record, now time.Duration) (added []Ending) {
+func (l *Log) Add(name string, r Record, now time.Duration) (added []Completion) {
 	if l.records[name] != nil {
 		return nil // records never change
 	}
-	x := &record{since: now, open: map[Task]Ending{}}
+	x := &record{since: now, open: map[Task]Completion{}}
 	l.records[name] = x
-	for _, s := range r.Endings {
+	for _, s := range r.Completions {
 		e, err := Parse(s)
 		if err != nil {
 			continue
@@ -128,7 +128,7 @@
 }
 
 // Has tells whether an attempt is in the log.
-func (l *Log) Has(e Ending) bool {
+func (l *Log) Has(e Completion) bool {
 	for _, name := range l.tasks[e.Job][e.Index] {
 		if l.records[name].open[e.Task] == e {
 			return true
@@ -138,9 +138,9 @@
 }
 
 // Later tells whether the log has an attempt of a task after the one of that number.
-func (l *Log) Later(task Task, try int) bool {
+func (l *Log) HasLaterAttempt(task Task, attempt int) bool {
 	for _, name := range l.tasks[task.Job][task.Index] {
-		if l.records[name].open[task].Try > try {
+		if l.records[name].open[task].Attempt > attempt {
 			return true
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 // Of lists the tasks of a job that are in the log, in order.
-func (l *Log) Of(job string) []int { return slices.Sorted(maps.Keys(l.tasks[job])) }
+func (l *Log) TasksOf(job string) []int { return slices.Sorted(maps.Keys(l.tasks[job])) }
 
 // Settle takes that a task's page shows a later state than any entry of it, or has taken it in.
 // A page that binds a later attempt is not concerned by entries of earlier ones.
@@ -161,13 +161,13 @@
 
 // SettleJob takes that a job is over.
 func (l *Log) SettleJob(job string) {
-	for _, index := range l.Of(job) {
+	for _, index := range l.TasksOf(job) {
 		l.Settle(Task{job, index})
 	}
 }
 
 // Spent lists the records of which no entry is open, in order.
-func (l *Log) Spent() (out []string) {
+func (l *Log) Settled() (out []string) {
 	for name, x := range l.records {
 		if len(x.open) == 0 {
 			out = append(out, name)
@@ -178,7 +178,7 @@
 }
 
 // Old lists the tasks of records that were known before a time and are open, in order.
-func (l *Log) Old(before time.Duration) (out []Task) {
+func (l *Log) OpenBefore(before time.Duration) (out []Task) {
 	for _, x := range l.records {
 		if x.since < before {
 			out = slices.AppendSeq(out, maps.Keys(x.open))
--- a/internal/endings/endings_test.go
+++ b/internal/endings/endings_test.go
@@ -10,7 +10,7 @@
 
 func TestEndingsCanBeRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := Ending{Task{rapid.StringMatching(`wk-[0-9]{6,9}`).Draw(t, "job"), rapid.IntRange(0, 99_999).Draw(t, "index")}, rapid.IntRange(1, 1000).Draw(t, "try"),
+		e := Completion{Task{rapid.StringMatching(`wk-[0-9]{6,9}`).Draw(t, "job"), rapid.IntRange(0, 99_999).Draw(t, "index")}, rapid.IntRange(1, 1000).Draw(t, "try"),
 			rapid.StringMatching(`[a-z0-9.-]{1,20}`).Draw(t, "machine"), rapid.Uint64().Draw(t, "session")}
 		if got, err := Parse(e.String()); err != nil || got != e {
 			t.Fatalf("%s: %+v %v", e, got, err)
@@ -27,9 +27,9 @@
 func TestLogAgreesWithAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLog()
-		plain := map[string][]Ending{}
-		draw := rapid.Custom(func(t *rapid.T) Ending {
-			return Ending{Task{rapid.SampledFrom([]string{"wk-000001", "wk-000002"}).Draw(t, "job"), rapid.IntRange(0, 3).Draw(t, "index")}, rapid.IntRange(1, 2).Draw(t, "try"), "m", 1}
+		plain := map[string][]Completion{}
+		draw := rapid.Custom(func(t *rapid.T) Completion {
+			return Completion{Task{rapid.SampledFrom([]string{"wk-000001", "wk-000002"}).Draw(t, "job"), rapid.IntRange(0, 3).Draw(t, "index")}, rapid.IntRange(1, 2).Draw(t, "try"), "m", 1}
 		})
 		names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -37,11 +37,11 @@
 			case 0:
 				name := names.Draw(t, "name")
 				var r Record
-				var kept []Ending
+				var kept []Completion
 				for _, e := range rapid.SliceOfN(draw, 0, 4).Draw(t, "endings") {
-					if !slices.ContainsFunc(kept, func(k Ending) bool { return k.Task == e.Task }) {
+					if !slices.ContainsFunc(kept, func(k Completion) bool { return k.Task == e.Task }) {
 						kept = append(kept, e)
-						r.Endings = append(r.Endings, e.String())
+						r.Completions = append(r.Completions, e.String())
 					}
 				}
 				if _, there := plain[name]; !there {
@@ -56,13 +56,13 @@
 				task := draw.Draw(t, "task").Task
 				l.Settle(task)
 				for name := range plain {
-					plain[name] = slices.DeleteFunc(plain[name], func(e Ending) bool { return e.Task == task })
+					plain[name] = slices.DeleteFunc(plain[name], func(e Completion) bool { return e.Task == task })
 				}
 			case 3:
 				job := draw.Draw(t, "task").Job
 				l.SettleJob(job)
 				for name := range plain {
-					plain[name] = slices.DeleteFunc(plain[name], func(e Ending) bool { return e.Job == job })
+					plain[name] = slices.DeleteFunc(plain[name], func(e Completion) bool { return e.Job == job })
 				}
 			}
 			var spent []string
@@ -72,7 +72,7 @@
 				}
 			}
 			slices.Sort(spent)
-			if got := l.Spent(); !slices.Equal(got, spent) {
+			if got := l.Settled(); !slices.Equal(got, spent) {
 				t.Fatalf("spent: %v, want %v", got, spent)
 			}
 			e := draw.Draw(t, "asked")
@@ -91,7 +91,7 @@
 	l := NewLog()
 	l.Add("a", Record{[]string{"wk-000002/1.1 m 1", "odd", "wk-000001/3.1 m 1"}}, time.Second)
 	l.Add("b", Record{[]string{"wk-000001/0.1 m 1"}}, time.Minute)
-	if got := l.Old(2 * time.Second); !slices.Equal(got, []Task{{"wk-000001", 3}, {"wk-000002", 1}}) {
+	if got := l.OpenBefore(2 * time.Second); !slices.Equal(got, []Task{{"wk-000001", 3}, {"wk-000002", 1}}) {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/evidence/model_test.go
+++ b/internal/evidence/model_test.go
@@ -186,8 +186,8 @@
 // groupOf is the group of a life's machines; all of them are in one.
 func groupOf(key uint8) takeover.Group {
 	at := key - groupKey
-	h := takeover.Holder{Node: string('0' + rune(at/lives)), Life: int64(at%lives) + 1, Epoch: 1}
-	return takeover.Of(h, "w", "z")
+	h := takeover.Holder{Node: string('0' + rune(at/lives)), Incarnation: int64(at%lives) + 1, Epoch: 1}
+	return takeover.GroupOf(h, "w", "z")
 }
 
 // held finds a machine's holder with the product's own book of take-overs.
@@ -197,7 +197,7 @@
 	if md.b.takeovers == 0 || h.token == 0 {
 		return h
 	}
-	book := takeover.NewBook()
+	book := takeover.NewTable()
 	if book.Advance(uint64(n.ledger)); md.d.heedAtOnce {
 		book.Advance(revisions)
 	}
@@ -207,15 +207,15 @@
 		keyOf[g] = key
 		if stamp := n.known[key]; stamp > 0 {
 			heir := s.hist[stamp]
-			book.Set(g, takeover.Holder{Node: string('0' + rune(heir.a-1)), Life: int64(heir.b), Epoch: 1}, uint64(stamp))
+			book.Put(g, takeover.Holder{Node: string('0' + rune(heir.a-1)), Incarnation: int64(heir.b), Epoch: 1}, uint64(stamp))
 		}
 	}
-	got := book.Resolve("w", "z", takeover.Claim{Holder: takeover.Holder{Node: string('0' + rune(own.a-1)), Life: int64(own.b), Epoch: 1}, Token: uint64(h.token)})
-	h.owner, h.life, h.token = got.Node[0]-'0'+1, uint8(got.Life), uint8(got.Token)
+	got := book.Resolve("w", "z", takeover.Claim{Holder: takeover.Holder{Node: string('0' + rune(own.a-1)), Incarnation: int64(own.b), Epoch: 1}, Token: uint64(h.token)})
+	h.owner, h.life, h.token = got.Node[0]-'0'+1, uint8(got.Incarnation), uint8(got.Token)
 	for i, l := range got.Links {
-		h.groups[i] = stamped{keyOf[l.Group], uint8(l.Stamp)}
+		h.groups[i] = stamped{keyOf[l.Group], uint8(l.Revision)}
 	}
-	if g, ok := got.Next(); ok {
+	if g, ok := got.NextGroup(); ok {
 		h.next = keyOf[g]
 	}
 	return h
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -35,9 +35,9 @@
 // can be taken over, too. Epochs count from 1; 0 is a claim of a version that knows of no
 // groups, whose workers are never taken over by the group.
 type Holder struct {
-	Node  string `json:"o"`
-	Life  int64  `json:"l"`
-	Epoch int    `json:"e"`
+	Node        string `json:"o"`
+	Incarnation int64  `json:"l"`
+	Epoch       int    `json:"e"`
 }
 
 // Group is a set of a holder's workers.
@@ -49,7 +49,7 @@
 
 // Key is the group's place under the prefix of such records.
 func (g Group) Key() string {
-	return url.PathEscape(g.Node) + "/" + strconv.FormatInt(g.Life, 10) + "." + strconv.Itoa(g.Epoch) + "/" + url.PathEscape(g.Zone) + "/" + strconv.Itoa(g.Number)
+	return url.PathEscape(g.Node) + "/" + strconv.FormatInt(g.Incarnation, 10) + "." + strconv.Itoa(g.Epoch) + "/" + url.PathEscape(g.Zone) + "/" + strconv.Itoa(g.Number)
 }
 
 // ParseKey reads what Key writes.
@@ -58,10 +58,10 @@
 	if len(parts) != 4 {
 		return g, false
 	}
-	life, epoch, found := strings.Cut(parts[1], ".")
+	incarnation, epoch, found := strings.Cut(parts[1], ".")
 	var errs [5]error
 	g.Node, errs[0] = url.PathUnescape(parts[0])
-	g.Life, errs[1] = strconv.ParseInt(life, 10, 64)
+	g.Incarnation, errs[1] = strconv.ParseInt(incarnation, 10, 64)
 	g.Epoch, errs[2] = strconv.Atoi(epoch)
 	g.Zone, errs[3] = url.PathUnescape(parts[2])
 	g.Number, errs[4] = strconv.Atoi(parts[3])
@@ -72,7 +72,7 @@
 }
 
 // Of is the group that a worker of a holder is in.
-func Of(h Holder, worker, zone string) Group {
+func GroupOf(h Holder, worker, zone string) Group {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(worker))
 	return Group{Holder: h, Zone: zone, Number: int(sum.Sum32() % Groups)}
@@ -86,109 +86,109 @@
 
 // Link is a group and the revision of its record, 0 if there is none.
 type Link struct {
-	Group Group
-	Stamp uint64
+	Group    Group
+	Revision uint64
 }
 
 // Held is who holds a worker by all records. Links are what that stands on beside the
 // worker's own claim: the groups by which it has passed, and last the one by which it
 // would pass next. Who holds the worker changes only with one of them or with the claim.
-type Held struct {
+type Ownership struct {
 	Claim
 	Links []Link
 }
 
 // Next is the group by which the worker would pass to another controller; ok is false if
 // it can't, as the group has passed on already or the claim knows of none.
-func (h Held) Next() (g Group, ok bool) {
+func (h Ownership) NextGroup() (g Group, ok bool) {
 	if len(h.Links) == 0 {
 		return g, false
 	}
 	last := h.Links[len(h.Links)-1]
-	return last.Group, last.Stamp == 0
+	return last.Group, last.Revision == 0
 }
 
 // Passed tells whether the worker has passed to its holder by a group.
-func (h Held) Passed() bool { return len(h.Links) > 1 }
+func (h Ownership) FailedOver() bool { return len(h.Links) > 1 }
 
-type entry struct {
-	heir  Holder
-	stamp uint64
+type record struct {
+	successor Holder
+	revision  uint64
 }
 
 // Book holds the records. The zero value is not usable; see NewBook.
-type Book struct {
-	ledger  uint64
-	visible map[Group]entry
-	waiting map[Group]entry // newer than the mirror is complete
+type Table struct {
+	appliedRevision uint64
+	applied         map[Group]record
+	pending         map[Group]record // newer than the mirror is complete
 }
 
 // NewBook makes a book without records.
-func NewBook() *Book {
-	return &Book{visible: map[Group]entry{}, waiting: map[Group]entry{}}
+func NewTable() *Table {
+	return &Table{applied: map[Group]record{}, pending: map[Group]record{}}
 }
 
 // Set takes a record, Drop that it is gone. They tell whether who holds a worker may have
 // changed by it.
-func (b *Book) Set(g Group, heir Holder, stamp uint64) bool {
-	if stamp > b.ledger {
-		b.waiting[g] = entry{heir, stamp}
+func (b *Table) Put(g Group, successor Holder, revision uint64) bool {
+	if revision > b.appliedRevision {
+		b.pending[g] = record{successor, revision}
 		return false
 	}
-	b.visible[g] = entry{heir, stamp}
+	b.applied[g] = record{successor, revision}
 	return true
 }
 
 // Drop takes that a record is gone.
-func (b *Book) Drop(g Group) bool {
-	delete(b.waiting, g)
-	_, was := b.visible[g]
-	delete(b.visible, g)
+func (b *Table) Delete(g Group) bool {
+	delete(b.pending, g)
+	_, was := b.applied[g]
+	delete(b.applied, g)
 	return was
 }
 
 // Advance takes up to which revision the mirror is complete, and returns the groups whose
 // records are heeded from now on.
-func (b *Book) Advance(ledger uint64) (heeded []Group) {
-	b.ledger = max(b.ledger, ledger)
-	for g, e := range b.waiting {
-		if e.stamp <= b.ledger {
-			b.visible[g] = e
-			delete(b.waiting, g)
-			heeded = append(heeded, g)
+func (b *Table) Advance(revision uint64) (applied []Group) {
+	b.appliedRevision = max(b.appliedRevision, revision)
+	for g, e := range b.pending {
+		if e.revision <= b.appliedRevision {
+			b.applied[g] = e
+			delete(b.pending, g)
+			applied = append(applied, g)
 		}
 	}
-	return heeded
+	return applied
 }
 
 // Waiting tells whether a record of the group is known and not heeded yet.
-func (b *Book) Waiting(g Group) bool {
-	_, ok := b.waiting[g]
+func (b *Table) Pending(g Group) bool {
+	_, ok := b.pending[g]
 	return ok
 }
 
 // Resolve tells who holds a worker whose own claim is given.
-func (b *Book) Resolve(worker, zone string, own Claim) Held {
-	h := Held{Claim: own}
+func (b *Table) Resolve(worker, zone string, own Claim) Ownership {
+	h := Ownership{Claim: own}
 	for h.Epoch > 0 {
-		g := Of(h.Holder, worker, zone)
-		e := b.visible[g]
-		h.Links = append(h.Links, Link{g, e.stamp})
-		if e.stamp <= h.Token {
+		g := GroupOf(h.Holder, worker, zone)
+		e := b.applied[g]
+		h.Links = append(h.Links, Link{g, e.revision})
+		if e.revision <= h.Token {
 			break // none, or older than the claim
 		}
-		h.Claim = Claim{e.heir, e.stamp}
+		h.Claim = Claim{e.successor, e.revision}
 	}
 	return h
 }
 
 // Epoch is the epoch of a life's next claims: above that of all its groups that have been
 // taken over, heeded or not.
-func (b *Book) Epoch(node string, life int64) int {
+func (b *Table) NextEpoch(node string, incarnation int64) int {
 	epoch := 1
-	for _, records := range []map[Group]entry{b.visible, b.waiting} {
+	for _, records := range []map[Group]record{b.applied, b.pending} {
 		for g := range records {
-			if g.Node == node && g.Life == life {
+			if g.Node == node && g.Incarnation == incarnation {
 				epoch = max(epoch, g.Epoch+1)
 			}
 		}
@@ -198,8 +198,8 @@
 
 // Unused lists the groups whose heeded records no worker's holder stands on. inUse has
 // every group in the links of every worker.
-func (b *Book) Unused(inUse map[Group]bool) (out []Group) {
-	for g := range b.visible {
+func (b *Table) Unused(inUse map[Group]bool) (out []Group) {
+	for g := range b.applied {
 		if !inUse[g] {
 			out = append(out, g)
 		}
@@ -208,7 +208,7 @@
 }
 
 // Stamp is the revision of a group's heeded record, 0 if there is none.
-func (b *Book) Stamp(g Group) uint64 { return b.visible[g].stamp }
+func (b *Table) Revision(g Group) uint64 { return b.applied[g].revision }
 
 // Len is how many records there are.
-func (b *Book) Len() int { return len(b.visible) + len(b.waiting) }
+func (b *Table) Len() int { return len(b.applied) + len(b.pending) }
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -28,16 +28,16 @@
 	workers []string
 	own     map[string]Claim
 	holder  map[string]Claim // by the meaning of each step, one worker at a time
-	records map[Group]entry
+	records map[Group]record
 	ledger  uint64
 }
 
-func draw(t *rapid.T, steps int) (*history, *Book) {
-	h := &history{own: map[string]Claim{}, holder: map[string]Claim{}, records: map[Group]entry{}}
+func draw(t *rapid.T, steps int) (*history, *Table) {
+	h := &history{own: map[string]Claim{}, holder: map[string]Claim{}, records: map[Group]record{}}
 	for i := range 6 {
 		h.workers = append(h.workers, fmt.Sprintf("i-%d", i))
 	}
-	b := NewBook()
+	b := NewTable()
 	holder := rapid.Custom(func(t *rapid.T) Holder {
 		return Holder{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node"), rapid.Int64Range(1, 2).Draw(t, "life"), rapid.IntRange(1, 2).Draw(t, "epoch")}
 	})
@@ -49,14 +49,14 @@
 			h.own[w], h.holder[w] = Claim{by, h.ledger}, Claim{by, h.ledger}
 			continue
 		}
-		g := Of(h.holder[w].Holder, w, "z")
-		if h.records[g].stamp != 0 {
+		g := GroupOf(h.holder[w].Holder, w, "z")
+		if h.records[g].revision != 0 {
 			continue
 		}
-		h.records[g] = entry{by, h.ledger}
-		b.Set(g, by, h.ledger)
+		h.records[g] = record{by, h.ledger}
+		b.Put(g, by, h.ledger)
 		for _, other := range h.workers { // all in the group change hands, and nobody else
-			if now := h.holder[other]; now.Token != 0 && Of(now.Holder, other, "z") == g {
+			if now := h.holder[other]; now.Token != 0 && GroupOf(now.Holder, other, "z") == g {
 				h.holder[other] = Claim{by, h.ledger}
 			}
 		}
@@ -91,11 +91,11 @@
 			return
 		}
 		before := b.Resolve(w, "z", own)
-		g := Of(rapid.SampledFrom([]Holder{before.Holder, {"a", 1, 1}, {"b", 2, 2}}).Draw(t, "holder"), rapid.SampledFrom(h.workers).Draw(t, "of"), "z")
-		if h.records[g].stamp != 0 {
+		g := GroupOf(rapid.SampledFrom([]Holder{before.Holder, {"a", 1, 1}, {"b", 2, 2}}).Draw(t, "holder"), rapid.SampledFrom(h.workers).Draw(t, "of"), "z")
+		if h.records[g].revision != 0 {
 			return
 		}
-		b.Set(g, Holder{"c", 9, 1}, h.ledger+1)
+		b.Put(g, Holder{"c", 9, 1}, h.ledger+1)
 		if got := b.Resolve(w, "z", own); got.Claim != before.Claim {
 			t.Fatal("a record is heeded before the mirror is complete up to it")
 		}
@@ -104,8 +104,8 @@
 		if after.Claim == before.Claim {
 			return
 		}
-		next, ok := before.Next()
-		if !ok || next != g || after.Token <= before.Token || !after.Passed() {
+		next, ok := before.NextGroup()
+		if !ok || next != g || after.Token <= before.Token || !after.FailedOver() {
 			t.Fatalf("%+v -> %+v by %+v", before, after, g)
 		}
 	})
@@ -125,7 +125,7 @@
 			}
 		}
 		for _, g := range b.Unused(inUse) {
-			b.Drop(g)
+			b.Delete(g)
 		}
 		for _, w := range h.workers {
 			if own := h.own[w]; own.Token != 0 && b.Resolve(w, "z", own).Claim != h.holder[w] {
@@ -137,22 +137,22 @@
 
 // Workers whose holder knows of no groups are never concerned.
 func TestEarlierVersionsClaimsStay(t *testing.T) {
-	b := NewBook()
+	b := NewTable()
 	b.Advance(10)
-	b.Set(Of(Holder{"a", 1, 1}, "i-1", "z"), Holder{"b", 1, 1}, 7)
+	b.Put(GroupOf(Holder{"a", 1, 1}, "i-1", "z"), Holder{"b", 1, 1}, 7)
 	h := b.Resolve("i-1", "z", Claim{Holder{"a", 1, 0}, 3})
-	if _, ok := h.Next(); ok || h.Token != 3 || len(h.Links) > 0 {
+	if _, ok := h.NextGroup(); ok || h.Token != 3 || len(h.Links) > 0 {
 		t.Errorf("%+v", h)
 	}
 }
 
 func TestEpochs(t *testing.T) {
-	b := NewBook()
-	if b.Epoch("a", 1) != 1 {
+	b := NewTable()
+	if b.NextEpoch("a", 1) != 1 {
 		t.Error("epochs count from 1")
 	}
-	b.Set(Group{Holder{"a", 1, 3}, "z", 0}, Holder{"b", 1, 1}, 9) // not heeded yet
-	if b.Epoch("a", 1) != 4 || b.Epoch("a", 2) != 1 || b.Epoch("b", 1) != 1 || !b.Waiting(Group{Holder{"a", 1, 3}, "z", 0}) {
+	b.Put(Group{Holder{"a", 1, 3}, "z", 0}, Holder{"b", 1, 1}, 9) // not heeded yet
+	if b.NextEpoch("a", 1) != 4 || b.NextEpoch("a", 2) != 1 || b.NextEpoch("b", 1) != 1 || !b.Pending(Group{Holder{"a", 1, 3}, "z", 0}) {
 		t.Error("the next epoch is above those that were taken over")
 	}
 }
