--- a/internal/bookkeeping/store.go
+++ b/internal/bookkeeping/store.go
@@ -16,52 +16,52 @@
 )
 
 // Root is the prefix of every key that is mirrored.
-const Root = "sg/"
+const MirroredPrefix = "sg/"
 
 // Aside is the prefix of keys that no controller mirrors: what is read one by
 // one and seldom costs nothing at a start, and nothing with each change.
-const Aside = "sgx/"
+const UnmirroredPrefix = "sgx/"
 
 // Outcome is what came of a transaction.
-type Outcome int
+type TxnOutcome int
 
 // Outcomes. Unknown means that it may have been, or may yet be, executed.
 const (
-	OK Outcome = iota
+	Committed TxnOutcome = iota
 	Conflict
-	Refused // not executed
-	NoLease
+	NotExecuted // not executed
+	LeaseExpired
 	Unknown
 )
 
 // Store talks to the state service. It does no I/O: it hands out calls and
 // takes replies, and the time comes with them.
-type Store struct {
+type Client struct {
 	Send  func(protocol.Call, func(protocol.Reply))
-	Apply func(key string, data json.RawMessage, stamp uint64) // data is nil for a dropped key
-
-	now       time.Duration
-	budget    *budget.Budget
-	queue     [budget.Classes][]*request
-	wanted    [budget.Classes]float64 // changes of a transaction that is not built before it can be sent
-	inflight  int
-	pauseTill time.Duration
-
-	stamps   map[string]uint64
-	graves   map[string]uint64 // keys dropped by us, ahead of the watch
-	loading  bool
-	watching bool
-	loaded   bool
-	whole    bool
-	seen     map[string]bool
-	from     string
-	start    uint64
-	ledger   uint64
-	nextOpen time.Duration
-	spacing  time.Duration
-	block    time.Duration
-	fresh    time.Duration
-	contact  time.Duration
+	Apply func(key string, data json.RawMessage, revision uint64) // data is nil for a dropped key
+
+	now         time.Duration
+	limiter     *budget.Limiter
+	queue       [budget.NumClasses][]*request
+	reserved    [budget.NumClasses]float64 // changes of a transaction that is not built before it can be sent
+	inflight    int
+	pausedUntil time.Duration
+
+	revisions       map[string]uint64
+	tombstones      map[string]uint64 // keys dropped by us, ahead of the watch
+	loading         bool
+	watching        bool
+	loaded          bool
+	consistent      bool
+	seenKeys        map[string]bool
+	nextKey         string
+	scanRevision    uint64
+	appliedRevision uint64
+	nextSyncAt      time.Duration
+	watchSpacing    time.Duration
+	watchTimeout    time.Duration
+	freshAt         time.Duration
+	contactAt       time.Duration
 }
 
 type request struct {
@@ -84,39 +84,39 @@
 )
 
 // NewStore makes a store that keeps to an equal share of the service's rates.
-func NewStore(f *config.Facts, controllers int) *Store {
+func New(f *config.Facts, controllers int) *Client {
 	n := float64(max(1, controllers))
-	s := &Store{stamps: map[string]uint64{}, graves: map[string]uint64{}}
-	s.budget = budget.New(budget.Rates{Requests: f.State.RPS, Changes: f.State.WriteRPS, Controllers: controllers, Txn: f.State.TxnOps})
+	s := &Client{revisions: map[string]uint64{}, tombstones: map[string]uint64{}}
+	s.limiter = budget.New(budget.Rates{Requests: f.State.RPS, Changes: f.State.WriteRPS, Controllers: controllers, TxnChanges: f.State.TxnOps})
 	// Re-opening the watch may take a quarter of the request budget.
-	s.spacing = time.Duration(4 * n / f.State.RPS * float64(time.Second))
-	s.block = time.Second
+	s.watchSpacing = time.Duration(4 * n / f.State.RPS * float64(time.Second))
+	s.watchTimeout = time.Second
 	return s
 }
 
 // Ready tells whether the records have been read.
-func (s *Store) Ready() bool { return s.loaded }
+func (s *Client) Loaded() bool { return s.loaded }
 
 // Reading tells whether the records are being read anew: what comes may then skip
 // changes, as a key is seen as it is and not as it became so.
-func (s *Store) Reading() bool { return s.seen != nil }
+func (s *Client) Rescanning() bool { return s.seenKeys != nil }
 
 // Whole tells whether the mirror is one that the state service once had, if for writes of ours that are ahead of it. It
 // is not while the records are read by pages, and until the watch has brought what changed meanwhile: a later
 // page may show what came of a change that an earlier one was read before.
-func (s *Store) Whole() bool { return s.whole }
+func (s *Client) Consistent() bool { return s.consistent }
 
 // Ledger is the revision up to which the mirror is complete.
-func (s *Store) Ledger() uint64 { return s.ledger }
+func (s *Client) AppliedRevision() uint64 { return s.appliedRevision }
 
 // Fresh is the time at which the mirror was last known to be complete.
-func (s *Store) Fresh() time.Duration { return s.fresh }
+func (s *Client) FreshAt() time.Duration { return s.freshAt }
 
 // Stamp is the mirrored version of a key, 0 if it does not exist.
-func (s *Store) Stamp(key string) uint64 { return s.stamps[key] }
+func (s *Client) ModRevision(key string) uint64 { return s.revisions[key] }
 
 // Backlog is the number of requests that wait for the budget.
-func (s *Store) Backlog() int {
+func (s *Client) Backlog() int {
 	n := 0
 	for _, q := range s.queue {
 		n += len(q)
@@ -125,38 +125,38 @@
 }
 
 // Clears is about how long what waits for the budget will take.
-func (s *Store) Clears() time.Duration {
+func (s *Client) QueueDelay() time.Duration {
 	requests, changes := 0.0, 0.0
 	for _, q := range s.queue {
 		for _, r := range q {
 			requests, changes = requests+1, changes+r.writes
 		}
 	}
-	return s.budget.Clears(requests, changes)
+	return s.limiter.QueueDelay(requests, changes)
 }
 
 // Waits tells whether something is to be sent when time has passed, and not
 // when an answer comes: a queued request, or the next watch.
-func (s *Store) Waits() bool { return s.Backlog() > 0 || !s.loading && !s.watching }
+func (s *Client) NeedsTick() bool { return s.Backlog() > 0 || !s.loading && !s.watching }
 
-func (s *Store) put(r *request) {
+func (s *Client) enqueue(r *request) {
 	s.queue[r.class] = append(s.queue[r.class], r)
-	s.tell(r.class)
+	s.updateDemand(r.class)
 }
 
 // patience is how long a transaction of a class may wait for the budget.
-func patience(c budget.Class) time.Duration {
-	if c == budget.Claims || c == budget.Holders || c == budget.Spare {
+func queueTimeoutOf(c budget.Class) time.Duration {
+	if c == budget.UrgentClaims || c == budget.BusyClaims || c == budget.IdleClaims {
 		return claimTimeout
 	}
 	return queueTimeout
 }
 
 // Txn sends a transaction. After OK the mirror holds its changes.
-func (s *Store) Txn(class budget.Class, conds []protocol.Compare, ops []protocol.Op, done func(Outcome, []string, uint64)) {
-	body := protocol.Encode(protocol.Txn{Compares: conds, Ops: ops})
-	s.put(&request{class: class, method: http.MethodPost, path: protocol.PathTxn, body: body,
-		writes: float64(len(ops)), deadline: s.now + patience(class), done: func(r protocol.Reply) {
+func (s *Client) Txn(class budget.Class, compares []protocol.Compare, ops []protocol.Op, done func(TxnOutcome, []string, uint64)) {
+	body := protocol.Encode(protocol.Txn{Compares: compares, Ops: ops})
+	s.enqueue(&request{class: class, method: http.MethodPost, path: protocol.PathTxn, body: body,
+		writes: float64(len(ops)), deadline: s.now + queueTimeoutOf(class), done: func(r protocol.Reply) {
 			var t protocol.TxnResult
 			switch r.Status {
 			case http.StatusOK:
@@ -166,32 +166,32 @@
 				}
 				for _, o := range ops {
 					if o.Put != "" {
-						s.local(o.Put, o.Value, t.Revision)
+						s.applyChange(o.Put, o.Value, t.Revision)
 					} else {
-						s.local(o.Delete, nil, t.Revision)
+						s.applyChange(o.Delete, nil, t.Revision)
 					}
 				}
-				done(OK, nil, t.Revision)
+				done(Committed, nil, t.Revision)
 			case http.StatusConflict:
 				_ = protocol.DecodeState(r.Body, &t)
 				done(Conflict, t.Failed, t.Revision)
 			case http.StatusBadRequest:
-				done(NoLease, nil, 0)
+				done(LeaseExpired, nil, 0)
 			case 0:
 				if r.Sent {
 					done(Unknown, nil, 0)
 				} else {
-					done(Refused, nil, 0)
+					done(NotExecuted, nil, 0)
 				}
 			default:
-				done(Refused, nil, 0)
+				done(NotExecuted, nil, 0)
 			}
 		}})
 }
 
 // Get reads one key afresh into the mirror; ok is false when that failed.
-func (s *Store) Get(class budget.Class, key string, done func(ok bool)) {
-	s.put(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
+func (s *Client) Refresh(class budget.Class, key string, done func(ok bool)) {
+	s.enqueue(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			var e protocol.KeyValue
 			if (r.Status != http.StatusOK && r.Status != http.StatusNotFound) || protocol.DecodeState(r.Body, &e) != nil {
@@ -199,7 +199,7 @@
 				return
 			}
 			if r.Status == http.StatusOK {
-				s.local(key, e.Value, e.ModRevision)
+				s.applyChange(key, e.Value, e.ModRevision)
 			}
 			done(true)
 		}})
@@ -207,8 +207,8 @@
 
 // Read reads a key that is not mirrored: one outside Root. ok is false when
 // that failed; data is nil when the key does not exist.
-func (s *Store) Read(class budget.Class, key string, done func(data json.RawMessage, ok bool)) {
-	s.put(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
+func (s *Client) ReadUnmirrored(class budget.Class, key string, done func(data json.RawMessage, ok bool)) {
+	s.enqueue(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			var e protocol.KeyValue
 			switch {
@@ -223,9 +223,9 @@
 }
 
 // Grant asks for a lease, Touch renews one.
-func (s *Store) Grant(ttl time.Duration, done func(permit uint64)) {
+func (s *Client) GrantLease(ttl time.Duration, done func(lease uint64)) {
 	body := protocol.Encode(protocol.LeaseRequest{TTLMs: ttl.Milliseconds()})
-	s.put(&request{class: budget.Rules, method: http.MethodPost, path: protocol.PathLeases, body: body,
+	s.enqueue(&request{class: budget.Safety, method: http.MethodPost, path: protocol.PathLeases, body: body,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			var g protocol.LeaseResponse
 			if r.Status == http.StatusOK {
@@ -236,83 +236,83 @@
 }
 
 // Touch renews a lease. gone is true when it has ended.
-func (s *Store) Touch(permit uint64, done func(ok, gone bool)) {
-	s.put(&request{class: budget.Rules, method: http.MethodPost,
-		path:     protocol.PathLeases + "/" + strconv.FormatUint(permit, 10) + "/" + protocol.PathKeepAlive,
+func (s *Client) KeepAlive(lease uint64, done func(ok, expired bool)) {
+	s.enqueue(&request{class: budget.Safety, method: http.MethodPost,
+		path:     protocol.PathLeases + "/" + strconv.FormatUint(lease, 10) + "/" + protocol.PathKeepAlive,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			done(r.Status == http.StatusOK, r.Status == http.StatusNotFound)
 		}})
 }
 
 // Advance lets time pass: the budget fills up.
-func (s *Store) Advance(now time.Duration) {
+func (s *Client) Advance(now time.Duration) {
 	s.now = now
-	s.budget.Advance(now)
+	s.limiter.Advance(now)
 }
 
 // Hungry tells whether something has waited for the budget of late, and Peers
 // takes how many other controllers have said so or have not been heard.
-func (s *Store) Hungry() bool { return s.budget.Hungry() }
+func (s *Client) Throttled() bool { return s.limiter.Throttled() }
 
 // Peers is the other direction of Hungry.
-func (s *Store) Peers(hungry, idle int) { s.budget.Peers(hungry, idle) }
+func (s *Client) SetPeerDemand(hungry, idle int) { s.limiter.SetPeerDemand(hungry, idle) }
 
 // CanSend tells whether a transaction of this class with so many changes would
 // be sent at once. Whoever asks first builds it from the latest mirror, and
 // what comes up until then can go with it. What is refused is saved for, until
 // Forgo.
-func (s *Store) CanSend(class budget.Class, changes int) bool {
-	s.wanted[class] = 0
-	s.tell(class)
-	if s.Could(class, changes) {
+func (s *Client) Reserve(class budget.Class, changes int) bool {
+	s.reserved[class] = 0
+	s.updateDemand(class)
+	if s.CanSend(class, changes) {
 		return true
 	}
-	s.wanted[class] = float64(changes)
-	s.tell(class)
+	s.reserved[class] = float64(changes)
+	s.updateDemand(class)
 	return false
 }
 
 // Could is CanSend without saving for what is refused.
-func (s *Store) Could(class budget.Class, changes int) bool {
-	return s.now >= s.pauseTill && s.inflight < maxInflight && len(s.queue[class]) == 0 && s.budget.Can(class, float64(changes))
+func (s *Client) CanSend(class budget.Class, changes int) bool {
+	return s.now >= s.pausedUntil && s.inflight < maxInflight && len(s.queue[class]) == 0 && s.limiter.CanSpend(class, float64(changes))
 }
 
 // Forgo tells that nothing of what CanSend refused is wanted any more.
-func (s *Store) Forgo() {
-	for c := range s.wanted {
-		if s.wanted[c] > 0 {
-			s.wanted[c] = 0
-			s.tell(budget.Class(c))
+func (s *Client) ReleaseReservations() {
+	for c := range s.reserved {
+		if s.reserved[c] > 0 {
+			s.reserved[c] = 0
+			s.updateDemand(budget.Class(c))
 		}
 	}
 }
 
 // tell keeps the budget's knowledge of what waits.
-func (s *Store) tell(c budget.Class) {
+func (s *Client) updateDemand(c budget.Class) {
 	if q := s.queue[c]; len(q) > 0 {
-		s.budget.Waits(c, true, q[0].writes)
+		s.limiter.SetDemand(c, true, q[0].writes)
 	} else {
-		s.budget.Waits(c, s.wanted[c] > 0, s.wanted[c])
+		s.limiter.SetDemand(c, s.reserved[c] > 0, s.reserved[c])
 	}
 }
 
 // Late is the age from which the mirror has certainly missed a watch: each
 // stays open for block, and the next one is opened at once.
-func (s *Store) Late() time.Duration { return 5 * s.block / 2 }
+func (s *Client) StaleAfter() time.Duration { return 5 * s.watchTimeout / 2 }
 
 // Spacing is the least time between two openings of the watch.
-func (s *Store) Spacing() time.Duration { return s.spacing }
+func (s *Client) WatchSpacing() time.Duration { return s.watchSpacing }
 
 // Ample tells whether the budget of requests is at least half full.
-func (s *Store) Ample() bool { return s.budget.Ample() }
+func (s *Client) HasSpareRequests() bool { return s.limiter.HasSpareRequests() }
 
 // Tick sends what the budget allows.
-func (s *Store) Tick(now time.Duration) {
+func (s *Client) Tick(now time.Duration) {
 	s.Advance(now)
-	s.follow()
-	s.expire()
-	for now >= s.pauseTill && s.inflight < maxInflight {
-		c := s.budget.Next()
+	s.sync()
+	s.expireQueued()
+	for now >= s.pausedUntil && s.inflight < maxInflight {
+		c := s.limiter.Next()
 		if c < 0 || len(s.queue[c]) == 0 {
 			return // the turn of what CanSend refused
 		}
@@ -320,14 +320,14 @@
 		if s.queue[c] = s.queue[c][1:]; len(s.queue[c]) == 0 {
 			s.queue[c] = nil
 		}
-		s.budget.Spend(c, r.writes)
-		s.tell(c)
+		s.limiter.Spend(c, r.writes)
+		s.updateDemand(c)
 		s.dispatch(r)
 	}
 }
 
 // expire gives up on what has waited too long for the budget.
-func (s *Store) expire() {
+func (s *Client) expireQueued() {
 	var late []*request
 	for c, q := range s.queue {
 		for len(q) > 0 && s.now > q[0].deadline {
@@ -336,7 +336,7 @@
 		}
 		if len(q) < len(s.queue[c]) {
 			s.queue[c] = q
-			s.tell(budget.Class(c))
+			s.updateDemand(budget.Class(c))
 		}
 	}
 	for _, r := range late {
@@ -344,81 +344,81 @@
 	}
 }
 
-func (s *Store) dispatch(r *request) {
+func (s *Client) dispatch(r *request) {
 	s.inflight++
 	s.Send(protocol.Call{Target: protocol.ToStateService, Method: r.method, Path: r.path, Body: r.body, Timeout: callTimeout}, func(rep protocol.Reply) {
 		s.inflight--
-		s.note(rep)
+		s.noteContact(rep)
 		if rep.Status == http.StatusTooManyRequests {
-			s.budget.Refused()
+			s.limiter.Refused()
 		}
 		if (rep.Status == http.StatusTooManyRequests || rep.Status == http.StatusServiceUnavailable) && s.now < r.deadline {
 			// Not executed: it may be tried again within its time.
-			s.pauseTill = s.now + queueTimeout/20
+			s.pausedUntil = s.now + queueTimeout/20
 			s.queue[r.class] = append([]*request{r}, s.queue[r.class]...)
-			s.tell(r.class)
+			s.updateDemand(r.class)
 			return
 		}
 		r.done(rep)
 	})
 }
 
-func (s *Store) note(rep protocol.Reply) {
+func (s *Client) noteContact(rep protocol.Reply) {
 	if rep.Status != 0 && rep.Status != http.StatusServiceUnavailable && rep.Status != http.StatusTooManyRequests {
-		s.contact = s.now
+		s.contactAt = s.now
 	}
 }
 
 // Contact is the time of the last real answer.
-func (s *Store) Contact() time.Duration { return s.contact }
+func (s *Client) ContactAt() time.Duration { return s.contactAt }
 
 // follow keeps the mirror: reads all keys page by page, then watches.
-func (s *Store) follow() {
-	if s.loading || s.watching || s.now < s.nextOpen || !s.budget.Read() {
+func (s *Client) sync() {
+	if s.loading || s.watching || s.now < s.nextSyncAt || !s.limiter.SpendRead() {
 		return
 	}
 	sent := s.now
-	if s.seen == nil && !s.loaded {
-		s.seen, s.from, s.start = map[string]bool{}, "", 0
+	if s.seenKeys == nil && !s.loaded {
+		s.seenKeys, s.nextKey, s.scanRevision = map[string]bool{}, "", 0
 	}
-	if s.seen != nil {
+	if s.seenKeys != nil {
 		s.loading = true
 		s.Send(protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Timeout: 2 * callTimeout,
-			Path: protocol.PathKeys + "?under=" + Root + "&from=" + url.QueryEscape(s.from) + "&page=1000"}, func(r protocol.Reply) {
+			Path: protocol.PathKeys + "?under=" + MirroredPrefix + "&from=" + url.QueryEscape(s.nextKey) + "&page=1000"}, func(r protocol.Reply) {
 			s.loading = false
-			s.note(r)
+			s.noteContact(r)
 			var p protocol.KeyValuePage
 			if r.Status != http.StatusOK || protocol.DecodeState(r.Body, &p) != nil {
-				s.nextOpen = s.now + callTimeout/5
+				s.nextSyncAt = s.now + callTimeout/5
 				return
 			}
-			if s.start == 0 {
-				s.start = p.Revision
+			if s.scanRevision == 0 {
+				s.scanRevision = p.Revision
 			}
 			for _, e := range p.KeyValues {
-				s.seen[e.Key] = true
-				s.from = e.Key
-				s.local(e.Key, e.Value, e.ModRevision)
+				s.seenKeys[e.Key] = true
+				s.nextKey = e.Key
+				s.applyChange(e.Key, e.Value, e.ModRevision)
 			}
 			if p.Truncated && len(p.KeyValues) > 0 {
 				return
 			}
-			for k, v := range s.stamps {
-				if !s.seen[k] && v <= s.start {
-					s.local(k, nil, s.start)
+			for k, v := range s.revisions {
+				if !s.seenKeys[k] && v <= s.scanRevision {
+					s.applyChange(k, nil, s.scanRevision)
 				}
 			}
-			s.ledger, s.loaded, s.seen = max(s.ledger, s.start), true, nil
+			s.appliedRevision, s.loaded, s.seenKeys = max(s.appliedRevision, s.scanRevision), true, nil
 		})
 		return
 	}
 	s.watching = true
-	s.Send(protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Timeout: s.block + 2*callTimeout,
-		Path: protocol.PathWatch + "?under=" + Root + "&from=" + strconv.FormatUint(s.ledger, 10) +
-			"&blockMs=" + strconv.FormatInt(s.block.Milliseconds(), 10)}, func(r protocol.Reply) {
+	s.Send(protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Timeout: s.watchTimeout + 2*callTimeout,
+		Path: protocol.PathWatch + "?under=" + MirroredPrefix + "&from=" + strconv.FormatUint(s.appliedRevision, 10) +
+			"&blockMs=" + strconv.FormatInt(s.watchTimeout.Milliseconds(), 10)}, func(r protocol.Reply) {
 		s.watching = false
-		s.note(r)
-		s.nextOpen = sent + s.spacing
+		s.noteContact(r)
+		s.nextSyncAt = sent + s.watchSpacing
 		switch r.Status {
 		case http.StatusOK:
 			var w protocol.WatchResult
@@ -427,46 +427,46 @@
 			}
 			for _, n := range w.Events {
 				if n.Put != "" {
-					s.local(n.Put, n.Value, n.ModRevision)
+					s.applyChange(n.Put, n.Value, n.ModRevision)
 				} else {
-					s.local(n.Delete, nil, n.ModRevision)
+					s.applyChange(n.Delete, nil, n.ModRevision)
 				}
 			}
-			s.ledger = max(s.ledger, w.Revision)
-			s.fresh, s.whole = sent, true
-			for k, v := range s.graves {
-				if v <= s.ledger {
-					delete(s.graves, k)
+			s.appliedRevision = max(s.appliedRevision, w.Revision)
+			s.freshAt, s.consistent = sent, true
+			for k, v := range s.tombstones {
+				if v <= s.appliedRevision {
+					delete(s.tombstones, k)
 				}
 			}
 		case http.StatusGone:
-			s.whole = false
-			s.seen, s.from, s.start = map[string]bool{}, "", 0
+			s.consistent = false
+			s.seenKeys, s.nextKey, s.scanRevision = map[string]bool{}, "", 0
 		default:
-			s.nextOpen = s.now + callTimeout/5
+			s.nextSyncAt = s.now + callTimeout/5
 		}
 	})
 }
 
 // local brings one change into the mirror, unless a newer one is there.
-func (s *Store) local(key string, data json.RawMessage, stamp uint64) {
-	if old, ok := s.stamps[key]; ok && old >= stamp {
+func (s *Client) applyChange(key string, data json.RawMessage, revision uint64) {
+	if old, ok := s.revisions[key]; ok && old >= revision {
 		return
 	}
-	if s.graves[key] >= stamp {
+	if s.tombstones[key] >= revision {
 		return
 	}
 	if data == nil {
-		if stamp > s.ledger {
-			s.graves[key] = stamp
+		if revision > s.appliedRevision {
+			s.tombstones[key] = revision
 		}
-		if _, ok := s.stamps[key]; !ok {
+		if _, ok := s.revisions[key]; !ok {
 			return
 		}
-		delete(s.stamps, key)
-		s.Apply(key, nil, stamp)
+		delete(s.revisions, key)
+		s.Apply(key, nil, revision)
 		return
 	}
-	s.stamps[key] = stamp
-	s.Apply(key, data, stamp)
+	s.revisions[key] = revision
+	s.Apply(key, data, revision)
 }
--- a/internal/bookkeeping/store_test.go
+++ b/internal/bookkeeping/store_test.go
@@ -19,9 +19,9 @@
 	done func(protocol.Reply)
 }
 
-func newStore(rps, writes float64) (*Store, *[]sent, map[string]string) {
+func newStore(rps, writes float64) (*Client, *[]sent, map[string]string) {
 	f := &config.Facts{State: config.State{RPS: rps, WriteRPS: writes, ValueKB: 16, TxnOps: 12}}
-	s := NewStore(f, 3)
+	s := New(f, 3)
 	calls, mirror := &[]sent{}, map[string]string{}
 	s.Send = func(k protocol.Call, done func(protocol.Reply)) { *calls = append(*calls, sent{k, done}) }
 	s.Apply = func(key string, data json.RawMessage, _ uint64) {
@@ -52,15 +52,15 @@
 func raw(s string) json.RawMessage { return json.RawMessage(strconv.Quote(s)) }
 
 // load brings a store up with the given keys.
-func load(t *testing.T, s *Store, calls *[]sent, ledger uint64, keys map[string]uint64) {
+func load(t *testing.T, s *Client, calls *[]sent, revision uint64, keys map[string]uint64) {
 	t.Helper()
 	c := take(calls, protocol.PathKeys+"?")
 	if c == nil {
 		t.Fatal("the store does not read its keys")
 	}
-	p := protocol.KeyValuePage{Revision: ledger}
-	for k, stamp := range keys {
-		p.KeyValues = append(p.KeyValues, protocol.KeyValue{Key: k, Value: raw(k), ModRevision: stamp})
+	p := protocol.KeyValuePage{Revision: revision}
+	for k, revision := range keys {
+		p.KeyValues = append(p.KeyValues, protocol.KeyValue{Key: k, Value: raw(k), ModRevision: revision})
 	}
 	c.done(reply(200, p))
 }
@@ -70,7 +70,7 @@
 	s.Tick(time.Second)
 	first := take(calls, protocol.PathKeys+"?")
 	first.done(reply(200, protocol.KeyValuePage{Revision: 10, Truncated: true, KeyValues: []protocol.KeyValue{{Key: "sg/a", Value: raw("1"), ModRevision: 3}}}))
-	if s.Ready() {
+	if s.Loaded() {
 		t.Fatal("ready before the last page")
 	}
 	s.Tick(2 * time.Second)
@@ -88,8 +88,8 @@
 		t.Fatal(w.call.Path)
 	}
 	w.done(reply(200, protocol.WatchResult{Revision: 14, Events: []protocol.WatchEvent{{Put: "sg/b", Value: raw("old"), ModRevision: 11}, {Delete: "sg/a", ModRevision: 13}, {Put: "sg/c", Value: raw("3"), ModRevision: 14}}}))
-	if fmt.Sprint(mirror) != `map[sg/b:"2" sg/c:"3"]` || s.Ledger() != 14 || s.Fresh() != 3*time.Second {
-		t.Fatalf("%v at %d, fresh at %v", mirror, s.Ledger(), s.Fresh())
+	if fmt.Sprint(mirror) != `map[sg/b:"2" sg/c:"3"]` || s.AppliedRevision() != 14 || s.FreshAt() != 3*time.Second {
+		t.Fatalf("%v at %d, fresh at %v", mirror, s.AppliedRevision(), s.FreshAt())
 	}
 }
 
@@ -101,8 +101,8 @@
 	take(calls, protocol.PathWatch).done(reply(410, nil))
 	s.Tick(3 * time.Second)
 	load(t, s, calls, 99, map[string]uint64{"sg/b": 50})
-	if len(mirror) != 1 || s.Stamp("sg/b") != 50 || s.Stamp("sg/a") != 0 || s.Ledger() != 99 {
-		t.Fatalf("%v at %d", mirror, s.Ledger())
+	if len(mirror) != 1 || s.ModRevision("sg/b") != 50 || s.ModRevision("sg/a") != 0 || s.AppliedRevision() != 99 {
+		t.Fatalf("%v at %d", mirror, s.AppliedRevision())
 	}
 }
 
@@ -112,8 +112,8 @@
 	s, calls, mirror := newStore(300, 120)
 	s.Tick(time.Second)
 	load(t, s, calls, 10, map[string]uint64{"sg/a": 3})
-	s.Txn(budget.Rules, nil, []protocol.Op{{Delete: "sg/a"}}, func(o Outcome, _ []string, _ uint64) {
-		if o != OK {
+	s.Txn(budget.Safety, nil, []protocol.Op{{Delete: "sg/a"}}, func(o TxnOutcome, _ []string, _ uint64) {
+		if o != Committed {
 			t.Error(o)
 		}
 	})
@@ -126,15 +126,15 @@
 }
 
 func TestStoreOutcomes(t *testing.T) {
-	for status, want := range map[int]Outcome{200: OK, 409: Conflict, 400: NoLease, 500: Refused, 0: Unknown} {
+	for status, want := range map[int]TxnOutcome{200: Committed, 409: Conflict, 400: LeaseExpired, 500: NotExecuted, 0: Unknown} {
 		s, calls, mirror := newStore(300, 120)
 		s.Tick(time.Second)
 		load(t, s, calls, 10, nil)
-		got := Outcome(-1)
-		s.Txn(budget.Users, nil, []protocol.Op{{Put: "sg/a", Value: raw("1")}}, func(o Outcome, _ []string, _ uint64) { got = o })
+		got := TxnOutcome(-1)
+		s.Txn(budget.UserRequests, nil, []protocol.Op{{Put: "sg/a", Value: raw("1")}}, func(o TxnOutcome, _ []string, _ uint64) { got = o })
 		s.Tick(2 * time.Second)
 		take(calls, protocol.PathTxn).done(reply(status, protocol.TxnResult{Revision: 11, Failed: []string{"sg/a"}}))
-		if got != want || (len(mirror) == 1) != (want == OK) {
+		if got != want || (len(mirror) == 1) != (want == Committed) {
 			t.Errorf("status %d: outcome %d, mirror %v", status, got, mirror)
 		}
 	}
@@ -144,8 +144,8 @@
 	s, calls, _ := newStore(300, 120)
 	s.Tick(time.Second)
 	load(t, s, calls, 10, nil)
-	got := Outcome(-1)
-	s.Txn(budget.Users, nil, nil, func(o Outcome, _ []string, _ uint64) { got = o })
+	got := TxnOutcome(-1)
+	s.Txn(budget.UserRequests, nil, nil, func(o TxnOutcome, _ []string, _ uint64) { got = o })
 	s.Tick(2 * time.Second)
 	take(calls, protocol.PathTxn).done(reply(503, nil))
 	s.Tick(2*time.Second + queueTimeout/2)
@@ -155,7 +155,7 @@
 	}
 	s.Tick(2*time.Second + 2*queueTimeout)
 	again.done(reply(503, nil))
-	if got != Refused {
+	if got != NotExecuted {
 		t.Fatalf("outcome %d after its time", got)
 	}
 }
@@ -166,9 +166,9 @@
 	s.Tick(time.Second)
 	load(t, s, calls, 10, nil)
 	for i := 0; i < 40; i++ {
-		s.Txn(budget.Rest, nil, []protocol.Op{{Put: fmt.Sprint("sg/rest", i), Value: raw("")}}, func(Outcome, []string, uint64) {})
+		s.Txn(budget.Background, nil, []protocol.Op{{Put: fmt.Sprint("sg/rest", i), Value: raw("")}}, func(TxnOutcome, []string, uint64) {})
 	}
-	s.Txn(budget.Rules, nil, []protocol.Op{{Put: "sg/rules", Value: raw("")}}, func(Outcome, []string, uint64) {})
+	s.Txn(budget.Safety, nil, []protocol.Op{{Put: "sg/rules", Value: raw("")}}, func(TxnOutcome, []string, uint64) {})
 	n := 0
 	for at := time.Second; at <= 2*time.Second; at += 20 * time.Millisecond {
 		s.Tick(at)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -8,18 +8,18 @@
 )
 
 // demand is what waits: for each class, the changes of its requests in order.
-type demand [Classes][]float64
+type demand [NumClasses][]float64
 
-func (d *demand) tell(b *Budget, c Class) {
+func (d *demand) tell(b *Limiter, c Class) {
 	if len(d[c]) > 0 {
-		b.Waits(c, true, d[c][0])
+		b.SetDemand(c, true, d[c][0])
 	} else {
-		b.Waits(c, false, 0)
+		b.SetDemand(c, false, 0)
 	}
 }
 
 // send takes what the budget lets go, judging each against what waited.
-func (d *demand) send(b *Budget, sent func(c Class, changes float64)) {
+func (d *demand) send(b *Limiter, sent func(c Class, changes float64)) {
 	for c := b.Next(); c >= 0; c = b.Next() {
 		changes := d[c][0]
 		d[c] = d[c][1:]
@@ -34,14 +34,14 @@
 func TestOrderOfClasses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := New(Rates{Requests: rapid.Float64Range(4, 400).Draw(rt, "requests"), Changes: rapid.Float64Range(4, 150).Draw(rt, "changes"),
-			Controllers: rapid.IntRange(1, 9).Draw(rt, "controllers"), Txn: rapid.IntRange(4, 24).Draw(rt, "txn")})
+			Controllers: rapid.IntRange(1, 9).Draw(rt, "controllers"), TxnChanges: rapid.IntRange(4, 24).Draw(rt, "txn")})
 		var d demand
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(rt, "ms")) * time.Millisecond
 			b.Advance(now)
 			for range rapid.IntRange(0, 6).Draw(rt, "arrivals") {
-				c := Class(rapid.IntRange(0, Classes-1).Draw(rt, "class"))
+				c := Class(rapid.IntRange(0, NumClasses-1).Draw(rt, "class"))
 				d[c] = append(d[c], float64(rapid.IntRange(0, 4).Draw(rt, "changes")))
 				d.tell(b, c)
 			}
@@ -78,7 +78,7 @@
 // that keep placements waiting, and against either that keeps users waiting.
 func TestClassesOfATierShareIt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := New(Rates{Requests: 1000, Changes: rapid.Float64Range(20, 150).Draw(rt, "changes"), Controllers: 1, Txn: 12})
+		b := New(Rates{Requests: 1000, Changes: rapid.Float64Range(20, 150).Draw(rt, "changes"), Controllers: 1, TxnChanges: 12})
 		var in []Class
 		for c := range tier {
 			if tier[c] == rapid.SampledFrom([]int{1, 3}).Draw(rt, "tier") && rapid.Bool().Draw(rt, "in") {
@@ -117,18 +117,18 @@
 // TestSavingForATransaction guards against single changes that take the budget
 // away from a transaction of three that goes first.
 func TestSavingForATransaction(t *testing.T) {
-	b := New(Rates{Requests: 100, Changes: 10, Controllers: 1, Txn: 4})
+	b := New(Rates{Requests: 100, Changes: 10, Controllers: 1, TxnChanges: 4})
 	var d demand
 	for range 100 {
-		d[Holders] = append(d[Holders], 1)
+		d[BusyClaims] = append(d[BusyClaims], 1)
 	}
-	d.tell(b, Holders)
-	b.Waits(Rescue, true, 3)
+	d.tell(b, BusyClaims)
+	b.SetDemand(UrgentWork, true, 3)
 	rescued, claimed := 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
 		b.Advance(now)
 		for c := b.Next(); c >= 0; c = b.Next() {
-			if c == Rescue {
+			if c == UrgentWork {
 				b.Spend(c, 3)
 				rescued++
 				continue
@@ -141,10 +141,10 @@
 		t.Errorf("%d rescues of about 32, and %d claims ahead of them", rescued, claimed)
 	}
 	// What reads alone is not held up by it.
-	d[Users] = []float64{0, 0, 0}
-	d.tell(b, Users)
+	d[UserRequests] = []float64{0, 0, 0}
+	d.tell(b, UserRequests)
 	users := 0
-	for c := b.Next(); c == Users; c = b.Next() {
+	for c := b.Next(); c == UserRequests; c = b.Next() {
 		d[c] = d[c][1:]
 		b.Spend(c, 0)
 		d.tell(b, c)
@@ -159,15 +159,15 @@
 // what came.
 func TestClearsIsWhatItTakes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := New(Rates{Requests: 300, Changes: rapid.Float64Range(30, 150).Draw(rt, "changes"), Controllers: 1, Txn: 4})
+		b := New(Rates{Requests: 300, Changes: rapid.Float64Range(30, 150).Draw(rt, "changes"), Controllers: 1, TxnChanges: 4})
 		var d demand
 		n := rapid.IntRange(0, 600).Draw(rt, "n")
 		for range n {
-			d[Users] = append(d[Users], 1)
+			d[UserRequests] = append(d[UserRequests], 1)
 		}
-		d.tell(b, Users)
-		told, took := b.Clears(float64(n), float64(n)), time.Duration(0)
-		for now := time.Duration(0); len(d[Users]) > 0; now += 10 * time.Millisecond {
+		d.tell(b, UserRequests)
+		told, took := b.QueueDelay(float64(n), float64(n)), time.Duration(0)
+		for now := time.Duration(0); len(d[UserRequests]) > 0; now += 10 * time.Millisecond {
 			b.Advance(now)
 			d.send(b, func(Class, float64) { took = now })
 		}
@@ -178,9 +178,9 @@
 }
 
 func BenchmarkNext(bm *testing.B) {
-	b := New(Rates{Requests: 1e9, Changes: 1e9, Controllers: 1, Txn: 12})
-	for c := range Class(Classes) {
-		b.Waits(c, true, 1)
+	b := New(Rates{Requests: 1e9, Changes: 1e9, Controllers: 1, TxnChanges: 12})
+	for c := range Class(NumClasses) {
+		b.SetDemand(c, true, 1)
 	}
 	for i := range bm.N {
 		b.Advance(time.Duration(i))
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -55,18 +55,18 @@
 	if len(c.writes.dirty) > 0 && c.now < c.writes.flushAt {
 		return
 	}
-	c.store.Forgo()
-	if len(c.writes.dirty) == 0 || !c.store.Ready() {
+	c.store.ReleaseReservations()
+	if len(c.writes.dirty) == 0 || !c.store.Loaded() {
 		return
 	}
-	var denied [budget.Classes]bool
+	var denied [budget.NumClasses]bool
 	ripe := c.ripe()
 	for i, p := range ripe {
 		class := p.class()
 		if denied[class] || p.busy || !c.writes.dirty[p] { // it went with another
 			continue
 		}
-		if !c.store.CanSend(class, opsOfPage) {
+		if !c.store.Reserve(class, opsOfPage) {
 			denied[class], c.writes.delayed = true, true
 			// About when the share of the rate allows the next request.
 			c.writes.flushAt = c.now + seconds(float64(1+len(c.cfg.Peers))/c.cfg.Facts.State.RPS)
@@ -83,9 +83,9 @@
 // class is what a page's changes are for.
 func (p *page) class() budget.Class {
 	if p.rec.spec.Priority == job.Production {
-		return budget.Rescue
+		return budget.UrgentWork
 	}
-	return budget.Work
+	return budget.OtherWork
 }
 
 // ripe lists the pages that could be written now: production first, then
@@ -136,7 +136,7 @@
 			if p.class() != b.class || p.rec.spec.Team != first.rec.spec.Team || p.tasks == nil || jobs[p.rec] || p.busy {
 				continue
 			}
-			if !c.hasPlace(b, p) || !c.store.Could(b.class, len(b.ops)+opsOfPage) {
+			if !c.hasPlace(b, p) || !c.store.CanSend(b.class, len(b.ops)+opsOfPage) {
 				break
 			}
 			jobs[p.rec] = true
@@ -380,7 +380,7 @@
 	for _, part := range b.parts {
 		part.p.busy = true
 	}
-	c.store.Txn(b.class, b.conds, b.ops, func(o bookkeeping.Outcome, failed []string, _ uint64) {
+	c.store.Txn(b.class, b.conds, b.ops, func(o bookkeeping.TxnOutcome, failed []string, _ uint64) {
 		if b.charge {
 			tm.busy = false
 		}
@@ -389,7 +389,7 @@
 		}
 		for _, part := range b.parts {
 			part.p.busy = false
-			if o == bookkeeping.OK {
+			if o == bookkeeping.Committed {
 				c.committed(part)
 			} else {
 				c.failed(part, o, failed)
@@ -426,7 +426,7 @@
 // was only the team's record that another was ahead with: what was refused for
 // that was certainly not done, and the place is as good as before. The mirror needs
 // a moment to catch up with whoever was faster, and an unknown outcome shows in it.
-func (c *Core) failed(part part, o bookkeeping.Outcome, keys []string) {
+func (c *Core) failed(part part, o bookkeeping.TxnOutcome, keys []string) {
 	p := part.p
 	c.log.Debug("transaction failed", "job", p.id, "page", p.num, "outcome", int(o), "failed", keys)
 	crowded := o == bookkeeping.Conflict && len(keys) == 1 && strings.HasPrefix(keys[0], keyTeam)
--- a/internal/coordination/checkin.go
+++ b/internal/coordination/checkin.go
@@ -18,7 +18,7 @@
 		c.refuse(id, 400, err.Error())
 		return
 	}
-	if !c.store.Ready() {
+	if !c.store.Loaded() {
 		c.refuse(id, 503, "starting")
 		return
 	}
@@ -88,20 +88,20 @@
 	k := claim{c.cfg.Node, c.life, r.Address, r.MachineType, r.Zone, r.Spot, c.ownEpoch()}
 	class := m.class()
 	c.store.Txn(class, m.holding(),
-		[]protocol.Op{{Put: keyClaim + m.id, Value: encode(k)}}, func(o bookkeeping.Outcome, _ []string, _ uint64) {
+		[]protocol.Op{{Put: keyClaim + m.id, Value: encode(k)}}, func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 			m.claiming = false
 			c.claims--
 			// The machine may have been forgotten and met again meanwhile.
 			m = c.machine(m.id)
 			switch {
-			case o == bookkeeping.OK:
+			case o == bookkeeping.Committed:
 				m.renewed(c.now)
 				m.proved = again && tries == 0
 				c.Stats.Claims++
 				done(m, true)
 			case (o == bookkeeping.Conflict || o == bookkeeping.Unknown) && tries < 1:
 				m.claiming = true
-				c.store.Get(class, keyClaim+m.id, func(ok bool) {
+				c.store.Refresh(class, keyClaim+m.id, func(ok bool) {
 					m.claiming = false
 					switch {
 					case !ok:
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -63,7 +63,7 @@
 	wall  time.Time
 	life  int64 // tells this life of the process from earlier ones
 	out   Effects
-	store *bookkeeping.Store
+	store *bookkeeping.Client
 
 	nextCall uint64
 	calls    map[uint64]func(protocol.Reply)
@@ -174,9 +174,9 @@
 	c.fleet.unshipped = newUnshipped(c)
 	c.view = newView(c)
 	c.data = newData(c)
-	c.store = bookkeeping.NewStore(&cfg.Facts, 1+len(cfg.Peers))
+	c.store = bookkeeping.New(&cfg.Facts, 1+len(cfg.Peers))
 	c.store.Send = c.toState
-	c.reach = newReach(cfg, life, c.store.Late())
+	c.reach = newReach(cfg, life, c.store.StaleAfter())
 	c.store.Apply = c.apply
 	return c
 }
@@ -251,7 +251,7 @@
 // controller is thus woken as seldom as its sweeps need, since each waking
 // costs more than what it does.
 func (c *Core) Due() time.Duration {
-	if !c.store.Ready() || c.store.Waits() || c.writes.delayed || (len(c.polls) > 0 && !c.polling) {
+	if !c.store.Loaded() || c.store.NeedsTick() || c.writes.delayed || (len(c.polls) > 0 && !c.polling) {
 		return Pace
 	}
 	return max(Pace, c.sweepAt-c.now)
@@ -263,7 +263,7 @@
 	c.links()
 	c.membership()
 	c.catalogueTick()
-	if c.store.Ready() && c.now >= c.sweepAt {
+	if c.store.Loaded() && c.now >= c.sweepAt {
 		c.sweepAt = c.now + c.sweepPeriod()
 		if c.readyAt == 0 {
 			c.readyAt = c.now
@@ -295,7 +295,7 @@
 // the state service will have gone, and a second at least. Of a service that can't
 // be reached nobody knows.
 func (c *Core) retryAfter() int {
-	return min(maxRetry, 1+int(c.store.Clears().Seconds()))
+	return min(maxRetry, 1+int(c.store.QueueDelay().Seconds()))
 }
 
 // maxRetry is the longest wait that users heed (PROTOCOL).
@@ -386,7 +386,7 @@
 		Counters   Stats              `json:"counters"`
 		Latency    map[string]latency `json:"latency"`
 		Reach      reachStats         `json:"reach"`
-	}{c.cfg.Node, c.now.Seconds(), (c.now - c.store.Fresh()).Seconds(), c.leads(), len(c.ours), len(c.idle), c.lined, len(c.open), c.store.Backlog(), c.Stats, lat, c.reachStats()}
+	}{c.cfg.Node, c.now.Seconds(), (c.now - c.store.FreshAt()).Seconds(), c.leads(), len(c.ours), len(c.idle), c.lined, len(c.open), c.store.Backlog(), c.Stats, lat, c.reachStats()}
 }
 
 // measure records how long a call took, in a histogram that covers a minute
@@ -402,26 +402,26 @@
 
 // Keys of the records.
 const (
-	keyJob      = bookkeeping.Root + "j/"
-	keyPage     = bookkeeping.Root + "p/"
-	keyClaim    = bookkeeping.Root + "c/"
-	keyTeam     = bookkeeping.Root + "q/"
-	keyMember   = bookkeeping.Root + "m/"
-	keyDrain    = bookkeeping.Root + "x/"
-	keyRental   = bookkeeping.Root + "h/"
-	keyTakeover = bookkeeping.Root + "t/"
-	keyEndings  = bookkeeping.Root + "e/"
-	keyFleet    = bookkeeping.Root + "fleet"
-	keyGang     = bookkeeping.Root + "gang"
-	keyFlavors  = bookkeeping.Root + "flavors"
-	keyExtra    = bookkeeping.Aside + "d/"
+	keyJob      = bookkeeping.MirroredPrefix + "j/"
+	keyPage     = bookkeeping.MirroredPrefix + "p/"
+	keyClaim    = bookkeeping.MirroredPrefix + "c/"
+	keyTeam     = bookkeeping.MirroredPrefix + "q/"
+	keyMember   = bookkeeping.MirroredPrefix + "m/"
+	keyDrain    = bookkeeping.MirroredPrefix + "x/"
+	keyRental   = bookkeeping.MirroredPrefix + "h/"
+	keyTakeover = bookkeeping.MirroredPrefix + "t/"
+	keyEndings  = bookkeeping.MirroredPrefix + "e/"
+	keyFleet    = bookkeeping.MirroredPrefix + "fleet"
+	keyGang     = bookkeeping.MirroredPrefix + "gang"
+	keyFlavors  = bookkeeping.MirroredPrefix + "flavors"
+	keyExtra    = bookkeeping.UnmirroredPrefix + "d/"
 )
 
 // apply takes a change of the mirror.
 func (c *Core) apply(key string, data json.RawMessage, stamp uint64) {
 	kind := key
-	if i := strings.IndexByte(key[len(bookkeeping.Root):], '/'); i >= 0 {
-		kind = key[:len(bookkeeping.Root)+i+1]
+	if i := strings.IndexByte(key[len(bookkeeping.MirroredPrefix):], '/'); i >= 0 {
+		kind = key[:len(bookkeeping.MirroredPrefix)+i+1]
 	}
 	name := key[len(kind):]
 	switch kind {
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -479,7 +479,7 @@
 	if len(c.early[sp.ID]) != 1 {
 		t.Fatal("the hand-over was dropped")
 	}
-	c.apply(keyJob+sp.ID, encode(storedJob{sp, job.Open, 1, "n1"}), c.store.Ledger()+1)
+	c.apply(keyJob+sp.ID, encode(storedJob{sp, job.Open, 1, "n1"}), c.store.AppliedRevision()+1)
 	if len(c.early) != 0 {
 		t.Error("the hand-over was not taken up")
 	}
@@ -752,7 +752,7 @@
 					c.begin(n.clock())
 					c.propose(r, k.index, change{machine: m.id, session: task.Epoch, try: task.Attempt, kind: evidence.LeaseExpired})
 					if again {
-						c.apply(keyClaim+m.id, encode(m.claim), c.store.Ledger()+1)
+						c.apply(keyClaim+m.id, encode(m.claim), c.store.AppliedRevision()+1)
 					}
 					c.flush()
 					sent := 0
--- a/internal/coordination/data.go
+++ b/internal/coordination/data.go
@@ -48,8 +48,8 @@
 }
 
 const (
-	keyData    = bookkeeping.Root + "d/"
-	keyStaging = bookkeeping.Root + "s/"
+	keyData    = bookkeeping.MirroredPrefix + "d/"
+	keyStaging = bookkeeping.MirroredPrefix + "s/"
 )
 
 func newData(c *Core) *data {
@@ -430,8 +430,8 @@
 		if over := c.now - by; over > seconds(c.cfg.Facts.Workers.Lease) || d.met(a) {
 			if !a.ending && c.successor(c.cfg.Node) == c.cfg.Node && c.leads() {
 				a.ending = true
-				c.store.Txn(budget.Rest, []protocol.Compare{{Key: keyStaging + name, ModRevision: a.stamp}}, []protocol.Op{{Delete: keyStaging + name}},
-					func(bookkeeping.Outcome, []string, uint64) { a.ending = false })
+				c.store.Txn(budget.Background, []protocol.Compare{{Key: keyStaging + name, ModRevision: a.stamp}}, []protocol.Op{{Delete: keyStaging + name}},
+					func(bookkeeping.TxnOutcome, []string, uint64) { a.ending = false })
 			}
 			continue
 		}
@@ -479,7 +479,7 @@
 	}
 	c := d.c
 	switch {
-	case !c.store.Ready():
+	case !c.store.Loaded():
 		c.refuse(id, 503, "starting")
 	case path == protocol.PathDataSets && method == "GET":
 		q, _ := url.ParseQuery(query)
@@ -529,13 +529,13 @@
 		tell(200)
 		return
 	}
-	c.store.Txn(budget.Users, []protocol.Compare{{Key: keyData + name}}, []protocol.Op{{Put: keyData + name, Value: encode(s)}},
-		func(o bookkeeping.Outcome, _ []string, _ uint64) {
+	c.store.Txn(budget.UserRequests, []protocol.Compare{{Key: keyData + name}}, []protocol.Op{{Put: keyData + name, Value: encode(s)}},
+		func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 			switch o {
-			case bookkeeping.OK:
+			case bookkeeping.Committed:
 				tell(201)
 			case bookkeeping.Conflict, bookkeeping.Unknown:
-				c.store.Get(budget.Users, keyData+name, func(bool) { tell(200) })
+				c.store.Refresh(budget.UserRequests, keyData+name, func(bool) { tell(200) })
 			default:
 				c.refuse(id, 503, "the state service can't be written now")
 			}
@@ -568,10 +568,10 @@
 	}
 	a.Version, a.AtMS = v.Version, c.wall.UnixMilli()+int64(a.ByS*1000)
 	key := keyStaging + a.ID
-	c.store.Txn(budget.Users, []protocol.Compare{{Key: key}}, []protocol.Op{{Put: key, Value: encode(a)}},
-		func(o bookkeeping.Outcome, _ []string, _ uint64) {
+	c.store.Txn(budget.UserRequests, []protocol.Compare{{Key: key}}, []protocol.Op{{Put: key, Value: encode(a)}},
+		func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 			switch o {
-			case bookkeeping.OK:
+			case bookkeeping.Committed:
 				c.answer(id, 201, a.Staging, 0)
 			case bookkeeping.Conflict: // known already
 				c.answer(id, 200, a.Staging, 0)
--- a/internal/coordination/endlog.go
+++ b/internal/coordination/endlog.go
@@ -82,16 +82,16 @@
 // flushEndings writes a record of the log when endings have waited for long enough.
 func (c *Core) flushEndings() {
 	w := &c.writes
-	if len(w.waiting) == 0 || w.writing || !c.store.Ready() || c.now-w.since < seconds(endingsWait*c.cfg.Facts.Workers.Report) || !c.store.Could(budget.Work, 1) {
+	if len(w.waiting) == 0 || w.writing || !c.store.Loaded() || c.now-w.since < seconds(endingsWait*c.cfg.Facts.Workers.Report) || !c.store.CanSend(budget.OtherWork, 1) {
 		return
 	}
 	taken, record := c.fillRecord()
 	w.waiting, w.since, w.writing = w.waiting[len(taken):], c.now, true
 	w.seq++
 	key := keyEndings + c.cfg.Node + "/" + strconv.FormatInt(c.life, 10) + "-" + strconv.Itoa(w.seq)
-	c.store.Txn(budget.Work, []protocol.Compare{{Key: key}}, []protocol.Op{{Put: key, Value: record}}, func(o bookkeeping.Outcome, _ []string, _ uint64) {
+	c.store.Txn(budget.OtherWork, []protocol.Compare{{Key: key}}, []protocol.Op{{Put: key, Value: record}}, func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 		w.writing = false
-		if o != bookkeeping.OK { // again, under another key: an entry that is there twice is the same entry
+		if o != bookkeeping.Committed { // again, under another key: an entry that is there twice is the same entry
 			w.waiting = append(taken, w.waiting...)
 			return
 		}
@@ -267,12 +267,12 @@
 	var ops []protocol.Op
 	for _, name := range c.writes.log.Settled() {
 		key := keyEndings + name
-		if stamp := c.store.Stamp(key); stamp != 0 && len(ops) < c.cfg.Facts.State.TxnOps {
+		if stamp := c.store.ModRevision(key); stamp != 0 && len(ops) < c.cfg.Facts.State.TxnOps {
 			conds = append(conds, protocol.Compare{Key: key, ModRevision: stamp})
 			ops = append(ops, protocol.Op{Delete: key})
 		}
 	}
 	if len(ops) > 0 {
-		c.store.Txn(budget.Rest, conds, ops, func(bookkeeping.Outcome, []string, uint64) {})
+		c.store.Txn(budget.Background, conds, ops, func(bookkeeping.TxnOutcome, []string, uint64) {})
 	}
 }
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -8,7 +8,7 @@
 )
 
 // Ledger is the revision up to which the core's records are complete.
-func (c *Core) Ledger() uint64 { return c.store.Ledger() }
+func (c *Core) Ledger() uint64 { return c.store.AppliedRevision() }
 
 // Known says in a line what this controller knows of a task ("wk-000412/3"), a job or a
 // machine, "" if nothing. It is for the stories that replays tell.
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -193,9 +193,9 @@
 		}
 		c.flavorsAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
 		c.setCatalogue(&v)
-		if c.store.Ready() && c.store.Stamp(keyFlavors) == 0 {
-			c.store.Txn(budget.Rest, []protocol.Compare{{Key: keyFlavors}}, []protocol.Op{{Put: keyFlavors, Value: encode(v)}},
-				func(bookkeeping.Outcome, []string, uint64) {})
+		if c.store.Loaded() && c.store.ModRevision(keyFlavors) == 0 {
+			c.store.Txn(budget.Background, []protocol.Compare{{Key: keyFlavors}}, []protocol.Op{{Put: keyFlavors, Value: encode(v)}},
+				func(bookkeeping.TxnOutcome, []string, uint64) {})
 		}
 	})
 }
@@ -234,11 +234,11 @@
 	}
 	if f.stamp == 0 && c.permit != 0 && !f.taking {
 		f.taking, f.permit = true, c.permit
-		c.store.Txn(budget.Work, []protocol.Compare{{Key: keyFleet}},
+		c.store.Txn(budget.OtherWork, []protocol.Compare{{Key: keyFleet}},
 			[]protocol.Op{{Put: keyFleet, Value: encode(lease{c.cfg.Node, c.life}), Lease: c.permit}},
-			func(o bookkeeping.Outcome, _ []string, _ uint64) {
+			func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 				f.taking = false
-				if o == bookkeeping.OK {
+				if o == bookkeeping.Committed {
 					c.log.Info("leading the fleet")
 				}
 			})
@@ -265,10 +265,10 @@
 		return
 	}
 	f.taking = true
-	c.store.Txn(budget.Work, []protocol.Compare{{Key: keyFleet, ModRevision: f.stamp}}, []protocol.Op{{Delete: keyFleet}},
-		func(o bookkeeping.Outcome, _ []string, _ uint64) {
+	c.store.Txn(budget.OtherWork, []protocol.Compare{{Key: keyFleet, ModRevision: f.stamp}}, []protocol.Op{{Delete: keyFleet}},
+		func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 			f.taking = false
-			if o == bookkeeping.OK {
+			if o == bookkeeping.Committed {
 				c.log.Info("leaving the fleet to another: the cloud does not answer us")
 			}
 		})
@@ -334,8 +334,8 @@
 					return
 				}
 				r.Names = n.Machines
-				c.store.Txn(budget.Work, []protocol.Compare{{Key: keyRental + name, ModRevision: c.store.Stamp(keyRental + name)}},
-					[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(bookkeeping.Outcome, []string, uint64) {})
+				c.store.Txn(budget.OtherWork, []protocol.Compare{{Key: keyRental + name, ModRevision: c.store.ModRevision(keyRental + name)}},
+					[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(bookkeeping.TxnOutcome, []string, uint64) {})
 			case rep.Status == http.StatusServiceUnavailable && string(rep.Body) != "" && !isTrouble(rep.Body):
 				c.noCapacity(where)
 				c.dropRental(name)
@@ -361,8 +361,8 @@
 }
 
 func (c *Core) dropRental(name string) {
-	c.store.Txn(budget.Work, []protocol.Compare{{Key: keyRental + name, ModRevision: c.store.Stamp(keyRental + name)}},
-		[]protocol.Op{{Delete: keyRental + name}}, func(bookkeeping.Outcome, []string, uint64) {})
+	c.store.Txn(budget.OtherWork, []protocol.Compare{{Key: keyRental + name, ModRevision: c.store.ModRevision(keyRental + name)}},
+		[]protocol.Op{{Delete: keyRental + name}}, func(bookkeeping.TxnOutcome, []string, uint64) {})
 }
 
 // settleRental drops a rental's record once its machines have all reported,
@@ -443,12 +443,12 @@
 	// The stamp of our tenure's lease key never comes again.
 	name := "r-" + strconv.FormatUint(f.stamp, 10) + "-" + strconv.Itoa(f.seq)
 	r := rental{Rig: w.rig, Depot: w.depot, Spot: w.spot, Number: n, At: c.wall.UnixMilli()}
-	class := budget.Work
+	class := budget.OtherWork
 	if urgent {
-		class = budget.Rescue
+		class = budget.UrgentWork
 	}
 	c.store.Txn(class, []protocol.Compare{{Key: keyRental + name}, {Key: keyFleet, ModRevision: f.stamp}},
-		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(bookkeeping.Outcome, []string, uint64) {})
+		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(bookkeeping.TxnOutcome, []string, uint64) {})
 }
 
 // rentalSize is the most machines that a request may ask for (PROTOCOL).
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -395,8 +395,8 @@
 				}
 				r.unmarked = c.now + seconds(rest)
 			}
-			c.store.Txn(budget.Work, []protocol.Compare{{Key: keyGang, ModRevision: c.store.Stamp(keyGang)}}, []protocol.Op{{Delete: keyGang}},
-				func(bookkeeping.Outcome, []string, uint64) { c.marking = false })
+			c.store.Txn(budget.OtherWork, []protocol.Compare{{Key: keyGang, ModRevision: c.store.ModRevision(keyGang)}}, []protocol.Op{{Delete: keyGang}},
+				func(bookkeeping.TxnOutcome, []string, uint64) { c.marking = false })
 		}
 		return
 	}
@@ -407,9 +407,9 @@
 	}
 	if r != nil && c.successor(r.home) == c.cfg.Node {
 		c.marking, c.markedAt = true, c.now
-		c.store.Txn(budget.Work, []protocol.Compare{{Key: keyGang}},
+		c.store.Txn(budget.OtherWork, []protocol.Compare{{Key: keyGang}},
 			[]protocol.Op{{Put: keyGang, Value: encode(gangLease{r.spec.ID, c.cfg.Node, c.life}), Lease: c.permit}},
-			func(bookkeeping.Outcome, []string, uint64) { c.marking = false })
+			func(bookkeeping.TxnOutcome, []string, uint64) { c.marking = false })
 	}
 }
 
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -46,7 +46,7 @@
 			if !st.MayLaunchDirectly(b) {
 				if b.Epoch == m.session {
 					c.log.Debug("launch withheld: the records are behind", "load", job.TaskName(a.id, a.index), "try", a.try, "stoker", m.id,
-						"ledger", c.store.Ledger(), "token", m.stamp, "since", b.BoundAt)
+						"ledger", c.store.AppliedRevision(), "token", m.stamp, "since", b.BoundAt)
 					m.deferLaunch(a)
 				}
 				continue
@@ -110,14 +110,14 @@
 
 // standing is what this controller knows of a machine, for a decision.
 func (c *Core) standing(m *machine) evidence.WorkerState {
-	return evidence.WorkerState{Held: c.mine(m), Adopted: m.adopted, Token: m.stamp, AppliedRevision: c.store.Ledger(), TokenSeen: m.shown, MirrorComplete: c.proved(m),
+	return evidence.WorkerState{Held: c.mine(m), Adopted: m.adopted, Token: m.stamp, AppliedRevision: c.store.AppliedRevision(), TokenSeen: m.shown, MirrorComplete: c.proved(m),
 		LaunchInDoubt: m.tainted, Epoch: m.session, Sequence: m.tally, LastLaunch: m.launchedAt}
 }
 
 // proved tells whether the mirror was complete at a moment when the worker had
 // shown our token.
 func (c *Core) proved(m *machine) bool {
-	if !m.proved && m.shown && c.store.Fresh() >= m.shownAt {
+	if !m.proved && m.shown && c.store.FreshAt() >= m.shownAt {
 		m.proved = true
 	}
 	return m.proved
--- a/internal/coordination/members.go
+++ b/internal/coordination/members.go
@@ -104,22 +104,22 @@
 		c.shareOut()
 		own, told := c.fleet.seen[c.cfg.Node], c.fleet.unshipped.told()
 		age := c.recordsAge()
-		rows := c.reach.Rows(age, c.store.Hungry())
-		blind := c.store.Ready() && c.now-c.store.Fresh() > seconds(c.cfg.Facts.Workers.Report)
+		rows := c.reach.Rows(age, c.store.Throttled())
+		blind := c.store.Loaded() && c.now-c.store.FreshAt() > seconds(c.cfg.Facts.Workers.Report)
 		for _, p := range c.cfg.Peers {
 			if blind {
 				c.askPeer(p.Node)
 			}
-			c.send(p.Node, Message{Beat: &Beat{FreshMS: age.Milliseconds(), Hungry: c.store.Hungry(), Lit: own.lit, Dark: own.dark, Deaf: own.deaf, Unkept: told, Rows: rows}})
+			c.send(p.Node, Message{Beat: &Beat{FreshMS: age.Milliseconds(), Hungry: c.store.Throttled(), Lit: own.lit, Dark: own.dark, Deaf: own.deaf, Unkept: told, Rows: rows}})
 		}
 	}
-	if !c.store.Ready() || c.granting {
+	if !c.store.Loaded() || c.granting {
 		return
 	}
 	if c.permit == 0 {
 		c.granting = true
 		at := c.now
-		c.store.Grant(c.ttl, func(p uint64) {
+		c.store.GrantLease(c.ttl, func(p uint64) {
 			c.granting = false
 			if p != 0 {
 				c.permit, c.permitAt, c.published = p, at, ""
@@ -132,7 +132,7 @@
 	if c.now-c.permitAt > c.ttl/3 {
 		c.granting = true
 		at := c.now
-		c.store.Touch(c.permit, func(ok, gone bool) {
+		c.store.KeepAlive(c.permit, func(ok, gone bool) {
 			c.granting = false
 			if ok {
 				c.permitAt = at
@@ -146,12 +146,12 @@
 	if string(data) != c.published && c.now >= c.publishAt {
 		c.publishAt = c.now + c.cfg.Operator.PublishInterval
 		c.published = string(data)
-		c.store.Txn(budget.Rest, nil, []protocol.Op{{Put: keyMember + c.cfg.Node, Value: data, Lease: c.permit}},
-			func(o bookkeeping.Outcome, _ []string, _ uint64) {
-				if o == bookkeeping.NoLease {
+		c.store.Txn(budget.Background, nil, []protocol.Op{{Put: keyMember + c.cfg.Node, Value: data, Lease: c.permit}},
+			func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
+				if o == bookkeeping.LeaseExpired {
 					c.permit = 0
 				}
-				if o != bookkeeping.OK {
+				if o != bookkeeping.Committed {
 					c.published = ""
 				}
 			})
@@ -173,17 +173,17 @@
 		}
 	case m.Pass != nil:
 		c.pass(from, m.Pass)
-	case m.Ask != nil && c.store.Ready():
+	case m.Ask != nil && c.store.Loaded():
 		c.send(from, Message{Vouch: c.vouch(m.Ask)})
 	case m.Vouch != nil:
 		c.vouched(from, m.Vouch)
-	case m.Forward != nil && c.store.Ready():
+	case m.Forward != nil && c.store.Loaded():
 		c.receive(from, m.Forward)
-	case m.Return != nil && c.store.Ready():
+	case m.Return != nil && c.store.Loaded():
 		c.returned(m.Return)
-	case m.Draw != nil && c.store.Ready():
+	case m.Draw != nil && c.store.Loaded():
 		c.drawFor(from, m.Draw)
-	case m.Offer != nil && c.store.Ready():
+	case m.Offer != nil && c.store.Loaded():
 		c.offered(m.Offer)
 	}
 }
@@ -240,4 +240,4 @@
 
 // proof is the time of the last proof that no cancellation was acknowledged
 // which we don't know of.
-func (c *Core) proof() time.Duration { return c.reach.Proof(c.store.Fresh()) }
+func (c *Core) proof() time.Duration { return c.reach.Proof(c.store.FreshAt()) }
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -384,7 +384,7 @@
 	waiting := c.early[id]
 	delete(c.early, id)
 	for _, e := range waiting {
-		if c.now-e.at < c.cfg.Operator.PublishInterval && c.store.Ready() {
+		if c.now-e.at < c.cfg.Operator.PublishInterval && c.store.Loaded() {
 			c.receive(e.from, e.f)
 		}
 	}
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -333,7 +333,7 @@
 // read from it: they stay true however late it comes.
 func (c *Core) observe(m *machine, token uint64, r protocol.Reply) {
 	var rep protocol.Heartbeat
-	if r.Status != http.StatusOK || m.stamp != token || protocol.Decode(r.Body, &rep) != nil || rep.FencingToken != token || c.store.Ledger() < token {
+	if r.Status != http.StatusOK || m.stamp != token || protocol.Decode(r.Body, &rep) != nil || rep.FencingToken != token || c.store.AppliedRevision() < token {
 		return
 	}
 	left := len(m.gone)
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -97,7 +97,7 @@
 
 // askPeer asks a peer for its word on cancellations, by way of a third where it must be.
 func (c *Core) askPeer(name string) {
-	a := &Ask{c.now, c.store.Ledger(), c.life}
+	a := &Ask{c.now, c.store.AppliedRevision(), c.life}
 	now := c.reach.Picture()
 	if by := reach.Third(&now, name); by != "" {
 		c.send(by, Message{Pass: &Pass{From: c.cfg.Node, To: name, Ask: a}})
@@ -112,7 +112,7 @@
 		c.reach.Stats.Sideways++
 		c.send(p.To, Message{Pass: p})
 	case p.To != c.cfg.Node:
-	case p.Ask != nil && c.store.Ready():
+	case p.Ask != nil && c.store.Loaded():
 		c.send(from, Message{Pass: &Pass{From: c.cfg.Node, To: p.From, Vouch: c.vouch(p.Ask)}})
 	case p.Vouch != nil && p.Vouch.Life == c.life:
 		c.vouched(p.From, p.Vouch)
@@ -121,16 +121,16 @@
 
 // recordsAge is how old our records are, as peers and operators are told.
 func (c *Core) recordsAge() time.Duration {
-	if !c.store.Ready() {
+	if !c.store.Loaded() {
 		return starting
 	}
-	return c.now - c.store.Fresh()
+	return c.now - c.store.FreshAt()
 }
 
 // shareOut tells the budget how many peers want more than their share.
 func (c *Core) shareOut() {
 	now := c.reach.Picture()
-	c.store.Peers(reach.Claimants(&now, c.alive))
+	c.store.SetPeerDemand(reach.Claimants(&now, c.alive))
 }
 
 // betterPlaced names a peer that a worker is sent to while we can't reach the state
@@ -139,8 +139,8 @@
 // that has urgent work claimed there before our own time to answer is over.
 func (c *Core) betterPlaced(r *protocol.Heartbeat) string {
 	limit := seconds(c.cfg.Facts.Workers.Report)
-	alone := c.now - c.store.Fresh() - limit
-	if alone < 0 || !c.store.Ready() {
+	alone := c.now - c.store.FreshAt() - limit
+	if alone < 0 || !c.store.Loaded() {
 		return ""
 	}
 	now, m, from := c.reach.Picture(), c.machine(r.Worker), ""
@@ -186,5 +186,5 @@
 
 func (c *Core) reachStats() reachStats {
 	how, via := c.reach.Link()
-	return reachStats{Stats: c.reach.Stats, State: how, Via: via, Deaf: c.reach.Deaf(), Rows: c.reach.Rows(c.recordsAge(), c.store.Hungry())}
+	return reachStats{Stats: c.reach.Stats, State: how, Via: via, Deaf: c.reach.Deaf(), Rows: c.reach.Rows(c.recordsAge(), c.store.Throttled())}
 }
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -162,9 +162,9 @@
 	}
 	r.concluding = true
 	// Finished tasks stay finished, so the pages need no condition.
-	c.store.Txn(budget.Users, []protocol.Compare{{Key: keyJob + r.spec.ID, ModRevision: r.stamp}},
+	c.store.Txn(budget.UserRequests, []protocol.Compare{{Key: keyJob + r.spec.ID, ModRevision: r.stamp}},
 		[]protocol.Op{{Put: keyJob + r.spec.ID, Value: encode(r.stored(job.Done))}},
-		func(bookkeeping.Outcome, []string, uint64) { r.concluding = false })
+		func(bookkeeping.TxnOutcome, []string, uint64) { r.concluding = false })
 }
 
 // shed forgets the tasks of a page of a job that is over, unless one is bound:
@@ -300,7 +300,7 @@
 	c.changes = changes
 	p.stamp = stamp
 	since := stamp // each change of a page comes, but while the records are read anew
-	if c.store.Reading() {
+	if c.store.Rescanning() {
 		since = 0
 	}
 	for i := range changes {
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -180,9 +180,9 @@
 		ops = append(ops, protocol.Op{Put: keyDrain + id, Value: encode(drain{f.condemned[id]})})
 	}
 	f.condemning = true
-	c.store.Txn(budget.Work, conds, ops, func(o bookkeeping.Outcome, failed []string, _ uint64) {
+	c.store.Txn(budget.OtherWork, conds, ops, func(o bookkeeping.TxnOutcome, failed []string, _ uint64) {
 		f.condemning = false
-		if o == bookkeeping.OK {
+		if o == bookkeeping.Committed {
 			for _, op := range ops {
 				id := strings.TrimPrefix(op.Put, keyDrain)
 				c.log.Info("giving a machine up", "stoker", id, "why", c.drains[id].Why)
@@ -202,12 +202,14 @@
 //
 // Guards against a deletion that overtakes the records: our own drain is in the mirror with its answer, ahead of
 // what others had placed there before it.
-func (c *Core) fencedOff(id string) bool { return c.store.Ledger() >= c.store.Stamp(keyDrain+id) }
+func (c *Core) fencedOff(id string) bool {
+	return c.store.AppliedRevision() >= c.store.ModRevision(keyDrain+id)
+}
 
 // sees tells whether the records that we have can be judged by: they are whole, and new. A machine that nobody seems to hold may have
 // been claimed since, and one whose claim has not been read may be anybody's.
 func (c *Core) sees() bool {
-	return c.store.Whole() && c.now-c.store.Fresh() < seconds(c.cfg.Facts.Workers.Report)
+	return c.store.Consistent() && c.now-c.store.FreshAt() < seconds(c.cfg.Facts.Workers.Report)
 }
 
 // forgetMachine drops the records of a machine that is gone, once nothing is
@@ -221,12 +223,12 @@
 	var conds []protocol.Compare
 	var ops []protocol.Op
 	for _, key := range []string{keyClaim + id, keyDrain + id} {
-		if s := c.store.Stamp(key); s != 0 {
+		if s := c.store.ModRevision(key); s != 0 {
 			conds = append(conds, protocol.Compare{Key: key, ModRevision: s})
 			ops = append(ops, protocol.Op{Delete: key})
 		}
 	}
 	if len(ops) > 0 {
-		c.store.Txn(budget.Work, conds, ops, func(bookkeeping.Outcome, []string, uint64) {})
+		c.store.Txn(budget.OtherWork, conds, ops, func(bookkeeping.TxnOutcome, []string, uint64) {})
 	}
 }
--- a/internal/coordination/returns_test.go
+++ b/internal/coordination/returns_test.go
@@ -93,7 +93,7 @@
 			claimed := false
 			for at := s.now; s.now < at+20*time.Second && !claimed; {
 				s.run(s.now + time.Millisecond)
-				if c.store.Reading() {
+				if c.store.Rescanning() {
 					claimed = true
 					write(keyClaim+"i-900000", encode(claim{"n9", 1, "w:i-900000", "small", "a", false, 1}))
 					write(keyJob+"wk-700000", spec)
@@ -110,7 +110,7 @@
 		}
 		for end := s.now + 2*time.Second; s.now < end; {
 			s.run(s.now + 10*time.Millisecond)
-			if torn && !c.store.Reading() && c.store.Whole() {
+			if torn && !c.store.Rescanning() && c.store.Consistent() {
 				break
 			}
 			if m := c.machines["i-900000"]; m == nil || len(m.bound) == 0 {
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -14,7 +14,7 @@
 	// A worker gives up on an answer after 4 s; three reports and one such
 	// wait without a word, while others are heard, is a machine in trouble.
 	silent := seconds(3*w.Report + 4)
-	blind := c.now-c.store.Fresh() > seconds(w.Report)
+	blind := c.now-c.store.FreshAt() > seconds(w.Report)
 	heard, recent, mine := 0, 0, 0
 	var deaf []string
 	zones := map[string]*zoneHeard{}
--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -107,7 +107,7 @@
 // heedTakeovers heeds the records up to which the mirror has become complete, and answers the
 // reports that have waited for them.
 func (c *Core) heedTakeovers() {
-	heeded := c.holders.book.Advance(c.store.Ledger())
+	heeded := c.holders.book.Advance(c.store.AppliedRevision())
 	sortGroups(heeded)
 	for _, g := range heeded {
 		c.regroup(g)
@@ -212,9 +212,9 @@
 		conds = append(conds, protocol.Compare{Key: keyMember + g.Node})
 	}
 	heir := takeover.Holder{Node: c.cfg.Node, Incarnation: c.life, Epoch: c.ownEpoch()}
-	c.store.Txn(budget.Claims, conds, []protocol.Op{{Put: keyTakeover + g.Key(), Value: encode(heir)}}, func(o bookkeeping.Outcome, failed []string, _ uint64) {
+	c.store.Txn(budget.UrgentClaims, conds, []protocol.Op{{Put: keyTakeover + g.Key(), Value: encode(heir)}}, func(o bookkeeping.TxnOutcome, failed []string, _ uint64) {
 		switch {
-		case o == bookkeeping.OK:
+		case o == bookkeeping.Committed:
 			c.Stats.Takeovers++
 			c.log.Info("taking workers over", "from", g.Node, "zone", g.Zone, "workers", c.groupSize(g))
 		case o == bookkeeping.Conflict && !slices.Contains(failed, keyMember+g.Node), o == bookkeeping.Unknown:
@@ -264,6 +264,6 @@
 		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
-		c.store.Txn(budget.Rest, conds, ops, func(bookkeeping.Outcome, []string, uint64) {})
+		c.store.Txn(budget.Background, conds, ops, func(bookkeeping.TxnOutcome, []string, uint64) {})
 	}
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -22,7 +22,7 @@
 
 func (c *Core) up(id uint64) {
 	switch {
-	case !c.store.Ready() || len(c.catalogue) == 0:
+	case !c.store.Loaded() || len(c.catalogue) == 0:
 		c.refuse(id, 503, "starting")
 	case c.isolated():
 		c.refuse(id, 503, "cut off from the state service")
@@ -35,8 +35,8 @@
 // controller but not for its peers. In an outage that all see, leaving the
 // load balancer's list would only delay the return.
 func (c *Core) isolated() bool {
-	limit := c.store.Late()
-	if c.now-c.store.Fresh() < limit {
+	limit := c.store.StaleAfter()
+	if c.now-c.store.FreshAt() < limit {
 		return false
 	}
 	// Guards against a controller that users reach and that can do nothing for them: cut off from
@@ -75,10 +75,10 @@
 // cutOff tells whether the state service has not answered for so long that a
 // user's question would be in vain. Guards against users who give up while we
 // still wait for it: they are told to come again at once.
-func (c *Core) cutOff() bool { return c.now-c.store.Fresh() > c.store.Late() }
+func (c *Core) cutOff() bool { return c.now-c.store.FreshAt() > c.store.StaleAfter() }
 
 func (c *Core) ask(p poll) {
-	if !c.store.Ready() || c.cutOff() || len(c.polls) >= maxPolls {
+	if !c.store.Loaded() || c.cutOff() || len(c.polls) >= maxPolls {
 		c.refuse(p.id, 503, "the job's state can't be read now")
 		return
 	}
@@ -96,7 +96,7 @@
 	}
 	rest := c.polls[:0]
 	for _, p := range c.polls {
-		if p.since <= c.store.Fresh() {
+		if p.since <= c.store.FreshAt() {
 			c.tell(p)
 		} else {
 			rest = append(rest, p)
@@ -105,7 +105,7 @@
 	if c.polls = rest; c.polling || len(rest) == 0 {
 		return
 	}
-	if !c.store.Ample() && c.now-rest[0].since < 3*c.store.Spacing() {
+	if !c.store.HasSpareRequests() && c.now-rest[0].since < 3*c.store.WatchSpacing() {
 		return
 	}
 	c.polling = true
@@ -121,10 +121,10 @@
 	for _, p := range batch {
 		if !seen[p.ref] {
 			seen[p.ref] = true
-			conds = append(conds, protocol.Compare{Key: keyJob + p.ref, ModRevision: c.store.Stamp(keyJob + p.ref)})
+			conds = append(conds, protocol.Compare{Key: keyJob + p.ref, ModRevision: c.store.ModRevision(keyJob + p.ref)})
 		}
 	}
-	c.store.Txn(budget.Users, conds, nil, func(o bookkeeping.Outcome, failed []string, _ uint64) {
+	c.store.Txn(budget.UserRequests, conds, nil, func(o bookkeeping.TxnOutcome, failed []string, _ uint64) {
 		c.polling = false
 		stale := map[string]bool{}
 		for _, k := range failed {
@@ -132,10 +132,10 @@
 		}
 		for _, p := range batch {
 			switch {
-			case o == bookkeeping.OK:
+			case o == bookkeeping.Committed:
 				c.tell(p)
 			case o == bookkeeping.Conflict && stale[keyJob+p.ref]:
-				c.store.Get(budget.Users, keyJob+p.ref, func(ok bool) {
+				c.store.Refresh(budget.UserRequests, keyJob+p.ref, func(ok bool) {
 					if ok {
 						c.tell(p)
 					} else {
@@ -165,7 +165,7 @@
 // unknown refuses what needs a job that we don't know, once that has been proved. A job whose record can't be read, as a
 // later version may have written it, is not unknown.
 func (c *Core) unknown(id uint64, ref string, status int, why string) {
-	if c.store.Stamp(keyJob+ref) != 0 {
+	if c.store.ModRevision(keyJob+ref) != 0 {
 		status, why = 503, "the job's record can't be read"
 	}
 	c.refuse(id, status, why)
@@ -177,7 +177,7 @@
 		c.refuse(id, 400, err.Error())
 		return
 	}
-	if !c.store.Ready() {
+	if !c.store.Loaded() {
 		c.refuse(id, 503, "starting")
 		return
 	}
@@ -205,7 +205,7 @@
 	if err != nil {
 		// A known job is never refused, whatever its repetition says: the
 		// mirror may lag, so the record itself decides.
-		c.store.Get(budget.Users, keyJob+ref, func(ok bool) {
+		c.store.Refresh(budget.UserRequests, keyJob+ref, func(ok bool) {
 			switch r := c.jobs[ref]; {
 			case !ok:
 				c.refuse(id, 503, "can't tell now")
@@ -223,17 +223,17 @@
 	if extra != nil {
 		ops = append(ops, protocol.Op{Put: keyExtra + ref, Value: extra})
 	}
-	c.store.Txn(budget.Users, []protocol.Compare{{Key: key}}, ops,
-		func(o bookkeeping.Outcome, _ []string, _ uint64) {
+	c.store.Txn(budget.UserRequests, []protocol.Compare{{Key: key}}, ops,
+		func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 			switch o {
-			case bookkeeping.OK:
+			case bookkeeping.Committed:
 				c.Stats.Submitted++
 				c.log.Debug("accepted", "job", ref, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 				c.answer(id, 201, protocol.JobState{ID: ref, Status: "queued"}, 0)
 				c.dispatchJob(c.jobs[ref])
 			case bookkeeping.Conflict, bookkeeping.Unknown:
 				// Known already, or the answer was lost: the record tells.
-				c.store.Get(budget.Users, key, func(ok bool) {
+				c.store.Refresh(budget.UserRequests, key, func(ok bool) {
 					if r := c.jobs[ref]; ok && r != nil {
 						c.answer(id, 200, c.state(r), 0)
 					} else {
@@ -294,7 +294,7 @@
 }
 
 func (c *Core) cancel(id uint64, ref string, tries int) {
-	if !c.store.Ready() || tries > 4 {
+	if !c.store.Loaded() || tries > 4 {
 		c.refuse(id, 503, "can't cancel now")
 		return
 	}
@@ -305,7 +305,7 @@
 	}
 	key := keyJob + ref
 	reread := func() {
-		c.store.Get(budget.Rules, key, func(ok bool) {
+		c.store.Refresh(budget.Safety, key, func(ok bool) {
 			switch {
 			case !ok:
 				c.refuse(id, 503, "can't cancel now")
@@ -321,10 +321,10 @@
 		return
 	}
 	rec := r.stored(job.Cancelled)
-	c.store.Txn(budget.Rules, []protocol.Compare{{Key: key, ModRevision: r.stamp}}, []protocol.Op{{Put: key, Value: encode(rec)}},
-		func(o bookkeeping.Outcome, _ []string, _ uint64) {
+	c.store.Txn(budget.Safety, []protocol.Compare{{Key: key, ModRevision: r.stamp}}, []protocol.Op{{Put: key, Value: encode(rec)}},
+		func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
 			switch o {
-			case bookkeeping.OK:
+			case bookkeeping.Committed:
 				c.Stats.Cancelled++
 				c.answer(id, 200, protocol.JobState{ID: ref, Status: string(job.Cancelled)}, 0)
 				c.spread(ref)
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -77,7 +77,7 @@
 		return false
 	}
 	c := v.c
-	if !c.store.Ready() {
+	if !c.store.Loaded() {
 		c.refuse(id, 503, "starting")
 		return true
 	}
@@ -93,7 +93,7 @@
 		return true
 	}
 	// A launch can reach a worker before the job's record reaches us.
-	c.store.Get(budget.Work, keyJob+ref, func(ok bool) {
+	c.store.Refresh(budget.OtherWork, keyJob+ref, func(ok bool) {
 		switch r := c.jobs[ref]; {
 		case !ok:
 			c.refuse(id, 503, "the job can't be read now")
@@ -154,7 +154,7 @@
 		give(data)
 		return
 	}
-	c.store.Read(budget.Work, keyExtra+s.ID, func(data json.RawMessage, ok bool) {
+	c.store.ReadUnmirrored(budget.OtherWork, keyExtra+s.ID, func(data json.RawMessage, ok bool) {
 		if !ok || data == nil {
 			c.refuse(id, 503, "the job's description can't be read now")
 			return
@@ -209,7 +209,7 @@
 		c.refuse(id, 400, "the query is malformed")
 		return true
 	}
-	if !c.store.Ready() {
+	if !c.store.Loaded() {
 		c.refuse(id, 503, "starting")
 		return true
 	}
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -266,11 +266,11 @@
 func (m *machine) class() budget.Class {
 	switch {
 	case m.urgent():
-		return budget.Claims
+		return budget.UrgentClaims
 	case len(m.bound) > 0:
-		return budget.Holders
+		return budget.BusyClaims
 	}
-	return budget.Spare
+	return budget.IdleClaims
 }
 
 // drain writes a machine's drain record, under further conditions if any.
@@ -286,9 +286,9 @@
 	c.log.Debug("draining", "stoker", m.id, "why", why)
 	// The claim is a condition too: a controller that was cut off must not
 	// judge machines that have long reported to another.
-	conds = append(conds, protocol.Compare{Key: keyDrain + m.id, ModRevision: c.store.Stamp(keyDrain + m.id)})
+	conds = append(conds, protocol.Compare{Key: keyDrain + m.id, ModRevision: c.store.ModRevision(keyDrain + m.id)})
 	c.store.Txn(m.class(), append(conds, m.holding()...),
-		[]protocol.Op{{Put: keyDrain + m.id, Value: encode(drain{why})}}, func(bookkeeping.Outcome, []string, uint64) {
+		[]protocol.Op{{Put: keyDrain + m.id, Value: encode(drain{why})}}, func(bookkeeping.TxnOutcome, []string, uint64) {
 			m.draining = false
 		})
 }
