--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -99,11 +99,11 @@
 	backup := &cobra.Command{
 		Use: "backup NAME", Short: "Write a consistent snapshot into the service's backup folder, while it serves", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var saved statestore.Saved
+			var saved statestore.BackupSummary
 			if err := client.post(statestore.PathBackup, statestore.Backup{Name: args[0]}, &saved); err != nil {
 				return err
 			}
-			return client.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Ledger, saved.Bytes))
+			return client.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
 	client.flags(backup, "127.0.0.1:2379", "the state service's address", time.Minute)
@@ -119,7 +119,7 @@
 			if err != nil {
 				return err
 			}
-			return client.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Ledger, saved.Bytes))
+			return client.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
 	restore.Flags().StringVar(&dir, "dir", "", "the folder for the new store")
@@ -136,7 +136,7 @@
 			if err != nil {
 				return err
 			}
-			return client.show(c, saved, fmt.Sprintf("%s is sound: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Ledger, saved.Bytes))
+			return client.show(c, saved, fmt.Sprintf("%s is sound: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
 	client.output(check)
@@ -151,9 +151,9 @@
 		{Name: "state_commits", Help: "Syncs of the file.", Value: float64(s.Commits), Count: true},
 		{Name: "state_commit_seconds", Help: "Time spent in them.", Value: s.CommitS, Count: true},
 		{Name: "state_changes", Help: "Changes of keys.", Value: float64(s.Changes), Count: true},
-		{Name: "state_ledger", Help: "Revision of the last change.", Value: float64(s.Ledger)},
+		{Name: "state_ledger", Help: "Revision of the last change.", Value: float64(s.Revision)},
 		{Name: "state_keys", Help: "Keys.", Value: float64(s.Keys)},
-		{Name: "state_grants", Help: "Leases.", Value: float64(s.Grants)},
+		{Name: "state_grants", Help: "Leases.", Value: float64(s.Leases)},
 		{Name: "state_watches", Help: "Open watches.", Value: float64(s.Watches)},
 		{Name: "state_queued", Help: "Changes that wait for the disk.", Value: float64(s.Queued)},
 	}
--- a/internal/statestore/backup.go
+++ b/internal/statestore/backup.go
@@ -25,11 +25,11 @@
 }
 
 // Saved is a backup that was written and checked.
-type Saved struct {
-	File   string `json:"file"`
-	Ledger uint64 `json:"ledger"`
-	Keys   uint64 `json:"keys"`
-	Bytes  int64  `json:"bytes"`
+type BackupSummary struct {
+	File     string `json:"file"`
+	Revision uint64 `json:"ledger"`
+	Keys     uint64 `json:"keys"`
+	Bytes    int64  `json:"bytes"`
 }
 
 // backupName tells what is wrong with a name. It names a file in one folder
@@ -50,8 +50,8 @@
 func (s *Service) backup(id uint64, r *transport.Request) {
 	var b Backup
 	refuse := func(status int, format string, args ...any) {
-		v := problem(status, format, args...)
-		s.server.Answer(id, v.status, v.body, v.retry)
+		v := errorDecision(status, format, args...)
+		s.server.Answer(id, v.status, v.body, v.retryAfter)
 	}
 	if r.Method != http.MethodPost {
 		refuse(http.StatusMethodNotAllowed, "use POST")
@@ -86,41 +86,41 @@
 			s.log.Error("backup failed", "name", b.Name, "err", err)
 			refuse(http.StatusInternalServerError, "%v", err)
 		default:
-			s.log.Info("backup written", "file", saved.File, "ledger", saved.Ledger, "bytes", saved.Bytes)
+			s.log.Info("backup written", "file", saved.File, "ledger", saved.Revision, "bytes", saved.Bytes)
 			s.json(id, http.StatusOK, saved)
 		}
 	}()
 }
 
 // backup writes a snapshot and reads it again before it gets its name.
-func (d *disk) backup(dir, name string) (Saved, error) {
+func (d *disk) backup(dir, name string) (BackupSummary, error) {
 	path := filepath.Join(dir, name+".db")
 	tmp := path + ".new"
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
 	if _, err := os.Lstat(path); err == nil {
-		return Saved{}, fs.ErrExist
+		return BackupSummary{}, fs.ErrExist
 	}
 	f, err := os.OpenFile(tmp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
-	err = d.guard(func() error {
+	err = d.withReadLock2(func() error {
 		return d.db.View(func(tx *bolt.Tx) error {
 			_, err := tx.WriteTo(f)
 			return err
 		})
 	})
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return Saved{}, errors.Join(err, os.Remove(tmp))
+		return BackupSummary{}, errors.Join(err, os.Remove(tmp))
 	}
 	saved, err := Check(tmp)
 	if err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
 	if err := os.Link(tmp, path); err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
 	saved.File = path
 	return saved, errors.Join(os.Remove(tmp), syncDir(dir))
@@ -128,10 +128,10 @@
 
 // Check reads all of a store's file, which no service may have open, and
 // compares it with its checksums. It changes nothing.
-func Check(path string) (Saved, error) {
+func Check(path string) (BackupSummary, error) {
 	d := &disk{path: path}
 	if err := d.open(true); err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
 	defer d.close()
 	err := d.db.View(func(tx *bolt.Tx) error {
@@ -141,13 +141,13 @@
 		return nil
 	})
 	if err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
 	st, err := os.Stat(path)
 	if err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
-	return Saved{path, d.head.Ledger, d.head.Keys, st.Size()}, nil
+	return BackupSummary{path, d.header.Revision, d.header.Keys, st.Size()}, nil
 }
 
 // restoreJump is how far a restored store's ledger lies ahead of its backup's:
@@ -160,25 +160,25 @@
 // that the lost store can have given out, so that whoever still holds an old
 // one is refused. Grants are not restored, nor what hung on them. A store that
 // exists in dir is never replaced.
-func Restore(backup, dir string) (Saved, error) {
+func Restore(backup, dir string) (BackupSummary, error) {
 	path := filepath.Join(dir, FileName)
 	if _, err := os.Lstat(path); err == nil {
-		return Saved{}, fmt.Errorf("%s exists; move it away first", path)
+		return BackupSummary{}, fmt.Errorf("%s exists; move it away first", path)
 	}
 	d := &disk{path: backup}
 	if err := d.open(true); err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
 	defer d.close()
-	err := createDisk(dir, path, func(tx *bolt.Tx) (head, error) {
-		h := head{Ledger: d.head.Ledger + restoreJump, Grant: d.head.Grant + restoreJump, Floor: d.head.Ledger + restoreJump}
+	err := createDisk(dir, path, func(tx *bolt.Tx) (header, error) {
+		h := header{Revision: d.header.Revision + restoreJump, LastLease: d.header.LastLease + restoreJump, CompactRevision: d.header.Revision + restoreJump}
 		keys := tx.Bucket(bucketKeys)
 		var failed error
-		_, err := d.scan("", "", func(k []byte, r record) bool {
-			if r.permit != 0 {
+		_, err := d.scan("", "", func(k []byte, r keyRecord) bool {
+			if r.lease != 0 {
 				return true
 			}
-			v := encodeRecord(k, record{stamp: h.Ledger, data: r.data})
+			v := encodeRecord(k, keyRecord{modRevision: h.Revision, value: r.value})
 			h.Keys++
 			h.Digest ^= be(v[len(v)-8:])
 			failed = keys.Put(k, v)
@@ -187,7 +187,7 @@
 		return h, errors.Join(err, failed)
 	})
 	if err != nil {
-		return Saved{}, err
+		return BackupSummary{}, err
 	}
 	return Check(path)
 }
--- a/internal/statestore/disk.go
+++ b/internal/statestore/disk.go
@@ -28,11 +28,11 @@
 // the number and a digest of all keys, so that a lost page is noticed as well
 // as a changed one: bbolt itself checks its two meta pages only.
 var (
-	bucketHead   = []byte("head")
+	bucketHeader = []byte("head")
 	bucketKeys   = []byte("keys")
-	bucketNews   = []byte("news")
-	bucketGrants = []byte("grants")
-	headKey      = []byte("head")
+	bucketEvents = []byte("news")
+	bucketLeases = []byte("grants")
+	headerKey    = []byte("head")
 )
 
 // ErrDamaged marks a file whose contents contradict its checksums. It is left
@@ -40,50 +40,50 @@
 var ErrDamaged = sealed.ErrDamaged
 
 // head is what the file says of itself.
-type head struct {
-	Ledger uint64 // revision of the last change
-	Grant  uint64 // the last grant's number
-	Floor  uint64 // the highest revision of which changes were dropped
-	News   uint64 // number of changes kept
-	Grants uint64 // number of grants
-	Keys   uint64 // number of keys
-	Digest uint64 // of all keys' records, order not minding
+type header struct {
+	Revision        uint64 // revision of the last change
+	LastLease       uint64 // the last grant's number
+	CompactRevision uint64 // the highest revision of which changes were dropped
+	Events          uint64 // number of changes kept
+	Leases          uint64 // number of grants
+	Keys            uint64 // number of keys
+	Digest          uint64 // of all keys' records, order not minding
 }
 
 // record is a key's stored value.
-type record struct {
-	stamp, permit uint64
-	data          []byte
+type keyRecord struct {
+	modRevision, lease uint64
+	value              []byte
 }
 
 // change is one change of a key; data is nil when it was dropped.
-type change struct {
-	key   string
-	data  []byte
-	stamp uint64
+type changeEvent struct {
+	key      string
+	value    []byte
+	revision uint64
 }
 
 type disk struct {
-	db   *bolt.DB
-	path string
-	keep int // changes kept for watches
-	head head
+	db             *bolt.DB
+	path           string
+	retainedEvents int // changes kept for watches
+	header         header
 	// attached lists the keys of each grant. It is the writer's alone.
-	attached map[uint64]map[string]bool
-	ttls     map[uint64]time.Duration // of all grants, as of opening
+	leaseKeys map[uint64]map[string]bool
+	ttls      map[uint64]time.Duration // of all grants, as of opening
 }
 
 // openDisk opens the store in dir, or makes one, and checks all of it.
 func openDisk(dir string, keep int) (*disk, error) {
 	path := filepath.Join(dir, FileName)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		if err := createDisk(dir, path, func(*bolt.Tx) (head, error) { return head{}, nil }); err != nil {
+		if err := createDisk(dir, path, func(*bolt.Tx) (header, error) { return header{}, nil }); err != nil {
 			return nil, err
 		}
 	} else if err != nil {
 		return nil, err
 	}
-	d := &disk{path: path, keep: keep}
+	d := &disk{path: path, retainedEvents: keep}
 	// All of it is read before it is opened for writing: to do that, bbolt
 	// walks the pages in a goroutine of its own, where damage is a panic that
 	// nobody could turn into an error.
@@ -101,7 +101,7 @@
 
 // createDisk makes a store's file. It appears under its name when it is
 // complete: a file that exists is never taken for an unfinished one.
-func createDisk(dir, path string, fill func(tx *bolt.Tx) (head, error)) error {
+func createDisk(dir, path string, fill func(tx *bolt.Tx) (header, error)) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 		return fmt.Errorf("%s: %w", tmp, err)
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
-		for _, b := range [][]byte{bucketHead, bucketKeys, bucketNews, bucketGrants} {
+		for _, b := range [][]byte{bucketHeader, bucketKeys, bucketEvents, bucketLeases} {
 			if _, err := tx.CreateBucket(b); err != nil {
 				return err
 			}
@@ -123,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		return tx.Bucket(bucketHead).Put(headKey, h.encode())
+		return tx.Bucket(bucketHeader).Put(headerKey, h.encode())
 	})
 	if err = errors.Join(err, db.Close()); err != nil {
 		return fmt.Errorf("%s: %w", tmp, err)
@@ -155,11 +155,11 @@
 }
 
 // guard turns what a damaged page makes bbolt do into an error.
-func (d *disk) guard(do func() error) error { return sealed.Guard(d.path, do) }
+func (d *disk) withReadLock2(do func() error) error { return sealed.Guard(d.path, do) }
 
 func (d *disk) open(readOnly bool) error {
 	var file *os.File
-	err := d.guard(func() error {
+	err := d.withReadLock2(func() error {
 		// Guards against a file that was cut off: bbolt would make an empty
 		// one anew, and read beyond the end of a shorter one.
 		st, err := os.Stat(d.path)
@@ -194,7 +194,7 @@
 	})
 	if err != nil {
 		if d.db != nil {
-			_ = d.guard(d.db.Close)
+			_ = d.withReadLock2(d.db.Close)
 			d.db = nil
 		}
 		if file != nil { // unless bbolt got so far itself
@@ -209,16 +209,16 @@
 
 // verify reads everything and compares it with its checksums.
 func (d *disk) verify(tx *bolt.Tx) error {
-	for _, b := range [][]byte{bucketHead, bucketKeys, bucketNews, bucketGrants} {
+	for _, b := range [][]byte{bucketHeader, bucketKeys, bucketEvents, bucketLeases} {
 		if tx.Bucket(b) == nil {
 			return d.damaged("its part %q is missing", b)
 		}
 	}
-	if !d.head.decode(tx.Bucket(bucketHead).Get(headKey)) {
+	if !d.header.decode(tx.Bucket(bucketHeader).Get(headerKey)) {
 		return d.damaged("its head does not match its checksum")
 	}
-	d.ttls, d.attached = map[uint64]time.Duration{}, map[uint64]map[string]bool{}
-	if err := tx.Bucket(bucketGrants).ForEach(func(k, v []byte) error {
+	d.ttls, d.leaseKeys = map[uint64]time.Duration{}, map[uint64]map[string]bool{}
+	if err := tx.Bucket(bucketLeases).ForEach(func(k, v []byte) error {
 		body, ok := sealed.Open(k, v)
 		if !ok || len(k) != 8 || len(body) != 8 {
 			return d.damaged("grant %x does not match its checksum", k)
@@ -228,34 +228,34 @@
 	}); err != nil {
 		return err
 	}
-	if n := uint64(len(d.ttls)); n != d.head.Grants {
-		return d.damaged("it holds %d grants where its head says %d", n, d.head.Grants)
+	if n := uint64(len(d.ttls)); n != d.header.Leases {
+		return d.damaged("it holds %d grants where its head says %d", n, d.header.Leases)
 	}
 	keys, digest := uint64(0), uint64(0)
 	var last []byte
 	if err := tx.Bucket(bucketKeys).ForEach(func(k, v []byte) error {
 		r, ok := decodeRecord(k, v)
-		if !ok || r.stamp > d.head.Ledger || bytes.Compare(k, last) <= 0 {
+		if !ok || r.modRevision > d.header.Revision || bytes.Compare(k, last) <= 0 {
 			return d.damaged("key %q does not match its checksum", k)
 		}
 		last = append(last[:0], k...)
 		keys, digest = keys+1, digest^be(v[len(v)-8:])
-		if r.permit != 0 {
-			if _, ok := d.ttls[r.permit]; !ok {
-				return d.damaged("key %q hangs on grant %d, which is missing", k, r.permit)
+		if r.lease != 0 {
+			if _, ok := d.ttls[r.lease]; !ok {
+				return d.damaged("key %q hangs on grant %d, which is missing", k, r.lease)
 			}
-			d.attach(r.permit, string(k))
+			d.attachKey(r.lease, string(k))
 		}
 		return nil
 	}); err != nil {
 		return err
 	}
-	if keys != d.head.Keys || digest != d.head.Digest {
-		return d.damaged("it holds %d keys where its head says %d, or others than its digest says", keys, d.head.Keys)
+	if keys != d.header.Keys || digest != d.header.Digest {
+		return d.damaged("it holds %d keys where its head says %d, or others than its digest says", keys, d.header.Keys)
 	}
 	news, at := uint64(0), uint64(0)
-	if err := tx.Bucket(bucketNews).ForEach(func(k, v []byte) error {
-		if _, ok := decodeChange(k, v); !ok || be(k) < max(at, d.head.Floor) || be(k) > d.head.Ledger {
+	if err := tx.Bucket(bucketEvents).ForEach(func(k, v []byte) error {
+		if _, ok := decodeChange(k, v); !ok || be(k) < max(at, d.header.CompactRevision) || be(k) > d.header.Revision {
 			return d.damaged("change %x does not match its checksum", k)
 		}
 		news, at = news+1, be(k)
@@ -263,22 +263,22 @@
 	}); err != nil {
 		return err
 	}
-	if news != d.head.News {
-		return d.damaged("it holds %d changes where its head says %d", news, d.head.News)
+	if news != d.header.Events {
+		return d.damaged("it holds %d changes where its head says %d", news, d.header.Events)
 	}
 	return nil
 }
 
 // scan calls each for the keys with a prefix that come after from, in order,
 // until it returns false.
-func (d *disk) scan(prefix, from string, each func(key []byte, r record) bool) (ledger uint64, err error) {
-	err = d.guard(func() error {
+func (d *disk) scan(prefix, from string, each func(key []byte, r keyRecord) bool) (ledger uint64, err error) {
+	err = d.withReadLock2(func() error {
 		return d.db.View(func(tx *bolt.Tx) error {
-			var h head
-			if !h.decode(tx.Bucket(bucketHead).Get(headKey)) {
+			var h header
+			if !h.decode(tx.Bucket(bucketHeader).Get(headerKey)) {
 				return d.damaged("its head does not match its checksum")
 			}
-			ledger = h.Ledger
+			ledger = h.Revision
 			start := []byte(max(prefix, from))
 			c := tx.Bucket(bucketKeys).Cursor()
 			for k, v := c.Seek(start); k != nil && bytes.HasPrefix(k, []byte(prefix)); k, v = c.Next() {
@@ -300,11 +300,11 @@
 }
 
 // get reads one key.
-func (d *disk) get(key string) (r record, found bool, ledger uint64, err error) {
-	ledger, err = d.scan(key, "", func(k []byte, got record) bool {
+func (d *disk) get(key string) (r keyRecord, found bool, ledger uint64, err error) {
+	ledger, err = d.scan(key, "", func(k []byte, got keyRecord) bool {
 		if found = string(k) == key; found {
 			r = got
-			r.data = bytes.Clone(got.data)
+			r.value = bytes.Clone(got.value)
 		}
 		return false
 	})
@@ -313,18 +313,18 @@
 
 // changes calls each for the changes after a revision, oldest first. It
 // returns false when some of them are not kept any more.
-func (d *disk) changes(from uint64, each func(c change)) (ledger uint64, kept bool, err error) {
-	err = d.guard(func() error {
+func (d *disk) changes(from uint64, each func(c changeEvent)) (ledger uint64, kept bool, err error) {
+	err = d.withReadLock2(func() error {
 		return d.db.View(func(tx *bolt.Tx) error {
-			var h head
-			if !h.decode(tx.Bucket(bucketHead).Get(headKey)) {
+			var h header
+			if !h.decode(tx.Bucket(bucketHeader).Get(headerKey)) {
 				return d.damaged("its head does not match its checksum")
 			}
-			ledger, kept = h.Ledger, from >= h.Floor
+			ledger, kept = h.Revision, from >= h.CompactRevision
 			if !kept {
 				return nil
 			}
-			c := tx.Bucket(bucketNews).Cursor()
+			c := tx.Bucket(bucketEvents).Cursor()
 			for k, v := c.Seek(be64(from + 1)); k != nil; k, v = c.Next() {
 				ch, ok := decodeChange(k, v)
 				if !ok {
@@ -340,54 +340,54 @@
 
 // order is what the writer is to do: a transaction, a new grant, or the end of
 // one.
-type order struct {
-	txn  *protocol.Txn
-	ttl  time.Duration // of a new grant
-	ends uint64        // the grant that ends
-	done func(outcome)
+type request struct {
+	txn           *protocol.Txn
+	ttl           time.Duration // of a new grant
+	expiredLeases uint64        // the grant that ends
+	respond       func(result)
 }
 
 // outcome is what came of an order.
-type outcome struct {
-	failed  []string // keys whose stamps differ
-	noLease bool
-	ledger  uint64
-	grant   uint64
-	gone    bool // the grant that was to end did not exist
+type result struct {
+	failed        []string // keys whose stamps differ
+	leaseExpired  bool
+	revision      uint64
+	lease         uint64
+	leaseNotFound bool // the grant that was to end did not exist
 }
 
 // commit carries out orders one after the other, each whole or not at all, and
 // makes their changes durable with one sync. The outcomes hold when it returns
 // without an error; after an error nothing is known until the file is opened
 // again.
-func (d *disk) commit(orders []order) (out []outcome, changes []change, err error) {
-	err = d.guard(func() error {
+func (d *disk) commit(orders []request) (out []result, changes []changeEvent, err error) {
+	err = d.withReadLock2(func() error {
 		tx, err := d.db.Begin(true)
 		if err != nil {
 			return err
 		}
 		defer tx.Rollback()
-		w := writer{d: d, h: d.head, keys: tx.Bucket(bucketKeys), news: tx.Bucket(bucketNews), grants: tx.Bucket(bucketGrants)}
+		w := txnWriter{d: d, header: d.header, keys: tx.Bucket(bucketKeys), events: tx.Bucket(bucketEvents), leases: tx.Bucket(bucketLeases)}
 		for i := range orders {
-			o, err := w.do(&orders[i])
+			o, err := w.apply(&orders[i])
 			if err != nil {
 				return err
 			}
 			out = append(out, o)
 		}
-		if w.h == d.head {
+		if w.header == d.header {
 			return nil // only comparisons: nothing to sync
 		}
-		if err := w.trim(); err != nil {
+		if err := w.compact(); err != nil {
 			return err
 		}
-		if err := tx.Bucket(bucketHead).Put(headKey, w.h.encode()); err != nil {
+		if err := tx.Bucket(bucketHeader).Put(headerKey, w.header.encode()); err != nil {
 			return err
 		}
 		if err := tx.Commit(); err != nil {
 			return err
 		}
-		d.head, changes = w.h, w.changes
+		d.header, changes = w.header, w.changes
 		return nil
 	})
 	if err != nil {
@@ -397,30 +397,30 @@
 }
 
 // writer carries out the orders of one commit.
-type writer struct {
-	d                  *disk
-	h                  head
-	keys, news, grants *bolt.Bucket
-	changes            []change
+type txnWriter struct {
+	d                    *disk
+	header               header
+	keys, events, leases *bolt.Bucket
+	changes              []changeEvent
 }
 
-func (w *writer) do(o *order) (outcome, error) {
+func (w *txnWriter) apply(o *request) (result, error) {
 	switch {
 	case o.txn != nil:
 		return w.txn(o.txn)
-	case o.ends != 0:
-		return w.end(o.ends)
+	case o.expiredLeases != 0:
+		return w.expireLease(o.expiredLeases)
 	}
-	w.h.Grant, w.h.Grants = w.h.Grant+1, w.h.Grants+1
-	k := be64(w.h.Grant)
-	return outcome{grant: w.h.Grant, ledger: w.h.Ledger}, w.grants.Put(k, sealed.Append(k, be64(uint64(o.ttl.Milliseconds()))))
+	w.header.LastLease, w.header.Leases = w.header.LastLease+1, w.header.Leases+1
+	k := be64(w.header.LastLease)
+	return result{lease: w.header.LastLease, revision: w.header.Revision}, w.leases.Put(k, sealed.Append(k, be64(uint64(o.ttl.Milliseconds()))))
 }
 
-func (w *writer) txn(t *protocol.Txn) (outcome, error) {
-	o := outcome{ledger: w.h.Ledger}
+func (w *txnWriter) txn(t *protocol.Txn) (result, error) {
+	o := result{revision: w.header.Revision}
 	for _, op := range t.Ops {
-		if op.Lease != 0 && w.grants.Get(be64(op.Lease)) == nil {
-			o.noLease = true // whatever the conditions
+		if op.Lease != 0 && w.leases.Get(be64(op.Lease)) == nil {
+			o.leaseExpired = true // whatever the conditions
 			return o, nil
 		}
 	}
@@ -429,7 +429,7 @@
 		if err != nil {
 			return o, err
 		}
-		if ok && r.stamp != c.ModRevision || !ok && c.ModRevision != 0 {
+		if ok && r.modRevision != c.ModRevision || !ok && c.ModRevision != 0 {
 			o.failed = append(o.failed, c.Key)
 		}
 	}
@@ -440,9 +440,9 @@
 	for _, op := range t.Ops {
 		did, err := true, error(nil)
 		if op.Put != "" {
-			err = w.write(op.Put, op.Value, op.Lease, w.h.Ledger+1)
+			err = w.put(op.Put, op.Value, op.Lease, w.header.Revision+1)
 		} else {
-			did, err = w.drop(op.Delete, w.h.Ledger+1)
+			did, err = w.delete(op.Delete, w.header.Revision+1)
 		}
 		if err != nil {
 			return o, err
@@ -450,41 +450,41 @@
 		changed = changed || did
 	}
 	if changed {
-		w.h.Ledger++
+		w.header.Revision++
 	}
-	o.ledger = w.h.Ledger
+	o.revision = w.header.Revision
 	return o, nil
 }
 
 // end ends a grant: its keys are gone with it, in one change.
-func (w *writer) end(grant uint64) (outcome, error) {
-	o := outcome{ledger: w.h.Ledger}
+func (w *txnWriter) expireLease(grant uint64) (result, error) {
+	o := result{revision: w.header.Revision}
 	k := be64(grant)
-	if w.grants.Get(k) == nil {
-		o.gone = true
+	if w.leases.Get(k) == nil {
+		o.leaseNotFound = true
 		return o, nil
 	}
 	changed := false
-	for _, key := range slices.Sorted(maps.Keys(w.d.attached[grant])) {
-		did, err := w.drop(key, w.h.Ledger+1)
+	for _, key := range slices.Sorted(maps.Keys(w.d.leaseKeys[grant])) {
+		did, err := w.delete(key, w.header.Revision+1)
 		if err != nil {
 			return o, err
 		}
 		changed = changed || did
 	}
 	if changed {
-		w.h.Ledger++
+		w.header.Revision++
 	}
-	w.h.Grants--
-	delete(w.d.attached, grant)
-	o.ledger = w.h.Ledger
-	return o, w.grants.Delete(k)
+	w.header.Leases--
+	delete(w.d.leaseKeys, grant)
+	o.revision = w.header.Revision
+	return o, w.leases.Delete(k)
 }
 
-func (w *writer) read(key string) (record, bool, error) {
+func (w *txnWriter) read(key string) (keyRecord, bool, error) {
 	v := w.keys.Get([]byte(key))
 	if v == nil {
-		return record{}, false, nil
+		return keyRecord{}, false, nil
 	}
 	r, ok := decodeRecord([]byte(key), v)
 	if !ok {
@@ -494,60 +494,60 @@
 }
 
 // forget takes a key's old record out of the account.
-func (w *writer) forget(key string) (there bool, err error) {
+func (w *txnWriter) detachKey(key string) (there bool, err error) {
 	old, there, err := w.read(key)
 	if err != nil || !there {
 		return false, err
 	}
 	v := w.keys.Get([]byte(key))
-	w.h.Keys--
-	w.h.Digest ^= be(v[len(v)-8:])
-	if old.permit != 0 {
-		delete(w.d.attached[old.permit], key)
+	w.header.Keys--
+	w.header.Digest ^= be(v[len(v)-8:])
+	if old.lease != 0 {
+		delete(w.d.leaseKeys[old.lease], key)
 	}
 	return true, nil
 }
 
-func (w *writer) write(key string, data json.RawMessage, permit, stamp uint64) error {
-	if _, err := w.forget(key); err != nil {
+func (w *txnWriter) put(key string, data json.RawMessage, permit, stamp uint64) error {
+	if _, err := w.detachKey(key); err != nil {
 		return err
 	}
-	v := encodeRecord([]byte(key), record{stamp, permit, data})
-	w.h.Keys++
-	w.h.Digest ^= be(v[len(v)-8:])
+	v := encodeRecord([]byte(key), keyRecord{stamp, permit, data})
+	w.header.Keys++
+	w.header.Digest ^= be(v[len(v)-8:])
 	if permit != 0 {
-		w.d.attach(permit, key)
+		w.d.attachKey(permit, key)
 	}
 	if err := w.keys.Put([]byte(key), v); err != nil {
 		return err
 	}
-	return w.tell(change{key, data, stamp})
+	return w.appendEvent(changeEvent{key, data, stamp})
 }
 
-func (w *writer) drop(key string, stamp uint64) (bool, error) {
-	there, err := w.forget(key)
+func (w *txnWriter) delete(key string, stamp uint64) (bool, error) {
+	there, err := w.detachKey(key)
 	if err != nil || !there {
 		return false, err
 	}
 	if err := w.keys.Delete([]byte(key)); err != nil {
 		return false, err
 	}
-	return true, w.tell(change{key, nil, stamp})
+	return true, w.appendEvent(changeEvent{key, nil, stamp})
 }
 
-func (w *writer) tell(c change) error {
-	k := append(be64(c.stamp), be64(uint64(len(w.changes)))...)
+func (w *txnWriter) appendEvent(c changeEvent) error {
+	k := append(be64(c.revision), be64(uint64(len(w.changes)))...)
 	w.changes = append(w.changes, c)
-	w.h.News++
-	return w.news.Put(k, encodeChange(k, c))
+	w.header.Events++
+	return w.events.Put(k, encodeChange(k, c))
 }
 
 // trim drops the oldest changes beyond those that watches can go back.
-func (w *writer) trim() error {
-	c := w.news.Cursor()
-	for k, _ := c.First(); k != nil && w.h.News > uint64(w.d.keep); k, _ = c.First() {
-		w.h.Floor = be(k)
-		w.h.News--
+func (w *txnWriter) compact() error {
+	c := w.events.Cursor()
+	for k, _ := c.First(); k != nil && w.header.Events > uint64(w.d.retainedEvents); k, _ = c.First() {
+		w.header.CompactRevision = be(k)
+		w.header.Events--
 		if err := c.Delete(); err != nil {
 			return err
 		}
@@ -555,14 +555,14 @@
 	return nil
 }
 
-func (d *disk) attach(grant uint64, key string) {
-	if d.attached[grant] == nil {
-		d.attached[grant] = map[string]bool{}
+func (d *disk) attachKey(grant uint64, key string) {
+	if d.leaseKeys[grant] == nil {
+		d.leaseKeys[grant] = map[string]bool{}
 	}
-	d.attached[grant][key] = true
+	d.leaseKeys[grant][key] = true
 }
 
-func (d *disk) close() error { return d.guard(d.db.Close) }
+func (d *disk) close() error { return d.withReadLock2(d.db.Close) }
 
 // ---- encodings: fixed big-endian numbers, then the data, then xxHash64 over
 // the key and all before it.
@@ -570,62 +570,62 @@
 func be64(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 func be(b []byte) uint64   { return binary.BigEndian.Uint64(b[:8]) }
 
-func encodeRecord(key []byte, r record) []byte {
-	b := make([]byte, 0, 24+len(r.data))
-	b = binary.BigEndian.AppendUint64(b, r.stamp)
-	b = binary.BigEndian.AppendUint64(b, r.permit)
-	return sealed.Append(key, append(b, r.data...))
+func encodeRecord(key []byte, r keyRecord) []byte {
+	b := make([]byte, 0, 24+len(r.value))
+	b = binary.BigEndian.AppendUint64(b, r.modRevision)
+	b = binary.BigEndian.AppendUint64(b, r.lease)
+	return sealed.Append(key, append(b, r.value...))
 }
 
-func decodeRecord(key, v []byte) (record, bool) {
+func decodeRecord(key, v []byte) (keyRecord, bool) {
 	b, ok := sealed.Open(key, v)
 	if !ok || len(b) < 16 {
-		return record{}, false
+		return keyRecord{}, false
 	}
-	return record{be(b), be(b[8:]), b[16:]}, true
+	return keyRecord{be(b), be(b[8:]), b[16:]}, true
 }
 
-func encodeChange(key []byte, c change) []byte {
+func encodeChange(key []byte, c changeEvent) []byte {
 	b := binary.BigEndian.AppendUint16(nil, uint16(len(c.key)))
 	b = append(b, c.key...)
-	if c.data != nil {
-		b = append(append(b, 1), c.data...)
+	if c.value != nil {
+		b = append(append(b, 1), c.value...)
 	} else {
 		b = append(b, 0)
 	}
 	return sealed.Append(key, b)
 }
 
-func decodeChange(key, v []byte) (change, bool) {
+func decodeChange(key, v []byte) (changeEvent, bool) {
 	b, ok := sealed.Open(key, v)
 	if !ok || len(b) < 3 || len(key) != 16 {
-		return change{}, false
+		return changeEvent{}, false
 	}
 	n := int(binary.BigEndian.Uint16(b))
 	if len(b) < n+3 {
-		return change{}, false
+		return changeEvent{}, false
 	}
-	c := change{key: string(b[2 : 2+n]), stamp: be(key)}
+	c := changeEvent{key: string(b[2 : 2+n]), revision: be(key)}
 	if b[2+n] == 1 {
-		c.data = bytes.Clone(b[3+n:])
+		c.value = bytes.Clone(b[3+n:])
 	}
 	return c, true
 }
 
-func (h *head) encode() []byte {
+func (h *header) encode() []byte {
 	var b []byte
-	for _, v := range []uint64{h.Ledger, h.Grant, h.Floor, h.News, h.Grants, h.Keys, h.Digest} {
+	for _, v := range []uint64{h.Revision, h.LastLease, h.CompactRevision, h.Events, h.Leases, h.Keys, h.Digest} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
-	return sealed.Append(headKey, b)
+	return sealed.Append(headerKey, b)
 }
 
-func (h *head) decode(v []byte) bool {
-	b, ok := sealed.Open(headKey, v)
+func (h *header) decode(v []byte) bool {
+	b, ok := sealed.Open(headerKey, v)
 	if !ok || len(b) != 56 {
 		return false
 	}
-	for i, p := range []*uint64{&h.Ledger, &h.Grant, &h.Floor, &h.News, &h.Grants, &h.Keys, &h.Digest} {
+	for i, p := range []*uint64{&h.Revision, &h.LastLease, &h.CompactRevision, &h.Events, &h.Leases, &h.Keys, &h.Digest} {
 		*p = be(b[8*i:])
 	}
 	return true
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -31,16 +31,16 @@
 const goldenKeep = 6
 
 // goldenOrders write keys, replace and drop some, and make grants, of which one has ended.
-func goldenOrders() []order {
-	write := func(ops ...protocol.Op) order { return order{txn: &protocol.Txn{Ops: ops}} }
-	return []order{
+func goldenOrders() []request {
+	write := func(ops ...protocol.Op) request { return request{txn: &protocol.Txn{Ops: ops}} }
+	return []request{
 		{ttl: 10 * time.Second},
 		{ttl: 1500 * time.Millisecond},
 		write(protocol.Op{Put: "sg/m/n1", Value: json.RawMessage(`{"l":7}`), Lease: 1}, protocol.Op{Put: "sg/m/n2", Value: json.RawMessage(`{"l":8}`), Lease: 2}),
 		write(protocol.Op{Put: "sg/j/wk-000001", Value: json.RawMessage(`{"st":"open"}`)}),
 		write(protocol.Op{Put: "sg/p/wk-000001/0", Value: json.RawMessage(`"p0*3"`)}, protocol.Op{Put: "sg/x/i-1", Value: json.RawMessage(`null`)}),
 		{txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/j/wk-000001", ModRevision: 2}}, Ops: []protocol.Op{{Put: "sg/j/wk-000001", Value: json.RawMessage(`{"st":"done"}`)}}}},
-		{ends: 2},
+		{expiredLeases: 2},
 		write(protocol.Op{Delete: "sg/x/i-1"}),
 		write(protocol.Op{Put: "sgx/d/wk-000001", Value: json.RawMessage(`{"command":["ü"]}`)}),
 	}
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	for _, o := range goldenOrders() { // each in a commit of its own
-		if _, _, err := d.commit([]order{o}); err != nil {
+		if _, _, err := d.commit([]request{o}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -143,19 +143,19 @@
 	}
 	defer d.close()
 	var b bytes.Buffer
-	h := d.head
-	fmt.Fprintf(&b, "head ledger=%d grant=%d floor=%d news=%d grants=%d keys=%d digest=%016x\n", h.Ledger, h.Grant, h.Floor, h.News, h.Grants, h.Keys, h.Digest)
+	h := d.header
+	fmt.Fprintf(&b, "head ledger=%d grant=%d floor=%d news=%d grants=%d keys=%d digest=%016x\n", h.Revision, h.LastLease, h.CompactRevision, h.Events, h.Leases, h.Keys, h.Digest)
 	for _, id := range slices.Sorted(maps.Keys(d.ttls)) {
-		fmt.Fprintf(&b, "grant %d ttl=%v keys=%v\n", id, d.ttls[id], slices.Sorted(maps.Keys(d.attached[id])))
+		fmt.Fprintf(&b, "grant %d ttl=%v keys=%v\n", id, d.ttls[id], slices.Sorted(maps.Keys(d.leaseKeys[id])))
 	}
-	if _, err := d.scan("", "", func(key []byte, r record) bool {
-		fmt.Fprintf(&b, "key %s stamp=%d permit=%d %s\n", key, r.stamp, r.permit, r.data)
+	if _, err := d.scan("", "", func(key []byte, r keyRecord) bool {
+		fmt.Fprintf(&b, "key %s stamp=%d permit=%d %s\n", key, r.modRevision, r.lease, r.value)
 		return true
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if _, kept, err := d.changes(h.Floor, func(c change) {
-		fmt.Fprintf(&b, "change %s stamp=%d dropped=%v %s\n", c.key, c.stamp, c.data == nil, c.data)
+	if _, kept, err := d.changes(h.CompactRevision, func(c changeEvent) {
+		fmt.Fprintf(&b, "change %s stamp=%d dropped=%v %s\n", c.key, c.revision, c.value == nil, c.value)
 	}); err != nil || !kept {
 		t.Fatal(kept, err)
 	}
@@ -218,8 +218,8 @@
 		t.Fatal(err)
 	}
 	defer d.close()
-	out, _, err := d.commit([]order{{ends: 1}, {ttl: time.Second}, {txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/m/n1"}}}}})
-	if err != nil || out[0].gone || out[1].grant != 3 || out[2].failed != nil {
+	out, _, err := d.commit([]request{{expiredLeases: 1}, {ttl: time.Second}, {txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/m/n1"}}}}})
+	if err != nil || out[0].leaseNotFound || out[1].lease != 3 || out[2].failed != nil {
 		t.Errorf("went on with %+v: %v", out, err)
 	}
 }
@@ -230,7 +230,7 @@
 	backup := filepath.Join(t.TempDir(), "golden.db")
 	unpack(t, goldenBackup, backup)
 	saved, err := Check(backup)
-	if err != nil || saved.Ledger != 7 || saved.Keys != 4 {
+	if err != nil || saved.Revision != 7 || saved.Keys != 4 {
 		t.Errorf("%+v: %v", saved, err)
 	}
 	restored := filepath.Join(t.TempDir(), "restored")
--- a/internal/statestore/machine.go
+++ b/internal/statestore/machine.go
@@ -45,31 +45,31 @@
 
 // Limits of the protocol that no setting changes.
 const (
-	maxKey       = 200
-	maxPage      = 1000
-	maxPageBytes = 512 << 10
-	keptChanges  = 10_000
-	maxBlock     = time.Minute
-	minTTL       = 100 * time.Millisecond
-	maxTTL       = 600 * time.Second
+	maxKey          = 200
+	maxPage         = 1000
+	maxPageBytes    = 512 << 10
+	retainedChanges = 10_000
+	maxBlock        = time.Minute
+	minTTL          = 100 * time.Millisecond
+	maxTTL          = 600 * time.Second
 )
 
 // stall is the time between two looks at the clock from which the service is
 // taken to have been out: nobody could renew a grant meanwhile. It is the
 // slack that the end of a grant may have.
-const stall = minTTL
+const maxStall = minTTL
 
 type bucket struct{ rate, level float64 }
 
 func (b *bucket) fill(d time.Duration) { b.level = min(b.rate, b.level+b.rate*d.Seconds()) }
 
-type grant struct {
-	ttl   time.Duration
-	until time.Duration
-	ended bool // its end is on the way to the disk
+type lease struct {
+	ttl     time.Duration
+	until   time.Duration
+	expired bool // its end is on the way to the disk
 }
 
-type watch struct {
+type watcher struct {
 	id    uint64
 	under string
 	from  uint64
@@ -78,64 +78,64 @@
 
 // verdict is the machine's answer to a request: an answer for at once, or what
 // is to be done for one.
-type verdict struct {
-	status int // 0: something below is to be done first
-	body   []byte
-	retry  int // seconds
-
-	order *order   // for the writer
-	get   string   // read this key
-	list  *listing // read a page
-	look  *watch   // a watch that may have something to tell at once
+type decision struct {
+	status     int // 0: something below is to be done first
+	body       []byte
+	retryAfter int // seconds
+
+	request *request     // for the writer
+	get     string       // read this key
+	list    *listRequest // read a page
+	watcher *watcher     // a watch that may have something to tell at once
 }
 
-type listing struct {
+type listRequest struct {
 	under, from string
 	page        int
 }
 
 // machine decides on requests: their form, the rates, grants and watches. It
 // does no I/O; time comes with the inputs.
-type machine struct {
+type admission struct {
 	limits  Limits
 	now     time.Duration
 	reads   bucket
 	writes  bucket
-	grants  map[uint64]*grant
-	watches map[uint64]*watch
+	leases  map[uint64]*lease
+	watches map[uint64]*watcher
 	queued  int // orders on the way to the disk
 	refused uint64
 }
 
-func newMachine(l Limits, ttls map[uint64]time.Duration) *machine {
-	m := &machine{limits: l, reads: bucket{l.RPS, l.RPS}, writes: bucket{l.WriteRPS, l.WriteRPS},
-		grants: map[uint64]*grant{}, watches: map[uint64]*watch{}}
+func newAdmission(l Limits, ttls map[uint64]time.Duration) *admission {
+	m := &admission{limits: l, reads: bucket{l.RPS, l.RPS}, writes: bucket{l.WriteRPS, l.WriteRPS},
+		leases: map[uint64]*lease{}, watches: map[uint64]*watcher{}}
 	for id, ttl := range ttls {
-		m.grants[id] = &grant{ttl: ttl, until: ttl} // the full time again
+		m.leases[id] = &lease{ttl: ttl, until: ttl} // the full time again
 	}
 	return m
 }
 
 // maxQueued is how many orders may wait for the disk: a second's worth of
 // requests. More could not be answered in time.
-func (m *machine) maxQueued() int { return max(1, int(m.limits.RPS)) }
+func (m *admission) maxQueued() int { return max(1, int(m.limits.RPS)) }
 
 // advance lets time pass. It returns the grants that have ended.
-func (m *machine) advance(now time.Duration) (ended []uint64) {
+func (m *admission) advance(now time.Duration) (ended []uint64) {
 	d := now - m.now
 	m.now = now
 	m.reads.fill(d)
 	m.writes.fill(d)
-	for id, g := range m.grants {
+	for id, g := range m.leases {
 		switch {
-		case g.ended:
-		case d > stall:
+		case g.expired:
+		case d > maxStall:
 			// Guards against a process that was stopped or starved: its
 			// clients could not renew, and would lose their grants for our
 			// fault. They get their full time again, as after an outage.
 			g.until = now + g.ttl
 		case now >= g.until:
-			g.ended = true
+			g.expired = true
 			ended = append(ended, id)
 		}
 	}
@@ -144,13 +144,13 @@
 }
 
 // due is when the machine must look at the clock again.
-func (m *machine) due() time.Duration {
+func (m *admission) due() time.Duration {
 	next := m.now + maxBlock/60
-	if len(m.grants) > 0 {
-		next = m.now + stall/2
+	if len(m.leases) > 0 {
+		next = m.now + maxStall/2
 	}
-	for _, g := range m.grants {
-		if !g.ended {
+	for _, g := range m.leases {
+		if !g.expired {
 			next = min(next, g.until)
 		}
 	}
@@ -161,8 +161,8 @@
 }
 
 // expired takes out the watches whose time is over.
-func (m *machine) expired() []*watch {
-	var out []*watch
+func (m *admission) expired() []*watcher {
+	var out []*watcher
 	for id, w := range m.watches {
 		if m.now >= w.until {
 			out = append(out, w)
@@ -173,8 +173,8 @@
 }
 
 // wake takes out the watches that any of the changes concerns.
-func (m *machine) wake(changes []change) []*watch {
-	var out []*watch
+func (m *admission) wake(changes []changeEvent) []*watcher {
+	var out []*watcher
 	for id, w := range m.watches {
 		for i := range changes {
 			if strings.HasPrefix(changes[i].key, w.under) {
@@ -188,49 +188,49 @@
 }
 
 // granted and ended take what the disk did with grants.
-func (m *machine) granted(id uint64, ttl time.Duration) {
-	m.grants[id] = &grant{ttl: ttl, until: m.now + ttl}
+func (m *admission) leaseGranted(id uint64, ttl time.Duration) {
+	m.leases[id] = &lease{ttl: ttl, until: m.now + ttl}
 }
 
-func (m *machine) gone(id uint64) { delete(m.grants, id) }
+func (m *admission) leaseRemoved(id uint64) { delete(m.leases, id) }
 
-func problem(status int, format string, args ...any) verdict {
-	v := verdict{status: status, body: protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)})}
+func errorDecision(status int, format string, args ...any) decision {
+	v := decision{status: status, body: protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)})}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		v.retry = 1
+		v.retryAfter = 1
 	}
 	return v
 }
 
 // request judges a request.
-func (m *machine) request(id uint64, method, path, query string, body []byte) verdict {
+func (m *admission) request(id uint64, method, path, query string, body []byte) decision {
 	if m.reads.level < 1 {
 		m.refused++
-		return problem(http.StatusTooManyRequests, "more than %g requests a second", m.limits.RPS)
+		return errorDecision(http.StatusTooManyRequests, "more than %g requests a second", m.limits.RPS)
 	}
 	m.reads.level--
 	rest, isKey := strings.CutPrefix(path, protocol.PathKeys+"/")
 	grantRest, isGrant := strings.CutPrefix(path, protocol.PathLeases+"/")
 	switch {
 	case isKey:
-		return only(method, "GET", func() verdict { return m.one(rest) })
+		return requireMethod(method, "GET", func() decision { return m.getKey(rest) })
 	case path == protocol.PathKeys:
-		return only(method, "GET", func() verdict { return m.list(query) })
+		return requireMethod(method, "GET", func() decision { return m.list(query) })
 	case path == protocol.PathTxn:
-		return only(method, "POST", func() verdict { return m.txn(body) })
+		return requireMethod(method, "POST", func() decision { return m.txn(body) })
 	case path == protocol.PathLeases:
-		return only(method, "POST", func() verdict { return m.grant(body) })
+		return requireMethod(method, "POST", func() decision { return m.grantLease(body) })
 	case isGrant:
-		return m.grantVerb(method, grantRest)
+		return m.leaseAction(method, grantRest)
 	case path == protocol.PathWatch:
-		return only(method, "GET", func() verdict { return m.watch(id, query) })
+		return requireMethod(method, "GET", func() decision { return m.watch(id, query) })
 	}
-	return problem(http.StatusNotFound, "no such path")
+	return errorDecision(http.StatusNotFound, "no such path")
 }
 
-func only(method, want string, do func() verdict) verdict {
+func requireMethod(method, want string, do func() decision) decision {
 	if method != want {
-		return problem(http.StatusMethodNotAllowed, "use %s", want)
+		return errorDecision(http.StatusMethodNotAllowed, "use %s", want)
 	}
 	return do()
 }
@@ -247,15 +247,15 @@
 	return nil
 }
 
-func (m *machine) one(escaped string) verdict {
+func (m *admission) getKey(escaped string) decision {
 	key, err := url.PathUnescape(escaped)
 	if err == nil {
 		err = checkKey(key)
 	}
 	if err != nil {
-		return problem(http.StatusBadRequest, "key: %v", err)
+		return errorDecision(http.StatusBadRequest, "key: %v", err)
 	}
-	return verdict{get: key}
+	return decision{get: key}
 }
 
 // queryOf reads a query whose fields are all optional.
@@ -270,7 +270,7 @@
 	return q, nil
 }
 
-func number(q url.Values, name string, most, otherwise uint64) (uint64, error) {
+func queryNumber(q url.Values, name string, most, otherwise uint64) (uint64, error) {
 	s := q.Get(name)
 	if s == "" {
 		return otherwise, nil
@@ -282,11 +282,11 @@
 	return v, nil
 }
 
-func (m *machine) list(query string) verdict {
+func (m *admission) list(query string) decision {
 	q, err := queryOf(query)
 	var page uint64
 	if err == nil {
-		page, err = number(q, "page", 1<<62, maxPage)
+		page, err = queryNumber(q, "page", 1<<62, maxPage)
 	}
 	if err == nil && page == 0 {
 		err = errors.New("page: must be at least 1")
@@ -295,28 +295,28 @@
 		err = fmt.Errorf("from: must be text of at most %d bytes", maxKey)
 	}
 	if err != nil {
-		return problem(http.StatusBadRequest, "%v", err)
+		return errorDecision(http.StatusBadRequest, "%v", err)
 	}
-	return verdict{list: &listing{q.Get("under"), q.Get("from"), int(min(page, maxPage))}}
+	return decision{list: &listRequest{q.Get("under"), q.Get("from"), int(min(page, maxPage))}}
 }
 
-func (m *machine) watch(id uint64, query string) verdict {
+func (m *admission) watch(id uint64, query string) decision {
 	q, err := queryOf(query)
 	var from, block uint64
 	if err == nil {
-		from, err = number(q, "from", 1<<64-1, 0)
+		from, err = queryNumber(q, "from", 1<<64-1, 0)
 	}
 	if err == nil {
-		block, err = number(q, "blockMs", uint64(maxBlock.Milliseconds()), 0)
+		block, err = queryNumber(q, "blockMs", uint64(maxBlock.Milliseconds()), 0)
 	}
 	if err != nil {
-		return problem(http.StatusBadRequest, "%v", err)
+		return errorDecision(http.StatusBadRequest, "%v", err)
 	}
-	return verdict{look: &watch{id, q.Get("under"), from, m.now + time.Duration(block)*time.Millisecond}}
+	return decision{watcher: &watcher{id, q.Get("under"), from, m.now + time.Duration(block)*time.Millisecond}}
 }
 
 // park has a watch wait that had nothing to tell; false when its time is over.
-func (m *machine) park(w *watch) bool {
+func (m *admission) park(w *watcher) bool {
 	if m.now >= w.until {
 		return false
 	}
@@ -325,7 +325,7 @@
 }
 
 // readTxn reads and checks a transaction.
-func (m *machine) readTxn(body []byte) (*protocol.Txn, error) {
+func (m *admission) readTxn(body []byte) (*protocol.Txn, error) {
 	var t struct {
 		If []struct {
 			Key   *string `json:"key"`
@@ -387,68 +387,68 @@
 	return out, nil
 }
 
-func (m *machine) txn(body []byte) verdict {
+func (m *admission) txn(body []byte) decision {
 	t, err := m.readTxn(body)
 	if err != nil {
-		return problem(http.StatusBadRequest, "%v", err)
+		return errorDecision(http.StatusBadRequest, "%v", err)
 	}
 	if m.writes.level < float64(len(t.Ops)) {
 		m.refused++
-		return problem(http.StatusTooManyRequests, "more than %g writes a second", m.limits.WriteRPS)
+		return errorDecision(http.StatusTooManyRequests, "more than %g writes a second", m.limits.WriteRPS)
 	}
 	m.writes.level -= float64(len(t.Ops))
 	for _, o := range t.Ops {
-		if g := m.grants[o.Lease]; o.Lease != 0 && (g == nil || g.ended) {
-			return problem(http.StatusBadRequest, "no such lease")
+		if g := m.leases[o.Lease]; o.Lease != 0 && (g == nil || g.expired) {
+			return errorDecision(http.StatusBadRequest, "no such lease")
 		}
 	}
-	return m.queue(&order{txn: t})
+	return m.queue(&request{txn: t})
 }
 
 // queue hands an order to the writer, unless so many wait that its answer
 // would come too late.
-func (m *machine) queue(o *order) verdict {
+func (m *admission) queue(o *request) decision {
 	if m.queued >= m.maxQueued() {
 		m.refused++
-		return problem(http.StatusServiceUnavailable, "the disk can't follow; nothing was done")
+		return errorDecision(http.StatusServiceUnavailable, "the disk can't follow; nothing was done")
 	}
 	m.queued++
-	return verdict{order: o}
+	return decision{request: o}
 }
 
-func (m *machine) grant(body []byte) verdict {
+func (m *admission) grantLease(body []byte) decision {
 	var g struct {
 		TTL *int64 `json:"ttlMs"`
 	}
 	if err := protocol.DecodeObject(body, &g); err != nil {
-		return problem(http.StatusBadRequest, "%v", err)
+		return errorDecision(http.StatusBadRequest, "%v", err)
 	}
 	if g.TTL == nil || *g.TTL < minTTL.Milliseconds() || *g.TTL > maxTTL.Milliseconds() {
-		return problem(http.StatusBadRequest, "ttlMs: must be from %d to %d", minTTL.Milliseconds(), maxTTL.Milliseconds())
+		return errorDecision(http.StatusBadRequest, "ttlMs: must be from %d to %d", minTTL.Milliseconds(), maxTTL.Milliseconds())
 	}
-	return m.queue(&order{ttl: time.Duration(*g.TTL) * time.Millisecond})
+	return m.queue(&request{ttl: time.Duration(*g.TTL) * time.Millisecond})
 }
 
-func (m *machine) grantVerb(method, rest string) verdict {
+func (m *admission) leaseAction(method, rest string) decision {
 	num, verb, hasVerb := strings.Cut(rest, "/")
 	id, err := strconv.ParseUint(num, 10, 64)
 	switch {
 	case err != nil:
-		return problem(http.StatusBadRequest, "the grant's number is malformed")
+		return errorDecision(http.StatusBadRequest, "the grant's number is malformed")
 	case hasVerb && verb != protocol.PathKeepAlive:
-		return problem(http.StatusNotFound, "no such path")
+		return errorDecision(http.StatusNotFound, "no such path")
 	case hasVerb && method != "POST", !hasVerb && method != "DELETE":
-		return problem(http.StatusMethodNotAllowed, "method not allowed")
+		return errorDecision(http.StatusMethodNotAllowed, "method not allowed")
 	}
-	g := m.grants[id]
-	if g == nil || g.ended || m.now >= g.until {
-		return problem(http.StatusNotFound, "no such lease")
+	g := m.leases[id]
+	if g == nil || g.expired || m.now >= g.until {
+		return errorDecision(http.StatusNotFound, "no such lease")
 	}
 	if hasVerb {
 		g.until = m.now + g.ttl
-		return verdict{status: http.StatusOK, body: []byte("{}")}
+		return decision{status: http.StatusOK, body: []byte("{}")}
 	}
-	v := m.queue(&order{ends: id})
-	g.ended = v.order != nil
+	v := m.queue(&request{expiredLeases: id})
+	g.expired = v.request != nil
 	return v
 }
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -63,7 +63,7 @@
 // Stats counts what the service did.
 type Stats struct {
 	Requests, Refused, Commits, Changes uint64
-	Keys, Ledger, Grants                uint64
+	Keys, Revision, Leases              uint64
 	Watches, Queued                     int
 	FileBytes                           int64
 	CommitS                             float64 // total time of commits
@@ -80,17 +80,17 @@
 	// is called with the lock held and returns false for what it doesn't know.
 	Extra func(id uint64, method, path string) bool
 
-	mu     sync.Mutex
-	m      *machine
-	orders []order // for the writer
-	wake   *sync.Cond
-	timer  *time.Timer
-	tickAt time.Duration // when the next tick comes
-	stats  Stats
-	saving bool // a backup is being written
-	failed error
-	closed bool
-	idle   chan struct{} // closed when the writer has ended
+	mu        sync.Mutex
+	admission *admission
+	pending   []request // for the writer
+	wake      *sync.Cond
+	timer     *time.Timer
+	tickAt    time.Duration // when the next tick comes
+	stats     Stats
+	saving    bool // a backup is being written
+	failed    error
+	closed    bool
+	idle      chan struct{} // closed when the writer has ended
 }
 
 // Open opens the store in cfg.Dir, or makes one. A damaged file is an error
@@ -99,14 +99,14 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	d, err := openDisk(cfg.Dir, keptChanges)
+	d, err := openDisk(cfg.Dir, retainedChanges)
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{cfg: cfg, log: log, disk: d, start: time.Now(), m: newMachine(cfg.Limits, d.ttls), idle: make(chan struct{})}
+	s := &Service{cfg: cfg, log: log, disk: d, start: time.Now(), admission: newAdmission(cfg.Limits, d.ttls), idle: make(chan struct{})}
 	s.wake = sync.NewCond(&s.mu)
 	s.server = transport.NewServer(&s.mu, s, 10*time.Second, cfg.MaxSockets)
-	s.stats.Ledger, s.stats.Keys = d.head.Ledger, d.head.Keys
+	s.stats.Revision, s.stats.Keys = d.header.Revision, d.header.Keys
 	return s, nil
 }
 
@@ -114,7 +114,7 @@
 // not nil, is told the address.
 func (s *Service) Run(ready func(addr net.Addr)) error {
 	s.server.Ready = func(a []net.Addr) {
-		s.log.Info("serving", "listen", a[0].String(), "file", s.disk.path, "ledger", s.disk.head.Ledger, "keys", s.disk.head.Keys)
+		s.log.Info("serving", "listen", a[0].String(), "file", s.disk.path, "ledger", s.disk.header.Revision, "keys", s.disk.header.Keys)
 		if ready != nil {
 			ready(a[0])
 		}
@@ -145,19 +145,19 @@
 // Stats returns the counters; the lock must be held, as it is in Extra.
 func (s *Service) Stats() Stats {
 	st := s.stats
-	st.Watches, st.Queued, st.Grants, st.Refused = len(s.m.watches), s.m.queued, uint64(len(s.m.grants)), s.m.refused
+	st.Watches, st.Queued, st.Leases, st.Refused = len(s.admission.watches), s.admission.queued, uint64(len(s.admission.leases)), s.admission.refused
 	return st
 }
 
 func (s *Service) advance() {
-	for _, id := range s.m.advance(time.Since(s.start)) {
-		s.m.queued++
-		s.submit(order{ends: id, done: func(outcome) {}})
+	for _, id := range s.admission.advance(time.Since(s.start)) {
+		s.admission.queued++
+		s.submit(request{expiredLeases: id, respond: func(result) {}})
 	}
 }
 
-func (s *Service) submit(o order) {
-	s.orders = append(s.orders, o)
+func (s *Service) submit(o request) {
+	s.pending = append(s.pending, o)
 	s.wake.Signal()
 }
 
@@ -170,8 +170,8 @@
 	}
 	s.server.Sweep(time.Now())
 	s.advance()
-	for _, w := range s.m.expired() {
-		s.tell(w, nil)
+	for _, w := range s.admission.expired() {
+		s.notify(w, nil)
 	}
 	s.tickAt = 0
 	s.arm()
@@ -181,7 +181,7 @@
 func (s *Service) arm() {
 	// Guards against a clock that is looked at too seldom once a grant is
 	// given: the machine would take the pause for an outage and extend it.
-	if at := s.m.due(); s.tickAt == 0 || at < s.tickAt {
+	if at := s.admission.due(); s.tickAt == 0 || at < s.tickAt {
 		s.tickAt = at
 		s.timer.Reset(max(time.Millisecond, at-time.Since(s.start)))
 	}
@@ -199,13 +199,13 @@
 		return
 	}
 	s.stats.Requests++
-	v := s.m.request(id, r.Method, r.Path, r.Query, r.Body)
+	v := s.admission.request(id, r.Method, r.Path, r.Query, r.Body)
 	switch {
 	case v.status != 0:
-		s.server.Answer(id, v.status, v.body, v.retry)
-	case v.order != nil:
-		o := *v.order
-		o.done = func(res outcome) { s.answer(id, &o, res) }
+		s.server.Answer(id, v.status, v.body, v.retryAfter)
+	case v.request != nil:
+		o := *v.request
+		o.respond = func(res result) { s.answer(id, &o, res) }
 		s.submit(o)
 	case v.get != "":
 		rec, found, ledger, err := s.disk.get(v.get)
@@ -217,20 +217,20 @@
 				Ledger uint64 `json:"ledger"`
 			}{ledger})
 		default:
-			s.json(id, http.StatusOK, entry{v.get, rec.data, rec.stamp, rec.permit})
+			s.json(id, http.StatusOK, keyValue{v.get, rec.value, rec.modRevision, rec.lease})
 		}
 	case v.list != nil:
 		s.list(id, v.list)
-	case v.look != nil:
-		s.look(v.look)
+	case v.watcher != nil:
+		s.readWatch(v.watcher)
 	}
 }
 
-type entry struct {
-	Key    string `json:"key"`
-	Data   raw    `json:"data"`
-	Stamp  uint64 `json:"stamp"`
-	Permit uint64 `json:"permit,omitempty"`
+type keyValue struct {
+	Key         string `json:"key"`
+	Value       raw    `json:"data"`
+	ModRevision uint64 `json:"stamp"`
+	Lease       uint64 `json:"permit,omitempty"`
 }
 
 // raw is JSON that was checked when it came in.
@@ -240,22 +240,22 @@
 	s.server.Answer(id, status, protocol.Encode(v), 0)
 }
 
-func (s *Service) list(id uint64, l *listing) {
+func (s *Service) list(id uint64, l *listRequest) {
 	page := struct {
-		Entries   []entry `json:"entries"`
-		Truncated bool    `json:"truncated"`
-		Ledger    uint64  `json:"ledger"`
-	}{Entries: []entry{}}
+		Entries   []keyValue `json:"entries"`
+		Truncated bool       `json:"truncated"`
+		Ledger    uint64     `json:"ledger"`
+	}{Entries: []keyValue{}}
 	size := 100
-	ledger, err := s.disk.scan(l.under, l.from, func(k []byte, r record) bool {
+	ledger, err := s.disk.scan(l.under, l.from, func(k []byte, r keyRecord) bool {
 		// Escaping a key and its numbers takes at most this much.
-		n := len(r.data) + 6*len(k) + 80
+		n := len(r.value) + 6*len(k) + 80
 		if len(page.Entries) == l.page || size+n > maxPageBytes {
 			page.Truncated = true
 			return false
 		}
 		size += n
-		page.Entries = append(page.Entries, entry{string(k), append(raw(nil), r.data...), r.stamp, r.permit})
+		page.Entries = append(page.Entries, keyValue{string(k), append(raw(nil), r.value...), r.modRevision, r.lease})
 		return true
 	})
 	if err != nil {
@@ -267,40 +267,40 @@
 }
 
 // look answers a watch that has something to tell, and parks any other.
-func (s *Service) look(w *watch) {
-	r, kept, err := s.news(w)
+func (s *Service) readWatch(w *watcher) {
+	r, kept, err := s.eventsSince(w)
 	switch {
 	case err != nil:
 		s.fail(err)
 	case !kept:
-		v := problem(http.StatusGone, "changes after %d are not kept any more; read the keys again", w.from)
+		v := errorDecision(http.StatusGone, "changes after %d are not kept any more; read the keys again", w.from)
 		s.server.Answer(w.id, v.status, v.body, 0)
-	case len(r.News) > 0 || !s.m.park(w):
+	case len(r.Events) > 0 || !s.admission.park(w):
 		s.json(w.id, http.StatusOK, r)
 	}
 }
 
-type newsItem struct {
-	Write string `json:"write,omitempty"`
-	Drop  string `json:"drop,omitempty"`
-	Data  raw    `json:"data,omitempty"`
-	Stamp uint64 `json:"stamp"`
+type watchEvent struct {
+	Put         string `json:"write,omitempty"`
+	Delete      string `json:"drop,omitempty"`
+	Value       raw    `json:"data,omitempty"`
+	ModRevision uint64 `json:"stamp"`
 }
 
-type newsPage struct {
-	Ledger uint64     `json:"ledger"`
-	News   []newsItem `json:"news"`
+type watchResponse struct {
+	Revision uint64       `json:"ledger"`
+	Events   []watchEvent `json:"news"`
 }
 
-func (s *Service) news(w *watch) (r newsPage, kept bool, err error) {
-	r.News = []newsItem{}
-	r.Ledger, kept, err = s.disk.changes(w.from, func(c change) {
+func (s *Service) eventsSince(w *watcher) (r watchResponse, kept bool, err error) {
+	r.Events = []watchEvent{}
+	r.Revision, kept, err = s.disk.changes(w.from, func(c changeEvent) {
 		switch {
 		case len(c.key) < len(w.under) || c.key[:len(w.under)] != w.under:
-		case c.data != nil:
-			r.News = append(r.News, newsItem{Write: c.key, Data: c.data, Stamp: c.stamp})
+		case c.value != nil:
+			r.Events = append(r.Events, watchEvent{Put: c.key, Value: c.value, ModRevision: c.revision})
 		default:
-			r.News = append(r.News, newsItem{Drop: c.key, Stamp: c.stamp})
+			r.Events = append(r.Events, watchEvent{Delete: c.key, ModRevision: c.revision})
 		}
 	})
 	return r, kept, err
@@ -308,17 +308,17 @@
 
 // tell answers a watch with what there is now. Watches that ask for the same
 // share the encoding, in told.
-func (s *Service) tell(w *watch, told map[watch][]byte) {
-	k := watch{under: w.under, from: w.from}
+func (s *Service) notify(w *watcher, told map[watcher][]byte) {
+	k := watcher{under: w.under, from: w.from}
 	body := told[k]
 	if body == nil {
-		r, kept, err := s.news(w)
+		r, kept, err := s.eventsSince(w)
 		if err != nil {
 			s.fail(err)
 			return
 		}
 		if !kept {
-			v := problem(http.StatusGone, "changes after %d are not kept any more; read the keys again", w.from)
+			v := errorDecision(http.StatusGone, "changes after %d are not kept any more; read the keys again", w.from)
 			s.server.Answer(w.id, v.status, v.body, 0)
 			return
 		}
@@ -331,25 +331,25 @@
 }
 
 // answer tells what came of an order.
-func (s *Service) answer(id uint64, o *order, res outcome) {
+func (s *Service) answer(id uint64, o *request, res result) {
 	switch {
-	case o.txn != nil && res.noLease:
-		v := problem(http.StatusBadRequest, "no such lease")
+	case o.txn != nil && res.leaseExpired:
+		v := errorDecision(http.StatusBadRequest, "no such lease")
 		s.server.Answer(id, v.status, v.body, 0)
 	case o.txn != nil && res.failed != nil:
-		s.json(id, http.StatusConflict, protocol.TxnResult{Revision: res.ledger, Failed: res.failed})
+		s.json(id, http.StatusConflict, protocol.TxnResult{Revision: res.revision, Failed: res.failed})
 	case o.txn != nil:
 		s.json(id, http.StatusOK, struct {
 			Ledger uint64 `json:"ledger"`
-		}{res.ledger})
-	case o.ends != 0 && res.gone:
-		v := problem(http.StatusNotFound, "no such lease")
+		}{res.revision})
+	case o.expiredLeases != 0 && res.leaseNotFound:
+		v := errorDecision(http.StatusNotFound, "no such lease")
 		s.server.Answer(id, v.status, v.body, 0)
-	case o.ends != 0:
+	case o.expiredLeases != 0:
 		s.server.Answer(id, http.StatusOK, []byte("{}"), 0)
 	default:
-		s.m.granted(res.grant, o.ttl)
-		s.json(id, http.StatusOK, protocol.LeaseResponse{Lease: res.grant})
+		s.admission.leaseGranted(res.lease, o.ttl)
+		s.json(id, http.StatusOK, protocol.LeaseResponse{Lease: res.lease})
 	}
 }
 
@@ -360,14 +360,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
-		for len(s.orders) == 0 && !s.closed {
+		for len(s.pending) == 0 && !s.closed {
 			s.wake.Wait()
 		}
 		if s.closed {
 			return
 		}
-		batch := s.orders
-		s.orders = nil
+		batch := s.pending
+		s.pending = nil
 		s.mu.Unlock()
 		at := time.Now()
 		results, changes, err := s.disk.commit(batch)
@@ -377,22 +377,22 @@
 			s.fail(fmt.Errorf("commit: %w", err))
 			return
 		}
-		s.m.queued -= len(batch)
+		s.admission.queued -= len(batch)
 		s.stats.Commits++
 		s.stats.CommitS += took.Seconds()
 		s.stats.Changes += uint64(len(changes))
-		s.stats.Ledger, s.stats.Keys = s.disk.head.Ledger, s.disk.head.Keys
+		s.stats.Revision, s.stats.Keys = s.disk.header.Revision, s.disk.header.Keys
 		s.advance()
 		for i := range batch {
-			if batch[i].ends != 0 {
-				s.m.gone(batch[i].ends)
+			if batch[i].expiredLeases != 0 {
+				s.admission.leaseRemoved(batch[i].expiredLeases)
 			}
-			batch[i].done(results[i])
+			batch[i].respond(results[i])
 		}
 		if len(changes) > 0 {
-			told := map[watch][]byte{}
-			for _, w := range s.m.wake(changes) {
-				s.tell(w, told)
+			told := map[watcher][]byte{}
+			for _, w := range s.admission.wake(changes) {
+				s.notify(w, told)
 			}
 		}
 		s.arm()
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -85,22 +85,22 @@
 			stamp, permit uint64
 		}
 		model, ledger, grants := map[string]val{}, uint64(0), map[uint64]bool{}
-		var log []change
+		var log []changeEvent
 		key := rapid.SampledFrom([]string{"a", "a/b", "a/c", "b", "ab"})
 		for range rapid.IntRange(1, 30).Draw(t, "commits") {
-			var batch []order
-			var check []func(o outcome)
+			var batch []request
+			var check []func(o result)
 			for range rapid.IntRange(1, 4).Draw(t, "orders") {
 				switch rapid.IntRange(0, 5).Draw(t, "kind") {
 				case 0:
-					batch = append(batch, order{ttl: time.Second})
-					check = append(check, func(o outcome) { grants[o.grant] = true })
+					batch = append(batch, request{ttl: time.Second})
+					check = append(check, func(o result) { grants[o.lease] = true })
 				case 1:
 					id := rapid.Uint64Range(1, 6).Draw(t, "grant")
-					batch = append(batch, order{ends: id})
-					check = append(check, func(o outcome) {
-						if o.gone == grants[id] {
-							t.Fatalf("grant %d gone: %v", id, o.gone)
+					batch = append(batch, request{expiredLeases: id})
+					check = append(check, func(o result) {
+						if o.leaseNotFound == grants[id] {
+							t.Fatalf("grant %d gone: %v", id, o.leaseNotFound)
 						}
 						delete(grants, id)
 						changed := false
@@ -108,7 +108,7 @@
 							if model[k].permit == id {
 								changed = true
 								delete(model, k)
-								log = append(log, change{k, nil, ledger + 1})
+								log = append(log, changeEvent{k, nil, ledger + 1})
 							}
 						}
 						if changed {
@@ -129,8 +129,8 @@
 							txn.Ops = append(txn.Ops, protocol.Op{Put: k, Value: json.RawMessage(v), Lease: rapid.Uint64Range(0, 3).Draw(t, "permit")})
 						}
 					}
-					batch = append(batch, order{txn: txn})
-					check = append(check, func(o outcome) {
+					batch = append(batch, request{txn: txn})
+					check = append(check, func(o result) {
 						var failed []string
 						for _, c := range txn.Compares {
 							if model[c.Key].stamp != c.ModRevision {
@@ -141,7 +141,7 @@
 						for _, op := range txn.Ops {
 							noLease = noLease || op.Lease != 0 && !grants[op.Lease]
 						}
-						if o.noLease != noLease || !noLease && !slices.Equal(failed, o.failed) {
+						if o.leaseExpired != noLease || !noLease && !slices.Equal(failed, o.failed) {
 							t.Fatalf("%+v: %+v, expected failed %v, no lease %v", txn, o, failed, noLease)
 						}
 						if noLease || failed != nil {
@@ -151,19 +151,19 @@
 						for _, op := range txn.Ops {
 							if op.Put != "" {
 								model[op.Put] = val{string(op.Value), ledger + 1, op.Lease}
-								log = append(log, change{op.Put, op.Value, ledger + 1})
+								log = append(log, changeEvent{op.Put, op.Value, ledger + 1})
 								changed = true
 							} else if _, ok := model[op.Delete]; ok {
 								delete(model, op.Delete)
-								log = append(log, change{op.Delete, nil, ledger + 1})
+								log = append(log, changeEvent{op.Delete, nil, ledger + 1})
 								changed = true
 							}
 						}
 						if changed {
 							ledger++
 						}
-						if o.ledger != ledger {
-							t.Fatalf("ledger %d, expected %d", o.ledger, ledger)
+						if o.revision != ledger {
+							t.Fatalf("ledger %d, expected %d", o.revision, ledger)
 						}
 					})
 				}
@@ -187,9 +187,9 @@
 				}
 			}
 			var got []string
-			if at, err := d.scan("", "", func(k []byte, r record) bool {
+			if at, err := d.scan("", "", func(k []byte, r keyRecord) bool {
 				got = append(got, string(k))
-				if (model[string(k)] != val{string(r.data), r.stamp, r.permit}) {
+				if (model[string(k)] != val{string(r.value), r.modRevision, r.lease}) {
 					t.Fatalf("%s: %+v, expected %+v", k, r, model[string(k)])
 				}
 				return true
@@ -197,11 +197,11 @@
 				t.Fatalf("%v at %d: %v; expected %v at %d", got, at, err, sorted(model), ledger)
 			}
 			from := rapid.Uint64Range(0, ledger).Draw(t, "from")
-			var seen []change
-			_, kept, err := d.changes(from, func(c change) { seen = append(seen, c) })
-			var want []change
+			var seen []changeEvent
+			_, kept, err := d.changes(from, func(c changeEvent) { seen = append(seen, c) })
+			var want []changeEvent
 			for _, c := range log {
-				if c.stamp > from {
+				if c.revision > from {
 					want = append(want, c)
 				}
 			}
@@ -231,14 +231,14 @@
 	}
 	for i := range 60 {
 		txn := &protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("k/%02d", i%40), Value: json.RawMessage(`"` + strings.Repeat("x", 40*i) + `"`)}}}
-		if _, _, err := d.commit([]order{{txn: txn}}); err != nil {
+		if _, _, err := d.commit([]request{{txn: txn}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	contents := func(d *disk) string {
 		var b strings.Builder
-		at, err := d.scan("", "", func(k []byte, r record) bool {
-			fmt.Fprintf(&b, "%s %d %s\n", k, r.stamp, r.data)
+		at, err := d.scan("", "", func(k []byte, r keyRecord) bool {
+			fmt.Fprintf(&b, "%s %d %s\n", k, r.modRevision, r.value)
 			return true
 		})
 		fmt.Fprint(&b, at, err)
@@ -272,7 +272,7 @@
 		case err == nil:
 			got := contents(d)
 			// An older meta page that is whole is what a crash leaves too.
-			if got != want && d.head.Ledger == 60 {
+			if got != want && d.header.Revision == 60 {
 				t.Fatalf("case %d: damage was read as contents", i)
 			}
 			d.close()
@@ -292,7 +292,7 @@
 
 // TestGrantsEndOnTimeAndNeverForOurFault drives the machine's clock.
 func TestGrantsEndOnTimeAndNeverForOurFault(t *testing.T) {
-	m := newMachine(wide, map[uint64]time.Duration{1: time.Second})
+	m := newAdmission(wide, map[uint64]time.Duration{1: time.Second})
 	step := func(until time.Duration) (ended []uint64) {
 		for m.now < until {
 			ended = append(ended, m.advance(min(until, m.due()))...)
@@ -329,7 +329,7 @@
 
 // TestRates demands bursts of a second's worth and no more.
 func TestRates(t *testing.T) {
-	m := newMachine(Limits{RPS: 10, WriteRPS: 6, ValueKB: 1, TxnOps: 3}, nil)
+	m := newAdmission(Limits{RPS: 10, WriteRPS: 6, ValueKB: 1, TxnOps: 3}, nil)
 	count := func(do func() int) (ok int) {
 		for do() != 429 {
 			ok++
@@ -425,17 +425,17 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 		wg.Wait()
-		d, err := openDisk(dir, keptChanges)
+		d, err := openDisk(dir, retainedChanges)
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
-		if d.head.Ledger < ledger {
-			t.Fatalf("round %d: the ledger went back from %d to %d", round, ledger, d.head.Ledger)
+		if d.header.Revision < ledger {
+			t.Fatalf("round %d: the ledger went back from %d to %d", round, ledger, d.header.Revision)
 		}
 		for c := range clients {
 			have := 0
 			prefix := fmt.Sprintf("c%d/", c)
-			if _, err := d.scan(prefix, "", func(k []byte, r record) bool {
+			if _, err := d.scan(prefix, "", func(k []byte, r keyRecord) bool {
 				have++
 				return string(k) == fmt.Sprintf("%s%06d", prefix, have)
 			}); err != nil {
@@ -472,8 +472,8 @@
 	}
 	first := write(1)
 	st, body := do(pool, addr, "POST", PathBackup, Backup{"one"})
-	var saved Saved
-	if json.Unmarshal(body, &saved) != nil || st != 200 || saved.Ledger != first {
+	var saved BackupSummary
+	if json.Unmarshal(body, &saved) != nil || st != 200 || saved.Revision != first {
 		t.Fatalf("%d %s", st, body)
 	}
 	for _, name := range []string{"one", "../one", ""} {
@@ -510,7 +510,7 @@
 		`{"then":[{"write":"a"}]}`, `{"then":[{"write":"a","drop":"b","data":1}]}`, `[]`, `{"if":[{"key":"a b","stamp":-1}]}`, "null"} {
 		f.Add([]byte(s))
 	}
-	m := newMachine(Limits{RPS: 100, WriteRPS: 100, ValueKB: 0.1, TxnOps: 2}, nil)
+	m := newAdmission(Limits{RPS: 100, WriteRPS: 100, ValueKB: 0.1, TxnOps: 2}, nil)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		txn, err := m.readTxn(body)
 		if err != nil {
@@ -589,16 +589,16 @@
 // sync, and reports the file's size: with -benchtime 1000000x, of a million
 // changes.
 func BenchmarkFileSize(b *testing.B) {
-	d, err := openDisk(b.TempDir(), keptChanges)
+	d, err := openDisk(b.TempDir(), retainedChanges)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer d.close()
 	value := json.RawMessage(`"` + strings.Repeat("x", 298) + `"`)
 	for n := 0; n < b.N; {
-		var batch []order
+		var batch []request
 		for range 50 {
-			batch = append(batch, order{txn: &protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("k/%d", n*7919%1000), Value: value}}}})
+			batch = append(batch, request{txn: &protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("k/%d", n*7919%1000), Value: value}}}})
 			n++
 		}
 		if _, _, err := d.commit(batch); err != nil {
