--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -9,63 +9,64 @@
 
 	"silvergate/internal/job"
 	"silvergate/internal/losses"
+	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
 )
 
 // waiter is a task in a machine's line. The lines of our machines are kept by
 // job, in the order of the jobs' turns: a job's tasks are alike, so what one of
 // them can't use none of them can. Each entry names its machine.
-type waiter struct {
-	key     taskKey
-	machine string
-	until   time.Duration // handed over by a peer: kept until then
-	stopped time.Duration // stops were ordered for it: no others before
+type queuedTask struct {
+	key              taskKey
+	machine          string
+	expiresAt        time.Duration // handed over by a peer: kept until then
+	nextPreemptionAt time.Duration // stops were ordered for it: no others before
 }
 
 // compared is how many entries that would do a decision compares, from a
 // random one on, so that its cost does not grow with the fleet.
-const compared = 64
+const maxCandidates = 64
 
 // join puts a machine with room into the idle list, after it has taken the
 // oldest tasks that it can hold from any line.
-func (c *Core) join(m *machine) {
-	if c.barred(m) {
-		c.unlist(m)
+func (c *Core) offerMachine(m *machine) {
+	if c.unschedulable(m) {
+		c.removeFromIdleList(m)
 		return
 	}
-	c.drawLine(m)
+	c.placeQueuedTasks(m)
 	if !c.hasRoom(m) {
-		c.unlist(m)
+		c.removeFromIdleList(m)
 		return
 	}
-	m.joined = c.now
-	if m.listed == 0 {
-		c.idle = append(c.idle, m)
-		m.listed = len(c.idle)
+	m.listedAt = c.now
+	if m.idleListIndex == 0 {
+		c.idleMachines = append(c.idleMachines, m)
+		m.idleListIndex = len(c.idleMachines)
 	}
 	c.offerHeld(m)
 }
 
-func (c *Core) unlist(m *machine) {
-	if m.listed == 0 {
+func (c *Core) removeFromIdleList(m *machine) {
+	if m.idleListIndex == 0 {
 		return
 	}
-	last := c.idle[len(c.idle)-1]
-	c.idle[m.listed-1], last.listed = last, m.listed
-	c.idle = c.idle[:len(c.idle)-1]
-	m.listed = 0
+	last := c.idleMachines[len(c.idleMachines)-1]
+	c.idleMachines[m.idleListIndex-1], last.idleListIndex = last, m.idleListIndex
+	c.idleMachines = c.idleMachines[:len(c.idleMachines)-1]
+	m.idleListIndex = 0
 }
 
-func (c *Core) freed(id string) {
-	if m := c.machines[id]; m != nil && c.mine(m) && m.shown && c.now-m.heard < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
-		c.join(m)
+func (c *Core) machineFreed(id string) {
+	if m := c.machines[id]; m != nil && c.isOwn(m) && m.tokenSeen && c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
+		c.offerMachine(m)
 	}
 }
 
 // hasRoom tells whether any task could use what is left.
 func (c *Core) hasRoom(m *machine) bool {
-	f := c.kind(m)
-	if f.GPUs > 0 && c.plain == 0 && f.GPUs-m.gpus < tolerance {
+	f := c.machineTypeOf(m)
+	if f.GPUs > 0 && c.openCPUOnlyJobs == 0 && f.GPUs-m.gpus < tolerance {
 		return false
 	}
 	return f.CPUs-m.cpus > tolerance && f.MemoryGB-m.ram > tolerance
@@ -74,10 +75,10 @@
 const tolerance = 1e-6
 
 // fits tells whether a machine may and can hold a task now.
-func (c *Core) fits(r *record, m *machine) bool {
+func (c *Core) fits(r *jobRecord, m *machine) bool {
 	s := r.spec
-	f := c.kind(m)
-	if f == &unknownKind || !s.AllowsMachineType(m.claim.Type) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
+	f := c.machineTypeOf(m)
+	if f == &unknownMachineType || !s.AllowsMachineType(m.claim.MachineType) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
 		return false
 	}
 	if m.holdFor != s.ID && c.now < m.holdTill {
@@ -86,45 +87,45 @@
 	if m.cpus+s.CPUs > f.CPUs+tolerance || m.gpus+s.GPUs > f.GPUs+tolerance || m.ram+s.MemoryGB > f.MemoryGB+tolerance {
 		return false
 	}
-	return c.zoneOK(r, m.claim.Zone)
+	return c.zoneAllowed(r, m.claim.Zone)
 }
 
-func (c *Core) zoneOK(r *record, zone string) bool {
+func (c *Core) zoneAllowed(r *jobRecord, zone string) bool {
 	if r.spec.OneZone {
-		for z, n := range r.zones {
+		for z, n := range r.tasksByZone {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	return !r.spec.Spread || r.zones[zone] < r.spec.SpreadLimit()
+	return !r.spec.Spread || r.tasksByZone[zone] < r.spec.SpreadLimit()
 }
 
 // couldHold tells whether a machine could hold the task if it were empty.
-func (c *Core) couldHold(r *record, m *machine) bool {
+func (c *Core) couldHold(r *jobRecord, m *machine) bool {
 	s := r.spec
-	f := c.kind(m)
-	return f != &unknownKind && s.AllowsMachineType(m.claim.Type) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && holds(f, s)
+	f := c.machineTypeOf(m)
+	return f != &unknownMachineType && s.AllowsMachineType(m.claim.MachineType) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && typeHolds(f, s)
 }
 
 // pop takes an entry of the idle list whose remaining room holds the task: a
 // random one of those that suit it best among the first that hold it, from a
 // random entry on.
-func (c *Core) pop(r *record) *machine {
+func (c *Core) pickIdleMachine(r *jobRecord) *machine {
 	var pick *machine
-	var best rank
+	var best placementRank
 	n, seen := 0, 0
-	if len(c.idle) == 0 {
+	if len(c.idleMachines) == 0 {
 		return nil
 	}
-	start := c.rnd.IntN(len(c.idle))
-	for i := 0; i < len(c.idle) && seen < compared; i++ {
-		m := c.idle[(start+i)%len(c.idle)]
-		if c.barred(m) || !c.fits(r, m) {
+	start := c.random.IntN(len(c.idleMachines))
+	for i := 0; i < len(c.idleMachines) && seen < maxCandidates; i++ {
+		m := c.idleMachines[(start+i)%len(c.idleMachines)]
+		if c.unschedulable(m) || !c.fits(r, m) {
 			continue
 		}
 		seen++
-		k := c.rank(r, m)
+		k := c.rankMachine(r, m)
 		switch {
 		case n == 0 || k.before(best):
 			best, n = k, 0
@@ -132,7 +133,7 @@
 			continue
 		}
 		n++
-		if c.rnd.IntN(n) == 0 {
+		if c.random.IntN(n) == 0 {
 			pick = m
 		}
 	}
@@ -145,92 +146,92 @@
 // "spot first": what may use cheap machines leaves the ordinary ones;
 // "best fit": the fullest machine, so that whole blocks stay for gangs, or
 // for services the one with the least that services do not hold.
-type rank struct {
-	fetch int  // in report periods
-	plain bool // the job may use a spot machine and this is none
-	free  int  // tenths of the machine, or of a unit that services do not hold
+type placementRank struct {
+	fetchPeriods   int  // in report periods
+	wastesOnDemand bool // the job may use a spot machine and this is none
+	freeTenths     int  // tenths of the machine, or of a unit that services do not hold
 }
 
-func (a rank) before(b rank) bool {
-	if a.fetch != b.fetch {
-		return a.fetch < b.fetch
+func (a placementRank) before(b placementRank) bool {
+	if a.fetchPeriods != b.fetchPeriods {
+		return a.fetchPeriods < b.fetchPeriods
 	}
-	if a.plain != b.plain {
-		return b.plain
+	if a.wastesOnDemand != b.wastesOnDemand {
+		return b.wastesOnDemand
 	}
-	return a.free < b.free
+	return a.freeTenths < b.freeTenths
 }
 
-func (c *Core) rank(r *record, m *machine) rank {
-	f := c.kind(m)
+func (c *Core) rankMachine(r *jobRecord, m *machine) placementRank {
+	f := c.machineTypeOf(m)
 	if r.spec.Shape == job.Service {
 		// Services outlive everything else: they gather on the machines
 		// that services hold already, so that the others can be returned.
-		return rank{fetch: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), free: int(10 * (f.GPUs - m.steady))}
+		return placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), freeTenths: int(10 * (f.GPUs - m.serviceShare))}
 	}
-	k := rank{fetch: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), plain: r.spec.Spot && !m.claim.Spot}
+	k := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), wastesOnDemand: r.spec.Spot && !m.claim.Spot}
 	if f.GPUs > 0 {
-		k.free = int(10 * (f.GPUs - m.gpus) / f.GPUs)
+		k.freeTenths = int(10 * (f.GPUs - m.gpus) / f.GPUs)
 	} else if f.CPUs > 0 {
-		k.free = int(10 * (f.CPUs - m.cpus) / f.CPUs)
+		k.freeTenths = int(10 * (f.CPUs - m.cpus) / f.CPUs)
 	}
 	return k
 }
 
 // assign binds a task to a machine of ours.
-func (c *Core) assign(r *record, index int, m *machine) {
+func (c *Core) placeTask(r *jobRecord, index int, m *machine) {
 	c.reserve(r, index, m)
-	c.propose(r, index, change{place: true, machine: m.id, session: m.session, try: c.nextTry(r)})
-	c.unline(r, index)
+	c.propose(r, index, taskTransition{placement: true, machine: m.id, epoch: m.epoch, attempt: c.nextAttempt(r)})
+	c.dequeueTask(r, index)
 	if m.holdFor == r.spec.ID {
 		m.holdTill = 0
 	}
 	if !c.hasRoom(m) {
-		c.unlist(m)
+		c.removeFromIdleList(m)
 	}
 	c.traceStart(losses.Placing, r.spec.ID, index, 0, m.id)
 }
 
 // nextTry is the attempt of a gang's next start. The tasks of one attempt
 // find one another by it, so all of them get the same.
-func (c *Core) nextTry(r *record) int {
+func (c *Core) nextAttempt(r *jobRecord) int {
 	if r.spec.Shape != job.Gang {
 		return 0
 	}
 	if r.bound > 0 {
-		return r.last
+		return r.lastAttempt
 	}
-	return r.last + 1
+	return r.lastAttempt + 1
 }
 
 // placeable tells whether a task may be placed now at all.
-func (c *Core) placeable(r *record, index int) bool {
+func (c *Core) placeable(r *jobRecord, index int) bool {
 	if r == nil || r.final() || c.paused(r) {
 		return false
 	}
 	t := r.task(c, index)
-	if t == nil || t.Phase != job.Pending || r.held[index] != nil {
+	if t == nil || t.Phase != job.Pending || r.reservations[index] != nil {
 		return false
 	}
 	tm := c.teams[r.spec.Team]
-	return tm != nil && tm.leaves(r, tm.use.plus(r.spec, 1))
+	return tm != nil && tm.leavesQuotaFor(r, tm.charged.plus(r.spec, 1))
 }
 
 // multi tells whether a job must start several tasks at once.
-func multi(r *record) bool { return r.spec.Shape == job.Gang && r.spec.Tasks > 1 }
+func isGang(r *jobRecord) bool { return r.spec.Shape == job.Gang && r.spec.Tasks > 1 }
 
 // pagesAtOnce is how many pages' worth of a job's tasks may be on their way. A page is
 // in one transaction at a time, and those of the largest jobs name so many machines that
 // one does not hold them: with one page 25,000 small tasks took 269 s on
 // shiftbook-akl-ops, with four 162 s (simulated).
-const pagesAtOnce = 4
+const maxPagesInFlight = 4
 
 // dispatchJob sends a job's pending tasks on their way.
-func (c *Core) dispatchJob(r *record) {
+func (c *Core) dispatchJob(r *jobRecord) {
 	if r == nil || r.final() {
 		return
 	}
-	if multi(r) {
+	if isGang(r) {
 		c.startGang(r)
 		return
 	}
@@ -239,23 +240,23 @@
 	// at a time is plenty, and 100,000 would fill lines and messages.
 	under, full := 0, false
 	for _, p := range r.pages {
-		base := p.num * c.pageTasks()
-		for j := 0; j < len(p.tasks) && p.pending > 0 && under < pagesAtOnce*c.pageTasks(); j++ {
+		base := p.number * c.tasksPerPage()
+		for j := 0; j < len(p.tasks) && p.pending > 0 && under < maxPagesInFlight*c.tasksPerPage(); j++ {
 			if p.tasks[j].Phase != job.Pending {
 				continue
 			}
 			under++
 			i := base + j
-			if r.waiting[i] != nil || c.now < r.placed[i] || !c.placeable(r, i) {
+			if r.queuedByIndex[i] != nil || c.now < r.dispatchAfter[i] || !c.placeable(r, i) {
 				continue
 			}
 			if !full { // the job's tasks are alike: what does not fit one fits none
-				m := c.pop(r) // step 2
-				if m != nil && (c.clearWarm(r, i, m) || c.data.elsewhere(r, i, m)) {
+				m := c.pickIdleMachine(r) // step 2
+				if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
 					continue
 				}
 				if m != nil {
-					c.assign(r, i, m)
+					c.placeTask(r, i, m)
 					continue
 				}
 				full = true
@@ -270,7 +271,7 @@
 // published list length; if none has entries, one more random controller
 // takes the task unchecked. Many tasks of one job are drawn for in as many
 // parts as there are controllers, not one by one.
-func (c *Core) probe(r *record, tasks []int) {
+func (c *Core) probe(r *jobRecord, tasks []int) {
 	for parts := 1 + len(c.members); len(tasks) > 0; parts-- {
 		n := (len(tasks) + parts - 1) / max(1, parts)
 		c.probeFor(r, tasks[:n])
@@ -278,7 +279,7 @@
 	}
 }
 
-func (c *Core) probeFor(r *record, tasks []int) {
+func (c *Core) probeFor(r *jobRecord, tasks []int) {
 	var peers []string
 	for _, p := range c.cfg.Peers {
 		if c.members[p.Node] != nil {
@@ -286,11 +287,11 @@
 		}
 	}
 	sort.Strings(peers)
-	c.rnd.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	to := ""
 	checked := 0
 	for checked < len(peers) && checked < c.cfg.Operator.Probes-2 {
-		if m := c.members[peers[checked]]; m.Idle > 0 {
+		if m := c.members[peers[checked]]; m.IdleMachines > 0 {
 			to = peers[checked]
 			break
 		}
@@ -310,34 +311,34 @@
 	}
 	again := c.now + 2*c.cfg.Operator.PublishInterval
 	for _, i := range tasks {
-		r.place(i, again)
+		r.deferDispatch(i, again)
 	}
-	c.Stats.Forwards += uint64(len(tasks))
+	c.Stats.Handoffs += uint64(len(tasks))
 	for len(tasks) > 0 {
 		n := min(len(tasks), 1024)
-		c.out.Sends = append(c.out.Sends, Send{to, Message{Forward: &Forward{r.spec.ID, tasks[:n]}}})
+		c.effects.Sends = append(c.effects.Sends, Outgoing{to, peer.Message{Handoff: &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}}})
 		tasks = tasks[n:]
 	}
 }
 
 // place notes that a task is on its way and not to be dispatched before.
-func (r *record) place(i int, until time.Duration) {
-	if r.placed == nil {
-		r.placed = map[int]time.Duration{}
+func (r *jobRecord) deferDispatch(i int, until time.Duration) {
+	if r.dispatchAfter == nil {
+		r.dispatchAfter = map[int]time.Duration{}
 	}
-	r.placed[i] = until
+	r.dispatchAfter[i] = until
 }
 
 // receive takes tasks from a peer: pop, or else a line. What no machine here
 // could hold goes back.
-func (c *Core) receive(from string, f *Forward) {
+func (c *Core) receiveHandoff(from string, f *peer.TaskHandoff) {
 	r := c.jobs[f.Job]
 	if r == nil {
 		// Guards against a mirror that lags: a peer's message is often faster
 		// than the watch that brings a new job. Tasks that were dropped here
 		// waited until their sender tried again.
-		if len(c.early) < maxEarly {
-			c.early[f.Job] = append(c.early[f.Job], early{from, f, c.now})
+		if len(c.earlyHandoffs) < maxEarlyHandoffs {
+			c.earlyHandoffs[f.Job] = append(c.earlyHandoffs[f.Job], earlyHandoff{from, f, c.now})
 		}
 		return
 	}
@@ -350,105 +351,105 @@
 			continue
 		}
 		if len(left) == 0 { // else nothing here fits the job
-			m := c.pop(r)
-			if m != nil && (c.clearWarm(r, i, m) || c.data.elsewhere(r, i, m)) {
+			m := c.pickIdleMachine(r)
+			if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
 				continue
 			}
 			if m != nil {
-				c.assign(r, i, m)
+				c.placeTask(r, i, m)
 				continue
 			}
 		}
 		left = append(left, i)
 	}
-	if len(left) > 0 && c.holder(r) == nil {
-		c.out.Sends = append(c.out.Sends, Send{from, Message{Return: &Forward{f.Job, left}}})
+	if len(left) > 0 && c.machineThatCouldHold(r) == nil {
+		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: &peer.TaskHandoff{Job: f.Job, Tasks: left}}})
 		return
 	}
 	c.enqueue(r, left, c.now+3*c.cfg.Operator.PublishInterval)
 }
 
 // early is a hand-over of a job that the mirror does not hold yet.
-type early struct {
-	from string
-	f    *Forward
-	at   time.Duration
+type earlyHandoff struct {
+	from    string
+	handoff *peer.TaskHandoff
+	at      time.Duration
 }
 
 // maxEarly bounds the jobs of which such hand-overs are kept.
-const maxEarly = 256
+const maxEarlyHandoffs = 256
 
 // receiveEarly takes what was handed over before the job's record came, unless
 // the sender has given it to somebody else by now.
-func (c *Core) receiveEarly(id string) {
-	waiting := c.early[id]
-	delete(c.early, id)
+func (c *Core) replayEarlyHandoffs(id string) {
+	waiting := c.earlyHandoffs[id]
+	delete(c.earlyHandoffs, id)
 	for _, e := range waiting {
-		if c.now-e.at < c.cfg.Operator.PublishInterval && c.store.Loaded() {
-			c.receive(e.from, e.f)
+		if c.now-e.at < c.cfg.Operator.PublishInterval && c.state.Loaded() {
+			c.receiveHandoff(e.from, e.handoff)
 		}
 	}
 }
 
 // returned takes back tasks that a peer has no machine for.
-func (c *Core) returned(f *Forward) {
+func (c *Core) handoffReturned(f *peer.TaskHandoff) {
 	r := c.jobs[f.Job]
 	if r == nil || r.final() {
 		return
 	}
 	for _, i := range f.Tasks {
-		if _, away := r.placed[i]; away {
-			r.place(i, c.now+seconds(c.cfg.Facts.Workers.Report/4))
+		if _, away := r.dispatchAfter[i]; away {
+			r.deferDispatch(i, c.now+seconds(c.cfg.Facts.Workers.Report/4))
 		}
 	}
 }
 
 // enqueue binds tasks to the line of a random machine of ours that could hold
 // them.
-func (c *Core) enqueue(r *record, tasks []int, until time.Duration) {
+func (c *Core) enqueue(r *jobRecord, tasks []int, until time.Duration) {
 	if len(tasks) == 0 {
 		return
 	}
 	for _, i := range tasks {
-		if w := r.waiting[i]; w != nil {
-			w.until = max(w.until, until)
+		if w := r.queuedByIndex[i]; w != nil {
+			w.expiresAt = max(w.expiresAt, until)
 			continue
 		}
-		w := &waiter{key: taskKey{r.spec.ID, i}, until: until}
-		if m := c.holder(r); m != nil {
+		w := &queuedTask{key: taskKey{r.spec.ID, i}, expiresAt: until}
+		if m := c.machineThatCouldHold(r); m != nil {
 			w.machine = m.id
 		} else if until > 0 {
 			return // nothing here could hold it
 		}
-		c.wait(r, w)
+		c.enqueueTask(r, w)
 	}
 }
 
 // wait puts a task into a line.
-func (c *Core) wait(r *record, w *waiter) {
+func (c *Core) enqueueTask(r *jobRecord, w *queuedTask) {
 	i := w.key.index
-	if r.waiting == nil {
-		r.waiting = map[int]*waiter{}
+	if r.queuedByIndex == nil {
+		r.queuedByIndex = map[int]*queuedTask{}
 	}
-	r.waiting[i] = w
-	c.lined++
-	at := sort.Search(len(r.line), func(j int) bool { return r.line[j].key.index > i })
-	r.line = slices.Insert(r.line, at, w)
-	if len(r.line) == 1 {
-		at := sort.Search(len(c.lines), func(j int) bool { return sooner(r, c.lines[j]) })
-		c.lines = slices.Insert(c.lines, at, r)
+	r.queuedByIndex[i] = w
+	c.queuedTasks++
+	at := sort.Search(len(r.queue), func(j int) bool { return r.queue[j].key.index > i })
+	r.queue = slices.Insert(r.queue, at, w)
+	if len(r.queue) == 1 {
+		at := sort.Search(len(c.queuedJobs), func(j int) bool { return runsBefore(r, c.queuedJobs[j]) })
+		c.queuedJobs = slices.Insert(c.queuedJobs, at, r)
 	}
 }
 
 // holder is a random machine of ours that could hold a job's task: the first
 // such from a random one on.
-func (c *Core) holder(r *record) *machine {
-	if len(c.ours) == 0 {
+func (c *Core) machineThatCouldHold(r *jobRecord) *machine {
+	if len(c.ownMachines) == 0 {
 		return nil
 	}
-	start := c.rnd.IntN(len(c.ours))
-	for i := range c.ours {
-		if m := c.ours[(start+i)%len(c.ours)]; !c.barred(m) && c.couldHold(r, m) {
+	start := c.random.IntN(len(c.ownMachines))
+	for i := range c.ownMachines {
+		if m := c.ownMachines[(start+i)%len(c.ownMachines)]; !c.unschedulable(m) && c.couldHold(r, m) {
 			return m
 		}
 	}
@@ -458,18 +459,18 @@
 // sooner orders the lines. Exception "urgency": the design's line is first-in
 // first-out; here a higher priority goes first, and within it the job whose
 // turn comes earlier.
-func sooner(x, y *record) bool { return turnOrder(x, y) < 0 }
+func runsBefore(x, y *jobRecord) bool { return compareUrgency(x, y) < 0 }
 
-func turnOrder(x, y *record) int {
+func compareUrgency(x, y *jobRecord) int {
 	switch {
 	case x.spec.Priority != y.spec.Priority:
 		return cmp.Compare(y.spec.Priority, x.spec.Priority)
-	case x.entitled != y.entitled && x.entitled:
+	case x.withinGuarantee != y.withinGuarantee && x.withinGuarantee:
 		return -1
-	case x.entitled != y.entitled:
+	case x.withinGuarantee != y.withinGuarantee:
 		return 1
-	case x.turn != y.turn:
-		return cmp.Compare(x.turn, y.turn)
+	case x.latestStart != y.latestStart:
+		return cmp.Compare(x.latestStart, y.latestStart)
 	}
 	return older(x, y)
 }
@@ -481,21 +482,21 @@
 // ones. A job that is late already lets those go first that can still be in
 // time. Time passes for all alike, so no job waits for ever.
 // The unfinished jobs are then in c.turns, most urgent first.
-func (c *Core) updateTurns() {
-	if c.summedAt == 0 || c.now-c.summedAt > seconds(c.cfg.Facts.Workers.Report) {
-		c.capacity, c.summedAt = usage{}, c.now
+func (c *Core) updateJobOrder() {
+	if c.capacityAt == 0 || c.now-c.capacityAt > seconds(c.cfg.Facts.Workers.Report) {
+		c.capacity, c.capacityAt = usage{}, c.now
 		for _, m := range c.machines {
-			if m.stamp != 0 {
-				f := c.kind(m)
+			if m.token != 0 {
+				f := c.machineTypeOf(m)
 				c.capacity = usage{c.capacity.CPUs + f.CPUs, c.capacity.GPUs + f.GPUs}
 			}
 		}
 	}
 	for _, tm := range c.teams {
-		tm.need = usage{}
+		tm.demand = usage{}
 	}
-	now := float64(c.wall.UnixMilli()) / 1000
-	for _, r := range c.byAge {
+	now := float64(c.wallTime.UnixMilli()) / 1000
+	for _, r := range c.jobsByAge {
 		if r.final() {
 			continue // by a peer's word, see vouched
 		}
@@ -503,8 +504,8 @@
 		// borrow, at the same priority.
 		s := r.spec
 		if tm := c.teams[s.Team]; tm != nil {
-			tm.need = tm.need.plus(s, float64(s.Tasks-r.finished))
-			r.entitled = tm.guarantees(tm.need)
+			tm.demand = tm.demand.plus(s, float64(s.Tasks-r.finished))
+			r.withinGuarantee = tm.withinGuarantee(tm.demand)
 		}
 		left := float64(s.Tasks-r.finished-r.bound) * s.EstimateS
 		share := 0.0
@@ -513,26 +514,26 @@
 		} else if c.capacity.CPUs > 0 {
 			share = left * s.CPUs / c.capacity.CPUs
 		}
-		last := float64(r.at)/1000 + r.due - s.EstimateS
-		r.turn = last + sizeWeight*share
+		last := float64(r.submittedAtMS)/1000 + r.targetDuration - s.EstimateS
+		r.latestStart = last + jobSizeWeight*share
 		if now > last {
-			r.turn += r.due
+			r.latestStart += r.targetDuration
 		}
 		// Guards against the largest jobs, which wait for smaller ones, and jobs that are late, which let those go
 		// first that can still be in time: where work keeps coming, neither would begin. One
 		// task is what this takes ahead of its turn, as a job that has begun has its usual turn again.
-		if r.last == 0 && now-float64(r.at)/1000 > c.cfg.Operator.BeginWithin.Seconds() {
-			r.turn = float64(r.at)/1000 - overdue
+		if r.lastAttempt == 0 && now-float64(r.submittedAtMS)/1000 > c.cfg.Operator.BeginWithin.Seconds() {
+			r.latestStart = float64(r.submittedAtMS)/1000 - overdue
 		}
 	}
 	// Few jobs change places from one time to the next, which the sort makes
 	// use of.
-	c.turns = append(c.turns, c.opened...)
-	clear(c.opened)
-	c.opened = c.opened[:0]
-	c.turns = slices.DeleteFunc(c.turns, (*record).final)
-	slices.SortFunc(c.turns, turnOrder)
-	c.saveForGangs()
+	c.jobsByUrgency = append(c.jobsByUrgency, c.newJobs...)
+	clear(c.newJobs)
+	c.newJobs = c.newJobs[:0]
+	c.jobsByUrgency = slices.DeleteFunc(c.jobsByUrgency, (*jobRecord).final)
+	slices.SortFunc(c.jobsByUrgency, compareUrgency)
+	c.saveQuotaForGangs()
 }
 
 // overdue is how far ahead of all others a job goes that has not begun for too long, in seconds: further than any turn is
@@ -546,53 +547,53 @@
 //
 // Nobody shall wait beside room for long, and it may be machines that the gang lacks: so the limit is saved for a share of the time
 // in which jobs are to begin, then not for as long, and after that twice, four times as long.
-func (c *Core) saveForGangs() {
-	saved, stays := map[*record]bool{}, map[*team]usage{}
+func (c *Core) saveQuotaForGangs() {
+	saved, stays := map[*jobRecord]bool{}, map[*team]usage{}
 	for _, tm := range c.teams {
-		saved[tm.saves], tm.saves = true, nil
+		saved[tm.savingFor], tm.savingFor = true, nil
 	}
-	for _, r := range c.turns {
+	for _, r := range c.jobsByUrgency {
 		if tm := c.teams[r.spec.Team]; tm != nil && r.spec.Shape == job.Service {
 			stays[tm] = stays[tm].plus(r.spec, float64(r.bound))
 		}
 	}
-	now, within := float64(c.wall.UnixMilli())/1000, c.cfg.Operator.BeginWithin.Seconds()
-	for _, r := range c.turns {
+	now, within := float64(c.wallTime.UnixMilli())/1000, c.cfg.Operator.BeginWithin.Seconds()
+	for _, r := range c.jobsByUrgency {
 		tm := c.teams[r.spec.Team]
-		if tm == nil || tm.saves != nil || !limited(tm) || !multi(r) || r.bound > 0 || len(r.held) > 0 || c.paused(r) {
+		if tm == nil || tm.savingFor != nil || !hasQuota(tm) || !isGang(r) || r.bound > 0 || len(r.reservations) > 0 || c.paused(r) {
 			continue
 		}
-		waits := (now-float64(r.at)/1000-within)/(savingShare*within) + 2 // its turn comes first from 2 on
+		waits := (now-float64(r.submittedAtMS)/1000-within)/(quotaSavingShare*within) + 2 // its turn comes first from 2 on
 		if waits < 2 || waits-math.Exp2(math.Floor(math.Log2(waits))) > 1 {
 			continue
 		}
 		n := float64(r.spec.Tasks)
 		// Once it has been saved for, until it has begun: others were placed in the moment in which it could begin.
-		if (saved[r] || !tm.within(tm.use.plus(r.spec, n))) && tm.within(stays[tm].plus(r.spec, n)) {
-			tm.saves = r
+		if (saved[r] || !tm.withinLimit(tm.charged.plus(r.spec, n))) && tm.withinLimit(stays[tm].plus(r.spec, n)) {
+			tm.savingFor = r
 		}
 	}
 }
 
 // savingShare is how long the limit is saved for a gang, as a share of the time in which jobs are to begin.
-const savingShare = 0.4
+const quotaSavingShare = 0.4
 
 // leaves tells whether a use that comes of placing a task of a job is within the team's limit, beside what is saved for a gang that
 // goes before it.
-func (t *team) leaves(r *record, u usage) bool {
-	if s := t.saves; s != nil && s != r && turnOrder(s, r) < 0 {
+func (t *team) leavesQuotaFor(r *jobRecord, u usage) bool {
+	if s := t.savingFor; s != nil && s != r && compareUrgency(s, r) < 0 {
 		u = u.plus(s.spec, float64(s.spec.Tasks))
 	}
-	return t.within(u)
+	return t.withinLimit(u)
 }
 
 // sizeWeight is how much longer than its share of the fleet's time a job
 // waits for smaller ones.
-const sizeWeight = 8
+const jobSizeWeight = 8
 
 // within is the time a job has to finish: its deadline, or the tightest aim of
 // its class, or the loosest of all.
-func (c *Core) within(s *job.Spec) float64 {
+func (c *Core) targetDuration(s *job.Spec) float64 {
 	if s.DeadlineS != nil {
 		return *s.DeadlineS
 	}
@@ -609,36 +610,36 @@
 	return loose
 }
 
-func (c *Core) unline(r *record, index int) {
-	if r.waiting[index] == nil {
+func (c *Core) dequeueTask(r *jobRecord, index int) {
+	if r.queuedByIndex[index] == nil {
 		return
 	}
-	delete(r.waiting, index)
-	c.lined--
-	at := sort.Search(len(r.line), func(j int) bool { return r.line[j].key.index >= index })
-	r.line = slices.Delete(r.line, at, at+1)
-	if len(r.line) > 0 {
+	delete(r.queuedByIndex, index)
+	c.queuedTasks--
+	at := sort.Search(len(r.queue), func(j int) bool { return r.queue[j].key.index >= index })
+	r.queue = slices.Delete(r.queue, at, at+1)
+	if len(r.queue) > 0 {
 		return
 	}
-	r.line, r.waiting = nil, nil
-	if at := slices.Index(c.lines, r); at >= 0 {
-		c.lines = slices.Delete(c.lines, at, at+1)
+	r.queue, r.queuedByIndex = nil, nil
+	if at := slices.Index(c.queuedJobs, r); at >= 0 {
+		c.queuedJobs = slices.Delete(c.queuedJobs, at, at+1)
 	}
 }
 
 // drawLine is step 5: a joining machine takes the oldest tasks it can hold,
 // from its own line or another's.
-func (c *Core) drawLine(m *machine) {
-	for i := 0; i < len(c.lines) && c.hasRoom(m); {
-		r := c.lines[i]
+func (c *Core) placeQueuedTasks(m *machine) {
+	for i := 0; i < len(c.queuedJobs) && c.hasRoom(m); {
+		r := c.queuedJobs[i]
 		for c.fits(r, m) {
-			at := slices.IndexFunc(r.line, func(w *waiter) bool { return c.placeable(r, w.key.index) })
-			if at < 0 || c.data.elsewhere(r, r.line[at].key.index, m) {
+			at := slices.IndexFunc(r.queue, func(w *queuedTask) bool { return c.placeable(r, w.key.index) })
+			if at < 0 || c.staging.waitsForWarmMachine(r, r.queue[at].key.index, m) {
 				break
 			}
-			c.assign(r, r.line[at].key.index, m) // takes it out of the line
+			c.placeTask(r, r.queue[at].key.index, m) // takes it out of the line
 		}
-		if i < len(c.lines) && c.lines[i] == r {
+		if i < len(c.queuedJobs) && c.queuedJobs[i] == r {
 			i++
 		}
 	}
@@ -647,42 +648,42 @@
 // schedule sends every pending task that is ours to look after on its way
 // again, and clears the lines of what has been placed or is over.
 func (c *Core) schedule() {
-	slices.SortStableFunc(c.lines, turnOrder)
-	for _, r := range slices.Clone(c.lines) {
-		for _, w := range slices.Clone(r.line) {
-			if r.final() || r.task(c, w.key.index).Phase != job.Pending || (w.until > 0 && c.now > w.until) {
-				c.unline(r, w.key.index)
+	slices.SortStableFunc(c.queuedJobs, compareUrgency)
+	for _, r := range slices.Clone(c.queuedJobs) {
+		for _, w := range slices.Clone(r.queue) {
+			if r.final() || r.task(c, w.key.index).Phase != job.Pending || (w.expiresAt > 0 && c.now > w.expiresAt) {
+				c.dequeueTask(r, w.key.index)
 			}
 		}
 	}
-	if len(c.lines) > 0 {
-		for _, m := range slices.Clone(c.idle) {
-			if !c.barred(m) {
-				c.drawLine(m)
+	if len(c.queuedJobs) > 0 {
+		for _, m := range slices.Clone(c.idleMachines) {
+			if !c.unschedulable(m) {
+				c.placeQueuedTasks(m)
 			}
 		}
 	}
-	c.markGang(c.turns)
-	for _, r := range c.turns {
+	c.updateGangReservation(c.jobsByUrgency)
+	for _, r := range c.jobsByUrgency {
 		switch {
 		case r.finished == r.spec.Tasks:
-			c.conclude(r)
-		case r.bound+r.finished+len(r.held) < r.spec.Tasks && c.successor(r.home) == c.cfg.Node:
+			c.completeJob(r)
+		case r.bound+r.finished+len(r.reservations) < r.spec.Tasks && c.responsibleController(r.owner) == c.cfg.Node:
 			c.dispatchJob(r)
 		}
 	}
 	// Our own line's tasks look elsewhere again after a while: machines may
 	// have become free at other controllers.
-	for _, r := range slices.Clone(c.lines) {
+	for _, r := range slices.Clone(c.queuedJobs) {
 		var again []int
-		for _, w := range r.line {
-			if w.until == 0 && c.now >= w.stopped && c.now >= r.placed[w.key.index]+c.cfg.Operator.PublishInterval {
+		for _, w := range r.queue {
+			if w.expiresAt == 0 && c.now >= w.nextPreemptionAt && c.now >= r.dispatchAfter[w.key.index]+c.cfg.Operator.PublishInterval {
 				again = append(again, w.key.index)
 			}
 		}
 		for _, i := range again {
-			r.place(i, c.now)
-			c.unline(r, i)
+			r.deferDispatch(i, c.now)
+			c.dequeueTask(r, i)
 		}
 		c.probe(r, again)
 	}
@@ -701,11 +702,11 @@
 
 // again looks for a new place for a task that was stopped or lost, at once
 // and here; failing that, its job's keeper sends it on its way.
-func (c *Core) again(r *record, index int) {
-	if multi(r) || !c.placeable(r, index) {
+func (c *Core) requeueTask(r *jobRecord, index int) {
+	if isGang(r) || !c.placeable(r, index) {
 		return
 	}
-	if m := c.pop(r); m != nil && !c.clearWarm(r, index, m) {
-		c.assign(r, index, m)
+	if m := c.pickIdleMachine(r); m != nil && !c.preemptOnWarmMachine(r, index, m) {
+		c.placeTask(r, index, m)
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -16,15 +16,15 @@
 
 // preempt looks for room for the waiters that nothing free can hold.
 func (c *Core) preempt() {
-	for _, r := range c.lines {
-		if r.spec.Priority <= job.Low || multi(r) {
+	for _, r := range c.queuedJobs {
+		if r.spec.Priority <= job.Low || isGang(r) {
 			continue
 		}
-		for _, w := range r.line {
-			if c.now < w.stopped || !c.placeable(r, w.key.index) {
+		for _, w := range r.queue {
+			if c.now < w.nextPreemptionAt || !c.placeable(r, w.key.index) {
 				continue
 			}
-			m, victims := c.victims(r, false)
+			m, victims := c.cheapestVictims(r, false)
 			if m == nil && r.task(c, w.key.index).Attempt > 0 {
 				m, victims = c.gangVictims(r) // it ran before
 			}
@@ -35,62 +35,62 @@
 		}
 	}
 	for _, name := range sortedKeys(c.teams) {
-		c.preemptForLimit(c.teams[name])
+		c.preemptForQuota(c.teams[name])
 	}
 }
 
 // stopLimit is why a task is stopped whose team's limit is saved for a gang.
-const stopLimit = "preempted for its team's limit"
+const preemptedForQuota = "preempted for its team's limit"
 
 // preemptForLimit stops a task of lower priority of the team whose limit is saved for a gang, the one that loses least. Only one at a
 // time: every controller does so, and each learns from the records what the others have done.
-func (c *Core) preemptForLimit(tm *team) {
-	r := tm.saves
-	if r == nil || tm.within(tm.use.plus(r.spec, float64(r.spec.Tasks))) {
+func (c *Core) preemptForQuota(tm *team) {
+	r := tm.savingFor
+	if r == nil || tm.withinLimit(tm.charged.plus(r.spec, float64(r.spec.Tasks))) {
 		return
 	}
 	var best *machine
 	var victim taskKey
 	cost, seen := 0.0, 0
-	start := c.rnd.IntN(max(1, len(c.ours)))
-	for i := 0; i < len(c.ours) && seen < compared; i++ {
-		m := c.ours[(start+i)%len(c.ours)]
+	start := c.random.IntN(max(1, len(c.ownMachines)))
+	for i := 0; i < len(c.ownMachines) && seen < maxCandidates; i++ {
+		m := c.ownMachines[(start+i)%len(c.ownMachines)]
 		for k, s := range m.stops {
-			if v := m.bound[k]; s.why == stopLimit && v != nil && v.spec.Team == r.spec.Team {
+			if v := m.bound[k]; s.reason == preemptedForQuota && v != nil && v.spec.Team == r.spec.Team {
 				return
 			}
 		}
-		if len(m.bound) == m.services || len(m.stops) > 0 || !m.shown || m.released {
+		if len(m.bound) == m.services || len(m.stops) > 0 || !m.tokenSeen || m.leaseExpired {
 			continue
 		}
 		seen++
 		for _, k := range m.tasks() {
 			v := m.bound[k]
-			if v.spec.Team != r.spec.Team || v.spec.Priority >= r.spec.Priority || multi(v) || v.final() || m.gone[k] != nil {
+			if v.spec.Team != r.spec.Team || v.spec.Priority >= r.spec.Priority || isGang(v) || v.final() || m.vacated[k] != nil {
 				continue
 			}
-			if loss := c.lossOf(m, k, v); best == nil || loss < cost {
+			if loss := c.lostWork(m, k, v); best == nil || loss < cost {
 				best, victim, cost = m, k, loss
 			}
 		}
 	}
 	if best != nil {
-		c.stop(best, victim, stopLimit)
+		c.stopTask(best, victim, preemptedForQuota)
 		c.Stats.Preemptions++
 	}
 }
 
 // preemptOn stops tasks on a machine for a waiter. Their exits are reported at
 // once; should that fail, another machine is tried after a report period.
-func (c *Core) preemptOn(r *record, w *waiter, m *machine, victims []taskKey) {
-	w.stopped = c.now + seconds(c.cfg.Facts.Workers.Report)
-	m.keep(r.spec.ID, w.stopped, "")
+func (c *Core) preemptOn(r *jobRecord, w *queuedTask, m *machine, victims []taskKey) {
+	w.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Report)
+	m.reserveRoom(r.spec.ID, w.nextPreemptionAt, "")
 	for _, k := range victims {
 		why := "preempted"
-		if multi(m.bound[k]) {
-			why = stopGang
+		if isGang(m.bound[k]) {
+			why = preemptedGang
 		}
-		c.stop(m, k, why)
+		c.stopTask(m, k, why)
 		c.Stats.Preemptions++
 	}
 	c.log.Debug("preempting", "for", r.spec.ID, "stoker", m.id, "victims", len(victims))
@@ -100,17 +100,17 @@
 // of the machine popped for it, where the image would first have to be fetched.
 // Exception "warm room for services": what must never be down is worth more
 // than the few seconds of lower work that this loses.
-func (c *Core) clearWarm(r *record, index int, popped *machine) bool {
-	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.waiting[index] != nil ||
+func (c *Core) preemptOnWarmMachine(r *jobRecord, index int, popped *machine) bool {
+	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.queuedByIndex[index] != nil ||
 		c.fetchTime(r.spec, popped) <= c.cfg.Facts.Workers.Report/2 {
 		return false
 	}
-	m, victims := c.victims(r, true)
+	m, victims := c.cheapestVictims(r, true)
 	if m == nil {
 		return false
 	}
-	w := &waiter{key: taskKey{r.spec.ID, index}, machine: m.id}
-	c.wait(r, w)
+	w := &queuedTask{key: taskKey{r.spec.ID, index}, machine: m.id}
+	c.enqueueTask(r, w)
 	c.preemptOn(r, w, m, victims)
 	return true
 }
@@ -118,20 +118,20 @@
 // victims finds the machine where room for the task costs least, among the
 // first that will do from a random one on, and what to stop there. With warm,
 // only machines that have the image will do.
-func (c *Core) victims(r *record, warm bool) (*machine, []taskKey) {
+func (c *Core) cheapestVictims(r *jobRecord, warm bool) (*machine, []taskKey) {
 	var best *machine
 	var bestSet []taskKey
 	bestCost := 0.0
-	var bestRank rank
+	var bestRank placementRank
 	seen := 0
-	start := c.rnd.IntN(max(1, len(c.ours)))
-	for i := 0; i < len(c.ours) && seen < compared; i++ {
-		m := c.ours[(start+i)%len(c.ours)]
+	start := c.random.IntN(max(1, len(c.ownMachines)))
+	for i := 0; i < len(c.ownMachines) && seen < maxCandidates; i++ {
+		m := c.ownMachines[(start+i)%len(c.ownMachines)]
 		lower := 0
 		for p := job.Low; p < r.spec.Priority; p++ {
-			lower += m.levels[p]
+			lower += m.boundByPriority[p]
 		}
-		if lower == 0 || len(m.stops) > 0 || c.now < m.holdTill || c.barred(m) || !c.couldHold(r, m) || !c.zoneOK(r, m.claim.Zone) {
+		if lower == 0 || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
 		if warm && c.fetchTime(r.spec, m) > 0 {
@@ -143,9 +143,9 @@
 		}
 		seen++
 		cost += c.fetchTime(r.spec, m)
-		k := rank{}
+		k := placementRank{}
 		if r.spec.Shape == job.Service {
-			k = c.rank(r, m)
+			k = c.rankMachine(r, m)
 		}
 		if best == nil || k.before(bestRank) || (k == bestRank && cost < bestCost) {
 			best, bestSet, bestCost, bestRank = m, set, cost, k
@@ -161,13 +161,13 @@
 // Elsewhere gangs are not stopped, as one task's end ends them all. One at a time:
 // the room of a whole machine, and soon that of the gang's others, serves several
 // that wait.
-func (c *Core) gangVictims(r *record) (*machine, []taskKey) {
+func (c *Core) gangVictims(r *jobRecord) (*machine, []taskKey) {
 	if r.spec.Priority < job.Production {
 		return nil, nil
 	}
-	for _, m := range c.ours {
+	for _, m := range c.ownMachines {
 		for _, s := range m.stops {
-			if s.why == stopGang {
+			if s.reason == preemptedGang {
 				return nil, nil
 			}
 		}
@@ -176,10 +176,10 @@
 	var bestSet []taskKey
 	bestCost := 0.0
 	seen := 0
-	start := c.rnd.IntN(max(1, len(c.ours)))
-	for i := 0; i < len(c.ours) && seen < compared; i++ {
-		m := c.ours[(start+i)%len(c.ours)]
-		if len(m.bound) == m.services || len(m.stops) > 0 || c.now < m.holdTill || c.barred(m) || !c.couldHold(r, m) || !c.zoneOK(r, m.claim.Zone) {
+	start := c.random.IntN(max(1, len(c.ownMachines)))
+	for i := 0; i < len(c.ownMachines) && seen < maxCandidates; i++ {
+		m := c.ownMachines[(start+i)%len(c.ownMachines)]
+		if len(m.bound) == m.services || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
 		set, cost, ok := c.evict(r, m, true)
@@ -197,19 +197,19 @@
 // evict picks the tasks of lower priority to stop on a machine, cheapest
 // first, and tells what work that loses in seconds of task time. With gangs, those
 // of several tasks may be among them.
-func (c *Core) evict(r *record, m *machine, gangs bool) (set []taskKey, cost float64, ok bool) {
+func (c *Core) evict(r *jobRecord, m *machine, gangs bool) (set []taskKey, cost float64, ok bool) {
 	type victim struct {
 		k    taskKey
-		rec  *record
+		rec  *jobRecord
 		cost float64
 	}
 	var all []victim
 	for k, v := range m.bound {
-		if v.spec.Priority >= r.spec.Priority || multi(v) && !gangs || v.final() || m.gone[k] != nil {
+		if v.spec.Priority >= r.spec.Priority || isGang(v) && !gangs || v.final() || m.vacated[k] != nil {
 			continue
 		}
-		cost := c.lossOf(m, k, v)
-		if multi(v) {
+		cost := c.lostWork(m, k, v)
+		if isGang(v) {
 			cost *= float64(v.spec.Tasks)
 		}
 		all = append(all, victim{k, v, cost})
@@ -217,7 +217,7 @@
 	slices.SortFunc(all, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.rec.spec.Priority, b.rec.spec.Priority), cmp.Compare(a.cost, b.cost), a.k.compare(b.k))
 	})
-	f := c.kind(m)
+	f := c.machineTypeOf(m)
 	s := r.spec
 	cpus, gpus, ram := m.cpus, m.gpus, m.ram
 	for _, v := range all {
@@ -233,8 +233,8 @@
 
 // lossOf is the work that stopping a task loses: what it has done since its
 // start or its last checkpoint.
-func (c *Core) lossOf(m *machine, k taskKey, r *record) float64 {
-	at, ok := m.begun[k]
+func (c *Core) lostWork(m *machine, k taskKey, r *jobRecord) float64 {
+	at, ok := m.runningSince[k]
 	if !ok {
 		return 0
 	}
@@ -248,19 +248,19 @@
 // fetchTime is how long a task would wait for its image and its inputs on a
 // machine, in seconds. Fetches of images under way share the machine's rate.
 func (c *Core) fetchTime(s *job.Spec, m *machine) float64 {
-	return max(c.imageTime(s, m), c.data.wait(s, m))
+	return max(c.imageTime(s, m), c.staging.wait(s, m))
 }
 
 func (c *Core) imageTime(s *job.Spec, m *machine) float64 {
-	f := c.kind(m)
-	if at, ok := m.images[s.Image]; ok {
+	f := c.machineTypeOf(m)
+	if at, ok := m.imageReadyAt[s.Image]; ok {
 		return max(0, (at - c.now).Seconds())
 	}
 	if f.ImagePullGBPerS <= 0 {
 		return 0
 	}
 	busy := 1.0
-	for _, at := range m.images {
+	for _, at := range m.imageReadyAt {
 		if at > c.now {
 			busy++
 		}
@@ -270,44 +270,44 @@
 
 // fetching notes that a machine will have an image, and when.
 func (c *Core) fetching(m *machine, s *job.Spec) {
-	if _, ok := m.images[s.Image]; !ok {
-		m.images[s.Image] = c.now + seconds(c.imageTime(s, m))
+	if _, ok := m.imageReadyAt[s.Image]; !ok {
+		m.imageReadyAt[s.Image] = c.now + seconds(c.imageTime(s, m))
 	}
 }
 
 // stopGang is why a task is stopped that takes its gang with it.
-const stopGang = "preempted with its gang"
+const preemptedGang = "preempted with its gang"
 
 // stop tells a worker to stop a task, directly and with every answer until it
 // has. A stop that is carried out late does no harm: it names the attempt.
-func (c *Core) stop(m *machine, k taskKey, why string) {
+func (c *Core) stopTask(m *machine, k taskKey, why string) {
 	rec := m.bound[k]
-	if rec == nil || !c.mine(m) {
+	if rec == nil || !c.isOwn(m) {
 		return
 	}
 	t := rec.task(c, k.index)
 	grace := 0.0
-	if rec.spec.CheckpointIntervalS > 0 && !multi(rec) { // a gang saves when all are told in time
+	if rec.spec.CheckpointIntervalS > 0 && !isGang(rec) { // a gang saves when all are told in time
 		grace = rec.spec.CheckpointSaveS * 2
 	}
-	m.stops[k] = stop{grace, why, c.now}
-	c.kill(m, kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Attempt}, grace))
+	m.stops[k] = taskStop{grace, why, c.now}
+	c.killNow(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
 }
 
 // kill tells a worker directly to stop attempts.
-func (c *Core) kill(m *machine, orders ...protocol.Command) {
-	if m.claim.Address == "" || !m.shown {
+func (c *Core) killNow(m *machine, orders ...protocol.Command) {
+	if m.claim.Address == "" || !m.tokenSeen {
 		return
 	}
-	token := m.stamp
-	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.session, Commands: orders})
+	token := m.token
+	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: orders})
 	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodPost, Path: protocol.PathCommands,
-		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.observe(m, token, r) })
+		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.handleStatus(m, token, r) })
 }
 
 // forestall stops what a cancelled job has on machines of ours and what has not begun yet, as far as we know: no
 // task may start from the answer to the user on. What runs is stopped with the next reports' answers.
-func (c *Core) forestall(r *record) {
+func (c *Core) stopTasksOf(r *jobRecord) {
 	if r.status != job.Cancelled || r.bound == 0 {
 		return
 	}
@@ -318,32 +318,32 @@
 			if t.Phase != job.Bound {
 				continue
 			}
-			k := taskKey{p.id, p.num*c.pageTasks() + i}
-			if m := c.machines[t.Machine]; m != nil && c.mine(m) && t.Epoch == m.session && m.begun[k] == 0 {
-				orders[m.id] = append(orders[m.id], kill(&protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: t.Attempt}, 0))
+			k := taskKey{p.jobID, p.number*c.tasksPerPage() + i}
+			if m := c.machines[t.Machine]; m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
+				orders[m.id] = append(orders[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
 			}
 		}
 	}
 	for _, id := range sortedKeys(orders) {
-		c.kill(c.machines[id], orders[id]...)
+		c.killNow(c.machines[id], orders[id]...)
 	}
 }
 
 // observe takes the report in the answer to direct commands. Only endings are
 // read from it: they stay true however late it comes.
-func (c *Core) observe(m *machine, token uint64, r protocol.Reply) {
-	var rep protocol.Heartbeat
-	if r.Status != http.StatusOK || m.stamp != token || protocol.Decode(r.Body, &rep) != nil || rep.FencingToken != token || c.store.AppliedRevision() < token {
+func (c *Core) handleStatus(m *machine, token uint64, r protocol.Reply) {
+	var reply protocol.Heartbeat
+	if r.Status != http.StatusOK || m.token != token || protocol.Decode(r.Body, &reply) != nil || reply.FencingToken != token || c.state.AppliedRevision() < token {
 		return
 	}
-	left := len(m.gone)
+	left := len(m.vacated)
 	defer func() {
-		if len(m.gone) > left {
-			c.freed(m.id)
+		if len(m.vacated) > left {
+			c.machineFreed(m.id)
 		}
 	}()
-	for i := range rep.Tasks {
-		l := &rep.Tasks[i]
+	for i := range reply.Tasks {
+		l := &reply.Tasks[i]
 		id, index, err := job.ParseTaskName(l.Task)
 		if l.Status != protocol.TaskEnded || err != nil {
 			continue
@@ -353,17 +353,17 @@
 		if rec == nil {
 			continue
 		}
-		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == rep.AgentEpoch && t.Attempt == l.Attempt && !c.ending(rec, index) {
-			c.ended(m, rec, k, t, l)
+		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == l.Attempt && !c.releasePending(rec, index) {
+			c.proposeEnding(m, rec, k, t, l)
 		}
 	}
 }
 
 // began notes when a task was first seen running, and tells whether this is it.
-func (m *machine) began(k taskKey, at time.Duration) bool {
-	_, was := m.begun[k]
+func (m *machine) markRunning(k taskKey, at time.Duration) bool {
+	_, was := m.runningSince[k]
 	if !was {
-		m.begun[k] = at
+		m.runningSince[k] = at
 	}
 	return !was
 }
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -4,187 +4,182 @@
 	"time"
 
 	"silvergate/internal/config"
+	"silvergate/internal/connectivity"
+	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
-	"silvergate/internal/reach"
 )
 
-// This file is the seam to internal/reach: it brings observations in and carries
+// This file is the seam to internal/connectivity: it brings observations in and carries
 // out what is decided there.
 
-func newReach(cfg *config.Settings, life int64, late time.Duration) *reach.Reach {
-	r := reach.Config{Self: cfg.Node, Life: life, Report: seconds(cfg.Facts.Workers.Report), Late: late}
+func newLinkTracker(cfg *config.Settings, incarnation int64, late time.Duration) *connectivity.Tracker {
+	r := connectivity.Config{Self: cfg.Node, Incarnation: incarnation, HeartbeatInterval: seconds(cfg.Facts.Workers.Report), StaleAfter: late}
 	for _, p := range cfg.Peers {
-		r.Peers = append(r.Peers, reach.Name{Node: p.Node, Zone: p.Zone})
+		r.Peers = append(r.Peers, connectivity.Controller{Node: p.Node, Zone: p.Zone})
 	}
-	return reach.New(r)
+	return connectivity.New(r)
 }
 
-func (c *Core) send(to string, m Message) { c.out.Sends = append(c.out.Sends, Send{to, m}) }
+func (c *Core) send(to string, m peer.Message) {
+	c.effects.Sends = append(c.effects.Sends, Outgoing{to, m})
+}
 
 // toState makes a call of the state service: on our own link, or through a peer while
 // that is down.
-func (c *Core) toState(k protocol.Call, done func(protocol.Reply)) {
-	if via := c.reach.Route(); via != "" {
-		c.send(via, Message{Carry: c.reach.Ask(via, k, done)})
+func (c *Core) callState(k protocol.Call, done func(protocol.Reply)) {
+	if via := c.links.Relay(); via != "" {
+		c.send(via, peer.Message{RelayRequest: c.links.StartRelay(via, k, done)})
 		return
 	}
-	c.direct(k, done)
+	c.callStateDirectly(k, done)
 }
 
 // direct makes a call of the state service on our own link.
-func (c *Core) direct(k protocol.Call, done func(protocol.Reply)) {
+func (c *Core) callStateDirectly(k protocol.Call, done func(protocol.Reply)) {
 	c.call(k, func(r protocol.Reply) {
-		c.reach.StateAnswered(r.Status)
+		c.links.StateAnswered(r.Status)
 		done(r)
 	})
 }
 
 // links gives up on carried calls that are late, and tries our own link while a peer
 // carries for us.
-func (c *Core) links() {
-	for _, done := range c.reach.Expire() {
+func (c *Core) checkLinks() {
+	for _, done := range c.links.ExpireRelays() {
 		done()
 	}
-	if how, via, changed := c.reach.News(); changed {
-		c.log.Info("the link to the state service", "now", how, "via", via, "deaf", c.reach.Deaf())
+	if how, via, changed := c.links.LinkChange(); changed {
+		c.log.Info("the link to the state service", "now", how, "via", via, "deaf", c.links.HearsNoWorkers())
 	}
-	if c.reach.Probe() {
+	if c.links.ShouldProbe() {
 		c.call(protocol.Call{Target: protocol.ToStateService, Method: "GET", Path: protocol.PathKeys + "/" + keyFleet, Timeout: time.Second},
-			func(r protocol.Reply) { c.reach.Probed(r.Status) })
+			func(r protocol.Reply) { c.links.Probed(r.Status) })
 	}
-	for _, zone := range c.reach.Silent() {
-		c.listen(zone)
+	for _, zone := range c.links.SilentZones() {
+		c.probeZone(zone)
 	}
 }
 
 // listen asks a worker of a zone for its status, a different one each time, when all that
 // we held there are with others: no report would ever show that we hear again.
-func (c *Core) listen(zone string) {
-	if c.asks >= 2 {
+func (c *Core) probeZone(zone string) {
+	if c.probesInFlight >= 2 {
 		return
 	}
 	var first *machine
 	for _, m := range c.machines {
-		if m.claim.Address == "" || m.claim.Zone != zone || m.stamp == 0 || m.asking || c.now < m.askAt {
+		if m.claim.Address == "" || m.claim.Zone != zone || m.token == 0 || m.probing || c.now < m.nextProbeAt {
 			continue
 		}
-		if first == nil || m.askAt < first.askAt || m.askAt == first.askAt && m.id < first.id {
+		if first == nil || m.nextProbeAt < first.nextProbeAt || m.nextProbeAt == first.nextProbeAt && m.id < first.id {
 			first = m
 		}
 	}
 	if first != nil {
-		c.askStatus(first)
+		c.probeWorker(first)
 	}
 }
 
 // carry makes a call of the state service for a peer.
-func (c *Core) carry(from string, k *reach.Carry) {
-	call, refused := c.reach.Take(from, k)
+func (c *Core) relayForPeer(from string, k *connectivity.RelayRequest) {
+	call, refused := c.links.AcceptRelay(from, k)
 	if refused != nil {
-		c.send(from, Message{Carried: refused})
+		c.send(from, peer.Message{RelayResponse: refused})
 		return
 	}
-	c.direct(call, func(r protocol.Reply) { c.send(from, Message{Carried: c.reach.Done(from, k, r)}) })
-}
-
-// Pass is a question about cancellations, or its answer, that goes by way of a third
-// controller as the two can't reach one another.
-type Pass struct {
-	From, To string
-	Ask      *Ask
-	Vouch    *Vouch
+	c.callStateDirectly(call, func(r protocol.Reply) { c.send(from, peer.Message{RelayResponse: c.links.FinishRelay(from, k, r)}) })
 }
 
 // askPeer asks a peer for its word on cancellations, by way of a third where it must be.
-func (c *Core) askPeer(name string) {
-	a := &Ask{c.now, c.store.AppliedRevision(), c.life}
-	now := c.reach.Picture()
-	if by := reach.Third(&now, name); by != "" {
-		c.send(by, Message{Pass: &Pass{From: c.cfg.Node, To: name, Ask: a}})
+func (c *Core) queryCancellations(name string) {
+	a := &peer.CancellationQuery{AskedAt: c.now, AppliedRevision: c.state.AppliedRevision(), Incarnation: c.incarnation}
+	now := c.links.Snapshot()
+	if by := connectivity.ChooseIntermediary(&now, name); by != "" {
+		c.send(by, peer.Message{Forwarded: &peer.ForwardedMessage{From: c.cfg.Node, To: name, Query: a}})
 	}
-	c.send(name, Message{Ask: a})
+	c.send(name, peer.Message{CancellationQuery: a})
 }
 
 // pass hands on what goes by way of us, one step and no further, or takes what is for us.
-func (c *Core) pass(from string, p *Pass) {
+func (c *Core) forwardMessage(from string, p *peer.ForwardedMessage) {
 	switch {
 	case p.To != c.cfg.Node && p.From == from:
-		c.reach.Stats.Sideways++
-		c.send(p.To, Message{Pass: p})
+		c.links.Stats.MessagesForwarded++
+		c.send(p.To, peer.Message{Forwarded: p})
 	case p.To != c.cfg.Node:
-	case p.Ask != nil && c.store.Loaded():
-		c.send(from, Message{Pass: &Pass{From: c.cfg.Node, To: p.From, Vouch: c.vouch(p.Ask)}})
-	case p.Vouch != nil && p.Vouch.Life == c.life:
-		c.vouched(p.From, p.Vouch)
+	case p.Query != nil && c.state.Loaded():
+		c.send(from, peer.Message{Forwarded: &peer.ForwardedMessage{From: c.cfg.Node, To: p.From, Reply: c.knownCancellations(p.Query)}})
+	case p.Reply != nil && p.Reply.Incarnation == c.incarnation:
+		c.applyCancellations(p.From, p.Reply)
 	}
 }
 
 // recordsAge is how old our records are, as peers and operators are told.
-func (c *Core) recordsAge() time.Duration {
-	if !c.store.Loaded() {
-		return starting
+func (c *Core) mirrorAge() time.Duration {
+	if !c.state.Loaded() {
+		return unknownMirrorAge
 	}
-	return c.now - c.store.FreshAt()
+	return c.now - c.state.FreshAt()
 }
 
 // shareOut tells the budget how many peers want more than their share.
-func (c *Core) shareOut() {
-	now := c.reach.Picture()
-	c.store.SetPeerDemand(reach.Claimants(&now, c.alive))
+func (c *Core) updatePeerDemand() {
+	now := c.links.Snapshot()
+	c.state.SetPeerDemand(connectivity.RateDemand(&now, c.alive))
 }
 
 // betterPlaced names a peer that a worker is sent to while we can't reach the state
 // service by any way: one that can serve it, by a word that is new. If there is no new
 // word, and nobody carries for us, one that could when it was last heard, and in an order
 // that has urgent work claimed there before our own time to answer is over.
-func (c *Core) betterPlaced(r *protocol.Heartbeat) string {
+func (c *Core) receiverWhileCutOff(r *protocol.Heartbeat) string {
 	limit := seconds(c.cfg.Facts.Workers.Report)
-	alone := c.now - c.store.FreshAt() - limit
-	if alone < 0 || !c.store.Loaded() {
+	alone := c.now - c.state.FreshAt() - limit
+	if alone < 0 || !c.state.Loaded() {
 		return ""
 	}
-	now, m, from := c.reach.Picture(), c.machine(r.Worker), ""
-	if m.stamp != 0 && !c.mine(m) {
+	now, m, from := c.links.Snapshot(), c.machine(r.Worker), ""
+	if m.token != 0 && !c.isOwn(m) {
 		from = m.claim.Owner
 	}
-	if to := reach.Receiver(&now, r.Zone, r.Worker, from, limit); to != "" {
-		c.reach.Stats.HandedOn++
+	if to := connectivity.ChooseReceiver(&now, r.Zone, r.Worker, from, limit); to != "" {
+		c.links.Stats.WorkersRedirected++
 		return to
 	}
-	left := c.horizon() - (c.now - c.proof())
+	left := c.cancelHorizon() - (c.now - c.cancellationProof())
 	// Guards against a controller that takes an outage for a cut of its own and sends
 	// its workers round: one that comes back stays while it can be answered.
-	if left > 0 && m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseOver() {
+	if left > 0 && m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
-	level := reach.Empty
+	level := connectivity.NoWorkload
 	switch {
 	case m.urgent():
-		level = reach.Urgent
+		level = connectivity.UrgentWorkload
 	case len(m.bound) > 0:
-		level = reach.Busy
+		level = connectivity.OtherWorkload
 	}
-	if left > 0 && c.mine(m) && !reach.HandOver(level, alone, left) {
+	if left > 0 && c.isOwn(m) && !connectivity.ShouldHandOver(level, alone, left) {
 		return ""
 	}
-	to := reach.Receiver(&now, r.Zone, r.Worker, from, c.leaseOver())
+	to := connectivity.ChooseReceiver(&now, r.Zone, r.Worker, from, c.leaseExpiry())
 	if to != "" {
 		m.redirectedAt = c.now
-		c.reach.Stats.HandedOn++
+		c.links.Stats.WorkersRedirected++
 	}
 	return to
 }
 
 // reachStats is what operators see of the links.
-type reachStats struct {
-	reach.Stats
-	State string      `json:"state"` // direct, relayed or lost
-	Via   string      `json:"via,omitempty"`
-	Deaf  bool        `json:"deaf"`
-	Rows  []reach.Row `json:"rows"`
+type linkStats struct {
+	connectivity.Stats
+	State          string                    `json:"state"` // direct, relayed or lost
+	Via            string                    `json:"via,omitempty"`
+	HearsNoWorkers bool                      `json:"deaf"`
+	Reports        []connectivity.LinkReport `json:"rows"`
 }
 
-func (c *Core) reachStats() reachStats {
-	how, via := c.reach.Link()
-	return reachStats{Stats: c.reach.Stats, State: how, Via: via, Deaf: c.reach.Deaf(), Rows: c.reach.Rows(c.recordsAge(), c.store.Throttled())}
+func (c *Core) linkStats() linkStats {
+	how, via := c.links.StateServiceLink()
+	return linkStats{Stats: c.links.Stats, State: how, Via: via, HearsNoWorkers: c.links.HearsNoWorkers(), Reports: c.links.LinkReports(c.mirrorAge(), c.state.Throttled())}
 }
--- a/internal/coordination/reach_test.go
+++ b/internal/coordination/reach_test.go
@@ -4,12 +4,13 @@
 	"bytes"
 	"encoding/gob"
 	"fmt"
+	"silvergate/internal/peer"
 	"strings"
 	"testing"
 	"time"
 
+	"silvergate/internal/connectivity"
 	"silvergate/internal/job"
-	"silvergate/internal/reach"
 )
 
 // tells tells whether messages from n reach o.
@@ -20,45 +21,45 @@
 
 // said is a message as the other side reads it: a version before rows and carried calls
 // passes over what it does not know, as gob does.
-func (n *simNode) said(o *simNode, m Message) (Message, bool) {
+func (n *simNode) said(o *simNode, m peer.Message) (peer.Message, bool) {
 	s := n.s
-	if s.noCarrier && m.Carry != nil {
+	if s.noCarrier && m.RelayRequest != nil {
 		return m, false
 	}
-	if s.mute && m.Vouch != nil {
-		v := *m.Vouch
-		v.Cancelled, m.Vouch = nil, &v
+	if s.mute && m.CancellationReply != nil {
+		v := *m.CancellationReply
+		v.Cancelled, m.CancellationReply = nil, &v
 	}
-	if m.Beat != nil && (n.old || o.old || s.lies) {
-		b := *m.Beat
-		switch b.Rows = nil; {
+	if m.Heartbeat != nil && (n.old || o.old || s.lies) {
+		b := *m.Heartbeat
+		switch b.Links = nil; {
 		case s.lies && !n.old && !o.old:
-			b.Rows = s.lie()
+			b.Links = s.lie()
 		}
-		m.Beat = &b
+		m.Heartbeat = &b
 	}
 	if o.old {
-		m.Carry, m.Carried, m.Pass = nil, nil, nil
+		m.RelayRequest, m.RelayResponse, m.Forwarded = nil, nil, nil
 	}
-	if n.old && (m.Carry != nil || m.Carried != nil || m.Pass != nil) {
+	if n.old && (m.RelayRequest != nil || m.RelayResponse != nil || m.Forwarded != nil) {
 		s.breaks("versions", "%s sends what its version does not know", n.name)
 	}
 	return m, true
 }
 
 // lie draws rows that mean nothing.
-func (s *sim) lie() []reach.Row {
-	var out []reach.Row
+func (s *sim) lie() []connectivity.LinkReport {
+	var out []connectivity.LinkReport
 	for range 1 + s.rnd.IntN(5) {
-		r := reach.Row{Node: s.anyNode().name, AgeMS: s.rnd.Int64N(20_000) - 1000, StateMS: s.rnd.Int64N(6000) - 500, FreshMS: s.rnd.Int64N(6000) - 500,
-			Deaf: s.rnd.IntN(3) == 0, Hungry: s.rnd.IntN(2) == 0}
+		r := connectivity.LinkReport{Node: s.anyNode().name, AgeMS: s.rnd.Int64N(20_000) - 1000, StateServiceMS: s.rnd.Int64N(6000) - 500, MirrorAgeMS: s.rnd.Int64N(6000) - 500,
+			HearsNoWorkers: s.rnd.IntN(3) == 0, Throttled: s.rnd.IntN(2) == 0}
 		for _, o := range s.nodes {
 			if s.rnd.IntN(2) == 0 {
-				r.Hears = append(r.Hears, o.name)
+				r.HearsPeers = append(r.HearsPeers, o.name)
 			}
 		}
 		if s.rnd.IntN(3) == 0 {
-			r.Zones = []reach.ZoneWord{{Zone: s.facts.Zones[0], Held: s.rnd.IntN(9) - 1, HeardMS: s.rnd.Int64N(20_000) - 1000, Lost: s.rnd.IntN(2) == 0}}
+			r.Zones = []connectivity.ZoneReport{{Zone: s.facts.Zones[0], Workers: s.rnd.IntN(9) - 1, LastHeardMS: s.rnd.Int64N(20_000) - 1000, Unreachable: s.rnd.IntN(2) == 0}}
 		}
 		out = append(out, r)
 	}
@@ -323,7 +324,7 @@
 		s.run(50 * time.Second)
 		var first *simNode
 		for _, n := range s.nodes {
-			if n.core.leads() {
+			if n.core.isLeader() {
 				first = n
 			}
 		}
@@ -336,7 +337,7 @@
 		for now := 50 * time.Second; now < 150*time.Second; now += 500 * time.Millisecond {
 			s.run(now)
 			for _, n := range s.nodes {
-				if !n.core.leads() {
+				if !n.core.isLeader() {
 					continue
 				}
 				if n != last {
@@ -405,45 +406,48 @@
 	}
 	var link bytes.Buffer
 	enc, dec := gob.NewEncoder(&link), gob.NewDecoder(&link)
-	for _, m := range []Message{{Beat: &Beat{FreshMS: 7, Rows: []reach.Row{{Node: "n1", Hears: []string{"n2"}}}}}, {Carry: &reach.Carry{ID: 3}},
-		{Pass: &Pass{From: "n1"}}, {Ask: &Ask{At: 5, Ledger: 9, Life: 4}}} {
-		if err := enc.Encode(m); err != nil {
+	for _, m := range []peer.Message{{Heartbeat: &peer.Heartbeat{MirrorAgeMS: 7, Links: []connectivity.LinkReport{{Node: "n1", HearsPeers: []string{"n2"}}}}}, {RelayRequest: &connectivity.RelayRequest{ID: 3}},
+		{Forwarded: &peer.ForwardedMessage{From: "n1"}}, {CancellationQuery: &peer.CancellationQuery{AskedAt: 5, AppliedRevision: 9, Incarnation: 4}}} {
+		if err := enc.Encode(m.Wire()); err != nil {
 			t.Fatal(err)
 		}
 		var o oldMessage
 		if err := dec.Decode(&o); err != nil {
 			t.Fatalf("the version before can't read %+v: %v", m, err)
 		}
-		if m.Beat != nil && (o.Beat == nil || o.Beat.FreshMS != 7) || m.Ask != nil && (o.Ask == nil || o.Ask.Ledger != 9) || m.Carry != nil && (o.Beat != nil || o.Ask != nil) {
+		if m.Heartbeat != nil && (o.Beat == nil || o.Beat.FreshMS != 7) || m.CancellationQuery != nil && (o.Ask == nil || o.Ask.Ledger != 9) || m.RelayRequest != nil && (o.Beat != nil || o.Ask != nil) {
 			t.Errorf("%+v was read as %+v", m, o)
 		}
 	}
 	if err := enc.Encode(oldMessage{Beat: &oldBeat{FreshMS: 8, Hungry: true}}); err != nil {
 		t.Fatal(err)
 	}
-	var m Message
-	if err := dec.Decode(&m); err != nil || m.Beat == nil || m.Beat.FreshMS != 8 || m.Beat.Rows != nil {
-		t.Errorf("a beat of the version before: %+v %v", m.Beat, err)
+	var w peer.WireMessage
+	err := dec.Decode(&w)
+	m := w.Message()
+	if err != nil || m.Heartbeat == nil || m.Heartbeat.MirrorAgeMS != 8 || m.Heartbeat.Links != nil {
+		t.Errorf("a beat of the version before: %+v %v", m.Heartbeat, err)
 	}
 }
 
 // FuzzPeerMessages feeds a controller what a link may bring, decoded as the program does.
 func FuzzPeerMessages(f *testing.F) {
-	for _, m := range []Message{{Beat: &Beat{FreshMS: 7, Rows: []reach.Row{{Node: "n1", AgeMS: -1, Hears: []string{"n2"}}}}},
-		{Carry: &reach.Carry{ID: 3, Method: "GET", Path: "/watch?under=sg/", TimeoutMS: 500}}, {Carried: &reach.Carried{ID: 1, Life: 2, Status: 200}},
-		{Pass: &Pass{From: "n1", To: "n0", Ask: &Ask{At: 1}}}, {Pass: &Pass{From: "n2", To: "n1"}}, {Vouch: &Vouch{At: 1 << 60, Cancelled: []string{"x"}}},
-		{Forward: &Forward{"wk-000001", []int{-1, 1 << 40}}}} {
+	for _, m := range []peer.Message{{Heartbeat: &peer.Heartbeat{MirrorAgeMS: 7, Links: []connectivity.LinkReport{{Node: "n1", AgeMS: -1, HearsPeers: []string{"n2"}}}}},
+		{RelayRequest: &connectivity.RelayRequest{ID: 3, Method: "GET", Path: "/watch?under=sg/", TimeoutMS: 500}}, {RelayResponse: &connectivity.RelayResponse{ID: 1, Incarnation: 2, Status: 200}},
+		{Forwarded: &peer.ForwardedMessage{From: "n1", To: "n0", Query: &peer.CancellationQuery{AskedAt: 1}}}, {Forwarded: &peer.ForwardedMessage{From: "n2", To: "n1"}}, {CancellationReply: &peer.CancellationReply{AskedAt: 1 << 60, Cancelled: []string{"x"}}},
+		{Handoff: &peer.TaskHandoff{Job: "wk-000001", Tasks: []int{-1, 1 << 40}}}} {
 		var b bytes.Buffer
-		if err := gob.NewEncoder(&b).Encode(m); err != nil {
+		if err := gob.NewEncoder(&b).Encode(m.Wire()); err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b.Bytes())
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var m Message
-		if gob.NewDecoder(bytes.NewReader(data)).Decode(&m) != nil {
+		var w peer.WireMessage
+		if gob.NewDecoder(bytes.NewReader(data)).Decode(&w) != nil {
 			return
 		}
+		m := w.Message()
 		s := newSim(t, 9990, 0)
 		s.run(4 * time.Second) // the records are read
 		n := s.nodes[0]
--- a/internal/coordination/recorded.go
+++ b/internal/coordination/recorded.go
@@ -13,32 +13,33 @@
 	"go.yaml.in/yaml/v3"
 
 	"silvergate/internal/config"
+	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
 	"silvergate/internal/recorder"
 )
 
 // Recorded is a core whose inputs are recorded. It takes what a core takes.
-type Recorded struct {
-	core *Core
-	w    *recorder.Writer
+type RecordedCore struct {
+	core   *Core
+	writer *recorder.Writer
 }
 
 // NewRecorded records what goes into a core from now on, which must be from its beginning.
-func NewRecorded(c *Core, w *recorder.Writer) *Recorded { return &Recorded{c, w} }
+func NewRecordedCore(c *Core, w *recorder.Writer) *RecordedCore { return &RecordedCore{c, w} }
 
 // RecordingHeader is what a recording of such a core begins with. Secrets are not in
 // it: the archive's key is named, not kept.
-func RecordingHeader(cfg *config.Settings, build string, life int64, seed [2]uint64) (recorder.Header, error) {
+func RecordingHeader(cfg *config.Settings, build string, incarnation int64, seed [2]uint64) (recorder.Header, error) {
 	settings, err := json.Marshal(cfg)
 	if err != nil {
 		return recorder.Header{}, err
 	}
 	operator, err := yaml.Marshal(&cfg.Operator)
-	return recorder.Header{Build: build, Node: cfg.Node, Life: life, Seed: seed, Settings: settings, Operator: operator}, err
+	return recorder.Header{Build: build, Node: cfg.Node, Life: incarnation, Seed: seed, Settings: settings, Operator: operator}, err
 }
 
 // FromHeader makes the core that a recording began with.
-func FromHeader(h *recorder.Header, log *slog.Logger) (*Core, error) {
+func NewFromHeader(h *recorder.Header, log *slog.Logger) (*Core, error) {
 	cfg := &config.Settings{}
 	if err := json.Unmarshal(h.Settings, cfg); err != nil {
 		return nil, fmt.Errorf("the recording's settings: %w", err)
@@ -54,35 +55,35 @@
 }
 
 // Request is Core.Request, recorded.
-func (t *Recorded) Request(at Clock, id uint64, method, path string, body []byte) Effects {
+func (t *RecordedCore) Request(at Timestamp, id uint64, method, path string, body []byte) Effects {
 	return t.step(&recorder.Input{Kind: recorder.Request, ID: id, Method: method, Path: path, Body: body}, at,
 		func() Effects { return t.core.Request(at, id, method, path, body) })
 }
 
 // Reply is Core.Reply, recorded.
-func (t *Recorded) Reply(at Clock, r protocol.Reply) Effects {
+func (t *RecordedCore) Reply(at Timestamp, r protocol.Reply) Effects {
 	return t.step(&recorder.Input{Kind: recorder.Reply, ID: r.ID, Status: r.Status, Sent: r.Sent, Retry: r.RetryAfter, Body: r.Body}, at,
 		func() Effects { return t.core.Reply(at, r) })
 }
 
 // Peer is Core.Peer, recorded.
-func (t *Recorded) Peer(at Clock, from string, m Message) Effects {
+func (t *RecordedCore) Peer(at Timestamp, from string, m peer.Message) Effects {
 	body, _ := cbor.Marshal(&m) // a message of values: it always can be
 	return t.step(&recorder.Input{Kind: recorder.Peer, From: from, Body: body}, at, func() Effects { return t.core.Peer(at, from, m) })
 }
 
 // Tick is Core.Tick, recorded.
-func (t *Recorded) Tick(at Clock) Effects {
+func (t *RecordedCore) Tick(at Timestamp) Effects {
 	return t.step(&recorder.Input{Kind: recorder.Tick}, at, func() Effects { return t.core.Tick(at) })
 }
 
-func (t *Recorded) step(in *recorder.Input, at Clock, do func() Effects) Effects {
+func (t *RecordedCore) step(in *recorder.Input, at Timestamp, do func() Effects) Effects {
 	in.Steady, in.Wall = at.Steady, at.Wall.UnixNano()
 	whole := false
 	defer func() {
 		if !whole { // a panic: the input that led to it matters most
-			t.w.Put(in)
-			_ = t.w.Close()
+			t.writer.Put(in)
+			_ = t.writer.Close()
 		}
 	}()
 	e := do()
@@ -90,14 +91,14 @@
 	if in.Path != PathStats { // which tells of the process too, not of the core alone
 		in.Effects = e.digest()
 	}
-	t.w.Put(in)
+	t.writer.Put(in)
 	return e
 }
 
 // Replay puts a recorded input through a core. same tells whether the core did what
 // it did when the input was recorded.
 func (c *Core) Replay(in *recorder.Input) (e Effects, same bool, err error) {
-	at := Clock{in.Steady, time.Unix(0, in.Wall)}
+	at := Timestamp{in.Steady, time.Unix(0, in.Wall)}
 	switch in.Kind {
 	case recorder.Tick:
 		e = c.Tick(at)
@@ -106,7 +107,7 @@
 	case recorder.Reply:
 		e = c.Reply(at, protocol.Reply{ID: in.ID, Status: in.Status, Sent: in.Sent, RetryAfter: in.Retry, Body: in.Body})
 	case recorder.Peer:
-		var m Message
+		var m peer.Message
 		if err := cbor.Unmarshal(in.Body, &m); err != nil {
 			return e, false, fmt.Errorf("a peer's message: %w", err)
 		}
@@ -133,8 +134,8 @@
 		number(uint64(len(s)))
 		_, _ = h.WriteString(s)
 	}
-	for i := range e.Answers {
-		a := &e.Answers[i]
+	for i := range e.Responses {
+		a := &e.Responses[i]
 		number(a.ID)
 		number(uint64(a.Status)<<32 | uint64(a.RetryAfter)<<1)
 		bytes(a.Body)
--- a/internal/coordination/recorded_test.go
+++ b/internal/coordination/recorded_test.go
@@ -15,6 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"silvergate/internal/config"
+	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
 	"silvergate/internal/recorder"
 )
@@ -28,9 +29,9 @@
 
 // record begins a recording. A controller with an archive is not recorded whole: the
 // archive's key is in no recording.
-func (s *sim) record(cfg *config.Settings, life int64, seed uint64) *recorder.Writer {
-	t := &simTape{name: fmt.Sprintf("%s-%020d-000000.rec", cfg.Node, life)}
-	h, err := RecordingHeader(cfg, "simulation", life, [2]uint64{seed, 1})
+func (s *sim) record(cfg *config.Settings, incarnation int64, seed uint64) *recorder.Writer {
+	t := &simTape{name: fmt.Sprintf("%s-%020d-000000.rec", cfg.Node, incarnation)}
+	h, err := RecordingHeader(cfg, "simulation", incarnation, [2]uint64{seed, 1})
 	if err != nil {
 		panic(err)
 	}
@@ -71,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := FromHeader(&r.Header, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := NewFromHeader(&r.Header, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +157,7 @@
 		t.Fatal(err)
 	}
 	r.Header.Seed[0]++ // another generator: other choices
-	c, err := FromHeader(&r.Header, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := NewFromHeader(&r.Header, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,12 +200,12 @@
 		b.Run(fmt.Sprintf("recorded=%v", recorded), func(b *testing.B) {
 			var stored, plain int64
 			for b.Loop() {
-				c, err := FromHeader(&r.Header, slog.New(slog.DiscardHandler))
+				c, err := NewFromHeader(&r.Header, slog.New(slog.DiscardHandler))
 				if err != nil {
 					b.Fatal(err)
 				}
 				w := recorder.NewMemory(io.Discard, r.Header)
-				tape := NewRecorded(c, w)
+				tape := NewRecordedCore(c, w)
 				for i := range inputs {
 					in := &inputs[i]
 					if !recorded {
@@ -214,7 +215,7 @@
 						}
 						continue
 					}
-					at := Clock{in.Steady, time.Unix(0, in.Wall)}
+					at := Timestamp{in.Steady, time.Unix(0, in.Wall)}
 					switch in.Kind {
 					case recorder.Tick:
 						tape.Tick(at)
@@ -223,7 +224,7 @@
 					case recorder.Reply:
 						tape.Reply(at, protocol.Reply{ID: in.ID, Status: in.Status, Sent: in.Sent, RetryAfter: in.Retry, Body: in.Body})
 					case recorder.Peer:
-						var m Message
+						var m peer.Message
 						if err := cbor.Unmarshal(in.Body, &m); err != nil {
 							b.Fatal(err)
 						}
--- a/internal/coordination/recordinggolden_test.go
+++ b/internal/coordination/recordinggolden_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"silvergate/internal/peer"
 	"silvergate/internal/recorder"
 )
 
@@ -64,7 +65,7 @@
 	if len(kinds) != 4 {
 		t.Errorf("inputs of kinds %v only", kinds)
 	}
-	if n := reflect.TypeFor[Message]().NumField(); len(messages) != n {
+	if n := reflect.TypeFor[peer.Message]().NumField(); len(messages) != n {
 		t.Errorf("peer messages of %d kinds of %d: %v", len(messages), n, messages)
 	}
 	files, err := filepath.Glob(filepath.Join(goldenFolder, "recordings", "*.rec"))
@@ -130,7 +131,7 @@
 		if h.Version != 1 || h.Build != "simulation" || h.Node != name[:2] || h.Life != lives[name] || h.Seed[0] == 0 || h.Seed[1] != 1 || h.Segment != 0 {
 			t.Errorf("%s: header %+v", name, h)
 		}
-		c, err := FromHeader(&h, slog.New(slog.DiscardHandler))
+		c, err := NewFromHeader(&h, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coordination/recover_test.go
+++ b/internal/coordination/recover_test.go
@@ -21,7 +21,7 @@
 		s := newSim(t, seed, 0)
 		for k := range s.cloud.free {
 			s.cloud.free[k] = 0
-			if k.rig == "large" && k.depot == "a" && !k.spot {
+			if k.machineType == "large" && k.zone == "a" && !k.spot {
 				s.cloud.free[k] = 3
 			}
 		}
@@ -72,17 +72,17 @@
 	now, report := 100*time.Second, 8*time.Second
 	for _, c := range []struct {
 		name string
-		z    zoneHeard
+		z    zoneHeartbeats
 		cut  bool
 	}{
-		{"no report of a hundred for a second", zoneHeard{held: 100, quiet: 12, newest: now - time.Second}, true},
-		{"a hundred, the last just now", zoneHeard{held: 100, quiet: 12, newest: now - 100*time.Millisecond}, false},
-		{"half of a hundred quiet", zoneHeard{held: 100, quiet: 50, newest: now - 200*time.Millisecond}, false},
-		{"most quiet, one heard just now", zoneHeard{held: 100, quiet: 80, newest: now}, true},
-		{"three machines, all quiet", zoneHeard{held: 3, quiet: 3, newest: now - 30*time.Second}, false},
-		{"five machines, all quiet", zoneHeard{held: 5, quiet: 5, newest: now - 11*time.Second}, true},
+		{"no report of a hundred for a second", zoneHeartbeats{machines: 100, overdue: 12, lastHeartbeat: now - time.Second}, true},
+		{"a hundred, the last just now", zoneHeartbeats{machines: 100, overdue: 12, lastHeartbeat: now - 100*time.Millisecond}, false},
+		{"half of a hundred quiet", zoneHeartbeats{machines: 100, overdue: 50, lastHeartbeat: now - 200*time.Millisecond}, false},
+		{"most quiet, one heard just now", zoneHeartbeats{machines: 100, overdue: 80, lastHeartbeat: now}, true},
+		{"three machines, all quiet", zoneHeartbeats{machines: 3, overdue: 3, lastHeartbeat: now - 30*time.Second}, false},
+		{"five machines, all quiet", zoneHeartbeats{machines: 5, overdue: 5, lastHeartbeat: now - 11*time.Second}, true},
 	} {
-		if got := c.z.cut(now, report); got != c.cut {
+		if got := c.z.unreachable(now, report); got != c.cut {
 			t.Errorf("%s: cut %v", c.name, got)
 		}
 	}
@@ -99,7 +99,7 @@
 	s.run(100 * time.Second)
 	c := s.nodes[0].core
 	hung := map[string]bool{}
-	for i, m := range c.ours {
+	for i, m := range c.ownMachines {
 		if i%5 < 3 {
 			for _, w := range s.cloud.sorted() {
 				if w.name == m.id {
@@ -119,7 +119,7 @@
 	}
 	s.run(100*time.Second + seconds(3*s.facts.Workers.Report))
 	n := found()
-	t.Logf("%d of %d hung machines found, of %d", n, len(hung), len(c.ours))
+	t.Logf("%d of %d hung machines found, of %d", n, len(hung), len(c.ownMachines))
 	if len(hung) < 20 || n < len(hung)*9/10 {
 		t.Errorf("%d of %d hung machines are found three report periods later", n, len(hung))
 	}
--- a/internal/coordination/returns_test.go
+++ b/internal/coordination/returns_test.go
@@ -13,7 +13,7 @@
 // leading is the controller that rents, nil if none does.
 func (s *sim) leading() *simNode {
 	for _, n := range s.nodes {
-		if n.core != nil && n.core.leads() {
+		if n.core != nil && n.core.isLeader() {
 			return n
 		}
 	}
@@ -37,13 +37,13 @@
 		l.lag = time.Hour // its watch is answered late
 		s.launched = func(w *simWorker, o protocol.Command) {
 			m := l.core.machines[w.name]
-			if m == nil || m.stamp == 0 || len(m.bound) > 0 || l.core.mine(m) {
+			if m == nil || m.token == 0 || len(m.bound) > 0 || l.core.isOwn(m) {
 				return
 			}
 			met++
-			l.core.begin(l.clock())
-			l.core.drain(m, drainIdle)
-			l.effects(l.core.end())
+			l.core.beginStep(l.clock())
+			l.core.drainMachine(m, drainIdle)
+			l.effects(l.core.endStep())
 		}
 		for i := range 12 {
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8}, 30, 0)
@@ -93,9 +93,9 @@
 			claimed := false
 			for at := s.now; s.now < at+20*time.Second && !claimed; {
 				s.run(s.now + time.Millisecond)
-				if c.store.Rescanning() {
+				if c.state.Rescanning() {
 					claimed = true
-					write(keyClaim+"i-900000", encode(claim{"n9", 1, "w:i-900000", "small", "a", false, 1}))
+					write(keyClaim+"i-900000", encode(claimRecord{"n9", 1, "w:i-900000", "small", "a", false, 1}))
 					write(keyJob+"wk-700000", spec)
 					write(pageKey("wk-700000", 0), page)
 					s.kv.change(keyClaim+"i-900000", nil, 0, s.kv.rev) // as the reader saw it
@@ -110,15 +110,15 @@
 		}
 		for end := s.now + 2*time.Second; s.now < end; {
 			s.run(s.now + 10*time.Millisecond)
-			if torn && !c.store.Rescanning() && c.store.Consistent() {
+			if torn && !c.state.Rescanning() && c.state.Consistent() {
 				break
 			}
 			if m := c.machines["i-900000"]; m == nil || len(m.bound) == 0 {
 				continue
 			}
-			c.begin(l.clock())
-			c.deletions()
-			l.effects(count(c.end()))
+			c.beginStep(l.clock())
+			c.deleteMachines()
+			l.effects(count(c.endStep()))
 		}
 		if torn && asked > 0 || !torn && asked == 0 {
 			t.Errorf("torn %v: %d deletions were asked for", torn, asked)
@@ -249,7 +249,7 @@
 				watch = func() {
 					leads := 0
 					for _, n := range s.nodes {
-						if n.core != nil && n.frozen <= s.now && n.core.leads() {
+						if n.core != nil && n.frozen <= s.now && n.core.isLeader() {
 							if leads++; n != last {
 								last = n
 								replaced++
@@ -299,18 +299,18 @@
 	s.run(50 * time.Second)
 	l := s.leading()
 	c := l.core
-	c.begin(l.clock())
+	c.beginStep(l.clock())
 	for _, w := range s.cloud.sorted() {
 		if w.up {
-			c.fleet.condemned[w.name] = []string{drainStray, drainLost}[len(c.fleet.condemned)%2]
+			c.scaler.toDrain[w.name] = []string{drainStray, drainLost}[len(c.scaler.toDrain)%2]
 		}
 	}
-	c.fleet.condemned["i-900000"] = drainStray
-	if len(c.fleet.condemned) < 2 {
+	c.scaler.toDrain["i-900000"] = drainStray
+	if len(c.scaler.toDrain) < 2 {
 		t.Fatal("no machine is up")
 	}
-	c.condemn()
-	l.effects(c.end())
+	c.drainUnheldMachines()
+	l.effects(c.endStep())
 	s.run(52 * time.Second)
 	for key := range s.kv.drains {
 		if key != keyDrain+"i-900000" {
--- a/internal/coordination/routing.go
+++ b/internal/coordination/routing.go
@@ -1,10 +1,10 @@
 package coordination
 
 import (
-	"silvergate/internal/evidence"
+	"silvergate/internal/connectivity"
+	"silvergate/internal/fencing"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
-	"silvergate/internal/reach"
 	"slices"
 )
 
@@ -17,36 +17,36 @@
 // reports and takeovers cost processor time. Workers that need a claim in any
 // case are sent on at once, others at a slow pace. Two reports a second is
 // what a controller is left alone with.
-func (c *Core) better(m *machine, zone string) string {
+func (c *Core) lessLoadedPeer(m *machine, zone string) string {
 	// Guards against a peer that only its peers can reach: a worker that comes
 	// back after it was sent away stays.
-	if m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseOver() {
+	if m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
 	in := c.cfg.Zone == zone
 	var near, all []string
-	nearHeld, allHeld := 0, len(c.ours)+c.claims
+	nearHeld, allHeld := 0, len(c.ownMachines)+c.claimsInFlight
 	if in {
 		nearHeld = allHeld
 	}
-	now := c.reach.Picture()
+	now := c.links.Snapshot()
 	// One that comes because its controller did not answer, or that runs urgent work, goes
 	// only where its zone is known to be heard.
-	sure := m.stamp != 0 && !c.mine(m) || m.urgent()
+	sure := m.token != 0 && !c.isOwn(m) || m.urgent()
 	// Or to its own controller that has restarted since, and goes on without a new claim;
 	// unless we have had it look for that one already.
 	home := func(name string) bool {
-		return m.stamp != 0 && m.claim.Owner == name && m.claim.Life != c.members[name].Life && m.awaitingHolderSince == 0
+		return m.token != 0 && m.claim.Owner == name && m.claim.Incarnation != c.members[name].Incarnation && m.awaitingHolderSince == 0
 	}
 	for i := range now.Peers {
 		p := &now.Peers[i]
-		name := p.Name.Node
-		if c.members[name] == nil || p.Word > now.Report || !reach.Serves(&now, p, zone, now.Report) || sure && p.Carries && !home(name) && !reach.Proven(&now, p, zone) {
+		name := p.Controller.Node
+		if c.members[name] == nil || p.HeartbeatAge > now.HeartbeatInterval || !connectivity.CanServeZone(&now, p, zone, now.HeartbeatInterval) || sure && p.Relays && !home(name) && !connectivity.ProvenToHearZone(&now, p, zone) {
 			continue
 		}
-		all, allHeld = append(all, name), allHeld+c.holders.count[name]
+		all, allHeld = append(all, name), allHeld+c.ownership.machinesByOwner[name]
 		if p.Zone == zone {
-			near, nearHeld = append(near, name), nearHeld+c.holders.count[name]
+			near, nearHeld = append(near, name), nearHeld+c.ownership.machinesByOwner[name]
 		}
 	}
 	group, held, size := near, nearHeld, len(near)
@@ -58,7 +58,7 @@
 	if len(group) == 0 || size == 0 {
 		return ""
 	}
-	if !c.mine(m) && m.stamp != 0 && slices.Contains(near, m.claim.Owner) {
+	if !c.isOwn(m) && m.token != 0 && slices.Contains(near, m.claim.Owner) {
 		m.redirectedAt = c.now
 		return m.claim.Owner // may go on without a new claim
 	}
@@ -66,22 +66,22 @@
 	if in || len(near) == 0 {
 		spare := 2 * c.cfg.Facts.Workers.Report
 		most := 1.125*fair + spare
-		if c.mine(m) {
+		if c.isOwn(m) {
 			most = 1.5*fair + spare
 		}
-		if float64(len(c.ours)+c.claims) < most {
+		if float64(len(c.ownMachines)+c.claimsInFlight) < most {
 			return ""
 		}
 	}
-	if c.mine(m) {
+	if c.isOwn(m) {
 		// A tenth of the share of changes goes into evening out.
-		if len(m.direct) > 0 || len(m.stops) > 0 || !c.reach.Shed(seconds(10*float64(1+len(c.cfg.Peers))/c.cfg.Facts.State.WriteRPS)) {
+		if len(m.inFlight) > 0 || len(m.stops) > 0 || !c.links.MayRebalance(seconds(10*float64(1+len(c.cfg.Peers))/c.cfg.Facts.State.WriteRPS)) {
 			return ""
 		}
 	}
 	to, least := "", 0
-	for _, i := range c.rnd.Perm(len(group)) {
-		if n := c.holders.count[group[i]]; to == "" || n < least {
+	for _, i := range c.random.Perm(len(group)) {
+		if n := c.ownership.machinesByOwner[group[i]]; to == "" || n < least {
 			to, least = group[i], n
 		}
 	}
@@ -100,26 +100,26 @@
 // all that it lists is treated as launches under way: none is forgotten or
 // released for being absent before a new token is seen, which is taken when one
 // of them ends.
-func (c *Core) adopt(m *machine, r *protocol.Heartbeat) {
-	if c.mine(m) || m.claiming || m.stamp == 0 || m.claim.Owner != c.cfg.Node || m.claim.Life == c.life || r.FencingToken != m.stamp {
+func (c *Core) adoptClaim(m *machine, r *protocol.Heartbeat) {
+	if c.isOwn(m) || m.claiming || m.token == 0 || m.claim.Owner != c.cfg.Node || m.claim.Incarnation == c.incarnation || r.FencingToken != m.token {
 		return
 	}
-	listed := map[attempt]bool{}
+	listed := map[taskAttempt]bool{}
 	for _, l := range r.Tasks {
 		if id, i, err := job.ParseTaskName(l.Task); err == nil {
-			listed[attempt{taskKey{id, i}, l.Attempt}] = true
+			listed[taskAttempt{taskKey{id, i}, l.Attempt}] = true
 		}
 	}
 	for k := range m.bound {
-		if a, ok := c.boundHere(m, k); ok && !evidence.Adoptable(head(r), a, listed[attempt{k, a.Number}]) {
+		if a, ok := c.boundHere(m, k); ok && !fencing.Adoptable(heartbeatHead(r), a, listed[taskAttempt{k, a.Number}]) {
 			return
 		}
 	}
 	// Our records were read after that life had ended, with all that it did.
-	m.adopted, m.tainted, m.proved = true, false, true
-	m.session, m.tally, m.heard, m.answered = 0, 0, c.now, 0
-	m.direct = listed // also what has ended: it may not be forgotten yet
-	c.own(m)
+	m.adopted, m.launchInDoubt, m.mirrorComplete = true, false, true
+	m.epoch, m.sequence, m.heardAt, m.answeredAt = 0, 0, c.now, 0
+	m.inFlight = listed // also what has ended: it may not be forgotten yet
+	c.updateOwnMachines(m)
 	c.Stats.Adopted++
 }
 
@@ -128,21 +128,21 @@
 // goes on without a new claim. A quarter of the lease leaves time to take the
 // worker over.
 func (c *Core) awaitsHolder(m *machine, r *protocol.Heartbeat) bool {
-	if m.stamp == 0 || r.FencingToken != m.stamp {
+	if m.token == 0 || r.FencingToken != m.token {
 		return false
 	}
-	now := c.reach.Picture()
+	now := c.links.Snapshot()
 	p := now.Find(m.claim.Owner)
 	if p == nil || p.Zone != r.Zone {
 		return false
 	}
-	if p.Word < now.Report && p.FreshMS < starting.Milliseconds() {
+	if p.HeartbeatAge < now.HeartbeatInterval && p.MirrorAgeMS < unknownMirrorAge.Milliseconds() {
 		return false // it is there, and has sent the worker on
 	}
 	// Guards against workers of a controller that is cut off: they come
 	// after a report period and a wait for its answer, with little left of
 	// their lease. One that was restarted is back before that.
-	if !reach.MayReturn(&now, p, seconds(c.cfg.Facts.Workers.Lease/3)) {
+	if !connectivity.MayRecover(&now, p, seconds(c.cfg.Facts.Workers.Lease/3)) {
 		return false
 	}
 	if m.awaitingHolderSince == 0 {
@@ -155,17 +155,17 @@
 // that is over may still be carried out on it: until the call is given up nothing else
 // shows that it is late, and an answer under the old token would let it start what was cancelled
 // for a lease longer. What the worker lists has come; a launch of that does nothing.
-func (c *Core) voidLaunches(m *machine, r *protocol.Heartbeat) {
-	if !c.mine(m) || m.tainted || len(m.direct) == 0 {
+func (c *Core) fenceLaunchesOfFinalJobs(m *machine, r *protocol.Heartbeat) {
+	if !c.isOwn(m) || m.launchInDoubt || len(m.inFlight) == 0 {
 		return
 	}
-	for a := range m.direct {
-		if !c.over(a.id) {
+	for a := range m.inFlight {
+		if !c.knownFinal(a.job) {
 			continue
 		}
-		name := job.TaskName(a.id, a.index)
-		if !slices.ContainsFunc(r.Tasks, func(l protocol.TaskStatus) bool { return l.Task == name && l.Attempt == a.try }) {
-			m.tainted = true
+		name := job.TaskName(a.job, a.index)
+		if !slices.ContainsFunc(r.Tasks, func(l protocol.TaskStatus) bool { return l.Task == name && l.Attempt == a.number }) {
+			m.launchInDoubt = true
 			return
 		}
 	}
@@ -183,17 +183,17 @@
 // waits for the claim's refusal here keeps a whole site's workers from going to and fro. One that comes back within
 // it was not answered there: sent home each time, it spent its whole lease between a controller whose
 // link to the state service flapped and one that could not hear its zone.
-func (c *Core) hasHolder(m *machine, r *protocol.Heartbeat) bool {
-	if m.stamp == 0 || c.mine(m) || !c.reach.HolderHeard(m.claim.Owner) {
+func (c *Core) shouldRedirectToHolder(m *machine, r *protocol.Heartbeat) bool {
+	if m.token == 0 || c.isOwn(m) || !c.links.HolderReachable(m.claim.Owner) {
 		return false
 	}
 	// With work on it a claim is worth its try here: its holder may be the one that can't be heard.
 	// A whole group that has just been taken over is told by those that come to its holder: elsewhere each would need a claim.
 	// But not if it says that it does not hear the zone.
-	now := c.reach.Picture()
-	passed := m.passed() && !reach.Lost(&now, m.claim.Owner, m.claim.Zone)
-	unheard := (len(r.Tasks) == 0 || passed) && r.FencingToken < m.stamp && c.now-m.claimedAt < seconds(c.cfg.Facts.Workers.Lease/3)
-	if !c.cutOff() && !unheard || m.redirectedToHolder > 0 && c.now-m.redirectedToHolder < c.leaseOver() {
+	now := c.links.Snapshot()
+	passed := m.failedOver() && !connectivity.ZoneLost(&now, m.claim.Owner, m.claim.Zone)
+	unheard := (len(r.Tasks) == 0 || passed) && r.FencingToken < m.token && c.now-m.claimedAt < seconds(c.cfg.Facts.Workers.Lease/3)
+	if !c.cutOff() && !unheard || m.redirectedToHolder > 0 && c.now-m.redirectedToHolder < c.leaseExpiry() {
 		return false
 	}
 	m.redirectedToHolder = c.now
--- a/internal/coordination/served_test.go
+++ b/internal/coordination/served_test.go
@@ -174,9 +174,9 @@
 				n.cut["workers"] = time.Hour
 			}
 		}},
-		{"not served: team blue", func(s *sim) { s.cloud.free = map[place]int{} }},
+		{"not served: team blue", func(s *sim) { s.cloud.free = map[offering]int{} }},
 		{"not served: largest of class arr", func(s *sim) { // no machine of the type that the largest job wants
-			s.cloud.free = map[place]int{{"small", "a", false}: 4}
+			s.cloud.free = map[offering]int{{"small", "a", false}: 4}
 			s.after(2*time.Second, func() {
 				s.submit(&job.Spec{ID: "wk-600000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 60, CPUs: 4, GPUs: 1, MemoryGB: 8, MachineTypes: []string{"large"}}, 30, 0)
 			})
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -3,69 +3,69 @@
 import (
 	"time"
 
-	"silvergate/internal/evidence"
+	"silvergate/internal/fencing"
 	"silvergate/internal/protocol"
 )
 
 // watchMachines looks for machines of ours that have gone silent.
-func (c *Core) watchMachines() {
+func (c *Core) checkSilentMachines() {
 	w := &c.cfg.Facts.Workers
 	entryAge := seconds(w.Report * c.cfg.Operator.EntryAge)
 	// A worker gives up on an answer after 4 s; three reports and one such
 	// wait without a word, while others are heard, is a machine in trouble.
 	silent := seconds(3*w.Report + 4)
-	blind := c.now-c.store.FreshAt() > seconds(w.Report)
+	blind := c.now-c.state.FreshAt() > seconds(w.Report)
 	heard, recent, mine := 0, 0, 0
-	var deaf []string
-	zones := map[string]*zoneHeard{}
-	for _, m := range c.ours {
+	var unresponsive []string
+	zones := map[string]*zoneHeartbeats{}
+	for _, m := range c.ownMachines {
 		mine++
 		z := zones[m.claim.Zone]
 		if z == nil {
-			z = &zoneHeard{}
+			z = &zoneHeartbeats{}
 			zones[m.claim.Zone] = z
 		}
-		if c.now-m.heard < silent {
+		if c.now-m.heardAt < silent {
 			heard++
 		}
-		if c.now-m.heard < seconds(1.25*w.Report) {
+		if c.now-m.heardAt < seconds(1.25*w.Report) {
 			recent++
 		} else {
-			z.quiet++
+			z.overdue++
 		}
-		z.held++
-		z.newest = max(z.newest, m.heard)
+		z.machines++
+		z.lastHeartbeat = max(z.lastHeartbeat, m.heardAt)
 		// Guards against work that waits for room on a machine that hears nobody: its reports come, so it is not silent,
 		// and it never shows the token under which it could be given any.
-		if !m.shown && m.tally > 0 && c.now-m.claimedAt > seconds(2*w.Report) && c.now-m.heard < silent && len(deaf) < mostDeaf {
-			deaf = append(deaf, m.id)
+		if !m.tokenSeen && m.sequence > 0 && c.now-m.claimedAt > seconds(2*w.Report) && c.now-m.heardAt < silent && len(unresponsive) < maxUnresponsive {
+			unresponsive = append(unresponsive, m.id)
 		}
 	}
-	c.fleet.see(c.cfg.Node, c.now, zones, deaf, seconds(1.25*w.Report))
+	c.scaler.updateZoneView(c.cfg.Node, c.now, zones, unresponsive, seconds(1.25*w.Report))
 	held, awaited := map[string]int{}, map[string]int{}
 	for name, z := range zones {
-		held[name] = z.held
+		held[name] = z.machines
 	}
-	if c.holders.count[c.cfg.Node] > len(c.ours) {
+	if c.ownership.machinesByOwner[c.cfg.Node] > len(c.ownMachines) {
 		for _, m := range c.machines {
-			if c.earlier(m) {
+			if c.heldByEarlierIncarnation(m) {
 				awaited[m.claim.Zone]++
 			}
 		}
 	}
-	c.reach.Workers(held, awaited)
-	for _, m := range c.ours {
-		if c.now-m.heard > entryAge {
-			c.unlist(m)
+	c.links.SetWorkers(held, awaited)
+	for _, m := range c.ownMachines {
+		if c.now-m.heardAt > entryAge {
+			c.removeFromIdleList(m)
 		}
 		c.sendDeferred(m)
-		if c.standing(m).LeaseExpired(c.now, m.answered, c.leaseOver()) {
-			m.released = true
+		if c.workerState(m).LeaseExpired(c.now, m.answeredAt, c.leaseExpiry()) {
+			m.leaseExpired = true
 			for _, k := range m.tasks() {
 				rec := m.bound[k]
 				t := rec.task(c, k.index)
-				if t.Epoch <= m.session && !c.ending(rec, k.index) {
-					c.propose(rec, k.index, change{machine: m.id, session: t.Epoch, try: t.Attempt, kind: evidence.LeaseExpired})
+				if t.Epoch <= m.epoch && !c.releasePending(rec, k.index) {
+					c.propose(rec, k.index, taskTransition{machine: m.id, epoch: t.Epoch, attempt: t.Attempt, proof: fencing.LeaseExpired})
 				}
 			}
 		}
@@ -74,29 +74,29 @@
 		// who are cut off: that is enough. (Cut off from all workers, nobody
 		// would have been heard for so long.) Guards against a controller that
 		// takes itself for cut off when more than half of its machines hang.
-		quiet := c.now - m.heard
-		if quiet > seconds(1.35*w.Report) && !m.asking && c.now >= m.askAt {
-			c.askStatus(m)
+		quiet := c.now - m.heardAt
+		if quiet > seconds(1.35*w.Report) && !m.probing && c.now >= m.nextProbeAt {
+			c.probeWorker(m)
 		}
-		fast := quiet > seconds(1.75*w.Report) && m.mute > 1 && recent*4 >= mine
-		if !blind && (fast || quiet > silent && (heard*4 >= mine || quiet > c.leaseOver())) &&
-			(!zones[m.claim.Zone].cut(c.now, seconds(w.Report)) || quiet > c.leaseOver()+silent+seconds(c.kind(m).StartupS)) {
-			c.drain(m, drainSilent)
+		fast := quiet > seconds(1.75*w.Report) && m.failedProbes > 1 && recent*4 >= mine
+		if !blind && (fast || quiet > silent && (heard*4 >= mine || quiet > c.leaseExpiry())) &&
+			(!zones[m.claim.Zone].unreachable(c.now, seconds(w.Report)) || quiet > c.leaseExpiry()+silent+seconds(c.machineTypeOf(m).StartupS)) {
+			c.drainMachine(m, drainSilent)
 		}
 	}
-	if c.holders.count[c.cfg.Node] > len(c.ours) && !blind {
-		c.watchEarlier(recent*4 >= mine)
+	if c.ownership.machinesByOwner[c.cfg.Node] > len(c.ownMachines) && !blind {
+		c.checkInheritedMachines(recent*4 >= mine)
 	}
 }
 
 // mostDeaf bounds how many machines a beat names as deaf.
-const mostDeaf = 256
+const maxUnresponsive = 256
 
 // zoneHeard counts machines of ours in a zone, and those of them whose report
 // is overdue.
-type zoneHeard struct {
-	held, quiet int
-	newest      time.Duration // when the last report of any came
+type zoneHeartbeats struct {
+	machines, overdue int
+	lastHeartbeat     time.Duration // when the last report of any came
 }
 
 // cut tells whether it is the zone that can't be heard, and not single machines
@@ -112,14 +112,14 @@
 //
 // They are returned when they have been of no use for as long as another takes to
 // boot: that at most doubles what the wrong guess costs, whichever it was.
-func (z *zoneHeard) cut(now, report time.Duration) bool {
-	return z.quiet >= 4 && 4*z.quiet > 3*z.held || z.held >= 4 && (now-z.newest)*time.Duration(z.held) > 8*report
+func (z *zoneHeartbeats) unreachable(now, report time.Duration) bool {
+	return z.overdue >= 4 && 4*z.overdue > 3*z.machines || z.machines >= 4 && (now-z.lastHeartbeat)*time.Duration(z.machines) > 8*report
 }
 
 // asksAtOnce is how many workers may be asked for their status at a time:
 // questions to a zone that is cut off hang, and must not take the connections
 // that launches need.
-func (c *Core) asksAtOnce() int { return max(2, c.cfg.Facts.Limits.MaxSockets/40) }
+func (c *Core) maxProbes() int { return max(2, c.cfg.Facts.Limits.MaxSockets/40) }
 
 // watchEarlier looks for machines that an earlier life of ours held and that
 // have found nobody since: a worker that is up needs a report period and a few
@@ -130,51 +130,51 @@
 // Guards against a site that is returned whole: where more than three quarters of all that the earlier life
 // held, and at least four, are silent, it is not single machines that are in trouble. They can't be reached for
 // a while, and go on with their tasks when they can; what has just come up, and is heard, proves nothing about them.
-func (c *Core) watchEarlier(well bool) {
+func (c *Core) checkInheritedMachines(well bool) {
 	w := &c.cfg.Facts.Workers
 	missing, late := 0, seconds(1.75*w.Report)
 	for _, m := range c.machines {
-		if c.earlier(m) && !m.claiming {
+		if c.heldByEarlierIncarnation(m) && !m.claiming {
 			missing++
 		}
 	}
-	c.fleet.inherited = max(c.fleet.inherited, missing)
-	well = well && (missing < 4 || 4*missing <= 3*c.fleet.inherited)
+	c.scaler.inherited = max(c.scaler.inherited, missing)
+	well = well && (missing < 4 || 4*missing <= 3*c.scaler.inherited)
 	for _, id := range sortedKeys(c.machines) {
 		m := c.machines[id]
-		if !c.earlier(m) || m.claiming {
+		if !c.heldByEarlierIncarnation(m) || m.claiming {
 			continue
 		}
-		quiet := c.now - max(c.readyAt, m.heard)
-		if quiet > late && !m.asking && c.now >= m.askAt {
-			c.askStatus(m)
+		quiet := c.now - max(c.loadedAt, m.heardAt)
+		if quiet > late && !m.probing && c.now >= m.nextProbeAt {
+			c.probeWorker(m)
 		}
 		// In a zone that nobody hears, only the machines of production work are
 		// returned that soon: their tasks are known to be gone by it.
-		if well && m.mute > 1 && quiet > seconds(2.5*w.Report) && (m.urgent() || !c.zoneDark(m.claim.Zone)) || quiet > c.horizon()+seconds(3*w.Report) {
-			c.drain(m, drainSilent)
+		if well && m.failedProbes > 1 && quiet > seconds(2.5*w.Report) && (m.urgent() || !c.zoneUnreachable(m.claim.Zone)) || quiet > c.cancelHorizon()+seconds(3*w.Report) {
+			c.drainMachine(m, drainSilent)
 		}
 	}
 }
 
 // askStatus asks an overdue worker for its state. An answer shows that it is
 // up, silence that it probably is not.
-func (c *Core) askStatus(m *machine) {
-	if c.asks >= c.asksAtOnce() {
+func (c *Core) probeWorker(m *machine) {
+	if c.probesInFlight >= c.maxProbes() {
 		return
 	}
-	c.asks++
-	m.asking, m.askAt = true, c.now+seconds(c.cfg.Facts.Workers.Report/4)
-	at := m.heard
+	c.probesInFlight++
+	m.probing, m.nextProbeAt = true, c.now+seconds(c.cfg.Facts.Workers.Report/4)
+	at := m.heardAt
 	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: "GET", Path: protocol.PathStatus,
 		Timeout: seconds(c.cfg.Facts.Workers.Report / 4)}, func(r protocol.Reply) {
-		m.asking = false
-		c.asks--
+		m.probing = false
+		c.probesInFlight--
 		if r.Status != 0 {
-			c.reach.WorkerHeard(m.claim.Zone)
+			c.links.WorkerHeard(m.claim.Zone)
 		}
-		if m.mute++; r.Status != 0 || m.heard != at {
-			m.mute = 0
+		if m.failedProbes++; r.Status != 0 || m.heardAt != at {
+			m.failedProbes = 0
 		}
 	})
 }
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -114,7 +114,7 @@
 	name    string
 	zone    string
 	core    *Core
-	tape    *Recorded // what the world goes through
+	tape    *RecordedCore // what the world goes through
 	started time.Duration
 	life    int64
 	tickAt  time.Duration
@@ -156,18 +156,18 @@
 	if s.trace != nil {
 		log = slog.New(slog.NewTextHandler(simClock{s}, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", n.name)
 	}
-	seed, life := s.rnd.Uint64(), n.life*1000+s.now.Milliseconds()+1
-	n.core = New(cfg, log, rand.New(rand.NewPCG(seed, 1)), life)
-	n.tape = NewRecorded(n.core, s.record(cfg, life, seed))
+	seed, incarnation := s.rnd.Uint64(), n.life*1000+s.now.Milliseconds()+1
+	n.core = New(cfg, log, rand.New(rand.NewPCG(seed, 1)), incarnation)
+	n.tape = NewRecordedCore(n.core, s.record(cfg, incarnation, seed))
 	n.tick(n.life)
 }
 
-func (n *simNode) tick(life int64) {
-	if n.core == nil || n.life != life {
+func (n *simNode) tick(incarnation int64) {
+	if n.core == nil || n.life != incarnation {
 		return
 	}
 	if n.frozen > n.s.now {
-		n.awake(func() { n.tick(life) })
+		n.awake(func() { n.tick(incarnation) })
 		return
 	}
 	n.tickAt = 0
@@ -178,12 +178,12 @@
 
 // plan has the next tick come when the core is due, as the program does.
 func (n *simNode) plan() {
-	s, life := n.s, n.life
+	s, incarnation := n.s, n.life
 	if at := s.now + n.core.Due(); n.tickAt == 0 || at < n.tickAt {
 		n.tickAt = at
 		s.after(at-s.now, func() {
 			if n.tickAt == at {
-				n.tick(life)
+				n.tick(incarnation)
 			}
 		})
 	}
@@ -198,8 +198,8 @@
 	do()
 }
 
-func (n *simNode) clock() Clock {
-	return Clock{time.Duration(float64(n.s.now-n.started) * (1 + n.drift)), time.UnixMilli(1_700_000_000_000 + n.s.now.Milliseconds())}
+func (n *simNode) clock() Timestamp {
+	return Timestamp{time.Duration(float64(n.s.now-n.started) * (1 + n.drift)), time.UnixMilli(1_700_000_000_000 + n.s.now.Milliseconds())}
 }
 
 func (n *simNode) crash(down time.Duration) {
@@ -241,9 +241,9 @@
 		return
 	}
 	if n.frozen > n.s.now {
-		life := n.life
+		incarnation := n.life
 		n.awake(func() {
-			if n.life == life {
+			if n.life == incarnation {
 				n.deliver(method, path, body, done)
 			}
 		})
@@ -251,10 +251,10 @@
 	}
 	n.nextReq++
 	id := n.nextReq
-	life := n.life
+	incarnation := n.life
 	n.reqs[id] = func(st int, b []byte) {
 		n.s.after(n.s.hop(), func() {
-			if n.life == life {
+			if n.life == incarnation {
 				done(st, b)
 			}
 		})
@@ -269,11 +269,11 @@
 
 func (n *simNode) effects(e Effects) {
 	s := n.s
-	life := n.life
+	incarnation := n.life
 	n.plan()
 	s.digest.add(n.name, s.now, e)
 	n.judgeOrder(e)
-	for _, a := range e.Answers {
+	for _, a := range e.Responses {
 		delete(n.askers, a.ID)
 		if done := n.reqs[a.ID]; done != nil {
 			delete(n.reqs, a.ID)
@@ -290,9 +290,9 @@
 				continue
 			}
 			s.after(s.ms(0.2, 5), func() {
-				life := o.life
+				incarnation := o.life
 				o.awake(func() {
-					if o.core != nil && o.life == life {
+					if o.core != nil && o.life == incarnation {
 						o.effects(o.tape.Peer(o.clock(), n.name, msg))
 					}
 				})
@@ -303,7 +303,7 @@
 		answered := false
 		reply := func(st int, body []byte) {
 			n.awake(func() {
-				if answered || n.core == nil || n.life != life {
+				if answered || n.core == nil || n.life != incarnation {
 					return
 				}
 				answered = true
@@ -472,19 +472,19 @@
 	return out
 }
 
-func (k *simState) change(key string, data json.RawMessage, permit, rev uint64) {
+func (k *simState) change(key string, data json.RawMessage, lease, rev uint64) {
 	if strings.HasPrefix(key, keyDrain) && data != nil {
 		k.drains[key]++
-		var d drain
+		var d drainRecord
 		_ = json.Unmarshal(data, &d)
-		k.drainedAs[key] = d.Why
+		k.drainedAs[key] = d.Reason
 	}
 	k.s.claimed(key, data)
 	if data == nil {
 		delete(k.keys, key)
 		k.news = append(k.news, protocol.WatchEvent{Delete: key, ModRevision: rev})
 	} else {
-		k.keys[key] = simKey{data, rev, permit}
+		k.keys[key] = simKey{data, rev, lease}
 		k.news = append(k.news, protocol.WatchEvent{Put: key, Value: data, ModRevision: rev})
 	}
 }
@@ -641,7 +641,7 @@
 type simCloud struct {
 	s     *sim
 	types map[string]protocol.MachineType
-	free  map[place]int
+	free  map[offering]int
 	hires map[string][]string
 	next  int
 	all   map[string]*simWorker // by name
@@ -695,7 +695,7 @@
 				w.die()
 				delete(c.all, name)
 				if !w.taken {
-					c.free[place{w.rig, w.zone, w.spot}]++
+					c.free[offering{w.rig, w.zone, w.spot}]++
 				}
 			}
 		}
@@ -726,7 +726,7 @@
 			reply(200, encode(protocol.MachineNames{Machines: old}))
 			return
 		}
-		p := place{r.MachineType, r.Zone, r.Spot}
+		p := offering{r.MachineType, r.Zone, r.Spot}
 		n := min(r.Count, c.free[p])
 		if n == 0 {
 			reply(503, []byte(`{"error":"no capacity"}`))
@@ -889,7 +889,7 @@
 		s.after(time.Second, w.report)
 		return
 	}
-	rep := w.state()
+	reply := w.state()
 	shift, sent := w.shift, s.now
 	n := s.nodes[w.node]
 	link := "workers"
@@ -897,16 +897,16 @@
 		link = "zone:" + w.zone
 	}
 	if s.copies > 0 && s.rnd.Float64() < s.copies {
-		s.after(s.ms(2000, 1300*s.facts.Workers.Lease), func() { n.deliver("POST", protocol.PathHeartbeat, encode(rep), func(int, []byte) {}) })
+		s.after(s.ms(2000, 1300*s.facts.Workers.Lease), func() { n.deliver("POST", protocol.PathHeartbeat, encode(reply), func(int, []byte) {}) })
 	}
-	s.keepCopy(w, rep)
-	ask := func(done func(int, []byte)) { n.request(link, "POST", protocol.PathHeartbeat, encode(rep), done) }
-	if s.holdBack(w, rep) {
+	s.keepCopy(w, reply)
+	ask := func(done func(int, []byte)) { n.request(link, "POST", protocol.PathHeartbeat, encode(reply), done) }
+	if s.holdBack(w, reply) {
 		ask = func(done func(int, []byte)) { s.after(4*time.Second, func() { done(0, nil) }) }
 	}
 	ask(func(st int, body []byte) {
 		if s.trace != nil {
-			fmt.Fprintf(s.trace, "%8.3f CHECKIN stoker=%s node=%s shift=%d tally=%d baton=%d sent=%.3f status=%d %s\n", s.now.Seconds(), w.name, n.name, shift, rep.Sequence, rep.FencingToken, sent.Seconds(), st, body)
+			fmt.Fprintf(s.trace, "%8.3f CHECKIN stoker=%s node=%s shift=%d tally=%d baton=%d sent=%.3f status=%d %s\n", s.now.Seconds(), w.name, n.name, shift, reply.Sequence, reply.FencingToken, sent.Seconds(), st, body)
 		}
 		if w.dead {
 			return
--- a/internal/coordination/slopes_test.go
+++ b/internal/coordination/slopes_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"silvergate/internal/failover"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
-	"silvergate/internal/takeover"
 )
 
 // The benchmarks whose names begin with Slope are the steps of a controller that docs/CAPACITY.md
@@ -17,10 +17,10 @@
 
 // reportOf is a report as the holder of a machine expects it, with so many running tasks.
 func reportOf(c *Core, m *machine, extra int) protocol.Heartbeat {
-	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.Type, Zone: m.claim.Zone, Spot: m.claim.Spot,
-		AgentEpoch: m.session, Sequence: m.tally, FencingToken: m.stamp}
+	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
+		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
 	for _, k := range m.tasks() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.id, k.index), Attempt: m.bound[k].task(c, k.index).Attempt, Status: protocol.TaskRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: m.bound[k].task(c, k.index).Attempt, Status: protocol.TaskRunning})
 	}
 	for i := range extra {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", i), Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseDone})
@@ -38,8 +38,8 @@
 	for b.Loop() {
 		r.Sequence++
 		id++
-		if e := c.Request(clock, id, "POST", protocol.PathHeartbeat, encode(r)); len(e.Answers) != 1 || e.Answers[0].Status != 200 {
-			b.Fatalf("%+v", e.Answers)
+		if e := c.Request(clock, id, "POST", protocol.PathHeartbeat, encode(r)); len(e.Responses) != 1 || e.Responses[0].Status != 200 {
+			b.Fatalf("%+v", e.Responses)
 		}
 	}
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
@@ -58,18 +58,18 @@
 	c.applyJob(spec.ID, encode(storedJob{spec, job.Open, 1, "n0"}), 1)
 	tasks := make([]job.Task, 128)
 	for i := range tasks {
-		tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: c.ours[i%len(c.ours)].id, Epoch: 1}
+		tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: c.ownMachines[i%len(c.ownMachines)].id, Epoch: 1}
 	}
 	var pages [2][]byte
 	for i := range pages {
 		tasks[7].Attempt = 1 + i
 		pages[i] = writePage(tasks)
 	}
-	stamp := uint64(1 << 40)
+	revision := uint64(1 << 40)
 	b.ReportAllocs()
 	for b.Loop() {
-		stamp++
-		c.applyPage(spec.ID+"/0", pages[stamp%2], stamp)
+		revision++
+		c.applyPage(spec.ID+"/0", pages[revision%2], revision)
 	}
 }
 
@@ -77,12 +77,12 @@
 func BenchmarkSlopeWatchedClaim(b *testing.B) {
 	_, c, m := grownCore(b)
 	k := m.claim
-	stamp := uint64(1 << 40)
+	revision := uint64(1 << 40)
 	b.ReportAllocs()
 	for b.Loop() {
-		stamp++
-		k.Owner = fmt.Sprintf("n%d", 1+stamp%2)
-		c.applyClaim(m.id, encode(k), stamp)
+		revision++
+		k.Owner = fmt.Sprintf("n%d", 1+revision%2)
+		c.applyClaim(m.id, encode(k), revision)
 	}
 }
 
@@ -103,8 +103,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		if e := c.Request(clock, id, "GET", protocol.PathJobs+"/"+over, nil); len(e.Answers) != 1 {
-			b.Fatalf("%+v", e.Answers)
+		if e := c.Request(clock, id, "GET", protocol.PathJobs+"/"+over, nil); len(e.Responses) != 1 {
+			b.Fatalf("%+v", e.Responses)
 		}
 	}
 }
@@ -126,14 +126,14 @@
 // for each machine of the group.
 func BenchmarkSlopeTakeover(b *testing.B) {
 	const workers = 1000
-	newBook := func() (*Core, takeover.Group) {
+	newBook := func() (*Core, failover.Group) {
 		_, c, m := grownCore(b)
 		k := m.claim
-		k.Owner, k.Life, k.Epoch = "n9", 1, 1
-		var g takeover.Group
+		k.Owner, k.Incarnation, k.Epoch = "n9", 1, 1
+		var g failover.Group
 		for i, n := 0, 0; n < workers; i++ {
 			name := fmt.Sprintf("i-9%06d", i)
-			if of := takeover.GroupOf(takeover.Holder{Node: "n9", Incarnation: 1, Epoch: 1}, name, k.Zone); of.Number == 0 {
+			if of := failover.GroupOf(failover.Holder{Node: "n9", Incarnation: 1, Epoch: 1}, name, k.Zone); of.Number == 0 {
 				g, n = of, n+1
 				c.applyClaim(name, encode(k), 1<<30)
 			}
@@ -141,12 +141,12 @@
 		return c, g
 	}
 	c, g := newBook()
-	stamp := uint64(1 << 40)
-	c.holders.book.Advance(1 << 50)
+	revision := uint64(1 << 40)
+	c.ownership.failovers.Advance(1 << 50)
 	b.ReportAllocs()
 	for b.Loop() {
-		stamp++
-		c.applyTakeover(g.Key(), encode(takeover.Holder{Node: "n1", Incarnation: 1, Epoch: 1}), stamp)
+		revision++
+		c.applyFailover(g.Key(), encode(failover.Holder{Node: "n1", Incarnation: 1, Epoch: 1}), revision)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/workers, "ns/worker")
 }
--- a/internal/coordination/start_test.go
+++ b/internal/coordination/start_test.go
@@ -23,7 +23,7 @@
 func fleetRecords(machines int, owner string) (keys []string, data map[string][]byte) {
 	data = map[string][]byte{keyFlavors: encode(protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 40, Zones: []string{"a", "b"}}}})}
 	for i := range machines {
-		data[fmt.Sprintf("%si-%06d", keyClaim, i)] = encode(claim{owner, 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), "large", []string{"a", "b"}[i%2], i%2 == 0, 1})
+		data[fmt.Sprintf("%si-%06d", keyClaim, i)] = encode(claimRecord{owner, 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), "large", []string{"a", "b"}[i%2], i%2 == 0, 1})
 	}
 	const each = 25
 	for j := range machines * 8 / each * 2 {
@@ -59,7 +59,7 @@
 	cfg := &config.Settings{Node: "n0", Zone: "a", Facts: facts, Operator: config.DefaultOperator()}
 	c := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 2)), 2)
 	at := time.Duration(0)
-	clock := func() Clock { return Clock{at, time.UnixMilli(1_700_000_100_000 + at.Milliseconds())} }
+	clock := func() Timestamp { return Timestamp{at, time.UnixMilli(1_700_000_100_000 + at.Milliseconds())} }
 	step := func(do func() Effects) Effects {
 		begin := time.Now()
 		e := do()
@@ -74,7 +74,7 @@
 		asked++
 		e := step(func() Effects { return c.Request(clock(), asked, method, path, body) })
 		todo = append(todo, e.Calls...)
-		for _, a := range e.Answers {
+		for _, a := range e.Responses {
 			if a.ID == asked {
 				return a.Status
 			}
@@ -118,11 +118,11 @@
 			served = ask("GET", protocol.PathJobs+"/wk-000001", nil) == 200 // over
 		}
 		if up && !answered {
-			rep := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
+			reply := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
 			for i := range 8 {
-				rep.Tasks = append(rep.Tasks, protocol.TaskStatus{Task: job.TaskName("wk-000000", i), Attempt: 1, Status: protocol.TaskRunning})
+				reply.Tasks = append(reply.Tasks, protocol.TaskStatus{Task: job.TaskName("wk-000000", i), Attempt: 1, Status: protocol.TaskRunning})
 			}
-			answered = ask("POST", protocol.PathHeartbeat, encode(rep)) == 200
+			answered = ask("POST", protocol.PathHeartbeat, encode(reply)) == 200
 		}
 		if up && served && answered {
 			return requests, whole, longest
--- a/internal/coordination/storedkeys_test.go
+++ b/internal/coordination/storedkeys_test.go
@@ -8,10 +8,10 @@
 	"reflect"
 	"testing"
 
+	"silvergate/internal/completionlog"
 	"silvergate/internal/config"
-	"silvergate/internal/endings"
+	"silvergate/internal/failover"
 	"silvergate/internal/job"
-	"silvergate/internal/takeover"
 )
 
 // mirroringCore is a core with all that records can be about.
@@ -27,43 +27,47 @@
 // each to one of its own, and looks for what it knows then.
 func TestStoredRecordsAreTakenUnderTheirKeys(t *testing.T) {
 	const stamp = 99
-	ending := endings.Completion{Task: endings.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}
-	passed := takeover.Group{Holder: takeover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
+	ending := completionlog.Completion{Task: completionlog.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}
+	passed := failover.Group{Holder: failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
 	tests := []struct {
 		key, file string
 		known     func(c *Core) bool
 	}{
 		{"sg/j/wk-000042", "j-open.json", func(c *Core) bool {
 			r := c.jobs["wk-000042"]
-			return r != nil && r.status == job.Open && r.home == "n1" && r.stamp == stamp && reflect.DeepEqual(r.spec, goldenSpec("wk-000042", job.Gang, job.Production))
+			return r != nil && r.status == job.Open && r.owner == "n1" && r.revision == stamp && reflect.DeepEqual(r.spec, goldenSpec("wk-000042", job.Gang, job.Production))
 		}},
 		{"sg/j/wk-000044", "j-cancelled.json", func(c *Core) bool { return c.jobs["wk-000044"] != nil && c.jobs["wk-000044"].status == job.Cancelled }},
 		{"sg/p/wk-000042/0", "p-words.json", pageIsKnown},
 		{"sg/p/wk-000042/0", "p-list.json", pageIsKnown},
-		{"sg/q/red", "q.json", func(c *Core) bool { return c.teams["red"].use == usage{12.5, 3} && c.teams["red"].stamp == stamp }},
+		{"sg/q/red", "q.json", func(c *Core) bool {
+			return c.teams["red"].charged == usage{12.5, 3} && c.teams["red"].revision == stamp
+		}},
 		{"sg/c/i-000231", "c.json", func(c *Core) bool {
 			m := c.machines["i-000231"]
-			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.own.Token == stamp && m.own.Epoch == 2
+			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.ownClaim.Token == stamp && m.ownClaim.Epoch == 2
 		}},
-		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.holders.book.Pending(passed) }},
-		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writes.log.Has(ending) && c.writes.log.Len() == 1 }},
-		{"sg/x/i-000231", "x.json", func(c *Core) bool { return c.drains["i-000231"].Why == "idle" }},
+		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.ownership.failovers.Pending(passed) }},
+		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writer.completions.Has(ending) && c.writer.completions.Len() == 1 }},
+		{"sg/x/i-000231", "x.json", func(c *Core) bool { return c.drains["i-000231"].Reason == "idle" }},
 		{"sg/m/n1", "m.json", func(c *Core) bool {
-			return reflect.DeepEqual(c.members["n1"], &member{7, 5, 6, 3}) && c.formats["n1"] == 3
+			return reflect.DeepEqual(c.members["n1"], &member{7, 5, 6, 3}) && c.peerFormats["n1"] == 3
+		}},
+		{"sg/fleet", "fleet.json", func(c *Core) bool {
+			return c.scaler.leader == "n1" && c.scaler.leaderIncarnation == 7 && c.scaler.leaderRevision == stamp
 		}},
-		{"sg/fleet", "fleet.json", func(c *Core) bool { return c.fleet.owner == "n1" && c.fleet.life == 7 && c.fleet.stamp == stamp }},
 		{"sg/h/n1-7-1", "h.json", func(c *Core) bool {
-			r := c.fleet.rentals["n1-7-1"]
-			return r != nil && r.Rig == "g4" && r.Number == 3 && len(r.Names) == 2
+			r := c.scaler.rentals["n1-7-1"]
+			return r != nil && r.MachineType == "g4" && r.Count == 3 && len(r.Machines) == 2
 		}},
 		{"sg/d/maps/v1", "d.json", func(c *Core) bool {
-			return c.data.sets["maps/v1"] != nil && c.data.latest["maps"] == c.data.sets["maps/v1"]
+			return c.staging.sets["maps/v1"] != nil && c.staging.latest["maps"] == c.staging.sets["maps/v1"]
 		}},
 		{"sg/s/night", "s.json", func(c *Core) bool {
-			a := c.data.announced["night"]
-			return a != nil && a.Machines == 4 && a.AtMS == 1767225600001 && a.stamp == stamp
+			a := c.staging.announced["night"]
+			return a != nil && a.Machines == 4 && a.AtMS == 1767225600001 && a.revision == stamp
 		}},
-		{"sg/gang", "gang.json", func(c *Core) bool { return c.gang == gangLease{"wk-000042", "n1", 7} }},
+		{"sg/gang", "gang.json", func(c *Core) bool { return c.gangReservation == gangReservation{"wk-000042", "n1", 7} }},
 		{"sg/flavors", "flavors.json", func(c *Core) bool { return c.catalogue["g4"] != nil && c.catalogue["g4"].GPUs == 4 }},
 	}
 	for _, test := range tests {
@@ -76,7 +80,7 @@
 			if test.known(c) {
 				t.Fatal("known without the record")
 			}
-			c.apply(test.key, data, stamp)
+			c.applyChange(test.key, data, stamp)
 			if !test.known(c) {
 				t.Errorf("%s is not taken for what it is: %s", test.key, data)
 			}
@@ -90,7 +94,7 @@
 	if err != nil {
 		return false
 	}
-	c.apply("sg/j/wk-000042", data, 1)
+	c.applyChange("sg/j/wk-000042", data, 1)
 	p := c.jobs["wk-000042"].pages[0]
-	return reflect.DeepEqual(p.tasks, goldenTasks()) && p.stamp == 99
+	return reflect.DeepEqual(p.tasks, goldenTasks()) && p.revision == 99
 }
--- a/internal/coordination/storedrecords_test.go
+++ b/internal/coordination/storedrecords_test.go
@@ -8,10 +8,10 @@
 	"strings"
 	"testing"
 
-	"silvergate/internal/endings"
+	"silvergate/internal/completionlog"
+	"silvergate/internal/failover"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
-	"silvergate/internal/takeover"
 )
 
 // storedRecord is a record of the state service: docs/design.md, "Records".
@@ -105,11 +105,11 @@
 	depot := "z-b"
 	announced := announcement{AtMS: 1767225600001}
 	announced.Staging = protocol.Staging{ID: "night", Set: "maps", Version: "v1", Team: "red", Priority: "high", ByS: 90.5, Machines: 4, Zone: &depot}
-	holder := takeover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}
-	passed := takeover.Group{Holder: holder, Zone: "z a/1", Number: 3}
+	holder := failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}
+	passed := failover.Group{Holder: holder, Zone: "z a/1", Number: 3}
 	ended := []string{
-		endings.Completion{Task: endings.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}.String(),
-		endings.Completion{Task: endings.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}.String(),
+		completionlog.Completion{Task: completionlog.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}.String(),
+		completionlog.Completion{Task: completionlog.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}.String(),
 	}
 	whole := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
 		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Path: "in/maps"}}}
@@ -130,25 +130,25 @@
 			func(tasks []job.Task) json.RawMessage { return encode(tasks) }),
 		wholeRecord("team", "q.json", "sg/q/red", keyTeam+"red", usage{CPUs: 12.5, GPUs: 3}),
 		wholeRecord("claim", "c.json", "sg/c/i-000231", keyClaim+"i-000231",
-			claim{Owner: "n1", Life: 1767225600000000007, Address: "127.0.0.1:9000", Type: "g4", Zone: "z-a", Spot: true, Epoch: 2}),
+			claimRecord{Owner: "n1", Incarnation: 1767225600000000007, Address: "127.0.0.1:9000", MachineType: "g4", Zone: "z-a", Spot: true, Epoch: 2}),
 		partialRecord("claim, without an epoch", "c-least.json", "sg/c/i-000232", keyClaim+"i-000232",
-			claim{Owner: "n1", Life: 7, Address: "127.0.0.1:9001", Type: "c8", Zone: "z-b"}),
+			claimRecord{Owner: "n1", Incarnation: 7, Address: "127.0.0.1:9001", MachineType: "c8", Zone: "z-b"}),
 		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyTakeover+passed.Key(),
-			takeover.Holder{Node: "n2", Incarnation: 8, Epoch: 1}),
-		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyEndings+"n1/7-1", endings.Record{Completions: ended}),
-		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drain{Why: drainIdle}),
+			failover.Holder{Node: "n2", Incarnation: 8, Epoch: 1}),
+		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyEndings+"n1/7-1", completionlog.Record{Completions: ended}),
+		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drainRecord{Reason: drainIdle}),
 		wholeRecord("drains of all reasons", "x-reasons.json", "sg/x/", keyDrain,
-			[]drain{{drainIdle}, {drainSilent}, {drainRecall}, {drainFaulty}, {drainFailed}, {drainStray}, {drainLost}}),
-		wholeRecord("member", "m.json", "sg/m/n1", keyMember+"n1", member{Life: 7, Idle: 5, Machines: 6, Format: endingFormat}),
-		partialRecord("member, of the first format", "m-least.json", "sg/m/n2", keyMember+"n2", member{Life: 8, Idle: 1, Machines: 2}),
-		wholeRecord("fleet", "fleet.json", "sg/fleet", keyFleet, lease{Owner: "n1", Life: 7}),
+			[]drainRecord{{drainIdle}, {drainSilent}, {drainPreempted}, {drainFaulty}, {drainFailed}, {drainStray}, {drainLost}}),
+		wholeRecord("member", "m.json", "sg/m/n1", keyMember+"n1", member{Incarnation: 7, IdleMachines: 5, Machines: 6, Format: completionLogFormat}),
+		partialRecord("member, of the first format", "m-least.json", "sg/m/n2", keyMember+"n2", member{Incarnation: 8, IdleMachines: 1, Machines: 2}),
+		wholeRecord("fleet", "fleet.json", "sg/fleet", keyFleet, leadership{Leader: "n1", Incarnation: 7}),
 		wholeRecord("rental", "h.json", "sg/h/n1-7-1", keyRental+"n1-7-1",
-			rental{Rig: "g4", Depot: "z-a", Spot: true, Number: 3, At: 1767225600005, Names: []string{"i-000233", "i-000234"}}),
-		partialRecord("rental, not answered yet", "h-least.json", "sg/h/n1-7-2", keyRental+"n1-7-2", rental{Rig: "c8", Depot: "z-b", Number: 1, At: 6}),
+			rental{MachineType: "g4", Zone: "z-a", Spot: true, Count: 3, RequestedAtMS: 1767225600005, Machines: []string{"i-000233", "i-000234"}}),
+		partialRecord("rental, not answered yet", "h-least.json", "sg/h/n1-7-2", keyRental+"n1-7-2", rental{MachineType: "c8", Zone: "z-b", Count: 1, RequestedAtMS: 6}),
 		wholeRecord("what to run", "sgx-d.json", "sgx/d/wk-000042", keyExtra+"wk-000042", *whole),
 		wholeRecord("data set", "d.json", "sg/d/maps/v1", keyData+"maps/v1", set),
 		wholeRecord("announced work", "s.json", "sg/s/night", keyStaging+"night", announced),
-		wholeRecord("gang", "gang.json", "sg/gang", keyGang, gangLease{Job: "wk-000042", Owner: "n1", Life: 7}),
+		wholeRecord("gang", "gang.json", "sg/gang", keyGang, gangReservation{Job: "wk-000042", Owner: "n1", Incarnation: 7}),
 		wholeRecord("flavors", "flavors.json", "sg/flavors", keyFlavors, rigs),
 	}
 }
@@ -168,19 +168,19 @@
 // TestKeysOfGroupsAreReadAsWritten checks the key of a take-over and the words of an ending,
 // which have their own encoders.
 func TestKeysOfGroupsAreReadAsWritten(t *testing.T) {
-	want := takeover.Group{Holder: takeover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
-	if g, ok := takeover.ParseKey("n1/1767225600000000007.2/z%20a%2F1/3"); !ok || g != want {
+	want := failover.Group{Holder: failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
+	if g, ok := failover.ParseKey("n1/1767225600000000007.2/z%20a%2F1/3"); !ok || g != want {
 		t.Errorf("read as %+v", g)
 	}
 	// Which group a worker is in is part of the records' meaning: all controllers must agree.
 	for worker, number := range map[string]int{"i-000231": 1, "i-000232": 0, "i-000233": 3, "i-000234": 2} {
-		if g := takeover.GroupOf(want.Holder, worker, "z-a"); g.Number != number {
+		if g := failover.GroupOf(want.Holder, worker, "z-a"); g.Number != number {
 			t.Errorf("%s is in group %d, not %d", worker, g.Number, number)
 		}
 	}
-	ending := endings.Completion{Task: endings.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}
+	ending := completionlog.Completion{Task: completionlog.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}
 	const words = "wk-000042/7.2 i-000231 4611686018427387904"
-	if e, err := endings.Parse(words); err != nil || e != ending || e.String() != words {
+	if e, err := completionlog.Parse(words); err != nil || e != ending || e.String() != words {
 		t.Errorf("%s is read as %+v: %v", words, e, err)
 	}
 }
--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -6,144 +6,144 @@
 	"sort"
 	"time"
 
-	"silvergate/internal/bookkeeping"
-	"silvergate/internal/budget"
+	"silvergate/internal/connectivity"
+	"silvergate/internal/failover"
 	"silvergate/internal/protocol"
-	"silvergate/internal/reach"
-	"silvergate/internal/takeover"
+	"silvergate/internal/ratelimit"
+	"silvergate/internal/stateclient"
 )
 
-// This file is the seam to internal/takeover: workers whose controller is gone, or does not
+// This file is the seam to internal/failover: workers whose controller is gone, or does not
 // hear their zone any more, pass to another by the group, by one record for all of them.
 
 // holders is who holds which machines: how many each controller does, by which groups they
 // have passed from one to another, and the take-overs that reports of workers wait for.
-type holders struct {
-	count map[string]int
-	book  *takeover.Table
+type ownershipTable struct {
+	machinesByOwner map[string]int
+	failovers       *failover.Table
 	// awaited are the groups whose take-over is under way here, with the reports that it is
 	// to answer.
-	awaited map[takeover.Group]*awaitedTakeover
+	pending map[failover.Group]*pendingFailover
 }
 
 // awaitedTakeover is a take-over that is being written, or that is not heeded yet.
-type awaitedTakeover struct {
-	since   time.Duration
-	reports []heldReport
+type pendingFailover struct {
+	since      time.Duration
+	heartbeats []pendingHeartbeat
 }
 
 // heldReport is a worker's report that is not answered yet.
-type heldReport struct {
-	id     uint64
-	report *protocol.Heartbeat
+type pendingHeartbeat struct {
+	id        uint64
+	heartbeat *protocol.Heartbeat
 }
 
-func newHolders() holders {
-	return holders{count: map[string]int{}, book: takeover.NewTable(), awaited: map[takeover.Group]*awaitedTakeover{}}
+func newOwnershipTable() ownershipTable {
+	return ownershipTable{machinesByOwner: map[string]int{}, failovers: failover.NewTable(), pending: map[failover.Group]*pendingFailover{}}
 }
 
 // takeoverPatience is how long a report waits for the take-over of its worker's group: the
 // worker gives up on the answer after 4 s.
-const takeoverPatience = 3 * time.Second
+const failoverTimeout = 3 * time.Second
 
 // leastGroup is how many workers a group must have left for a take-over to save changes.
-const leastGroup = 2
+const minFailoverGroup = 2
 
 // ownEpoch is the epoch of the claims that we write now.
-func (c *Core) ownEpoch() int { return c.holders.book.NextEpoch(c.cfg.Node, c.life) }
+func (c *Core) claimEpoch() int { return c.ownership.failovers.NextEpoch(c.cfg.Node, c.incarnation) }
 
 // resolve finds who holds a machine by its own claim and the take-overs of groups, and takes
 // the machine up or gives it up where that has changed.
-func (c *Core) resolve(m *machine) {
-	held := c.holders.book.Resolve(m.id, m.claim.Zone, m.own)
+func (c *Core) resolveOwner(m *machine) {
+	held := c.ownership.failovers.Resolve(m.id, m.claim.Zone, m.ownClaim)
 	m.links = held.Links
-	if held.Token == m.stamp {
+	if held.Token == m.token {
 		return
 	}
-	if m.stamp != 0 {
-		c.holders.count[m.claim.Owner]--
+	if m.token != 0 {
+		c.ownership.machinesByOwner[m.claim.Owner]--
 	}
-	m.claim.Owner, m.claim.Life, m.stamp, m.claimedAt = held.Node, held.Incarnation, held.Token, c.now
-	m.shown, m.proved, m.released, m.adopted, m.awaitingHolderSince = false, false, false, false, 0
+	m.claim.Owner, m.claim.Incarnation, m.token, m.claimedAt = held.Node, held.Incarnation, held.Token, c.now
+	m.tokenSeen, m.mirrorComplete, m.leaseExpired, m.adopted, m.awaitingHolderSince = false, false, false, false, 0
 	m.queuedLaunches, m.deferredLaunches = nil, nil
 	m.reoccupy()
 	switch {
-	case !c.mine(m):
-		c.unlist(m)
+	case !c.isOwn(m):
+		c.removeFromIdleList(m)
 		clear(m.stops)
-	case m.passed():
-		m.renewed(c.now)
+	case m.failedOver():
+		m.resetForNewToken(c.now)
 	}
-	c.hold(m)
+	c.updateOwnership(m)
 }
 
 // renewed takes that a machine is held under a new token: whatever was sent under an earlier
 // one is void once the new one is seen, and nothing is believed before that.
-func (m *machine) renewed(now time.Duration) {
-	m.tainted = false
-	clear(m.direct)
-	m.session, m.tally, m.heard, m.answered = 0, 0, now, 0
+func (m *machine) resetForNewToken(now time.Duration) {
+	m.launchInDoubt = false
+	clear(m.inFlight)
+	m.epoch, m.sequence, m.heardAt, m.answeredAt = 0, 0, now, 0
 }
 
 // applyTakeover takes a record of a group that has passed to another controller.
-func (c *Core) applyTakeover(name string, data json.RawMessage, stamp uint64) {
-	g, ok := takeover.ParseKey(name)
+func (c *Core) applyFailover(name string, data json.RawMessage, revision uint64) {
+	g, ok := failover.ParseKey(name)
 	if !ok {
 		c.log.Error("unreadable record", "key", keyTakeover+name)
 		return
 	}
 	if data == nil {
-		if c.holders.book.Delete(g) {
-			c.regroup(g)
+		if c.ownership.failovers.Delete(g) {
+			c.resolveGroup(g)
 		}
 		return
 	}
-	var heir takeover.Holder
-	if decode(c.log, name, data, &heir) && c.holders.book.Put(g, heir, stamp) {
-		c.regroup(g)
+	var successor failover.Holder
+	if decode(c.log, name, data, &successor) && c.ownership.failovers.Put(g, successor, revision) {
+		c.resolveGroup(g)
 	}
 }
 
 // heedTakeovers heeds the records up to which the mirror has become complete, and answers the
 // reports that have waited for them.
-func (c *Core) heedTakeovers() {
-	heeded := c.holders.book.Advance(c.store.AppliedRevision())
+func (c *Core) advanceFailovers() {
+	heeded := c.ownership.failovers.Advance(c.state.AppliedRevision())
 	sortGroups(heeded)
 	for _, g := range heeded {
-		c.regroup(g)
-		c.rehear(g, false)
+		c.resolveGroup(g)
+		c.retryPendingHeartbeats(g, false)
 	}
 }
 
-func sortGroups(groups []takeover.Group) {
+func sortGroups(groups []failover.Group) {
 	sort.Slice(groups, func(i, k int) bool { return groups[i].Key() < groups[k].Key() })
 }
 
 // regroup finds anew who holds the machines of a group.
-func (c *Core) regroup(g takeover.Group) {
+func (c *Core) resolveGroup(g failover.Group) {
 	for _, id := range sortedKeys(c.machines) {
 		m := c.machines[id]
-		if slices.ContainsFunc(m.links, func(l takeover.Link) bool { return l.Group == g }) {
-			c.resolve(m)
+		if slices.ContainsFunc(m.links, func(l failover.Link) bool { return l.Group == g }) {
+			c.resolveOwner(m)
 		}
 	}
 }
 
 // rehear takes the reports up again that have waited for a group; alone has their workers
 // claimed one by one.
-func (c *Core) rehear(g takeover.Group, alone bool) {
-	w := c.holders.awaited[g]
+func (c *Core) retryPendingHeartbeats(g failover.Group, alone bool) {
+	w := c.ownership.pending[g]
 	if w == nil {
 		return
 	}
-	delete(c.holders.awaited, g)
-	for _, r := range w.reports {
-		c.hear(r.id, r.report, alone)
+	delete(c.ownership.pending, g)
+	for _, r := range w.heartbeats {
+		c.answerHeartbeat(r.id, r.heartbeat, alone)
 	}
 }
 
 // earlierVersion tells whether a peer is there that does not read a format.
-func (c *Core) earlierVersion(format int) bool {
+func (c *Core) hasPeerBelowFormat(format int) bool {
 	for _, p := range c.cfg.Peers {
 		if m := c.members[p.Node]; m != nil && m.Format < format {
 			return true
@@ -157,30 +157,30 @@
 //
 // Guards against a controller that has lost the zone itself, and takes a group over by a report that
 // was held back on its way: all the group's workers were sent to where nobody heard them.
-func (c *Core) takeGroup(id uint64, m *machine, r *protocol.Heartbeat) bool {
+func (c *Core) awaitGroupFailover(id uint64, m *machine, r *protocol.Heartbeat) bool {
 	g, ok := m.nextGroup()
-	if !ok || !c.cfg.Operator.GroupTakeover || m.own.Token == 0 || !c.allRead(takeoverFormat) {
+	if !ok || !c.cfg.Operator.GroupTakeover || m.ownClaim.Token == 0 || !c.allPeersRead(failoverFormat) {
 		return false
 	}
-	w := c.holders.awaited[g]
+	w := c.ownership.pending[g]
 	if w == nil {
-		if !c.holders.book.Pending(g) && (c.reach.LostZone(r.Zone) || !c.abandoned(m) || c.groupSize(g) < leastGroup) {
+		if !c.ownership.failovers.Pending(g) && (c.links.LostZone(r.Zone) || !c.ownerCannotServe(m) || c.groupSize(g) < minFailoverGroup) {
 			return false
 		}
-		w = &awaitedTakeover{since: c.now}
-		c.holders.awaited[g] = w
-		if !c.holders.book.Pending(g) {
-			c.writeTakeover(g)
+		w = &pendingFailover{since: c.now}
+		c.ownership.pending[g] = w
+		if !c.ownership.failovers.Pending(g) {
+			c.writeFailover(g)
 		}
 	}
-	w.reports = append(w.reports, heldReport{id, r})
+	w.heartbeats = append(w.heartbeats, pendingHeartbeat{id, r})
 	return true
 }
 
 // abandoned tells whether a machine's holder is a peer that can't answer its workers any
 // more: it is gone, or it says that it does not hear the machine's zone. One that has
 // restarted is neither: it goes on with its workers without a change.
-func (c *Core) abandoned(m *machine) bool {
+func (c *Core) ownerCannotServe(m *machine) bool {
 	owner := m.claim.Owner
 	if owner == c.cfg.Node {
 		return false
@@ -189,12 +189,12 @@
 	if member == nil {
 		return true
 	}
-	now := c.reach.Picture()
-	return member.Life == m.claim.Life && reach.Lost(&now, owner, m.claim.Zone)
+	now := c.links.Snapshot()
+	return member.Incarnation == m.claim.Incarnation && connectivity.ZoneLost(&now, owner, m.claim.Zone)
 }
 
 // groupSize counts the machines of a group.
-func (c *Core) groupSize(g takeover.Group) (n int) {
+func (c *Core) groupSize(g failover.Group) (n int) {
 	for _, m := range c.machines {
 		if len(m.links) > 0 && m.links[len(m.links)-1].Group == g {
 			n++
@@ -206,64 +206,64 @@
 // writeTakeover makes us the holder of a group. Whatever happens to the transaction, the mirror
 // tells what came of it. Where the holder is gone the record is conditional on that: a
 // controller that is back goes on with its workers itself.
-func (c *Core) writeTakeover(g takeover.Group) {
-	conds := []protocol.Compare{{Key: keyTakeover + g.Key()}}
+func (c *Core) writeFailover(g failover.Group) {
+	compares := []protocol.Compare{{Key: keyTakeover + g.Key()}}
 	if !c.alive(g.Node) {
-		conds = append(conds, protocol.Compare{Key: keyMember + g.Node})
+		compares = append(compares, protocol.Compare{Key: keyMember + g.Node})
 	}
-	heir := takeover.Holder{Node: c.cfg.Node, Incarnation: c.life, Epoch: c.ownEpoch()}
-	c.store.Txn(budget.UrgentClaims, conds, []protocol.Op{{Put: keyTakeover + g.Key(), Value: encode(heir)}}, func(o bookkeeping.TxnOutcome, failed []string, _ uint64) {
+	successor := failover.Holder{Node: c.cfg.Node, Incarnation: c.incarnation, Epoch: c.claimEpoch()}
+	c.state.Txn(ratelimit.UrgentClaims, compares, []protocol.Op{{Put: keyTakeover + g.Key(), Value: encode(successor)}}, func(o stateclient.TxnOutcome, failed []string, _ uint64) {
 		switch {
-		case o == bookkeeping.Committed:
-			c.Stats.Takeovers++
+		case o == stateclient.Committed:
+			c.Stats.Failovers++
 			c.log.Info("taking workers over", "from", g.Node, "zone", g.Zone, "workers", c.groupSize(g))
-		case o == bookkeeping.Conflict && !slices.Contains(failed, keyMember+g.Node), o == bookkeeping.Unknown:
+		case o == stateclient.Conflict && !slices.Contains(failed, keyMember+g.Node), o == stateclient.Unknown:
 			// Another was first, or it may have been written: the mirror tells.
 		default:
-			c.rehear(g, true)
+			c.retryPendingHeartbeats(g, true)
 		}
 	})
 }
 
 // expireTakeovers refuses reports that have waited for too long.
-func (c *Core) expireTakeovers() {
-	var late []takeover.Group
-	for g, w := range c.holders.awaited {
-		if c.now-w.since > takeoverPatience {
+func (c *Core) expirePendingFailovers() {
+	var late []failover.Group
+	for g, w := range c.ownership.pending {
+		if c.now-w.since > failoverTimeout {
 			late = append(late, g)
 		}
 	}
 	sortGroups(late)
 	for _, g := range late {
-		w := c.holders.awaited[g]
-		delete(c.holders.awaited, g)
-		for _, r := range w.reports {
+		w := c.ownership.pending[g]
+		delete(c.ownership.pending, g)
+		for _, r := range w.heartbeats {
 			c.refuse(r.id, 503, "its group is being taken over")
 		}
 	}
 }
 
 // dropTakeovers drops the records that no machine's holder stands on any more.
-func (c *Core) dropTakeovers() {
-	if c.holders.book.Len() == 0 || !c.sees() {
+func (c *Core) dropUnusedFailovers() {
+	if c.ownership.failovers.Len() == 0 || !c.mirrorFresh() {
 		return
 	}
-	inUse := map[takeover.Group]bool{}
+	inUse := map[failover.Group]bool{}
 	for _, m := range c.machines {
 		for _, l := range m.links {
 			inUse[l.Group] = true
 		}
 	}
-	unused := c.holders.book.Unused(inUse)
+	unused := c.ownership.failovers.Unused(inUse)
 	sortGroups(unused)
-	var conds []protocol.Compare
+	var compares []protocol.Compare
 	var ops []protocol.Op
 	for _, g := range unused[:min(len(unused), c.cfg.Facts.State.TxnOps)] {
 		key := keyTakeover + g.Key()
-		conds = append(conds, protocol.Compare{Key: key, ModRevision: c.holders.book.Revision(g)})
+		compares = append(compares, protocol.Compare{Key: key, ModRevision: c.ownership.failovers.Revision(g)})
 		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
-		c.store.Txn(budget.Background, conds, ops, func(bookkeeping.TxnOutcome, []string, uint64) {})
+		c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) {})
 	}
 }
--- a/internal/coordination/takeovers_test.go
+++ b/internal/coordination/takeovers_test.go
@@ -51,7 +51,7 @@
 	}
 	lost := map[*simWorker]bool{}
 	for _, n := range ending {
-		for _, m := range n.core.ours {
+		for _, m := range n.core.ownMachines {
 			if w := s.cloud.all[m.id]; w != nil && w.up {
 				lost[w] = true
 			}
@@ -155,14 +155,14 @@
 	for i, o := range t.Ops {
 		switch {
 		case strings.HasPrefix(o.Put, keyClaim):
-			var k claim
+			var k claimRecord
 			_ = json.Unmarshal(o.Value, &k)
 			k.Epoch = 0
 			t.Ops[i].Value = encode(k)
 		case strings.HasPrefix(o.Put, keyMember):
 			var m member
 			_ = json.Unmarshal(o.Value, &m)
-			m.Format = wordsFormat
+			m.Format = compactPageFormat
 			t.Ops[i].Value = encode(m)
 		}
 	}
@@ -199,7 +199,7 @@
 	if !strings.HasPrefix(key, keyClaim) || data == nil {
 		return data
 	}
-	var k claim
+	var k claimRecord
 	_ = json.Unmarshal(data, &k)
 	k.Epoch = 0
 	return encode(k)
--- a/internal/coordination/tenure.go
+++ b/internal/coordination/tenure.go
@@ -3,52 +3,52 @@
 import (
 	"time"
 
+	"silvergate/internal/failover"
 	"silvergate/internal/protocol"
-	"silvergate/internal/takeover"
 )
 
 // claim is the record that makes a worker ours; its stamp is the worker's
 // token. It is rewritten only to take a new token.
-type claim struct {
-	Owner   string `json:"o"`
-	Life    int64  `json:"l"`
-	Address string `json:"a"`
-	Type    string `json:"t"`
-	Zone    string `json:"z"`
-	Spot    bool   `json:"s,omitempty"`
-	// Epoch is that of the holder's claims, see internal/takeover; 0 from versions that
+type claimRecord struct {
+	Owner       string `json:"o"`
+	Incarnation int64  `json:"l"`
+	Address     string `json:"a"`
+	MachineType string `json:"t"`
+	Zone        string `json:"z"`
+	Spot        bool   `json:"s,omitempty"`
+	// Epoch is that of the holder's claims, see internal/failover; 0 from versions that
 	// know of no take-overs by the group.
 	Epoch int `json:"e,omitempty"`
 }
 
 // tenure is who holds a machine, by its own claim and by the groups that have passed from one
 // controller to another.
-type tenure struct {
-	claim     claim           // with who holds it by all records
-	stamp     uint64          // the token by which it is held; 0: it has no claim
-	own       takeover.Claim  // by its own record alone
-	links     []takeover.Link // the groups that its holder stands on
+type machineOwnership struct {
+	claim     claimRecord     // with who holds it by all records
+	token     uint64          // the token by which it is held; 0: it has no claim
+	ownClaim  failover.Claim  // by its own record alone
+	links     []failover.Link // the groups that its holder stands on
 	claimedAt time.Duration   // when its holder came to be known
 	claiming  bool            // a claim is being written
 	adopted   bool            // claimed by an earlier life of ours, whose token we go on with
 }
 
 // passed tells whether the machine has come to its holder by its group.
-func (t *tenure) passed() bool { return takeover.Ownership{Links: t.links}.FailedOver() }
+func (t *machineOwnership) failedOver() bool { return failover.Ownership{Links: t.links}.FailedOver() }
 
 // nextGroup is the group by which the machine would pass to another controller; ok is false if it
 // can't.
-func (t *tenure) nextGroup() (g takeover.Group, ok bool) {
-	return takeover.Ownership{Links: t.links}.NextGroup()
+func (t *machineOwnership) nextGroup() (g failover.Group, ok bool) {
+	return failover.Ownership{Links: t.links}.NextGroup()
 }
 
 // holding is what a transaction is conditional on for a machine to be held as it is: its
 // claim, the groups by which it has passed, and that it has not passed by the next one.
-func (m *machine) holding() []protocol.Compare {
-	conds := make([]protocol.Compare, 0, 2+len(m.links))
-	conds = append(conds, protocol.Compare{Key: keyClaim + m.id, ModRevision: m.own.Token})
+func (m *machine) ownershipCompares() []protocol.Compare {
+	compares := make([]protocol.Compare, 0, 2+len(m.links))
+	compares = append(compares, protocol.Compare{Key: keyClaim + m.id, ModRevision: m.ownClaim.Token})
 	for _, l := range m.links {
-		conds = append(conds, protocol.Compare{Key: keyTakeover + l.Group.Key(), ModRevision: l.Revision})
+		compares = append(compares, protocol.Compare{Key: keyTakeover + l.Group.Key(), ModRevision: l.Revision})
 	}
-	return conds
+	return compares
 }
--- a/internal/coordination/troublemakers_test.go
+++ b/internal/coordination/troublemakers_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
+	"silvergate/internal/failover"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
-	"silvergate/internal/takeover"
 )
 
 // Troubles that users and machines make, with the meaning that the operators' page gives them, and the
@@ -102,24 +102,24 @@
 }
 
 // keepCopy keeps a report's copy for whoever leads next.
-func (s *sim) keepCopy(w *simWorker, rep protocol.Heartbeat) {
+func (s *sim) keepCopy(w *simWorker, reply protocol.Heartbeat) {
 	if s.met.kept > 0 && s.rnd.Float64() < s.met.kept {
 		if s.met.copies == nil {
 			s.met.copies = map[string][]byte{}
 		}
-		s.met.copies[w.name] = encode(rep)
+		s.met.copies[w.name] = encode(reply)
 	}
 }
 
 // holdBack keeps a report itself: it does not arrive before a new leader has acted.
-func (s *sim) holdBack(w *simWorker, rep protocol.Heartbeat) bool {
+func (s *sim) holdBack(w *simWorker, reply protocol.Heartbeat) bool {
 	if s.met.held == 0 || s.rnd.Float64() >= s.met.held {
 		return false
 	}
 	if s.met.heldBack == nil {
 		s.met.heldBack = map[string][]byte{}
 	}
-	s.met.heldBack[w.name] = encode(rep)
+	s.met.heldBack[w.name] = encode(reply)
 	return true
 }
 
@@ -137,13 +137,13 @@
 	if !is {
 		return
 	}
-	var now, was claim
+	var now, was claimRecord
 	_ = json.Unmarshal(data, &now)
 	if old, ok := s.kv.keys[key]; ok {
 		_ = json.Unmarshal(old.data, &was)
 		s.met.reclaimed++
 	}
-	if now.Owner != was.Owner || now.Life != was.Life {
+	if now.Owner != was.Owner || now.Incarnation != was.Incarnation {
 		s.changesHands(name, now.Owner)
 	}
 }
@@ -152,15 +152,15 @@
 // happens to all of it.
 func (s *sim) takenOver(key string, data json.RawMessage) {
 	s.met.takeovers++
-	var heir takeover.Holder
-	_ = json.Unmarshal(data, &heir)
-	g, _ := takeover.ParseKey(key)
+	var successor failover.Holder
+	_ = json.Unmarshal(data, &successor)
+	g, _ := failover.ParseKey(key)
 	for _, id := range sortedKeys(s.cloud.all) {
-		var own claim
+		var own claimRecord
 		_ = json.Unmarshal(s.kv.keys[keyClaim+id].data, &own)
-		holder := takeover.Holder{Node: own.Owner, Incarnation: own.Life, Epoch: own.Epoch}
-		if takeover.GroupOf(holder, id, own.Zone) == g {
-			s.changesHands(id, heir.Node)
+		holder := failover.Holder{Node: own.Owner, Incarnation: own.Incarnation, Epoch: own.Epoch}
+		if failover.GroupOf(holder, id, own.Zone) == g {
+			s.changesHands(id, successor.Node)
 		}
 	}
 }
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -15,62 +15,62 @@
 // A machine tells its own controller in its reports; that one tells the leader, who
 // returns machines, with its beats. A beat that is lost costs at most output that
 // its agent could not ship in the seconds that it has when it is switched off.
-type unshipped struct {
-	c *Core
+type unshippedOutput struct {
+	core *Core
 	// ours is what machines of this controller said last, known what is known of
 	// all machines: since when, and when it was last said.
-	ours  map[string]bool
-	known map[string]wait
+	own   map[string]bool
+	known map[string]unshippedSince
 }
 
-type wait struct{ since, said time.Duration }
+type unshippedSince struct{ since, said time.Duration }
 
 // toldAtMost bounds a beat's list; machines beyond it are told of when others are
 // done.
-const toldAtMost = 100
+const maxAnnounced = 100
 
-func newUnshipped(c *Core) *unshipped {
-	return &unshipped{c: c, ours: map[string]bool{}, known: map[string]wait{}}
+func newUnshipped(c *Core) *unshippedOutput {
+	return &unshippedOutput{core: c, own: map[string]bool{}, known: map[string]unshippedSince{}}
 }
 
 // report takes a machine's report in.
-func (u *unshipped) report(m *machine, r *protocol.Heartbeat) {
+func (u *unshippedOutput) report(m *machine, r *protocol.Heartbeat) {
 	if r.Unshipped == 0 {
-		delete(u.ours, m.id)
+		delete(u.own, m.id)
 		delete(u.known, m.id)
 		return
 	}
-	u.ours[m.id] = true
+	u.own[m.id] = true
 	u.heard(m.id)
 }
 
-func (u *unshipped) heard(id string) {
+func (u *unshippedOutput) heard(id string) {
 	w, ok := u.known[id]
-	if !ok || u.c.now-w.said > u.fresh() {
-		w.since = u.c.now
+	if !ok || u.core.now-w.said > u.fresh() {
+		w.since = u.core.now
 	}
-	w.said = u.c.now
+	w.said = u.core.now
 	u.known[id] = w
 }
 
 // fresh is how long a word holds: what is silent for longer is done, or lost.
-func (u *unshipped) fresh() time.Duration { return seconds(3 * u.c.cfg.Facts.Workers.Report) }
+func (u *unshippedOutput) fresh() time.Duration { return seconds(3 * u.core.cfg.Facts.Workers.Report) }
 
 // told lists this controller's own, for a beat.
-func (u *unshipped) told() (out []string) {
-	for id := range u.ours {
-		if m := u.c.machines[id]; m == nil || !u.c.mine(m) {
-			delete(u.ours, id)
+func (u *unshippedOutput) toAnnounce() (out []string) {
+	for id := range u.own {
+		if m := u.core.machines[id]; m == nil || !u.core.isOwn(m) {
+			delete(u.own, id)
 			continue
 		}
 		out = append(out, id)
 	}
 	sort.Strings(out)
-	return out[:min(len(out), toldAtMost)]
+	return out[:min(len(out), maxAnnounced)]
 }
 
 // beat takes a peer's list in.
-func (u *unshipped) beat(ids []string) {
+func (u *unshippedOutput) handlePeerHeartbeat(ids []string) {
 	for _, id := range ids {
 		u.heard(id)
 	}
@@ -78,19 +78,19 @@
 
 // holds tells whether a machine without work is to be kept for its output. What is
 // given up at the deadline is on the controller's log.
-func (u *unshipped) holds(id string) bool {
-	a := u.c.cfg.Operator.Archive
+func (u *unshippedOutput) holds(id string) bool {
+	a := u.core.cfg.Operator.Archive
 	w, ok := u.known[id]
 	if a == nil || !ok {
 		return false
 	}
-	if u.c.now-w.said > u.fresh() {
+	if u.core.now-w.said > u.fresh() {
 		delete(u.known, id)
 		return false
 	}
-	if u.c.now-w.since < seconds(a.HoldS) {
+	if u.core.now-w.since < seconds(a.HoldS) {
 		return true
 	}
-	u.c.log.Warn("a machine is returned with output that the archive has not acknowledged", "stoker", id, "waited", u.c.now-w.since)
+	u.core.log.Warn("a machine is returned with output that the archive has not acknowledged", "stoker", id, "waited", u.core.now-w.since)
 	return false
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -5,29 +5,30 @@
 	"fmt"
 	"time"
 
-	"silvergate/internal/bookkeeping"
-	"silvergate/internal/budget"
 	"silvergate/internal/job"
+	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
+	"silvergate/internal/stateclient"
 )
 
 // poll is a user's question that waits for a fresh look at the state service.
-type poll struct {
-	id    uint64
-	ref   string
-	since time.Duration
+type statusQuery struct {
+	requestID uint64
+	job       string
+	since     time.Duration
 }
 
-const maxPolls = 512
+const maxStatusQueries = 512
 
-func (c *Core) up(id uint64) {
+func (c *Core) healthCheck(id uint64) {
 	switch {
-	case !c.store.Loaded() || len(c.catalogue) == 0:
+	case !c.state.Loaded() || len(c.catalogue) == 0:
 		c.refuse(id, 503, "starting")
 	case c.isolated():
 		c.refuse(id, 503, "cut off from the state service")
 	default:
-		c.answer(id, 200, struct{}{}, 0)
+		c.respond(id, 200, struct{}{}, 0)
 	}
 }
 
@@ -35,20 +36,20 @@
 // controller but not for its peers. In an outage that all see, leaving the
 // load balancer's list would only delay the return.
 func (c *Core) isolated() bool {
-	limit := c.store.StaleAfter()
-	if c.now-c.store.FreshAt() < limit {
+	limit := c.state.StaleAfter()
+	if c.now-c.state.FreshAt() < limit {
 		return false
 	}
 	// Guards against a controller that users reach and that can do nothing for them: cut off from
 	// the state service and all others it has no word of who serves, and answers so fast that the
 	// balancer prefers it.
-	if c.reach.OthersServe(limit) || c.reach.Alone() {
+	if c.links.PeersServe(limit) || c.links.Isolated() {
 		return true
 	}
-	return c.now-c.proof() > c.horizon()
+	return c.now-c.cancellationProof() > c.cancelHorizon()
 }
 
-func (c *Core) state(r *record) protocol.JobState {
+func (c *Core) jobState(r *jobRecord) protocol.JobState {
 	s := protocol.JobState{ID: r.spec.ID, Status: string(r.status)}
 	done, running := r.finished, r.bound
 	switch r.status {
@@ -64,25 +65,25 @@
 	return s
 }
 
-func (c *Core) poll(id uint64, ref string) {
+func (c *Core) queryJob(id uint64, ref string) {
 	if r := c.jobs[ref]; r != nil && r.final() {
-		c.answer(id, 200, c.state(r), 0) // final states never change
+		c.respond(id, 200, c.jobState(r), 0) // final states never change
 		return
 	}
-	c.ask(poll{id: id, ref: ref, since: c.now})
+	c.refreshJob(statusQuery{requestID: id, job: ref, since: c.now})
 }
 
 // cutOff tells whether the state service has not answered for so long that a
 // user's question would be in vain. Guards against users who give up while we
 // still wait for it: they are told to come again at once.
-func (c *Core) cutOff() bool { return c.now-c.store.FreshAt() > c.store.StaleAfter() }
+func (c *Core) cutOff() bool { return c.now-c.state.FreshAt() > c.state.StaleAfter() }
 
-func (c *Core) ask(p poll) {
-	if !c.store.Loaded() || c.cutOff() || len(c.polls) >= maxPolls {
-		c.refuse(p.id, 503, "the job's state can't be read now")
+func (c *Core) refreshJob(p statusQuery) {
+	if !c.state.Loaded() || c.cutOff() || len(c.statusQueries) >= maxStatusQueries {
+		c.refuse(p.requestID, 503, "the job's state can't be read now")
 		return
 	}
-	c.polls = append(c.polls, p)
+	c.statusQueries = append(c.statusQueries, p)
 }
 
 // sendPolls answers the questions for which the mirror is proved fresh. A
@@ -90,82 +91,82 @@
 // at no cost; that is waited for when requests are short, for as long as two
 // watches take to open. Otherwise one comparing transaction proves it for a
 // batch, and whatever does not match is read.
-func (c *Core) sendPolls() {
-	if len(c.polls) == 0 {
+func (c *Core) sendStatusQueries() {
+	if len(c.statusQueries) == 0 {
 		return
 	}
-	rest := c.polls[:0]
-	for _, p := range c.polls {
-		if p.since <= c.store.FreshAt() {
-			c.tell(p)
+	rest := c.statusQueries[:0]
+	for _, p := range c.statusQueries {
+		if p.since <= c.state.FreshAt() {
+			c.respondJobState(p)
 		} else {
 			rest = append(rest, p)
 		}
 	}
-	if c.polls = rest; c.polling || len(rest) == 0 {
+	if c.statusQueries = rest; c.statusQueryInFlight || len(rest) == 0 {
 		return
 	}
-	if !c.store.HasSpareRequests() && c.now-rest[0].since < 3*c.store.WatchSpacing() {
+	if !c.state.HasSpareRequests() && c.now-rest[0].since < 3*c.state.WatchSpacing() {
 		return
 	}
-	c.polling = true
-	batch := c.polls
+	c.statusQueryInFlight = true
+	batch := c.statusQueries
 	limit := 4 * c.cfg.Facts.State.TxnOps
 	if len(batch) > limit {
-		batch, c.polls = batch[:limit:limit], append([]poll(nil), batch[limit:]...)
+		batch, c.statusQueries = batch[:limit:limit], append([]statusQuery(nil), batch[limit:]...)
 	} else {
-		c.polls = nil
+		c.statusQueries = nil
 	}
 	seen := map[string]bool{}
-	var conds []protocol.Compare
+	var compares []protocol.Compare
 	for _, p := range batch {
-		if !seen[p.ref] {
-			seen[p.ref] = true
-			conds = append(conds, protocol.Compare{Key: keyJob + p.ref, ModRevision: c.store.ModRevision(keyJob + p.ref)})
+		if !seen[p.job] {
+			seen[p.job] = true
+			compares = append(compares, protocol.Compare{Key: keyJob + p.job, ModRevision: c.state.ModRevision(keyJob + p.job)})
 		}
 	}
-	c.store.Txn(budget.UserRequests, conds, nil, func(o bookkeeping.TxnOutcome, failed []string, _ uint64) {
-		c.polling = false
+	c.state.Txn(ratelimit.UserRequests, compares, nil, func(o stateclient.TxnOutcome, failed []string, _ uint64) {
+		c.statusQueryInFlight = false
 		stale := map[string]bool{}
 		for _, k := range failed {
 			stale[k] = true
 		}
 		for _, p := range batch {
 			switch {
-			case o == bookkeeping.Committed:
-				c.tell(p)
-			case o == bookkeeping.Conflict && stale[keyJob+p.ref]:
-				c.store.Refresh(budget.UserRequests, keyJob+p.ref, func(ok bool) {
+			case o == stateclient.Committed:
+				c.respondJobState(p)
+			case o == stateclient.Conflict && stale[keyJob+p.job]:
+				c.state.Refresh(ratelimit.UserRequests, keyJob+p.job, func(ok bool) {
 					if ok {
-						c.tell(p)
+						c.respondJobState(p)
 					} else {
-						c.refuse(p.id, 503, "the job's state can't be read now")
+						c.refuse(p.requestID, 503, "the job's state can't be read now")
 					}
 				})
-			case o == bookkeeping.Conflict:
-				c.polls = append(c.polls, p)
+			case o == stateclient.Conflict:
+				c.statusQueries = append(c.statusQueries, p)
 			default:
-				c.refuse(p.id, 503, "the job's state can't be read now")
+				c.refuse(p.requestID, 503, "the job's state can't be read now")
 			}
 		}
 	})
-	c.store.Tick(c.now)
+	c.state.Tick(c.now)
 }
 
-func (c *Core) tell(p poll) {
-	r := c.jobs[p.ref]
+func (c *Core) respondJobState(p statusQuery) {
+	r := c.jobs[p.job]
 	switch {
 	case r != nil:
-		c.answer(p.id, 200, c.state(r), 0)
+		c.respond(p.requestID, 200, c.jobState(r), 0)
 	default:
-		c.unknown(p.id, p.ref, 404, "no such job")
+		c.respondUnknownJob(p.requestID, p.job, 404, "no such job")
 	}
 }
 
 // unknown refuses what needs a job that we don't know, once that has been proved. A job whose record can't be read, as a
 // later version may have written it, is not unknown.
-func (c *Core) unknown(id uint64, ref string, status int, why string) {
-	if c.store.ModRevision(keyJob+ref) != 0 {
+func (c *Core) respondUnknownJob(id uint64, ref string, status int, why string) {
+	if c.state.ModRevision(keyJob+ref) != 0 {
 		status, why = 503, "the job's record can't be read"
 	}
 	c.refuse(id, status, why)
@@ -177,12 +178,12 @@
 		c.refuse(id, 400, err.Error())
 		return
 	}
-	if !c.store.Loaded() {
+	if !c.state.Loaded() {
 		c.refuse(id, 503, "starting")
 		return
 	}
 	if r := c.jobs[ref]; r != nil {
-		c.poll(id, ref)
+		c.queryJob(id, ref)
 		return
 	}
 	if c.cutOff() {
@@ -193,49 +194,49 @@
 	status := 400
 	var extra json.RawMessage
 	if err == nil {
-		extra, err = c.view.extra(spec, body)
+		extra, err = c.queries.extra(spec, body)
 	}
 	if err == nil {
 		if len(c.catalogue) == 0 {
 			c.refuse(id, 503, "the machine types are not known yet")
 			return
 		}
-		status, err = 422, c.feasible(spec)
+		status, err = 422, c.checkFeasible(spec)
 	}
 	if err != nil {
 		// A known job is never refused, whatever its repetition says: the
 		// mirror may lag, so the record itself decides.
-		c.store.Refresh(budget.UserRequests, keyJob+ref, func(ok bool) {
+		c.state.Refresh(ratelimit.UserRequests, keyJob+ref, func(ok bool) {
 			switch r := c.jobs[ref]; {
 			case !ok:
 				c.refuse(id, 503, "can't tell now")
 			case r != nil:
-				c.answer(id, 200, c.state(r), 0)
+				c.respond(id, 200, c.jobState(r), 0)
 			default:
-				c.unknown(id, ref, status, err.Error())
+				c.respondUnknownJob(id, ref, status, err.Error())
 			}
 		})
 		return
 	}
 	key := keyJob + ref
-	rec := storedJob{spec, job.Open, c.wall.UnixMilli(), c.cfg.Node}
+	rec := storedJob{spec, job.Open, c.wallTime.UnixMilli(), c.cfg.Node}
 	ops := []protocol.Op{{Put: key, Value: encode(rec)}}
 	if extra != nil {
 		ops = append(ops, protocol.Op{Put: keyExtra + ref, Value: extra})
 	}
-	c.store.Txn(budget.UserRequests, []protocol.Compare{{Key: key}}, ops,
-		func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
+	c.state.Txn(ratelimit.UserRequests, []protocol.Compare{{Key: key}}, ops,
+		func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 			switch o {
-			case bookkeeping.Committed:
+			case stateclient.Committed:
 				c.Stats.Submitted++
 				c.log.Debug("accepted", "job", ref, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-				c.answer(id, 201, protocol.JobState{ID: ref, Status: "queued"}, 0)
+				c.respond(id, 201, protocol.JobState{ID: ref, Status: "queued"}, 0)
 				c.dispatchJob(c.jobs[ref])
-			case bookkeeping.Conflict, bookkeeping.Unknown:
+			case stateclient.Conflict, stateclient.Unknown:
 				// Known already, or the answer was lost: the record tells.
-				c.store.Refresh(budget.UserRequests, key, func(ok bool) {
+				c.state.Refresh(ratelimit.UserRequests, key, func(ok bool) {
 					if r := c.jobs[ref]; ok && r != nil {
-						c.answer(id, 200, c.state(r), 0)
+						c.respond(id, 200, c.jobState(r), 0)
 					} else {
 						c.refuse(id, 503, "the outcome is not known yet")
 					}
@@ -249,21 +250,21 @@
 // spread tells the peers of a cancellation that is committed, ahead of the watch: PROTOCOL wants no task of the job started
 // from the answer on, and a watch that is late or waits for its turn lets its holder start some. The word proves
 // nothing about other cancellations, and carries no asker's life so that nobody takes it for a proof.
-func (c *Core) spread(ref string) {
+func (c *Core) broadcastCancellation(ref string) {
 	for _, p := range c.cfg.Peers {
-		c.send(p.Node, Message{Vouch: &Vouch{Cancelled: []string{ref}, Life: nobody}})
+		c.send(p.Node, peer.Message{CancellationReply: &peer.CancellationReply{Cancelled: []string{ref}, Incarnation: noIncarnation}})
 	}
 }
 
 // feasible tells why a job can never run.
-func (c *Core) feasible(s *job.Spec) error {
+func (c *Core) checkFeasible(s *job.Spec) error {
 	t := c.teams[s.Team]
 	if t == nil {
 		return fmt.Errorf("crew: unknown team %q", s.Team)
 	}
 	zones := map[string]bool{} // in which a machine can hold a task
 	for name, f := range c.catalogue {
-		if !s.AllowsMachineType(name) || !holds(f, s) {
+		if !s.AllowsMachineType(name) || !typeHolds(f, s) {
 			continue
 		}
 		for _, z := range f.Zones {
@@ -283,34 +284,34 @@
 	if s.Shape != job.Array {
 		n = float64(s.Tasks)
 	}
-	if !t.within(usage{}.plus(s, n)) {
+	if !t.withinLimit(usage{}.plus(s, n)) {
 		return fmt.Errorf("the job needs more than the limit of team %q", s.Team)
 	}
 	return nil
 }
 
-func holds(f *protocol.MachineType, s *job.Spec) bool {
+func typeHolds(f *protocol.MachineType, s *job.Spec) bool {
 	return s.CPUs <= f.CPUs && s.GPUs <= f.GPUs && s.MemoryGB <= f.MemoryGB
 }
 
 func (c *Core) cancel(id uint64, ref string, tries int) {
-	if !c.store.Loaded() || tries > 4 {
+	if !c.state.Loaded() || tries > 4 {
 		c.refuse(id, 503, "can't cancel now")
 		return
 	}
 	r := c.jobs[ref]
 	if r != nil && r.final() {
-		c.answer(id, 200, protocol.JobState{ID: ref, Status: string(r.status)}, 0)
+		c.respond(id, 200, protocol.JobState{ID: ref, Status: string(r.status)}, 0)
 		return
 	}
 	key := keyJob + ref
 	reread := func() {
-		c.store.Refresh(budget.Safety, key, func(ok bool) {
+		c.state.Refresh(ratelimit.Safety, key, func(ok bool) {
 			switch {
 			case !ok:
 				c.refuse(id, 503, "can't cancel now")
 			case c.jobs[ref] == nil:
-				c.unknown(id, ref, 404, "no such job")
+				c.respondUnknownJob(id, ref, 404, "no such job")
 			default:
 				c.cancel(id, ref, tries+1)
 			}
@@ -320,15 +321,15 @@
 		reread()
 		return
 	}
-	rec := r.stored(job.Cancelled)
-	c.store.Txn(budget.Safety, []protocol.Compare{{Key: key, ModRevision: r.stamp}}, []protocol.Op{{Put: key, Value: encode(rec)}},
-		func(o bookkeeping.TxnOutcome, _ []string, _ uint64) {
+	rec := r.storedWith(job.Cancelled)
+	c.state.Txn(ratelimit.Safety, []protocol.Compare{{Key: key, ModRevision: r.revision}}, []protocol.Op{{Put: key, Value: encode(rec)}},
+		func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 			switch o {
-			case bookkeeping.Committed:
+			case stateclient.Committed:
 				c.Stats.Cancelled++
-				c.answer(id, 200, protocol.JobState{ID: ref, Status: string(job.Cancelled)}, 0)
-				c.spread(ref)
-			case bookkeeping.Conflict, bookkeeping.Unknown:
+				c.respond(id, 200, protocol.JobState{ID: ref, Status: string(job.Cancelled)}, 0)
+				c.broadcastCancellation(ref)
+			case stateclient.Conflict, stateclient.Unknown:
 				reread()
 			default:
 				c.refuse(id, 503, "can't cancel now")
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -9,81 +9,81 @@
 	"strings"
 
 	"silvergate/internal/archive"
-	"silvergate/internal/budget"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
 )
 
 // view answers what workers and operators ask beyond the protocol: a job's
 // description, where a gang's tasks are, and lists. It reads the records and
 // changes none; it owns a small cache of descriptions, which never change.
-type view struct {
-	c     *Core
-	seal  archive.GrantKey           // nil: no archive
-	known map[string]json.RawMessage // descriptions' extras
-	order []string                   // of known, the oldest first
-	bytes int
+type queryHandler struct {
+	core        *Core
+	grantKey    archive.GrantKey           // nil: no archive
+	extras      map[string]json.RawMessage // descriptions' extras
+	extrasByAge []string                   // of known, the oldest first
+	extrasBytes int
 }
 
-func newView(c *Core) *view {
-	v := &view{c: c, known: map[string]json.RawMessage{}}
+func newQueryHandler(c *Core) *queryHandler {
+	v := &queryHandler{core: c, extras: map[string]json.RawMessage{}}
 	if a := c.cfg.Operator.Archive; a != nil {
-		v.seal = a.Key
+		v.grantKey = a.Key
 	}
 	return v
 }
 
 // cacheBytes is what descriptions may take: a hundredth of the process's
 // memory.
-func (v *view) cacheBytes() int { return int(v.c.cfg.Facts.Limits.RAMMB * (1 << 20) / 100) }
+func (v *queryHandler) cacheBytes() int { return int(v.core.cfg.Facts.Limits.RAMMB * (1 << 20) / 100) }
 
-func (v *view) keep(ref string, data json.RawMessage) {
-	if _, ok := v.known[ref]; ok {
+func (v *queryHandler) cacheExtra(ref string, data json.RawMessage) {
+	if _, ok := v.extras[ref]; ok {
 		return
 	}
-	v.known[ref], v.order, v.bytes = data, append(v.order, ref), v.bytes+len(data)
-	for v.bytes > v.cacheBytes() && len(v.order) > 1 {
-		v.bytes -= len(v.known[v.order[0]])
-		delete(v.known, v.order[0])
-		v.order = v.order[1:]
+	v.extras[ref], v.extrasByAge, v.extrasBytes = data, append(v.extrasByAge, ref), v.extrasBytes+len(data)
+	for v.extrasBytes > v.cacheBytes() && len(v.extrasByAge) > 1 {
+		v.extrasBytes -= len(v.extras[v.extrasByAge[0]])
+		delete(v.extras, v.extrasByAge[0])
+		v.extrasByAge = v.extrasByAge[1:]
 	}
 }
 
 // extra reads a submission's extension fields and returns their record, nil
 // when there are none.
-func (v *view) extra(spec *job.Spec, body []byte) (json.RawMessage, error) {
+func (v *queryHandler) extra(spec *job.Spec, body []byte) (json.RawMessage, error) {
 	x, err := protocol.ParseExtra(body)
 	if err != nil || x == nil {
 		return nil, err
 	}
-	if missing := v.c.data.resolve(spec, x); missing != "" {
-		if v.c.data == nil {
+	if missing := v.core.staging.resolve(spec, x); missing != "" {
+		if v.core.staging == nil {
 			return nil, fmt.Errorf("inputs: this site has no data sets (staging is off)")
 		}
 		return nil, fmt.Errorf("inputs: no data set %s is registered", missing)
 	}
 	data := encode(x)
-	if float64(len(data)) > v.c.cfg.Facts.State.ValueKB*1024 {
-		return nil, fmt.Errorf("command, env and inputs: together larger than %g KiB", v.c.cfg.Facts.State.ValueKB)
+	if float64(len(data)) > v.core.cfg.Facts.State.ValueKB*1024 {
+		return nil, fmt.Errorf("command, env and inputs: together larger than %g KiB", v.core.cfg.Facts.State.ValueKB)
 	}
 	spec.Extended = true
 	return data, nil
 }
 
 // job answers questions about one job; false if verb is none of them.
-func (v *view) job(id uint64, ref, verb string) bool {
-	try, isGang := strings.CutPrefix(verb, protocol.PathGang+"/")
+func (v *queryHandler) job(id uint64, ref, verb string) bool {
+	attempt, isGang := strings.CutPrefix(verb, protocol.PathGang+"/")
 	if verb != protocol.PathDescription && !isGang || !protocol.ValidJobID(ref) {
 		return false
 	}
-	c := v.c
-	if !c.store.Loaded() {
+	c := v.core
+	if !c.state.Loaded() {
 		c.refuse(id, 503, "starting")
 		return true
 	}
-	answer := func(r *record) {
-		if n, err := strconv.Atoi(try); isGang && err == nil {
-			c.answer(id, 200, v.gang(r, n), 0)
+	answer := func(r *jobRecord) {
+		if n, err := strconv.Atoi(attempt); isGang && err == nil {
+			c.respond(id, 200, v.gang(r, n), 0)
 		} else {
 			v.describe(id, r)
 		}
@@ -93,7 +93,7 @@
 		return true
 	}
 	// A launch can reach a worker before the job's record reaches us.
-	c.store.Refresh(budget.OtherWork, keyJob+ref, func(ok bool) {
+	c.state.Refresh(ratelimit.OtherWork, keyJob+ref, func(ok bool) {
 		switch r := c.jobs[ref]; {
 		case !ok:
 			c.refuse(id, 503, "the job can't be read now")
@@ -106,21 +106,21 @@
 	return true
 }
 
-func (v *view) describe(id uint64, r *record) {
-	c, s := v.c, r.spec
+func (v *queryHandler) describe(id uint64, r *jobRecord) {
+	c, s := v.core, r.spec
 	d := protocol.JobDescription{ID: s.ID, Class: s.Class, Team: s.Team, Shape: s.Shape, Priority: protocol.PriorityName(s.Priority),
 		Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Image: s.Image, ImageGB: s.ImageGB, CheckpointIntervalS: s.CheckpointIntervalS, CheckpointSaveS: s.CheckpointSaveS,
 		Complete: s.Shape == job.Gang && (r.finished > 0 || r.status == job.Done)}
 	v.withExtra(id, r, func(x *job.Extra) {
 		if d.Extra = x; x == nil {
-			v.sealTerms(&d)
-			c.answer(id, 200, d, 0)
+			v.grantTerms(&d)
+			c.respond(id, 200, d, 0)
 			return
 		}
 		for _, in := range d.Extra.Inputs {
 			var s *protocol.DataSet
-			if c.data != nil {
-				s = c.data.sets[in.Set+"/"+in.Version]
+			if c.staging != nil {
+				s = c.staging.sets[in.Set+"/"+in.Version]
 			}
 			if s == nil {
 				c.refuse(id, 503, "an input's record is not known yet")
@@ -128,15 +128,15 @@
 			}
 			d.Inputs = append(d.Inputs, protocol.InputCopy{DataSet: *s, Path: in.Path})
 		}
-		v.sealTerms(&d)
-		c.answer(id, 200, d, 0)
+		v.grantTerms(&d)
+		c.respond(id, 200, d, 0)
 	})
 }
 
 // withExtra has a job's extension fields, nil if it has none; request id is refused
 // when they can't be had.
-func (v *view) withExtra(id uint64, r *record, do func(*job.Extra)) {
-	c, s := v.c, r.spec
+func (v *queryHandler) withExtra(id uint64, r *jobRecord, do func(*job.Extra)) {
+	c, s := v.core, r.spec
 	if !s.Extended {
 		do(nil)
 		return
@@ -150,43 +150,43 @@
 		}
 		do(x)
 	}
-	if data, ok := v.known[s.ID]; ok {
+	if data, ok := v.extras[s.ID]; ok {
 		give(data)
 		return
 	}
-	c.store.ReadUnmirrored(budget.OtherWork, keyExtra+s.ID, func(data json.RawMessage, ok bool) {
+	c.state.ReadUnmirrored(ratelimit.OtherWork, keyExtra+s.ID, func(data json.RawMessage, ok bool) {
 		if !ok || data == nil {
 			c.refuse(id, 503, "the job's description can't be read now")
 			return
 		}
-		v.keep(s.ID, data)
+		v.cacheExtra(s.ID, data)
 		give(data)
 	})
 }
 
 // sealTerms adds to a description the half of the grant that is the job's.
-func (v *view) sealTerms(d *protocol.JobDescription) {
-	if v.seal != nil {
-		d.Grant = v.seal.SealTerms(d.ID, archive.TermsOf(d))
+func (v *queryHandler) grantTerms(d *protocol.JobDescription) {
+	if v.grantKey != nil {
+		d.Grant = v.grantKey.SealTerms(d.ID, archive.TermsOf(d))
 	}
 }
 
 // sealLaunch adds to a launch the half that is the attempt's. It is called where
 // launches are made: by the claim's holder, of what the records show bound.
-func (v *view) sealLaunch(m *machine, k taskKey, try int) string {
-	if v.seal == nil {
+func (v *queryHandler) grantLaunch(m *machine, k taskKey, attempt int) string {
+	if v.grantKey == nil {
 		return ""
 	}
-	return v.seal.SealLaunch(archive.Attempt{Job: k.id, Task: k.index, Try: try, Machine: m.id})
+	return v.grantKey.SealLaunch(archive.Attempt{Job: k.job, Task: k.index, Try: attempt, Machine: m.id})
 }
 
 // gang tells where the tasks of an attempt are, as far as the mirror shows.
-func (v *view) gang(r *record, try int) protocol.GangMembers {
+func (v *queryHandler) gang(r *jobRecord, attempt int) protocol.GangMembers {
 	out := protocol.GangMembers{Members: []protocol.GangMember{}}
 	for _, p := range r.pages {
 		for i := range p.tasks {
-			if t := &p.tasks[i]; t.Phase == job.Bound && t.Attempt == try {
-				out.Members = append(out.Members, protocol.GangMember{Index: p.num*v.c.pageTasks() + i, Machine: t.Machine, Address: v.c.machine(t.Machine).claim.Address})
+			if t := &p.tasks[i]; t.Phase == job.Bound && t.Attempt == attempt {
+				out.Members = append(out.Members, protocol.GangMember{Index: p.number*v.core.tasksPerPage() + i, Machine: t.Machine, Address: v.core.machine(t.Machine).claim.Address})
 			}
 		}
 	}
@@ -198,25 +198,25 @@
 const listPage = 100
 
 // list answers an operator's list; false if path is none.
-func (v *view) list(id uint64, path string) bool {
+func (v *queryHandler) list(id uint64, path string) bool {
 	path, query, _ := strings.Cut(path, "?")
 	if path != protocol.PathJobList && path != protocol.PathMachineList {
 		return false
 	}
-	c := v.c
+	c := v.core
 	q, err := url.ParseQuery(query)
 	if err != nil {
 		c.refuse(id, 400, "the query is malformed")
 		return true
 	}
-	if !c.store.Loaded() {
+	if !c.state.Loaded() {
 		c.refuse(id, 503, "starting")
 		return true
 	}
 	if path == protocol.PathMachineList {
-		c.answer(id, 200, v.nodes(q.Get("from")), 0)
+		c.respond(id, 200, v.nodes(q.Get("from")), 0)
 	} else {
-		c.answer(id, 200, v.jobs(q.Get("from"), q.Get("all") == "true"), 0)
+		c.respond(id, 200, v.jobs(q.Get("from"), q.Get("all") == "true"), 0)
 	}
 	return true
 }
@@ -236,56 +236,56 @@
 	return names, false
 }
 
-func (v *view) jobs(from string, all bool) protocol.JobPage {
-	c := v.c
-	which := c.open
+func (v *queryHandler) jobs(from string, all bool) protocol.JobPage {
+	c := v.core
+	which := c.openJobs
 	if all {
 		which = c.jobs
 	}
-	names, more := after(which, from, func(*record) bool { return true })
+	names, more := after(which, from, func(*jobRecord) bool { return true })
 	out := protocol.JobPage{Jobs: []protocol.JobSummary{}, Truncated: more}
 	for _, n := range names {
 		r := c.jobs[n]
-		s := c.state(r)
+		s := c.jobState(r)
 		out.Jobs = append(out.Jobs, protocol.JobSummary{ID: n, Status: s.Status, Class: r.spec.Class, Team: r.spec.Team,
 			Shape: protocol.ShapeName(r.spec.Shape), Priority: protocol.PriorityName(r.spec.Priority), Tasks: r.spec.Tasks,
-			Done: *s.Done, Running: *s.Running, AgeS: float64(c.wall.UnixMilli()-r.at) / 1000, WaitingFor: v.waits(r)})
+			Done: *s.Done, Running: *s.Running, AgeS: float64(c.wallTime.UnixMilli()-r.submittedAtMS) / 1000, WaitingFor: v.waitReason(r)})
 	}
 	return out
 }
 
 // waits says what an open job's waiting tasks wait for, as far as this
 // controller knows.
-func (v *view) waits(r *record) string {
-	c := v.c
+func (v *queryHandler) waitReason(r *jobRecord) string {
+	c := v.core
 	tm := c.teams[r.spec.Team]
 	switch {
 	case r.final() || r.bound+r.finished >= r.spec.Tasks:
 		return ""
 	case c.paused(r):
 		return "a pause after failures, or the one task that is tried again"
-	case tm != nil && limited(tm) && !tm.within(tm.runs.plus(r.spec, 1)):
+	case tm != nil && hasQuota(tm) && !tm.withinLimit(tm.running.plus(r.spec, 1)):
 		return "the limit of team " + r.spec.Team
-	case r.home != c.cfg.Node && len(r.line) == 0:
-		return "a place, by way of " + r.home
+	case r.owner != c.cfg.Node && len(r.queue) == 0:
+		return "a place, by way of " + r.owner
 	case r.spec.Shape == job.Gang && r.spec.Tasks > 1:
 		return "room for all tasks at once"
 	}
 	return "room"
 }
 
-func (v *view) nodes(from string) protocol.MachinePage {
-	c := v.c
-	names, more := after(c.machines, from, func(m *machine) bool { return m.stamp != 0 })
+func (v *queryHandler) nodes(from string) protocol.MachinePage {
+	c := v.core
+	names, more := after(c.machines, from, func(m *machine) bool { return m.token != 0 })
 	out := protocol.MachinePage{Machines: []protocol.MachineSummary{}, Truncated: more}
 	for _, n := range names {
 		m := c.machines[n]
-		k := c.kind(m)
+		k := c.machineTypeOf(m)
 		status := "ready"
 		if d, ok := c.drains[n]; ok {
-			status = "draining: " + d.Why
+			status = "draining: " + d.Reason
 		}
-		line := protocol.MachineSummary{Machine: n, MachineType: m.claim.Type, Zone: m.claim.Zone, Spot: m.claim.Spot, Address: m.claim.Address,
+		line := protocol.MachineSummary{Machine: n, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot, Address: m.claim.Address,
 			Owner: m.claim.Owner, Status: status, Tasks: len(m.bound), CPUCapacity: k.CPUs, GPUCapacity: k.GPUs, MemoryCapacityGB: k.MemoryGB}
 		for _, k := range m.tasks() { // in order, so that equal inputs give equal sums
 			s := m.bound[k].spec
--- a/internal/coordination/welcome_test.go
+++ b/internal/coordination/welcome_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"silvergate/internal/job"
+	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
 )
 
@@ -17,14 +18,14 @@
 	for _, v := range []struct {
 		name   string
 		status job.Status
-		vouch  *Vouch
+		vouch  *peer.CancellationReply
 		kills  int
 	}{
 		{"cancelled by the records", job.Cancelled, nil, 1},
 		{"done by the records", job.Done, nil, 1},
 		{"open", job.Open, nil, 0},
-		{"cancelled by a peer's word", job.Open, &Vouch{Cancelled: []string{"wk-700000"}}, 1},
-		{"not on record, cancelled by a peer's word", "", &Vouch{Cancelled: []string{"wk-700000"}}, 1},
+		{"cancelled by a peer's word", job.Open, &peer.CancellationReply{Cancelled: []string{"wk-700000"}}, 1},
+		{"not on record, cancelled by a peer's word", "", &peer.CancellationReply{Cancelled: []string{"wk-700000"}}, 1},
 	} {
 		s := newScript(t)
 		s.pass(100 * time.Millisecond)
@@ -34,7 +35,7 @@
 		}
 		s.reply(protocol.PathKeys+"?", "", 200, p)
 		if v.vouch != nil {
-			s.take(s.c.Peer(s.clock(), "n0", Message{Vouch: v.vouch}))
+			s.take(s.c.Peer(s.clock(), "n0", peer.Message{CancellationReply: v.vouch}))
 		}
 		s.report(0, 1, load)
 		s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120}) // which the watch does not reach
--- a/internal/datastore/full_test.go
+++ b/internal/datastore/full_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 
 	"silvergate/internal/dataset"
-	"silvergate/internal/standin"
+	"silvergate/internal/fakeserver"
 )
 
 // quota is a disk that is full from its nth write on, for so many writes, and
@@ -71,7 +71,7 @@
 // again the copy comes.
 func TestDiskFullAtAnyWrite(t *testing.T) {
 	root := t.TempDir()
-	src := Source{server(t, root, standin.Faults{}).Address(), false}
+	src := Source{server(t, root, fakeserver.Faults{}).Address(), false}
 	common := random(9, 1<<20)
 	one := map[string][]byte{"common": common, "own": random(1, 300_000)}
 	two := map[string][]byte{"common": append([]byte("x"), common...), "own": random(2, 2<<20), "empty": {}}
@@ -135,7 +135,7 @@
 	}
 	defer unix.Unmount(dir, unix.MNT_DETACH)
 	root := t.TempDir()
-	src := Source{server(t, root, standin.Faults{}).Address(), false}
+	src := Source{server(t, root, fakeserver.Faults{}).Address(), false}
 	small, large := map[string][]byte{"f": random(1, 1<<20)}, map[string][]byte{"f": random(2, 4<<20)}
 	_, a := publish(t, root, "set", "1", small)
 	_, b := publish(t, root, "set", "2", large)
--- a/internal/datastore/store_test.go
+++ b/internal/datastore/store_test.go
@@ -23,7 +23,7 @@
 	"pgregory.net/rapid"
 
 	"silvergate/internal/dataset"
-	"silvergate/internal/standin"
+	"silvergate/internal/fakeserver"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -56,8 +56,8 @@
 	return b
 }
 
-func server(t testing.TB, root string, x standin.Faults) *standin.FileServer {
-	f, err := standin.Serve("127.0.0.1:0", root, 1)
+func server(t testing.TB, root string, x fakeserver.Faults) *fakeserver.FileServer {
+	f, err := fakeserver.Serve("127.0.0.1:0", root, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,9 +96,9 @@
 // and one that is slow; whatever is placed must be what was published.
 func TestFetchThroughFaults(t *testing.T) {
 	root := t.TempDir()
-	bad := server(t, root, standin.Faults{Damage: 0.1, Short: 0.15, Lie: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
-	slow := server(t, root, standin.Faults{BytesPerS: 60e6})
-	dark := server(t, root, standin.Faults{})
+	bad := server(t, root, fakeserver.Faults{Damage: 0.1, Short: 0.15, Lie: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
+	slow := server(t, root, fakeserver.Faults{BytesPerS: 60e6})
+	dark := server(t, root, fakeserver.Faults{})
 	dark.Dark(true)
 	for i := range 4 {
 		m, w := publish(t, root, "set", fmt.Sprint(i), map[string][]byte{"a/one": random(uint64(i), 3<<20+17), "empty": nil, "two": random(uint64(i)+100, 5<<20)})
@@ -127,7 +127,7 @@
 		}
 	}
 	// All sources lie for good: the fetch goes on looking, and nothing appears.
-	bad.Set(standin.Faults{Damage: 1})
+	bad.Set(fakeserver.Faults{Damage: 1})
 	_, w := publish(t, root, "set", "x", map[string][]byte{"f": random(9, 2<<20)})
 	s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 	failed := make(chan error, 1)
@@ -172,7 +172,7 @@
 // was right is not fetched again.
 func TestKilledAtAnyMoment(t *testing.T) {
 	root, dir := t.TempDir(), filepath.Join(t.TempDir(), "s")
-	srv := server(t, root, standin.Faults{BytesPerS: 100e6})
+	srv := server(t, root, fakeserver.Faults{BytesPerS: 100e6})
 	const size = 24 << 20
 	m, w := publish(t, root, "set", "1", map[string][]byte{"a": random(1, size/2), "b": random(2, size/2)})
 	w = from(w, Source{srv.Address(), false})
@@ -224,7 +224,7 @@
 // background fetch is met by an urgent one.
 func TestUrgentFetchDisplacesOthersAtOnce(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, standin.Faults{BytesPerS: 60e6})
+	srv := server(t, root, fakeserver.Faults{BytesPerS: 60e6})
 	_, back := publish(t, root, "back", "1", map[string][]byte{"a": random(1, 20<<20)})
 	_, fast := publish(t, root, "fast", "1", map[string][]byte{"a": random(2, 6<<20)})
 	s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
@@ -269,7 +269,7 @@
 // whoever reads the events took it for one that still has all others stand still.
 func TestGivenUpFetchIsTold(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, standin.Faults{BytesPerS: 1e6})
+	srv := server(t, root, fakeserver.Faults{BytesPerS: 1e6})
 	_, w := publish(t, root, "back", "1", map[string][]byte{"a": random(1, 8<<20)})
 	s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 	told := make(chan Event, 100)
@@ -293,7 +293,7 @@
 // TestRoomPinsAndSharing fills a small store.
 func TestRoomPinsAndSharing(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, standin.Faults{})
+	srv := server(t, root, fakeserver.Faults{})
 	src := Source{srv.Address(), false}
 	common := random(50, 2<<20)
 	var ws []Want
@@ -350,7 +350,7 @@
 // others from machines.
 func TestMachinesServeOneAnother(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, standin.Faults{})
+	srv := server(t, root, fakeserver.Faults{})
 	_, w := publish(t, root, "set", "1", map[string][]byte{"a": random(1, 8<<20)})
 	first := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 	if err := get(first, from(w, Source{srv.Address(), false})); err != nil {
@@ -394,7 +394,7 @@
 // that what is in use stays, and that the account of the room holds.
 func TestInterleavings(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, standin.Faults{})
+	srv := server(t, root, fakeserver.Faults{})
 	var ms []*dataset.Manifest
 	var ws []Want
 	for i := range 4 { // two sets with two versions each, which share a file
--- a/internal/takeover/takeover.go
+++ b/internal/failover/failover.go
@@ -1,4 +1,4 @@
-// Package takeover decides which controller holds a worker when the workers of one
+// Package failover decides which controller holds a worker when the workers of one
 // controller pass to others by the group: one record, in place of a claim for each.
 //
 // A worker's own claim names the controller that holds it, the life of that process and
@@ -16,7 +16,7 @@
 // and whoever took the group over would answer a worker that is another controller's.
 //
 // There is no I/O or clock in it. docs/design.md, "Taking workers over by the group".
-package takeover
+package failover
 
 import (
 	"hash/fnv"
--- a/internal/takeover/takeover_test.go
+++ b/internal/failover/failover_test.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"fmt"
--- a/internal/standin/fileserver.go
+++ b/internal/fakeserver/fileserver.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins for systems outside: file servers that serve
+// Package fakeserver holds stand-ins for systems outside: file servers that serve
 // data sets over HTTP with ranges, and that can be as bad as real ones.
-package standin
+package fakeserver
 
 import (
 	"bytes"
--- a/internal/blame/blame.go
+++ b/internal/faultattribution/faultattribution.go
@@ -1,11 +1,11 @@
-// Package blame tells machines that are faulty from jobs that fail on every machine.
+// Package faultattribution tells machines that are faulty from jobs that fail on every machine.
 //
 // A task that fails says that one of the two is broken, and not which. A job that was
 // submitted with a mistake fails wherever it runs until its user cancels it; taken for
 // the machines' fault, a few such jobs have healthy machines returned one after the
 // other, with all that others run there. These are decisions alone, of what the records
 // show to every controller alike.
-package blame
+package faultattribution
 
 import "time"
 
--- a/internal/blame/blame_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -1,4 +1,4 @@
-package blame
+package faultattribution
 
 import (
 	"testing"
--- a/internal/evidence/evidence.go
+++ b/internal/fencing/fencing.go
@@ -1,4 +1,4 @@
-// Package evidence decides what a controller may believe of a machine that it
+// Package fencing decides what a controller may believe of a machine that it
 // holds: which reports count, which attempts may be launched, and what proves that
 // one has left. Every launch and every release of the core passes through it, and
 // nothing else may cause one.
@@ -7,7 +7,7 @@
 // calls it with what it knows, and the model in this package's tests calls the same
 // functions through all interleavings of a small world. docs/design.md, "Safety",
 // gives the argument; each function names its part of it.
-package evidence
+package fencing
 
 import "time"
 
--- a/internal/evidence/horizon.go
+++ b/internal/fencing/horizon.go
@@ -1,4 +1,4 @@
-package evidence
+package fencing
 
 import "time"
 
--- a/internal/evidence/model_test.go
+++ b/internal/fencing/model_test.go
@@ -1,4 +1,4 @@
-package evidence
+package fencing
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"silvergate/internal/explore"
-	"silvergate/internal/takeover"
+	"silvergate/internal/failover"
+	"silvergate/internal/modelcheck"
 )
 
 // The model: two controllers, two machines and one task, a state service that keeps
@@ -184,10 +184,10 @@
 }
 
 // groupOf is the group of a life's machines; all of them are in one.
-func groupOf(key uint8) takeover.Group {
+func groupOf(key uint8) failover.Group {
 	at := key - groupKey
-	h := takeover.Holder{Node: string('0' + rune(at/lives)), Incarnation: int64(at%lives) + 1, Epoch: 1}
-	return takeover.GroupOf(h, "w", "z")
+	h := failover.Holder{Node: string('0' + rune(at/lives)), Incarnation: int64(at%lives) + 1, Epoch: 1}
+	return failover.GroupOf(h, "w", "z")
 }
 
 // held finds a machine's holder with the product's own book of take-overs.
@@ -197,20 +197,20 @@
 	if md.b.takeovers == 0 || h.token == 0 {
 		return h
 	}
-	book := takeover.NewTable()
+	book := failover.NewTable()
 	if book.Advance(uint64(n.ledger)); md.d.heedAtOnce {
 		book.Advance(revisions)
 	}
-	keyOf := map[takeover.Group]uint8{}
+	keyOf := map[failover.Group]uint8{}
 	for key := uint8(groupKey); key < keys; key++ {
 		g := groupOf(key)
 		keyOf[g] = key
 		if stamp := n.known[key]; stamp > 0 {
 			heir := s.hist[stamp]
-			book.Put(g, takeover.Holder{Node: string('0' + rune(heir.a-1)), Incarnation: int64(heir.b), Epoch: 1}, uint64(stamp))
+			book.Put(g, failover.Holder{Node: string('0' + rune(heir.a-1)), Incarnation: int64(heir.b), Epoch: 1}, uint64(stamp))
 		}
 	}
-	got := book.Resolve("w", "z", takeover.Claim{Holder: takeover.Holder{Node: string('0' + rune(own.a-1)), Incarnation: int64(own.b), Epoch: 1}, Token: uint64(h.token)})
+	got := book.Resolve("w", "z", failover.Claim{Holder: failover.Holder{Node: string('0' + rune(own.a-1)), Incarnation: int64(own.b), Epoch: 1}, Token: uint64(h.token)})
 	h.owner, h.life, h.token = got.Node[0]-'0'+1, uint8(got.Incarnation), uint8(got.Token)
 	for i, l := range got.Links {
 		h.groups[i] = stamped{keyOf[l.Group], uint8(l.Revision)}
@@ -1011,8 +1011,8 @@
 	return s
 }
 
-func (md *model) walk(start func() world, limit int) explore.Result {
-	return explore.Run(explore.Model[world]{Start: start(), Next: md.next, Broken: md.broken, Label: label}, limit)
+func (md *model) walk(start func() world, limit int) modelcheck.Result {
+	return modelcheck.Run(modelcheck.Model[world]{Start: start(), Next: md.next, Broken: md.broken, Label: label}, limit)
 }
 
 // limitOf is how many states a walk may see: SIM_STATES, for walks outside CI.
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,4 +1,4 @@
-// Package explore walks all states that a small model can reach, nearest first,
+// Package modelcheck walks all states that a small model can reach, nearest first,
 // and tells how one that breaks the model's promise is reached in the fewest steps.
 //
 // It is a checker for protocols: the model holds processes, messages under way and
@@ -6,7 +6,7 @@
 // remembered by a hash of 64 bits, which lets tens of millions fit; with ten million
 // the chance that two share one, and that a state is passed over, is about 3 in a
 // million.
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/explore/explore_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import "testing"
 
--- a/internal/seeded/seeded.go
+++ b/internal/proptest/proptest.go
@@ -1,6 +1,6 @@
-// Package seeded runs a package's tests with generated inputs from a fixed seed, so
+// Package proptest runs a package's tests with generated inputs from a fixed seed, so
 // that a verdict repeats. -rapid.seed on the command line chooses another.
-package seeded
+package proptest
 
 import (
 	"flag"
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 
 	"silvergate/internal/job"
-	"silvergate/internal/seeded"
+	"silvergate/internal/proptest"
 )
 
 // Generated inputs come from a fixed seed, so that a verdict repeats.
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { proptest.Main(m) }
 
 func validRun() map[string]any {
 	return map[string]any{"ref": "wk-000412", "jobclass": "train", "crew": "vision", "shape": "ensemble", "urgency": "urgent", "loads": 16,
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -34,10 +34,10 @@
 	"go.yaml.in/yaml/v3"
 
 	"silvergate/internal/agent"
+	"silvergate/internal/checksum"
 	"silvergate/internal/identity"
 	"silvergate/internal/proc"
 	"silvergate/internal/protocol"
-	"silvergate/internal/sealed"
 	"silvergate/internal/transport"
 )
 
@@ -188,12 +188,12 @@
 		return err
 	}
 	damaged := func(format string, args ...any) error {
-		return fmt.Errorf("%s is %w: %s; it was left as it is: move it away and the cloud begins without machines", path, sealed.ErrDamaged, fmt.Sprintf(format, args...))
+		return fmt.Errorf("%s is %w: %s; it was left as it is: move it away and the cloud begins without machines", path, checksum.ErrDamaged, fmt.Sprintf(format, args...))
 	}
 	if info.Size() < 4*int64(os.Getpagesize()) {
 		return damaged("it has %d bytes only", info.Size())
 	}
-	return sealed.Guard(path, func() error {
+	return checksum.Guard(path, func() error {
 		db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true})
 		if errors.Is(err, berrors.ErrTimeout) {
 			return fmt.Errorf("%s: another process has it open", path)
@@ -208,7 +208,7 @@
 			}
 			return tx.ForEach(func(_ []byte, b *bolt.Bucket) error {
 				return b.ForEach(func(k, v []byte) error {
-					if _, ok := sealed.Open(k, v); !ok {
+					if _, ok := checksum.Open(k, v); !ok {
 						return damaged("record %q does not match its checksum", k)
 					}
 					return nil
@@ -231,7 +231,7 @@
 		}
 		read := func(bucket []byte, take func(raw []byte) error) error {
 			return tx.Bucket(bucket).ForEach(func(k, v []byte) error {
-				raw, ok := sealed.Open(k, v)
+				raw, ok := checksum.Open(k, v)
 				if ok {
 					ok = take(raw) == nil
 				}
@@ -272,7 +272,7 @@
 			if err != nil {
 				return err
 			}
-			return tx.Bucket(bucket).Put([]byte(key), sealed.Append([]byte(key), raw))
+			return tx.Bucket(bucket).Put([]byte(key), checksum.Append([]byte(key), raw))
 		}
 		for _, x := range e.Store {
 			if err := put(bucketMachines, x.Name, x); err != nil {
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -21,10 +21,10 @@
 	"pgregory.net/rapid"
 
 	"silvergate/internal/agent"
+	"silvergate/internal/checksum"
 	"silvergate/internal/conformance"
 	"silvergate/internal/proc"
 	"silvergate/internal/protocol"
-	"silvergate/internal/sealed"
 	"silvergate/internal/transport"
 )
 
@@ -365,7 +365,7 @@
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Open(testConfig(other), os.Args[0], quiet); !errors.Is(err, sealed.ErrDamaged) || !strings.Contains(err.Error(), file) {
+		if _, err := Open(testConfig(other), os.Args[0], quiet); !errors.Is(err, checksum.ErrDamaged) || !strings.Contains(err.Error(), file) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if now, _ := os.ReadFile(file); !slices.Equal(now, raw) {
--- a/internal/budget/budget.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,4 +1,4 @@
-// Package budget decides whose request goes to the state service next. The
+// Package ratelimit decides whose request goes to the state service next. The
 // service's rates are what recovery is made of: after a mass failure, claims of
 // workers, endings and placements wait for the same changes a second, and a
 // change spent on lesser work is one that urgent work waits for.
@@ -14,7 +14,7 @@
 //   - a request is never held up by one that waits for a rate it doesn't use.
 //
 // There is no I/O or clock in it: time comes with Advance, what waits with Waits.
-package budget
+package ratelimit
 
 import "time"
 
--- a/internal/budget/budget_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package budget
+package ratelimit
 
 import (
 	"testing"
--- a/internal/reach/main_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package reach
-
-import (
-	"testing"
-
-	"silvergate/internal/seeded"
-)
-
-func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -134,7 +134,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	core, err := coordination.FromHeader(h, o.Log)
+	core, err := coordination.NewFromHeader(h, o.Log)
 	if err != nil {
 		return res, err
 	}
@@ -218,7 +218,7 @@
 		if k == "" {
 			k = "nothing is known"
 		}
-		res.Known = append(res.Known, fmt.Sprintf("%s, records at %d: %s: %s", t.node, t.core.Ledger(), n, k))
+		res.Known = append(res.Known, fmt.Sprintf("%s, records at %d: %s: %s", t.node, t.core.AppliedRevision(), n, k))
 	}
 }
 
@@ -228,7 +228,7 @@
 	if len(t.o.Names) == 0 {
 		return
 	}
-	line := Line{Wall: time.Unix(0, in.Wall), Node: t.node, Ledger: t.core.Ledger()}
+	line := Line{Wall: time.Unix(0, in.Wall), Node: t.node, Ledger: t.core.AppliedRevision()}
 	if in.Kind == recorder.Reply && t.txns[in.ID] {
 		delete(t.txns, in.ID)
 		var r protocol.TxnResult
@@ -285,8 +285,8 @@
 // sent is what effects say about a name.
 func sent(e *coordination.Effects, name string) (out []string) {
 	quoted := `"` + name + `"`
-	for i := range e.Answers {
-		a := &e.Answers[i]
+	for i := range e.Responses {
+		a := &e.Responses[i]
 		var c protocol.HeartbeatResponse
 		if strings.Contains(string(a.Body), quoted) && json.Unmarshal(a.Body, &c) == nil {
 			out = append(out, orders("answers with", c.FencingToken, c.Commands, name))
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -82,14 +82,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core, err := coordination.FromHeader(&h, slog.New(slog.DiscardHandler))
+	core, err := coordination.NewFromHeader(&h, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	tape := coordination.NewRecorded(core, w)
+	tape := coordination.NewRecordedCore(core, w)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	at, rev := time.Duration(0), uint64(100)
-	clock := func() coordination.Clock { return coordination.Clock{Steady: at, Wall: time.Unix(1000, 0).Add(at)} }
+	clock := func() coordination.Timestamp {
+		return coordination.Timestamp{Steady: at, Wall: time.Unix(1000, 0).Add(at)}
+	}
 	var todo []protocol.Call
 	var tally, baton uint64
 	for i := range 600 {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -23,12 +23,12 @@
 	"silvergate/internal/agent"
 	"silvergate/internal/archive"
 	"silvergate/internal/archive/reader"
-	"silvergate/internal/bookkeeping"
 	"silvergate/internal/identity"
 	"silvergate/internal/proc"
 	"silvergate/internal/protocol"
 	"silvergate/internal/provider"
 	"silvergate/internal/site"
+	"silvergate/internal/stateclient"
 	"silvergate/internal/transport"
 )
 
@@ -458,7 +458,7 @@
 	out := map[string]int{}
 	from := ""
 	for {
-		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?under="+bookkeeping.MirroredPrefix+"p/&from="+url.QueryEscape(from), nil)
+		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?under="+stateclient.MirroredPrefix+"p/&from="+url.QueryEscape(from), nil)
 		var p protocol.KeyValuePage
 		if st != 200 || json.Unmarshal(body, &p) != nil {
 			s.broke("the records can't be read: %d", st)
@@ -466,7 +466,7 @@
 		}
 		for _, e := range p.KeyValues {
 			from = e.Key
-			id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, bookkeeping.MirroredPrefix+"p/"), "/")
+			id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, stateclient.MirroredPrefix+"p/"), "/")
 			n, err := countFinished(e.Value)
 			if err != nil {
 				s.broke("%s: %v", e.Key, err)
