--- a/internal/bookkeeping/store.go
+++ b/internal/stateclient/store.go
@@ -1,7 +1,7 @@
-// Package bookkeeping keeps silvergate's records in the state service: a watch
+// Package stateclient keeps silvergate's records in the state service: a watch
 // that mirrors them, conditional transactions, and the share of the service's
 // rates that this controller may use.
-package bookkeeping
+package stateclient
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"silvergate/internal/budget"
 	"silvergate/internal/config"
 	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
 )
 
 // Root is the prefix of every key that is mirrored.
@@ -41,9 +41,9 @@
 	Apply func(key string, data json.RawMessage, revision uint64) // data is nil for a dropped key
 
 	now         time.Duration
-	limiter     *budget.Limiter
-	queue       [budget.NumClasses][]*request
-	reserved    [budget.NumClasses]float64 // changes of a transaction that is not built before it can be sent
+	limiter     *ratelimit.Limiter
+	queue       [ratelimit.NumClasses][]*request
+	reserved    [ratelimit.NumClasses]float64 // changes of a transaction that is not built before it can be sent
 	inflight    int
 	pausedUntil time.Duration
 
@@ -65,7 +65,7 @@
 }
 
 type request struct {
-	class    budget.Class
+	class    ratelimit.Class
 	method   string
 	path     string
 	body     []byte
@@ -87,7 +87,7 @@
 func New(f *config.Facts, controllers int) *Client {
 	n := float64(max(1, controllers))
 	s := &Client{revisions: map[string]uint64{}, tombstones: map[string]uint64{}}
-	s.limiter = budget.New(budget.Rates{Requests: f.State.RPS, Changes: f.State.WriteRPS, Controllers: controllers, TxnChanges: f.State.TxnOps})
+	s.limiter = ratelimit.New(ratelimit.Rates{Requests: f.State.RPS, Changes: f.State.WriteRPS, Controllers: controllers, TxnChanges: f.State.TxnOps})
 	// Re-opening the watch may take a quarter of the request budget.
 	s.watchSpacing = time.Duration(4 * n / f.State.RPS * float64(time.Second))
 	s.watchTimeout = time.Second
@@ -145,15 +145,15 @@
 }
 
 // patience is how long a transaction of a class may wait for the budget.
-func queueTimeoutOf(c budget.Class) time.Duration {
-	if c == budget.UrgentClaims || c == budget.BusyClaims || c == budget.IdleClaims {
+func queueTimeoutOf(c ratelimit.Class) time.Duration {
+	if c == ratelimit.UrgentClaims || c == ratelimit.BusyClaims || c == ratelimit.IdleClaims {
 		return claimTimeout
 	}
 	return queueTimeout
 }
 
 // Txn sends a transaction. After OK the mirror holds its changes.
-func (s *Client) Txn(class budget.Class, compares []protocol.Compare, ops []protocol.Op, done func(TxnOutcome, []string, uint64)) {
+func (s *Client) Txn(class ratelimit.Class, compares []protocol.Compare, ops []protocol.Op, done func(TxnOutcome, []string, uint64)) {
 	body := protocol.Encode(protocol.Txn{Compares: compares, Ops: ops})
 	s.enqueue(&request{class: class, method: http.MethodPost, path: protocol.PathTxn, body: body,
 		writes: float64(len(ops)), deadline: s.now + queueTimeoutOf(class), done: func(r protocol.Reply) {
@@ -190,7 +190,7 @@
 }
 
 // Get reads one key afresh into the mirror; ok is false when that failed.
-func (s *Client) Refresh(class budget.Class, key string, done func(ok bool)) {
+func (s *Client) Refresh(class ratelimit.Class, key string, done func(ok bool)) {
 	s.enqueue(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			var e protocol.KeyValue
@@ -207,7 +207,7 @@
 
 // Read reads a key that is not mirrored: one outside Root. ok is false when
 // that failed; data is nil when the key does not exist.
-func (s *Client) ReadUnmirrored(class budget.Class, key string, done func(data json.RawMessage, ok bool)) {
+func (s *Client) ReadUnmirrored(class ratelimit.Class, key string, done func(data json.RawMessage, ok bool)) {
 	s.enqueue(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			var e protocol.KeyValue
@@ -225,7 +225,7 @@
 // Grant asks for a lease, Touch renews one.
 func (s *Client) GrantLease(ttl time.Duration, done func(lease uint64)) {
 	body := protocol.Encode(protocol.LeaseRequest{TTLMs: ttl.Milliseconds()})
-	s.enqueue(&request{class: budget.Safety, method: http.MethodPost, path: protocol.PathLeases, body: body,
+	s.enqueue(&request{class: ratelimit.Safety, method: http.MethodPost, path: protocol.PathLeases, body: body,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			var g protocol.LeaseResponse
 			if r.Status == http.StatusOK {
@@ -237,7 +237,7 @@
 
 // Touch renews a lease. gone is true when it has ended.
 func (s *Client) KeepAlive(lease uint64, done func(ok, expired bool)) {
-	s.enqueue(&request{class: budget.Safety, method: http.MethodPost,
+	s.enqueue(&request{class: ratelimit.Safety, method: http.MethodPost,
 		path:     protocol.PathLeases + "/" + strconv.FormatUint(lease, 10) + "/" + protocol.PathKeepAlive,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
 			done(r.Status == http.StatusOK, r.Status == http.StatusNotFound)
@@ -261,7 +261,7 @@
 // be sent at once. Whoever asks first builds it from the latest mirror, and
 // what comes up until then can go with it. What is refused is saved for, until
 // Forgo.
-func (s *Client) Reserve(class budget.Class, changes int) bool {
+func (s *Client) Reserve(class ratelimit.Class, changes int) bool {
 	s.reserved[class] = 0
 	s.updateDemand(class)
 	if s.CanSend(class, changes) {
@@ -273,7 +273,7 @@
 }
 
 // Could is CanSend without saving for what is refused.
-func (s *Client) CanSend(class budget.Class, changes int) bool {
+func (s *Client) CanSend(class ratelimit.Class, changes int) bool {
 	return s.now >= s.pausedUntil && s.inflight < maxInflight && len(s.queue[class]) == 0 && s.limiter.CanSpend(class, float64(changes))
 }
 
@@ -282,13 +282,13 @@
 	for c := range s.reserved {
 		if s.reserved[c] > 0 {
 			s.reserved[c] = 0
-			s.updateDemand(budget.Class(c))
+			s.updateDemand(ratelimit.Class(c))
 		}
 	}
 }
 
 // tell keeps the budget's knowledge of what waits.
-func (s *Client) updateDemand(c budget.Class) {
+func (s *Client) updateDemand(c ratelimit.Class) {
 	if q := s.queue[c]; len(q) > 0 {
 		s.limiter.SetDemand(c, true, q[0].writes)
 	} else {
@@ -336,7 +336,7 @@
 		}
 		if len(q) < len(s.queue[c]) {
 			s.queue[c] = q
-			s.updateDemand(budget.Class(c))
+			s.updateDemand(ratelimit.Class(c))
 		}
 	}
 	for _, r := range late {
--- a/internal/bookkeeping/store_test.go
+++ b/internal/stateclient/store_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package stateclient
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"silvergate/internal/budget"
 	"silvergate/internal/config"
 	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
 )
 
 type sent struct {
@@ -112,7 +112,7 @@
 	s, calls, mirror := newStore(300, 120)
 	s.Tick(time.Second)
 	load(t, s, calls, 10, map[string]uint64{"sg/a": 3})
-	s.Txn(budget.Safety, nil, []protocol.Op{{Delete: "sg/a"}}, func(o TxnOutcome, _ []string, _ uint64) {
+	s.Txn(ratelimit.Safety, nil, []protocol.Op{{Delete: "sg/a"}}, func(o TxnOutcome, _ []string, _ uint64) {
 		if o != Committed {
 			t.Error(o)
 		}
@@ -131,7 +131,7 @@
 		s.Tick(time.Second)
 		load(t, s, calls, 10, nil)
 		got := TxnOutcome(-1)
-		s.Txn(budget.UserRequests, nil, []protocol.Op{{Put: "sg/a", Value: raw("1")}}, func(o TxnOutcome, _ []string, _ uint64) { got = o })
+		s.Txn(ratelimit.UserRequests, nil, []protocol.Op{{Put: "sg/a", Value: raw("1")}}, func(o TxnOutcome, _ []string, _ uint64) { got = o })
 		s.Tick(2 * time.Second)
 		take(calls, protocol.PathTxn).done(reply(status, protocol.TxnResult{Revision: 11, Failed: []string{"sg/a"}}))
 		if got != want || (len(mirror) == 1) != (want == Committed) {
@@ -145,7 +145,7 @@
 	s.Tick(time.Second)
 	load(t, s, calls, 10, nil)
 	got := TxnOutcome(-1)
-	s.Txn(budget.UserRequests, nil, nil, func(o TxnOutcome, _ []string, _ uint64) { got = o })
+	s.Txn(ratelimit.UserRequests, nil, nil, func(o TxnOutcome, _ []string, _ uint64) { got = o })
 	s.Tick(2 * time.Second)
 	take(calls, protocol.PathTxn).done(reply(503, nil))
 	s.Tick(2*time.Second + queueTimeout/2)
@@ -166,9 +166,9 @@
 	s.Tick(time.Second)
 	load(t, s, calls, 10, nil)
 	for i := 0; i < 40; i++ {
-		s.Txn(budget.Background, nil, []protocol.Op{{Put: fmt.Sprint("sg/rest", i), Value: raw("")}}, func(TxnOutcome, []string, uint64) {})
+		s.Txn(ratelimit.Background, nil, []protocol.Op{{Put: fmt.Sprint("sg/rest", i), Value: raw("")}}, func(TxnOutcome, []string, uint64) {})
 	}
-	s.Txn(budget.Safety, nil, []protocol.Op{{Put: "sg/rules", Value: raw("")}}, func(TxnOutcome, []string, uint64) {})
+	s.Txn(ratelimit.Safety, nil, []protocol.Op{{Put: "sg/rules", Value: raw("")}}, func(TxnOutcome, []string, uint64) {})
 	n := 0
 	for at := time.Second; at <= 2*time.Second; at += 20 * time.Millisecond {
 		s.Tick(at)
--- a/internal/statestore/backup.go
+++ b/internal/statestore/backup.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return BackupSummary{}, err
 	}
-	err = d.withReadLock2(func() error {
+	err = d.recoverDamage(func() error {
 		return d.db.View(func(tx *bolt.Tx) error {
 			_, err := tx.WriteTo(f)
 			return err
--- a/internal/statestore/disk.go
+++ b/internal/statestore/disk.go
@@ -17,8 +17,8 @@
 	bolt "go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
 
+	"silvergate/internal/checksum"
 	"silvergate/internal/protocol"
-	"silvergate/internal/sealed"
 )
 
 // FileName is the store's file in its folder.
@@ -37,7 +37,7 @@
 
 // ErrDamaged marks a file whose contents contradict its checksums. It is left
 // as it is.
-var ErrDamaged = sealed.ErrDamaged
+var ErrDamaged = checksum.ErrDamaged
 
 // head is what the file says of itself.
 type header struct {
@@ -155,11 +155,11 @@
 }
 
 // guard turns what a damaged page makes bbolt do into an error.
-func (d *disk) withReadLock2(do func() error) error { return sealed.Guard(d.path, do) }
+func (d *disk) recoverDamage(do func() error) error { return checksum.Guard(d.path, do) }
 
 func (d *disk) open(readOnly bool) error {
 	var file *os.File
-	err := d.withReadLock2(func() error {
+	err := d.recoverDamage(func() error {
 		// Guards against a file that was cut off: bbolt would make an empty
 		// one anew, and read beyond the end of a shorter one.
 		st, err := os.Stat(d.path)
@@ -194,7 +194,7 @@
 	})
 	if err != nil {
 		if d.db != nil {
-			_ = d.withReadLock2(d.db.Close)
+			_ = d.recoverDamage(d.db.Close)
 			d.db = nil
 		}
 		if file != nil { // unless bbolt got so far itself
@@ -219,7 +219,7 @@
 	}
 	d.ttls, d.leaseKeys = map[uint64]time.Duration{}, map[uint64]map[string]bool{}
 	if err := tx.Bucket(bucketLeases).ForEach(func(k, v []byte) error {
-		body, ok := sealed.Open(k, v)
+		body, ok := checksum.Open(k, v)
 		if !ok || len(k) != 8 || len(body) != 8 {
 			return d.damaged("grant %x does not match its checksum", k)
 		}
@@ -272,7 +272,7 @@
 // scan calls each for the keys with a prefix that come after from, in order,
 // until it returns false.
 func (d *disk) scan(prefix, from string, each func(key []byte, r keyRecord) bool) (ledger uint64, err error) {
-	err = d.withReadLock2(func() error {
+	err = d.recoverDamage(func() error {
 		return d.db.View(func(tx *bolt.Tx) error {
 			var h header
 			if !h.decode(tx.Bucket(bucketHeader).Get(headerKey)) {
@@ -314,7 +314,7 @@
 // changes calls each for the changes after a revision, oldest first. It
 // returns false when some of them are not kept any more.
 func (d *disk) changes(from uint64, each func(c changeEvent)) (ledger uint64, kept bool, err error) {
-	err = d.withReadLock2(func() error {
+	err = d.recoverDamage(func() error {
 		return d.db.View(func(tx *bolt.Tx) error {
 			var h header
 			if !h.decode(tx.Bucket(bucketHeader).Get(headerKey)) {
@@ -361,7 +361,7 @@
 // without an error; after an error nothing is known until the file is opened
 // again.
 func (d *disk) commit(orders []request) (out []result, changes []changeEvent, err error) {
-	err = d.withReadLock2(func() error {
+	err = d.recoverDamage(func() error {
 		tx, err := d.db.Begin(true)
 		if err != nil {
 			return err
@@ -413,7 +413,7 @@
 	}
 	w.header.LastLease, w.header.Leases = w.header.LastLease+1, w.header.Leases+1
 	k := be64(w.header.LastLease)
-	return result{lease: w.header.LastLease, revision: w.header.Revision}, w.leases.Put(k, sealed.Append(k, be64(uint64(o.ttl.Milliseconds()))))
+	return result{lease: w.header.LastLease, revision: w.header.Revision}, w.leases.Put(k, checksum.Append(k, be64(uint64(o.ttl.Milliseconds()))))
 }
 
 func (w *txnWriter) txn(t *protocol.Txn) (result, error) {
@@ -562,7 +562,7 @@
 	d.leaseKeys[grant][key] = true
 }
 
-func (d *disk) close() error { return d.withReadLock2(d.db.Close) }
+func (d *disk) close() error { return d.recoverDamage(d.db.Close) }
 
 // ---- encodings: fixed big-endian numbers, then the data, then xxHash64 over
 // the key and all before it.
@@ -574,11 +574,11 @@
 	b := make([]byte, 0, 24+len(r.value))
 	b = binary.BigEndian.AppendUint64(b, r.modRevision)
 	b = binary.BigEndian.AppendUint64(b, r.lease)
-	return sealed.Append(key, append(b, r.value...))
+	return checksum.Append(key, append(b, r.value...))
 }
 
 func decodeRecord(key, v []byte) (keyRecord, bool) {
-	b, ok := sealed.Open(key, v)
+	b, ok := checksum.Open(key, v)
 	if !ok || len(b) < 16 {
 		return keyRecord{}, false
 	}
@@ -593,11 +593,11 @@
 	} else {
 		b = append(b, 0)
 	}
-	return sealed.Append(key, b)
+	return checksum.Append(key, b)
 }
 
 func decodeChange(key, v []byte) (changeEvent, bool) {
-	b, ok := sealed.Open(key, v)
+	b, ok := checksum.Open(key, v)
 	if !ok || len(b) < 3 || len(key) != 16 {
 		return changeEvent{}, false
 	}
@@ -617,11 +617,11 @@
 	for _, v := range []uint64{h.Revision, h.LastLease, h.CompactRevision, h.Events, h.Leases, h.Keys, h.Digest} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
-	return sealed.Append(headerKey, b)
+	return checksum.Append(headerKey, b)
 }
 
 func (h *header) decode(v []byte) bool {
-	b, ok := sealed.Open(headerKey, v)
+	b, ok := checksum.Open(headerKey, v)
 	if !ok || len(b) != 56 {
 		return false
 	}
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"silvergate/internal/seeded"
+	"silvergate/internal/proptest"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { proptest.Main(m) }
--- a/tools/regress/regress.go
+++ b/tools/regress/regress.go
@@ -94,11 +94,11 @@
 
 // outside lists what no built controller contains: it owes nothing.
 var outside = []string{"docs/", "journal/", "tools/", ".ci/", "examples/", "README.md", "LICENSE", ".gitignore", "deploy/up.yaml",
-	"internal/stagebench/", "internal/stagecheck/", "internal/standin/", "internal/soak/", "internal/conformance/"}
+	"internal/stagebench/", "internal/stagecheck/", "internal/fakeserver/", "internal/soak/", "internal/conformance/"}
 
 // sensitive lists what holds storage, membership, timers and what machines say
 // to each other.
-var sensitive = []string{"cmd/silvergate/serve.go", "internal/bookkeeping/", "internal/budget/", "internal/protocol/", "internal/transport/", "internal/connlimit/",
+var sensitive = []string{"cmd/silvergate/serve.go", "internal/stateclient/", "internal/ratelimit/", "internal/protocol/", "internal/transport/", "internal/connlimit/",
 	"internal/config/", "internal/coordination/", "go.mod"}
 
 // owed tells which runs changed paths call for.
--- a/tools/regress/regress_test.go
+++ b/tools/regress/regress_test.go
@@ -21,7 +21,7 @@
 	for _, c := range []struct{ paths, owes string }{
 		{"docs/design.md journal/x.json tools/regress/main.go internal/coordination/sim_test.go", ""},
 		{"internal/job/job.go", "more/*-ops.toml lean/*.toml"},
-		{"docs/design.md internal/bookkeeping/store.go", "more/*-ops.toml lean/*.toml more/fleet/*.toml more/hunt/*.toml"},
+		{"docs/design.md internal/stateclient/store.go", "more/*-ops.toml lean/*.toml more/fleet/*.toml more/hunt/*.toml"},
 		{"cmd/silvergate/serve.go", "more/*-ops.toml lean/*.toml more/fleet/*.toml more/hunt/*.toml"},
 	} {
 		if got := sites(owed(strings.Fields(c.paths))); got != c.owes {
