--- a/internal/completionlog/completionlog.go
+++ b/internal/completionlog/completionlog.go
@@ -26,7 +26,7 @@
 	Index int
 }
 
-// Ending is an attempt that has completed.
+// Completion is an attempt that has completed.
 type Completion struct {
 	Task
 	Attempt int
@@ -137,7 +137,7 @@
 	return false
 }
 
-// Later tells whether the log has an attempt of a task after the one of that number.
+// HasLaterAttempt tells whether the log has an attempt of a task after the one of that number.
 func (l *Log) HasLaterAttempt(task Task, attempt int) bool {
 	for _, name := range l.tasks[task.Job][task.Index] {
 		if l.records[name].open[task].Attempt > attempt {
@@ -147,7 +147,7 @@
 	return false
 }
 
-// Of lists the tasks of a job that are in the log, in order.
+// TasksOf lists the tasks of a job that are in the log, in order.
 func (l *Log) TasksOf(job string) []int { return slices.Sorted(maps.Keys(l.tasks[job])) }
 
 // Settle takes that a task's page shows a later state than any entry of it, or has taken it in.
@@ -166,7 +166,7 @@
 	}
 }
 
-// Spent lists the records of which no entry is open, in order.
+// Settled lists the records of which no entry is open, in order.
 func (l *Log) Settled() (out []string) {
 	for name, x := range l.records {
 		if len(x.open) == 0 {
@@ -177,7 +177,7 @@
 	return out
 }
 
-// Old lists the tasks of records that were known before a time and are open, in order.
+// OpenBefore lists the tasks of records that were known before a time and are open, in order.
 func (l *Log) OpenBefore(before time.Duration) (out []Task) {
 	for _, x := range l.records {
 		if x.since < before {
--- a/internal/connectivity/connectivity.go
+++ b/internal/connectivity/connectivity.go
@@ -27,10 +27,10 @@
 	StaleAfter        time.Duration // the age from which a mirror that is watched has missed an answer
 }
 
-// Name is a controller and its zone.
+// Controller is a controller and its zone.
 type Controller struct{ Node, Zone string }
 
-// Row is what a controller says of its own links. Ages are in milliseconds, as of
+// LinkReport is what a controller says of its own links. Ages are in milliseconds, as of
 // the telling.
 type LinkReport struct {
 	Node             string       `json:"node"`
@@ -45,7 +45,7 @@
 	CloudUnreachable bool         `json:"noCloud"` // it asks, and has got no answer for too long
 }
 
-// ZoneWord is what a controller says of a zone whose workers report to it.
+// ZoneReport is what a controller says of a zone whose workers report to it.
 type ZoneReport struct {
 	Zone        string `json:"zone"`
 	Workers     int    `json:"held"`    // how many
@@ -53,7 +53,7 @@
 	Unreachable bool   `json:"lost"`    // it heard none for too long, and none since for long enough, even if none reports to it any more
 }
 
-// heard is a row and when it was true, by our clock.
+// peerState is a row and when it was true, by our clock.
 type peerState struct {
 	report      LinkReport
 	reportedAt  time.Duration
@@ -61,7 +61,7 @@
 	relays      bool          // its beats carry rows, so that it carries calls, too
 }
 
-// Reach is one controller's view of all links.
+// Tracker is one controller's view of all links.
 type Tracker struct {
 	cfg             Config
 	now             time.Duration
@@ -98,7 +98,7 @@
 		cancelled: map[string]bool{}, workers: workerLinks{zones: map[string]*workerLink{}}, relays: relayTable{pending: map[uint64]*pendingRelay{}}}
 }
 
-// still is the least gap between two steps that counts as having stood still: a
+// stallThreshold is the least gap between two steps that counts as having stood still: a
 // tick comes at least every report_s/12.
 func (r *Tracker) stallThreshold() time.Duration { return max(time.Second, r.cfg.HeartbeatInterval/4) }
 
@@ -125,7 +125,7 @@
 	probing  bool
 }
 
-// trust is the hysteresis of a link: one that was lost is back when it was heard for a time
+// linkHysteresis is the hysteresis of a link: one that was lost is back when it was heard for a time
 // without a gap, and for twice as long each time when it is lost again within half a minute.
 type linkHysteresis struct {
 	lost           bool
@@ -148,7 +148,7 @@
 	return true
 }
 
-// hear takes a word over the link, and tells whether it is back with it.
+// observe takes a word over the link, and tells whether it is back with it.
 func (t *linkHysteresis) observe(now time.Duration) bool {
 	if !t.lost {
 		return false
@@ -163,7 +163,7 @@
 	return true
 }
 
-// answers tells whether a status is a service's own word: 503 is what a controller gets that
+// isServiceAnswer tells whether a status is a service's own word: 503 is what a controller gets that
 // is refused, and in an outage.
 func isServiceAnswer(status int) bool { return status != 0 && status != http.StatusServiceUnavailable }
 
@@ -190,7 +190,7 @@
 	}
 }
 
-// Lost tells whether the state service is out of reach for us: it has not answered for
+// StateServiceLost tells whether the state service is out of reach for us: it has not answered for
 // longer than a watch and a slow answer take. It is back when probes were answered for a
 // second or more.
 func (r *Tracker) StateServiceLost() bool {
@@ -201,7 +201,7 @@
 	return s.lost
 }
 
-// Alone tells whether we are cut off from the state service and from every other controller. It
+// Isolated tells whether we are cut off from the state service and from every other controller. It
 // is not an outage, in which the service refuses, and the others are heard.
 func (r *Tracker) Isolated() bool {
 	if len(r.cfg.Peers) == 0 || !r.StateServiceLost() || r.silence(r.state.refused) <= r.cfg.StaleAfter {
@@ -215,7 +215,7 @@
 	return true
 }
 
-// Link is how the state service is reached: "direct", "relayed" by a peer, or "lost", which an
+// StateServiceLink is how the state service is reached: "direct", "relayed" by a peer, or "lost", which an
 // outage that all see is, too.
 func (r *Tracker) StateServiceLink() (how, via string) {
 	switch {
@@ -227,7 +227,7 @@
 	return "lost", ""
 }
 
-// News is Link, and whether it has changed since the last call.
+// LinkChange is Link, and whether it has changed since the last call.
 func (r *Tracker) LinkChange() (how, via string, changed bool) {
 	how, via = r.StateServiceLink()
 	changed = r.loggedLink != how+" "+via && (r.loggedLink != "" || how != "direct")
@@ -235,7 +235,7 @@
 	return how, via, changed
 }
 
-// Probe tells whether our own link to the state service is to be tried: while a peer
+// ShouldProbe tells whether our own link to the state service is to be tried: while a peer
 // carries our calls nothing else shows that it is back.
 func (r *Tracker) ShouldProbe() bool {
 	s := &r.state
@@ -267,7 +267,7 @@
 	probeAt  time.Duration // not to be asked only for its answer's sake before
 }
 
-// cloudLate is how long the cloud may be silent to who asks it every few seconds: a call that
+// cloudTimeout is how long the cloud may be silent to who asks it every few seconds: a call that
 // nobody answers takes 5 s, and the next one proves that it was not that call alone.
 const cloudTimeout = 8 * time.Second
 
@@ -281,12 +281,12 @@
 	}
 }
 
-// NoCloud tells whether the cloud does not answer us, though we ask.
+// CloudUnreachable tells whether the cloud does not answer us, though we ask.
 func (r *Tracker) CloudUnreachable() bool {
 	return r.cloud.asked > 0 && r.silence(r.cloud.answered) > cloudTimeout && r.silence(r.cloud.asked) > cloudTimeout/4
 }
 
-// AskCloud tells whether the cloud is to be asked whether it answers us, which nothing else shows of
+// ShouldProbeCloud tells whether the cloud is to be asked whether it answers us, which nothing else shows of
 // a controller that does not rent: the one that does says that it gets no answer, or we got none
 // ourselves. At most once in a report period.
 func (r *Tracker) ShouldProbeCloud(leader string) bool {
@@ -300,7 +300,7 @@
 	return true
 }
 
-// ears is whether workers are heard, by zone and of all.
+// workerLinks is whether workers are heard, by zone and of all.
 type workerLinks struct {
 	zones map[string]*workerLink
 	all   workerLink
@@ -323,7 +323,7 @@
 	e.workers, e.awaited = n, awaited
 }
 
-// Workers takes how many workers of each zone report to us, by the records, and how many
+// SetWorkers takes how many workers of each zone report to us, by the records, and how many
 // did so to an earlier life of ours and are still to come back.
 func (r *Tracker) SetWorkers(held, awaited map[string]int) {
 	e, all := &r.workers, 0
@@ -363,13 +363,13 @@
 	}
 }
 
-// patience is how long a controller with so many workers waits for a word of any of
+// silenceLimit is how long a controller with so many workers waits for a word of any of
 // them: a time in which two should have reported, and a quarter of a report period at least.
 func silenceLimit(report time.Duration, held int) time.Duration {
 	return max(report/4, 2*report/time.Duration(held))
 }
 
-// Silent names the zones that we don't hear and where nobody reports to us any more: only
+// SilentZones names the zones that we don't hear and where nobody reports to us any more: only
 // a question can show that we hear them again.
 func (r *Tracker) SilentZones() []string {
 	var out []string
@@ -382,7 +382,7 @@
 	return out
 }
 
-// Deaf tells whether we hear no worker and should: eight reports at least are missing. A
+// HearsNoWorkers tells whether we hear no worker and should: eight reports at least are missing. A
 // controller that has lost all its workers to others stays deaf until it hears one.
 func (r *Tracker) HearsNoWorkers() bool { return r.workers.lost }
 
@@ -392,7 +392,7 @@
 	return r.workers.lost || z != nil && z.lost
 }
 
-// words is what our row says of zones, in their order.
+// zoneReports is what our row says of zones, in their order.
 func (r *Tracker) zoneReports() []ZoneReport {
 	var out []ZoneReport
 	for _, zone := range slices.Sorted(maps.Keys(r.workers.zones)) {
@@ -403,7 +403,7 @@
 	return out
 }
 
-// BeatDue tells whether peers are to be told, a third of a report period after the
+// HeartbeatDue tells whether peers are to be told, a third of a report period after the
 // last time.
 func (r *Tracker) HeartbeatDue() bool {
 	if r.now < r.nextHeartbeatAt {
@@ -413,7 +413,7 @@
 	return true
 }
 
-// Shed tells whether a worker of ours may be sent elsewhere to even out, and if so
+// MayRebalance tells whether a worker of ours may be sent elsewhere to even out, and if so
 // when the next may.
 func (r *Tracker) MayRebalance(pause time.Duration) bool {
 	if r.now < r.nextRebalanceAt {
@@ -423,7 +423,7 @@
 	return true
 }
 
-// Rows is what a beat carries: our own row, then the others' as we have them.
+// LinkReports is what a beat carries: our own row, then the others' as we have them.
 func (r *Tracker) LinkReports(fresh time.Duration, throttled bool) []LinkReport {
 	own := LinkReport{Node: r.cfg.Self, StateServiceMS: r.silence(r.state.answered).Milliseconds(), MirrorAgeMS: fresh.Milliseconds(), HearsNoWorkers: r.workers.lost, Throttled: throttled, Zones: r.zoneReports(),
 		CloudMS: r.silence(r.cloud.answered).Milliseconds(), CloudUnreachable: r.CloudUnreachable()}
@@ -448,7 +448,7 @@
 	return out
 }
 
-// maxAge is how old a row may be to be passed on, and maxRows and maxNames how many of
+// maxReportAge is how old a row may be to be passed on, and maxReports and maxNames how many of
 // what a message carries are read, whatever it says.
 const (
 	maxReportAge = time.Minute
@@ -456,7 +456,7 @@
 	maxNames     = 64
 )
 
-// Beat takes a peer's beat. rows is empty from a version that knows of none; fresh
+// ReceiveHeartbeat takes a peer's beat. rows is empty from a version that knows of none; fresh
 // and hungry are what such a version says.
 func (r *Tracker) ReceiveHeartbeat(from string, fresh time.Duration, throttled bool, reports []LinkReport) {
 	h := r.peer(from)
@@ -477,7 +477,7 @@
 	}
 }
 
-// at is what is known of a peer, nil for a name that is none.
+// peer is what is known of a peer, nil for a name that is none.
 func (r *Tracker) peer(name string) *peerState {
 	h := r.peers[name]
 	if h == nil && slices.ContainsFunc(r.cfg.Peers, func(p Controller) bool { return p.Node == name }) {
@@ -501,7 +501,7 @@
 
 func clip[T any](all []T) []T { return slices.Clone(all[:min(len(all), maxNames)]) }
 
-// Picture is what is known now, for decisions.
+// Snapshot is what is known now, for decisions.
 func (r *Tracker) Snapshot() Snapshot {
 	p := Snapshot{Self: r.cfg.Self, HeartbeatInterval: r.cfg.HeartbeatInterval, StaleAfter: r.cfg.StaleAfter, Peers: make([]Peer, 0, len(r.cfg.Peers))}
 	for _, n := range r.cfg.Peers {
@@ -518,7 +518,7 @@
 	return p
 }
 
-// Vouched takes a peer's word, as of a question of ours, that it has told users of no
+// ConfirmCancellations takes a peer's word, as of a question of ours, that it has told users of no
 // cancellation but those that the core was given with it.
 func (r *Tracker) ConfirmCancellations(from string, at time.Duration) {
 	if at <= r.now && at > r.confirmedAt[from] {
@@ -526,17 +526,17 @@
 	}
 }
 
-// Name notes a cancelled job that no record shows yet, Known that one does, and
+// NoteCancelled notes a cancelled job that no record shows yet, Known that one does, and
 // Named tells.
 func (r *Tracker) NoteCancelled(job string) { r.cancelled[job] = true }
 
-// Known undoes Name.
+// ForgetCancelled undoes Name.
 func (r *Tracker) ForgetCancelled(job string) { delete(r.cancelled, job) }
 
-// Named tells whether a peer has named the job as cancelled.
+// KnownCancelled tells whether a peer has named the job as cancelled.
 func (r *Tracker) KnownCancelled(job string) bool { return r.cancelled[job] }
 
-// Proof is as of when no cancellation was told to users that we don't know of: our
+// CancellationProof is as of when no cancellation was told to users that we don't know of: our
 // own complete records show it, or the word of every peer. Nobody else tells users anything.
 func (r *Tracker) CancellationProof(fresh time.Duration) time.Duration {
 	oldest := r.now
--- a/internal/connectivity/decide.go
+++ b/internal/connectivity/decide.go
@@ -18,7 +18,7 @@
 
 const never = 365 * 24 * time.Hour
 
-// Picture is who reaches what, as known to one controller at one moment.
+// Snapshot is who reaches what, as known to one controller at one moment.
 type Snapshot struct {
 	Self                          string
 	HeartbeatInterval, StaleAfter time.Duration
@@ -35,13 +35,13 @@
 	return nil
 }
 
-// Near tells whether messages pass both ways between us and a peer: its beats come,
+// Connected tells whether messages pass both ways between us and a peer: its beats come,
 // and say that ours do.
 func (p *Snapshot) Connected(q *Peer) bool {
 	return q.HeartbeatAge < p.HeartbeatInterval && slices.Contains(q.HearsPeers, p.Self)
 }
 
-// Carrier names the peer through which the state service is asked while our own link
+// ChooseRelay names the peer through which the state service is asked while our own link
 // to it is down, "" if there is none: one that messages reach both ways and that
 // the service answers itself. One that hears no workers has the time for it and goes first,
 // then whoever follows us by name, so that not all choose the same. A carrier that
@@ -73,7 +73,7 @@
 	return best
 }
 
-// Serves tells whether a peer can answer a zone's workers, by a word that is no older
+// CanServeZone tells whether a peer can answer a zone's workers, by a word that is no older
 // than within: its records are fresh, and it hears the zone.
 //
 // The rule that this must not break: none. 421 is advice: who is sent to the wrong place
@@ -82,7 +82,7 @@
 	return q.ReportAge < within && milliseconds(q.MirrorAgeMS) <= p.HeartbeatInterval/2 && HearsZone(p, q, zone)
 }
 
-// Hears tells whether a peer hears a zone's workers at this moment, as far as its word
+// HearsZone tells whether a peer hears a zone's workers at this moment, as far as its word
 // goes: one of those that it holds there has reported within its patience. One that holds
 // none, and has not lost them, is taken to.
 //
@@ -97,11 +97,11 @@
 	return !q.HearsNoWorkers
 }
 
-// witnesses is how many workers of a zone a controller must hold for its word to prove
+// minProvingWorkers is how many workers of a zone a controller must hold for its word to prove
 // that it hears the zone.
 const minProvingWorkers = 4
 
-// Proven tells whether a peer is known to hear a zone, and not merely not known to be deaf
+// ProvenToHearZone tells whether a peer is known to hear a zone, and not merely not known to be deaf
 // to it: it holds several workers there and hears them (of one or two, what is heard is
 // seconds old). A worker whose controller did not answer it is sent to no other: each
 // wrong guess takes it seconds of a lease that has begun to run out.
@@ -115,7 +115,7 @@
 	return HearsZone(p, q, zone) && slices.ContainsFunc(q.Zones, func(z ZoneReport) bool { return z.Zone == zone && z.Workers >= minProvingWorkers })
 }
 
-// Receiver names the peer that a worker is best sent to by a controller that can't
+// ChooseReceiver names the peer that a worker is best sent to by a controller that can't
 // answer it for long: one of its zone first, and by the worker's name among those that are
 // equal, so that none is drowned. Not the one that it comes from, which did not answer it.
 // "" if none is known.
@@ -140,14 +140,14 @@
 	return all[int(h.Sum32()%uint32(len(all)))]
 }
 
-// OthersServe tells whether another controller can do what needs fresh records, by a word of
+// PeersServe tells whether another controller can do what needs fresh records, by a word of
 // its own: then a balancer that leaves us out loses nothing.
 func (r *Tracker) PeersServe(limit time.Duration) bool {
 	p := r.Snapshot()
 	return slices.ContainsFunc(p.Peers, func(q Peer) bool { return q.HeartbeatAge < p.HeartbeatInterval && milliseconds(q.MirrorAgeMS) < limit })
 }
 
-// Level is what a worker runs, most urgent first.
+// Workload is what a worker runs, most urgent first.
 type Workload int
 
 // Levels.
@@ -157,7 +157,7 @@
 	NoWorkload
 )
 
-// HandOver tells whether a controller without the state service and without anybody who
+// ShouldHandOver tells whether a controller without the state service and without anybody who
 // carries for it sends a worker on now: urgent ones at once, others from a third of
 // the time left on, empty ones from two thirds, so that claims are written where they
 // arrive in the order of what they save. alone is how long it has been so, left how long
@@ -169,14 +169,14 @@
 	return 3*alone >= time.Duration(l)*(alone+left)
 }
 
-// MayReturn tells whether a worker's own controller may be back soon and go on without a
+// MayRecover tells whether a worker's own controller may be back soon and go on without a
 // new claim. Not one that is silent after it said that it reaches the state service
 // through others alone, or hears no workers: what it lacked it still lacks.
 func MayRecover(p *Snapshot, owner *Peer, within time.Duration) bool {
 	return owner.HeartbeatAge <= within && !owner.HearsNoWorkers && milliseconds(owner.StateServiceMS) <= p.StaleAfter
 }
 
-// HolderHeard tells whether a worker's own controller is there and hears workers, as far as its beats tell.
+// HolderReachable tells whether a worker's own controller is there and hears workers, as far as its beats tell.
 //
 // The rule that this must not break: the cancel horizon, which the holder judges itself.
 func (r *Tracker) HolderReachable(owner string) bool {
@@ -185,7 +185,7 @@
 	return q != nil && q.HeartbeatAge < p.HeartbeatInterval && !q.HearsNoWorkers
 }
 
-// Lost tells whether a peer says, a moment ago, that it has lost a zone's workers or all: it
+// ZoneLost tells whether a peer says, a moment ago, that it has lost a zone's workers or all: it
 // heard none for too long, and none since for long enough.
 //
 // The rule that this must not break: none. Who takes its workers over does so by a record.
@@ -197,7 +197,7 @@
 	return q.HearsNoWorkers || slices.ContainsFunc(q.Zones, func(z ZoneReport) bool { return z.Zone == zone && z.Unreachable })
 }
 
-// Third names a peer by way of which another can be asked that we can't ask ourselves:
+// ChooseIntermediary names a peer by way of which another can be asked that we can't ask ourselves:
 // both hear one another. "" if there is none, or if none is needed.
 //
 // The rule that this must not break: the cancel horizon. A question names its asker's
@@ -216,13 +216,13 @@
 	return ""
 }
 
-// Renterless tells whether the controller that rents says that the cloud does not answer it.
+// LeaderLostCloud tells whether the controller that rents says that the cloud does not answer it.
 func LeaderLostCloud(p *Snapshot, leader string) bool {
 	q := p.Find(leader)
 	return q != nil && q.HeartbeatAge < p.HeartbeatInterval && q.CloudUnreachable
 }
 
-// OtherRents tells whether a controller that the cloud does not answer leaves renting to others: one
+// PeerReachesCloud tells whether a controller that the cloud does not answer leaves renting to others: one
 // of them has fresh records and got an answer a moment ago. Else it is the cloud that is away.
 //
 // The rule that this must not break: one controller rents. Who gives up drops the lease's record,
@@ -234,7 +234,7 @@
 	})
 }
 
-// Claimants counts the peers that may want more than their share of the state service's
+// RateDemand counts the peers that may want more than their share of the state service's
 // rates: those that say so, and those that are not heard and may use it; and those that have
 // nothing to use theirs for: who hears no workers, and who reached the service through
 // others alone when it was last heard. alive tells who holds a member record.
--- a/internal/connectivity/relay.go
+++ b/internal/connectivity/relay.go
@@ -22,7 +22,7 @@
 //   - a call that nobody knows to have been made: no answer counts as may have been
 //     executed, and only the carrier's own word says that it was not.
 
-// Carry asks a peer to call the state service.
+// RelayRequest asks a peer to call the state service.
 type RelayRequest struct {
 	Incarnation int64
 	ID          uint64
@@ -32,7 +32,7 @@
 	TimeoutMS   int64
 }
 
-// Carried is what came of it.
+// RelayResponse is what came of it.
 type RelayResponse struct {
 	Incarnation int64
 	ID          uint64
@@ -44,7 +44,7 @@
 	TooLarge    bool // the answer is too large for a message
 }
 
-// sum tells calls apart.
+// hash tells calls apart.
 func (c *RelayRequest) hash() uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(c.Method + " " + c.Path + "\n")
@@ -58,12 +58,12 @@
 	maxRelaysPerPeer     = 32
 	maxRelays            = 96
 	maxRelayRequestBytes = 64 << 10
-	// carryMost is the largest answer that goes into one message between controllers.
+	// maxRelayResponseBytes is the largest answer that goes into one message between controllers.
 	maxRelayResponseBytes = 768 << 10
 	maxRelayTimeout       = 10 * time.Second
-	// grace is what the way through a peer may take beside the call.
+	// relayGrace is what the way through a peer may take beside the call.
 	relayGrace = 500 * time.Millisecond
-	// cool is how long a carrier that failed is left alone.
+	// relayBackoffTime is how long a carrier that failed is left alone.
 	relayBackoffTime = 3 * time.Second
 )
 
@@ -75,7 +75,7 @@
 	done        func(protocol.Reply)
 }
 
-// desk keeps calls under way: ours with others, others' with us.
+// relayTable keeps calls under way: ours with others, others' with us.
 type relayTable struct {
 	next         uint64
 	pending      map[uint64]*pendingRelay
@@ -85,7 +85,7 @@
 	servingTotal int
 }
 
-// Route names the peer through which the state service is to be asked now, "" for
+// Relay names the peer through which the state service is to be asked now, "" for
 // our own link.
 func (r *Tracker) Relay() string {
 	if !r.StateServiceLost() {
@@ -100,7 +100,7 @@
 	return via
 }
 
-// Ask makes the message that has a peer carry a call; done gets what comes of it,
+// StartRelay makes the message that has a peer carry a call; done gets what comes of it,
 // in a later step.
 func (r *Tracker) StartRelay(to string, k protocol.Call, done func(protocol.Reply)) *RelayRequest {
 	r.relays.next++
@@ -110,7 +110,7 @@
 	return c
 }
 
-// Answer takes what came of a call that a peer carried. It returns nil if nobody waits for
+// CompleteRelay takes what came of a call that a peer carried. It returns nil if nobody waits for
 // it, else what is to be called with the reply.
 func (r *Tracker) CompleteRelay(from string, c *RelayResponse) func() {
 	a := r.relays.pending[c.ID]
@@ -131,7 +131,7 @@
 	return func() { a.done(rep) }
 }
 
-// fits tells whether an answer is to the call that has its number in this life.
+// matchesRequest tells whether an answer is to the call that has its number in this life.
 //
 // Guards against a call of an earlier life, whose numbers began anew: its answer would tell
 // this one that a transaction was applied which was not.
@@ -139,7 +139,7 @@
 	return c.Incarnation == incarnation && from == to && c.RequestHash == sum
 }
 
-// judge leaves a carrier alone that brings no word of the state service.
+// trackRelayFailure leaves a carrier alone that brings no word of the state service.
 func (r *Tracker) trackRelayFailure(from string, well bool) {
 	if from != r.relays.via {
 		return
@@ -152,7 +152,7 @@
 	}
 }
 
-// Expire returns what is to be called for calls whose time is over: the state service may
+// ExpireRelays returns what is to be called for calls whose time is over: the state service may
 // have carried them out.
 func (r *Tracker) ExpireRelays() []func() {
 	var late []uint64
@@ -173,7 +173,7 @@
 	return out
 }
 
-// Take decides on a peer's call. It returns the call to make, or what the peer is told
+// AcceptRelay decides on a peer's call. It returns the call to make, or what the peer is told
 // instead. Carrying takes none of our share of the service's rates, as who asks
 // keeps to its own; its connections and its processor time are bounded here.
 func (r *Tracker) AcceptRelay(from string, c *RelayRequest) (protocol.Call, *RelayResponse) {
@@ -194,7 +194,7 @@
 	return protocol.Call{Target: protocol.ToStateService, Method: c.Method, Path: c.Path, Body: c.Body, Timeout: wait}, nil
 }
 
-// allowed tells whether a call is one that controllers make of the state service.
+// isAllowedRelay tells whether a call is one that controllers make of the state service.
 func isAllowedRelay(c *RelayRequest) bool {
 	if strings.ContainsFunc(c.Path, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
 		return false // it would not be one line of a request
@@ -209,7 +209,7 @@
 	return false
 }
 
-// Done makes the message that tells a peer what came of its call.
+// FinishRelay makes the message that tells a peer what came of its call.
 func (r *Tracker) FinishRelay(from string, c *RelayRequest, rep protocol.Reply) *RelayResponse {
 	r.relays.serving[from]--
 	r.relays.servingTotal--
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -31,7 +31,7 @@
 	class           ratelimit.Class
 }
 
-// part is what a batch takes of a page's queue.
+// pageChanges is what a batch takes of a page's queue.
 type pageChanges struct {
 	page  *page
 	taken []taskTransition
@@ -77,7 +77,7 @@
 	}
 }
 
-// opsOfPage is what a page alone may change: itself, its team and its job.
+// maxOpsPerPage is what a page alone may change: itself, its team and its job.
 const maxOpsPerPage = 3
 
 // class is what a page's changes are for.
@@ -88,7 +88,7 @@
 	return ratelimit.OtherWork
 }
 
-// ripe lists the pages that could be written now: production first, then
+// writablePages lists the pages that could be written now: production first, then
 // those that have waited longest, so that under pressure each write carries as
 // many changes as any.
 func (c *Core) writablePages() []*page {
@@ -151,7 +151,7 @@
 	}
 }
 
-// yields tells whether a placement gives its room to production work that has
+// yieldsToUrgentWork tells whether a placement gives its room to production work that has
 // come to wait here since it was chosen.
 //
 // Guards against lesser work that starts first because its place was chosen
@@ -172,7 +172,7 @@
 	return false
 }
 
-// hasPlace tells whether a page's changes fit into the transaction.
+// fitsBatch tells whether a page's changes fit into the transaction.
 func (c *Core) fitsBatch(b *txnBatch, p *page) bool {
 	compares := 2 + 2*len(p.queue)
 	return len(b.ops)+maxOpsPerPage <= c.cfg.Facts.State.TxnOps && len(b.compares)+compares+1 <= 4*c.cfg.Facts.State.TxnOps &&
@@ -222,7 +222,7 @@
 	delete(c.writer.dirtyPages, p)
 }
 
-// draft is what a page adds to a batch.
+// pageDraft is what a page adds to a batch.
 type pageDraft struct {
 	core           *Core
 	batch          *txnBatch
@@ -238,7 +238,7 @@
 	gangIncomplete bool             // a gang starts whole or not at all
 }
 
-// under adds conditions; false: there is no room for them.
+// addCompares adds conditions; false: there is no room for them.
 //
 // Guards against a placement that was not conditional on the absence of a
 // drain, since an ending on the same machine had named its claim before.
@@ -255,14 +255,14 @@
 	return true
 }
 
-// forget has the batch not know of the draft's conditions.
+// dropCompares has the batch not know of the draft's conditions.
 func (d *pageDraft) dropCompares() {
 	for _, key := range d.newKeys {
 		delete(d.batch.comparedKeys, key)
 	}
 }
 
-// place takes a placement in, if it still holds.
+// applyPlacement takes a placement in, if it still holds.
 func (d *pageDraft) applyPlacement(ch taskTransition) {
 	c, r, t := d.core, d.page.job, &d.tasks[ch.index]
 	m := c.machines[ch.machine]
@@ -293,7 +293,7 @@
 	d.taken = append(d.taken, ch)
 }
 
-// end takes an ending in, unless another change was ahead of it or its evidence is void.
+// applyRelease takes an ending in, unless another change was ahead of it or its evidence is void.
 func (d *pageDraft) applyRelease(ch taskTransition) {
 	c, t := d.core, &d.tasks[ch.index]
 	if t.Phase != job.Bound || t.Machine != ch.machine || t.Epoch != ch.epoch || t.Attempt != ch.attempt {
@@ -326,7 +326,7 @@
 	d.taken = append(d.taken, ch)
 }
 
-// withoutGang leaves the page's endings for the next flush, and gives its placements up.
+// abandonGang leaves the page's endings for the next flush, and gives its placements up.
 func (d *pageDraft) abandonGang() {
 	all := append(d.taken, d.deferred...)
 	for _, ch := range all {
@@ -398,7 +398,7 @@
 	})
 }
 
-// committed takes up what a transaction has changed.
+// batchCommitted takes up what a transaction has changed.
 func (c *Core) batchCommitted(part pageChanges) {
 	r, base := part.page.job, part.page.number*c.tasksPerPage()
 	for _, ch := range part.taken {
@@ -422,7 +422,7 @@
 	}
 }
 
-// failed has endings proposed again. Placements look for a place again, unless it
+// batchFailed has endings proposed again. Placements look for a place again, unless it
 // was only the team's record that another was ahead with: what was refused for
 // that was certainly not done, and the place is as good as before. The mirror needs
 // a moment to catch up with whoever was faster, and an unknown outcome shows in it.
--- a/internal/coordination/checkin.go
+++ b/internal/coordination/checkin.go
@@ -10,7 +10,7 @@
 
 // This file answers the reports of workers: at once, or after a claim.
 
-// checkin takes a worker's report.
+// handleHeartbeat takes a worker's report.
 func (c *Core) handleHeartbeat(id uint64, body []byte) {
 	c.Stats.Heartbeats++
 	r, err := protocol.ParseHeartbeat(body)
@@ -26,7 +26,7 @@
 	c.answerHeartbeat(id, r, false)
 }
 
-// hear answers a report, at once or after a claim or the take-over of its worker's group.
+// answerHeartbeat answers a report, at once or after a claim or the take-over of its worker's group.
 // alone has the worker claimed alone where it needs a claim.
 func (c *Core) answerHeartbeat(id uint64, r *protocol.Heartbeat, alone bool) {
 	if peer := c.receiverWhileCutOff(r); peer != "" {
@@ -80,7 +80,7 @@
 	})
 }
 
-// take writes the claim for a new token.
+// claimMachine writes the claim for a new token.
 func (c *Core) claimMachine(m *machine, r *protocol.Heartbeat, tries int, done func(*machine, bool)) {
 	m.claiming = true
 	c.claimsInFlight++
@@ -116,7 +116,7 @@
 		})
 }
 
-// accept answers a report under our claim.
+// acceptHeartbeat answers a report under our claim.
 func (c *Core) acceptHeartbeat(id uint64, m *machine, r *protocol.Heartbeat) {
 	if !c.isOwn(m) {
 		c.refuse(id, 503, "the claim was lost")
@@ -151,7 +151,7 @@
 	c.effects.Responses = append(c.effects.Responses, Response{ID: id, Status: 200, Body: encode(ans), Urgent: m.urgent()})
 }
 
-// outlived releases what a report that is not believed shows to be of an earlier session.
+// releaseEarlierEpochs releases what a report that is not believed shows to be of an earlier session.
 func (c *Core) releaseEarlierEpochs(m *machine, r *protocol.Heartbeat) {
 	for _, k := range m.tasks() {
 		rec := m.bound[k]
@@ -165,7 +165,7 @@
 	}
 }
 
-// killFinal stops what belongs to jobs that are over. It is safe whatever the records
+// killTasksOfFinalJobs stops what belongs to jobs that are over. It is safe whatever the records
 // lack, as final states never change.
 //
 // Guards against cancelled tasks that lived on: the answer to a report that is not
@@ -195,18 +195,18 @@
 	return orders
 }
 
-// over tells whether a job is known to be over, by its record or by a peer's word.
+// knownFinal tells whether a job is known to be over, by its record or by a peer's word.
 func (c *Core) knownFinal(id string) bool {
 	rec := c.jobs[id]
 	return rec != nil && rec.final() || c.links.KnownCancelled(id)
 }
 
-// kill stops what a worker lists, within a time in seconds.
+// killCommand stops what a worker lists, within a time in seconds.
 func killCommand(l *protocol.TaskStatus, grace float64) protocol.Command {
 	return protocol.Command{Verb: protocol.VerbKill, Task: l.Task, Attempt: l.Attempt, GracePeriodS: &grace}
 }
 
-// launch starts an attempt that evidence has let pass.
+// launchCommand starts an attempt that evidence has let pass.
 func (c *Core) launchCommand(m *machine, a taskAttempt) protocol.Command {
 	c.traceStart(losses.Launch, a.job, a.index, a.number, m.id)
 	return protocol.Command{Verb: protocol.VerbLaunch, Task: job.TaskName(a.job, a.index), Attempt: a.number, Grant: c.queries.grantLaunch(m, a.taskKey, a.number)}
--- a/internal/coordination/consolidate.go
+++ b/internal/coordination/consolidate.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// sparse tells whether a machine holds services alone, and few of them.
+// isSparse tells whether a machine holds services alone, and few of them.
 func (c *Core) isSparse(m *machine) bool {
 	f := c.machineTypeOf(m)
 	if c.unschedulable(m) || len(m.bound) == 0 || len(m.stops) > 0 || m.serviceShare > f.GPUs/2 {
@@ -95,10 +95,10 @@
 	return true
 }
 
-// tied tells whether the zones of a job's tasks matter to one another.
+// isPinned tells whether the zones of a job's tasks matter to one another.
 func isPinned(r *jobRecord) bool { return r.spec.Tasks > 1 && (r.spec.OneZone || r.spec.Spread) }
 
-// target finds a better machine of ours for a service on m.
+// consolidationTarget finds a better machine of ours for a service on m.
 func (c *Core) consolidationTarget(r *jobRecord, m *machine, used map[*machine]usage) *machine {
 	for _, t := range c.ownMachines {
 		if t == m || c.unschedulable(t) || t.serviceShare < tolerance || t.serviceShare < m.serviceShare || (t.serviceShare == m.serviceShare && t.id > m.id) ||
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// room tells whether all services on m have a place elsewhere.
+// hasRoomFor tells whether all services on m have a place elsewhere.
 func (c *Core) hasRoomFor(m *machine) bool {
 	used := map[*machine]usage{}
 	for _, k := range m.tasks() {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -26,7 +26,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// Answer is the response to a request from outside.
+// Response is the response to a request from outside.
 type Response struct {
 	ID         uint64
 	Status     int
@@ -35,7 +35,7 @@
 	Urgent     bool // to a worker with urgent work: its connection is kept before others
 }
 
-// Send is a message for a peer.
+// Outgoing is a message for a peer.
 type Outgoing struct {
 	To      string
 	Message peer.Message
@@ -48,7 +48,7 @@
 	Sends     []Outgoing
 }
 
-// Clock is the time that comes with an input: a steady clock that starts with
+// Timestamp is the time that comes with an input: a steady clock that starts with
 // the process, and the time of day.
 type Timestamp struct {
 	Steady time.Duration
@@ -198,7 +198,7 @@
 	}
 }
 
-// begin and end bracket every step.
+// beginStep and end bracket every step.
 func (c *Core) beginStep(t Timestamp) {
 	c.now, c.wallTime = t.Steady, t.Wall
 	c.state.Advance(c.now)
@@ -299,7 +299,7 @@
 	return min(maxRetryAfter, 1+int(c.state.QueueDelay().Seconds()))
 }
 
-// maxRetry is the longest wait that users heed (PROTOCOL).
+// maxRetryAfter is the longest wait that users heed (PROTOCOL).
 const maxRetryAfter = 30
 
 func (c *Core) refuse(id uint64, status int, why string) {
@@ -390,7 +390,7 @@
 	}{c.cfg.Node, c.now.Seconds(), (c.now - c.state.FreshAt()).Seconds(), c.isLeader(), len(c.ownMachines), len(c.idleMachines), c.queuedTasks, len(c.openJobs), c.state.Backlog(), c.Stats, lat, c.linkStats()}
 }
 
-// measure records how long a call took, in a histogram that covers a minute
+// recordLatency records how long a call took, in a histogram that covers a minute
 // to two digits.
 func (c *Core) recordLatency(name string, d time.Duration) {
 	h := c.latency[name]
@@ -418,7 +418,7 @@
 	keyExtra    = stateclient.UnmirroredPrefix + "d/"
 )
 
-// apply takes a change of the mirror.
+// applyChange takes a change of the mirror.
 func (c *Core) applyChange(key string, data json.RawMessage, revision uint64) {
 	kind := key
 	if i := strings.IndexByte(key[len(stateclient.MirroredPrefix):], '/'); i >= 0 {
@@ -472,19 +472,19 @@
 
 func encode(v any) json.RawMessage { return protocol.Encode(v) }
 
-// horizon is how old the last proof about cancellations may be for workers to be answered.
+// cancelHorizon is how old the last proof about cancellations may be for workers to be answered.
 func (c *Core) cancelHorizon() time.Duration {
 	w := &c.cfg.Facts.Workers
 	return fencing.CancelHorizon(seconds(w.Cancel), seconds(w.Lease))
 }
 
-// leaseOver is how long after an answered report's arrival its worker has
+// leaseExpiry is how long after an answered report's arrival its worker has
 // certainly killed everything: lease_s and the most two clocks can drift.
 func (c *Core) leaseExpiry() time.Duration { return seconds(c.cfg.Facts.Workers.Lease * 1.01) }
 
-// pageTasks is how many tasks a page holds: a bound task takes less than 64
+// tasksPerPage is how many tasks a page holds: a bound task takes less than 64
 // bytes with the usual names, and four times that never passes value_kb.
 func (c *Core) tasksPerPage() int { return max(1, int(c.cfg.Facts.State.ValueKB*1024/128)) }
 
-// limited tells whether the team has any limit at all.
+// hasQuota tells whether the team has any limit at all.
 func hasQuota(t *team) bool { return t.cfg.CPUsMax > 0 || t.cfg.GPUsMax > 0 }
--- a/internal/coordination/data.go
+++ b/internal/coordination/data.go
@@ -17,7 +17,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// data is the seam between the core and the planner of data sets: it turns
+// stagingCoordinator is the seam between the core and the planner of data sets: it turns
 // records and reports into what the planner knows, and the planner's answers
 // into expected times and orders. It owns the planner and the mirror of the
 // versions. A nil one is a site without data sets: every method then does
@@ -34,7 +34,7 @@
 	tickAt    time.Duration
 }
 
-// ahead is a copy on its way to a machine.
+// warmMachine is a copy on its way to a machine.
 type warmMachine struct {
 	machine string
 	copy    staging.ID
@@ -152,7 +152,7 @@
 	return staging.Normal
 }
 
-// bound has the inputs of a task that was placed on a machine of ours fetched.
+// taskBound has the inputs of a task that was placed on a machine of ours fetched.
 func (d *stagingCoordinator) taskBound(m *machine, s *job.Spec) {
 	if d == nil || len(s.Inputs) == 0 || !d.core.isOwn(m) {
 		return
@@ -162,14 +162,14 @@
 	}
 }
 
-// lost forgets a machine.
+// machineLost forgets a machine.
 func (d *stagingCoordinator) machineLost(id string) {
 	if d != nil {
 		d.planner.Lost(d.core.now, id)
 	}
 }
 
-// report takes what a machine of ours says of its store, and answers with what
+// handleHeartbeat takes what a machine of ours says of its store, and answers with what
 // it is to fetch.
 func (d *stagingCoordinator) handleHeartbeat(m *machine, r *protocol.StoreReport) *protocol.StoreOrders {
 	if d == nil || r == nil {
@@ -222,7 +222,7 @@
 	return soonest
 }
 
-// elsewhere tells whether a task should not take room on a machine that lacks
+// waitsForWarmMachine tells whether a task should not take room on a machine that lacks
 // its inputs, since one that holds them will start it sooner: when it is free,
 // or when lower work on it is stopped, which is then done. Exception "where the
 // data is": the thesis's servers are alike. Entries are still compared among
@@ -330,7 +330,7 @@
 	d.planner.Tick(c.now)
 }
 
-// withdraw takes back what was brought for tasks that were placed elsewhere:
+// withdrawAnnouncements takes back what was brought for tasks that were placed elsewhere:
 // what nobody waits for must not take the file servers' rate from others.
 func (d *stagingCoordinator) withdrawAnnouncements() {
 	c := d.core
@@ -375,7 +375,7 @@
 	return false
 }
 
-// met tells whether announced work has come: as many tasks that read the version
+// announcementMet tells whether announced work has come: as many tasks that read the version
 // and are as urgent have been placed as machines were asked for.
 func (d *stagingCoordinator) announcementMet(a *announcement) bool {
 	placed, name := 0, a.Set+"/"+a.Version
@@ -542,7 +542,7 @@
 		})
 }
 
-// promise keeps an announcement.
+// announceWork keeps an announcement.
 func (d *stagingCoordinator) announceWork(id uint64, body []byte) {
 	c := d.core
 	a := &announcement{}
--- a/internal/coordination/endlog.go
+++ b/internal/coordination/endlog.go
@@ -16,7 +16,7 @@
 // This file is the seam to internal/completionlog: tasks of arrays that have completed are written
 // to a log, many in one record, and their pages take them in later.
 
-// pageWrites is what is to be written of tasks: pages with changes, and completed tasks for
+// pageWriter is what is to be written of tasks: pages with changes, and completed tasks for
 // the log of endings.
 type pageWriter struct {
 	dirtyPages  map[*page]bool
@@ -49,25 +49,25 @@
 	recordShare = 0.9
 )
 
-// logs tells whether an ending goes to the log: of a task that has completed, in an array of a
+// goesToCompletionLog tells whether an ending goes to the log: of a task that has completed, in an array of a
 // team without limits. A limited team's charge is released with the page.
 func (c *Core) goesToCompletionLog(r *jobRecord, ch taskTransition) bool {
 	return c.cfg.Operator.EndingLog && !ch.placement && ch.proof == fencing.Ended && ch.done && !r.final() && c.usesCompletionLog(r) && c.allPeersRead(completionLogFormat)
 }
 
-// loggable tells whether a job's tasks may be in the log.
+// usesCompletionLog tells whether a job's tasks may be in the log.
 func (c *Core) usesCompletionLog(r *jobRecord) bool {
 	tm := c.teams[r.spec.Team]
 	return r.spec.Shape == job.Array && tm != nil && !hasQuota(tm)
 }
 
-// concluded tells whether a job's tasks have all completed, whatever its pages bind: they were
+// allTasksCompleted tells whether a job's tasks have all completed, whatever its pages bind: they were
 // in the log when it was called done.
 func (c *Core) allTasksCompleted(r *jobRecord) bool {
 	return r.status == job.Done && c.usesCompletionLog(r)
 }
 
-// logEnding has an ending written with the next record of the log.
+// logCompletion has an ending written with the next record of the log.
 func (c *Core) logCompletion(r *jobRecord, index int, ch taskTransition) {
 	w := &c.writer
 	k := taskKey{r.spec.ID, index}
@@ -81,7 +81,7 @@
 	w.unlogged = append(w.unlogged, completionlog.Completion{Task: completionlog.Task{Job: k.job, Index: k.index}, Attempt: ch.attempt, Machine: ch.machine, Epoch: ch.epoch})
 }
 
-// flushEndings writes a record of the log when endings have waited for long enough.
+// flushCompletions writes a record of the log when endings have waited for long enough.
 func (c *Core) flushCompletions() {
 	w := &c.writer
 	if len(w.unlogged) == 0 || w.logWriteInFlight || !c.state.Loaded() || c.now-w.unloggedSince < seconds(completionBatchDelay*c.cfg.Facts.Workers.Report) || !c.state.CanSend(ratelimit.OtherWork, 1) {
@@ -104,7 +104,7 @@
 	})
 }
 
-// fillRecord takes as many endings as a value may hold.
+// fillCompletionRecord takes as many endings as a value may hold.
 func (c *Core) fillCompletionRecord() (taken []completionlog.Completion, record json.RawMessage) {
 	var r completionlog.Record
 	room := int(recordShare * c.cfg.Facts.State.ValueKB * 1024)
@@ -119,7 +119,7 @@
 	return taken, encode(r)
 }
 
-// applyEndings takes a record of the log.
+// applyCompletionRecord takes a record of the log.
 func (c *Core) applyCompletionRecord(name string, data json.RawMessage) {
 	if data == nil {
 		c.writer.completions.Remove(name)
@@ -134,7 +134,7 @@
 	}
 }
 
-// complete takes that an attempt has completed, if its page binds it.
+// applyCompletion takes that an attempt has completed, if its page binds it.
 func (c *Core) applyCompletion(e completionlog.Completion) {
 	r := c.jobs[e.Job]
 	if r == nil {
@@ -179,12 +179,12 @@
 	return t.Phase == job.Bound && t.Attempt == e.Attempt && t.Epoch == e.Epoch && t.Machine == e.Machine
 }
 
-// completed is a bound task that has completed.
+// completedTask is a bound task that has completed.
 func completedTask(t *job.Task) job.Task {
 	return job.Task{Phase: job.Finished, Attempt: t.Attempt, Failures: t.Failures}
 }
 
-// withEndings looks at what has changed in a page beside the log: what the page binds, and the log
+// mergeCompletions looks at what has changed in a page beside the log: what the page binds, and the log
 // says has completed, has; and what the page shows otherwise, it has taken in.
 func (c *Core) mergeCompletions(p *page, base int, changes []taskChange) []taskChange {
 	logged, over := c.writer.completions.TasksOf(p.jobID), c.allTasksCompleted(p.job)
@@ -211,7 +211,7 @@
 	return kept
 }
 
-// awaitsPage tells whether the page is behind the log: it will bind the attempt that the log names.
+// pageBehindLog tells whether the page is behind the log: it will bind the attempt that the log names.
 func (c *Core) pageBehindLog(p *page, at int, changes []taskChange) bool {
 	t := p.tasks[at]
 	for i := range changes {
@@ -222,7 +222,7 @@
 	return t.Phase != job.Finished && c.writer.completions.HasLaterAttempt(completionlog.Task{Job: p.jobID, Index: p.number*c.tasksPerPage() + at}, t.Attempt)
 }
 
-// unfolded tells whether the log holds an ending that a page has not taken in.
+// hasUnfoldedCompletions tells whether the log holds an ending that a page has not taken in.
 func (c *Core) hasUnfoldedCompletions(p *page) bool {
 	base := p.number * c.tasksPerPage()
 	for _, index := range c.writer.completions.TasksOf(p.jobID) {
@@ -233,7 +233,7 @@
 	return false
 }
 
-// foldEndings has pages written that have not taken in for a while what the log holds, by who
+// foldCompletions has pages written that have not taken in for a while what the log holds, by who
 // keeps their jobs, and drops the records that are spent.
 func (c *Core) foldCompletions() {
 	w := &c.writer
@@ -263,7 +263,7 @@
 	}
 }
 
-// dropSpent drops records of the log that no page needs any more.
+// dropSettledRecords drops records of the log that no page needs any more.
 func (c *Core) dropSettledRecords() {
 	var compares []protocol.Compare
 	var ops []protocol.Op
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -7,7 +7,7 @@
 	"silvergate/internal/job"
 )
 
-// Ledger is the revision up to which the core's records are complete.
+// AppliedRevision is the revision up to which the core's records are complete.
 func (c *Core) AppliedRevision() uint64 { return c.state.AppliedRevision() }
 
 // Known says in a line what this controller knows of a task ("wk-000412/3"), a job or a
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -15,7 +15,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// fleet rents and returns machines. One controller at a time does so, under a
+// fleetScaler rents and returns machines. One controller at a time does so, under a
 // lease in the state service; a deposed one can do no harm beyond cost, since
 // names of rentals are never reused and releases need evidence.
 type fleetScaler struct {
@@ -51,7 +51,7 @@
 	unshipped  *unshippedOutput
 }
 
-// sight is in which zones a controller hears machines of its own, and in which
+// zoneView is in which zones a controller hears machines of its own, and in which
 // none of them any more; and which of its machines do not hear it.
 type zoneView struct {
 	at                     time.Duration
@@ -59,7 +59,7 @@
 	unresponsive           []string
 }
 
-// see takes what this controller hears. A zone is dark when nothing of it was
+// updateZoneView takes what this controller hears. A zone is dark when nothing of it was
 // heard for a while.
 func (f *fleetScaler) updateZoneView(node string, now time.Duration, zones map[string]*zoneHeartbeats, unresponsive []string, while time.Duration) {
 	v := zoneView{at: now, unresponsive: unresponsive}
@@ -74,7 +74,7 @@
 	f.zoneViews[node] = v
 }
 
-// zoneDark tells whether a zone seems to be cut off: no controller that can be
+// zoneUnreachable tells whether a zone seems to be cut off: no controller that can be
 // heard hears a machine there, and one has lost all it held there, or the zone's
 // own controllers are gone. What is rented or counted on there is of no use until
 // it is back. It is a guess that costs money or time and never a rule.
@@ -212,7 +212,7 @@
 	})
 }
 
-// leads tells whether we rent: the lease's record names this life, and the grant that it was written under is the one that we hold
+// isLeader tells whether we rent: the lease's record names this life, and the grant that it was written under is the one that we hold
 // and have renewed in time.
 //
 // Guards against a controller that stood still, lost its grant, and got another: its mirror still showed the record that
@@ -256,7 +256,7 @@
 	}
 }
 
-// yieldFleet gives the lease up, or leaves it alone when it is free. Guards against a leader that only
+// resignLeadership gives the lease up, or leaves it alone when it is free. Guards against a leader that only
 // the cloud can't be reached by: nothing would be rented or returned until that link is
 // mended, with everything else well.
 func (c *Core) resignLeadership() {
@@ -274,7 +274,7 @@
 		})
 }
 
-// list reads the cloud's list, page by page.
+// scanCloud reads the cloud's list, page by page.
 func (c *Core) scanCloud() {
 	f := &c.scaler
 	if f.cloudScanInFlight || f.cloudCalls.level < 1 || (f.cloudScanFrom == "" && c.now < f.nextCloudScanAt) {
@@ -389,7 +389,7 @@
 	}
 }
 
-// expected tells whether a rented machine has yet to report.
+// awaitsFirstHeartbeat tells whether a rented machine has yet to report.
 func (c *Core) awaitsFirstHeartbeat(id string) bool {
 	if _, gone := c.scaler.deletedAt[id]; gone {
 		return false
@@ -398,7 +398,7 @@
 	return m == nil || m.token == 0
 }
 
-// rent records new rentals, those that production work waits for ahead of other
+// scaleOut records new rentals, those that production work waits for ahead of other
 // changes; sendRentals sends them once recorded.
 func (c *Core) scaleOut(want map[offering]int, urgent map[offering]bool) {
 	f := &c.scaler
@@ -451,5 +451,5 @@
 		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(stateclient.TxnOutcome, []string, uint64) {})
 }
 
-// rentalSize is the most machines that a request may ask for (PROTOCOL).
+// maxRentalCount is the most machines that a request may ask for (PROTOCOL).
 const maxRentalCount = 50
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -17,7 +17,7 @@
 // lease in the state service marks one waiting gang. Only that gang keeps the
 // room it has found and draws from peers; others look for room and let go.
 
-// gangLease is the record that marks the waiting gang.
+// gangReservation is the record that marks the waiting gang.
 type gangReservation struct {
 	Job         string `json:"j"`
 	Owner       string `json:"o"`
@@ -116,7 +116,7 @@
 	}
 }
 
-// drawBlock asks for the machines that are cleared for the marked gang at the
+// requestBlock asks for the machines that are cleared for the marked gang at the
 // least loss. Exception "whole blocks": tasks that are popped one by one
 // splinter machines, and a gang that only waits for idle ones rarely finds
 // enough at once. The mirror shows what is on every machine; who holds it stops
@@ -230,7 +230,7 @@
 	return best
 }
 
-// clear keeps a machine's room for a gang and stops what is in the way.
+// clearMachine keeps a machine's room for a gang and stops what is in the way.
 func (c *Core) clearMachine(r *jobRecord, m *machine, by string) {
 	if c.unschedulable(m) || (m.holdFor != r.spec.ID && c.now < m.holdTill) {
 		return
@@ -264,7 +264,7 @@
 	}
 }
 
-// cover reserves room for as many of a gang's tasks as it finds in a zone.
+// reserveGang reserves room for as many of a gang's tasks as it finds in a zone.
 func (c *Core) reserveGang(r *jobRecord, zone string) []int {
 	ids := make([]string, 0, len(c.idleMachines)+len(r.offers))
 	for _, m := range c.idleMachines {
@@ -305,7 +305,7 @@
 	return picked
 }
 
-// drawFor offers a peer's gang room on our idle machines.
+// offerRoom offers a peer's gang room on our idle machines.
 func (c *Core) offerRoom(from string, d *peer.RoomRequest) {
 	r := c.jobs[d.Job]
 	if r == nil || r.final() || r.bound > 0 {
@@ -350,7 +350,7 @@
 	c.startGang(r)
 }
 
-// markGang takes the lease for the first waiting gang, if that is ours to
+// updateGangReservation takes the lease for the first waiting gang, if that is ours to
 // look after, and gives it back once it no longer waits.
 func (c *Core) updateGangReservation(open []*jobRecord) {
 	if c.reservationInFlight || c.memberLease == 0 {
@@ -394,7 +394,7 @@
 	}
 }
 
-// nextGang is the first waiting gang of those wanted.
+// nextWaitingGang is the first waiting gang of those wanted.
 func (c *Core) nextWaitingGang(open []*jobRecord, wanted func(*jobRecord) bool) *jobRecord {
 	for _, r := range open {
 		if !isGang(r) || !wanted(r) || r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt || c.now < r.nextReservationAt {
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -108,13 +108,13 @@
 	}
 }
 
-// standing is what this controller knows of a machine, for a decision.
+// workerState is what this controller knows of a machine, for a decision.
 func (c *Core) workerState(m *machine) fencing.WorkerState {
 	return fencing.WorkerState{Held: c.isOwn(m), Adopted: m.adopted, Token: m.token, AppliedRevision: c.state.AppliedRevision(), TokenSeen: m.tokenSeen, MirrorComplete: c.mirrorComplete(m),
 		LaunchInDoubt: m.launchInDoubt, Epoch: m.epoch, Sequence: m.sequence, LastLaunch: m.lastLaunch}
 }
 
-// proved tells whether the mirror was complete at a moment when the worker had
+// mirrorComplete tells whether the mirror was complete at a moment when the worker had
 // shown our token.
 func (c *Core) mirrorComplete(m *machine) bool {
 	if !m.mirrorComplete && m.tokenSeen && c.state.FreshAt() >= m.tokenSeenAt {
@@ -136,7 +136,7 @@
 	return fencing.Attempt{Number: t.Attempt, Epoch: t.Epoch, BoundAt: m.boundAt[k].revision}, true
 }
 
-// head is a report without its list.
+// heartbeatHead is a report without its list.
 func heartbeatHead(r *protocol.Heartbeat) fencing.Heartbeat {
 	return fencing.Heartbeat{Token: r.FencingToken, Epoch: r.AgentEpoch, Sequence: r.Sequence}
 }
--- a/internal/coordination/members.go
+++ b/internal/coordination/members.go
@@ -21,10 +21,10 @@
 	Format       int   `json:"f,omitempty"` // the highest that it reads
 }
 
-// nobody is no controller's life.
+// noIncarnation is no controller's life.
 const noIncarnation = -1
 
-// starting is the age that a controller gives before it has read the records.
+// unknownMirrorAge is the age that a controller gives before it has read the records.
 const unknownMirrorAge = time.Hour
 
 func (c *Core) applyMember(name string, data json.RawMessage) {
@@ -47,7 +47,7 @@
 // alive tells whether a controller holds its member key.
 func (c *Core) alive(name string) bool { return name == c.cfg.Node || c.members[name] != nil }
 
-// membership keeps our lease, publishes our list length and tells the peers.
+// keepMembership keeps our lease, publishes our list length and tells the peers.
 func (c *Core) keepMembership() {
 	if c.links.HeartbeatDue() {
 		c.updatePeerDemand()
@@ -137,7 +137,7 @@
 	}
 }
 
-// successor names the controller that looks after a job: the one that took
+// responsibleController names the controller that looks after a job: the one that took
 // it while that lives, else the next living one by name.
 func (c *Core) responsibleController(home string) string {
 	if c.alive(home) {
@@ -158,7 +158,7 @@
 	return names[0]
 }
 
-// vouch names the cancellations that an asker's records lack. Not before our own are
+// knownCancellations names the cancellations that an asker's records lack. Not before our own are
 // read: an earlier life of ours may have told users what this one does not know yet.
 func (c *Core) knownCancellations(a *peer.CancellationQuery) *peer.CancellationReply {
 	v := &peer.CancellationReply{AskedAt: a.AskedAt, Incarnation: a.Incarnation}
@@ -170,7 +170,7 @@
 	return v
 }
 
-// vouched takes a peer's word on cancellations: as of the question, it has
+// applyCancellations takes a peer's word on cancellations: as of the question, it has
 // told users of none beside those that we have seen and those it names.
 func (c *Core) applyCancellations(from string, v *peer.CancellationReply) {
 	for _, id := range v.Cancelled {
@@ -187,6 +187,6 @@
 	}
 }
 
-// proof is the time of the last proof that no cancellation was acknowledged
+// cancellationProof is the time of the last proof that no cancellation was acknowledged
 // which we don't know of.
 func (c *Core) cancellationProof() time.Duration { return c.links.CancellationProof(c.state.FreshAt()) }
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -101,7 +101,7 @@
 	return isUntried(i, old, buf), nil
 }
 
-// untried appends that the tasks from i on are untried.
+// isUntried appends that the tasks from i on are untried.
 func isUntried(i int, old []job.Task, buf []taskChange) []taskChange {
 	for ; i < len(old); i++ {
 		if old[i] != (job.Task{}) {
@@ -111,7 +111,7 @@
 	return buf
 }
 
-// readWord decodes one word: a task, its machine, and how many are alike.
+// readTaskWord decodes one word: a task, its machine, and how many are alike.
 func readTaskWord(w []byte) (t job.Task, machine []byte, n int, err error) {
 	if len(w) < 2 {
 		return t, nil, 0, errMalformedPage
@@ -168,7 +168,7 @@
 	return t, machine, n, nil
 }
 
-// readList decodes a page of an earlier version.
+// readJSONPage decodes a page of an earlier version.
 func readJSONPage(data []byte, old []job.Task, buf []taskChange) ([]taskChange, error) {
 	var tasks []job.Task
 	if err := protocol.DecodeState(data, &tasks); err != nil {
@@ -183,7 +183,7 @@
 	return isUntried(n, old, buf), nil
 }
 
-// allRead tells whether all peers are known to read a format: each has published so, in
+// allPeersRead tells whether all peers are known to read a format: each has published so, in
 // this life of ours.
 func (c *Core) allPeersRead(format int) bool {
 	for _, p := range c.cfg.Peers {
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -13,7 +13,7 @@
 	"silvergate/internal/protocol"
 )
 
-// waiter is a task in a machine's line. The lines of our machines are kept by
+// queuedTask is a task in a machine's line. The lines of our machines are kept by
 // job, in the order of the jobs' turns: a job's tasks are alike, so what one of
 // them can't use none of them can. Each entry names its machine.
 type queuedTask struct {
@@ -23,11 +23,11 @@
 	nextPreemptionAt time.Duration // stops were ordered for it: no others before
 }
 
-// compared is how many entries that would do a decision compares, from a
+// maxCandidates is how many entries that would do a decision compares, from a
 // random one on, so that its cost does not grow with the fleet.
 const maxCandidates = 64
 
-// join puts a machine with room into the idle list, after it has taken the
+// offerMachine puts a machine with room into the idle list, after it has taken the
 // oldest tasks that it can hold from any line.
 func (c *Core) offerMachine(m *machine) {
 	if c.unschedulable(m) {
@@ -108,7 +108,7 @@
 	return f != &unknownMachineType && s.AllowsMachineType(m.claim.MachineType) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && typeHolds(f, s)
 }
 
-// pop takes an entry of the idle list whose remaining room holds the task: a
+// pickIdleMachine takes an entry of the idle list whose remaining room holds the task: a
 // random one of those that suit it best among the first that hold it, from a
 // random entry on.
 func (c *Core) pickIdleMachine(r *jobRecord) *machine {
@@ -140,7 +140,7 @@
 	return pick
 }
 
-// rank orders entries for a task. The thesis pops at random among servers
+// placementRank orders entries for a task. The thesis pops at random among servers
 // that are all alike; ours differ, hence three exceptions:
 // "soonest start": a machine that has the image, or fetches it faster;
 // "spot first": what may use cheap machines leaves the ordinary ones;
@@ -178,7 +178,7 @@
 	return k
 }
 
-// assign binds a task to a machine of ours.
+// placeTask binds a task to a machine of ours.
 func (c *Core) placeTask(r *jobRecord, index int, m *machine) {
 	c.reserve(r, index, m)
 	c.propose(r, index, taskTransition{placement: true, machine: m.id, epoch: m.epoch, attempt: c.nextAttempt(r)})
@@ -192,7 +192,7 @@
 	c.traceStart(losses.Placing, r.spec.ID, index, 0, m.id)
 }
 
-// nextTry is the attempt of a gang's next start. The tasks of one attempt
+// nextAttempt is the attempt of a gang's next start. The tasks of one attempt
 // find one another by it, so all of them get the same.
 func (c *Core) nextAttempt(r *jobRecord) int {
 	if r.spec.Shape != job.Gang {
@@ -217,10 +217,10 @@
 	return tm != nil && tm.leavesQuotaFor(r, tm.charged.plus(r.spec, 1))
 }
 
-// multi tells whether a job must start several tasks at once.
+// isGang tells whether a job must start several tasks at once.
 func isGang(r *jobRecord) bool { return r.spec.Shape == job.Gang && r.spec.Tasks > 1 }
 
-// pagesAtOnce is how many pages' worth of a job's tasks may be on their way. A page is
+// maxPagesInFlight is how many pages' worth of a job's tasks may be on their way. A page is
 // in one transaction at a time, and those of the largest jobs name so many machines that
 // one does not hold them: with one page 25,000 small tasks took 269 s on
 // shiftbook-akl-ops, with four 162 s (simulated).
@@ -321,7 +321,7 @@
 	}
 }
 
-// place notes that a task is on its way and not to be dispatched before.
+// deferDispatch notes that a task is on its way and not to be dispatched before.
 func (r *jobRecord) deferDispatch(i int, until time.Duration) {
 	if r.dispatchAfter == nil {
 		r.dispatchAfter = map[int]time.Duration{}
@@ -329,7 +329,7 @@
 	r.dispatchAfter[i] = until
 }
 
-// receive takes tasks from a peer: pop, or else a line. What no machine here
+// receiveHandoff takes tasks from a peer: pop, or else a line. What no machine here
 // could hold goes back.
 func (c *Core) receiveHandoff(from string, f *peer.TaskHandoff) {
 	r := c.jobs[f.Job]
@@ -369,17 +369,17 @@
 	c.enqueue(r, left, c.now+3*c.cfg.Operator.PublishInterval)
 }
 
-// early is a hand-over of a job that the mirror does not hold yet.
+// earlyHandoff is a hand-over of a job that the mirror does not hold yet.
 type earlyHandoff struct {
 	from    string
 	handoff *peer.TaskHandoff
 	at      time.Duration
 }
 
-// maxEarly bounds the jobs of which such hand-overs are kept.
+// maxEarlyHandoffs bounds the jobs of which such hand-overs are kept.
 const maxEarlyHandoffs = 256
 
-// receiveEarly takes what was handed over before the job's record came, unless
+// replayEarlyHandoffs takes what was handed over before the job's record came, unless
 // the sender has given it to somebody else by now.
 func (c *Core) replayEarlyHandoffs(id string) {
 	waiting := c.earlyHandoffs[id]
@@ -391,7 +391,7 @@
 	}
 }
 
-// returned takes back tasks that a peer has no machine for.
+// handoffReturned takes back tasks that a peer has no machine for.
 func (c *Core) handoffReturned(f *peer.TaskHandoff) {
 	r := c.jobs[f.Job]
 	if r == nil || r.final() {
@@ -425,7 +425,7 @@
 	}
 }
 
-// wait puts a task into a line.
+// enqueueTask puts a task into a line.
 func (c *Core) enqueueTask(r *jobRecord, w *queuedTask) {
 	i := w.key.index
 	if r.queuedByIndex == nil {
@@ -441,7 +441,7 @@
 	}
 }
 
-// holder is a random machine of ours that could hold a job's task: the first
+// machineThatCouldHold is a random machine of ours that could hold a job's task: the first
 // such from a random one on.
 func (c *Core) machineThatCouldHold(r *jobRecord) *machine {
 	if len(c.ownMachines) == 0 {
@@ -456,7 +456,7 @@
 	return nil
 }
 
-// sooner orders the lines. Exception "urgency": the design's line is first-in
+// runsBefore orders the lines. Exception "urgency": the design's line is first-in
 // first-out; here a higher priority goes first, and within it the job whose
 // turn comes earlier.
 func runsBefore(x, y *jobRecord) bool { return compareUrgency(x, y) < 0 }
@@ -475,7 +475,7 @@
 	return older(x, y)
 }
 
-// updateTurns computes when each job's turn comes among jobs of its priority:
+// updateJobOrder computes when each job's turn comes among jobs of its priority:
 // the latest time at which it can start and still meet its deadline or its
 // class's aim at finishing, put back by a multiple of the time the fleet would
 // need for what is left of it, so that large jobs do not hold up many small
@@ -540,7 +540,7 @@
 // from that of a job that has none yet, 0.
 const overdue = 1e10
 
-// saveForGangs picks for each limited team the first gang that its limit keeps from starting. What comes after
+// saveQuotaForGangs picks for each limited team the first gang that its limit keeps from starting. What comes after
 // it in the order of turns leaves what it needs of the limit alone. Exception "saving for a gang": thesis 2.1,
 // tasks are independent; here whatever one task leaves of a limit was taken by the next small one, and a
 // gang of the same team never began.
@@ -575,10 +575,10 @@
 	}
 }
 
-// savingShare is how long the limit is saved for a gang, as a share of the time in which jobs are to begin.
+// quotaSavingShare is how long the limit is saved for a gang, as a share of the time in which jobs are to begin.
 const quotaSavingShare = 0.4
 
-// leaves tells whether a use that comes of placing a task of a job is within the team's limit, beside what is saved for a gang that
+// leavesQuotaFor tells whether a use that comes of placing a task of a job is within the team's limit, beside what is saved for a gang that
 // goes before it.
 func (t *team) leavesQuotaFor(r *jobRecord, u usage) bool {
 	if s := t.savingFor; s != nil && s != r && compareUrgency(s, r) < 0 {
@@ -587,11 +587,11 @@
 	return t.withinLimit(u)
 }
 
-// sizeWeight is how much longer than its share of the fleet's time a job
+// jobSizeWeight is how much longer than its share of the fleet's time a job
 // waits for smaller ones.
 const jobSizeWeight = 8
 
-// within is the time a job has to finish: its deadline, or the tightest aim of
+// targetDuration is the time a job has to finish: its deadline, or the tightest aim of
 // its class, or the loosest of all.
 func (c *Core) targetDuration(s *job.Spec) float64 {
 	if s.DeadlineS != nil {
@@ -627,7 +627,7 @@
 	}
 }
 
-// drawLine is step 5: a joining machine takes the oldest tasks it can hold,
+// placeQueuedTasks is step 5: a joining machine takes the oldest tasks it can hold,
 // from its own line or another's.
 func (c *Core) placeQueuedTasks(m *machine) {
 	for i := 0; i < len(c.queuedJobs) && c.hasRoom(m); {
@@ -700,7 +700,7 @@
 	}
 }
 
-// again looks for a new place for a task that was stopped or lost, at once
+// requeueTask looks for a new place for a task that was stopped or lost, at once
 // and here; failing that, its job's keeper sends it on its way.
 func (c *Core) requeueTask(r *jobRecord, index int) {
 	if isGang(r) || !c.placeable(r, index) {
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// packing is one plan: the machines that there are, that boot and that are to be rented,
+// binPacking is one plan: the machines that there are, that boot and that are to be rented,
 // with what waits put onto them.
 type binPacking struct {
 	core             *Core
@@ -84,11 +84,11 @@
 	return p
 }
 
-// avoidedZone is counted as the machines of a dark zone: nothing is rented there while there
+// unreachableZoneLoad is counted as the machines of a dark zone: nothing is rented there while there
 // is another way.
 const unreachableZoneLoad = 1 << 20
 
-// add makes a slot of a machine; m is nil while it has no claim.
+// addSlot makes a slot of a machine; m is nil while it has no claim.
 func (p *binPacking) addSlot(id string, where offering, m *machine) {
 	t, ok := p.core.catalogue[where.machineType]
 	if !ok {
@@ -120,7 +120,7 @@
 	}
 }
 
-// addListed adds the machines that the cloud lists and nobody has claimed yet.
+// addCloudMachines adds the machines that the cloud lists and nobody has claimed yet.
 func (p *binPacking) addCloudMachines() {
 	f := &p.core.scaler
 	for id, l := range f.cloudMachines {
@@ -168,7 +168,7 @@
 	})
 }
 
-// putJobs packs the open jobs, in the order of their turns.
+// packJobs packs the open jobs, in the order of their turns.
 func (p *binPacking) packJobs() {
 	c := p.core
 	uses := map[string]usage{}
@@ -188,7 +188,7 @@
 	}
 }
 
-// waiting is how many tasks of a job are to be packed within its team's limit; uses is what the
+// tasksToPack is how many tasks of a job are to be packed within its team's limit; uses is what the
 // teams use with what has been packed already.
 func (p *binPacking) tasksToPack(r *jobRecord, uses map[string]usage) (n int) {
 	c := p.core
@@ -212,7 +212,7 @@
 	return n
 }
 
-// spreadOf counts the bound tasks in each zone of a job that must be spread, nil for any other.
+// tasksByZone counts the bound tasks in each zone of a job that must be spread, nil for any other.
 func tasksByZone(r *jobRecord) map[string]int {
 	if !r.spec.Spread {
 		return nil
@@ -222,7 +222,7 @@
 	return counts
 }
 
-// put packs n tasks of a job; avoid counts its tasks in each zone if it must be spread.
+// packTasks packs n tasks of a job; avoid counts its tasks in each zone if it must be spread.
 func (p *binPacking) packTasks(sp *job.Spec, n int, avoid map[string]int) {
 	p.skipFullSlots()
 	at := p.firstOpenSlot // a job's tasks are alike: what can't take one takes none
@@ -249,7 +249,7 @@
 	}
 }
 
-// skipFull passes over slots that have nothing left.
+// skipFullSlots passes over slots that have nothing left.
 func (p *binPacking) skipFullSlots() {
 	for p.firstOpenSlot < len(p.slots) {
 		s := p.slots[p.firstOpenSlot]
@@ -260,7 +260,7 @@
 	}
 }
 
-// wish has a machine rented, with a task of a job on it.
+// planMachine has a machine rented, with a task of a job on it.
 func (p *binPacking) planMachine(where offering, sp *job.Spec) {
 	t := p.core.catalogue[where.machineType]
 	s := &slot{offering: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.MemoryGB, planned: true}
@@ -270,7 +270,7 @@
 	p.urgent[where] = p.urgent[where] || sp.Priority == job.Production
 }
 
-// returnIdle drains the machines that have stood idle for long enough.
+// scaleIn drains the machines that have stood idle for long enough.
 func (c *Core) scaleIn(slots []*slot) {
 	for _, s := range slots {
 		m := c.machines[s.id]
@@ -287,7 +287,7 @@
 	}
 }
 
-// kinds tells how many machines of each type there are, how many of their
+// machineSummary tells how many machines of each type there are, how many of their
 // accelerators are taken, and how many of those by services.
 func (c *Core) machineSummary() string {
 	type sum struct {
@@ -319,7 +319,7 @@
 	return out
 }
 
-// bestPlace picks where to rent for a task: the cheapest type and kind per
+// cheapestOffering picks where to rent for a task: the cheapest type and kind per
 // task that has not just been refused, in the zone with the fewest planned.
 func (c *Core) cheapestOffering(s *job.Spec, want map[offering]int, avoid, zones map[string]int) (offering, bool) {
 	var best offering
@@ -353,7 +353,7 @@
 	return best, found
 }
 
-// perMachine is how many such tasks a machine of a type holds.
+// tasksPerMachine is how many such tasks a machine of a type holds.
 func tasksPerMachine(t *protocol.MachineType, s *job.Spec) float64 {
 	fit := 1e9
 	for _, d := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
@@ -364,7 +364,7 @@
 	return max(fit, 1)
 }
 
-// idleShare is how long a machine may stand idle, as a share of the time it
+// idleTimeShare is how long a machine may stand idle, as a share of the time it
 // took to boot.
 const idleTimeShare = 0.75
 
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -39,10 +39,10 @@
 	}
 }
 
-// stopLimit is why a task is stopped whose team's limit is saved for a gang.
+// preemptedForQuota is why a task is stopped whose team's limit is saved for a gang.
 const preemptedForQuota = "preempted for its team's limit"
 
-// preemptForLimit stops a task of lower priority of the team whose limit is saved for a gang, the one that loses least. Only one at a
+// preemptForQuota stops a task of lower priority of the team whose limit is saved for a gang, the one that loses least. Only one at a
 // time: every controller does so, and each learns from the records what the others have done.
 func (c *Core) preemptForQuota(tm *team) {
 	r := tm.savingFor
@@ -96,7 +96,7 @@
 	c.log.Debug("preempting", "for", r.spec.ID, "stoker", m.id, "victims", len(victims))
 }
 
-// clearWarm has a service wait a moment for room where its image is, in place
+// preemptOnWarmMachine has a service wait a moment for room where its image is, in place
 // of the machine popped for it, where the image would first have to be fetched.
 // Exception "warm room for services": what must never be down is worth more
 // than the few seconds of lower work that this loses.
@@ -115,7 +115,7 @@
 	return true
 }
 
-// victims finds the machine where room for the task costs least, among the
+// cheapestVictims finds the machine where room for the task costs least, among the
 // first that will do from a random one on, and what to stop there. With warm,
 // only machines that have the image will do.
 func (c *Core) cheapestVictims(r *jobRecord, warm bool) (*machine, []taskKey) {
@@ -231,7 +231,7 @@
 	return set, cost, ok
 }
 
-// lossOf is the work that stopping a task loses: what it has done since its
+// lostWork is the work that stopping a task loses: what it has done since its
 // start or its last checkpoint.
 func (c *Core) lostWork(m *machine, k taskKey, r *jobRecord) float64 {
 	at, ok := m.runningSince[k]
@@ -275,10 +275,10 @@
 	}
 }
 
-// stopGang is why a task is stopped that takes its gang with it.
+// preemptedGang is why a task is stopped that takes its gang with it.
 const preemptedGang = "preempted with its gang"
 
-// stop tells a worker to stop a task, directly and with every answer until it
+// stopTask tells a worker to stop a task, directly and with every answer until it
 // has. A stop that is carried out late does no harm: it names the attempt.
 func (c *Core) stopTask(m *machine, k taskKey, why string) {
 	rec := m.bound[k]
@@ -294,7 +294,7 @@
 	c.killNow(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
 }
 
-// kill tells a worker directly to stop attempts.
+// killNow tells a worker directly to stop attempts.
 func (c *Core) killNow(m *machine, orders ...protocol.Command) {
 	if m.claim.Address == "" || !m.tokenSeen {
 		return
@@ -305,7 +305,7 @@
 		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.handleStatus(m, token, r) })
 }
 
-// forestall stops what a cancelled job has on machines of ours and what has not begun yet, as far as we know: no
+// stopTasksOf stops what a cancelled job has on machines of ours and what has not begun yet, as far as we know: no
 // task may start from the answer to the user on. What runs is stopped with the next reports' answers.
 func (c *Core) stopTasksOf(r *jobRecord) {
 	if r.status != job.Cancelled || r.bound == 0 {
@@ -329,7 +329,7 @@
 	}
 }
 
-// observe takes the report in the answer to direct commands. Only endings are
+// handleStatus takes the report in the answer to direct commands. Only endings are
 // read from it: they stay true however late it comes.
 func (c *Core) handleStatus(m *machine, token uint64, r protocol.Reply) {
 	var reply protocol.Heartbeat
@@ -359,7 +359,7 @@
 	}
 }
 
-// began notes when a task was first seen running, and tells whether this is it.
+// markRunning notes when a task was first seen running, and tells whether this is it.
 func (m *machine) markRunning(k taskKey, at time.Duration) bool {
 	_, was := m.runningSince[k]
 	if !was {
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -24,7 +24,7 @@
 	c.effects.Sends = append(c.effects.Sends, Outgoing{to, m})
 }
 
-// toState makes a call of the state service: on our own link, or through a peer while
+// callState makes a call of the state service: on our own link, or through a peer while
 // that is down.
 func (c *Core) callState(k protocol.Call, done func(protocol.Reply)) {
 	if via := c.links.Relay(); via != "" {
@@ -34,7 +34,7 @@
 	c.callStateDirectly(k, done)
 }
 
-// direct makes a call of the state service on our own link.
+// callStateDirectly makes a call of the state service on our own link.
 func (c *Core) callStateDirectly(k protocol.Call, done func(protocol.Reply)) {
 	c.call(k, func(r protocol.Reply) {
 		c.links.StateAnswered(r.Status)
@@ -42,7 +42,7 @@
 	})
 }
 
-// links gives up on carried calls that are late, and tries our own link while a peer
+// checkLinks gives up on carried calls that are late, and tries our own link while a peer
 // carries for us.
 func (c *Core) checkLinks() {
 	for _, done := range c.links.ExpireRelays() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// listen asks a worker of a zone for its status, a different one each time, when all that
+// probeZone asks a worker of a zone for its status, a different one each time, when all that
 // we held there are with others: no report would ever show that we hear again.
 func (c *Core) probeZone(zone string) {
 	if c.probesInFlight >= 2 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// carry makes a call of the state service for a peer.
+// relayForPeer makes a call of the state service for a peer.
 func (c *Core) relayForPeer(from string, k *connectivity.RelayRequest) {
 	call, refused := c.links.AcceptRelay(from, k)
 	if refused != nil {
@@ -90,7 +90,7 @@
 	c.callStateDirectly(call, func(r protocol.Reply) { c.send(from, peer.Message{RelayResponse: c.links.FinishRelay(from, k, r)}) })
 }
 
-// askPeer asks a peer for its word on cancellations, by way of a third where it must be.
+// queryCancellations asks a peer for its word on cancellations, by way of a third where it must be.
 func (c *Core) queryCancellations(name string) {
 	a := &peer.CancellationQuery{AskedAt: c.now, AppliedRevision: c.state.AppliedRevision(), Incarnation: c.incarnation}
 	now := c.links.Snapshot()
@@ -100,7 +100,7 @@
 	c.send(name, peer.Message{CancellationQuery: a})
 }
 
-// pass hands on what goes by way of us, one step and no further, or takes what is for us.
+// forwardMessage hands on what goes by way of us, one step and no further, or takes what is for us.
 func (c *Core) forwardMessage(from string, p *peer.ForwardedMessage) {
 	switch {
 	case p.To != c.cfg.Node && p.From == from:
@@ -114,7 +114,7 @@
 	}
 }
 
-// recordsAge is how old our records are, as peers and operators are told.
+// mirrorAge is how old our records are, as peers and operators are told.
 func (c *Core) mirrorAge() time.Duration {
 	if !c.state.Loaded() {
 		return unknownMirrorAge
@@ -122,13 +122,13 @@
 	return c.now - c.state.FreshAt()
 }
 
-// shareOut tells the budget how many peers want more than their share.
+// updatePeerDemand tells the budget how many peers want more than their share.
 func (c *Core) updatePeerDemand() {
 	now := c.links.Snapshot()
 	c.state.SetPeerDemand(connectivity.RateDemand(&now, c.alive))
 }
 
-// betterPlaced names a peer that a worker is sent to while we can't reach the state
+// receiverWhileCutOff names a peer that a worker is sent to while we can't reach the state
 // service by any way: one that can serve it, by a word that is new. If there is no new
 // word, and nobody carries for us, one that could when it was last heard, and in an order
 // that has urgent work claimed there before our own time to answer is over.
@@ -170,7 +170,7 @@
 	return to
 }
 
-// reachStats is what operators see of the links.
+// linkStats is what operators see of the links.
 type linkStats struct {
 	connectivity.Stats
 	State          string                    `json:"state"` // direct, relayed or lost
--- a/internal/coordination/recorded.go
+++ b/internal/coordination/recorded.go
@@ -18,13 +18,13 @@
 	"silvergate/internal/recorder"
 )
 
-// Recorded is a core whose inputs are recorded. It takes what a core takes.
+// RecordedCore is a core whose inputs are recorded. It takes what a core takes.
 type RecordedCore struct {
 	core   *Core
 	writer *recorder.Writer
 }
 
-// NewRecorded records what goes into a core from now on, which must be from its beginning.
+// NewRecordedCore records what goes into a core from now on, which must be from its beginning.
 func NewRecordedCore(c *Core, w *recorder.Writer) *RecordedCore { return &RecordedCore{c, w} }
 
 // RecordingHeader is what a recording of such a core begins with. Secrets are not in
@@ -38,7 +38,7 @@
 	return recorder.Header{Build: build, Node: cfg.Node, Life: incarnation, Seed: seed, Settings: settings, Operator: operator}, err
 }
 
-// FromHeader makes the core that a recording began with.
+// NewFromHeader makes the core that a recording began with.
 func NewFromHeader(h *recorder.Header, log *slog.Logger) (*Core, error) {
 	cfg := &config.Settings{}
 	if err := json.Unmarshal(h.Settings, cfg); err != nil {
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -20,7 +20,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// record is a mirrored job.
+// jobRecord is a mirrored job.
 type jobRecord struct {
 	spec               *job.Spec
 	status             job.Status
@@ -32,7 +32,7 @@
 	finished           int
 	lastAttempt        int // the highest attempt
 	retryAt            time.Duration
-	latestStart        float64               // see updateTurns
+	latestStart        float64               // see updateJobOrder
 	targetDuration     float64               // see Core.within
 	withinGuarantee    bool                  // fits into its team's guarantee with the team's earlier jobs
 	failedReservations int                   // how often it was marked in vain, as a gang
@@ -60,7 +60,7 @@
 	Owner         string     `json:"home"`
 }
 
-// stored is the job's record, with a status.
+// storedWith is the job's record, with a status.
 func (r *jobRecord) storedWith(s job.Status) storedJob {
 	return storedJob{r.spec, s, r.submittedAtMS, r.owner}
 }
@@ -153,7 +153,7 @@
 	}
 }
 
-// conclude calls a job done whose tasks have all finished, by the records.
+// completeJob calls a job done whose tasks have all finished, by the records.
 //
 // Guards against a job that is never called done: usually the transaction with its last
 // ending says so, but when the last endings of two of its pages are committed at once,
@@ -169,7 +169,7 @@
 		func(stateclient.TxnOutcome, []string, uint64) { r.completing = false })
 }
 
-// shed forgets the tasks of a page of a job that is over, unless one is bound:
+// releaseTasks forgets the tasks of a page of a job that is over, unless one is bound:
 // memory must not grow with all the tasks there ever were. What users are told
 // needs the counts alone.
 func (c *Core) releaseTasks(p *page) {
@@ -194,7 +194,7 @@
 	}
 }
 
-// unshed makes a page ready to be read again. Guards against a job's end that is
+// restoreTasks makes a page ready to be read again. Guards against a job's end that is
 // read ahead of the watch: placements of before are then still to come.
 func (c *Core) restoreTasks(p *page) {
 	if p.tasks != nil {
@@ -207,7 +207,7 @@
 	p.done = 0
 }
 
-// failedAt takes up that a task has failed where it was bound. The records show it to
+// noteFailure takes up that a task has failed where it was bound. The records show it to
 // every controller, so that whoever keeps the job, rents for it or holds the machine
 // comes to the same judgement.
 func (c *Core) noteFailure(r *jobRecord, was job.Task, fails int) {
@@ -238,7 +238,7 @@
 	}
 }
 
-// blame is what is known of a job's failures.
+// failureHistory is what is known of a job's failures.
 func (c *Core) failureHistory(r *jobRecord) faultattribution.Job {
 	return faultattribution.Job{Machines: len(r.failedOn), Rounds: r.maxFailures, Finished: r.finished,
 		Settled: c.now-r.firstFailureAt > seconds(faultattribution.Settles*c.cfg.Facts.Workers.Report)}
@@ -250,7 +250,7 @@
 	return c.now < r.retryAt || r.spec.Priority != job.Production && !isGang(r) && c.failureHistory(r).Suspect() && (r.bound > 0 || len(r.reservations) > 0)
 }
 
-// opens and close keep the indexes of unfinished jobs.
+// addOpenJob and close keep the indexes of unfinished jobs.
 func (c *Core) addOpenJob(r *jobRecord) {
 	c.openJobs[r.spec.ID] = r
 	at, _ := slices.BinarySearchFunc(c.jobsByAge, r, older)
@@ -392,8 +392,8 @@
 // team is a team's mirrored use.
 type team struct {
 	cfg       *config.Team
-	demand    usage      // of its unfinished jobs so far, for updateTurns alone
-	savingFor *jobRecord // the gang that its limit is saved for, see saveForGangs
+	demand    usage      // of its unfinished jobs so far, for updateJobOrder alone
+	savingFor *jobRecord // the gang that its limit is saved for, see saveQuotaForGangs
 	charged   usage      // as charged; only limited teams have a record
 	running   usage      // bound tasks, from the mirror
 	revision  uint64
@@ -409,14 +409,14 @@
 	return usage{u.CPUs + n*s.CPUs, u.GPUs + n*s.GPUs}
 }
 
-// within tells whether u keeps to the limit; sums of decimal amounts get a
+// withinLimit tells whether u keeps to the limit; sums of decimal amounts get a
 // tolerance far below any amount that a user would give.
 func (t *team) withinLimit(u usage) bool {
 	const eps = 1e-6
 	return (t.cfg.CPUsMax == 0 || u.CPUs <= t.cfg.CPUsMax+eps) && (t.cfg.GPUsMax == 0 || u.GPUs <= t.cfg.GPUsMax+eps)
 }
 
-// guarantees tells whether u is within the team's guarantee; what a team uses
+// withinGuarantee tells whether u is within the team's guarantee; what a team uses
 // of a kind that it has no guarantee for does not count against it.
 func (t *team) withinGuarantee(u usage) bool {
 	const eps = 1e-6
@@ -436,7 +436,7 @@
 	}
 }
 
-// change is a wanted change of one task.
+// taskTransition is a wanted change of one task.
 type taskTransition struct {
 	index      int // in the page
 	placement  bool
@@ -526,7 +526,7 @@
 	}
 }
 
-// zoneStillOK judges a job's zones by its records alone, with page p replaced
+// zoneStillAllowed judges a job's zones by its records alone, with page p replaced
 // by the tasks that the transaction will write.
 func (c *Core) zoneStillAllowed(r *jobRecord, p *page, tasks []job.Task, zone string) bool {
 	if !r.spec.OneZone && !r.spec.Spread {
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -10,7 +10,7 @@
 
 // This file compares a believed report with the records.
 
-// orders compares a report with the records: what should be on the machine is
+// reconcile compares a report with the records: what should be on the machine is
 // launched, what should not be is stopped, and endings are proposed for commit
 // and forgotten once committed.
 func (c *Core) reconcile(m *machine, r *protocol.Heartbeat) []protocol.Command {
@@ -33,7 +33,7 @@
 	return orders
 }
 
-// judgeListed judges an attempt that a believed report lists, and adds what the worker is to be told.
+// reconcileListed judges an attempt that a believed report lists, and adds what the worker is to be told.
 // What is bound here as it is listed is noted in listed.
 func (c *Core) reconcileListed(orders []protocol.Command, m *machine, st fencing.WorkerState, r *protocol.Heartbeat, l *protocol.TaskStatus, listed map[taskKey]bool) []protocol.Command {
 	id, index, err := job.ParseTaskName(l.Task)
@@ -90,7 +90,7 @@
 	}
 }
 
-// judgeLacking judges what is bound to the machine and not on a believed report's list.
+// reconcileMissing judges what is bound to the machine and not on a believed report's list.
 func (c *Core) reconcileMissing(orders []protocol.Command, m *machine, st fencing.WorkerState, r *protocol.Heartbeat, k taskKey) []protocol.Command {
 	rec := m.bound[k]
 	t := rec.task(c, k.index)
@@ -133,7 +133,7 @@
 	return out
 }
 
-// ending tells whether an ending of the task is queued or under way.
+// releasePending tells whether an ending of the task is queued or under way.
 func (c *Core) releasePending(r *jobRecord, index int) bool {
 	if c.writer.logQueued[taskKey{r.spec.ID, index}] {
 		return true
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -13,7 +13,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// listIn looks at a whole list: failed machines are evidence, others that
+// reconcileCloudList looks at a whole list: failed machines are evidence, others that
 // nobody uses are strays.
 func (c *Core) reconcileCloudList() {
 	f := &c.scaler
@@ -36,7 +36,7 @@
 	}
 }
 
-// machineGone releases everything on a machine of which the cloud has said
+// releaseMachineTasks releases everything on a machine of which the cloud has said
 // that it is no more.
 func (c *Core) releaseMachineTasks(id string) {
 	m := c.machines[id]
@@ -52,7 +52,7 @@
 	}
 }
 
-// deletions returns machines: drained ones once nothing is bound to them,
+// deleteMachines returns machines: drained ones once nothing is bound to them,
 // silent and lost ones at once. The cloud's 200 is the evidence that
 // whatever was on them is gone.
 //
@@ -148,7 +148,7 @@
 	})
 }
 
-// condemn writes the drains of machines that are to be returned and that nobody looks after, as many in a transaction as it
+// drainUnheldMachines writes the drains of machines that are to be returned and that nobody looks after, as many in a transaction as it
 // takes: conditional on who rents, so that one that was replaced condemns nothing, and on their claims, so that what has been claimed
 // since is left alone.
 func (c *Core) drainUnheldMachines() {
@@ -197,7 +197,7 @@
 	})
 }
 
-// fencedOff tells whether nothing can be placed on a drained machine any more that our mirror does not show. Placements are
+// drainSettled tells whether nothing can be placed on a drained machine any more that our mirror does not show. Placements are
 // conditional on the absence of the drain, so what there is was committed before it, and the mirror has reached it.
 //
 // Guards against a deletion that overtakes the records: our own drain is in the mirror with its answer, ahead of
@@ -206,13 +206,13 @@
 	return c.state.AppliedRevision() >= c.state.ModRevision(keyDrain+id)
 }
 
-// sees tells whether the records that we have can be judged by: they are whole, and new. A machine that nobody seems to hold may have
+// mirrorFresh tells whether the records that we have can be judged by: they are whole, and new. A machine that nobody seems to hold may have
 // been claimed since, and one whose claim has not been read may be anybody's.
 func (c *Core) mirrorFresh() bool {
 	return c.state.Consistent() && c.now-c.state.FreshAt() < seconds(c.cfg.Facts.Workers.Report)
 }
 
-// forgetMachine drops the records of a machine that is gone, once nothing is
+// dropMachineRecords drops the records of a machine that is gone, once nothing is
 // bound to it.
 func (c *Core) dropMachineRecords(id string) {
 	if m := c.machines[id]; m != nil && (len(m.bound) > 0 || m.dropRetryAt > c.now) {
--- a/internal/coordination/routing.go
+++ b/internal/coordination/routing.go
@@ -10,7 +10,7 @@
 
 // This file decides which controller a worker is to report to.
 
-// better names a peer that a reporting worker is sent to. A controller in the
+// lessLoadedPeer names a peer that a reporting worker is sent to. A controller in the
 // worker's own zone comes first, so that a zone that is cut off keeps its
 // tasks: inside it, they are answered on. Among those of the zone, or among all
 // where it has none, the controllers hold about as many workers each, since
@@ -89,7 +89,7 @@
 	return to
 }
 
-// adopt takes up a worker that an earlier life of ours has claimed, with the
+// adoptClaim takes up a worker that an earlier life of ours has claimed, with the
 // token that the worker knows, so that a restart costs no changes: the claims
 // of a whole fleet would take the state service's rate for half a minute.
 //
@@ -151,7 +151,7 @@
 	return c.now-m.awaitingHolderSince < seconds(c.cfg.Facts.Workers.Lease/4)
 }
 
-// voidLaunches has the worker answered with a new token alone while a direct launch for a job
+// fenceLaunchesOfFinalJobs has the worker answered with a new token alone while a direct launch for a job
 // that is over may still be carried out on it: until the call is given up nothing else
 // shows that it is late, and an answer under the old token would let it start what was cancelled
 // for a lease longer. What the worker lists has come; a launch of that does nothing.
@@ -171,7 +171,7 @@
 	}
 }
 
-// hasHolder tells whether a worker is better sent to the living controller that holds it than
+// shouldRedirectToHolder tells whether a worker is better sent to the living controller that holds it than
 // claimed: in an outage nobody else can answer it, and one that has just been claimed and has not
 // heard so yet is heard there, not here.
 //
--- a/internal/coordination/served_test.go
+++ b/internal/coordination/served_test.go
@@ -57,7 +57,7 @@
 	u.askAt(u.s.anyNode())
 }
 
-// askAt polls once more at a node.
+// nextProbeAt polls once more at a node.
 func (u *simUser) askAt(n *simNode) {
 	before := u.told()
 	n.request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) { u.polled(st, body, before) })
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -7,7 +7,7 @@
 	"silvergate/internal/protocol"
 )
 
-// watchMachines looks for machines of ours that have gone silent.
+// checkSilentMachines looks for machines of ours that have gone silent.
 func (c *Core) checkSilentMachines() {
 	w := &c.cfg.Facts.Workers
 	entryAge := seconds(w.Report * c.cfg.Operator.EntryAge)
@@ -89,17 +89,17 @@
 	}
 }
 
-// mostDeaf bounds how many machines a beat names as deaf.
+// maxUnresponsive bounds how many machines a beat names as deaf.
 const maxUnresponsive = 256
 
-// zoneHeard counts machines of ours in a zone, and those of them whose report
+// zoneHeartbeats counts machines of ours in a zone, and those of them whose report
 // is overdue.
 type zoneHeartbeats struct {
 	machines, overdue int
 	lastHeartbeat     time.Duration // when the last report of any came
 }
 
-// cut tells whether it is the zone that can't be heard, and not single machines
+// unreachable tells whether it is the zone that can't be heard, and not single machines
 // of it: several are quiet, and more than three quarters of all; or no report
 // came in a time in which eight should have.
 //
@@ -116,12 +116,12 @@
 	return z.overdue >= 4 && 4*z.overdue > 3*z.machines || z.machines >= 4 && (now-z.lastHeartbeat)*time.Duration(z.machines) > 8*report
 }
 
-// asksAtOnce is how many workers may be asked for their status at a time:
+// maxProbes is how many workers may be asked for their status at a time:
 // questions to a zone that is cut off hang, and must not take the connections
 // that launches need.
 func (c *Core) maxProbes() int { return max(2, c.cfg.Facts.Limits.MaxSockets/40) }
 
-// watchEarlier looks for machines that an earlier life of ours held and that
+// checkInheritedMachines looks for machines that an earlier life of ours held and that
 // have found nobody since: a worker that is up needs a report period and a few
 // seconds for it. One that does not answer us either, while most of ours are
 // heard, is in trouble; after the horizon, when no controller can have answered
@@ -157,7 +157,7 @@
 	}
 }
 
-// askStatus asks an overdue worker for its state. An answer shows that it is
+// probeWorker asks an overdue worker for its state. An answer shows that it is
 // up, silence that it probably is not.
 func (c *Core) probeWorker(m *machine) {
 	if c.probesInFlight >= c.maxProbes() {
--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -16,7 +16,7 @@
 // This file is the seam to internal/failover: workers whose controller is gone, or does not
 // hear their zone any more, pass to another by the group, by one record for all of them.
 
-// holders is who holds which machines: how many each controller does, by which groups they
+// ownershipTable is who holds which machines: how many each controller does, by which groups they
 // have passed from one to another, and the take-overs that reports of workers wait for.
 type ownershipTable struct {
 	machinesByOwner map[string]int
@@ -26,13 +26,13 @@
 	pending map[failover.Group]*pendingFailover
 }
 
-// awaitedTakeover is a take-over that is being written, or that is not heeded yet.
+// pendingFailover is a take-over that is being written, or that is not heeded yet.
 type pendingFailover struct {
 	since      time.Duration
 	heartbeats []pendingHeartbeat
 }
 
-// heldReport is a worker's report that is not answered yet.
+// pendingHeartbeat is a worker's report that is not answered yet.
 type pendingHeartbeat struct {
 	id        uint64
 	heartbeat *protocol.Heartbeat
@@ -42,17 +42,17 @@
 	return ownershipTable{machinesByOwner: map[string]int{}, failovers: failover.NewTable(), pending: map[failover.Group]*pendingFailover{}}
 }
 
-// takeoverPatience is how long a report waits for the take-over of its worker's group: the
+// failoverTimeout is how long a report waits for the take-over of its worker's group: the
 // worker gives up on the answer after 4 s.
 const failoverTimeout = 3 * time.Second
 
-// leastGroup is how many workers a group must have left for a take-over to save changes.
+// minFailoverGroup is how many workers a group must have left for a take-over to save changes.
 const minFailoverGroup = 2
 
-// ownEpoch is the epoch of the claims that we write now.
+// claimEpoch is the epoch of the claims that we write now.
 func (c *Core) claimEpoch() int { return c.ownership.failovers.NextEpoch(c.cfg.Node, c.incarnation) }
 
-// resolve finds who holds a machine by its own claim and the take-overs of groups, and takes
+// resolveOwner finds who holds a machine by its own claim and the take-overs of groups, and takes
 // the machine up or gives it up where that has changed.
 func (c *Core) resolveOwner(m *machine) {
 	held := c.ownership.failovers.Resolve(m.id, m.claim.Zone, m.ownClaim)
@@ -77,7 +77,7 @@
 	c.updateOwnership(m)
 }
 
-// renewed takes that a machine is held under a new token: whatever was sent under an earlier
+// resetForNewToken takes that a machine is held under a new token: whatever was sent under an earlier
 // one is void once the new one is seen, and nothing is believed before that.
 func (m *machine) resetForNewToken(now time.Duration) {
 	m.launchInDoubt = false
@@ -85,7 +85,7 @@
 	m.epoch, m.sequence, m.heardAt, m.answeredAt = 0, 0, now, 0
 }
 
-// applyTakeover takes a record of a group that has passed to another controller.
+// applyFailover takes a record of a group that has passed to another controller.
 func (c *Core) applyFailover(name string, data json.RawMessage, revision uint64) {
 	g, ok := failover.ParseKey(name)
 	if !ok {
@@ -104,7 +104,7 @@
 	}
 }
 
-// heedTakeovers heeds the records up to which the mirror has become complete, and answers the
+// advanceFailovers heeds the records up to which the mirror has become complete, and answers the
 // reports that have waited for them.
 func (c *Core) advanceFailovers() {
 	heeded := c.ownership.failovers.Advance(c.state.AppliedRevision())
@@ -119,7 +119,7 @@
 	sort.Slice(groups, func(i, k int) bool { return groups[i].Key() < groups[k].Key() })
 }
 
-// regroup finds anew who holds the machines of a group.
+// resolveGroup finds anew who holds the machines of a group.
 func (c *Core) resolveGroup(g failover.Group) {
 	for _, id := range sortedKeys(c.machines) {
 		m := c.machines[id]
@@ -129,7 +129,7 @@
 	}
 }
 
-// rehear takes the reports up again that have waited for a group; alone has their workers
+// retryPendingHeartbeats takes the reports up again that have waited for a group; alone has their workers
 // claimed one by one.
 func (c *Core) retryPendingHeartbeats(g failover.Group, alone bool) {
 	w := c.ownership.pending[g]
@@ -142,7 +142,7 @@
 	}
 }
 
-// earlierVersion tells whether a peer is there that does not read a format.
+// hasPeerBelowFormat tells whether a peer is there that does not read a format.
 func (c *Core) hasPeerBelowFormat(format int) bool {
 	for _, p := range c.cfg.Peers {
 		if m := c.members[p.Node]; m != nil && m.Format < format {
@@ -152,7 +152,7 @@
 	return false
 }
 
-// takeGroup has a report wait for the take-over of its worker's whole group, if that is the
+// awaitGroupFailover has a report wait for the take-over of its worker's whole group, if that is the
 // way; false: the worker is to be claimed alone.
 //
 // Guards against a controller that has lost the zone itself, and takes a group over by a report that
@@ -177,7 +177,7 @@
 	return true
 }
 
-// abandoned tells whether a machine's holder is a peer that can't answer its workers any
+// ownerCannotServe tells whether a machine's holder is a peer that can't answer its workers any
 // more: it is gone, or it says that it does not hear the machine's zone. One that has
 // restarted is neither: it goes on with its workers without a change.
 func (c *Core) ownerCannotServe(m *machine) bool {
@@ -203,7 +203,7 @@
 	return n
 }
 
-// writeTakeover makes us the holder of a group. Whatever happens to the transaction, the mirror
+// writeFailover makes us the holder of a group. Whatever happens to the transaction, the mirror
 // tells what came of it. Where the holder is gone the record is conditional on that: a
 // controller that is back goes on with its workers itself.
 func (c *Core) writeFailover(g failover.Group) {
@@ -225,7 +225,7 @@
 	})
 }
 
-// expireTakeovers refuses reports that have waited for too long.
+// expirePendingFailovers refuses reports that have waited for too long.
 func (c *Core) expirePendingFailovers() {
 	var late []failover.Group
 	for g, w := range c.ownership.pending {
@@ -243,7 +243,7 @@
 	}
 }
 
-// dropTakeovers drops the records that no machine's holder stands on any more.
+// dropUnusedFailovers drops the records that no machine's holder stands on any more.
 func (c *Core) dropUnusedFailovers() {
 	if c.ownership.failovers.Len() == 0 || !c.mirrorFresh() {
 		return
--- a/internal/coordination/tenure.go
+++ b/internal/coordination/tenure.go
@@ -7,7 +7,7 @@
 	"silvergate/internal/protocol"
 )
 
-// claim is the record that makes a worker ours; its stamp is the worker's
+// claimRecord is the record that makes a worker ours; its stamp is the worker's
 // token. It is rewritten only to take a new token.
 type claimRecord struct {
 	Owner       string `json:"o"`
@@ -21,7 +21,7 @@
 	Epoch int `json:"e,omitempty"`
 }
 
-// tenure is who holds a machine, by its own claim and by the groups that have passed from one
+// machineOwnership is who holds a machine, by its own claim and by the groups that have passed from one
 // controller to another.
 type machineOwnership struct {
 	claim     claimRecord     // with who holds it by all records
@@ -33,7 +33,7 @@
 	adopted   bool            // claimed by an earlier life of ours, whose token we go on with
 }
 
-// passed tells whether the machine has come to its holder by its group.
+// failedOver tells whether the machine has come to its holder by its group.
 func (t *machineOwnership) failedOver() bool { return failover.Ownership{Links: t.links}.FailedOver() }
 
 // nextGroup is the group by which the machine would pass to another controller; ok is false if it
@@ -42,7 +42,7 @@
 	return failover.Ownership{Links: t.links}.NextGroup()
 }
 
-// holding is what a transaction is conditional on for a machine to be held as it is: its
+// ownershipCompares is what a transaction is conditional on for a machine to be held as it is: its
 // claim, the groups by which it has passed, and that it has not passed by the next one.
 func (m *machine) ownershipCompares() []protocol.Compare {
 	compares := make([]protocol.Compare, 0, 2+len(m.links))
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -7,7 +7,7 @@
 	"silvergate/internal/protocol"
 )
 
-// unshipped knows of machines with output of tasks that are over and that the archive
+// unshippedOutput knows of machines with output of tasks that are over and that the archive
 // has not acknowledged. Such a machine is not returned for want of work until its
 // deadline. Room is free as soon as the records say so, and nothing else waits: the
 // machine takes new work meanwhile.
@@ -25,7 +25,7 @@
 
 type unshippedSince struct{ since, said time.Duration }
 
-// toldAtMost bounds a beat's list; machines beyond it are told of when others are
+// maxAnnounced bounds a beat's list; machines beyond it are told of when others are
 // done.
 const maxAnnounced = 100
 
@@ -56,7 +56,7 @@
 // fresh is how long a word holds: what is silent for longer is done, or lost.
 func (u *unshippedOutput) fresh() time.Duration { return seconds(3 * u.core.cfg.Facts.Workers.Report) }
 
-// told lists this controller's own, for a beat.
+// toAnnounce lists this controller's own, for a beat.
 func (u *unshippedOutput) toAnnounce() (out []string) {
 	for id := range u.own {
 		if m := u.core.machines[id]; m == nil || !u.core.isOwn(m) {
@@ -69,7 +69,7 @@
 	return out[:min(len(out), maxAnnounced)]
 }
 
-// beat takes a peer's list in.
+// handlePeerHeartbeat takes a peer's list in.
 func (u *unshippedOutput) handlePeerHeartbeat(ids []string) {
 	for _, id := range ids {
 		u.heard(id)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -12,7 +12,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// poll is a user's question that waits for a fresh look at the state service.
+// statusQuery is a user's question that waits for a fresh look at the state service.
 type statusQuery struct {
 	requestID uint64
 	job       string
@@ -86,7 +86,7 @@
 	c.statusQueries = append(c.statusQueries, p)
 }
 
-// sendPolls answers the questions for which the mirror is proved fresh. A
+// sendStatusQueries answers the questions for which the mirror is proved fresh. A
 // watch that was opened after a question came proves it when it is answered,
 // at no cost; that is waited for when requests are short, for as long as two
 // watches take to open. Otherwise one comparing transaction proves it for a
@@ -163,7 +163,7 @@
 	}
 }
 
-// unknown refuses what needs a job that we don't know, once that has been proved. A job whose record can't be read, as a
+// respondUnknownJob refuses what needs a job that we don't know, once that has been proved. A job whose record can't be read, as a
 // later version may have written it, is not unknown.
 func (c *Core) respondUnknownJob(id uint64, ref string, status int, why string) {
 	if c.state.ModRevision(keyJob+ref) != 0 {
@@ -247,7 +247,7 @@
 		})
 }
 
-// spread tells the peers of a cancellation that is committed, ahead of the watch: PROTOCOL wants no task of the job started
+// broadcastCancellation tells the peers of a cancellation that is committed, ahead of the watch: PROTOCOL wants no task of the job started
 // from the answer on, and a watch that is late or waits for its turn lets its holder start some. The word proves
 // nothing about other cancellations, and carries no asker's life so that nobody takes it for a proof.
 func (c *Core) broadcastCancellation(ref string) {
@@ -256,7 +256,7 @@
 	}
 }
 
-// feasible tells why a job can never run.
+// checkFeasible tells why a job can never run.
 func (c *Core) checkFeasible(s *job.Spec) error {
 	t := c.teams[s.Team]
 	if t == nil {
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/ratelimit"
 )
 
-// view answers what workers and operators ask beyond the protocol: a job's
+// queryHandler answers what workers and operators ask beyond the protocol: a job's
 // description, where a gang's tasks are, and lists. It reads the records and
 // changes none; it owns a small cache of descriptions, which never change.
 type queryHandler struct {
@@ -164,14 +164,14 @@
 	})
 }
 
-// sealTerms adds to a description the half of the grant that is the job's.
+// grantTerms adds to a description the half of the grant that is the job's.
 func (v *queryHandler) grantTerms(d *protocol.JobDescription) {
 	if v.grantKey != nil {
 		d.Grant = v.grantKey.SealTerms(d.ID, archive.TermsOf(d))
 	}
 }
 
-// sealLaunch adds to a launch the half that is the attempt's. It is called where
+// grantLaunch adds to a launch the half that is the attempt's. It is called where
 // launches are made: by the claim's holder, of what the records show bound.
 func (v *queryHandler) grantLaunch(m *machine, k taskKey, attempt int) string {
 	if v.grantKey == nil {
@@ -254,7 +254,7 @@
 	return out
 }
 
-// waits says what an open job's waiting tasks wait for, as far as this
+// waitReason says what an open job's waiting tasks wait for, as far as this
 // controller knows.
 func (v *queryHandler) waitReason(r *jobRecord) string {
 	c := v.core
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// drain bars a machine from new work; placements are conditioned on its
+// drainRecord bars a machine from new work; placements are conditioned on its
 // absence.
 type drainRecord struct {
 	Reason string `json:"w"`
@@ -54,7 +54,7 @@
 	sparseSince   time.Duration // since when it holds few services and nothing else; 0: not
 }
 
-// contact is what the holder of a machine knows from its worker's reports and answers.
+// heartbeatState is what the holder of a machine knows from its worker's reports and answers.
 type heartbeatState struct {
 	epoch          uint64
 	sequence       uint64
@@ -70,12 +70,12 @@
 	leaseExpired   bool          // its lease is over and its tasks were given up
 	preempted      bool
 
-	redirectedToHolder  time.Duration // see hasHolder
+	redirectedToHolder  time.Duration // see shouldRedirectToHolder
 	redirectedAt        time.Duration // to another controller, when it reported last
 	awaitingHolderSince time.Duration // when it first came here while its own controller was down
 }
 
-// launches are the starts of tasks that are under way to a machine, and the tasks that are
+// launchState are the starts of tasks that are under way to a machine, and the tasks that are
 // known to have begun.
 type launchState struct {
 	inFlight         map[taskAttempt]bool // sent to /orders and not answered yet
@@ -87,7 +87,7 @@
 	stops            map[taskKey]taskStop
 }
 
-// load is the work on a machine, by the records and by what is planned.
+// machineLoad is the work on a machine, by the records and by what is planned.
 type machineLoad struct {
 	machineType     *protocol.MachineType // of its type, nil while that is not known
 	bound           map[taskKey]*jobRecord
@@ -103,14 +103,14 @@
 	imageReadyAt    map[string]time.Duration // when each will be there, as far as is known
 }
 
-// roomHold keeps a machine's room for a job for which others were stopped there.
+// roomReservation keeps a machine's room for a job for which others were stopped there.
 type roomReservation struct {
 	holdFor  string        // the job
 	holdTill time.Duration // how long nothing else may take the room
 	holdBy   string        // the controller whose gang it is kept for
 }
 
-// attempt is one attempt of a task.
+// taskAttempt is one attempt of a task.
 type taskAttempt struct {
 	taskKey
 	number int
@@ -140,10 +140,10 @@
 	return m
 }
 
-// unknownKind stands for a type that the catalogue lacks; it holds nothing.
+// unknownMachineType stands for a type that the catalogue lacks; it holds nothing.
 var unknownMachineType protocol.MachineType
 
-// kind is a machine's type.
+// machineTypeOf is a machine's type.
 func (c *Core) machineTypeOf(m *machine) *protocol.MachineType {
 	if m.machineType == nil || m.machineType.Name != m.claim.MachineType {
 		if m.machineType = c.catalogue[m.claim.MachineType]; m.machineType == nil {
@@ -153,7 +153,7 @@
 	return m.machineType
 }
 
-// keep holds a machine's room back for a job; by names the controller that
+// reserveRoom holds a machine's room back for a job; by names the controller that
 // wants to be told when it is free.
 func (m *machine) reserveRoom(id string, until time.Duration, by string) {
 	m.holdFor, m.holdTill, m.holdBy = id, until, by
@@ -172,12 +172,12 @@
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && (m.claim.Incarnation == c.incarnation || m.adopted)
 }
 
-// earlier tells whether an earlier life of ours has claimed the machine, and nobody since.
+// heldByEarlierIncarnation tells whether an earlier life of ours has claimed the machine, and nobody since.
 func (c *Core) heldByEarlierIncarnation(m *machine) bool {
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && !c.isOwn(m)
 }
 
-// barred tells whether new work may not go to the machine.
+// unschedulable tells whether new work may not go to the machine.
 func (c *Core) unschedulable(m *machine) bool {
 	_, drained := c.drains[m.id]
 	return drained || m.draining || m.preempted || m.leaseExpired || m.consolidating || m.claiming || !m.tokenSeen
@@ -201,7 +201,7 @@
 	c.resolveOwner(m)
 }
 
-// unclaim takes that a machine's claim is gone.
+// removeClaim takes that a machine's claim is gone.
 func (c *Core) removeClaim(m *machine) {
 	if m.token != 0 {
 		c.ownership.machinesByOwner[m.claim.Owner]--
@@ -214,7 +214,7 @@
 	c.updateOwnership(m)
 }
 
-// forgetGone drops what is known of a machine without a claim. Guards against room
+// forgetUnclaimed drops what is known of a machine without a claim. Guards against room
 // that was reserved on a machine that is forgotten meanwhile: given back to one that
 // is met anew under its name, it made more room than there is.
 func (c *Core) forgetUnclaimed(m *machine) {
@@ -224,7 +224,7 @@
 	}
 }
 
-// hold keeps the list of our machines and the count of everybody's in step
+// updateOwnership keeps the list of our machines and the count of everybody's in step
 // with a changed claim.
 func (c *Core) updateOwnership(m *machine) {
 	if m.token != 0 {
@@ -233,7 +233,7 @@
 	c.updateOwnMachines(m)
 }
 
-// own keeps the list of our machines.
+// updateOwnMachines keeps the list of our machines.
 func (c *Core) updateOwnMachines(m *machine) {
 	at := sort.Search(len(c.ownMachines), func(i int) bool { return c.ownMachines[i].id >= m.id })
 	there := at < len(c.ownMachines) && c.ownMachines[at].id == m.id
@@ -273,7 +273,7 @@
 	return ratelimit.IdleClaims
 }
 
-// drain writes a machine's drain record, under further conditions if any.
+// drainMachine writes a machine's drain record, under further conditions if any.
 func (c *Core) drainMachine(m *machine, why string, compares ...protocol.Compare) {
 	// Guards against two judgements that take turns on one machine and eat up
 	// the state service's rate: only a graver one replaces an earlier one, and
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -71,7 +71,7 @@
 	return g, found && g.Epoch > 0 && g.Number >= 0 && g.Number < Groups
 }
 
-// Of is the group that a worker of a holder is in.
+// GroupOf is the group that a worker of a holder is in.
 func GroupOf(h Holder, worker, zone string) Group {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(worker))
@@ -90,7 +90,7 @@
 	Revision uint64
 }
 
-// Held is who holds a worker by all records. Links are what that stands on beside the
+// Ownership is who holds a worker by all records. Links are what that stands on beside the
 // worker's own claim: the groups by which it has passed, and last the one by which it
 // would pass next. Who holds the worker changes only with one of them or with the claim.
 type Ownership struct {
@@ -98,7 +98,7 @@
 	Links []Link
 }
 
-// Next is the group by which the worker would pass to another controller; ok is false if
+// NextGroup is the group by which the worker would pass to another controller; ok is false if
 // it can't, as the group has passed on already or the claim knows of none.
 func (h Ownership) NextGroup() (g Group, ok bool) {
 	if len(h.Links) == 0 {
@@ -108,7 +108,7 @@
 	return last.Group, last.Revision == 0
 }
 
-// Passed tells whether the worker has passed to its holder by a group.
+// FailedOver tells whether the worker has passed to its holder by a group.
 func (h Ownership) FailedOver() bool { return len(h.Links) > 1 }
 
 type record struct {
@@ -116,19 +116,19 @@
 	revision  uint64
 }
 
-// Book holds the records. The zero value is not usable; see NewBook.
+// Table holds the records. The zero value is not usable; see NewTable.
 type Table struct {
 	appliedRevision uint64
 	applied         map[Group]record
 	pending         map[Group]record // newer than the mirror is complete
 }
 
-// NewBook makes a book without records.
+// NewTable makes a book without records.
 func NewTable() *Table {
 	return &Table{applied: map[Group]record{}, pending: map[Group]record{}}
 }
 
-// Set takes a record, Drop that it is gone. They tell whether who holds a worker may have
+// Put takes a record, Drop that it is gone. They tell whether who holds a worker may have
 // changed by it.
 func (b *Table) Put(g Group, successor Holder, revision uint64) bool {
 	if revision > b.appliedRevision {
@@ -139,7 +139,7 @@
 	return true
 }
 
-// Drop takes that a record is gone.
+// Delete takes that a record is gone.
 func (b *Table) Delete(g Group) bool {
 	delete(b.pending, g)
 	_, was := b.applied[g]
@@ -161,7 +161,7 @@
 	return applied
 }
 
-// Waiting tells whether a record of the group is known and not heeded yet.
+// Pending tells whether a record of the group is known and not heeded yet.
 func (b *Table) Pending(g Group) bool {
 	_, ok := b.pending[g]
 	return ok
@@ -182,7 +182,7 @@
 	return h
 }
 
-// Epoch is the epoch of a life's next claims: above that of all its groups that have been
+// NextEpoch is the epoch of a life's next claims: above that of all its groups that have been
 // taken over, heeded or not.
 func (b *Table) NextEpoch(node string, incarnation int64) int {
 	epoch := 1
@@ -207,7 +207,7 @@
 	return out
 }
 
-// Stamp is the revision of a group's heeded record, 0 if there is none.
+// Revision is the revision of a group's heeded record, 0 if there is none.
 func (b *Table) Revision(g Group) uint64 { return b.applied[g].revision }
 
 // Len is how many records there are.
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -11,7 +11,7 @@
 
 import "time"
 
-// Kind is what proves that an attempt is not on its machine any more and can't
+// Proof is what proves that an attempt is not on its machine any more and can't
 // come back. These are all there are: silence, a list's absence alone, or a dead
 // peer prove nothing.
 type Proof uint8
@@ -22,16 +22,16 @@
 	// under any claim, as an attempt that has ended does not start again before it
 	// is forgotten, and it is forgotten only after its release.
 	Ended Proof = iota + 1
-	// Session: a report, under whatever token, is of a later session than the attempt's.
+	// NewerEpoch: a report, under whatever token, is of a later session than the attempt's.
 	// It stays true under any claim: a session never comes back.
 	NewerEpoch
-	// Absent: a report under our token lacks an attempt that is not wanted any
+	// NotListed: a report under our token lacks an attempt that is not wanted any
 	// more, and no launch of it can be under way. True under this claim alone.
 	NotListed
-	// Lease: the lease has certainly ended since the last report that we answered,
+	// LeaseExpired: the lease has certainly ended since the last report that we answered,
 	// and nobody else can have answered one. True under this claim alone.
 	LeaseExpired
-	// Cloud: the cloud has answered that the machine is deleted, or lists it as
+	// MachineDeleted: the cloud has answered that the machine is deleted, or lists it as
 	// failed. It stays true: a machine's name never comes back.
 	MachineDeleted
 )
@@ -46,7 +46,7 @@
 	return "unknown"
 }
 
-// Standing is what a controller knows of a machine at the moment of a decision.
+// WorkerState is what a controller knows of a machine at the moment of a decision.
 type WorkerState struct {
 	Held            bool     // the claim names us, in this life or as adopted from an earlier one
 	Adopted         bool     // the latter
@@ -60,7 +60,7 @@
 	LastLaunch      Position // the newest answer to a direct launch
 }
 
-// Mark is a place in the order of what a worker says: reports and answers.
+// Position is a place in the order of what a worker says: reports and answers.
 type Position struct{ Epoch, Sequence uint64 }
 
 // Before tells whether m was said before o.
@@ -68,7 +68,7 @@
 	return m.Epoch < o.Epoch || m.Epoch == o.Epoch && m.Sequence < o.Sequence
 }
 
-// Report is the head of a worker's report.
+// Heartbeat is the head of a worker's report.
 type Heartbeat struct {
 	Token    uint64 // the highest token that the worker has seen
 	Epoch    uint64 // its session
@@ -77,7 +77,7 @@
 
 func (r Heartbeat) position() Position { return Position{r.Epoch, r.Sequence} }
 
-// Hearing is what to do with a report.
+// Verdict is what to do with a report.
 type Verdict uint8
 
 // Hearings.
@@ -88,7 +88,7 @@
 	Trust                      // it is answered, and its list is compared with the records
 )
 
-// Hear judges a report.
+// JudgeHeartbeat judges a report.
 //
 // It is believed only if it shows our token, so that no earlier holder's command
 // can still be carried out, and if the mirror has reached the claim's revision, so
@@ -117,13 +117,13 @@
 	BoundAt uint64 // the revision that bound it, or an earlier one that is known
 }
 
-// Load is an attempt on a report's list.
+// ListedAttempt is an attempt on a report's list.
 type ListedAttempt struct {
 	Number int
 	Ended  bool
 }
 
-// Act is what to do about one attempt.
+// Action is what to do about one attempt.
 type Action uint8
 
 // Acts.
@@ -137,7 +137,7 @@
 	RenewToken               // it can't be settled under this token: take a new one
 )
 
-// Listed judges an attempt that a believed report lists. a is what the records bind
+// JudgeListed judges an attempt that a believed report lists. a is what the records bind
 // to this machine of the same task, if bound. direct tells whether a direct launch of
 // the listed attempt is unanswered.
 //
@@ -163,7 +163,7 @@
 	return Keep, 0
 }
 
-// Lacking judges an attempt that is bound to the machine and that a believed report
+// JudgeMissing judges an attempt that is bound to the machine and that a believed report
 // does not list. wanted is whether it should run here; ending whether its release
 // is proposed or under way already.
 //
@@ -189,7 +189,7 @@
 	return Release, NotListed
 }
 
-// Outlived judges an attempt that is bound to the machine when a report comes that is
+// JudgeEarlierEpoch judges an attempt that is bound to the machine when a report comes that is
 // answered and not believed. It needs no token: whoever launched the attempt named its session or answered a
 // report of it, which the worker refuses and drops in every later one, and sessions
 // never come back.
@@ -214,7 +214,7 @@
 // moment after the token was shown, when all that the earlier holder did was done.
 func (s WorkerState) launchable(a Attempt) bool { return a.BoundAt > s.Token || s.MirrorComplete }
 
-// Direct tells whether an attempt that the records bind to the machine may be
+// MayLaunchDirectly tells whether an attempt that the records bind to the machine may be
 // launched by a direct command now. The worker refuses one that names another
 // session or a lower token.
 //
@@ -226,7 +226,7 @@
 	return s.Held && s.TokenSeen && !s.LaunchInDoubt && s.AppliedRevision >= s.Token && a.Epoch == s.Epoch && s.launchable(a)
 }
 
-// LeaseOver tells whether a worker has killed everything of the sessions up to
+// LeaseExpired tells whether a worker has killed everything of the sessions up to
 // Session, since its lease has ended. answered is the arrival of the last report
 // that we answered under this claim, 0 if none; over is lease_s and the most that
 // two clocks drift apart (leaseOver).
@@ -238,13 +238,13 @@
 	return s.Held && s.TokenSeen && answered > 0 && now-answered > over
 }
 
-// Found is evidence as it was found: of which kind, and under which token.
+// Evidence is evidence as it was found: of which kind, and under which token.
 type Evidence struct {
 	Proof Proof
 	Token uint64
 }
 
-// Commit tells whether a release on that evidence may be written now, and whether
+// MayRelease tells whether a release on that evidence may be written now, and whether
 // the transaction must be conditional on the claim. Whatever transaction carries it
 // is also conditional on the task's record, so that it ends the attempt that was
 // judged and no other.
--- a/internal/fencing/horizon.go
+++ b/internal/fencing/horizon.go
@@ -5,7 +5,7 @@
 // Drift is the most by which two steady clocks run apart, with as much again for what timers add.
 const Drift = 0.001
 
-// Horizon is how old the last proof may be that no cancellation was confirmed which we don't
+// CancelHorizon is how old the last proof may be that no cancellation was confirmed which we don't
 // know of, for workers to be answered on the strength of it.
 //
 // Let a cancellation be confirmed at C, after the proof was asked for. The last report that is
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -90,7 +90,7 @@
 // SpreadLimit is the most tasks a spread job may have in one zone.
 func (s *Spec) SpreadLimit() int { return (s.Tasks + 1) / 2 }
 
-// TypeAllowed tells whether the job may use a machine type.
+// AllowsMachineType tells whether the job may use a machine type.
 func (s *Spec) AllowsMachineType(name string) bool {
 	if s.MachineTypes == nil {
 		return true
@@ -106,7 +106,7 @@
 // TaskName is the wire name of a task.
 func TaskName(id string, index int) string { return id + "/" + strconv.Itoa(index) }
 
-// SplitTaskName undoes TaskName.
+// ParseTaskName undoes TaskName.
 func ParseTaskName(name string) (id string, index int, err error) {
 	id, num, ok := strings.Cut(name, "/")
 	if !ok {
--- a/internal/protocol/extra.go
+++ b/internal/protocol/extra.go
@@ -134,13 +134,13 @@
 // safe in a key, in a path and as a file's name.
 func ValidName(s string) bool { return validKeySegment(s) && s[0] != '.' && s[0] != '-' }
 
-// ValidPlace tells whether s is a clean relative path that leads nowhere else.
+// ValidRelativePath tells whether s is a clean relative path that leads nowhere else.
 func ValidRelativePath(s string) bool {
 	return s != "" && len(s) <= 1000 && utf8.ValidString(s) && !strings.ContainsAny(s, "\x00\\") && path.Clean(s) == s &&
 		s != "." && s != ".." && !strings.HasPrefix(s, "/") && !strings.HasPrefix(s, "../")
 }
 
-// Description is all that a worker needs to run a job's tasks.
+// JobDescription is all that a worker needs to run a job's tasks.
 type JobDescription struct {
 	ID                  string      `json:"ref"`
 	Class               string      `json:"jobclass"`
@@ -161,7 +161,7 @@
 	Grant               string      `json:"seal,omitempty"`   // of the terms of archive.Grant
 }
 
-// UrgencyName is the wire name of a priority.
+// PriorityName is the wire name of a priority.
 func PriorityName(p job.Priority) string {
 	for n, v := range priorities {
 		if v == p {
@@ -171,7 +171,7 @@
 	return ""
 }
 
-// Pressing tells whether the wire name of a priority is one that others wait for.
+// IsUrgent tells whether the wire name of a priority is one that others wait for.
 func IsUrgent(urgency string) bool { return urgency == "prod" || urgency == "urgent" }
 
 // ShapeName is the wire name of a shape.
@@ -184,19 +184,19 @@
 	return ""
 }
 
-// GangPlaces tells where the tasks of a gang's attempt are.
+// GangMembers tells where the tasks of a gang's attempt are.
 type GangMembers struct {
 	Members []GangMember `json:"loads"`
 }
 
-// GangPlace is one task's machine.
+// GangMember is one task's machine.
 type GangMember struct {
 	Index   int    `json:"index"`
 	Machine string `json:"stoker"`
 	Address string `json:"address"`
 }
 
-// JobLine is a job as operators list it.
+// JobSummary is a job as operators list it.
 type JobSummary struct {
 	ID         string  `json:"ref"`
 	Status     string  `json:"status"`
@@ -217,7 +217,7 @@
 	Truncated bool         `json:"truncated"`
 }
 
-// NodeLine is a machine as operators list it.
+// MachineSummary is a machine as operators list it.
 type MachineSummary struct {
 	Machine          string  `json:"stoker"`
 	MachineType      string  `json:"rig"`
@@ -235,7 +235,7 @@
 	MemoryCapacityGB float64 `json:"ramGbOf"`
 }
 
-// NodePage is a page of machines, in the order of their names.
+// MachinePage is a page of machines, in the order of their names.
 type MachinePage struct {
 	Machines  []MachineSummary `json:"nodes"`
 	Truncated bool             `json:"truncated"`
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -36,7 +36,7 @@
 	PathWatch         = "/watch"
 )
 
-// Run is a submission.
+// Submission is a submission.
 type Submission struct {
 	ID                  *string  `json:"ref"`
 	Class               *string  `json:"jobclass"`
@@ -65,7 +65,7 @@
 	priorities = map[string]job.Priority{"prod": job.Production, "urgent": job.High, "standard": job.Normal, "idle": job.Low}
 )
 
-// ValidRef tells whether s has the form of a job id: wk- and six or more digits.
+// ValidJobID tells whether s has the form of a job id: wk- and six or more digits.
 func ValidJobID(s string) bool {
 	if len(s) < 9 || len(s) > 24 || s[:3] != "wk-" {
 		return false
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// RunRef reads only the id of a submission, which is wanted before anything
+// SubmissionID reads only the id of a submission, which is wanted before anything
 // else is judged: a known job is answered whatever the rest says.
 func SubmissionID(body []byte) (string, error) {
 	var v struct {
@@ -116,7 +116,7 @@
 	return *v.Ref, nil
 }
 
-// ParseRun reads and checks a submission.
+// ParseSubmission reads and checks a submission.
 func ParseSubmission(body []byte) (*job.Spec, error) {
 	if _, err := SubmissionID(body); err != nil {
 		return nil, err
@@ -194,7 +194,7 @@
 
 func isFiniteAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) && !math.IsNaN(v) && v < 1e15 }
 
-// RunState answers users.
+// JobState answers users.
 type JobState struct {
 	ID      string `json:"ref"`
 	Status  string `json:"status"`
@@ -223,7 +223,7 @@
 	CauseUnknown        = "unknown"
 )
 
-// Load is one task in a report.
+// TaskStatus is one task in a report.
 type TaskStatus struct {
 	Task         string `json:"load"`
 	Attempt      int    `json:"try"`
@@ -232,7 +232,7 @@
 	Checkpointed bool   `json:"saved,omitempty"`
 }
 
-// Report is a worker's report.
+// Heartbeat is a worker's report.
 type Heartbeat struct {
 	Worker            string       `json:"stoker"`
 	Address           string       `json:"address"`
@@ -251,7 +251,7 @@
 	Unshipped int `json:"unkept,omitempty"`
 }
 
-// ParseReport reads and checks a worker's report.
+// ParseHeartbeat reads and checks a worker's report.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var r Heartbeat
 	if err := Decode(body, &r); err != nil {
@@ -290,7 +290,7 @@
 	VerbForget = "forget"
 )
 
-// Order is one command to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb         string   `json:"verb"`
 	Task         string   `json:"load"`
@@ -300,7 +300,7 @@
 	Grant string `json:"seal,omitempty"`
 }
 
-// CheckinAnswer is the answer to a report.
+// HeartbeatResponse is the answer to a report.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
@@ -308,7 +308,7 @@
 	DataStore *StoreOrders `json:"store,omitempty"`
 }
 
-// DirectOrders is sent straight to a worker.
+// DirectCommands is sent straight to a worker.
 type DirectCommands struct {
 	FencingToken uint64    `json:"baton"`
 	AgentEpoch   uint64    `json:"shift"`
@@ -320,7 +320,7 @@
 	Controller string `json:"dispatcher,omitempty"`
 }
 
-// Flavor is a machine type.
+// MachineType is a machine type.
 type MachineType struct {
 	Name            string   `json:"sku"`
 	CPUs            float64  `json:"cpus"`
@@ -334,12 +334,12 @@
 	Zones           []string `json:"depots"`
 }
 
-// Flavors is the catalogue.
+// MachineTypes is the catalogue.
 type MachineTypes struct {
 	MachineTypes []MachineType `json:"rigs"`
 }
 
-// Rental asks for machines.
+// RentalRequest asks for machines.
 type RentalRequest struct {
 	RequestID   string `json:"hire"`
 	MachineType string `json:"rig"`
@@ -348,12 +348,12 @@
 	Count       int    `json:"number"`
 }
 
-// Names lists machines by name.
+// MachineNames lists machines by name.
 type MachineNames struct {
 	Machines []string `json:"stokers"`
 }
 
-// Listed is a machine in the cloud's list.
+// RentedMachine is a machine in the cloud's list.
 type RentedMachine struct {
 	Name        string  `json:"ref"`
 	Address     string  `json:"address"`
@@ -377,7 +377,7 @@
 	Truncated bool            `json:"truncated"`
 }
 
-// Entry is a key of the state service.
+// KeyValue is a key of the state service.
 type KeyValue struct {
 	Key         string          `json:"key"`
 	Value       json.RawMessage `json:"data"`
@@ -386,14 +386,14 @@
 	Revision    uint64          `json:"ledger"`
 }
 
-// EntryPage is a page of keys.
+// KeyValuePage is a page of keys.
 type KeyValuePage struct {
 	KeyValues []KeyValue `json:"entries"`
 	Truncated bool       `json:"truncated"`
 	Revision  uint64     `json:"ledger"`
 }
 
-// Cond demands that a key has a stamp; 0 means that it does not exist.
+// Compare demands that a key has a stamp; 0 means that it does not exist.
 type Compare struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"stamp"`
@@ -419,7 +419,7 @@
 	Failed   []string `json:"failed"`
 }
 
-// News is one change in a watch's answer.
+// WatchEvent is one change in a watch's answer.
 type WatchEvent struct {
 	Put         string          `json:"write"`
 	Delete      string          `json:"drop"`
@@ -433,17 +433,17 @@
 	Events   []WatchEvent `json:"news"`
 }
 
-// Grant asks for a lease, and Granted answers.
+// LeaseRequest asks for a lease, and Granted answers.
 type LeaseRequest struct {
 	TTLMs int64 `json:"ttlMs"`
 }
 
-// Granted is a lease.
+// LeaseResponse is a lease.
 type LeaseResponse struct {
 	Lease uint64 `json:"permit"`
 }
 
-// Problem is the body of an error answer.
+// ErrorResponse is the body of an error answer.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -21,7 +21,7 @@
 // Class orders requests when the budget is short.
 type Class int
 
-// Classes, in their tiers.
+// NumClasses, in their tiers.
 const (
 	Safety       Class = iota // leases and cancellations
 	UrgentWork                // first tier: placements and endings of work of the highest priority
@@ -57,13 +57,13 @@
 	// something waits, and halves on a refusal, after which it stays for a while.
 	borrowPerS  = 0.1
 	borrowPause = 5 * time.Second
-	// hungry is how long a wait counts, and calmUse the part of its equal share
-	// that a controller is taken to use when nothing waits there, idleUse when there is
+	// throttledFor is how long a wait counts, and quietPeerUse the part of its equal share
+	// that a controller is taken to use when nothing waits there, idlePeerUse when there is
 	// nothing that it could do.
 	throttledFor = 2 * time.Second
 	quietPeerUse = 0.5
 	idlePeerUse  = 0.1
-	// margin keeps clear of the service's own count.
+	// safetyMargin keeps clear of the service's own count.
 	safetyMargin = 0.95
 )
 
@@ -73,7 +73,7 @@
 	b.level = min(b.burst, b.level+b.rate*share*d.Seconds())
 }
 
-// Budget is one controller's.
+// Limiter is one controller's.
 type Limiter struct {
 	now       time.Duration
 	requests  bucket
@@ -123,11 +123,11 @@
 	b.blocked = b.blocked && d == 0
 }
 
-// Hungry tells whether something has waited for the budget of late. Peers that
+// Throttled tells whether something has waited for the budget of late. Peers that
 // know it leave more.
 func (b *Limiter) Throttled() bool { return b.now-b.blockedAt < throttledFor }
 
-// Peers takes how many of the others are hungry, those that have not been heard
+// SetPeerDemand takes how many of the others are hungry, those that have not been heard
 // included, and how many are idle: they hear no workers, or can't reach the service. The hungry ones share what the others hardly use, at once: a controller
 // that alone has a mass failure to work off would else take half a minute to borrow
 // it. Nothing depends on the word being true, as the service refuses what is over.
@@ -142,7 +142,7 @@
 // Refused tells that the service said it was asked too often.
 func (b *Limiter) Refused() { b.share, b.refusedAt = max(1, b.share/2), b.now }
 
-// Waits tells whether a class has something to send, and how many changes the
+// SetDemand tells whether a class has something to send, and how many changes the
 // first of it makes.
 func (b *Limiter) SetDemand(c Class, waiting bool, changes float64) {
 	if waiting && !b.demand[c].waiting {
@@ -186,7 +186,7 @@
 	return best
 }
 
-// Can tells whether a transaction of a class with so many changes could be sent
+// CanSpend tells whether a transaction of a class with so many changes could be sent
 // now. Whoever asks first builds it from the latest records.
 func (b *Limiter) CanSpend(c Class, changes float64) bool {
 	if other := b.first(false, c); other >= 0 &&
@@ -209,7 +209,7 @@
 	*t, b.startTags[c] = start, start+1+changes
 }
 
-// Read takes a request out of the budget that belongs to no class: the watch and
+// SpendRead takes a request out of the budget that belongs to no class: the watch and
 // the first reading of the records. It is false when there is none.
 func (b *Limiter) SpendRead() bool {
 	if b.requests.level < 1 {
@@ -219,12 +219,12 @@
 	return true
 }
 
-// Clears is about how long so many requests with so many changes take at the
+// QueueDelay is about how long so many requests with so many changes take at the
 // present share.
 func (b *Limiter) QueueDelay(requests, changes float64) time.Duration {
 	s := max((requests-b.requests.level)/(b.requests.rate*b.share), (changes-b.changes.level)/(b.changes.rate*b.share))
 	return time.Duration(max(0, s) * float64(time.Second))
 }
 
-// Ample tells whether the budget of requests is at least half full.
+// HasSpareRequests tells whether the budget of requests is at least half full.
 func (b *Limiter) HasSpareRequests() bool { return b.requests.level >= b.requests.burst/2 }
--- a/internal/stateclient/store.go
+++ b/internal/stateclient/store.go
@@ -15,14 +15,14 @@
 	"silvergate/internal/ratelimit"
 )
 
-// Root is the prefix of every key that is mirrored.
+// MirroredPrefix is the prefix of every key that is mirrored.
 const MirroredPrefix = "sg/"
 
-// Aside is the prefix of keys that no controller mirrors: what is read one by
+// UnmirroredPrefix is the prefix of keys that no controller mirrors: what is read one by
 // one and seldom costs nothing at a start, and nothing with each change.
 const UnmirroredPrefix = "sgx/"
 
-// Outcome is what came of a transaction.
+// TxnOutcome is what came of a transaction.
 type TxnOutcome int
 
 // Outcomes. Unknown means that it may have been, or may yet be, executed.
@@ -34,7 +34,7 @@
 	Unknown
 )
 
-// Store talks to the state service. It does no I/O: it hands out calls and
+// Client talks to the state service. It does no I/O: it hands out calls and
 // takes replies, and the time comes with them.
 type Client struct {
 	Send  func(protocol.Call, func(protocol.Reply))
@@ -83,7 +83,7 @@
 	maxInflight  = 24
 )
 
-// NewStore makes a store that keeps to an equal share of the service's rates.
+// New makes a store that keeps to an equal share of the service's rates.
 func New(f *config.Facts, controllers int) *Client {
 	n := float64(max(1, controllers))
 	s := &Client{revisions: map[string]uint64{}, tombstones: map[string]uint64{}}
@@ -94,25 +94,25 @@
 	return s
 }
 
-// Ready tells whether the records have been read.
+// Loaded tells whether the records have been read.
 func (s *Client) Loaded() bool { return s.loaded }
 
-// Reading tells whether the records are being read anew: what comes may then skip
+// Rescanning tells whether the records are being read anew: what comes may then skip
 // changes, as a key is seen as it is and not as it became so.
 func (s *Client) Rescanning() bool { return s.seenKeys != nil }
 
-// Whole tells whether the mirror is one that the state service once had, if for writes of ours that are ahead of it. It
+// Consistent tells whether the mirror is one that the state service once had, if for writes of ours that are ahead of it. It
 // is not while the records are read by pages, and until the watch has brought what changed meanwhile: a later
 // page may show what came of a change that an earlier one was read before.
 func (s *Client) Consistent() bool { return s.consistent }
 
-// Ledger is the revision up to which the mirror is complete.
+// AppliedRevision is the revision up to which the mirror is complete.
 func (s *Client) AppliedRevision() uint64 { return s.appliedRevision }
 
-// Fresh is the time at which the mirror was last known to be complete.
+// FreshAt is the time at which the mirror was last known to be complete.
 func (s *Client) FreshAt() time.Duration { return s.freshAt }
 
-// Stamp is the mirrored version of a key, 0 if it does not exist.
+// ModRevision is the mirrored version of a key, 0 if it does not exist.
 func (s *Client) ModRevision(key string) uint64 { return s.revisions[key] }
 
 // Backlog is the number of requests that wait for the budget.
@@ -124,7 +124,7 @@
 	return n
 }
 
-// Clears is about how long what waits for the budget will take.
+// QueueDelay is about how long what waits for the budget will take.
 func (s *Client) QueueDelay() time.Duration {
 	requests, changes := 0.0, 0.0
 	for _, q := range s.queue {
@@ -135,7 +135,7 @@
 	return s.limiter.QueueDelay(requests, changes)
 }
 
-// Waits tells whether something is to be sent when time has passed, and not
+// NeedsTick tells whether something is to be sent when time has passed, and not
 // when an answer comes: a queued request, or the next watch.
 func (s *Client) NeedsTick() bool { return s.Backlog() > 0 || !s.loading && !s.watching }
 
@@ -144,7 +144,7 @@
 	s.updateDemand(r.class)
 }
 
-// patience is how long a transaction of a class may wait for the budget.
+// queueTimeoutOf is how long a transaction of a class may wait for the budget.
 func queueTimeoutOf(c ratelimit.Class) time.Duration {
 	if c == ratelimit.UrgentClaims || c == ratelimit.BusyClaims || c == ratelimit.IdleClaims {
 		return claimTimeout
@@ -152,7 +152,7 @@
 	return queueTimeout
 }
 
-// Txn sends a transaction. After OK the mirror holds its changes.
+// Txn sends a transaction. After Committed the mirror holds its changes.
 func (s *Client) Txn(class ratelimit.Class, compares []protocol.Compare, ops []protocol.Op, done func(TxnOutcome, []string, uint64)) {
 	body := protocol.Encode(protocol.Txn{Compares: compares, Ops: ops})
 	s.enqueue(&request{class: class, method: http.MethodPost, path: protocol.PathTxn, body: body,
@@ -189,7 +189,7 @@
 		}})
 }
 
-// Get reads one key afresh into the mirror; ok is false when that failed.
+// Refresh reads one key afresh into the mirror; ok is false when that failed.
 func (s *Client) Refresh(class ratelimit.Class, key string, done func(ok bool)) {
 	s.enqueue(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
 		deadline: s.now + queueTimeout, done: func(r protocol.Reply) {
@@ -205,7 +205,7 @@
 		}})
 }
 
-// Read reads a key that is not mirrored: one outside Root. ok is false when
+// ReadUnmirrored reads a key that is not mirrored: one outside Root. ok is false when
 // that failed; data is nil when the key does not exist.
 func (s *Client) ReadUnmirrored(class ratelimit.Class, key string, done func(data json.RawMessage, ok bool)) {
 	s.enqueue(&request{class: class, method: http.MethodGet, path: protocol.PathKeys + "/" + key,
@@ -222,7 +222,7 @@
 		}})
 }
 
-// Grant asks for a lease, Touch renews one.
+// GrantLease asks for a lease, Touch renews one.
 func (s *Client) GrantLease(ttl time.Duration, done func(lease uint64)) {
 	body := protocol.Encode(protocol.LeaseRequest{TTLMs: ttl.Milliseconds()})
 	s.enqueue(&request{class: ratelimit.Safety, method: http.MethodPost, path: protocol.PathLeases, body: body,
@@ -235,7 +235,7 @@
 		}})
 }
 
-// Touch renews a lease. gone is true when it has ended.
+// KeepAlive renews a lease. gone is true when it has ended.
 func (s *Client) KeepAlive(lease uint64, done func(ok, expired bool)) {
 	s.enqueue(&request{class: ratelimit.Safety, method: http.MethodPost,
 		path:     protocol.PathLeases + "/" + strconv.FormatUint(lease, 10) + "/" + protocol.PathKeepAlive,
@@ -250,14 +250,14 @@
 	s.limiter.Advance(now)
 }
 
-// Hungry tells whether something has waited for the budget of late, and Peers
+// Throttled tells whether something has waited for the budget of late, and Peers
 // takes how many other controllers have said so or have not been heard.
 func (s *Client) Throttled() bool { return s.limiter.Throttled() }
 
-// Peers is the other direction of Hungry.
+// SetPeerDemand is the other direction of Hungry.
 func (s *Client) SetPeerDemand(hungry, idle int) { s.limiter.SetPeerDemand(hungry, idle) }
 
-// CanSend tells whether a transaction of this class with so many changes would
+// Reserve tells whether a transaction of this class with so many changes would
 // be sent at once. Whoever asks first builds it from the latest mirror, and
 // what comes up until then can go with it. What is refused is saved for, until
 // Forgo.
@@ -272,12 +272,12 @@
 	return false
 }
 
-// Could is CanSend without saving for what is refused.
+// CanSend is Reserve without saving for what is refused.
 func (s *Client) CanSend(class ratelimit.Class, changes int) bool {
 	return s.now >= s.pausedUntil && s.inflight < maxInflight && len(s.queue[class]) == 0 && s.limiter.CanSpend(class, float64(changes))
 }
 
-// Forgo tells that nothing of what CanSend refused is wanted any more.
+// ReleaseReservations tells that nothing of what Reserve refused is wanted any more.
 func (s *Client) ReleaseReservations() {
 	for c := range s.reserved {
 		if s.reserved[c] > 0 {
@@ -287,7 +287,7 @@
 	}
 }
 
-// tell keeps the budget's knowledge of what waits.
+// updateDemand keeps the budget's knowledge of what waits.
 func (s *Client) updateDemand(c ratelimit.Class) {
 	if q := s.queue[c]; len(q) > 0 {
 		s.limiter.SetDemand(c, true, q[0].writes)
@@ -296,14 +296,14 @@
 	}
 }
 
-// Late is the age from which the mirror has certainly missed a watch: each
+// StaleAfter is the age from which the mirror has certainly missed a watch: each
 // stays open for block, and the next one is opened at once.
 func (s *Client) StaleAfter() time.Duration { return 5 * s.watchTimeout / 2 }
 
-// Spacing is the least time between two openings of the watch.
+// WatchSpacing is the least time between two openings of the watch.
 func (s *Client) WatchSpacing() time.Duration { return s.watchSpacing }
 
-// Ample tells whether the budget of requests is at least half full.
+// HasSpareRequests tells whether the budget of requests is at least half full.
 func (s *Client) HasSpareRequests() bool { return s.limiter.HasSpareRequests() }
 
 // Tick sends what the budget allows.
@@ -314,7 +314,7 @@
 	for now >= s.pausedUntil && s.inflight < maxInflight {
 		c := s.limiter.Next()
 		if c < 0 || len(s.queue[c]) == 0 {
-			return // the turn of what CanSend refused
+			return // the turn of what Reserve refused
 		}
 		r := s.queue[c][0]
 		if s.queue[c] = s.queue[c][1:]; len(s.queue[c]) == 0 {
@@ -326,7 +326,7 @@
 	}
 }
 
-// expire gives up on what has waited too long for the budget.
+// expireQueued gives up on what has waited too long for the budget.
 func (s *Client) expireQueued() {
 	var late []*request
 	for c, q := range s.queue {
@@ -369,10 +369,10 @@
 	}
 }
 
-// Contact is the time of the last real answer.
+// ContactAt is the time of the last real answer.
 func (s *Client) ContactAt() time.Duration { return s.contactAt }
 
-// follow keeps the mirror: reads all keys page by page, then watches.
+// sync keeps the mirror: reads all keys page by page, then watches.
 func (s *Client) sync() {
 	if s.loading || s.watching || s.now < s.nextSyncAt || !s.limiter.SpendRead() {
 		return
@@ -448,7 +448,7 @@
 	})
 }
 
-// local brings one change into the mirror, unless a newer one is there.
+// applyChange brings one change into the mirror, unless a newer one is there.
 func (s *Client) applyChange(key string, data json.RawMessage, revision uint64) {
 	if old, ok := s.revisions[key]; ok && old >= revision {
 		return
--- a/internal/statestore/backup.go
+++ b/internal/statestore/backup.go
@@ -24,7 +24,7 @@
 	Name string `json:"name"`
 }
 
-// Saved is a backup that was written and checked.
+// BackupSummary is a backup that was written and checked.
 type BackupSummary struct {
 	File     string `json:"file"`
 	Revision uint64 `json:"ledger"`
--- a/internal/statestore/disk.go
+++ b/internal/statestore/disk.go
@@ -39,7 +39,7 @@
 // as it is.
 var ErrDamaged = checksum.ErrDamaged
 
-// head is what the file says of itself.
+// header is what the file says of itself.
 type header struct {
 	Revision        uint64 // revision of the last change
 	LastLease       uint64 // the last grant's number
@@ -50,13 +50,13 @@
 	Digest          uint64 // of all keys' records, order not minding
 }
 
-// record is a key's stored value.
+// keyRecord is a key's stored value.
 type keyRecord struct {
 	modRevision, lease uint64
 	value              []byte
 }
 
-// change is one change of a key; data is nil when it was dropped.
+// changeEvent is one change of a key; data is nil when it was dropped.
 type changeEvent struct {
 	key      string
 	value    []byte
@@ -338,7 +338,7 @@
 	return ledger, kept, err
 }
 
-// order is what the writer is to do: a transaction, a new grant, or the end of
+// request is what the writer is to do: a transaction, a new grant, or the end of
 // one.
 type request struct {
 	txn           *protocol.Txn
@@ -347,7 +347,7 @@
 	respond       func(result)
 }
 
-// outcome is what came of an order.
+// result is what came of an order.
 type result struct {
 	failed        []string // keys whose stamps differ
 	leaseExpired  bool
@@ -396,7 +396,7 @@
 	return out, changes, nil
 }
 
-// writer carries out the orders of one commit.
+// txnWriter carries out the orders of one commit.
 type txnWriter struct {
 	d                    *disk
 	header               header
@@ -456,7 +456,7 @@
 	return o, nil
 }
 
-// end ends a grant: its keys are gone with it, in one change.
+// expireLease ends a grant: its keys are gone with it, in one change.
 func (w *txnWriter) expireLease(grant uint64) (result, error) {
 	o := result{revision: w.header.Revision}
 	k := be64(grant)
@@ -493,7 +493,7 @@
 	return r, true, nil
 }
 
-// forget takes a key's old record out of the account.
+// detachKey takes a key's old record out of the account.
 func (w *txnWriter) detachKey(key string) (there bool, err error) {
 	old, there, err := w.read(key)
 	if err != nil || !there {
@@ -542,7 +542,7 @@
 	return w.events.Put(k, encodeChange(k, c))
 }
 
-// trim drops the oldest changes beyond those that watches can go back.
+// compact drops the oldest changes beyond those that watches can go back.
 func (w *txnWriter) compact() error {
 	c := w.events.Cursor()
 	for k, _ := c.First(); k != nil && w.header.Events > uint64(w.d.retainedEvents); k, _ = c.First() {
--- a/internal/statestore/machine.go
+++ b/internal/statestore/machine.go
@@ -54,7 +54,7 @@
 	maxTTL          = 600 * time.Second
 )
 
-// stall is the time between two looks at the clock from which the service is
+// maxStall is the time between two looks at the clock from which the service is
 // taken to have been out: nobody could renew a grant meanwhile. It is the
 // slack that the end of a grant may have.
 const maxStall = minTTL
@@ -76,7 +76,7 @@
 	until time.Duration
 }
 
-// verdict is the machine's answer to a request: an answer for at once, or what
+// decision is the machine's answer to a request: an answer for at once, or what
 // is to be done for one.
 type decision struct {
 	status     int // 0: something below is to be done first
@@ -94,7 +94,7 @@
 	page        int
 }
 
-// machine decides on requests: their form, the rates, grants and watches. It
+// admission decides on requests: their form, the rates, grants and watches. It
 // does no I/O; time comes with the inputs.
 type admission struct {
 	limits  Limits
@@ -187,7 +187,7 @@
 	return out
 }
 
-// granted and ended take what the disk did with grants.
+// leaseGranted and ended take what the disk did with grants.
 func (m *admission) leaseGranted(id uint64, ttl time.Duration) {
 	m.leases[id] = &lease{ttl: ttl, until: m.now + ttl}
 }
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -266,7 +266,7 @@
 	s.json(id, http.StatusOK, page)
 }
 
-// look answers a watch that has something to tell, and parks any other.
+// readWatch answers a watch that has something to tell, and parks any other.
 func (s *Service) readWatch(w *watcher) {
 	r, kept, err := s.eventsSince(w)
 	switch {
@@ -306,7 +306,7 @@
 	return r, kept, err
 }
 
-// tell answers a watch with what there is now. Watches that ask for the same
+// notify answers a watch with what there is now. Watches that ask for the same
 // share the encoding, in told.
 func (s *Service) notify(w *watcher, told map[watcher][]byte) {
 	k := watcher{under: w.under, from: w.from}
