--- /dev/null
+++ b/internal/protocol/golden_test.go
@@ -0,0 +1,310 @@
+package protocol
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"silvergate/internal/job"
+)
+
+// goldenMessages has every message of the HTTP interfaces under the name of its golden file. The file's name is
+// kept when the type is renamed.
+var goldenMessages = map[string]any{
+	"submission":         Run{},
+	"submission-extra":   job.Extra{},
+	"job-state":          RunState{},
+	"report":             Report{},
+	"report-answer":      CheckinAnswer{},
+	"direct-orders":      DirectOrders{},
+	"redirect":           Redirect{},
+	"flavors":            Flavors{},
+	"rental":             Rental{},
+	"names":              Names{},
+	"rental-list":        RentalList{},
+	"entry-page":         EntryPage{},
+	"transaction":        Txn{},
+	"transaction-result": TxnResult{},
+	"watch-result":       WatchResult{},
+	"grant":              Grant{},
+	"granted":            Granted{},
+	"problem":            Problem{},
+	"data-set":           DataSet{},
+	"data-set-page":      DataSetPage{},
+	"staging":            Staging{},
+	"description":        Description{},
+	"gang-places":        GangPlaces{},
+	"job-page":           JobPage{},
+	"node-page":          NodePage{},
+}
+
+// updateVariable is the environment variable that has the golden files written anew.
+const updateVariable = "GOLDEN_UPDATE"
+
+// TestGoldenMessages compares the bytes of every message, all fields set, with its golden file. Go names may
+// change freely; a change of a tag's name, of the order of fields or of a type changes bytes.
+func TestGoldenMessages(t *testing.T) {
+	for name, message := range goldenMessages {
+		t.Run(name, func(t *testing.T) {
+			filled := filledValue(t, reflect.TypeOf(message))
+			encoded := Encode(filled.Interface())
+			golden := goldenBytes(t, name, encoded)
+			if !bytes.Equal(encoded, golden) {
+				t.Errorf("encoded\n%s\nthe golden file has\n%s", encoded, golden)
+			}
+			for _, decoder := range decoders {
+				decoded := reflect.New(filled.Type())
+				if err := decoder.decode(golden, decoded.Interface()); err != nil {
+					t.Errorf("%s: %v", decoder.name, err)
+				}
+				if !reflect.DeepEqual(decoded.Elem().Interface(), filled.Interface()) {
+					t.Errorf("%s reads %+v, want %+v", decoder.name, decoded.Elem(), filled)
+				}
+			}
+		})
+	}
+}
+
+// TestGoldenZeroValues compares the bytes of every message without content, and of the structs that it consists of,
+// with its golden file: they show which fields are left out when empty.
+func TestGoldenZeroValues(t *testing.T) {
+	for name, message := range goldenMessages {
+		t.Run(name, func(t *testing.T) {
+			var zeros []any
+			for _, structure := range structsWithin(reflect.TypeOf(message)) {
+				zeros = append(zeros, reflect.Zero(structure).Interface())
+			}
+			encoded := Encode(zeros)
+			if golden := goldenBytes(t, name+"-zero", encoded); !bytes.Equal(encoded, golden) {
+				t.Errorf("encoded\n%s\nthe golden file has\n%s", encoded, golden)
+			}
+		})
+	}
+}
+
+// TestEveryMessageIsGolden finds wire structs of this package that no golden file covers.
+func TestEveryMessageIsGolden(t *testing.T) {
+	covered := map[string]bool{}
+	for _, message := range goldenMessages {
+		for _, structure := range structsWithin(reflect.TypeOf(message)) {
+			covered[structure.Name()] = true
+		}
+	}
+	declared := declaredMessages(t)
+	if len(declared) == 0 {
+		t.Error("found no wire struct")
+	}
+	for _, name := range declared {
+		if !covered[name] {
+			t.Errorf("%s is not in goldenMessages, nor part of one that is", name)
+		}
+	}
+}
+
+// TestParseExtraReadsGolden checks that submissions are read by the same names as the golden file has.
+func TestParseExtraReadsGolden(t *testing.T) {
+	want := filledValue(t, reflect.TypeFor[job.Extra]()).Addr().Interface()
+	got, err := ParseExtra(goldenBytes(t, "submission-extra", Encode(want)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+}
+
+// structsWithin are the struct types that a value of a type consists of, itself first, each once.
+func structsWithin(of reflect.Type) []reflect.Type {
+	var found []reflect.Type
+	seen := map[reflect.Type]bool{}
+	var visit func(reflect.Type)
+	visit = func(of reflect.Type) {
+		switch of.Kind() {
+		case reflect.Pointer, reflect.Slice, reflect.Map:
+			visit(of.Elem())
+		case reflect.Struct:
+			if seen[of] {
+				return
+			}
+			seen[of] = true
+			found = append(found, of)
+			for i := range of.NumField() {
+				visit(of.Field(i).Type)
+			}
+		}
+	}
+	visit(of)
+	return found
+}
+
+// declaredMessages are the names of this package's struct types that have JSON tags.
+func declaredMessages(t *testing.T) []string {
+	t.Helper()
+	paths, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		names = append(names, taggedStructs(file)...)
+	}
+	return names
+}
+
+// taggedStructs are the names of the file's struct types that have JSON tags.
+func taggedStructs(file *ast.File) []string {
+	var names []string
+	ast.Inspect(file, func(node ast.Node) bool {
+		spec, isType := node.(*ast.TypeSpec)
+		if !isType {
+			return true
+		}
+		if structure, isStruct := spec.Type.(*ast.StructType); isStruct && hasTags(structure) {
+			names = append(names, spec.Name.Name)
+		}
+		return true
+	})
+	return names
+}
+
+// hasTags reports whether any field has a JSON tag.
+func hasTags(structure *ast.StructType) bool {
+	for _, field := range structure.Fields.List {
+		if field.Tag != nil && strings.Contains(field.Tag.Value, `json:"`) {
+			return true
+		}
+	}
+	return false
+}
+
+// decoders are all that messages are read with.
+var decoders = []struct {
+	name   string
+	decode func(data []byte, message any) error
+}{
+	{"Decode", Decode},
+	{"DecodeState", DecodeState},
+	{"DecodeObject", DecodeObject},
+	{"encoding/json", json.Unmarshal},
+}
+
+// goldenBytes reads a message's golden file; it writes the file first if an update is asked for.
+func goldenBytes(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name+".json")
+	if os.Getenv(updateVariable) == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, append(bytes.Clone(encoded), '\n'), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("%v (%s=1 writes it)", err, updateVariable)
+	}
+	return bytes.TrimSuffix(golden, []byte("\n"))
+}
+
+// filledValue is a value of a type with every field set to a value of its own, in the order of the fields, so that
+// it does not depend on their names.
+func filledValue(t *testing.T, of reflect.Type) reflect.Value {
+	t.Helper()
+	value := reflect.New(of).Elem()
+	filler := filler{t: t}
+	filler.fill(value)
+	return value
+}
+
+// filler sets values and counts them.
+type filler struct {
+	t     *testing.T
+	count int
+}
+
+var rawMessage = reflect.TypeFor[json.RawMessage]()
+
+// fill sets a value, and what it consists of, to something that is not zero.
+func (f *filler) fill(value reflect.Value) {
+	if value.Type() == rawMessage {
+		value.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.next()))
+		return
+	}
+	switch value.Kind() {
+	case reflect.Struct:
+		f.fillStruct(value)
+	case reflect.Slice:
+		f.fillSlice(value)
+	case reflect.Map:
+		f.fillMap(value)
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		f.fill(value.Elem())
+	default:
+		f.fillScalar(value)
+	}
+}
+
+func (f *filler) fillStruct(structure reflect.Value) {
+	for i := range structure.NumField() {
+		f.fill(structure.Field(i))
+	}
+}
+
+// fillSlice makes two elements, so that their separation is in the golden file.
+func (f *filler) fillSlice(slice reflect.Value) {
+	slice.Set(reflect.MakeSlice(slice.Type(), 2, 2))
+	for i := range slice.Len() {
+		f.fill(slice.Index(i))
+	}
+}
+
+func (f *filler) fillMap(table reflect.Value) {
+	table.Set(reflect.MakeMap(table.Type()))
+	for range 2 {
+		key := reflect.New(table.Type().Key()).Elem()
+		element := reflect.New(table.Type().Elem()).Elem()
+		f.fill(key)
+		f.fill(element)
+		table.SetMapIndex(key, element)
+	}
+}
+
+func (f *filler) fillScalar(value reflect.Value) {
+	number := f.next()
+	switch {
+	case value.Kind() == reflect.String:
+		value.SetString(fmt.Sprintf("text%d", number))
+	case value.Kind() == reflect.Bool:
+		value.SetBool(true)
+	case value.CanInt():
+		value.SetInt(int64(number))
+	case value.CanUint():
+		value.SetUint(uint64(number))
+	case value.CanFloat():
+		value.SetFloat(float64(number) + 0.5)
+	default:
+		f.t.Fatalf("no way to fill a %s", value.Type())
+	}
+}
+
+func (f *filler) next() int {
+	f.count++
+	return f.count
+}
