--- a/internal/coordination/apart_test.go
+++ b/internal/coordination/apart_test.go
@@ -83,7 +83,7 @@
 		leader := s.busiest()
 		unresponsive := map[string]bool{}
 		for _, w := range s.cloud.sorted() {
-			if m := leader.core.machines[w.name]; m != nil && leader.core.isOwn(m) {
+			if m := leader.core.machines.byID[w.name]; m != nil && leader.core.isOwn(m) {
 				w.deaf, unresponsive[w.name] = s.now+70*time.Second, true
 			}
 		}
@@ -93,7 +93,7 @@
 					continue
 				}
 				n = 0
-				for _, m := range o.core.machines {
+				for _, m := range o.core.machines.byID {
 					if unresponsive[m.id] {
 						n += len(m.bound)
 					}
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -119,7 +119,7 @@
 // flushPages sends a page's changes and, where that saves changes, those of
 // further pages of the same team and class.
 func (c *Core) flushPages(first *page, more []*page) {
-	tm := c.teams[first.job.spec.Team]
+	tm := c.jobs.teams[first.job.spec.Team]
 	b := &txnBatch{team: tm, chargesQuota: tm != nil && hasQuota(tm), comparedKeys: map[string]bool{}, class: first.class()}
 	if first.tasks != nil && b.chargesQuota && tm.inFlight {
 		return
@@ -163,7 +163,7 @@
 	}
 	m.addUsage(r.spec, -1)
 	defer m.addUsage(r.spec, 1)
-	for _, u := range c.queuedJobs {
+	for _, u := range c.scheduler.queuedJobs {
 		if u.spec.Priority == job.Production && c.fits(u, m) &&
 			slices.ContainsFunc(u.queue, func(w *queuedTask) bool { return c.placeable(u, w.key.index) }) {
 			return true
@@ -265,7 +265,7 @@
 // applyPlacement takes a placement in, if it still holds.
 func (d *pageDraft) applyPlacement(ch taskTransition) {
 	c, r, t := d.core, d.page.job, &d.tasks[ch.index]
-	m := c.machines[ch.machine]
+	m := c.machines.byID[ch.machine]
 	u := d.usage.plus(r.spec, 1)
 	ok := t.Phase == job.Pending && !r.final() && m != nil && c.usable(r, m, ch.epoch) && (!d.batch.chargesQuota || d.batch.team.leavesQuotaFor(r, u))
 	// Guards against a peer's placement that came into the mirror
--- a/internal/coordination/checker_test.go
+++ b/internal/coordination/checker_test.go
@@ -245,7 +245,7 @@
 func (n *simNode) judgeOrder(e Effects) {
 	c, s := n.core, n.s
 	waits := map[waitIn]time.Duration{}
-	for _, r := range c.queuedJobs {
+	for _, r := range c.scheduler.queuedJobs {
 		u := s.users[r.spec.ID]
 		if u == nil || u.spec.Priority < job.Production {
 			continue
@@ -278,10 +278,10 @@
 				continue
 			}
 			s.judged++
-			lesser := c.jobs[id].spec
+			lesser := c.jobs.byID[id].spec
 			committed := n.started + m.boundAt[taskKey{id, index}].boundAt
 			for k, since := range waits {
-				r := c.jobs[k.job]
+				r := c.jobs.byID[k.job]
 				if k.zone != m.claim.Zone || committed-since <= seconds(s.facts.Workers.Report) {
 					continue
 				}
@@ -297,7 +297,7 @@
 	for _, k := range e.Calls {
 		var d protocol.DirectCommands
 		if k.Path == protocol.PathCommands && json.Unmarshal(k.Body, &d) == nil {
-			for _, m := range c.ownMachines {
+			for _, m := range c.machines.own {
 				if m.claim.Address == k.Address {
 					launches(m, d.Commands)
 				}
@@ -307,7 +307,7 @@
 	for _, a := range e.Responses {
 		var d protocol.HeartbeatResponse
 		if who := n.askers[a.ID]; who != "" && a.Status == 200 && json.Unmarshal(a.Body, &d) == nil {
-			launches(c.machines[who], d.Commands)
+			launches(c.machines.byID[who], d.Commands)
 		}
 	}
 }
--- a/internal/coordination/checkin.go
+++ b/internal/coordination/checkin.go
@@ -83,14 +83,14 @@
 // claimMachine writes the claim for a new token.
 func (c *Core) claimMachine(m *machine, r *protocol.Heartbeat, tries int, done func(*machine, bool)) {
 	m.claiming = true
-	c.claimsInFlight++
+	c.machines.claimsInFlight++
 	again := c.isOwn(m) && c.mirrorComplete(m) // nobody else can have held it since
 	k := claimRecord{c.cfg.Node, c.incarnation, r.Address, r.MachineType, r.Zone, r.Spot, c.claimEpoch()}
 	class := m.class()
 	c.state.Txn(class, m.ownershipCompares(),
 		[]protocol.Op{{Put: keyClaim + m.id, Value: encode(k)}}, func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 			m.claiming = false
-			c.claimsInFlight--
+			c.machines.claimsInFlight--
 			// The machine may have been forgotten and met again meanwhile.
 			m = c.machine(m.id)
 			switch {
@@ -197,7 +197,7 @@
 
 // knownFinal tells whether a job is known to be over, by its record or by a peer's word.
 func (c *Core) knownFinal(id string) bool {
-	rec := c.jobs[id]
+	rec := c.jobs.byID[id]
 	return rec != nil && rec.final() || c.links.KnownCancelled(id)
 }
 
--- a/internal/coordination/consolidate.go
+++ b/internal/coordination/consolidate.go
@@ -17,22 +17,22 @@
 // zones matter. A few at a time: one a report period, or consolidationShare of them
 // where there are many.
 func (c *Core) consolidate() {
-	if c.queuedTasks > 0 {
-		for _, m := range c.ownMachines {
+	if c.scheduler.queuedTasks > 0 {
+		for _, m := range c.machines.own {
 			m.consolidating = false // the room is wanted
 		}
-		c.serviceMoveCreditAt = c.now
+		c.scheduler.serviceMoveCreditAt = c.now
 		return
 	}
 	services, emptying := 0, 0
-	for _, m := range c.ownMachines {
+	for _, m := range c.machines.own {
 		services += m.services
 	}
 	most := max(1, consolidationShare*float64(services))
-	c.serviceMoveCredit = min(max(1, most/4), c.serviceMoveCredit+most*(c.now-c.serviceMoveCreditAt).Seconds()/c.cfg.Facts.Workers.Report)
-	c.serviceMoveCreditAt = c.now
+	c.scheduler.serviceMoveCredit = min(max(1, most/4), c.scheduler.serviceMoveCredit+most*(c.now-c.scheduler.serviceMoveCreditAt).Seconds()/c.cfg.Facts.Workers.Report)
+	c.scheduler.serviceMoveCreditAt = c.now
 	var from []*machine
-	for _, m := range c.ownMachines {
+	for _, m := range c.machines.own {
 		if m.consolidating {
 			switch {
 			case len(m.bound) == 0 && c.scaler.unshipped.holds(m.id):
@@ -47,8 +47,8 @@
 				m.consolidating = false
 			default:
 				emptying++
-				if c.serviceMoveCredit >= 1 {
-					c.serviceMoveCredit--
+				if c.scheduler.serviceMoveCredit >= 1 {
+					c.scheduler.serviceMoveCredit--
 					c.stopTask(m, m.tasks()[0], "moved")
 				}
 			}
@@ -100,7 +100,7 @@
 
 // consolidationTarget finds a better machine of ours for a service on m.
 func (c *Core) consolidationTarget(r *jobRecord, m *machine, used map[*machine]usage) *machine {
-	for _, t := range c.ownMachines {
+	for _, t := range c.machines.own {
 		if t == m || c.unschedulable(t) || t.serviceShare < tolerance || t.serviceShare < m.serviceShare || (t.serviceShare == m.serviceShare && t.id > m.id) ||
 			c.fetchTime(r.spec, t) > 0 || !c.couldHold(r, t) || isPinned(r) && t.claim.Zone != m.claim.Zone {
 			continue
@@ -133,10 +133,10 @@
 // for its image on a slow machine moves to one of ours where it can start much
 // sooner; it has done nothing yet, so nothing is lost.
 func (c *Core) moveService() {
-	if c.nextServiceMoveAt > c.now {
+	if c.scheduler.nextServiceMoveAt > c.now {
 		return
 	}
-	for _, m := range c.ownMachines {
+	for _, m := range c.machines.own {
 		if len(m.pulling) == 0 {
 			continue
 		}
@@ -153,8 +153,8 @@
 			if t == nil || t == m || c.fetchTime(r.spec, t)+c.cfg.Facts.Workers.Report/2 > left/2 {
 				continue
 			}
-			c.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
-			t.reserveRoom(r.spec.ID, c.nextServiceMoveAt, "")
+			c.scheduler.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
+			t.reserveRoom(r.spec.ID, c.scheduler.nextServiceMoveAt, "")
 			c.log.Debug("second start", "load", job.TaskName(k.job, k.index), "from", m.id, "to", t.id, "leftS", left)
 			c.stopTask(m, k, "slow image")
 			return
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -55,79 +55,55 @@
 	Wall   time.Time
 }
 
-// Core is one controller.
+// Core is one controller. It routes inputs to the parts that own the state they
+// concern, and collects the effects of a step.
 type Core struct {
 	cfg         *config.Settings
 	log         *slog.Logger
+	verbose     bool // debug lines are wanted; saves building them
 	random      *rand.Rand
 	now         time.Duration
 	wallTime    time.Time
-	incarnation int64 // tells this life of the process from earlier ones
+	incarnation int64 // tells this process of the controller from earlier ones
 	effects     Effects
-	state       *stateclient.Client
-
-	nextCall     uint64
-	pendingCalls map[uint64]func(protocol.Reply)
-
-	jobs            map[string]*jobRecord
-	openJobs        map[string]*jobRecord // jobs that are not over
-	openCPUOnlyJobs int                   // open jobs without accelerators
-	jobsByAge       []*jobRecord          // the same, oldest first
-	jobsByUrgency   []*jobRecord          // the same, most urgent first, as of the last sweep
-	newJobs         []*jobRecord          // since then
-	capacity        usage                 // of all machines, and when it was last summed
-	capacityAt      time.Duration
-	machines        map[string]*machine
-	ownMachines     []*machine     // machines that we hold, by name
-	ownership       ownershipTable // who holds which machines
-	teams           map[string]*team
-	members         map[string]*member
-	peerFormats     map[string]int   // what each controller reads, as last published
-	changeBuffer    []taskChange     // for applyPage alone
-	listedBuffer    map[taskKey]bool // for orders alone
-	drains          map[string]drainRecord
-	writer          pageWriter // what is to be written of tasks
-	orphanPages     map[string]orphanPage
-	earlyHandoffs   map[string][]earlyHandoff // handed over before their jobs' records came
-
-	catalogue          map[string]*protocol.MachineType
-	catalogueDueAt     time.Duration
-	catalogueRequested bool
-
-	idleMachines        []*machine   // machines with room, the idle list
-	queuedJobs          []*jobRecord // jobs with tasks in lines, in the order of their turns
-	queuedTasks         int          // tasks in lines
-	statusQueries       []statusQuery
-	statusQueryInFlight bool
-
-	gangReservation       gangReservation
-	reservationInFlight   bool
-	reservedAt            time.Duration
-	reservationReleasedAt time.Duration // when the last mark was given back
-	nextRoomRequestAt     time.Duration
-	nextServiceMoveAt     time.Duration
-	claimsInFlight        int     // being written
-	probesInFlight        int     // for a status, under way
-	serviceMoveCredit     float64 // services that may be moved now, see consolidate
-	serviceMoveCreditAt   time.Duration
-	launchTargets         []*machine
-	latency               map[string]*hdrhistogram.Histogram
-	verbose               bool // debug lines are wanted; saves building them
-
-	memberLease         uint64
-	memberLeaseAt       time.Duration
-	memberLeaseInFlight bool
-	publishedMember     string
-	nextPublishAt       time.Duration
-	memberLeaseTTL      time.Duration
-	links               *connectivity.Tracker // who reaches what; see reach.go
-	nextSweepAt         time.Duration
-	loadedAt            time.Duration // when the records had been read
-
-	scaler  fleetScaler
-	queries *queryHandler
-	staging *stagingCoordinator // nil: no data sets
-	Stats   Stats
+
+	state      *stateclient.Client
+	links      *connectivity.Tracker
+	calls      callTable
+	sweep      sweepTimes
+	membership membership
+	catalogue  catalogue
+
+	jobs      jobTable
+	writer    pageWriter
+	machines  machineTable
+	scheduler scheduler
+	gangs     gangScheduler
+	scaler    fleetScaler
+	queries   *queryHandler
+	staging   *stagingCoordinator // nil: no data sets
+
+	Stats Stats
+}
+
+// callTable holds the calls that were sent and not answered yet.
+type callTable struct {
+	nextID  uint64
+	pending map[uint64]func(protocol.Reply)
+	latency map[string]*hdrhistogram.Histogram // by the system called
+}
+
+func newCallTable() callTable {
+	return callTable{
+		pending: map[uint64]func(protocol.Reply){},
+		latency: map[string]*hdrhistogram.Histogram{},
+	}
+}
+
+// sweepTimes are the times of the periodic look at all state.
+type sweepTimes struct {
+	nextAt   time.Duration
+	loadedAt time.Duration // of the first sweep after the records had been read
 }
 
 // Stats counts what an operator wants to know.
@@ -160,17 +136,23 @@
 // New makes a core. life must differ between two lives of the same controller.
 func New(cfg *config.Settings, log *slog.Logger, rnd *rand.Rand, incarnation int64) *Core {
 	c := &Core{
-		cfg: cfg, log: log, random: rnd, incarnation: incarnation,
-		pendingCalls: map[uint64]func(protocol.Reply){}, jobs: map[string]*jobRecord{}, machines: map[string]*machine{},
-		teams: map[string]*team{}, members: map[string]*member{}, peerFormats: map[string]int{}, listedBuffer: map[taskKey]bool{}, drains: map[string]drainRecord{}, writer: newPageWriter(),
-		orphanPages: map[string]orphanPage{}, earlyHandoffs: map[string][]earlyHandoff{}, catalogue: map[string]*protocol.MachineType{}, openJobs: map[string]*jobRecord{}, ownership: newOwnershipTable(), latency: map[string]*hdrhistogram.Histogram{},
+		cfg:         cfg,
+		log:         log,
+		random:      rnd,
+		incarnation: incarnation,
+		calls:       newCallTable(),
+		membership:  newMembership(cfg),
+		catalogue:   newCatalogue(),
+		jobs:        newJobTable(),
+		writer:      newPageWriter(),
+		machines:    newMachineTable(),
+		scheduler:   newScheduler(),
 	}
 	for i := range cfg.Facts.Teams {
 		t := &cfg.Facts.Teams[i]
-		c.teams[t.Name] = &team{cfg: t}
+		c.jobs.teams[t.Name] = &team{cfg: t}
 	}
 	c.verbose = log.Enabled(context.Background(), slog.LevelDebug)
-	c.memberLeaseTTL = seconds(cfg.Facts.Workers.Lease / 3)
 	c.scaler.init()
 	c.scaler.unshipped = newUnshipped(c)
 	c.queries = newQueryHandler(c)
@@ -185,13 +167,13 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 func (c *Core) call(k protocol.Call, done func(protocol.Reply)) {
-	c.nextCall++
-	k.ID = c.nextCall
-	c.pendingCalls[k.ID] = done
+	c.calls.nextID++
+	k.ID = c.calls.nextID
+	c.calls.pending[k.ID] = done
 	c.effects.Calls = append(c.effects.Calls, k)
 	if name := [...]string{"state", "cloud", "worker"}[k.Target]; !strings.HasPrefix(k.Path, protocol.PathWatch) {
 		at := c.now
-		c.pendingCalls[k.ID] = func(r protocol.Reply) {
+		c.calls.pending[k.ID] = func(r protocol.Reply) {
 			c.recordLatency(name, c.now-at)
 			done(r)
 		}
@@ -226,8 +208,8 @@
 // Reply takes what came of a call.
 func (c *Core) Reply(t Timestamp, r protocol.Reply) Effects {
 	c.beginStep(t)
-	if done := c.pendingCalls[r.ID]; done != nil {
-		delete(c.pendingCalls, r.ID)
+	if done := c.calls.pending[r.ID]; done != nil {
+		delete(c.calls.pending, r.ID)
 		done(r)
 	}
 	return c.endStep()
@@ -252,10 +234,10 @@
 // controller is thus woken as seldom as its sweeps need, since each waking
 // costs more than what it does.
 func (c *Core) Due() time.Duration {
-	if !c.state.Loaded() || c.state.NeedsTick() || c.writer.needsTick || (len(c.statusQueries) > 0 && !c.statusQueryInFlight) {
+	if !c.state.Loaded() || c.state.NeedsTick() || c.writer.needsTick || (len(c.queries.statusQueries) > 0 && !c.queries.statusQueryInFlight) {
 		return Pace
 	}
-	return max(Pace, c.nextSweepAt-c.now)
+	return max(Pace, c.sweep.nextAt-c.now)
 }
 
 // Tick lets time pass.
@@ -264,17 +246,17 @@
 	c.checkLinks()
 	c.keepMembership()
 	c.catalogueTick()
-	if c.state.Loaded() && c.now >= c.nextSweepAt {
-		c.nextSweepAt = c.now + c.sweepPeriod()
-		if c.loadedAt == 0 {
-			c.loadedAt = c.now
+	if c.state.Loaded() && c.now >= c.sweep.nextAt {
+		c.sweep.nextAt = c.now + c.sweepPeriod()
+		if c.sweep.loadedAt == 0 {
+			c.sweep.loadedAt = c.now
 		}
 		c.expirePendingFailovers()
 		c.foldCompletions()
 		c.checkSilentMachines()
-		for id, e := range c.earlyHandoffs {
+		for id, e := range c.scheduler.earlyHandoffs {
 			if c.now-e[0].at > c.cfg.Operator.PublishInterval {
-				delete(c.earlyHandoffs, id)
+				delete(c.scheduler.earlyHandoffs, id)
 			}
 		}
 		c.updateJobOrder()
@@ -371,7 +353,7 @@
 		P99   float64 `json:"p99Ms"`
 	}
 	lat := map[string]latency{}
-	for name, h := range c.latency {
+	for name, h := range c.calls.latency {
 		lat[name] = latency{h.TotalCount(), float64(h.ValueAtQuantile(50)) / 1000, float64(h.ValueAtQuantile(95)) / 1000, float64(h.ValueAtQuantile(99)) / 1000}
 	}
 	return struct {
@@ -387,16 +369,16 @@
 		Counters   Stats              `json:"counters"`
 		Latency    map[string]latency `json:"latency"`
 		Reach      linkStats          `json:"reach"`
-	}{c.cfg.Node, c.now.Seconds(), (c.now - c.state.FreshAt()).Seconds(), c.isLeader(), len(c.ownMachines), len(c.idleMachines), c.queuedTasks, len(c.openJobs), c.state.Backlog(), c.Stats, lat, c.linkStats()}
+	}{c.cfg.Node, c.now.Seconds(), (c.now - c.state.FreshAt()).Seconds(), c.isLeader(), len(c.machines.own), len(c.scheduler.idle), c.scheduler.queuedTasks, len(c.jobs.open), c.state.Backlog(), c.Stats, lat, c.linkStats()}
 }
 
 // recordLatency records how long a call took, in a histogram that covers a minute
 // to two digits.
 func (c *Core) recordLatency(name string, d time.Duration) {
-	h := c.latency[name]
+	h := c.calls.latency[name]
 	if h == nil {
 		h = hdrhistogram.New(1, time.Minute.Microseconds(), 2)
-		c.latency[name] = h
+		c.calls.latency[name] = h
 	}
 	_ = h.RecordValue(min(max(1, d.Microseconds()), time.Minute.Microseconds()))
 }
@@ -453,7 +435,7 @@
 	case keyGang:
 		c.applyGang(data)
 	case keyFlavors:
-		if len(c.catalogue) == 0 && data != nil {
+		if len(c.catalogue.types) == 0 && data != nil {
 			var f protocol.MachineTypes
 			if protocol.Decode(data, &f) == nil {
 				c.setCatalogue(&f)
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -194,7 +194,7 @@
 	n := s.nodes[0]
 	for _, id := range sortedKeys(s.users) {
 		if u := s.users[id]; u.final == "" {
-			if open++; open < 2 || n.core.gangReservation.Job == id {
+			if open++; open < 2 || n.core.gangs.reservation.Job == id {
 				s.dump(t, id)
 			}
 			t.Logf("%s (%s of %d, team %s) has not ended: %v", u.spec.ID, u.spec.Shape, u.spec.Tasks, u.spec.Team, u.done)
@@ -209,20 +209,20 @@
 func (s *sim) dump(t *testing.T, id string) {
 	for _, n := range s.nodes {
 		c := n.core
-		r := c.jobs[id]
+		r := c.jobs.byID[id]
 		if r == nil {
 			t.Logf("%s does not know it", n.name)
 			continue
 		}
 		t.Logf("%s: %+v status %s home %s bound %d held %d zones %v backoff %v failed on %v tasks %v queue %d busy %v leads %v gang %v team %+v idle %v offers %v",
 			n.name, *r.spec, r.status, r.owner, r.bound, len(r.reservations), r.tasksByZone, r.retryAt-c.now, r.failedOn, r.pages[0].tasks, len(r.pages[0].queue),
-			r.pages[0].inFlight, c.isLeader(), c.gangReservation, c.teams[r.spec.Team].charged, c.idleMachines, r.offers)
+			r.pages[0].inFlight, c.isLeader(), c.gangs.reservation, c.jobs.teams[r.spec.Team].charged, c.scheduler.idle, r.offers)
 		if c.isLeader() {
-			t.Logf("  rentals %+v refused %v now %v free %v listed %d gone %v drains %v", c.scaler.rentals, c.scaler.refusedUntil, c.now, s.cloud.free, len(c.scaler.cloudMachines), c.scaler.deletedAt, c.drains)
+			t.Logf("  rentals %+v refused %v now %v free %v listed %d gone %v drains %v", c.scaler.rentals, c.scaler.refusedUntil, c.now, s.cloud.free, len(c.scaler.cloudMachines), c.scaler.deletedAt, c.machines.drains)
 		}
-		for _, mid := range sortedKeys(c.machines) {
-			if m := c.machines[mid]; c.isOwn(m) || m.token == 0 {
-				t.Logf("    %s %v barred %v shown %v drain %v use %v %v bound %v held for %q", mid, m.claim, c.unschedulable(m), m.tokenSeen, c.drains[mid], m.cpus, m.gpus, m.tasks(), m.holdFor)
+		for _, mid := range sortedKeys(c.machines.byID) {
+			if m := c.machines.byID[mid]; c.isOwn(m) || m.token == 0 {
+				t.Logf("    %s %v barred %v shown %v drain %v use %v %v bound %v held for %q", mid, m.claim, c.unschedulable(m), m.tokenSeen, c.machines.drains[mid], m.cpus, m.gpus, m.tasks(), m.holdFor)
 			}
 		}
 	}
@@ -260,7 +260,7 @@
 func (c *Core) checkRoom(t *testing.T, name string) {
 	t.Helper()
 	sums := map[string]usage{}
-	for id, m := range c.machines {
+	for id, m := range c.machines.byID {
 		for k, r := range m.bound {
 			if m.vacated[k] == nil {
 				sums[id] = sums[id].plus(r.spec, 1)
@@ -272,12 +272,12 @@
 			}
 		}
 	}
-	for _, r := range c.jobs {
+	for _, r := range c.jobs.byID {
 		for _, h := range r.reservations {
 			sums[h.machine] = sums[h.machine].plus(r.spec, 1)
 		}
 	}
-	for id, m := range c.machines {
+	for id, m := range c.machines.byID {
 		if d := sums[id]; math.Abs(d.CPUs-m.cpus) > 1e-3 || math.Abs(d.GPUs-m.gpus) > 1e-3 {
 			t.Errorf("%s: %s counts %v processors and %v accelerators as taken, %+v are", name, id, m.cpus, m.gpus, d)
 		}
@@ -477,11 +477,11 @@
 	c := s.nodes[0].core
 	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 3, CPUs: 1, GPUs: 1, MemoryGB: 1}
 	c.receiveHandoff("n1", &peer.TaskHandoff{Job: sp.ID, Tasks: []int{0, 1, 2}})
-	if len(c.earlyHandoffs[sp.ID]) != 1 {
+	if len(c.scheduler.earlyHandoffs[sp.ID]) != 1 {
 		t.Fatal("the hand-over was dropped")
 	}
 	c.applyChange(keyJob+sp.ID, encode(storedJob{sp, job.Open, 1, "n1"}), c.state.AppliedRevision()+1)
-	if len(c.earlyHandoffs) != 0 {
+	if len(c.scheduler.earlyHandoffs) != 0 {
 		t.Error("the hand-over was not taken up")
 	}
 	sends := len(c.effects.Sends)
@@ -710,7 +710,7 @@
 	}
 	var gone *machine
 	for _, n := range s.nodes {
-		for _, m := range n.core.ownMachines {
+		for _, m := range n.core.machines.own {
 			if len(m.bound) > 0 && gone == nil {
 				gone = m
 			}
@@ -745,7 +745,7 @@
 		tried := false
 		for _, n := range s.nodes {
 			c := n.core
-			for _, m := range c.ownMachines {
+			for _, m := range c.machines.own {
 				for _, k := range m.tasks() {
 					tried = true
 					r := m.bound[k]
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -18,10 +18,10 @@
 	s.loadGrown(80 * time.Second)
 	s.run(60 * time.Second)
 	c := s.nodes[0].core
-	if len(c.machines) < 150 || len(c.ownMachines) < 20 {
-		t.Fatalf("only %d machines, %d of them ours", len(c.machines), len(c.ownMachines))
+	if len(c.machines.byID) < 150 || len(c.machines.own) < 20 {
+		t.Fatalf("only %d machines, %d of them ours", len(c.machines.byID), len(c.machines.own))
 	}
-	for _, m := range c.ownMachines {
+	for _, m := range c.machines.own {
 		if len(m.bound) >= 2 && m.tokenSeen && !m.launchInDoubt && len(m.stops) == 0 {
 			return s, c, m
 		}
@@ -69,8 +69,8 @@
 func TestCostOfAWatchedChange(t *testing.T) {
 	_, c, _ := grownCore(t)
 	var p *page
-	for _, id := range sortedKeys(c.openJobs) {
-		for _, q := range c.openJobs[id].pages {
+	for _, id := range sortedKeys(c.jobs.open) {
+		for _, q := range c.jobs.open[id].pages {
 			if len(q.tasks) >= 20 && (p == nil || len(q.tasks) > len(p.tasks)) {
 				p = q
 			}
@@ -106,7 +106,7 @@
 	s, c, _ := grownCore(t)
 	clock := s.nodes[0].clock()
 	c.Tick(clock)
-	if c.nextSweepAt <= clock.Steady {
+	if c.sweep.nextAt <= clock.Steady {
 		t.Fatal("a sweep is due")
 	}
 	allocs := testing.AllocsPerRun(200, func() { c.Tick(clock) })
@@ -124,17 +124,17 @@
 		s.run(at)
 		c.updateJobOrder()
 		var plain []*jobRecord
-		for _, r := range c.openJobs {
+		for _, r := range c.jobs.open {
 			if !r.final() {
 				plain = append(plain, r)
 			}
 		}
 		slices.SortFunc(plain, compareUrgency)
-		if !slices.Equal(plain, c.jobsByUrgency) {
-			t.Fatalf("%v: %d jobs in turns, %d are open", at, len(c.jobsByUrgency), len(plain))
+		if !slices.Equal(plain, c.jobs.openByUrgency) {
+			t.Fatalf("%v: %d jobs in turns, %d are open", at, len(c.jobs.openByUrgency), len(plain))
 		}
-		if !slices.IsSortedFunc(c.jobsByAge, older) || len(c.jobsByAge) != len(c.openJobs) {
-			t.Fatalf("%v: %d jobs by age, %d are open", at, len(c.jobsByAge), len(c.openJobs))
+		if !slices.IsSortedFunc(c.jobs.openByAge, older) || len(c.jobs.openByAge) != len(c.jobs.open) {
+			t.Fatalf("%v: %d jobs by age, %d are open", at, len(c.jobs.openByAge), len(c.jobs.open))
 		}
 	}
 }
@@ -146,8 +146,8 @@
 	s, c, _ := grownCore(t)
 	s.run(130 * time.Second)
 	over, kept := 0, 0
-	for _, id := range sortedKeys(c.jobs) {
-		r := c.jobs[id]
+	for _, id := range sortedKeys(c.jobs.byID) {
+		r := c.jobs.byID[id]
 		if !r.final() {
 			continue
 		}
@@ -167,8 +167,8 @@
 	}
 	_, c, m := grownCore(t)
 	var open *jobRecord
-	for _, id := range sortedKeys(c.openJobs) {
-		if r := c.openJobs[id]; r.bound > 1 && len(r.pages) == 1 && r.spec.Shape == job.Array {
+	for _, id := range sortedKeys(c.jobs.open) {
+		if r := c.jobs.open[id]; r.bound > 1 && len(r.pages) == 1 && r.spec.Shape == job.Array {
 			open = r
 		}
 	}
--- a/internal/coordination/data.go
+++ b/internal/coordination/data.go
@@ -241,7 +241,7 @@
 	free, holder := staging.Never, ""
 	if len(copies) > 0 {
 		d.planner.Some(copies[0], func(id string) bool {
-			h := c.machines[id]
+			h := c.machines.byID[id]
 			if h != nil && c.isOwn(h) && !c.unschedulable(h) && c.couldHold(r, h) && c.zoneAllowed(r, h.claim.Zone) && d.planner.Holds(id, copies) {
 				if at := c.freeIn(r, h); at < free {
 					free, holder = at, id
@@ -301,12 +301,12 @@
 	c := d.core
 	d.tickAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
 	for k := range d.since {
-		if r := c.jobs[k.job]; r == nil || r.final() || r.task(c, k.index).Phase != job.Pending {
+		if r := c.jobs.byID[k.job]; r == nil || r.final() || r.task(c, k.index).Phase != job.Pending {
 			delete(d.since, k)
 		}
 	}
 	seen := 0
-	for _, r := range c.jobsByUrgency {
+	for _, r := range c.jobs.openByUrgency {
 		if len(r.spec.Inputs) == 0 || r.bound+r.finished >= r.spec.Tasks {
 			continue
 		}
@@ -315,7 +315,7 @@
 		}
 		if len(r.blockMachines) > 0 { // a gang's machines are chosen
 			for _, id := range r.blockMachines {
-				if m := c.machines[id]; m != nil && c.isOwn(m) {
+				if m := c.machines.byID[id]; m != nil && c.isOwn(m) {
 					d.taskBound(m, r.spec)
 				}
 			}
@@ -347,7 +347,7 @@
 			delete(d.warmedFor, a) // it is there
 			continue
 		}
-		if r := c.jobs[id]; r != nil && !r.final() && r.bound+r.finished < r.spec.Tasks {
+		if r := c.jobs.byID[id]; r != nil && !r.final() && r.bound+r.finished < r.spec.Tasks {
 			continue
 		}
 		delete(d.warmedFor, a)
@@ -360,7 +360,7 @@
 // needed tells whether a task on the machine reads the copy, or announced work
 // will.
 func (d *stagingCoordinator) needed(a warmMachine) bool {
-	if m := d.core.machines[a.machine]; m != nil {
+	if m := d.core.machines.byID[a.machine]; m != nil {
 		for _, r := range m.bound {
 			if slices.Contains(d.copies(r.spec), a.copy) {
 				return true
@@ -379,7 +379,7 @@
 // and are as urgent have been placed as machines were asked for.
 func (d *stagingCoordinator) announcementMet(a *announcement) bool {
 	placed, name := 0, a.Set+"/"+a.Version
-	for _, r := range d.core.jobs {
+	for _, r := range d.core.jobs.byID {
 		if r.spec.Team == a.Team && r.spec.Priority >= protocol.PriorityOf(a.Priority) && slices.Contains(r.spec.Inputs, name) {
 			placed += r.bound + r.finished
 		}
@@ -393,9 +393,9 @@
 	c := d.core
 	copies := d.copies(r.spec)
 	var list []staging.Candidate
-	start := c.random.IntN(max(1, len(c.ownMachines)))
-	for i := 0; i < len(c.ownMachines) && len(list) < maxCandidates; i++ {
-		m := c.ownMachines[(start+i)%len(c.ownMachines)]
+	start := c.random.IntN(max(1, len(c.machines.own)))
+	for i := 0; i < len(c.machines.own) && len(list) < maxCandidates; i++ {
+		m := c.machines.own[(start+i)%len(c.machines.own)]
 		if c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
@@ -436,12 +436,12 @@
 			continue
 		}
 		all := 0
-		for _, n := range c.ownership.machinesByOwner {
+		for _, n := range c.machines.ownership.machinesByOwner {
 			all += n
 		}
 		share := a.Machines
 		if all > 0 {
-			share = (a.Machines*len(c.ownMachines) + all - 1) / all
+			share = (a.Machines*len(c.machines.own) + all - 1) / all
 		}
 		x := staging.Announcement{Copy: id, By: by, Machines: share}
 		if c.now < x.Begin(v.Bytes, c.cfg.Operator.Staging.RateMBPerS*1e6, c.cfg.Operator.Staging.PeerStreams) {
@@ -449,7 +449,7 @@
 		}
 		have := 0
 		var list []staging.Candidate
-		for _, m := range c.ownMachines {
+		for _, m := range c.machines.own {
 			if c.unschedulable(m) || a.Zone != nil && m.claim.Zone != *a.Zone {
 				continue
 			}
@@ -559,7 +559,7 @@
 		v = d.latest[a.Set]
 	}
 	switch {
-	case c.teams[a.Team] == nil:
+	case c.jobs.teams[a.Team] == nil:
 		c.refuse(id, 422, "crew: unknown team")
 		return
 	case v == nil:
--- a/internal/coordination/endlog.go
+++ b/internal/coordination/endlog.go
@@ -29,6 +29,7 @@
 	logQueued        map[taskKey]bool           // to be written, or being written
 	logWriteInFlight bool
 	logSequence      int
+	changeBuffer     []taskChange // reused by applyPage alone
 	nextFoldAt       time.Duration
 }
 
@@ -57,7 +58,7 @@
 
 // usesCompletionLog tells whether a job's tasks may be in the log.
 func (c *Core) usesCompletionLog(r *jobRecord) bool {
-	tm := c.teams[r.spec.Team]
+	tm := c.jobs.teams[r.spec.Team]
 	return r.spec.Shape == job.Array && tm != nil && !hasQuota(tm)
 }
 
@@ -136,7 +137,7 @@
 
 // applyCompletion takes that an attempt has completed, if its page binds it.
 func (c *Core) applyCompletion(e completionlog.Completion) {
-	r := c.jobs[e.Job]
+	r := c.jobs.byID[e.Job]
 	if r == nil {
 		return // its records come later
 	}
@@ -246,7 +247,7 @@
 		before = c.now // it sees the pages alone
 	}
 	for _, task := range w.completions.OpenBefore(before) {
-		r := c.jobs[task.Job]
+		r := c.jobs.byID[task.Job]
 		if r == nil || r.status == job.Done || c.responsibleController(r.owner) != c.cfg.Node {
 			continue
 		}
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/endlog_test.go
@@ -71,7 +71,7 @@
 		s := newScript(t)
 		s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
 		s.c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{c.entry}}))
-		if ended := s.c.jobs["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != c.ends {
+		if ended := s.c.jobs.byID["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != c.ends {
 			t.Errorf("%s: ended %v", c.entry, ended)
 		}
 	}
@@ -88,8 +88,8 @@
 		return writePage([]job.Task{{Phase: job.Bound, Attempt: attempt, Machine: "i-000001", Epoch: 1}})
 	}
 	c.applyPage("wk-700000/0", page(1), 130)
-	task := &c.jobs["wk-700000"].pages[0].tasks[0]
-	if task.Phase != job.Finished || c.jobs["wk-700000"].bound != 0 {
+	task := &c.jobs.byID["wk-700000"].pages[0].tasks[0]
+	if task.Phase != job.Finished || c.jobs.byID["wk-700000"].bound != 0 {
 		t.Errorf("%+v", *task)
 	}
 	c.applyPage("wk-700000/0", page(1), 131) // written again by who has not seen the log
@@ -110,11 +110,11 @@
 	c := s.nodes[0].core
 	r := &jobRecord{spec: &job.Spec{ID: "wk-000001", Team: "blue", Shape: job.Array, Tasks: 1}, status: job.Open}
 	done := taskTransition{proof: 1, done: true}
-	c.peerFormats["n1"], c.peerFormats["n2"] = completionLogFormat, completionLogFormat
+	c.membership.formats["n1"], c.membership.formats["n2"] = completionLogFormat, completionLogFormat
 	if !c.goesToCompletionLog(r, done) {
 		t.Error("all read it")
 	}
-	c.peerFormats["n2"] = failoverFormat
+	c.membership.formats["n2"] = failoverFormat
 	if c.goesToCompletionLog(r, done) {
 		t.Error("one does not read it")
 	}
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -16,17 +16,17 @@
 	if id, index, err := job.ParseTaskName(name); err == nil {
 		return c.knownTask(id, index)
 	}
-	if r := c.jobs[name]; r != nil {
+	if r := c.jobs.byID[name]; r != nil {
 		return fmt.Sprintf("job %s at revision %d, of %s, %d of %d bound, %d finished", r.status, r.revision, r.owner, r.bound, r.spec.Tasks, r.finished)
 	}
-	if m := c.machines[name]; m != nil {
+	if m := c.machines.byID[name]; m != nil {
 		return c.knownMachine(m)
 	}
 	return ""
 }
 
 func (c *Core) knownTask(id string, index int) string {
-	r := c.jobs[id]
+	r := c.jobs.byID[id]
 	if r == nil {
 		return ""
 	}
@@ -43,7 +43,7 @@
 		out += fmt.Sprintf("; finished by attempt %d", t.Attempt)
 	case job.Bound:
 		out += fmt.Sprintf("; attempt %d bound to %s in session %d", t.Attempt, t.Machine, t.Epoch)
-		if m := c.machines[t.Machine]; m != nil {
+		if m := c.machines.byID[t.Machine]; m != nil {
 			a := taskAttempt{taskKey{id, index}, t.Attempt}
 			out += fmt.Sprintf(" since %d", m.boundAt[a.taskKey].revision)
 			if m.inFlight[a] {
@@ -88,7 +88,7 @@
 			out = append(out, f.text)
 		}
 	}
-	if d, ok := c.drains[m.id]; ok {
+	if d, ok := c.machines.drains[m.id]; ok {
 		out = append(out, "drained: "+d.Reason)
 	}
 	return strings.Join(out, ", ")
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -93,7 +93,7 @@
 	for _, p := range c.cfg.Peers {
 		if p.Zone == zone {
 			locals++
-			if !c.alive(p.Node) && c.ownership.machinesByOwner[p.Node] > 0 {
+			if !c.alive(p.Node) && c.machines.ownership.machinesByOwner[p.Node] > 0 {
 				gone++
 			}
 		}
@@ -173,25 +173,25 @@
 	}
 	f.cloudCalls.level = min(max(1, rate), f.cloudCalls.level+rate*(c.now-f.cloudCallsFilledAt).Seconds())
 	f.cloudCallsFilledAt = c.now
-	if c.catalogueRequested || f.cloudCalls.level < 1 {
+	if c.catalogue.requestInFlight || f.cloudCalls.level < 1 {
 		return
 	}
-	if len(c.catalogue) > 0 && !c.isLeader() {
+	if len(c.catalogue.types) > 0 && !c.isLeader() {
 		if !c.links.ShouldProbeCloud(f.leader) {
 			return
 		}
-	} else if c.now < c.catalogueDueAt {
+	} else if c.now < c.catalogue.dueAt {
 		return
 	}
-	c.catalogueRequested = true
+	c.catalogue.requestInFlight = true
 	c.callCloud(http.MethodGet, protocol.PathMachineTypes, nil, func(r protocol.Reply) {
-		c.catalogueRequested = false
+		c.catalogue.requestInFlight = false
 		var v protocol.MachineTypes
 		if r.Status != http.StatusOK || protocol.Decode(r.Body, &v) != nil || len(v.MachineTypes) == 0 {
-			c.catalogueDueAt = c.now + time.Second
+			c.catalogue.dueAt = c.now + time.Second
 			return
 		}
-		c.catalogueDueAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
+		c.catalogue.dueAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
 		c.setCatalogue(&v)
 		if c.state.Loaded() && c.state.ModRevision(keyFlavors) == 0 {
 			c.state.Txn(ratelimit.Background, []protocol.Compare{{Key: keyFlavors}}, []protocol.Op{{Put: keyFlavors, Value: encode(v)}},
@@ -219,7 +219,7 @@
 // had gone with the first one, and for a second or more two took themselves for the one that rents.
 func (c *Core) isLeader() bool {
 	f := &c.scaler
-	return f.leaderRevision != 0 && f.leader == c.cfg.Node && f.leaderIncarnation == c.incarnation && c.memberLease != 0 && c.memberLease == f.leaderLease && c.now-c.memberLeaseAt < c.memberLeaseTTL*9/10
+	return f.leaderRevision != 0 && f.leader == c.cfg.Node && f.leaderIncarnation == c.incarnation && c.membership.lease != 0 && c.membership.lease == f.leaderLease && c.now-c.membership.leaseRenewedAt < c.membership.leaseTTL*9/10
 }
 
 // fleetTick takes the lease if it is free and acts while holding it.
@@ -232,10 +232,10 @@
 			return
 		}
 	}
-	if f.leaderRevision == 0 && c.memberLease != 0 && !f.leadershipInFlight {
-		f.leadershipInFlight, f.leaderLease = true, c.memberLease
+	if f.leaderRevision == 0 && c.membership.lease != 0 && !f.leadershipInFlight {
+		f.leadershipInFlight, f.leaderLease = true, c.membership.lease
 		c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyFleet}},
-			[]protocol.Op{{Put: keyFleet, Value: encode(leadership{c.cfg.Node, c.incarnation}), Lease: c.memberLease}},
+			[]protocol.Op{{Put: keyFleet, Value: encode(leadership{c.cfg.Node, c.incarnation}), Lease: c.membership.lease}},
 			func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 				f.leadershipInFlight = false
 				if o == stateclient.Committed {
@@ -243,7 +243,7 @@
 				}
 			})
 	}
-	if !c.isLeader() || len(c.catalogue) == 0 {
+	if !c.isLeader() || len(c.catalogue.types) == 0 {
 		return
 	}
 	c.scanCloud()
@@ -368,7 +368,7 @@
 // settleRental drops a rental's record once its machines have all reported,
 // been returned, or been given up.
 func (c *Core) settleRental(name string, r *rental) {
-	t := c.catalogue[r.MachineType]
+	t := c.catalogue.types[r.MachineType]
 	if t == nil {
 		return
 	}
@@ -394,7 +394,7 @@
 	if _, gone := c.scaler.deletedAt[id]; gone {
 		return false
 	}
-	m := c.machines[id]
+	m := c.machines.byID[id]
 	return m == nil || m.token == 0
 }
 
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -17,6 +17,15 @@
 // lease in the state service marks one waiting gang. Only that gang keeps the
 // room it has found and draws from peers; others look for room and let go.
 
+// gangScheduler owns the reservation that lets one waiting gang at a time keep room.
+type gangScheduler struct {
+	reservation       gangReservation // the record, whoever holds it
+	inFlight          bool            // the record is being written or deleted
+	reservedAt        time.Duration   // when this controller last wrote it
+	releasedAt        time.Duration   // when the record last went
+	nextRoomRequestAt time.Duration
+}
+
 // gangReservation is the record that marks the waiting gang.
 type gangReservation struct {
 	Job         string `json:"j"`
@@ -31,12 +40,12 @@
 }
 
 func (c *Core) applyGang(data json.RawMessage) {
-	if c.gangReservation.Job != "" && data == nil {
-		c.reservationReleasedAt = c.now
+	if c.gangs.reservation.Job != "" && data == nil {
+		c.gangs.releasedAt = c.now
 	}
-	c.gangReservation = gangReservation{}
+	c.gangs.reservation = gangReservation{}
 	if data != nil {
-		_ = protocol.Decode(data, &c.gangReservation)
+		_ = protocol.Decode(data, &c.gangs.reservation)
 	}
 }
 
@@ -50,7 +59,7 @@
 	if c.isOwn(m) {
 		return m.epoch == epoch && !c.unschedulable(m)
 	}
-	_, drained := c.drains[m.id]
+	_, drained := c.machines.drains[m.id]
 	o, ok := r.offers[m.id]
 	return ok && !drained && o.claimRevision == m.token && o.epoch == epoch && c.now < o.expiresAt
 }
@@ -61,7 +70,7 @@
 	if r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt {
 		return
 	}
-	tm := c.teams[r.spec.Team]
+	tm := c.jobs.teams[r.spec.Team]
 	need := r.spec.Tasks - r.finished
 	if tm == nil || !tm.withinLimit(tm.charged.plus(r.spec, float64(need))) {
 		return
@@ -76,7 +85,7 @@
 		picked := c.reserveGang(r, z)
 		if len(picked) == need {
 			for _, i := range picked {
-				m := c.machines[r.reservations[i].machine]
+				m := c.machines.byID[r.reservations[i].machine]
 				epoch := m.epoch
 				if !c.isOwn(m) {
 					epoch = r.offers[m.id].epoch
@@ -93,7 +102,7 @@
 			best, bestZone = len(picked), z
 		}
 	}
-	if c.gangReservation.Job != r.spec.ID || c.gangReservation.Owner != c.cfg.Node {
+	if c.gangs.reservation.Job != r.spec.ID || c.gangs.reservation.Owner != c.cfg.Node {
 		return
 	}
 	if c.requestBlock(r, zones, need) {
@@ -102,14 +111,14 @@
 	// The marked gang keeps what it has found and asks the peers for more.
 	picked := c.reserveGang(r, bestZone)
 	for _, i := range picked {
-		m := c.machines[r.reservations[i].machine]
+		m := c.machines.byID[r.reservations[i].machine]
 		m.reserveRoom(r.spec.ID, c.now+c.holdTime(), "")
 	}
 	for _, i := range picked {
 		c.unreserve(r, i)
 	}
-	if c.now >= c.nextRoomRequestAt {
-		c.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
+	if c.now >= c.gangs.nextRoomRequestAt {
+		c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
 		for _, p := range c.cfg.Peers {
 			c.effects.Sends = append(c.effects.Sends, Outgoing{p.Node, peer.Message{RoomRequest: &peer.RoomRequest{Job: r.spec.ID}}})
 		}
@@ -133,8 +142,8 @@
 	}
 	good := len(r.blockMachines) > 0
 	for _, id := range r.blockMachines {
-		m := c.machines[id]
-		_, drained := c.drains[id]
+		m := c.machines.byID[id]
+		_, drained := c.machines.drains[id]
 		good = good && m != nil && m.token != 0 && !drained
 	}
 	if !good {
@@ -142,18 +151,18 @@
 			return len(r.blockMachines) > 0
 		}
 		r.blockMachines, r.blockChosenAt = c.cheapestBlock(r, zones, need), c.now
-		c.nextRoomRequestAt = 0
+		c.gangs.nextRoomRequestAt = 0
 	}
 	if len(r.blockMachines) == 0 {
 		return false
 	}
-	if c.now < c.nextRoomRequestAt {
+	if c.now < c.gangs.nextRoomRequestAt {
 		return true
 	}
-	c.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
+	c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
 	byOwner := map[string][]string{}
 	for _, id := range r.blockMachines {
-		m := c.machines[id]
+		m := c.machines.byID[id]
 		if c.isOwn(m) {
 			c.clearMachine(r, m, c.cfg.Node)
 		} else {
@@ -177,9 +186,9 @@
 		cost  float64
 	}
 	byZone := map[string][]choice{}
-	for _, id := range sortedKeys(c.machines) {
-		m := c.machines[id]
-		_, drained := c.drains[id]
+	for _, id := range sortedKeys(c.machines.byID) {
+		m := c.machines.byID[id]
+		_, drained := c.machines.drains[id]
 		if m.token == 0 || drained || !c.couldHold(r, m) || (c.isOwn(m) && c.unschedulable(m)) || !c.alive(m.claim.Owner) ||
 			(m.holdFor != r.spec.ID && c.now < m.holdTill) {
 			continue
@@ -254,7 +263,7 @@
 	if m.holdBy == "" || c.now >= m.holdTill {
 		return
 	}
-	r := c.jobs[m.holdFor]
+	r := c.jobs.byID[m.holdFor]
 	switch {
 	case r == nil || r.final() || r.bound > 0 || !c.fits(r, m):
 	case m.holdBy == c.cfg.Node:
@@ -266,8 +275,8 @@
 
 // reserveGang reserves room for as many of a gang's tasks as it finds in a zone.
 func (c *Core) reserveGang(r *jobRecord, zone string) []int {
-	ids := make([]string, 0, len(c.idleMachines)+len(r.offers))
-	for _, m := range c.idleMachines {
+	ids := make([]string, 0, len(c.scheduler.idle)+len(r.offers))
+	for _, m := range c.scheduler.idle {
 		ids = append(ids, m.id)
 	}
 	for id, o := range r.offers {
@@ -283,7 +292,7 @@
 		}
 		var best *machine
 		for _, id := range ids {
-			m := c.machines[id]
+			m := c.machines.byID[id]
 			if m == nil || (zone != "" && m.claim.Zone != zone) || !c.fits(r, m) {
 				continue
 			}
@@ -307,20 +316,20 @@
 
 // offerRoom offers a peer's gang room on our idle machines.
 func (c *Core) offerRoom(from string, d *peer.RoomRequest) {
-	r := c.jobs[d.Job]
+	r := c.jobs.byID[d.Job]
 	if r == nil || r.final() || r.bound > 0 {
 		return
 	}
 	o := &peer.RoomOffer{Job: d.Job}
 	for _, id := range d.Machines {
-		if m := c.machines[id]; m != nil && c.isOwn(m) {
+		if m := c.machines.byID[id]; m != nil && c.isOwn(m) {
 			c.clearMachine(r, m, from)
 			if !c.unschedulable(m) && c.fits(r, m) {
 				o.Machines = append(o.Machines, peer.OfferedMachine{Machine: id, Epoch: m.epoch})
 			}
 		}
 	}
-	for _, m := range c.idleMachines {
+	for _, m := range c.scheduler.idle {
 		if d.Machines != nil {
 			break
 		}
@@ -335,7 +344,7 @@
 }
 
 func (c *Core) acceptOffer(o *peer.RoomOffer) {
-	r := c.jobs[o.Job]
+	r := c.jobs.byID[o.Job]
 	if r == nil || r.final() {
 		return
 	}
@@ -343,7 +352,7 @@
 		r.offers = map[string]peerOffer{}
 	}
 	for _, x := range o.Machines {
-		if m := c.machines[x.Machine]; m != nil && m.token != 0 {
+		if m := c.machines.byID[x.Machine]; m != nil && m.token != 0 {
 			r.offers[x.Machine] = peerOffer{x.Epoch, m.token, c.now + c.holdTime()}
 		}
 	}
@@ -353,22 +362,22 @@
 // updateGangReservation takes the lease for the first waiting gang, if that is ours to
 // look after, and gives it back once it no longer waits.
 func (c *Core) updateGangReservation(open []*jobRecord) {
-	if c.reservationInFlight || c.memberLease == 0 {
+	if c.gangs.inFlight || c.membership.lease == 0 {
 		return
 	}
-	if c.gangReservation.Job != "" {
-		r := c.jobs[c.gangReservation.Job]
+	if c.gangs.reservation.Job != "" {
+		r := c.jobs.byID[c.gangs.reservation.Job]
 		// Guards against a mark that nobody acts on: a controller that stood
 		// in for the job's keeper gives it back when the keeper returns. A
 		// gang that finds no room for long lets others try.
-		tired := c.now-c.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
+		tired := c.now-c.gangs.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
 		// Guards against one gang for which there is no block at all keeping
 		// others waiting that need fewer machines or another zone.
-		stuck := r != nil && c.gangReservation.Owner == c.cfg.Node && len(r.blockMachines) == 0 && c.now-c.reservedAt > c.holdTime() && c.nextWaitingGang(open, func(o *jobRecord) bool { return o != r }) != nil
+		stuck := r != nil && c.gangs.reservation.Owner == c.cfg.Node && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() && c.nextWaitingGang(open, func(o *jobRecord) bool { return o != r }) != nil
 		tired = tired || stuck
-		if c.gangReservation.Owner == c.cfg.Node && (c.gangReservation.Incarnation != c.incarnation || r == nil || r.final() || r.bound > 0 || tired || c.responsibleController(r.owner) != c.cfg.Node) {
-			c.reservationInFlight = true
-			if tired && r != nil && c.gangReservation.Incarnation == c.incarnation {
+		if c.gangs.reservation.Owner == c.cfg.Node && (c.gangs.reservation.Incarnation != c.incarnation || r == nil || r.final() || r.bound > 0 || tired || c.responsibleController(r.owner) != c.cfg.Node) {
+			c.gangs.inFlight = true
+			if tired && r != nil && c.gangs.reservation.Incarnation == c.incarnation {
 				rest := c.cfg.Facts.Workers.GangWait / 4
 				if !stuck {
 					r.failedReservations = min(r.failedReservations+1, 4)
@@ -377,20 +386,20 @@
 				r.nextReservationAt = c.now + seconds(rest)
 			}
 			c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyGang, ModRevision: c.state.ModRevision(keyGang)}}, []protocol.Op{{Delete: keyGang}},
-				func(stateclient.TxnOutcome, []string, uint64) { c.reservationInFlight = false })
+				func(stateclient.TxnOutcome, []string, uint64) { c.gangs.inFlight = false })
 		}
 		return
 	}
 	r := c.nextWaitingGang(open, func(*jobRecord) bool { return true })
-	if r != nil && c.responsibleController(r.owner) != c.cfg.Node && c.now-c.reservationReleasedAt > seconds(c.cfg.Facts.Workers.Report/4) {
+	if r != nil && c.responsibleController(r.owner) != c.cfg.Node && c.now-c.gangs.releasedAt > seconds(c.cfg.Facts.Workers.Report/4) {
 		// The first one's keeper lets the mark lie: it has had its turn.
 		r = c.nextWaitingGang(open, func(r *jobRecord) bool { return c.responsibleController(r.owner) == c.cfg.Node })
 	}
 	if r != nil && c.responsibleController(r.owner) == c.cfg.Node {
-		c.reservationInFlight, c.reservedAt = true, c.now
+		c.gangs.inFlight, c.gangs.reservedAt = true, c.now
 		c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyGang}},
-			[]protocol.Op{{Put: keyGang, Value: encode(gangReservation{r.spec.ID, c.cfg.Node, c.incarnation}), Lease: c.memberLease}},
-			func(stateclient.TxnOutcome, []string, uint64) { c.reservationInFlight = false })
+			[]protocol.Op{{Put: keyGang, Value: encode(gangReservation{r.spec.ID, c.cfg.Node, c.incarnation}), Lease: c.membership.lease}},
+			func(stateclient.TxnOutcome, []string, uint64) { c.gangs.inFlight = false })
 	}
 }
 
@@ -400,7 +409,7 @@
 		if !isGang(r) || !wanted(r) || r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt || c.now < r.nextReservationAt {
 			continue
 		}
-		tm := c.teams[r.spec.Team]
+		tm := c.jobs.teams[r.spec.Team]
 		if tm != nil && tm.withinLimit(tm.charged.plus(r.spec, float64(r.spec.Tasks))) {
 			return r
 		}
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -160,7 +160,7 @@
 		if s.cloud.all[name] != nil {
 			kept++
 		}
-		if s.kv.drains[keyDrain+name] > 0 && s.nodes[0].core.drains[name].Reason == drainSilent {
+		if s.kv.drains[keyDrain+name] > 0 && s.nodes[0].core.machines.drains[name].Reason == drainSilent {
 			condemned++
 		}
 	}
@@ -192,7 +192,7 @@
 			shifts[w.name] = w.shift
 		}
 		n := s.nodes[0]
-		held += len(n.core.ownMachines)
+		held += len(n.core.machines.own)
 		for _, who := range []string{"workers", "peers", "state", "users"} {
 			n.cut[who] = s.now + 30*time.Second
 		}
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -170,7 +170,7 @@
 	n := s.nodes[0]
 	old := encode(member{n.core.incarnation - 1, 99, 0, latestFormat})
 	s.kv.rev++
-	s.kv.change(keyMember+n.name, old, n.core.memberLease, s.kv.rev)
+	s.kv.change(keyMember+n.name, old, n.core.membership.lease, s.kv.rev)
 	s.run(40 * time.Second)
 	if got := s.kv.keys[keyMember+n.name].data; string(got) == string(old) {
 		t.Errorf("ten seconds later the record is still %s", got)
--- a/internal/coordination/late_test.go
+++ b/internal/coordination/late_test.go
@@ -231,12 +231,12 @@
 	s.run(40 * time.Second)
 	for _, n := range s.nodes {
 		c := n.core
-		for _, m := range c.ownMachines {
+		for _, m := range c.machines.own {
 			if !m.tokenSeen || len(m.bound) != 2 {
 				continue
 			}
 			c.beginStep(n.clock())
-			r := c.jobs[sp.ID]
+			r := c.jobs.byID[sp.ID]
 			first, second := r.task(c, 0), r.task(c, 1)
 			c.unindexTask(r, taskKey{sp.ID, 1}, second)
 			*second = job.Task{Attempt: 1}
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -12,12 +12,12 @@
 // queueLaunch sends a committed launch straight to its worker with the step's
 // other launches, which saves the wait for the next report.
 func (c *Core) queueLaunch(id string, k taskKey, attempt int) {
-	m := c.machines[id]
+	m := c.machines.byID[id]
 	if m == nil || !c.isOwn(m) || !m.tokenSeen || m.launchInDoubt || m.claim.Address == "" {
 		return // the answer to its next report launches it
 	}
 	if len(m.queuedLaunches) == 0 {
-		c.launchTargets = append(c.launchTargets, m)
+		c.machines.launchTargets = append(c.machines.launchTargets, m)
 	}
 	m.queuedLaunches = append(m.queuedLaunches, taskAttempt{k, attempt})
 }
@@ -32,7 +32,7 @@
 // the attempt is neither forgotten nor released for being absent; without an
 // answer the machine is tainted, and its next report gets a new token.
 func (c *Core) sendLaunches() {
-	for _, m := range c.launchTargets {
+	for _, m := range c.machines.launchTargets {
 		queued, st := m.queuedLaunches, c.workerState(m)
 		m.queuedLaunches = nil
 		var orders []protocol.Command
@@ -80,7 +80,7 @@
 			}
 		})
 	}
-	c.launchTargets = c.launchTargets[:0]
+	c.machines.launchTargets = c.machines.launchTargets[:0]
 }
 
 // deferLaunch notes a launch that has to wait until the records are known to be complete.
--- a/internal/coordination/meeting_test.go
+++ b/internal/coordination/meeting_test.go
@@ -66,7 +66,7 @@
 func (s *sim) busiest() *simNode {
 	best := s.nodes[0]
 	for _, n := range s.nodes {
-		if n.core != nil && (best.core == nil || len(n.core.ownMachines) > len(best.core.ownMachines)) {
+		if n.core != nil && (best.core == nil || len(n.core.machines.own) > len(best.core.machines.own)) {
 			best = n
 		}
 	}
@@ -156,7 +156,7 @@
 	}
 	s.after(at-s.now, func() {
 		for _, w := range s.cloud.sorted() {
-			m := leader.core.machines[w.name]
+			m := leader.core.machines.byID[w.name]
 			w.keeps = m != nil && leader.core.isOwn(m)
 		}
 		leader.refused = end
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -83,7 +83,7 @@
 	if n.core == nil {
 		return false
 	}
-	m := n.core.machines[w.name]
+	m := n.core.machines.byID[w.name]
 	return m != nil && n.core.isOwn(m)
 }
 
@@ -125,9 +125,9 @@
 			}
 			for _, n := range s.nodes {
 				c := n.core
-				left := len(c.openJobs) + len(c.queuedJobs) + len(c.statusQueries) + len(c.earlyHandoffs) + len(c.orphanPages) + c.state.Backlog() + len(c.pendingCalls)/20
+				left := len(c.jobs.open) + len(c.scheduler.queuedJobs) + len(c.queries.statusQueries) + len(c.scheduler.earlyHandoffs) + len(c.jobs.orphanPages) + c.state.Backlog() + len(c.calls.pending)/20
 				tasks := 0
-				for _, r := range c.jobs {
+				for _, r := range c.jobs.byID {
 					for _, p := range r.pages {
 						tasks += len(p.tasks)
 					}
--- a/internal/coordination/members.go
+++ b/internal/coordination/members.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"silvergate/internal/config"
 	"silvergate/internal/job"
 	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
@@ -21,6 +22,27 @@
 	Format       int   `json:"f,omitempty"` // the highest that it reads
 }
 
+// membership owns this controller's member key, its lease, and what the other
+// controllers have published under theirs.
+type membership struct {
+	members        map[string]*member
+	formats        map[string]int // the newest record format that each controller reads, as last published
+	lease          uint64
+	leaseTTL       time.Duration
+	leaseRenewedAt time.Duration
+	leaseInFlight  bool
+	published      string
+	nextPublishAt  time.Duration
+}
+
+func newMembership(cfg *config.Settings) membership {
+	return membership{
+		members:  map[string]*member{},
+		formats:  map[string]int{},
+		leaseTTL: seconds(cfg.Facts.Workers.Lease / 3),
+	}
+}
+
 // noIncarnation is no controller's life.
 const noIncarnation = -1
 
@@ -29,23 +51,25 @@
 
 func (c *Core) applyMember(name string, data json.RawMessage) {
 	if data == nil {
-		delete(c.members, name)
+		delete(c.membership.members, name)
 		return
 	}
 	var m member
 	if decode(c.log, name, data, &m) {
-		c.members[name] = &m
-		c.peerFormats[name] = m.Format
+		c.membership.members[name] = &m
+		c.membership.formats[name] = m.Format
 		// Guards against an older publication, also of an earlier life, that is carried out after
 		// a newer one: it has no condition, and what is published is written again only when it changes.
-		if name == c.cfg.Node && string(data) != c.publishedMember {
-			c.publishedMember = ""
+		if name == c.cfg.Node && string(data) != c.membership.published {
+			c.membership.published = ""
 		}
 	}
 }
 
 // alive tells whether a controller holds its member key.
-func (c *Core) alive(name string) bool { return name == c.cfg.Node || c.members[name] != nil }
+func (c *Core) alive(name string) bool {
+	return name == c.cfg.Node || c.membership.members[name] != nil
+}
 
 // keepMembership keeps our lease, publishes our list length and tells the peers.
 func (c *Core) keepMembership() {
@@ -62,46 +86,46 @@
 			c.send(p.Node, peer.Message{Heartbeat: &peer.Heartbeat{MirrorAgeMS: age.Milliseconds(), Throttled: c.state.Throttled(), ReachableZones: own.reachable, UnreachableZones: own.unreachable, UnresponsiveMachines: own.unresponsive, UnshippedMachines: told, Links: rows}})
 		}
 	}
-	if !c.state.Loaded() || c.memberLeaseInFlight {
+	if !c.state.Loaded() || c.membership.leaseInFlight {
 		return
 	}
-	if c.memberLease == 0 {
-		c.memberLeaseInFlight = true
+	if c.membership.lease == 0 {
+		c.membership.leaseInFlight = true
 		at := c.now
-		c.state.GrantLease(c.memberLeaseTTL, func(p uint64) {
-			c.memberLeaseInFlight = false
+		c.state.GrantLease(c.membership.leaseTTL, func(p uint64) {
+			c.membership.leaseInFlight = false
 			if p != 0 {
-				c.memberLease, c.memberLeaseAt, c.publishedMember = p, at, ""
+				c.membership.lease, c.membership.leaseRenewedAt, c.membership.published = p, at, ""
 			} else {
-				c.memberLeaseAt = c.now
+				c.membership.leaseRenewedAt = c.now
 			}
 		})
 		return
 	}
-	if c.now-c.memberLeaseAt > c.memberLeaseTTL/3 {
-		c.memberLeaseInFlight = true
+	if c.now-c.membership.leaseRenewedAt > c.membership.leaseTTL/3 {
+		c.membership.leaseInFlight = true
 		at := c.now
-		c.state.KeepAlive(c.memberLease, func(ok, gone bool) {
-			c.memberLeaseInFlight = false
+		c.state.KeepAlive(c.membership.lease, func(ok, gone bool) {
+			c.membership.leaseInFlight = false
 			if ok {
-				c.memberLeaseAt = at
+				c.membership.leaseRenewedAt = at
 			}
 			if gone {
-				c.memberLease = 0
+				c.membership.lease = 0
 			}
 		})
 	}
-	data := encode(member{c.incarnation, len(c.idleMachines), len(c.ownMachines), latestFormat})
-	if string(data) != c.publishedMember && c.now >= c.nextPublishAt {
-		c.nextPublishAt = c.now + c.cfg.Operator.PublishInterval
-		c.publishedMember = string(data)
-		c.state.Txn(ratelimit.Background, nil, []protocol.Op{{Put: keyMember + c.cfg.Node, Value: data, Lease: c.memberLease}},
+	data := encode(member{c.incarnation, len(c.scheduler.idle), len(c.machines.own), latestFormat})
+	if string(data) != c.membership.published && c.now >= c.membership.nextPublishAt {
+		c.membership.nextPublishAt = c.now + c.cfg.Operator.PublishInterval
+		c.membership.published = string(data)
+		c.state.Txn(ratelimit.Background, nil, []protocol.Op{{Put: keyMember + c.cfg.Node, Value: data, Lease: c.membership.lease}},
 			func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 				if o == stateclient.LeaseExpired {
-					c.memberLease = 0
+					c.membership.lease = 0
 				}
 				if o != stateclient.Committed {
-					c.publishedMember = ""
+					c.membership.published = ""
 				}
 			})
 	}
@@ -144,7 +168,7 @@
 		return home
 	}
 	names := []string{c.cfg.Node}
-	for n := range c.members {
+	for n := range c.membership.members {
 		if n != c.cfg.Node {
 			names = append(names, n)
 		}
@@ -162,8 +186,8 @@
 // read: an earlier life of ours may have told users what this one does not know yet.
 func (c *Core) knownCancellations(a *peer.CancellationQuery) *peer.CancellationReply {
 	v := &peer.CancellationReply{AskedAt: a.AskedAt, Incarnation: a.Incarnation}
-	for _, id := range sortedKeys(c.jobs) {
-		if r := c.jobs[id]; r.status == job.Cancelled && r.revision > a.AppliedRevision {
+	for _, id := range sortedKeys(c.jobs.byID) {
+		if r := c.jobs.byID[id]; r.status == job.Cancelled && r.revision > a.AppliedRevision {
 			v.Cancelled = append(v.Cancelled, id)
 		}
 	}
@@ -174,7 +198,7 @@
 // told users of none beside those that we have seen and those it names.
 func (c *Core) applyCancellations(from string, v *peer.CancellationReply) {
 	for _, id := range v.Cancelled {
-		switch r := c.jobs[id]; {
+		switch r := c.jobs.byID[id]; {
 		case r == nil:
 			c.links.NoteCancelled(id)
 		case !r.final():
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -187,7 +187,7 @@
 // this life of ours.
 func (c *Core) allPeersRead(format int) bool {
 	for _, p := range c.cfg.Peers {
-		if c.peerFormats[p.Node] < format {
+		if c.membership.formats[p.Node] < format {
 			return false
 		}
 	}
--- a/internal/coordination/page_test.go
+++ b/internal/coordination/page_test.go
@@ -105,7 +105,7 @@
 	s := newSim(t, 3, 0)
 	s.run(time.Second)
 	c := s.nodes[0].core
-	clear(c.peerFormats)
+	clear(c.membership.formats)
 	tasks := []job.Task{{Phase: job.Bound, Attempt: 1, Machine: "m", Epoch: 1}}
 	if b := c.encodePage(tasks); b[0] != '[' {
 		t.Errorf("peers are not known, and %s was written", b)
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -13,6 +13,24 @@
 	"silvergate/internal/protocol"
 )
 
+// scheduler owns the idle list, the queues of waiting tasks, and the credit for moving
+// services.
+type scheduler struct {
+	idle                []*machine   // machines with room
+	queuedJobs          []*jobRecord // jobs with queued tasks, most urgent first
+	queuedTasks         int
+	earlyHandoffs       map[string][]earlyHandoff // by job: handed off before the job's record came
+	capacity            usage                     // of all machines
+	capacityAt          time.Duration             // when it was last summed
+	serviceMoveCredit   float64                   // services that may be moved now, see consolidate
+	serviceMoveCreditAt time.Duration
+	nextServiceMoveAt   time.Duration
+}
+
+func newScheduler() scheduler {
+	return scheduler{earlyHandoffs: map[string][]earlyHandoff{}}
+}
+
 // queuedTask is a task in a machine's line. The lines of our machines are kept by
 // job, in the order of the jobs' turns: a job's tasks are alike, so what one of
 // them can't use none of them can. Each entry names its machine.
@@ -41,8 +59,8 @@
 	}
 	m.listedAt = c.now
 	if m.idleListIndex == 0 {
-		c.idleMachines = append(c.idleMachines, m)
-		m.idleListIndex = len(c.idleMachines)
+		c.scheduler.idle = append(c.scheduler.idle, m)
+		m.idleListIndex = len(c.scheduler.idle)
 	}
 	c.offerHeld(m)
 }
@@ -51,14 +69,14 @@
 	if m.idleListIndex == 0 {
 		return
 	}
-	last := c.idleMachines[len(c.idleMachines)-1]
-	c.idleMachines[m.idleListIndex-1], last.idleListIndex = last, m.idleListIndex
-	c.idleMachines = c.idleMachines[:len(c.idleMachines)-1]
+	last := c.scheduler.idle[len(c.scheduler.idle)-1]
+	c.scheduler.idle[m.idleListIndex-1], last.idleListIndex = last, m.idleListIndex
+	c.scheduler.idle = c.scheduler.idle[:len(c.scheduler.idle)-1]
 	m.idleListIndex = 0
 }
 
 func (c *Core) machineFreed(id string) {
-	if m := c.machines[id]; m != nil && c.isOwn(m) && m.tokenSeen && c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
+	if m := c.machines.byID[id]; m != nil && c.isOwn(m) && m.tokenSeen && c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
 		c.offerMachine(m)
 	}
 }
@@ -66,7 +84,7 @@
 // hasRoom tells whether any task could use what is left.
 func (c *Core) hasRoom(m *machine) bool {
 	f := c.machineTypeOf(m)
-	if f.GPUs > 0 && c.openCPUOnlyJobs == 0 && f.GPUs-m.gpus < tolerance {
+	if f.GPUs > 0 && c.jobs.openCPUOnly == 0 && f.GPUs-m.gpus < tolerance {
 		return false
 	}
 	return f.CPUs-m.cpus > tolerance && f.MemoryGB-m.ram > tolerance
@@ -115,12 +133,12 @@
 	var pick *machine
 	var best placementRank
 	n, seen := 0, 0
-	if len(c.idleMachines) == 0 {
+	if len(c.scheduler.idle) == 0 {
 		return nil
 	}
-	start := c.random.IntN(len(c.idleMachines))
-	for i := 0; i < len(c.idleMachines) && seen < maxCandidates; i++ {
-		m := c.idleMachines[(start+i)%len(c.idleMachines)]
+	start := c.random.IntN(len(c.scheduler.idle))
+	for i := 0; i < len(c.scheduler.idle) && seen < maxCandidates; i++ {
+		m := c.scheduler.idle[(start+i)%len(c.scheduler.idle)]
 		if c.unschedulable(m) || !c.fits(r, m) {
 			continue
 		}
@@ -213,7 +231,7 @@
 	if t == nil || t.Phase != job.Pending || r.reservations[index] != nil {
 		return false
 	}
-	tm := c.teams[r.spec.Team]
+	tm := c.jobs.teams[r.spec.Team]
 	return tm != nil && tm.leavesQuotaFor(r, tm.charged.plus(r.spec, 1))
 }
 
@@ -272,7 +290,7 @@
 // takes the task unchecked. Many tasks of one job are drawn for in as many
 // parts as there are controllers, not one by one.
 func (c *Core) probe(r *jobRecord, tasks []int) {
-	for parts := 1 + len(c.members); len(tasks) > 0; parts-- {
+	for parts := 1 + len(c.membership.members); len(tasks) > 0; parts-- {
 		n := (len(tasks) + parts - 1) / max(1, parts)
 		c.probeFor(r, tasks[:n])
 		tasks = tasks[n:]
@@ -282,7 +300,7 @@
 func (c *Core) probeFor(r *jobRecord, tasks []int) {
 	var peers []string
 	for _, p := range c.cfg.Peers {
-		if c.members[p.Node] != nil {
+		if c.membership.members[p.Node] != nil {
 			peers = append(peers, p.Node)
 		}
 	}
@@ -291,7 +309,7 @@
 	to := ""
 	checked := 0
 	for checked < len(peers) && checked < c.cfg.Operator.Probes-2 {
-		if m := c.members[peers[checked]]; m.IdleMachines > 0 {
+		if m := c.membership.members[peers[checked]]; m.IdleMachines > 0 {
 			to = peers[checked]
 			break
 		}
@@ -301,7 +319,7 @@
 		to = peers[checked]
 		// A line needs a machine to be bound to: a controller without any
 		// that fits can't take the task.
-		if c.members[to].Machines == 0 {
+		if c.membership.members[to].Machines == 0 {
 			to = ""
 		}
 	}
@@ -332,13 +350,13 @@
 // receiveHandoff takes tasks from a peer: pop, or else a line. What no machine here
 // could hold goes back.
 func (c *Core) receiveHandoff(from string, f *peer.TaskHandoff) {
-	r := c.jobs[f.Job]
+	r := c.jobs.byID[f.Job]
 	if r == nil {
 		// Guards against a mirror that lags: a peer's message is often faster
 		// than the watch that brings a new job. Tasks that were dropped here
 		// waited until their sender tried again.
-		if len(c.earlyHandoffs) < maxEarlyHandoffs {
-			c.earlyHandoffs[f.Job] = append(c.earlyHandoffs[f.Job], earlyHandoff{from, f, c.now})
+		if len(c.scheduler.earlyHandoffs) < maxEarlyHandoffs {
+			c.scheduler.earlyHandoffs[f.Job] = append(c.scheduler.earlyHandoffs[f.Job], earlyHandoff{from, f, c.now})
 		}
 		return
 	}
@@ -382,8 +400,8 @@
 // replayEarlyHandoffs takes what was handed over before the job's record came, unless
 // the sender has given it to somebody else by now.
 func (c *Core) replayEarlyHandoffs(id string) {
-	waiting := c.earlyHandoffs[id]
-	delete(c.earlyHandoffs, id)
+	waiting := c.scheduler.earlyHandoffs[id]
+	delete(c.scheduler.earlyHandoffs, id)
 	for _, e := range waiting {
 		if c.now-e.at < c.cfg.Operator.PublishInterval && c.state.Loaded() {
 			c.receiveHandoff(e.from, e.handoff)
@@ -393,7 +411,7 @@
 
 // handoffReturned takes back tasks that a peer has no machine for.
 func (c *Core) handoffReturned(f *peer.TaskHandoff) {
-	r := c.jobs[f.Job]
+	r := c.jobs.byID[f.Job]
 	if r == nil || r.final() {
 		return
 	}
@@ -432,24 +450,24 @@
 		r.queuedByIndex = map[int]*queuedTask{}
 	}
 	r.queuedByIndex[i] = w
-	c.queuedTasks++
+	c.scheduler.queuedTasks++
 	at := sort.Search(len(r.queue), func(j int) bool { return r.queue[j].key.index > i })
 	r.queue = slices.Insert(r.queue, at, w)
 	if len(r.queue) == 1 {
-		at := sort.Search(len(c.queuedJobs), func(j int) bool { return runsBefore(r, c.queuedJobs[j]) })
-		c.queuedJobs = slices.Insert(c.queuedJobs, at, r)
+		at := sort.Search(len(c.scheduler.queuedJobs), func(j int) bool { return runsBefore(r, c.scheduler.queuedJobs[j]) })
+		c.scheduler.queuedJobs = slices.Insert(c.scheduler.queuedJobs, at, r)
 	}
 }
 
 // machineThatCouldHold is a random machine of ours that could hold a job's task: the first
 // such from a random one on.
 func (c *Core) machineThatCouldHold(r *jobRecord) *machine {
-	if len(c.ownMachines) == 0 {
+	if len(c.machines.own) == 0 {
 		return nil
 	}
-	start := c.random.IntN(len(c.ownMachines))
-	for i := range c.ownMachines {
-		if m := c.ownMachines[(start+i)%len(c.ownMachines)]; !c.unschedulable(m) && c.couldHold(r, m) {
+	start := c.random.IntN(len(c.machines.own))
+	for i := range c.machines.own {
+		if m := c.machines.own[(start+i)%len(c.machines.own)]; !c.unschedulable(m) && c.couldHold(r, m) {
 			return m
 		}
 	}
@@ -483,36 +501,36 @@
 // time. Time passes for all alike, so no job waits for ever.
 // The unfinished jobs are then in c.turns, most urgent first.
 func (c *Core) updateJobOrder() {
-	if c.capacityAt == 0 || c.now-c.capacityAt > seconds(c.cfg.Facts.Workers.Report) {
-		c.capacity, c.capacityAt = usage{}, c.now
-		for _, m := range c.machines {
+	if c.scheduler.capacityAt == 0 || c.now-c.scheduler.capacityAt > seconds(c.cfg.Facts.Workers.Report) {
+		c.scheduler.capacity, c.scheduler.capacityAt = usage{}, c.now
+		for _, m := range c.machines.byID {
 			if m.token != 0 {
 				f := c.machineTypeOf(m)
-				c.capacity = usage{c.capacity.CPUs + f.CPUs, c.capacity.GPUs + f.GPUs}
+				c.scheduler.capacity = usage{c.scheduler.capacity.CPUs + f.CPUs, c.scheduler.capacity.GPUs + f.GPUs}
 			}
 		}
 	}
-	for _, tm := range c.teams {
+	for _, tm := range c.jobs.teams {
 		tm.demand = usage{}
 	}
 	now := float64(c.wallTime.UnixMilli()) / 1000
-	for _, r := range c.jobsByAge {
+	for _, r := range c.jobs.openByAge {
 		if r.final() {
 			continue // by a peer's word, see vouched
 		}
 		// What a team asks for within its guarantee goes before what others
 		// borrow, at the same priority.
 		s := r.spec
-		if tm := c.teams[s.Team]; tm != nil {
+		if tm := c.jobs.teams[s.Team]; tm != nil {
 			tm.demand = tm.demand.plus(s, float64(s.Tasks-r.finished))
 			r.withinGuarantee = tm.withinGuarantee(tm.demand)
 		}
 		left := float64(s.Tasks-r.finished-r.bound) * s.EstimateS
 		share := 0.0
-		if s.GPUs > 0 && c.capacity.GPUs > 0 {
-			share = left * s.GPUs / c.capacity.GPUs
-		} else if c.capacity.CPUs > 0 {
-			share = left * s.CPUs / c.capacity.CPUs
+		if s.GPUs > 0 && c.scheduler.capacity.GPUs > 0 {
+			share = left * s.GPUs / c.scheduler.capacity.GPUs
+		} else if c.scheduler.capacity.CPUs > 0 {
+			share = left * s.CPUs / c.scheduler.capacity.CPUs
 		}
 		last := float64(r.submittedAtMS)/1000 + r.targetDuration - s.EstimateS
 		r.latestStart = last + jobSizeWeight*share
@@ -528,11 +546,11 @@
 	}
 	// Few jobs change places from one time to the next, which the sort makes
 	// use of.
-	c.jobsByUrgency = append(c.jobsByUrgency, c.newJobs...)
-	clear(c.newJobs)
-	c.newJobs = c.newJobs[:0]
-	c.jobsByUrgency = slices.DeleteFunc(c.jobsByUrgency, (*jobRecord).final)
-	slices.SortFunc(c.jobsByUrgency, compareUrgency)
+	c.jobs.openByUrgency = append(c.jobs.openByUrgency, c.jobs.added...)
+	clear(c.jobs.added)
+	c.jobs.added = c.jobs.added[:0]
+	c.jobs.openByUrgency = slices.DeleteFunc(c.jobs.openByUrgency, (*jobRecord).final)
+	slices.SortFunc(c.jobs.openByUrgency, compareUrgency)
 	c.saveQuotaForGangs()
 }
 
@@ -549,17 +567,17 @@
 // in which jobs are to begin, then not for as long, and after that twice, four times as long.
 func (c *Core) saveQuotaForGangs() {
 	saved, stays := map[*jobRecord]bool{}, map[*team]usage{}
-	for _, tm := range c.teams {
+	for _, tm := range c.jobs.teams {
 		saved[tm.savingFor], tm.savingFor = true, nil
 	}
-	for _, r := range c.jobsByUrgency {
-		if tm := c.teams[r.spec.Team]; tm != nil && r.spec.Shape == job.Service {
+	for _, r := range c.jobs.openByUrgency {
+		if tm := c.jobs.teams[r.spec.Team]; tm != nil && r.spec.Shape == job.Service {
 			stays[tm] = stays[tm].plus(r.spec, float64(r.bound))
 		}
 	}
 	now, within := float64(c.wallTime.UnixMilli())/1000, c.cfg.Operator.BeginWithin.Seconds()
-	for _, r := range c.jobsByUrgency {
-		tm := c.teams[r.spec.Team]
+	for _, r := range c.jobs.openByUrgency {
+		tm := c.jobs.teams[r.spec.Team]
 		if tm == nil || tm.savingFor != nil || !hasQuota(tm) || !isGang(r) || r.bound > 0 || len(r.reservations) > 0 || c.paused(r) {
 			continue
 		}
@@ -615,23 +633,23 @@
 		return
 	}
 	delete(r.queuedByIndex, index)
-	c.queuedTasks--
+	c.scheduler.queuedTasks--
 	at := sort.Search(len(r.queue), func(j int) bool { return r.queue[j].key.index >= index })
 	r.queue = slices.Delete(r.queue, at, at+1)
 	if len(r.queue) > 0 {
 		return
 	}
 	r.queue, r.queuedByIndex = nil, nil
-	if at := slices.Index(c.queuedJobs, r); at >= 0 {
-		c.queuedJobs = slices.Delete(c.queuedJobs, at, at+1)
+	if at := slices.Index(c.scheduler.queuedJobs, r); at >= 0 {
+		c.scheduler.queuedJobs = slices.Delete(c.scheduler.queuedJobs, at, at+1)
 	}
 }
 
 // placeQueuedTasks is step 5: a joining machine takes the oldest tasks it can hold,
 // from its own line or another's.
 func (c *Core) placeQueuedTasks(m *machine) {
-	for i := 0; i < len(c.queuedJobs) && c.hasRoom(m); {
-		r := c.queuedJobs[i]
+	for i := 0; i < len(c.scheduler.queuedJobs) && c.hasRoom(m); {
+		r := c.scheduler.queuedJobs[i]
 		for c.fits(r, m) {
 			at := slices.IndexFunc(r.queue, func(w *queuedTask) bool { return c.placeable(r, w.key.index) })
 			if at < 0 || c.staging.waitsForWarmMachine(r, r.queue[at].key.index, m) {
@@ -639,7 +657,7 @@
 			}
 			c.placeTask(r, r.queue[at].key.index, m) // takes it out of the line
 		}
-		if i < len(c.queuedJobs) && c.queuedJobs[i] == r {
+		if i < len(c.scheduler.queuedJobs) && c.scheduler.queuedJobs[i] == r {
 			i++
 		}
 	}
@@ -648,23 +666,23 @@
 // schedule sends every pending task that is ours to look after on its way
 // again, and clears the lines of what has been placed or is over.
 func (c *Core) schedule() {
-	slices.SortStableFunc(c.queuedJobs, compareUrgency)
-	for _, r := range slices.Clone(c.queuedJobs) {
+	slices.SortStableFunc(c.scheduler.queuedJobs, compareUrgency)
+	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
 		for _, w := range slices.Clone(r.queue) {
 			if r.final() || r.task(c, w.key.index).Phase != job.Pending || (w.expiresAt > 0 && c.now > w.expiresAt) {
 				c.dequeueTask(r, w.key.index)
 			}
 		}
 	}
-	if len(c.queuedJobs) > 0 {
-		for _, m := range slices.Clone(c.idleMachines) {
+	if len(c.scheduler.queuedJobs) > 0 {
+		for _, m := range slices.Clone(c.scheduler.idle) {
 			if !c.unschedulable(m) {
 				c.placeQueuedTasks(m)
 			}
 		}
 	}
-	c.updateGangReservation(c.jobsByUrgency)
-	for _, r := range c.jobsByUrgency {
+	c.updateGangReservation(c.jobs.openByUrgency)
+	for _, r := range c.jobs.openByUrgency {
 		switch {
 		case r.finished == r.spec.Tasks:
 			c.completeJob(r)
@@ -674,7 +692,7 @@
 	}
 	// Our own line's tasks look elsewhere again after a while: machines may
 	// have become free at other controllers.
-	for _, r := range slices.Clone(c.queuedJobs) {
+	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
 		var again []int
 		for _, w := range r.queue {
 			if w.expiresAt == 0 && c.now >= w.nextPreemptionAt && c.now >= r.dispatchAfter[w.key.index]+c.cfg.Operator.PublishInterval {
@@ -692,10 +710,10 @@
 // setCatalogue takes the machine types.
 func (c *Core) setCatalogue(f *protocol.MachineTypes) {
 	for _, t := range f.MachineTypes {
-		if k := c.catalogue[t.Name]; k != nil {
+		if k := c.catalogue.types[t.Name]; k != nil {
 			*k = t // machines point to it
 		} else {
-			c.catalogue[t.Name] = &t
+			c.catalogue.types[t.Name] = &t
 		}
 	}
 }
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -90,7 +90,7 @@
 
 // addSlot makes a slot of a machine; m is nil while it has no claim.
 func (p *binPacking) addSlot(id string, where offering, m *machine) {
-	t, ok := p.core.catalogue[where.machineType]
+	t, ok := p.core.catalogue.types[where.machineType]
 	if !ok {
 		return
 	}
@@ -104,12 +104,12 @@
 // addMachines adds the machines that are claimed and can be used.
 func (p *binPacking) addMachines() {
 	c := p.core
-	for id, m := range c.machines {
+	for id, m := range c.machines.byID {
 		p.known[id] = m.token != 0
 		if m.token != 0 {
 			p.zones[m.claim.Zone]++
 		}
-		if _, drained := c.drains[id]; drained || m.token == 0 || m.draining {
+		if _, drained := c.machines.drains[id]; drained || m.token == 0 || m.draining {
 			continue
 		}
 		if p.unreachableZones[m.claim.Zone] || p.unresponsive[id] || c.isOwn(m) && m.leaseExpired {
@@ -172,7 +172,7 @@
 func (p *binPacking) packJobs() {
 	c := p.core
 	uses := map[string]usage{}
-	for _, r := range c.jobsByUrgency {
+	for _, r := range c.jobs.openByUrgency {
 		if r.final() {
 			continue
 		}
@@ -192,7 +192,7 @@
 // teams use with what has been packed already.
 func (p *binPacking) tasksToPack(r *jobRecord, uses map[string]usage) (n int) {
 	c := p.core
-	tm := c.teams[r.spec.Team]
+	tm := c.jobs.teams[r.spec.Team]
 	if tm == nil || c.paused(r) { // nothing is rented for what is not tried now
 		return 0
 	}
@@ -253,7 +253,7 @@
 func (p *binPacking) skipFullSlots() {
 	for p.firstOpenSlot < len(p.slots) {
 		s := p.slots[p.firstOpenSlot]
-		if s.cpus >= tolerance && s.ram >= tolerance && (p.core.openCPUOnlyJobs > 0 || s.gpus >= tolerance) {
+		if s.cpus >= tolerance && s.ram >= tolerance && (p.core.jobs.openCPUOnly > 0 || s.gpus >= tolerance) {
 			return
 		}
 		p.firstOpenSlot++
@@ -262,7 +262,7 @@
 
 // planMachine has a machine rented, with a task of a job on it.
 func (p *binPacking) planMachine(where offering, sp *job.Spec) {
-	t := p.core.catalogue[where.machineType]
+	t := p.core.catalogue.types[where.machineType]
 	s := &slot{offering: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.MemoryGB, planned: true}
 	s.add(sp)
 	p.slots = append(p.slots, s)
@@ -273,7 +273,7 @@
 // scaleIn drains the machines that have stood idle for long enough.
 func (c *Core) scaleIn(slots []*slot) {
 	for _, s := range slots {
-		m := c.machines[s.id]
+		m := c.machines.byID[s.id]
 		if m == nil || s.planned {
 			continue
 		}
@@ -295,7 +295,7 @@
 		all, used, steady float64
 	}
 	by := map[string]*sum{}
-	for id, m := range c.machines {
+	for id, m := range c.machines.byID {
 		if m.token == 0 {
 			continue
 		}
@@ -303,7 +303,7 @@
 		if m.claim.Spot {
 			k += ",spot"
 		}
-		if _, drained := c.drains[id]; drained {
+		if _, drained := c.machines.drains[id]; drained {
 			k += ",drained"
 		}
 		if by[k] == nil {
@@ -324,8 +324,8 @@
 func (c *Core) cheapestOffering(s *job.Spec, want map[offering]int, avoid, zones map[string]int) (offering, bool) {
 	var best offering
 	bestCost, bestLoad, found := 0.0, 0, false
-	for _, sku := range sortedKeys(c.catalogue) {
-		t := c.catalogue[sku]
+	for _, sku := range sortedKeys(c.catalogue.types) {
+		t := c.catalogue.types[sku]
 		if !s.AllowsMachineType(sku) || !typeHolds(t, s) {
 			continue
 		}
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -16,7 +16,7 @@
 
 // preempt looks for room for the waiters that nothing free can hold.
 func (c *Core) preempt() {
-	for _, r := range c.queuedJobs {
+	for _, r := range c.scheduler.queuedJobs {
 		if r.spec.Priority <= job.Low || isGang(r) {
 			continue
 		}
@@ -34,8 +34,8 @@
 			c.preemptOn(r, w, m, victims)
 		}
 	}
-	for _, name := range sortedKeys(c.teams) {
-		c.preemptForQuota(c.teams[name])
+	for _, name := range sortedKeys(c.jobs.teams) {
+		c.preemptForQuota(c.jobs.teams[name])
 	}
 }
 
@@ -52,9 +52,9 @@
 	var best *machine
 	var victim taskKey
 	cost, seen := 0.0, 0
-	start := c.random.IntN(max(1, len(c.ownMachines)))
-	for i := 0; i < len(c.ownMachines) && seen < maxCandidates; i++ {
-		m := c.ownMachines[(start+i)%len(c.ownMachines)]
+	start := c.random.IntN(max(1, len(c.machines.own)))
+	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
+		m := c.machines.own[(start+i)%len(c.machines.own)]
 		for k, s := range m.stops {
 			if v := m.bound[k]; s.reason == preemptedForQuota && v != nil && v.spec.Team == r.spec.Team {
 				return
@@ -124,9 +124,9 @@
 	bestCost := 0.0
 	var bestRank placementRank
 	seen := 0
-	start := c.random.IntN(max(1, len(c.ownMachines)))
-	for i := 0; i < len(c.ownMachines) && seen < maxCandidates; i++ {
-		m := c.ownMachines[(start+i)%len(c.ownMachines)]
+	start := c.random.IntN(max(1, len(c.machines.own)))
+	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
+		m := c.machines.own[(start+i)%len(c.machines.own)]
 		lower := 0
 		for p := job.Low; p < r.spec.Priority; p++ {
 			lower += m.boundByPriority[p]
@@ -165,7 +165,7 @@
 	if r.spec.Priority < job.Production {
 		return nil, nil
 	}
-	for _, m := range c.ownMachines {
+	for _, m := range c.machines.own {
 		for _, s := range m.stops {
 			if s.reason == preemptedGang {
 				return nil, nil
@@ -176,9 +176,9 @@
 	var bestSet []taskKey
 	bestCost := 0.0
 	seen := 0
-	start := c.random.IntN(max(1, len(c.ownMachines)))
-	for i := 0; i < len(c.ownMachines) && seen < maxCandidates; i++ {
-		m := c.ownMachines[(start+i)%len(c.ownMachines)]
+	start := c.random.IntN(max(1, len(c.machines.own)))
+	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
+		m := c.machines.own[(start+i)%len(c.machines.own)]
 		if len(m.bound) == m.services || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
@@ -319,13 +319,13 @@
 				continue
 			}
 			k := taskKey{p.jobID, p.number*c.tasksPerPage() + i}
-			if m := c.machines[t.Machine]; m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
+			if m := c.machines.byID[t.Machine]; m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
 				orders[m.id] = append(orders[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
 			}
 		}
 	}
 	for _, id := range sortedKeys(orders) {
-		c.killNow(c.machines[id], orders[id]...)
+		c.killNow(c.machines.byID[id], orders[id]...)
 	}
 }
 
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -63,11 +63,11 @@
 // probeZone asks a worker of a zone for its status, a different one each time, when all that
 // we held there are with others: no report would ever show that we hear again.
 func (c *Core) probeZone(zone string) {
-	if c.probesInFlight >= 2 {
+	if c.machines.probesInFlight >= 2 {
 		return
 	}
 	var first *machine
-	for _, m := range c.machines {
+	for _, m := range c.machines.byID {
 		if m.claim.Address == "" || m.claim.Zone != zone || m.token == 0 || m.probing || c.now < m.nextProbeAt {
 			continue
 		}
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -20,6 +20,29 @@
 	"silvergate/internal/stateclient"
 )
 
+// jobTable owns the mirrored jobs, their pages and the teams that they belong to.
+type jobTable struct {
+	byID        map[string]*jobRecord
+	open        map[string]*jobRecord // jobs that are not over
+	openCPUOnly int                   // open jobs without accelerators
+	openByAge   []*jobRecord          // the open jobs, oldest first
+	// openByUrgency are the open jobs, most urgent first, as of the last sweep, and
+	// added those that were opened since then.
+	openByUrgency []*jobRecord
+	added         []*jobRecord
+	orphanPages   map[string]orphanPage // pages that were read before their jobs
+	teams         map[string]*team
+}
+
+func newJobTable() jobTable {
+	return jobTable{
+		byID:        map[string]*jobRecord{},
+		open:        map[string]*jobRecord{},
+		orphanPages: map[string]orphanPage{},
+		teams:       map[string]*team{},
+	}
+}
+
 // jobRecord is a mirrored job.
 type jobRecord struct {
 	spec               *job.Spec
@@ -110,7 +133,7 @@
 	if !decode(c.log, id, data, &s) || s.Spec == nil {
 		return
 	}
-	r := c.jobs[id]
+	r := c.jobs.byID[id]
 	// Guards against reads that overtake one another: a peer names a cancelled job, and then comes an answer that
 	// the state service gave before the cancellation. The peer's word goes on being a proof that
 	// no cancellation is unknown here, so the job must not count as open again.
@@ -122,14 +145,14 @@
 			tasks := make([]job.Task, min(n, s.Spec.Tasks-k*n))
 			r.pages = append(r.pages, &page{job: r, jobID: id, number: k, tasks: tasks, pending: len(tasks)})
 		}
-		c.jobs[id] = r
+		c.jobs.byID[id] = r
 		c.links.ForgetCancelled(id)
 	}
 	r.status, r.submittedAtMS, r.owner, r.revision = s.Status, s.SubmittedAtMS, s.Owner, revision
 	if over && s.Status == job.Open {
 		r.status = job.Cancelled
 	}
-	switch _, was := c.openJobs[id]; {
+	switch _, was := c.jobs.open[id]; {
 	case was && r.final():
 		c.stopTasksOf(r)
 		c.removeOpenJob(r)
@@ -138,12 +161,12 @@
 	}
 	for k := range r.pages {
 		key := id + "/" + strconv.Itoa(k)
-		if o, ok := c.orphanPages[key]; ok {
-			delete(c.orphanPages, key)
+		if o, ok := c.jobs.orphanPages[key]; ok {
+			delete(c.jobs.orphanPages, key)
 			c.applyPage(key, o.data, o.revision)
 		}
 	}
-	if len(c.earlyHandoffs[id]) > 0 {
+	if len(c.scheduler.earlyHandoffs[id]) > 0 {
 		c.replayEarlyHandoffs(id)
 	}
 	if r.final() {
@@ -212,7 +235,7 @@
 // comes to the same judgement.
 func (c *Core) noteFailure(r *jobRecord, was job.Task, fails int) {
 	r.maxFailures = max(r.maxFailures, fails)
-	m := c.machines[was.Machine]
+	m := c.machines.byID[was.Machine]
 	if was.Phase != job.Bound || m == nil {
 		return // read anew: where it failed is not known
 	}
@@ -229,7 +252,7 @@
 	m.failedJobs[r.spec.ID] = true
 	var jobs []faultattribution.Job
 	for id := range m.failedJobs {
-		if o := c.jobs[id]; o != nil {
+		if o := c.jobs.byID[id]; o != nil {
 			jobs = append(jobs, c.failureHistory(o))
 		}
 	}
@@ -252,23 +275,23 @@
 
 // addOpenJob and close keep the indexes of unfinished jobs.
 func (c *Core) addOpenJob(r *jobRecord) {
-	c.openJobs[r.spec.ID] = r
-	at, _ := slices.BinarySearchFunc(c.jobsByAge, r, older)
-	c.jobsByAge = slices.Insert(c.jobsByAge, at, r)
-	c.newJobs = append(c.newJobs, r)
+	c.jobs.open[r.spec.ID] = r
+	at, _ := slices.BinarySearchFunc(c.jobs.openByAge, r, older)
+	c.jobs.openByAge = slices.Insert(c.jobs.openByAge, at, r)
+	c.jobs.added = append(c.jobs.added, r)
 	if r.spec.GPUs == 0 {
-		c.openCPUOnlyJobs++
+		c.jobs.openCPUOnly++
 	}
 }
 
 func (c *Core) removeOpenJob(r *jobRecord) {
-	delete(c.openJobs, r.spec.ID)
-	if at, there := slices.BinarySearchFunc(c.jobsByAge, r, older); there {
-		c.jobsByAge = slices.Delete(c.jobsByAge, at, at+1)
+	delete(c.jobs.open, r.spec.ID)
+	if at, there := slices.BinarySearchFunc(c.jobs.openByAge, r, older); there {
+		c.jobs.openByAge = slices.Delete(c.jobs.openByAge, at, at+1)
 	}
 	r.dispatchAfter = nil
 	if r.spec.GPUs == 0 {
-		c.openCPUOnlyJobs--
+		c.jobs.openCPUOnly--
 	}
 }
 
@@ -279,9 +302,9 @@
 func (c *Core) applyPage(name string, data json.RawMessage, revision uint64) {
 	id, num, _ := strings.Cut(name, "/")
 	k, err := strconv.Atoi(num)
-	r := c.jobs[id]
+	r := c.jobs.byID[id]
 	if r == nil {
-		c.orphanPages[name] = orphanPage{bytes.Clone(data), revision} // not the whole response
+		c.jobs.orphanPages[name] = orphanPage{bytes.Clone(data), revision} // not the whole response
 		return
 	}
 	if err != nil || k < 0 || k >= len(r.pages) || data == nil {
@@ -292,14 +315,14 @@
 	if r.final() {
 		defer c.releaseTasks(p)
 	}
-	changes, err := readPage(data, p.tasks, c.changeBuffer[:0])
+	changes, err := readPage(data, p.tasks, c.writer.changeBuffer[:0])
 	if err != nil {
 		c.log.Error("unreadable record", "key", name, "err", err)
 		return
 	}
 	base := k * c.tasksPerPage()
 	changes = c.mergeCompletions(p, base, changes)
-	c.changeBuffer = changes
+	c.writer.changeBuffer = changes
 	p.revision = revision
 	since := revision // each change of a page comes, but while the records are read anew
 	if c.state.Rescanning() {
@@ -331,7 +354,7 @@
 	switch t.Phase {
 	case job.Bound:
 		r.bound++
-		if tm := c.teams[r.spec.Team]; tm != nil {
+		if tm := c.jobs.teams[r.spec.Team]; tm != nil {
 			tm.running = tm.running.plus(r.spec, 1)
 		}
 		m := c.machine(t.Machine)
@@ -364,7 +387,7 @@
 	switch t.Phase {
 	case job.Bound:
 		r.bound--
-		if tm := c.teams[r.spec.Team]; tm != nil {
+		if tm := c.jobs.teams[r.spec.Team]; tm != nil {
 			tm.running = tm.running.plus(r.spec, -1)
 		}
 		m := c.machine(t.Machine)
@@ -427,7 +450,7 @@
 }
 
 func (c *Core) applyTeam(name string, data json.RawMessage, revision uint64) {
-	t := c.teams[name]
+	t := c.jobs.teams[name]
 	if t == nil || data == nil {
 		return
 	}
@@ -460,7 +483,7 @@
 	n := c.tasksPerPage()
 	p := r.pages[index/n]
 	ch.index = index % n
-	if m := c.machines[ch.machine]; m != nil && !ch.placement {
+	if m := c.machines.byID[ch.machine]; m != nil && !ch.placement {
 		ch.token = m.token
 	}
 	for i := range p.queue {
@@ -489,7 +512,7 @@
 		why = ch.cause
 	}
 	var silent time.Duration
-	if m := c.machines[ch.machine]; m != nil && m.heardAt > 0 {
+	if m := c.machines.byID[ch.machine]; m != nil && m.heardAt > 0 {
 		silent = c.now - m.heardAt
 	}
 	if ch.proof == fencing.LeaseExpired { // as far as anybody can know, it ran on until then
--- a/internal/coordination/recover_test.go
+++ b/internal/coordination/recover_test.go
@@ -99,7 +99,7 @@
 	s.run(100 * time.Second)
 	c := s.nodes[0].core
 	hung := map[string]bool{}
-	for i, m := range c.ownMachines {
+	for i, m := range c.machines.own {
 		if i%5 < 3 {
 			for _, w := range s.cloud.sorted() {
 				if w.name == m.id {
@@ -119,7 +119,7 @@
 	}
 	s.run(100*time.Second + seconds(3*s.facts.Workers.Report))
 	n := found()
-	t.Logf("%d of %d hung machines found, of %d", n, len(hung), len(c.ownMachines))
+	t.Logf("%d of %d hung machines found, of %d", n, len(hung), len(c.machines.own))
 	if len(hung) < 20 || n < len(hung)*9/10 {
 		t.Errorf("%d of %d hung machines are found three report periods later", n, len(hung))
 	}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -17,7 +17,7 @@
 	orders := []protocol.Command{}
 	st := c.workerState(m)
 	m.deferredLaunches = nil // what it lacks is judged again
-	listed := c.listedBuffer
+	listed := c.machines.listedBuffer
 	clear(listed)
 	for i := range r.Tasks {
 		orders = c.reconcileListed(orders, m, st, r, &r.Tasks[i], listed)
@@ -54,7 +54,7 @@
 	case fencing.Defer:
 		return orders // to be forgotten later
 	}
-	rec := c.jobs[id]
+	rec := c.jobs.byID[id]
 	listed[k] = true
 	if c.verbose {
 		c.log.Debug("reported", "load", l.Task, "try", l.Attempt, "status", l.Status, "cause", l.Cause, "stoker", m.id)
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -22,8 +22,8 @@
 		if t, ok := f.deletedAt[id]; ok && c.now-t < seconds(4*c.cfg.Facts.Cloud.ListLag) {
 			continue
 		}
-		t, known := c.catalogue[l.MachineType]
-		m := c.machines[id]
+		t, known := c.catalogue.types[l.MachineType]
+		m := c.machines.byID[id]
 		switch {
 		case l.Status == protocol.StatusFailed:
 			c.releaseMachineTasks(id)
@@ -39,7 +39,7 @@
 // releaseMachineTasks releases everything on a machine of which the cloud has said
 // that it is no more.
 func (c *Core) releaseMachineTasks(id string) {
-	m := c.machines[id]
+	m := c.machines.byID[id]
 	if m == nil {
 		return
 	}
@@ -62,14 +62,14 @@
 // since it was asked for.
 func (c *Core) deleteMachines() {
 	f := &c.scaler
-	for id, d := range c.drains {
-		m := c.machines[id]
+	for id, d := range c.machines.drains {
+		m := c.machines.byID[id]
 		if m == nil || m.token == 0 || len(m.bound) == 0 && c.drainSettled(id) || drainSeverity[d.Reason] >= drainSeverity[drainSilent] {
 			f.toDelete[id] = true
 		}
 	}
 	var odd []string // most machines are looked after by a living controller
-	for id, m := range c.machines {
+	for id, m := range c.machines.byID {
 		if _, gone := f.deletedAt[id]; gone || m.token == 0 || !c.alive(m.claim.Owner) {
 			odd = append(odd, id)
 		} else if f.orphanedSince[id] != 0 {
@@ -78,7 +78,7 @@
 	}
 	sort.Strings(odd)
 	for _, id := range odd {
-		m := c.machines[id]
+		m := c.machines.byID[id]
 		if t, ok := f.deletedAt[id]; ok && (m.token != 0 || len(m.bound) > 0) && f.deletionConfirmed[id] && c.now-t < seconds(2*c.cfg.Facts.Cloud.ListLag) {
 			// Known to be gone: releases that failed are proposed again, and
 			// the records go once nothing is bound any more.
@@ -156,9 +156,9 @@
 	// Guards against a judgement that waits for the budget while the machine reports and is claimed: conditional on
 	// that claim, the drain would be written all the same.
 	for id, why := range f.toDrain {
-		m := c.machines[id]
+		m := c.machines.byID[id]
 		claimed := m != nil && m.token != 0
-		if _, drained := c.drains[id]; drained || claimed != (why == drainLost) || claimed && c.alive(m.claim.Owner) {
+		if _, drained := c.machines.drains[id]; drained || claimed != (why == drainLost) || claimed && c.alive(m.claim.Owner) {
 			delete(f.toDrain, id)
 		}
 	}
@@ -169,7 +169,7 @@
 	var ops []protocol.Op
 	for _, id := range sortedKeys(f.toDrain) {
 		held := []protocol.Compare{{Key: keyDrain + id}, {Key: keyClaim + id}}
-		if m := c.machines[id]; m != nil {
+		if m := c.machines.byID[id]; m != nil {
 			held = append(m.ownershipCompares(), held[0])
 		}
 		held = slices.DeleteFunc(held, func(k protocol.Compare) bool { return slices.Contains(compares, k) })
@@ -185,7 +185,7 @@
 		if o == stateclient.Committed {
 			for _, op := range ops {
 				id := strings.TrimPrefix(op.Put, keyDrain)
-				c.log.Info("giving a machine up", "stoker", id, "why", c.drains[id].Reason)
+				c.log.Info("giving a machine up", "stoker", id, "why", c.machines.drains[id].Reason)
 			}
 		}
 		if o != stateclient.Conflict {
@@ -215,7 +215,7 @@
 // dropMachineRecords drops the records of a machine that is gone, once nothing is
 // bound to it.
 func (c *Core) dropMachineRecords(id string) {
-	if m := c.machines[id]; m != nil && (len(m.bound) > 0 || m.dropRetryAt > c.now) {
+	if m := c.machines.byID[id]; m != nil && (len(m.bound) > 0 || m.dropRetryAt > c.now) {
 		return
 	} else if m != nil {
 		m.dropRetryAt = c.now + time.Second
--- a/internal/coordination/returns_test.go
+++ b/internal/coordination/returns_test.go
@@ -36,7 +36,7 @@
 		l := s.leading()
 		l.lag = time.Hour // its watch is answered late
 		s.launched = func(w *simWorker, o protocol.Command) {
-			m := l.core.machines[w.name]
+			m := l.core.machines.byID[w.name]
 			if m == nil || m.token == 0 || len(m.bound) > 0 || l.core.isOwn(m) {
 				return
 			}
@@ -113,7 +113,7 @@
 			if torn && !c.state.Rescanning() && c.state.Consistent() {
 				break
 			}
-			if m := c.machines["i-900000"]; m == nil || len(m.bound) == 0 {
+			if m := c.machines.byID["i-900000"]; m == nil || len(m.bound) == 0 {
 				continue
 			}
 			c.beginStep(l.clock())
--- a/internal/coordination/routing.go
+++ b/internal/coordination/routing.go
@@ -25,7 +25,7 @@
 	}
 	in := c.cfg.Zone == zone
 	var near, all []string
-	nearHeld, allHeld := 0, len(c.ownMachines)+c.claimsInFlight
+	nearHeld, allHeld := 0, len(c.machines.own)+c.machines.claimsInFlight
 	if in {
 		nearHeld = allHeld
 	}
@@ -36,17 +36,17 @@
 	// Or to its own controller that has restarted since, and goes on without a new claim;
 	// unless we have had it look for that one already.
 	home := func(name string) bool {
-		return m.token != 0 && m.claim.Owner == name && m.claim.Incarnation != c.members[name].Incarnation && m.awaitingHolderSince == 0
+		return m.token != 0 && m.claim.Owner == name && m.claim.Incarnation != c.membership.members[name].Incarnation && m.awaitingHolderSince == 0
 	}
 	for i := range now.Peers {
 		p := &now.Peers[i]
 		name := p.Controller.Node
-		if c.members[name] == nil || p.HeartbeatAge > now.HeartbeatInterval || !connectivity.CanServeZone(&now, p, zone, now.HeartbeatInterval) || sure && p.Relays && !home(name) && !connectivity.ProvenToHearZone(&now, p, zone) {
+		if c.membership.members[name] == nil || p.HeartbeatAge > now.HeartbeatInterval || !connectivity.CanServeZone(&now, p, zone, now.HeartbeatInterval) || sure && p.Relays && !home(name) && !connectivity.ProvenToHearZone(&now, p, zone) {
 			continue
 		}
-		all, allHeld = append(all, name), allHeld+c.ownership.machinesByOwner[name]
+		all, allHeld = append(all, name), allHeld+c.machines.ownership.machinesByOwner[name]
 		if p.Zone == zone {
-			near, nearHeld = append(near, name), nearHeld+c.ownership.machinesByOwner[name]
+			near, nearHeld = append(near, name), nearHeld+c.machines.ownership.machinesByOwner[name]
 		}
 	}
 	group, held, size := near, nearHeld, len(near)
@@ -69,7 +69,7 @@
 		if c.isOwn(m) {
 			most = 1.5*fair + spare
 		}
-		if float64(len(c.ownMachines)+c.claimsInFlight) < most {
+		if float64(len(c.machines.own)+c.machines.claimsInFlight) < most {
 			return ""
 		}
 	}
@@ -81,7 +81,7 @@
 	}
 	to, least := "", 0
 	for _, i := range c.random.Perm(len(group)) {
-		if n := c.ownership.machinesByOwner[group[i]]; to == "" || n < least {
+		if n := c.machines.ownership.machinesByOwner[group[i]]; to == "" || n < least {
 			to, least = group[i], n
 		}
 	}
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -18,7 +18,7 @@
 	heard, recent, mine := 0, 0, 0
 	var unresponsive []string
 	zones := map[string]*zoneHeartbeats{}
-	for _, m := range c.ownMachines {
+	for _, m := range c.machines.own {
 		mine++
 		z := zones[m.claim.Zone]
 		if z == nil {
@@ -46,15 +46,15 @@
 	for name, z := range zones {
 		held[name] = z.machines
 	}
-	if c.ownership.machinesByOwner[c.cfg.Node] > len(c.ownMachines) {
-		for _, m := range c.machines {
+	if c.machines.ownership.machinesByOwner[c.cfg.Node] > len(c.machines.own) {
+		for _, m := range c.machines.byID {
 			if c.heldByEarlierIncarnation(m) {
 				awaited[m.claim.Zone]++
 			}
 		}
 	}
 	c.links.SetWorkers(held, awaited)
-	for _, m := range c.ownMachines {
+	for _, m := range c.machines.own {
 		if c.now-m.heardAt > entryAge {
 			c.removeFromIdleList(m)
 		}
@@ -84,7 +84,7 @@
 			c.drainMachine(m, drainSilent)
 		}
 	}
-	if c.ownership.machinesByOwner[c.cfg.Node] > len(c.ownMachines) && !blind {
+	if c.machines.ownership.machinesByOwner[c.cfg.Node] > len(c.machines.own) && !blind {
 		c.checkInheritedMachines(recent*4 >= mine)
 	}
 }
@@ -133,19 +133,19 @@
 func (c *Core) checkInheritedMachines(well bool) {
 	w := &c.cfg.Facts.Workers
 	missing, late := 0, seconds(1.75*w.Report)
-	for _, m := range c.machines {
+	for _, m := range c.machines.byID {
 		if c.heldByEarlierIncarnation(m) && !m.claiming {
 			missing++
 		}
 	}
 	c.scaler.inherited = max(c.scaler.inherited, missing)
 	well = well && (missing < 4 || 4*missing <= 3*c.scaler.inherited)
-	for _, id := range sortedKeys(c.machines) {
-		m := c.machines[id]
+	for _, id := range sortedKeys(c.machines.byID) {
+		m := c.machines.byID[id]
 		if !c.heldByEarlierIncarnation(m) || m.claiming {
 			continue
 		}
-		quiet := c.now - max(c.loadedAt, m.heardAt)
+		quiet := c.now - max(c.sweep.loadedAt, m.heardAt)
 		if quiet > late && !m.probing && c.now >= m.nextProbeAt {
 			c.probeWorker(m)
 		}
@@ -160,16 +160,16 @@
 // probeWorker asks an overdue worker for its state. An answer shows that it is
 // up, silence that it probably is not.
 func (c *Core) probeWorker(m *machine) {
-	if c.probesInFlight >= c.maxProbes() {
+	if c.machines.probesInFlight >= c.maxProbes() {
 		return
 	}
-	c.probesInFlight++
+	c.machines.probesInFlight++
 	m.probing, m.nextProbeAt = true, c.now+seconds(c.cfg.Facts.Workers.Report/4)
 	at := m.heardAt
 	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: "GET", Path: protocol.PathStatus,
 		Timeout: seconds(c.cfg.Facts.Workers.Report / 4)}, func(r protocol.Reply) {
 		m.probing = false
-		c.probesInFlight--
+		c.machines.probesInFlight--
 		if r.Status != 0 {
 			c.links.WorkerHeard(m.claim.Zone)
 		}
--- a/internal/coordination/slopes_test.go
+++ b/internal/coordination/slopes_test.go
@@ -58,7 +58,7 @@
 	c.applyJob(spec.ID, encode(storedJob{spec, job.Open, 1, "n0"}), 1)
 	tasks := make([]job.Task, 128)
 	for i := range tasks {
-		tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: c.ownMachines[i%len(c.ownMachines)].id, Epoch: 1}
+		tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: c.machines.own[i%len(c.machines.own)].id, Epoch: 1}
 	}
 	var pages [2][]byte
 	for i := range pages {
@@ -91,8 +91,8 @@
 func BenchmarkSlopePoll(b *testing.B) {
 	s, c, _ := grownCore(b)
 	over := ""
-	for _, id := range sortedKeys(c.jobs) {
-		if c.jobs[id].final() {
+	for _, id := range sortedKeys(c.jobs.byID) {
+		if c.jobs.byID[id].final() {
 			over = id
 		}
 	}
@@ -142,7 +142,7 @@
 	}
 	c, g := newBook()
 	revision := uint64(1 << 40)
-	c.ownership.failovers.Advance(1 << 50)
+	c.machines.ownership.failovers.Advance(1 << 50)
 	b.ReportAllocs()
 	for b.Loop() {
 		revision++
--- a/internal/coordination/storedkeys_test.go
+++ b/internal/coordination/storedkeys_test.go
@@ -34,24 +34,26 @@
 		known     func(c *Core) bool
 	}{
 		{"sg/j/wk-000042", "j-open.json", func(c *Core) bool {
-			r := c.jobs["wk-000042"]
+			r := c.jobs.byID["wk-000042"]
 			return r != nil && r.status == job.Open && r.owner == "n1" && r.revision == stamp && reflect.DeepEqual(r.spec, goldenSpec("wk-000042", job.Gang, job.Production))
 		}},
-		{"sg/j/wk-000044", "j-cancelled.json", func(c *Core) bool { return c.jobs["wk-000044"] != nil && c.jobs["wk-000044"].status == job.Cancelled }},
+		{"sg/j/wk-000044", "j-cancelled.json", func(c *Core) bool {
+			return c.jobs.byID["wk-000044"] != nil && c.jobs.byID["wk-000044"].status == job.Cancelled
+		}},
 		{"sg/p/wk-000042/0", "p-words.json", pageIsKnown},
 		{"sg/p/wk-000042/0", "p-list.json", pageIsKnown},
 		{"sg/q/red", "q.json", func(c *Core) bool {
-			return c.teams["red"].charged == usage{12.5, 3} && c.teams["red"].revision == stamp
+			return c.jobs.teams["red"].charged == usage{12.5, 3} && c.jobs.teams["red"].revision == stamp
 		}},
 		{"sg/c/i-000231", "c.json", func(c *Core) bool {
-			m := c.machines["i-000231"]
+			m := c.machines.byID["i-000231"]
 			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.ownClaim.Token == stamp && m.ownClaim.Epoch == 2
 		}},
-		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.ownership.failovers.Pending(passed) }},
+		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.machines.ownership.failovers.Pending(passed) }},
 		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writer.completions.Has(ending) && c.writer.completions.Len() == 1 }},
-		{"sg/x/i-000231", "x.json", func(c *Core) bool { return c.drains["i-000231"].Reason == "idle" }},
+		{"sg/x/i-000231", "x.json", func(c *Core) bool { return c.machines.drains["i-000231"].Reason == "idle" }},
 		{"sg/m/n1", "m.json", func(c *Core) bool {
-			return reflect.DeepEqual(c.members["n1"], &member{7, 5, 6, 3}) && c.peerFormats["n1"] == 3
+			return reflect.DeepEqual(c.membership.members["n1"], &member{7, 5, 6, 3}) && c.membership.formats["n1"] == 3
 		}},
 		{"sg/fleet", "fleet.json", func(c *Core) bool {
 			return c.scaler.leader == "n1" && c.scaler.leaderIncarnation == 7 && c.scaler.leaderRevision == stamp
@@ -67,8 +69,8 @@
 			a := c.staging.announced["night"]
 			return a != nil && a.Machines == 4 && a.AtMS == 1767225600001 && a.revision == stamp
 		}},
-		{"sg/gang", "gang.json", func(c *Core) bool { return c.gangReservation == gangReservation{"wk-000042", "n1", 7} }},
-		{"sg/flavors", "flavors.json", func(c *Core) bool { return c.catalogue["g4"] != nil && c.catalogue["g4"].GPUs == 4 }},
+		{"sg/gang", "gang.json", func(c *Core) bool { return c.gangs.reservation == gangReservation{"wk-000042", "n1", 7} }},
+		{"sg/flavors", "flavors.json", func(c *Core) bool { return c.catalogue.types["g4"] != nil && c.catalogue.types["g4"].GPUs == 4 }},
 	}
 	for _, test := range tests {
 		t.Run(test.file, func(t *testing.T) {
@@ -95,6 +97,6 @@
 		return false
 	}
 	c.applyChange("sg/j/wk-000042", data, 1)
-	p := c.jobs["wk-000042"].pages[0]
+	p := c.jobs.byID["wk-000042"].pages[0]
 	return reflect.DeepEqual(p.tasks, goldenTasks()) && p.revision == 99
 }
--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -50,18 +50,20 @@
 const minFailoverGroup = 2
 
 // claimEpoch is the epoch of the claims that we write now.
-func (c *Core) claimEpoch() int { return c.ownership.failovers.NextEpoch(c.cfg.Node, c.incarnation) }
+func (c *Core) claimEpoch() int {
+	return c.machines.ownership.failovers.NextEpoch(c.cfg.Node, c.incarnation)
+}
 
 // resolveOwner finds who holds a machine by its own claim and the take-overs of groups, and takes
 // the machine up or gives it up where that has changed.
 func (c *Core) resolveOwner(m *machine) {
-	held := c.ownership.failovers.Resolve(m.id, m.claim.Zone, m.ownClaim)
+	held := c.machines.ownership.failovers.Resolve(m.id, m.claim.Zone, m.ownClaim)
 	m.links = held.Links
 	if held.Token == m.token {
 		return
 	}
 	if m.token != 0 {
-		c.ownership.machinesByOwner[m.claim.Owner]--
+		c.machines.ownership.machinesByOwner[m.claim.Owner]--
 	}
 	m.claim.Owner, m.claim.Incarnation, m.token, m.claimedAt = held.Node, held.Incarnation, held.Token, c.now
 	m.tokenSeen, m.mirrorComplete, m.leaseExpired, m.adopted, m.awaitingHolderSince = false, false, false, false, 0
@@ -93,13 +95,13 @@
 		return
 	}
 	if data == nil {
-		if c.ownership.failovers.Delete(g) {
+		if c.machines.ownership.failovers.Delete(g) {
 			c.resolveGroup(g)
 		}
 		return
 	}
 	var successor failover.Holder
-	if decode(c.log, name, data, &successor) && c.ownership.failovers.Put(g, successor, revision) {
+	if decode(c.log, name, data, &successor) && c.machines.ownership.failovers.Put(g, successor, revision) {
 		c.resolveGroup(g)
 	}
 }
@@ -107,7 +109,7 @@
 // advanceFailovers heeds the records up to which the mirror has become complete, and answers the
 // reports that have waited for them.
 func (c *Core) advanceFailovers() {
-	heeded := c.ownership.failovers.Advance(c.state.AppliedRevision())
+	heeded := c.machines.ownership.failovers.Advance(c.state.AppliedRevision())
 	sortGroups(heeded)
 	for _, g := range heeded {
 		c.resolveGroup(g)
@@ -121,8 +123,8 @@
 
 // resolveGroup finds anew who holds the machines of a group.
 func (c *Core) resolveGroup(g failover.Group) {
-	for _, id := range sortedKeys(c.machines) {
-		m := c.machines[id]
+	for _, id := range sortedKeys(c.machines.byID) {
+		m := c.machines.byID[id]
 		if slices.ContainsFunc(m.links, func(l failover.Link) bool { return l.Group == g }) {
 			c.resolveOwner(m)
 		}
@@ -132,11 +134,11 @@
 // retryPendingHeartbeats takes the reports up again that have waited for a group; alone has their workers
 // claimed one by one.
 func (c *Core) retryPendingHeartbeats(g failover.Group, alone bool) {
-	w := c.ownership.pending[g]
+	w := c.machines.ownership.pending[g]
 	if w == nil {
 		return
 	}
-	delete(c.ownership.pending, g)
+	delete(c.machines.ownership.pending, g)
 	for _, r := range w.heartbeats {
 		c.answerHeartbeat(r.id, r.heartbeat, alone)
 	}
@@ -145,7 +147,7 @@
 // hasPeerBelowFormat tells whether a peer is there that does not read a format.
 func (c *Core) hasPeerBelowFormat(format int) bool {
 	for _, p := range c.cfg.Peers {
-		if m := c.members[p.Node]; m != nil && m.Format < format {
+		if m := c.membership.members[p.Node]; m != nil && m.Format < format {
 			return true
 		}
 	}
@@ -162,14 +164,14 @@
 	if !ok || !c.cfg.Operator.GroupTakeover || m.ownClaim.Token == 0 || !c.allPeersRead(failoverFormat) {
 		return false
 	}
-	w := c.ownership.pending[g]
+	w := c.machines.ownership.pending[g]
 	if w == nil {
-		if !c.ownership.failovers.Pending(g) && (c.links.LostZone(r.Zone) || !c.ownerCannotServe(m) || c.groupSize(g) < minFailoverGroup) {
+		if !c.machines.ownership.failovers.Pending(g) && (c.links.LostZone(r.Zone) || !c.ownerCannotServe(m) || c.groupSize(g) < minFailoverGroup) {
 			return false
 		}
 		w = &pendingFailover{since: c.now}
-		c.ownership.pending[g] = w
-		if !c.ownership.failovers.Pending(g) {
+		c.machines.ownership.pending[g] = w
+		if !c.machines.ownership.failovers.Pending(g) {
 			c.writeFailover(g)
 		}
 	}
@@ -185,7 +187,7 @@
 	if owner == c.cfg.Node {
 		return false
 	}
-	member := c.members[owner]
+	member := c.membership.members[owner]
 	if member == nil {
 		return true
 	}
@@ -195,7 +197,7 @@
 
 // groupSize counts the machines of a group.
 func (c *Core) groupSize(g failover.Group) (n int) {
-	for _, m := range c.machines {
+	for _, m := range c.machines.byID {
 		if len(m.links) > 0 && m.links[len(m.links)-1].Group == g {
 			n++
 		}
@@ -228,15 +230,15 @@
 // expirePendingFailovers refuses reports that have waited for too long.
 func (c *Core) expirePendingFailovers() {
 	var late []failover.Group
-	for g, w := range c.ownership.pending {
+	for g, w := range c.machines.ownership.pending {
 		if c.now-w.since > failoverTimeout {
 			late = append(late, g)
 		}
 	}
 	sortGroups(late)
 	for _, g := range late {
-		w := c.ownership.pending[g]
-		delete(c.ownership.pending, g)
+		w := c.machines.ownership.pending[g]
+		delete(c.machines.ownership.pending, g)
 		for _, r := range w.heartbeats {
 			c.refuse(r.id, 503, "its group is being taken over")
 		}
@@ -245,22 +247,22 @@
 
 // dropUnusedFailovers drops the records that no machine's holder stands on any more.
 func (c *Core) dropUnusedFailovers() {
-	if c.ownership.failovers.Len() == 0 || !c.mirrorFresh() {
+	if c.machines.ownership.failovers.Len() == 0 || !c.mirrorFresh() {
 		return
 	}
 	inUse := map[failover.Group]bool{}
-	for _, m := range c.machines {
+	for _, m := range c.machines.byID {
 		for _, l := range m.links {
 			inUse[l.Group] = true
 		}
 	}
-	unused := c.ownership.failovers.Unused(inUse)
+	unused := c.machines.ownership.failovers.Unused(inUse)
 	sortGroups(unused)
 	var compares []protocol.Compare
 	var ops []protocol.Op
 	for _, g := range unused[:min(len(unused), c.cfg.Facts.State.TxnOps)] {
 		key := keyTakeover + g.Key()
-		compares = append(compares, protocol.Compare{Key: key, ModRevision: c.ownership.failovers.Revision(g)})
+		compares = append(compares, protocol.Compare{Key: key, ModRevision: c.machines.ownership.failovers.Revision(g)})
 		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
--- a/internal/coordination/takeovers_test.go
+++ b/internal/coordination/takeovers_test.go
@@ -51,7 +51,7 @@
 	}
 	lost := map[*simWorker]bool{}
 	for _, n := range ending {
-		for _, m := range n.core.ownMachines {
+		for _, m := range n.core.machines.own {
 			if w := s.cloud.all[m.id]; w != nil && w.up {
 				lost[w] = true
 			}
@@ -279,7 +279,7 @@
 		}
 	}
 	used := map[string]bool{}
-	for _, m := range s.nodes[0].core.machines {
+	for _, m := range s.nodes[0].core.machines.byID {
 		for _, l := range m.links {
 			if l.Revision > 0 {
 				used[l.Group.Key()] = true
--- a/internal/coordination/troublemakers_test.go
+++ b/internal/coordination/troublemakers_test.go
@@ -449,7 +449,7 @@
 		if n.core == nil {
 			continue
 		}
-		if r := n.core.jobs[l.id]; r != nil {
+		if r := n.core.jobs.byID[l.id]; r != nil {
 			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == l.try {
 				return false
 			}
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -59,7 +59,7 @@
 // toAnnounce lists this controller's own, for a beat.
 func (u *unshippedOutput) toAnnounce() (out []string) {
 	for id := range u.own {
-		if m := u.core.machines[id]; m == nil || !u.core.isOwn(m) {
+		if m := u.core.machines.byID[id]; m == nil || !u.core.isOwn(m) {
 			delete(u.own, id)
 			continue
 		}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -23,7 +23,7 @@
 
 func (c *Core) healthCheck(id uint64) {
 	switch {
-	case !c.state.Loaded() || len(c.catalogue) == 0:
+	case !c.state.Loaded() || len(c.catalogue.types) == 0:
 		c.refuse(id, 503, "starting")
 	case c.isolated():
 		c.refuse(id, 503, "cut off from the state service")
@@ -66,7 +66,7 @@
 }
 
 func (c *Core) queryJob(id uint64, ref string) {
-	if r := c.jobs[ref]; r != nil && r.final() {
+	if r := c.jobs.byID[ref]; r != nil && r.final() {
 		c.respond(id, 200, c.jobState(r), 0) // final states never change
 		return
 	}
@@ -79,11 +79,11 @@
 func (c *Core) cutOff() bool { return c.now-c.state.FreshAt() > c.state.StaleAfter() }
 
 func (c *Core) refreshJob(p statusQuery) {
-	if !c.state.Loaded() || c.cutOff() || len(c.statusQueries) >= maxStatusQueries {
+	if !c.state.Loaded() || c.cutOff() || len(c.queries.statusQueries) >= maxStatusQueries {
 		c.refuse(p.requestID, 503, "the job's state can't be read now")
 		return
 	}
-	c.statusQueries = append(c.statusQueries, p)
+	c.queries.statusQueries = append(c.queries.statusQueries, p)
 }
 
 // sendStatusQueries answers the questions for which the mirror is proved fresh. A
@@ -92,30 +92,30 @@
 // watches take to open. Otherwise one comparing transaction proves it for a
 // batch, and whatever does not match is read.
 func (c *Core) sendStatusQueries() {
-	if len(c.statusQueries) == 0 {
+	if len(c.queries.statusQueries) == 0 {
 		return
 	}
-	rest := c.statusQueries[:0]
-	for _, p := range c.statusQueries {
+	rest := c.queries.statusQueries[:0]
+	for _, p := range c.queries.statusQueries {
 		if p.since <= c.state.FreshAt() {
 			c.respondJobState(p)
 		} else {
 			rest = append(rest, p)
 		}
 	}
-	if c.statusQueries = rest; c.statusQueryInFlight || len(rest) == 0 {
+	if c.queries.statusQueries = rest; c.queries.statusQueryInFlight || len(rest) == 0 {
 		return
 	}
 	if !c.state.HasSpareRequests() && c.now-rest[0].since < 3*c.state.WatchSpacing() {
 		return
 	}
-	c.statusQueryInFlight = true
-	batch := c.statusQueries
+	c.queries.statusQueryInFlight = true
+	batch := c.queries.statusQueries
 	limit := 4 * c.cfg.Facts.State.TxnOps
 	if len(batch) > limit {
-		batch, c.statusQueries = batch[:limit:limit], append([]statusQuery(nil), batch[limit:]...)
+		batch, c.queries.statusQueries = batch[:limit:limit], append([]statusQuery(nil), batch[limit:]...)
 	} else {
-		c.statusQueries = nil
+		c.queries.statusQueries = nil
 	}
 	seen := map[string]bool{}
 	var compares []protocol.Compare
@@ -126,7 +126,7 @@
 		}
 	}
 	c.state.Txn(ratelimit.UserRequests, compares, nil, func(o stateclient.TxnOutcome, failed []string, _ uint64) {
-		c.statusQueryInFlight = false
+		c.queries.statusQueryInFlight = false
 		stale := map[string]bool{}
 		for _, k := range failed {
 			stale[k] = true
@@ -144,7 +144,7 @@
 					}
 				})
 			case o == stateclient.Conflict:
-				c.statusQueries = append(c.statusQueries, p)
+				c.queries.statusQueries = append(c.queries.statusQueries, p)
 			default:
 				c.refuse(p.requestID, 503, "the job's state can't be read now")
 			}
@@ -154,7 +154,7 @@
 }
 
 func (c *Core) respondJobState(p statusQuery) {
-	r := c.jobs[p.job]
+	r := c.jobs.byID[p.job]
 	switch {
 	case r != nil:
 		c.respond(p.requestID, 200, c.jobState(r), 0)
@@ -182,7 +182,7 @@
 		c.refuse(id, 503, "starting")
 		return
 	}
-	if r := c.jobs[ref]; r != nil {
+	if r := c.jobs.byID[ref]; r != nil {
 		c.queryJob(id, ref)
 		return
 	}
@@ -197,7 +197,7 @@
 		extra, err = c.queries.extra(spec, body)
 	}
 	if err == nil {
-		if len(c.catalogue) == 0 {
+		if len(c.catalogue.types) == 0 {
 			c.refuse(id, 503, "the machine types are not known yet")
 			return
 		}
@@ -207,7 +207,7 @@
 		// A known job is never refused, whatever its repetition says: the
 		// mirror may lag, so the record itself decides.
 		c.state.Refresh(ratelimit.UserRequests, keyJob+ref, func(ok bool) {
-			switch r := c.jobs[ref]; {
+			switch r := c.jobs.byID[ref]; {
 			case !ok:
 				c.refuse(id, 503, "can't tell now")
 			case r != nil:
@@ -231,11 +231,11 @@
 				c.Stats.Submitted++
 				c.log.Debug("accepted", "job", ref, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 				c.respond(id, 201, protocol.JobState{ID: ref, Status: "queued"}, 0)
-				c.dispatchJob(c.jobs[ref])
+				c.dispatchJob(c.jobs.byID[ref])
 			case stateclient.Conflict, stateclient.Unknown:
 				// Known already, or the answer was lost: the record tells.
 				c.state.Refresh(ratelimit.UserRequests, key, func(ok bool) {
-					if r := c.jobs[ref]; ok && r != nil {
+					if r := c.jobs.byID[ref]; ok && r != nil {
 						c.respond(id, 200, c.jobState(r), 0)
 					} else {
 						c.refuse(id, 503, "the outcome is not known yet")
@@ -258,12 +258,12 @@
 
 // checkFeasible tells why a job can never run.
 func (c *Core) checkFeasible(s *job.Spec) error {
-	t := c.teams[s.Team]
+	t := c.jobs.teams[s.Team]
 	if t == nil {
 		return fmt.Errorf("crew: unknown team %q", s.Team)
 	}
 	zones := map[string]bool{} // in which a machine can hold a task
-	for name, f := range c.catalogue {
+	for name, f := range c.catalogue.types {
 		if !s.AllowsMachineType(name) || !typeHolds(f, s) {
 			continue
 		}
@@ -299,7 +299,7 @@
 		c.refuse(id, 503, "can't cancel now")
 		return
 	}
-	r := c.jobs[ref]
+	r := c.jobs.byID[ref]
 	if r != nil && r.final() {
 		c.respond(id, 200, protocol.JobState{ID: ref, Status: string(r.status)}, 0)
 		return
@@ -310,7 +310,7 @@
 			switch {
 			case !ok:
 				c.refuse(id, 503, "can't cancel now")
-			case c.jobs[ref] == nil:
+			case c.jobs.byID[ref] == nil:
 				c.respondUnknownJob(id, ref, 404, "no such job")
 			default:
 				c.cancel(id, ref, tries+1)
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -23,6 +23,9 @@
 	extras      map[string]json.RawMessage // descriptions' extras
 	extrasByAge []string                   // of known, the oldest first
 	extrasBytes int
+
+	statusQueries       []statusQuery
+	statusQueryInFlight bool
 }
 
 func newQueryHandler(c *Core) *queryHandler {
@@ -88,13 +91,13 @@
 			v.describe(id, r)
 		}
 	}
-	if r := c.jobs[ref]; r != nil {
+	if r := c.jobs.byID[ref]; r != nil {
 		answer(r)
 		return true
 	}
 	// A launch can reach a worker before the job's record reaches us.
 	c.state.Refresh(ratelimit.OtherWork, keyJob+ref, func(ok bool) {
-		switch r := c.jobs[ref]; {
+		switch r := c.jobs.byID[ref]; {
 		case !ok:
 			c.refuse(id, 503, "the job can't be read now")
 		case r == nil:
@@ -238,14 +241,14 @@
 
 func (v *queryHandler) jobs(from string, all bool) protocol.JobPage {
 	c := v.core
-	which := c.openJobs
+	which := c.jobs.open
 	if all {
-		which = c.jobs
+		which = c.jobs.byID
 	}
 	names, more := after(which, from, func(*jobRecord) bool { return true })
 	out := protocol.JobPage{Jobs: []protocol.JobSummary{}, Truncated: more}
 	for _, n := range names {
-		r := c.jobs[n]
+		r := c.jobs.byID[n]
 		s := c.jobState(r)
 		out.Jobs = append(out.Jobs, protocol.JobSummary{ID: n, Status: s.Status, Class: r.spec.Class, Team: r.spec.Team,
 			Shape: protocol.ShapeName(r.spec.Shape), Priority: protocol.PriorityName(r.spec.Priority), Tasks: r.spec.Tasks,
@@ -258,7 +261,7 @@
 // controller knows.
 func (v *queryHandler) waitReason(r *jobRecord) string {
 	c := v.core
-	tm := c.teams[r.spec.Team]
+	tm := c.jobs.teams[r.spec.Team]
 	switch {
 	case r.final() || r.bound+r.finished >= r.spec.Tasks:
 		return ""
@@ -276,13 +279,13 @@
 
 func (v *queryHandler) nodes(from string) protocol.MachinePage {
 	c := v.core
-	names, more := after(c.machines, from, func(m *machine) bool { return m.token != 0 })
+	names, more := after(c.machines.byID, from, func(m *machine) bool { return m.token != 0 })
 	out := protocol.MachinePage{Machines: []protocol.MachineSummary{}, Truncated: more}
 	for _, n := range names {
-		m := c.machines[n]
+		m := c.machines.byID[n]
 		k := c.machineTypeOf(m)
 		status := "ready"
-		if d, ok := c.drains[n]; ok {
+		if d, ok := c.machines.drains[n]; ok {
 			status = "draining: " + d.Reason
 		}
 		line := protocol.MachineSummary{Machine: n, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot, Address: m.claim.Address,
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -34,6 +34,28 @@
 // drainSeverity orders them: the graver ones do not wait until nothing is bound.
 var drainSeverity = map[string]int{drainIdle: 0, drainPreempted: 1, drainFaulty: 2, drainSilent: 3, drainStray: 3, drainLost: 3, drainFailed: 4}
 
+// machineTable owns what is known of all machines: who holds them, their drains, and
+// those that this controller holds itself.
+type machineTable struct {
+	byID           map[string]*machine
+	own            []*machine // machines that this controller holds, by name
+	ownership      ownershipTable
+	drains         map[string]drainRecord
+	launchTargets  []*machine // machines with launches to be sent at the end of the step
+	claimsInFlight int
+	probesInFlight int
+	listedBuffer   map[taskKey]bool // reused by reconcile alone
+}
+
+func newMachineTable() machineTable {
+	return machineTable{
+		byID:         map[string]*machine{},
+		ownership:    newOwnershipTable(),
+		drains:       map[string]drainRecord{},
+		listedBuffer: map[taskKey]bool{},
+	}
+}
+
 // machine is what a controller knows of one machine: who holds it, what its reports say, the
 // launches under way to it, the work on it, and what keeps its room.
 type machine struct {
@@ -130,12 +152,12 @@
 }
 
 func (c *Core) machine(id string) *machine {
-	m := c.machines[id]
+	m := c.machines.byID[id]
 	if m == nil {
 		m = &machine{id: id, failedJobs: map[string]bool{}, unboundSince: c.now,
 			launchState: launchState{inFlight: map[taskAttempt]bool{}, runningSince: map[taskKey]time.Duration{}, pulling: map[taskKey]bool{}, stops: map[taskKey]taskStop{}},
 			machineLoad: machineLoad{bound: map[taskKey]*jobRecord{}, boundAt: map[taskKey]binding{}, vacated: map[taskKey]*jobRecord{}, imageReadyAt: map[string]time.Duration{}}}
-		c.machines[id] = m
+		c.machines.byID[id] = m
 	}
 	return m
 }
@@ -146,7 +168,7 @@
 // machineTypeOf is a machine's type.
 func (c *Core) machineTypeOf(m *machine) *protocol.MachineType {
 	if m.machineType == nil || m.machineType.Name != m.claim.MachineType {
-		if m.machineType = c.catalogue[m.claim.MachineType]; m.machineType == nil {
+		if m.machineType = c.catalogue.types[m.claim.MachineType]; m.machineType == nil {
 			return &unknownMachineType
 		}
 	}
@@ -179,7 +201,7 @@
 
 // unschedulable tells whether new work may not go to the machine.
 func (c *Core) unschedulable(m *machine) bool {
-	_, drained := c.drains[m.id]
+	_, drained := c.machines.drains[m.id]
 	return drained || m.draining || m.preempted || m.leaseExpired || m.consolidating || m.claiming || !m.tokenSeen
 }
 
@@ -194,7 +216,7 @@
 		return
 	}
 	if m.token != 0 {
-		c.ownership.machinesByOwner[m.claim.Owner]--
+		c.machines.ownership.machinesByOwner[m.claim.Owner]--
 		m.token = 0
 	}
 	m.claim, m.ownClaim = k, failover.Claim{Holder: failover.Holder{Node: k.Owner, Incarnation: k.Incarnation, Epoch: k.Epoch}, Token: revision}
@@ -204,7 +226,7 @@
 // removeClaim takes that a machine's claim is gone.
 func (c *Core) removeClaim(m *machine) {
 	if m.token != 0 {
-		c.ownership.machinesByOwner[m.claim.Owner]--
+		c.machines.ownership.machinesByOwner[m.claim.Owner]--
 	}
 	m.token, m.ownClaim, m.links = 0, failover.Claim{}, nil
 	m.tokenSeen = false
@@ -218,8 +240,8 @@
 // that was reserved on a machine that is forgotten meanwhile: given back to one that
 // is met anew under its name, it made more room than there is.
 func (c *Core) forgetUnclaimed(m *machine) {
-	if m.token == 0 && len(m.bound) == 0 && m.reserved == 0 && c.machines[m.id] == m {
-		delete(c.machines, m.id)
+	if m.token == 0 && len(m.bound) == 0 && m.reserved == 0 && c.machines.byID[m.id] == m {
+		delete(c.machines.byID, m.id)
 		c.staging.machineLost(m.id)
 	}
 }
@@ -228,32 +250,32 @@
 // with a changed claim.
 func (c *Core) updateOwnership(m *machine) {
 	if m.token != 0 {
-		c.ownership.machinesByOwner[m.claim.Owner]++
+		c.machines.ownership.machinesByOwner[m.claim.Owner]++
 	}
 	c.updateOwnMachines(m)
 }
 
 // updateOwnMachines keeps the list of our machines.
 func (c *Core) updateOwnMachines(m *machine) {
-	at := sort.Search(len(c.ownMachines), func(i int) bool { return c.ownMachines[i].id >= m.id })
-	there := at < len(c.ownMachines) && c.ownMachines[at].id == m.id
+	at := sort.Search(len(c.machines.own), func(i int) bool { return c.machines.own[i].id >= m.id })
+	there := at < len(c.machines.own) && c.machines.own[at].id == m.id
 	switch {
 	case c.isOwn(m) && !there:
-		c.ownMachines = slices.Insert(c.ownMachines, at, m)
+		c.machines.own = slices.Insert(c.machines.own, at, m)
 	case !c.isOwn(m) && there:
-		c.ownMachines = slices.Delete(c.ownMachines, at, at+1)
+		c.machines.own = slices.Delete(c.machines.own, at, at+1)
 	}
 }
 
 func (c *Core) applyDrain(id string, data json.RawMessage) {
 	if data == nil {
-		delete(c.drains, id)
+		delete(c.machines.drains, id)
 		return
 	}
 	var d drainRecord
 	if decode(c.log, id, data, &d) {
-		c.drains[id] = d
-		if m := c.machines[id]; m != nil {
+		c.machines.drains[id] = d
+		if m := c.machines.byID[id]; m != nil {
 			c.removeFromIdleList(m)
 		}
 	}
@@ -278,7 +300,7 @@
 	// Guards against two judgements that take turns on one machine and eat up
 	// the state service's rate: only a graver one replaces an earlier one, and
 	// only while it makes a difference to what is on the machine.
-	if old, ok := c.drains[m.id]; m.draining || ok && (drainSeverity[old.Reason] >= drainSeverity[why] || len(m.bound) == 0) {
+	if old, ok := c.machines.drains[m.id]; m.draining || ok && (drainSeverity[old.Reason] >= drainSeverity[why] || len(m.bound) == 0) {
 		return
 	}
 	m.draining = true
