--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -60,7 +60,7 @@
 		}
 		kind, body, err := page.Render()
 		if err != nil {
-			log.Error("metrics can't be shown", "err", err)
+			log.Error("metrics can't be shown", "error", err)
 			return false
 		}
 		answer(id, kind, body)
@@ -224,7 +224,7 @@
 			if err != nil {
 				return err
 			}
-			log := partLogger("agent").With("stoker", cfg.Stoker)
+			log := partLogger("agent").With("machine", cfg.Stoker)
 			a, err := agent.New(cfg, self, log)
 			if err != nil {
 				return err
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -153,7 +153,7 @@
 			n.server.AnswerAs(id, kind, body)
 			return
 		}
-		n.log.Error("metrics can't be shown", "err", err)
+		n.log.Error("metrics can't be shown", "error", err)
 	case path == coordination.PathStats:
 		n.core.Stats.Connections = n.server.ConnLimiter.Stats()
 	case r.Query != "" && (path == protocol.PathJobList || path == protocol.PathMachineList || path == protocol.PathDataSets):
@@ -192,7 +192,7 @@
 	}
 	if err := n.recording.Err(); err != nil {
 		n.in = n.core
-		n.log.Error("the recording has ended; it can be replayed up to here", "err", err)
+		n.log.Error("the recording has ended; it can be replayed up to here", "error", err)
 	}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -270,7 +270,7 @@
 func (a *Agent) fail(err error) {
 	if a.failed == nil {
 		a.failed = err
-		a.log.Error("ending", "err", err)
+		a.log.Error("stopping", "error", err)
 		go a.server.Stop()
 	}
 }
@@ -320,7 +320,7 @@
 	a.w = NewWorker(me, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.kept.Shift, a.kept.Baton, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	a.run.open(a.kept.Shift)
 	a.stats.Sessions++
-	a.log.Info("serving", "listen", address, "shift", a.kept.Shift)
+	a.log.Info("serving", "listen", address, "epoch", a.kept.Shift)
 	a.timer = time.AfterFunc(0, a.tick)
 }
 
@@ -417,7 +417,7 @@
 		_, _ = fmt.Fprintf(a.watch, "%d\n", int64(late))
 	}
 	if e.Clear {
-		a.log.Info("the lease is over", "shift", a.w.Session())
+		a.log.Info("lease expired", "epoch", a.w.Session())
 		go a.clear()
 	}
 	for _, k := range e.Kill {
@@ -437,10 +437,10 @@
 		a.describe(id, 0)
 	}
 	for _, name := range e.Fetch {
-		a.log.Debug("fetching", "kit", name)
+		a.log.Debug("fetching", "image", name)
 		a.images.fetch(name, func(err error) {
 			if err != nil {
-				a.log.Error("image can't be had", "kit", name, "err", err)
+				a.log.Error("image can't be had", "image", name, "error", err)
 			}
 			a.step(func() Effects { return a.w.Fetched(a.clock(), name, err) })
 		})
@@ -491,7 +491,7 @@
 		Done: func(r *transport.Response, _ bool, err error) {
 			a.step(func() Effects {
 				if err != nil {
-					a.log.Debug("report not answered", "node", s.Node.Name, "err", err)
+					a.log.Debug("report not answered", "node", s.Node.Name, "error", err)
 					return a.w.Answered(a.clock(), s, 0, nil)
 				}
 				if r.Status == http.StatusOK {
@@ -554,7 +554,7 @@
 		return
 	}
 	if d.Shape == job.Array && a.out.done(k.Job, k.Index) {
-		a.log.Info("done before", "load", k.Load(), "try", k.Try)
+		a.log.Info("done before", "task", k.Load(), "attempt", k.Try)
 		a.over(k, Exit{})
 		return
 	}
@@ -568,12 +568,12 @@
 		return
 	}
 	if err != nil {
-		a.log.Error("a task can't be started", "load", k.Load(), "try", k.Try, "err", err)
+		a.log.Error("a task can't be started", "task", k.Load(), "attempt", k.Try, "error", err)
 		_ = os.WriteFile(filepath.Join(a.run.folder(k), stderr), []byte("silvergate: "+err.Error()+"\n"), 0o600)
 		a.over(k, Exit{Code: -1})
 		return
 	}
-	a.log.Info("started", "load", k.Load(), "try", k.Try, "command", p.Argv[0])
+	a.log.Info("started", "task", k.Load(), "attempt", k.Try, "command", p.Argv[0])
 	// A command that came while the process was being made found nobody.
 	a.mu.Lock()
 	l := a.w.loads[k]
@@ -674,7 +674,7 @@
 		// task run again.
 		if l := a.running(k); l {
 			if err := a.out.complete(k.Job, k.Index); err != nil {
-				a.log.Error("a result can't be kept", "load", k.Load(), "err", err)
+				a.log.Error("a result can't be kept", "task", k.Load(), "error", err)
 			}
 		}
 	}
@@ -697,7 +697,7 @@
 		if l := a.w.loads[k]; l != nil && l.phase == ended {
 			a.stats.Endings[l.cause]++
 			cause = l.cause
-			a.log.Info("ended", "load", k.Load(), "try", k.Try, "cause", l.cause, "code", x.Code, "saved", l.saved)
+			a.log.Info("ended", "task", k.Load(), "attempt", k.Try, "cause", l.cause, "code", x.Code, "saved", l.saved)
 		}
 		return e
 	})
--- a/internal/agent/archive.go
+++ b/internal/agent/archive.go
@@ -43,12 +43,12 @@
 	}
 	dirs, err := os.ReadDir(filepath.Join(k.a.cfg.Dir, tasksDir))
 	if err != nil {
-		k.a.log.Error("what earlier tasks wrote can't be found", "err", err)
+		k.a.log.Error("what earlier tasks wrote can't be found", "error", err)
 	}
 	for _, d := range dirs {
 		if key, ok := parseKey(d.Name()); ok && exists(filepath.Join(k.a.run.folder(key), execFile)) {
 			if err := k.ship.Resume(k.attempt(key), k.a.run.folder(key)); err != nil {
-				k.a.log.Error("what an earlier task wrote can't be kept", "load", key.Load(), "try", key.Try, "err", err)
+				k.a.log.Error("what an earlier task wrote can't be kept", "task", key.Load(), "attempt", key.Try, "error", err)
 				continue
 			}
 			k.ship.Ended(k.attempt(key), "lost with its agent", -1)
@@ -73,12 +73,12 @@
 	seal := k.a.w.Seal(key)
 	k.a.mu.Unlock()
 	if seal == "" || d.Grant == "" {
-		k.a.log.Warn("what a task writes can't be kept: its controller has no archive.grant_key", "load", key.Load(), "try", key.Try)
+		k.a.log.Warn("what a task writes can't be kept: its controller has no archive.grant_key", "task", key.Load(), "attempt", key.Try)
 		return
 	}
 	g := archive.Grant{Attempt: k.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: seal, TermsSeal: d.Grant}
 	if err := k.ship.Begin(g, k.a.run.folder(key)); err != nil {
-		k.a.log.Error("what a task writes can't be kept", "load", key.Load(), "try", key.Try, "err", err)
+		k.a.log.Error("what a task writes can't be kept", "task", key.Load(), "attempt", key.Try, "error", err)
 	}
 }
 
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -178,7 +178,7 @@
 func (d *inputs) brought(k Key, err error) {
 	d.a.step(func() Effects {
 		if err != nil {
-			d.a.log.Error("inputs can't be had", "load", k.Load(), "err", err)
+			d.a.log.Error("inputs can't be had", "task", k.Load(), "error", err)
 		}
 		return d.a.w.Brought(d.a.clock(), k, err, errors.Is(err, datastore.ErrFull))
 	})
@@ -192,7 +192,7 @@
 		f := &o.Fetch[i]
 		w, err := want(&f.DataSet, f.Urgent)
 		if err != nil {
-			d.a.log.Error("a stage order can't be read", "err", err)
+			d.a.log.Error("a stage order can't be read", "error", err)
 			continue
 		}
 		wanted[w.ID] = true
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -251,7 +251,7 @@
 	}
 	killGroups(r.dir)
 	for proc.KillMarked(r.dir, 5*time.Second) > 0 {
-		r.log.Error("processes of the last session can't be ended")
+		r.log.Error("processes of the last agent epoch can't be ended")
 	}
 	for {
 		r.mu.Lock()
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -307,7 +307,7 @@
 	// task ran twice.
 	ok, onClaim := c.workerState(m).MayRelease(fencing.Evidence{Proof: ch.proof, Token: ch.token})
 	if !ok {
-		c.log.Debug("release refused: the evidence is void", "load", job.TaskName(d.page.jobID, d.firstTask+ch.index), "try", ch.attempt, "stoker", m.id, "kind", ch.proof.String(),
+		c.log.Debug("release refused: the evidence is no longer valid", "task", job.TaskName(d.page.jobID, d.firstTask+ch.index), "attempt", ch.attempt, "machine", m.id, "kind", ch.proof.String(),
 			"found", ch.token, "token", m.token)
 		return
 	}
--- a/internal/coordination/consolidate.go
+++ b/internal/coordination/consolidate.go
@@ -76,7 +76,7 @@
 			m.consolidating = true
 			emptying++
 			c.removeFromIdleList(m)
-			c.log.Debug("gathering", "from", m.id, "services", len(m.bound))
+			c.log.Debug("consolidating services", "from", m.id, "services", len(m.bound))
 		}
 	}
 }
@@ -155,7 +155,7 @@
 			}
 			c.scheduler.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
 			t.reserveRoom(r.spec.ID, c.scheduler.nextServiceMoveAt, "")
-			c.log.Debug("second start", "load", job.TaskName(k.job, k.index), "from", m.id, "to", t.id, "leftS", left)
+			c.log.Debug("task is being started again", "task", job.TaskName(k.job, k.index), "from", m.id, "to", t.id, "leftS", left)
 			c.stopTask(m, k, "slow image")
 			return
 		}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -446,7 +446,7 @@
 
 func decode(log *slog.Logger, key string, data json.RawMessage, v any) bool {
 	if err := protocol.DecodeState(data, v); err != nil {
-		log.Error("unreadable record", "key", key, "err", err)
+		log.Error("unreadable record", "key", key, "error", err)
 		return false
 	}
 	return true
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -239,7 +239,7 @@
 			func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 				f.leadershipInFlight = false
 				if o == stateclient.Committed {
-					c.log.Info("leading the fleet")
+					c.log.Info("acquired fleet leadership")
 				}
 			})
 	}
@@ -269,7 +269,7 @@
 		func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 			f.leadershipInFlight = false
 			if o == stateclient.Committed {
-				c.log.Info("leaving the fleet to another: the cloud does not answer us")
+				c.log.Info("resigning fleet leadership: the cloud does not answer")
 			}
 		})
 }
@@ -323,7 +323,7 @@
 			switch {
 			case reply.Status == http.StatusOK && protocol.Decode(reply.Body, &n) == nil:
 				c.Stats.MachinesRented += uint64(len(n.Machines))
-				c.log.Info("rented", "hire", name, "rig", r.MachineType, "depot", r.Zone, "casual", r.Spot, "stokers", n.Machines)
+				c.log.Info("rented", "rental", name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", n.Machines)
 				if len(n.Machines) < r.Count {
 					c.backOffOffering(where)
 				} else {
@@ -340,7 +340,7 @@
 				c.backOffOffering(where)
 				c.dropRental(name)
 			case reply.Status == http.StatusBadRequest:
-				c.log.Error("the cloud calls a rental malformed", "hire", name)
+				c.log.Error("the cloud refused a rental as malformed", "rental", name)
 				c.dropRental(name)
 			default:
 				r.retryAt = c.now + time.Second
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -172,7 +172,7 @@
 	for _, owner := range sortedKeys(byOwner) {
 		c.effects.Sends = append(c.effects.Sends, Outgoing{owner, peer.Message{RoomRequest: &peer.RoomRequest{Job: r.spec.ID, Machines: byOwner[owner]}}})
 	}
-	c.log.Debug("drawing a block", "job", r.spec.ID, "stokers", r.blockMachines)
+	c.log.Debug("requesting machines for a gang", "job", r.spec.ID, "machines", r.blockMachines)
 	return true
 }
 
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -40,13 +40,13 @@
 		for _, a := range queued {
 			b, ok := c.boundHere(m, a.taskKey)
 			if !ok || b.Number != a.number || m.bound[a.taskKey].final() {
-				c.log.Debug("launch withheld: the attempt is over", "load", job.TaskName(a.job, a.index), "try", a.number, "stoker", m.id)
+				c.log.Debug("launch withheld: the attempt is over", "task", job.TaskName(a.job, a.index), "attempt", a.number, "machine", m.id)
 				continue
 			}
 			if !st.MayLaunchDirectly(b) {
 				if b.Epoch == m.epoch {
-					c.log.Debug("launch withheld: the records are behind", "load", job.TaskName(a.job, a.index), "try", a.number, "stoker", m.id,
-						"ledger", c.state.AppliedRevision(), "token", m.token, "since", b.BoundAt)
+					c.log.Debug("launch withheld: the records are behind", "task", job.TaskName(a.job, a.index), "attempt", a.number, "machine", m.id,
+						"revision", c.state.AppliedRevision(), "token", m.token, "since", b.BoundAt)
 					m.deferLaunch(a)
 				}
 				continue
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -49,7 +49,7 @@
 	c.scaleOut(p.want, p.urgent)
 	c.scaleIn(p.slots)
 	if c.verbose {
-		c.log.Debug("plan", "machines", len(p.slots), "booting", p.booting, "renting", len(p.want), "unmet", p.unmet, "kinds", c.machineSummary())
+		c.log.Debug("fleet plan", "machines", len(p.slots), "booting", p.booting, "renting", len(p.want), "unmet", p.unmet, "kinds", c.machineSummary())
 	}
 }
 
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -93,7 +93,7 @@
 		c.stopTask(m, k, why)
 		c.Stats.Preemptions++
 	}
-	c.log.Debug("preempting", "for", r.spec.ID, "stoker", m.id, "victims", len(victims))
+	c.log.Debug("preempting tasks", "for", r.spec.ID, "machine", m.id, "victims", len(victims))
 }
 
 // preemptOnWarmMachine has a service wait a moment for room where its image is, in place
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -49,7 +49,7 @@
 		done()
 	}
 	if how, via, changed := c.links.LinkChange(); changed {
-		c.log.Info("the link to the state service", "now", how, "via", via, "deaf", c.links.HearsNoWorkers())
+		c.log.Info("link to the state service changed", "now", how, "via", via, "hears_no_workers", c.links.HearsNoWorkers())
 	}
 	if c.links.ShouldProbe() {
 		c.call(protocol.Call{Target: protocol.ToStateService, Method: "GET", Path: protocol.PathKeys + "/" + keyFleet, Timeout: time.Second},
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -317,7 +317,7 @@
 	}
 	changes, err := readPage(data, p.tasks, c.writer.changeBuffer[:0])
 	if err != nil {
-		c.log.Error("unreadable record", "key", name, "err", err)
+		c.log.Error("unreadable record", "key", name, "error", err)
 		return
 	}
 	base := k * c.tasksPerPage()
@@ -518,13 +518,13 @@
 	if ch.proof == fencing.LeaseExpired { // as far as anybody can know, it ran on until then
 		silent = max(0, silent-seconds(c.cfg.Facts.Workers.Lease))
 	}
-	c.log.Debug(step, "load", job.TaskName(r.spec.ID, index), "try", ch.attempt, "stoker", ch.machine, "class", r.spec.Class,
-		"urgency", int(r.spec.Priority), "why", why, "done", ch.done, "silentMs", silent.Milliseconds())
+	c.log.Debug(step, "task", job.TaskName(r.spec.ID, index), "attempt", ch.attempt, "machine", ch.machine, "class", r.spec.Class,
+		"priority", int(r.spec.Priority), "reason", why, "done", ch.done, "silent_ms", silent.Milliseconds())
 }
 
 func (c *Core) traceStart(step string, id string, index, attempt int, stoker string) {
 	if c.verbose {
-		c.log.Debug(step, "load", job.TaskName(id, index), "try", attempt, "stoker", stoker)
+		c.log.Debug(step, "task", job.TaskName(id, index), "attempt", attempt, "machine", stoker)
 	}
 }
 
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -57,7 +57,7 @@
 	rec := c.jobs.byID[id]
 	listed[k] = true
 	if c.verbose {
-		c.log.Debug("reported", "load", l.Task, "try", l.Attempt, "status", l.Status, "cause", l.Cause, "stoker", m.id)
+		c.log.Debug("task status", "task", l.Task, "attempt", l.Attempt, "status", l.Status, "cause", l.Cause, "machine", m.id)
 	}
 	if act == fencing.Release {
 		c.proposeEnding(m, rec, k, rec.task(c, index), l)
@@ -151,7 +151,7 @@
 func (c *Core) proposeEnding(m *machine, rec *jobRecord, k taskKey, t *job.Task, l *protocol.TaskStatus) {
 	ch := taskTransition{machine: m.id, epoch: t.Epoch, attempt: t.Attempt, proof: fencing.Ended, done: l.Cause == protocol.CauseDone, failed: l.Cause == protocol.CauseError, cause: l.Cause}
 	if ch.failed {
-		c.log.Info("task failed", "load", l.Task, "stoker", m.id, "fails", t.Failures+1)
+		c.log.Info("task failed", "task", l.Task, "machine", m.id, "failures", t.Failures+1)
 	}
 	m.vacate(k, rec)
 	c.propose(rec, k.index, ch)
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -139,7 +139,7 @@
 			return
 		}
 		c.Stats.MachinesDeleted += uint64(len(names))
-		c.log.Info("machines returned", "stokers", names)
+		c.log.Info("machines returned", "machines", names)
 		for _, id := range names {
 			f.deletionConfirmed[id] = true
 			c.releaseMachineTasks(id)
@@ -185,7 +185,7 @@
 		if o == stateclient.Committed {
 			for _, op := range ops {
 				id := strings.TrimPrefix(op.Put, keyDrain)
-				c.log.Info("giving a machine up", "stoker", id, "why", c.machines.drains[id].Reason)
+				c.log.Info("draining a machine that nobody holds", "machine", id, "reason", c.machines.drains[id].Reason)
 			}
 		}
 		if o != stateclient.Conflict {
--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -218,7 +218,7 @@
 		switch {
 		case o == stateclient.Committed:
 			c.Stats.Failovers++
-			c.log.Info("taking workers over", "from", g.Node, "zone", g.Zone, "workers", c.groupSize(g))
+			c.log.Info("failing workers over", "from", g.Node, "zone", g.Zone, "workers", c.groupSize(g))
 		case o == stateclient.Conflict && !slices.Contains(failed, keyMember+g.Node), o == stateclient.Unknown:
 			// Another was first, or it may have been written: the mirror tells.
 		default:
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -91,6 +91,6 @@
 	if u.core.now-w.since < seconds(a.HoldS) {
 		return true
 	}
-	u.core.log.Warn("a machine is returned with output that the archive has not acknowledged", "stoker", id, "waited", u.core.now-w.since)
+	u.core.log.Warn("a machine is returned with output that the archive has not acknowledged", "machine", id, "waited", u.core.now-w.since)
 	return false
 }
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -305,7 +305,7 @@
 	}
 	m.draining = true
 	c.removeFromIdleList(m)
-	c.log.Debug("draining", "stoker", m.id, "why", why)
+	c.log.Debug("draining a machine", "machine", m.id, "reason", why)
 	// The claim is a condition too: a controller that was cut off must not
 	// judge machines that have long reported to another.
 	compares = append(compares, protocol.Compare{Key: keyDrain + m.id, ModRevision: c.state.ModRevision(keyDrain + m.id)})
--- a/internal/losses/golden_test.go
+++ b/internal/losses/golden_test.go
@@ -15,8 +15,9 @@
 // each way that there is. A test of internal/coordination compares it with what is
 // written now. The golden report is what comes of it.
 const (
-	goldenLog    = "controller.log"
-	goldenReport = "report.json"
+	goldenLog        = "controller.log"
+	goldenEarlierLog = "controller-earlier-names.log" // with the attributes' names of earlier versions
+	goldenReport     = "report.json"
 )
 
 func readGolden(t *testing.T, name string) string {
@@ -58,7 +59,14 @@
 // TestGoldenLinesAreRead parses each line of the golden log, as it is and with the mark of
 // a bench in front.
 func TestGoldenLinesAreRead(t *testing.T) {
-	lines := strings.Split(strings.TrimSuffix(readGolden(t, goldenLog), "\n"), "\n")
+	for _, name := range []string{goldenLog, goldenEarlierLog} {
+		t.Run(name, func(t *testing.T) { checkGoldenLines(t, name) })
+	}
+}
+
+func checkGoldenLines(t *testing.T, name string) {
+	t.Helper()
+	lines := strings.Split(strings.TrimSuffix(readGolden(t, name), "\n"), "\n")
 	want := goldenEvents()
 	if len(lines) != len(want) {
 		t.Fatalf("%d lines, not %d", len(lines), len(want))
@@ -78,8 +86,15 @@
 
 // TestGoldenReport reads the golden log as a whole. The report's JSON goes to users.
 func TestGoldenReport(t *testing.T) {
+	for _, name := range []string{goldenLog, goldenEarlierLog} {
+		t.Run(name, func(t *testing.T) { checkGoldenReport(t, name) })
+	}
+}
+
+func checkGoldenReport(t *testing.T, name string) {
+	t.Helper()
 	r := NewReader()
-	if err := r.Read(strings.NewReader(readGolden(t, goldenLog))); err != nil {
+	if err := r.Read(strings.NewReader(readGolden(t, name))); err != nil {
 		t.Fatal(err)
 	}
 	got, err := json.MarshalIndent(r.Report(-time.Hour), "", "\t")
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -151,7 +151,8 @@
 }
 
 // Parse reads a line: slog's text, with or without a mark of seconds and the
-// controller's name in front.
+// controller's name in front. Earlier versions named the attributes otherwise; both
+// names are read.
 func (r *Reader) Parse(line string) (e Event, ok bool) {
 	r.lines++
 	mark, rest := time.Duration(-1), strings.TrimSpace(line)
@@ -182,19 +183,19 @@
 			e.At = t.Sub(r.first)
 		case "msg":
 			e.Msg = v
-		case "load":
+		case "task", "load":
 			e.Load = v
 		case "class":
 			e.Class = v
-		case "why":
+		case "reason", "why":
 			e.Why = v
 		case "done":
 			e.Done = v == "true"
-		case "try":
+		case "attempt", "try":
 			e.Try, _ = strconv.Atoi(v)
-		case "urgency":
+		case "priority", "urgency":
 			e.Urgent, _ = strconv.Atoi(v)
-		case "silentMs":
+		case "silent_ms", "silentMs":
 			ms, _ := strconv.ParseInt(v, 10, 64)
 			e.Silent = time.Duration(max(0, min(ms, 1e9))) * time.Millisecond
 		}
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -295,7 +295,7 @@
 func (p *Provider) fail(err error) {
 	if p.failed == nil {
 		p.failed = err
-		p.log.Error("ending", "err", err)
+		p.log.Error("stopping", "error", err)
 		go p.server.Stop()
 	}
 }
@@ -309,9 +309,9 @@
 	}
 	for _, n := range e.Notice {
 		at := p.m.machines[n].RecallMS
-		p.log.Info("machine recalled", "stoker", n, "at", time.UnixMilli(at))
+		p.log.Info("machine preempted", "machine", n, "at", time.UnixMilli(at))
 		if err := renameio.WriteFile(filepath.Join(p.dir(n), agent.RecallFile), []byte(strconv.FormatInt(at, 10)), 0o600); err != nil && !errors.Is(err, os.ErrNotExist) {
-			p.log.Error("a notice can't be given", "stoker", n, "err", err)
+			p.log.Error("a notice can't be given", "machine", n, "error", err)
 		}
 	}
 	for _, n := range e.End {
@@ -336,7 +336,7 @@
 		if err == nil && json.Unmarshal(raw, &id) == nil && id.Alive() {
 			p.agents[n] = id
 			p.m.Up(n, p.address(n))
-			p.log.Info("agent found again", "stoker", n, "pid", id.PID)
+			p.log.Info("agent found again", "machine", n, "pid", id.PID)
 		}
 		if x.Leaving { // its end was under way
 			go p.end(n)
@@ -412,7 +412,7 @@
 		case x == nil || x.Leaving:
 		case !id.Alive():
 			delete(p.agents, n)
-			p.log.Info("agent is gone", "stoker", n, "pid", id.PID)
+			p.log.Info("agent is gone", "machine", n, "pid", id.PID)
 			p.stats.Restarted++
 			p.do(p.m.Died(now, n))
 		case x.address == "":
@@ -465,7 +465,7 @@
 	for _, n := range names {
 		if dir := p.dir(n); exists(dir) {
 			if err := p.certify(n, dir); err != nil {
-				p.log.Error("a machine's certificate can't be renewed", "stoker", n, "err", err)
+				p.log.Error("a machine's certificate can't be renewed", "machine", n, "error", err)
 			}
 		}
 	}
@@ -489,7 +489,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.log.Error("an agent can't be started", "stoker", name, "err", err)
+		p.log.Error("an agent can't be started", "machine", name, "error", err)
 		p.do(p.m.Died(time.Now(), name))
 		return
 	}
@@ -498,7 +498,7 @@
 		endAgent(id)
 		return
 	}
-	p.log.Info("agent started", "stoker", name, "pid", id.PID)
+	p.log.Info("agent started", "machine", name, "pid", id.PID)
 }
 
 func (p *Provider) spawn(x *Machine, t *Type) (proc.ID, error) {
@@ -549,7 +549,7 @@
 	}
 	// The watchdog does the same; whoever is first.
 	for left := agent.EndTasks(dir); left > 0; left = agent.EndTasks(dir) {
-		p.log.Error("processes of a machine can't be ended", "stoker", name, "left", left)
+		p.log.Error("processes of a machine can't be ended", "machine", name, "left", left)
 	}
 	if exists(dir) {
 		p.bury(name, dir)
@@ -566,7 +566,7 @@
 		return
 	}
 	p.stats.Ended++
-	p.log.Info("machine ended", "stoker", name)
+	p.log.Info("machine ended", "machine", name)
 	for _, done := range p.waiting[name] {
 		done()
 	}
--- a/internal/statestore/backup.go
+++ b/internal/statestore/backup.go
@@ -83,10 +83,10 @@
 		case errors.Is(err, fs.ErrExist):
 			refuse(http.StatusConflict, "a backup of that name exists")
 		case err != nil:
-			s.log.Error("backup failed", "name", b.Name, "err", err)
+			s.log.Error("backup failed", "name", b.Name, "error", err)
 			refuse(http.StatusInternalServerError, "%v", err)
 		default:
-			s.log.Info("backup written", "file", saved.File, "ledger", saved.Revision, "bytes", saved.Bytes)
+			s.log.Info("backup written", "file", saved.File, "revision", saved.Revision, "bytes", saved.Bytes)
 			s.json(id, http.StatusOK, saved)
 		}
 	}()
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -114,7 +114,7 @@
 // not nil, is told the address.
 func (s *Service) Run(ready func(addr net.Addr)) error {
 	s.server.Ready = func(a []net.Addr) {
-		s.log.Info("serving", "listen", a[0].String(), "file", s.disk.path, "ledger", s.disk.header.Revision, "keys", s.disk.header.Keys)
+		s.log.Info("serving", "listen", a[0].String(), "file", s.disk.path, "revision", s.disk.header.Revision, "keys", s.disk.header.Keys)
 		if ready != nil {
 			ready(a[0])
 		}
@@ -404,7 +404,7 @@
 func (s *Service) fail(err error) {
 	if s.failed == nil {
 		s.failed = err
-		s.log.Error("ending", "err", err)
+		s.log.Error("stopping", "error", err)
 		go s.server.Stop()
 	}
 }
