--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -527,7 +527,7 @@
 		return "stopped for other work, a drain or a cancel, with time to save"
 	case protocol.CauseGangMemberLost:
 		return "ended as another task of its gang was gone"
-	case protocol.CauseLeaseExpired:
+	case protocol.CauseGangTimeout:
 		return "ended as the rest of its gang did not come"
 	}
 	return cause
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -139,26 +139,26 @@
 // jobFile is a job as people write it: the protocol's fields in YAML, of which
 // those that have a usual value may be left out.
 type jobFile struct {
-	Ref      string            `yaml:"ref" json:"ref"`
-	JobClass string            `yaml:"jobclass" json:"jobclass"`
-	Crew     string            `yaml:"crew" json:"crew"`
+	ID      string            `yaml:"ref" json:"ref"`
+	Class string            `yaml:"jobclass" json:"jobclass"`
+	Team     string            `yaml:"crew" json:"crew"`
 	Shape    string            `yaml:"shape" json:"shape"`
-	Urgency  string            `yaml:"urgency" json:"urgency"`
-	Loads    int64             `yaml:"loads" json:"loads"`
+	Priority  string            `yaml:"urgency" json:"urgency"`
+	Tasks    int64             `yaml:"loads" json:"loads"`
 	CPUs     float64           `yaml:"cpus" json:"cpus"`
 	GPUs     float64           `yaml:"accelerators" json:"accelerators"`
-	RAM      float64           `yaml:"ramGb" json:"ramGb"`
-	Kit      string            `yaml:"kit" json:"kit"`
-	Size     float64           `yaml:"sizeGb" json:"sizeGb"`
-	Rigs     []string          `yaml:"rigs" json:"rigs"`
-	Depot    *string           `yaml:"depot" json:"depot"`
+	MemoryGB      float64           `yaml:"ramGb" json:"ramGb"`
+	Image      string            `yaml:"kit" json:"kit"`
+	ImageGB     float64           `yaml:"sizeGb" json:"sizeGb"`
+	MachineTypes     []string          `yaml:"rigs" json:"rigs"`
+	Zone    *string           `yaml:"depot" json:"depot"`
 	OneZone  bool              `yaml:"oneZone" json:"oneZone"`
-	Apart    bool              `yaml:"apart" json:"apart"`
-	Casual   bool              `yaml:"casual" json:"casual"`
-	Eta      float64           `yaml:"etaS" json:"etaS"`
-	Waypoint float64           `yaml:"waypointS" json:"waypointS"`
-	Stow     float64           `yaml:"stowS" json:"stowS"`
-	Due      *float64          `yaml:"dueS" json:"dueS"`
+	Spread    bool              `yaml:"apart" json:"apart"`
+	Spot   bool              `yaml:"casual" json:"casual"`
+	EstimateS      float64           `yaml:"etaS" json:"etaS"`
+	CheckpointIntervalS float64           `yaml:"waypointS" json:"waypointS"`
+	CheckpointSaveS     float64           `yaml:"stowS" json:"stowS"`
+	DeadlineS      *float64          `yaml:"dueS" json:"dueS"`
 	Command  []string          `yaml:"command" json:"command,omitempty"`
 	Env      map[string]string `yaml:"env" json:"env,omitempty"`
 	Customer string            `yaml:"customer" json:"customer,omitempty"`
@@ -188,13 +188,13 @@
 		}
 		return raw, err
 	}
-	j := jobFile{JobClass: "batch", Shape: "batch", Urgency: "standard", Loads: 1, CPUs: 1, RAM: 0.1, Kit: "base", Eta: 60}
+	j := jobFile{Class: "batch", Shape: "batch", Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 0.1, Image: "base", EstimateS: 60}
 	if err := config.DecodeYAML(raw, &j); err != nil {
 		return nil, err
 	}
-	if j.Ref == "" {
+	if j.ID == "" {
 		var err error
-		if j.Ref, err = newRef(); err != nil {
+		if j.ID, err = newRef(); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -224,7 +224,7 @@
 			if err != nil {
 				return err
 			}
-			log := partLogger("agent").With("machine", cfg.Stoker)
+			log := partLogger("agent").With("machine", cfg.Worker)
 			a, err := agent.New(cfg, self, log)
 			if err != nil {
 				return err
@@ -248,11 +248,11 @@
 
 func agentFigures(s agent.Stats) []metrics.Figure {
 	out := []metrics.Figure{
-		{Name: "agent_reports", Help: "Reports sent.", Value: float64(s.Reports), Count: true},
+		{Name: "agent_reports", Help: "Reports sent.", Value: float64(s.Heartbeats), Count: true},
 		{Name: "agent_reports_answered", Help: "Reports answered with 200.", Value: float64(s.Answered), Count: true},
 		{Name: "agent_launched", Help: "Programs started.", Value: float64(s.Launched), Count: true},
-		{Name: "agent_sessions", Help: "Sessions begun in this life.", Value: float64(s.Sessions), Count: true},
-		{Name: "agent_loads", Help: "Attempts on the machine, those that are over included.", Value: float64(s.Loads)},
+		{Name: "agent_sessions", Help: "Sessions begun in this life.", Value: float64(s.Epochs), Count: true},
+		{Name: "agent_loads", Help: "Attempts on the machine, those that are over included.", Value: float64(s.Tasks)},
 		{Name: "agent_loads_live", Help: "Attempts that are not over.", Value: float64(s.Live)},
 		{Name: "agent_resident_bytes", Help: "Resident memory of all tasks.", Value: float64(s.Usage.RSS)},
 		{Name: "agent_processes", Help: "Processes of all tasks.", Value: float64(s.Usage.Members)},
@@ -266,7 +266,7 @@
 			metrics.Figure{Name: "agent_archive_files", Help: "Files kept.", Value: float64(a.Files), Count: true},
 			metrics.Figure{Name: "agent_archive_refused", Help: "Records that nodes refused.", Value: float64(a.Refused), Count: true})
 	}
-	for cause, n := range s.Endings {
+	for cause, n := range s.TaskEnds {
 		out = append(out, metrics.Figure{Name: "agent_endings", Help: "Attempts that are over, by cause.", Value: float64(n), Count: true, Labels: map[string]string{"cause": cause}})
 	}
 	return out
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -42,22 +42,22 @@
 
 // Config is what an agent is told, in YAML.
 type Config struct {
-	Stoker string `yaml:"stoker"`
-	Rig    string `yaml:"rig"`
-	Depot  string `yaml:"depot"`
-	Casual bool   `yaml:"casual"`
+	Worker string `yaml:"stoker"`
+	MachineType    string `yaml:"rig"`
+	Zone  string `yaml:"depot"`
+	Spot bool   `yaml:"casual"`
 	// Listen is the address for direct commands; with port 0 the system
 	// chooses one, which is kept for the machine's life.
 	Listen string `yaml:"listen"`
 	// Dir is the machine's folder. It must be absolute.
 	Dir         string   `yaml:"dir"`
-	Controllers []Node   `yaml:"controllers"`
+	Controllers []Controller   `yaml:"controllers"`
 	Workers     Periods  `yaml:"workers"`
 	Room        Room     `yaml:"room"`
 	LocalGB     float64  `yaml:"localGb"` // room for images
 	Images      []Image  `yaml:"images"`
-	Outside     string   `yaml:"outside"` // folder that all machines share
-	Nice        NiceBy   `yaml:"nice"`
+	OutsideDir     string   `yaml:"outside"` // folder that all machines share
+	Nice        NiceLevels   `yaml:"nice"`
 	OpenFiles   uint64   `yaml:"open_files"` // limit of each task; 0: as inherited
 	Metrics     bool     `yaml:"metrics"`
 	Environment []string `yaml:"environment"` // NAME=value, for every task
@@ -70,15 +70,15 @@
 	GiveUpS float64 `yaml:"give_up_s"`
 }
 
-// NiceBy is the nice level of tasks by urgency.
-type NiceBy struct {
+// NiceLevels is the nice level of tasks by urgency.
+type NiceLevels struct {
 	Prod     int `yaml:"prod"`
 	Urgent   int `yaml:"urgent"`
 	Standard int `yaml:"standard"`
 	Idle     int `yaml:"idle"`
 }
 
-func (n NiceBy) of(urgency string) int {
+func (n NiceLevels) of(urgency string) int {
 	switch urgency {
 	case "prod":
 		return n.Prod
@@ -92,21 +92,21 @@
 
 // DefaultConfig returns what holds for fields that a file does not name.
 func DefaultConfig() Config {
-	return Config{Listen: "127.0.0.1:0", Workers: Periods{3, 18, 35, 4}, LocalGB: 10, Nice: NiceBy{0, 0, 5, 15}, OpenFiles: 4096}
+	return Config{Listen: "127.0.0.1:0", Workers: Periods{3, 18, 35, 4}, LocalGB: 10, Nice: NiceLevels{0, 0, 5, 15}, OpenFiles: 4096}
 }
 
 // Check names the first field that can't be.
 func (c *Config) Check() error {
 	switch {
-	case !protocol.ValidName(c.Stoker):
+	case !protocol.ValidName(c.Worker):
 		return errors.New("stoker: missing or not a name")
-	case c.Rig == "":
+	case c.MachineType == "":
 		return errors.New("rig: missing")
-	case c.Depot == "":
+	case c.Zone == "":
 		return errors.New("depot: missing")
 	case !filepath.IsAbs(c.Dir):
 		return errors.New("dir: must be absolute")
-	case c.Outside != "" && !filepath.IsAbs(c.Outside):
+	case c.OutsideDir != "" && !filepath.IsAbs(c.OutsideDir):
 		return errors.New("outside: must be absolute")
 	case len(c.Controllers) == 0:
 		return errors.New("controllers: missing")
@@ -124,7 +124,7 @@
 	for _, f := range []struct {
 		name string
 		v    float64
-	}{{"workers.report_s", c.Workers.Report}, {"workers.lease_s", c.Workers.Lease}, {"workers.gang_wait_s", c.Workers.GangWait},
+	}{{"workers.report_s", c.Workers.Heartbeat}, {"workers.lease_s", c.Workers.Lease}, {"workers.gang_wait_s", c.Workers.GangWait},
 		{"workers.gang_peer_s", c.Workers.GangPeer}, {"room.cpus", c.Room.CPUs}, {"room.ramGb", c.Room.RAM}} {
 		if !(f.v > 0) {
 			return fmt.Errorf("%s: must be above 0", f.name)
@@ -147,24 +147,24 @@
 const (
 	// AddressFile holds the address for direct commands once it is known.
 	AddressFile = "address"
-	// RecallFile holds the time, in milliseconds of the day's clock, at which
+	// PreemptionFile holds the time, in milliseconds of the day's clock, at which
 	// the cloud takes the machine back. The provider writes it.
-	RecallFile = "recall"
+	PreemptionFile = "recall"
 	stateFile  = "worker.json"
 )
 
-// kept is what an agent must know after it was killed.
-type kept struct {
-	Shift uint64 `json:"shift"`
-	Baton uint64 `json:"baton"`
+// persistedState is what an agent must know after it was killed.
+type persistedState struct {
+	Epoch uint64 `json:"shift"`
+	FencingToken uint64 `json:"baton"`
 	Port  int    `json:"port"`
 }
 
 // Stats counts what an agent did.
 type Stats struct {
-	Reports, Answered, Launched, Sessions uint64
-	Endings                               map[string]uint64 // by cause
-	Loads, Live                           int
+	Heartbeats, Answered, Launched, Epochs uint64
+	TaskEnds                               map[string]uint64 // by cause
+	Tasks, Live                           int
 	Usage                                 proc.Usage
 	Archive                               *ship.Stats // nil: no archive
 }
@@ -173,30 +173,30 @@
 type Agent struct {
 	cfg    Config
 	log    *slog.Logger
-	exec   []string // starts this program for a task; see ExecTask
-	guard  []string // starts it as a watchdog; see Watchdog
+	taskCommand   []string // starts this program for a task; see ExecTask
+	watchdogCommand  []string // starts it as a watchdog; see Watchdog
 	server *transport.Server
 	pool   *transport.Pool
-	run    *runner
-	images *images
-	out    outside
-	begun  time.Duration // boot clock
+	runner    *runner
+	images *imageStore
+	outsideStore    outsideStore
+	startedAt  time.Duration // boot clock
 
 	mu      sync.Mutex
-	w       *Worker
-	kept    kept
+	worker       *Worker
+	persisted    persistedState
 	timer   *time.Timer
-	swept   time.Time
-	heard   time.Duration // when a report was last answered
-	data    *inputs       // nil: no data sets
-	keeper  *keeper       // nil: no archive
-	places  map[Key][]protocol.GangMember
-	before  map[Key]int   // a task's newest checkpoint when it was told to stop
-	watch   *os.File      // to the watchdog
-	told    time.Duration // the end of the lease, as the watchdog knows it
+	lastSweepAt   time.Time
+	answeredAt   time.Duration // when a report was last answered
+	inputs    *inputStore       // nil: no data sets
+	keeper  *outputKeeper       // nil: no archive
+	gangMembers  map[TaskAttempt][]protocol.GangMember
+	lastCheckpoints  map[TaskAttempt]int   // a task's newest checkpoint when it was told to stop
+	watchdog   *os.File      // to the watchdog
+	watchdogLeaseEnd    time.Duration // the end of the lease, as the watchdog knows it
 	stats   Stats
 	stopped bool
-	failed  error
+	fatalErr  error
 	// Extra answers paths that are not the protocol's, such as /metrics.
 	Extra func(id uint64, method, path string) bool
 }
@@ -209,54 +209,54 @@
 	if err := os.MkdirAll(filepath.Join(cfg.Dir, tasksDir), 0o700); err != nil {
 		return nil, err
 	}
-	a := &Agent{cfg: cfg, log: log, pool: transport.NewPool(32), out: outside{cfg.Outside}, begun: bootClock(),
-		exec: []string{self, "task-exec"}, guard: []string{self, "agent-watchdog", cfg.Dir},
-		places: map[Key][]protocol.GangMember{}, before: map[Key]int{}}
-	a.stats.Endings = map[string]uint64{}
+	a := &Agent{cfg: cfg, log: log, pool: transport.NewPool(32), outsideStore: outsideStore{cfg.OutsideDir}, startedAt: bootClock(),
+		taskCommand: []string{self, "task-exec"}, watchdogCommand: []string{self, "agent-watchdog", cfg.Dir},
+		gangMembers: map[TaskAttempt][]protocol.GangMember{}, lastCheckpoints: map[TaskAttempt]int{}}
+	a.stats.TaskEnds = map[string]uint64{}
 	raw, err := os.ReadFile(filepath.Join(cfg.Dir, stateFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
 		return nil, err
 	default:
-		if err := json.Unmarshal(raw, &a.kept); err != nil {
+		if err := json.Unmarshal(raw, &a.persisted); err != nil {
 			return nil, fmt.Errorf("%s: damaged: %w; return the machine to its provider", filepath.Join(cfg.Dir, stateFile), err)
 		}
 	}
-	a.run = &runner{dir: cfg.Dir, exec: a.exec, log: log, tasks: map[Key]*task{}, exited: a.exited}
-	if a.images, err = newImages(filepath.Join(cfg.Dir, "images"), int64(cfg.LocalGB*1e9), cfg.Images); err != nil {
+	a.runner = &runner{dir: cfg.Dir, exec: a.taskCommand, log: log, tasks: map[TaskAttempt]*task{}, exited: a.taskExited}
+	if a.images, err = newImageStore(filepath.Join(cfg.Dir, "images"), int64(cfg.LocalGB*1e9), cfg.Images); err != nil {
 		return nil, err
 	}
 	a.images.wanted = func(name string) bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return a.w.Wanted(name)
+		return a.worker.Wanted(name)
 	}
 	a.images.evicted = func(name string) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.w.Evicted(name)
+		a.worker.Evicted(name)
 	}
 	if cfg.Staging != nil {
-		if a.data, err = newInputs(a); err != nil {
+		if a.inputs, err = newInputStore(a); err != nil {
 			return nil, err
 		}
 	}
 	if cfg.Archive != nil {
-		if a.keeper, err = newKeeper(a); err != nil {
+		if a.keeper, err = newOutputKeeper(a); err != nil {
 			return nil, err
 		}
-		a.run.holds = a.keeper.holds
+		a.runner.holds = a.keeper.holds
 	}
 	a.server = transport.NewServer(&a.mu, a, 10*time.Second, 256)
 	return a, nil
 }
 
-func (a *Agent) clock() time.Duration { return bootClock() - a.begun }
+func (a *Agent) clock() time.Duration { return bootClock() - a.startedAt }
 
-// keep makes the session's number, the token and the port durable.
-func (a *Agent) keep() {
-	raw, err := json.Marshal(a.kept)
+// persist makes the session's number, the token and the port durable.
+func (a *Agent) persist() {
+	raw, err := json.Marshal(a.persisted)
 	if err == nil {
 		err = renameio.WriteFile(filepath.Join(a.cfg.Dir, stateFile), raw, 0o600)
 	}
@@ -268,8 +268,8 @@
 // fail ends the agent, and with it, by the watchdog, its tasks: a machine that
 // can't keep its session's number must not go on under it.
 func (a *Agent) fail(err error) {
-	if a.failed == nil {
-		a.failed = err
+	if a.fatalErr == nil {
+		a.fatalErr = err
 		a.log.Error("stopping", "error", err)
 		go a.server.Stop()
 	}
@@ -277,14 +277,14 @@
 
 // Run serves until Stop is called or the machine fails.
 func (a *Agent) Run() error {
-	a.run.clear() // whatever an earlier agent left
+	a.runner.clear() // whatever an earlier agent left
 	a.keeper.open()
 	if err := a.startWatchdog(); err != nil {
 		return fmt.Errorf("watchdog: %w", err)
 	}
 	listen := a.cfg.Listen
-	if host, port, err := net.SplitHostPort(listen); err == nil && port == "0" && a.kept.Port != 0 {
-		listen = net.JoinHostPort(host, strconv.Itoa(a.kept.Port))
+	if host, port, err := net.SplitHostPort(listen); err == nil && port == "0" && a.persisted.Port != 0 {
+		listen = net.JoinHostPort(host, strconv.Itoa(a.persisted.Port))
 	}
 	a.server.Ready = func(addrs []net.Addr) { a.begin(addrs[0].String()) }
 	err := a.server.Run(listen, "")
@@ -293,12 +293,12 @@
 	if a.timer != nil {
 		a.timer.Stop()
 	}
-	failed := a.failed
+	failed := a.fatalErr
 	a.mu.Unlock()
-	a.data.close()
-	a.run.clear()
+	a.inputs.close()
+	a.runner.clear()
 	a.keeper.close()
-	a.watch.Close()
+	a.watchdog.Close()
 	return errors.Join(failed, err)
 }
 
@@ -307,20 +307,20 @@
 
 // begin starts the session; the server holds the lock.
 func (a *Agent) begin(address string) {
-	a.kept.Shift++
+	a.persisted.Epoch++
 	if ap, err := netip.ParseAddrPort(address); err == nil {
-		a.kept.Port = int(ap.Port())
+		a.persisted.Port = int(ap.Port())
 	}
-	a.keep()
+	a.persist()
 	if err := renameio.WriteFile(filepath.Join(a.cfg.Dir, AddressFile), []byte(address), 0o600); err != nil {
 		a.fail(err)
 	}
-	me := protocol.Heartbeat{Worker: a.cfg.Stoker, Address: address, MachineType: a.cfg.Rig, Zone: a.cfg.Depot, Spot: a.cfg.Casual}
-	a.begun = bootClock()
-	a.w = NewWorker(me, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.kept.Shift, a.kept.Baton, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	a.run.open(a.kept.Shift)
-	a.stats.Sessions++
-	a.log.Info("serving", "listen", address, "epoch", a.kept.Shift)
+	me := protocol.Heartbeat{Worker: a.cfg.Worker, Address: address, MachineType: a.cfg.MachineType, Zone: a.cfg.Zone, Spot: a.cfg.Spot}
+	a.startedAt = bootClock()
+	a.worker = NewWorker(me, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.persisted.Epoch, a.persisted.FencingToken, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	a.runner.open(a.persisted.Epoch)
+	a.stats.Epochs++
+	a.log.Info("serving", "listen", address, "epoch", a.persisted.Epoch)
 	a.timer = time.AfterFunc(0, a.tick)
 }
 
@@ -329,7 +329,7 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(a.guard[0], a.guard[1:]...)
+	cmd := exec.Command(a.watchdogCommand[0], a.watchdogCommand[1:]...)
 	cmd.Stdin, cmd.Stderr = r, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	err = cmd.Start()
@@ -339,7 +339,7 @@
 		return err
 	}
 	a.mu.Lock()
-	a.watch, a.told = w, 0
+	a.watchdog, a.watchdogLeaseEnd = w, 0
 	a.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
@@ -368,29 +368,29 @@
 	}
 	now := time.Now()
 	a.pool.Expire(now)
-	if now.Sub(a.swept) > seconds(a.cfg.Workers.Report/6) {
-		a.swept = now
+	if now.Sub(a.lastSweepAt) > seconds(a.cfg.Workers.Heartbeat/6) {
+		a.lastSweepAt = now
 		a.server.Sweep(now)
-		a.stats.Usage = a.run.watch()
-		a.data.refresh(false)
-		a.w.SetUnshipped(a.keeper.left())
-		if at, ok := a.recall(); ok {
-			a.do(a.w.Recall(a.clock(), at))
+		a.stats.Usage = a.runner.watch()
+		a.inputs.refresh(false)
+		a.worker.SetUnshipped(a.keeper.left())
+		if at, ok := a.checkPreemption(); ok {
+			a.perform(a.worker.Preempt(a.clock(), at))
 		}
 		// Guards against machines that go on for ever when the site that they
 		// belong to was killed and never started again.
-		if g := seconds(a.cfg.GiveUpS); g > 0 && a.clock() > a.heard+g {
+		if g := seconds(a.cfg.GiveUpS); g > 0 && a.clock() > a.answeredAt+g {
 			a.log.Info("no controller answers; switching off", "seconds", a.cfg.GiveUpS)
 			a.cfg.GiveUpS = 0
 			go a.server.Stop()
 		}
 	}
-	a.do(a.w.Tick(a.clock()))
+	a.perform(a.worker.Tick(a.clock()))
 }
 
-// recall reads the provider's notice.
-func (a *Agent) recall() (time.Duration, bool) {
-	raw, err := os.ReadFile(filepath.Join(a.cfg.Dir, RecallFile))
+// checkPreemption reads the provider's notice.
+func (a *Agent) checkPreemption() (time.Duration, bool) {
+	raw, err := os.ReadFile(filepath.Join(a.cfg.Dir, PreemptionFile))
 	if err != nil {
 		return 0, false
 	}
@@ -401,40 +401,40 @@
 	return a.clock() + time.Until(time.UnixMilli(ms)), true
 }
 
-// do carries out effects; the lock is held.
-func (a *Agent) do(e Effects) {
-	if e.Token > a.kept.Baton {
-		a.kept.Baton = e.Token
-		a.keep()
+// perform carries out effects; the lock is held.
+func (a *Agent) perform(e Effects) {
+	if e.Token > a.persisted.FencingToken {
+		a.persisted.FencingToken = e.Token
+		a.persist()
 	}
-	if a.watch != nil && e.Lease != a.told {
+	if a.watchdog != nil && e.Lease != a.watchdogLeaseEnd {
 		// The worker itself ends tasks at this moment; the watchdog is for
 		// when it can't, a little later. It must not hold the agent up: one
 		// that hears nothing ends the tasks too early, not too late.
-		a.told = e.Lease
-		late := a.begun + e.Lease + seconds(a.cfg.Workers.Lease/100)
-		_ = a.watch.SetWriteDeadline(time.Now().Add(soonest))
-		_, _ = fmt.Fprintf(a.watch, "%d\n", int64(late))
+		a.watchdogLeaseEnd = e.Lease
+		late := a.startedAt + e.Lease + seconds(a.cfg.Workers.Lease/100)
+		_ = a.watchdog.SetWriteDeadline(time.Now().Add(soonest))
+		_, _ = fmt.Fprintf(a.watchdog, "%d\n", int64(late))
 	}
-	if e.Clear {
-		a.log.Info("lease expired", "epoch", a.w.Session())
-		go a.clear()
+	if e.EndAll {
+		a.log.Info("lease expired", "epoch", a.worker.Epoch())
+		go a.endAllTasks()
 	}
 	for _, k := range e.Kill {
-		a.run.kill(k)
+		a.runner.kill(k)
 	}
 	for _, k := range e.Stop {
-		a.before[k] = a.out.last(k.Job, k.Index)
-		a.run.signal(k, syscall.SIGTERM)
+		a.lastCheckpoints[k] = a.outsideStore.last(k.Job, k.Index)
+		a.runner.signal(k, syscall.SIGTERM)
 	}
-	for _, k := range e.Save {
-		a.run.signal(k, syscall.SIGUSR1)
+	for _, k := range e.Checkpoint {
+		a.runner.signal(k, syscall.SIGUSR1)
 	}
 	for _, name := range e.Leave {
 		a.images.leave(name)
 	}
 	for _, id := range e.Describe {
-		a.describe(id, 0)
+		a.fetchDescription(id, 0)
 	}
 	for _, name := range e.Fetch {
 		a.log.Debug("fetching", "image", name)
@@ -442,35 +442,35 @@
 			if err != nil {
 				a.log.Error("image can't be had", "image", name, "error", err)
 			}
-			a.step(func() Effects { return a.w.Fetched(a.clock(), name, err) })
+			a.step(func() Effects { return a.worker.Fetched(a.clock(), name, err) })
 		})
 	}
-	if a.data == nil {
+	if a.inputs == nil {
 		for _, k := range e.Inputs { // of a site that has data sets
-			go a.step(func() Effects { return a.w.Brought(a.clock(), k, errNoStore, false) })
+			go a.step(func() Effects { return a.worker.Brought(a.clock(), k, errNoStore, false) })
 		}
 	}
-	a.data.do(e)
+	a.inputs.do(e)
 	for _, k := range e.Start {
 		a.stats.Launched++
-		d := a.w.Description(k.Job)
-		go a.start(a.w.Session(), k, d)
+		d := a.worker.Description(k.Job)
+		go a.startTask(a.worker.Epoch(), k, d)
 	}
-	for _, k := range e.Ask {
-		go a.ask(k, a.w.Description(k.Job))
+	for _, k := range e.AskGang {
+		go a.askGangMembers(k, a.worker.Description(k.Job))
 	}
 	for _, k := range e.Forget {
-		delete(a.places, k)
-		delete(a.before, k)
+		delete(a.gangMembers, k)
+		delete(a.lastCheckpoints, k)
 	}
 	if len(e.Forget) > 0 {
-		go a.run.prune()
+		go a.runner.prune()
 	}
-	if e.Report != nil {
-		a.send(e.Report)
+	if e.Heartbeat != nil {
+		a.sendHeartbeat(e.Heartbeat)
 	}
 	if a.timer != nil && !a.stopped {
-		next := min(a.w.Due()-a.clock(), seconds(a.cfg.Workers.Report/6), time.Second)
+		next := min(a.worker.Due()-a.clock(), seconds(a.cfg.Workers.Heartbeat/6), time.Second)
 		a.timer.Reset(max(next, time.Millisecond))
 	}
 }
@@ -480,117 +480,117 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.stopped {
-		a.do(event())
+		a.perform(event())
 	}
 }
 
-func (a *Agent) send(s *Send) {
-	a.stats.Reports++
-	a.data.told()
-	a.pool.Start(transport.Call{Addr: s.Node.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: patience,
+func (a *Agent) sendHeartbeat(s *HeartbeatSend) {
+	a.stats.Heartbeats++
+	a.inputs.told()
+	a.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: patience,
 		Done: func(r *transport.Response, _ bool, err error) {
 			a.step(func() Effects {
 				if err != nil {
-					a.log.Debug("report not answered", "node", s.Node.Name, "error", err)
-					return a.w.Answered(a.clock(), s, 0, nil)
+					a.log.Debug("report not answered", "node", s.Controller.Name, "error", err)
+					return a.worker.Answered(a.clock(), s, 0, nil)
 				}
 				if r.Status == http.StatusOK {
 					a.stats.Answered++
-					a.heard = a.clock()
+					a.answeredAt = a.clock()
 				}
-				return a.w.Answered(a.clock(), s, r.Status, r.Body)
+				return a.worker.Answered(a.clock(), s, r.Status, r.Body)
 			})
 		}})
 }
 
-// clear ends the session's tasks and begins the next session.
-func (a *Agent) clear() {
-	a.run.clear()
+// endAllTasks ends the session's tasks and begins the next session.
+func (a *Agent) endAllTasks() {
+	a.runner.clear()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.stopped {
 		return
 	}
-	a.kept.Shift = a.w.Session() + 1
-	a.keep()
-	if a.failed == nil {
-		a.stats.Sessions++
-		a.run.open(a.kept.Shift)
-		a.do(a.w.Cleared(a.clock()))
+	a.persisted.Epoch = a.worker.Epoch() + 1
+	a.persist()
+	if a.fatalErr == nil {
+		a.stats.Epochs++
+		a.runner.open(a.persisted.Epoch)
+		a.perform(a.worker.EpochEnded(a.clock()))
 	}
 }
 
-// describe asks one controller after the other for a job's description. The
+// fetchDescription asks one controller after the other for a job's description. The
 // first asked is the one that the worker reports to.
-func (a *Agent) describe(id string, asked int) {
+func (a *Agent) fetchDescription(id string, asked int) {
 	n := len(a.cfg.Controllers)
-	node := a.cfg.Controllers[(a.w.node+asked)%n]
+	node := a.cfg.Controllers[(a.worker.controller+asked)%n]
 	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: patience,
 		Done: func(r *transport.Response, _ bool, err error) {
 			var d protocol.JobDescription
 			switch {
 			case err == nil && r.Status == http.StatusOK && protocol.Decode(r.Body, &d) == nil:
-				a.step(func() Effects { return a.w.Described(a.clock(), id, &d, false) })
+				a.step(func() Effects { return a.worker.Described(a.clock(), id, &d, false) })
 			case err == nil && r.Status == http.StatusNotFound:
-				a.step(func() Effects { return a.w.Described(a.clock(), id, nil, true) })
+				a.step(func() Effects { return a.worker.Described(a.clock(), id, nil, true) })
 			case asked+1 < n:
 				a.mu.Lock()
 				defer a.mu.Unlock()
 				if !a.stopped {
-					a.describe(id, asked+1)
+					a.fetchDescription(id, asked+1)
 				}
 			default:
 				a.log.Info("a job's description can't be had now", "job", id)
-				time.AfterFunc(seconds(a.cfg.Workers.Report/4), func() {
-					a.step(func() Effects { return a.w.Described(a.clock(), id, nil, false) })
+				time.AfterFunc(seconds(a.cfg.Workers.Heartbeat/4), func() {
+					a.step(func() Effects { return a.worker.Described(a.clock(), id, nil, false) })
 				})
 			}
 		}})
 }
 
-// start starts an attempt's program.
-func (a *Agent) start(session uint64, k Key, d *protocol.JobDescription) {
+// startTask starts an attempt's program.
+func (a *Agent) startTask(session uint64, k TaskAttempt, d *protocol.JobDescription) {
 	if d == nil {
 		return
 	}
-	if d.Shape == job.Array && a.out.done(k.Job, k.Index) {
-		a.log.Info("done before", "task", k.Load(), "attempt", k.Try)
-		a.over(k, Exit{})
+	if d.Shape == job.Array && a.outsideStore.done(k.Job, k.Index) {
+		a.log.Info("done before", "task", k.TaskName(), "attempt", k.Attempt)
+		a.programEnded(k, Exit{})
 		return
 	}
-	p, err := a.program(k, d)
+	p, err := a.taskProgram(k, d)
 	if err == nil {
 		a.keeper.begin(k, d)
-		err = a.run.start(session, k, p, d.MemoryGB)
+		err = a.runner.start(session, k, p, d.MemoryGB)
 	}
-	if errors.Is(err, errSession) {
+	if errors.Is(err, errWrongEpoch) {
 		a.keeper.ended(k, "its session was over", -1)
 		return
 	}
 	if err != nil {
-		a.log.Error("a task can't be started", "task", k.Load(), "attempt", k.Try, "error", err)
-		_ = os.WriteFile(filepath.Join(a.run.folder(k), stderr), []byte("silvergate: "+err.Error()+"\n"), 0o600)
-		a.over(k, Exit{Code: -1})
+		a.log.Error("a task can't be started", "task", k.TaskName(), "attempt", k.Attempt, "error", err)
+		_ = os.WriteFile(filepath.Join(a.runner.folder(k), stderr), []byte("silvergate: "+err.Error()+"\n"), 0o600)
+		a.programEnded(k, Exit{Code: -1})
 		return
 	}
-	a.log.Info("started", "task", k.Load(), "attempt", k.Try, "command", p.Argv[0])
+	a.log.Info("started", "task", k.TaskName(), "attempt", k.Attempt, "command", p.Argv[0])
 	// A command that came while the process was being made found nobody.
 	a.mu.Lock()
-	l := a.w.loads[k]
+	l := a.worker.tasks[k]
 	late := l == nil || l.phase != running
 	a.mu.Unlock()
 	if late {
-		a.run.kill(k)
+		a.runner.kill(k)
 	}
 }
 
-// program makes an attempt's folder and says what is to be run in it.
-func (a *Agent) program(k Key, d *protocol.JobDescription) (p program, err error) {
+// taskProgram makes an attempt's folder and says what is to be run in it.
+func (a *Agent) taskProgram(k TaskAttempt, d *protocol.JobDescription) (p program, err error) {
 	folder, image, ok := a.images.folder(d.Image)
 	if !ok {
 		return p, errors.New("its image was evicted")
 	}
-	dir := a.run.folder(k)
+	dir := a.runner.folder(k)
 	p.Dir = filepath.Join(dir, workDir)
 	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
 		return p, err
@@ -599,7 +599,7 @@
 	if x == nil {
 		x = &job.Extra{}
 	}
-	if err := a.data.place(p.Dir, d.Inputs, len(x.Inputs)); err != nil {
+	if err := a.inputs.place(p.Dir, d.Inputs, len(x.Inputs)); err != nil {
 		return p, err
 	}
 	command := x.Command
@@ -622,20 +622,20 @@
 	for name, value := range x.Env {
 		env[name] = value
 	}
-	own := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Try), "LOADS": strconv.Itoa(d.Tasks),
-		"IMAGE": folder, "MACHINE": a.cfg.Stoker, "ZONE": a.cfg.Depot, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.MemoryGB)}
-	if d.CheckpointIntervalS > 0 && a.cfg.Outside != "" {
-		if own["CHECKPOINTS"], err = a.out.prepare(k.Job, k.Index); err != nil {
+	own := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Attempt), "LOADS": strconv.Itoa(d.Tasks),
+		"IMAGE": folder, "MACHINE": a.cfg.Worker, "ZONE": a.cfg.Zone, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.MemoryGB)}
+	if d.CheckpointIntervalS > 0 && a.cfg.OutsideDir != "" {
+		if own["CHECKPOINTS"], err = a.outsideStore.prepare(k.Job, k.Index); err != nil {
 			return p, err
 		}
-		if n := a.out.resume(k.Job, k.Index, d.Tasks, d.Shape == job.Gang); n > 0 {
+		if n := a.outsideStore.resume(k.Job, k.Index, d.Tasks, d.Shape == job.Gang); n > 0 {
 			own["RESUME"] = strconv.Itoa(n)
 		}
 	}
 	for name, value := range own {
 		env[protocol.ReservedEnv+name] = value
 	}
-	env[proc.MarkEnv] = a.run.mark(k)
+	env[proc.MarkEnv] = a.runner.mark(k)
 	for _, name := range slices.Sorted(maps.Keys(env)) {
 		p.Env = append(p.Env, name+"="+env[name])
 	}
@@ -660,60 +660,60 @@
 	return exec.LookPath(name)
 }
 
-// exited takes that an attempt's processes are gone.
-func (a *Agent) exited(k Key, code int, memory bool) {
+// taskExited takes that an attempt's processes are gone.
+func (a *Agent) taskExited(k TaskAttempt, code int, memory bool) {
 	a.mu.Lock()
-	d, before := a.w.Description(k.Job), a.before[k]
+	d, before := a.worker.Description(k.Job), a.lastCheckpoints[k]
 	a.mu.Unlock()
-	x := Exit{Code: code, Saved: a.out.dir != "" && a.out.last(k.Job, k.Index) > before}
+	x := Exit{Code: code, Saved: a.outsideStore.dir != "" && a.outsideStore.last(k.Job, k.Index) > before}
 	if memory {
 		x.Code = -1
 	}
-	if d != nil && d.Shape == job.Array && x.Code == 0 && a.out.dir != "" {
+	if d != nil && d.Shape == job.Array && x.Code == 0 && a.outsideStore.dir != "" {
 		// Durable before it is told: otherwise a lost report would have the
 		// task run again.
 		if l := a.running(k); l {
-			if err := a.out.complete(k.Job, k.Index); err != nil {
-				a.log.Error("a result can't be kept", "task", k.Load(), "error", err)
+			if err := a.outsideStore.complete(k.Job, k.Index); err != nil {
+				a.log.Error("a result can't be kept", "task", k.TaskName(), "error", err)
 			}
 		}
 	}
-	a.over(k, x)
+	a.programEnded(k, x)
 }
 
 // running tells whether an attempt was left to complete.
-func (a *Agent) running(k Key) bool {
+func (a *Agent) running(k TaskAttempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.w.loads[k]
+	l := a.worker.tasks[k]
 	return l != nil && l.phase == running
 }
 
-func (a *Agent) over(k Key, x Exit) {
+func (a *Agent) programEnded(k TaskAttempt, x Exit) {
 	cause := "the lease was over"
 	defer func() { a.keeper.ended(k, cause, x.Code) }()
 	a.step(func() Effects {
-		e := a.w.Exited(a.clock(), k, x)
-		if l := a.w.loads[k]; l != nil && l.phase == ended {
-			a.stats.Endings[l.cause]++
+		e := a.worker.Exited(a.clock(), k, x)
+		if l := a.worker.tasks[k]; l != nil && l.phase == ended {
+			a.stats.TaskEnds[l.cause]++
 			cause = l.cause
-			a.log.Info("ended", "task", k.Load(), "attempt", k.Try, "cause", l.cause, "code", x.Code, "saved", l.saved)
+			a.log.Info("ended", "task", k.TaskName(), "attempt", k.Attempt, "cause", l.cause, "code", x.Code, "saved", l.checkpointed)
 		}
 		return e
 	})
 }
 
-// ask asks the agents of a gang's other tasks how they are.
-func (a *Agent) ask(k Key, d *protocol.JobDescription) {
+// askGangMembers asks the agents of a gang's other tasks how they are.
+func (a *Agent) askGangMembers(k TaskAttempt, d *protocol.JobDescription) {
 	if d == nil {
 		return
 	}
 	a.mu.Lock()
-	places := a.places[k]
-	node := a.cfg.Controllers[a.w.node]
-	states := a.w.Gang(k.Job, k.Try)
+	places := a.gangMembers[k]
+	node := a.cfg.Controllers[a.worker.controller]
+	states := a.worker.Gang(k.Job, k.Attempt)
 	a.mu.Unlock()
-	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Try)
+	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Attempt)
 	limit := seconds(a.cfg.Workers.GangPeer / 2)
 	// Before it runs, a gang can still get a task on another machine.
 	if len(places) < d.Tasks || !a.running(k) {
@@ -726,7 +726,7 @@
 	}
 	addresses := map[string]bool{}
 	for _, p := range places {
-		if p.Machine != a.cfg.Stoker && p.Address != "" {
+		if p.Machine != a.cfg.Worker && p.Address != "" {
 			addresses[p.Address] = true
 		}
 	}
@@ -736,7 +736,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			r, _, err := a.pool.Do(address, http.MethodGet, fmt.Sprintf("%s%s/%d", pathGang, k.Job, k.Try), nil, limit)
+			r, _, err := a.pool.Do(address, http.MethodGet, fmt.Sprintf("%s%s/%d", pathGang, k.Job, k.Attempt), nil, limit)
 			if err != nil || r.Status != http.StatusOK {
 				return
 			}
@@ -752,8 +752,8 @@
 	}
 	wait.Wait()
 	a.step(func() Effects {
-		a.places[k] = places
-		return a.w.Peers(a.clock(), k, states)
+		a.gangMembers[k] = places
+		return a.worker.Peers(a.clock(), k, states)
 	})
 }
 
@@ -771,12 +771,12 @@
 	}
 	switch {
 	case r.Path == protocol.PathCommands && r.Method == http.MethodPost:
-		status, body, e := a.w.Direct(a.clock(), r.Body)
-		a.do(e)
+		status, body, e := a.worker.Direct(a.clock(), r.Body)
+		a.perform(e)
 		a.server.Answer(id, status, body, 0)
 	case r.Path == protocol.PathStatus && r.Method == http.MethodGet:
-		body, e, err := a.w.Status(a.clock())
-		a.do(e)
+		body, e, err := a.worker.Status(a.clock())
+		a.perform(e)
 		if err != nil {
 			problem(http.StatusServiceUnavailable, err.Error())
 			return
@@ -789,8 +789,8 @@
 			problem(http.StatusBadRequest, "the path must name a job and an attempt")
 			return
 		}
-		a.server.Answer(id, http.StatusOK, protocol.Encode(a.w.Gang(ref, n)), 0)
-	case a.data.serve(id, r.Method, r.Path):
+		a.server.Answer(id, http.StatusOK, protocol.Encode(a.worker.Gang(ref, n)), 0)
+	case a.inputs.serve(id, r.Method, r.Path):
 	case a.Extra != nil && a.Extra(id, r.Method, r.Path):
 	case r.Path == protocol.PathCommands || r.Path == protocol.PathStatus:
 		problem(http.StatusMethodNotAllowed, "method not allowed")
@@ -807,7 +807,7 @@
 // Stats returns the counters; the lock must be held, as it is in Extra.
 func (a *Agent) Stats() Stats {
 	s := a.stats
-	s.Loads, s.Live = a.w.Count()
+	s.Tasks, s.Live = a.worker.Count()
 	if a.keeper != nil {
 		t := a.keeper.ship.Stats()
 		s.Archive = &t
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -151,10 +151,10 @@
 
 func testConfig(t *testing.T, c *controller) Config {
 	cfg := DefaultConfig()
-	cfg.Stoker, cfg.Rig, cfg.Depot = "i-1", "r", "z"
-	cfg.Dir, cfg.Outside = filepath.Join(t.TempDir(), "m"), t.TempDir()
-	cfg.Controllers = []Node{{"n", c.srv.Listener.Addr().String()}}
-	cfg.Workers = Periods{Report: 0.6, Lease: 3, GangWait: 5, GangPeer: 1}
+	cfg.Worker, cfg.MachineType, cfg.Zone = "i-1", "r", "z"
+	cfg.Dir, cfg.OutsideDir = filepath.Join(t.TempDir(), "m"), t.TempDir()
+	cfg.Controllers = []Controller{{"n", c.srv.Listener.Addr().String()}}
+	cfg.Workers = Periods{Heartbeat: 0.6, Lease: 3, GangWait: 5, GangPeer: 1}
 	cfg.Room = Room{CPUs: 8, RAM: 8}
 	cfg.Images = []Image{{Name: "sh", Command: []string{"/bin/true"}}}
 	return cfg
@@ -226,7 +226,7 @@
 	if c.causes["wk-000004/0#1"] != "stopped" || id.Alive() {
 		t.Errorf("%s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
 	}
-	if c.causes["wk-000005/0#1"] != "stopped+saved" || (outside{cfg.Outside}).resume("wk-000005", 0, 9, false) != 7 {
+	if c.causes["wk-000005/0#1"] != "stopped+saved" || (outsideStore{cfg.OutsideDir}).resume("wk-000005", 0, 9, false) != 7 {
 		t.Errorf("saved: %s", c.causes["wk-000005/0#1"])
 	}
 	// The result is kept: the same task started again does not run again.
@@ -277,8 +277,8 @@
 			// From now on a report of another session is evidence.
 			early := false
 			c.mu.Lock()
-			shift := c.last.AgentEpoch
-			c.each = func(r protocol.Heartbeat) { early = early || r.AgentEpoch > shift && id.Alive() }
+			epoch := c.last.AgentEpoch
+			c.each = func(r protocol.Heartbeat) { early = early || r.AgentEpoch > epoch && id.Alive() }
 			c.mu.Unlock()
 			if how == "killed" {
 				cmd.Process.Kill()
@@ -289,7 +289,7 @@
 				c.await("the end of the task whose agent hangs", func() bool { return !id.Alive() })
 				cmd.Process.Signal(syscall.SIGCONT)
 			}
-			c.await("a new session without tasks", func() bool { return c.last.AgentEpoch > shift && len(c.last.Tasks) == 0 })
+			c.await("a new session without tasks", func() bool { return c.last.AgentEpoch > epoch && len(c.last.Tasks) == 0 })
 			if id.Alive() || early {
 				t.Fatalf("the task runs on: %v; told too early: %v", id.Alive(), early)
 			}
@@ -335,7 +335,7 @@
 		"missing": filepath.Join(t.TempDir(), "none.tar"),
 	} {
 		dir := t.TempDir()
-		c, err := newImages(dir, 7, []Image{{Name: "x", Path: path}})
+		c, err := newImageStore(dir, 7, []Image{{Name: "x", Path: path}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -353,7 +353,7 @@
 		}
 	}
 	good := archive(tar.Header{Name: "bin/run", Typeflag: tar.TypeReg})
-	c, _ := newImages(t.TempDir(), 100, []Image{{Name: "x", Path: good}})
+	c, _ := newImageStore(t.TempDir(), 100, []Image{{Name: "x", Path: good}})
 	c.wanted, c.evicted = func(string) bool { return true }, func(string) {}
 	got := make(chan error, 1)
 	c.fetch("x", func(err error) { got <- err })
--- a/internal/agent/archive.go
+++ b/internal/agent/archive.go
@@ -11,33 +11,33 @@
 	"silvergate/internal/protocol"
 )
 
-// keeper is the seam between the agent and the archive's shipper: it says which
+// outputKeeper is the seam between the agent and the archive's shipper: it says which
 // attempts there are and how they ended. Whatever the archive does, tasks start,
 // run and end as without it. A nil one is a machine without an archive.
-type keeper struct {
+type outputKeeper struct {
 	a    *Agent
 	ship *ship.Shipper
 }
 
-func newKeeper(a *Agent) (*keeper, error) {
+func newOutputKeeper(a *Agent) (*outputKeeper, error) {
 	s, err := ship.New(*a.cfg.Archive, a.log)
 	if err != nil {
 		return nil, fmt.Errorf("archive: %w", err)
 	}
-	k := &keeper{a, s}
-	if a.data != nil {
-		s.Urgent = a.data.store.Urgent
+	k := &outputKeeper{a, s}
+	if a.inputs != nil {
+		s.Urgent = a.inputs.store.Urgent
 	}
 	return k, nil
 }
 
-func (k *keeper) attempt(key Key) archive.Attempt {
-	return archive.Attempt{Job: key.Job, Task: key.Index, Try: key.Try, Machine: k.a.cfg.Stoker}
+func (k *outputKeeper) attempt(key TaskAttempt) archive.Attempt {
+	return archive.Attempt{Job: key.Job, Task: key.Index, Try: key.Attempt, Machine: k.a.cfg.Worker}
 }
 
 // open begins to ship; what an earlier agent left, whose processes are gone now, is
 // shipped too.
-func (k *keeper) open() {
+func (k *outputKeeper) open() {
 	if k == nil {
 		return
 	}
@@ -46,9 +46,9 @@
 		k.a.log.Error("what earlier tasks wrote can't be found", "error", err)
 	}
 	for _, d := range dirs {
-		if key, ok := parseKey(d.Name()); ok && exists(filepath.Join(k.a.run.folder(key), execFile)) {
-			if err := k.ship.Resume(k.attempt(key), k.a.run.folder(key)); err != nil {
-				k.a.log.Error("what an earlier task wrote can't be kept", "task", key.Load(), "attempt", key.Try, "error", err)
+		if key, ok := parseKey(d.Name()); ok && exists(filepath.Join(k.a.runner.folder(key), execFile)) {
+			if err := k.ship.Resume(k.attempt(key), k.a.runner.folder(key)); err != nil {
+				k.a.log.Error("what an earlier task wrote can't be kept", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 				continue
 			}
 			k.ship.Ended(k.attempt(key), "lost with its agent", -1)
@@ -57,7 +57,7 @@
 	k.ship.Start()
 }
 
-func (k *keeper) close() {
+func (k *outputKeeper) close() {
 	if k != nil {
 		k.ship.Stop()
 	}
@@ -65,32 +65,32 @@
 
 // begin follows an attempt whose folder is there, before its program starts. Without
 // the archive's word that it can be, the program starts all the same.
-func (k *keeper) begin(key Key, d *protocol.JobDescription) {
+func (k *outputKeeper) begin(key TaskAttempt, d *protocol.JobDescription) {
 	if k == nil {
 		return
 	}
 	k.a.mu.Lock()
-	seal := k.a.w.Seal(key)
+	seal := k.a.worker.Grant(key)
 	k.a.mu.Unlock()
 	if seal == "" || d.Grant == "" {
-		k.a.log.Warn("what a task writes can't be kept: its controller has no archive.grant_key", "task", key.Load(), "attempt", key.Try)
+		k.a.log.Warn("what a task writes can't be kept: its controller has no archive.grant_key", "task", key.TaskName(), "attempt", key.Attempt)
 		return
 	}
 	g := archive.Grant{Attempt: k.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: seal, TermsSeal: d.Grant}
-	if err := k.ship.Begin(g, k.a.run.folder(key)); err != nil {
-		k.a.log.Error("what a task writes can't be kept", "task", key.Load(), "attempt", key.Try, "error", err)
+	if err := k.ship.Begin(g, k.a.runner.folder(key)); err != nil {
+		k.a.log.Error("what a task writes can't be kept", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 	}
 }
 
 // ended says that an attempt's processes are gone.
-func (k *keeper) ended(key Key, cause string, code int) {
+func (k *outputKeeper) ended(key TaskAttempt, cause string, code int) {
 	if k != nil {
 		k.ship.Ended(k.attempt(key), cause, code)
 	}
 }
 
 // left is how many attempts that are over have something to ship.
-func (k *keeper) left() int {
+func (k *outputKeeper) left() int {
 	if k == nil {
 		return 0
 	}
@@ -98,4 +98,4 @@
 }
 
 // holds tells whether an attempt's folder is still needed.
-func (k *keeper) holds(key Key) bool { return k != nil && k.ship.Holds(k.attempt(key)) }
+func (k *outputKeeper) holds(key TaskAttempt) bool { return k != nil && k.ship.Holds(k.attempt(key)) }
--- a/internal/agent/images.go
+++ b/internal/agent/images.go
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// images is a machine's cache of images. An image is visible when it is whole
+// imageStore is a machine's cache of images. An image is visible when it is whole
 // and on disk; what a crash leaves behind is thrown away.
-type images struct {
+type imageStore struct {
 	dir      string
 	capacity int64 // bytes
 	offered  map[string]Image
@@ -65,8 +65,8 @@
 	counter uint64
 }
 
-func newImages(dir string, capacity int64, list []Image) (*images, error) {
-	c := &images{dir: dir, capacity: capacity, offered: map[string]Image{}, pulls: map[string]context.CancelFunc{},
+func newImageStore(dir string, capacity int64, list []Image) (*imageStore, error) {
+	c := &imageStore{dir: dir, capacity: capacity, offered: map[string]Image{}, pulls: map[string]context.CancelFunc{},
 		ready: map[string]string{}, sizes: map[string]int64{}, used: map[string]uint64{}}
 	for _, m := range list {
 		c.offered[m.Name] = m
@@ -90,7 +90,7 @@
 var ErrNoImage = errors.New("no such image is offered in the settings")
 
 // fetch gets an image and then calls done, unless leave was called before.
-func (c *images) fetch(name string, done func(error)) {
+func (c *imageStore) fetch(name string, done func(error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
 	c.pulls[name] = cancel
@@ -117,7 +117,7 @@
 }
 
 // leave gives a fetch up.
-func (c *images) leave(name string) {
+func (c *imageStore) leave(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cancel := c.pulls[name]; cancel != nil {
@@ -126,13 +126,13 @@
 	}
 }
 
-func (c *images) touch(name string) {
+func (c *imageStore) touch(name string) {
 	c.counter++
 	c.used[name] = c.counter
 }
 
 // folder is where an image is; it counts as a use.
-func (c *images) folder(name string) (string, Image, bool) {
+func (c *imageStore) folder(name string) (string, Image, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f, ok := c.ready[name]
@@ -141,7 +141,7 @@
 }
 
 // evict makes room by the images that were used longest ago.
-func (c *images) evict(keep string) {
+func (c *imageStore) evict(keep string) {
 	c.mu.Lock()
 	total := int64(0)
 	var names []string
@@ -172,7 +172,7 @@
 }
 
 // get copies an image to this machine, unless the same one is here already.
-func (c *images) get(ctx context.Context, name string) (folder string, size int64, err error) {
+func (c *imageStore) get(ctx context.Context, name string) (folder string, size int64, err error) {
 	m, ok := c.offered[name]
 	if !ok {
 		return "", 0, ErrNoImage
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -44,14 +44,14 @@
 	return nil
 }
 
-// inputs is the seam between the agent and its store: it has the inputs of
+// inputStore is the seam between the agent and its store: it has the inputs of
 // attempts brought here and pinned, carries out stage orders, and tells what the
 // store holds. A nil one is a machine without a store. The agent's lock guards
 // it.
-type inputs struct {
+type inputStore struct {
 	a      *Agent
 	store  *datastore.Store
-	pinned map[Key][]dataset.ID
+	pinned map[TaskAttempt][]dataset.ID
 	staged map[dataset.ID]bool
 	failed map[dataset.ID]bool // since the last report
 	digest string              // as last told
@@ -68,16 +68,16 @@
 	pulling = 32
 )
 
-func newInputs(a *Agent) (*inputs, error) {
+func newInputStore(a *Agent) (*inputStore, error) {
 	c := a.cfg.Staging
 	s, err := datastore.Open(datastore.Config{Dir: filepath.Join(a.cfg.Dir, "data"), Capacity: int64(c.CapacityGB * 1e9),
 		FetchRate: c.FetchMBPerS * 1e6, ServeRate: c.ServeMBPerS * 1e6, Streams: c.Streams, Serving: c.Serving, Patience: seconds(c.PatienceS)}, a.log)
 	if err != nil {
 		return nil, fmt.Errorf("store of data sets: %w", err)
 	}
-	d := &inputs{a: a, store: s, pinned: map[Key][]dataset.ID{}, staged: map[dataset.ID]bool{}, failed: map[dataset.ID]bool{}, list: true}
+	d := &inputStore{a: a, store: s, pinned: map[TaskAttempt][]dataset.ID{}, staged: map[dataset.ID]bool{}, failed: map[dataset.ID]bool{}, list: true}
 	if c.Trace {
-		if d.trace, err = newTracer(filepath.Join(a.cfg.Dir, "data", EventsFile), a.cfg.Stoker); err != nil {
+		if d.trace, err = newTracer(filepath.Join(a.cfg.Dir, "data", EventsFile), a.cfg.Worker); err != nil {
 			return nil, err
 		}
 		s.Observe = func(e datastore.Event) {
@@ -87,7 +87,7 @@
 	return d, nil
 }
 
-func (d *inputs) close() {
+func (d *inputStore) close() {
 	if d != nil {
 		d.store.Close()
 	}
@@ -107,12 +107,12 @@
 }
 
 // do carries out what concerns data; the lock is held.
-func (d *inputs) do(e Effects) {
+func (d *inputStore) do(e Effects) {
 	if d == nil {
 		return
 	}
 	for k, ids := range d.pinned {
-		if !d.a.w.Live(k) {
+		if !d.a.worker.Live(k) {
 			delete(d.pinned, k)
 			for _, id := range ids {
 				d.store.Unpin(id)
@@ -120,7 +120,7 @@
 		}
 	}
 	for _, k := range e.Inputs {
-		d.bring(k, d.a.w.Description(k.Job))
+		d.bring(k, d.a.worker.Description(k.Job))
 	}
 	if e.Store != nil {
 		d.stage(e.Store)
@@ -128,7 +128,7 @@
 }
 
 // bring has an attempt's inputs fetched and pinned.
-func (d *inputs) bring(k Key, desc *protocol.JobDescription) {
+func (d *inputStore) bring(k TaskAttempt, desc *protocol.JobDescription) {
 	if desc == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 		try = func(pause time.Duration) {
 			d.store.Fetch(w, func(err error) {
 				d.a.mu.Lock()
-				live := d.a.w.Live(k) && !d.a.stopped
+				live := d.a.worker.Live(k) && !d.a.stopped
 				if err == nil {
 					left--
 				}
@@ -171,21 +171,21 @@
 				}
 			})
 		}
-		try(seconds(d.a.cfg.Workers.Report / 4))
+		try(seconds(d.a.cfg.Workers.Heartbeat / 4))
 	}
 }
 
-func (d *inputs) brought(k Key, err error) {
+func (d *inputStore) brought(k TaskAttempt, err error) {
 	d.a.step(func() Effects {
 		if err != nil {
-			d.a.log.Error("inputs can't be had", "task", k.Load(), "error", err)
+			d.a.log.Error("inputs can't be had", "task", k.TaskName(), "error", err)
 		}
-		return d.a.w.Brought(d.a.clock(), k, err, errors.Is(err, datastore.ErrFull))
+		return d.a.worker.Brought(d.a.clock(), k, err, errors.Is(err, datastore.ErrFull))
 	})
 }
 
 // stage carries out a controller's wishes, which are whole.
-func (d *inputs) stage(o *protocol.StoreOrders) {
+func (d *inputStore) stage(o *protocol.StoreOrders) {
 	d.list = d.list || o.List
 	wanted := map[dataset.ID]bool{}
 	for i := range o.Fetch {
@@ -224,8 +224,8 @@
 }
 
 // refresh has the reports say what the store holds; the lock is held.
-func (d *inputs) refresh(told bool) {
-	if d == nil || d.a.w == nil || d.a.stopped {
+func (d *inputStore) refresh(told bool) {
+	if d == nil || d.a.worker == nil || d.a.stopped {
 		return
 	}
 	digest := d.store.Digest()
@@ -252,11 +252,11 @@
 		}
 		r.Failed = append(r.Failed, string(id))
 	}
-	d.a.w.Stored(r, told)
+	d.a.worker.Stored(r, told)
 }
 
 // told takes that a report has left.
-func (d *inputs) told() {
+func (d *inputStore) told() {
 	if d != nil {
 		d.list = false
 		d.digest = d.store.Digest()
@@ -266,7 +266,7 @@
 
 // place puts an attempt's inputs into its working directory, whole, before its
 // program starts.
-func (d *inputs) place(dir string, list []protocol.InputCopy, wanted int) error {
+func (d *inputStore) place(dir string, list []protocol.InputCopy, wanted int) error {
 	if wanted != len(list) || d == nil && wanted > 0 {
 		return errNoStore
 	}
@@ -286,7 +286,7 @@
 }
 
 // serve serves chunks to other machines; false if path is none of them.
-func (d *inputs) serve(id uint64, method, path string) bool {
+func (d *inputStore) serve(id uint64, method, path string) bool {
 	name, ok := strings.CutPrefix(path, dataset.ChunkPath)
 	if d == nil || !ok || method != http.MethodGet {
 		return false
--- a/internal/agent/outside.go
+++ b/internal/agent/outside.go
@@ -9,26 +9,26 @@
 	"github.com/google/renameio/v2"
 )
 
-// outside keeps what must outlive a machine: checkpoints, and that a task is
+// outsideStore keeps what must outlive a machine: checkpoints, and that a task is
 // done. It is a folder that all machines share.
 //
 // A program saves a checkpoint by writing files and then making an empty file
 // N.complete, with a number N larger than any before. Which number a task goes
 // on with is the largest that all tasks of its gang, or the task alone if it
 // has none, completed.
-type outside struct{ dir string }
+type outsideStore struct{ dir string }
 
 const (
 	completeSuffix = ".complete"
 	doneFile       = "done"
 )
 
-func (o outside) folder(id string, index int) string {
+func (o outsideStore) folder(id string, index int) string {
 	return filepath.Join(o.dir, id, strconv.Itoa(index))
 }
 
 // completed lists the numbers of a task's checkpoints.
-func (o outside) completed(id string, index int) map[int]bool {
+func (o outsideStore) completed(id string, index int) map[int]bool {
 	out := map[int]bool{}
 	entries, err := os.ReadDir(o.folder(id, index))
 	if err != nil {
@@ -45,7 +45,7 @@
 }
 
 // last is the number of a task's newest checkpoint, 0 if it has none.
-func (o outside) last(id string, index int) (n int) {
+func (o outsideStore) last(id string, index int) (n int) {
 	for k := range o.completed(id, index) {
 		n = max(n, k)
 	}
@@ -53,7 +53,7 @@
 }
 
 // resume is the number that a task goes on with, 0 for the beginning.
-func (o outside) resume(id string, index, loads int, gang bool) (n int) {
+func (o outsideStore) resume(id string, index, loads int, gang bool) (n int) {
 	if !gang {
 		return o.last(id, index)
 	}
@@ -73,19 +73,19 @@
 }
 
 // prepare makes a task's folder.
-func (o outside) prepare(id string, index int) (string, error) {
+func (o outsideStore) prepare(id string, index int) (string, error) {
 	dir := o.folder(id, index)
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
 // done tells whether the task has completed before. The result is kept: a task
 // that is started again for want of a report does not run again.
-func (o outside) done(id string, index int) bool {
+func (o outsideStore) done(id string, index int) bool {
 	return o.dir != "" && exists(filepath.Join(o.folder(id, index), doneFile))
 }
 
 // complete keeps that a task is done. It must be durable before that is told.
-func (o outside) complete(id string, index int) error {
+func (o outsideStore) complete(id string, index int) error {
 	dir, err := o.prepare(id, index)
 	if err != nil {
 		return err
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -81,17 +81,17 @@
 	exec []string
 	log  *slog.Logger
 	// exited is called when all processes of an attempt are gone.
-	exited func(k Key, code int, memory bool)
+	exited func(k TaskAttempt, code int, memory bool)
 	// holds tells of attempts whose folders are still needed; nil: none are.
-	holds func(k Key) bool
+	holds func(k TaskAttempt) bool
 
 	mu       sync.Mutex
-	tasks    map[Key]*task
-	session  uint64 // whose tasks may be started
+	tasks    map[TaskAttempt]*task
+	epoch  uint64 // whose tasks may be started
 	starting int    // being started
 }
 
-var errSession = errors.New("its session is over")
+var errWrongEpoch = errors.New("its session is over")
 
 type task struct {
 	id     proc.ID
@@ -99,24 +99,24 @@
 	memory bool   // ended for its memory
 }
 
-func (r *runner) folder(k Key) string { return filepath.Join(r.dir, tasksDir, k.String()) }
+func (r *runner) folder(k TaskAttempt) string { return filepath.Join(r.dir, tasksDir, k.String()) }
 
-func (r *runner) mark(k Key) string { return r.dir + "/" + k.String() }
+func (r *runner) mark(k TaskAttempt) string { return r.dir + "/" + k.String() }
 
 // open allows the tasks of a session to be started, and of no other.
 func (r *runner) open(session uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.session = session
+	r.epoch = session
 }
 
 // start starts a program. Its output goes to files, so that what it wrote
 // outlives it and the agent.
-func (r *runner) start(session uint64, k Key, p program, ramGB float64) error {
+func (r *runner) start(session uint64, k TaskAttempt, p program, ramGB float64) error {
 	r.mu.Lock()
-	if r.session != session {
+	if r.epoch != session {
 		r.mu.Unlock()
-		return errSession
+		return errWrongEpoch
 	}
 	r.starting++
 	r.mu.Unlock()
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (r *runner) spawn(k Key, p program, ramGB float64) (*task, *exec.Cmd, error) {
+func (r *runner) spawn(k TaskAttempt, p program, ramGB float64) (*task, *exec.Cmd, error) {
 	dir := r.folder(k)
 	out, err := os.OpenFile(filepath.Join(dir, stdout), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -170,7 +170,7 @@
 }
 
 // wait waits until a program has ended, and ends what it left behind.
-func (r *runner) wait(k Key, t *task, cmd *exec.Cmd) {
+func (r *runner) wait(k TaskAttempt, t *task, cmd *exec.Cmd) {
 	code := 0
 	_ = proc.AwaitEnd(t.id.PID)
 	_ = proc.KillGroup(t.id, syscall.SIGKILL)
@@ -190,7 +190,7 @@
 }
 
 // sweep ends what a program left behind outside its group, and returns when that is gone.
-func (r *runner) sweep(k Key) {
+func (r *runner) sweep(k TaskAttempt) {
 	for {
 		left := proc.KillMarked(r.mark(k), 5*time.Second)
 		if left == 0 {
@@ -203,7 +203,7 @@
 }
 
 // signal sends a signal to an attempt's process group.
-func (r *runner) signal(k Key, sig syscall.Signal) {
+func (r *runner) signal(k TaskAttempt, sig syscall.Signal) {
 	r.mu.Lock()
 	t := r.tasks[k]
 	r.mu.Unlock()
@@ -213,7 +213,7 @@
 }
 
 // kill ends an attempt whole. Its end is told by exited.
-func (r *runner) kill(k Key) { r.signal(k, syscall.SIGKILL) }
+func (r *runner) kill(k TaskAttempt) { r.signal(k, syscall.SIGKILL) }
 
 // watch ends the attempts that hold more memory than they asked for, and
 // returns what all hold.
@@ -292,14 +292,14 @@
 }
 
 // parseKey undoes Key.String.
-func parseKey(s string) (Key, bool) {
+func parseKey(s string) (TaskAttempt, bool) {
 	f := strings.Split(s, ".")
 	if len(f) != 3 {
-		return Key{}, false
+		return TaskAttempt{}, false
 	}
 	index, err1 := strconv.Atoi(f[1])
 	try, err2 := strconv.Atoi(f[2])
-	return Key{f[0], index, try}, err1 == nil && err2 == nil
+	return TaskAttempt{f[0], index, try}, err1 == nil && err2 == nil
 }
 
 // Watchdog ends all tasks of a machine when its agent's lease is over or the
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -15,18 +15,18 @@
 	"silvergate/internal/protocol"
 )
 
-// Key names an attempt of a task on this machine.
-type Key struct {
+// TaskAttempt names an attempt of a task on this machine.
+type TaskAttempt struct {
 	Job   string
 	Index int
-	Try   int
+	Attempt   int
 }
 
-// Load is the wire name of the task.
-func (k Key) Load() string { return job.TaskName(k.Job, k.Index) }
+// TaskName is the wire name of the task.
+func (k TaskAttempt) TaskName() string { return job.TaskName(k.Job, k.Index) }
 
 // String is the key as job.index.try, which also names the attempt's folder.
-func (k Key) String() string { return fmt.Sprintf("%s.%d.%d", k.Job, k.Index, k.Try) }
+func (k TaskAttempt) String() string { return fmt.Sprintf("%s.%d.%d", k.Job, k.Index, k.Attempt) }
 
 // phase is where an attempt stands. The first ones are reported as they are
 // named in the protocol.
@@ -38,49 +38,49 @@
 	waiting                 // for the other tasks of its gang
 	running
 	finished // gang: its program completed, those of others did not yet
-	saving   // told to stop, and may save
-	saved    // gang: it has saved, others have not yet
+	checkpointing   // told to stop, and may save
+	checkpointed    // gang: it has saved, others have not yet
 	ending   // told to end; its processes are not gone yet
 	ended
 )
 
 // wire is how each phase is reported. One that is ending still takes its room.
 var wire = [...]string{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
-	running: protocol.TaskRunning, finished: protocol.TaskRunning, saving: protocol.TaskCheckpointing, saved: protocol.TaskCheckpointing,
+	running: protocol.TaskRunning, finished: protocol.TaskRunning, checkpointing: protocol.TaskCheckpointing, checkpointed: protocol.TaskCheckpointing,
 	ending: protocol.TaskRunning, ended: protocol.TaskEnded}
 
 // gangNames is how each phase is shown to the agents of a gang's other tasks.
 var gangNames = [...]string{describing: "pulling", fetching: "pulling", waiting: "waiting", running: "running", finished: "finished",
-	saving: "saving", saved: "saved", ending: "ending", ended: "ended"}
+	checkpointing: "saving", checkpointed: "saved", ending: "ending", ended: "ended"}
 
 // gangDone is shown for a task of a gang that is complete.
 const gangDone = "done"
 
-type load struct {
-	key   Key
-	desc  *protocol.JobDescription // nil while describing
+type taskState struct {
+	id   TaskAttempt
+	description  *protocol.JobDescription // nil while describing
 	phase phase
 	cause string
-	saved bool
-	since time.Duration // of the phase
-	told  time.Duration // first told to stop
-	until time.Duration // saving: when it is ended all the same
-	fate  string        // ending: the cause to report when it is gone
-	whole time.Duration // gang: when all of it was last seen as it should be
-	ask   time.Duration // gang: when the others are asked next
-	next  time.Duration // when it is to save by itself
-	needs bool          // inputs that are not here yet
-	seal  string        // that came with the launch; for the archive
+	checkpointed bool
+	phaseSince time.Duration // of the phase
+	stopRequestedAt  time.Duration // first told to stop
+	killAt time.Duration // saving: when it is ended all the same
+	finalCause  string        // ending: the cause to report when it is gone
+	gangCompleteAt time.Duration // gang: when all of it was last seen as it should be
+	nextGangCheckAt   time.Duration // gang: when the others are asked next
+	nextCheckpointAt  time.Duration // when it is to save by itself
+	needsInputs bool          // inputs that are not here yet
+	grant  string        // that came with the launch; for the archive
 	peers map[int]string
 }
 
 // process tells whether the attempt has a program that runs.
-func (l *load) process() bool {
-	return l.phase == running || l.phase == saving || l.phase == ending
+func (l *taskState) process() bool {
+	return l.phase == running || l.phase == checkpointing || l.phase == ending
 }
 
-// Node is a controller.
-type Node struct {
+// Controller is a controller.
+type Controller struct {
 	Name    string `yaml:"node_name"`
 	Address string `yaml:"address"`
 }
@@ -94,7 +94,7 @@
 
 // Periods are the workers' periods, as the controllers' settings give them.
 type Periods struct {
-	Report   float64 `yaml:"report_s"`
+	Heartbeat   float64 `yaml:"report_s"`
 	Lease    float64 `yaml:"lease_s"`
 	GangWait float64 `yaml:"gang_wait_s"`
 	GangPeer float64 `yaml:"gang_peer_s"`
@@ -106,33 +106,33 @@
 const (
 	soonest   = 500 * time.Millisecond // between two reports
 	patience  = 4 * time.Second        // for the answer to a report
-	nextNode  = time.Second            // before the next controller is tried
-	maxReport = 40 << 10               // of a report's tasks, in bytes; a request may have 64 KiB, the store's part too
-	lineBytes = 120                    // of a task in a report, at the most
+	nextController  = time.Second            // before the next controller is tried
+	maxHeartbeatBytes = 40 << 10               // of a report's tasks, in bytes; a request may have 64 KiB, the store's part too
+	taskLineBytes = 120                    // of a task in a report, at the most
 )
 
-// Send is a report to be sent.
-type Send struct {
-	Node  Node
+// HeartbeatSend is a report to be sent.
+type HeartbeatSend struct {
+	Controller  Controller
 	Body  []byte
-	Shift uint64
-	At    time.Duration
+	Epoch uint64
+	SentAt    time.Duration
 }
 
 // Effects are what a step wants done.
 type Effects struct {
-	Report   *Send
+	Heartbeat   *HeartbeatSend
 	Describe []string // jobs whose descriptions are to be asked for
 	Fetch    []string // images wanted, by name
 	Leave    []string // images that no task waits for any more
-	Inputs   []Key    // attempts whose inputs are to be brought here
-	Start    []Key
-	Save     []Key // told to save and go on
-	Stop     []Key // told to save and end
-	Kill     []Key // to be ended at once, whole
-	Ask      []Key // gang tasks whose others are to be asked
-	Forget   []Key
-	Clear    bool   // all tasks are to be ended; Cleared is called when they are gone
+	Inputs   []TaskAttempt    // attempts whose inputs are to be brought here
+	Start    []TaskAttempt
+	Checkpoint     []TaskAttempt // told to save and go on
+	Stop     []TaskAttempt // told to save and end
+	Kill     []TaskAttempt // to be ended at once, whole
+	AskGang      []TaskAttempt // gang tasks whose others are to be asked
+	Forget   []TaskAttempt
+	EndAll    bool   // all tasks are to be ended; Cleared is called when they are gone
 	Token    uint64 // a higher token than ever before, to be kept
 	Store    *protocol.StoreOrders
 	Lease    time.Duration
@@ -141,76 +141,76 @@
 // Worker is a worker's side of the protocol: a state machine without I/O. Time
 // and events go in, Effects come out. It owns the attempts on its machine.
 type Worker struct {
-	me      protocol.Heartbeat // the fields that stay
+	identity      protocol.Heartbeat // the fields that stay
 	room    Room
 	periods Periods
-	nodes   []Node
-	rnd     *rand.Rand
+	controllers   []Controller
+	random     *rand.Rand
 
 	now      time.Duration
-	out      Effects
-	shift    uint64
-	tally    uint64
-	baton    uint64
-	began    time.Duration
-	answered time.Duration // sending time of the last answered report of this session
-	clearing bool          // the session is over; its tasks are being ended
-	recall   time.Duration
-	recalled bool
-
-	node      int
+	effects      Effects
+	epoch    uint64
+	sequence    uint64
+	fencingToken    uint64
+	epochBegan    time.Duration
+	answeredAt time.Duration // sending time of the last answered report of this session
+	endingEpoch bool          // the session is over; its tasks are being ended
+	preemptionAt   time.Duration
+	preempted bool
+
+	controller      int
 	inflight  bool
-	reportAt  time.Duration
-	lastSent  time.Duration
-	sentOnce  bool
+	nextHeartbeatAt  time.Duration
+	lastHeartbeatAt  time.Duration
+	heartbeatSent  bool
 	changed   bool
-	tokenTold time.Duration // when a higher token last counted as a change
+	tokenChangedAt time.Duration // when a higher token last counted as a change
 
 	store     *protocol.StoreReport
 	unshipped int
 
-	loads map[Key]*load
-	specs map[string]*protocol.JobDescription
-	asked map[string]bool // jobs being described
-	image map[string]bool // images that are here
-	pulls map[string]bool // images being fetched
-	done  map[Key]time.Duration
+	tasks map[TaskAttempt]*taskState
+	descriptions map[string]*protocol.JobDescription
+	describing map[string]bool // jobs being described
+	imagesHere map[string]bool // images that are here
+	imagesFetching map[string]bool // images being fetched
+	doneAt  map[TaskAttempt]time.Duration
 }
 
 // NewWorker makes a worker that begins a session. baton is the highest token
 // that an earlier process on this machine has kept.
-func NewWorker(me protocol.Heartbeat, room Room, p Periods, nodes []Node, shift, baton uint64, rnd *rand.Rand) *Worker {
+func NewWorker(me protocol.Heartbeat, room Room, p Periods, nodes []Controller, epoch, fencingToken uint64, rnd *rand.Rand) *Worker {
 	me.Tasks = nil
-	return &Worker{me: me, room: room, periods: p, nodes: nodes, rnd: rnd, shift: shift, baton: baton, node: rnd.IntN(len(nodes)),
-		loads: map[Key]*load{}, specs: map[string]*protocol.JobDescription{}, asked: map[string]bool{}, image: map[string]bool{},
-		pulls: map[string]bool{}, done: map[Key]time.Duration{}}
+	return &Worker{identity: me, room: room, periods: p, controllers: nodes, random: rnd, epoch: epoch, fencingToken: fencingToken, controller: rnd.IntN(len(nodes)),
+		tasks: map[TaskAttempt]*taskState{}, descriptions: map[string]*protocol.JobDescription{}, describing: map[string]bool{}, imagesHere: map[string]bool{},
+		imagesFetching: map[string]bool{}, doneAt: map[TaskAttempt]time.Duration{}}
 }
 
 func (w *Worker) lease() time.Duration { return seconds(w.periods.Lease) }
 
 // leaseEnds is when the session ends unless a report is answered.
-func (w *Worker) leaseEnds() time.Duration { return max(w.began, w.answered) + w.lease() }
+func (w *Worker) leaseEnds() time.Duration { return max(w.epochBegan, w.answeredAt) + w.lease() }
 
-func (w *Worker) take() Effects {
-	e := w.out
+func (w *Worker) takeEffects() Effects {
+	e := w.effects
 	e.Lease = w.leaseEnds()
-	w.out = Effects{}
+	w.effects = Effects{}
 	return e
 }
 
-func (w *Worker) sorted() []*load {
-	out := make([]*load, 0, len(w.loads))
-	for _, l := range w.loads {
+func (w *Worker) sorted() []*taskState {
+	out := make([]*taskState, 0, len(w.tasks))
+	for _, l := range w.tasks {
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b *load) int {
+	slices.SortFunc(out, func(a, b *taskState) int {
 		switch {
-		case a.key.Job != b.key.Job:
-			return strings.Compare(a.key.Job, b.key.Job)
-		case a.key.Index != b.key.Index:
-			return a.key.Index - b.key.Index
+		case a.id.Job != b.id.Job:
+			return strings.Compare(a.id.Job, b.id.Job)
+		case a.id.Index != b.id.Index:
+			return a.id.Index - b.id.Index
 		}
-		return a.key.Try - b.key.Try
+		return a.id.Attempt - b.id.Attempt
 	})
 	return out
 }
@@ -218,100 +218,100 @@
 // Due is when the worker must look at the clock again.
 func (w *Worker) Due() time.Duration {
 	next := w.leaseEnds() + 1
-	if w.clearing {
+	if w.endingEpoch {
 		return w.now + soonest
 	}
 	if !w.inflight {
-		next = min(next, w.reportTime())
+		next = min(next, w.heartbeatTime())
 	}
-	for _, l := range w.loads {
+	for _, l := range w.tasks {
 		switch l.phase {
 		case waiting:
-			next = min(next, l.since+seconds(w.periods.GangWait), l.ask)
+			next = min(next, l.phaseSince+seconds(w.periods.GangWait), l.nextGangCheckAt)
 		case running:
-			if l.desc.Shape == job.Gang && l.desc.Tasks > 1 {
-				next = min(next, l.ask)
+			if l.description.Shape == job.Gang && l.description.Tasks > 1 {
+				next = min(next, l.nextGangCheckAt)
 			}
-			if l.next > 0 {
-				next = min(next, l.next)
+			if l.nextCheckpointAt > 0 {
+				next = min(next, l.nextCheckpointAt)
 			}
-		case finished, saved:
-			next = min(next, l.ask)
-		case saving:
-			next = min(next, l.until)
+		case finished, checkpointed:
+			next = min(next, l.nextGangCheckAt)
+		case checkpointing:
+			next = min(next, l.killAt)
 		}
 	}
 	return max(next, w.now+time.Millisecond)
 }
 
-// reportTime is when the next report is to be sent.
-func (w *Worker) reportTime() time.Duration {
-	if w.changed && w.sentOnce {
-		return min(w.reportAt, max(w.lastSent+soonest, w.now))
+// heartbeatTime is when the next report is to be sent.
+func (w *Worker) heartbeatTime() time.Duration {
+	if w.changed && w.heartbeatSent {
+		return min(w.nextHeartbeatAt, max(w.lastHeartbeatAt+soonest, w.now))
 	}
-	return w.reportAt
+	return w.nextHeartbeatAt
 }
 
 // Tick lets time pass.
 func (w *Worker) Tick(now time.Duration) Effects {
 	w.advance(now)
-	return w.take()
+	return w.takeEffects()
 }
 
 func (w *Worker) advance(now time.Duration) {
 	w.now = max(w.now, now)
-	if w.clearing {
+	if w.endingEpoch {
 		return
 	}
 	if w.now > w.leaseEnds() {
 		// Nobody may count on what is here from now on. The new session
 		// begins when all of it is gone, and not before: its first report is
 		// the evidence of that.
-		w.clearing = true
-		w.out.Clear = true
+		w.endingEpoch = true
+		w.effects.EndAll = true
 		return
 	}
 	for _, l := range w.sorted() {
-		w.pass(l)
+		w.advanceTask(l)
 	}
-	for k, at := range w.done {
+	for k, at := range w.doneAt {
 		if w.now-at > 2*w.lease() {
-			delete(w.done, k)
+			delete(w.doneAt, k)
 		}
 	}
-	if !w.inflight && w.now >= w.reportTime() {
-		w.report()
+	if !w.inflight && w.now >= w.heartbeatTime() {
+		w.heartbeat()
 	}
 }
 
 // pass lets time pass for one attempt.
-func (w *Worker) pass(l *load) {
-	if l.phase == saving && w.now >= l.until {
+func (w *Worker) advanceTask(l *taskState) {
+	if l.phase == checkpointing && w.now >= l.killAt {
 		w.end(l, protocol.CauseStopped)
 	}
-	if l.phase == running && l.next > 0 && w.now >= l.next {
-		l.next = w.now + seconds(l.desc.CheckpointIntervalS)
-		w.out.Save = append(w.out.Save, l.key)
+	if l.phase == running && l.nextCheckpointAt > 0 && w.now >= l.nextCheckpointAt {
+		l.nextCheckpointAt = w.now + seconds(l.description.CheckpointIntervalS)
+		w.effects.Checkpoint = append(w.effects.Checkpoint, l.id)
 	}
 	if !w.gang(l) {
 		return
 	}
 	w.judge(l)
-	if asks := l.phase == waiting || l.phase == running || l.phase == finished || l.phase == saved; asks && w.now >= l.ask {
-		l.ask = w.now + seconds(w.periods.GangPeer/4)
-		w.out.Ask = append(w.out.Ask, l.key)
+	if asks := l.phase == waiting || l.phase == running || l.phase == finished || l.phase == checkpointed; asks && w.now >= l.nextGangCheckAt {
+		l.nextGangCheckAt = w.now + seconds(w.periods.GangPeer/4)
+		w.effects.AskGang = append(w.effects.AskGang, l.id)
 	}
 }
 
 // gang tells whether the attempt has others that it depends on.
-func (w *Worker) gang(l *load) bool {
-	return l.desc != nil && l.desc.Shape == job.Gang && l.desc.Tasks > 1
+func (w *Worker) gang(l *taskState) bool {
+	return l.description != nil && l.description.Shape == job.Gang && l.description.Tasks > 1
 }
 
 // all tells whether every other task of the gang is in one of the states.
-func (l *load) all(states ...string) bool {
-	for i := range l.desc.Tasks {
-		if i != l.key.Index && !slices.Contains(states, l.peers[i]) {
+func (l *taskState) all(states ...string) bool {
+	for i := range l.description.Tasks {
+		if i != l.id.Index && !slices.Contains(states, l.peers[i]) {
 			return false
 		}
 	}
@@ -319,178 +319,178 @@
 }
 
 // judge decides what a gang's task does next, from what is known of the others.
-func (w *Worker) judge(l *load) {
+func (w *Worker) judge(l *taskState) {
 	peer := seconds(w.periods.GangPeer)
 	switch l.phase {
 	case waiting:
 		switch {
 		case l.all("waiting", "running", "finished", gangDone):
 			w.start(l)
-		case w.now-l.since >= seconds(w.periods.GangWait):
-			w.over(l, protocol.CauseLeaseExpired)
+		case w.now-l.phaseSince >= seconds(w.periods.GangWait):
+			w.endWithoutProcess(l, protocol.CauseGangTimeout)
 		}
 	case running:
 		if l.all("waiting", "running", "finished", "saving", "saved", gangDone) {
-			l.whole = w.now
-		} else if w.now-l.whole > peer {
+			l.gangCompleteAt = w.now
+		} else if w.now-l.gangCompleteAt > peer {
 			w.end(l, protocol.CauseGangMemberLost)
 		}
 	case finished:
 		switch {
 		case l.all("finished", gangDone):
-			w.over(l, protocol.CauseDone)
+			w.endWithoutProcess(l, protocol.CauseDone)
 		case l.all("running", "finished", gangDone):
-			l.whole = w.now
-		case w.now-l.whole > peer:
-			w.over(l, protocol.CauseGangMemberLost)
+			l.gangCompleteAt = w.now
+		case w.now-l.gangCompleteAt > peer:
+			w.endWithoutProcess(l, protocol.CauseGangMemberLost)
 		}
-	case saved:
+	case checkpointed:
 		switch {
 		case l.all("saved", "ended"):
-			l.saved = true
-			w.over(l, protocol.CauseStopped)
-		case l.all("saving", "saved", "ended") && w.now < l.until:
-		case w.now-l.told > peer:
-			w.over(l, protocol.CauseGangMemberLost)
+			l.checkpointed = true
+			w.endWithoutProcess(l, protocol.CauseStopped)
+		case l.all("saving", "saved", "ended") && w.now < l.killAt:
+		case w.now-l.stopRequestedAt > peer:
+			w.endWithoutProcess(l, protocol.CauseGangMemberLost)
 		}
 	}
 }
 
-func (w *Worker) set(l *load, p phase) {
-	l.phase, l.since = p, w.now
+func (w *Worker) set(l *taskState, p phase) {
+	l.phase, l.phaseSince = p, w.now
 	w.changed = true
 }
 
 // over ends an attempt that has no process.
-func (w *Worker) over(l *load, cause string) {
+func (w *Worker) endWithoutProcess(l *taskState, cause string) {
 	l.cause = cause
 	w.set(l, ended)
 	l.peers = nil
 	if cause == protocol.CauseDone && w.gang(l) {
-		w.done[l.key] = w.now
+		w.doneAt[l.id] = w.now
 	}
 	w.idleImage(l)
 }
 
 // idleImage gives a fetch up that no task waits for any more.
-func (w *Worker) idleImage(l *load) {
-	if l.desc == nil || !w.pulls[l.desc.Image] {
+func (w *Worker) idleImage(l *taskState) {
+	if l.description == nil || !w.imagesFetching[l.description.Image] {
 		return
 	}
-	for _, o := range w.loads {
-		if o.phase == fetching && o.desc.Image == l.desc.Image {
+	for _, o := range w.tasks {
+		if o.phase == fetching && o.description.Image == l.description.Image {
 			return
 		}
 	}
-	delete(w.pulls, l.desc.Image)
+	delete(w.imagesFetching, l.description.Image)
 	// What one step begins and gives up again is not begun at all: effects of
 	// a step have no order among kinds.
-	if i := slices.Index(w.out.Fetch, l.desc.Image); i >= 0 {
-		w.out.Fetch = slices.Delete(w.out.Fetch, i, i+1)
+	if i := slices.Index(w.effects.Fetch, l.description.Image); i >= 0 {
+		w.effects.Fetch = slices.Delete(w.effects.Fetch, i, i+1)
 		return
 	}
-	w.out.Leave = append(w.out.Leave, l.desc.Image)
+	w.effects.Leave = append(w.effects.Leave, l.description.Image)
 }
 
 // end ends an attempt that has a process; it is over when that is gone.
-func (w *Worker) end(l *load, cause string) {
-	l.fate = cause
+func (w *Worker) end(l *taskState, cause string) {
+	l.finalCause = cause
 	w.set(l, ending)
-	w.out.Kill = append(w.out.Kill, l.key)
+	w.effects.Kill = append(w.effects.Kill, l.id)
 }
 
-func (w *Worker) start(l *load) {
+func (w *Worker) start(l *taskState) {
 	w.set(l, running)
-	l.whole = w.now
-	if l.desc.CheckpointIntervalS > 0 {
-		l.next = w.now + seconds(l.desc.CheckpointIntervalS)
+	l.gangCompleteAt = w.now
+	if l.description.CheckpointIntervalS > 0 {
+		l.nextCheckpointAt = w.now + seconds(l.description.CheckpointIntervalS)
 	}
-	w.out.Start = append(w.out.Start, l.key)
+	w.effects.Start = append(w.effects.Start, l.id)
 }
 
 // current writes the report as things stand.
 func (w *Worker) current() protocol.Heartbeat {
-	w.tally++
-	r := w.me
+	w.sequence++
+	r := w.identity
 	r.DataStore, r.Unshipped = w.store, w.unshipped
-	r.AgentEpoch, r.Sequence, r.FencingToken = w.shift, w.tally, w.baton
-	if w.recalled {
-		left := max(0, (w.recall - w.now).Seconds())
+	r.AgentEpoch, r.Sequence, r.FencingToken = w.epoch, w.sequence, w.fencingToken
+	if w.preempted {
+		left := max(0, (w.preemptionAt - w.now).Seconds())
 		r.PreemptionNoticeS = &left
 	}
-	r.Tasks = make([]protocol.TaskStatus, 0, len(w.loads))
+	r.Tasks = make([]protocol.TaskStatus, 0, len(w.tasks))
 	for _, l := range w.sorted() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.key.Load(), Attempt: l.key.Try, Status: wire[l.phase], Cause: l.cause, Checkpointed: l.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.id.TaskName(), Attempt: l.id.Attempt, Status: wire[l.phase], Cause: l.cause, Checkpointed: l.checkpointed})
 	}
 	return r
 }
 
-func (w *Worker) report() {
-	w.inflight, w.sentOnce, w.changed = true, true, false
-	w.lastSent = w.now
-	w.out.Report = &Send{Node: w.nodes[w.node], Body: protocol.Encode(w.current()), Shift: w.shift, At: w.now}
+func (w *Worker) heartbeat() {
+	w.inflight, w.heartbeatSent, w.changed = true, true, false
+	w.lastHeartbeatAt = w.now
+	w.effects.Heartbeat = &HeartbeatSend{Controller: w.controllers[w.controller], Body: protocol.Encode(w.current()), Epoch: w.epoch, SentAt: w.now}
 }
 
 // Answered takes what came of a report: status 0 when no answer came in time.
-func (w *Worker) Answered(now time.Duration, s *Send, status int, body []byte) Effects {
+func (w *Worker) Answered(now time.Duration, s *HeartbeatSend, status int, body []byte) Effects {
 	w.advance(now)
 	w.inflight = false
 	switch status {
 	case http.StatusOK:
-		w.reportAt = w.now + seconds(w.periods.Report*(0.75+0.5*w.rnd.Float64()))
+		w.nextHeartbeatAt = w.now + seconds(w.periods.Heartbeat*(0.75+0.5*w.random.Float64()))
 		var a protocol.HeartbeatResponse
-		if s.Shift != w.shift || w.clearing || w.now-s.At > patience || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.baton {
+		if s.Epoch != w.epoch || w.endingEpoch || w.now-s.SentAt > patience || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.fencingToken {
 			break // dropped: neither obeyed nor renewing
 		}
-		w.answered = max(w.answered, s.At)
-		w.token(a.FencingToken)
-		w.obey(a.Commands)
-		w.out.Store = a.DataStore
+		w.answeredAt = max(w.answeredAt, s.SentAt)
+		w.seeToken(a.FencingToken)
+		w.carryOut(a.Commands)
+		w.effects.Store = a.DataStore
 	case http.StatusMisdirectedRequest:
 		var r protocol.Redirect
 		_ = protocol.Decode(body, &r)
-		to := slices.IndexFunc(w.nodes, func(n Node) bool { return n.Name == r.Controller })
-		if to >= 0 && to != w.node {
-			w.node = to
-			w.reportAt = w.now + time.Duration(w.rnd.Float64()*float64(soonest))
+		to := slices.IndexFunc(w.controllers, func(n Controller) bool { return n.Name == r.Controller })
+		if to >= 0 && to != w.controller {
+			w.controller = to
+			w.nextHeartbeatAt = w.now + time.Duration(w.random.Float64()*float64(soonest))
 			break
 		}
-		w.tryNext()
+		w.tryNextController()
 	default:
-		w.tryNext()
+		w.tryNextController()
 	}
-	return w.take()
+	return w.takeEffects()
 }
 
-func (w *Worker) tryNext() {
-	w.node = (w.node + 1) % len(w.nodes)
-	w.reportAt = w.now + nextNode
+func (w *Worker) tryNextController() {
+	w.controller = (w.controller + 1) % len(w.controllers)
+	w.nextHeartbeatAt = w.now + nextController
 }
 
-// token takes a token that is no lower than any before.
-func (w *Worker) token(t uint64) {
-	if t == w.baton {
+// seeToken takes a token that is no lower than any before.
+func (w *Worker) seeToken(t uint64) {
+	if t == w.fencingToken {
 		return
 	}
-	w.baton = t
-	w.out.Token = t
-	if w.tokenTold == 0 || w.now-w.tokenTold >= w.lease()/2 {
-		w.tokenTold = w.now
+	w.fencingToken = t
+	w.effects.Token = t
+	if w.tokenChangedAt == 0 || w.now-w.tokenChangedAt >= w.lease()/2 {
+		w.tokenChangedAt = w.now
 		w.changed = true
 	}
 }
 
-// ErrClearing is returned while the tasks of a session that is over are being
+// ErrEndingEpoch is returned while the tasks of a session that is over are being
 // ended: any report would say too much or too little.
-var ErrClearing = errors.New("the session has ended; its tasks are being stopped")
+var ErrEndingEpoch = errors.New("the session has ended; its tasks are being stopped")
 
 // Status answers GET /status.
 func (w *Worker) Status(now time.Duration) ([]byte, Effects, error) {
 	w.advance(now)
-	if w.clearing {
-		return nil, w.take(), ErrClearing
+	if w.endingEpoch {
+		return nil, w.takeEffects(), ErrEndingEpoch
 	}
-	return protocol.Encode(w.current()), w.take(), nil
+	return protocol.Encode(w.current()), w.takeEffects(), nil
 }
 
 // Direct answers POST /orders.
@@ -502,7 +502,7 @@
 		Orders []protocol.Command `json:"orders"`
 	}
 	refuse := func(status int, why string) (int, []byte, Effects) {
-		return status, protocol.Encode(protocol.ErrorResponse{Error: why}), w.take()
+		return status, protocol.Encode(protocol.ErrorResponse{Error: why}), w.takeEffects()
 	}
 	if err := json.Unmarshal(body, &d); err != nil {
 		return refuse(http.StatusBadRequest, "the body is malformed: "+err.Error())
@@ -512,25 +512,25 @@
 		return refuse(http.StatusBadRequest, "baton: missing")
 	case d.Shift == nil:
 		return refuse(http.StatusBadRequest, "shift: missing")
-	case w.clearing:
-		return refuse(http.StatusServiceUnavailable, ErrClearing.Error())
-	case *d.Baton < w.baton || *d.Shift != w.shift:
-		return http.StatusConflict, protocol.Encode(w.current()), w.take()
+	case w.endingEpoch:
+		return refuse(http.StatusServiceUnavailable, ErrEndingEpoch.Error())
+	case *d.Baton < w.fencingToken || *d.Shift != w.epoch:
+		return http.StatusConflict, protocol.Encode(w.current()), w.takeEffects()
 	}
-	w.token(*d.Baton)
-	w.obey(d.Orders)
-	return http.StatusOK, protocol.Encode(w.current()), w.take()
+	w.seeToken(*d.Baton)
+	w.carryOut(d.Orders)
+	return http.StatusOK, protocol.Encode(w.current()), w.takeEffects()
 }
 
-// obey executes orders one after the other.
-func (w *Worker) obey(orders []protocol.Command) {
+// carryOut executes orders one after the other.
+func (w *Worker) carryOut(orders []protocol.Command) {
 	for _, o := range orders {
 		id, index, err := job.ParseTaskName(o.Task)
 		if err != nil || !protocol.ValidJobID(id) {
 			continue
 		}
-		k := Key{id, index, o.Attempt}
-		l := w.loads[k]
+		k := TaskAttempt{id, index, o.Attempt}
+		l := w.tasks[k]
 		switch {
 		case o.Verb == protocol.VerbLaunch && l == nil:
 			w.launch(k, o.Grant)
@@ -541,9 +541,9 @@
 			}
 			w.kill(l, grace)
 		case o.Verb == protocol.VerbForget && l != nil && l.phase == ended:
-			delete(w.loads, k)
+			delete(w.tasks, k)
 			w.drop(id)
-			w.out.Forget = append(w.out.Forget, k)
+			w.effects.Forget = append(w.effects.Forget, k)
 			w.changed = true
 		}
 	}
@@ -551,94 +551,94 @@
 
 // drop forgets a job's description with its last attempt.
 func (w *Worker) drop(id string) {
-	for k := range w.loads {
+	for k := range w.tasks {
 		if k.Job == id {
 			return
 		}
 	}
-	delete(w.specs, id)
+	delete(w.descriptions, id)
 }
 
-func (w *Worker) launch(k Key, seal string) {
-	if (len(w.loads)+1)*lineBytes > maxReport {
+func (w *Worker) launch(k TaskAttempt, seal string) {
+	if (len(w.tasks)+1)*taskLineBytes > maxHeartbeatBytes {
 		// Guards against a report that no request could carry: refusals are
 		// listed too. What is not listed is launched again with a later
 		// answer, when others were forgotten.
 		return
 	}
-	l := &load{key: k, since: w.now, seal: seal}
+	l := &taskState{id: k, phaseSince: w.now, grant: seal}
 	refuse := ""
-	for _, o := range w.loads {
-		if o.key.Job == k.Job && o.key.Index == k.Index && o.phase != ended {
+	for _, o := range w.tasks {
+		if o.id.Job == k.Job && o.id.Index == k.Index && o.phase != ended {
 			refuse = protocol.CauseBusy
 		}
 	}
-	w.loads[k] = l
+	w.tasks[k] = l
 	w.changed = true
 	if refuse != "" {
-		w.over(l, refuse)
+		w.endWithoutProcess(l, refuse)
 		return
 	}
-	if d := w.specs[k.Job]; d != nil {
+	if d := w.descriptions[k.Job]; d != nil {
 		w.describe(l, d)
-	} else if !w.asked[k.Job] {
-		w.asked[k.Job] = true
-		w.out.Describe = append(w.out.Describe, k.Job)
+	} else if !w.describing[k.Job] {
+		w.describing[k.Job] = true
+		w.effects.Describe = append(w.effects.Describe, k.Job)
 	}
 }
 
 // describe goes on with an attempt whose job is known now.
-func (w *Worker) describe(l *load, d *protocol.JobDescription) {
-	if l.key.Index >= d.Tasks {
-		w.over(l, protocol.CauseUnknown)
+func (w *Worker) describe(l *taskState, d *protocol.JobDescription) {
+	if l.id.Index >= d.Tasks {
+		w.endWithoutProcess(l, protocol.CauseUnknown)
 		return
 	}
 	used := Room{}
-	for _, o := range w.loads {
-		if o.desc != nil && o.phase != ended {
-			used = Room{used.CPUs + o.desc.CPUs, used.GPUs + o.desc.GPUs, used.RAM + o.desc.MemoryGB}
+	for _, o := range w.tasks {
+		if o.description != nil && o.phase != ended {
+			used = Room{used.CPUs + o.description.CPUs, used.GPUs + o.description.GPUs, used.RAM + o.description.MemoryGB}
 		}
 	}
 	const eps = 1e-6 // sums of decimal amounts
 	if used.CPUs+d.CPUs > w.room.CPUs+eps || used.GPUs+d.GPUs > w.room.GPUs+eps || used.RAM+d.MemoryGB > w.room.RAM+eps {
-		w.over(l, protocol.CauseNoRoom)
+		w.endWithoutProcess(l, protocol.CauseNoRoom)
 		return
 	}
-	l.desc = d
+	l.description = d
 	l.phase = fetching
-	if l.needs = len(d.Inputs) > 0; l.needs {
-		w.out.Inputs = append(w.out.Inputs, l.key)
+	if l.needsInputs = len(d.Inputs) > 0; l.needsInputs {
+		w.effects.Inputs = append(w.effects.Inputs, l.id)
 	}
-	if w.image[d.Image] {
+	if w.imagesHere[d.Image] {
 		w.ready(l)
-	} else if !w.pulls[d.Image] {
-		w.pulls[d.Image] = true
-		if i := slices.Index(w.out.Leave, d.Image); i >= 0 {
-			w.out.Leave = slices.Delete(w.out.Leave, i, i+1) // it goes on
+	} else if !w.imagesFetching[d.Image] {
+		w.imagesFetching[d.Image] = true
+		if i := slices.Index(w.effects.Leave, d.Image); i >= 0 {
+			w.effects.Leave = slices.Delete(w.effects.Leave, i, i+1) // it goes on
 			return
 		}
-		w.out.Fetch = append(w.out.Fetch, d.Image)
+		w.effects.Fetch = append(w.effects.Fetch, d.Image)
 	}
 }
 
 // Brought takes that an attempt's inputs are all here, whole, or can't be had;
 // full says that there is no room for them.
-func (w *Worker) Brought(now time.Duration, k Key, err error, full bool) Effects {
+func (w *Worker) Brought(now time.Duration, k TaskAttempt, err error, full bool) Effects {
 	w.advance(now)
-	l := w.loads[k]
-	if w.clearing || l == nil || l.phase != fetching || !l.needs {
-		return w.take()
+	l := w.tasks[k]
+	if w.endingEpoch || l == nil || l.phase != fetching || !l.needsInputs {
+		return w.takeEffects()
 	}
-	l.needs = false
+	l.needsInputs = false
 	switch {
 	case full:
-		w.over(l, protocol.CauseNoRoom)
+		w.endWithoutProcess(l, protocol.CauseNoRoom)
 	case err != nil:
-		w.over(l, protocol.CauseError)
-	case w.image[l.desc.Image]:
+		w.endWithoutProcess(l, protocol.CauseError)
+	case w.imagesHere[l.description.Image]:
 		w.ready(l)
 	}
-	return w.take()
+	return w.takeEffects()
 }
 
 // Stored takes what the reports are to say of the store; told has it said soon.
@@ -647,10 +647,10 @@
 	w.changed = w.changed || told
 }
 
-// Seal is what came with an attempt's launch for the archive.
-func (w *Worker) Seal(k Key) string {
-	if l := w.loads[k]; l != nil {
-		return l.seal
+// Grant is what came with an attempt's launch for the archive.
+func (w *Worker) Grant(k TaskAttempt) string {
+	if l := w.tasks[k]; l != nil {
+		return l.grant
 	}
 	return ""
 }
@@ -659,20 +659,20 @@
 func (w *Worker) SetUnshipped(n int) { w.unshipped = n }
 
 // Live tells whether an attempt is here and not over.
-func (w *Worker) Live(k Key) bool {
-	l := w.loads[k]
-	return l != nil && l.phase != ended && !w.clearing
+func (w *Worker) Live(k TaskAttempt) bool {
+	l := w.tasks[k]
+	return l != nil && l.phase != ended && !w.endingEpoch
 }
 
 // ready goes on with an attempt whose image is here.
-func (w *Worker) ready(l *load) {
+func (w *Worker) ready(l *taskState) {
 	switch {
-	case l.needs:
-	case l.desc.Complete:
-		w.over(l, protocol.CauseDone)
+	case l.needsInputs:
+	case l.description.Complete:
+		w.endWithoutProcess(l, protocol.CauseDone)
 	case w.gang(l):
 		w.set(l, waiting)
-		l.ask = w.now
+		l.nextGangCheckAt = w.now
 	default:
 		w.start(l)
 	}
@@ -682,89 +682,89 @@
 // controller knows the job. A nil one without it is asked for again.
 func (w *Worker) Described(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
 	w.advance(now)
-	delete(w.asked, id)
-	if w.clearing {
-		return w.take()
+	delete(w.describing, id)
+	if w.endingEpoch {
+		return w.takeEffects()
 	}
 	if d != nil {
-		w.specs[id] = d
+		w.descriptions[id] = d
 	}
 	for _, l := range w.sorted() {
 		switch {
-		case l.key.Job != id || l.phase != describing:
+		case l.id.Job != id || l.phase != describing:
 		case d != nil:
 			w.describe(l, d)
 		case unknown:
-			w.over(l, protocol.CauseUnknown)
-		case !w.asked[id]:
-			w.asked[id] = true
-			w.out.Describe = append(w.out.Describe, id)
+			w.endWithoutProcess(l, protocol.CauseUnknown)
+		case !w.describing[id]:
+			w.describing[id] = true
+			w.effects.Describe = append(w.effects.Describe, id)
 		}
 	}
 	w.drop(id)
-	return w.take()
+	return w.takeEffects()
 }
 
 // Fetched takes that an image is here, or can't be had.
 func (w *Worker) Fetched(now time.Duration, kit string, err error) Effects {
 	w.advance(now)
-	delete(w.pulls, kit)
-	if w.clearing {
+	delete(w.imagesFetching, kit)
+	if w.endingEpoch {
 		if err == nil {
-			w.image[kit] = true
+			w.imagesHere[kit] = true
 		}
-		return w.take()
+		return w.takeEffects()
 	}
 	if err == nil {
-		w.image[kit] = true
+		w.imagesHere[kit] = true
 	}
 	for _, l := range w.sorted() {
 		switch {
-		case l.phase != fetching || l.desc.Image != kit:
+		case l.phase != fetching || l.description.Image != kit:
 		case err != nil:
-			w.over(l, protocol.CauseError)
+			w.endWithoutProcess(l, protocol.CauseError)
 		default:
 			w.ready(l)
 		}
 	}
-	return w.take()
+	return w.takeEffects()
 }
 
 // Evicted takes that an image is not here any more.
-func (w *Worker) Evicted(kit string) { delete(w.image, kit) }
+func (w *Worker) Evicted(kit string) { delete(w.imagesHere, kit) }
 
 // Wanted tells whether a task that is not over needs an image.
 func (w *Worker) Wanted(kit string) bool {
-	for _, l := range w.loads {
-		if l.desc != nil && l.desc.Image == kit && l.phase != ended {
+	for _, l := range w.tasks {
+		if l.description != nil && l.description.Image == kit && l.phase != ended {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *Worker) kill(l *load, grace float64) {
+func (w *Worker) kill(l *taskState, grace float64) {
 	switch l.phase {
 	case describing, fetching, waiting:
-		w.over(l, protocol.CauseStopped)
+		w.endWithoutProcess(l, protocol.CauseStopped)
 	case finished:
 		// Guards against a gang of which some tasks are done and one was
 		// stopped: its program has completed, and the others may have seen so.
 		// What becomes of it shows within gang_peer_s.
-	case saved:
+	case checkpointed:
 		if grace == 0 {
-			w.over(l, protocol.CauseStopped)
+			w.endWithoutProcess(l, protocol.CauseStopped)
 		}
-	case saving:
+	case checkpointing:
 		if grace == 0 {
 			w.end(l, protocol.CauseStopped)
 		}
 	case running:
-		l.told = w.now
-		if l.desc.CheckpointIntervalS > 0 && grace >= l.desc.CheckpointSaveS && grace > 0 {
-			l.until = w.now + seconds(grace)
-			w.set(l, saving)
-			w.out.Stop = append(w.out.Stop, l.key)
+		l.stopRequestedAt = w.now
+		if l.description.CheckpointIntervalS > 0 && grace >= l.description.CheckpointSaveS && grace > 0 {
+			l.killAt = w.now + seconds(grace)
+			w.set(l, checkpointing)
+			w.effects.Stop = append(w.effects.Stop, l.id)
 			return
 		}
 		w.end(l, protocol.CauseStopped)
@@ -778,52 +778,52 @@
 }
 
 // Exited takes that all processes of an attempt are gone.
-func (w *Worker) Exited(now time.Duration, k Key, x Exit) Effects {
+func (w *Worker) Exited(now time.Duration, k TaskAttempt, x Exit) Effects {
 	w.advance(now)
-	l := w.loads[k]
-	if w.clearing || l == nil || !l.process() {
-		return w.take()
+	l := w.tasks[k]
+	if w.endingEpoch || l == nil || !l.process() {
+		return w.takeEffects()
 	}
 	switch {
 	case l.phase == ending:
-		w.over(l, l.fate)
-	case l.phase == saving && x.Saved && w.gang(l):
-		w.set(l, saved)
-		l.ask = w.now
-	case l.phase == saving:
-		l.saved = x.Saved
-		w.over(l, protocol.CauseStopped)
-	case l.desc.Shape == job.Service || x.Code != 0:
-		w.over(l, protocol.CauseError) // replicas have no end of their own
+		w.endWithoutProcess(l, l.finalCause)
+	case l.phase == checkpointing && x.Saved && w.gang(l):
+		w.set(l, checkpointed)
+		l.nextGangCheckAt = w.now
+	case l.phase == checkpointing:
+		l.checkpointed = x.Saved
+		w.endWithoutProcess(l, protocol.CauseStopped)
+	case l.description.Shape == job.Service || x.Code != 0:
+		w.endWithoutProcess(l, protocol.CauseError) // replicas have no end of their own
 	case w.gang(l):
 		w.set(l, finished)
-		l.whole, l.ask = w.now, w.now
+		l.gangCompleteAt, l.nextGangCheckAt = w.now, w.now
 	default:
-		w.over(l, protocol.CauseDone)
+		w.endWithoutProcess(l, protocol.CauseDone)
 	}
-	return w.take()
+	return w.takeEffects()
 }
 
 // Peers takes what the agents of a gang's other tasks say.
-func (w *Worker) Peers(now time.Duration, k Key, states map[int]string) Effects {
+func (w *Worker) Peers(now time.Duration, k TaskAttempt, states map[int]string) Effects {
 	w.now = max(w.now, now)
-	if l := w.loads[k]; l != nil && l.phase != ended && !w.clearing {
+	if l := w.tasks[k]; l != nil && l.phase != ended && !w.endingEpoch {
 		l.peers = states
 	}
 	w.advance(now)
-	return w.take()
+	return w.takeEffects()
 }
 
 // Gang lists the attempts of a gang on this machine, for the others' agents.
 func (w *Worker) Gang(id string, try int) map[int]string {
 	out := map[int]string{}
-	for k := range w.done {
-		if k.Job == id && k.Try == try {
+	for k := range w.doneAt {
+		if k.Job == id && k.Attempt == try {
 			out[k.Index] = gangDone
 		}
 	}
-	for k, l := range w.loads {
-		if k.Job != id || k.Try != try || w.clearing {
+	for k, l := range w.tasks {
+		if k.Job != id || k.Attempt != try || w.endingEpoch {
 			continue
 		}
 		switch {
@@ -831,57 +831,57 @@
 			out[k.Index] = gangNames[l.phase]
 		case l.cause == protocol.CauseDone:
 			out[k.Index] = gangDone
-		case l.saved:
+		case l.checkpointed:
 			out[k.Index] = "ended"
 		}
 	}
 	return out
 }
 
-// Recall takes the cloud's notice: the machine is taken at that time.
-func (w *Worker) Recall(now, at time.Duration) Effects {
+// Preempt takes the cloud's notice: the machine is taken at that time.
+func (w *Worker) Preempt(now, at time.Duration) Effects {
 	w.now = max(w.now, now)
-	if !w.recalled {
+	if !w.preempted {
 		w.changed = true
 	}
-	w.recall, w.recalled = at, true
+	w.preemptionAt, w.preempted = at, true
 	w.advance(now)
-	return w.take()
+	return w.takeEffects()
 }
 
-// Cleared takes that nothing of the last session runs any more. The caller has
+// EpochEnded takes that nothing of the last session runs any more. The caller has
 // made the new session's number durable.
-func (w *Worker) Cleared(now time.Duration) Effects {
+func (w *Worker) EpochEnded(now time.Duration) Effects {
 	w.now = max(w.now, now)
-	if w.clearing {
-		w.clearing = false
+	if w.endingEpoch {
+		w.endingEpoch = false
 		for _, l := range w.sorted() {
-			w.out.Forget = append(w.out.Forget, l.key)
+			w.effects.Forget = append(w.effects.Forget, l.id)
 		}
-		w.loads, w.specs = map[Key]*load{}, map[string]*protocol.JobDescription{}
-		w.asked, w.done = map[string]bool{}, map[Key]time.Duration{}
-		w.shift++
-		w.began = w.now
+		w.tasks, w.descriptions = map[TaskAttempt]*taskState{}, map[string]*protocol.JobDescription{}
+		w.describing, w.doneAt = map[string]bool{}, map[TaskAttempt]time.Duration{}
+		w.epoch++
+		w.epochBegan = w.now
 		w.changed = true
 	}
 	w.advance(now)
-	return w.take()
+	return w.takeEffects()
 }
 
-// Session is the number of the present session.
-func (w *Worker) Session() uint64 { return w.shift }
+// Epoch is the number of the present session.
+func (w *Worker) Epoch() uint64 { return w.epoch }
 
 // Description is the job's, nil if no attempt of it is here.
-func (w *Worker) Description(id string) *protocol.JobDescription { return w.specs[id] }
+func (w *Worker) Description(id string) *protocol.JobDescription { return w.descriptions[id] }
 
 // Descriptions lists the jobs of which attempts are here, in no order.
 func (w *Worker) Descriptions() []*protocol.JobDescription {
-	return slices.Collect(maps.Values(w.specs))
+	return slices.Collect(maps.Values(w.descriptions))
 }
 
 // Attempts lists the attempts of a job that are here, in no order.
-func (w *Worker) Attempts(id string) (out []Key) {
-	for k := range w.loads {
+func (w *Worker) Attempts(id string) (out []TaskAttempt) {
+	for k := range w.tasks {
 		if k.Job == id {
 			out = append(out, k)
 		}
@@ -891,16 +891,16 @@
 
 // Restarted begins the next session as a restarted agent does: all that ran is gone.
 func (w *Worker) Restarted(now time.Duration) Effects {
-	w.clearing = true
-	return w.Cleared(now)
+	w.endingEpoch = true
+	return w.EpochEnded(now)
 }
 
 // Count tells how many attempts are here and how many of them are not over.
 func (w *Worker) Count() (all, live int) {
-	for _, l := range w.loads {
+	for _, l := range w.tasks {
 		if l.phase != ended {
 			live++
 		}
 	}
-	return len(w.loads), live
+	return len(w.tasks), live
 }
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -16,8 +16,8 @@
 )
 
 var (
-	testPeriods = Periods{Report: 3, Lease: 18, GangWait: 35, GangPeer: 4}
-	testNodes   = []Node{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
+	testPeriods = Periods{Heartbeat: 3, Lease: 18, GangWait: 35, GangPeer: 4}
+	testNodes   = []Controller{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
 	testRoom    = Room{CPUs: 4, GPUs: 0, RAM: 3}
 )
 
@@ -25,37 +25,37 @@
 type bench struct {
 	w       *Worker
 	now     time.Duration
-	report  *Send
-	alive   map[Key]bool // attempts whose processes run
+	report  *HeartbeatSend
+	alive   map[TaskAttempt]bool // attempts whose processes run
 	pulls   map[string]bool
 	asked   []string
 	clear   bool
-	started map[Key]int // in this session
+	started map[TaskAttempt]int // in this session
 	fail    func(format string, args ...any)
 }
 
 func newBench(fail func(string, ...any)) *bench {
 	me := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
 	return &bench{w: NewWorker(me, testRoom, testPeriods, testNodes, 1, 0, rand.New(rand.NewPCG(1, 2))),
-		alive: map[Key]bool{}, pulls: map[string]bool{}, started: map[Key]int{}, fail: fail}
+		alive: map[TaskAttempt]bool{}, pulls: map[string]bool{}, started: map[TaskAttempt]int{}, fail: fail}
 }
 
 // take does what a step wants done.
 func (b *bench) take(e Effects) {
-	if e.Report != nil {
+	if e.Heartbeat != nil {
 		if b.report != nil {
 			b.fail("two reports in flight")
 		}
 		if b.clear {
 			b.fail("a report while the last session's tasks are being ended")
 		}
-		b.report = e.Report
+		b.report = e.Heartbeat
 	}
-	if e.Clear {
+	if e.EndAll {
 		b.clear = true
 	}
 	for _, k := range e.Start {
-		if b.alive[k] || b.started[k] > 0 && b.w.loads[k] != nil && b.started[k] > 1 {
+		if b.alive[k] || b.started[k] > 0 && b.w.tasks[k] != nil && b.started[k] > 1 {
 			b.fail("%v started twice", k)
 		}
 		for o := range b.alive {
@@ -83,13 +83,13 @@
 	}
 	b.asked = append(b.asked, e.Describe...)
 	used := Room{}
-	for k, l := range b.w.loads {
+	for k, l := range b.w.tasks {
 		if l.phase == ended && b.alive[k] {
 			b.fail("%v reported over (%s) while its processes run", k, l.cause)
 		}
-		if l.desc != nil && l.phase != ended {
-			used.CPUs += l.desc.CPUs
-			used.RAM += l.desc.MemoryGB
+		if l.description != nil && l.phase != ended {
+			used.CPUs += l.description.CPUs
+			used.RAM += l.description.MemoryGB
 		}
 	}
 	if used.CPUs > testRoom.CPUs || used.RAM > testRoom.RAM {
@@ -145,12 +145,12 @@
 					continue
 				}
 				token := rapid.SampledFrom([]uint64{0, highest, highest, highest + 1, highest / 2}).Draw(t, "token")
-				r, shift := b.report, b.w.Session()
+				r, epoch := b.report, b.w.Epoch()
 				o := orders()
 				b.answer(200, protocol.HeartbeatResponse{FencingToken: token, Commands: o})
-				switch taken := token > 0 && token >= highest && r.Shift == shift && b.now-r.At <= patience && !b.w.clearing; {
+				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= patience && !b.w.endingEpoch; {
 				case taken:
-					highest, answeredAt = token, max(answeredAt, r.At)
+					highest, answeredAt = token, max(answeredAt, r.SentAt)
 				case fmt.Sprint(b.w.Count()) != before && !b.clear:
 					t.Fatalf("an answer under token %d of %d was obeyed", token, highest)
 				}
@@ -160,11 +160,11 @@
 				}
 			case 5:
 				token := rapid.SampledFrom([]uint64{highest, highest + 1, highest / 2}).Draw(t, "token")
-				shift := rapid.SampledFrom([]uint64{session, session, session + 1}).Draw(t, "shift")
-				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: shift, Commands: orders()}))
+				epoch := rapid.SampledFrom([]uint64{session, session, session + 1}).Draw(t, "shift")
+				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: orders()}))
 				b.take(e)
-				if want := token >= highest && shift == session && !b.w.clearing; (st == 200) != want {
-					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, shift, session)
+				if want := token >= highest && epoch == session && !b.w.endingEpoch; (st == 200) != want {
+					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, epoch, session)
 				}
 				if st == 200 {
 					highest = token
@@ -189,11 +189,11 @@
 					b.take(b.w.Fetched(b.now, n, err))
 				}
 			case 8:
-				var live []Key
+				var live []TaskAttempt
 				for k := range b.alive {
 					live = append(live, k)
 				}
-				slices.SortFunc(live, func(x, y Key) int { return slices.Compare([]byte(x.String()), []byte(y.String())) })
+				slices.SortFunc(live, func(x, y TaskAttempt) int { return slices.Compare([]byte(x.String()), []byte(y.String())) })
 				if len(live) > 0 {
 					k := rapid.SampledFrom(live).Draw(t, "exits")
 					delete(b.alive, k)
@@ -205,15 +205,15 @@
 					clear(b.started)
 					b.clear = false
 					session++
-					b.take(b.w.Cleared(b.now))
+					b.take(b.w.EpochEnded(b.now))
 					answeredAt = b.now
 				}
 			}
-			if over := b.now - answeredAt; over > b.w.lease() != b.w.clearing && over > b.w.lease() {
+			if over := b.now - answeredAt; over > b.w.lease() != b.w.endingEpoch && over > b.w.lease() {
 				t.Fatalf("the lease is over since %v and the session goes on", over-b.w.lease())
 			}
-			if b.w.Session() != session {
-				t.Fatalf("session %d, expected %d", b.w.Session(), session)
+			if b.w.Epoch() != session {
+				t.Fatalf("session %d, expected %d", b.w.Epoch(), session)
 			}
 		}
 	})
@@ -244,7 +244,7 @@
 	b.tick(time.Minute) // bench fails on a report
 	clear(b.alive)
 	b.clear = false
-	b.take(b.w.Cleared(b.now))
+	b.take(b.w.EpochEnded(b.now))
 	b.tick(0)
 	var r protocol.Heartbeat
 	if b.report == nil || json.Unmarshal(b.report.Body, &r) != nil || r.AgentEpoch != 2 || len(r.Tasks) != 0 || r.FencingToken != 7 {
@@ -264,10 +264,10 @@
 		t.Fatal("no report under way at the end of the lease")
 	}
 	b.clear = false
-	b.take(b.w.Cleared(b.now))
+	b.take(b.w.EpochEnded(b.now))
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 6, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
-	if all, _ := b.w.Count(); all != 0 || b.w.baton != 5 {
-		t.Fatalf("%d attempts, token %d", all, b.w.baton)
+	if all, _ := b.w.Count(); all != 0 || b.w.fencingToken != 5 {
+		t.Fatalf("%d attempts, token %d", all, b.w.fencingToken)
 	}
 }
 
@@ -305,16 +305,16 @@
 				if q == imageAt[i] {
 					b.take(b.w.Fetched(b.now, "img", nil))
 				}
-				k := Key{id, i, 4}
+				k := TaskAttempt{id, i, 4}
 				if q == stopAt && (i != lost || q < lostAt) {
 					grace := 8.0
-					_, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.Load(), Attempt: 4, GracePeriodS: &grace}}}))
+					_, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.TaskName(), Attempt: 4, GracePeriodS: &grace}}}))
 					b.take(e)
 				}
 				if i == lost && q >= lostAt && lostAt < 100 {
 					continue
 				}
-				l := b.w.loads[k]
+				l := b.w.tasks[k]
 				if b.alive[k] && startedAt < 0 {
 					startedAt = q
 					for j, at := range imageAt {
@@ -327,7 +327,7 @@
 				case b.alive[k] && l.phase == ending:
 					delete(b.alive, k)
 					b.take(b.w.Exited(b.now, k, Exit{Code: -1}))
-				case b.alive[k] && l.phase == saving && q >= stopAt+4:
+				case b.alive[k] && l.phase == checkpointing && q >= stopAt+4:
 					delete(b.alive, k)
 					b.take(b.w.Exited(b.now, k, Exit{Saved: true}))
 				case b.alive[k] && l.phase == running && startedAt >= 0 && q >= startedAt+runs[i]:
@@ -358,12 +358,12 @@
 			if i == lost && lostAt < 100 {
 				continue
 			}
-			l := b.w.loads[Key{id, i, 4}]
+			l := b.w.tasks[TaskAttempt{id, i, 4}]
 			if l == nil || l.phase != ended {
 				t.Fatalf("task %d is not over: %+v", i, l)
 			}
 			c := l.cause
-			if l.saved {
+			if l.checkpointed {
 				c += "+saved"
 			}
 			causes[c]++
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -42,27 +42,27 @@
 	RunTime(id string, index int) time.Duration
 	// Started and Stopped bracket the time for which a task is on a machine. done
 	// tells that it completed.
-	Started(m *Machine, k agent.Key)
-	Stopped(m *Machine, k agent.Key, done bool)
+	Started(m *Machine, k agent.TaskAttempt)
+	Stopped(m *Machine, k agent.TaskAttempt, done bool)
 	// LeaseEnded tells that a worker's lease ended with live tasks on it.
 	LeaseEnded(m *Machine, tasks int)
 }
 
 // Stats counts what the fleet did.
 type Stats struct {
-	Reports, Answered, Redirected, Refused, Unanswered atomic.Int64
+	Heartbeats, Answered, Redirected, Refused, Unanswered atomic.Int64
 	// BytesOut and BytesIn are the bodies and about the heads of reports and their answers.
 	BytesOut, BytesIn atomic.Int64
-	Orders            atomic.Int64
-	Sessions          atomic.Int64 // that ended by their lease
+	Commands            atomic.Int64
+	Epochs          atomic.Int64 // that ended by their lease
 	AnswerNanos       atomic.Int64 // time until answers, of answered reports
 }
 
 // headBytes is about what the head of a request or a response takes.
 const headBytes = 110
 
-// reportPatience is how long a worker waits for the answer to a report (PROTOCOL).
-const reportPatience = 4 * time.Second
+// heartbeatTimeout is how long a worker waits for the answer to a report (PROTOCOL).
+const heartbeatTimeout = 4 * time.Second
 
 // statusPeriod is the time between two looks at calls that are late.
 const statusPeriod = 250 * time.Millisecond
@@ -71,11 +71,11 @@
 type Fleet struct {
 	Stats Stats
 
-	nodes    []agent.Node
+	controllers    []agent.Controller
 	periods  agent.Periods
 	observer Observer
 	listenIP string
-	begun    time.Time
+	startedAt    time.Time
 	pool     *transport.Pool
 	done     chan struct{}
 
@@ -87,13 +87,13 @@
 
 type gangAttempt struct {
 	job string
-	try int
+	attempt int
 }
 
 // NewFleet makes an empty fleet that reports to the controllers. Workers listen at
 // ports of listenIP, a loopback address; connections bounds how many are open for reports.
-func NewFleet(nodes []agent.Node, periods agent.Periods, listenIP string, connections int, observer Observer) *Fleet {
-	f := &Fleet{nodes: nodes, periods: periods, observer: observer, listenIP: listenIP, begun: time.Now(), pool: transport.NewPool(connections),
+func NewFleet(nodes []agent.Controller, periods agent.Periods, listenIP string, connections int, observer Observer) *Fleet {
+	f := &Fleet{controllers: nodes, periods: periods, observer: observer, listenIP: listenIP, startedAt: time.Now(), pool: transport.NewPool(connections),
 		done: make(chan struct{}), workers: map[string]*worker{}, gangs: map[gangAttempt]map[*worker]bool{}}
 	go f.expire()
 	return f
@@ -113,7 +113,7 @@
 	}
 }
 
-func (f *Fleet) clock() time.Duration { return time.Since(f.begun) }
+func (f *Fleet) clock() time.Duration { return time.Since(f.startedAt) }
 
 // Add starts a worker. seed draws its chances.
 func (f *Fleet) Add(m Machine, seed uint64) error {
@@ -121,10 +121,10 @@
 	if err != nil {
 		return fmt.Errorf("worker %s: %w", m.Name, err)
 	}
-	w := &worker{fleet: f, machine: m, address: listener.Addr().String(), running: map[agent.Key]*time.Timer{}, images: map[string]bool{}}
+	w := &worker{fleet: f, machine: m, address: listener.Addr().String(), running: map[agent.TaskAttempt]*time.Timer{}, images: map[string]bool{}}
 	me := protocol.Heartbeat{Worker: m.Name, Address: w.address, MachineType: m.Type, Zone: m.Zone, Spot: m.Spot}
-	w.state = agent.NewWorker(me, m.Room, f.periods, f.nodes, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
-	w.server = &http.Server{Handler: w, ReadHeaderTimeout: reportPatience, ErrorLog: nil}
+	w.state = agent.NewWorker(me, m.Room, f.periods, f.controllers, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
+	w.server = &http.Server{Handler: w, ReadHeaderTimeout: heartbeatTimeout, ErrorLog: nil}
 	f.mu.Lock()
 	if f.closed {
 		f.mu.Unlock()
@@ -194,7 +194,7 @@
 		list = append(list, w)
 	}
 	f.mu.Unlock()
-	since := f.clock() - time.Duration(f.periods.Report*2*float64(time.Second))
+	since := f.clock() - time.Duration(f.periods.Heartbeat*2*float64(time.Second))
 	for _, w := range list {
 		w.mu.Lock()
 		tasks += len(w.running)
@@ -220,10 +220,10 @@
 }
 
 // join notes that a worker holds a task of a gang's attempt.
-func (f *Fleet) join(w *worker, k agent.Key) {
+func (f *Fleet) join(w *worker, k agent.TaskAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := gangAttempt{k.Job, k.Try}
+	at := gangAttempt{k.Job, k.Attempt}
 	if f.gangs[at] == nil {
 		f.gangs[at] = map[*worker]bool{}
 	}
@@ -231,20 +231,20 @@
 }
 
 // leave notes that it does not any more.
-func (f *Fleet) leave(w *worker, k agent.Key) {
+func (f *Fleet) leave(w *worker, k agent.TaskAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := gangAttempt{k.Job, k.Try}
+	at := gangAttempt{k.Job, k.Attempt}
 	if delete(f.gangs[at], w); len(f.gangs[at]) == 0 {
 		delete(f.gangs, at)
 	}
 }
 
 // gang asks the workers of a gang's attempt how its tasks are.
-func (f *Fleet) gang(k agent.Key) map[int]string {
+func (f *Fleet) gang(k agent.TaskAttempt) map[int]string {
 	f.mu.Lock()
 	var list []*worker
-	for w := range f.gangs[gangAttempt{k.Job, k.Try}] {
+	for w := range f.gangs[gangAttempt{k.Job, k.Attempt}] {
 		list = append(list, w)
 	}
 	f.mu.Unlock()
@@ -252,7 +252,7 @@
 	for _, w := range list {
 		w.mu.Lock()
 		if !w.stopped {
-			for index, state := range w.state.Gang(k.Job, k.Try) {
+			for index, state := range w.state.Gang(k.Job, k.Attempt) {
 				states[index] = state
 			}
 		}
@@ -271,7 +271,7 @@
 	mu       sync.Mutex
 	state    *agent.Worker
 	timer    *time.Timer
-	running  map[agent.Key]*time.Timer
+	running  map[agent.TaskAttempt]*time.Timer
 	images   map[string]bool // being fetched
 	answered time.Duration   // when a report was last answered with 200
 	stopped  bool
@@ -282,14 +282,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped {
-		w.do(event(w.fleet.clock()))
+		w.perform(event(w.fleet.clock()))
 	}
 }
 
-// do carries out effects; the lock is held.
-func (w *worker) do(e agent.Effects) {
-	if e.Clear {
-		w.leaseOver()
+// perform carries out effects; the lock is held.
+func (w *worker) perform(e agent.Effects) {
+	if e.EndAll {
+		w.leaseExpired()
 	}
 	for _, k := range e.Kill {
 		w.end(k, 0)
@@ -309,11 +309,11 @@
 	for _, k := range e.Start {
 		w.start(k)
 	}
-	for _, k := range e.Ask {
+	for _, k := range e.AskGang {
 		go w.askGang(k)
 	}
-	if e.Report != nil {
-		w.report(e.Report)
+	if e.Heartbeat != nil {
+		w.sendHeartbeat(e.Heartbeat)
 	}
 	w.arm()
 }
@@ -374,7 +374,7 @@
 	return 0
 }
 
-func (w *worker) start(k agent.Key) {
+func (w *worker) start(k agent.TaskAttempt) {
 	wait := w.fleet.observer.RunTime(k.Job, k.Index)
 	if wait > 0 {
 		w.running[k] = w.later(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, true) })
@@ -385,7 +385,7 @@
 }
 
 // end ends a task that was told to.
-func (w *worker) end(k agent.Key, wait time.Duration) {
+func (w *worker) end(k agent.TaskAttempt, wait time.Duration) {
 	if t := w.running[k]; t != nil {
 		t.Stop()
 	}
@@ -393,7 +393,7 @@
 }
 
 // exited takes that a task's program has ended; the lock is held.
-func (w *worker) exited(now time.Duration, k agent.Key, done bool) agent.Effects {
+func (w *worker) exited(now time.Duration, k agent.TaskAttempt, done bool) agent.Effects {
 	if _, here := w.running[k]; !here {
 		return w.state.Tick(now)
 	}
@@ -412,20 +412,20 @@
 	return w.state.Exited(now, k, agent.Exit{Code: code})
 }
 
-func (w *worker) askGang(k agent.Key) {
+func (w *worker) askGang(k agent.TaskAttempt) {
 	states := w.fleet.gang(k)
 	w.step(func(now time.Duration) agent.Effects { return w.state.Peers(now, k, states) })
 }
 
-// leaseOver ends everything, as the lease has; the lock is held.
-func (w *worker) leaseOver() {
+// leaseExpired ends everything, as the lease has; the lock is held.
+func (w *worker) leaseExpired() {
 	_, live := w.state.Count()
-	w.fleet.Stats.Sessions.Add(1)
+	w.fleet.Stats.Epochs.Add(1)
 	if live > 0 {
 		w.fleet.observer.LeaseEnded(&w.machine, live)
 	}
 	w.dropAll()
-	w.later(time.Millisecond, w.state.Cleared)
+	w.later(time.Millisecond, w.state.EpochEnded)
 }
 
 // dropAll ends all tasks at once; the lock is held.
@@ -461,12 +461,12 @@
 	_ = w.server.Close()
 }
 
-func (w *worker) report(s *agent.Send) {
+func (w *worker) sendHeartbeat(s *agent.HeartbeatSend) {
 	stats := &w.fleet.Stats
-	stats.Reports.Add(1)
+	stats.Heartbeats.Add(1)
 	stats.BytesOut.Add(int64(len(s.Body) + headBytes))
 	sent := w.fleet.clock()
-	w.fleet.pool.Start(transport.Call{Addr: s.Node.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: reportPatience,
+	w.fleet.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: heartbeatTimeout,
 		Done: func(r *transport.Response, _ bool, err error) {
 			w.step(func(now time.Duration) agent.Effects {
 				if err != nil {
@@ -513,7 +513,7 @@
 	case w.stopped:
 		return problem(http.StatusServiceUnavailable, "the machine is gone")
 	case path == protocol.PathCommands && method == http.MethodPost:
-		w.fleet.Stats.Orders.Add(1)
+		w.fleet.Stats.Commands.Add(1)
 		status, answer, e = w.state.Direct(w.fleet.clock(), body)
 	case path == protocol.PathStatus && method == http.MethodGet:
 		var err error
@@ -524,6 +524,6 @@
 	default:
 		return problem(http.StatusNotFound, "no such path")
 	}
-	w.do(e)
+	w.perform(e)
 	return status, answer
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -54,9 +54,9 @@
 	return 0
 }
 
-func (s *scripted) Started(*Machine, agent.Key) { s.add(&s.started) }
+func (s *scripted) Started(*Machine, agent.TaskAttempt) { s.add(&s.started) }
 
-func (s *scripted) Stopped(_ *Machine, _ agent.Key, done bool) {
+func (s *scripted) Stopped(_ *Machine, _ agent.TaskAttempt, done bool) {
 	s.add(&s.stopped)
 	if done {
 		s.add(&s.done)
@@ -95,7 +95,7 @@
 	s := &scripted{token: 7, launch: []protocol.Command{{Verb: protocol.VerbLaunch, Task: "wk-000001/0", Attempt: 1}, {Verb: protocol.VerbLaunch, Task: "wk-000001/1", Attempt: 1}}}
 	controller := httptest.NewServer(s)
 	defer controller.Close()
-	f := NewFleet([]agent.Node{{Name: "stoker-0", Address: controller.Listener.Addr().String()}}, agent.Periods{Report: 0.2, Lease: 1.5, GangWait: 5, GangPeer: 1}, "127.0.0.1", 8, s)
+	f := NewFleet([]agent.Controller{{Name: "stoker-0", Address: controller.Listener.Addr().String()}}, agent.Periods{Heartbeat: 0.2, Lease: 1.5, GangWait: 5, GangPeer: 1}, "127.0.0.1", 8, s)
 	defer f.Close()
 	if err := f.Add(Machine{Name: "i-1", Type: "hollow", Zone: "a", Room: agent.Room{CPUs: 4, RAM: 4}, PullGBPerS: 1}, 1); err != nil {
 		t.Fatal(err)
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -12,18 +12,18 @@
 	"silvergate/internal/protocol"
 )
 
-// Type is a machine type on offer.
-type Type struct {
-	SKU       string         `yaml:"sku"`
+// MachineType is a machine type on offer.
+type MachineType struct {
+	Name       string         `yaml:"sku"`
 	CPUs      float64        `yaml:"cpus"`
 	GPUs      float64        `yaml:"accelerators"`
-	RAM       float64        `yaml:"ramGb"`
+	MemoryGB       float64        `yaml:"ramGb"`
 	LocalGB   float64        `yaml:"localGb"`
-	PullRate  float64        `yaml:"pullGbPerS"`
-	Hourly    float64        `yaml:"hourly"`
+	ImagePullGBPerS  float64        `yaml:"pullGbPerS"`
+	OnDemandPrice    float64        `yaml:"hourly"`
 	SpotPrice float64        `yaml:"spotPrice"`
 	StartupS  float64        `yaml:"startupS"`
-	Depots    map[string]int `yaml:"depots"` // zone -> machines that can be had
+	Zones    map[string]int `yaml:"depots"` // zone -> machines that can be had
 }
 
 // Spot says how spot machines are taken back.
@@ -34,20 +34,20 @@
 	NoticeS float64 `yaml:"notice_s"`
 }
 
-// Hire is a request for machines that was granted. Its answer never changes.
-type Hire struct {
+// RentalRecord is a request for machines that was granted. Its answer never changes.
+type RentalRecord struct {
 	Name    string   `json:"name"`
-	Stokers []string `json:"stokers"`
+	Machines []string `json:"stokers"`
 }
 
 // Machine is a rented machine. It is stored as it stands.
 type Machine struct {
 	Name     string  `json:"name"`
-	Rig      string  `json:"rig"`
-	Depot    string  `json:"depot"`
-	Casual   bool    `json:"casual"`
+	MachineType      string  `json:"rig"`
+	Zone    string  `json:"depot"`
+	Spot   bool    `json:"casual"`
 	RentedMS int64   `json:"rentedMs"`           // the day's clock
-	RecallMS int64   `json:"recallMs,omitempty"` // when it is taken back; 0: never
+	PreemptionMS int64   `json:"recallMs,omitempty"` // when it is taken back; 0: never
 	Noticed  bool    `json:"noticed,omitempty"`
 	Failed   bool    `json:"failed,omitempty"`
 	Leaving  bool    `json:"leaving,omitempty"` // deleted or taken; being ended
@@ -80,7 +80,7 @@
 // Effects are what a step wants done, in this order: store, then the rest.
 type Effects struct {
 	Store  []*Machine
-	Hire   *Hire
+	Rental   *RentalRecord
 	Start  []string // machines whose agent is to be started
 	Notice []string // machines to be told of their end
 	End    []string // machines to be ended whole; Gone is called then
@@ -89,12 +89,12 @@
 // Market decides on rentals. It owns the machines' records and does no I/O; the
 // day's clock and chance come with the inputs.
 type Market struct {
-	types    map[string]*Type
+	types    map[string]*MachineType
 	spot     Spot
 	rps      float64
-	rnd      *rand.Rand
+	random      *rand.Rand
 	machines map[string]*Machine
-	hires    map[string]*Hire
+	rentals    map[string]*RentalRecord
 	next     uint64
 	level    float64
 	filled   time.Time
@@ -102,13 +102,13 @@
 }
 
 // NewMarket makes a market of what is stored.
-func NewMarket(types []Type, spot Spot, rps float64, hires []*Hire, machines []*Machine, next uint64, rnd *rand.Rand) *Market {
-	m := &Market{types: map[string]*Type{}, spot: spot, rps: rps, rnd: rnd, machines: map[string]*Machine{}, hires: map[string]*Hire{}, next: next, level: 2 * rps}
+func NewMarket(types []MachineType, spot Spot, rps float64, hires []*RentalRecord, machines []*Machine, next uint64, rnd *rand.Rand) *Market {
+	m := &Market{types: map[string]*MachineType{}, spot: spot, rps: rps, random: rnd, machines: map[string]*Machine{}, rentals: map[string]*RentalRecord{}, next: next, level: 2 * rps}
 	for i := range types {
-		m.types[types[i].SKU] = &types[i]
+		m.types[types[i].Name] = &types[i]
 	}
 	for _, h := range hires {
-		m.hires[h.Name] = h
+		m.rentals[h.Name] = h
 	}
 	for _, x := range machines {
 		m.machines[x.Name] = x
@@ -117,7 +117,7 @@
 }
 
 // CheckTypes names the first field that can't be.
-func CheckTypes(types []Type) error {
+func CheckTypes(types []MachineType) error {
 	if len(types) == 0 {
 		return errors.New("types: missing")
 	}
@@ -125,17 +125,17 @@
 	for i, t := range types {
 		at := fmt.Sprintf("types[%d]", i)
 		switch {
-		case !protocol.ValidName(t.SKU) || seen[t.SKU]:
+		case !protocol.ValidName(t.Name) || seen[t.Name]:
 			return fmt.Errorf("%s.sku: missing, repeated or not a name", at)
-		case !(t.CPUs > 0) || !(t.RAM > 0) || !(t.LocalGB > 0) || !(t.PullRate > 0):
+		case !(t.CPUs > 0) || !(t.MemoryGB > 0) || !(t.LocalGB > 0) || !(t.ImagePullGBPerS > 0):
 			return fmt.Errorf("%s: cpus, ramGb, localGb and pullGbPerS must be above 0", at)
-		case !(t.GPUs >= 0) || !(t.StartupS >= 0) || !(t.Hourly >= 0) || !(t.SpotPrice >= 0):
+		case !(t.GPUs >= 0) || !(t.StartupS >= 0) || !(t.OnDemandPrice >= 0) || !(t.SpotPrice >= 0):
 			return fmt.Errorf("%s: amounts must not be negative", at)
-		case len(t.Depots) == 0:
+		case len(t.Zones) == 0:
 			return fmt.Errorf("%s.depots: missing", at)
 		}
-		seen[t.SKU] = true
-		for z, n := range t.Depots {
+		seen[t.Name] = true
+		for z, n := range t.Zones {
 			if !protocol.ValidName(z) || n < 0 {
 				return fmt.Errorf("%s.depots.%s: not a zone's name, or a negative number", at, z)
 			}
@@ -158,17 +158,17 @@
 	return true
 }
 
-// Flavors is the catalogue.
-func (m *Market) Flavors() protocol.MachineTypes {
+// MachineTypes is the catalogue.
+func (m *Market) MachineTypes() protocol.MachineTypes {
 	f := protocol.MachineTypes{MachineTypes: []protocol.MachineType{}}
 	for _, t := range m.types {
 		depots := []string{}
-		for z := range t.Depots {
+		for z := range t.Zones {
 			depots = append(depots, z)
 		}
 		slices.Sort(depots)
-		f.MachineTypes = append(f.MachineTypes, protocol.MachineType{Name: t.SKU, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.RAM, LocalGB: t.LocalGB, ImagePullGBPerS: t.PullRate,
-			OnDemandPrice: t.Hourly, SpotPrice: t.SpotPrice, StartupS: t.StartupS, Zones: depots})
+		f.MachineTypes = append(f.MachineTypes, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, LocalGB: t.LocalGB, ImagePullGBPerS: t.ImagePullGBPerS,
+			OnDemandPrice: t.OnDemandPrice, SpotPrice: t.SpotPrice, StartupS: t.StartupS, Zones: depots})
 	}
 	slices.SortFunc(f.MachineTypes, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
 	return f
@@ -180,7 +180,7 @@
 // taken counts the machines of a type and zone that are there.
 func (m *Market) taken(rig, depot string) (n int) {
 	for _, x := range m.machines {
-		if x.Rig == rig && x.Depot == depot && !x.Failed {
+		if x.MachineType == rig && x.Zone == depot && !x.Failed {
 			n++
 		}
 	}
@@ -190,14 +190,14 @@
 // Rent grants a request, or repeats what it answered before.
 func (m *Market) Rent(now time.Time, r protocol.RentalRequest) ([]string, Effects, error) {
 	var e Effects
-	if h := m.hires[r.RequestID]; h != nil {
-		return h.Stokers, e, nil
+	if h := m.rentals[r.RequestID]; h != nil {
+		return h.Machines, e, nil
 	}
 	t := m.types[r.MachineType]
 	if t == nil {
 		return nil, e, fmt.Errorf("rig: no type %q", r.MachineType)
 	}
-	room, ok := t.Depots[r.Zone]
+	room, ok := t.Zones[r.Zone]
 	if !ok {
 		return nil, e, fmt.Errorf("depot: type %s can't be had in %q", r.MachineType, r.Zone)
 	}
@@ -205,24 +205,24 @@
 	if n <= 0 {
 		return nil, e, ErrNoCapacity
 	}
-	h := &Hire{Name: r.RequestID, Stokers: []string{}}
-	price := t.Hourly
+	h := &RentalRecord{Name: r.RequestID, Machines: []string{}}
+	price := t.OnDemandPrice
 	if r.Spot {
 		price = t.SpotPrice
 	}
 	for range n {
 		m.next++
-		x := &Machine{Name: fmt.Sprintf("i-%08d", m.next), Rig: r.MachineType, Depot: r.Zone, Casual: r.Spot, RentedMS: now.UnixMilli(), Hourly: price}
+		x := &Machine{Name: fmt.Sprintf("i-%08d", m.next), MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedMS: now.UnixMilli(), Hourly: price}
 		if r.Spot && m.spot.MeanLifeS > 0 {
-			x.RecallMS = now.UnixMilli() + int64(m.rnd.ExpFloat64()*m.spot.MeanLifeS*1000)
+			x.PreemptionMS = now.UnixMilli() + int64(m.random.ExpFloat64()*m.spot.MeanLifeS*1000)
 		}
 		m.machines[x.Name] = x
-		h.Stokers = append(h.Stokers, x.Name)
+		h.Machines = append(h.Machines, x.Name)
 		e.Store = append(e.Store, x)
 	}
-	m.hires[h.Name] = h
-	e.Hire = h
-	return h.Stokers, e, nil
+	m.rentals[h.Name] = h
+	e.Rental = h
+	return h.Machines, e, nil
 }
 
 // Delete has machines ended. Unknown names are ignored; those that are being
@@ -267,11 +267,11 @@
 	return sum
 }
 
-// Recall has the cloud take machines back after a notice.
-func (m *Market) Recall(now time.Time, names []string, notice time.Duration) (e Effects) {
+// Preempt has the cloud take machines back after a notice.
+func (m *Market) Preempt(now time.Time, names []string, notice time.Duration) (e Effects) {
 	for _, n := range names {
 		if x := m.machines[n]; x != nil && !x.Leaving {
-			x.RecallMS, x.Noticed = now.Add(notice).UnixMilli(), true
+			x.PreemptionMS, x.Noticed = now.Add(notice).UnixMilli(), true
 			e.Store = append(e.Store, x)
 			e.Notice = append(e.Notice, n)
 		}
@@ -287,11 +287,11 @@
 		x := m.machines[n]
 		switch {
 		case x.Leaving || x.Failed:
-		case x.RecallMS > 0 && ms >= x.RecallMS:
+		case x.PreemptionMS > 0 && ms >= x.PreemptionMS:
 			x.Leaving, x.Taken = true, true
 			e.Store = append(e.Store, x)
 			e.End = append(e.End, n)
-		case x.RecallMS > 0 && !x.Noticed && ms >= x.RecallMS-int64(m.spot.NoticeS*1000):
+		case x.PreemptionMS > 0 && !x.Noticed && ms >= x.PreemptionMS-int64(m.spot.NoticeS*1000):
 			x.Noticed = true
 			e.Store = append(e.Store, x)
 			e.Notice = append(e.Notice, n)
@@ -304,7 +304,7 @@
 }
 
 func (m *Market) startup(x *Machine) float64 {
-	if t := m.types[x.Rig]; t != nil {
+	if t := m.types[x.MachineType]; t != nil {
 		return t.StartupS
 	}
 	return 0
@@ -364,7 +364,7 @@
 		case x.address != "":
 			status = protocol.StatusRunning
 		}
-		out.Machines = append(out.Machines, protocol.RentedMachine{Name: n, Address: x.address, MachineType: x.Rig, Zone: x.Depot, Spot: x.Casual, Status: status,
+		out.Machines = append(out.Machines, protocol.RentedMachine{Name: n, Address: x.address, MachineType: x.MachineType, Zone: x.Zone, Spot: x.Spot, Status: status,
 			AgeS: math.Max(0, float64(now.UnixMilli()-x.RentedMS)/1000)})
 	}
 	return out
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -46,7 +46,7 @@
 	Listen string  `yaml:"listen"`
 	Dir    string  `yaml:"dir"` // absolute
 	RPS    float64 `yaml:"rps"`
-	Types  []Type  `yaml:"types"`
+	Types  []MachineType  `yaml:"types"`
 	Spot   Spot    `yaml:"spot"`
 	// Agent is what every machine's agent is told, but for what differs.
 	Agent   agent.Config `yaml:"agent"`
@@ -75,16 +75,16 @@
 	if err := CheckTypes(c.Types); err != nil {
 		return err
 	}
-	a := c.agent(&Machine{Name: "i-0", Rig: c.Types[0].SKU, Depot: "any"}, &c.Types[0])
+	a := c.agent(&Machine{Name: "i-0", MachineType: c.Types[0].Name, Zone: "any"}, &c.Types[0])
 	if err := a.Check(); err != nil {
 		return fmt.Errorf("agent.%w", err)
 	}
 	return nil
 }
 
-// PathRecalls is where an operator has machines taken back: POST
+// PathPreemptions is where an operator has machines taken back: POST
 // {"stokers":[...],"noticeS":30}. It is not part of the protocol.
-const PathRecalls = "/recalls"
+const PathPreemptions = "/recalls"
 
 // Names in the provider's folder.
 const (
@@ -100,7 +100,7 @@
 
 var (
 	bucketMachines = []byte("machines")
-	bucketHires    = []byte("hires")
+	bucketRentals    = []byte("hires")
 	bucketNext     = []byte("next")
 )
 
@@ -115,7 +115,7 @@
 	Extra func(id uint64, method, path string) bool
 
 	mu      sync.Mutex
-	m       *Market
+	market       *Market
 	agents  map[string]proc.ID
 	waiting map[string][]func() // for a machine's end
 	timer   *time.Timer
@@ -220,11 +220,11 @@
 
 // load reads the records.
 func (p *Provider) load(path string) error {
-	var hires []*Hire
+	var hires []*RentalRecord
 	var machines []*Machine
 	var next uint64
 	err := p.db.Update(func(tx *bolt.Tx) error {
-		for _, b := range [][]byte{bucketMachines, bucketHires, bucketNext} {
+		for _, b := range [][]byte{bucketMachines, bucketRentals, bucketNext} {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
 			}
@@ -247,8 +247,8 @@
 				machines = append(machines, x)
 				return json.Unmarshal(raw, x)
 			}),
-			read(bucketHires, func(raw []byte) error {
-				h := &Hire{}
+			read(bucketRentals, func(raw []byte) error {
+				h := &RentalRecord{}
 				hires = append(hires, h)
 				return json.Unmarshal(raw, h)
 			}),
@@ -257,13 +257,13 @@
 	if err != nil {
 		return err
 	}
-	p.m = NewMarket(p.cfg.Types, p.cfg.Spot, p.cfg.RPS, hires, machines, next, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	p.market = NewMarket(p.cfg.Types, p.cfg.Spot, p.cfg.RPS, hires, machines, next, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return nil
 }
 
 // store makes what a step changed durable.
 func (p *Provider) store(e Effects, gone ...string) error {
-	if len(e.Store) == 0 && e.Hire == nil && len(gone) == 0 {
+	if len(e.Store) == 0 && e.Rental == nil && len(gone) == 0 {
 		return nil
 	}
 	return p.db.Update(func(tx *bolt.Tx) error {
@@ -284,8 +284,8 @@
 				return err
 			}
 		}
-		if e.Hire != nil {
-			return errors.Join(put(bucketHires, e.Hire.Name, e.Hire), put(bucketNext, "next", p.m.next))
+		if e.Rental != nil {
+			return errors.Join(put(bucketRentals, e.Rental.Name, e.Rental), put(bucketNext, "next", p.market.next))
 		}
 		return nil
 	})
@@ -300,17 +300,17 @@
 	}
 }
 
-// do stores and carries out effects; it returns false when nothing may be
+// perform stores and carries out effects; it returns false when nothing may be
 // answered. The lock is held.
-func (p *Provider) do(e Effects) bool {
+func (p *Provider) perform(e Effects) bool {
 	if err := p.store(e); err != nil {
 		p.fail(err)
 		return false
 	}
 	for _, n := range e.Notice {
-		at := p.m.machines[n].RecallMS
+		at := p.market.machines[n].PreemptionMS
 		p.log.Info("machine preempted", "machine", n, "at", time.UnixMilli(at))
-		if err := renameio.WriteFile(filepath.Join(p.dir(n), agent.RecallFile), []byte(strconv.FormatInt(at, 10)), 0o600); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if err := renameio.WriteFile(filepath.Join(p.dir(n), agent.PreemptionFile), []byte(strconv.FormatInt(at, 10)), 0o600); err != nil && !errors.Is(err, os.ErrNotExist) {
 			p.log.Error("a notice can't be given", "machine", n, "error", err)
 		}
 	}
@@ -329,13 +329,13 @@
 // stay when it ends: they are the cloud's, not this process's.
 func (p *Provider) Run(ready func(net.Addr)) error {
 	p.mu.Lock()
-	for _, n := range p.m.names() {
-		x := p.m.machines[n]
+	for _, n := range p.market.names() {
+		x := p.market.machines[n]
 		raw, err := os.ReadFile(filepath.Join(p.dir(n), agentFile))
 		var id proc.ID
 		if err == nil && json.Unmarshal(raw, &id) == nil && id.Alive() {
 			p.agents[n] = id
-			p.m.Up(n, p.address(n))
+			p.market.Up(n, p.address(n))
 			p.log.Info("agent found again", "machine", n, "pid", id.PID)
 		}
 		if x.Leaving { // its end was under way
@@ -345,7 +345,7 @@
 	p.timer = time.AfterFunc(0, p.tick)
 	p.mu.Unlock()
 	p.server.Ready = func(a []net.Addr) {
-		p.log.Info("serving", "listen", a[0].String(), "machines", len(p.m.machines))
+		p.log.Info("serving", "listen", a[0].String(), "machines", len(p.market.machines))
 		if ready != nil {
 			ready(a[0])
 		}
@@ -408,18 +408,18 @@
 	now := time.Now()
 	p.server.Sweep(now)
 	for n, id := range p.agents {
-		switch x := p.m.machines[n]; {
+		switch x := p.market.machines[n]; {
 		case x == nil || x.Leaving:
 		case !id.Alive():
 			delete(p.agents, n)
 			p.log.Info("agent is gone", "machine", n, "pid", id.PID)
 			p.stats.Restarted++
-			p.do(p.m.Died(now, n))
+			p.perform(p.market.Died(now, n))
 		case x.address == "":
-			p.m.Up(n, p.address(n))
+			p.market.Up(n, p.address(n))
 		}
 	}
-	p.do(p.m.Tick(now))
+	p.perform(p.market.Tick(now))
 	if now.Sub(p.certified) > time.Hour {
 		p.certified = now
 		go p.recertify()
@@ -428,11 +428,11 @@
 }
 
 // agent is what a machine's agent is told.
-func (c *Config) agent(x *Machine, t *Type) agent.Config {
+func (c *Config) agent(x *Machine, t *MachineType) agent.Config {
 	a := c.Agent
-	a.Stoker, a.Rig, a.Depot, a.Casual = x.Name, x.Rig, x.Depot, x.Casual
+	a.Worker, a.MachineType, a.Zone, a.Spot = x.Name, x.MachineType, x.Zone, x.Spot
 	a.Dir = filepath.Join(c.Dir, machinesDir, x.Name)
-	a.Room = agent.Room{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAM}
+	a.Room = agent.Room{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.MemoryGB}
 	a.LocalGB = t.LocalGB
 	if a.Archive != nil {
 		own := *a.Archive
@@ -474,15 +474,15 @@
 // start starts a machine's agent. Before it runs, who it is is on disk.
 func (p *Provider) start(name string) {
 	p.mu.Lock()
-	x := p.m.machines[name]
+	x := p.market.machines[name]
 	if x == nil || x.Leaving || p.closed {
 		p.mu.Unlock()
 		return
 	}
-	t := p.m.types[x.Rig]
+	t := p.market.types[x.MachineType]
 	p.mu.Unlock()
 	var id proc.ID
-	err := fmt.Errorf("type %s is not offered any more", x.Rig)
+	err := fmt.Errorf("type %s is not offered any more", x.MachineType)
 	if t != nil {
 		id, err = p.spawn(x, t)
 	}
@@ -490,7 +490,7 @@
 	defer p.mu.Unlock()
 	if err != nil {
 		p.log.Error("an agent can't be started", "machine", name, "error", err)
-		p.do(p.m.Died(time.Now(), name))
+		p.perform(p.market.Died(time.Now(), name))
 		return
 	}
 	p.agents[name] = id
@@ -501,7 +501,7 @@
 	p.log.Info("agent started", "machine", name, "pid", id.PID)
 }
 
-func (p *Provider) spawn(x *Machine, t *Type) (proc.ID, error) {
+func (p *Provider) spawn(x *Machine, t *MachineType) (proc.ID, error) {
 	dir := p.dir(x.Name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return proc.ID{}, err
@@ -560,7 +560,7 @@
 		return
 	}
 	delete(p.agents, name)
-	p.m.Gone(time.Now(), name)
+	p.market.Gone(time.Now(), name)
 	if err := p.store(Effects{}, name); err != nil {
 		p.fail(err)
 		return
@@ -609,26 +609,26 @@
 		}
 		p.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)}), retry)
 	}
-	if !p.m.Admit(now) {
+	if !p.market.Admit(now) {
 		refuse(http.StatusTooManyRequests, "more than %g requests a second", p.cfg.RPS)
 		return
 	}
 	switch {
 	case r.Path == protocol.PathMachineTypes && r.Method == http.MethodGet:
-		p.server.Answer(id, http.StatusOK, protocol.Encode(p.m.Flavors()), 0)
+		p.server.Answer(id, http.StatusOK, protocol.Encode(p.market.MachineTypes()), 0)
 	case r.Path == protocol.PathRentals && r.Method == http.MethodPost:
 		q, err := readRental(r.Body)
 		if err != nil {
 			refuse(http.StatusBadRequest, "%v", err)
 			return
 		}
-		names, e, err := p.m.Rent(now, q)
+		names, e, err := p.market.Rent(now, q)
 		switch {
 		case errors.Is(err, ErrNoCapacity):
 			refuse(http.StatusServiceUnavailable, "%v", err)
 		case err != nil:
 			refuse(http.StatusBadRequest, "%v", err)
-		case p.do(e):
+		case p.perform(e):
 			p.stats.Rented += uint64(len(e.Store))
 			p.server.Answer(id, http.StatusOK, protocol.Encode(protocol.MachineNames{Machines: names}), 0)
 		}
@@ -638,14 +638,14 @@
 			refuse(http.StatusBadRequest, "%v", err)
 			return
 		}
-		p.delete(id, names.Stokers)
-	case r.Path == PathRecalls && r.Method == http.MethodPost:
+		p.delete(id, names.Machines)
+	case r.Path == PathPreemptions && r.Method == http.MethodPost:
 		names, err := readNames(r.Body)
 		if err != nil {
 			refuse(http.StatusBadRequest, "%v", err)
 			return
 		}
-		if p.do(p.m.Recall(now, names.Stokers, time.Duration(names.NoticeS*float64(time.Second)))) {
+		if p.perform(p.market.Preempt(now, names.Machines, time.Duration(names.NoticeS*float64(time.Second)))) {
 			p.server.Answer(id, http.StatusOK, []byte("{}"), 0)
 		}
 	case r.Path == protocol.PathRentals && r.Method == http.MethodGet:
@@ -654,8 +654,8 @@
 			refuse(http.StatusBadRequest, "%v", err)
 			return
 		}
-		p.server.Answer(id, http.StatusOK, protocol.Encode(p.m.List(now, from, page)), 0)
-	case slices.Contains([]string{protocol.PathMachineTypes, protocol.PathRentals, protocol.PathRentalsDelete, PathRecalls}, r.Path):
+		p.server.Answer(id, http.StatusOK, protocol.Encode(p.market.List(now, from, page)), 0)
+	case slices.Contains([]string{protocol.PathMachineTypes, protocol.PathRentals, protocol.PathRentalsDelete, PathPreemptions}, r.Path):
 		refuse(http.StatusMethodNotAllowed, "method not allowed")
 	default:
 		refuse(http.StatusNotFound, "no such path")
@@ -664,7 +664,7 @@
 
 // delete answers when nothing of the machines is left.
 func (p *Provider) delete(id uint64, names []string) {
-	wait, e := p.m.Delete(names)
+	wait, e := p.market.Delete(names)
 	left := len(wait)
 	done := func() {
 		if left--; left <= 0 {
@@ -674,7 +674,7 @@
 	for _, n := range wait {
 		p.waiting[n] = append(p.waiting[n], done)
 	}
-	if p.do(e) && left == 0 {
+	if p.perform(e) && left == 0 {
 		done()
 	}
 }
@@ -705,19 +705,19 @@
 	return protocol.RentalRequest{RequestID: *v.Hire, MachineType: *v.Rig, Zone: *v.Depot, Spot: *v.Casual, Count: int(*v.Number)}, nil
 }
 
-type namesBody struct {
-	Stokers []string `json:"stokers"`
+type machineNames struct {
+	Machines []string `json:"stokers"`
 	NoticeS float64  `json:"noticeS"`
 }
 
-func readNames(body []byte) (v namesBody, err error) {
+func readNames(body []byte) (v machineNames, err error) {
 	if err := protocol.DecodeObject(body, &v); err != nil {
 		return v, err
 	}
 	switch {
-	case v.Stokers == nil:
+	case v.Machines == nil:
 		return v, errors.New("stokers: missing")
-	case len(v.Stokers) > maxDelete:
+	case len(v.Machines) > maxDelete:
 		return v, fmt.Errorf("stokers: more than %d names", maxDelete)
 	case !(v.NoticeS >= 0 && v.NoticeS < 1e6):
 		return v, errors.New("noticeS: not a duration")
@@ -749,9 +749,9 @@
 	now := time.Now()
 	s := p.stats
 	s.Machines = map[string]int{}
-	for _, l := range p.m.List(now, "", 1<<30).Machines {
+	for _, l := range p.market.List(now, "", 1<<30).Machines {
 		s.Machines[l.Status]++
 	}
-	s.Paid = p.m.Paid(now)
+	s.Paid = p.market.Paid(now)
 	return s
 }
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -66,8 +66,8 @@
 func testConfig(dir string) Config {
 	c := DefaultConfig()
 	c.Listen, c.Dir, c.RPS = "127.0.0.1:0", dir, 1000
-	c.Types = []Type{{SKU: "t", CPUs: 1, RAM: 1, LocalGB: 1, PullRate: 1, Hourly: 1, Depots: map[string]int{"a": 3, "b": 2}}}
-	c.Agent.Controllers = []agent.Node{{Name: "n", Address: "127.0.0.1:1"}}
+	c.Types = []MachineType{{Name: "t", CPUs: 1, MemoryGB: 1, LocalGB: 1, ImagePullGBPerS: 1, OnDemandPrice: 1, Zones: map[string]int{"a": 3, "b": 2}}}
+	c.Agent.Controllers = []agent.Controller{{Name: "n", Address: "127.0.0.1:1"}}
 	return c
 }
 
@@ -79,7 +79,7 @@
 		now := time.UnixMilli(1e12)
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		spot := Spot{MeanLifeS: 20, NoticeS: 5}
-		hires, machines := map[string]Hire{}, map[string]Machine{} // as stored
+		hires, machines := map[string]RentalRecord{}, map[string]Machine{} // as stored
 		next := uint64(0)
 		m := NewMarket(types, spot, 5, nil, nil, 0, rnd)
 		answers, names := map[string][]string{}, map[string]bool{}
@@ -88,8 +88,8 @@
 			for _, x := range e.Store {
 				machines[x.Name] = *x
 			}
-			if e.Hire != nil {
-				hires[e.Hire.Name], next = *e.Hire, m.next
+			if e.Rental != nil {
+				hires[e.Rental.Name], next = *e.Rental, m.next
 			}
 			for _, n := range e.Start {
 				if started[n] || ending[n] {
@@ -121,7 +121,7 @@
 				store(e)
 				old, known := answers[r.RequestID]
 				switch {
-				case known && (err != nil || !slices.Equal(old, got) || e.Hire != nil):
+				case known && (err != nil || !slices.Equal(old, got) || e.Rental != nil):
 					t.Fatalf("a repeated request got %v %v instead of %v", got, err, old)
 				case known:
 				case err == nil:
@@ -158,7 +158,7 @@
 					}
 				}
 			case 5: // the provider was killed: only what is stored is left
-				var hs []*Hire
+				var hs []*RentalRecord
 				for _, h := range hires {
 					hs = append(hs, &h)
 				}
@@ -172,13 +172,13 @@
 				}
 			}
 			store(m.Tick(now))
-			for z, room := range types[0].Depots {
+			for z, room := range types[0].Zones {
 				if n := m.taken("t", z); n > room {
 					t.Fatalf("%d machines in %s, which has %d", n, z, room)
 				}
 			}
 			for n, x := range machines {
-				if x.RecallMS > 0 && now.UnixMilli() >= x.RecallMS && !ending[n] && !x.Failed {
+				if x.PreemptionMS > 0 && now.UnixMilli() >= x.PreemptionMS && !ending[n] && !x.Failed {
 					t.Fatalf("%s was to be taken", n)
 				}
 			}
@@ -310,7 +310,7 @@
 func TestConformsToProtocol(t *testing.T) {
 	conformance.Run(t, conformance.Cloud, true, func(t *testing.T) conformance.Target {
 		cfg := testConfig(t.TempDir())
-		cfg.Types = []Type{{SKU: "small", CPUs: 1, RAM: 1, LocalGB: 1, PullRate: 1, Hourly: 1, StartupS: 100, Depots: map[string]int{"a": 2, "b": 1}}}
+		cfg.Types = []MachineType{{Name: "small", CPUs: 1, MemoryGB: 1, LocalGB: 1, ImagePullGBPerS: 1, OnDemandPrice: 1, StartupS: 100, Zones: map[string]int{"a": 2, "b": 1}}}
 		p, err := Open(cfg, os.Args[0], quiet)
 		if err != nil {
 			t.Fatal(err)
@@ -336,7 +336,7 @@
 		t.Fatal(err)
 	}
 	p.mu.Lock()
-	_, e, err := p.m.Rent(time.Now(), protocol.RentalRequest{RequestID: "h", MachineType: "t", Zone: "a", Count: 2})
+	_, e, err := p.market.Rent(time.Now(), protocol.RentalRequest{RequestID: "h", MachineType: "t", Zone: "a", Count: 2})
 	if err != nil || p.store(e) != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -246,7 +246,7 @@
 			workers := len(c.fleet.Names(""))
 			c.mu.Lock()
 			c.samples = append(c.samples, Sample{AtS: c.now().Seconds(), Starts: c.starts, Running: tasks, Workers: workers, Answered: answered,
-				Reports: c.fleet.Stats.Reports.Load(), LeaseKill: c.killed})
+				Reports: c.fleet.Stats.Heartbeats.Load(), LeaseKill: c.killed})
 			c.workerS += float64(workers) * samplePeriod.Seconds()
 			c.measureAgents()
 			c.mu.Unlock()
@@ -318,11 +318,11 @@
 
 // boot brings a machine up: a hollow worker, or a real agent.
 func (c *cell) boot(m provider.Machine) (string, error) {
-	if m.Rig == realType {
+	if m.MachineType == realType {
 		return c.bootAgent(m)
 	}
 	s := c.scenario
-	err := c.fleet.Add(hollow.Machine{Name: m.Name, Type: m.Rig, Zone: m.Depot, Spot: m.Casual, PullGBPerS: s.Machine.PullGBPerS,
+	err := c.fleet.Add(hollow.Machine{Name: m.Name, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, PullGBPerS: s.Machine.PullGBPerS,
 		Room: agent.Room{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}}, s.Seed^uint64(m.RentedMS))
 	return c.fleet.Address(m.Name), err
 }
@@ -337,7 +337,7 @@
 	}
 	s := c.scenario
 	cfg := agent.DefaultConfig()
-	cfg.Stoker, cfg.Rig, cfg.Depot, cfg.Casual, cfg.Listen = m.Name, m.Rig, m.Depot, m.Casual, loopback(port)
+	cfg.Worker, cfg.MachineType, cfg.Zone, cfg.Spot, cfg.Listen = m.Name, m.MachineType, m.Zone, m.Spot, loopback(port)
 	cfg.Dir = filepath.Join(c.dir, "agents", m.Name)
 	cfg.Controllers, cfg.Workers = c.layout.nodes(), c.layout.periods()
 	cfg.Room = agent.Room{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}
@@ -420,7 +420,7 @@
 func (c *cell) RunTime(id string, index int) time.Duration { return c.checker.runTime(id, index) }
 
 // Started takes that a task runs.
-func (c *cell) Started(m *hollow.Machine, k agent.Key) {
+func (c *cell) Started(m *hollow.Machine, k agent.TaskAttempt) {
 	nth := c.checker.started(m, k)
 	s := c.checker.submission(k.Job)
 	if s == nil {
@@ -431,19 +431,19 @@
 	defer c.mu.Unlock()
 	c.starts++
 	if nth == 1 {
-		record(c.first, s.Urgency, wait)
+		record(c.first, s.Priority, wait)
 	}
 	if c.startedBy[k.Job] == nil {
 		c.startedBy[k.Job] = map[int]bool{}
 	}
 	if !c.startedBy[k.Job][k.Index] {
 		c.startedBy[k.Job][k.Index] = true
-		record(c.tasks, s.Urgency, wait)
+		record(c.tasks, s.Priority, wait)
 	}
 }
 
 // Stopped takes that a task is gone.
-func (c *cell) Stopped(m *hollow.Machine, k agent.Key, done bool) { c.checker.stopped(m, k, done) }
+func (c *cell) Stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) { c.checker.stopped(m, k, done) }
 
 // LeaseEnded counts tasks that a lease has killed.
 func (c *cell) LeaseEnded(_ *hollow.Machine, tasks int) {
@@ -496,8 +496,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &CellResult{Number: c.layout.number, Samples: c.samples, Broken: broken, FirstBroken: first, Accepted: accepted, GivenUp: given, Finished: finished,
-		Starts: c.starts, LeaseKilled: c.killed, Sessions: stats.Sessions.Load(), Submit: latency(c.submit), FirstStart: latencies(c.first), TaskStart: latencies(c.tasks),
-		Reports: stats.Reports.Load(), CloudCalls: c.cloud.requests, CloudRefuse: c.cloud.refused, Agents: c.agentsResult(),
+		Starts: c.starts, LeaseKilled: c.killed, Sessions: stats.Epochs.Load(), Submit: latency(c.submit), FirstStart: latencies(c.first), TaskStart: latencies(c.tasks),
+		Reports: stats.Heartbeats.Load(), CloudCalls: c.cloud.requests, CloudRefuse: c.cloud.refused, Agents: c.agentsResult(),
 		Answers: map[string]int64{"answered": stats.Answered.Load(), "redirected": stats.Redirected.Load(), "refused": stats.Refused.Load(), "unanswered": stats.Unanswered.Load()}}
 	if n := stats.Answered.Load(); n > 0 {
 		r.AnswerMs = float64(stats.AnswerNanos.Load()) / float64(n) / 1e6
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -71,12 +71,12 @@
 func (c *checker) submitted(s *submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.jobs[s.Ref] = &judged{spec: s, on: map[int]string{}, done: map[int]bool{}}
+	c.jobs[s.ID] = &judged{spec: s, on: map[int]string{}, done: map[int]bool{}}
 }
 
 // started takes that a task runs on a machine; it returns how many of the job's
 // tasks have started so far.
-func (c *checker) started(m *hollow.Machine, k agent.Key) int {
+func (c *checker) started(m *hollow.Machine, k agent.TaskAttempt) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[k.Job]
@@ -93,7 +93,7 @@
 	j.on[k.Index] = m.Name
 	j.starts++
 	c.judgePlace(j, m, k)
-	team := j.spec.Crew
+	team := j.spec.Team
 	c.teams[team] += j.spec.GPUs
 	if c.limit > 0 && c.teams[team] > c.limit+0.001 {
 		c.breaks(ruleQuota, "%s uses %.1f of %.1f accelerators", team, c.teams[team], c.limit)
@@ -102,11 +102,11 @@
 }
 
 // judgePlace judges a start by the job's own demands; the lock is held.
-func (c *checker) judgePlace(j *judged, m *hollow.Machine, k agent.Key) {
+func (c *checker) judgePlace(j *judged, m *hollow.Machine, k agent.TaskAttempt) {
 	if j.spec.zones == nil {
 		j.spec.zones = map[int]string{}
 	}
-	if m.Type != j.spec.Rigs[0] || m.Spot && !j.spec.Casual {
+	if m.Type != j.spec.MachineTypes[0] || m.Spot && !j.spec.Spot {
 		c.breaks(ruleWrongPlace, "%s starts on %s of type %s", k, m.Name, m.Type)
 	}
 	if j.spec.OneZone {
@@ -121,7 +121,7 @@
 }
 
 // stopped takes that a task is gone from its machine.
-func (c *checker) stopped(m *hollow.Machine, k agent.Key, done bool) {
+func (c *checker) stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[k.Job]
@@ -129,7 +129,7 @@
 		return
 	}
 	delete(j.on, k.Index)
-	c.teams[j.spec.Crew] -= j.spec.GPUs
+	c.teams[j.spec.Team] -= j.spec.GPUs
 	if done {
 		j.done[k.Index] = true
 	}
@@ -159,7 +159,7 @@
 	switch status {
 	case statusDone:
 		// A task on a real agent is not seen; its completion can't be judged.
-		if missing := j.spec.Loads - len(j.done); missing > 0 && !j.spec.real {
+		if missing := j.spec.Tasks - len(j.done); missing > 0 && !j.spec.real {
 			c.breaks(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
 		}
 		j.final = status
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -33,11 +33,11 @@
 }
 
 func newCloud(s *Scenario, seed uint64, log *slog.Logger) *cloud {
-	types := []provider.Type{{SKU: hollowType, CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM, LocalGB: 100, PullRate: s.Machine.PullGBPerS,
-		Hourly: 4, SpotPrice: 4, StartupS: s.Machine.StartupS, Depots: spread(s.Workers, s.Zones)}}
+	types := []provider.MachineType{{Name: hollowType, CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, MemoryGB: s.Machine.RAM, LocalGB: 100, ImagePullGBPerS: s.Machine.PullGBPerS,
+		OnDemandPrice: 4, SpotPrice: 4, StartupS: s.Machine.StartupS, Zones: spread(s.Workers, s.Zones)}}
 	if s.RealAgents > 0 {
-		types = append(types, provider.Type{SKU: realType, CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM, LocalGB: 100, PullRate: s.Machine.PullGBPerS,
-			Hourly: 4, SpotPrice: 4, StartupS: s.Machine.StartupS, Depots: spread(s.RealAgents, s.Zones)})
+		types = append(types, provider.MachineType{Name: realType, CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, MemoryGB: s.Machine.RAM, LocalGB: 100, ImagePullGBPerS: s.Machine.PullGBPerS,
+			OnDemandPrice: 4, SpotPrice: 4, StartupS: s.Machine.StartupS, Zones: spread(s.RealAgents, s.Zones)})
 	}
 	return &cloud{log: log, startup: time.Duration(s.Machine.StartupS * float64(time.Second)),
 		market: provider.NewMarket(types, provider.Spot{}, s.Cloud.RPS, nil, nil, 0, rand.New(rand.NewPCG(seed, 1)))}
@@ -94,7 +94,7 @@
 	}
 	switch {
 	case r.URL.Path == protocol.PathMachineTypes && r.Method == http.MethodGet:
-		return http.StatusOK, c.market.Flavors()
+		return http.StatusOK, c.market.MachineTypes()
 	case r.URL.Path == protocol.PathRentals && r.Method == http.MethodPost:
 		return c.rent(now, body)
 	case r.URL.Path == protocol.PathRentals && r.Method == http.MethodGet:
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -92,9 +92,9 @@
 }
 
 // nodes lists a cell's controllers for workers.
-func (c *cellLayout) nodes() (out []agent.Node) {
+func (c *cellLayout) nodes() (out []agent.Controller) {
 	for i, port := range c.controllers {
-		out = append(out, agent.Node{Name: nodeName(i), Address: loopback(port)})
+		out = append(out, agent.Controller{Name: nodeName(i), Address: loopback(port)})
 	}
 	return out
 }
@@ -102,7 +102,7 @@
 // periods are the workers' own.
 func (c *cellLayout) periods() agent.Periods {
 	p := &c.scenario.Periods
-	return agent.Periods{Report: p.Report, Lease: p.Lease, GangWait: p.GangWait, GangPeer: p.GangPeer}
+	return agent.Periods{Heartbeat: p.Report, Lease: p.Lease, GangWait: p.GangWait, GangPeer: p.GangPeer}
 }
 
 // controllerSettings is what a controller of the cell is told, checked as it will check it.
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -108,7 +108,7 @@
 // Each checker sees a break that is seeded.
 func TestCheckerSeesBreaks(t *testing.T) {
 	here, there := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}, &hollow.Machine{Name: "i-2", Type: hollowType, Zone: "b"}
-	key := func(index int) agent.Key { return agent.Key{Job: "wk-000001", Index: index, Try: 1} }
+	key := func(index int) agent.TaskAttempt { return agent.TaskAttempt{Job: "wk-000001", Index: index, Attempt: 1} }
 	for rule, seed := range map[string]func(c *checker, s *submission){
 		ruleRanTwice: func(c *checker, _ *submission) {
 			c.started(here, key(0))
@@ -127,29 +127,29 @@
 		ruleRanCancelled: func(c *checker, s *submission) {
 			s.calledOff = true
 			c.started(here, key(0))
-			c.answered(s.Ref, statusCancelled)
+			c.answered(s.ID, statusCancelled)
 			c.now = func() time.Duration { return time.Hour }
 			c.sweep()
 		},
 		ruleNotDone: func(c *checker, s *submission) {
 			c.started(here, key(0))
 			c.stopped(here, key(0), true)
-			c.answered(s.Ref, statusDone)
+			c.answered(s.ID, statusDone)
 		},
 		ruleWentBack: func(c *checker, s *submission) {
 			s.calledOff = true
-			c.answered(s.Ref, statusCancelled)
-			c.answered(s.Ref, "queued")
+			c.answered(s.ID, statusCancelled)
+			c.answered(s.ID, "queued")
 		},
 		ruleForgotten: func(c *checker, s *submission) {
-			c.answered(s.Ref, "queued")
-			c.answered(s.Ref, "")
+			c.answered(s.ID, "queued")
+			c.answered(s.ID, "")
 		},
 		ruleInvented: func(c *checker, _ *submission) { c.answered("wk-000009", "queued") },
 	} {
 		c := newChecker(&Scenario{TeamLimit: 5}, func() time.Duration { return 0 })
 		c.cancelWithin = time.Minute
-		s := &submission{Ref: "wk-000001", Crew: "team-0", Loads: 2, Rigs: []string{hollowType}, GPUs: 1}
+		s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, GPUs: 1}
 		c.submitted(s)
 		seed(c, s)
 		if broken, first := c.verdict(); broken[rule] == 0 || len(broken) != 1 {
@@ -162,19 +162,19 @@
 func TestCheckerPassesAGoodDay(t *testing.T) {
 	c := newChecker(&Scenario{TeamLimit: 5}, func() time.Duration { return 0 })
 	m := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}
-	s := &submission{Ref: "wk-000001", Crew: "team-0", Loads: 2, Rigs: []string{hollowType}, GPUs: 2, OneZone: true}
+	s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, GPUs: 2, OneZone: true}
 	c.submitted(s)
-	c.answered(s.Ref, "")
-	c.answered(s.Ref, "queued")
+	c.answered(s.ID, "")
+	c.answered(s.ID, "queued")
 	for try := 1; try <= 2; try++ { // the first attempt fails, the second one completes
 		for index := range 2 {
-			k := agent.Key{Job: s.Ref, Index: index, Try: try}
+			k := agent.TaskAttempt{Job: s.ID, Index: index, Attempt: try}
 			c.started(m, k)
 			c.stopped(m, k, try == 2)
 		}
 	}
-	c.answered(s.Ref, statusDone)
-	c.answered(s.Ref, statusDone)
+	c.answered(s.ID, statusDone)
+	c.answered(s.ID, statusDone)
 	if broken, first := c.verdict(); len(broken) > 0 {
 		t.Errorf("%v %v", broken, first)
 	}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -30,24 +30,24 @@
 
 // submission is a job as its user sends it, and what the run knows of it.
 type submission struct {
-	Ref      string   `json:"ref"`
+	ID      string   `json:"ref"`
 	Class    string   `json:"jobclass"`
-	Crew     string   `json:"crew"`
+	Team     string   `json:"crew"`
 	Shape    string   `json:"shape"`
-	Urgency  string   `json:"urgency"`
-	Loads    int      `json:"loads"`
+	Priority  string   `json:"urgency"`
+	Tasks    int      `json:"loads"`
 	CPUs     float64  `json:"cpus"`
 	GPUs     float64  `json:"accelerators"`
-	RAM      float64  `json:"ramGb"`
-	Kit      string   `json:"kit"`
-	Size     float64  `json:"sizeGb"`
-	Rigs     []string `json:"rigs"`
+	MemoryGB      float64  `json:"ramGb"`
+	Image      string   `json:"kit"`
+	ImageGB     float64  `json:"sizeGb"`
+	MachineTypes     []string `json:"rigs"`
 	OneZone  bool     `json:"oneZone"`
-	Apart    bool     `json:"apart"`
-	Casual   bool     `json:"casual"`
-	Eta      float64  `json:"etaS"`
-	Waypoint float64  `json:"waypointS"`
-	Stow     float64  `json:"stowS"`
+	Spread    bool     `json:"apart"`
+	Spot   bool     `json:"casual"`
+	EstimateS      float64  `json:"etaS"`
+	CheckpointIntervalS float64  `json:"waypointS"`
+	CheckpointSaveS     float64  `json:"stowS"`
 
 	runS      float64
 	seed      uint64
@@ -64,8 +64,8 @@
 
 // description is what a worker fetches of the job.
 func (s *submission) description() *protocol.JobDescription {
-	return &protocol.JobDescription{ID: s.Ref, Class: s.Class, Team: s.Crew, Shape: shapes[s.Shape], Priority: s.Urgency, Tasks: s.Loads,
-		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.RAM, Image: s.Kit, ImageGB: s.Size}
+	return &protocol.JobDescription{ID: s.ID, Class: s.Class, Team: s.Team, Shape: shapes[s.Shape], Priority: s.Priority, Tasks: s.Tasks,
+		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Image: s.Image, ImageGB: s.ImageGB}
 }
 
 // runTime is from half to one and a half of the mean, the same for every attempt of a
@@ -117,11 +117,11 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.next++
-	s := &submission{Ref: fmt.Sprintf("wk-%0*d", idDigits, u.cell.layout.number*10_000_000+u.next), Class: l.Class, Crew: teamName(u.rnd.IntN(u.cell.scenario.Teams)),
-		Shape: l.Shape, Urgency: l.Urgency, Loads: l.Tasks, CPUs: l.CPUs, GPUs: l.GPUs, RAM: l.RAM, Kit: fmt.Sprintf("%s-%d", l.Class, u.rnd.IntN(l.Images)),
-		Size: l.ImageGB, Rigs: []string{hollowType}, OneZone: l.OneZone, Eta: l.RunS, runS: l.RunS, seed: u.rnd.Uint64(), real: l.Real}
+	s := &submission{ID: fmt.Sprintf("wk-%0*d", idDigits, u.cell.layout.number*10_000_000+u.next), Class: l.Class, Team: teamName(u.rnd.IntN(u.cell.scenario.Teams)),
+		Shape: l.Shape, Priority: l.Urgency, Tasks: l.Tasks, CPUs: l.CPUs, GPUs: l.GPUs, MemoryGB: l.RAM, Image: fmt.Sprintf("%s-%d", l.Class, u.rnd.IntN(l.Images)),
+		ImageGB: l.ImageGB, MachineTypes: []string{hollowType}, OneZone: l.OneZone, EstimateS: l.RunS, runS: l.RunS, seed: u.rnd.Uint64(), real: l.Real}
 	if l.Real {
-		s.Rigs, s.Kit = []string{realType}, realImage
+		s.MachineTypes, s.Image = []string{realType}, realImage
 	}
 	if l.Cancelled > 0 && u.rnd.Float64() < l.Cancelled {
 		s.endsAt = u.cell.now() + time.Duration(u.rnd.Float64()*(l.RunS+10)*float64(time.Second))
@@ -187,7 +187,7 @@
 		return
 	}
 	u.mu.Lock()
-	u.open[s.Ref] = s
+	u.open[s.ID] = s
 	u.mu.Unlock()
 	for {
 		wait := pollPeriod
@@ -207,7 +207,7 @@
 		}
 		if over {
 			u.mu.Lock()
-			delete(u.open, s.Ref)
+			delete(u.open, s.ID)
 			u.finished++
 			u.mu.Unlock()
 			return
@@ -240,7 +240,7 @@
 		code, status, retry := u.ask(http.MethodPost, protocol.PathJobs, body, answerPatience)
 		switch {
 		case code == http.StatusCreated || code == http.StatusOK:
-			u.cell.checker.answered(s.Ref, status)
+			u.cell.checker.answered(s.ID, status)
 			u.cell.submitted(u.cell.now() - s.at)
 			u.mu.Lock()
 			u.accepted++
@@ -262,23 +262,23 @@
 
 // poll asks for a job's state and tells whether it is over.
 func (u *users) poll(s *submission) bool {
-	code, status, _ := u.ask(http.MethodGet, protocol.PathJobs+"/"+s.Ref, nil, pollPatience)
+	code, status, _ := u.ask(http.MethodGet, protocol.PathJobs+"/"+s.ID, nil, pollPatience)
 	switch code {
 	case http.StatusOK:
-		u.cell.checker.answered(s.Ref, status)
+		u.cell.checker.answered(s.ID, status)
 	case http.StatusNotFound:
-		u.cell.checker.answered(s.Ref, "")
+		u.cell.checker.answered(s.ID, "")
 	}
 	return code == http.StatusOK && (status == statusDone || status == statusCancelled)
 }
 
 func (u *users) cancel(s *submission) bool {
-	u.cell.checker.callOff(s.Ref)
-	code, status, _ := u.ask(http.MethodPost, protocol.PathJobs+"/"+s.Ref+"/"+protocol.PathCancel, nil, answerPatience)
+	u.cell.checker.callOff(s.ID)
+	code, status, _ := u.ask(http.MethodPost, protocol.PathJobs+"/"+s.ID+"/"+protocol.PathCancel, nil, answerPatience)
 	if code != http.StatusOK {
 		return false
 	}
-	u.cell.checker.answered(s.Ref, status)
+	u.cell.checker.answered(s.ID, status)
 	return true
 }
 
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -38,10 +38,10 @@
 	State       config.State       `yaml:"state"`
 	Cloud       config.Cloud       `yaml:"cloud"`
 	Controller  Controller         `yaml:"controller"`
-	Types       []provider.Type    `yaml:"types"`
+	Types       []provider.MachineType    `yaml:"types"`
 	Spot        provider.Spot      `yaml:"spot"`
 	Images      []agent.Image      `yaml:"images"`
-	Nice        agent.NiceBy       `yaml:"nice"`
+	Nice        agent.NiceLevels       `yaml:"nice"`
 	OpenFiles   uint64             `yaml:"open_files"`
 	GiveUpS     float64            `yaml:"give_up_s"`
 	Environment []string           `yaml:"environment"`
@@ -110,7 +110,7 @@
 		return nil, errors.New("archive.nodes: must be from 1 to 9")
 	}
 	for i, t := range c.Types {
-		for z := range t.Depots {
+		for z := range t.Zones {
 			if !slices.Contains(c.Zones, z) {
 				return nil, fmt.Errorf("types[%d].depots.%s: not one of zones", i, z)
 			}
@@ -282,7 +282,7 @@
 	p.Listen, p.Dir, p.RPS, p.Types, p.Spot, p.Metrics = address(l.ports.Provider), filepath.Join(l.dir, "cloud"), c.Cloud.RPS, c.Types, c.Spot, c.Metrics
 	p.SwitchOff = true
 	a := &p.Agent
-	a.Workers = agent.Periods{Report: c.Workers.Report, Lease: c.Workers.Lease, GangWait: c.Workers.GangWait, GangPeer: c.Workers.GangPeer}
+	a.Workers = agent.Periods{Heartbeat: c.Workers.Report, Lease: c.Workers.Lease, GangWait: c.Workers.GangWait, GangPeer: c.Workers.GangPeer}
 	a.Images, a.Nice, a.OpenFiles, a.Metrics, a.Environment, a.GiveUpS = c.Images, c.Nice, c.OpenFiles, c.Metrics, c.Environment, c.GiveUpS
 	if c.Staging != nil {
 		a.Staging = &c.Staging.Store
@@ -292,10 +292,10 @@
 		a.Archive = &ship.Config{Members: l.ports.ArchiveNodes(x.Nodes), Replicas: x.Replicas, Certs: "/", BoundS: x.BoundS, RateMBPerS: x.RateMBPerS,
 			UrgentMBPerS: x.UrgentMBPerS, SpoolMB: x.SpoolMB, FileMB: x.FileMB, FilesMax: x.FilesMax}
 	}
-	a.Outside = filepath.Join(l.dir, outsideDir)
+	a.OutsideDir = filepath.Join(l.dir, outsideDir)
 	a.Controllers = nil
 	for i := range l.ports.Controllers[:c.Controllers] {
-		a.Controllers = append(a.Controllers, agent.Node{Name: nodeName(i), Address: address(l.ports.Controllers[i])})
+		a.Controllers = append(a.Controllers, agent.Controller{Name: nodeName(i), Address: address(l.ports.Controllers[i])})
 	}
 	return p
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -345,7 +345,7 @@
 	body, _ := json.Marshal(map[string]any{"stokers": []string{name}, "noticeS": 0})
 	// It counts as lost whether or not the answer came.
 	s.lost[name] = true
-	if st, _ := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.Provider), "POST", provider.PathRecalls, body); st == 200 {
+	if st, _ := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.Provider), "POST", provider.PathPreemptions, body); st == 200 {
 		s.r.Lost++
 		time.Sleep(200 * time.Millisecond)
 	}
