--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -139,31 +139,31 @@
 // jobFile is a job as people write it: the protocol's fields in YAML, of which
 // those that have a usual value may be left out.
 type jobFile struct {
-	ID      string            `yaml:"ref" json:"ref"`
-	Class string            `yaml:"jobclass" json:"jobclass"`
-	Team     string            `yaml:"crew" json:"crew"`
-	Shape    string            `yaml:"shape" json:"shape"`
-	Priority  string            `yaml:"urgency" json:"urgency"`
-	Tasks    int64             `yaml:"loads" json:"loads"`
-	CPUs     float64           `yaml:"cpus" json:"cpus"`
-	GPUs     float64           `yaml:"accelerators" json:"accelerators"`
-	MemoryGB      float64           `yaml:"ramGb" json:"ramGb"`
-	Image      string            `yaml:"kit" json:"kit"`
-	ImageGB     float64           `yaml:"sizeGb" json:"sizeGb"`
-	MachineTypes     []string          `yaml:"rigs" json:"rigs"`
-	Zone    *string           `yaml:"depot" json:"depot"`
-	OneZone  bool              `yaml:"oneZone" json:"oneZone"`
-	Spread    bool              `yaml:"apart" json:"apart"`
-	Spot   bool              `yaml:"casual" json:"casual"`
-	EstimateS      float64           `yaml:"etaS" json:"etaS"`
+	ID                  string            `yaml:"ref" json:"ref"`
+	Class               string            `yaml:"jobclass" json:"jobclass"`
+	Team                string            `yaml:"crew" json:"crew"`
+	Shape               string            `yaml:"shape" json:"shape"`
+	Priority            string            `yaml:"urgency" json:"urgency"`
+	Tasks               int64             `yaml:"loads" json:"loads"`
+	CPUs                float64           `yaml:"cpus" json:"cpus"`
+	GPUs                float64           `yaml:"accelerators" json:"accelerators"`
+	MemoryGB            float64           `yaml:"ramGb" json:"ramGb"`
+	Image               string            `yaml:"kit" json:"kit"`
+	ImageGB             float64           `yaml:"sizeGb" json:"sizeGb"`
+	MachineTypes        []string          `yaml:"rigs" json:"rigs"`
+	Zone                *string           `yaml:"depot" json:"depot"`
+	OneZone             bool              `yaml:"oneZone" json:"oneZone"`
+	Spread              bool              `yaml:"apart" json:"apart"`
+	Spot                bool              `yaml:"casual" json:"casual"`
+	EstimateS           float64           `yaml:"etaS" json:"etaS"`
 	CheckpointIntervalS float64           `yaml:"waypointS" json:"waypointS"`
 	CheckpointSaveS     float64           `yaml:"stowS" json:"stowS"`
-	DeadlineS      *float64          `yaml:"dueS" json:"dueS"`
-	Command  []string          `yaml:"command" json:"command,omitempty"`
-	Env      map[string]string `yaml:"env" json:"env,omitempty"`
-	Customer string            `yaml:"customer" json:"customer,omitempty"`
-	Keep     []string          `yaml:"keep" json:"keep,omitempty"`
-	Inputs   []struct {
+	DeadlineS           *float64          `yaml:"dueS" json:"dueS"`
+	Command             []string          `yaml:"command" json:"command,omitempty"`
+	Env                 map[string]string `yaml:"env" json:"env,omitempty"`
+	Customer            string            `yaml:"customer" json:"customer,omitempty"`
+	Keep                []string          `yaml:"keep" json:"keep,omitempty"`
+	Inputs              []struct {
 		Set     string `yaml:"set" json:"set"`
 		Version string `yaml:"version" json:"version"`
 		Place   string `yaml:"place" json:"place"`
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -42,25 +42,25 @@
 
 // Config is what an agent is told, in YAML.
 type Config struct {
-	Worker string `yaml:"stoker"`
-	MachineType    string `yaml:"rig"`
-	Zone  string `yaml:"depot"`
-	Spot bool   `yaml:"casual"`
+	Worker      string `yaml:"stoker"`
+	MachineType string `yaml:"rig"`
+	Zone        string `yaml:"depot"`
+	Spot        bool   `yaml:"casual"`
 	// Listen is the address for direct commands; with port 0 the system
 	// chooses one, which is kept for the machine's life.
 	Listen string `yaml:"listen"`
 	// Dir is the machine's folder. It must be absolute.
-	Dir         string   `yaml:"dir"`
-	Controllers []Controller   `yaml:"controllers"`
-	Workers     Periods  `yaml:"workers"`
-	Room        Room     `yaml:"room"`
-	LocalGB     float64  `yaml:"localGb"` // room for images
-	Images      []Image  `yaml:"images"`
-	OutsideDir     string   `yaml:"outside"` // folder that all machines share
+	Dir         string       `yaml:"dir"`
+	Controllers []Controller `yaml:"controllers"`
+	Workers     Periods      `yaml:"workers"`
+	Room        Room         `yaml:"room"`
+	LocalGB     float64      `yaml:"localGb"` // room for images
+	Images      []Image      `yaml:"images"`
+	OutsideDir  string       `yaml:"outside"` // folder that all machines share
 	Nice        NiceLevels   `yaml:"nice"`
-	OpenFiles   uint64   `yaml:"open_files"` // limit of each task; 0: as inherited
-	Metrics     bool     `yaml:"metrics"`
-	Environment []string `yaml:"environment"` // NAME=value, for every task
+	OpenFiles   uint64       `yaml:"open_files"` // limit of each task; 0: as inherited
+	Metrics     bool         `yaml:"metrics"`
+	Environment []string     `yaml:"environment"` // NAME=value, for every task
 	// Staging switches the store of data sets on; nil: off.
 	Staging *Staging `yaml:"staging,omitempty"`
 	// Archive has what tasks write kept; nil: off.
@@ -150,53 +150,53 @@
 	// PreemptionFile holds the time, in milliseconds of the day's clock, at which
 	// the cloud takes the machine back. The provider writes it.
 	PreemptionFile = "recall"
-	stateFile  = "worker.json"
+	stateFile      = "worker.json"
 )
 
 // persistedState is what an agent must know after it was killed.
 type persistedState struct {
-	Epoch uint64 `json:"shift"`
+	Epoch        uint64 `json:"shift"`
 	FencingToken uint64 `json:"baton"`
-	Port  int    `json:"port"`
+	Port         int    `json:"port"`
 }
 
 // Stats counts what an agent did.
 type Stats struct {
 	Heartbeats, Answered, Launched, Epochs uint64
 	TaskEnds                               map[string]uint64 // by cause
-	Tasks, Live                           int
-	Usage                                 proc.Usage
-	Archive                               *ship.Stats // nil: no archive
+	Tasks, Live                            int
+	Usage                                  proc.Usage
+	Archive                                *ship.Stats // nil: no archive
 }
 
 // Agent is a running worker.
 type Agent struct {
-	cfg    Config
-	log    *slog.Logger
-	taskCommand   []string // starts this program for a task; see ExecTask
-	watchdogCommand  []string // starts it as a watchdog; see Watchdog
-	server *transport.Server
-	pool   *transport.Pool
-	runner    *runner
-	images *imageStore
+	cfg             Config
+	log             *slog.Logger
+	taskCommand     []string // starts this program for a task; see ExecTask
+	watchdogCommand []string // starts it as a watchdog; see Watchdog
+	server          *transport.Server
+	pool            *transport.Pool
+	runner          *runner
+	images          *imageStore
 	outsideStore    outsideStore
-	startedAt  time.Duration // boot clock
-
-	mu      sync.Mutex
-	worker       *Worker
-	persisted    persistedState
-	timer   *time.Timer
-	lastSweepAt   time.Time
-	answeredAt   time.Duration // when a report was last answered
-	inputs    *inputStore       // nil: no data sets
-	keeper  *outputKeeper       // nil: no archive
-	gangMembers  map[TaskAttempt][]protocol.GangMember
-	lastCheckpoints  map[TaskAttempt]int   // a task's newest checkpoint when it was told to stop
-	watchdog   *os.File      // to the watchdog
-	watchdogLeaseEnd    time.Duration // the end of the lease, as the watchdog knows it
-	stats   Stats
-	stopped bool
-	fatalErr  error
+	startedAt       time.Duration // boot clock
+
+	mu               sync.Mutex
+	worker           *Worker
+	persisted        persistedState
+	timer            *time.Timer
+	lastSweepAt      time.Time
+	answeredAt       time.Duration // when a report was last answered
+	inputs           *inputStore   // nil: no data sets
+	keeper           *outputKeeper // nil: no archive
+	gangMembers      map[TaskAttempt][]protocol.GangMember
+	lastCheckpoints  map[TaskAttempt]int // a task's newest checkpoint when it was told to stop
+	watchdog         *os.File            // to the watchdog
+	watchdogLeaseEnd time.Duration       // the end of the lease, as the watchdog knows it
+	stats            Stats
+	stopped          bool
+	fatalErr         error
 	// Extra answers paths that are not the protocol's, such as /metrics.
 	Extra func(id uint64, method, path string) bool
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -87,7 +87,7 @@
 
 	mu       sync.Mutex
 	tasks    map[TaskAttempt]*task
-	epoch  uint64 // whose tasks may be started
+	epoch    uint64 // whose tasks may be started
 	starting int    // being started
 }
 
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -17,9 +17,9 @@
 
 // TaskAttempt names an attempt of a task on this machine.
 type TaskAttempt struct {
-	Job   string
-	Index int
-	Attempt   int
+	Job     string
+	Index   int
+	Attempt int
 }
 
 // TaskName is the wire name of the task.
@@ -37,10 +37,10 @@
 	fetching                // its image is
 	waiting                 // for the other tasks of its gang
 	running
-	finished // gang: its program completed, those of others did not yet
-	checkpointing   // told to stop, and may save
-	checkpointed    // gang: it has saved, others have not yet
-	ending   // told to end; its processes are not gone yet
+	finished      // gang: its program completed, those of others did not yet
+	checkpointing // told to stop, and may save
+	checkpointed  // gang: it has saved, others have not yet
+	ending        // told to end; its processes are not gone yet
 	ended
 )
 
@@ -57,21 +57,21 @@
 const gangDone = "done"
 
 type taskState struct {
-	id   TaskAttempt
-	description  *protocol.JobDescription // nil while describing
-	phase phase
-	cause string
-	checkpointed bool
-	phaseSince time.Duration // of the phase
+	id               TaskAttempt
+	description      *protocol.JobDescription // nil while describing
+	phase            phase
+	cause            string
+	checkpointed     bool
+	phaseSince       time.Duration // of the phase
 	stopRequestedAt  time.Duration // first told to stop
-	killAt time.Duration // saving: when it is ended all the same
-	finalCause  string        // ending: the cause to report when it is gone
-	gangCompleteAt time.Duration // gang: when all of it was last seen as it should be
-	nextGangCheckAt   time.Duration // gang: when the others are asked next
-	nextCheckpointAt  time.Duration // when it is to save by itself
-	needsInputs bool          // inputs that are not here yet
-	grant  string        // that came with the launch; for the archive
-	peers map[int]string
+	killAt           time.Duration // saving: when it is ended all the same
+	finalCause       string        // ending: the cause to report when it is gone
+	gangCompleteAt   time.Duration // gang: when all of it was last seen as it should be
+	nextGangCheckAt  time.Duration // gang: when the others are asked next
+	nextCheckpointAt time.Duration // when it is to save by itself
+	needsInputs      bool          // inputs that are not here yet
+	grant            string        // that came with the launch; for the archive
+	peers            map[int]string
 }
 
 // process tells whether the attempt has a program that runs.
@@ -94,87 +94,87 @@
 
 // Periods are the workers' periods, as the controllers' settings give them.
 type Periods struct {
-	Heartbeat   float64 `yaml:"report_s"`
-	Lease    float64 `yaml:"lease_s"`
-	GangWait float64 `yaml:"gang_wait_s"`
-	GangPeer float64 `yaml:"gang_peer_s"`
+	Heartbeat float64 `yaml:"report_s"`
+	Lease     float64 `yaml:"lease_s"`
+	GangWait  float64 `yaml:"gang_wait_s"`
+	GangPeer  float64 `yaml:"gang_peer_s"`
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Intervals of the protocol that no setting changes.
 const (
-	soonest   = 500 * time.Millisecond // between two reports
-	patience  = 4 * time.Second        // for the answer to a report
-	nextController  = time.Second            // before the next controller is tried
+	soonest           = 500 * time.Millisecond // between two reports
+	patience          = 4 * time.Second        // for the answer to a report
+	nextController    = time.Second            // before the next controller is tried
 	maxHeartbeatBytes = 40 << 10               // of a report's tasks, in bytes; a request may have 64 KiB, the store's part too
-	taskLineBytes = 120                    // of a task in a report, at the most
+	taskLineBytes     = 120                    // of a task in a report, at the most
 )
 
 // HeartbeatSend is a report to be sent.
 type HeartbeatSend struct {
-	Controller  Controller
-	Body  []byte
-	Epoch uint64
-	SentAt    time.Duration
+	Controller Controller
+	Body       []byte
+	Epoch      uint64
+	SentAt     time.Duration
 }
 
 // Effects are what a step wants done.
 type Effects struct {
-	Heartbeat   *HeartbeatSend
-	Describe []string // jobs whose descriptions are to be asked for
-	Fetch    []string // images wanted, by name
-	Leave    []string // images that no task waits for any more
-	Inputs   []TaskAttempt    // attempts whose inputs are to be brought here
-	Start    []TaskAttempt
-	Checkpoint     []TaskAttempt // told to save and go on
-	Stop     []TaskAttempt // told to save and end
-	Kill     []TaskAttempt // to be ended at once, whole
-	AskGang      []TaskAttempt // gang tasks whose others are to be asked
-	Forget   []TaskAttempt
-	EndAll    bool   // all tasks are to be ended; Cleared is called when they are gone
-	Token    uint64 // a higher token than ever before, to be kept
-	Store    *protocol.StoreOrders
-	Lease    time.Duration
+	Heartbeat  *HeartbeatSend
+	Describe   []string      // jobs whose descriptions are to be asked for
+	Fetch      []string      // images wanted, by name
+	Leave      []string      // images that no task waits for any more
+	Inputs     []TaskAttempt // attempts whose inputs are to be brought here
+	Start      []TaskAttempt
+	Checkpoint []TaskAttempt // told to save and go on
+	Stop       []TaskAttempt // told to save and end
+	Kill       []TaskAttempt // to be ended at once, whole
+	AskGang    []TaskAttempt // gang tasks whose others are to be asked
+	Forget     []TaskAttempt
+	EndAll     bool   // all tasks are to be ended; Cleared is called when they are gone
+	Token      uint64 // a higher token than ever before, to be kept
+	Store      *protocol.StoreOrders
+	Lease      time.Duration
 }
 
 // Worker is a worker's side of the protocol: a state machine without I/O. Time
 // and events go in, Effects come out. It owns the attempts on its machine.
 type Worker struct {
-	identity      protocol.Heartbeat // the fields that stay
-	room    Room
-	periods Periods
-	controllers   []Controller
-	random     *rand.Rand
+	identity    protocol.Heartbeat // the fields that stay
+	room        Room
+	periods     Periods
+	controllers []Controller
+	random      *rand.Rand
 
-	now      time.Duration
+	now          time.Duration
 	effects      Effects
-	epoch    uint64
-	sequence    uint64
-	fencingToken    uint64
-	epochBegan    time.Duration
-	answeredAt time.Duration // sending time of the last answered report of this session
-	endingEpoch bool          // the session is over; its tasks are being ended
-	preemptionAt   time.Duration
-	preempted bool
+	epoch        uint64
+	sequence     uint64
+	fencingToken uint64
+	epochBegan   time.Duration
+	answeredAt   time.Duration // sending time of the last answered report of this session
+	endingEpoch  bool          // the session is over; its tasks are being ended
+	preemptionAt time.Duration
+	preempted    bool
 
 	controller      int
-	inflight  bool
-	nextHeartbeatAt  time.Duration
-	lastHeartbeatAt  time.Duration
-	heartbeatSent  bool
-	changed   bool
-	tokenChangedAt time.Duration // when a higher token last counted as a change
+	inflight        bool
+	nextHeartbeatAt time.Duration
+	lastHeartbeatAt time.Duration
+	heartbeatSent   bool
+	changed         bool
+	tokenChangedAt  time.Duration // when a higher token last counted as a change
 
 	store     *protocol.StoreReport
 	unshipped int
 
-	tasks map[TaskAttempt]*taskState
-	descriptions map[string]*protocol.JobDescription
-	describing map[string]bool // jobs being described
-	imagesHere map[string]bool // images that are here
+	tasks          map[TaskAttempt]*taskState
+	descriptions   map[string]*protocol.JobDescription
+	describing     map[string]bool // jobs being described
+	imagesHere     map[string]bool // images that are here
 	imagesFetching map[string]bool // images being fetched
-	doneAt  map[TaskAttempt]time.Duration
+	doneAt         map[TaskAttempt]time.Duration
 }
 
 // NewWorker makes a worker that begins a session. baton is the highest token
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -53,8 +53,8 @@
 	Heartbeats, Answered, Redirected, Refused, Unanswered atomic.Int64
 	// BytesOut and BytesIn are the bodies and about the heads of reports and their answers.
 	BytesOut, BytesIn atomic.Int64
-	Commands            atomic.Int64
-	Epochs          atomic.Int64 // that ended by their lease
+	Commands          atomic.Int64
+	Epochs            atomic.Int64 // that ended by their lease
 	AnswerNanos       atomic.Int64 // time until answers, of answered reports
 }
 
@@ -71,13 +71,13 @@
 type Fleet struct {
 	Stats Stats
 
-	controllers    []agent.Controller
-	periods  agent.Periods
-	observer Observer
-	listenIP string
-	startedAt    time.Time
-	pool     *transport.Pool
-	done     chan struct{}
+	controllers []agent.Controller
+	periods     agent.Periods
+	observer    Observer
+	listenIP    string
+	startedAt   time.Time
+	pool        *transport.Pool
+	done        chan struct{}
 
 	mu      sync.Mutex
 	workers map[string]*worker
@@ -86,7 +86,7 @@
 }
 
 type gangAttempt struct {
-	job string
+	job     string
 	attempt int
 }
 
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -216,7 +216,7 @@
 	CauseDone           = "done"
 	CauseStopped        = "stopped"
 	CauseGangMemberLost = "peers"
-	CauseGangTimeout   = "alone"
+	CauseGangTimeout    = "alone"
 	CauseError          = "error"
 	CauseNoRoom         = "no_room"
 	CauseBusy           = "busy"
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -14,16 +14,16 @@
 
 // MachineType is a machine type on offer.
 type MachineType struct {
-	Name       string         `yaml:"sku"`
-	CPUs      float64        `yaml:"cpus"`
-	GPUs      float64        `yaml:"accelerators"`
-	MemoryGB       float64        `yaml:"ramGb"`
-	LocalGB   float64        `yaml:"localGb"`
-	ImagePullGBPerS  float64        `yaml:"pullGbPerS"`
-	OnDemandPrice    float64        `yaml:"hourly"`
-	SpotPrice float64        `yaml:"spotPrice"`
-	StartupS  float64        `yaml:"startupS"`
-	Zones    map[string]int `yaml:"depots"` // zone -> machines that can be had
+	Name            string         `yaml:"sku"`
+	CPUs            float64        `yaml:"cpus"`
+	GPUs            float64        `yaml:"accelerators"`
+	MemoryGB        float64        `yaml:"ramGb"`
+	LocalGB         float64        `yaml:"localGb"`
+	ImagePullGBPerS float64        `yaml:"pullGbPerS"`
+	OnDemandPrice   float64        `yaml:"hourly"`
+	SpotPrice       float64        `yaml:"spotPrice"`
+	StartupS        float64        `yaml:"startupS"`
+	Zones           map[string]int `yaml:"depots"` // zone -> machines that can be had
 }
 
 // Spot says how spot machines are taken back.
@@ -36,23 +36,23 @@
 
 // RentalRecord is a request for machines that was granted. Its answer never changes.
 type RentalRecord struct {
-	Name    string   `json:"name"`
+	Name     string   `json:"name"`
 	Machines []string `json:"stokers"`
 }
 
 // Machine is a rented machine. It is stored as it stands.
 type Machine struct {
-	Name     string  `json:"name"`
-	MachineType      string  `json:"rig"`
-	Zone    string  `json:"depot"`
-	Spot   bool    `json:"casual"`
-	RentedMS int64   `json:"rentedMs"`           // the day's clock
+	Name         string  `json:"name"`
+	MachineType  string  `json:"rig"`
+	Zone         string  `json:"depot"`
+	Spot         bool    `json:"casual"`
+	RentedMS     int64   `json:"rentedMs"`           // the day's clock
 	PreemptionMS int64   `json:"recallMs,omitempty"` // when it is taken back; 0: never
-	Noticed  bool    `json:"noticed,omitempty"`
-	Failed   bool    `json:"failed,omitempty"`
-	Leaving  bool    `json:"leaving,omitempty"` // deleted or taken; being ended
-	Taken    bool    `json:"taken,omitempty"`   // by the cloud: stays away from the list
-	Hourly   float64 `json:"hourly"`
+	Noticed      bool    `json:"noticed,omitempty"`
+	Failed       bool    `json:"failed,omitempty"`
+	Leaving      bool    `json:"leaving,omitempty"` // deleted or taken; being ended
+	Taken        bool    `json:"taken,omitempty"`   // by the cloud: stays away from the list
+	Hourly       float64 `json:"hourly"`
 
 	address string
 	started bool
@@ -80,7 +80,7 @@
 // Effects are what a step wants done, in this order: store, then the rest.
 type Effects struct {
 	Store  []*Machine
-	Rental   *RentalRecord
+	Rental *RentalRecord
 	Start  []string // machines whose agent is to be started
 	Notice []string // machines to be told of their end
 	End    []string // machines to be ended whole; Gone is called then
@@ -92,9 +92,9 @@
 	types    map[string]*MachineType
 	spot     Spot
 	rps      float64
-	random      *rand.Rand
+	random   *rand.Rand
 	machines map[string]*Machine
-	rentals    map[string]*RentalRecord
+	rentals  map[string]*RentalRecord
 	next     uint64
 	level    float64
 	filled   time.Time
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -43,11 +43,11 @@
 
 // Config is what a provider is told, in YAML.
 type Config struct {
-	Listen string  `yaml:"listen"`
-	Dir    string  `yaml:"dir"` // absolute
-	RPS    float64 `yaml:"rps"`
-	Types  []MachineType  `yaml:"types"`
-	Spot   Spot    `yaml:"spot"`
+	Listen string        `yaml:"listen"`
+	Dir    string        `yaml:"dir"` // absolute
+	RPS    float64       `yaml:"rps"`
+	Types  []MachineType `yaml:"types"`
+	Spot   Spot          `yaml:"spot"`
 	// Agent is what every machine's agent is told, but for what differs.
 	Agent   agent.Config `yaml:"agent"`
 	Metrics bool         `yaml:"metrics"`
@@ -100,7 +100,7 @@
 
 var (
 	bucketMachines = []byte("machines")
-	bucketRentals    = []byte("hires")
+	bucketRentals  = []byte("hires")
 	bucketNext     = []byte("next")
 )
 
@@ -115,7 +115,7 @@
 	Extra func(id uint64, method, path string) bool
 
 	mu      sync.Mutex
-	market       *Market
+	market  *Market
 	agents  map[string]proc.ID
 	waiting map[string][]func() // for a machine's end
 	timer   *time.Timer
@@ -707,7 +707,7 @@
 
 type machineNames struct {
 	Machines []string `json:"stokers"`
-	NoticeS float64  `json:"noticeS"`
+	NoticeS  float64  `json:"noticeS"`
 }
 
 func readNames(body []byte) (v machineNames, err error) {
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -443,7 +443,9 @@
 }
 
 // Stopped takes that a task is gone.
-func (c *cell) Stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) { c.checker.stopped(m, k, done) }
+func (c *cell) Stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) {
+	c.checker.stopped(m, k, done)
+}
 
 // LeaseEnded counts tasks that a lease has killed.
 func (c *cell) LeaseEnded(_ *hollow.Machine, tasks int) {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -108,7 +108,9 @@
 // Each checker sees a break that is seeded.
 func TestCheckerSeesBreaks(t *testing.T) {
 	here, there := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}, &hollow.Machine{Name: "i-2", Type: hollowType, Zone: "b"}
-	key := func(index int) agent.TaskAttempt { return agent.TaskAttempt{Job: "wk-000001", Index: index, Attempt: 1} }
+	key := func(index int) agent.TaskAttempt {
+		return agent.TaskAttempt{Job: "wk-000001", Index: index, Attempt: 1}
+	}
 	for rule, seed := range map[string]func(c *checker, s *submission){
 		ruleRanTwice: func(c *checker, _ *submission) {
 			c.started(here, key(0))
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -30,22 +30,22 @@
 
 // submission is a job as its user sends it, and what the run knows of it.
 type submission struct {
-	ID      string   `json:"ref"`
-	Class    string   `json:"jobclass"`
-	Team     string   `json:"crew"`
-	Shape    string   `json:"shape"`
-	Priority  string   `json:"urgency"`
-	Tasks    int      `json:"loads"`
-	CPUs     float64  `json:"cpus"`
-	GPUs     float64  `json:"accelerators"`
-	MemoryGB      float64  `json:"ramGb"`
-	Image      string   `json:"kit"`
-	ImageGB     float64  `json:"sizeGb"`
-	MachineTypes     []string `json:"rigs"`
-	OneZone  bool     `json:"oneZone"`
-	Spread    bool     `json:"apart"`
-	Spot   bool     `json:"casual"`
-	EstimateS      float64  `json:"etaS"`
+	ID                  string   `json:"ref"`
+	Class               string   `json:"jobclass"`
+	Team                string   `json:"crew"`
+	Shape               string   `json:"shape"`
+	Priority            string   `json:"urgency"`
+	Tasks               int      `json:"loads"`
+	CPUs                float64  `json:"cpus"`
+	GPUs                float64  `json:"accelerators"`
+	MemoryGB            float64  `json:"ramGb"`
+	Image               string   `json:"kit"`
+	ImageGB             float64  `json:"sizeGb"`
+	MachineTypes        []string `json:"rigs"`
+	OneZone             bool     `json:"oneZone"`
+	Spread              bool     `json:"apart"`
+	Spot                bool     `json:"casual"`
+	EstimateS           float64  `json:"etaS"`
 	CheckpointIntervalS float64  `json:"waypointS"`
 	CheckpointSaveS     float64  `json:"stowS"`
 
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -29,23 +29,23 @@
 
 // Config is a site, in YAML.
 type Config struct {
-	Controllers int                `yaml:"controllers"`
-	Zones       []string           `yaml:"zones"`
-	Metrics     bool               `yaml:"metrics"`
-	Teams       []config.Team      `yaml:"teams"`
-	Objectives  []config.Objective `yaml:"objectives"`
-	Workers     config.Workers     `yaml:"workers"`
-	State       config.State       `yaml:"state"`
-	Cloud       config.Cloud       `yaml:"cloud"`
-	Controller  Controller         `yaml:"controller"`
-	Types       []provider.MachineType    `yaml:"types"`
-	Spot        provider.Spot      `yaml:"spot"`
-	Images      []agent.Image      `yaml:"images"`
+	Controllers int                    `yaml:"controllers"`
+	Zones       []string               `yaml:"zones"`
+	Metrics     bool                   `yaml:"metrics"`
+	Teams       []config.Team          `yaml:"teams"`
+	Objectives  []config.Objective     `yaml:"objectives"`
+	Workers     config.Workers         `yaml:"workers"`
+	State       config.State           `yaml:"state"`
+	Cloud       config.Cloud           `yaml:"cloud"`
+	Controller  Controller             `yaml:"controller"`
+	Types       []provider.MachineType `yaml:"types"`
+	Spot        provider.Spot          `yaml:"spot"`
+	Images      []agent.Image          `yaml:"images"`
 	Nice        agent.NiceLevels       `yaml:"nice"`
-	OpenFiles   uint64             `yaml:"open_files"`
-	GiveUpS     float64            `yaml:"give_up_s"`
-	Environment []string           `yaml:"environment"`
-	Staging     *Staging           `yaml:"staging"`
+	OpenFiles   uint64                 `yaml:"open_files"`
+	GiveUpS     float64                `yaml:"give_up_s"`
+	Environment []string               `yaml:"environment"`
+	Staging     *Staging               `yaml:"staging"`
 	// Archive has what tasks write kept; nil: off.
 	Archive *Archive `yaml:"archive"`
 	// OutsideKeepS is how long results and checkpoints of jobs that are over are
