--- /dev/null
+++ b/cmd/silvergate/archive_client.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	anode "silvergate/internal/archive/node"
+	"silvergate/internal/archive/reader"
+	"silvergate/internal/identity"
+	"silvergate/internal/protocol"
+	"silvergate/internal/site"
+)
+
+// archiveClient reads the archive as somebody.
+type archiveClient struct {
+	*client
+	certs string
+	nodes []string
+}
+
+func (k *archiveClient) flags(c *cobra.Command) {
+	c.Flags().StringVar(&k.site, "site", "", "the folder of a site that silvergate up runs; read as its operator unless --certs is given")
+	c.Flags().StringVar(&k.certs, "certs", "", "the folder with the certificate to read with")
+	c.Flags().StringSliceVar(&k.nodes, "node", nil, "an archive node, NAME=IP:PORT; may be repeated")
+	c.Flags().DurationVar(&k.timeout, "timeout", 10*time.Second, "how long to wait for an answer")
+	k.output(c)
+}
+
+// open makes a client of the archive.
+func (k *archiveClient) open() (*reader.Client, []anode.Member, error) {
+	if k.format != "text" && k.format != "json" {
+		return nil, nil, errors.New("--output: must be text or json")
+	}
+	var members []anode.Member
+	certs := k.certs
+	if k.site != "" {
+		m, own, err := site.ReadArchive(k.site)
+		if err != nil {
+			return nil, nil, err
+		}
+		members = m
+		if certs == "" {
+			certs = own
+		}
+	}
+	for _, s := range k.nodes {
+		name, address, _ := strings.Cut(s, "=")
+		members = append(members, anode.Member{Name: name, Address: address})
+	}
+	if certs == "" {
+		return nil, nil, errors.New("name --site, or --certs and --node")
+	}
+	if err := anode.CheckMembers(members); err != nil {
+		return nil, nil, err
+	}
+	keeper, err := identity.NewKeeper(certs, newLogger("error"))
+	if err != nil {
+		return nil, nil, err
+	}
+	return reader.New(keeper, members, k.timeout), members, nil
+}
+
+// warn tells that an answer may not be all.
+func warn(c *cobra.Command, a anode.Answered) {
+	if !a.Whole {
+		fmt.Fprintf(c.ErrOrStderr(), "%s silent: something may be missing\n", strings.Join(a.Silent, ", "))
+	}
+}
+
+// jobTask reads JOB or JOB/TASK; task is -1 for all.
+func jobTask(s string) (job string, task int, err error) {
+	job, index, one := strings.Cut(s, "/")
+	task = -1
+	if one {
+		if task, err = strconv.Atoi(index); err != nil || task < 0 {
+			return "", 0, fmt.Errorf("%q: write JOB or JOB/TASK", s)
+		}
+	}
+	if !protocol.ValidJobID(job) {
+		return "", 0, fmt.Errorf("%q is no job id: it has the form wk-000412", job)
+	}
+	return job, task, nil
+}
--- /dev/null
+++ b/cmd/silvergate/artefacts.go
@@ -0,0 +1,176 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+
+	"github.com/spf13/cobra"
+
+	"silvergate/internal/archive"
+	anode "silvergate/internal/archive/node"
+	"silvergate/internal/archive/reader"
+	"silvergate/internal/protocol"
+)
+
+// artefactsClient lists and fetches the files that attempts left behind.
+type artefactsClient struct {
+	archiveClient
+	all bool // also of attempts that did not complete
+}
+
+// artefacts are the files of one attempt.
+type artefacts struct {
+	anode.Attempt
+	Final bool `json:"final"` // of the task's last attempt that was done
+}
+
+func artefactsCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "artefacts", Short: "Files that a job's tasks left behind: list, get"}
+	k := &artefactsClient{archiveClient: archiveClient{client: newClient()}}
+	list, get := k.listCommand(), k.getCommand()
+	for _, c := range []*cobra.Command{list, get} {
+		k.flags(c)
+		c.Flags().BoolVar(&k.all, "all", false, "also of attempts that did not complete")
+	}
+	cmd.AddCommand(list, get)
+	return cmd
+}
+
+func (k *artefactsClient) listCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "list JOB[/TASK]", Short: "List the files of a job's completed attempts", Args: cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			_, found, err := k.find(c, args[0])
+			if err != nil {
+				return err
+			}
+			var rows [][]string
+			for _, e := range found {
+				for _, f := range e.Files {
+					rows = append(rows, []string{strconv.Itoa(e.Task), strconv.Itoa(e.Try), e.Machine, fmt.Sprint(f.Size), f.Digest[:16], archive.Visible(f.Path)})
+				}
+			}
+			return k.list(c, found, "TASK ATTEMPT MACHINE BYTES DIGEST FILE", rows)
+		},
+	}
+}
+
+func (k *artefactsClient) getCommand() *cobra.Command {
+	var to string
+	get := &cobra.Command{
+		Use: "get JOB[/TASK] --to DIR", Short: "Write the files of a job's completed attempts into a folder, one folder for each task", Args: cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			r, found, err := k.find(c, args[0])
+			if err != nil {
+				return err
+			}
+			n, err := fetchAll(c.Context(), r, found, to)
+			if err != nil {
+				return err
+			}
+			return k.show(c, map[string]any{"files": n, "to": to}, fmt.Sprintf("%d files in %s", n, to))
+		},
+	}
+	get.Flags().StringVar(&to, "to", "", "the folder; what is there is not replaced")
+	_ = get.MarkFlagRequired("to")
+	return get
+}
+
+// find lists attempts with files; of each task the last that was done is final.
+func (k *artefactsClient) find(c *cobra.Command, arg string) (*reader.Client, []artefacts, error) {
+	r, _, err := k.open()
+	if err != nil {
+		return nil, nil, err
+	}
+	job, task, err := jobTask(arg)
+	if err != nil {
+		return nil, nil, err
+	}
+	attempts, answered, err := r.Attempts(c.Context(), reader.Query{Job: job, Files: true})
+	if err != nil {
+		return nil, nil, err
+	}
+	warn(c, answered)
+	if len(attempts) == 0 {
+		return nil, nil, fmt.Errorf("%s: %w", job, reader.ErrNotFound)
+	}
+	last := lastDone(attempts)
+	var found []artefacts
+	for _, a := range attempts {
+		final := last[a.Task] == a.Try && a.Try > 0 && a.End != nil
+		if (task < 0 || a.Task == task) && (final || k.all) {
+			found = append(found, artefacts{a, final})
+		}
+	}
+	return r, found, nil
+}
+
+// lastDone is the last attempt of each task that was done.
+func lastDone(attempts []anode.Attempt) map[int]int {
+	last := map[int]int{}
+	for i := range attempts {
+		if a := &attempts[i]; a.End != nil && a.End.Cause == protocol.CauseDone {
+			last[a.Task] = max(last[a.Task], a.Try)
+		}
+	}
+	return last
+}
+
+// fetchAll writes the files of attempts below a folder and counts them.
+func fetchAll(ctx context.Context, r *reader.Client, found []artefacts, to string) (n int, err error) {
+	if err := os.MkdirAll(to, 0o700); err != nil {
+		return 0, err
+	}
+	// Names are whatever a program chose: nothing is written outside.
+	root, err := os.OpenRoot(to)
+	if err != nil {
+		return 0, err
+	}
+	defer root.Close()
+	for _, e := range found {
+		dir := fmt.Sprint("task-", e.Task)
+		if !e.Final {
+			dir += fmt.Sprintf(".attempt-%d", e.Try)
+		}
+		for _, f := range e.Files {
+			if err := fetch(ctx, r, root, dir, e.Attempt.Attempt, &f); err != nil {
+				return n, err
+			}
+			n++
+		}
+	}
+	return n, nil
+}
+
+// fetch writes a file below a folder, whole or not at all.
+func fetch(ctx context.Context, r *reader.Client, root *os.Root, dir string, a archive.Attempt, f *archive.File) error {
+	if !archive.SafePath(f.Path) {
+		return fmt.Errorf("%q is not a name that can be written", f.Path)
+	}
+	path := filepath.Join(dir, filepath.FromSlash(f.Path))
+	if err := root.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+		return err
+	}
+	part := path + ".part"
+	out, err := root.OpenFile(part, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	err = r.File(ctx, a, f, out)
+	if err == nil {
+		if _, there := root.Lstat(path); there == nil {
+			err = fmt.Errorf("%s: is there already", path)
+		}
+	}
+	if err = errors.Join(err, out.Close()); err == nil {
+		err = root.Rename(part, path)
+	}
+	if err != nil {
+		_ = root.Remove(part)
+	}
+	return err
+}
--- a/cmd/silvergate/certs.go
+++ b/cmd/silvergate/certs.go
@@ -10,6 +10,12 @@
 	"silvergate/internal/identity"
 )
 
+// certsClient keeps the site's authority.
+type certsClient struct {
+	*client
+	dir string // the authority's folder
+}
+
 // certsCommands are the site's small authority.
 func certsCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "certs", Short: "The site's authority: init, issue, renew, revoke, list",
@@ -17,71 +23,86 @@
 issued and the list of revocations. Whoever can read that folder can be anyone on
 the site. Identities are written node/NAME, agent/MACHINE, operator/NAME,
 team/TEAM and customer/TEAM/CUSTOMER (docs/security.md).`}
-	var dir string
-	cmd.PersistentFlags().StringVar(&dir, "authority", "", "the authority's folder")
+	k := &certsClient{client: newClient()}
+	cmd.PersistentFlags().StringVar(&k.dir, "authority", "", "the authority's folder")
 	_ = cmd.MarkPersistentFlagRequired("authority")
-	k := newClient()
-	issuing := func(c *cobra.Command, life *time.Duration) {
-		c.Flags().DurationVar(life, "life", identity.DefaultLife, "how long the certificate holds")
-		k.output(c)
+	cmd.AddCommand(k.initCommand(), k.issueCommand(), k.renewCommand(), k.revokeCommand(), k.certsListCommand())
+	return cmd
+}
+
+func (k *certsClient) issueFlags(c *cobra.Command, life *time.Duration) {
+	c.Flags().DurationVar(life, "life", identity.DefaultLife, "how long the certificate holds")
+	k.output(c)
+}
+
+// issueInto issues a certificate into a folder and tells of it.
+func (k *certsClient) issueInto(c *cobra.Command, to string, life time.Duration, whose func(*identity.Authority) (identity.Identity, error)) error {
+	a, err := identity.Open(k.dir)
+	if err != nil {
+		return err
+	}
+	who, err := whose(a)
+	if err != nil {
+		return err
 	}
-	// into issues a certificate into a folder and tells of it.
-	into := func(c *cobra.Command, to string, life time.Duration, whose func(*identity.Authority) (identity.Identity, error)) error {
-		a, err := identity.Open(dir)
-		if err != nil {
-			return err
-		}
-		who, err := whose(a)
-		if err != nil {
-			return err
-		}
-		i, err := a.Issue(who, to, life)
-		if err != nil {
-			return err
-		}
-		return k.show(c, i, fmt.Sprintf("%s: serial %s, until %s, in %s", i.Identity, i.Serial, i.NotAfter.Format(time.RFC3339), to))
+	i, err := a.Issue(who, to, life)
+	if err != nil {
+		return err
 	}
+	return k.show(c, i, fmt.Sprintf("%s: serial %s, until %s, in %s", i.Identity, i.Serial, i.NotAfter.Format(time.RFC3339), to))
+}
 
+func (k *certsClient) initCommand() *cobra.Command {
 	var site string
 	initialize := &cobra.Command{
 		Use: "init --authority DIR --site NAME", Short: "Make the site's authority in a folder that has none", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if _, err := identity.Init(dir, site, time.Now()); err != nil {
+			if _, err := identity.Init(k.dir, site, time.Now()); err != nil {
 				return err
 			}
-			return k.show(c, map[string]string{"site": site, "authority": dir}, fmt.Sprintf("the authority of %s is in %s; keep that folder to yourself", site, dir))
+			return k.show(c, map[string]string{"site": site, "authority": k.dir}, fmt.Sprintf("the authority of %s is in %s; keep that folder to yourself", site, k.dir))
 		},
 	}
 	initialize.Flags().StringVar(&site, "site", "site", "the site's name, which stands in all identities")
 	k.output(initialize)
+	return initialize
+}
 
+func (k *certsClient) issueCommand() *cobra.Command {
 	var life time.Duration
 	var to string
 	issue := &cobra.Command{
 		Use: "issue IDENTITY --authority DIR --to DIR", Short: "Issue a certificate into a folder", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return into(c, to, life, func(a *identity.Authority) (identity.Identity, error) { return identity.Parse(a.Site(), args[0]) })
+			return k.issueInto(c, to, life, func(a *identity.Authority) (identity.Identity, error) { return identity.Parse(a.Site(), args[0]) })
 		},
 	}
 	issue.Flags().StringVar(&to, "to", "", "the party's folder")
 	_ = issue.MarkFlagRequired("to")
-	issuing(issue, &life)
+	k.issueFlags(issue, &life)
+	return issue
+}
 
+func (k *certsClient) renewCommand() *cobra.Command {
+	var life time.Duration
 	renew := &cobra.Command{
 		Use: "renew DIR --authority DIR", Short: "Replace the certificate in a party's folder; the party goes on without a restart", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return into(c, filepath.Clean(args[0]), life, func(*identity.Authority) (identity.Identity, error) { return identity.ReadIdentity(args[0]) })
+			return k.issueInto(c, filepath.Clean(args[0]), life, func(*identity.Authority) (identity.Identity, error) { return identity.ReadIdentity(args[0]) })
 		},
 	}
-	issuing(renew, &life)
+	k.issueFlags(renew, &life)
+	return renew
+}
 
+func (k *certsClient) revokeCommand() *cobra.Command {
 	revoke := &cobra.Command{
 		Use: "revoke SERIAL|IDENTITY --authority DIR", Short: "Revoke a certificate, or all of an identity", Args: cobra.ExactArgs(1),
 		Long: `revoke adds certificates to the signed list of revocations in the authority's
 folder. Archive nodes that can read that folder follow it; give it to others by
 silvergate archive revocations. docs/security.md tells how soon it holds everywhere.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			a, err := identity.Open(dir)
+			a, err := identity.Open(k.dir)
 			if err != nil {
 				return err
 			}
@@ -93,11 +114,14 @@
 		},
 	}
 	k.output(revoke)
+	return revoke
+}
 
+func (k *certsClient) certsListCommand() *cobra.Command {
 	list := &cobra.Command{
 		Use: "list --authority DIR", Short: "List what was issued", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			a, err := identity.Open(dir)
+			a, err := identity.Open(k.dir)
 			if err != nil {
 				return err
 			}
@@ -120,6 +144,5 @@
 		},
 	}
 	k.output(list)
-	cmd.AddCommand(initialize, issue, renew, revoke, list)
-	return cmd
+	return list
 }
--- /dev/null
+++ b/cmd/silvergate/logs.go
@@ -0,0 +1,182 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"regexp"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"silvergate/internal/archive"
+	"silvergate/internal/archive/reader"
+)
+
+func logsCommand() *cobra.Command {
+	k := &archiveClient{client: newClient()}
+	var follow, raw bool
+	var attempt int
+	var since time.Duration
+	var grep, stream string
+	c := &cobra.Command{
+		Use: "logs JOB[/TASK]", Short: "Show what a job's tasks wrote, wherever they ran", Args: cobra.ExactArgs(1),
+		Long: `logs shows the output of a job's tasks in the order of time, from all machines
+that they ran on, also those that are gone. Where a task moved, and where output is
+missing, a line in brackets says so, and why as far as it is known. Control
+characters are written out; --raw prints the bytes of one task as they are.`,
+		RunE: func(c *cobra.Command, args []string) error {
+			job, task, err := jobTask(args[0])
+			if err != nil {
+				return err
+			}
+			var want *regexp.Regexp
+			if grep != "" {
+				if want, err = regexp.Compile(grep); err != nil {
+					return fmt.Errorf("--grep: %w", err)
+				}
+			}
+			streams := archive.Streams
+			if stream != "" {
+				if streams = []string{stream}; !slices.Contains(archive.Streams, stream) {
+					return fmt.Errorf("--stream: must be %s", strings.Join(archive.Streams, " or "))
+				}
+			}
+			if raw && (task < 0 || stream == "") {
+				return errors.New("--raw: name one task and one --stream")
+			}
+			r, _, err := k.open()
+			if err != nil {
+				return err
+			}
+			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw, open: map[string]*reader.Cursor{}, whole: true}
+			if since > 0 {
+				v.since = time.Now().Add(-since)
+			}
+			return v.show(c.Context(), follow)
+		},
+	}
+	k.flags(c)
+	f := c.Flags()
+	f.BoolVarP(&follow, "follow", "f", false, "go on until the job's attempts are over")
+	f.IntVar(&attempt, "attempt", 0, "only this attempt of each task")
+	f.DurationVar(&since, "since", 0, "only what was written in the last while")
+	f.StringVar(&grep, "grep", "", "only lines that match this regular expression")
+	f.StringVar(&stream, "stream", "", "only stdout or stderr")
+	f.BoolVar(&raw, "raw", false, "the bytes as they are")
+	return c
+}
+
+// logView shows a job's output.
+type logView struct {
+	k             *archiveClient
+	c             *cobra.Command
+	r             *reader.Client
+	job           string
+	task, attempt int
+	streams       []string
+	grep          *regexp.Regexp
+	raw           bool
+	since         time.Time
+	open          map[string]*reader.Cursor
+	told          map[int]archive.Attempt // by task: where it was last seen
+	found         int
+	whole         bool
+}
+
+// followEvery is the time between two looks for more.
+const followEvery = 500 * time.Millisecond
+
+func (v *logView) show(ctx context.Context, follow bool) error {
+	v.told = map[int]archive.Attempt{}
+	for {
+		attempts, answered, err := v.r.Attempts(ctx, reader.Query{Job: v.job})
+		if err != nil {
+			return err
+		}
+		var all []*reader.Cursor
+		over := true
+		for i := range attempts {
+			a := &attempts[i]
+			if v.task >= 0 && a.Task != v.task || v.attempt > 0 && a.Try != v.attempt {
+				continue
+			}
+			v.found++
+			over = over && a.End != nil
+			for _, s := range v.streams {
+				key := a.Attempt.String() + " " + s
+				if v.open[key] == nil {
+					v.open[key] = v.r.Open(a.Attempt, s)
+				}
+				v.open[key].Again()
+				all = append(all, v.open[key])
+			}
+		}
+		if v.found == 0 && !follow {
+			warn(v.c, answered)
+			return fmt.Errorf("%s: %w", v.job, reader.ErrNotFound)
+		}
+		if err := reader.Merge(ctx, all, v.line); err != nil {
+			return err
+		}
+		for _, u := range all {
+			answered.Whole = answered.Whole && u.Whole
+		}
+		if !answered.Whole && v.whole {
+			v.whole = false
+			warn(v.c, answered)
+		}
+		if !follow || over && len(all) > 0 {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(followEvery):
+		}
+	}
+}
+
+func (v *logView) line(l *reader.Line) error {
+	out := v.c.OutOrStdout()
+	if l.Note == "" && (l.At.Before(v.since) || v.grep != nil && !v.grep.MatchString(l.Text)) {
+		return nil
+	}
+	if v.raw {
+		if l.Note != "" {
+			fmt.Fprintf(v.c.ErrOrStderr(), "[%s]\n", l.Note)
+			return nil
+		}
+		end := "\n"
+		if l.Cut {
+			end = ""
+		}
+		_, err := io.WriteString(out, l.Text+end)
+		return err
+	}
+	if v.k.format == "json" {
+		return json.NewEncoder(out).Encode(l)
+	}
+	if was, ok := v.told[l.Task]; !ok || was != l.Attempt {
+		v.told[l.Task] = l.Attempt
+		word := "runs"
+		if ok {
+			word = "moved:"
+		}
+		fmt.Fprintf(out, "[task %d %s attempt %d on %s]\n", l.Task, word, l.Try, l.Machine)
+	}
+	mark := ""
+	if l.Stream == archive.Stderr {
+		mark = "!"
+	}
+	text := archive.Visible(l.Text)
+	if l.Note != "" {
+		text = "[" + archive.Visible(l.Note) + "]"
+	}
+	_, err := fmt.Fprintf(out, "%s %d%s %s\n", l.At.Format("15:04:05.000"), l.Task, mark, text)
+	return err
+}
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -6,9 +6,7 @@
 	"log/slog"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"syscall"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -68,97 +66,6 @@
 	}
 }
 
-// stateCommands are the state service and the care of its file.
-func stateCommands() *cobra.Command {
-	cmd := &cobra.Command{Use: "state", Short: "The state service: serve, back up, restore, check"}
-	var settings string
-	serve := &cobra.Command{
-		Use: "serve --settings FILE", Short: "Serve the state service", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			if err := proc.Hold(); err != nil {
-				return err
-			}
-			cfg := statestore.DefaultConfig()
-			if err := readSettings(settings, &cfg); err != nil {
-				return err
-			}
-			log := partLogger("state")
-			s, err := statestore.Open(cfg, log)
-			if err != nil {
-				return err
-			}
-			if cfg.Metrics {
-				s.Extra = scrape(metrics.New("state", func() []metrics.Figure { return stateFigures(s.Stats()) }), log, s.AnswerAs)
-			}
-			untilTold(s.Stop)
-			return s.Run(nil)
-		},
-	}
-	settingsFlag(serve, &settings)
-	client := newClient()
-	backup := &cobra.Command{
-		Use: "backup NAME", Short: "Write a consistent snapshot into the service's backup folder, while it serves", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			var saved statestore.BackupSummary
-			if err := client.post(statestore.PathBackup, statestore.Backup{Name: args[0]}, &saved); err != nil {
-				return err
-			}
-			return client.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
-		},
-	}
-	client.flags(backup, "127.0.0.1:2379", "the state service's address", time.Minute)
-	var dir string
-	restore := &cobra.Command{
-		Use: "restore BACKUP --dir DIR", Short: "Make a store in an empty folder from a backup", Args: cobra.ExactArgs(1),
-		Long: `restore makes a store from a backup, in a folder that has none: an existing
-store is never replaced. All keys get new revisions above any that the lost
-store can have given out, so that nobody goes on with an old one. What was
-accepted after the backup is lost.`,
-		RunE: func(c *cobra.Command, args []string) error {
-			saved, err := statestore.Restore(args[0], dir)
-			if err != nil {
-				return err
-			}
-			return client.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
-		},
-	}
-	restore.Flags().StringVar(&dir, "dir", "", "the folder for the new store")
-	_ = restore.MarkFlagRequired("dir")
-	client.output(restore)
-	check := &cobra.Command{
-		Use: "check FILE", Short: "Read all of a store's file or a backup and compare it with its checksums", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			path := args[0]
-			if info, err := os.Stat(path); err == nil && info.IsDir() {
-				path = filepath.Join(path, statestore.FileName)
-			}
-			saved, err := statestore.Check(path)
-			if err != nil {
-				return err
-			}
-			return client.show(c, saved, fmt.Sprintf("%s is sound: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
-		},
-	}
-	client.output(check)
-	cmd.AddCommand(serve, backup, restore, check)
-	return cmd
-}
-
-func stateFigures(s statestore.Stats) []metrics.Figure {
-	return []metrics.Figure{
-		{Name: "state_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
-		{Name: "state_refused", Help: "Requests refused for the rates or for a slow disk.", Value: float64(s.Refused), Count: true},
-		{Name: "state_commits", Help: "Syncs of the file.", Value: float64(s.Commits), Count: true},
-		{Name: "state_commit_seconds", Help: "Time spent in them.", Value: s.CommitS, Count: true},
-		{Name: "state_changes", Help: "Changes of keys.", Value: float64(s.Changes), Count: true},
-		{Name: "state_ledger", Help: "Revision of the last change.", Value: float64(s.Revision)},
-		{Name: "state_keys", Help: "Keys.", Value: float64(s.Keys)},
-		{Name: "state_grants", Help: "Leases.", Value: float64(s.Leases)},
-		{Name: "state_watches", Help: "Open watches.", Value: float64(s.Watches)},
-		{Name: "state_queued", Help: "Changes that wait for the disk.", Value: float64(s.Queued)},
-	}
-}
-
 // providerCommand is the cloud of local machines.
 func providerCommand() *cobra.Command {
 	var settings string
--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -12,11 +12,16 @@
 	"silvergate/internal/replay"
 )
 
+// replayFlags are what replay is asked for.
+type replayFlags struct {
+	at, until, output string
+	names             []string
+	logs              bool
+}
+
 // replayCommand puts recordings through cores again.
 func replayCommand() *cobra.Command {
-	var at, until, output string
-	var names []string
-	var logs bool
+	var f replayFlags
 	cmd := &cobra.Command{
 		Use:   "replay FILE|DIR...",
 		Short: "Put recorded controllers through the program again, and tell why they did what they did",
@@ -33,52 +38,54 @@
 		Example: `  silvergate replay ./site/recordings --explain wk-000412/3 --explain i-000231
   silvergate replay north-*.rec --at 90.5s --explain i-000231`,
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, paths []string) error {
-			if output != "text" && output != "json" {
-				return fmt.Errorf("--output: %q is neither text nor json", output)
-			}
-			lives, err := replay.Open(paths)
-			if err != nil {
-				return err
-			}
-			o := replay.Options{Names: names}
-			if logs {
-				o.Log = slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelDebug}))
-			}
-			first := lives[0].Begin
-			for _, l := range lives {
-				if l.Begin.Before(first) {
-					first = l.Begin
-				}
-			}
-			if o.At, err = replay.ParseTime(at, first); err != nil {
-				return fmt.Errorf("--at: %w", err)
-			}
-			if o.Until, err = replay.ParseTime(until, first); err != nil {
-				return fmt.Errorf("--until: %w", err)
-			}
-			if !o.At.IsZero() && len(names) == 0 {
-				return errors.New("--at: says what is known of something; name it with --explain")
-			}
-			results, stories := []replay.Result{}, [][]replay.Line{}
-			for i := range lives {
-				r, err := lives[i].Play(o)
-				if err != nil {
-					return err
-				}
-				results, stories = append(results, r), append(stories, r.Story)
-			}
-			return tellReplay(c.OutOrStdout(), output, results, replay.Merge(stories...))
-		},
+		RunE: func(c *cobra.Command, paths []string) error { return f.run(c, paths) },
 	}
-	cmd.Flags().StringVar(&at, "at", "", "say what was known then: a time, or how long after the first input (90.5s)")
-	cmd.Flags().StringVar(&until, "until", "", "stop there")
-	cmd.Flags().StringArrayVar(&names, "explain", nil, "tell the story of a task, a job or a machine; may be repeated")
-	cmd.Flags().BoolVar(&logs, "log", false, "write the cores' debug logs to standard error")
-	cmd.Flags().StringVar(&output, "output", "text", "text or json")
+	cmd.Flags().StringVar(&f.at, "at", "", "say what was known then: a time, or how long after the first input (90.5s)")
+	cmd.Flags().StringVar(&f.until, "until", "", "stop there")
+	cmd.Flags().StringArrayVar(&f.names, "explain", nil, "tell the story of a task, a job or a machine; may be repeated")
+	cmd.Flags().BoolVar(&f.logs, "log", false, "write the cores' debug logs to standard error")
+	cmd.Flags().StringVar(&f.output, "output", "text", "text or json")
 	return cmd
 }
 
+func (f *replayFlags) run(c *cobra.Command, paths []string) error {
+	if f.output != "text" && f.output != "json" {
+		return fmt.Errorf("--output: %q is neither text nor json", f.output)
+	}
+	lives, err := replay.Open(paths)
+	if err != nil {
+		return err
+	}
+	o := replay.Options{Names: f.names}
+	if f.logs {
+		o.Log = slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelDebug}))
+	}
+	first := lives[0].Begin
+	for _, l := range lives {
+		if l.Begin.Before(first) {
+			first = l.Begin
+		}
+	}
+	if o.At, err = replay.ParseTime(f.at, first); err != nil {
+		return fmt.Errorf("--at: %w", err)
+	}
+	if o.Until, err = replay.ParseTime(f.until, first); err != nil {
+		return fmt.Errorf("--until: %w", err)
+	}
+	if !o.At.IsZero() && len(f.names) == 0 {
+		return errors.New("--at: says what is known of something; name it with --explain")
+	}
+	results, stories := []replay.Result{}, [][]replay.Line{}
+	for i := range lives {
+		r, err := lives[i].Play(o)
+		if err != nil {
+			return err
+		}
+		results, stories = append(results, r), append(stories, r.Story)
+	}
+	return tellReplay(c.OutOrStdout(), f.output, results, replay.Merge(stories...))
+}
+
 func tellReplay(out io.Writer, output string, results []replay.Result, story []replay.Line) error {
 	different := 0
 	for _, r := range results {
--- a/cmd/silvergate/root.go
+++ b/cmd/silvergate/root.go
@@ -53,7 +53,16 @@
 	}
 	cmd.PersistentFlags().StringVar(&settings, "config", "", "the platform's settings file (JSON)")
 	cmd.PersistentFlags().StringVar(&operator, "operator", "", "the operators' settings file (YAML); default: "+config.OperatorFile+" beside the settings, then in deploy/")
-	cmd.AddCommand(&cobra.Command{
+	cmd.AddCommand(validateCommand(load), versionCommand())
+	cmd.AddCommand(clientCommands()...)
+	cmd.AddCommand(upCommand(), lossesCommand(), replayCommand(), stateCommands(), providerCommand(), soakCommand(), dataCommands(), certsCommands(), archiveCommands(), logsCommand(), artefactsCommand(), whyCommand(), benchCommands(), scaleCommand())
+	cmd.AddCommand(agentCommands()...)
+	return cmd
+}
+
+// validateCommand checks what load reads.
+func validateCommand(load func() (*config.Settings, error)) *cobra.Command {
+	return &cobra.Command{
 		Use:   "validate",
 		Short: "Check the settings files and say what is wrong",
 		Args:  cobra.NoArgs,
@@ -66,14 +75,14 @@
 				cfg.Node, 1+len(cfg.Peers), len(cfg.Facts.Teams), len(cfg.Facts.Objectives))
 			return nil
 		},
-	}, &cobra.Command{
+	}
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
 		Run:   func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "silvergate", version) },
-	})
-	cmd.AddCommand(clientCommands()...)
-	cmd.AddCommand(upCommand(), lossesCommand(), replayCommand(), stateCommands(), providerCommand(), soakCommand(), dataCommands(), certsCommands(), archiveCommands(), logsCommand(), artefactsCommand(), whyCommand(), benchCommands(), scaleCommand())
-	cmd.AddCommand(agentCommands()...)
-	return cmd
+	}
 }
--- a/cmd/silvergate/up.go
+++ b/cmd/silvergate/up.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -21,9 +22,14 @@
 // demoLimit is how long the demonstration may take before it is a failure.
 const demoLimit = 2 * time.Minute
 
+// upFlags are what up is asked for.
+type upFlags struct {
+	dir, settings string
+	demo          bool
+}
+
 func upCommand() *cobra.Command {
-	var dir, settings string
-	var demo bool
+	var f upFlags
 	cmd := &cobra.Command{
 		Use: "up --dir DIR", Short: "Run a whole site on this machine", Args: cobra.NoArgs,
 		Long: `up runs a whole site on this machine, on loopback: a durable state service, a
@@ -34,63 +40,75 @@
 		Example: `  silvergate up --dir ./site --demo
   silvergate up --dir ./site
   silvergate submit --site ./site --wait examples/hello.yaml`,
-		RunE: func(c *cobra.Command, _ []string) error {
-			var raw []byte
-			if settings != "" {
-				var err error
-				if raw, err = os.ReadFile(settings); err != nil {
-					return fmt.Errorf("settings: %w", err)
-				}
-			}
-			self, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			level := os.Getenv("LOG_LEVEL")
-			if level == "" && demo {
-				level = "error"
-			}
-			s, err := site.Open(dir, raw, self, newLogger(level).With("part", "up"))
-			if err != nil {
-				return err
-			}
-			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-			defer cancel()
-			s.Start()
-			defer s.Stop()
-			begun := time.Now()
-			limit, stop := context.WithTimeout(ctx, demoLimit)
-			err = s.Ready(limit)
-			stop()
-			if err != nil {
-				return err
-			}
-			out := c.OutOrStdout()
-			fmt.Fprintf(out, "the site is up after %.1f s; logs are in %s\n", time.Since(begun).Seconds(), filepath.Join(s.Dir, "logs"))
-			if demo {
-				return runDemo(c, s)
-			}
-			for i, a := range s.Ports.Addresses() {
-				fmt.Fprintf(out, "controller stoker-%d  %s\n", i, a)
-			}
-			fmt.Fprintf(out, "state service        127.0.0.1:%d\ncloud                127.0.0.1:%d\n", s.Ports.State, s.Ports.Provider)
-			fmt.Fprintf(out, "submit with: silvergate submit --site %s --wait JOB.yaml; Ctrl-C ends the site\n", dir)
-			select {
-			case <-ctx.Done():
-				fmt.Fprintln(out, "ending")
-				return nil
-			case err := <-s.Fatal():
-				return err
-			}
-		},
+		RunE: func(c *cobra.Command, _ []string) error { return f.run(c) },
 	}
-	cmd.Flags().StringVar(&dir, "dir", "", "the site's folder")
-	cmd.Flags().StringVar(&settings, "settings", "", "a site's settings (YAML) instead of the folder's own")
-	cmd.Flags().BoolVar(&demo, "demo", false, "run a first job, print what its tasks wrote and end")
+	cmd.Flags().StringVar(&f.dir, "dir", "", "the site's folder")
+	cmd.Flags().StringVar(&f.settings, "settings", "", "a site's settings (YAML) instead of the folder's own")
+	cmd.Flags().BoolVar(&f.demo, "demo", false, "run a first job, print what its tasks wrote and end")
 	_ = cmd.MarkFlagRequired("dir")
 	return cmd
 }
 
+// open opens the site's folder.
+func (f *upFlags) open() (*site.Site, error) {
+	var raw []byte
+	if f.settings != "" {
+		var err error
+		if raw, err = os.ReadFile(f.settings); err != nil {
+			return nil, fmt.Errorf("settings: %w", err)
+		}
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	level := os.Getenv("LOG_LEVEL")
+	if level == "" && f.demo {
+		level = "error"
+	}
+	return site.Open(f.dir, raw, self, newLogger(level).With("part", "up"))
+}
+
+// run starts the site and serves until it is told to stop.
+func (f *upFlags) run(c *cobra.Command) error {
+	s, err := f.open()
+	if err != nil {
+		return err
+	}
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer cancel()
+	s.Start()
+	defer s.Stop()
+	begun := time.Now()
+	limit, stop := context.WithTimeout(ctx, demoLimit)
+	err = s.Ready(limit)
+	stop()
+	if err != nil {
+		return err
+	}
+	out := c.OutOrStdout()
+	fmt.Fprintf(out, "the site is up after %.1f s; logs are in %s\n", time.Since(begun).Seconds(), filepath.Join(s.Dir, "logs"))
+	if f.demo {
+		return runDemo(c, s)
+	}
+	f.showAddresses(out, s)
+	select {
+	case <-ctx.Done():
+		fmt.Fprintln(out, "ending")
+		return nil
+	case err := <-s.Fatal():
+		return err
+	}
+}
+
+func (f *upFlags) showAddresses(out io.Writer, s *site.Site) {
+	for i, a := range s.Ports.Addresses() {
+		fmt.Fprintf(out, "controller stoker-%d  %s\n", i, a)
+	}
+	fmt.Fprintf(out, "state service        127.0.0.1:%d\ncloud                127.0.0.1:%d\n", s.Ports.State, s.Ports.Provider)
+	fmt.Fprintf(out, "submit with: silvergate submit --site %s --wait JOB.yaml; Ctrl-C ends the site\n", f.dir)
+}
+
 // runDemo runs the first example and prints what its tasks wrote.
 func runDemo(c *cobra.Command, s *site.Site) error {
 	out := c.OutOrStdout()
--- /dev/null
+++ b/cmd/silvergate/why.go
@@ -0,0 +1,204 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"silvergate/internal/archive"
+	anode "silvergate/internal/archive/node"
+	"silvergate/internal/archive/reader"
+	"silvergate/internal/protocol"
+)
+
+func whyCommand() *cobra.Command {
+	k := &archiveClient{client: newClient()}
+	var address string
+	c := &cobra.Command{
+		Use: "why JOB", Short: "Tell a job's story: what it waits for, where its tasks ran, and how each attempt ended", Args: cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			job, task, err := jobTask(args[0])
+			if err != nil {
+				return err
+			}
+			r, _, err := k.open()
+			if err != nil {
+				return err
+			}
+			story, err := tell(c.Context(), k, r, job, task, address)
+			if err != nil {
+				return err
+			}
+			if k.format == "json" {
+				return json.NewEncoder(c.OutOrStdout()).Encode(story)
+			}
+			for _, e := range story {
+				at := "                   "
+				if !e.At.IsZero() {
+					at = e.At.Format("2006-01-02 15:04:05")
+				}
+				fmt.Fprintf(c.OutOrStdout(), "%s  %s\n", at, archive.Visible(e.Text))
+			}
+			return nil
+		},
+	}
+	k.flags(c)
+	c.Flags().StringVar(&address, "address", "", "a controller's address, for what the job waits for now; with --site the site's own")
+	return c
+}
+
+// Event is a line of a job's story.
+type Event struct {
+	At   time.Time `json:"at,omitzero"`
+	Text string    `json:"text"`
+}
+
+// tell puts a job's story together of what was archived and what controllers say.
+func tell(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
+	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: job, Files: true})
+	if err != nil {
+		return nil, err
+	}
+	if len(attempts) == 0 {
+		return nil, fmt.Errorf("%s: %w", job, reader.ErrNotFound)
+	}
+	story := []Event{{Text: jobHeading(job, &attempts[0])}}
+	if !answered.Whole {
+		story = append(story, Event{Text: strings.Join(answered.Silent, ", ") + " silent: something may be missing"})
+	}
+	var events []Event
+	for i := range attempts {
+		if a := &attempts[i]; task < 0 || a.Task == task {
+			events = append(events, attemptEvents(ctx, r, a)...)
+		}
+	}
+	slices.SortStableFunc(events, compareEvents)
+	story = append(story, events...)
+	return append(story, presentState(k, job, address)...), nil
+}
+
+// jobHeading says whose a job is.
+func jobHeading(job string, a *anode.Attempt) string {
+	whose := "team " + a.Team
+	if a.Customer != "" {
+		whose += ", customer " + a.Customer
+	}
+	return fmt.Sprintf("%s: class %s, urgency %s, of %s", job, a.Class, a.Urgency, whose)
+}
+
+// attemptEvents are the events of one attempt.
+func attemptEvents(ctx context.Context, r *reader.Client, a *anode.Attempt) []Event {
+	name := fmt.Sprintf("task %d, attempt %d on %s", a.Task, a.Try, a.Machine)
+	events := []Event{{time.UnixMilli(a.At), name + ": bound there"}}
+	if a.End == nil {
+		events = append(events, Event{Text: name + ": no end on record: it runs, or its machine is lost or cut off"})
+	} else {
+		if a.End.Began > 0 && a.End.At > a.End.Began {
+			name += fmt.Sprintf(" (%s)", time.Duration(a.End.At-a.End.Began)*time.Millisecond)
+		}
+		events = append(events, Event{time.UnixMilli(a.End.At), name + ": " + endText(a.End)})
+		if a.End.Cause != protocol.CauseDone {
+			if line := lastLine(ctx, r, a.Attempt); line != "" {
+				events = append(events, Event{time.UnixMilli(a.End.At), "    its last words: " + line})
+			}
+		}
+	}
+	if x := a.Expired; x != nil {
+		events = append(events, Event{time.UnixMilli(x.At), name + ": output expired: " + x.Reason})
+	}
+	return events
+}
+
+// endText says how an attempt ended and what of its output is kept.
+func endText(e *archive.End) string {
+	text := plainCause(e.Cause)
+	if e.Code != 0 {
+		text += fmt.Sprintf(", exit status %d", e.Code)
+	}
+	if n := e.Sizes[archive.Stdout] + e.Sizes[archive.Stderr]; n > 0 || e.Files > 0 {
+		text += fmt.Sprintf("; wrote %d bytes and %d files that are kept", n, e.Files)
+	}
+	return text
+}
+
+// compareEvents orders events by time, those without one last.
+func compareEvents(a, b Event) int {
+	if a.At.IsZero() != b.At.IsZero() {
+		if a.At.IsZero() {
+			return 1
+		}
+		return -1
+	}
+	return a.At.Compare(b.At)
+}
+
+// presentState asks the controllers, where they are known, how the job is now and what it waits for.
+func presentState(k *archiveClient, job, address string) (events []Event) {
+	if k.site == "" && address == "" {
+		return nil
+	}
+	users := newClient()
+	users.site, users.address, users.timeout = k.site, address, k.timeout
+	var s protocol.JobState
+	if err := users.get(protocol.PathJobs+"/"+job, &s); err == nil {
+		events = append(events, Event{Text: "now: " + describe(s)})
+	}
+	var p protocol.JobPage
+	path := fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobList, before(job))
+	if err := users.get(path, &p); err != nil || len(p.Jobs) == 0 {
+		return events
+	}
+	if first := &p.Jobs[0]; first.ID == job && first.WaitingFor != "" {
+		events = append(events, Event{Text: "waits for: " + first.WaitingFor})
+	}
+	return events
+}
+
+// before is a name just before a job's in the order of a list.
+func before(job string) string { return job[:len(job)-1] + string(job[len(job)-1]-1) + "~" }
+
+// plainCause says in words how an attempt ended.
+func plainCause(cause string) string {
+	switch cause {
+	case protocol.CauseDone:
+		return "completed"
+	case protocol.CauseError:
+		return "its program failed"
+	case protocol.CauseStopped:
+		return "stopped for other work, a drain or a cancel, with time to save"
+	case protocol.CauseGangMemberLost:
+		return "ended as another task of its gang was gone"
+	case protocol.CauseGangTimeout:
+		return "ended as the rest of its gang did not come"
+	}
+	return cause
+}
+
+// lastLine is the last that an attempt wrote, on stderr if there is anything.
+func lastLine(ctx context.Context, r *reader.Client, a archive.Attempt) (last string) {
+	for _, s := range []string{archive.Stderr, archive.Stdout} {
+		u := r.Open(a, s)
+		for {
+			l, err := u.Peek(ctx)
+			if err != nil || l == nil {
+				break
+			}
+			if strings.TrimSpace(l.Text) != "" {
+				last = l.Text
+			}
+			u.Next()
+		}
+		if last != "" {
+			if len(last) > 200 {
+				last = last[:200] + "…"
+			}
+			return last
+		}
+	}
+	return ""
+}
