--- /dev/null
+++ b/internal/agent/config.go
@@ -0,0 +1,131 @@
+package agent
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"path/filepath"
+
+	"silvergate/internal/archive/ship"
+	"silvergate/internal/protocol"
+)
+
+// Config is what an agent is told, in YAML.
+type Config struct {
+	Worker      string `yaml:"stoker"`
+	MachineType string `yaml:"rig"`
+	Zone        string `yaml:"depot"`
+	Spot        bool   `yaml:"casual"`
+	// Listen is the address for direct commands; with port 0 the system
+	// chooses one, which is kept for the machine's life.
+	Listen string `yaml:"listen"`
+	// Dir is the machine's folder. It must be absolute.
+	Dir         string       `yaml:"dir"`
+	Controllers []Controller `yaml:"controllers"`
+	Workers     Periods      `yaml:"workers"`
+	Room        Room         `yaml:"room"`
+	LocalGB     float64      `yaml:"localGb"` // room for images
+	Images      []Image      `yaml:"images"`
+	OutsideDir  string       `yaml:"outside"` // folder that all machines share
+	Nice        NiceLevels   `yaml:"nice"`
+	OpenFiles   uint64       `yaml:"open_files"` // limit of each task; 0: as inherited
+	Metrics     bool         `yaml:"metrics"`
+	Environment []string     `yaml:"environment"` // NAME=value, for every task
+	// Staging switches the store of data sets on; nil: off.
+	Staging *Staging `yaml:"staging,omitempty"`
+	// Archive has what tasks write kept; nil: off.
+	Archive *ship.Config `yaml:"archive,omitempty"`
+	// GiveUpS is how long after its last answered report the agent ends, in
+	// seconds; 0: never.
+	GiveUpS float64 `yaml:"give_up_s"`
+}
+
+// NiceLevels is the nice level of tasks by urgency.
+type NiceLevels struct {
+	Prod     int `yaml:"prod"`
+	Urgent   int `yaml:"urgent"`
+	Standard int `yaml:"standard"`
+	Idle     int `yaml:"idle"`
+}
+
+func (n NiceLevels) of(urgency string) int {
+	switch urgency {
+	case "prod":
+		return n.Prod
+	case "urgent":
+		return n.Urgent
+	case "standard":
+		return n.Standard
+	}
+	return n.Idle
+}
+
+// DefaultConfig returns what holds for fields that a file does not name.
+func DefaultConfig() Config {
+	return Config{Listen: "127.0.0.1:0", Workers: Periods{3, 18, 35, 4}, LocalGB: 10, Nice: NiceLevels{0, 0, 5, 15}, OpenFiles: 4096}
+}
+
+// Check names the first field that can't be.
+func (c *Config) Check() error {
+	switch {
+	case !protocol.ValidName(c.Worker):
+		return errors.New("stoker: missing or not a name")
+	case c.MachineType == "":
+		return errors.New("rig: missing")
+	case c.Zone == "":
+		return errors.New("depot: missing")
+	case !filepath.IsAbs(c.Dir):
+		return errors.New("dir: must be absolute")
+	case c.OutsideDir != "" && !filepath.IsAbs(c.OutsideDir):
+		return errors.New("outside: must be absolute")
+	case len(c.Controllers) == 0:
+		return errors.New("controllers: missing")
+	case !(c.LocalGB > 0):
+		return errors.New("localGb: must be above 0")
+	}
+	for i, n := range c.Controllers {
+		if n.Name == "" {
+			return fmt.Errorf("controllers[%d].node_name: missing", i)
+		}
+		if _, err := netip.ParseAddrPort(n.Address); err != nil {
+			return fmt.Errorf("controllers[%d].address: %q is not an IP address with a port", i, n.Address)
+		}
+	}
+	for _, f := range []struct {
+		name string
+		v    float64
+	}{{"workers.report_s", c.Workers.Heartbeat}, {"workers.lease_s", c.Workers.Lease}, {"workers.gang_wait_s", c.Workers.GangWait},
+		{"workers.gang_peer_s", c.Workers.GangPeer}, {"room.cpus", c.Room.CPUs}, {"room.ramGb", c.Room.RAM}} {
+		if !(f.v > 0) {
+			return fmt.Errorf("%s: must be above 0", f.name)
+		}
+	}
+	if c.Staging != nil {
+		if err := c.Staging.check(); err != nil {
+			return err
+		}
+	}
+	if c.Archive != nil {
+		if err := c.Archive.Check(); err != nil {
+			return fmt.Errorf("archive.%w", err)
+		}
+	}
+	return CheckImages(c.Images)
+}
+
+// Files of a machine's folder that others read.
+const (
+	// AddressFile holds the address for direct commands once it is known.
+	AddressFile = "address"
+	// PreemptionFile holds the time, in milliseconds of the day's clock, at which
+	// the cloud takes the machine back. The provider writes it.
+	PreemptionFile = "recall"
+	stateFile      = "worker.json"
+)
+
+// persistedState is what an agent must know after it was killed.
+type persistedState struct {
+	Epoch        uint64 `json:"shift"`
+	FencingToken uint64 `json:"baton"`
+	Port         int    `json:"port"`
+}
--- /dev/null
+++ b/internal/agent/task_program.go
@@ -0,0 +1,262 @@
+package agent
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/proc"
+	"silvergate/internal/protocol"
+	"silvergate/internal/transport"
+)
+
+// fetchDescription asks one controller after the other for a job's description. The
+// first asked is the one that the worker reports to.
+func (a *Agent) fetchDescription(id string, asked int) {
+	n := len(a.cfg.Controllers)
+	node := a.cfg.Controllers[(a.worker.controller+asked)%n]
+	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: patience,
+		Done: func(r *transport.Response, _ bool, err error) {
+			var d protocol.JobDescription
+			switch {
+			case err == nil && r.Status == http.StatusOK && protocol.Decode(r.Body, &d) == nil:
+				a.step(func() Effects { return a.worker.Described(a.clock(), id, &d, false) })
+			case err == nil && r.Status == http.StatusNotFound:
+				a.step(func() Effects { return a.worker.Described(a.clock(), id, nil, true) })
+			case asked+1 < n:
+				a.mu.Lock()
+				defer a.mu.Unlock()
+				if !a.stopped {
+					a.fetchDescription(id, asked+1)
+				}
+			default:
+				a.log.Info("a job's description can't be had now", "job", id)
+				time.AfterFunc(seconds(a.cfg.Workers.Heartbeat/4), func() {
+					a.step(func() Effects { return a.worker.Described(a.clock(), id, nil, false) })
+				})
+			}
+		}})
+}
+
+// startTask starts an attempt's program.
+func (a *Agent) startTask(session uint64, k TaskAttempt, d *protocol.JobDescription) {
+	if d == nil {
+		return
+	}
+	if d.Shape == job.Array && a.outsideStore.done(k.Job, k.Index) {
+		a.log.Info("done before", "task", k.TaskName(), "attempt", k.Attempt)
+		a.programEnded(k, Exit{})
+		return
+	}
+	p, err := a.taskProgram(k, d)
+	if err == nil {
+		a.keeper.begin(k, d)
+		err = a.runner.start(session, k, p, d.MemoryGB)
+	}
+	if errors.Is(err, errWrongEpoch) {
+		a.keeper.ended(k, "its session was over", -1)
+		return
+	}
+	if err != nil {
+		a.log.Error("a task can't be started", "task", k.TaskName(), "attempt", k.Attempt, "error", err)
+		_ = os.WriteFile(filepath.Join(a.runner.folder(k), stderr), []byte("silvergate: "+err.Error()+"\n"), 0o600)
+		a.programEnded(k, Exit{Code: -1})
+		return
+	}
+	a.log.Info("started", "task", k.TaskName(), "attempt", k.Attempt, "command", p.Argv[0])
+	// A command that came while the process was being made found nobody.
+	a.mu.Lock()
+	l := a.worker.tasks[k]
+	late := l == nil || l.phase != running
+	a.mu.Unlock()
+	if late {
+		a.runner.kill(k)
+	}
+}
+
+// taskProgram makes an attempt's folder and says what is to be run in it.
+func (a *Agent) taskProgram(k TaskAttempt, d *protocol.JobDescription) (p program, err error) {
+	folder, image, ok := a.images.folder(d.Image)
+	if !ok {
+		return p, errors.New("its image was evicted")
+	}
+	dir := a.runner.folder(k)
+	p.Dir = filepath.Join(dir, workDir)
+	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
+		return p, err
+	}
+	x := d.Extra
+	if x == nil {
+		x = &job.Extra{}
+	}
+	if err := a.inputs.place(p.Dir, d.Inputs, len(x.Inputs)); err != nil {
+		return p, err
+	}
+	command := x.Command
+	if len(command) == 0 {
+		command = image.Command
+	}
+	if len(command) == 0 {
+		return p, fmt.Errorf("neither the job nor its image %s has a command", d.Image)
+	}
+	p.Argv = append([]string(nil), command...)
+	if p.Argv[0], err = find(command[0], folder); err != nil {
+		return p, err
+	}
+	p.Nice, p.Files = a.cfg.Nice.of(d.Priority), a.cfg.OpenFiles
+	env := map[string]string{"PATH": os.Getenv("PATH"), "HOME": p.Dir, "LANG": "C.UTF-8"}
+	for _, v := range a.cfg.Environment {
+		name, value, _ := strings.Cut(v, "=")
+		env[name] = value
+	}
+	for name, value := range x.Env {
+		env[name] = value
+	}
+	own := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Attempt), "LOADS": strconv.Itoa(d.Tasks),
+		"IMAGE": folder, "MACHINE": a.cfg.Worker, "ZONE": a.cfg.Zone, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.MemoryGB)}
+	if d.CheckpointIntervalS > 0 && a.cfg.OutsideDir != "" {
+		if own["CHECKPOINTS"], err = a.outsideStore.prepare(k.Job, k.Index); err != nil {
+			return p, err
+		}
+		if n := a.outsideStore.resume(k.Job, k.Index, d.Tasks, d.Shape == job.Gang); n > 0 {
+			own["RESUME"] = strconv.Itoa(n)
+		}
+	}
+	for name, value := range own {
+		env[protocol.ReservedEnv+name] = value
+	}
+	env[proc.MarkEnv] = a.runner.mark(k)
+	for _, name := range slices.Sorted(maps.Keys(env)) {
+		p.Env = append(p.Env, name+"="+env[name])
+	}
+	return p, nil
+}
+
+// find looks a program up: in the image, then where the agent finds its own.
+func find(name, image string) (string, error) {
+	if filepath.IsAbs(name) {
+		return name, nil
+	}
+	if image != "" && filepath.IsLocal(name) {
+		for _, p := range []string{filepath.Join(image, name), filepath.Join(image, "bin", name)} {
+			if info, err := os.Stat(p); err == nil && !info.IsDir() {
+				return p, nil
+			}
+		}
+	}
+	if strings.Contains(name, "/") {
+		return "", fmt.Errorf("%s: not in the image", name)
+	}
+	return exec.LookPath(name)
+}
+
+// taskExited takes that an attempt's processes are gone.
+func (a *Agent) taskExited(k TaskAttempt, code int, memory bool) {
+	a.mu.Lock()
+	d, before := a.worker.Description(k.Job), a.lastCheckpoints[k]
+	a.mu.Unlock()
+	x := Exit{Code: code, Saved: a.outsideStore.dir != "" && a.outsideStore.last(k.Job, k.Index) > before}
+	if memory {
+		x.Code = -1
+	}
+	if d != nil && d.Shape == job.Array && x.Code == 0 && a.outsideStore.dir != "" {
+		// Durable before it is told: otherwise a lost report would have the
+		// task run again.
+		if l := a.running(k); l {
+			if err := a.outsideStore.complete(k.Job, k.Index); err != nil {
+				a.log.Error("a result can't be kept", "task", k.TaskName(), "error", err)
+			}
+		}
+	}
+	a.programEnded(k, x)
+}
+
+// running tells whether an attempt was left to complete.
+func (a *Agent) running(k TaskAttempt) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	l := a.worker.tasks[k]
+	return l != nil && l.phase == running
+}
+
+func (a *Agent) programEnded(k TaskAttempt, x Exit) {
+	cause := "the lease was over"
+	defer func() { a.keeper.ended(k, cause, x.Code) }()
+	a.step(func() Effects {
+		e := a.worker.Exited(a.clock(), k, x)
+		if l := a.worker.tasks[k]; l != nil && l.phase == ended {
+			a.stats.TaskEnds[l.cause]++
+			cause = l.cause
+			a.log.Info("ended", "task", k.TaskName(), "attempt", k.Attempt, "cause", l.cause, "code", x.Code, "saved", l.checkpointed)
+		}
+		return e
+	})
+}
+
+// askGangMembers asks the agents of a gang's other tasks how they are.
+func (a *Agent) askGangMembers(k TaskAttempt, d *protocol.JobDescription) {
+	if d == nil {
+		return
+	}
+	a.mu.Lock()
+	places := a.gangMembers[k]
+	node := a.cfg.Controllers[a.worker.controller]
+	states := a.worker.Gang(k.Job, k.Attempt)
+	a.mu.Unlock()
+	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Attempt)
+	limit := seconds(a.cfg.Workers.GangPeer / 2)
+	// Before it runs, a gang can still get a task on another machine.
+	if len(places) < d.Tasks || !a.running(k) {
+		if r, _, err := a.pool.Do(node.Address, http.MethodGet, path, nil, limit); err == nil && r.Status == http.StatusOK {
+			var p protocol.GangMembers
+			if protocol.Decode(r.Body, &p) == nil && len(p.Members) >= len(places) {
+				places = p.Members
+			}
+		}
+	}
+	addresses := map[string]bool{}
+	for _, p := range places {
+		if p.Machine != a.cfg.Worker && p.Address != "" {
+			addresses[p.Address] = true
+		}
+	}
+	var mu sync.Mutex
+	var wait sync.WaitGroup
+	for address := range addresses {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			r, _, err := a.pool.Do(address, http.MethodGet, fmt.Sprintf("%s%s/%d", pathGang, k.Job, k.Attempt), nil, limit)
+			if err != nil || r.Status != http.StatusOK {
+				return
+			}
+			var theirs map[int]string
+			if json.Unmarshal(r.Body, &theirs) == nil {
+				mu.Lock()
+				defer mu.Unlock()
+				for i, s := range theirs {
+					states[i] = s
+				}
+			}
+		}()
+	}
+	wait.Wait()
+	a.step(func() Effects {
+		a.gangMembers[k] = places
+		return a.worker.Peers(a.clock(), k, states)
+	})
+}
+
+// pathGang is where agents ask one another about a gang's attempt.
+const pathGang = "/gang/"
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -1,9 +1,6 @@
 package agent
 
 import (
-	"encoding/json"
-	"errors"
-	"fmt"
 	"maps"
 	"math/rand/v2"
 	"net/http"
@@ -15,35 +12,6 @@
 	"silvergate/internal/protocol"
 )
 
-// TaskAttempt names an attempt of a task on this machine.
-type TaskAttempt struct {
-	Job     string
-	Index   int
-	Attempt int
-}
-
-// TaskName is the wire name of the task.
-func (k TaskAttempt) TaskName() string { return job.TaskName(k.Job, k.Index) }
-
-// String is the key as job.index.try, which also names the attempt's folder.
-func (k TaskAttempt) String() string { return fmt.Sprintf("%s.%d.%d", k.Job, k.Index, k.Attempt) }
-
-// phase is where an attempt stands. The first ones are reported as they are
-// named in the protocol.
-type phase int
-
-const (
-	describing phase = iota // its job's description is being asked for
-	fetching                // its image is
-	waiting                 // for the other tasks of its gang
-	running
-	finished      // gang: its program completed, those of others did not yet
-	checkpointing // told to stop, and may save
-	checkpointed  // gang: it has saved, others have not yet
-	ending        // told to end; its processes are not gone yet
-	ended
-)
-
 // wire is how each phase is reported. One that is ending still takes its room.
 var wire = [...]string{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
 	running: protocol.TaskRunning, finished: protocol.TaskRunning, checkpointing: protocol.TaskCheckpointing, checkpointed: protocol.TaskCheckpointing,
@@ -56,29 +24,6 @@
 // gangDone is shown for a task of a gang that is complete.
 const gangDone = "done"
 
-type taskState struct {
-	id               TaskAttempt
-	description      *protocol.JobDescription // nil while describing
-	phase            phase
-	cause            string
-	checkpointed     bool
-	phaseSince       time.Duration // of the phase
-	stopRequestedAt  time.Duration // first told to stop
-	killAt           time.Duration // saving: when it is ended all the same
-	finalCause       string        // ending: the cause to report when it is gone
-	gangCompleteAt   time.Duration // gang: when all of it was last seen as it should be
-	nextGangCheckAt  time.Duration // gang: when the others are asked next
-	nextCheckpointAt time.Duration // when it is to save by itself
-	needsInputs      bool          // inputs that are not here yet
-	grant            string        // that came with the launch; for the archive
-	peers            map[int]string
-}
-
-// process tells whether the attempt has a program that runs.
-func (l *taskState) process() bool {
-	return l.phase == running || l.phase == checkpointing || l.phase == ending
-}
-
 // Controller is a controller.
 type Controller struct {
 	Name    string `yaml:"node_name"`
@@ -303,59 +248,6 @@
 	}
 }
 
-// gang tells whether the attempt has others that it depends on.
-func (w *Worker) gang(l *taskState) bool {
-	return l.description != nil && l.description.Shape == job.Gang && l.description.Tasks > 1
-}
-
-// all tells whether every other task of the gang is in one of the states.
-func (l *taskState) all(states ...string) bool {
-	for i := range l.description.Tasks {
-		if i != l.id.Index && !slices.Contains(states, l.peers[i]) {
-			return false
-		}
-	}
-	return true
-}
-
-// judge decides what a gang's task does next, from what is known of the others.
-func (w *Worker) judge(l *taskState) {
-	peer := seconds(w.periods.GangPeer)
-	switch l.phase {
-	case waiting:
-		switch {
-		case l.all("waiting", "running", "finished", gangDone):
-			w.start(l)
-		case w.now-l.phaseSince >= seconds(w.periods.GangWait):
-			w.endWithoutProcess(l, protocol.CauseGangTimeout)
-		}
-	case running:
-		if l.all("waiting", "running", "finished", "saving", "saved", gangDone) {
-			l.gangCompleteAt = w.now
-		} else if w.now-l.gangCompleteAt > peer {
-			w.end(l, protocol.CauseGangMemberLost)
-		}
-	case finished:
-		switch {
-		case l.all("finished", gangDone):
-			w.endWithoutProcess(l, protocol.CauseDone)
-		case l.all("running", "finished", gangDone):
-			l.gangCompleteAt = w.now
-		case w.now-l.gangCompleteAt > peer:
-			w.endWithoutProcess(l, protocol.CauseGangMemberLost)
-		}
-	case checkpointed:
-		switch {
-		case l.all("saved", "ended"):
-			l.checkpointed = true
-			w.endWithoutProcess(l, protocol.CauseStopped)
-		case l.all("saving", "saved", "ended") && w.now < l.killAt:
-		case w.now-l.stopRequestedAt > peer:
-			w.endWithoutProcess(l, protocol.CauseGangMemberLost)
-		}
-	}
-}
-
 func (w *Worker) set(l *taskState, p phase) {
 	l.phase, l.phaseSince = p, w.now
 	w.changed = true
@@ -480,113 +372,6 @@
 	}
 }
 
-// ErrEndingEpoch is returned while the tasks of a session that is over are being
-// ended: any report would say too much or too little.
-var ErrEndingEpoch = errors.New("the session has ended; its tasks are being stopped")
-
-// Status answers GET /status.
-func (w *Worker) Status(now time.Duration) ([]byte, Effects, error) {
-	w.advance(now)
-	if w.endingEpoch {
-		return nil, w.takeEffects(), ErrEndingEpoch
-	}
-	return protocol.Encode(w.current()), w.takeEffects(), nil
-}
-
-// Direct answers POST /orders.
-func (w *Worker) Direct(now time.Duration, body []byte) (status int, answer []byte, e Effects) {
-	w.advance(now)
-	var d struct {
-		Baton  *uint64            `json:"baton"`
-		Shift  *uint64            `json:"shift"`
-		Orders []protocol.Command `json:"orders"`
-	}
-	refuse := func(status int, why string) (int, []byte, Effects) {
-		return status, protocol.Encode(protocol.ErrorResponse{Error: why}), w.takeEffects()
-	}
-	if err := json.Unmarshal(body, &d); err != nil {
-		return refuse(http.StatusBadRequest, "the body is malformed: "+err.Error())
-	}
-	switch {
-	case d.Baton == nil:
-		return refuse(http.StatusBadRequest, "baton: missing")
-	case d.Shift == nil:
-		return refuse(http.StatusBadRequest, "shift: missing")
-	case w.endingEpoch:
-		return refuse(http.StatusServiceUnavailable, ErrEndingEpoch.Error())
-	case *d.Baton < w.fencingToken || *d.Shift != w.epoch:
-		return http.StatusConflict, protocol.Encode(w.current()), w.takeEffects()
-	}
-	w.seeToken(*d.Baton)
-	w.carryOut(d.Orders)
-	return http.StatusOK, protocol.Encode(w.current()), w.takeEffects()
-}
-
-// carryOut executes orders one after the other.
-func (w *Worker) carryOut(orders []protocol.Command) {
-	for _, o := range orders {
-		id, index, err := job.ParseTaskName(o.Task)
-		if err != nil || !protocol.ValidJobID(id) {
-			continue
-		}
-		k := TaskAttempt{id, index, o.Attempt}
-		l := w.tasks[k]
-		switch {
-		case o.Verb == protocol.VerbLaunch && l == nil:
-			w.launch(k, o.Grant)
-		case o.Verb == protocol.VerbKill && l != nil:
-			grace := 0.0
-			if o.GracePeriodS != nil {
-				grace = *o.GracePeriodS
-			}
-			w.kill(l, grace)
-		case o.Verb == protocol.VerbForget && l != nil && l.phase == ended:
-			delete(w.tasks, k)
-			w.drop(id)
-			w.effects.Forget = append(w.effects.Forget, k)
-			w.changed = true
-		}
-	}
-}
-
-// drop forgets a job's description with its last attempt.
-func (w *Worker) drop(id string) {
-	for k := range w.tasks {
-		if k.Job == id {
-			return
-		}
-	}
-	delete(w.descriptions, id)
-}
-
-func (w *Worker) launch(k TaskAttempt, seal string) {
-	if (len(w.tasks)+1)*taskLineBytes > maxHeartbeatBytes {
-		// Guards against a report that no request could carry: refusals are
-		// listed too. What is not listed is launched again with a later
-		// answer, when others were forgotten.
-		return
-	}
-	l := &taskState{id: k, phaseSince: w.now, grant: seal}
-	refuse := ""
-	for _, o := range w.tasks {
-		if o.id.Job == k.Job && o.id.Index == k.Index && o.phase != ended {
-			refuse = protocol.CauseBusy
-		}
-	}
-	w.tasks[k] = l
-	w.changed = true
-	if refuse != "" {
-		w.endWithoutProcess(l, refuse)
-		return
-	}
-	if d := w.descriptions[k.Job]; d != nil {
-		w.describe(l, d)
-	} else if !w.describing[k.Job] {
-		w.describing[k.Job] = true
-		w.effects.Describe = append(w.effects.Describe, k.Job)
-	}
-}
-
 // describe goes on with an attempt whose job is known now.
 func (w *Worker) describe(l *taskState, d *protocol.JobDescription) {
 	if l.id.Index >= d.Tasks {
@@ -621,43 +406,6 @@
 	}
 }
 
-// Brought takes that an attempt's inputs are all here, whole, or can't be had;
-// full says that there is no room for them.
-func (w *Worker) Brought(now time.Duration, k TaskAttempt, err error, full bool) Effects {
-	w.advance(now)
-	l := w.tasks[k]
-	if w.endingEpoch || l == nil || l.phase != fetching || !l.needsInputs {
-		return w.takeEffects()
-	}
-	l.needsInputs = false
-	switch {
-	case full:
-		w.endWithoutProcess(l, protocol.CauseNoRoom)
-	case err != nil:
-		w.endWithoutProcess(l, protocol.CauseError)
-	case w.imagesHere[l.description.Image]:
-		w.ready(l)
-	}
-	return w.takeEffects()
-}
-
-// Stored takes what the reports are to say of the store; told has it said soon.
-func (w *Worker) Stored(r *protocol.StoreReport, told bool) {
-	w.store = r
-	w.changed = w.changed || told
-}
-
-// Grant is what came with an attempt's launch for the archive.
-func (w *Worker) Grant(k TaskAttempt) string {
-	if l := w.tasks[k]; l != nil {
-		return l.grant
-	}
-	return ""
-}
-
-// SetUnshipped takes how many attempts that are over have output which is not shipped.
-func (w *Worker) SetUnshipped(n int) { w.unshipped = n }
-
 // Live tells whether an attempt is here and not over.
 func (w *Worker) Live(k TaskAttempt) bool {
 	l := w.tasks[k]
@@ -678,61 +426,6 @@
 	}
 }
 
-// Described takes a job's description; a nil one with unknown set when no
-// controller knows the job. A nil one without it is asked for again.
-func (w *Worker) Described(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
-	w.advance(now)
-	delete(w.describing, id)
-	if w.endingEpoch {
-		return w.takeEffects()
-	}
-	if d != nil {
-		w.descriptions[id] = d
-	}
-	for _, l := range w.sorted() {
-		switch {
-		case l.id.Job != id || l.phase != describing:
-		case d != nil:
-			w.describe(l, d)
-		case unknown:
-			w.endWithoutProcess(l, protocol.CauseUnknown)
-		case !w.describing[id]:
-			w.describing[id] = true
-			w.effects.Describe = append(w.effects.Describe, id)
-		}
-	}
-	w.drop(id)
-	return w.takeEffects()
-}
-
-// Fetched takes that an image is here, or can't be had.
-func (w *Worker) Fetched(now time.Duration, kit string, err error) Effects {
-	w.advance(now)
-	delete(w.imagesFetching, kit)
-	if w.endingEpoch {
-		if err == nil {
-			w.imagesHere[kit] = true
-		}
-		return w.takeEffects()
-	}
-	if err == nil {
-		w.imagesHere[kit] = true
-	}
-	for _, l := range w.sorted() {
-		switch {
-		case l.phase != fetching || l.description.Image != kit:
-		case err != nil:
-			w.endWithoutProcess(l, protocol.CauseError)
-		default:
-			w.ready(l)
-		}
-	}
-	return w.takeEffects()
-}
-
-// Evicted takes that an image is not here any more.
-func (w *Worker) Evicted(kit string) { delete(w.imagesHere, kit) }
-
 // Wanted tells whether a task that is not over needs an image.
 func (w *Worker) Wanted(kit string) bool {
 	for _, l := range w.tasks {
@@ -743,131 +436,6 @@
 	return false
 }
 
-func (w *Worker) kill(l *taskState, grace float64) {
-	switch l.phase {
-	case describing, fetching, waiting:
-		w.endWithoutProcess(l, protocol.CauseStopped)
-	case finished:
-		// Guards against a gang of which some tasks are done and one was
-		// stopped: its program has completed, and the others may have seen so.
-		// What becomes of it shows within gang_peer_s.
-	case checkpointed:
-		if grace == 0 {
-			w.endWithoutProcess(l, protocol.CauseStopped)
-		}
-	case checkpointing:
-		if grace == 0 {
-			w.end(l, protocol.CauseStopped)
-		}
-	case running:
-		l.stopRequestedAt = w.now
-		if l.description.CheckpointIntervalS > 0 && grace >= l.description.CheckpointSaveS && grace > 0 {
-			l.killAt = w.now + seconds(grace)
-			w.set(l, checkpointing)
-			w.effects.Stop = append(w.effects.Stop, l.id)
-			return
-		}
-		w.end(l, protocol.CauseStopped)
-	}
-}
-
-// Exit is how an attempt's program ended.
-type Exit struct {
-	Code  int  // 0: success
-	Saved bool // a checkpoint was completed after it was told to stop
-}
-
-// Exited takes that all processes of an attempt are gone.
-func (w *Worker) Exited(now time.Duration, k TaskAttempt, x Exit) Effects {
-	w.advance(now)
-	l := w.tasks[k]
-	if w.endingEpoch || l == nil || !l.process() {
-		return w.takeEffects()
-	}
-	switch {
-	case l.phase == ending:
-		w.endWithoutProcess(l, l.finalCause)
-	case l.phase == checkpointing && x.Saved && w.gang(l):
-		w.set(l, checkpointed)
-		l.nextGangCheckAt = w.now
-	case l.phase == checkpointing:
-		l.checkpointed = x.Saved
-		w.endWithoutProcess(l, protocol.CauseStopped)
-	case l.description.Shape == job.Service || x.Code != 0:
-		w.endWithoutProcess(l, protocol.CauseError) // replicas have no end of their own
-	case w.gang(l):
-		w.set(l, finished)
-		l.gangCompleteAt, l.nextGangCheckAt = w.now, w.now
-	default:
-		w.endWithoutProcess(l, protocol.CauseDone)
-	}
-	return w.takeEffects()
-}
-
-// Peers takes what the agents of a gang's other tasks say.
-func (w *Worker) Peers(now time.Duration, k TaskAttempt, states map[int]string) Effects {
-	w.now = max(w.now, now)
-	if l := w.tasks[k]; l != nil && l.phase != ended && !w.endingEpoch {
-		l.peers = states
-	}
-	w.advance(now)
-	return w.takeEffects()
-}
-
-// Gang lists the attempts of a gang on this machine, for the others' agents.
-func (w *Worker) Gang(id string, try int) map[int]string {
-	out := map[int]string{}
-	for k := range w.doneAt {
-		if k.Job == id && k.Attempt == try {
-			out[k.Index] = gangDone
-		}
-	}
-	for k, l := range w.tasks {
-		if k.Job != id || k.Attempt != try || w.endingEpoch {
-			continue
-		}
-		switch {
-		case l.phase != ended:
-			out[k.Index] = gangNames[l.phase]
-		case l.cause == protocol.CauseDone:
-			out[k.Index] = gangDone
-		case l.checkpointed:
-			out[k.Index] = "ended"
-		}
-	}
-	return out
-}
-
-// Preempt takes the cloud's notice: the machine is taken at that time.
-func (w *Worker) Preempt(now, at time.Duration) Effects {
-	w.now = max(w.now, now)
-	if !w.preempted {
-		w.changed = true
-	}
-	w.preemptionAt, w.preempted = at, true
-	w.advance(now)
-	return w.takeEffects()
-}
-
-// EpochEnded takes that nothing of the last session runs any more. The caller has
-// made the new session's number durable.
-func (w *Worker) EpochEnded(now time.Duration) Effects {
-	w.now = max(w.now, now)
-	if w.endingEpoch {
-		w.endingEpoch = false
-		for _, l := range w.sorted() {
-			w.effects.Forget = append(w.effects.Forget, l.id)
-		}
-		w.tasks, w.descriptions = map[TaskAttempt]*taskState{}, map[string]*protocol.JobDescription{}
-		w.describing, w.doneAt = map[string]bool{}, map[TaskAttempt]time.Duration{}
-		w.epoch++
-		w.epochBegan = w.now
-		w.changed = true
-	}
-	w.advance(now)
-	return w.takeEffects()
-}
-
 // Epoch is the number of the present session.
 func (w *Worker) Epoch() uint64 { return w.epoch }
 
@@ -889,12 +457,6 @@
 	return out
 }
 
-// Restarted begins the next session as a restarted agent does: all that ran is gone.
-func (w *Worker) Restarted(now time.Duration) Effects {
-	w.endingEpoch = true
-	return w.EpochEnded(now)
-}
-
 // Count tells how many attempts are here and how many of them are not over.
 func (w *Worker) Count() (all, live int) {
 	for _, l := range w.tasks {
--- /dev/null
+++ b/internal/agent/worker_events.go
@@ -0,0 +1,169 @@
+package agent
+
+import (
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+// Brought takes that an attempt's inputs are all here, whole, or can't be had;
+// full says that there is no room for them.
+func (w *Worker) Brought(now time.Duration, k TaskAttempt, err error, full bool) Effects {
+	w.advance(now)
+	l := w.tasks[k]
+	if w.endingEpoch || l == nil || l.phase != fetching || !l.needsInputs {
+		return w.takeEffects()
+	}
+	l.needsInputs = false
+	switch {
+	case full:
+		w.endWithoutProcess(l, protocol.CauseNoRoom)
+	case err != nil:
+		w.endWithoutProcess(l, protocol.CauseError)
+	case w.imagesHere[l.description.Image]:
+		w.ready(l)
+	}
+	return w.takeEffects()
+}
+
+// Stored takes what the reports are to say of the store; told has it said soon.
+func (w *Worker) Stored(r *protocol.StoreReport, told bool) {
+	w.store = r
+	w.changed = w.changed || told
+}
+
+// Grant is what came with an attempt's launch for the archive.
+func (w *Worker) Grant(k TaskAttempt) string {
+	if l := w.tasks[k]; l != nil {
+		return l.grant
+	}
+	return ""
+}
+
+// SetUnshipped takes how many attempts that are over have output which is not shipped.
+func (w *Worker) SetUnshipped(n int) { w.unshipped = n }
+
+// Described takes a job's description; a nil one with unknown set when no
+// controller knows the job. A nil one without it is asked for again.
+func (w *Worker) Described(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
+	w.advance(now)
+	delete(w.describing, id)
+	if w.endingEpoch {
+		return w.takeEffects()
+	}
+	if d != nil {
+		w.descriptions[id] = d
+	}
+	for _, l := range w.sorted() {
+		switch {
+		case l.id.Job != id || l.phase != describing:
+		case d != nil:
+			w.describe(l, d)
+		case unknown:
+			w.endWithoutProcess(l, protocol.CauseUnknown)
+		case !w.describing[id]:
+			w.describing[id] = true
+			w.effects.Describe = append(w.effects.Describe, id)
+		}
+	}
+	w.drop(id)
+	return w.takeEffects()
+}
+
+// Fetched takes that an image is here, or can't be had.
+func (w *Worker) Fetched(now time.Duration, kit string, err error) Effects {
+	w.advance(now)
+	delete(w.imagesFetching, kit)
+	if w.endingEpoch {
+		if err == nil {
+			w.imagesHere[kit] = true
+		}
+		return w.takeEffects()
+	}
+	if err == nil {
+		w.imagesHere[kit] = true
+	}
+	for _, l := range w.sorted() {
+		switch {
+		case l.phase != fetching || l.description.Image != kit:
+		case err != nil:
+			w.endWithoutProcess(l, protocol.CauseError)
+		default:
+			w.ready(l)
+		}
+	}
+	return w.takeEffects()
+}
+
+// Evicted takes that an image is not here any more.
+func (w *Worker) Evicted(kit string) { delete(w.imagesHere, kit) }
+
+// Exit is how an attempt's program ended.
+type Exit struct {
+	Code  int  // 0: success
+	Saved bool // a checkpoint was completed after it was told to stop
+}
+
+// Exited takes that all processes of an attempt are gone.
+func (w *Worker) Exited(now time.Duration, k TaskAttempt, x Exit) Effects {
+	w.advance(now)
+	l := w.tasks[k]
+	if w.endingEpoch || l == nil || !l.process() {
+		return w.takeEffects()
+	}
+	switch {
+	case l.phase == ending:
+		w.endWithoutProcess(l, l.finalCause)
+	case l.phase == checkpointing && x.Saved && w.gang(l):
+		w.set(l, checkpointed)
+		l.nextGangCheckAt = w.now
+	case l.phase == checkpointing:
+		l.checkpointed = x.Saved
+		w.endWithoutProcess(l, protocol.CauseStopped)
+	case l.description.Shape == job.Service || x.Code != 0:
+		w.endWithoutProcess(l, protocol.CauseError) // replicas have no end of their own
+	case w.gang(l):
+		w.set(l, finished)
+		l.gangCompleteAt, l.nextGangCheckAt = w.now, w.now
+	default:
+		w.endWithoutProcess(l, protocol.CauseDone)
+	}
+	return w.takeEffects()
+}
+
+// Preempt takes the cloud's notice: the machine is taken at that time.
+func (w *Worker) Preempt(now, at time.Duration) Effects {
+	w.now = max(w.now, now)
+	if !w.preempted {
+		w.changed = true
+	}
+	w.preemptionAt, w.preempted = at, true
+	w.advance(now)
+	return w.takeEffects()
+}
+
+// EpochEnded takes that nothing of the last session runs any more. The caller has
+// made the new session's number durable.
+func (w *Worker) EpochEnded(now time.Duration) Effects {
+	w.now = max(w.now, now)
+	if w.endingEpoch {
+		w.endingEpoch = false
+		for _, l := range w.sorted() {
+			w.effects.Forget = append(w.effects.Forget, l.id)
+		}
+		w.tasks, w.descriptions = map[TaskAttempt]*taskState{}, map[string]*protocol.JobDescription{}
+		w.describing, w.doneAt = map[string]bool{}, map[TaskAttempt]time.Duration{}
+		w.epoch++
+		w.epochBegan = w.now
+		w.changed = true
+	}
+	w.advance(now)
+	return w.takeEffects()
+}
+
+// Restarted begins the next session as a restarted agent does: all that ran is gone.
+func (w *Worker) Restarted(now time.Duration) Effects {
+	w.endingEpoch = true
+	return w.EpochEnded(now)
+}
--- /dev/null
+++ b/internal/archive/node/attempts.go
@@ -0,0 +1,226 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"silvergate/internal/archive"
+	"silvergate/internal/identity"
+)
+
+// Attempt is what a reader is told of an attempt.
+type Attempt struct {
+	archive.Attempt
+	archive.Owner
+	Class   string                     `json:"class"`
+	Urgency string                     `json:"urgency"`
+	At      int64                      `json:"atMs"` // when it was granted
+	End     *archive.End               `json:"end,omitempty"`
+	Expired *archive.Expired           `json:"expired,omitempty"`
+	Cover   map[string][]archive.Range `json:"cover,omitempty"`
+	Files   []archive.File             `json:"files,omitempty"`
+}
+
+// Attempts is a page of them.
+type Attempts struct {
+	Answered
+	Attempts []Attempt `json:"attempts"`
+	Next     string    `json:"next,omitempty"`
+}
+
+// state is what all nodes together know of an attempt.
+type state struct {
+	grant *archive.Grant
+	end   *archive.End
+	gone  archive.Expired
+	gaps  map[string][]archive.Gap
+	cover map[string][]archive.Range
+	files map[string]archive.File // by key
+}
+
+// enter takes a record in.
+func (s *state) enter(n *Node, key string, payload []byte) {
+	r := archive.Record{Payload: payload}
+	var err error
+	if r.Key, err = archive.ParseKey(key); err != nil || r.Check() != nil {
+		return
+	}
+	switch r.Key.Kind {
+	case archive.KindGrant:
+		if g, err := n.key.Open(payload); err == nil {
+			s.grant = &g
+		}
+	case archive.KindEnd:
+		var e archive.End
+		// Of two, as after an agent that was killed, the later is the one that counts.
+		if json.Unmarshal(payload, &e) == nil && (s.end == nil || e.At > s.end.At) {
+			s.end = &e
+		}
+	case archive.KindExpired:
+		var e archive.Expired
+		if json.Unmarshal(payload, &e) == nil {
+			s.gone = archive.MergeExpired(s.gone, e)
+		}
+	case archive.KindGap:
+		var g archive.Gap
+		if stream, _, _, err := r.Key.Place(); err == nil && json.Unmarshal(payload, &g) == nil && !slices.Contains(s.gaps[stream], g) {
+			s.gaps[stream] = append(s.gaps[stream], g)
+		}
+	case archive.KindFile:
+		var f archive.File
+		if json.Unmarshal(payload, &f) == nil {
+			s.files[key] = f
+		}
+	}
+}
+
+func newState() *state {
+	return &state{gaps: map[string][]archive.Gap{}, cover: map[string][]archive.Range{}, files: map[string]archive.File{}}
+}
+
+func (s *state) view(a archive.Attempt) Attempt {
+	v := Attempt{Attempt: a, Owner: s.grant.Owner, Class: s.grant.Class, Urgency: s.grant.Urgency, At: s.grant.At, End: s.end, Cover: s.cover}
+	if s.gone.Reason != "" {
+		v.Expired = &s.gone
+	}
+	for _, f := range s.files {
+		v.Files = append(v.Files, f)
+	}
+	slices.SortFunc(v.Files, func(a, b archive.File) int { return strings.Compare(a.Path, b.Path) })
+	return v
+}
+
+// page reads a page of attempts from all nodes, before anything is judged.
+func (n *Node) page(ctx context.Context, job, label, from string, files bool) (states map[string]*state, last string, a Answered) {
+	q := url.Values{"job": {job}, "label": {label}, "from": {from}, "files": {strconv.FormatBool(files)}}
+	states = map[string]*state{}
+	a = gather(ctx, n, PathRows+"?"+q.Encode(), func() (Rows, error) { return n.rows(job, label, from, files) }, func(_ string, page Rows) {
+		if page.Last != "" && (last == "" || page.Last < last) {
+			last = page.Last
+		}
+		for i := range page.Rows {
+			row := &page.Rows[i]
+			s := states[row.Attempt]
+			if s == nil {
+				s = newState()
+				states[row.Attempt] = s
+			}
+			for _, r := range append(row.Records, row.Files...) {
+				s.enter(n, r.Key, r.Payload)
+			}
+			for stream, ranges := range row.Cover {
+				for _, r := range ranges {
+					s.cover[stream] = archive.Join(s.cover[stream], r)
+				}
+			}
+		}
+	})
+	for name := range states { // beyond the shortest page others may have more
+		if last != "" && name > last {
+			delete(states, name)
+		}
+	}
+	return states, last, a
+}
+
+// attempts lists what a reader may see. Everything is gathered first and judged
+// after, so that what is denied takes as long as what is not there.
+func (n *Node) attempts(w http.ResponseWriter, r *http.Request, who identity.Identity) {
+	q := r.URL.Query()
+	job, from := q.Get("job"), q.Get("from")
+	label, ok := narrow(who, q)
+	if from != "" {
+		if _, err := archive.ParseAttempt(from); err != nil {
+			ok = false
+		}
+	}
+	if !ok {
+		refuse(w, http.StatusBadRequest, "job, team, customer, class, machine, day or from is not what it should be")
+		return
+	}
+	states, last, a := n.page(r.Context(), job, label, from, q.Get("files") == "true")
+	out := Attempts{Answered: a, Attempts: []Attempt{}, Next: last}
+	for name, s := range states {
+		if s.grant == nil {
+			continue
+		}
+		if !archive.Access(who, archive.Read, s.grant.Owner, "") {
+			continue
+		}
+		at, err := archive.ParseAttempt(name)
+		if err != nil || !fits(s.grant, q) {
+			continue
+		}
+		out.Attempts = append(out.Attempts, s.view(at))
+	}
+	slices.SortFunc(out.Attempts, func(a, b Attempt) int { return strings.Compare(a.Attempt.String(), b.Attempt.String()) })
+	n.count(func(s *Stats) { s.Reads++ })
+	what := job
+	if what == "" {
+		what = strings.ReplaceAll(label, "\x00", "/")
+	}
+	n.log.Info("access", "who", who.String(), "verb", string(archive.Read), "what", what, "found", len(out.Attempts))
+	answer(w, out)
+}
+
+// narrow chooses the label under which to look. A customer's and a team's own
+// narrows the most; nothing of others is looked at for them.
+func narrow(who identity.Identity, q url.Values) (label string, ok bool) {
+	for _, f := range []string{"job", "team", "customer", "class", "machine", "day"} {
+		if v := q.Get(f); len(v) > 200 || strings.ContainsAny(v, "\x00/") {
+			return "", false
+		}
+	}
+	switch {
+	case who.Kind == identity.Customer:
+		return own(who), true
+	case q.Get("customer") != "" && (q.Get("team") != "" || who.Kind == identity.Team):
+		team := q.Get("team")
+		if who.Kind == identity.Team {
+			team = who.Name
+		}
+		return labelCustomer(team, q.Get("customer")), true
+	case who.Kind == identity.Team:
+		return labelTeam(who.Name), true
+	case who.Kind != identity.Operator && who.Kind != identity.Node:
+		return own(who), true
+	case q.Get("machine") != "":
+		return "machine\x00" + q.Get("machine"), true
+	case q.Get("day") != "":
+		return "day\x00" + q.Get("day"), true
+	case q.Get("class") != "":
+		return "class\x00" + q.Get("class"), true
+	case q.Get("team") != "":
+		return labelTeam(q.Get("team")), true
+	}
+	return "all", true
+}
+
+// own is the label of all that somebody may read.
+func own(who identity.Identity) string {
+	switch who.Kind {
+	case identity.Customer:
+		return labelCustomer(who.Name, who.Customer)
+	case identity.Team:
+		return labelTeam(who.Name)
+	case identity.Operator, identity.Node:
+		return "all"
+	}
+	return "nothing"
+}
+
+// fits tells whether an attempt is what was asked for.
+func fits(g *archive.Grant, q url.Values) bool {
+	for f, v := range map[string]string{"team": g.Team, "customer": g.Customer, "class": g.Class, "machine": g.Machine, "day": time.UnixMilli(g.At).UTC().Format("2006-01-02")} {
+		if want := q.Get(f); want != "" && want != v {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/archive/ship/files.go
@@ -0,0 +1,175 @@
+package ship
+
+import (
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"github.com/zeebo/blake3"
+
+	"silvergate/internal/archive"
+)
+
+// keepAll has records kept that belong together, or fails.
+func (s *Shipper) keepAll(recs []archive.Record) error {
+	if err := s.pace(sizeOf(recs)); err != nil {
+		return err
+	}
+	kept, refused := s.w.Put(s.ctx, recs)
+	if slices.Contains(refused, true) {
+		return errRefused
+	}
+	if slices.Contains(kept, false) {
+		return errors.New("too few nodes keep it now")
+	}
+	return nil
+}
+
+// finish ships an ended attempt's files and then its end: with the end on record,
+// all before it is kept.
+func (s *Shipper) finish(f *follow) {
+	s.mu.Lock()
+	done := slices.Clone(f.acc.Files)
+	s.mu.Unlock()
+	files, err := s.keepFiles(f, done)
+	if err == nil {
+		s.mu.Lock()
+		end := *f.acc.End
+		end.Sizes = map[string]int64{}
+		for name, fl := range f.streams {
+			end.Sizes[name] = fl.Shipped
+		}
+		end.Files = len(files)
+		s.mu.Unlock()
+		err = s.keepAll([]archive.Record{f.proof, archive.NewRecord(f.a, archive.KindEnd, "", archive.Encode(end))})
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f.busy = false
+	switch {
+	case err == nil:
+		f.acc.Whole, f.dirty = true, true
+	case errors.Is(err, errRefused):
+		s.log.Error("nodes refuse an attempt's end; it is given up", "attempt", f.a.String(), "err", err)
+		f.acc.Gone, f.dirty = "refused by the archive", true
+	default:
+		s.log.Debug("an attempt's end is not kept yet", "attempt", f.a.String(), "err", err)
+		return
+	}
+	s.save(f)
+	delete(s.all, f.a)
+}
+
+// keepFiles ships the files that match the job's patterns. What the program left
+// is data: links are not followed, and only regular files are read.
+func (s *Shipper) keepFiles(f *follow, done []archive.File) ([]archive.File, error) {
+	if len(f.grant.Keep) == 0 {
+		return nil, nil
+	}
+	root, err := os.OpenRoot(filepath.Join(f.dir, WorkDir))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	defer root.Close()
+	var names []string
+	err = fs.WalkDir(root.FS(), ".", func(p string, d fs.DirEntry, err error) error {
+		if err != nil || !d.Type().IsRegular() || !archive.SafePath(p) {
+			return nil // what can't be read or named is not kept
+		}
+		if matches(f.grant.Keep, p) {
+			names = append(names, p)
+		}
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	slices.Sort(names)
+	if len(names) > s.cfg.FilesMax {
+		s.log.Warn("more files than are kept", "attempt", f.a.String(), "files", len(names), "kept", s.cfg.FilesMax)
+		names = names[:s.cfg.FilesMax]
+	}
+	for _, name := range names {
+		if slices.ContainsFunc(done, func(x archive.File) bool { return x.Path == name }) {
+			continue
+		}
+		file, err := s.keepFile(f, root, name)
+		if err != nil {
+			return done, err
+		}
+		if file == nil {
+			continue
+		}
+		done = append(done, *file)
+		s.mu.Lock()
+		s.stats.Files++
+		f.acc.Files, f.dirty = slices.Clone(done), true
+		s.save(f)
+		s.mu.Unlock()
+	}
+	return done, nil
+}
+
+// matches tells whether a path fits one of the patterns: part by part, and a
+// pattern that names a folder takes all in it.
+func matches(patterns []string, p string) bool {
+	for _, pat := range patterns {
+		if ok, _ := path.Match(pat, p); ok {
+			return true
+		}
+		n := strings.Count(pat, "/") + 1
+		if parts := strings.Split(p, "/"); len(parts) > n {
+			if ok, _ := path.Match(pat, strings.Join(parts[:n], "/")); ok {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// keepFile ships a file's chunks and then its record; nil is a file that is not
+// kept.
+func (s *Shipper) keepFile(f *follow, root *os.Root, name string) (*archive.File, error) {
+	in, err := root.Open(name)
+	if err != nil {
+		return nil, nil
+	}
+	defer in.Close()
+	info, err := in.Stat()
+	if err != nil || !info.Mode().IsRegular() {
+		return nil, nil
+	}
+	if info.Size() > int64(s.cfg.FileMB*1e6) {
+		s.log.Warn("a file is too large to be kept", "attempt", f.a.String(), "file", name, "bytes", info.Size())
+		return nil, nil
+	}
+	out := &archive.File{Path: name, Size: info.Size(), Mode: uint32(info.Mode().Perm()), At: info.ModTime().UnixMilli()}
+	sum := blake3.New()
+	shared := archive.NewRecord(archive.Files(f.a.Job), archive.KindGrant, "", f.proof.Payload)
+	buf := make([]byte, archive.ChunkSize)
+	for left := out.Size; left > 0; {
+		n := min(left, archive.ChunkSize)
+		if _, err := io.ReadFull(in, buf[:n]); err != nil {
+			return nil, fmt.Errorf("%s: it has changed: %w", name, err)
+		}
+		_, _ = sum.Write(buf[:n])
+		chunk := archive.NewRecord(archive.Files(f.a.Job), archive.KindChunk, "", buf[:n])
+		if err := s.keepAll([]archive.Record{f.proof, shared, chunk}); err != nil {
+			return nil, err
+		}
+		out.Chunks = append(out.Chunks, chunk.Key.Digest)
+		left -= n
+	}
+	out.Digest = hex.EncodeToString(sum.Sum(nil))
+	return out, s.keepAll([]archive.Record{f.proof, archive.NewRecord(f.a, archive.KindFile, "", archive.Encode(out))})
+}
--- a/internal/datastore/store.go
+++ b/internal/datastore/store.go
@@ -14,22 +14,15 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io/fs"
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-	"github.com/google/renameio/v2"
-	"golang.org/x/sys/unix"
 	"golang.org/x/time/rate"
 
 	"silvergate/internal/dataset"
@@ -115,20 +108,6 @@
 	Bytes, Partial          int64
 }
 
-type held struct {
-	m     *dataset.Manifest
-	bytes int64
-	used  uint64
-	times []time.Time // of the files, when they were verified
-}
-
-// place is where a chunk lies.
-type place struct {
-	id    dataset.ID
-	file  int
-	chunk int
-}
-
 const (
 	copiesDir   = "copies"
 	partialDir  = "partial"
@@ -174,80 +153,6 @@
 	return rate.NewLimiter(rate.Limit(perS), max(dataset.ChunkSize, int(perS/10)))
 }
 
-// load takes up what is on disk: copies were whole when they got their names.
-func (s *Store) load() error {
-	names, err := os.ReadDir(filepath.Join(s.cfg.Dir, copiesDir))
-	if err != nil {
-		return err
-	}
-	type old struct {
-		id dataset.ID
-		h  *held
-		at time.Time
-	}
-	var found []old
-	for _, e := range names {
-		id := dataset.ID(e.Name())
-		h, err := s.readHeld(id)
-		if err != nil {
-			s.log.Error("a copy can't be used and is thrown away", "copy", id, "err", err)
-			if err := s.trash(copiesDir, id); err != nil {
-				return err
-			}
-			continue
-		}
-		at := time.Time{}
-		if info, err := e.Info(); err == nil {
-			at = info.ModTime()
-		}
-		found = append(found, old{id, h, at})
-	}
-	slices.SortFunc(found, func(a, b old) int { return a.at.Compare(b.at) })
-	for _, f := range found {
-		s.uses++
-		f.h.used = s.uses
-		s.enter(f.id, f.h)
-	}
-	return nil
-}
-
-func (s *Store) readHeld(id dataset.ID) (*held, error) {
-	if !dataset.ValidID(string(id)) {
-		return nil, errors.New("not a copy's name")
-	}
-	raw, err := os.ReadFile(s.manifestPath(id))
-	if err != nil {
-		return nil, err
-	}
-	if dataset.IDOf(dataset.Sum(raw)) != id {
-		return nil, errors.New("its manifest is damaged")
-	}
-	m, err := dataset.Parse(raw)
-	if err != nil {
-		return nil, err
-	}
-	h := &held{m: m, bytes: m.Bytes()}
-	h.times, err = s.times(copiesDir, id, m)
-	return h, err
-}
-
-// times are the files' times of change, and proves that all are there with
-// their sizes.
-func (s *Store) times(where string, id dataset.ID, m *dataset.Manifest) ([]time.Time, error) {
-	var out []time.Time
-	for i := range m.Files {
-		info, err := os.Stat(s.file(where, id, &m.Files[i]))
-		if err != nil {
-			return nil, err
-		}
-		if info.Size() != m.Files[i].Size {
-			return nil, fmt.Errorf("%s has %d bytes instead of %d", m.Files[i].Path, info.Size(), m.Files[i].Size)
-		}
-		out = append(out, info.ModTime())
-	}
-	return out, nil
-}
-
 func (s *Store) manifestPath(id dataset.ID) string {
 	return filepath.Join(s.cfg.Dir, manifestDir, string(id)+".json")
 }
@@ -308,235 +213,6 @@
 	return place{}, nil
 }
 
-// trash takes a folder out of sight in one step and then removes it.
-func (s *Store) trash(where string, id dataset.ID) error {
-	trash := filepath.Join(s.cfg.Dir, trashDir)
-	if err := os.MkdirAll(trash, 0o700); err != nil {
-		return err
-	}
-	to, err := os.MkdirTemp(trash, "")
-	if err != nil {
-		return err
-	}
-	if err := os.Rename(filepath.Join(s.cfg.Dir, where, string(id)), filepath.Join(to, "x")); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return err
-	}
-	if where == copiesDir {
-		_ = os.Remove(s.manifestPath(id))
-	}
-	return os.RemoveAll(to)
-}
-
-// used is what copies and fetches take; the lock is held.
-func (s *Store) used() (n int64) {
-	for _, h := range s.copies {
-		n += h.bytes
-	}
-	for _, f := range s.pulls {
-		n += f.reserved
-	}
-	return n
-}
-
-// room makes room for more bytes; the lock is held.
-func (s *Store) room(more int64) error {
-	for s.used()+more > s.cfg.Capacity {
-		var oldest dataset.ID
-		for id, h := range s.copies {
-			if s.pins[id] == 0 && (oldest == "" || h.used < s.copies[oldest].used) {
-				oldest = id
-			}
-		}
-		if oldest == "" {
-			s.stats.Refused++
-			return fmt.Errorf("%w: %d bytes wanted, %d of %d taken", ErrFull, more, s.used(), s.cfg.Capacity)
-		}
-		if err := s.evict(oldest); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (s *Store) evict(id dataset.ID) error {
-	s.leave(id)
-	s.stats.Evicted++
-	s.tell(Event{Kind: "evict", ID: id})
-	return s.trash(copiesDir, id)
-}
-
-// Here tells whether a copy is whole here.
-func (s *Store) Here(id dataset.ID) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.copies[id] != nil
-}
-
-// Pin keeps a copy, and what is fetched of it, until as many Unpin calls.
-func (s *Store) Pin(id dataset.ID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.pins[id]++
-}
-
-// Unpin undoes a Pin.
-func (s *Store) Unpin(id dataset.ID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.pins[id]--; s.pins[id] <= 0 {
-		delete(s.pins, id)
-	}
-}
-
-// Drop removes a copy that no task uses, and ends a fetch that no task waits
-// for. It returns false if it is in use.
-func (s *Store) Drop(id dataset.ID) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.pins[id] > 0 {
-		return false
-	}
-	if f := s.pulls[id]; f != nil {
-		f.end(ErrDropped)
-	}
-	if s.copies[id] != nil {
-		s.tell(Event{Kind: "drop", ID: id})
-		if err := s.evict(id); err != nil {
-			s.log.Error("a copy can't be removed", "copy", id, "err", err)
-		}
-	}
-	return true
-}
-
-// Held lists the copies that are here, in the order of their use, the latest
-// first.
-func (s *Store) Held() []dataset.ID {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var out []dataset.ID
-	for id := range s.copies {
-		out = append(out, id)
-	}
-	slices.SortFunc(out, func(a, b dataset.ID) int {
-		if x, y := s.copies[a].used, s.copies[b].used; x != y {
-			return int(int64(y) - int64(x))
-		}
-		return strings.Compare(string(a), string(b))
-	})
-	return out
-}
-
-// Digest is the same for two stores that hold the same copies.
-func (s *Store) Digest() string {
-	ids := s.Held()
-	slices.Sort(ids)
-	return DigestOf(ids)
-}
-
-// DigestOf is the digest of a sorted list of copies.
-func DigestOf(ids []dataset.ID) string {
-	h := xxhash.New()
-	for _, id := range ids {
-		_, _ = h.WriteString(string(id))
-	}
-	return fmt.Sprintf("%016x", h.Sum64())
-}
-
-// Progress is how far a fetch is.
-type Progress struct {
-	ID    dataset.ID
-	Done  int64
-	Total int64 // 0 while the manifest is not here
-	Rate  float64
-}
-
-// Pulls lists the fetches that are under way.
-func (s *Store) Pulls() []Progress {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var out []Progress
-	for id, f := range s.pulls {
-		p := Progress{ID: id, Done: f.done, Total: f.total}
-		if d := time.Since(f.began).Seconds(); d > 0 {
-			p.Rate = float64(f.got) / d
-		}
-		out = append(out, p)
-	}
-	slices.SortFunc(out, func(a, b Progress) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	return out
-}
-
-// Place puts a copy's files into a folder, which must not exist. Files are
-// cloned where the file system can, so that a task that writes to its inputs
-// changes its own; elsewhere they are linked, and a copy whose files were written
-// to is noticed before its next use and thrown away.
-func (s *Store) Place(id dataset.ID, dir string) error {
-	s.mu.Lock()
-	h := s.copies[id]
-	if h == nil {
-		s.mu.Unlock()
-		return ErrNotHere
-	}
-	s.uses++
-	h.used = s.uses
-	s.pins[id]++
-	s.mu.Unlock()
-	defer s.Unpin(id)
-	now := time.Now()
-	_ = os.Chtimes(filepath.Join(s.cfg.Dir, copiesDir, string(id)), now, now)
-	times, err := s.times(copiesDir, id, h.m)
-	if err == nil && !slices.EqualFunc(times, h.times, time.Time.Equal) {
-		err = errors.New("its files were written to")
-	}
-	if err != nil {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.log.Error("a copy is not what it was and is thrown away", "copy", id, "err", err)
-		return errors.Join(ErrNotHere, s.evict(id))
-	}
-	if err := os.MkdirAll(filepath.Dir(dir), 0o700); err != nil {
-		return err
-	}
-	if err := os.Mkdir(dir, 0o700); err != nil {
-		return err
-	}
-	for i := range h.m.Files {
-		f := &h.m.Files[i]
-		to := filepath.Join(dir, filepath.FromSlash(f.Path))
-		if err := os.MkdirAll(filepath.Dir(to), 0o700); err != nil {
-			return err
-		}
-		if err := cloneOrLink(s.file(copiesDir, id, f), to); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func cloneOrLink(from, to string) error {
-	src, err := os.Open(from)
-	if err != nil {
-		return err
-	}
-	defer src.Close()
-	info, err := src.Stat()
-	if err != nil {
-		return err
-	}
-	dst, err := os.OpenFile(to, os.O_CREATE|os.O_EXCL|os.O_WRONLY, info.Mode().Perm()|0o200)
-	if err != nil {
-		return err
-	}
-	err = unix.IoctlFileClone(int(dst.Fd()), int(src.Fd()))
-	if err == nil {
-		return dst.Close()
-	}
-	if err := errors.Join(dst.Close(), os.Remove(to)); err != nil {
-		return err
-	}
-	return os.Link(from, to)
-}
-
 // Chunk reads a chunk for another machine. ok is false when it is not here, busy
 // when too many are being served.
 func (s *Store) Chunk(ctx context.Context, h dataset.Hash) (data []byte, ok, busy bool) {
@@ -628,28 +304,3 @@
 	}
 	s.client.CloseIdleConnections()
 }
-
-// disk is what can find the disk full: every write of a store goes through it.
-type disk interface {
-	// WriteAt writes a part of a copy.
-	WriteAt(f *os.File, b []byte, off int64) error
-	// Replace writes a small file whole or not at all, durably.
-	Replace(path string, b []byte) error
-	// Sync makes all that was written in a folder's file system durable, which is
-	// when some file systems first find out that they are full.
-	Sync(dir *os.File) error
-}
-
-type osDisk struct{}
-
-func (osDisk) WriteAt(f *os.File, b []byte, off int64) error {
-	_, err := f.WriteAt(b, off)
-	return err
-}
-func (osDisk) Replace(path string, b []byte) error { return renameio.WriteFile(path, b, 0o600) }
-func (osDisk) Sync(dir *os.File) error             { return unix.Syncfs(int(dir.Fd())) }
-
-// full tells whether an error means that the disk is full.
-func full(err error) bool {
-	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
-}
--- /dev/null
+++ b/internal/hollow/worker.go
@@ -0,0 +1,280 @@
+package hollow
+
+import (
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"silvergate/internal/agent"
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+	"silvergate/internal/transport"
+)
+
+// worker is one hollow worker. Its lock is never held while another one's is taken.
+type worker struct {
+	fleet   *Fleet
+	machine Machine
+	address string
+	server  *http.Server
+
+	mu       sync.Mutex
+	state    *agent.Worker
+	timer    *time.Timer
+	running  map[agent.TaskAttempt]*time.Timer
+	images   map[string]bool // being fetched
+	answered time.Duration   // when a report was last answered with 200
+	stopped  bool
+}
+
+// step feeds an event to the worker's state machine and carries out what follows.
+func (w *worker) step(event func(now time.Duration) agent.Effects) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.stopped {
+		w.perform(event(w.fleet.clock()))
+	}
+}
+
+// perform carries out effects; the lock is held.
+func (w *worker) perform(e agent.Effects) {
+	if e.EndAll {
+		w.leaseExpired()
+	}
+	for _, k := range e.Kill {
+		w.end(k, 0)
+	}
+	for _, k := range e.Stop {
+		w.end(k, stopTime)
+	}
+	for _, name := range e.Leave {
+		delete(w.images, name)
+	}
+	for _, id := range e.Describe {
+		w.describe(id)
+	}
+	for _, name := range e.Fetch {
+		w.fetch(name)
+	}
+	for _, k := range e.Start {
+		w.start(k)
+	}
+	for _, k := range e.AskGang {
+		go w.askGang(k)
+	}
+	if e.Heartbeat != nil {
+		w.sendHeartbeat(e.Heartbeat)
+	}
+	w.arm()
+}
+
+// stopTime is how long a task takes to end that is told to save.
+const stopTime = 100 * time.Millisecond
+
+func (w *worker) arm() {
+	wait := max(w.state.Due()-w.fleet.clock(), time.Millisecond)
+	if w.timer == nil {
+		w.timer = time.AfterFunc(wait, func() { w.step(w.state.Tick) })
+		return
+	}
+	w.timer.Reset(wait)
+}
+
+// later steps the worker after a while.
+func (w *worker) later(wait time.Duration, event func(now time.Duration) agent.Effects) *time.Timer {
+	return time.AfterFunc(wait, func() { w.step(event) })
+}
+
+func (w *worker) describe(id string) {
+	w.later(time.Millisecond, func(now time.Duration) agent.Effects {
+		d, known := w.fleet.observer.Describe(id)
+		if known && d.Shape == job.Gang {
+			defer w.joinGangs(id)
+		}
+		return w.state.Described(now, id, d, !known)
+	})
+}
+
+// joinGangs registers the attempts of a gang that have just been described.
+func (w *worker) joinGangs(id string) {
+	for _, k := range w.state.Attempts(id) {
+		w.fleet.join(w, k)
+	}
+}
+
+func (w *worker) fetch(name string) {
+	w.images[name] = true
+	wait := time.Duration(w.sizeOf(name) / w.machine.PullGBPerS * float64(time.Second))
+	w.later(wait, func(now time.Duration) agent.Effects {
+		if !w.images[name] {
+			return w.state.Tick(now)
+		}
+		delete(w.images, name)
+		return w.state.Fetched(now, name, nil)
+	})
+}
+
+// sizeOf is the size of an image that a task here waits for, in GB.
+func (w *worker) sizeOf(name string) float64 {
+	for _, d := range w.state.Descriptions() {
+		if d.Image == name {
+			return d.ImageGB
+		}
+	}
+	return 0
+}
+
+func (w *worker) start(k agent.TaskAttempt) {
+	wait := w.fleet.observer.RunTime(k.Job, k.Index)
+	if wait > 0 {
+		w.running[k] = w.later(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, true) })
+	} else {
+		w.running[k] = nil
+	}
+	w.fleet.observer.Started(&w.machine, k)
+}
+
+// end ends a task that was told to.
+func (w *worker) end(k agent.TaskAttempt, wait time.Duration) {
+	if t := w.running[k]; t != nil {
+		t.Stop()
+	}
+	w.later(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, false) })
+}
+
+// exited takes that a task's program has ended; the lock is held.
+func (w *worker) exited(now time.Duration, k agent.TaskAttempt, done bool) agent.Effects {
+	if _, here := w.running[k]; !here {
+		return w.state.Tick(now)
+	}
+	delete(w.running, k)
+	w.fleet.observer.Stopped(&w.machine, k, done)
+	code := 0
+	if !done {
+		code = 1
+	}
+	if d := w.state.Description(k.Job); d != nil && d.Shape == job.Gang {
+		defer w.later(time.Duration(w.fleet.periods.GangWait*float64(time.Second)), func(now time.Duration) agent.Effects {
+			w.fleet.leave(w, k)
+			return w.state.Tick(now)
+		})
+	}
+	return w.state.Exited(now, k, agent.Exit{Code: code})
+}
+
+func (w *worker) askGang(k agent.TaskAttempt) {
+	states := w.fleet.gang(k)
+	w.step(func(now time.Duration) agent.Effects { return w.state.Peers(now, k, states) })
+}
+
+// leaseExpired ends everything, as the lease has; the lock is held.
+func (w *worker) leaseExpired() {
+	_, live := w.state.Count()
+	w.fleet.Stats.Epochs.Add(1)
+	if live > 0 {
+		w.fleet.observer.LeaseEnded(&w.machine, live)
+	}
+	w.dropAll()
+	w.later(time.Millisecond, w.state.EpochEnded)
+}
+
+// dropAll ends all tasks at once; the lock is held.
+func (w *worker) dropAll() {
+	for k, t := range w.running {
+		if t != nil {
+			t.Stop()
+		}
+		w.fleet.observer.Stopped(&w.machine, k, false)
+		w.fleet.leave(w, k)
+	}
+	clear(w.running)
+	clear(w.images)
+}
+
+// restart begins the next session at once.
+func (w *worker) restart() {
+	w.step(func(now time.Duration) agent.Effects {
+		w.dropAll()
+		return w.state.Restarted(now)
+	})
+}
+
+// stop ends the worker for good.
+func (w *worker) stop() {
+	w.mu.Lock()
+	w.stopped = true
+	w.dropAll()
+	if w.timer != nil {
+		w.timer.Stop()
+	}
+	w.mu.Unlock()
+	_ = w.server.Close()
+}
+
+func (w *worker) sendHeartbeat(s *agent.HeartbeatSend) {
+	stats := &w.fleet.Stats
+	stats.Heartbeats.Add(1)
+	stats.BytesOut.Add(int64(len(s.Body) + headBytes))
+	sent := w.fleet.clock()
+	w.fleet.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: heartbeatTimeout,
+		Done: func(r *transport.Response, _ bool, err error) {
+			w.step(func(now time.Duration) agent.Effects {
+				if err != nil {
+					stats.Unanswered.Add(1)
+					return w.state.Answered(now, s, 0, nil)
+				}
+				stats.BytesIn.Add(int64(len(r.Body) + headBytes))
+				switch r.Status {
+				case http.StatusOK:
+					stats.Answered.Add(1)
+					stats.AnswerNanos.Add(int64(now - sent))
+					w.answered = now
+				case http.StatusMisdirectedRequest:
+					stats.Redirected.Add(1)
+				default:
+					stats.Refused.Add(1)
+				}
+				return w.state.Answered(now, s, r.Status, r.Body)
+			})
+		}})
+}
+
+// ServeHTTP answers direct commands and questions for the worker's status.
+func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody))
+	if err != nil {
+		http.Error(out, "the body can't be read", http.StatusBadRequest)
+		return
+	}
+	status, answer := w.serve(r.Method, r.URL.Path, body)
+	out.Header().Set("Content-Type", "application/json")
+	out.WriteHeader(status)
+	_, _ = out.Write(answer)
+}
+
+func (w *worker) serve(method, path string, body []byte) (status int, answer []byte) {
+	problem := func(status int, why string) (int, []byte) {
+		return status, protocol.Encode(protocol.ErrorResponse{Error: why})
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	var e agent.Effects
+	switch {
+	case w.stopped:
+		return problem(http.StatusServiceUnavailable, "the machine is gone")
+	case path == protocol.PathCommands && method == http.MethodPost:
+		w.fleet.Stats.Commands.Add(1)
+		status, answer, e = w.state.Direct(w.fleet.clock(), body)
+	case path == protocol.PathStatus && method == http.MethodGet:
+		var err error
+		if answer, e, err = w.state.Status(w.fleet.clock()); err != nil {
+			return problem(http.StatusServiceUnavailable, err.Error())
+		}
+		status = http.StatusOK
+	default:
+		return problem(http.StatusNotFound, "no such path")
+	}
+	w.perform(e)
+	return status, answer
+}
--- /dev/null
+++ b/internal/provider/agents.go
@@ -0,0 +1,232 @@
+package provider
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"github.com/google/renameio/v2"
+	"go.yaml.in/yaml/v3"
+
+	"silvergate/internal/agent"
+	"silvergate/internal/identity"
+	"silvergate/internal/proc"
+)
+
+// endAgent ends an agent and returns when it is gone.
+func endAgent(id proc.ID) {
+	for id.Alive() {
+		_ = id.Signal(syscall.SIGKILL)
+		time.Sleep(2 * time.Millisecond)
+	}
+}
+
+func (p *Provider) address(name string) string {
+	raw, err := os.ReadFile(filepath.Join(p.dir(name), agent.AddressFile))
+	if err != nil {
+		return ""
+	}
+	return string(raw)
+}
+
+// lookPeriod is the time between two looks at the agents.
+const lookPeriod = 250 * time.Millisecond
+
+func (p *Provider) tick() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return
+	}
+	now := time.Now()
+	p.server.Sweep(now)
+	for n, id := range p.agents {
+		switch x := p.market.machines[n]; {
+		case x == nil || x.Leaving:
+		case !id.Alive():
+			delete(p.agents, n)
+			p.log.Info("agent is gone", "machine", n, "pid", id.PID)
+			p.stats.Restarted++
+			p.perform(p.market.Died(now, n))
+		case x.address == "":
+			p.market.Up(n, p.address(n))
+		}
+	}
+	p.perform(p.market.Tick(now))
+	if now.Sub(p.certified) > time.Hour {
+		p.certified = now
+		go p.recertify()
+	}
+	p.timer.Reset(lookPeriod)
+}
+
+// agent is what a machine's agent is told.
+func (c *Config) agent(x *Machine, t *MachineType) agent.Config {
+	a := c.Agent
+	a.Worker, a.MachineType, a.Zone, a.Spot = x.Name, x.MachineType, x.Zone, x.Spot
+	a.Dir = filepath.Join(c.Dir, machinesDir, x.Name)
+	a.Room = agent.Room{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.MemoryGB}
+	a.LocalGB = t.LocalGB
+	if a.Archive != nil {
+		own := *a.Archive
+		own.Certs = filepath.Join(a.Dir, certsDir)
+		a.Archive = &own
+	}
+	return a
+}
+
+// certify gives a machine a certificate of its own, or a new one in good time.
+func (p *Provider) certify(name, dir string) error {
+	if p.cfg.Authority == "" {
+		return nil
+	}
+	a, err := identity.Open(p.cfg.Authority)
+	if err != nil {
+		return err
+	}
+	return a.Ensure(identity.Identity{Kind: identity.Agent, Name: name}, filepath.Join(dir, certsDir))
+}
+
+// recertify renews the certificates of all machines that are there.
+func (p *Provider) recertify() {
+	p.mu.Lock()
+	var names []string
+	for n := range p.agents {
+		names = append(names, n)
+	}
+	p.mu.Unlock()
+	for _, n := range names {
+		if dir := p.dir(n); exists(dir) {
+			if err := p.certify(n, dir); err != nil {
+				p.log.Error("a machine's certificate can't be renewed", "machine", n, "error", err)
+			}
+		}
+	}
+}
+
+// start starts a machine's agent. Before it runs, who it is is on disk.
+func (p *Provider) start(name string) {
+	p.mu.Lock()
+	x := p.market.machines[name]
+	if x == nil || x.Leaving || p.closed {
+		p.mu.Unlock()
+		return
+	}
+	t := p.market.types[x.MachineType]
+	p.mu.Unlock()
+	var id proc.ID
+	err := fmt.Errorf("type %s is not offered any more", x.MachineType)
+	if t != nil {
+		id, err = p.spawn(x, t)
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err != nil {
+		p.log.Error("an agent can't be started", "machine", name, "error", err)
+		p.perform(p.market.Died(time.Now(), name))
+		return
+	}
+	p.agents[name] = id
+	if p.closed && p.cfg.SwitchOff { // it came up while the others were switched off
+		endAgent(id)
+		return
+	}
+	p.log.Info("agent started", "machine", name, "pid", id.PID)
+}
+
+func (p *Provider) spawn(x *Machine, t *MachineType) (proc.ID, error) {
+	dir := p.dir(x.Name)
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return proc.ID{}, err
+	}
+	if err := p.certify(x.Name, dir); err != nil {
+		return proc.ID{}, err
+	}
+	raw, err := yaml.Marshal(p.cfg.agent(x, t))
+	if err != nil {
+		return proc.ID{}, err
+	}
+	path := filepath.Join(dir, configFile)
+	if err := renameio.WriteFile(path, raw, 0o600); err != nil {
+		return proc.ID{}, err
+	}
+	log, err := os.OpenFile(filepath.Join(dir, logFile), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		return proc.ID{}, err
+	}
+	defer log.Close()
+	cmd := exec.Command(p.self, "agent", "--settings", path)
+	cmd.Dir, cmd.Stderr = dir, log
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	id, err := proc.Start(cmd, func(id proc.ID) error {
+		raw, err := json.Marshal(id)
+		if err != nil {
+			return err
+		}
+		return renameio.WriteFile(filepath.Join(dir, agentFile), raw, 0o600)
+	})
+	if err == nil {
+		go cmd.Wait()
+	}
+	return id, err
+}
+
+// end ends a machine with everything on it. Its agent's lease may be running:
+// the tasks are gone when the record is, and not later.
+func (p *Provider) end(name string) {
+	dir := p.dir(name)
+	raw, err := os.ReadFile(filepath.Join(dir, agentFile))
+	var id proc.ID
+	if err == nil && json.Unmarshal(raw, &id) == nil {
+		endAgent(id)
+	}
+	// The watchdog does the same; whoever is first.
+	for left := agent.EndTasks(dir); left > 0; left = agent.EndTasks(dir) {
+		p.log.Error("processes of a machine can't be ended", "machine", name, "left", left)
+	}
+	if exists(dir) {
+		p.bury(name, dir)
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return
+	}
+	delete(p.agents, name)
+	p.market.Gone(time.Now(), name)
+	if err := p.store(Effects{}, name); err != nil {
+		p.fail(err)
+		return
+	}
+	p.stats.Ended++
+	p.log.Info("machine ended", "machine", name)
+	for _, done := range p.waiting[name] {
+		done()
+	}
+	delete(p.waiting, name)
+}
+
+func exists(path string) bool {
+	_, err := os.Lstat(path)
+	return err == nil
+}
+
+// bury keeps the folders of the machines that ended last, for whoever asks why
+// a task failed.
+func (p *Provider) bury(name, dir string) {
+	for _, large := range []string{"images", "data/copies", "data/partial"} {
+		_ = os.RemoveAll(filepath.Join(dir, large))
+	}
+	root := filepath.Join(p.cfg.Dir, endedDir)
+	if err := os.Rename(dir, filepath.Join(root, name)); err != nil {
+		_ = os.RemoveAll(dir)
+	}
+	old, err := os.ReadDir(root)
+	for i := 0; err == nil && i < len(old)-keptEnded; i++ {
+		_ = os.RemoveAll(filepath.Join(root, old[i].Name()))
+	}
+}
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"os"
@@ -33,58 +32,6 @@
 	Dir         string `yaml:"dir"`
 }
 
-// Sample is a cell's state at a moment.
-type Sample struct {
-	AtS       float64 `json:"atS"`
-	Starts    int     `json:"starts"`    // so far
-	Running   int     `json:"running"`   // tasks
-	Workers   int     `json:"workers"`   // that are up
-	Answered  int     `json:"answered"`  // of them, within two report periods
-	Reports   int64   `json:"reports"`   // so far
-	LeaseKill int     `json:"leaseKill"` // tasks killed by leases, so far
-}
-
-// Latency is a histogram in short, in milliseconds.
-type Latency struct {
-	Count int64   `json:"count"`
-	P50   float64 `json:"p50Ms"`
-	P95   float64 `json:"p95Ms"`
-	P99   float64 `json:"p99Ms"`
-	Max   float64 `json:"maxMs"`
-}
-
-// CellResult is what a cell process measured.
-type CellResult struct {
-	Number      int                `json:"number"`
-	Samples     []Sample           `json:"samples"`
-	Broken      map[string]int     `json:"broken"`
-	FirstBroken []string           `json:"firstBroken,omitempty"`
-	Accepted    int                `json:"accepted"`
-	GivenUp     int                `json:"givenUp"`
-	Finished    int                `json:"finished"`
-	Starts      int                `json:"starts"`
-	LeaseKilled int                `json:"leaseKilled"`
-	Sessions    int64              `json:"sessions"`
-	Submit      Latency            `json:"submit"`
-	FirstStart  map[string]Latency `json:"firstStart"` // submission to a job's first task, by urgency
-	TaskStart   map[string]Latency `json:"taskStart"`  // submission to each task's first start, by urgency
-	Reports     int64              `json:"reports"`
-	Answers     map[string]int64   `json:"answers"`       // to reports, by kind
-	AnswerMs    float64            `json:"answerMs"`      // mean time until a report's answer
-	BytesPerS   float64            `json:"bytesPerS"`     // of a worker, both ways, mean
-	CloudCalls  int                `json:"cloudRequests"` // and how many of them were refused
-	CloudRefuse int                `json:"cloudRefused"`
-	// Agents is what the real agents have used.
-	Agents AgentsResult `json:"agents"`
-}
-
-// AgentsResult is what a cell's real agents have used, themselves and without their tasks.
-type AgentsResult struct {
-	Count  int     `json:"count"`
-	CoreMs float64 `json:"coreMs"` // processor time for each second of their lives, in ms, of all together
-	PeakMB float64 `json:"peakMb"` // of the largest
-}
-
 // agentProcess is a real agent, with what it was last seen to have used.
 type agentProcess struct {
 	cmd   *exec.Cmd
@@ -460,64 +407,3 @@
 	defer c.mu.Unlock()
 	_ = c.submit.RecordValue(bounded(took))
 }
-
-// longest is the longest time that histograms hold.
-const longest = time.Hour
-
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest.Microseconds(), 3) }
-
-func bounded(d time.Duration) int64 {
-	return min(max(1, d.Microseconds()), longest.Microseconds())
-}
-
-func record(by map[string]*hdrhistogram.Histogram, name string, d time.Duration) {
-	if by[name] == nil {
-		by[name] = histogram()
-	}
-	_ = by[name].RecordValue(bounded(d))
-}
-
-func latency(h *hdrhistogram.Histogram) Latency {
-	ms := func(micros int64) float64 { return float64(micros) / 1000 }
-	return Latency{h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(95)), ms(h.ValueAtQuantile(99)), ms(h.Max())}
-}
-
-func latencies(by map[string]*hdrhistogram.Histogram) map[string]Latency {
-	out := map[string]Latency{}
-	for name, h := range by {
-		out[name] = latency(h)
-	}
-	return out
-}
-
-// result sums a cell up.
-func (c *cell) result() *CellResult {
-	accepted, given, finished := c.users.counts()
-	broken, first := c.checker.verdict()
-	stats := &c.fleet.Stats
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &CellResult{Number: c.layout.number, Samples: c.samples, Broken: broken, FirstBroken: first, Accepted: accepted, GivenUp: given, Finished: finished,
-		Starts: c.starts, LeaseKilled: c.killed, Sessions: stats.Epochs.Load(), Submit: latency(c.submit), FirstStart: latencies(c.first), TaskStart: latencies(c.tasks),
-		Reports: stats.Heartbeats.Load(), CloudCalls: c.cloud.requests, CloudRefuse: c.cloud.refused, Agents: c.agentsResult(),
-		Answers: map[string]int64{"answered": stats.Answered.Load(), "redirected": stats.Redirected.Load(), "refused": stats.Refused.Load(), "unanswered": stats.Unanswered.Load()}}
-	if n := stats.Answered.Load(); n > 0 {
-		r.AnswerMs = float64(stats.AnswerNanos.Load()) / float64(n) / 1e6
-	}
-	if c.workerS > 0 {
-		r.BytesPerS = float64(stats.BytesOut.Load()+stats.BytesIn.Load()) / c.workerS
-	}
-	return r
-}
-
-// WriteJSON writes a value to a file that appears whole.
-func WriteJSON(path string, v any) error {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		return err
-	}
-	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
-		return err
-	}
-	return os.Rename(path+".new", path)
-}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,11 +11,9 @@
 	"log/slog"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
@@ -35,17 +33,6 @@
 	Log      *slog.Logger
 }
 
-// ProcessResult is what one process of a run has used.
-type ProcessResult struct {
-	Name   string  `json:"name"`
-	CPUS   float64 `json:"cpuS"`
-	CoreMs float64 `json:"coreMs"` // processor time for each second of its life, in ms
-	PeakMB float64 `json:"peakMb"`
-	Ended  int     `json:"ended"` // by itself
-	Killed int     `json:"killed"`
-	lifeS  float64
-}
-
 // StateResult is what a state service was asked.
 type StateResult struct {
 	Cell     int     `json:"cell"`
@@ -86,22 +73,6 @@
 // files that a run needs beside its workers' sockets.
 const spareFiles = 512
 
-// process is a part of a run.
-type process struct {
-	name string
-	args []string
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	result  ProcessResult
-	before  time.Duration // processor time of its earlier lives
-	last    usage
-	began   time.Time
-	wanted  bool
-	exited  chan struct{}
-	exitErr error
-}
-
 // run is a run under way.
 type run struct {
 	Options
@@ -283,114 +254,6 @@
 	}
 }
 
-// add starts a process; its output goes to a log in the cell's folder.
-func (r *run) add(c *cellLayout, name string, args ...string) error {
-	p := &process{name: name, args: args}
-	p.result.Name = name
-	r.processes = append(r.processes, p)
-	return r.launch(p, r.cellDir(c))
-}
-
-func (r *run) launch(p *process, dir string) error {
-	log, err := os.OpenFile(filepath.Join(dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	defer log.Close()
-	cmd := exec.Command(r.Self, p.args...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %w", p.name, err)
-	}
-	p.cmd, p.began, p.wanted, p.exited = cmd, time.Now(), true, make(chan struct{})
-	exited := p.exited
-	go func() {
-		err := cmd.Wait()
-		p.mu.Lock()
-		p.exitErr = err
-		p.mu.Unlock()
-		close(exited)
-	}()
-	return nil
-}
-
-// alive tells whether a process runs.
-func (p *process) alive() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	select {
-	case <-p.exited:
-		return false
-	default:
-		return p.cmd != nil
-	}
-}
-
-// measure notes what the process has used and returns its resident memory.
-func (p *process) measure() uint64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil {
-		return 0
-	}
-	u, ok := readUsage(p.cmd.Process.Pid)
-	if !ok || u.rss == 0 {
-		return 0
-	}
-	p.last = u
-	p.result.PeakMB = max(p.result.PeakMB, float64(u.rss)/(1<<20))
-	return u.rss
-}
-
-// close sums up a life that has ended.
-func (p *process) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.before += p.last.cpu
-	p.result.lifeS += time.Since(p.began).Seconds()
-	p.last = usage{}
-	p.cmd = nil
-}
-
-// end ends a process by the signal and, if it takes too long, by force.
-func (p *process) end(signal syscall.Signal) {
-	p.mu.Lock()
-	cmd, exited := p.cmd, p.exited
-	p.wanted = false
-	p.mu.Unlock()
-	if cmd == nil {
-		return
-	}
-	_ = syscall.Kill(cmd.Process.Pid, signal)
-	select {
-	case <-exited:
-	case <-time.After(endPatience):
-	}
-	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
-	<-exited
-	p.close()
-}
-
-// endAll ends everything: cells first, since their agents are theirs to end.
-func (r *run) endAll() {
-	var wait sync.WaitGroup
-	for _, first := range []bool{true, false} {
-		for _, p := range r.processes {
-			if strings.HasPrefix(p.name, "cell-") == first {
-				wait.Add(1)
-				go func() {
-					defer wait.Done()
-					p.end(syscall.SIGTERM)
-				}()
-			}
-		}
-		wait.Wait()
-	}
-}
-
 // watch samples, plays the controllers' faults and returns when all cells are done.
 func (r *run) watch(ctx context.Context) error {
 	s := r.Scenario
--- /dev/null
+++ b/internal/soak/judge.go
@@ -0,0 +1,225 @@
+package soak
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/url"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"silvergate/internal/archive"
+	"silvergate/internal/archive/reader"
+	"silvergate/internal/identity"
+	"silvergate/internal/protocol"
+	"silvergate/internal/site"
+	"silvergate/internal/stateclient"
+)
+
+// readLedger demands that the state service's revision has not gone back.
+func (s *soak) readLedger() {
+	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?page=1", nil)
+		var p protocol.KeyValuePage
+		if st != 200 || json.Unmarshal(body, &p) != nil {
+			continue
+		}
+		if p.Revision < s.ledger {
+			s.broke("the ledger went back from %d to %d", s.ledger, p.Revision)
+		}
+		s.ledger = p.Revision
+		return
+	}
+	s.broke("the state service did not come back")
+}
+
+// judge compares what was accepted with what ran and what the records say.
+func (s *soak) judge() {
+	f, err := os.Open(s.trace)
+	if err != nil {
+		s.broke("the trace can't be read: %v", err)
+		return
+	}
+	defer f.Close()
+	ran := map[string]int{}
+	var wrote []string
+	for sc := bufio.NewScanner(f); sc.Scan(); {
+		task, _, _ := strings.Cut(sc.Text(), " ")
+		ran[task]++
+		wrote = append(wrote, sc.Text())
+		s.r.Effects++
+	}
+	if err := s.judgeOutput(wrote); err != nil {
+		s.broke("the archive can't be read: %v", err)
+	}
+	finished := s.finished()
+	for id, loads := range s.loads {
+		s.r.Tasks += loads
+		if finished[id] != loads {
+			s.broke("%s: the records hold %d finished tasks of %d", id, finished[id], loads)
+		}
+		for i := range loads {
+			switch n := ran[fmt.Sprintf("%s/%d", id, i)]; {
+			case n == 0:
+				s.broke("%s/%d is reported done and never ran", id, i)
+			case n > 1:
+				s.r.Repeated++
+			}
+		}
+	}
+}
+
+func customer(n int) string { return fmt.Sprint("customer-", n%3) }
+
+// judgeOutput compares what each attempt that came to its end wrote with what its
+// customer reads, and has another customer try. An attempt that was killed half-way
+// must have the beginning of its lines, or nothing.
+func (s *soak) judgeOutput(ran []string) error {
+	members, _, err := site.ReadArchive(s.o.Dir)
+	if err != nil {
+		return err
+	}
+	auth, err := identity.Open(filepath.Join(s.o.Dir, site.AuthorityDir))
+	if err != nil {
+		return err
+	}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	readers := map[string]*reader.Client{}
+	for n := range 3 {
+		dir := filepath.Join(s.o.Dir, "readers", customer(n))
+		if err := auth.Ensure(identity.Identity{Kind: identity.Customer, Name: "office", Customer: customer(n)}, dir); err != nil {
+			return err
+		}
+		k, err := identity.NewKeeper(dir, log)
+		if err != nil {
+			return err
+		}
+		readers[customer(n)] = reader.New(k, members, 5*time.Second)
+	}
+	whole := map[string]bool{} // attempts that wrote all their lines
+	for _, line := range ran {
+		whole[line] = true
+	}
+	ctx := context.Background()
+	// What ended last is shipped within the bound, and a file after that.
+	until := time.Now().Add(30 * time.Second)
+	for n := range s.o.Jobs {
+		id := ref(n)
+		if s.loads[id] == 0 {
+			continue
+		}
+		for {
+			bad := s.judgeJob(ctx, readers[customer(n)], id, whole)
+			if bad == "" {
+				break
+			}
+			if time.Now().After(until) {
+				s.broke("%s: %s", id, bad)
+				break
+			}
+			time.Sleep(100 * time.Millisecond)
+		}
+		if got, _, err := readers[customer(n+1)].Attempts(ctx, reader.Query{Job: id}); err != nil || len(got) > 0 {
+			s.broke("%s: another customer is told of %d attempts: %v", id, len(got), err)
+		}
+	}
+	return nil
+}
+
+// judgeJob reads a job's output; it returns what is wrong, "" if nothing is.
+func (s *soak) judgeJob(ctx context.Context, r *reader.Client, id string, whole map[string]bool) string {
+	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: id, Files: true})
+	if err != nil || !answered.Whole {
+		return fmt.Sprintf("%v silent: %v", answered.Silent, err)
+	}
+	met, lines := map[string]bool{}, 0
+	for i := range attempts {
+		a := &attempts[i]
+		name := fmt.Sprintf("%s/%d %d %s", a.Job, a.Task, a.Try, a.Machine)
+		met[name] = true
+		n := 0
+		for u := r.Open(a.Attempt, archive.Stdout); ; u.Next() {
+			l, err := u.Peek(ctx)
+			if err != nil {
+				return err.Error()
+			}
+			if l == nil {
+				break
+			}
+			n++
+			want := fmt.Sprintf("line %d of %s/%d %d", n, a.Job, a.Task, a.Try)
+			if l.Note != "" || l.Text != want && !(l.Cut && strings.HasPrefix(want, l.Text)) {
+				return fmt.Sprintf("%s: %q %q in the place of %q", name, l.Text, l.Note, want)
+			}
+		}
+		lines += n
+		switch {
+		case s.lost[a.Machine]: // what its disk had
+		case whole[name] && n != 5:
+			return fmt.Sprintf("%s wrote 5 lines, and %d are kept", name, n)
+		case whole[name] && (a.End == nil || len(a.Files) != 1 || a.Files[0].Path != "out/result"):
+			return fmt.Sprintf("%s came to its end, and that or its file is not kept: %+v, %+v", name, a.End, a.Files)
+		}
+	}
+	for name := range whole {
+		if machine := name[strings.LastIndex(name, " ")+1:]; strings.HasPrefix(name, id+"/") && !met[name] && !s.lost[machine] {
+			return name + " came to its end, and nothing of it is kept"
+		}
+	}
+	s.r.Kept, s.r.Lines = s.r.Kept+len(attempts), s.r.Lines+lines
+	return ""
+}
+
+// finished counts the finished tasks of each job in the records, as the state
+// service has them.
+func (s *soak) finished() map[string]int {
+	out := map[string]int{}
+	from := ""
+	for {
+		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?under="+stateclient.MirroredPrefix+"p/&from="+url.QueryEscape(from), nil)
+		var p protocol.KeyValuePage
+		if st != 200 || json.Unmarshal(body, &p) != nil {
+			s.broke("the records can't be read: %d", st)
+			return out
+		}
+		for _, e := range p.KeyValues {
+			from = e.Key
+			id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, stateclient.MirroredPrefix+"p/"), "/")
+			n, err := countFinished(e.Value)
+			if err != nil {
+				s.broke("%s: %v", e.Key, err)
+			}
+			out[id] += n
+		}
+		if !p.Truncated {
+			return out
+		}
+	}
+}
+
+// countFinished counts the finished tasks of a page's record: a word for each
+// task, d for finished, *n for n alike.
+func countFinished(data []byte) (n int, err error) {
+	var words string
+	if json.Unmarshal(data, &words) != nil {
+		return 0, errors.New("not a page of tasks")
+	}
+	for _, w := range strings.Fields(words) {
+		k := 1
+		if _, times, ok := strings.Cut(w, "*"); ok {
+			if _, err := fmt.Sscan(times, &k); err != nil {
+				return 0, err
+			}
+		}
+		if w[0] == 'd' {
+			n += k
+		}
+	}
+	return n, nil
+}
