--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -100,7 +100,7 @@
 		Use: "backup NAME", Short: "Write a consistent snapshot into the service's backup folder, while it serves", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var saved statestore.BackupSummary
-			if err := client.post(statestore.PathBackup, statestore.Backup{Name: args[0]}, &saved); err != nil {
+			if err := client.post(statestore.PathBackup, statestore.BackupRequest{Name: args[0]}, &saved); err != nil {
 				return err
 			}
 			return client.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
@@ -149,7 +149,7 @@
 		{Name: "state_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
 		{Name: "state_refused", Help: "Requests refused for the rates or for a slow disk.", Value: float64(s.Refused), Count: true},
 		{Name: "state_commits", Help: "Syncs of the file.", Value: float64(s.Commits), Count: true},
-		{Name: "state_commit_seconds", Help: "Time spent in them.", Value: s.CommitS, Count: true},
+		{Name: "state_commit_seconds", Help: "Time spent in them.", Value: s.CommitSeconds, Count: true},
 		{Name: "state_changes", Help: "Changes of keys.", Value: float64(s.Changes), Count: true},
 		{Name: "state_ledger", Help: "Revision of the last change.", Value: float64(s.Revision)},
 		{Name: "state_keys", Help: "Keys.", Value: float64(s.Keys)},
--- /dev/null
+++ b/internal/statestore/admission.go
@@ -0,0 +1,274 @@
+package statestore
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+	"unicode/utf8"
+
+	"silvergate/internal/protocol"
+)
+
+// Limits of the protocol that no setting changes.
+const (
+	maxKeyBytes     = 200
+	maxPageKeys     = 1000
+	maxPageBytes    = 512 << 10
+	retainedChanges = 10_000 // for watches
+)
+
+// retryAfterSeconds is when a client that was refused for the rates, or as the disk is
+// behind, is told to try again.
+const retryAfterSeconds = 1
+
+const (
+	// idleTickInterval is the most time between two looks at the clock.
+	idleTickInterval = time.Second
+	// leaseTickInterval is idleTickInterval while there are leases.
+	leaseTickInterval = maxClockGap / 2
+)
+
+// rateBucket is a token bucket that allows a burst of one second's worth.
+type rateBucket struct{ rate, level float64 }
+
+func (b *rateBucket) fill(elapsed time.Duration) {
+	b.level = min(b.rate, b.level+b.rate*elapsed.Seconds())
+}
+
+// decision is what admission control makes of a request: an answer, or one thing that is
+// to be done for it.
+type decision struct {
+	status     int // of the answer; 0 if something below is to be done
+	body       []byte
+	retryAfter int // seconds; 0 for none
+
+	request *request     // hand this write to the writer
+	get     string       // read this key
+	list    *listRequest // read a page of keys
+	watcher *watcher     // answer this watch, or have it wait
+}
+
+// listRequest asks for at most limit keys with a prefix that come after from.
+type listRequest struct {
+	prefix, from string
+	limit        int
+}
+
+// admission decides on requests by their form, the rates, the leases and what waits for
+// the disk, and holds the leases' deadlines and the watches that wait. It does no I/O and
+// reads no clock: the time comes with advance. It is not safe for concurrent use; Service
+// calls it with its lock held.
+type admission struct {
+	limits        Limits
+	now           time.Duration
+	requests      rateBucket
+	changes       rateBucket
+	leases        map[uint64]*lease
+	watchers      map[uint64]*watcher
+	pendingWrites int // requests that are with the writer
+	refused       uint64
+}
+
+// newAdmission starts with the leases that the store has, each with its full TTL.
+func newAdmission(limits Limits, leaseTTLs map[uint64]time.Duration) *admission {
+	a := &admission{
+		limits:   limits,
+		requests: rateBucket{limits.RPS, limits.RPS},
+		changes:  rateBucket{limits.WriteRPS, limits.WriteRPS},
+		leases:   map[uint64]*lease{},
+		watchers: map[uint64]*watcher{},
+	}
+	for id, ttl := range leaseTTLs {
+		a.leases[id] = &lease{ttl: ttl, until: ttl}
+	}
+	return a
+}
+
+// maxPendingWrites is how many writes may wait for the disk: a second's worth of
+// requests. More could not be answered in time.
+func (a *admission) maxPendingWrites() int { return max(1, int(a.limits.RPS)) }
+
+// advance sets the time. It returns the leases that have expired, in order of their ids.
+func (a *admission) advance(now time.Duration) (expired []uint64) {
+	elapsed := now - a.now
+	a.now = now
+	a.requests.fill(elapsed)
+	a.changes.fill(elapsed)
+	return a.expireLeases(elapsed)
+}
+
+// nextDeadline is when advance must be called at the latest.
+func (a *admission) nextDeadline() time.Duration {
+	next := a.now + idleTickInterval
+	if len(a.leases) > 0 {
+		next = a.now + leaseTickInterval
+	}
+	for _, l := range a.leases {
+		if !l.expired {
+			next = min(next, l.until)
+		}
+	}
+	for _, w := range a.watchers {
+		next = min(next, w.until)
+	}
+	return next
+}
+
+func errorDecision(status int, format string, args ...any) decision {
+	v := decision{status: status, body: protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)})}
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
+		v.retryAfter = retryAfterSeconds
+	}
+	return v
+}
+
+// refuse is errorDecision for what is counted as refused.
+func (a *admission) refuse(status int, format string, args ...any) decision {
+	a.refused++
+	return errorDecision(status, format, args...)
+}
+
+// admit decides on a request. id is the one by which it is answered.
+func (a *admission) admit(id uint64, method, path, query string, body []byte) decision {
+	if a.requests.level < 1 {
+		return a.refuse(http.StatusTooManyRequests, "more than %g requests a second", a.limits.RPS)
+	}
+	a.requests.level--
+	escapedKey, isKey := strings.CutPrefix(path, protocol.PathKeys+"/")
+	leasePath, isLease := strings.CutPrefix(path, protocol.PathLeases+"/")
+	switch {
+	case isKey:
+		return withMethod(method, http.MethodGet, func() decision { return admitGet(escapedKey) })
+	case path == protocol.PathKeys:
+		return withMethod(method, http.MethodGet, func() decision { return admitList(query) })
+	case path == protocol.PathTxn:
+		return withMethod(method, http.MethodPost, func() decision { return a.admitTxn(body) })
+	case path == protocol.PathLeases:
+		return withMethod(method, http.MethodPost, func() decision { return a.admitLeaseGrant(body) })
+	case isLease:
+		return a.admitLeaseAction(method, leasePath)
+	case path == protocol.PathWatch:
+		return withMethod(method, http.MethodGet, func() decision { return a.admitWatch(id, query) })
+	}
+	return errorDecision(http.StatusNotFound, "no such path")
+}
+
+// withMethod decides by admit if the method is the wanted one.
+func withMethod(method, want string, admit func() decision) decision {
+	if method != want {
+		return errorDecision(http.StatusMethodNotAllowed, "use %s", want)
+	}
+	return admit()
+}
+
+// checkKey returns what is wrong with a key. Control characters are refused like
+// spaces: they could not be shown, or sent in a path.
+func checkKey(key string) error {
+	if key == "" || len(key) > maxKeyBytes {
+		return fmt.Errorf("must have 1 to %d bytes", maxKeyBytes)
+	}
+	isSpaceOrControl := func(r rune) bool { return r <= ' ' || r == 0x7f }
+	if !utf8.ValidString(key) || strings.ContainsFunc(key, isSpaceOrControl) {
+		return errors.New("must be text without spaces")
+	}
+	return nil
+}
+
+func admitGet(escapedKey string) decision {
+	key, err := url.PathUnescape(escapedKey)
+	if err == nil {
+		err = checkKey(key)
+	}
+	if err != nil {
+		return errorDecision(http.StatusBadRequest, "key: %v", err)
+	}
+	return decision{get: key}
+}
+
+func admitList(query string) decision {
+	list, err := parseList(query)
+	if err != nil {
+		return errorDecision(http.StatusBadRequest, "%v", err)
+	}
+	return decision{list: list}
+}
+
+func parseList(query string) (*listRequest, error) {
+	q, err := parseQuery(query)
+	if err != nil {
+		return nil, err
+	}
+	limit, err := queryNumber(q, "page", 1<<62, maxPageKeys)
+	if err != nil {
+		return nil, err
+	}
+	if limit == 0 {
+		return nil, errors.New("page: must be at least 1")
+	}
+	from := q.Get("from")
+	if !isKeyPart(from) {
+		return nil, fmt.Errorf("from: must be text of at most %d bytes", maxKeyBytes)
+	}
+	return &listRequest{q.Get("under"), from, int(min(limit, maxPageKeys))}, nil
+}
+
+// parseQuery parses the query of a list or a watch. All of its fields are optional.
+func parseQuery(query string) (url.Values, error) {
+	q, err := url.ParseQuery(query)
+	if err != nil {
+		return nil, errors.New("the query is malformed")
+	}
+	if !isKeyPart(q.Get("under")) {
+		return nil, fmt.Errorf("under: must be text of at most %d bytes", maxKeyBytes)
+	}
+	return q, nil
+}
+
+// isKeyPart reports whether s can be the beginning of a key.
+func isKeyPart(s string) bool { return len(s) <= maxKeyBytes && utf8.ValidString(s) }
+
+// queryNumber returns the field's number, which may be at most highest, or absent if the
+// query does not have the field.
+func queryNumber(q url.Values, name string, highest, absent uint64) (uint64, error) {
+	s := q.Get(name)
+	if s == "" {
+		return absent, nil
+	}
+	v, err := strconv.ParseUint(s, 10, 64)
+	if err != nil || v > highest {
+		return 0, fmt.Errorf("%s: must be a number from 0 to %d", name, highest)
+	}
+	return v, nil
+}
+
+func (a *admission) admitTxn(body []byte) decision {
+	txn, err := decodeTxn(body, a.limits)
+	if err != nil {
+		return errorDecision(http.StatusBadRequest, "%v", err)
+	}
+	changes := float64(len(txn.Ops))
+	if a.changes.level < changes {
+		return a.refuse(http.StatusTooManyRequests, "more than %g writes a second", a.limits.WriteRPS)
+	}
+	a.changes.level -= changes
+	for _, op := range txn.Ops {
+		if op.Lease != 0 && !a.leaseExists(op.Lease) {
+			return errorDecision(http.StatusBadRequest, "no such lease")
+		}
+	}
+	return a.admitWrite(&request{txn: txn})
+}
+
+// admitWrite hands a write to the writer, unless so many wait that its answer would come
+// too late.
+func (a *admission) admitWrite(r *request) decision {
+	if a.pendingWrites >= a.maxPendingWrites() {
+		return a.refuse(http.StatusServiceUnavailable, "the disk can't follow; nothing was done")
+	}
+	a.pendingWrites++
+	return decision{request: r}
+}
--- a/internal/statestore/admission_test.go
+++ b/internal/statestore/admission_test.go
@@ -68,7 +68,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			limits := Limits{RPS: 10, WriteRPS: 6, ValueKB: 1, TxnOps: 2}
 			a := newAdmission(limits, map[uint64]time.Duration{1: time.Second})
-			got := a.request(0, c.method, c.path, c.query, []byte(c.body))
+			got := a.admit(0, c.method, c.path, c.query, []byte(c.body))
 			if got.status != c.status || string(got.body) != c.want {
 				t.Errorf("%d, `%s`,", got.status, got.body)
 			}
@@ -85,15 +85,15 @@
 		status int
 		want   string
 	}{
-		{"no request left", func(a *admission) { a.reads.level = 0 }, 429, `{"error":"more than 4 requests a second"}`},
-		{"no change left", func(a *admission) { a.writes.level = 0 }, 429, `{"error":"more than 3 writes a second"}`},
-		{"the disk is behind", func(a *admission) { a.queued = 4 }, 503, `{"error":"the disk can't follow; nothing was done"}`},
+		{"no request left", func(a *admission) { a.requests.level = 0 }, 429, `{"error":"more than 4 requests a second"}`},
+		{"no change left", func(a *admission) { a.changes.level = 0 }, 429, `{"error":"more than 3 writes a second"}`},
+		{"the disk is behind", func(a *admission) { a.pendingWrites = 4 }, 503, `{"error":"the disk can't follow; nothing was done"}`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := newAdmission(limits, nil)
 			c.before(a)
-			got := a.request(0, "POST", "/txn", "", []byte(`{"then":[{"drop":"a"}]}`))
+			got := a.admit(0, "POST", "/txn", "", []byte(`{"then":[{"drop":"a"}]}`))
 			if got.status != c.status || string(got.body) != c.want || got.retryAfter != 1 || a.refused != 1 {
 				t.Errorf("%d, `%s`, again after %d s, %d counted", got.status, got.body, got.retryAfter, a.refused)
 			}
--- /dev/null
+++ b/internal/statestore/serve.go
@@ -0,0 +1,110 @@
+package statestore
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"silvergate/internal/protocol"
+	"silvergate/internal/transport"
+)
+
+// raw is JSON that was checked when it came in.
+type raw = json.RawMessage
+
+type keyValue struct {
+	Key         string `json:"key"`
+	Value       raw    `json:"data"`
+	ModRevision uint64 `json:"stamp"`
+	Lease       uint64 `json:"permit,omitempty"`
+}
+
+// keyPage answers a list.
+type keyPage struct {
+	KeyValues []keyValue `json:"entries"`
+	Truncated bool       `json:"truncated"`
+	Revision  uint64     `json:"ledger"`
+}
+
+// revisionResponse answers a committed transaction, and a read of a key that does not
+// exist.
+type revisionResponse struct {
+	Revision uint64 `json:"ledger"`
+}
+
+// Serve takes a request; the server calls it with the lock held. Writes and watches are
+// answered later.
+func (s *Service) Serve(id uint64, r *transport.Request) {
+	s.advance()
+	defer s.scheduleTick()
+	if r.Path == PathBackup {
+		s.serveBackup(id, r)
+		return
+	}
+	if s.Extra != nil && s.Extra(id, r.Method, r.Path) {
+		return
+	}
+	s.stats.Requests++
+	v := s.admission.admit(id, r.Method, r.Path, r.Query, r.Body)
+	switch {
+	case v.status != 0:
+		s.server.Answer(id, v.status, v.body, v.retryAfter)
+	case v.request != nil:
+		write := *v.request
+		write.respond = func(res result) { s.answerWrite(id, &write, res) }
+		s.submit(write)
+	case v.get != "":
+		s.serveGet(id, v.get)
+	case v.list != nil:
+		s.serveList(id, v.list)
+	case v.watcher != nil:
+		s.serveWatch(v.watcher)
+	}
+}
+
+func (s *Service) serveGet(id uint64, key string) {
+	record, found, revision, err := s.disk.get(key)
+	switch {
+	case err != nil:
+		s.fail(err)
+	case !found:
+		s.answerJSON(id, http.StatusNotFound, revisionResponse{revision})
+	default:
+		s.answerJSON(id, http.StatusOK, keyValue{key, record.value, record.modRevision, record.lease})
+	}
+}
+
+func (s *Service) serveList(id uint64, l *listRequest) {
+	page := keyPage{KeyValues: []keyValue{}} // not null in JSON
+	const (
+		pageOverhead  = 100
+		entryOverhead = 80 // an entry's field names and numbers, at most
+		maxEscaped    = 6  // bytes that one of a key may take in JSON
+	)
+	size := pageOverhead
+	revision, err := s.disk.scan(l.prefix, l.from, func(key []byte, r keyRecord) bool {
+		entrySize := len(r.value) + maxEscaped*len(key) + entryOverhead
+		if len(page.KeyValues) == l.limit || size+entrySize > maxPageBytes {
+			page.Truncated = true
+			return false
+		}
+		size += entrySize
+		// The value is in the mapped file, and only valid until the scan ends.
+		page.KeyValues = append(page.KeyValues, keyValue{string(key), append(raw(nil), r.value...), r.modRevision, r.lease})
+		return true
+	})
+	if err != nil {
+		s.fail(err)
+		return
+	}
+	page.Revision = revision
+	s.answerJSON(id, http.StatusOK, page)
+}
+
+func (s *Service) answerJSON(id uint64, status int, v any) {
+	s.server.Answer(id, status, protocol.Encode(v), 0)
+}
+
+func (s *Service) answerError(id uint64, status int, format string, args ...any) {
+	v := errorDecision(status, format, args...)
+	s.server.Answer(id, v.status, v.body, v.retryAfter)
+}
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -295,14 +295,14 @@
 	m := newAdmission(wide, map[uint64]time.Duration{1: time.Second})
 	step := func(until time.Duration) (ended []uint64) {
 		for m.now < until {
-			ended = append(ended, m.advance(min(until, m.due()))...)
+			ended = append(ended, m.advance(min(until, m.nextDeadline()))...)
 		}
 		return ended
 	}
 	if e := step(999 * time.Millisecond); len(e) != 0 {
 		t.Fatalf("ended early: %v", e)
 	}
-	if v := m.request(0, "POST", "/grants/1/touch", "", nil); v.status != 200 {
+	if v := m.admit(0, "POST", "/grants/1/touch", "", nil); v.status != 200 {
 		t.Fatalf("touch: %d", v.status)
 	}
 	if e := step(1998 * time.Millisecond); len(e) != 0 {
@@ -319,10 +319,10 @@
 	if e := step(at + 1000*time.Millisecond); !slices.Equal(e, []uint64{1}) {
 		t.Fatalf("did not end in time: %v", e)
 	}
-	if v := m.request(0, "POST", "/grants/1/touch", "", nil); v.status != 404 {
+	if v := m.admit(0, "POST", "/grants/1/touch", "", nil); v.status != 404 {
 		t.Fatalf("touch after the end: %d", v.status)
 	}
-	if v := m.request(0, "POST", "/txn", "", []byte(`{"then":[{"write":"a","data":1,"permit":1}]}`)); v.status != 400 {
+	if v := m.admit(0, "POST", "/txn", "", []byte(`{"then":[{"write":"a","data":1,"permit":1}]}`)); v.status != 400 {
 		t.Fatalf("write with an ended grant: %d", v.status)
 	}
 }
@@ -336,14 +336,14 @@
 		}
 		return ok
 	}
-	get := func() int { return m.request(0, "GET", "/keys/a", "", nil).status }
+	get := func() int { return m.admit(0, "GET", "/keys/a", "", nil).status }
 	put := func() int {
-		return m.request(0, "POST", "/txn", "", []byte(`{"then":[{"drop":"a"},{"drop":"b"},{"drop":"c"}]}`)).status
+		return m.admit(0, "POST", "/txn", "", []byte(`{"then":[{"drop":"a"},{"drop":"b"},{"drop":"c"}]}`)).status
 	}
 	if n := count(put); n != 2 {
 		t.Errorf("%d transactions of 3 at 6 writes a second", n)
 	}
-	m.queued = 0
+	m.pendingWrites = 0
 	if n := count(get); n != 7 { // one was refused for its writes
 		t.Errorf("%d more requests", n)
 	}
@@ -471,13 +471,13 @@
 		return r.Revision
 	}
 	first := write(1)
-	st, body := do(pool, addr, "POST", PathBackup, Backup{"one"})
+	st, body := do(pool, addr, "POST", PathBackup, BackupRequest{"one"})
 	var saved BackupSummary
 	if json.Unmarshal(body, &saved) != nil || st != 200 || saved.Revision != first {
 		t.Fatalf("%d %s", st, body)
 	}
 	for _, name := range []string{"one", "../one", ""} {
-		if st, _ := do(pool, addr, "POST", PathBackup, Backup{name}); st != 409 && st != 400 {
+		if st, _ := do(pool, addr, "POST", PathBackup, BackupRequest{name}); st != 409 && st != 400 {
 			t.Errorf("backup %q: %d", name, st)
 		}
 	}
@@ -510,9 +510,9 @@
 		`{"then":[{"write":"a"}]}`, `{"then":[{"write":"a","drop":"b","data":1}]}`, `[]`, `{"if":[{"key":"a b","stamp":-1}]}`, "null"} {
 		f.Add([]byte(s))
 	}
-	m := newAdmission(Limits{RPS: 100, WriteRPS: 100, ValueKB: 0.1, TxnOps: 2}, nil)
+	limits := Limits{RPS: 100, WriteRPS: 100, ValueKB: 0.1, TxnOps: 2}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		txn, err := m.readTxn(body)
+		txn, err := decodeTxn(body, limits)
 		if err != nil {
 			return
 		}
