--- a/internal/statestore/admission_test.go
+++ b/internal/statestore/admission_test.go
@@ -100,3 +100,31 @@
 		})
 	}
 }
+
+// TestRatesAllowBurstsOfASecond demands bursts of a second's worth and no more.
+func TestRatesAllowBurstsOfASecond(t *testing.T) {
+	a := newAdmission(Limits{RPS: 10, WriteRPS: 6, ValueKB: 1, TxnOps: 3}, nil)
+	// admitted counts how many are admitted until one is refused for the rates.
+	admitted := func(method, path, body string) (count int) {
+		for a.admit(0, method, path, "", []byte(body)).status != 429 {
+			count++
+		}
+		return count
+	}
+	reads := func() int { return admitted("GET", "/keys/a", "") }
+	if n := admitted("POST", "/txn", `{"then":[{"drop":"a"},{"drop":"b"},{"drop":"c"}]}`); n != 2 {
+		t.Errorf("%d transactions of 3 at 6 writes a second", n)
+	}
+	a.pendingWrites = 0
+	if n := reads(); n != 7 { // one was refused for its writes
+		t.Errorf("%d more requests", n)
+	}
+	a.advance(500 * time.Millisecond)
+	if n := reads(); n != 5 {
+		t.Errorf("%d requests after half a second", n)
+	}
+	a.advance(time.Hour)
+	if n := reads(); n != 10 {
+		t.Errorf("%d requests after an hour", n)
+	}
+}
