--- /dev/null
+++ b/internal/fencing/model_controller_test.go
@@ -0,0 +1,268 @@
+package fencing
+
+// What a controller of the model does with what it is told. Every decision is the
+// product's own.
+
+// workerState is what the product's functions are given, as a controller knows a machine.
+func (md *model) workerState(s *world, c, m uint8) WorkerState {
+	self, view := &s.controllers[c], &s.controllers[c].views[m]
+	owner := md.ownershipOf(s, c, m)
+	state := WorkerState{
+		Held:            owner.owner == c+1 && (owner.incarnation == self.incarnation || view.adopted),
+		Adopted:         view.adopted,
+		Token:           uint64(owner.token),
+		AppliedRevision: uint64(self.appliedRevision),
+		TokenSeen:       view.tokenSeen,
+		MirrorComplete:  view.mirrorComplete,
+		LaunchInDoubt:   view.launchInDoubt,
+		Epoch:           uint64(view.epoch),
+		Sequence:        uint64(view.sequence),
+		LastLaunch:      Position{uint64(view.launchEpoch), uint64(view.launchSequence)},
+	}
+	if md.has(trustOvertaken) {
+		state.LastLaunch = Position{}
+	}
+	if md.has(trustBeforeMirror) {
+		state.AppliedRevision = 1 << 20
+	}
+	if md.has(launchBeforeMirror) {
+		state.MirrorComplete = true
+	}
+	if md.has(leaseWithoutToken) {
+		state.TokenSeen = true
+	}
+	return state
+}
+
+// boundAttempt is what a controller's records bind to a machine.
+func (md *model) boundAttempt(s *world, c, m uint8) (Attempt, bool) {
+	task := s.known(c, taskKey)
+	return Attempt{Number: int(task.attempt), Epoch: uint64(task.epoch), BoundAt: uint64(s.controllers[c].taskBoundAt)}, task.bound && task.machine == m
+}
+
+// applyRevision brings a key's revision into a controller's mirror. complete is whether the
+// mirror is complete up to it with that.
+func (md *model) applyRevision(s *world, c, key, revision uint8, complete bool) {
+	self := &s.controllers[c]
+	var before [machines]uint8
+	for m := range before {
+		before[m] = md.tokenOf(s, c, uint8(m))
+	}
+	if complete {
+		self.appliedRevision = revision
+	}
+	if revision > self.known[key] {
+		self.known[key] = revision
+		if key == taskKey {
+			self.taskBoundAt, self.unwanted = revision, false
+			md.launchDirectly(s, c)
+			return
+		}
+	}
+	for m := range before {
+		md.ownerChanged(s, c, uint8(m), before[m])
+	}
+}
+
+// ownerChanged handles that a machine's owner may have changed; before is its token until now.
+func (md *model) ownerChanged(s *world, c, m, before uint8) {
+	self, owner := &s.controllers[c], md.ownershipOf(s, c, m)
+	if owner.token == before {
+		return
+	}
+	view := &self.views[m]
+	view.tokenSeen, view.mirrorComplete, view.adopted, view.seenAtWatch = false, false, false, false
+	if owner.owner == c+1 && owner.incarnation == self.incarnation && owner.token != self.known[m] {
+		*view = workerView{} // it has come to us with its group
+	}
+}
+
+// launchDirectly sends a direct launch of what is newly bound to a machine of ours.
+func (md *model) launchDirectly(s *world, c uint8) {
+	self := &s.controllers[c]
+	for m := uint8(0); m < md.bounds.machines; m++ {
+		if self.knowsCancelled {
+			return // nothing of a job that is over is launched
+		}
+		attempt, bound := md.boundAttempt(s, c, m)
+		slot := 0
+		for slot < len(self.launches) && self.launches[slot].pending {
+			slot++
+		}
+		if !bound || slot == len(self.launches) {
+			continue
+		}
+		state := md.workerState(s, c, m)
+		anyRecord := md.has(launchAnyRecord) && state.Held && state.TokenSeen && !state.LaunchInDoubt && attempt.Epoch == state.Epoch
+		if !anyRecord && !state.MayLaunchDirectly(attempt) {
+			continue
+		}
+		self.launches[slot] = directLaunch{pending: true, machine: m, token: md.tokenOf(s, c, m), epoch: self.views[m].epoch, attempt: uint8(attempt.Number)}
+		if md.has(oneLaunchPerTask) {
+			self.views[m].unanswered = 0
+		}
+		self.views[m].unanswered |= 1 << attempt.Number
+	}
+}
+
+// launchUnanswered tells whether a direct launch of an attempt may still be carried out.
+func (md *model) launchUnanswered(view *workerView, attempt int) bool {
+	return view.unanswered>>attempt&1 == 1 && !md.has(ignoreUnanswered)
+}
+
+// receiveHeartbeat has a controller take a heartbeat; it returns what the answer carries.
+func (md *model) receiveHeartbeat(s *world, c, m uint8, hb heartbeat) (answer exchange) {
+	self, view := &s.controllers[c], &s.controllers[c].views[m]
+	if s.horizonPassed && !self.knowsCancelled && !md.has(ignoreHorizon) {
+		return answer // the last proof is older than the horizon
+	}
+	head := Heartbeat{Token: uint64(hb.token), Epoch: uint64(hb.epoch), Sequence: uint64(hb.sequence)}
+	attempt, bound := md.boundAttempt(s, c, m)
+	md.adoptClaim(s, c, m, hb)
+	md.voidLaunches(self, view, hb)
+	state := md.workerState(s, c, m)
+	verdict := state.JudgeHeartbeat(head)
+	switch verdict {
+	case NeedsClaim:
+		if self.claim.kind == noTxn {
+			self.claim = txn{kind: claimTxn, machine: m, ifClaim: self.known[m], ifLinks: md.ownershipOf(s, c, m).links, renewal: state.Held && view.mirrorComplete}
+		}
+		return answer
+	case Stale:
+		return answer
+	}
+	view.epoch, view.sequence = hb.epoch, hb.sequence
+	token := md.tokenOf(s, c, m)
+	if hb.token == token && !view.tokenSeen {
+		view.tokenSeen = true
+	}
+	answer = exchange{heartbeat: hb, answered: true, token: token}
+	// Our clock starts with the heartbeat's arrival: what the worker has sent and begun by
+	// now is covered by it, however old this heartbeat is.
+	view.answeredSequence, view.answeredEpoch = s.workers[m].sequence, s.workers[m].epoch
+	if self.knowsCancelled && !md.has(answerWithoutKill) {
+		answer.kill = md.killCancelled(hb, attempt, bound)
+	}
+	if verdict == Trust {
+		md.judgeAttempts(s, c, m, &answer)
+	} else if bound {
+		md.judgeUntrusted(s, c, m, hb, attempt)
+	}
+	return answer
+}
+
+// adoptClaim has a controller go on with a claim of an earlier incarnation, if it may.
+func (md *model) adoptClaim(s *world, c, m uint8, hb heartbeat) {
+	self, view := &s.controllers[c], &s.controllers[c].views[m]
+	head := Heartbeat{Token: uint64(hb.token), Epoch: uint64(hb.epoch), Sequence: uint64(hb.sequence)}
+	attempt, bound := md.boundAttempt(s, c, m)
+	owner := md.ownershipOf(s, c, m)
+	if owner.owner != c+1 || owner.incarnation >= self.incarnation || view.adopted || hb.token != owner.token || self.claim.kind != noTxn {
+		return
+	}
+	if bound && !md.has(adoptAnything) && !Adoptable(head, attempt, hb.attempts[attempt.Number] != absent) {
+		return
+	}
+	*view = workerView{adopted: true, mirrorComplete: true}
+	for number, listed := range hb.attempts {
+		if listed != absent && !md.has(adoptWithoutLaunches) {
+			view.unanswered |= 1 << number
+		}
+	}
+}
+
+// voidLaunches asks for a new token when a launch of a cancelled job may still come; the
+// core has a function of the same name.
+func (md *model) voidLaunches(self *controller, view *workerView, hb heartbeat) {
+	if !self.knowsCancelled || md.has(keepTokenOnCancel) {
+		return
+	}
+	for number, listed := range hb.attempts {
+		if view.unanswered>>number&1 == 1 && listed == absent {
+			view.launchInDoubt = true
+		}
+	}
+}
+
+// killCancelled is what every answer stops once the job is known to be cancelled.
+func (md *model) killCancelled(hb heartbeat, attempt Attempt, bound bool) (kill uint8) {
+	for number, listed := range hb.attempts {
+		if listed == running {
+			kill |= 1 << number
+		}
+	}
+	if bound && !md.has(killListedOnly) {
+		kill |= 1 << attempt.Number // also one that the heartbeat lacks, as a launch has overtaken it
+	}
+	return kill
+}
+
+// judgeUntrusted judges the bound attempt by a heartbeat that is answered and not trusted.
+func (md *model) judgeUntrusted(s *world, c, m uint8, hb heartbeat, attempt Attempt) {
+	if md.has(releaseOnUntrusted) {
+		if hb.attempts[attempt.Number] == absent { // what an untrusted list lacks
+			md.propose(s, c, m, NewerEpoch, attempt)
+		}
+		return
+	}
+	head := Heartbeat{Token: uint64(hb.token), Epoch: uint64(hb.epoch), Sequence: uint64(hb.sequence)}
+	if action, proof := JudgeEarlierEpoch(head, attempt); action == Release {
+		md.propose(s, c, m, proof, attempt)
+	}
+}
+
+// judgeAttempts compares a trusted heartbeat's list with the records.
+func (md *model) judgeAttempts(s *world, c, m uint8, answer *exchange) {
+	self, view, hb := &s.controllers[c], &s.controllers[c].views[m], answer.heartbeat
+	head := Heartbeat{Token: uint64(hb.token), Epoch: uint64(hb.epoch), Sequence: uint64(hb.sequence)}
+	attempt, bound := md.boundAttempt(s, c, m)
+	state := md.workerState(s, c, m)
+	boundListed := false
+	for number := 1; number <= attempts; number++ {
+		if hb.attempts[number] == absent {
+			continue
+		}
+		boundListed = boundListed || bound && attempt.Epoch == uint64(hb.epoch) && attempt.Number == number
+		listed := ListedAttempt{Number: number, Ended: hb.attempts[number] == ended}
+		action, proof := state.JudgeListed(head, listed, attempt, bound, md.launchUnanswered(view, number))
+		switch action {
+		case Kill:
+			answer.kill |= 1 << number
+		case Forget:
+			answer.forget |= 1 << number
+		case RenewToken:
+			view.launchInDoubt = true
+		case Release:
+			md.propose(s, c, m, proof, attempt)
+		case Keep:
+			if self.unwanted || self.knowsCancelled && !md.has(answerWithoutKill) {
+				answer.kill |= 1 << number
+			}
+		}
+	}
+	if !bound || boundListed {
+		return
+	}
+	wanted := !self.unwanted && !self.knowsCancelled
+	ending := self.proposal.proof != 0 || self.taskWrite.kind != noTxn
+	switch action, proof := state.JudgeMissing(head, attempt, md.launchUnanswered(view, attempt.Number), wanted, ending); action {
+	case Release:
+		md.propose(s, c, m, proof, attempt)
+	case RenewToken:
+		view.launchInDoubt = true
+	case Launch:
+		answer.launch = uint8(attempt.Number)
+	}
+}
+
+// propose has a controller propose the release of an attempt on a machine.
+func (md *model) propose(s *world, c, m uint8, proof Proof, attempt Attempt) {
+	s.controllers[c].proposal = proposal{proof, m, uint8(attempt.Epoch), uint8(attempt.Number), md.tokenOf(s, c, m)}
+}
+
+// doubtLaunch notes that a direct launch was not answered.
+func (md *model) doubtLaunch(s *world, c uint8, launch directLaunch) {
+	if md.tokenOf(s, c, launch.machine) == launch.token {
+		s.controllers[c].views[launch.machine].launchInDoubt = true
+	}
+}
--- /dev/null
+++ b/internal/fencing/model_scenarios_test.go
@@ -0,0 +1,161 @@
+package fencing
+
+// The worlds that are explored, and the moments from which they start.
+
+// taskRunning is a world in which controller 0 owns machine 0 and the task runs there.
+func taskRunning() world {
+	var s world
+	s.commit(claimBy(0, 1, 0))
+	s.commit(taskBound(1, 0, 1))
+	for c := range s.controllers {
+		self := &s.controllers[c]
+		self.incarnation, self.known = 1, [keys]uint8{0: 1, taskKey: 2}
+		self.learnedTask(2)
+	}
+	s.controllers[0].views[0] = trustedView(1)
+	for m := range s.workers {
+		s.workers[m].epoch = 1
+	}
+	s.workers[0].renewLease(1, 1)
+	s.workers[0].attempts[1] = running
+	return s
+}
+
+// learnedTask brings a controller's mirror to a revision of the task.
+func (c *controller) learnedTask(revision uint8) {
+	c.appliedRevision, c.watchOpenedAt, c.known[taskKey], c.taskBoundAt = revision, revision, revision, revision
+}
+
+// learned brings a controller's mirror to a revision of another key.
+func (c *controller) learned(key, revision uint8) {
+	c.appliedRevision, c.watchOpenedAt, c.known[key] = revision, revision, revision
+}
+
+// trustedView is a machine in its first epoch whose heartbeats are trusted, the newest
+// being of that sequence number.
+func trustedView(sequence uint8) workerView {
+	return workerView{tokenSeen: true, mirrorComplete: true, seenAtWatch: true, epoch: 1, sequence: sequence, answeredSequence: sequence, answeredEpoch: 1}
+}
+
+// renewLease is what an answer with that token to the heartbeat of that sequence number does.
+func (w *worker) renewLease(token, sequence uint8) {
+	w.token, w.sequence, w.renewedSequence = token, sequence, sequence
+}
+
+// releaseCommitted is the same when the task has ended there and its release is committed,
+// which controller 1 does not know and the worker has not been told.
+func releaseCommitted() world {
+	s := taskRunning()
+	s.workers[0].attempts[1] = ended
+	s.commit(taskReleased(1))
+	s.controllers[0].learnedTask(3)
+	return s
+}
+
+// releaseCommittedMirrorFarBehind is the same when controller 1 has not even learnt that it
+// was bound.
+func releaseCommittedMirrorFarBehind() world {
+	s := releaseCommitted()
+	self := &s.controllers[1]
+	self.appliedRevision, self.watchOpenedAt, self.known[taskKey], self.taskBoundAt = 1, 1, 0, 0
+	return s
+}
+
+// releaseUnderWay is the same while the release is under way.
+func releaseUnderWay() world {
+	s := taskRunning()
+	s.workers[0].attempts[1] = ended
+	s.controllers[0].startedRelease(1)
+	return s
+}
+
+// startedRelease has a controller that saw the first attempt end, under that token, write its release.
+func (c *controller) startedRelease(token uint8) {
+	c.taskWrite = txn{kind: releaseTxn, attempt: 1, ifTask: 2, ifClaim: unconditional}
+	c.proposal = proposal{proof: Ended, machine: 0, epoch: 1, attempt: 1, token: token}
+}
+
+// launchAbandoned is the same when controller 0 has sent a direct launch and given up on
+// it; a heartbeat's answer has launched the attempt, or nothing has.
+func launchAbandoned(state attemptState) func() world {
+	return func() world {
+		s := taskRunning()
+		s.workers[0].attempts[1] = state
+		s.controllers[0].launches[0] = directLaunch{pending: true, abandoned: true, token: 1, epoch: 1, attempt: 1}
+		s.controllers[0].views[0].unanswered, s.controllers[0].views[0].launchInDoubt = 1<<1, true
+		return s
+	}
+}
+
+// launchPending is the same while the launch may still be answered.
+func launchPending() world {
+	s := launchAbandoned(running)()
+	s.controllers[0].launches[0].abandoned, s.controllers[0].views[0].launchInDoubt = false, false
+	return s
+}
+
+// launchNotArrived is the same, and nothing has launched it yet.
+func launchNotArrived() world {
+	s := launchPending()
+	s.workers[0].attempts[1] = absent
+	return s
+}
+
+// claimedOutsideGroup is a world in which controller 0 has restarted and claimed machine 0
+// alone, out of the group of its earlier incarnation, and controller 1 does not know it yet.
+func claimedOutsideGroup() world {
+	s := taskRunning()
+	s.commit(claimBy(0, 2, 0))
+	s.controllers[0].incarnation = 2
+	s.controllers[0].learned(0, 3)
+	s.controllers[0].views[0] = trustedView(2)
+	s.workers[0].renewLease(3, 2)
+	return s
+}
+
+// groupFailedOver is a world in which controller 0's group has failed over to controller 1,
+// the task has ended, and its release is under way; controller 0 knows of none of it, and is
+// about to renew its token, as the worker has shown it a higher one.
+func groupFailedOver() world {
+	s := taskRunning()
+	s.commit(failoverTo(1, 1, groupKey))
+	s.failovers = 1
+	s.controllers[1].learned(groupKey, 3)
+	s.controllers[1].views[0] = trustedView(2)
+	s.controllers[1].startedRelease(3)
+	s.controllers[0].claim = txn{kind: claimTxn, ifClaim: 1, ifLinks: [maxLinks]linkRevision{{key: groupKey}}, renewal: true}
+	w := &s.workers[0]
+	w.renewLease(3, 2)
+	w.attempts[1] = ended
+	w.sequence = 3
+	w.exchange.heartbeat = heartbeat{pending: true, to: 1, epoch: 1, sequence: 3, token: 3, attempts: w.attempts}
+	return s
+}
+
+// worlds are the worlds that are explored: one machine deeply, two less so, and from
+// moments on where little is left to happen.
+var worlds = []struct {
+	name   string
+	start  func() world
+	bounds bounds
+}{
+	{"one machine", taskRunning, bounds{machines: 1, revisions: 6, attempts: 2, epochs: 2, sequences: 4, crashes: 1, delays: 1}},
+	{"one epoch", taskRunning, bounds{machines: 1, revisions: 7, attempts: 2, epochs: 1, sequences: 6}},
+	{"two machines", taskRunning, bounds{machines: 2, revisions: 6, attempts: 2, epochs: 2, sequences: 3, crashes: 1, deletions: 1, delays: 1}},
+	{"committed release", releaseCommitted, bounds{machines: 1, revisions: 5, attempts: 1, epochs: 1, sequences: 5}},
+	{"committed release, mirror far behind", releaseCommittedMirrorFarBehind, bounds{machines: 1, revisions: 5, attempts: 1, epochs: 1, sequences: 5}},
+	{"release under way", releaseUnderWay, bounds{machines: 1, revisions: 4, attempts: 1, epochs: 1, sequences: 6}},
+	{"abandoned launch, running", launchAbandoned(running), bounds{machines: 1, revisions: 4, attempts: 1, epochs: 1, sequences: 4, crashes: 1}},
+	{"abandoned launch, not arrived", launchAbandoned(absent), bounds{machines: 1, revisions: 4, attempts: 1, epochs: 1, sequences: 4, crashes: 1}},
+	{"cancellation", taskRunning, bounds{machines: 1, revisions: 5, attempts: 1, epochs: 2, sequences: 4, crashes: 1, delays: 1, cancellation: true}},
+	{"cancellation, pending launch", launchNotArrived, bounds{machines: 1, revisions: 5, attempts: 1, epochs: 2, sequences: 4, cancellation: true}},
+	{"cancellation, abandoned launch", launchAbandoned(absent), bounds{machines: 1, revisions: 5, attempts: 1, epochs: 2, sequences: 4, crashes: 1, cancellation: true}},
+	{"failover", taskRunning, bounds{machines: 1, revisions: 6, attempts: 2, epochs: 2, sequences: 4, delays: 1, failovers: 1}},
+	{"failover beside a claim", claimedOutsideGroup, bounds{machines: 1, revisions: 5, attempts: 1, epochs: 1, sequences: 5, failovers: 1}},
+	{"claim beside a failover", groupFailedOver, bounds{machines: 1, revisions: 5, attempts: 1, epochs: 1, sequences: 5, failovers: 1, reliable: true}},
+	{"failover and back", taskRunning, bounds{machines: 1, revisions: 7, attempts: 1, epochs: 2, sequences: 4, failovers: 2}},
+	{"failover of two machines", taskRunning, bounds{machines: 2, revisions: 5, attempts: 2, epochs: 2, sequences: 3, failovers: 1}},
+	{"failover after a committed release, mirror far behind", releaseCommittedMirrorFarBehind, bounds{machines: 1, revisions: 6, attempts: 1, epochs: 1, sequences: 5, failovers: 1}},
+	{"failover during a launch", launchPending, bounds{machines: 1, revisions: 5, attempts: 1, epochs: 1, sequences: 4, failovers: 1}},
+	{"pending launch", launchPending, bounds{machines: 1, revisions: 6, attempts: 2, epochs: 1, sequences: 5}},
+}
