--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -7,100 +7,123 @@
 	"pgregory.net/rapid"
 )
 
-func TestKeysCanBeRead(t *testing.T) {
+func TestParseKeyReadsWhatKeyWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := Group{Holder{rapid.String().Draw(t, "node"), rapid.Int64().Draw(t, "life"), rapid.IntRange(1, 1000).Draw(t, "epoch")},
-			rapid.String().Draw(t, "zone"), rapid.IntRange(0, Groups-1).Draw(t, "number")}
+		holder := Holder{rapid.String().Draw(t, "node"), rapid.Int64().Draw(t, "incarnation"), rapid.IntRange(1, 1000).Draw(t, "epoch")}
+		g := Group{holder, rapid.String().Draw(t, "zone"), rapid.IntRange(0, Groups-1).Draw(t, "number")}
 		if got, ok := ParseKey(g.Key()); !ok || got != g {
 			t.Fatalf("%q: %+v %v, want %+v", g.Key(), got, ok, g)
 		}
 	})
-	for _, key := range []string{"", "n/1/z/0", "n/1.0/z/0", "n/x.1/z/0", "n/1.1/z/4", "n/1.1/z/-1", "n/1.1/z", "n/1.1/z/0/0"} {
-		if g, ok := ParseKey(key); ok {
-			t.Errorf("%q: %+v", key, g)
-		}
+}
+
+func TestParseKeyRefusesOtherKeys(t *testing.T) {
+	for _, c := range []struct{ name, key string }{
+		{"empty", ""},
+		{"no epoch", "n/1/z/0"},
+		{"epoch 0", "n/1.0/z/0"},
+		{"incarnation is no number", "n/x.1/z/0"},
+		{"number too high", "n/1.1/z/4"},
+		{"negative number", "n/1.1/z/-1"},
+		{"no number", "n/1.1/z"},
+		{"a part too many", "n/1.1/z/0/0"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if g, ok := ParseKey(c.key); ok {
+				t.Errorf("%q: %+v", c.key, g)
+			}
+		})
 	}
 }
 
-// history is a drawn sequence of claims and take-overs, each with the next revision, as the state
-// service would commit them: a claim whenever it likes, a take-over of a group that has no record.
+const zone = "z"
+
+// history is a drawn sequence of claims and failovers, each with the next revision, as the state
+// service would commit them: a claim whenever it likes, a failover of a group that has no record.
 type history struct {
-	workers []string
-	own     map[string]Claim
-	holder  map[string]Claim // by the meaning of each step, one worker at a time
-	records map[Group]record
-	ledger  uint64
+	workers  []string
+	claims   map[string]Claim // the workers' own
+	owners   map[string]Claim // by the meaning of each step, one worker at a time
+	records  map[Group]record
+	revision uint64
 }
 
-func draw(t *rapid.T, steps int) (*history, *Table) {
-	h := &history{own: map[string]Claim{}, holder: map[string]Claim{}, records: map[Group]record{}}
+func drawHistory(t *rapid.T, steps int) (*history, *Table) {
+	h := &history{claims: map[string]Claim{}, owners: map[string]Claim{}, records: map[Group]record{}}
 	for i := range 6 {
 		h.workers = append(h.workers, fmt.Sprintf("i-%d", i))
 	}
-	b := NewTable()
-	holder := rapid.Custom(func(t *rapid.T) Holder {
-		return Holder{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node"), rapid.Int64Range(1, 2).Draw(t, "life"), rapid.IntRange(1, 2).Draw(t, "epoch")}
+	table := NewTable()
+	holders := rapid.Custom(func(t *rapid.T) Holder {
+		return Holder{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node"), rapid.Int64Range(1, 2).Draw(t, "incarnation"), rapid.IntRange(1, 2).Draw(t, "epoch")}
 	})
 	for range steps {
-		h.ledger++
-		by := holder.Draw(t, "by")
-		w := rapid.SampledFrom(h.workers).Draw(t, "worker")
-		if rapid.Bool().Draw(t, "alone") || h.holder[w].Token == 0 {
-			h.own[w], h.holder[w] = Claim{by, h.ledger}, Claim{by, h.ledger}
+		h.revision++
+		by := holders.Draw(t, "by")
+		worker := rapid.SampledFrom(h.workers).Draw(t, "worker")
+		if rapid.Bool().Draw(t, "alone") || h.owners[worker].Token == 0 {
+			h.claims[worker], h.owners[worker] = Claim{by, h.revision}, Claim{by, h.revision}
 			continue
 		}
-		g := GroupOf(h.holder[w].Holder, w, "z")
+		g := GroupOf(h.owners[worker].Holder, worker, zone)
 		if h.records[g].revision != 0 {
 			continue
 		}
-		h.records[g] = record{by, h.ledger}
-		b.Put(g, by, h.ledger)
-		for _, other := range h.workers { // all in the group change hands, and nobody else
-			if now := h.holder[other]; now.Token != 0 && GroupOf(now.Holder, other, "z") == g {
-				h.holder[other] = Claim{by, h.ledger}
-			}
+		h.failOver(g, by)
+		table.Put(g, by, h.revision)
+	}
+	return h, table
+}
+
+// failOver makes another the owner of all workers of a group, and of nobody else.
+func (h *history) failOver(g Group, successor Holder) {
+	h.records[g] = record{successor, h.revision}
+	for _, worker := range h.workers {
+		if owner := h.owners[worker]; owner.Token != 0 && GroupOf(owner.Holder, worker, zone) == g {
+			h.owners[worker] = Claim{successor, h.revision}
 		}
 	}
-	return h, b
 }
 
-// Resolve says what one step after the other comes to.
+// TestResolveFollowsTheHistory: Resolve says what one step after the other comes to.
 func TestResolveFollowsTheHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, b := draw(t, rapid.IntRange(1, 40).Draw(t, "steps"))
-		b.Advance(h.ledger)
-		for _, w := range h.workers {
-			if own := h.own[w]; own.Token != 0 {
-				if got := b.Resolve(w, "z", own); got.Claim != h.holder[w] {
-					t.Fatalf("%s: %+v, want %+v", w, got, h.holder[w])
+		h, table := drawHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
+		table.Advance(h.revision)
+		for _, worker := range h.workers {
+			if own := h.claims[worker]; own.Token != 0 {
+				if got := table.Resolve(worker, zone, own); got.Claim != h.owners[worker] {
+					t.Fatalf("%s: %+v, want %+v", worker, got, h.owners[worker])
 				}
 			}
 		}
 	})
 }
 
-// Whoever holds a worker, a later change of hands changes a link that it stands on, or its own
-// claim, and gives a higher token. This is what makes conditions on links and claim sufficient.
-func TestAChangeOfHandsChangesALink(t *testing.T) {
+// TestChangeOfOwnerChangesALink: whoever holds a worker, a later change of its owner changes a link
+// that it stands on, or its own claim, and gives a higher token. This is what makes conditions on
+// links and claim sufficient.
+func TestChangeOfOwnerChangesALink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, b := draw(t, rapid.IntRange(1, 20).Draw(t, "steps"))
-		b.Advance(h.ledger)
-		w := rapid.SampledFrom(h.workers).Draw(t, "worker")
-		own := h.own[w]
+		h, table := drawHistory(t, rapid.IntRange(1, 20).Draw(t, "steps"))
+		table.Advance(h.revision)
+		worker := rapid.SampledFrom(h.workers).Draw(t, "worker")
+		own := h.claims[worker]
 		if own.Token == 0 {
 			return
 		}
-		before := b.Resolve(w, "z", own)
-		g := GroupOf(rapid.SampledFrom([]Holder{before.Holder, {"a", 1, 1}, {"b", 2, 2}}).Draw(t, "holder"), rapid.SampledFrom(h.workers).Draw(t, "of"), "z")
+		before := table.Resolve(worker, zone, own)
+		holder := rapid.SampledFrom([]Holder{before.Holder, {"a", 1, 1}, {"b", 2, 2}}).Draw(t, "holder")
+		g := GroupOf(holder, rapid.SampledFrom(h.workers).Draw(t, "of"), zone)
 		if h.records[g].revision != 0 {
 			return
 		}
-		b.Put(g, Holder{"c", 9, 1}, h.ledger+1)
-		if got := b.Resolve(w, "z", own); got.Claim != before.Claim {
-			t.Fatal("a record is heeded before the mirror is complete up to it")
+		table.Put(g, Holder{"c", 9, 1}, h.revision+1)
+		if got := table.Resolve(worker, zone, own); got.Claim != before.Claim {
+			t.Fatal("a record is applied before the mirror is complete up to it")
 		}
-		b.Advance(h.ledger + 1)
-		after := b.Resolve(w, "z", own)
+		table.Advance(h.revision + 1)
+		after := table.Resolve(worker, zone, own)
 		if after.Claim == before.Claim {
 			return
 		}
@@ -111,48 +134,66 @@
 	})
 }
 
-// A record that is not in use can go without a worker's holder changing by it.
-func TestUnusedRecordsCanGo(t *testing.T) {
+// TestDeletingUnusedRecordsChangesNoOwner: a record that is not in use can go without a worker's
+// holder changing by it.
+func TestDeletingUnusedRecordsChangesNoOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, b := draw(t, rapid.IntRange(1, 40).Draw(t, "steps"))
-		b.Advance(h.ledger)
+		h, table := drawHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
+		table.Advance(h.revision)
 		inUse := map[Group]bool{}
-		for _, w := range h.workers {
-			if own := h.own[w]; own.Token != 0 {
-				for _, l := range b.Resolve(w, "z", own).Links {
-					inUse[l.Group] = true
+		for _, worker := range h.workers {
+			if own := h.claims[worker]; own.Token != 0 {
+				for _, link := range table.Resolve(worker, zone, own).Links {
+					inUse[link.Group] = true
 				}
 			}
 		}
-		for _, g := range b.Unused(inUse) {
-			b.Delete(g)
+		for _, g := range table.Unused(inUse) {
+			table.Delete(g)
 		}
-		for _, w := range h.workers {
-			if own := h.own[w]; own.Token != 0 && b.Resolve(w, "z", own).Claim != h.holder[w] {
-				t.Fatalf("%s changed hands as a record went", w)
+		for _, worker := range h.workers {
+			if own := h.claims[worker]; own.Token != 0 && table.Resolve(worker, zone, own).Claim != h.owners[worker] {
+				t.Fatalf("%s changed its owner as a record went", worker)
 			}
 		}
 	})
 }
 
-// Workers whose holder knows of no groups are never concerned.
-func TestEarlierVersionsClaimsStay(t *testing.T) {
-	b := NewTable()
-	b.Advance(10)
-	b.Put(GroupOf(Holder{"a", 1, 1}, "i-1", "z"), Holder{"b", 1, 1}, 7)
-	h := b.Resolve("i-1", "z", Claim{Holder{"a", 1, 0}, 3})
-	if _, ok := h.NextGroup(); ok || h.Token != 3 || len(h.Links) > 0 {
-		t.Errorf("%+v", h)
+// TestClaimsOfEarlierVersionsNeverFailOver: workers whose holder knows of no groups are never concerned.
+func TestClaimsOfEarlierVersionsNeverFailOver(t *testing.T) {
+	table := NewTable()
+	table.Advance(10)
+	table.Put(GroupOf(Holder{"a", 1, 1}, "i-1", zone), Holder{"b", 1, 1}, 7)
+	owner := table.Resolve("i-1", zone, Claim{Holder{"a", 1, 0}, 3})
+	if _, ok := owner.NextGroup(); ok || owner.Token != 3 || len(owner.Links) > 0 {
+		t.Errorf("%+v", owner)
 	}
 }
 
-func TestEpochs(t *testing.T) {
-	b := NewTable()
-	if b.NextEpoch("a", 1) != 1 {
+func TestNextEpochIsAboveThoseThatFailedOver(t *testing.T) {
+	table := NewTable()
+	if table.NextEpoch("a", 1) != 1 {
 		t.Error("epochs count from 1")
 	}
-	b.Put(Group{Holder{"a", 1, 3}, "z", 0}, Holder{"b", 1, 1}, 9) // not heeded yet
-	if b.NextEpoch("a", 1) != 4 || b.NextEpoch("a", 2) != 1 || b.NextEpoch("b", 1) != 1 || !b.Pending(Group{Holder{"a", 1, 3}, "z", 0}) {
-		t.Error("the next epoch is above those that were taken over")
+	pending := Group{Holder{"a", 1, 3}, zone, 0}
+	table.Put(pending, Holder{"b", 1, 1}, 9)
+	if !table.Pending(pending) {
+		t.Error("a record that is newer than the mirror is applied")
+	}
+	for _, c := range []struct {
+		name        string
+		node        string
+		incarnation int64
+		want        int
+	}{
+		{"the incarnation whose group failed over", "a", 1, 4},
+		{"its next incarnation", "a", 2, 1},
+		{"the successor", "b", 1, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := table.NextEpoch(c.node, c.incarnation); got != c.want {
+				t.Errorf("epoch %d, want %d", got, c.want)
+			}
+		})
 	}
 }
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -10,8 +10,8 @@
 //
 // A worker's owner is the controller that its claim names. The claim's revision is the
 // fencing token: workers remember the highest token that they have been shown and refuse
-// commands under a lower one. An epoch is one uninterrupted lease of a worker's agent;
-// it kills everything when its lease ends, and goes on in a new epoch.
+// commands under a lower one. A worker whose lease ends kills everything that it runs and
+// begins a new epoch; epochs never come back.
 package fencing
 
 import "time"
@@ -225,7 +225,7 @@
 // LeaseExpired tells whether a worker has killed everything of the epochs up to
 // Epoch, since its lease has ended. now and answered are times of our clock; answered is
 // the arrival of the last heartbeat that we answered under this claim, 0 if none. limit
-// is lease_s and the most that two clocks drift apart.
+// is lease_s and the most that two clocks drift apart (the core's leaseExpiry).
 //
 // The worker counts from the sending of that heartbeat, which came before its arrival,
 // and once it has shown our token it drops everybody else's answers. Whether another
