--- /dev/null
+++ b/internal/connectivity/links_test.go
@@ -0,0 +1,138 @@
+package connectivity
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestFlappingLinkChangesRelaySeldom has the link to the state service come and go as drawn: the way
+// of calls changes a bounded number of times, a relay is found within StaleAfter and a step when
+// the link is gone, and the link comes back when it holds.
+func TestFlappingLinkChangesRelaySeldom(t *testing.T) {
+	const (
+		step       = 100 * time.Millisecond
+		maxChanges = 16
+	)
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := newTracker()
+		up, changes, via, gone := true, 0, "", time.Duration(0)
+		left := 0
+		for now := step; now <= 60*time.Second; now += step {
+			if left--; left < 0 {
+				up, left = !up, rapid.IntRange(1, 60).Draw(t, "for")
+			}
+			tracker.Advance(now)
+			if now%(interval/3/step*step) == 0 {
+				hearPeers(tracker)
+			}
+			if tracker.ShouldProbe() {
+				tracker.Probed(map[bool]int{true: 404, false: 503}[up])
+			}
+			if up && via == "" {
+				tracker.StateAnswered(200)
+			}
+			if gone += step; up {
+				gone = 0
+			}
+			if gone > tracker.cfg.StaleAfter+2*step && tracker.Relay() == "" {
+				t.Fatalf("the link is gone for %v", gone)
+			}
+			if to := tracker.Relay(); to != via {
+				changes++
+				via = to
+			}
+		}
+		if changes > maxChanges {
+			t.Fatalf("%d changes in a minute", changes)
+		}
+		for now := 60 * time.Second; now <= 60*time.Second+maxUptime+2*time.Second; now += step {
+			tracker.Advance(now)
+			hearPeers(tracker)
+			if tracker.ShouldProbe() {
+				tracker.Probed(404)
+			}
+			if tracker.Relay() == "" {
+				tracker.StateAnswered(200)
+			}
+		}
+		if to := tracker.Relay(); to != "" {
+			t.Fatalf("the link holds, and %s still relays", to)
+		}
+	})
+}
+
+// TestStallIsNotSilence guards against a process that stalled, or was suspended, and takes all others
+// for silent when it wakes.
+func TestStallIsNotSilence(t *testing.T) {
+	const step = 300 * time.Millisecond
+	tracker := newTracker()
+	workers := map[string]int{"a": 50}
+	zoneUnreachable := func() bool { return tracker.LinkReports(0, false)[0].Zones[0].Unreachable }
+	for now := time.Duration(0); now < 10*time.Second; now += step {
+		tracker.Advance(now)
+		tracker.StateAnswered(200)
+		tracker.SetWorkers(workers, nil)
+		tracker.WorkerHeard("a")
+	}
+	tracker.Advance(50 * time.Second)
+	tracker.SetWorkers(workers, nil)
+	if tracker.StateServiceLost() || tracker.HearsNoWorkers() || zoneUnreachable() || tracker.Stats.Stalls != 1 {
+		t.Fatalf("lost %v, hears no workers %v, %+v", tracker.StateServiceLost(), tracker.HearsNoWorkers(), tracker.LinkReports(0, false)[0])
+	}
+	for now := 50 * time.Second; now < 54*time.Second; now += step {
+		tracker.Advance(now)
+		tracker.SetWorkers(workers, nil)
+	}
+	if !tracker.StateServiceLost() || !tracker.HearsNoWorkers() || !zoneUnreachable() {
+		t.Fatal("four seconds of silence after it are none")
+	}
+}
+
+// TestLostZoneIsBackOnceHeardSteadily: a zone whose workers went to others stays lost until it is heard
+// for two heartbeat intervals, and longer when it is lost again.
+func TestLostZoneIsBackOnceHeardSteadily(t *testing.T) {
+	tracker := newTracker()
+	now := time.Duration(0)
+	pass := func(d time.Duration, workers int, heard bool) {
+		for end := now + d; now < end; now += 250 * time.Millisecond {
+			tracker.Advance(now)
+			if heard {
+				tracker.WorkerHeard("a")
+			}
+			tracker.SetWorkers(map[string]int{"a": workers, "b": 0}, nil)
+		}
+	}
+	lost := func() bool {
+		return slices.ContainsFunc(tracker.LinkReports(0, false)[0].Zones, func(z ZoneReport) bool { return z.Zone == "a" && z.Unreachable })
+	}
+	pass(5*time.Second, 30, true)
+	if lost() || tracker.HearsNoWorkers() {
+		t.Fatal("lost while heard")
+	}
+	pass(3*time.Second, 30, false)
+	pass(10*time.Second, 0, false) // claimed by others
+	if !lost() || !slices.Equal(tracker.SilentZones(), []string{"a"}) {
+		t.Fatalf("not lost after it was silent: %v", tracker.SilentZones())
+	}
+	pass(2*interval-time.Second, 0, true)
+	if !lost() {
+		t.Fatal("back too soon")
+	}
+	pass(2*time.Second, 0, true)
+	if lost() || len(tracker.SilentZones()) > 0 {
+		t.Fatal("heard for two heartbeat intervals, and still lost")
+	}
+	pass(time.Second, 30, true)
+	pass(3*time.Second, 30, false)
+	pass(2*interval+time.Second, 30, true)
+	if !lost() {
+		t.Fatal("lost twice in half a minute, and trusted as soon as the first time")
+	}
+	pass(2*interval, 30, true)
+	if lost() {
+		t.Fatal("never trusted again")
+	}
+}
--- /dev/null
+++ b/internal/connectivity/relay_model_test.go
@@ -0,0 +1,157 @@
+package connectivity
+
+import (
+	"fmt"
+	"testing"
+
+	"silvergate/internal/modelcheck"
+)
+
+// The model of relayed calls: an asker that crashes once and then numbers its calls anew, two
+// relaying peers, messages that are lost, late, duplicated and in any order, deadlines that pass.
+// Its invariant: an answer that is taken is to that very call. The judgement is the product's
+// own, matchesRequest; origin is what only the model knows.
+
+// maxModelCalls is how many calls the asker makes in all.
+const maxModelCalls = 4
+
+// modelCall is a call of the asker.
+type modelCall struct {
+	pending bool // waits for its answer
+	id, to  uint8
+	hash    uint8
+	origin  uint8 // which of all calls it is, from 1
+}
+
+// modelMessage is a message under way: a call, or the answer to it.
+type modelMessage struct {
+	answer          bool
+	incarnation, id uint8
+	to, hash        uint8
+	origin          uint8 // of the call; 0: no message
+}
+
+type relayWorld struct {
+	incarnation, lastID, made uint8
+	calls                     [2]modelCall
+	network                   [3]modelMessage
+	violated                  bool
+}
+
+// send puts a message on the network, if there is room.
+func (w relayWorld) send(message modelMessage) (relayWorld, bool) {
+	for i := range w.network {
+		if w.network[i].origin == 0 {
+			w.network[i] = message
+			return w, true
+		}
+	}
+	return w, false
+}
+
+// matcher tells whether an answer is to a call, as matchesRequest does.
+type matcher func(incarnation int64, to string, requestHash uint64, from string, response *RelayResponse) bool
+
+func relayModel(matches matcher) modelcheck.Model[relayWorld] {
+	return modelcheck.Model[relayWorld]{
+		Start: relayWorld{incarnation: 1},
+		Next: func(w *relayWorld, to func(relayWorld)) {
+			w.callSteps(to)
+			for i, message := range w.network {
+				if message.origin != 0 {
+					w.messageSteps(i, matches, to)
+				}
+			}
+			if w.incarnation == 1 { // it crashes
+				next := *w
+				next.incarnation, next.lastID, next.calls = 2, 0, [2]modelCall{}
+				to(next)
+			}
+		},
+		Broken: func(w *relayWorld) string {
+			if w.violated {
+				return "an answer to another call was taken"
+			}
+			return ""
+		},
+		Label: func(_, to *relayWorld) string {
+			return fmt.Sprintf("incarnation %d, calls %v, on the network %v", to.incarnation, to.calls, to.network)
+		},
+	}
+}
+
+// callSteps make a call in the first free slot, and have the deadlines of calls pass.
+func (w *relayWorld) callSteps(to func(relayWorld)) {
+	for i := range w.calls {
+		if !w.calls[i].pending && w.made < maxModelCalls {
+			for peer := uint8(1); peer <= 2; peer++ {
+				for hash := uint8(1); hash <= 2; hash++ { // the same transaction again, or another
+					w.startCall(i, peer, hash, to)
+				}
+			}
+			break
+		}
+		if w.calls[i].pending { // its deadline passes
+			next := *w
+			next.calls[i] = modelCall{}
+			to(next)
+		}
+	}
+}
+
+func (w *relayWorld) startCall(slot int, peer, hash uint8, to func(relayWorld)) {
+	next := *w
+	next.lastID, next.made = next.lastID+1, next.made+1
+	next.calls[slot] = modelCall{true, next.lastID, peer, hash, next.made}
+	if next, ok := next.send(modelMessage{false, next.incarnation, next.lastID, peer, hash, next.made}); ok {
+		to(next)
+	}
+}
+
+// messageSteps lose, duplicate and deliver a message.
+func (w *relayWorld) messageSteps(slot int, matches matcher, to func(relayWorld)) {
+	message, next := w.network[slot], *w
+	next.network[slot] = modelMessage{} // lost
+	to(next)
+	if duplicated, ok := w.send(message); ok {
+		to(duplicated)
+	}
+	if !message.answer { // the peer answers it
+		next.network[slot] = message
+		next.network[slot].answer = true
+		to(next)
+		return
+	}
+	response := &RelayResponse{Incarnation: int64(message.incarnation), ID: uint64(message.id), RequestHash: uint64(message.hash)}
+	for i := range next.calls {
+		call := &next.calls[i]
+		if call.pending && call.id == message.id && matches(int64(next.incarnation), nodeName(call.to), uint64(call.hash), nodeName(message.to), response) {
+			next.violated = next.violated || call.origin != message.origin
+			*call = modelCall{}
+		}
+	}
+	to(next)
+}
+
+func nodeName(n uint8) string { return fmt.Sprint("n", n) }
+
+// TestRelayedAnswersBelongToTheirCalls explores the model whole.
+func TestRelayedAnswersBelongToTheirCalls(t *testing.T) {
+	r := modelcheck.Run(relayModel(matchesRequest), 6_000_000)
+	t.Log(r.States, "states, depth", r.Depth)
+	if r.Broken != "" || !r.Whole {
+		t.Error(r)
+	}
+}
+
+// TestRelayModelFindsIgnoredIncarnation breaks the model on purpose: an incarnation that is not
+// looked at.
+func TestRelayModelFindsIgnoredIncarnation(t *testing.T) {
+	r := modelcheck.Run(relayModel(func(_ int64, to string, requestHash uint64, from string, response *RelayResponse) bool {
+		return matchesRequest(response.Incarnation, to, requestHash, from, response)
+	}), 1_000_000)
+	t.Log(r.States, "states, depth", r.Depth)
+	if r.Broken == "" || len(r.Trace) > 8 {
+		t.Errorf("an incarnation that is not looked at: %v", r)
+	}
+}
--- /dev/null
+++ b/internal/connectivity/relay_test.go
@@ -0,0 +1,196 @@
+package connectivity
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"silvergate/internal/protocol"
+)
+
+// TestEachRelayedCallIsAnsweredOnce draws calls, answers of all kinds, twice and late, and
+// deadlines that pass.
+func TestEachRelayedCallIsAnsweredOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := newTracker()
+		now := time.Duration(0)
+		answered := map[uint64]int{}
+		var sent []*RelayRequest
+		var responses []RelayResponse
+		expire := func() {
+			tracker.Advance(now)
+			for _, done := range tracker.ExpireRelays() {
+				done()
+			}
+		}
+		for range rapid.IntRange(5, 60).Draw(t, "steps") {
+			switch rapid.IntRange(0, 4).Draw(t, "step") {
+			case 0:
+				id := tracker.relays.next + 1
+				call := protocol.Call{Method: "POST", Path: "/txn", Body: []byte{byte(id)}, Timeout: time.Second}
+				sent = append(sent, tracker.StartRelay("n1", call, func(protocol.Reply) { answered[id]++ }))
+			case 1:
+				if len(sent) > 0 {
+					request := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")]
+					responses = append(responses, RelayResponse{Incarnation: request.Incarnation, ID: request.ID, RequestHash: request.hash(), Status: 200})
+				}
+			case 2:
+				if len(responses) > 0 {
+					deliverResponse(t, tracker, responses[rapid.IntRange(0, len(responses)-1).Draw(t, "which")])
+				}
+			case 3:
+				now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
+				expire()
+			}
+		}
+		now += time.Minute
+		expire()
+		for _, request := range sent {
+			if answered[request.ID] != 1 {
+				t.Fatalf("call %d was answered %d times", request.ID, answered[request.ID])
+			}
+		}
+	})
+}
+
+// deliverResponse delivers an answer as it is, or as one to something else, which must not be taken.
+func deliverResponse(t *rapid.T, tracker *Tracker, response RelayResponse) {
+	from, wrong := "n1", true
+	switch rapid.IntRange(0, 4).Draw(t, "wrong") {
+	case 1:
+		response.Incarnation++
+	case 2:
+		response.RequestHash++
+	case 3:
+		from = "n2"
+	default:
+		wrong = false
+	}
+	done := tracker.CompleteRelay(from, &response)
+	if wrong && done != nil {
+		t.Fatal("an answer to something else was taken")
+	}
+	if done != nil {
+		done()
+	}
+}
+
+// reachingTracker is a tracker whose link to the state service is up at one second.
+func reachingTracker() *Tracker {
+	tracker := newTracker()
+	tracker.Advance(time.Second)
+	tracker.StateAnswered(200)
+	return tracker
+}
+
+// TestServedRelaysAreBounded: what peers ask for at a time is bounded, each and all; what is over is
+// declined as not executed.
+func TestServedRelaysAreBounded(t *testing.T) {
+	tracker := reachingTracker()
+	var served []string
+	for i := range 400 {
+		from := fmt.Sprintf("n%d", 1+i%4)
+		if _, declined := tracker.AcceptRelay(from, &RelayRequest{ID: uint64(i), Method: "POST", Path: "/txn", TimeoutMS: 1500}); declined == nil {
+			served = append(served, from)
+		} else if declined.Status != 503 || declined.Sent {
+			t.Fatalf("declined with %+v", declined)
+		}
+	}
+	if len(served) != maxRelays {
+		t.Errorf("%d calls were taken, of %d", len(served), maxRelays)
+	}
+	for _, from := range served {
+		tracker.FinishRelay(from, &RelayRequest{}, protocol.Reply{Status: 200})
+	}
+	for i := range 2 * maxRelaysPerPeer {
+		if _, declined := tracker.AcceptRelay("n1", &RelayRequest{Method: "GET", Path: "/keys/sg/fleet", TimeoutMS: 1500}); (declined == nil) != (i < maxRelaysPerPeer) {
+			t.Fatalf("call %d of one peer: %v", i, declined)
+		}
+	}
+}
+
+// TestAcceptRelayDeclinesOtherCalls: calls from strangers, and what is no call of the state service.
+func TestAcceptRelayDeclinesOtherCalls(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		from    string
+		request RelayRequest
+	}{
+		{"no timeout", "n2", RelayRequest{Method: "GET", Path: "/keys/a", TimeoutMS: 0}},
+		{"timeout too long", "n2", RelayRequest{Method: "GET", Path: "/keys/a", TimeoutMS: 1 << 40}},
+		{"method", "n2", RelayRequest{Method: "DELETE", Path: "/grants/3", TimeoutMS: 9}},
+		{"more than a path", "n2", RelayRequest{Method: "GET", Path: "/keys/a HTTP/1.1\r\nx: y", TimeoutMS: 9}},
+		{"path of another service", "n2", RelayRequest{Method: "POST", Path: "/rentals", TimeoutMS: 9}},
+		{"body too large", "n2", RelayRequest{Method: "POST", Path: "/txn", TimeoutMS: 9, Body: make([]byte, maxRelayRequestBytes+1)}},
+		{"stranger", "stranger", RelayRequest{Method: "GET", Path: "/keys/a", TimeoutMS: 9}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if _, declined := reachingTracker().AcceptRelay(c.from, &c.request); declined == nil {
+				t.Errorf("%s %.40q was taken", c.request.Method, c.request.Path)
+			}
+		})
+	}
+}
+
+// TestAcceptRelayNeedsOwnLink: a controller that does not reach the state service itself relays nothing.
+func TestAcceptRelayNeedsOwnLink(t *testing.T) {
+	tracker := reachingTracker()
+	request := RelayRequest{Method: "GET", Path: "/keys/a", TimeoutMS: 9}
+	if _, declined := tracker.AcceptRelay("n3", &request); declined != nil {
+		t.Error("a call was declined by one that reaches the service")
+	}
+	for now := time.Second; now < 5*time.Second; now += 500 * time.Millisecond {
+		tracker.Advance(now) // without an answer
+	}
+	if _, declined := tracker.AcceptRelay("n3", &request); declined == nil {
+		t.Error("a call was taken by one that does not reach the service itself")
+	}
+}
+
+// TestTooLargeAnswers: more changes than a message holds have the records read anew.
+func TestTooLargeAnswers(t *testing.T) {
+	for _, c := range []struct {
+		name, path string
+		want       int
+	}{
+		{"watch", "/watch?under=sg/&from=3&blockMs=9", http.StatusGone},
+		{"read", "/keys?under=sg/", 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			tracker, got := newTracker(), -1
+			request := tracker.StartRelay("n1", protocol.Call{Method: "GET", Path: c.path, Timeout: time.Second}, func(reply protocol.Reply) { got = reply.Status })
+			tracker.relays.serving = map[string]int{"n1": 1}
+			response := tracker.FinishRelay("n1", request, protocol.Reply{Status: 200, Body: make([]byte, maxRelayResponseBytes+1)})
+			done := tracker.CompleteRelay("n1", response)
+			if done == nil {
+				t.Fatal("the answer was not taken")
+			}
+			if done(); got != c.want {
+				t.Errorf("status %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// FuzzAcceptRelay feeds the gate for peers' calls: what passes is one line of a request to the state service.
+func FuzzAcceptRelay(f *testing.F) {
+	f.Add("GET", "/keys?under=sg/", []byte(nil), int64(1500))
+	f.Add("POST", "/grants/7/touch", []byte("{}"), int64(1500))
+	f.Add("POST", "/txn?\r\n", []byte("x"), int64(-1))
+	f.Fuzz(func(t *testing.T, method, path string, body []byte, timeoutMS int64) {
+		call, declined := reachingTracker().AcceptRelay("n1", &RelayRequest{Method: method, Path: path, Body: body, TimeoutMS: timeoutMS})
+		if declined != nil {
+			return
+		}
+		oneLine := !strings.ContainsAny(call.Path, " \r\n\t\x00") && strings.HasPrefix(call.Path, "/")
+		known := call.Method == "GET" || call.Method == "POST"
+		bounded := call.Timeout > 0 && call.Timeout <= maxRelayTimeout && len(call.Body) <= maxRelayRequestBytes
+		if !oneLine || !known || !bounded {
+			t.Errorf("taken: %q %q for %v", call.Method, call.Path, call.Timeout)
+		}
+	})
+}
--- /dev/null
+++ b/internal/connectivity/routing_test.go
@@ -0,0 +1,159 @@
+package connectivity
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestChooseRelayTakesWhoCanRelay holds the choice on drawn snapshots against its terms.
+func TestChooseRelayTakesWhoCanRelay(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, current := drawSnapshot(t), drawNode(t, "current")
+		canRelay := func(peer Peer) bool {
+			return peer.Relays && !peer.RelayBackoff && s.Connected(&peer) && peer.StateServiceMS <= 2500
+		}
+		switch to := ChooseRelay(s, current); {
+		case to == "" && slices.ContainsFunc(s.Peers, canRelay):
+			t.Fatal("somebody could relay, and nobody was chosen")
+		case to == "":
+		case !canRelay(*mustFind(t, s, to)):
+			t.Fatalf("%+v can't relay", mustFind(t, s, to))
+		case to != current && slices.ContainsFunc(s.Peers, func(peer Peer) bool { return peer.Controller.Node == current && canRelay(peer) }):
+			t.Fatal("a peer that relays was left")
+		}
+	})
+}
+
+// TestChooseReceiverTakesWhoCanServe holds the choice on drawn snapshots against its terms.
+func TestChooseReceiverTakesWhoCanServe(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, from := drawSnapshot(t), drawNode(t, "from")
+		within := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "within")) * time.Millisecond
+		worker := rapid.StringMatching("i-0000000[0-9]").Draw(t, "worker")
+		to := ChooseReceiver(s, "a", worker, from, within)
+		if to == "" {
+			if slices.ContainsFunc(s.Peers, func(peer Peer) bool { return peer.Controller.Node != from && CanServeZone(s, &peer, "a", within) }) {
+				t.Fatal("somebody could serve the worker, and nobody was chosen")
+			}
+			return
+		}
+		peer := mustFind(t, s, to)
+		lost := slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Zone == "a" && z.Unreachable })
+		if to == from || peer.HearsNoWorkers || peer.ReportAge >= within || peer.MirrorAgeMS > 2000 || lost {
+			t.Fatalf("a worker that comes from %q is sent to %+v", from, peer)
+		}
+		if again := ChooseReceiver(s, "a", worker, from, within); again != to {
+			t.Fatalf("the same worker goes to %s and to %s", to, again)
+		}
+	})
+}
+
+// TestProvenToHearZoneNeedsWorkers: only a peer that hears the zone and holds several workers there
+// proves that it hears it.
+func TestProvenToHearZoneNeedsWorkers(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := drawSnapshot(t)
+		for i := range s.Peers {
+			peer := &s.Peers[i]
+			several := slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Zone == "a" && z.Workers >= minProvingWorkers })
+			if ProvenToHearZone(s, peer, "a") && (!HearsZone(s, peer, "a") || !several) {
+				t.Fatalf("%+v proves nothing", peer)
+			}
+		}
+	})
+}
+
+// TestProvenToHearZoneNeedsSteadyLinks guards against workers sent to a controller that had met their
+// zone in the two seconds in which its link was up.
+func TestProvenToHearZoneNeedsSteadyLinks(t *testing.T) {
+	s := Snapshot{Self: "n0", HeartbeatInterval: interval}
+	for _, c := range []struct {
+		name        string
+		lastHeardMS int64 // of zone c, which is lost
+		want        bool
+	}{
+		{"another zone comes and goes", 3878, false},
+		{"another zone is cut off", 60_000, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			peer := Peer{Controller: Controller{"n1", "b"}, LinkReport: LinkReport{Zones: []ZoneReport{
+				{Zone: "a", Workers: 6, LastHeardMS: 272},
+				{Zone: "c", Workers: 1, LastHeardMS: c.lastHeardMS, Unreachable: true},
+			}}}
+			if got := ProvenToHearZone(&s, &peer, "a"); got != c.want {
+				t.Errorf("zone a is proven: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// TestChooseIntermediaryHearsBothSides: only a peer that we can't query ourselves is queried by way of
+// another, which both hear.
+func TestChooseIntermediaryHearsBothSides(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := drawSnapshot(t)
+		for i := range s.Peers {
+			target := &s.Peers[i]
+			by := ChooseIntermediary(s, target.Controller.Node)
+			if by == "" {
+				continue
+			}
+			between := mustFind(t, s, by)
+			if by == target.Controller.Node || s.Connected(target) || !slices.Contains(between.HearsPeers, target.Controller.Node) || !s.Connected(between) {
+				t.Fatalf("%s can't be queried by way of %s", target.Controller.Node, by)
+			}
+		}
+	})
+}
+
+// TestMayRecoverNeedsWorkingLinks: no worker waits for an owner whose links were down when it was last heard.
+func TestMayRecoverNeedsWorkingLinks(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := drawSnapshot(t)
+		within := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "within")) * time.Millisecond
+		for i := range s.Peers {
+			owner := &s.Peers[i]
+			if MayRecover(s, owner, within) && (owner.HearsNoWorkers || owner.StateServiceMS > 2500 || owner.HeartbeatAge > within) {
+				t.Fatalf("a worker waits for %+v", owner)
+			}
+		}
+	})
+}
+
+// TestRateDemandCountsEachPeerOnce holds the counts on drawn snapshots against the number of peers.
+func TestRateDemandCountsEachPeerOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := drawSnapshot(t)
+		alive := func(node string) bool { return node != "n2" }
+		if throttled, idle := RateDemand(s, alive); throttled < 0 || idle < 0 || throttled+idle > len(s.Peers) {
+			t.Fatalf("%d throttled and %d idle of %d", throttled, idle, len(s.Peers))
+		}
+	})
+}
+
+// TestShouldHandOverInOrder: urgent workers go at once, none later than a more urgent one, and all
+// before the time to answer is over.
+func TestShouldHandOverInOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		window := time.Duration(rapid.IntRange(1, 60_000).Draw(t, "window")) * time.Millisecond
+		alone := time.Duration(rapid.Int64Range(0, int64(window)).Draw(t, "alone"))
+		left := window - alone
+		went := true // of the workload before
+		for w := UrgentWorkload; w <= NoWorkload; w++ {
+			goes := ShouldHandOver(w, alone, left)
+			if goes && !went {
+				t.Fatalf("workload %v goes before %v", w, w-1)
+			}
+			if later := min(window, alone+time.Millisecond); goes && !ShouldHandOver(w, later, window-later) {
+				t.Fatal("what went stays a moment later")
+			}
+			went = goes
+		}
+		if !ShouldHandOver(UrgentWorkload, alone, left) || left == 0 && !went {
+			t.Fatal("a worker stays too long")
+		}
+	})
+}
