--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -7,55 +7,103 @@
 	"pgregory.net/rapid"
 )
 
-func drawn(t *rapid.T) Job {
-	return Job{Machines: rapid.IntRange(1, 5).Draw(t, "machines"), Rounds: rapid.IntRange(1, 100).Draw(t, "rounds"), Finished: rapid.IntRange(0, 3).Draw(t, "finished"), Settled: rapid.Bool().Draw(t, "settled")}
+func drawJob(t *rapid.T) Job {
+	return Job{
+		Machines: rapid.IntRange(1, 5).Draw(t, "machines"),
+		Rounds:   rapid.IntRange(1, 100).Draw(t, "rounds"),
+		Finished: rapid.IntRange(0, 3).Draw(t, "finished"),
+		Settled:  rapid.Bool().Draw(t, "settled"),
+	}
 }
 
-// TestWhoIsToBlame draws jobs that failed on a machine.
-func TestWhoIsToBlame(t *testing.T) {
+// TestFaultyCountsJobsThatMayWork draws jobs that failed on a machine.
+func TestFaultyCountsJobsThatMayWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		jobs := rapid.SliceOf(rapid.Custom(drawn)).Draw(t, "jobs")
-		var rest []Job
-		works := 0
+		jobs := rapid.SliceOf(rapid.Custom(drawJob)).Draw(t, "jobs")
+		var counted []Job
+		working := 0
 		for _, j := range jobs {
 			if !j.Suspect() && (j.Settled || j.Finished > 0) {
-				rest = append(rest, j)
+				counted = append(counted, j)
 			}
 			if j.Finished > 0 {
-				works++
+				working++
 			}
 		}
-		if Faulty(jobs) != Faulty(rest) {
+		faulty := Faulty(jobs)
+		if faulty != Faulty(counted) {
 			t.Error("jobs that fail everywhere count against a machine")
 		}
-		if (works >= 2 || len(rest) >= 3) != Faulty(jobs) && !(works == 1 && len(rest) == 2) {
-			t.Errorf("%d jobs that work and %d that nothing is known of: faulty %v", works, len(rest)-works, Faulty(jobs))
+		if (working >= 2 || len(counted) >= 3) != faulty && !(working == 1 && len(counted) == 2) {
+			t.Errorf("%d jobs that work and %d that nothing is known of: faulty %v", working, len(counted)-working, faulty)
 		}
-		if Faulty(jobs) && !Faulty(append(jobs, drawn(t))) {
+		if faulty && !Faulty(append(jobs, drawJob(t))) {
 			t.Error("one more failure acquits a machine")
 		}
 	})
 }
 
-// TestPausesGrow guards against jobs that churn machines, and against pauses that
+func TestFaultyWeighsJobs(t *testing.T) {
+	var (
+		working    = Job{Machines: 1, Rounds: 1, Finished: 1}
+		unknown    = Job{Machines: 1, Rounds: 1, Settled: true}
+		mayFail    = Job{Machines: 1, Rounds: 1}
+		everywhere = Job{Machines: 2, Rounds: 1, Settled: true}
+	)
+	for _, c := range []struct {
+		name string
+		jobs []Job
+		want bool
+	}{
+		{"no job", nil, false},
+		{"one that works", []Job{working}, false},
+		{"two that work", []Job{working, working}, true},
+		{"one that works and one unknown", []Job{working, unknown}, true},
+		{"two unknown", []Job{unknown, unknown}, false},
+		{"three unknown", []Job{unknown, unknown, unknown}, true},
+		{"many that may fail elsewhere within moments", []Job{mayFail, mayFail, mayFail, mayFail}, false},
+		{"many that fail everywhere", []Job{everywhere, everywhere, everywhere, everywhere}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := Faulty(c.jobs); got != c.want {
+				t.Errorf("faulty %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// TestPauseGrowsUpToABound guards against jobs that churn machines, and against pauses that
 // never end.
-func TestPausesGrow(t *testing.T) {
-	const report = 4 * time.Second
-	if p := (Job{Machines: 1, Rounds: 9}).Pause(report); p != 0 {
+func TestPauseGrowsUpToABound(t *testing.T) {
+	const interval = 4 * time.Second
+	if p := (Job{Machines: 1, Rounds: 9}).Pause(interval); p != 0 {
 		t.Errorf("a job that failed on one machine waits %v", p)
 	}
 	last := time.Duration(0)
 	for rounds := range 200 {
-		p := (Job{Machines: 2, Rounds: rounds}).Pause(report)
-		if p < last || p < 2*report || p > 64*report {
+		p := (Job{Machines: 2, Rounds: rounds}).Pause(interval)
+		if p < last || p < 2*interval || p > 64*interval {
 			t.Errorf("after %d rounds the pause is %v, before it was %v", rounds, p, last)
 		}
 		last = p
 	}
-	if n := (Job{Machines: 2}).AtOnce(128); n != 1 {
-		t.Errorf("%d tasks of a job that fails everywhere are tried at a time", n)
-	}
-	if n := (Job{Machines: 2, Finished: 1}).AtOnce(128); n != 128 {
-		t.Errorf("%d tasks of a job that works are tried at a time", n)
+}
+
+func TestAtOnceTriesSuspectJobsWithOneTask(t *testing.T) {
+	const otherwise = 128
+	for _, c := range []struct {
+		name string
+		job  Job
+		want int
+	}{
+		{"fails everywhere", Job{Machines: 2}, 1},
+		{"works", Job{Machines: 2, Finished: 1}, otherwise},
+		{"failed on one machine", Job{Machines: 1}, otherwise},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.job.AtOnce(otherwise); got != c.want {
+				t.Errorf("%d tasks are tried at a time, want %d", got, c.want)
+			}
+		})
 	}
 }
