--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -1,8 +1,12 @@
 package modelcheck
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// jugs is the puzzle of two jugs of 3 and 5: a walk that has to find the shortest way.
+// jugs is the puzzle of two jugs that hold 3 and 5, of which one is to measure a goal: an
+// exploration has to find the shortest way.
 type jugs struct{ three, five int }
 
 func puzzle(goal int) Model[jugs] {
@@ -12,10 +16,10 @@
 			to(jugs{s.three, 5})
 			to(jugs{0, s.five})
 			to(jugs{s.three, 0})
-			n := min(s.three, 5-s.five)
-			to(jugs{s.three - n, s.five + n})
-			n = min(s.five, 3-s.three)
-			to(jugs{s.three + n, s.five - n})
+			poured := min(s.three, 5-s.five)
+			to(jugs{s.three - poured, s.five + poured})
+			poured = min(s.five, 3-s.three)
+			to(jugs{s.three + poured, s.five - poured})
 		},
 		Broken: func(s *jugs) string {
 			if s.five == goal {
@@ -23,20 +27,27 @@
 			}
 			return ""
 		},
-		Label: func(from, to *jugs) string { return "" },
+		Label: func(from, to *jugs) string { return fmt.Sprintf("%v to %v", *from, *to) },
 	}
 }
 
-func TestTheShortestWayIsFound(t *testing.T) {
-	if r := Run(puzzle(4), 1000); r.Broken == "" || len(r.Trace) != 6 {
-		t.Errorf("four are measured in six steps: %v", r)
+func TestRunFindsTheShortestTrace(t *testing.T) {
+	r := Run(puzzle(4), 1000)
+	if r.Broken != "the goal" || len(r.Trace) != 6 {
+		t.Fatalf("four are measured in six steps: %v", r)
+	}
+	if last := r.Trace[5]; last != "{2 5} to {3 4}" {
+		t.Errorf("the last step is %s", last)
 	}
 }
 
-func TestEveryStateIsSeen(t *testing.T) {
+func TestRunSeesEveryState(t *testing.T) {
 	if r := Run(puzzle(6), 1000); r.Broken != "" || !r.Whole || r.States != 16 {
 		t.Errorf("sixteen states can be reached and six can't be measured: %v", r)
 	}
+}
+
+func TestRunKeepsItsLimit(t *testing.T) {
 	if r := Run(puzzle(6), 10); r.Whole || r.States != 10 {
 		t.Errorf("a limit of ten is kept and told: %v", r)
 	}
