--- a/cmd/silvergate/losses.go
+++ b/cmd/silvergate/losses.go
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func tellLosses(out io.Writer, r *losses.Reader, lines []losses.Line, span time.Duration) error {
+func tellLosses(out io.Writer, r *losses.Reader, lines []losses.Summary, span time.Duration) error {
 	if len(lines) == 0 {
 		_, err := fmt.Fprintln(out, "no lost task in the logs; are they of level debug?")
 		return err
@@ -90,7 +90,7 @@
 		for _, s := range l.Seconds {
 			sum += s
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f", l.Class, l.Why, l.Lost, l.Back, sum)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f", l.Class, l.Reason, l.Lost, l.Restarted, sum)
 		for s, d := range l.Seconds {
 			fmt.Fprintf(w, "\t%.2f; %.1f, %.1f", d/max(sum, 1e-9), l.Median[s], l.P95[s])
 		}
--- a/internal/losses/golden_test.go
+++ b/internal/losses/golden_test.go
@@ -20,6 +20,7 @@
 	goldenReport     = "report.json"
 )
 
+// readGolden is a file of testdata.
 func readGolden(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -29,7 +30,7 @@
 	return string(data)
 }
 
-// goldenEvents are what the lines say, in their order.
+// goldenEvents is what the lines say, in their order.
 func goldenEvents() (events []Event) {
 	at := time.Duration(0)
 	add := func(e Event) {
@@ -38,25 +39,25 @@
 		events = append(events, e)
 	}
 	for index, why := range []string{"done", "error", "stopped", "peers", "session", "absent", "lease", "cloud"} {
-		load := fmt.Sprintf("wk-000042/%d", index)
+		task := fmt.Sprintf("wk-000042/%d", index)
 		silent := 25 * time.Second
 		if why == "lease" {
 			silent = 7 * time.Second
 		}
-		end := Event{Load: load, Try: 1, Class: "night run", Why: why, Done: why == "done", Silent: silent, Urgent: 3}
+		end := Event{Task: task, Attempt: 1, Class: "night run", Reason: why, Done: why == "done", Silent: silent, Priority: 3}
 		for _, msg := range []string{"evidence", "ended"} {
 			end.Msg = msg
 			add(end)
 		}
-		add(Event{Msg: "placing", Load: load})
+		add(Event{Msg: "placing", Task: task})
 		for _, msg := range []string{"bound", "launch", "began"} {
-			add(Event{Msg: msg, Load: load, Try: 2})
+			add(Event{Msg: msg, Task: task, Attempt: 2})
 		}
 	}
 	return events
 }
 
-// TestGoldenLinesAreRead parses each line of the golden log, as it is and with the mark of
+// TestGoldenLinesAreRead parses each line of the golden log, as it is and with the offset of
 // a bench in front.
 func TestGoldenLinesAreRead(t *testing.T) {
 	for _, name := range []string{goldenLog, goldenEarlierLog} {
@@ -64,6 +65,7 @@
 	}
 }
 
+// checkGoldenLines parses each line of a golden log.
 func checkGoldenLines(t *testing.T, name string) {
 	t.Helper()
 	lines := strings.Split(strings.TrimSuffix(readGolden(t, name), "\n"), "\n")
@@ -71,15 +73,15 @@
 	if len(lines) != len(want) {
 		t.Fatalf("%d lines, not %d", len(lines), len(want))
 	}
-	plain, marked := NewReader(), NewReader()
+	plain, withOffset := NewReader(), NewReader()
 	for i, line := range lines {
 		if e, ok := plain.Parse(line); !ok || e != want[i] {
 			t.Errorf("%s\nis read as %+v, not %+v", line, e, want[i])
 		}
-		late := want[i]
-		late.At += 100 * time.Second
-		if e, ok := marked.Parse(fmt.Sprintf("%8.3f n1 %s", late.At.Seconds(), line)); !ok || e != late {
-			t.Errorf("%s\nwith a mark is read as %+v, not %+v", line, e, late)
+		later := want[i]
+		later.At += 100 * time.Second
+		if e, ok := withOffset.Parse(fmt.Sprintf("%8.3f n1 %s", later.At.Seconds(), line)); !ok || e != later {
+			t.Errorf("%s\nwith an offset is read as %+v, not %+v", line, e, later)
 		}
 	}
 }
@@ -91,6 +93,7 @@
 	}
 }
 
+// checkGoldenReport compares the report of a golden log with the golden one.
 func checkGoldenReport(t *testing.T, name string) {
 	t.Helper()
 	r := NewReader()
--- /dev/null
+++ b/internal/losses/report.go
@@ -0,0 +1,93 @@
+package losses
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Summary is a class and reason in the report. Seconds are summed over its losses; all
+// three lists go by step.
+type Summary struct {
+	Class     string         `json:"class"`
+	Reason    string         `json:"why"`
+	Priority  int            `json:"urgency"`
+	Lost      int            `json:"lost"`
+	Restarted int            `json:"back"` // run again
+	Seconds   [Steps]float64 `json:"seconds"`
+	Median    [Steps]float64 `json:"median"`
+	P95       [Steps]float64 `json:"p95"`
+}
+
+// Report sums up, the highest priority first. Losses from the time on alone are
+// counted, and only such as are confirmed; those that never ran again count as they
+// stand.
+func (r *Reader) Report(from time.Duration) []Summary {
+	type key struct{ class, reason string }
+	groups := map[key][]*Loss{}
+	for _, l := range r.lost {
+		if l.Confirmed && l.At >= from {
+			k := key{l.Class, l.Reason}
+			groups[k] = append(groups[k], l)
+		}
+	}
+	summaries := make([]Summary, 0, len(groups))
+	for k, losses := range groups {
+		summaries = append(summaries, summarize(k.class, k.reason, losses))
+	}
+	slices.SortFunc(summaries, func(a, b Summary) int {
+		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Reason, b.Reason))
+	})
+	return summaries
+}
+
+// summarize sums up the losses of a class for a reason, of which there is one at least.
+func summarize(class, reason string, losses []*Loss) Summary {
+	s := Summary{Class: class, Reason: reason, Priority: losses[0].Priority, Lost: len(losses)}
+	for _, l := range losses {
+		if l.Restarted {
+			s.Restarted++
+		}
+	}
+	for step := range Step(Steps) {
+		took := make([]time.Duration, 0, len(losses))
+		for _, l := range losses {
+			s.Seconds[step] += l.Took[step].Seconds()
+			took = append(took, l.Took[step])
+		}
+		slices.Sort(took)
+		s.Median[step] = took[len(took)/2].Seconds()
+		s.P95[step] = took[min(len(took)-1, len(took)*95/100)].Seconds()
+	}
+	return s
+}
+
+// Worst is the span of the given length in which most of a class's time was
+// lost, how many task-seconds that were, and how many at the least (see Loss.Least).
+func (r *Reader) Worst(class string, span time.Duration) (from time.Duration, seconds, least float64) {
+	for at := time.Duration(0); at <= r.last; at += time.Second {
+		lost, atLeast := r.lostWithin(class, at, at+span)
+		if lost > seconds {
+			from, seconds, least = at, lost, atLeast
+		}
+	}
+	return from, seconds, least
+}
+
+// lostWithin is how many task-seconds of a class were lost between two times, and how many at
+// the least.
+func (r *Reader) lostWithin(class string, from, to time.Duration) (seconds, least float64) {
+	for _, l := range r.lost {
+		if l.Class != class || !l.Confirmed {
+			continue
+		}
+		until := l.Until()
+		if !l.Restarted {
+			until = r.last
+		}
+		overlap := func(until time.Duration) float64 { return max(0, (min(until, to) - max(l.At, from)).Seconds()) }
+		seconds += overlap(until)
+		least += overlap(l.Least())
+	}
+	return seconds, least
+}
