--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Target names an outside system.
+// Target is an outside system that calls go to.
 type Target int
 
 // Targets.
@@ -12,9 +12,14 @@
 	ToWorker
 )
 
-// Call is a request that the core wants sent.
+// String is the target's name in metrics.
+func (t Target) String() string {
+	return [...]string{ToStateService: "state", ToCloud: "cloud", ToWorker: "worker"}[t]
+}
+
+// Call is an HTTP request that the core wants sent.
 type Call struct {
-	ID      uint64
+	ID      uint64 // its Reply has the same
 	Target  Target
 	Address string // of a worker
 	Method  string
@@ -27,8 +32,8 @@
 // then tells whether the request may have been executed all the same.
 type Reply struct {
 	ID         uint64
-	Status     int
+	Status     int // of HTTP
 	Sent       bool
-	RetryAfter int
+	RetryAfter int // seconds, 0 if the response has none
 	Body       []byte
 }
--- /dev/null
+++ b/internal/protocol/cloud.go
@@ -0,0 +1,70 @@
+package protocol
+
+// Paths of the cloud's interface.
+const (
+	// PathMachineTypes gives the catalogue, MachineTypes.
+	PathMachineTypes = "/flavors"
+	// PathRentals lists machines (GET) and rents some (POST).
+	PathRentals = "/rentals"
+	// PathRentalsDelete gives machines back.
+	PathRentalsDelete = "/rentals/delete"
+)
+
+// MachineTypes is the cloud's catalogue.
+type MachineTypes struct {
+	MachineTypes []MachineType `json:"rigs"`
+}
+
+// MachineType is a type of machine that the cloud rents out.
+type MachineType struct {
+	Name            string   `json:"sku"`
+	CPUs            float64  `json:"cpus"`
+	GPUs            float64  `json:"accelerators"`
+	MemoryGB        float64  `json:"ramGb"`
+	LocalGB         float64  `json:"localGb"` // disk for images and data sets
+	ImagePullGBPerS float64  `json:"pullGbPerS"`
+	OnDemandPrice   float64  `json:"hourly"` // per hour, as the next
+	SpotPrice       float64  `json:"spotPrice"`
+	StartupS        float64  `json:"startupS"`
+	Zones           []string `json:"depots"` // where it can be rented
+}
+
+// RentalRequest asks for machines. A request with a known id is answered as before and
+// rents nothing anew.
+type RentalRequest struct {
+	RequestID   string `json:"hire"`
+	MachineType string `json:"rig"`
+	Zone        string `json:"depot"`
+	Spot        bool   `json:"casual"`
+	Count       int    `json:"number"`
+}
+
+// MachineNames lists machines by name: those that a rental gave, or that are to be
+// given back.
+type MachineNames struct {
+	Machines []string `json:"stokers"`
+}
+
+// RentalList is a page of the cloud's list of rented machines.
+type RentalList struct {
+	Machines  []RentedMachine `json:"stokers"`
+	Truncated bool            `json:"truncated"` // there are more after the last
+}
+
+// RentedMachine is a machine in the cloud's list.
+type RentedMachine struct {
+	Name        string  `json:"ref"`
+	Address     string  `json:"address"`
+	MachineType string  `json:"rig"`
+	Zone        string  `json:"depot"`
+	Spot        bool    `json:"casual"`
+	Status      string  `json:"status"` // StatusBooting, StatusRunning or StatusFailed
+	AgeS        float64 `json:"ageS"`
+}
+
+// Statuses of machines in the cloud's list.
+const (
+	StatusBooting = "booting"
+	StatusRunning = "running"
+	StatusFailed  = "failed"
+)
--- a/internal/protocol/errors_test.go
+++ b/internal/protocol/errors_test.go
@@ -118,6 +118,8 @@
 		{"input at the same place", "inputs", []any{input("s", "v", "a"), input("s", "w", "a")}, "inputs[1].place: overlaps another input's"},
 		{"input above another", "inputs", []any{input("s", "v", "a/b"), input("s", "w", "a")}, "inputs[1].place: overlaps another input's"},
 		{"input below another", "inputs", []any{input("s", "v", "a"), input("s", "w", "a/b")}, "inputs[1].place: overlaps another input's"},
+		{"input of another type", "inputs", []any{7}, "the body is not a valid submission: json: cannot unmarshal number into Go struct field .inputs of type " +
+			`struct { Set *string "json:\"set\""; Version *string "json:\"version\""; Place *string "json:\"place\"" }`},
 		{"set of another type", "inputs", []any{input(7, "v", "a")}, "the body is not a valid submission: json: cannot unmarshal number into Go struct field .inputs.set of type string"},
 	}
 	for _, test := range tests {
--- a/internal/protocol/extra.go
+++ b/internal/protocol/extra.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"path"
 	"strings"
@@ -11,30 +10,48 @@
 	"silvergate/internal/job"
 )
 
-// Paths that are extensions of the protocols, for workers and operators.
+// Limits of the extension fields of a submission.
 const (
-	PathDescription = "description" // after a job's path: all that a worker needs
-	PathGang        = "gang"        // after a job's path, with an attempt: where its tasks are
-	PathJobList     = "/v2/list/jobs"
-	PathMachineList = "/v2/list/nodes"
-)
-
-// Limits of the extension fields.
-const (
-	maxArguments = 256
-	maxVariables = 256
-	maxInputs    = 32
-	maxKeep      = 32
-	maxText      = 16 << 10
+	maxArguments    = 256
+	maxVariables    = 256
+	maxInputs       = 32
+	maxKeep         = 32
+	maxCustomer     = 100      // bytes
+	maxArgument     = 16 << 10 // bytes, of a variable's value too
+	maxQuotedInText = 40       // bytes of a user's text in an error
 )
 
 // ReservedEnv is the prefix of variables that only silvergate sets.
 const ReservedEnv = "SILVERGATE_"
 
 // ParseExtra reads and checks the extension fields of a submission: command,
-// env, customer, keep and inputs. It returns nil when there are none.
+// env, customer, keep and inputs. It returns nil when there are none. The error is a
+// *FieldError for the first bad field, or wraps that of the JSON decoder.
 func ParseExtra(body []byte) (*job.Extra, error) {
-	var x struct {
+	extra, err := decodeExtra(body)
+	if err != nil {
+		return nil, err
+	}
+	// The order decides which of several bad fields a user is told about.
+	for _, check := range []func(*job.Extra) error{checkCommand, checkEnv, checkCustomer, checkKeep, checkInputs} {
+		if err := check(extra); err != nil {
+			return nil, err
+		}
+	}
+	if extra.Empty() {
+		return nil, nil
+	}
+	return extra, nil
+}
+
+// decodeExtra reads the extension fields. Texts that are absent or null become empty,
+// which none of the checks of required fields accepts.
+//
+// The JSON decoder puts the names of types and fields into its errors, which users see:
+// the types have none, and the fields keep theirs. Texts are read by pointers because null then undoes an earlier value of a
+// field that occurs twice.
+func decodeExtra(body []byte) (*job.Extra, error) {
+	var fields struct {
 		Command  []string          `json:"command"`
 		Env      map[string]string `json:"env"`
 		Customer *string           `json:"customer"`
@@ -45,198 +62,120 @@
 			Place   *string `json:"place"`
 		} `json:"inputs"`
 	}
-	if err := json.Unmarshal(body, &x); err != nil {
-		return nil, fmt.Errorf("the body is not a valid submission: %w", err)
-	}
-	e := &job.Extra{Command: x.Command, Env: x.Env}
-	if len(x.Command) > maxArguments {
-		return nil, fmt.Errorf("command: more than %d arguments", maxArguments)
-	}
-	for i, a := range x.Command {
-		if err := plainText(a); err != nil || i == 0 && a == "" {
-			return nil, fmt.Errorf("command[%d]: empty, too long or not text", i)
-		}
+	if err := json.Unmarshal(body, &fields); err != nil {
+		return nil, invalidSubmission(err)
 	}
-	if len(x.Env) > maxVariables {
-		return nil, fmt.Errorf("env: more than %d variables", maxVariables)
-	}
-	for k, v := range x.Env {
-		if !variable(k) || strings.HasPrefix(k, ReservedEnv) {
-			return nil, fmt.Errorf("env.%.40q: not the name of a variable, or one that silvergate sets", k)
-		}
-		if err := plainText(v); err != nil {
-			return nil, fmt.Errorf("env.%s: %w", k, err)
-		}
+	extra := &job.Extra{Command: fields.Command, Env: fields.Env, Customer: textOrEmpty(fields.Customer), Keep: fields.Keep}
+	for _, input := range fields.Inputs {
+		extra.Inputs = append(extra.Inputs, job.Input{
+			Set:     textOrEmpty(input.Set),
+			Version: textOrEmpty(input.Version),
+			Path:    textOrEmpty(input.Place),
+		})
 	}
-	if x.Customer != nil && *x.Customer != "" {
-		if !ValidName(*x.Customer) || len(*x.Customer) > 100 {
-			return nil, errors.New("customer: not a name of letters, digits, '-', '_' and '.'")
-		}
-		e.Customer = *x.Customer
+	return extra, nil
+}
+
+func textOrEmpty(text *string) string {
+	if text == nil {
+		return ""
 	}
-	if len(x.Keep) > maxKeep {
-		return nil, fmt.Errorf("keep: more than %d patterns", maxKeep)
+	return *text
+}
+
+func checkCommand(extra *job.Extra) error {
+	if len(extra.Command) > maxArguments {
+		return badField("command", "more than %d arguments", maxArguments)
 	}
-	for i, p := range x.Keep {
-		if _, err := path.Match(p, "x"); err != nil || !ValidRelativePath(p) {
-			return nil, fmt.Errorf("keep[%d]: not a pattern of files inside the working directory", i)
+	for i, argument := range extra.Command {
+		if textProblem(argument) != "" || i == 0 && argument == "" {
+			return badField(fmt.Sprintf("command[%d]", i), "empty, too long or not text")
 		}
 	}
-	e.Keep = x.Keep
-	if len(x.Inputs) > maxInputs {
-		return nil, fmt.Errorf("inputs: more than %d", maxInputs)
+	return nil
+}
+
+func checkEnv(extra *job.Extra) error {
+	if len(extra.Env) > maxVariables {
+		return badField("env", "more than %d variables", maxVariables)
 	}
-	places := map[string]bool{}
-	for i, in := range x.Inputs {
-		if in.Set == nil || !ValidName(*in.Set) {
-			return nil, fmt.Errorf("inputs[%d].set: missing or not a name of letters, digits, '-', '_' and '.'", i)
-		}
-		if in.Version == nil || !ValidName(*in.Version) {
-			return nil, fmt.Errorf("inputs[%d].version: missing or not a version", i)
+	for name, value := range extra.Env {
+		if !validVariableName(name) || strings.HasPrefix(name, ReservedEnv) {
+			field := fmt.Sprintf("env.%.*q", maxQuotedInText, name)
+			return badField(field, "not the name of a variable, or one that silvergate sets")
 		}
-		if in.Place == nil || !ValidRelativePath(*in.Place) {
-			return nil, fmt.Errorf("inputs[%d].place: missing or not a path inside the working directory", i)
-		}
-		for p := range places {
-			if p == *in.Place || strings.HasPrefix(p, *in.Place+"/") || strings.HasPrefix(*in.Place, p+"/") {
-				return nil, fmt.Errorf("inputs[%d].place: overlaps another input's", i)
-			}
+		if problem := textProblem(value); problem != "" {
+			return &FieldError{Field: "env." + name, Problem: problem}
 		}
-		places[*in.Place] = true
-		e.Inputs = append(e.Inputs, job.Input{Set: *in.Set, Version: *in.Version, Path: *in.Place})
 	}
-	if e.Empty() {
-		return nil, nil
-	}
-	return e, nil
+	return nil
 }
 
-func plainText(s string) error {
-	if len(s) > maxText {
-		return fmt.Errorf("longer than %d bytes", maxText)
+func checkCustomer(extra *job.Extra) error {
+	if extra.Customer == "" {
+		return nil
 	}
-	if !utf8.ValidString(s) || strings.IndexByte(s, 0) >= 0 {
-		return errors.New("not text")
+	if !ValidName(extra.Customer) || len(extra.Customer) > maxCustomer {
+		return badField("customer", "not a name of letters, digits, '-', '_' and '.'")
 	}
 	return nil
 }
 
-func variable(s string) bool {
-	for i, c := range s {
-		if !(c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || i > 0 && c >= '0' && c <= '9') {
-			return false
-		}
+func checkKeep(extra *job.Extra) error {
+	if len(extra.Keep) > maxKeep {
+		return badField("keep", "more than %d patterns", maxKeep)
 	}
-	return s != "" && len(s) <= 200
-}
-
-// ValidName tells whether s can name a data set, a version or an image: it is
-// safe in a key, in a path and as a file's name.
-func ValidName(s string) bool { return validKeySegment(s) && s[0] != '.' && s[0] != '-' }
-
-// ValidRelativePath tells whether s is a clean relative path that leads nowhere else.
-func ValidRelativePath(s string) bool {
-	return s != "" && len(s) <= 1000 && utf8.ValidString(s) && !strings.ContainsAny(s, "\x00\\") && path.Clean(s) == s &&
-		s != "." && s != ".." && !strings.HasPrefix(s, "/") && !strings.HasPrefix(s, "../")
-}
-
-// JobDescription is all that a worker needs to run a job's tasks.
-type JobDescription struct {
-	ID                  string      `json:"ref"`
-	Class               string      `json:"jobclass"`
-	Team                string      `json:"crew"`
-	Shape               job.Shape   `json:"shape"`
-	Priority            string      `json:"urgency"`
-	Tasks               int         `json:"loads"`
-	CPUs                float64     `json:"cpus"`
-	GPUs                float64     `json:"accelerators"`
-	MemoryGB            float64     `json:"ramGb"`
-	Image               string      `json:"kit"`
-	ImageGB             float64     `json:"sizeGb"`
-	CheckpointIntervalS float64     `json:"waypointS"`
-	CheckpointSaveS     float64     `json:"stowS"`
-	Complete            bool        `json:"complete,omitempty"` // a gang of which a task is done: all are
-	Extra               *job.Extra  `json:"extra,omitempty"`
-	Inputs              []InputCopy `json:"inputs,omitempty"` // with the versions resolved
-	Grant               string      `json:"seal,omitempty"`   // of the terms of archive.Grant
-}
-
-// PriorityName is the wire name of a priority.
-func PriorityName(p job.Priority) string {
-	for n, v := range priorities {
-		if v == p {
-			return n
+	for i, pattern := range extra.Keep {
+		if _, err := path.Match(pattern, "x"); err != nil || !ValidRelativePath(pattern) {
+			return badField(fmt.Sprintf("keep[%d]", i), "not a pattern of files inside the working directory")
 		}
 	}
-	return ""
+	return nil
 }
 
-// IsUrgent tells whether the wire name of a priority is one that others wait for.
-func IsUrgent(urgency string) bool { return urgency == "prod" || urgency == "urgent" }
-
-// ShapeName is the wire name of a shape.
-func ShapeName(s job.Shape) string {
-	for n, v := range shapes {
-		if v == s {
-			return n
+func checkInputs(extra *job.Extra) error {
+	if len(extra.Inputs) > maxInputs {
+		return badField("inputs", "more than %d", maxInputs)
+	}
+	for i, input := range extra.Inputs {
+		field := fmt.Sprintf("inputs[%d]", i)
+		if err := checkInput(field, input); err != nil {
+			return err
+		}
+		for _, earlier := range extra.Inputs[:i] {
+			if overlap(earlier.Path, input.Path) {
+				return badField(field+".place", "overlaps another input's")
+			}
 		}
 	}
-	return ""
-}
-
-// GangMembers tells where the tasks of a gang's attempt are.
-type GangMembers struct {
-	Members []GangMember `json:"loads"`
-}
-
-// GangMember is one task's machine.
-type GangMember struct {
-	Index   int    `json:"index"`
-	Machine string `json:"stoker"`
-	Address string `json:"address"`
-}
-
-// JobSummary is a job as operators list it.
-type JobSummary struct {
-	ID         string  `json:"ref"`
-	Status     string  `json:"status"`
-	Class      string  `json:"jobclass"`
-	Team       string  `json:"crew"`
-	Shape      string  `json:"shape"`
-	Priority   string  `json:"urgency"`
-	Tasks      int     `json:"loads"`
-	Done       int     `json:"done"`
-	Running    int     `json:"running"`
-	AgeS       float64 `json:"ageS"`
-	WaitingFor string  `json:"waits,omitempty"` // what an open job's tasks wait for
+	return nil
 }
 
-// JobPage is a page of jobs, in the order of their names.
-type JobPage struct {
-	Jobs      []JobSummary `json:"jobs"`
-	Truncated bool         `json:"truncated"`
+func checkInput(field string, input job.Input) error {
+	if !ValidName(input.Set) {
+		return badField(field+".set", "missing or not a name of letters, digits, '-', '_' and '.'")
+	}
+	if !ValidName(input.Version) {
+		return badField(field+".version", "missing or not a version")
+	}
+	if !ValidRelativePath(input.Path) {
+		return badField(field+".place", "missing or not a path inside the working directory")
+	}
+	return nil
 }
 
-// MachineSummary is a machine as operators list it.
-type MachineSummary struct {
-	Machine          string  `json:"stoker"`
-	MachineType      string  `json:"rig"`
-	Zone             string  `json:"depot"`
-	Spot             bool    `json:"casual"`
-	Address          string  `json:"address"`
-	Owner            string  `json:"owner"`
-	Status           string  `json:"status"`
-	Tasks            int     `json:"loads"`
-	CPUs             float64 `json:"cpus"`
-	CPUCapacity      float64 `json:"cpusOf"`
-	GPUs             float64 `json:"accelerators"`
-	GPUCapacity      float64 `json:"acceleratorsOf"`
-	MemoryGB         float64 `json:"ramGb"`
-	MemoryCapacityGB float64 `json:"ramGbOf"`
+// overlap tells whether two clean paths are the same or one contains the other.
+func overlap(a, b string) bool {
+	return a == b || strings.HasPrefix(a, b+"/") || strings.HasPrefix(b, a+"/")
 }
 
-// MachinePage is a page of machines, in the order of their names.
-type MachinePage struct {
-	Machines  []MachineSummary `json:"nodes"`
-	Truncated bool             `json:"truncated"`
+// textProblem says why text cannot be an argument or a variable's value; "" if it can.
+func textProblem(text string) string {
+	if len(text) > maxArgument {
+		return fmt.Sprintf("longer than %d bytes", maxArgument)
+	}
+	if !utf8.ValidString(text) || strings.IndexByte(text, 0) >= 0 {
+		return "not text"
+	}
+	return ""
 }
--- /dev/null
+++ b/internal/protocol/heartbeat.go
@@ -0,0 +1,123 @@
+package protocol
+
+// Paths of the interface between controllers and workers.
+const (
+	// PathHeartbeat is where a controller takes heartbeats.
+	PathHeartbeat = "/checkin"
+	// PathCommands is where a worker takes commands directly.
+	PathCommands = "/orders"
+	// PathStatus is where a worker tells its state.
+	PathStatus = "/status"
+)
+
+// Heartbeat is what a worker sends to its controller periodically.
+type Heartbeat struct {
+	Worker      string `json:"stoker"`
+	Address     string `json:"address"` // host and port where it takes commands
+	MachineType string `json:"rig"`
+	Zone        string `json:"depot"`
+	Spot        bool   `json:"casual"`
+	// AgentEpoch grows with each start of the agent, and Sequence with each heartbeat
+	// within one: together they order a worker's heartbeats.
+	AgentEpoch uint64 `json:"shift"`
+	Sequence   uint64 `json:"tally"`
+	// FencingToken is that of the last controller whose response or commands it accepted.
+	FencingToken uint64 `json:"baton"`
+	// PreemptionNoticeS is the time until the cloud takes the machine back; nil without notice.
+	PreemptionNoticeS *float64     `json:"recallS"`
+	Tasks             []TaskStatus `json:"loads"`
+	// DataStore is an extension: what the machine's store of data sets holds.
+	DataStore *StoreReport `json:"store,omitempty"`
+	// Unshipped is an extension: how many attempts that are over have output which the
+	// archive has not acknowledged.
+	Unshipped int `json:"unkept,omitempty"`
+}
+
+// TaskStatus is an attempt of a task as a worker reports it.
+type TaskStatus struct {
+	Task         string `json:"load"` // see job.TaskName
+	Attempt      int    `json:"try"`
+	Status       string `json:"status"`          // TaskPulling and so on
+	Cause        string `json:"cause,omitempty"` // CauseDone and so on; of ended ones only
+	Checkpointed bool   `json:"saved,omitempty"`
+}
+
+// Statuses of attempts in heartbeats.
+const (
+	TaskPulling       = "pulling"
+	TaskWaiting       = "waiting"
+	TaskRunning       = "running"
+	TaskCheckpointing = "saving"
+	TaskEnded         = "ended"
+)
+
+// Causes of an attempt's end.
+const (
+	CauseDone           = "done"
+	CauseStopped        = "stopped"
+	CauseGangMemberLost = "peers"
+	CauseLeaseExpired   = "alone"
+	CauseError          = "error"
+	CauseNoRoom         = "no_room"
+	CauseBusy           = "busy"
+	CauseUnknown        = "unknown"
+)
+
+// ParseHeartbeat reads and checks a worker's heartbeat. The error is a *FieldError,
+// ErrNestedTooDeeply or that of the JSON decoder.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var heartbeat Heartbeat
+	if err := Decode(body, &heartbeat); err != nil {
+		return nil, err
+	}
+	switch {
+	case !validKeySegment(heartbeat.Worker):
+		return nil, badField("stoker", "missing or not usable as a key")
+	case heartbeat.MachineType == "":
+		return nil, badField("rig", "missing")
+	case heartbeat.Zone == "":
+		return nil, badField("depot", "missing")
+	case heartbeat.AgentEpoch == 0:
+		return nil, badField("shift", "missing")
+	}
+	return &heartbeat, nil
+}
+
+// HeartbeatResponse is a controller's response to a heartbeat.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
+	// DataStore is an extension: what the machine's store is to fetch.
+	DataStore *StoreOrders `json:"store,omitempty"`
+}
+
+// DirectCommands are commands that a controller sends to a worker between heartbeats.
+// A worker refuses them under an old fencing token or for another epoch of its agent.
+type DirectCommands struct {
+	FencingToken uint64    `json:"baton"`
+	AgentEpoch   uint64    `json:"shift"`
+	Commands     []Command `json:"orders"`
+}
+
+// Command is one command to a worker about an attempt.
+type Command struct {
+	Verb    string `json:"verb"` // VerbLaunch, VerbKill or VerbForget
+	Task    string `json:"load"`
+	Attempt int    `json:"try"`
+	// GracePeriodS is the time for a checkpoint before a kill; nil: none given.
+	GracePeriodS *float64 `json:"windDownS,omitempty"`
+	// Grant is an extension of launches: see archive.Grant.
+	Grant string `json:"seal,omitempty"`
+}
+
+// Verbs of commands.
+const (
+	VerbLaunch = "launch"
+	VerbKill   = "kill"
+	VerbForget = "forget" // an attempt that has ended: its release is committed
+)
+
+// Redirect names the controller that a worker should send its heartbeats to.
+type Redirect struct {
+	Controller string `json:"dispatcher,omitempty"`
+}
--- a/internal/protocol/json.go
+++ b/internal/protocol/json.go
@@ -1,56 +1,78 @@
 package protocol
 
 import (
+	"bytes"
 	"encoding/json"
 	"errors"
+	"fmt"
 
 	fast "github.com/segmentio/encoding/json"
 )
 
-// The messages that come by the hundred a second, and the records, are read and
-// written with a faster kin of encoding/json. Submissions are not: they are rare,
-// and their errors are shown to users.
+// Heartbeats and the calls of the state service, hundreds a second, and the records are
+// read and written with a faster library than encoding/json. Submissions are not: they
+// are rare, and their errors are shown to users.
+
+// Object returns ErrNotObject unless a body can be a JSON object. It looks at the first
+// byte alone.
+func Object(body []byte) error {
+	if text := bytes.TrimLeft(body, " \t\r\n"); len(text) == 0 || text[0] != '{' {
+		return ErrNotObject
+	}
+	return nil
+}
+
+// DecodeObject reads a request's JSON object into v, with errors that are for people:
+// ErrNotObject, or one that wraps that of encoding/json. Unknown fields are ignored.
+func DecodeObject(body []byte, v any) error {
+	if err := Object(body); err != nil {
+		return err
+	}
+	if err := json.Unmarshal(body, v); err != nil {
+		return fmt.Errorf("the body is malformed: %w", err)
+	}
+	return nil
+}
 
 // maxNesting is far deeper than any message of the protocols goes.
 const maxNesting = 32
 
-var errNesting = errors.New("nested too deeply")
-
-// Decode reads a message from outside. Like encoding/json it ignores unknown
-// fields and refuses what follows the value.
+// Decode reads a message from outside into v. Like encoding/json it ignores unknown
+// fields and refuses what follows the value. It returns ErrNestedTooDeeply before it
+// decodes anything.
 func Decode(data []byte, v any) error {
 	// Guards against 64 KiB of opening brackets, which would cost a small
-	// controller a second of its share and 32 MB of stack.
-	if nested(data) > maxNesting {
-		return errNesting
+	// controller a second of its CPU share and 32 MB of stack.
+	if nestingDepth(data) > maxNesting {
+		return ErrNestedTooDeeply
 	}
 	return fast.Unmarshal(data, v)
 }
 
-// nested tells how deep objects and arrays go in data, at the most.
-func nested(data []byte) int {
+// nestingDepth is how deep objects and arrays go in data, at the most.
+func nestingDepth(data []byte) int {
 	deepest, depth, quoted := 0, 0, false
 	for i := 0; i < len(data); i++ {
-		switch b := data[i]; {
+		switch character := data[i]; {
 		case quoted:
-			if b == '\\' {
+			if character == '\\' {
 				i++
-			} else if b == '"' {
+			} else if character == '"' {
 				quoted = false
 			}
-		case b == '"':
+		case character == '"':
 			quoted = true
-		case b == '{' || b == '[':
+		case character == '{' || character == '[':
 			depth++
 			deepest = max(deepest, depth)
-		case b == '}' || b == ']':
+		case character == '}' || character == ']':
 			depth--
 		}
 	}
 	return deepest
 }
 
-// DecodeState reads a response of the state service. Raw messages in v point
+// DecodeState reads a response of the state service into v. Raw messages in v point
 // into data, which must not change as long as they are used.
 func DecodeState(data []byte, v any) error {
 	rest, err := fast.Parse(data, v, fast.DontCopyRawMessage)
@@ -60,11 +82,12 @@
 	return err
 }
 
-// Encode writes one of our own messages or records.
+// Encode writes one of our own messages or records. It panics on types that JSON does
+// not have, which none of ours contains.
 func Encode(v any) json.RawMessage {
-	b, err := fast.Append(nil, v, fast.EscapeHTML|fast.SortMapKeys|fast.TrustRawMessage)
+	encoded, err := fast.Append(nil, v, fast.EscapeHTML|fast.SortMapKeys|fast.TrustRawMessage)
 	if err != nil {
-		panic(err) // only our own types are written
+		panic(err)
 	}
-	return b
+	return encoded
 }
--- a/internal/protocol/json_test.go
+++ b/internal/protocol/json_test.go
@@ -77,11 +77,11 @@
 func TestDecodeRefusesDeepNesting(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`, `[{"a":`} {
 		body := `{"stoker":"i-1","x":` + strings.Repeat(open, 60_000/len(open))
-		if _, err := ParseHeartbeat([]byte(body)); err != errNesting {
+		if _, err := ParseHeartbeat([]byte(body)); err != ErrNestedTooDeeply {
 			t.Errorf("%s: %v", open, err)
 		}
 	}
-	if n := nested([]byte(`{"a":"[[[\"[[","b":[1,{}]}`)); n != 3 {
+	if n := nestingDepth([]byte(`{"a":"[[[\"[[","b":[1,{}]}`)); n != 3 {
 		t.Errorf("nested %d deep", n)
 	}
 }
