--- a/internal/protocol/errors_test.go
+++ b/internal/protocol/errors_test.go
@@ -78,7 +78,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := ParseSubmission(changedBody(t, validRun(), test.changes))
+			_, err := ParseSubmission(changedBody(t, validSubmission(), test.changes))
 			requireErrorText(t, err, test.want)
 		})
 	}
--- a/internal/protocol/json_test.go
+++ b/internal/protocol/json_test.go
@@ -9,48 +9,54 @@
 	"pgregory.net/rapid"
 )
 
-// drawReport makes a report, or with luck something close to one.
-func drawReport(t *rapid.T) []byte {
-	r := Heartbeat{Worker: rapid.StringMatching(`i-[0-9]{6}`).Draw(t, "stoker"), Address: "10.1.0.232:9000", MachineType: "g8",
+// drawHeartbeat makes the body of a heartbeat, or with luck something close to one.
+func drawHeartbeat(t *rapid.T) []byte {
+	heartbeat := Heartbeat{Worker: rapid.StringMatching(`i-[0-9]{6}`).Draw(t, "stoker"), Address: "10.1.0.232:9000", MachineType: "g8",
 		Zone: rapid.String().Draw(t, "depot"), AgentEpoch: rapid.Uint64().Draw(t, "shift"), Sequence: rapid.Uint64().Draw(t, "tally")}
 	if rapid.Bool().Draw(t, "recalled") {
-		s := rapid.Float64Range(0, 1e6).Draw(t, "recallS")
-		r.PreemptionNoticeS = &s
+		notice := rapid.Float64Range(0, 1e6).Draw(t, "recallS")
+		heartbeat.PreemptionNoticeS = &notice
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "loads") {
-		r.Tasks = append(r.Tasks, TaskStatus{Task: rapid.StringMatching(`wk-[0-9]{6}/[0-9]`).Draw(t, "load"), Attempt: rapid.Int().Draw(t, "try"),
+		heartbeat.Tasks = append(heartbeat.Tasks, TaskStatus{Task: rapid.StringMatching(`wk-[0-9]{6}/[0-9]`).Draw(t, "load"), Attempt: rapid.Int().Draw(t, "try"),
 			Status: rapid.String().Draw(t, "status"), Checkpointed: rapid.Bool().Draw(t, "saved")})
 	}
-	b, err := json.Marshal(r)
+	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "changes") {
-		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
-		switch rapid.IntRange(0, 2).Draw(t, "change") {
-		case 0:
-			b = append(b[:at:at], b[min(at+1, len(b)-1):]...)
-		case 1:
-			b[at] = rapid.SampledFrom([]byte(`{}[]",:0-.eE\ntu `)).Draw(t, "byte")
-		case 2:
-			b = b[:max(1, at)]
-		}
+		body = drawChange(t, body)
+	}
+	return body
+}
+
+// drawChange drops a byte of a body, replaces one, or cuts the body off.
+func drawChange(t *rapid.T, body []byte) []byte {
+	at := rapid.IntRange(0, len(body)-1).Draw(t, "at")
+	switch rapid.IntRange(0, 2).Draw(t, "change") {
+	case 0:
+		return append(body[:at:at], body[min(at+1, len(body)-1):]...)
+	case 1:
+		body[at] = rapid.SampledFrom([]byte(`{}[]",:0-.eE\ntu `)).Draw(t, "byte")
+		return body
+	default:
+		return body[:max(1, at)]
 	}
-	return b
 }
 
 // TestDecodeAgreesWithTheStandardLibrary checks the faster decoder against the
-// plain one, on good and broken reports.
+// plain one, on good and broken heartbeats.
 func TestDecodeAgreesWithTheStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := drawReport(t)
+		body := drawHeartbeat(t)
 		var got, want Heartbeat
-		err, plain := Decode(b, &got), json.Unmarshal(b, &want)
-		if (err == nil) != (plain == nil) {
-			t.Fatalf("%s: %v, the standard library says %v", b, err, plain)
+		err, wantErr := Decode(body, &got), json.Unmarshal(body, &want)
+		if (err == nil) != (wantErr == nil) {
+			t.Fatalf("%s: %v, the standard library says %v", body, err, wantErr)
 		}
 		if err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s: %+v, the standard library reads %+v", b, got, want)
+			t.Fatalf("%s: %+v, the standard library reads %+v", body, got, want)
 		}
 	})
 }
@@ -59,16 +65,16 @@
 // the other reads alike.
 func TestEncodeAgreesWithTheStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Op{Put: rapid.String().Draw(t, "key"), Lease: rapid.Uint64().Draw(t, "permit"),
+		put := Op{Put: rapid.String().Draw(t, "key"), Lease: rapid.Uint64().Draw(t, "permit"),
 			Value: Encode(Command{Verb: rapid.String().Draw(t, "verb"), Task: "<&>\u2028", Attempt: rapid.Int().Draw(t, "try")})}
-		x := Txn{Compares: []Compare{{Key: o.Put, ModRevision: o.Lease}}, Ops: []Op{o, {Delete: "x"}}}
-		want, err := json.Marshal(x)
+		txn := Txn{Compares: []Compare{{Key: put.Put, ModRevision: put.Lease}}, Ops: []Op{put, {Delete: "x"}}}
+		want, err := json.Marshal(txn)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var a, b any
-		if json.Unmarshal(Encode(x), &a) != nil || json.Unmarshal(want, &b) != nil || !reflect.DeepEqual(a, b) {
-			t.Fatalf("%s, the standard library writes %s", Encode(x), want)
+		var fromEncode, fromStandard any
+		if json.Unmarshal(Encode(txn), &fromEncode) != nil || json.Unmarshal(want, &fromStandard) != nil || !reflect.DeepEqual(fromEncode, fromStandard) {
+			t.Fatalf("%s, the standard library writes %s", Encode(txn), want)
 		}
 	})
 }
@@ -86,12 +92,12 @@
 	}
 }
 
-func BenchmarkParseReport(b *testing.B) {
-	r := Heartbeat{Worker: "i-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", AgentEpoch: 1, Sequence: 88, FencingToken: 41}
+func BenchmarkParseHeartbeat(b *testing.B) {
+	heartbeat := Heartbeat{Worker: "i-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", AgentEpoch: 1, Sequence: 88, FencingToken: 41}
 	for range 8 {
-		r.Tasks = append(r.Tasks, TaskStatus{Task: "wk-000412/3", Attempt: 1, Status: TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, TaskStatus{Task: "wk-000412/3", Attempt: 1, Status: TaskRunning})
 	}
-	body := Encode(r)
+	body := Encode(heartbeat)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ParseHeartbeat(body); err != nil {
--- /dev/null
+++ b/internal/protocol/submission_test.go
@@ -0,0 +1,160 @@
+package protocol
+
+import (
+	"encoding/json"
+	"errors"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"silvergate/internal/job"
+)
+
+// validSubmission is the body of a submission with every field set.
+func validSubmission() map[string]any {
+	return map[string]any{
+		"ref": "wk-000412", "jobclass": "train", "crew": "vision", "shape": "ensemble", "urgency": "urgent", "loads": 16,
+		"cpus": 8.0, "accelerators": 1.0, "ramGb": 64.0, "kit": "img-07", "sizeGb": 6.2, "rigs": []string{"g8"}, "depot": nil,
+		"oneZone": true, "apart": false, "casual": true, "etaS": 240.0, "waypointS": 30.0, "stowS": 4.0, "dueS": 900.0,
+	}
+}
+
+// optionalFields are those of a submission that may be absent.
+var optionalFields = []string{"rigs", "depot", "dueS"}
+
+func parseFields(fields map[string]any) (*job.Spec, error) {
+	body, err := json.Marshal(fields)
+	if err != nil {
+		panic(err)
+	}
+	return ParseSubmission(body)
+}
+
+func TestParseSubmission(t *testing.T) {
+	spec, err := parseFields(validSubmission())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if spec.ID != "wk-000412" || spec.Shape != job.Gang || spec.Priority != job.High || spec.Tasks != 16 || !spec.OneZone || !spec.Spot || spec.Zone != "" ||
+		!spec.AllowsMachineType("g8") || spec.AllowsMachineType("g4") || *spec.DeadlineS != 900 {
+		t.Fatalf("%+v", spec)
+	}
+	for _, optional := range optionalFields {
+		t.Run("without "+optional, func(t *testing.T) {
+			fields := validSubmission()
+			delete(fields, optional)
+			if _, err := parseFields(fields); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// TestParseSubmissionNamesEveryBadField removes or spoils any field: the error names it.
+func TestParseSubmissionNamesEveryBadField(t *testing.T) {
+	optional := map[string]bool{}
+	for _, field := range optionalFields {
+		optional[field] = true
+	}
+	wrong := []any{-1.5, "x", "", true, []int{1}, map[string]int{"a": 1}, 1e300}
+	rapid.Check(t, func(t *rapid.T) {
+		fields := validSubmission()
+		names := []string{"ref", "jobclass", "crew", "shape", "urgency", "loads", "cpus", "accelerators", "ramGb", "kit", "sizeGb",
+			"rigs", "depot", "oneZone", "apart", "casual", "etaS", "waypointS", "stowS", "dueS"}
+		name := rapid.SampledFrom(names).Draw(t, "field")
+		if !optional[name] && rapid.Bool().Draw(t, "absent") {
+			delete(fields, name)
+			if _, err := parseFields(fields); err == nil || !strings.Contains(err.Error(), name) {
+				t.Fatalf("%s is absent, and the error says %v", name, err)
+			}
+			return
+		}
+		value := rapid.SampledFrom(wrong).Draw(t, "value")
+		former := fields[name]
+		fields[name] = value
+		_, err := parseFields(fields)
+		_, wantsText := former.(string)
+		if isValidAfterAll(name, former, value) {
+			if err != nil {
+				t.Fatalf("%s = %v: %v", name, value, err)
+			}
+		} else if err == nil || !strings.Contains(err.Error(), name) {
+			t.Fatalf("%s = %v (string field: %v): the error says %v", name, value, wantsText, err)
+		}
+	})
+}
+
+// isValidAfterAll tells whether a wrong value happens to be one that a field can have:
+// any flag, or any text where texts are free.
+func isValidAfterAll(name string, former, value any) bool {
+	_, wantsFlag := former.(bool)
+	_, isFlag := value.(bool)
+	if wantsFlag && isFlag {
+		return true
+	}
+	text, isText := value.(string)
+	return (name == "jobclass" || name == "crew" || name == "kit" || name == "depot") && isText && text != ""
+}
+
+func TestParseSubmissionRefusesOtherBodies(t *testing.T) {
+	tests := []struct{ name, body string }{
+		{"empty", ""},
+		{"null", "null"},
+		{"a list", "[]"},
+		{"a number", "7"},
+		{"a text", `"wk-000001"`},
+		{"cut off", "{"},
+		{"followed by more", `{"ref":"wk-000001"} x`},
+		{"id is a number", `{"ref":7}`},
+		{"id is too short", `{"ref":"wk-12"}`},
+		{"id has another prefix", `{"ref":"job-000001"}`},
+		{"id has a letter", `{"ref":"wk-00000a"}`},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := ParseSubmission([]byte(test.body)); err == nil {
+				t.Errorf("%q passed", test.body)
+			}
+		})
+	}
+}
+
+func TestParseSubmissionBoundsTasks(t *testing.T) {
+	tests := []struct {
+		name  string
+		tasks any
+		valid bool
+	}{
+		{"none", 0, false},
+		{"one", 1, true},
+		{"the most", MaxTasks, true},
+		{"one too many", MaxTasks + 1, false},
+		{"a fraction", 1.5, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			fields := validSubmission()
+			fields["loads"] = test.tasks
+			if _, err := parseFields(fields); (err == nil) != test.valid {
+				t.Errorf("%v tasks: %v", test.tasks, err)
+			}
+		})
+	}
+}
+
+// TestErrorsHaveTypes checks what callers can tell errors apart by.
+func TestErrorsHaveTypes(t *testing.T) {
+	var field *FieldError
+	_, err := ParseExtra([]byte(`{"inputs":[{}]}`))
+	if !errors.As(err, &field) || field.Field != "inputs[0].set" {
+		t.Errorf("%#v", err)
+	}
+	if _, err := ParseSubmission([]byte("[]")); !errors.Is(err, ErrNotObject) {
+		t.Errorf("%#v", err)
+	}
+	var syntax *json.SyntaxError
+	if _, err := ParseSubmission([]byte("{")); !errors.As(err, &syntax) {
+		t.Errorf("%#v", err)
+	}
+}
