--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -171,7 +171,7 @@
 	k.ID = c.calls.nextID
 	c.calls.pending[k.ID] = done
 	c.effects.Calls = append(c.effects.Calls, k)
-	if name := [...]string{"state", "cloud", "worker"}[k.Target]; !strings.HasPrefix(k.Path, protocol.PathWatch) {
+	if name := k.Target.String(); !strings.HasPrefix(k.Path, protocol.PathWatch) {
 		at := c.now
 		c.calls.pending[k.ID] = func(r protocol.Reply) {
 			c.recordLatency(name, c.now-at)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -56,9 +56,9 @@
 	case job.Done:
 		done, running = r.spec.Tasks, 0
 	case job.Open:
-		s.Status = "queued"
+		s.Status = protocol.JobQueued
 		if running > 0 {
-			s.Status = "running"
+			s.Status = protocol.JobRunning
 		}
 	}
 	s.Done, s.Running = &done, &running
@@ -230,7 +230,7 @@
 			case stateclient.Committed:
 				c.Stats.Submitted++
 				c.log.Debug("accepted", "job", ref, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-				c.respond(id, 201, protocol.JobState{ID: ref, Status: "queued"}, 0)
+				c.respond(id, 201, protocol.JobState{ID: ref, Status: protocol.JobQueued}, 0)
 				c.dispatchJob(c.jobs.byID[ref])
 			case stateclient.Conflict, stateclient.Unknown:
 				// Known already, or the answer was lost: the record tells.
