--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,11 +1,11 @@
 // Package job is the neutral model of jobs and tasks. Nothing in it belongs to
-// one wire format, so that other formats can be translated into it.
+// one wire format, so that other formats can be translated into it. The JSON names are
+// those of the records in the state service, where they must stay as they are.
 package job
 
 import (
 	"fmt"
-	"strconv"
-	"strings"
+	"slices"
 )
 
 // Shape says how the tasks of a job belong together.
@@ -13,9 +13,9 @@
 
 // Shapes.
 const (
-	Array   Shape = "array"
-	Gang    Shape = "gang"
-	Service Shape = "service"
+	Array   Shape = "array"   // tasks are independent, and end by themselves
+	Gang    Shape = "gang"    // all tasks run together or none does
+	Service Shape = "service" // tasks are replicas that run until the job is cancelled
 )
 
 // Priority orders jobs; the larger goes first.
@@ -29,92 +29,59 @@
 	Production
 )
 
-// Spec is what a user asked for.
+var priorityNames = [...]string{Low: "low", Normal: "normal", High: "high", Production: "production"}
+
+// String is the priority's name for people; records and logs have its number.
+func (p Priority) String() string {
+	if p < 0 || int(p) >= len(priorityNames) {
+		return fmt.Sprintf("priority %d", int(p))
+	}
+	return priorityNames[p]
+}
+
+// Spec is what a user asked for. It does not change once the job is accepted. Its fields
+// are not grouped, as those of submissions and records are not.
 type Spec struct {
 	ID                  string   `json:"id"`
-	Class               string   `json:"cl"`
+	Class               string   `json:"cl"` // of like jobs; named by the user
 	Team                string   `json:"tm"`
 	Shape               Shape    `json:"sh"`
 	Priority            Priority `json:"pr"`
-	Tasks               int      `json:"n"`
-	CPUs                float64  `json:"c,omitempty"`
+	Tasks               int      `json:"n"`           // how many
+	CPUs                float64  `json:"c,omitempty"` // of each task, as the next two
 	GPUs                float64  `json:"g,omitempty"`
 	MemoryGB            float64  `json:"m,omitempty"`
 	Image               string   `json:"im,omitempty"`
 	ImageGB             float64  `json:"ig,omitempty"`
-	MachineTypes        []string `json:"ty,omitempty"`
-	Zone                string   `json:"z,omitempty"`
-	OneZone             bool     `json:"oz,omitempty"`
-	Spread              bool     `json:"sp,omitempty"`
-	Spot                bool     `json:"ca,omitempty"`
-	EstimateS           float64  `json:"es,omitempty"`
-	CheckpointIntervalS float64  `json:"ck,omitempty"`
-	CheckpointSaveS     float64  `json:"sv,omitempty"`
-	DeadlineS           *float64 `json:"dl,omitempty"`
+	MachineTypes        []string `json:"ty,omitempty"` // that it may use; nil: any
+	Zone                string   `json:"z,omitempty"`  // that it must use; "": any
+	OneZone             bool     `json:"oz,omitempty"` // all tasks in one zone
+	Spread              bool     `json:"sp,omitempty"` // see SpreadLimit
+	Spot                bool     `json:"ca,omitempty"` // may use spot machines
+	EstimateS           float64  `json:"es,omitempty"` // duration of a task
+	CheckpointIntervalS float64  `json:"ck,omitempty"` // 0: it saves no checkpoints
+	CheckpointSaveS     float64  `json:"sv,omitempty"` // what a checkpoint takes
+	DeadlineS           *float64 `json:"dl,omitempty"` // from the submission on; nil: none
 	// Extended tells that there is an Extra, kept under a key of its own.
 	Extended bool `json:"x,omitempty"`
-	// Inputs are the versions that its tasks read, as set/version, resolved.
+	// Inputs are the versions of data sets that its tasks read, as set/version, resolved.
 	Inputs []string `json:"in,omitempty"`
 }
 
-// Status is a job's state as the records hold it.
-type Status string
-
-// Statuses.
-const (
-	Open      Status = "open"
-	Done      Status = "done"
-	Cancelled Status = "cancelled"
-)
-
-// Phase is a task's state as the records hold it.
-type Phase string
-
-// Phases. A task is bound from the commit that places it until a commit backed
-// by evidence that it is gone.
-const (
-	Pending  Phase = ""
-	Bound    Phase = "b"
-	Finished Phase = "d"
-)
-
-// Task is one task's record.
-type Task struct {
-	Phase    Phase  `json:"s,omitempty"`
-	Attempt  int    `json:"t,omitempty"`
-	Machine  string `json:"m,omitempty"`
-	Epoch    uint64 `json:"h,omitempty"`
-	Failures int    `json:"f,omitempty"`
-}
-
 // SpreadLimit is the most tasks a spread job may have in one zone.
 func (s *Spec) SpreadLimit() int { return (s.Tasks + 1) / 2 }
 
 // AllowsMachineType tells whether the job may use a machine type.
 func (s *Spec) AllowsMachineType(name string) bool {
-	if s.MachineTypes == nil {
-		return true
-	}
-	for _, t := range s.MachineTypes {
-		if t == name {
-			return true
-		}
-	}
-	return false
+	return s.MachineTypes == nil || slices.Contains(s.MachineTypes, name)
 }
 
-// TaskName is the wire name of a task.
-func TaskName(id string, index int) string { return id + "/" + strconv.Itoa(index) }
+// Status is a job's state as the records hold it.
+type Status string
 
-// ParseTaskName undoes TaskName.
-func ParseTaskName(name string) (id string, index int, err error) {
-	id, num, ok := strings.Cut(name, "/")
-	if !ok {
-		return "", 0, fmt.Errorf("task name %q has no index", name)
-	}
-	index, err = strconv.Atoi(num)
-	if err != nil || index < 0 {
-		return "", 0, fmt.Errorf("task name %q has a bad index", name)
-	}
-	return id, index, nil
-}
+// Statuses. The last two are final.
+const (
+	Open      Status = "open"
+	Done      Status = "done"
+	Cancelled Status = "cancelled"
+)
--- /dev/null
+++ b/internal/job/task.go
@@ -0,0 +1,45 @@
+package job
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Phase is a task's state as the records hold it.
+type Phase string
+
+// Phases. A task is bound from the commit that places it until a commit backed
+// by evidence that it is gone.
+const (
+	Pending  Phase = ""
+	Bound    Phase = "b"
+	Finished Phase = "d"
+)
+
+// Task is one task's record.
+type Task struct {
+	Phase   Phase `json:"s,omitempty"`
+	Attempt int   `json:"t,omitempty"` // number of the last attempt; 0: there was none
+	// Machine is where a bound task's attempt is, and Epoch the epoch of that machine's
+	// agent for which it was placed.
+	Machine  string `json:"m,omitempty"`
+	Epoch    uint64 `json:"h,omitempty"`
+	Failures int    `json:"f,omitempty"` // attempts that the task itself failed
+}
+
+// TaskName is the wire name of a task: the job's id, a slash and the task's index.
+func TaskName(id string, index int) string { return id + "/" + strconv.Itoa(index) }
+
+// ParseTaskName undoes TaskName.
+func ParseTaskName(name string) (id string, index int, err error) {
+	id, digits, hasIndex := strings.Cut(name, "/")
+	if !hasIndex {
+		return "", 0, fmt.Errorf("task name %q has no index", name)
+	}
+	index, err = strconv.Atoi(digits)
+	if err != nil || index < 0 {
+		return "", 0, fmt.Errorf("task name %q has a bad index", name)
+	}
+	return id, index, nil
+}
