--- a/internal/coordination/recordinggolden_test.go
+++ b/internal/coordination/recordinggolden_test.go
@@ -102,7 +102,7 @@
 
 func noteMessage(t *testing.T, body []byte, messages map[string]bool) {
 	t.Helper()
-	var m frozenMessage
+	var m peer.WireMessage // its fields are held by tests of internal/peer
 	if err := cbor.Unmarshal(body, &m); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/losses/golden_test.go
+++ b/internal/losses/golden_test.go
@@ -1,13 +1,14 @@
 package losses
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"silvergate/internal/goldentest"
 )
 
 // The golden log has a debug line of each kind that is read here, a second apart, as an
@@ -15,6 +16,7 @@
 // each way that there is. A test of internal/coordination compares it with what is
 // written now. The golden report is what comes of it.
 const (
+	goldenFolder     = "testdata/"
 	goldenLog        = "controller.log"
 	goldenEarlierLog = "controller-earlier-names.log" // with the attributes' names of earlier versions
 	goldenReport     = "report.json"
@@ -22,11 +24,7 @@
 
 func readGolden(t *testing.T, name string) string {
 	t.Helper()
-	data, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(data)
+	return string(goldentest.Read(t, goldenFolder+name))
 }
 
 // goldenEvents are what the lines say, in their order.
@@ -102,12 +100,8 @@
 		t.Fatal(err)
 	}
 	got = append(got, '\n')
-	if os.Getenv("GOLDEN_UPDATE") == "1" {
-		if err := os.WriteFile(filepath.Join("testdata", goldenReport), got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if want := readGolden(t, goldenReport); string(got) != want {
+	want := goldentest.File(t, goldenFolder+goldenReport, func() []byte { return got })
+	if !bytes.Equal(got, want) {
 		t.Errorf("the report is\n%s\nnot\n%s", got, want)
 	}
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -7,12 +7,12 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 
+	"silvergate/internal/goldentest"
 	"silvergate/internal/job"
 )
 
@@ -46,9 +46,6 @@
 	"node-page":          MachinePage{},
 }
 
-// updateVariable is the environment variable that has the golden files written anew.
-const updateVariable = "GOLDEN_UPDATE"
-
 // TestGoldenMessages compares the bytes of every message, all fields set, with its golden file. Go names may
 // change freely; a change of a tag's name, of the order of fields or of a type changes bytes.
 func TestGoldenMessages(t *testing.T) {
@@ -206,19 +203,8 @@
 // goldenBytes reads a message's golden file; it writes the file first if an update is asked for.
 func goldenBytes(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
-	path := filepath.Join("testdata", name+".json")
-	if os.Getenv(updateVariable) == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, append(bytes.Clone(encoded), '\n'), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v (%s=1 writes it)", err, updateVariable)
-	}
+	line := func() []byte { return append(bytes.Clone(encoded), '\n') }
+	golden := goldentest.File(t, "testdata/"+name+".json", line)
 	return bytes.TrimSuffix(golden, []byte("\n"))
 }
 
--- a/internal/recorder/golden_test.go
+++ b/internal/recorder/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"fmt"
 	"io"
 	"os"
 	"path/filepath"
@@ -12,6 +13,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/klauspost/compress/zstd"
+
+	"silvergate/internal/goldentest"
 )
 
 // frozenHeader and frozenInput are a copy of the types of recordings that exist. They
@@ -45,7 +48,10 @@
 }
 
 // The golden segment is the second of its life, so that its number is not 0.
-const goldenSegment = "north-0-00000000000000000007-000001.rec"
+const (
+	goldenSegment = "north-0-00000000000000000007-000001.rec"
+	goldenPath    = "testdata/" + goldenSegment
+)
 
 func goldenHeader() Header {
 	return Header{Version: 1, Build: "v1.2.3", Node: "north-0", Life: 7, Seed: [2]uint64{8, 9}, Settings: []byte(`{"Node":"north-0"}`), Operator: []byte("pace: 1s\n"), Segment: 1}
@@ -106,19 +112,7 @@
 // TestGoldenSegment reads a segment of an earlier build, and compares what is written now
 // with it, frame by frame: how zstd compresses may change with its version.
 func TestGoldenSegment(t *testing.T) {
-	path := filepath.Join("testdata", goldenSegment)
-	if os.Getenv("GOLDEN_UPDATE") == "1" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, writeSegments(t), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := goldentest.File(t, goldenPath, func() []byte { return writeSegments(t) })
 	r, err := NewReader(bytes.NewReader(data))
 	if err != nil {
 		t.Fatal(err)
@@ -144,11 +138,7 @@
 // TestFrozenSegment reads the golden segment with the frozen types: it holds a value for
 // every field of them, and the present types have no field beside those.
 func TestFrozenSegment(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("testdata", goldenSegment))
-	if err != nil {
-		t.Fatal(err)
-	}
-	contents := frames(t, data)
+	contents := frames(t, goldentest.Read(t, goldenPath))
 	if len(contents) != 2 {
 		t.Fatalf("%d frames", len(contents))
 	}
@@ -161,7 +151,7 @@
 		t.Fatal(err)
 	}
 	for _, v := range []any{h, in, goldenHeader(), goldenInput()} {
-		requireNoZeroField(t, v)
+		goldentest.RequireNoZeroFields(t, fmt.Sprintf("%T", v), v)
 	}
 	if n, m := reflect.TypeFor[Header]().NumField(), reflect.TypeFor[frozenHeader]().NumField(); n != m {
 		t.Errorf("a header has %d fields, not %d", n, m)
@@ -170,13 +160,3 @@
 		t.Errorf("an input has %d fields, not %d", n, m)
 	}
 }
-
-func requireNoZeroField(t *testing.T, v any) {
-	t.Helper()
-	value := reflect.ValueOf(v)
-	for i := range value.NumField() {
-		if field := value.Type().Field(i); field.IsExported() && value.Field(i).IsZero() {
-			t.Errorf("%v.%s has no value", value.Type(), field.Name)
-		}
-	}
-}
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -15,12 +15,14 @@
 
 	bolt "go.etcd.io/bbolt"
 
+	"silvergate/internal/goldentest"
 	"silvergate/internal/protocol"
 )
 
 // The golden files are a store and its backup, written by an earlier build, and what is
 // to be read from them.
 const (
+	goldenFolder   = "testdata/"
 	goldenStore    = "state.db.gz"
 	goldenBackup   = "backup.db.gz"
 	goldenContent  = "state.txt"    // of the store and of the backup
@@ -64,12 +66,9 @@
 // updateGoldenFiles writes them anew when GOLDEN_UPDATE=1 asks for it.
 func updateGoldenFiles(t *testing.T) {
 	t.Helper()
-	if os.Getenv("GOLDEN_UPDATE") != "1" {
+	if !goldentest.Updating() {
 		return
 	}
-	if err := os.MkdirAll("testdata", 0o755); err != nil {
-		t.Fatal(err)
-	}
 	dir := t.TempDir()
 	d := writeGoldenStore(t, dir)
 	saved, err := d.backup(dir, "golden")
@@ -79,24 +78,18 @@
 	if err := d.close(); err != nil {
 		t.Fatal(err)
 	}
-	pack(t, filepath.Join(dir, FileName), goldenStore)
-	pack(t, saved.File, goldenBackup)
-	writeText(t, goldenContent, content(t, dir))
+	goldentest.Write(t, goldenFolder+goldenStore, pack(t, filepath.Join(dir, FileName)))
+	goldentest.Write(t, goldenFolder+goldenBackup, pack(t, saved.File))
+	goldentest.Write(t, goldenFolder+goldenContent, []byte(content(t, dir)))
 	restored := filepath.Join(t.TempDir(), "restored")
 	if _, err := Restore(saved.File, restored); err != nil {
 		t.Fatal(err)
 	}
-	writeText(t, goldenRestored, content(t, restored))
-}
-
-func writeText(t *testing.T, name, text string) {
-	t.Helper()
-	if err := os.WriteFile(filepath.Join("testdata", name), []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
+	goldentest.Write(t, goldenFolder+goldenRestored, []byte(content(t, restored)))
 }
 
-func pack(t *testing.T, from, name string) {
+// pack compresses a file.
+func pack(t *testing.T, from string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(from)
 	if err != nil {
@@ -110,18 +103,13 @@
 	if err := z.Close(); err != nil {
 		t.Fatal(err)
 	}
-	writeText(t, name, b.String())
+	return b.Bytes()
 }
 
 // unpack copies a golden file to path.
 func unpack(t *testing.T, name, path string) {
 	t.Helper()
-	f, err := os.Open(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	z, err := gzip.NewReader(f)
+	z, err := gzip.NewReader(bytes.NewReader(goldentest.Read(t, goldenFolder+name)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,10 +152,7 @@
 
 func requireContent(t *testing.T, dir, name string) {
 	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
+	want := goldentest.Read(t, goldenFolder+name)
 	if got := content(t, dir); got != string(want) {
 		t.Errorf("read\n%s\nnot\n%s", got, want)
 	}
