--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -225,13 +225,14 @@
 	return &ForwardedMessage{From: w.From, To: w.To, Query: w.Ask.message(), Reply: w.Vouch.message()}
 }
 
+// convertSlice converts each element; nil stays nil.
 func convertSlice[From, To any](from []From, convert func(From) To) []To {
 	if from == nil {
 		return nil
 	}
 	to := make([]To, len(from))
-	for i, v := range from {
-		to[i] = convert(v)
+	for i, element := range from {
+		to[i] = convert(element)
 	}
 	return to
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -33,7 +33,7 @@
 // its work waits for the state service's rates, and which zones it hears.
 type Heartbeat struct {
 	MirrorAgeMS          int64
-	Throttled            bool
+	Throttled            bool     // work waits for the state service's rates
 	ReachableZones       []string // zones of which the sender hears machines of its own
 	UnreachableZones     []string // zones of which it hears none of them any more
 	UnresponsiveMachines []string // machines that do not hear the sender: no work can be given to them
@@ -48,49 +48,52 @@
 type CancellationQuery struct {
 	// AskedAt is the asker's steady clock. It comes back with the reply, so that a
 	// message that was held back proves nothing new.
-	AskedAt         time.Duration
+	AskedAt time.Duration
+	// AppliedRevision is the state service's revision up to which the asker's mirror is
+	// complete.
 	AppliedRevision uint64
 	// Incarnation tells the asker's process from earlier ones, whose clocks were others.
 	Incarnation int64
 }
 
-// CancellationReply answers with all of them.
+// CancellationReply answers a CancellationQuery with all of them.
 type CancellationReply struct {
-	AskedAt   time.Duration
-	Cancelled []string
+	AskedAt   time.Duration // of the query
+	Cancelled []string      // ids of jobs
 	// Incarnation is the asker's, 0 from versions that don't know it.
 	Incarnation int64
 }
 
 // TaskHandoff hands tasks of a job to a peer, which places them or queues them.
 type TaskHandoff struct {
-	Job   string
-	Tasks []int
+	Job   string // its id
+	Tasks []int  // their indexes
 }
 
 // RoomRequest asks a peer for room for a gang. Machines are those that the sender has
 // chosen, to be cleared if need be; with none, any idle room will do.
 type RoomRequest struct {
-	Job      string
-	Machines []string
+	Job      string   // its id
+	Machines []string // their names
 }
 
 // RoomOffer names machines that the sender holds back for a gang for a while.
 type RoomOffer struct {
-	Job      string
+	Job      string // its id
 	Machines []OfferedMachine
 }
 
-// OfferedMachine is a machine with the agent epoch that its holder knows.
+// OfferedMachine is a machine with the epoch of its agent that the sender knows: an
+// attempt is placed for that epoch.
 type OfferedMachine struct {
-	Machine string
+	Machine string // its name
 	Epoch   uint64
 }
 
 // ForwardedMessage is a cancellation query or its reply that goes through a third
-// controller, as the two can't reach one another.
+// controller, as the two can't reach one another. Either Query or Reply is set.
 type ForwardedMessage struct {
-	From, To string
+	From, To string // names of controllers
 	Query    *CancellationQuery
 	Reply    *CancellationReply
 }
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -8,9 +8,13 @@
 
 // The wire forms below are frozen. Links carry them as gob and recordings as CBOR, and
 // both match fields by their names, silently: a field that is renamed here arrives
-// empty at a controller of another version. Fields may be added, never renamed.
+// empty at a controller of another version. Fields may be added, never renamed. The
+// types are named after the fields that hold them, and gob sends those names, too.
+// convert.go maps all of them to the messages that the code works with; frozen_test.go
+// has an independent copy of them.
 
-// WireMessage is the form of a Message on links and in recordings.
+// WireMessage is the form of a Message on links and in recordings. Exactly one field is
+// set, or none if a later version has added the kind.
 type WireMessage struct {
 	Beat    *wireBeat
 	Ask     *wireAsk
@@ -24,6 +28,7 @@
 	Pass    *wirePass
 }
 
+// wireBeat is the form of a Heartbeat.
 type wireBeat struct {
 	FreshMS   int64
 	Hungry    bool
@@ -33,7 +38,8 @@
 	Rows      []wireRow
 }
 
-// wireRow has JSON tags because CBOR names fields by them; gob does not.
+// wireRow is the form of a connectivity.LinkReport. It has JSON tags because CBOR names
+// fields by them; gob does not.
 type wireRow struct {
 	Node    string         `json:"node"`
 	AgeMS   int64          `json:"ageMs"`
@@ -47,6 +53,7 @@
 	NoCloud bool           `json:"noCloud"`
 }
 
+// wireZoneWord is the form of a connectivity.ZoneReport.
 type wireZoneWord struct {
 	Zone    string `json:"zone"`
 	Held    int    `json:"held"`
@@ -54,38 +61,45 @@
 	Lost    bool   `json:"lost"`
 }
 
+// wireAsk is the form of a CancellationQuery.
 type wireAsk struct {
 	At     time.Duration
 	Ledger uint64
 	Life   int64
 }
 
+// wireVouch is the form of a CancellationReply.
 type wireVouch struct {
 	At        time.Duration
 	Cancelled []string
 	Life      int64
 }
 
+// wireForward is the form of a TaskHandoff, in both directions.
 type wireForward struct {
 	Job   string
 	Tasks []int
 }
 
+// wireDraw is the form of a RoomRequest.
 type wireDraw struct {
 	Job      string
 	Machines []string
 }
 
+// wireOffer is the form of a RoomOffer.
 type wireOffer struct {
 	Job      string
 	Machines []wireOffered
 }
 
+// wireOffered is the form of an OfferedMachine.
 type wireOffered struct {
 	Machine string
 	Session uint64
 }
 
+// wireCarry is the form of a connectivity.RelayRequest.
 type wireCarry struct {
 	Life      int64
 	ID        uint64
@@ -95,6 +109,7 @@
 	TimeoutMS int64
 }
 
+// wireCarried is the form of a connectivity.RelayResponse.
 type wireCarried struct {
 	Life       int64
 	ID         uint64
@@ -106,13 +121,15 @@
 	Large      bool
 }
 
+// wirePass is the form of a ForwardedMessage.
 type wirePass struct {
 	From, To string
 	Ask      *wireAsk
 	Vouch    *wireVouch
 }
 
-// Wire is the message in its form on links.
+// Wire is the message in its form on links. It shares slices with the message, which
+// must not change before it is encoded.
 func (m Message) Wire() WireMessage {
 	return WireMessage{
 		Beat:    m.Heartbeat.wire(),
@@ -128,7 +145,7 @@
 	}
 }
 
-// Message is the message that a wire form stands for.
+// Message is the message that a wire form stands for. It shares slices with the form.
 func (w *WireMessage) Message() Message {
 	return Message{
 		Heartbeat:         w.Beat.message(),
