--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -42,7 +42,8 @@
 	Checkpointed bool   `json:"saved,omitempty"`
 }
 
-// Statuses of attempts in heartbeats.
+// Statuses of attempts in heartbeats. They, causes and verbs are plain strings: decoders
+// put the names of Go types into their errors, which workers and operators see.
 const (
 	TaskPulling       = "pulling"
 	TaskWaiting       = "waiting"
--- a/internal/protocol/json.go
+++ b/internal/protocol/json.go
@@ -13,9 +13,9 @@
 // read and written with a faster library than encoding/json. Submissions are not: they
 // are rare, and their errors are shown to users.
 
-// Object returns ErrNotObject unless a body can be a JSON object. It looks at the first
+// requireObject returns ErrNotObject unless a body can be a JSON object. It looks at the first
 // byte alone.
-func Object(body []byte) error {
+func requireObject(body []byte) error {
 	if text := bytes.TrimLeft(body, " \t\r\n"); len(text) == 0 || text[0] != '{' {
 		return ErrNotObject
 	}
@@ -25,7 +25,7 @@
 // DecodeObject reads a request's JSON object into v, with errors that are for people:
 // ErrNotObject, or one that wraps that of encoding/json. Unknown fields are ignored.
 func DecodeObject(body []byte, v any) error {
-	if err := Object(body); err != nil {
+	if err := requireObject(body); err != nil {
 		return err
 	}
 	if err := json.Unmarshal(body, v); err != nil {
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -63,7 +63,7 @@
 	var submission struct {
 		ID *string `json:"ref"`
 	}
-	if err := Object(body); err != nil {
+	if err := requireObject(body); err != nil {
 		return "", err
 	}
 	if err := json.Unmarshal(body, &submission); err != nil {
