--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -222,7 +222,7 @@
 		}
 		for _, mid := range sortedKeys(c.machines.byID) {
 			if m := c.machines.byID[mid]; c.isOwn(m) || m.token == 0 {
-				t.Logf("    %s %v barred %v shown %v drain %v use %v %v bound %v held for %q", mid, m.claim, c.unschedulable(m), m.tokenSeen, c.machines.drains[mid], m.cpus, m.gpus, m.tasks(), m.holdFor)
+				t.Logf("    %s %v barred %v shown %v drain %v use %v %v bound %v held for %q", mid, m.claim, c.unschedulable(m), m.tokenSeen, c.machines.drains[mid], m.cpus, m.gpus, m.tasks(), m.reservedFor)
 			}
 		}
 	}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -37,7 +37,7 @@
 		z.lastHeartbeat = max(z.lastHeartbeat, m.heardAt)
 		// Guards against work that waits for room on a machine that hears nobody: its reports come, so it is not silent,
 		// and it never shows the token under which it could be given any.
-		if !m.tokenSeen && m.sequence > 0 && c.now-m.claimedAt > seconds(2*w.Report) && c.now-m.heardAt < silent && len(unresponsive) < maxUnresponsive {
+		if !m.tokenSeen && m.sequence > 0 && c.now-m.claimedAt > seconds(2*w.Report) && c.now-m.heardAt < silent && len(unresponsive) < maxUnresponsiveMachines {
 			unresponsive = append(unresponsive, m.id)
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 // maxUnresponsive bounds how many machines a beat names as deaf.
-const maxUnresponsive = 256
+const maxUnresponsiveMachines = 256
 
 // zoneHeartbeats counts machines of ours in a zone, and those of them whose report
 // is overdue.
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -190,7 +190,7 @@
 		m := c.machines.byID[id]
 		_, drained := c.machines.drains[id]
 		if m.token == 0 || drained || !c.couldHold(r, m) || (c.isOwn(m) && c.unschedulable(m)) || !c.alive(m.claim.Owner) ||
-			(m.holdFor != r.spec.ID && c.now < m.holdTill) {
+			(m.reservedFor != r.spec.ID && c.now < m.reservedUntil) {
 			continue
 		}
 		f := c.machineTypeOf(m)
@@ -241,7 +241,7 @@
 
 // clearMachine keeps a machine's room for a gang and stops what is in the way.
 func (c *Core) clearMachine(r *jobRecord, m *machine, by string) {
-	if c.unschedulable(m) || (m.holdFor != r.spec.ID && c.now < m.holdTill) {
+	if c.unschedulable(m) || (m.reservedFor != r.spec.ID && c.now < m.reservedUntil) {
 		return
 	}
 	m.reserveRoom(r.spec.ID, c.now+c.holdTime(), by)
@@ -260,16 +260,16 @@
 
 // offerHeld tells a peer's gang that a machine kept for it is free.
 func (c *Core) offerHeld(m *machine) {
-	if m.holdBy == "" || c.now >= m.holdTill {
+	if m.reservedBy == "" || c.now >= m.reservedUntil {
 		return
 	}
-	r := c.jobs.byID[m.holdFor]
+	r := c.jobs.byID[m.reservedFor]
 	switch {
 	case r == nil || r.final() || r.bound > 0 || !c.fits(r, m):
-	case m.holdBy == c.cfg.Node:
+	case m.reservedBy == c.cfg.Node:
 		c.startGang(r)
 	default:
-		c.effects.Sends = append(c.effects.Sends, Outgoing{m.holdBy, peer.Message{RoomOffer: &peer.RoomOffer{Job: m.holdFor, Machines: []peer.OfferedMachine{{Machine: m.id, Epoch: m.epoch}}}}})
+		c.effects.Sends = append(c.effects.Sends, Outgoing{m.reservedBy, peer.Message{RoomOffer: &peer.RoomOffer{Job: m.reservedFor, Machines: []peer.OfferedMachine{{Machine: m.id, Epoch: m.epoch}}}}})
 	}
 }
 
--- a/internal/coordination/group_failover.go
+++ b/internal/coordination/group_failover.go
@@ -44,10 +44,10 @@
 
 // failoverTimeout is how long a report waits for the take-over of its worker's group: the
 // worker gives up on the answer after 4 s.
-const failoverTimeout = 3 * time.Second
+const pendingFailoverTimeout = 3 * time.Second
 
 // minFailoverGroup is how many workers a group must have left for a take-over to save changes.
-const minFailoverGroup = 2
+const minFailoverGroupSize = 2
 
 // claimEpoch is the epoch of the claims that we write now.
 func (c *Core) claimEpoch() int {
@@ -166,7 +166,7 @@
 	}
 	w := c.machines.ownership.pending[g]
 	if w == nil {
-		if !c.machines.ownership.failovers.Pending(g) && (c.links.LostZone(r.Zone) || !c.ownerCannotServe(m) || c.groupSize(g) < minFailoverGroup) {
+		if !c.machines.ownership.failovers.Pending(g) && (c.links.LostZone(r.Zone) || !c.ownerCannotServe(m) || c.groupSize(g) < minFailoverGroupSize) {
 			return false
 		}
 		w = &pendingFailover{since: c.now}
@@ -231,7 +231,7 @@
 func (c *Core) expirePendingFailovers() {
 	var late []failover.Group
 	for g, w := range c.machines.ownership.pending {
-		if c.now-w.since > failoverTimeout {
+		if c.now-w.since > pendingFailoverTimeout {
 			late = append(late, g)
 		}
 	}
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -145,7 +145,7 @@
 		}
 		c.offerMachine(m)
 	}
-	c.scaler.unshipped.report(m, r)
+	c.scaler.unshipped.handleWorkerHeartbeat(m, r)
 	ans.DataStore = c.staging.handleHeartbeat(m, r.DataStore)
 	m.answeredAt = c.now
 	c.effects.Responses = append(c.effects.Responses, Response{ID: id, Status: 200, Body: encode(ans), Urgent: m.urgent()})
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -63,7 +63,7 @@
 	machineOwnership
 	heartbeatState
 	launchState
-	machineLoad
+	machineAllocation
 	roomReservation
 
 	failedJobs    map[string]bool // jobs whose tasks failed here
@@ -110,7 +110,7 @@
 }
 
 // machineLoad is the work on a machine, by the records and by what is planned.
-type machineLoad struct {
+type machineAllocation struct {
 	machineType     *protocol.MachineType // of its type, nil while that is not known
 	bound           map[taskKey]*jobRecord
 	boundAt         map[taskKey]binding     // when it was bound
@@ -127,9 +127,9 @@
 
 // roomReservation keeps a machine's room for a job for which others were stopped there.
 type roomReservation struct {
-	holdFor  string        // the job
-	holdTill time.Duration // how long nothing else may take the room
-	holdBy   string        // the controller whose gang it is kept for
+	reservedFor   string        // the job
+	reservedUntil time.Duration // how long nothing else may take the room
+	reservedBy    string        // the controller whose gang it is kept for
 }
 
 // taskAttempt is one attempt of a task.
@@ -155,8 +155,8 @@
 	m := c.machines.byID[id]
 	if m == nil {
 		m = &machine{id: id, failedJobs: map[string]bool{}, unboundSince: c.now,
-			launchState: launchState{inFlight: map[taskAttempt]bool{}, runningSince: map[taskKey]time.Duration{}, pulling: map[taskKey]bool{}, stops: map[taskKey]taskStop{}},
-			machineLoad: machineLoad{bound: map[taskKey]*jobRecord{}, boundAt: map[taskKey]binding{}, vacated: map[taskKey]*jobRecord{}, imageReadyAt: map[string]time.Duration{}}}
+			launchState:       launchState{inFlight: map[taskAttempt]bool{}, runningSince: map[taskKey]time.Duration{}, pulling: map[taskKey]bool{}, stops: map[taskKey]taskStop{}},
+			machineAllocation: machineAllocation{bound: map[taskKey]*jobRecord{}, boundAt: map[taskKey]binding{}, vacated: map[taskKey]*jobRecord{}, imageReadyAt: map[string]time.Duration{}}}
 		c.machines.byID[id] = m
 	}
 	return m
@@ -178,7 +178,7 @@
 // reserveRoom holds a machine's room back for a job; by names the controller that
 // wants to be told when it is free.
 func (m *machine) reserveRoom(id string, until time.Duration, by string) {
-	m.holdFor, m.holdTill, m.holdBy = id, until, by
+	m.reservedFor, m.reservedUntil, m.reservedBy = id, until, by
 }
 
 func (m *machine) addUsage(s *job.Spec, n float64) {
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -99,7 +99,7 @@
 	if f == &unknownMachineType || !s.AllowsMachineType(m.claim.MachineType) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
 		return false
 	}
-	if m.holdFor != s.ID && c.now < m.holdTill {
+	if m.reservedFor != s.ID && c.now < m.reservedUntil {
 		return false
 	}
 	if m.cpus+s.CPUs > f.CPUs+tolerance || m.gpus+s.GPUs > f.GPUs+tolerance || m.ram+s.MemoryGB > f.MemoryGB+tolerance {
@@ -201,8 +201,8 @@
 	c.reserve(r, index, m)
 	c.propose(r, index, taskTransition{placement: true, machine: m.id, epoch: m.epoch, attempt: c.nextAttempt(r)})
 	c.dequeueTask(r, index)
-	if m.holdFor == r.spec.ID {
-		m.holdTill = 0
+	if m.reservedFor == r.spec.ID {
+		m.reservedUntil = 0
 	}
 	if !c.hasRoom(m) {
 		c.removeFromIdleList(m)
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -131,7 +131,7 @@
 		for p := job.Low; p < r.spec.Priority; p++ {
 			lower += m.boundByPriority[p]
 		}
-		if lower == 0 || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
+		if lower == 0 || len(m.stops) > 0 || c.now < m.reservedUntil || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
 		if warm && c.fetchTime(r.spec, m) > 0 {
@@ -179,7 +179,7 @@
 	start := c.random.IntN(max(1, len(c.machines.own)))
 	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
 		m := c.machines.own[(start+i)%len(c.machines.own)]
-		if len(m.bound) == m.services || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
+		if len(m.bound) == m.services || len(m.stops) > 0 || c.now < m.reservedUntil || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
 		set, cost, ok := c.evict(r, m, true)
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -23,38 +23,40 @@
 	known map[string]unshippedSince
 }
 
-type unshippedSince struct{ since, said time.Duration }
+type unshippedSince struct{ since, announcedAt time.Duration }
 
 // maxAnnounced bounds a beat's list; machines beyond it are told of when others are
 // done.
-const maxAnnounced = 100
+const maxAnnouncedMachines = 100
 
-func newUnshipped(c *Core) *unshippedOutput {
+func newUnshippedOutput(c *Core) *unshippedOutput {
 	return &unshippedOutput{core: c, own: map[string]bool{}, known: map[string]unshippedSince{}}
 }
 
 // report takes a machine's report in.
-func (u *unshippedOutput) report(m *machine, r *protocol.Heartbeat) {
+func (u *unshippedOutput) handleWorkerHeartbeat(m *machine, r *protocol.Heartbeat) {
 	if r.Unshipped == 0 {
 		delete(u.own, m.id)
 		delete(u.known, m.id)
 		return
 	}
 	u.own[m.id] = true
-	u.heard(m.id)
+	u.announce(m.id)
 }
 
-func (u *unshippedOutput) heard(id string) {
+func (u *unshippedOutput) announce(id string) {
 	w, ok := u.known[id]
-	if !ok || u.core.now-w.said > u.fresh() {
+	if !ok || u.core.now-w.announcedAt > u.announcementLifetime() {
 		w.since = u.core.now
 	}
-	w.said = u.core.now
+	w.announcedAt = u.core.now
 	u.known[id] = w
 }
 
 // fresh is how long a word holds: what is silent for longer is done, or lost.
-func (u *unshippedOutput) fresh() time.Duration { return seconds(3 * u.core.cfg.Facts.Workers.Report) }
+func (u *unshippedOutput) announcementLifetime() time.Duration {
+	return seconds(3 * u.core.cfg.Facts.Workers.Report)
+}
 
 // toAnnounce lists this controller's own, for a beat.
 func (u *unshippedOutput) toAnnounce() (out []string) {
@@ -66,13 +68,13 @@
 		out = append(out, id)
 	}
 	sort.Strings(out)
-	return out[:min(len(out), maxAnnounced)]
+	return out[:min(len(out), maxAnnouncedMachines)]
 }
 
 // handlePeerHeartbeat takes a peer's list in.
 func (u *unshippedOutput) handlePeerHeartbeat(ids []string) {
 	for _, id := range ids {
-		u.heard(id)
+		u.announce(id)
 	}
 }
 
@@ -84,7 +86,7 @@
 	if a == nil || !ok {
 		return false
 	}
-	if u.core.now-w.said > u.fresh() {
+	if u.core.now-w.announcedAt > u.announcementLifetime() {
 		delete(u.known, id)
 		return false
 	}
