--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -7,35 +7,39 @@
 	"silvergate/internal/protocol"
 )
 
-// unshippedOutput knows of machines with output of tasks that are over and that the archive
+// maxAnnouncedMachines bounds the list of a peer heartbeat; machines beyond it are announced
+// when others have shipped their output.
+const maxAnnouncedMachines = 100
+
+// announcementPeriods is how many heartbeat periods an announcement is valid for.
+const announcementPeriods = 3
+
+// unshippedOutput knows of machines with output of finished tasks that the archive
 // has not acknowledged. Such a machine is not returned for want of work until its
 // deadline. Room is free as soon as the records say so, and nothing else waits: the
 // machine takes new work meanwhile.
 //
-// A machine tells its own controller in its reports; that one tells the leader, who
-// returns machines, with its beats. A beat that is lost costs at most output that
-// its agent could not ship in the seconds that it has when it is switched off.
+// A machine announces it to its own controller in its heartbeats; that one announces it to the
+// leader, which returns machines, in its peer heartbeats. A peer heartbeat that is lost costs at
+// most output that the machine's agent could not ship in the seconds that it has when it is
+// switched off.
 type unshippedOutput struct {
-	core *Core
-	// ours is what machines of this controller said last, known what is known of
-	// all machines: since when, and when it was last said.
-	own   map[string]bool
-	known map[string]unshippedSince
+	core  *Core
+	own   map[string]bool           // machines of this controller that announced it last
+	known map[string]unshippedSince // all machines that have announced it
 }
 
+// unshippedSince is since when a machine has had output to ship, and when it last announced it.
 type unshippedSince struct{ since, announcedAt time.Duration }
 
-// maxAnnounced bounds a beat's list; machines beyond it are told of when others are
-// done.
-const maxAnnouncedMachines = 100
-
-func newUnshippedOutput(c *Core) *unshippedOutput {
-	return &unshippedOutput{core: c, own: map[string]bool{}, known: map[string]unshippedSince{}}
+// newUnshippedOutput makes a table without machines.
+func newUnshippedOutput(core *Core) *unshippedOutput {
+	return &unshippedOutput{core: core, own: map[string]bool{}, known: map[string]unshippedSince{}}
 }
 
-// report takes a machine's report in.
-func (u *unshippedOutput) handleWorkerHeartbeat(m *machine, r *protocol.Heartbeat) {
-	if r.Unshipped == 0 {
+// handleWorkerHeartbeat takes what a machine's heartbeat says of its output.
+func (u *unshippedOutput) handleWorkerHeartbeat(m *machine, heartbeat *protocol.Heartbeat) {
+	if heartbeat.Unshipped == 0 {
 		delete(u.own, m.id)
 		delete(u.known, m.id)
 		return
@@ -44,55 +48,61 @@
 	u.announce(m.id)
 }
 
+// handlePeerHeartbeat takes the list of machines in a peer's heartbeat.
+func (u *unshippedOutput) handlePeerHeartbeat(machines []string) {
+	for _, id := range machines {
+		u.announce(id)
+	}
+}
+
+// announce takes that a machine has output to ship.
 func (u *unshippedOutput) announce(id string) {
-	w, ok := u.known[id]
-	if !ok || u.core.now-w.announcedAt > u.announcementLifetime() {
-		w.since = u.core.now
+	entry, known := u.known[id]
+	if !known || u.expired(entry) {
+		entry.since = u.core.now
 	}
-	w.announcedAt = u.core.now
-	u.known[id] = w
+	entry.announcedAt = u.core.now
+	u.known[id] = entry
 }
 
-// fresh is how long a word holds: what is silent for longer is done, or lost.
-func (u *unshippedOutput) announcementLifetime() time.Duration {
-	return seconds(3 * u.core.cfg.Facts.Workers.Report)
+// expired tells whether an announcement is too old to count: a machine that has not repeated
+// it has shipped its output, or is lost.
+func (u *unshippedOutput) expired(entry unshippedSince) bool {
+	lifetime := seconds(announcementPeriods * u.core.cfg.Facts.Workers.Report)
+	return u.core.now-entry.announcedAt > lifetime
 }
 
-// toAnnounce lists this controller's own, for a beat.
-func (u *unshippedOutput) toAnnounce() (out []string) {
+// toAnnounce lists this controller's own machines for a peer heartbeat, in order.
+func (u *unshippedOutput) toAnnounce() []string {
+	var machines []string
 	for id := range u.own {
-		if m := u.core.machines.byID[id]; m == nil || !u.core.isOwn(m) {
+		m := u.core.machines.byID[id]
+		if m == nil || !u.core.isOwn(m) {
 			delete(u.own, id)
 			continue
 		}
-		out = append(out, id)
-	}
-	sort.Strings(out)
-	return out[:min(len(out), maxAnnouncedMachines)]
-}
-
-// handlePeerHeartbeat takes a peer's list in.
-func (u *unshippedOutput) handlePeerHeartbeat(ids []string) {
-	for _, id := range ids {
-		u.announce(id)
+		machines = append(machines, id)
 	}
+	sort.Strings(machines)
+	return machines[:min(len(machines), maxAnnouncedMachines)]
 }
 
-// holds tells whether a machine without work is to be kept for its output. What is
-// given up at the deadline is on the controller's log.
+// holds tells whether a machine without work is to be kept for its output. Output that is
+// given up at the deadline is named in the controller's log.
 func (u *unshippedOutput) holds(id string) bool {
-	a := u.core.cfg.Operator.Archive
-	w, ok := u.known[id]
-	if a == nil || !ok {
+	archive := u.core.cfg.Operator.Archive
+	entry, known := u.known[id]
+	if archive == nil || !known {
 		return false
 	}
-	if u.core.now-w.announcedAt > u.announcementLifetime() {
+	if u.expired(entry) {
 		delete(u.known, id)
 		return false
 	}
-	if u.core.now-w.since < seconds(a.HoldS) {
+	waited := u.core.now - entry.since
+	if waited < seconds(archive.HoldS) {
 		return true
 	}
-	u.core.log.Warn("a machine is returned with output that the archive has not acknowledged", "machine", id, "waited", u.core.now-w.since)
+	u.core.log.Warn("a machine is returned with output that the archive has not acknowledged", "machine", id, "waited", waited)
 	return false
 }
