--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -244,7 +244,8 @@
 func (c *Core) Tick(t Timestamp) Effects {
 	c.beginStep(t)
 	c.checkLinks()
-	c.keepMembership()
+	c.sendPeerHeartbeats()
+	c.maintainMembership()
 	c.catalogueTick()
 	if c.state.Loaded() && c.now >= c.sweep.nextAt {
 		c.sweep.nextAt = c.now + c.sweepPeriod()
--- a/internal/coordination/group_failover.go
+++ b/internal/coordination/group_failover.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 	"sort"
 	"time"
@@ -13,174 +14,163 @@
 	"silvergate/internal/stateclient"
 )
 
-// This file is the seam to internal/failover: workers whose controller is gone, or does not
-// hear their zone any more, pass to another by the group, by one record for all of them.
+// This file applies the rules of internal/failover: workers whose controller has failed, or
+// does not hear their zone any more, fail over to another by the group, by one record for
+// all of them.
 
-// ownershipTable is who holds which machines: how many each controller does, by which groups they
-// have passed from one to another, and the take-overs that reports of workers wait for.
+const (
+	// pendingFailoverTimeout is how long a heartbeat waits for the failover of its worker's
+	// group: the worker gives up on the answer after answerTimeout.
+	pendingFailoverTimeout = 3 * time.Second
+
+	// minFailoverGroupSize is how many workers a group must have left for a failover to save
+	// changes.
+	minFailoverGroupSize = 2
+)
+
+// ownershipTable is who owns which machines: how many each controller does, by which groups
+// they have failed over from one to another, and the failovers that heartbeats wait for.
 type ownershipTable struct {
 	machinesByOwner map[string]int
 	failovers       *failover.Table
-	// awaited are the groups whose take-over is under way here, with the reports that it is
-	// to answer.
+	// pending are the groups whose failover is under way here, with the heartbeats that wait
+	// for it.
 	pending map[failover.Group]*pendingFailover
 }
 
-// pendingFailover is a take-over that is being written, or that is not heeded yet.
+// pendingFailover is a failover that is being written, or that the mirror has not reached yet.
 type pendingFailover struct {
 	since      time.Duration
 	heartbeats []pendingHeartbeat
 }
 
-// pendingHeartbeat is a worker's report that is not answered yet.
+// pendingHeartbeat is a worker's heartbeat that is not answered yet.
 type pendingHeartbeat struct {
-	id        uint64
+	id        uint64 // of the request
 	heartbeat *protocol.Heartbeat
 }
 
+// newOwnershipTable makes an empty table.
 func newOwnershipTable() ownershipTable {
-	return ownershipTable{machinesByOwner: map[string]int{}, failovers: failover.NewTable(), pending: map[failover.Group]*pendingFailover{}}
+	return ownershipTable{
+		machinesByOwner: map[string]int{},
+		failovers:       failover.NewTable(),
+		pending:         map[failover.Group]*pendingFailover{},
+	}
 }
 
-// failoverTimeout is how long a report waits for the take-over of its worker's group: the
-// worker gives up on the answer after 4 s.
-const pendingFailoverTimeout = 3 * time.Second
-
-// minFailoverGroup is how many workers a group must have left for a take-over to save changes.
-const minFailoverGroupSize = 2
-
 // claimEpoch is the epoch of the claims that we write now.
 func (c *Core) claimEpoch() int {
 	return c.machines.ownership.failovers.NextEpoch(c.cfg.Node, c.incarnation)
 }
 
-// resolveOwner finds who holds a machine by its own claim and the take-overs of groups, and takes
-// the machine up or gives it up where that has changed.
-func (c *Core) resolveOwner(m *machine) {
-	held := c.machines.ownership.failovers.Resolve(m.id, m.claim.Zone, m.ownClaim)
-	m.links = held.Links
-	if held.Token == m.token {
-		return
-	}
-	if m.token != 0 {
-		c.machines.ownership.machinesByOwner[m.claim.Owner]--
-	}
-	m.claim.Owner, m.claim.Incarnation, m.token, m.claimedAt = held.Node, held.Incarnation, held.Token, c.now
-	m.tokenSeen, m.mirrorComplete, m.leaseExpired, m.adopted, m.awaitingHolderSince = false, false, false, false, 0
-	m.queuedLaunches, m.deferredLaunches = nil, nil
-	m.reoccupy()
-	switch {
-	case !c.isOwn(m):
-		c.removeFromIdleList(m)
-		clear(m.stops)
-	case m.failedOver():
-		m.resetForNewToken(c.now)
-	}
-	c.updateOwnership(m)
-}
-
-// resetForNewToken takes that a machine is held under a new token: whatever was sent under an earlier
-// one is void once the new one is seen, and nothing is believed before that.
-func (m *machine) resetForNewToken(now time.Duration) {
-	m.launchInDoubt = false
-	clear(m.inFlight)
-	m.epoch, m.sequence, m.heardAt, m.answeredAt = 0, 0, now, 0
-}
-
-// applyFailover takes a record of a group that has passed to another controller.
+// applyFailover takes a change of the record of a group's failover from the mirror.
 func (c *Core) applyFailover(name string, data json.RawMessage, revision uint64) {
-	g, ok := failover.ParseKey(name)
+	failovers := c.machines.ownership.failovers
+	group, ok := failover.ParseKey(name)
 	if !ok {
 		c.log.Error("unreadable record", "key", keyTakeover+name)
 		return
 	}
 	if data == nil {
-		if c.machines.ownership.failovers.Delete(g) {
-			c.resolveGroup(g)
+		if failovers.Delete(group) {
+			c.resolveGroup(group)
 		}
 		return
 	}
 	var successor failover.Holder
-	if decode(c.log, name, data, &successor) && c.machines.ownership.failovers.Put(g, successor, revision) {
-		c.resolveGroup(g)
+	if !decode(c.log, name, data, &successor) {
+		return
+	}
+	if failovers.Put(group, successor, revision) {
+		c.resolveGroup(group)
 	}
 }
 
-// advanceFailovers heeds the records up to which the mirror has become complete, and answers the
-// reports that have waited for them.
+// advanceFailovers applies the records up to which the mirror has become complete, and answers
+// the heartbeats that have waited for them.
 func (c *Core) advanceFailovers() {
-	heeded := c.machines.ownership.failovers.Advance(c.state.AppliedRevision())
-	sortGroups(heeded)
-	for _, g := range heeded {
-		c.resolveGroup(g)
-		c.retryPendingHeartbeats(g, false)
+	applied := c.machines.ownership.failovers.Advance(c.state.AppliedRevision())
+	sortGroups(applied)
+	for _, group := range applied {
+		c.resolveGroup(group)
+		c.retryPendingHeartbeats(group, false)
 	}
 }
 
+// sortGroups sorts groups by their keys.
 func sortGroups(groups []failover.Group) {
 	sort.Slice(groups, func(i, k int) bool { return groups[i].Key() < groups[k].Key() })
 }
 
-// resolveGroup finds anew who holds the machines of a group.
-func (c *Core) resolveGroup(g failover.Group) {
+// resolveGroup finds the owner of each machine of a group again.
+func (c *Core) resolveGroup(group failover.Group) {
 	for _, id := range sortedKeys(c.machines.byID) {
 		m := c.machines.byID[id]
-		if slices.ContainsFunc(m.links, func(l failover.Link) bool { return l.Group == g }) {
+		if slices.ContainsFunc(m.links, func(link failover.Link) bool { return link.Group == group }) {
 			c.resolveOwner(m)
 		}
 	}
 }
 
-// retryPendingHeartbeats takes the reports up again that have waited for a group; alone has their workers
-// claimed one by one.
-func (c *Core) retryPendingHeartbeats(g failover.Group, alone bool) {
-	w := c.machines.ownership.pending[g]
-	if w == nil {
-		return
-	}
-	delete(c.machines.ownership.pending, g)
-	for _, r := range w.heartbeats {
-		c.answerHeartbeat(r.id, r.heartbeat, alone)
+// retryPendingHeartbeats answers the heartbeats that have waited for a group's failover; with
+// alone their workers are claimed one by one.
+func (c *Core) retryPendingHeartbeats(group failover.Group, alone bool) {
+	for _, pending := range c.machines.ownership.takePending(group) {
+		c.answerHeartbeat(pending.id, pending.heartbeat, alone)
 	}
 }
 
-// hasPeerBelowFormat tells whether a peer is there that does not read a format.
-func (c *Core) hasPeerBelowFormat(format int) bool {
-	for _, p := range c.cfg.Peers {
-		if m := c.membership.members[p.Node]; m != nil && m.Format < format {
-			return true
-		}
+// takePending removes a group's pending failover, if any, and returns the heartbeats that wait
+// for it.
+func (t *ownershipTable) takePending(group failover.Group) []pendingHeartbeat {
+	pending := t.pending[group]
+	if pending == nil {
+		return nil
 	}
-	return false
+	delete(t.pending, group)
+	return pending.heartbeats
 }
 
-// awaitGroupFailover has a report wait for the take-over of its worker's whole group, if that is the
-// way; false: the worker is to be claimed alone.
-//
-// Guards against a controller that has lost the zone itself, and takes a group over by a report that
-// was held back on its way: all the group's workers were sent to where nobody heard them.
-func (c *Core) awaitGroupFailover(id uint64, m *machine, r *protocol.Heartbeat) bool {
-	g, ok := m.nextGroup()
+// awaitGroupFailover has a heartbeat wait for the failover of its worker's whole group, and
+// tells whether it does; else the worker is to be claimed alone.
+func (c *Core) awaitGroupFailover(id uint64, m *machine, heartbeat *protocol.Heartbeat) bool {
+	group, ok := m.nextGroup()
 	if !ok || !c.cfg.Operator.GroupTakeover || m.ownClaim.Token == 0 || !c.allPeersRead(failoverFormat) {
 		return false
 	}
-	w := c.machines.ownership.pending[g]
-	if w == nil {
-		if !c.machines.ownership.failovers.Pending(g) && (c.links.LostZone(r.Zone) || !c.ownerCannotServe(m) || c.groupSize(g) < minFailoverGroupSize) {
+	ownership := &c.machines.ownership
+	pending := ownership.pending[group]
+	if pending == nil {
+		written := ownership.failovers.Pending(group)
+		if !written && !c.shouldFailOver(group, m, heartbeat.Zone) {
 			return false
 		}
-		w = &pendingFailover{since: c.now}
-		c.machines.ownership.pending[g] = w
-		if !c.machines.ownership.failovers.Pending(g) {
-			c.writeFailover(g)
+		pending = &pendingFailover{since: c.now}
+		ownership.pending[group] = pending
+		if !written {
+			c.writeFailover(group)
 		}
 	}
-	w.heartbeats = append(w.heartbeats, pendingHeartbeat{id, r})
+	pending.heartbeats = append(pending.heartbeats, pendingHeartbeat{id, heartbeat})
 	return true
 }
 
-// ownerCannotServe tells whether a machine's holder is a peer that can't answer its workers any
-// more: it is gone, or it says that it does not hear the machine's zone. One that has
+// shouldFailOver tells whether we should become the owner of the whole group of a machine
+// whose worker has sent us a heartbeat from a zone.
+//
+// Guards against a controller that can't hear the zone any more itself, and fails a group over
+// by a heartbeat that was delayed on its way: all the group's workers were redirected to where
+// they were not heard.
+func (c *Core) shouldFailOver(group failover.Group, m *machine, zone string) bool {
+	if c.links.LostZone(zone) {
+		return false
+	}
+	return c.ownerCannotServe(m) && c.machines.groupSize(group) >= minFailoverGroupSize
+}
+
+// ownerCannotServe tells whether a machine's owner is a peer that can't answer its workers any
+// more: it has failed, or it says that it does not hear the machine's zone. One that has
 // restarted is neither: it goes on with its workers without a change.
 func (c *Core) ownerCannotServe(m *machine) bool {
 	owner := m.claim.Owner
@@ -191,81 +181,91 @@
 	if member == nil {
 		return true
 	}
-	now := c.links.Snapshot()
-	return member.Incarnation == m.claim.Incarnation && connectivity.ZoneLost(&now, owner, m.claim.Zone)
+	snapshot := c.links.Snapshot()
+	return member.Incarnation == m.claim.Incarnation && connectivity.ZoneLost(&snapshot, owner, m.claim.Zone)
 }
 
 // groupSize counts the machines of a group.
-func (c *Core) groupSize(g failover.Group) (n int) {
-	for _, m := range c.machines.byID {
-		if len(m.links) > 0 && m.links[len(m.links)-1].Group == g {
-			n++
+func (t *machineTable) groupSize(group failover.Group) int {
+	size := 0
+	for _, m := range t.byID {
+		if len(m.links) > 0 && m.links[len(m.links)-1].Group == group {
+			size++
 		}
 	}
-	return n
+	return size
 }
 
-// writeFailover makes us the holder of a group. Whatever happens to the transaction, the mirror
-// tells what came of it. Where the holder is gone the record is conditional on that: a
+// writeFailover makes us the owner of a group. Whatever happens to the transaction, the mirror
+// shows its outcome. Where the owner has failed the record is conditional on that: a
 // controller that is back goes on with its workers itself.
-func (c *Core) writeFailover(g failover.Group) {
-	compares := []protocol.Compare{{Key: keyTakeover + g.Key()}}
-	if !c.alive(g.Node) {
-		compares = append(compares, protocol.Compare{Key: keyMember + g.Node})
+func (c *Core) writeFailover(group failover.Group) {
+	compares := []protocol.Compare{{Key: keyTakeover + group.Key()}}
+	if !c.alive(group.Node) {
+		compares = append(compares, protocol.Compare{Key: keyMember + group.Node})
 	}
 	successor := failover.Holder{Node: c.cfg.Node, Incarnation: c.incarnation, Epoch: c.claimEpoch()}
-	c.state.Txn(ratelimit.UrgentClaims, compares, []protocol.Op{{Put: keyTakeover + g.Key(), Value: encode(successor)}}, func(o stateclient.TxnOutcome, failed []string, _ uint64) {
+	ops := []protocol.Op{{Put: keyTakeover + group.Key(), Value: encode(successor)}}
+	c.state.Txn(ratelimit.UrgentClaims, compares, ops, func(outcome stateclient.TxnOutcome, failed []string, _ uint64) {
+		ownerIsBack := slices.Contains(failed, keyMember+group.Node)
 		switch {
-		case o == stateclient.Committed:
+		case outcome == stateclient.Committed:
 			c.Stats.Failovers++
-			c.log.Info("failing workers over", "from", g.Node, "zone", g.Zone, "workers", c.groupSize(g))
-		case o == stateclient.Conflict && !slices.Contains(failed, keyMember+g.Node), o == stateclient.Unknown:
-			// Another was first, or it may have been written: the mirror tells.
+			c.log.Info("failing workers over", "from", group.Node, "zone", group.Zone, "workers", c.machines.groupSize(group))
+		case outcome == stateclient.Conflict && !ownerIsBack:
+			// Another controller was first: the mirror will show it.
+		case outcome == stateclient.Unknown:
+			// It may have been written: the mirror will show it.
 		default:
-			c.retryPendingHeartbeats(g, true)
+			c.retryPendingHeartbeats(group, true)
 		}
 	})
 }
 
-// expirePendingFailovers refuses reports that have waited for too long.
+// expirePendingFailovers refuses heartbeats that have waited for too long.
 func (c *Core) expirePendingFailovers() {
-	var late []failover.Group
-	for g, w := range c.machines.ownership.pending {
-		if c.now-w.since > pendingFailoverTimeout {
-			late = append(late, g)
+	ownership := &c.machines.ownership
+	var expired []failover.Group
+	for group, pending := range ownership.pending {
+		if c.now-pending.since > pendingFailoverTimeout {
+			expired = append(expired, group)
 		}
 	}
-	sortGroups(late)
-	for _, g := range late {
-		w := c.machines.ownership.pending[g]
-		delete(c.machines.ownership.pending, g)
-		for _, r := range w.heartbeats {
-			c.refuse(r.id, 503, "its group is being taken over")
+	sortGroups(expired)
+	for _, group := range expired {
+		for _, pending := range ownership.takePending(group) {
+			c.refuse(pending.id, http.StatusServiceUnavailable, "its group is being taken over")
 		}
 	}
 }
 
-// dropUnusedFailovers drops the records that no machine's holder stands on any more.
+// dropUnusedFailovers drops the records that no machine's ownership depends on any more.
 func (c *Core) dropUnusedFailovers() {
-	if c.machines.ownership.failovers.Len() == 0 || !c.mirrorFresh() {
+	failovers := c.machines.ownership.failovers
+	if failovers.Len() == 0 || !c.mirrorFresh() {
 		return
 	}
-	inUse := map[failover.Group]bool{}
-	for _, m := range c.machines.byID {
-		for _, l := range m.links {
-			inUse[l.Group] = true
-		}
-	}
-	unused := c.machines.ownership.failovers.Unused(inUse)
+	unused := failovers.Unused(c.machines.groupsInUse())
 	sortGroups(unused)
 	var compares []protocol.Compare
 	var ops []protocol.Op
-	for _, g := range unused[:min(len(unused), c.cfg.Facts.State.TxnOps)] {
-		key := keyTakeover + g.Key()
-		compares = append(compares, protocol.Compare{Key: key, ModRevision: c.machines.ownership.failovers.Revision(g)})
+	for _, group := range unused[:min(len(unused), c.cfg.Facts.State.TxnOps)] {
+		key := keyTakeover + group.Key()
+		compares = append(compares, protocol.Compare{Key: key, ModRevision: failovers.Revision(group)})
 		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
 		c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) {})
 	}
 }
+
+// groupsInUse returns the groups that the ownership of any machine depends on.
+func (t *machineTable) groupsInUse() map[failover.Group]bool {
+	inUse := map[failover.Group]bool{}
+	for _, m := range t.byID {
+		for _, link := range m.links {
+			inUse[link.Group] = true
+		}
+	}
+	return inUse
+}
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -1,213 +1,216 @@
 package coordination
 
 import (
+	"net/http"
+
 	"silvergate/internal/fencing"
 	"silvergate/internal/job"
 	"silvergate/internal/losses"
 	"silvergate/internal/protocol"
-	"silvergate/internal/stateclient"
 )
 
-// This file answers the reports of workers: at once, or after a claim.
+// This file answers the heartbeats of workers: at once, or after a claim.
 
-// handleHeartbeat takes a worker's report.
+// handleHeartbeat takes a worker's heartbeat, which came with the request id.
 func (c *Core) handleHeartbeat(id uint64, body []byte) {
 	c.Stats.Heartbeats++
-	r, err := protocol.ParseHeartbeat(body)
+	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
-		c.refuse(id, 400, err.Error())
+		c.refuse(id, http.StatusBadRequest, err.Error())
 		return
 	}
 	if !c.state.Loaded() {
-		c.refuse(id, 503, "starting")
+		c.refuse(id, http.StatusServiceUnavailable, "starting")
 		return
 	}
-	c.links.WorkerHeard(r.Zone)
-	c.answerHeartbeat(id, r, false)
+	c.links.WorkerHeard(heartbeat.Zone)
+	c.answerHeartbeat(id, heartbeat, false)
 }
 
-// answerHeartbeat answers a report, at once or after a claim or the take-over of its worker's group.
-// alone has the worker claimed alone where it needs a claim.
-func (c *Core) answerHeartbeat(id uint64, r *protocol.Heartbeat, alone bool) {
-	if peer := c.receiverWhileCutOff(r); peer != "" {
-		c.respond(id, 421, protocol.Redirect{Controller: peer}, 0)
+// answerHeartbeat answers a heartbeat, at once or after a claim or the failover of its
+// worker's group. With alone the worker is claimed alone where it needs a claim.
+func (c *Core) answerHeartbeat(id uint64, heartbeat *protocol.Heartbeat, alone bool) {
+	if peer := c.receiverWhileCutOff(heartbeat); peer != "" {
+		c.redirect(id, peer)
 		return
 	}
 	if c.now-c.cancellationProof() > c.cancelHorizon() {
 		// A cancellation may have been acknowledged that we can't see.
-		c.refuse(id, 503, "cut off from the state service")
+		c.refuse(id, http.StatusServiceUnavailable, "cut off from the state service")
 		return
 	}
-	m := c.machine(r.Worker)
-	if peer := c.lessLoadedPeer(m, r.Zone); peer != "" {
-		c.respond(id, 421, protocol.Redirect{Controller: peer}, 0)
+	m := c.machine(heartbeat.Worker)
+	if peer := c.lessLoadedPeer(m, heartbeat.Zone); peer != "" {
+		c.redirect(id, peer)
 		return
 	}
-	c.adoptClaim(m, r)
-	c.fenceLaunchesOfFinalJobs(m, r)
-	// What has passed by a group is claimed alone where a peer could not see who holds it.
-	if c.workerState(m).JudgeHeartbeat(heartbeatHead(r)) != fencing.NeedsClaim && !(m.failedOver() && c.hasPeerBelowFormat(failoverFormat)) {
-		c.acceptHeartbeat(id, m, r)
+	c.adoptClaim(m, heartbeat)
+	c.fenceLaunchesOfFinalJobs(m, heartbeat)
+	if !c.needsClaim(m, heartbeat) {
+		c.acceptHeartbeat(id, m, heartbeat)
 		return
 	}
+	c.answerUnclaimed(id, m, heartbeat, alone)
+}
+
+// needsClaim tells whether a claim must be written before a heartbeat can be answered.
+func (c *Core) needsClaim(m *machine, heartbeat *protocol.Heartbeat) bool {
+	if c.workerState(m).JudgeHeartbeat(heartbeatHead(heartbeat)) == fencing.NeedsClaim {
+		return true
+	}
+	// What has failed over by a group is claimed alone where a peer could not see who owns it.
+	return m.failedOver() && c.hasPeerBelowFormat(failoverFormat)
+}
+
+// answerUnclaimed answers the heartbeat of a worker that needs a claim: it is redirected or
+// refused where another controller will serve it, and claimed otherwise.
+func (c *Core) answerUnclaimed(id uint64, m *machine, heartbeat *protocol.Heartbeat, alone bool) {
 	if m.claiming {
-		c.refuse(id, 503, "being claimed")
+		c.refuse(id, http.StatusServiceUnavailable, "being claimed")
 		return
 	}
-	if c.awaitsHolder(m, r) {
-		c.refuse(id, 503, "its own controller may be back soon")
+	if c.awaitsHolder(m, heartbeat) {
+		c.refuse(id, http.StatusServiceUnavailable, "its own controller may be back soon")
 		return
 	}
-	if c.shouldRedirectToHolder(m, r) {
-		c.respond(id, 421, protocol.Redirect{Controller: m.claim.Owner}, 0)
+	if c.shouldRedirectToHolder(m, heartbeat) {
+		c.redirect(id, m.claim.Owner)
 		return
 	}
 	if c.cutOff() && c.isolated() {
 		// Others may serve it: it must not wait here for a claim that can't be written. (In an outage
 		// that all see the wait costs nothing, and keeps workers from going round in haste.)
-		c.refuse(id, 503, "cut off from the state service")
+		c.refuse(id, http.StatusServiceUnavailable, "cut off from the state service")
 		return
 	}
-	if !alone && c.awaitGroupFailover(id, m, r) {
+	if !alone && c.awaitGroupFailover(id, m, heartbeat) {
 		return
 	}
-	c.claimMachine(m, r, 0, func(m *machine, ok bool) {
+	c.claimMachine(m, heartbeat, 0, func(m *machine, ok bool) {
 		if !ok {
-			c.refuse(id, 503, "the claim failed")
+			c.refuse(id, http.StatusServiceUnavailable, "the claim failed")
 			return
 		}
-		c.acceptHeartbeat(id, m, r)
+		c.acceptHeartbeat(id, m, heartbeat)
 	})
 }
 
-// claimMachine writes the claim for a new token.
-func (c *Core) claimMachine(m *machine, r *protocol.Heartbeat, tries int, done func(*machine, bool)) {
-	m.claiming = true
-	c.machines.claimsInFlight++
-	again := c.isOwn(m) && c.mirrorComplete(m) // nobody else can have held it since
-	k := claimRecord{c.cfg.Node, c.incarnation, r.Address, r.MachineType, r.Zone, r.Spot, c.claimEpoch()}
-	class := m.class()
-	c.state.Txn(class, m.ownershipCompares(),
-		[]protocol.Op{{Put: keyClaim + m.id, Value: encode(k)}}, func(o stateclient.TxnOutcome, _ []string, _ uint64) {
-			m.claiming = false
-			c.machines.claimsInFlight--
-			// The machine may have been forgotten and met again meanwhile.
-			m = c.machine(m.id)
-			switch {
-			case o == stateclient.Committed:
-				m.resetForNewToken(c.now)
-				m.mirrorComplete = again && tries == 0
-				c.Stats.Claims++
-				done(m, true)
-			case (o == stateclient.Conflict || o == stateclient.Unknown) && tries < 1:
-				m.claiming = true
-				c.state.Refresh(class, keyClaim+m.id, func(ok bool) {
-					m.claiming = false
-					switch {
-					case !ok:
-						done(m, false)
-					default:
-						c.claimMachine(m, r, tries+1, done)
-					}
-				})
-			default:
-				done(m, false)
-			}
-		})
-}
-
-// acceptHeartbeat answers a report under our claim.
-func (c *Core) acceptHeartbeat(id uint64, m *machine, r *protocol.Heartbeat) {
+// acceptHeartbeat answers a heartbeat under our claim.
+func (c *Core) acceptHeartbeat(id uint64, m *machine, heartbeat *protocol.Heartbeat) {
 	if !c.isOwn(m) {
-		c.refuse(id, 503, "the claim was lost")
+		c.refuse(id, http.StatusServiceUnavailable, "the claim was lost")
 		return
 	}
-	hearing := c.workerState(m).JudgeHeartbeat(heartbeatHead(r))
-	if hearing == fencing.Stale {
-		// Its list is old and its sender has given up on it.
-		c.refuse(id, 503, "an older report")
+	verdict := c.workerState(m).JudgeHeartbeat(heartbeatHead(heartbeat))
+	if verdict == fencing.Stale {
+		// Its list is old, and its sender has given up on the answer.
+		c.refuse(id, http.StatusServiceUnavailable, "an older report")
 		return
 	}
-	m.epoch, m.sequence, m.heardAt, m.failedProbes = r.AgentEpoch, r.Sequence, c.now, 0
-	m.preempted = r.PreemptionNoticeS != nil
-	if r.FencingToken == m.token && !m.tokenSeen {
-		m.tokenSeen, m.tokenSeenAt = true, c.now
-	}
-	ans := protocol.HeartbeatResponse{FencingToken: m.token, Commands: []protocol.Command{}}
-	if hearing != fencing.Trust {
-		ans.Commands = c.killTasksOfFinalJobs(m, r)
-		c.releaseEarlierEpochs(m, r)
-	} else {
-		ans.Commands = c.reconcile(m, r)
+	c.noteHeartbeat(m, heartbeat)
+	response := protocol.HeartbeatResponse{FencingToken: m.token, Commands: []protocol.Command{}}
+	if verdict == fencing.Trust {
+		response.Commands = c.reconcile(m, heartbeat)
 		m.leaseExpired = false
 		if m.preempted {
 			c.drainMachine(m, drainPreempted)
 		}
 		c.offerMachine(m)
+	} else {
+		response.Commands = c.killTasksOfFinalJobs(m, heartbeat)
+		c.releaseEarlierEpochs(m, heartbeat)
 	}
-	c.scaler.unshipped.handleWorkerHeartbeat(m, r)
-	ans.DataStore = c.staging.handleHeartbeat(m, r.DataStore)
+	c.scaler.unshipped.handleWorkerHeartbeat(m, heartbeat)
+	response.DataStore = c.staging.handleHeartbeat(m, heartbeat.DataStore)
 	m.answeredAt = c.now
-	c.effects.Responses = append(c.effects.Responses, Response{ID: id, Status: 200, Body: encode(ans), Urgent: m.urgent()})
+	c.effects.Responses = append(c.effects.Responses, Response{ID: id, Status: http.StatusOK, Body: encode(response), Urgent: m.urgent()})
+}
+
+// noteHeartbeat takes up what a heartbeat under our claim says of the machine itself.
+func (c *Core) noteHeartbeat(m *machine, heartbeat *protocol.Heartbeat) {
+	m.epoch = heartbeat.AgentEpoch
+	m.sequence = heartbeat.Sequence
+	m.heardAt = c.now
+	m.failedProbes = 0
+	m.preempted = heartbeat.PreemptionNoticeS != nil
+	if heartbeat.FencingToken == m.token && !m.tokenSeen {
+		m.tokenSeen = true
+		m.tokenSeenAt = c.now
+	}
 }
 
-// releaseEarlierEpochs releases what a report that is not believed shows to be of an earlier session.
-func (c *Core) releaseEarlierEpochs(m *machine, r *protocol.Heartbeat) {
-	for _, k := range m.tasks() {
-		rec := m.bound[k]
-		a, ok := c.boundHere(m, k)
-		if !ok || c.releasePending(rec, k.index) {
+// releaseEarlierEpochs releases the tasks that a heartbeat which is not trusted shows to be
+// of an earlier agent epoch.
+func (c *Core) releaseEarlierEpochs(m *machine, heartbeat *protocol.Heartbeat) {
+	for _, key := range m.tasks() {
+		record := m.bound[key]
+		attempt, ok := c.boundHere(m, key)
+		if !ok || c.releasePending(record, key.index) {
 			continue
 		}
-		if act, kind := fencing.JudgeEarlierEpoch(heartbeatHead(r), a); act == fencing.Release {
-			c.propose(rec, k.index, taskTransition{machine: m.id, epoch: a.Epoch, attempt: a.Number, proof: kind})
+		action, proof := fencing.JudgeEarlierEpoch(heartbeatHead(heartbeat), attempt)
+		if action == fencing.Release {
+			c.propose(record, key.index, taskTransition{machine: m.id, epoch: attempt.Epoch, attempt: attempt.Number, proof: proof})
 		}
 	}
 }
 
-// killTasksOfFinalJobs stops what belongs to jobs that are over. It is safe whatever the records
+// killTasksOfFinalJobs stops the tasks of jobs that are over. It is safe whatever the records
 // lack, as final states never change.
 //
-// Guards against cancelled tasks that lived on: the answer to a report that is not
-// believed renews the lease, and the horizon stands on every cancellation that we know
-// of being told with the answer. A controller whose watch was late answered so for
+// Guards against cancelled tasks that lived on: the answer to a heartbeat that is not
+// trusted renews the lease, and the cancel horizon relies on every cancellation that we know
+// of being sent with the answer. A controller whose watch was late answered so for
 // twenty seconds, and the next one after it.
 //
-// Also what is bound to the machine and not listed: a report that a direct launch has overtaken lacks what
-// runs by now, and its answer renews the lease. (The model found it; a stop of what is not there does nothing.)
-func (c *Core) killTasksOfFinalJobs(m *machine, r *protocol.Heartbeat) []protocol.Command {
-	orders := []protocol.Command{}
+// Also what is bound to the machine and not listed: a heartbeat that a direct launch has
+// overtaken lacks what runs by now, and its answer renews the lease. (The model found it; a
+// stop of what is not there does nothing.)
+func (c *Core) killTasksOfFinalJobs(m *machine, heartbeat *protocol.Heartbeat) []protocol.Command {
+	commands := []protocol.Command{}
 	listed := map[string]bool{}
-	for i := range r.Tasks {
-		l := &r.Tasks[i]
-		listed[l.Task] = true
-		id, _, err := job.ParseTaskName(l.Task)
-		if err == nil && l.Status != protocol.TaskEnded && c.knownFinal(id) {
-			orders = append(orders, killCommand(l, 0))
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		listed[status.Task] = true
+		id, _, err := job.ParseTaskName(status.Task)
+		if err == nil && status.Status != protocol.TaskEnded && c.knownFinal(id) {
+			commands = append(commands, killCommand(status, 0))
 		}
 	}
-	for _, k := range m.tasks() {
-		name := job.TaskName(k.job, k.index)
-		if a, ok := c.boundHere(m, k); ok && m.bound[k].final() && a.Epoch == r.AgentEpoch && !listed[name] {
-			orders = append(orders, killCommand(&protocol.TaskStatus{Task: name, Attempt: a.Number}, 0))
+	for _, key := range m.tasks() {
+		name := job.TaskName(key.job, key.index)
+		attempt, ok := c.boundHere(m, key)
+		if ok && m.bound[key].final() && attempt.Epoch == heartbeat.AgentEpoch && !listed[name] {
+			commands = append(commands, killCommand(&protocol.TaskStatus{Task: name, Attempt: attempt.Number}, 0))
 		}
 	}
-	return orders
+	return commands
 }
 
-// knownFinal tells whether a job is known to be over, by its record or by a peer's word.
+// knownFinal tells whether a job is known to be over, by its record or because a peer has
+// named it as cancelled.
 func (c *Core) knownFinal(id string) bool {
-	rec := c.jobs.byID[id]
-	return rec != nil && rec.final() || c.links.KnownCancelled(id)
+	record := c.jobs.byID[id]
+	return record != nil && record.final() || c.links.KnownCancelled(id)
+}
+
+// killCommand stops what a worker lists, with a grace period in seconds.
+func killCommand(status *protocol.TaskStatus, gracePeriod float64) protocol.Command {
+	return protocol.Command{Verb: protocol.VerbKill, Task: status.Task, Attempt: status.Attempt, GracePeriodS: &gracePeriod}
 }
 
-// killCommand stops what a worker lists, within a time in seconds.
-func killCommand(l *protocol.TaskStatus, grace float64) protocol.Command {
-	return protocol.Command{Verb: protocol.VerbKill, Task: l.Task, Attempt: l.Attempt, GracePeriodS: &grace}
+// launchCommand starts an attempt whose launch the fencing rules have allowed.
+func (c *Core) launchCommand(m *machine, attempt taskAttempt) protocol.Command {
+	c.traceStart(losses.Launch, attempt.job, attempt.index, attempt.number, m.id)
+	return protocol.Command{
+		Verb:    protocol.VerbLaunch,
+		Task:    job.TaskName(attempt.job, attempt.index),
+		Attempt: attempt.number,
+		Grant:   c.queries.grantLaunch(m, attempt.taskKey, attempt.number),
+	}
 }
 
-// launchCommand starts an attempt that evidence has let pass.
-func (c *Core) launchCommand(m *machine, a taskAttempt) protocol.Command {
-	c.traceStart(losses.Launch, a.job, a.index, a.number, m.id)
-	return protocol.Command{Verb: protocol.VerbLaunch, Task: job.TaskName(a.job, a.index), Attempt: a.number, Grant: c.queries.grantLaunch(m, a.taskKey, a.number)}
+// heartbeatHead is a heartbeat without its list of tasks.
+func heartbeatHead(heartbeat *protocol.Heartbeat) fencing.Heartbeat {
+	return fencing.Heartbeat{Token: heartbeat.FencingToken, Epoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 }
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -9,109 +9,163 @@
 	"silvergate/internal/protocol"
 )
 
-// queueLaunch sends a committed launch straight to its worker with the step's
-// other launches, which saves the wait for the next report.
-func (c *Core) queueLaunch(id string, k taskKey, attempt int) {
-	m := c.machines.byID[id]
+// This file sends committed launches straight to their workers, which saves the wait for the
+// next heartbeat.
+
+// queueLaunch queues a committed launch, to be sent directly with the step's other launches.
+func (c *Core) queueLaunch(machineID string, key taskKey, attempt int) {
+	m := c.machines.byID[machineID]
 	if m == nil || !c.isOwn(m) || !m.tokenSeen || m.launchInDoubt || m.claim.Address == "" {
-		return // the answer to its next report launches it
+		return // the answer to its next heartbeat launches it
 	}
 	if len(m.queuedLaunches) == 0 {
 		c.machines.launchTargets = append(c.machines.launchTargets, m)
 	}
-	m.queuedLaunches = append(m.queuedLaunches, taskAttempt{k, attempt})
+	m.queuedLaunches = append(m.queuedLaunches, taskAttempt{key, attempt})
 }
 
-// sendLaunches makes one direct call for every machine with launches.
-//
-// A launch is judged here, at the end of the step, and not when the record that
-// binds it comes: the same answer of the watch may bring that it has ended since.
+// sendLaunches makes one direct call for every machine with queued launches.
 //
-// Guards against late execution: a direct command may be carried out minutes
-// after we gave up on it, as long as token and session match. Until its answer
-// the attempt is neither forgotten nor released for being absent; without an
-// answer the machine is tainted, and its next report gets a new token.
+// A launch is checked here, at the end of the step, and not when the record that
+// binds it comes: the same response of the watch may bring that it has ended since.
 func (c *Core) sendLaunches() {
 	for _, m := range c.machines.launchTargets {
-		queued, st := m.queuedLaunches, c.workerState(m)
-		m.queuedLaunches = nil
-		var orders []protocol.Command
-		var sent []taskAttempt
-		for _, a := range queued {
-			b, ok := c.boundHere(m, a.taskKey)
-			if !ok || b.Number != a.number || m.bound[a.taskKey].final() {
-				c.log.Debug("launch withheld: the attempt is over", "task", job.TaskName(a.job, a.index), "attempt", a.number, "machine", m.id)
-				continue
-			}
-			if !st.MayLaunchDirectly(b) {
-				if b.Epoch == m.epoch {
-					c.log.Debug("launch withheld: the records are behind", "task", job.TaskName(a.job, a.index), "attempt", a.number, "machine", m.id,
-						"revision", c.state.AppliedRevision(), "token", m.token, "since", b.BoundAt)
-					m.deferLaunch(a)
-				}
-				continue
-			}
-			m.inFlight[a] = true
-			sent = append(sent, a)
-			orders = append(orders, c.launchCommand(m, a))
+		attempts := c.takeSendableLaunches(m)
+		if len(attempts) > 0 {
+			c.sendLaunchCall(m, attempts)
+		}
+	}
+	c.machines.launchTargets = c.machines.launchTargets[:0]
+}
+
+// takeSendableLaunches empties a machine's queue of launches, and returns those that may be
+// sent directly now.
+func (c *Core) takeSendableLaunches(m *machine) []taskAttempt {
+	queued := m.queuedLaunches
+	m.queuedLaunches = nil
+	state := c.workerState(m)
+	var sendable []taskAttempt
+	for _, attempt := range queued {
+		bound, ok := c.boundHere(m, attempt.taskKey)
+		if !ok || bound.Number != attempt.number || m.bound[attempt.taskKey].final() {
+			c.log.Debug("launch withheld: the attempt is over", "task", job.TaskName(attempt.job, attempt.index), "attempt", attempt.number, "machine", m.id)
+			continue
 		}
-		if len(orders) == 0 {
+		if state.MayLaunchDirectly(bound) {
+			sendable = append(sendable, attempt)
 			continue
 		}
-		token := m.token
-		body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: orders})
-		c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: "POST", Path: protocol.PathCommands,
-			Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) {
-			if m.token != token {
-				return // a newer token was taken meanwhile
-			}
-			var reply protocol.Heartbeat
-			carried := r.Status == http.StatusOK && protocol.Decode(r.Body, &reply) == nil
-			if !carried && (r.Status == 0 && r.Sent || r.Status == http.StatusOK || r.Status >= 500) {
-				m.launchInDoubt = true // it may have been carried out, or may yet be
-				return
-			}
-			if at := (fencing.Position{Epoch: reply.AgentEpoch, Sequence: reply.Sequence}); carried && m.lastLaunch.Before(at) {
-				m.lastLaunch = at
-			}
-			c.handleStatus(m, token, r)
-			for _, a := range sent {
-				delete(m.inFlight, a)
-			}
-		})
+		if bound.Epoch == m.epoch {
+			c.log.Debug("launch withheld: the records are behind", "task", job.TaskName(attempt.job, attempt.index), "attempt", attempt.number, "machine", m.id,
+				"revision", c.state.AppliedRevision(), "token", m.token, "since", bound.BoundAt)
+			m.deferLaunch(attempt)
+		}
 	}
-	c.machines.launchTargets = c.machines.launchTargets[:0]
+	return sendable
+}
+
+// sendLaunchCall sends launches to a machine's worker.
+//
+// Guards against late execution: a direct command may be executed minutes
+// after we gave up on it, as long as token and agent epoch match. Until its reply
+// the attempt is neither forgotten nor released for being absent; without a
+// reply the machine's launches are in doubt, and its next heartbeat gets a new token.
+func (c *Core) sendLaunchCall(m *machine, attempts []taskAttempt) {
+	var commands []protocol.Command
+	for _, attempt := range attempts {
+		m.inFlight[attempt] = true
+		commands = append(commands, c.launchCommand(m, attempt))
+	}
+	token := m.token
+	call := protocol.Call{
+		Target:  protocol.ToWorker,
+		Address: m.claim.Address,
+		Method:  "POST",
+		Path:    protocol.PathCommands,
+		Body:    encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: commands}),
+		Timeout: seconds(c.cfg.Facts.Workers.Report / 2),
+	}
+	c.call(call, func(reply protocol.Reply) { c.handleLaunchReply(m, token, attempts, reply) })
+}
+
+// handleLaunchReply takes the reply to launches that were sent under a fencing token.
+func (c *Core) handleLaunchReply(m *machine, token uint64, attempts []taskAttempt, reply protocol.Reply) {
+	if m.token != token {
+		return // a newer token was taken meanwhile
+	}
+	var status protocol.Heartbeat
+	executed := reply.Status == http.StatusOK && protocol.Decode(reply.Body, &status) == nil
+	if !executed && mayBeExecuted(reply) {
+		m.launchInDoubt = true
+		return
+	}
+	position := fencing.Position{Epoch: status.AgentEpoch, Sequence: status.Sequence}
+	if executed && m.lastLaunch.Before(position) {
+		m.lastLaunch = position
+	}
+	c.handleStatus(m, token, reply)
+	for _, attempt := range attempts {
+		delete(m.inFlight, attempt)
+	}
+}
+
+// mayBeExecuted tells whether a direct command without a readable reply may have been
+// executed, or may yet be.
+func mayBeExecuted(reply protocol.Reply) bool {
+	noReply := reply.Status == 0 && reply.Sent
+	return noReply || reply.Status == http.StatusOK || reply.Status >= http.StatusInternalServerError
 }
 
 // deferLaunch notes a launch that has to wait until the records are known to be complete.
-func (m *machine) deferLaunch(a taskAttempt) {
-	if !slices.Contains(m.deferredLaunches, a) {
-		m.deferredLaunches = append(m.deferredLaunches, a)
+func (m *machine) deferLaunch(attempt taskAttempt) {
+	if !slices.Contains(m.deferredLaunches, attempt) {
+		m.deferredLaunches = append(m.deferredLaunches, attempt)
 	}
 }
 
-// sendDeferred sends launches that had to wait, once they need not any more. Without
-// it they would wait for the worker's next report.
+// sendDeferred queues launches that had to wait, once they need not any more. Without
+// it they would wait for the worker's next heartbeat.
 func (c *Core) sendDeferred(m *machine) {
 	if len(m.deferredLaunches) == 0 || !c.mirrorComplete(m) {
 		return
 	}
 	deferred := m.deferredLaunches
 	m.deferredLaunches = nil
-	for _, a := range deferred {
-		_, stopping := m.stops[a.taskKey]
-		b, ok := c.boundHere(m, a.taskKey)
-		if !ok || b.Number != a.number || stopping || m.preempted || m.inFlight[a] || c.releasePending(m.bound[a.taskKey], a.index) {
-			continue
+	for _, attempt := range deferred {
+		if c.launchStillWanted(m, attempt) {
+			c.queueLaunch(m.id, attempt.taskKey, attempt.number)
 		}
-		c.queueLaunch(m.id, a.taskKey, a.number)
 	}
 }
 
-// workerState is what this controller knows of a machine, for a decision.
+// launchStillWanted tells whether a deferred launch is still to be sent.
+func (c *Core) launchStillWanted(m *machine, attempt taskAttempt) bool {
+	bound, ok := c.boundHere(m, attempt.taskKey)
+	if !ok || bound.Number != attempt.number {
+		return false
+	}
+	_, stopping := m.stops[attempt.taskKey]
+	if stopping || m.preempted || m.inFlight[attempt] {
+		return false
+	}
+	return !c.releasePending(m.bound[attempt.taskKey], attempt.index)
+}
+
+// workerState is what this controller knows of a machine's worker, as the fencing rules take
+// it.
 func (c *Core) workerState(m *machine) fencing.WorkerState {
-	return fencing.WorkerState{Held: c.isOwn(m), Adopted: m.adopted, Token: m.token, AppliedRevision: c.state.AppliedRevision(), TokenSeen: m.tokenSeen, MirrorComplete: c.mirrorComplete(m),
-		LaunchInDoubt: m.launchInDoubt, Epoch: m.epoch, Sequence: m.sequence, LastLaunch: m.lastLaunch}
+	return fencing.WorkerState{
+		Held:            c.isOwn(m),
+		Adopted:         m.adopted,
+		Token:           m.token,
+		AppliedRevision: c.state.AppliedRevision(),
+		TokenSeen:       m.tokenSeen,
+		MirrorComplete:  c.mirrorComplete(m),
+		LaunchInDoubt:   m.launchInDoubt,
+		Epoch:           m.epoch,
+		Sequence:        m.sequence,
+		LastLaunch:      m.lastLaunch,
+	}
 }
 
 // mirrorComplete tells whether the mirror was complete at a moment when the worker had
@@ -123,20 +177,16 @@
 	return m.mirrorComplete
 }
 
-// boundHere is what the records bind to a machine of a task, if anything.
-func (c *Core) boundHere(m *machine, k taskKey) (fencing.Attempt, bool) {
-	rec := m.bound[k]
-	if rec == nil {
+// boundHere returns the attempt of a task that the records bind to a machine; ok is false if
+// there is none.
+func (c *Core) boundHere(m *machine, key taskKey) (attempt fencing.Attempt, ok bool) {
+	record := m.bound[key]
+	if record == nil {
 		return fencing.Attempt{}, false
 	}
-	t := rec.task(c, k.index)
-	if t == nil || t.Phase != job.Bound || t.Machine != m.id {
+	task := record.task(c, key.index)
+	if task == nil || task.Phase != job.Bound || task.Machine != m.id {
 		return fencing.Attempt{}, false
 	}
-	return fencing.Attempt{Number: t.Attempt, Epoch: t.Epoch, BoundAt: m.boundAt[k].revision}, true
-}
-
-// heartbeatHead is a report without its list.
-func heartbeatHead(r *protocol.Heartbeat) fencing.Heartbeat {
-	return fencing.Heartbeat{Token: r.FencingToken, Epoch: r.AgentEpoch, Sequence: r.Sequence}
+	return fencing.Attempt{Number: task.Attempt, Epoch: task.Epoch, BoundAt: m.boundAt[key].revision}, true
 }
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -1,44 +1,21 @@
 package coordination
 
 import (
-	"encoding/json"
 	"slices"
 	"sort"
 	"time"
 
-	"silvergate/internal/failover"
 	"silvergate/internal/fencing"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
 	"silvergate/internal/ratelimit"
-	"silvergate/internal/stateclient"
 )
 
-// drainRecord bars a machine from new work; placements are conditioned on its
-// absence.
-type drainRecord struct {
-	Reason string `json:"w"`
-}
-
-// Reasons for a drain.
-const (
-	drainIdle      = "idle"
-	drainSilent    = "silent"
-	drainPreempted = "recall"
-	drainFaulty    = "faulty"
-	drainFailed    = "failed"
-	drainStray     = "stray" // nobody holds it: it never reported, or its claim is gone
-	drainLost      = "lost"  // with its controller
-)
-
-// drainSeverity orders them: the graver ones do not wait until nothing is bound.
-var drainSeverity = map[string]int{drainIdle: 0, drainPreempted: 1, drainFaulty: 2, drainSilent: 3, drainStray: 3, drainLost: 3, drainFailed: 4}
-
-// machineTable owns what is known of all machines: who holds them, their drains, and
-// those that this controller holds itself.
+// machineTable owns what is known of all machines: who owns them, their drains, and
+// which of them this controller owns itself.
 type machineTable struct {
 	byID           map[string]*machine
-	own            []*machine // machines that this controller holds, by name
+	own            []*machine // the machines that this controller owns, by name
 	ownership      ownershipTable
 	drains         map[string]drainRecord
 	launchTargets  []*machine // machines with launches to be sent at the end of the step
@@ -47,6 +24,7 @@
 	listedBuffer   map[taskKey]bool // reused by reconcile alone
 }
 
+// newMachineTable makes an empty table.
 func newMachineTable() machineTable {
 	return machineTable{
 		byID:         map[string]*machine{},
@@ -56,8 +34,8 @@
 	}
 }
 
-// machine is what a controller knows of one machine: who holds it, what its reports say, the
-// launches under way to it, the work on it, and what keeps its room.
+// machine is what a controller knows of one machine: who owns it, what its heartbeats say,
+// the launches on their way to it, the work on it, and for whom its room is reserved.
 type machine struct {
 	id string
 	machineOwnership
@@ -68,67 +46,69 @@
 
 	failedJobs    map[string]bool // jobs whose tasks failed here
 	idleListIndex int             // place in the idle list, counted from 1; 0: not listed
-	listedAt      time.Duration
-	unboundSince  time.Duration // since when nothing is bound, for the fleet
-	draining      bool          // a drain is being written
-	dropRetryAt   time.Duration // its records are being dropped: not again before
-	consolidating bool          // its services are being consolidated elsewhere
-	sparseSince   time.Duration // since when it holds few services and nothing else; 0: not
+	listedAt      time.Duration   // when it was put on the idle list
+	unboundSince  time.Duration   // since when nothing is bound to it, for the fleet
+	draining      bool            // a drain record is being written
+	dropRetryAt   time.Duration   // its records are being dropped: not again before this time
+	consolidating bool            // its services are being consolidated elsewhere
+	sparseSince   time.Duration   // since when it runs few services and nothing else; 0: it does not
 }
 
-// heartbeatState is what the holder of a machine knows from its worker's reports and answers.
+// heartbeatState is what the owner of a machine knows from its worker's heartbeats and
+// replies.
 type heartbeatState struct {
-	epoch          uint64
-	sequence       uint64
-	lastLaunch     fencing.Position // of the newest answer to a direct launch
-	tokenSeen      bool             // a report carried our token
+	epoch          uint64           // of the worker's agent
+	sequence       uint64           // of the newest heartbeat in that epoch
+	lastLaunch     fencing.Position // of the newest reply to a direct launch
+	tokenSeen      bool             // a heartbeat carried our fencing token
 	tokenSeenAt    time.Duration    // when one first did
 	mirrorComplete bool             // the mirror was complete after that
-	heardAt        time.Duration
-	answeredAt     time.Duration // arrival of the last report answered with 200
-	probing        bool          // asked for its status
-	nextProbeAt    time.Duration // not again before
-	failedProbes   int           // and did not answer, so many times in a row
-	leaseExpired   bool          // its lease is over and its tasks were given up
-	preempted      bool
-
-	redirectedToHolder  time.Duration // see shouldRedirectToHolder
-	redirectedAt        time.Duration // to another controller, when it reported last
+	heardAt        time.Duration    // arrival of the last heartbeat
+	answeredAt     time.Duration    // arrival of the last heartbeat that was answered with 200
+	probing        bool             // a status probe is under way
+	nextProbeAt    time.Duration    // no probe before this time
+	failedProbes   int              // probes in a row without a reply
+	leaseExpired   bool             // its lease is over and its tasks were given up
+	preempted      bool             // it has been given notice by the cloud
+
+	redirectedToHolder  time.Duration // when it was last redirected to its owner, see shouldRedirectToHolder
+	redirectedAt        time.Duration // when a heartbeat was last redirected to another controller
 	awaitingHolderSince time.Duration // when it first came here while its own controller was down
 }
 
-// launchState are the starts of tasks that are under way to a machine, and the tasks that are
+// launchState is the launches that are on their way to a machine, and the tasks that are
 // known to have begun.
 type launchState struct {
-	inFlight         map[taskAttempt]bool // sent to /orders and not answered yet
-	launchInDoubt    bool                 // such a launch got no answer: it may be executed until a new token is seen
-	deferredLaunches []taskAttempt        // that wait until the records are known to be complete
+	inFlight         map[taskAttempt]bool // sent directly and not replied to yet
+	launchInDoubt    bool                 // such a launch got no reply: it may be executed until a new token is seen
+	deferredLaunches []taskAttempt        // launches that wait until the records are known to be complete
 	queuedLaunches   []taskAttempt        // for the next direct call
 	runningSince     map[taskKey]time.Duration
 	pulling          map[taskKey]bool // last reported as waiting for the image
 	stops            map[taskKey]taskStop
 }
 
-// machineLoad is the work on a machine, by the records and by what is planned.
+// machineAllocation is the work on a machine, by the records and by what is planned.
 type machineAllocation struct {
-	machineType     *protocol.MachineType // of its type, nil while that is not known
+	machineType     *protocol.MachineType // cached by machineTypeOf, nil while it is not known
 	bound           map[taskKey]*jobRecord
-	boundAt         map[taskKey]binding     // when it was bound
+	boundAt         map[taskKey]binding     // when each was bound
 	vacated         map[taskKey]*jobRecord  // bound by the records, but known to have left: their room is free
 	reserved        int                     // tasks for which room is reserved
 	services        int                     // bound tasks of services
 	boundByPriority [job.Production + 1]int // bound tasks that can be stopped alone, by priority
-	cpus            float64                 // in use or reserved
-	gpus            float64
-	ram             float64
-	serviceShare    float64                  // what services hold: accelerators, or processors where they use none
-	imageReadyAt    map[string]time.Duration // when each will be there, as far as is known
+	cpus            float64                 // processors in use or reserved
+	gpus            float64                 // accelerators in use or reserved
+	ram             float64                 // memory in use or reserved, in GB
+	serviceShare    float64                 // what services use: accelerators, or processors where they use none
+	// imageReadyAt tells when each image will be on the machine, as far as is known.
+	imageReadyAt map[string]time.Duration
 }
 
-// roomReservation keeps a machine's room for a job for which others were stopped there.
+// roomReservation keeps a machine's room for a job for which other tasks were stopped there.
 type roomReservation struct {
 	reservedFor   string        // the job
-	reservedUntil time.Duration // how long nothing else may take the room
+	reservedUntil time.Duration // nothing else may use the room before this time
 	reservedBy    string        // the controller whose gang it is kept for
 }
 
@@ -138,153 +118,139 @@
 	number int
 }
 
-// binding is when a task was bound: by our clock, and the revision, 0 if that is not
-// known.
+// binding is when a task was bound: by our clock, and by the revision, which is 0 if it is
+// not known.
 type binding struct {
 	boundAt  time.Duration
 	revision uint64
 }
 
+// taskStop is a wanted stop of a bound task.
 type taskStop struct {
-	gracePeriod float64
+	gracePeriod float64 // in seconds
 	reason      string
 	at          time.Duration
 }
 
-func (c *Core) machine(id string) *machine {
-	m := c.machines.byID[id]
-	if m == nil {
-		m = &machine{id: id, failedJobs: map[string]bool{}, unboundSince: c.now,
-			launchState:       launchState{inFlight: map[taskAttempt]bool{}, runningSince: map[taskKey]time.Duration{}, pulling: map[taskKey]bool{}, stops: map[taskKey]taskStop{}},
-			machineAllocation: machineAllocation{bound: map[taskKey]*jobRecord{}, boundAt: map[taskKey]binding{}, vacated: map[taskKey]*jobRecord{}, imageReadyAt: map[string]time.Duration{}}}
-		c.machines.byID[id] = m
+// newMachine makes a machine of which nothing is known.
+func newMachine(id string, now time.Duration) *machine {
+	return &machine{
+		id:           id,
+		failedJobs:   map[string]bool{},
+		unboundSince: now,
+		launchState: launchState{
+			inFlight:     map[taskAttempt]bool{},
+			runningSince: map[taskKey]time.Duration{},
+			pulling:      map[taskKey]bool{},
+			stops:        map[taskKey]taskStop{},
+		},
+		machineAllocation: machineAllocation{
+			bound:        map[taskKey]*jobRecord{},
+			boundAt:      map[taskKey]binding{},
+			vacated:      map[taskKey]*jobRecord{},
+			imageReadyAt: map[string]time.Duration{},
+		},
 	}
-	return m
 }
 
-// unknownMachineType stands for a type that the catalogue lacks; it holds nothing.
-var unknownMachineType protocol.MachineType
-
-// machineTypeOf is a machine's type.
-func (c *Core) machineTypeOf(m *machine) *protocol.MachineType {
-	if m.machineType == nil || m.machineType.Name != m.claim.MachineType {
-		if m.machineType = c.catalogue.types[m.claim.MachineType]; m.machineType == nil {
-			return &unknownMachineType
-		}
+// findOrAdd returns the machine of a name, and adds it if it is new.
+func (t *machineTable) findOrAdd(id string, now time.Duration) *machine {
+	m := t.byID[id]
+	if m == nil {
+		m = newMachine(id, now)
+		t.byID[id] = m
 	}
-	return m.machineType
-}
-
-// reserveRoom holds a machine's room back for a job; by names the controller that
-// wants to be told when it is free.
-func (m *machine) reserveRoom(id string, until time.Duration, by string) {
-	m.reservedFor, m.reservedUntil, m.reservedBy = id, until, by
+	return m
 }
 
-func (m *machine) addUsage(s *job.Spec, n float64) {
-	m.cpus += n * s.CPUs
-	m.gpus += n * s.GPUs
-	m.ram += n * s.MemoryGB
-	if s.Shape == job.Service {
-		m.serviceShare += n * max(s.GPUs, s.CPUs/1e3)
+// updateOwn adds a machine to the list of own machines or removes it from there.
+func (t *machineTable) updateOwn(m *machine, own bool) {
+	index := sort.Search(len(t.own), func(i int) bool { return t.own[i].id >= m.id })
+	listed := index < len(t.own) && t.own[index].id == m.id
+	switch {
+	case own && !listed:
+		t.own = slices.Insert(t.own, index, m)
+	case !own && listed:
+		t.own = slices.Delete(t.own, index, index+1)
 	}
 }
 
-func (c *Core) isOwn(m *machine) bool {
-	return m.token != 0 && m.claim.Owner == c.cfg.Node && (m.claim.Incarnation == c.incarnation || m.adopted)
-}
-
-// heldByEarlierIncarnation tells whether an earlier life of ours has claimed the machine, and nobody since.
-func (c *Core) heldByEarlierIncarnation(m *machine) bool {
-	return m.token != 0 && m.claim.Owner == c.cfg.Node && !c.isOwn(m)
-}
+// machine returns the machine of a name, and adds it to the table if it is new.
+func (c *Core) machine(id string) *machine { return c.machines.findOrAdd(id, c.now) }
 
-// unschedulable tells whether new work may not go to the machine.
-func (c *Core) unschedulable(m *machine) bool {
-	_, drained := c.machines.drains[m.id]
-	return drained || m.draining || m.preempted || m.leaseExpired || m.consolidating || m.claiming || !m.tokenSeen
-}
+// unknownMachineType stands for a type that the catalogue lacks; nothing fits on it.
+var unknownMachineType protocol.MachineType
 
-func (c *Core) applyClaim(id string, data json.RawMessage, revision uint64) {
-	m := c.machine(id)
-	if data == nil {
-		c.removeClaim(m)
-		return
-	}
-	var k claimRecord
-	if !decode(c.log, id, data, &k) {
-		return
+// machineTypeOf returns a machine's type by the catalogue.
+func (c *Core) machineTypeOf(m *machine) *protocol.MachineType {
+	if m.machineType != nil && m.machineType.Name == m.claim.MachineType {
+		return m.machineType
 	}
-	if m.token != 0 {
-		c.machines.ownership.machinesByOwner[m.claim.Owner]--
-		m.token = 0
+	m.machineType = c.catalogue.types[m.claim.MachineType]
+	if m.machineType == nil {
+		return &unknownMachineType
 	}
-	m.claim, m.ownClaim = k, failover.Claim{Holder: failover.Holder{Node: k.Owner, Incarnation: k.Incarnation, Epoch: k.Epoch}, Token: revision}
-	c.resolveOwner(m)
+	return m.machineType
 }
 
-// removeClaim takes that a machine's claim is gone.
-func (c *Core) removeClaim(m *machine) {
-	if m.token != 0 {
-		c.machines.ownership.machinesByOwner[m.claim.Owner]--
-	}
-	m.token, m.ownClaim, m.links = 0, failover.Claim{}, nil
-	m.tokenSeen = false
-	m.reoccupy()
-	c.removeFromIdleList(m)
-	c.forgetUnclaimed(m)
-	c.updateOwnership(m)
+// reserveRoom reserves a machine's room for a job; controller is the one that is to be
+// notified when it is free.
+func (m *machine) reserveRoom(jobID string, until time.Duration, controller string) {
+	m.reservedFor = jobID
+	m.reservedUntil = until
+	m.reservedBy = controller
 }
 
-// forgetUnclaimed drops what is known of a machine without a claim. Guards against room
-// that was reserved on a machine that is forgotten meanwhile: given back to one that
-// is met anew under its name, it made more room than there is.
-func (c *Core) forgetUnclaimed(m *machine) {
-	if m.token == 0 && len(m.bound) == 0 && m.reserved == 0 && c.machines.byID[m.id] == m {
-		delete(c.machines.byID, m.id)
-		c.staging.machineLost(m.id)
+// addUsage adds the resources of tasks tasks of a job, or subtracts them if tasks is negative.
+func (m *machine) addUsage(spec *job.Spec, tasks float64) {
+	m.cpus += tasks * spec.CPUs
+	m.gpus += tasks * spec.GPUs
+	m.ram += tasks * spec.MemoryGB
+	if spec.Shape == job.Service {
+		m.serviceShare += tasks * max(spec.GPUs, spec.CPUs/1e3)
 	}
 }
 
-// updateOwnership keeps the list of our machines and the count of everybody's in step
-// with a changed claim.
-func (c *Core) updateOwnership(m *machine) {
-	if m.token != 0 {
-		c.machines.ownership.machinesByOwner[m.claim.Owner]++
+// vacate frees the room of a task that a heartbeat under our token shows to have left,
+// though its completion is not committed yet: that is a fact about the machine, whatever
+// becomes of the record, and under load the commit takes seconds that urgent work
+// would wait for. The task stays charged to its team until then.
+func (m *machine) vacate(key taskKey, record *jobRecord) {
+	if m.vacated[key] == nil && m.bound[key] == record {
+		m.vacated[key] = record
+		m.addUsage(record.spec, -1)
 	}
-	c.updateOwnMachines(m)
 }
 
-// updateOwnMachines keeps the list of our machines.
-func (c *Core) updateOwnMachines(m *machine) {
-	at := sort.Search(len(c.machines.own), func(i int) bool { return c.machines.own[i].id >= m.id })
-	there := at < len(c.machines.own) && c.machines.own[at].id == m.id
-	switch {
-	case c.isOwn(m) && !there:
-		c.machines.own = slices.Insert(c.machines.own, at, m)
-	case !c.isOwn(m) && there:
-		c.machines.own = slices.Delete(c.machines.own, at, at+1)
+// reoccupy undoes vacate for all tasks: what was known under a claim is lost with it.
+func (m *machine) reoccupy() {
+	for _, record := range m.vacated {
+		m.addUsage(record.spec, 1)
 	}
+	clear(m.vacated)
 }
 
-func (c *Core) applyDrain(id string, data json.RawMessage) {
-	if data == nil {
-		delete(c.machines.drains, id)
-		return
+// unlisted returns the tasks that are bound to the machine and not in listed, in order.
+// All that is in listed must be bound.
+func (m *machine) unlisted(listed map[taskKey]bool) []taskKey {
+	if len(listed) == len(m.bound) {
+		return nil
 	}
-	var d drainRecord
-	if decode(c.log, id, data, &d) {
-		c.machines.drains[id] = d
-		if m := c.machines.byID[id]; m != nil {
-			c.removeFromIdleList(m)
+	var out []taskKey
+	for key := range m.bound {
+		if !listed[key] {
+			out = append(out, key)
 		}
 	}
+	slices.SortFunc(out, taskKey.compare)
+	return out
 }
 
 // urgent tells whether production work is bound to the machine.
 func (m *machine) urgent() bool { return m.boundByPriority[job.Production] > 0 }
 
-// class is what a change of a machine's records is for: the most urgent work on it.
+// class is the rate class of changes of a machine's records: that of the most urgent work
+// on it.
 func (m *machine) class() ratelimit.Class {
 	switch {
 	case m.urgent():
@@ -294,23 +260,3 @@
 	}
 	return ratelimit.IdleClaims
 }
-
-// drainMachine writes a machine's drain record, under further conditions if any.
-func (c *Core) drainMachine(m *machine, why string, compares ...protocol.Compare) {
-	// Guards against two judgements that take turns on one machine and eat up
-	// the state service's rate: only a graver one replaces an earlier one, and
-	// only while it makes a difference to what is on the machine.
-	if old, ok := c.machines.drains[m.id]; m.draining || ok && (drainSeverity[old.Reason] >= drainSeverity[why] || len(m.bound) == 0) {
-		return
-	}
-	m.draining = true
-	c.removeFromIdleList(m)
-	c.log.Debug("draining a machine", "machine", m.id, "reason", why)
-	// The claim is a condition too: a controller that was cut off must not
-	// judge machines that have long reported to another.
-	compares = append(compares, protocol.Compare{Key: keyDrain + m.id, ModRevision: c.state.ModRevision(keyDrain + m.id)})
-	c.state.Txn(m.class(), append(compares, m.ownershipCompares()...),
-		[]protocol.Op{{Put: keyDrain + m.id, Value: encode(drainRecord{why})}}, func(stateclient.TxnOutcome, []string, uint64) {
-			m.draining = false
-		})
-}
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -6,20 +6,18 @@
 	"time"
 
 	"silvergate/internal/config"
-	"silvergate/internal/job"
-	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
 	"silvergate/internal/ratelimit"
 	"silvergate/internal/stateclient"
 )
 
-// member is a controller's published state: its life and the length of its
-// idle list, which is the thesis's probe.
+// member is what a controller publishes of itself under its lease. The length of its idle
+// list is what others choose a controller for a task by.
 type member struct {
 	Incarnation  int64 `json:"l"`
 	IdleMachines int   `json:"i"`
 	Machines     int   `json:"m"`
-	Format       int   `json:"f,omitempty"` // the highest that it reads
+	Format       int   `json:"f,omitempty"` // the newest record format that it reads
 }
 
 // membership owns this controller's member key, its lease, and what the other
@@ -27,14 +25,15 @@
 type membership struct {
 	members        map[string]*member
 	formats        map[string]int // the newest record format that each controller reads, as last published
-	lease          uint64
+	lease          uint64         // our lease; 0: we have none
 	leaseTTL       time.Duration
 	leaseRenewedAt time.Duration
-	leaseInFlight  bool
-	published      string
+	leaseInFlight  bool   // a lease is being granted or renewed
+	published      string // our member record as last written; "": it must be written
 	nextPublishAt  time.Duration
 }
 
+// newMembership makes the membership of a controller that has no lease yet.
 func newMembership(cfg *config.Settings) membership {
 	return membership{
 		members:  map[string]*member{},
@@ -43,26 +42,33 @@
 	}
 }
 
-// noIncarnation is no controller's life.
-const noIncarnation = -1
+// apply takes a member record from the mirror; own tells that it is this controller's.
+func (s *membership) apply(name string, record *member, data json.RawMessage, own bool) {
+	s.members[name] = record
+	s.formats[name] = record.Format
+	// Guards against an older publication, also of an earlier incarnation, that is executed after
+	// a newer one: it has no condition, and what is published is written again only when it changes.
+	if own && string(data) != s.published {
+		s.published = ""
+	}
+}
 
-// unknownMirrorAge is the age that a controller gives before it has read the records.
-const unknownMirrorAge = time.Hour
+// leaseGranted takes a lease that was asked for at a time.
+func (s *membership) leaseGranted(lease uint64, askedAt time.Duration) {
+	s.lease = lease
+	s.leaseRenewedAt = askedAt
+	s.published = ""
+}
 
+// applyMember takes a change of a controller's member record from the mirror.
 func (c *Core) applyMember(name string, data json.RawMessage) {
 	if data == nil {
 		delete(c.membership.members, name)
 		return
 	}
-	var m member
-	if decode(c.log, name, data, &m) {
-		c.membership.members[name] = &m
-		c.membership.formats[name] = m.Format
-		// Guards against an older publication, also of an earlier life, that is carried out after
-		// a newer one: it has no condition, and what is published is written again only when it changes.
-		if name == c.cfg.Node && string(data) != c.membership.published {
-			c.membership.published = ""
-		}
+	var record member
+	if decode(c.log, name, data, &record) {
+		c.membership.apply(name, &record, data, name == c.cfg.Node)
 	}
 }
 
@@ -71,146 +77,104 @@
 	return name == c.cfg.Node || c.membership.members[name] != nil
 }
 
-// keepMembership keeps our lease, publishes our list length and tells the peers.
-func (c *Core) keepMembership() {
-	if c.links.HeartbeatDue() {
-		c.updatePeerDemand()
-		own, told := c.scaler.zoneViews[c.cfg.Node], c.scaler.unshipped.toAnnounce()
-		age := c.mirrorAge()
-		rows := c.links.LinkReports(age, c.state.Throttled())
-		blind := c.state.Loaded() && c.now-c.state.FreshAt() > seconds(c.cfg.Facts.Workers.Report)
-		for _, p := range c.cfg.Peers {
-			if blind {
-				c.queryCancellations(p.Node)
-			}
-			c.send(p.Node, peer.Message{Heartbeat: &peer.Heartbeat{MirrorAgeMS: age.Milliseconds(), Throttled: c.state.Throttled(), ReachableZones: own.reachable, UnreachableZones: own.unreachable, UnresponsiveMachines: own.unresponsive, UnshippedMachines: told, Links: rows}})
+// hasPeerBelowFormat tells whether a peer is there that does not read a record format.
+func (c *Core) hasPeerBelowFormat(format int) bool {
+	for _, controller := range c.cfg.Peers {
+		record := c.membership.members[controller.Node]
+		if record != nil && record.Format < format {
+			return true
+		}
+	}
+	return false
+}
+
+// responsibleController names the controller that is responsible for a job: its owner while
+// that lives, else the next living controller by name.
+func (c *Core) responsibleController(owner string) string {
+	if c.alive(owner) {
+		return owner
+	}
+	names := []string{c.cfg.Node}
+	for name := range c.membership.members {
+		if name != c.cfg.Node {
+			names = append(names, name)
+		}
+	}
+	sort.Strings(names)
+	for _, name := range names {
+		if name > owner {
+			return name
 		}
 	}
+	return names[0]
+}
+
+// maintainMembership keeps our lease and publishes our member record under it.
+func (c *Core) maintainMembership() {
 	if !c.state.Loaded() || c.membership.leaseInFlight {
 		return
 	}
 	if c.membership.lease == 0 {
-		c.membership.leaseInFlight = true
-		at := c.now
-		c.state.GrantLease(c.membership.leaseTTL, func(p uint64) {
-			c.membership.leaseInFlight = false
-			if p != 0 {
-				c.membership.lease, c.membership.leaseRenewedAt, c.membership.published = p, at, ""
-			} else {
-				c.membership.leaseRenewedAt = c.now
-			}
-		})
+		c.acquireLease()
 		return
 	}
 	if c.now-c.membership.leaseRenewedAt > c.membership.leaseTTL/3 {
-		c.membership.leaseInFlight = true
-		at := c.now
-		c.state.KeepAlive(c.membership.lease, func(ok, gone bool) {
-			c.membership.leaseInFlight = false
-			if ok {
-				c.membership.leaseRenewedAt = at
-			}
-			if gone {
-				c.membership.lease = 0
-			}
-		})
-	}
-	data := encode(member{c.incarnation, len(c.scheduler.idle), len(c.machines.own), latestFormat})
-	if string(data) != c.membership.published && c.now >= c.membership.nextPublishAt {
-		c.membership.nextPublishAt = c.now + c.cfg.Operator.PublishInterval
-		c.membership.published = string(data)
-		c.state.Txn(ratelimit.Background, nil, []protocol.Op{{Put: keyMember + c.cfg.Node, Value: data, Lease: c.membership.lease}},
-			func(o stateclient.TxnOutcome, _ []string, _ uint64) {
-				if o == stateclient.LeaseExpired {
-					c.membership.lease = 0
-				}
-				if o != stateclient.Committed {
-					c.membership.published = ""
-				}
-			})
+		c.renewLease()
 	}
+	c.publishMember()
 }
 
-func (c *Core) handlePeerMessage(from string, m peer.Message) {
-	switch {
-	case m.Heartbeat != nil:
-		c.links.ReceiveHeartbeat(from, time.Duration(m.Heartbeat.MirrorAgeMS)*time.Millisecond, m.Heartbeat.Throttled, m.Heartbeat.Links)
-		c.scaler.zoneViews[from] = zoneView{c.now, m.Heartbeat.ReachableZones, m.Heartbeat.UnreachableZones, m.Heartbeat.UnresponsiveMachines}
-		c.scaler.unshipped.handlePeerHeartbeat(m.Heartbeat.UnshippedMachines)
-		c.updatePeerDemand()
-	case m.RelayRequest != nil:
-		c.relayForPeer(from, m.RelayRequest)
-	case m.RelayResponse != nil:
-		if done := c.links.CompleteRelay(from, m.RelayResponse); done != nil {
-			done()
+// acquireLease asks the state service for a lease.
+func (c *Core) acquireLease() {
+	c.membership.leaseInFlight = true
+	askedAt := c.now
+	c.state.GrantLease(c.membership.leaseTTL, func(lease uint64) {
+		c.membership.leaseInFlight = false
+		if lease == 0 {
+			c.membership.leaseRenewedAt = c.now
+			return
 		}
-	case m.Forwarded != nil:
-		c.forwardMessage(from, m.Forwarded)
-	case m.CancellationQuery != nil && c.state.Loaded():
-		c.send(from, peer.Message{CancellationReply: c.knownCancellations(m.CancellationQuery)})
-	case m.CancellationReply != nil:
-		c.applyCancellations(from, m.CancellationReply)
-	case m.Handoff != nil && c.state.Loaded():
-		c.receiveHandoff(from, m.Handoff)
-	case m.HandoffReturn != nil && c.state.Loaded():
-		c.handoffReturned(m.HandoffReturn)
-	case m.RoomRequest != nil && c.state.Loaded():
-		c.offerRoom(from, m.RoomRequest)
-	case m.RoomOffer != nil && c.state.Loaded():
-		c.acceptOffer(m.RoomOffer)
-	}
+		c.membership.leaseGranted(lease, askedAt)
+	})
 }
 
-// responsibleController names the controller that looks after a job: the one that took
-// it while that lives, else the next living one by name.
-func (c *Core) responsibleController(home string) string {
-	if c.alive(home) {
-		return home
-	}
-	names := []string{c.cfg.Node}
-	for n := range c.membership.members {
-		if n != c.cfg.Node {
-			names = append(names, n)
+// renewLease renews our lease, and notes if it has expired.
+func (c *Core) renewLease() {
+	c.membership.leaseInFlight = true
+	askedAt := c.now
+	c.state.KeepAlive(c.membership.lease, func(renewed, expired bool) {
+		c.membership.leaseInFlight = false
+		if renewed {
+			c.membership.leaseRenewedAt = askedAt
 		}
-	}
-	sort.Strings(names)
-	for _, n := range names {
-		if n > home {
-			return n
+		if expired {
+			c.membership.lease = 0
 		}
-	}
-	return names[0]
+	})
 }
 
-// knownCancellations names the cancellations that an asker's records lack. Not before our own are
-// read: an earlier life of ours may have told users what this one does not know yet.
-func (c *Core) knownCancellations(a *peer.CancellationQuery) *peer.CancellationReply {
-	v := &peer.CancellationReply{AskedAt: a.AskedAt, Incarnation: a.Incarnation}
-	for _, id := range sortedKeys(c.jobs.byID) {
-		if r := c.jobs.byID[id]; r.status == job.Cancelled && r.revision > a.AppliedRevision {
-			v.Cancelled = append(v.Cancelled, id)
-		}
+// publishMember writes our member record if it has changed, and not more often than the
+// operators' setting allows.
+func (c *Core) publishMember() {
+	record := member{
+		Incarnation:  c.incarnation,
+		IdleMachines: len(c.scheduler.idle),
+		Machines:     len(c.machines.own),
+		Format:       latestFormat,
 	}
-	return v
-}
-
-// applyCancellations takes a peer's word on cancellations: as of the question, it has
-// told users of none beside those that we have seen and those it names.
-func (c *Core) applyCancellations(from string, v *peer.CancellationReply) {
-	for _, id := range v.Cancelled {
-		switch r := c.jobs.byID[id]; {
-		case r == nil:
-			c.links.NoteCancelled(id)
-		case !r.final():
-			r.status = job.Cancelled // committed, as the peer knows of it
-			c.stopTasksOf(r)
-		}
-	}
-	if v.Incarnation == 0 || v.Incarnation == c.incarnation {
-		c.links.ConfirmCancellations(from, v.AskedAt)
+	data := encode(record)
+	if string(data) == c.membership.published || c.now < c.membership.nextPublishAt {
+		return
 	}
+	c.membership.nextPublishAt = c.now + c.cfg.Operator.PublishInterval
+	c.membership.published = string(data)
+	ops := []protocol.Op{{Put: keyMember + c.cfg.Node, Value: data, Lease: c.membership.lease}}
+	c.state.Txn(ratelimit.Background, nil, ops, func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
+		if outcome == stateclient.LeaseExpired {
+			c.membership.lease = 0
+		}
+		if outcome != stateclient.Committed {
+			c.membership.published = ""
+		}
+	})
 }
-
-// cancellationProof is the time of the last proof that no cancellation was acknowledged
-// which we don't know of.
-func (c *Core) cancellationProof() time.Duration { return c.links.CancellationProof(c.state.FreshAt()) }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -354,7 +354,7 @@
 			continue
 		}
 		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == l.Attempt && !c.releasePending(rec, index) {
-			c.proposeEnding(m, rec, k, t, l)
+			c.proposeCompletion(m, rec, k, l)
 		}
 	}
 }
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -1,148 +1,247 @@
 package coordination
 
 import (
+	"net/http"
+	"slices"
+
 	"silvergate/internal/connectivity"
-	"silvergate/internal/fencing"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
-	"slices"
 )
 
-// This file decides which controller a worker is to report to.
+// This file decides which controller a worker is to send its heartbeats to.
+
+const (
+	// maxFairShare is how much more than its fair share of machines a controller may own before
+	// workers that need a claim in any case are redirected.
+	maxFairShare = 1.125
+
+	// maxFairShareOwn is the same for workers that are already its own.
+	maxFairShareOwn = 1.5
+
+	// spareHeartbeatRate is how many heartbeats a second a controller is left alone with,
+	// whatever its share is.
+	spareHeartbeatRate = 2
+
+	// rebalanceWriteShare is the divisor of the rate of writes that may be spent on
+	// rebalancing: a tenth of it.
+	rebalanceWriteShare = 10
+)
+
+// redirect answers a worker's request with the controller that it is to send its heartbeat to.
+func (c *Core) redirect(id uint64, controller string) {
+	c.respond(id, http.StatusMisdirectedRequest, protocol.Redirect{Controller: controller}, 0)
+}
 
-// lessLoadedPeer names a peer that a reporting worker is sent to. A controller in the
-// worker's own zone comes first, so that a zone that is cut off keeps its
-// tasks: inside it, they are answered on. Among those of the zone, or among all
-// where it has none, the controllers hold about as many workers each, since
-// reports and takeovers cost processor time. Workers that need a claim in any
-// case are sent on at once, others at a slow pace. Two reports a second is
-// what a controller is left alone with.
+// redirectCandidates are the controllers among which a worker's heartbeats are shared out.
+type redirectCandidates struct {
+	sameZone        []string // peers in the worker's zone that can serve it
+	all             []string // peers of any zone that can
+	sameZoneWorkers int      // the workers of those in the zone, with our own if we are there
+	allWorkers      int      // the workers of all, with our own
+}
+
+// lessLoadedPeer names a peer that a worker is redirected to, "" if it is to stay. A controller
+// in the worker's own zone comes first, so that a zone that is cut off keeps its
+// tasks: inside it, their heartbeats go on being answered. Among those of the zone, or among all
+// where it has none, the controllers own about as many workers each, since
+// heartbeats and failovers cost processor time. Workers that need a claim in any
+// case are redirected at once, others at a slow pace.
 func (c *Core) lessLoadedPeer(m *machine, zone string) string {
 	// Guards against a peer that only its peers can reach: a worker that comes
-	// back after it was sent away stays.
+	// back after it was redirected stays.
 	if m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
-	in := c.cfg.Zone == zone
-	var near, all []string
-	nearHeld, allHeld := 0, len(c.machines.own)+c.machines.claimsInFlight
-	if in {
-		nearHeld = allHeld
-	}
-	now := c.links.Snapshot()
-	// One that comes because its controller did not answer, or that runs urgent work, goes
-	// only where its zone is known to be heard.
-	sure := m.token != 0 && !c.isOwn(m) || m.urgent()
-	// Or to its own controller that has restarted since, and goes on without a new claim;
-	// unless we have had it look for that one already.
-	home := func(name string) bool {
-		return m.token != 0 && m.claim.Owner == name && m.claim.Incarnation != c.membership.members[name].Incarnation && m.awaitingHolderSince == 0
-	}
-	for i := range now.Peers {
-		p := &now.Peers[i]
-		name := p.Controller.Node
-		if c.membership.members[name] == nil || p.HeartbeatAge > now.HeartbeatInterval || !connectivity.CanServeZone(&now, p, zone, now.HeartbeatInterval) || sure && p.Relays && !home(name) && !connectivity.ProvenToHearZone(&now, p, zone) {
-			continue
-		}
-		all, allHeld = append(all, name), allHeld+c.machines.ownership.machinesByOwner[name]
-		if p.Zone == zone {
-			near, nearHeld = append(near, name), nearHeld+c.machines.ownership.machinesByOwner[name]
-		}
+	candidates := c.redirectCandidates(m, zone)
+	sameZone := c.cfg.Zone == zone
+	group := candidates.sameZone
+	workers := candidates.sameZoneWorkers
+	controllers := len(group)
+	switch {
+	case sameZone:
+		controllers++
+	case len(candidates.sameZone) == 0:
+		group = candidates.all
+		workers = candidates.allWorkers
+		controllers = 1 + len(group)
 	}
-	group, held, size := near, nearHeld, len(near)
-	if in {
-		size++
-	} else if len(near) == 0 {
-		group, held, size = all, allHeld, 1+len(all)
-	}
-	if len(group) == 0 || size == 0 {
+	if len(group) == 0 {
 		return ""
 	}
-	if !c.isOwn(m) && m.token != 0 && slices.Contains(near, m.claim.Owner) {
+	if !c.isOwn(m) && m.token != 0 && slices.Contains(candidates.sameZone, m.claim.Owner) {
 		m.redirectedAt = c.now
 		return m.claim.Owner // may go on without a new claim
 	}
-	fair := float64(held) / float64(size)
-	if in || len(near) == 0 {
-		spare := 2 * c.cfg.Facts.Workers.Report
-		most := 1.125*fair + spare
-		if c.isOwn(m) {
-			most = 1.5*fair + spare
+	weShare := sameZone || len(candidates.sameZone) == 0
+	if weShare && !c.aboveFairShare(m, float64(workers)/float64(controllers)) {
+		return ""
+	}
+	if c.isOwn(m) && !c.mayRebalance(m) {
+		return ""
+	}
+	m.redirectedAt = c.now
+	return c.leastLoaded(group)
+}
+
+// redirectCandidates finds the peers that can serve a worker of a zone.
+func (c *Core) redirectCandidates(m *machine, zone string) redirectCandidates {
+	candidates := redirectCandidates{allWorkers: c.ownWorkers()}
+	if c.cfg.Zone == zone {
+		candidates.sameZoneWorkers = c.ownWorkers()
+	}
+	snapshot := c.links.Snapshot()
+	for i := range snapshot.Peers {
+		peer := &snapshot.Peers[i]
+		if !c.canRedirectTo(&snapshot, peer, m, zone) {
+			continue
 		}
-		if float64(len(c.machines.own)+c.machines.claimsInFlight) < most {
-			return ""
+		name := peer.Controller.Node
+		workers := c.machines.ownership.machinesByOwner[name]
+		candidates.all = append(candidates.all, name)
+		candidates.allWorkers += workers
+		if peer.Zone == zone {
+			candidates.sameZone = append(candidates.sameZone, name)
+			candidates.sameZoneWorkers += workers
 		}
 	}
+	return candidates
+}
+
+// canRedirectTo tells whether a worker may be redirected to a peer.
+func (c *Core) canRedirectTo(snapshot *connectivity.Snapshot, peer *connectivity.Peer, m *machine, zone string) bool {
+	name := peer.Controller.Node
+	if c.membership.members[name] == nil || peer.HeartbeatAge > snapshot.HeartbeatInterval {
+		return false
+	}
+	if !connectivity.CanServeZone(snapshot, peer, zone, snapshot.HeartbeatInterval) {
+		return false
+	}
+	// A worker that comes because its controller did not answer, or that runs urgent work, is
+	// redirected only to a peer that is known to hear its zone; or to its own controller that
+	// has restarted since.
+	needsProof := m.token != 0 && !c.isOwn(m) || m.urgent()
+	if !needsProof || !peer.Relays || c.isRestartedOwner(name, m) {
+		return true
+	}
+	return connectivity.ProvenToHearZone(snapshot, peer, zone)
+}
+
+// isRestartedOwner tells whether a controller owns a machine and has restarted since, so that
+// it goes on without a new claim; but not if we have had the worker look for it already.
+func (c *Core) isRestartedOwner(name string, m *machine) bool {
+	if m.token == 0 || m.claim.Owner != name || m.awaitingHolderSince != 0 {
+		return false
+	}
+	return m.claim.Incarnation != c.membership.members[name].Incarnation
+}
+
+// ownWorkers counts the workers that we own or are claiming.
+func (c *Core) ownWorkers() int { return len(c.machines.own) + c.machines.claimsInFlight }
+
+// aboveFairShare tells whether we own so many more workers than our fair share that a worker
+// is to be redirected.
+func (c *Core) aboveFairShare(m *machine, fairShare float64) bool {
+	spare := spareHeartbeatRate * c.cfg.Facts.Workers.Report
+	limit := maxFairShare*fairShare + spare
 	if c.isOwn(m) {
-		// A tenth of the share of changes goes into evening out.
-		if len(m.inFlight) > 0 || len(m.stops) > 0 || !c.links.MayRebalance(seconds(10*float64(1+len(c.cfg.Peers))/c.cfg.Facts.State.WriteRPS)) {
-			return ""
-		}
+		limit = maxFairShareOwn*fairShare + spare
 	}
-	to, least := "", 0
-	for _, i := range c.random.Perm(len(group)) {
-		if n := c.machines.ownership.machinesByOwner[group[i]]; to == "" || n < least {
-			to, least = group[i], n
+	return float64(c.ownWorkers()) >= limit
+}
+
+// mayRebalance tells whether a worker of ours may be redirected now to even out the shares. A
+// tenth of a controller's share of the state service's writes is spent on that.
+func (c *Core) mayRebalance(m *machine) bool {
+	if len(m.inFlight) > 0 || len(m.stops) > 0 {
+		return false
+	}
+	controllers := float64(1 + len(c.cfg.Peers))
+	pause := seconds(rebalanceWriteShare * controllers / c.cfg.Facts.State.WriteRPS)
+	return c.links.MayRebalance(pause)
+}
+
+// leastLoaded draws one of the controllers that own the fewest machines.
+func (c *Core) leastLoaded(controllers []string) string {
+	least := ""
+	leastWorkers := 0
+	for _, i := range c.random.Perm(len(controllers)) {
+		workers := c.machines.ownership.machinesByOwner[controllers[i]]
+		if least == "" || workers < leastWorkers {
+			least = controllers[i]
+			leastWorkers = workers
 		}
 	}
-	m.redirectedAt = c.now
-	return to
+	return least
 }
 
-// adoptClaim takes up a worker that an earlier life of ours has claimed, with the
-// token that the worker knows, so that a restart costs no changes: the claims
-// of a whole fleet would take the state service's rate for half a minute.
-//
-// Guards against direct launches of the earlier life that may be carried out
-// minutes late. That life forgot or released nothing while a launch of it was
-// unanswered, so what can still come are launches of attempts that are bound.
-// The worker must list those of its session, as a launch of what it has does nothing; and
-// all that it lists is treated as launches under way: none is forgotten or
-// released for being absent before a new token is seen, which is taken when one
-// of them ends.
-func (c *Core) adoptClaim(m *machine, r *protocol.Heartbeat) {
-	if c.isOwn(m) || m.claiming || m.token == 0 || m.claim.Owner != c.cfg.Node || m.claim.Incarnation == c.incarnation || r.FencingToken != m.token {
-		return
+// receiverWhileCutOff names a peer that a worker is redirected to while we can't reach the
+// state service by any way, "" if there is none: one that can serve it, by a recent heartbeat.
+// If none is recent, and no peer relays for us, one that could when it was last heard, and in
+// an order that has urgent work claimed there before our own time to answer is over.
+func (c *Core) receiverWhileCutOff(heartbeat *protocol.Heartbeat) string {
+	period := seconds(c.cfg.Facts.Workers.Report)
+	cutOffFor := c.now - c.state.FreshAt() - period
+	if cutOffFor < 0 || !c.state.Loaded() {
+		return ""
 	}
-	listed := map[taskAttempt]bool{}
-	for _, l := range r.Tasks {
-		if id, i, err := job.ParseTaskName(l.Task); err == nil {
-			listed[taskAttempt{taskKey{id, i}, l.Attempt}] = true
-		}
+	snapshot := c.links.Snapshot()
+	m := c.machine(heartbeat.Worker)
+	owner := ""
+	if m.token != 0 && !c.isOwn(m) {
+		owner = m.claim.Owner
 	}
-	for k := range m.bound {
-		if a, ok := c.boundHere(m, k); ok && !fencing.Adoptable(heartbeatHead(r), a, listed[taskAttempt{k, a.Number}]) {
-			return
-		}
+	if peer := connectivity.ChooseReceiver(&snapshot, heartbeat.Zone, heartbeat.Worker, owner, period); peer != "" {
+		c.links.Stats.WorkersRedirected++
+		return peer
+	}
+	remaining := c.cancelHorizon() - (c.now - c.cancellationProof())
+	// Guards against a controller that takes an outage for a cut of its own and redirects
+	// its workers in circles: one that comes back stays while it can be answered.
+	if remaining > 0 && m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
+		return ""
 	}
-	// Our records were read after that life had ended, with all that it did.
-	m.adopted, m.launchInDoubt, m.mirrorComplete = true, false, true
-	m.epoch, m.sequence, m.heardAt, m.answeredAt = 0, 0, c.now, 0
-	m.inFlight = listed // also what has ended: it may not be forgotten yet
-	c.updateOwnMachines(m)
-	c.Stats.Adopted++
+	if remaining > 0 && c.isOwn(m) && !connectivity.ShouldHandOver(m.workload(), cutOffFor, remaining) {
+		return ""
+	}
+	peer := connectivity.ChooseReceiver(&snapshot, heartbeat.Zone, heartbeat.Worker, owner, c.leaseExpiry())
+	if peer != "" {
+		m.redirectedAt = c.now
+		c.links.Stats.WorkersRedirected++
+	}
+	return peer
+}
+
+// workload is how urgent the work on a machine is.
+func (m *machine) workload() connectivity.Workload {
+	switch {
+	case m.urgent():
+		return connectivity.UrgentWorkload
+	case len(m.bound) > 0:
+		return connectivity.OtherWorkload
+	}
+	return connectivity.NoWorkload
 }
 
 // awaitsHolder tells whether a worker should look for its own controller a little
 // longer: one in its zone that was there a moment ago and, if it comes back,
-// goes on without a new claim. A quarter of the lease leaves time to take the
-// worker over.
-func (c *Core) awaitsHolder(m *machine, r *protocol.Heartbeat) bool {
-	if m.token == 0 || r.FencingToken != m.token {
+// goes on without a new claim. A quarter of the lease leaves time to claim the worker here.
+func (c *Core) awaitsHolder(m *machine, heartbeat *protocol.Heartbeat) bool {
+	if m.token == 0 || heartbeat.FencingToken != m.token {
 		return false
 	}
-	now := c.links.Snapshot()
-	p := now.Find(m.claim.Owner)
-	if p == nil || p.Zone != r.Zone {
+	snapshot := c.links.Snapshot()
+	owner := snapshot.Find(m.claim.Owner)
+	if owner == nil || owner.Zone != heartbeat.Zone {
 		return false
 	}
-	if p.HeartbeatAge < now.HeartbeatInterval && p.MirrorAgeMS < unknownMirrorAge.Milliseconds() {
-		return false // it is there, and has sent the worker on
+	if owner.HeartbeatAge < snapshot.HeartbeatInterval && owner.MirrorAgeMS < unknownMirrorAge.Milliseconds() {
+		return false // it is there, and has redirected the worker
 	}
 	// Guards against workers of a controller that is cut off: they come
-	// after a report period and a wait for its answer, with little left of
+	// after a heartbeat period and a wait for its answer, with little left of
 	// their lease. One that was restarted is back before that.
-	if !connectivity.MayRecover(&now, p, seconds(c.cfg.Facts.Workers.Lease/3)) {
+	if !connectivity.MayRecover(&snapshot, owner, seconds(c.cfg.Facts.Workers.Lease/3)) {
 		return false
 	}
 	if m.awaitingHolderSince == 0 {
@@ -151,51 +250,68 @@
 	return c.now-m.awaitingHolderSince < seconds(c.cfg.Facts.Workers.Lease/4)
 }
 
-// fenceLaunchesOfFinalJobs has the worker answered with a new token alone while a direct launch for a job
-// that is over may still be carried out on it: until the call is given up nothing else
+// fenceLaunchesOfFinalJobs has a worker answered only under a new token while a direct launch
+// for a job that is over may still be executed on it: until the call is given up nothing else
 // shows that it is late, and an answer under the old token would let it start what was cancelled
-// for a lease longer. What the worker lists has come; a launch of that does nothing.
-func (c *Core) fenceLaunchesOfFinalJobs(m *machine, r *protocol.Heartbeat) {
-	if !c.isOwn(m) || m.launchInDoubt || len(m.inFlight) == 0 {
+// for a lease longer. What the worker lists has arrived; a launch of that does nothing.
+func (c *Core) fenceLaunchesOfFinalJobs(m *machine, heartbeat *protocol.Heartbeat) {
+	if !c.isOwn(m) || m.launchInDoubt {
 		return
 	}
-	for a := range m.inFlight {
-		if !c.knownFinal(a.job) {
-			continue
-		}
-		name := job.TaskName(a.job, a.index)
-		if !slices.ContainsFunc(r.Tasks, func(l protocol.TaskStatus) bool { return l.Task == name && l.Attempt == a.number }) {
+	for attempt := range m.inFlight {
+		if c.knownFinal(attempt.job) && !lists(heartbeat, attempt) {
 			m.launchInDoubt = true
 			return
 		}
 	}
 }
 
-// shouldRedirectToHolder tells whether a worker is better sent to the living controller that holds it than
-// claimed: in an outage nobody else can answer it, and one that has just been claimed and has not
-// heard so yet is heard there, not here.
+// lists tells whether a heartbeat lists an attempt.
+func lists(heartbeat *protocol.Heartbeat, attempt taskAttempt) bool {
+	name := job.TaskName(attempt.job, attempt.index)
+	return slices.ContainsFunc(heartbeat.Tasks, func(status protocol.TaskStatus) bool {
+		return status.Task == name && status.Attempt == attempt.number
+	})
+}
+
+// shouldRedirectToHolder tells whether a worker is better redirected to the reachable controller
+// that owns it than claimed: in an outage nobody else can answer it, and one that has just been
+// claimed and has not received that answer yet is answered there, not here.
 //
 // Guards against a worker whose one answer was lost in an outage and whose lease ran out
 // on its way round, 3 s for each claim that was refused in the end; and against machines that hear
 // nobody for so long that their leases end: each went round the controllers, and each of those wrote a claim.
 //
-// Once in a lease: a holder that may not answer any more refuses it at once, and what
+// Once in a lease: an owner that may not answer any more refuses it at once, and what
 // waits for the claim's refusal here keeps a whole site's workers from going to and fro. One that comes back within
-// it was not answered there: sent home each time, it spent its whole lease between a controller whose
+// it was not answered there: redirected to its owner each time, it spent its whole lease between a controller whose
 // link to the state service flapped and one that could not hear its zone.
-func (c *Core) shouldRedirectToHolder(m *machine, r *protocol.Heartbeat) bool {
+func (c *Core) shouldRedirectToHolder(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if m.token == 0 || c.isOwn(m) || !c.links.HolderReachable(m.claim.Owner) {
 		return false
 	}
-	// With work on it a claim is worth its try here: its holder may be the one that can't be heard.
-	// A whole group that has just been taken over is told by those that come to its holder: elsewhere each would need a claim.
-	// But not if it says that it does not hear the zone.
-	now := c.links.Snapshot()
-	passed := m.failedOver() && !connectivity.ZoneLost(&now, m.claim.Owner, m.claim.Zone)
-	unheard := (len(r.Tasks) == 0 || passed) && r.FencingToken < m.token && c.now-m.claimedAt < seconds(c.cfg.Facts.Workers.Lease/3)
-	if !c.cutOff() && !unheard || m.redirectedToHolder > 0 && c.now-m.redirectedToHolder < c.leaseExpiry() {
+	if !c.cutOff() && !c.awaitsFirstAnswer(m, heartbeat) {
+		return false
+	}
+	if m.redirectedToHolder > 0 && c.now-m.redirectedToHolder < c.leaseExpiry() {
 		return false
 	}
 	m.redirectedToHolder = c.now
 	return true
 }
+
+// awaitsFirstAnswer tells whether a worker has a new owner that it has not heard of yet, and
+// should.
+func (c *Core) awaitsFirstAnswer(m *machine, heartbeat *protocol.Heartbeat) bool {
+	if heartbeat.FencingToken >= m.token || c.now-m.claimedAt >= seconds(c.cfg.Facts.Workers.Lease/3) {
+		return false
+	}
+	if len(heartbeat.Tasks) == 0 {
+		return true
+	}
+	// With work on it a claim is worth trying here: its owner may be the one that can't be heard.
+	// But the workers of a whole group that has just failed over learn of it from their new owner:
+	// elsewhere each would need a claim. Unless that one says that it does not hear the zone.
+	snapshot := c.links.Snapshot()
+	return m.failedOver() && !connectivity.ZoneLost(&snapshot, m.claim.Owner, m.claim.Zone)
+}
