--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -69,9 +69,9 @@
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && (m.claim.Incarnation == c.incarnation || m.adopted)
 }
 
-// heldByEarlierIncarnation tells whether an earlier incarnation of ours has claimed the
+// ownedByEarlierIncarnation tells whether an earlier incarnation of ours has claimed the
 // machine, and nobody since.
-func (c *Core) heldByEarlierIncarnation(m *machine) bool {
+func (c *Core) ownedByEarlierIncarnation(m *machine) bool {
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && !c.isOwn(m)
 }
 
@@ -151,7 +151,7 @@
 	m.mirrorComplete = false
 	m.leaseExpired = false
 	m.adopted = false
-	m.awaitingHolderSince = 0
+	m.awaitingOwnerSince = 0
 	m.queuedLaunches = nil
 	m.deferredLaunches = nil
 	m.reoccupy()
@@ -242,7 +242,7 @@
 // released for being absent before a new token is seen, which is taken when one
 // of them ends.
 func (c *Core) adoptClaim(m *machine, heartbeat *protocol.Heartbeat) {
-	if !c.heldByEarlierIncarnation(m) || m.claiming || m.claim.Incarnation == c.incarnation || heartbeat.FencingToken != m.token {
+	if !c.ownedByEarlierIncarnation(m) || m.claiming || m.claim.Incarnation == c.incarnation || heartbeat.FencingToken != m.token {
 		return
 	}
 	listed := map[taskAttempt]bool{}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -159,7 +159,7 @@
 	awaited := map[string]int{}
 	if c.inheritsMachines() {
 		for _, m := range c.machines.byID {
-			if c.heldByEarlierIncarnation(m) {
+			if c.ownedByEarlierIncarnation(m) {
 				awaited[m.claim.Zone]++
 			}
 		}
@@ -232,7 +232,7 @@
 	singleFailures := othersHeard && (missing < minUnreachableMachines || 4*missing <= 3*c.scaler.inherited)
 	for _, id := range sortedKeys(c.machines.byID) {
 		m := c.machines.byID[id]
-		if c.heldByEarlierIncarnation(m) && !m.claiming {
+		if c.ownedByEarlierIncarnation(m) && !m.claiming {
 			c.checkInheritedMachine(m, singleFailures)
 		}
 	}
@@ -243,7 +243,7 @@
 func (c *Core) countInheritedMachines() int {
 	count := 0
 	for _, m := range c.machines.byID {
-		if c.heldByEarlierIncarnation(m) && !m.claiming {
+		if c.ownedByEarlierIncarnation(m) && !m.claiming {
 			count++
 		}
 	}
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -69,11 +69,11 @@
 		c.refuse(id, http.StatusServiceUnavailable, "being claimed")
 		return
 	}
-	if c.awaitsHolder(m, heartbeat) {
+	if c.awaitsOwner(m, heartbeat) {
 		c.refuse(id, http.StatusServiceUnavailable, "its own controller may be back soon")
 		return
 	}
-	if c.shouldRedirectToHolder(m, heartbeat) {
+	if c.shouldRedirectToOwner(m, heartbeat) {
 		c.redirect(id, m.claim.Owner)
 		return
 	}
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -71,9 +71,9 @@
 	leaseExpired   bool             // its lease is over and its tasks were given up
 	preempted      bool             // it has been given notice by the cloud
 
-	redirectedToHolder  time.Duration // when it was last redirected to its owner, see shouldRedirectToHolder
+	redirectedToOwnerAt time.Duration // when it was last redirected to its owner, see shouldRedirectToOwner
 	redirectedAt        time.Duration // when a heartbeat was last redirected to another controller
-	awaitingHolderSince time.Duration // when it first came here while its own controller was down
+	awaitingOwnerSince  time.Duration // when it first came here while its own controller was down
 }
 
 // launchState is the launches that are on their way to a machine, and the tasks that are
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -130,7 +130,7 @@
 // isRestartedOwner tells whether a controller owns a machine and has restarted since, so that
 // it goes on without a new claim; but not if we have had the worker look for it already.
 func (c *Core) isRestartedOwner(name string, m *machine) bool {
-	if m.token == 0 || m.claim.Owner != name || m.awaitingHolderSince != 0 {
+	if m.token == 0 || m.claim.Owner != name || m.awaitingOwnerSince != 0 {
 		return false
 	}
 	return m.claim.Incarnation != c.membership.members[name].Incarnation
@@ -223,10 +223,10 @@
 	return connectivity.NoWorkload
 }
 
-// awaitsHolder tells whether a worker should look for its own controller a little
+// awaitsOwner tells whether a worker should look for its own controller a little
 // longer: one in its zone that was there a moment ago and, if it comes back,
 // goes on without a new claim. A quarter of the lease leaves time to claim the worker here.
-func (c *Core) awaitsHolder(m *machine, heartbeat *protocol.Heartbeat) bool {
+func (c *Core) awaitsOwner(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if m.token == 0 || heartbeat.FencingToken != m.token {
 		return false
 	}
@@ -244,10 +244,10 @@
 	if !connectivity.MayRecover(&snapshot, owner, seconds(c.cfg.Facts.Workers.Lease/3)) {
 		return false
 	}
-	if m.awaitingHolderSince == 0 {
-		m.awaitingHolderSince = c.now
+	if m.awaitingOwnerSince == 0 {
+		m.awaitingOwnerSince = c.now
 	}
-	return c.now-m.awaitingHolderSince < seconds(c.cfg.Facts.Workers.Lease/4)
+	return c.now-m.awaitingOwnerSince < seconds(c.cfg.Facts.Workers.Lease/4)
 }
 
 // fenceLaunchesOfFinalJobs has a worker answered only under a new token while a direct launch
@@ -274,7 +274,7 @@
 	})
 }
 
-// shouldRedirectToHolder tells whether a worker is better redirected to the reachable controller
+// shouldRedirectToOwner tells whether a worker is better redirected to the reachable controller
 // that owns it than claimed: in an outage nobody else can answer it, and one that has just been
 // claimed and has not received that answer yet is answered there, not here.
 //
@@ -286,17 +286,17 @@
 // waits for the claim's refusal here keeps a whole site's workers from going to and fro. One that comes back within
 // it was not answered there: redirected to its owner each time, it spent its whole lease between a controller whose
 // link to the state service flapped and one that could not hear its zone.
-func (c *Core) shouldRedirectToHolder(m *machine, heartbeat *protocol.Heartbeat) bool {
+func (c *Core) shouldRedirectToOwner(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if m.token == 0 || c.isOwn(m) || !c.links.HolderReachable(m.claim.Owner) {
 		return false
 	}
 	if !c.cutOff() && !c.awaitsFirstAnswer(m, heartbeat) {
 		return false
 	}
-	if m.redirectedToHolder > 0 && c.now-m.redirectedToHolder < c.leaseExpiry() {
+	if m.redirectedToOwnerAt > 0 && c.now-m.redirectedToOwnerAt < c.leaseExpiry() {
 		return false
 	}
-	m.redirectedToHolder = c.now
+	m.redirectedToOwnerAt = c.now
 	return true
 }
 
