--- a/internal/coordination/apart_test.go
+++ b/internal/coordination/apart_test.go
@@ -144,7 +144,7 @@
 	}
 	for i, k := range copies {
 		for _, later := range []string{"it runs", "in the next session", "under a new token"} {
-			s := launching(t)
+			s := newScriptWithLaunch(t)
 			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120, Tasks: []protocol.TaskStatus{running}})
 			s.at += time.Second
 			s.report(120, 5, running)
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -15,23 +15,23 @@
 )
 
 // takeoverDay is what came of a day on which one controller ends for good, or all end.
-type takeoverDay struct {
-	workers   int           // that were held by those that ended
-	changes   int           // claims and take-overs written within a minute of it
-	takeovers int           // of them
-	half      time.Duration // until half, nine tenths and 99% of the workers were answered
-	most      time.Duration
-	nearly    time.Duration
-	ended     int // sessions with tasks that ended by their leases
+type failoverDay struct {
+	workers       int           // that were held by those that ended
+	changes       int           // claims and take-overs written within a minute of it
+	failovers     int           // of them
+	half          time.Duration // until half, nine tenths and 99% of the workers were answered
+	most          time.Duration
+	nearly        time.Duration
+	expiredLeases int // sessions with tasks that ended by their leases
 }
 
-func (d takeoverDay) String() string {
+func (d failoverDay) String() string {
 	return fmt.Sprintf("%d workers, %d changes (%d take-overs), answered after %.1f, %.1f, %.1f s (half, 90%%, 99%%), %d leases ended with tasks",
-		d.workers, d.changes, d.takeovers, d.half.Seconds(), d.most.Seconds(), d.nearly.Seconds(), d.ended)
+		d.workers, d.changes, d.failovers, d.half.Seconds(), d.most.Seconds(), d.nearly.Seconds(), d.expiredLeases)
 }
 
 // playTakeover plays a grown deployment with times as many machines and as much work.
-func playTakeover(t *testing.T, seed uint64, times int, grouped, all bool) takeoverDay {
+func playFailover(t *testing.T, seed uint64, times int, grouped, all bool) failoverDay {
 	s := grownSim(t, seed)
 	s.alone = !grouped
 	for k := range s.cloud.free {
@@ -57,7 +57,7 @@
 			}
 		}
 	}
-	d := takeoverDay{workers: len(lost)}
+	d := failoverDay{workers: len(lost)}
 	ended, takeovers, reclaimed, begun := s.met.ended, s.met.takeovers, s.met.reclaimed, s.now
 	for _, n := range ending {
 		down := time.Hour
@@ -84,8 +84,8 @@
 	}
 	look()
 	s.run(begun + time.Minute)
-	d.takeovers = s.met.takeovers - takeovers
-	d.changes = d.takeovers + s.met.reclaimed - reclaimed
+	d.failovers = s.met.takeovers - takeovers
+	d.changes = d.failovers + s.met.reclaimed - reclaimed
 	slices.Sort(answered)
 	d.workers = len(answered) + len(lost) // without those that were returned meanwhile
 	at := func(share float64) time.Duration {
@@ -96,7 +96,7 @@
 		return answered[i]
 	}
 	d.half, d.most, d.nearly = at(0.5), at(0.9), at(0.99)
-	d.ended = s.met.ended - ended
+	d.expiredLeases = s.met.ended - ended
 	s.report(t)
 	return d
 }
@@ -119,10 +119,10 @@
 		}
 	}
 	for _, n := range times {
-		grouped, alone := playTakeover(t, 71, n, true, false), playTakeover(t, 71, n, false, false)
+		grouped, alone := playFailover(t, 71, n, true, false), playFailover(t, 71, n, false, false)
 		t.Logf("%d times, one ends, by the group: %s", n, grouped)
 		t.Logf("%d times, one ends, one by one:   %s", n, alone)
-		if grouped.takeovers == 0 || alone.takeovers > 0 || grouped.changes*3 > alone.changes {
+		if grouped.failovers == 0 || alone.failovers > 0 || grouped.changes*3 > alone.changes {
 			t.Errorf("%d times: %d changes by the group, %d one by one", n, grouped.changes, alone.changes)
 		}
 		if lease := seconds(grownSim(t, 1).facts.Workers.Lease); grouped.most > 3*lease/4 {
@@ -131,13 +131,13 @@
 		if os.Getenv("SIM_TIMES") == "" {
 			continue
 		}
-		t.Logf("%d times, all end, by the group: %s", n, playTakeover(t, 72, n, true, true))
-		t.Logf("%d times, all end, one by one:   %s", n, playTakeover(t, 72, n, false, true))
+		t.Logf("%d times, all end, by the group: %s", n, playFailover(t, 72, n, true, true))
+		t.Logf("%d times, all end, one by one:   %s", n, playFailover(t, 72, n, false, true))
 	}
 }
 
 // TestTakeoverSwitch: the operators' setting turns it off, and it is on by default.
-func TestTakeoverSwitch(t *testing.T) {
+func TestGroupFailoverSetting(t *testing.T) {
 	if !config.DefaultOperator().GroupTakeover {
 		t.Error("take-overs by the group are off by default")
 	}
@@ -149,7 +149,7 @@
 
 // withoutTakeovers is a transaction as the version before take-overs writes it: its claims and
 // member records know of none, and nothing is conditional on any.
-func withoutTakeovers(t protocol.Txn) protocol.Txn {
+func withoutFailovers(t protocol.Txn) protocol.Txn {
 	t.Compares = slices.DeleteFunc(slices.Clone(t.Compares), func(k protocol.Compare) bool { return strings.HasPrefix(k.Key, keyTakeover) })
 	t.Ops = slices.Clone(t.Ops)
 	for i, o := range t.Ops {
@@ -170,7 +170,7 @@
 }
 
 // unseenTakeovers has that version see no record of take-overs, nor an epoch in a claim.
-func unseenTakeovers(reply func(int, []byte)) func(int, []byte) {
+func hideFailovers(reply func(int, []byte)) func(int, []byte) {
 	return func(status int, body []byte) {
 		var watch protocol.WatchResult
 		var page protocol.KeyValuePage
@@ -208,7 +208,7 @@
 // TestVersionsWithAndWithoutTakeovers rolls a site from the version before take-overs to this one
 // and back, while controllers end and lose their workers. As long as a controller of the earlier
 // version is there none takes a group over, and what had passed by groups is claimed one by one.
-func TestVersionsWithAndWithoutTakeovers(t *testing.T) {
+func TestVersionsWithAndWithoutFailovers(t *testing.T) {
 	for _, seed := range []uint64{81, 82, 83} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
@@ -232,17 +232,17 @@
 			cut(80*time.Second, 4)
 			end(95*time.Second, 1)
 			written := 0 // take-overs while all run this version
-			s.after(112*time.Second, func() { written = s.countTakeovers() })
+			s.after(112*time.Second, func() { written = s.countFailovers() })
 			end(125*time.Second, 0)
 			cut(165*time.Second, 3)
-			s.after(215*time.Second, func() { written = s.countTakeovers() - written })
+			s.after(215*time.Second, func() { written = s.countFailovers() - written })
 			roll(220*time.Second, true)
 			end(235*time.Second, 2)
 			s.run(260 * time.Second)
-			before := s.countTakeovers()
+			before := s.countFailovers()
 			end(270*time.Second-s.now, 3)
 			s.run(300 * time.Second)
-			if after := s.countTakeovers(); after != before || written == 0 {
+			if after := s.countFailovers(); after != before || written == 0 {
 				t.Errorf("%d take-overs among this version; %d among the earlier one", written, after-before)
 			}
 			s.finish(t, 350*time.Second)
@@ -252,21 +252,21 @@
 }
 
 // countTakeovers counts the records of take-overs that were ever written.
-func (s *sim) countTakeovers() int { return s.met.takeovers }
+func (s *sim) countFailovers() int { return s.met.takeovers }
 
 // TestAGroupThatPassesOnTwice: the claims of a life whose workers were taken over are of a new
 // epoch, so that a second loss is taken over by the group, too; and records that nothing stands on
 // are dropped.
-func TestAGroupThatPassesOnTwice(t *testing.T) {
+func TestAGroupThatFailsOverTwice(t *testing.T) {
 	s := grownSim(t, 84)
 	s.loadGrown(260 * time.Second)
 	for _, at := range []time.Duration{60, 150} {
 		s.after(at*time.Second, func() { s.cutLink(s.nodes[0], "workers", 30*time.Second) })
 	}
 	s.run(145 * time.Second)
-	first := s.countTakeovers()
+	first := s.countFailovers()
 	s.run(220 * time.Second)
-	if second := s.countTakeovers() - first; first == 0 || second == 0 {
+	if second := s.countFailovers() - first; first == 0 || second == 0 {
 		t.Errorf("%d take-overs after the first loss, %d after the second", first, second)
 	}
 	s.finish(t, 320*time.Second)
@@ -294,7 +294,7 @@
 // TestADeafControllerTakesNoGroupOver plays the drawn day on which one did: cut off from all workers,
 // it took a group over by a report that was held back on its way, and the others sent the group's
 // workers to it until their leases ended, two urgent tasks among theirs.
-func TestADeafControllerTakesNoGroupOver(t *testing.T) {
+func TestAControllerThatHearsNoWorkersFailsNoGroupOver(t *testing.T) {
 	s := drawnCuts(t, 9698)
 	s.report(t)
 	if s.saved.urgent > 0 || s.saved.other > 0 {
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -14,14 +14,14 @@
 )
 
 // tells tells whether messages from n reach o.
-func (n *simNode) tells(o *simNode) bool {
+func (n *simNode) reachesPeer(o *simNode) bool {
 	now := n.s.now
 	return n.cut["peers"] <= now && o.cut["peers"] <= now && n.cut["to:"+o.name] <= now
 }
 
 // said is a message as the other side reads it: a version before rows and carried calls
 // passes over what it does not know, as gob does.
-func (n *simNode) said(o *simNode, m peer.Message) (peer.Message, bool) {
+func (n *simNode) asReadBy(o *simNode, m peer.Message) (peer.Message, bool) {
 	s := n.s
 	if s.noCarrier && m.RelayRequest != nil {
 		return m, false
@@ -34,7 +34,7 @@
 		b := *m.Heartbeat
 		switch b.Links = nil; {
 		case s.lies && !n.old && !o.old:
-			b.Links = s.lie()
+			b.Links = s.drawLinkReports()
 		}
 		m.Heartbeat = &b
 	}
@@ -48,7 +48,7 @@
 }
 
 // lie draws rows that mean nothing.
-func (s *sim) lie() []connectivity.LinkReport {
+func (s *sim) drawLinkReports() []connectivity.LinkReport {
 	var out []connectivity.LinkReport
 	for range 1 + s.rnd.IntN(5) {
 		r := connectivity.LinkReport{Node: s.anyNode().name, AgeMS: s.rnd.Int64N(20_000) - 1000, StateServiceMS: s.rnd.Int64N(6000) - 500, MirrorAgeMS: s.rnd.Int64N(6000) - 500,
@@ -68,7 +68,7 @@
 
 // wayLosses counts tasks that were killed by their lease, by whether a way from their
 // worker to the state service was up, through one controller, for the whole of it.
-type wayLosses struct {
+type pathLosses struct {
 	urgent, other int // there was a way
 	cut           int // there was none, or none that could be found in a lease: each try of a controller that holds takes 5 s
 	since         map[string]map[string]time.Duration
@@ -76,7 +76,7 @@
 
 // watchWays notes since when each worker has had a way through each controller:
 // worker to controller to state service, or to a peer that has it.
-func (s *sim) watchWays() {
+func (s *sim) watchPaths() {
 	if s.saved.since == nil {
 		s.saved.since = map[string]map[string]time.Duration{}
 	}
@@ -87,7 +87,7 @@
 	for _, n := range s.nodes {
 		served := states[n]
 		for _, o := range s.nodes {
-			served = served || n.frozen <= s.now && n.core != nil && states[o] && n.tells(o) && o.tells(n)
+			served = served || n.frozen <= s.now && n.core != nil && states[o] && n.reachesPeer(o) && o.reachesPeer(n)
 		}
 		up := s.saved.since[n.name]
 		if up == nil {
@@ -103,11 +103,11 @@
 			}
 		}
 	}
-	s.after(100*time.Millisecond, s.watchWays)
+	s.after(100*time.Millisecond, s.watchPaths)
 }
 
 // judgeLoss counts what a worker's lease ends.
-func (w *simWorker) judgeLoss() {
+func (w *simWorker) countLeaseLosses() {
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
 	if s.saved.since == nil || w.hung > s.now-lease {
@@ -188,7 +188,7 @@
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+1), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 0, 0)
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+11), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Low, Tasks: 6, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 90, 0)
 	}
-	s.watchWays()
+	s.watchPaths()
 	s.after(50*time.Second, func() {
 		for _, c := range cuts {
 			c()
@@ -262,7 +262,7 @@
 	s.traceTo(t, seed)
 	s.unordered = true // cuts and late watches: see judgeOrder
 	s.loadGrown(3 * time.Minute)
-	s.watchWays()
+	s.watchPaths()
 	kinds := s.cuts()
 	var next func()
 	next = func() {
@@ -317,7 +317,7 @@
 
 // TestRenterWithoutTheCloudGivesWay cuts the controller that rents off from the cloud alone: another
 // rents soon, and it stays so. Where the cloud answers nobody, the lease stays where it is.
-func TestRenterWithoutTheCloudGivesWay(t *testing.T) {
+func TestLeaderWithoutTheCloudGivesWay(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		s := newSim(t, 9950, 0)
 		s.load(3 * time.Minute)
@@ -356,7 +356,7 @@
 }
 
 // TestRulesDoNotDependOnRows has beats tell drawn rows, on days with drawn cuts.
-func TestRulesDoNotDependOnRows(t *testing.T) {
+func TestRulesDoNotDependOnLinkReports(t *testing.T) {
 	drawnDays(t, 9700, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
 		s.unordered, s.lies = true, true
--- a/internal/coordination/redirect_test.go
+++ b/internal/coordination/redirect_test.go
@@ -14,7 +14,7 @@
 
 // launching is a script whose controller, n1, has taken i-000001 over, with a task bound there
 // in session 1, launched directly and not yet answered.
-func launching(t *testing.T) *script {
+func newScriptWithLaunch(t *testing.T) *script {
 	s := newScript(t)
 	s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
 	if s.launches() != 1 {
@@ -38,7 +38,7 @@
 		{"cancelled, and the launch has not come", []string{"wk-700000"}, nil, false},
 		{"cancelled, and the launch has come", []string{"wk-700000"}, []protocol.TaskStatus{load}, true},
 	} {
-		s := launching(t)
+		s := newScriptWithLaunch(t)
 		s.take(s.c.Peer(s.clock(), "n0", peer.Message{CancellationReply: &peer.CancellationReply{Cancelled: v.vouch}}))
 		s.at += 300 * time.Millisecond
 		a := s.report(120, 3, v.loads...)
@@ -57,9 +57,9 @@
 // TestALaterSessionEndsWhatADeafMachineRan guards against tasks that stayed bound to a machine that hears
 // nobody: its reports came with an old token, nothing in them was believed, and its lease had
 // ended everything long ago.
-func TestALaterSessionEndsWhatADeafMachineRan(t *testing.T) {
+func TestALaterEpochReleasesTasksOfAnUnresponsiveMachine(t *testing.T) {
 	for _, epoch := range []uint64{1, 2} {
-		s := launching(t)
+		s := newScriptWithLaunch(t)
 		s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 3, FencingToken: 120,
 			Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}}})
 		// Another controller claims it and the worker does not hear of it; it comes back here.
@@ -87,7 +87,7 @@
 
 // TestWorkersAreSentToTheirHolder guards against workers that lost one answer in an outage and their lease on
 // the way round, and against a claim by each controller for each machine that is deaf.
-func TestWorkersAreSentToTheirHolder(t *testing.T) {
+func TestWorkersAreRedirectedToTheirOwner(t *testing.T) {
 	for _, v := range []struct {
 		name    string
 		baton   uint64        // what the worker shows; its claim is 110
@@ -206,7 +206,7 @@
 }
 
 // TestOutlivedNeedsALaterSession is the table of fencing.Outlived.
-func TestOutlivedNeedsALaterSession(t *testing.T) {
+func TestReleaseNeedsALaterEpoch(t *testing.T) {
 	for shift := uint64(1); shift <= 3; shift++ {
 		act, kind := fencing.JudgeEarlierEpoch(fencing.Heartbeat{Epoch: shift}, fencing.Attempt{Epoch: 2})
 		if (act == fencing.Release && kind == fencing.NewerEpoch) != (shift == 3) {
@@ -217,9 +217,9 @@
 
 // TestAnOvertakenReportIsAnsweredWithStops guards the cancel horizon: the answer to a report that a direct launch
 // had overtaken renewed the lease and stopped only what the report listed, which was before the launch.
-func TestAnOvertakenReportIsAnsweredWithStops(t *testing.T) {
+func TestAnOvertakenHeartbeatIsAnsweredWithStops(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
-		s := launching(t)
+		s := newScriptWithLaunch(t)
 		s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120,
 			Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}}})
 		if cancelled {
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -64,7 +64,7 @@
 	mute      bool               // broken on purpose: peers name no cancellations
 	noCarrier bool               // broken on purpose: nobody carries calls of the state service
 	lies      bool               // rows of beats are drawn, not true
-	saved     wayLosses          // tasks killed by leases, judged by the ways that were up
+	saved     pathLosses         // tasks killed by leases, judged by the ways that were up
 	judged    int                // launches of lesser work while production work waited
 	lateTxns  float64            // share of transactions without an answer that are carried out later, after newer ones
 	copies    float64            // share of reports of which a copy comes again, up to more than a lease later
@@ -282,10 +282,10 @@
 	}
 	for _, m := range e.Sends {
 		for _, o := range s.nodes {
-			if o.name != m.To || !n.tells(o) || s.rnd.Float64() < s.noise {
+			if o.name != m.To || !n.reachesPeer(o) || s.rnd.Float64() < s.noise {
 				continue
 			}
-			msg, ok := n.said(o, m.Message)
+			msg, ok := n.asReadBy(o, m.Message)
 			if !ok {
 				continue
 			}
@@ -528,7 +528,7 @@
 		_ = json.Unmarshal(c.Body, &t)
 	}
 	if n.legacy {
-		t, reply = withoutTakeovers(t), unseenTakeovers(reply)
+		t, reply = withoutFailovers(t), hideFailovers(reply)
 	}
 	if k.over(len(t.Ops)) {
 		reply(429, nil)
@@ -822,7 +822,7 @@
 	}
 	over := max(w.answered, w.began) + seconds(w.s.facts.Workers.Lease)
 	if w.s.now > over {
-		w.judgeLoss()
+		w.countLeaseLosses()
 		w.countCaution()
 		if len(w.loads) > 0 {
 			w.s.met.ended++
--- a/internal/coordination/unshipped_test.go
+++ b/internal/coordination/unshipped_test.go
@@ -54,7 +54,7 @@
 // TestLaunchesAreSealed guards against a launch without the controller's word for the
 // archive, or with a word for another attempt or machine; and against one for a job
 // whose owner is not the one that was accepted.
-func TestLaunchesAreSealed(t *testing.T) {
+func TestLaunchesCarryGrants(t *testing.T) {
 	s := newSim(t, 6, 0)
 	key := archive.GrantKey(make([]byte, archive.KeySize))
 	seals := 0
