--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -1,48 +1,253 @@
 package coordination
 
 import (
+	"strings"
 	"testing"
 	"time"
 
+	"silvergate/internal/fencing"
 	"silvergate/internal/job"
 	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
 )
 
+// boundTaskChange is a change of the mirror that binds wk-700000/0 to i-000001 in agent epoch 1.
+func boundTaskChange() protocol.WatchEvent {
+	tasks := []job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}
+	return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage(tasks), ModRevision: 125}
+}
+
+// firstAttemptStatus is the status of the first attempt of wk-700000/0 on a worker's list.
+func firstAttemptStatus(status string) protocol.TaskStatus {
+	return protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: status}
+}
+
+// launchReply is the reply to the direct launch of newScriptWithLaunch.
+func launchReply(sequence uint64, status string) protocol.Heartbeat {
+	return protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: sequence, FencingToken: 120, Tasks: []protocol.TaskStatus{firstAttemptStatus(status)}}
+}
+
+// cancellationReply is the message by which a peer names wk-700000 as cancelled.
+func cancellationReply() peer.Message {
+	return peer.Message{CancellationReply: &peer.CancellationReply{Cancelled: []string{"wk-700000"}}}
+}
+
+// newScriptWithLaunch is a script whose controller, n1, has claimed i-000001, with a task bound there
+// in agent epoch 1, launched directly and without a reply yet.
+func newScriptWithLaunch(t *testing.T) *script {
+	t.Helper()
+	s := newScript(t)
+	s.held(boundTaskChange())
+	if s.launches() != 1 {
+		t.Fatalf("%d direct launches", s.launches())
+	}
+	return s
+}
+
+// TestNoAnswerWhileACancelledLaunchMayCome guards the cancel horizon: a heartbeat that came between a
+// direct launch and its time-out was answered under the old token though the job had been
+// cancelled meanwhile, which gave the launch another lease to be executed in.
+func TestNoAnswerWhileACancelledLaunchMayCome(t *testing.T) {
+	for _, v := range []struct {
+		name      string
+		cancelled []string
+		tasks     []protocol.TaskStatus
+		answered  bool // under the old token
+	}{
+		{"not cancelled", nil, nil, true},
+		{"cancelled, and the launch has not come", []string{"wk-700000"}, nil, false},
+		{"cancelled, and the launch has come", []string{"wk-700000"}, []protocol.TaskStatus{firstAttemptStatus(protocol.TaskPulling)}, true},
+	} {
+		t.Run(v.name, func(t *testing.T) {
+			s := newScriptWithLaunch(t)
+			s.take(s.c.Peer(s.clock(), "n0", peer.Message{CancellationReply: &peer.CancellationReply{Cancelled: v.cancelled}}))
+			s.at += 300 * time.Millisecond
+			answer := s.report(120, 3, v.tasks...)
+			if (answer.FencingToken == 120) != v.answered {
+				t.Errorf("answered with %+v", answer)
+			}
+			if v.answered {
+				return
+			}
+			// A new token resolves the doubt.
+			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 130})
+			if answer := s.answer(); answer.FencingToken != 130 {
+				t.Errorf("after the claim answered with %+v", answer)
+			}
+		})
+	}
+}
+
+// TestALaterEpochReleasesTasksOfAnUnresponsiveMachine guards against tasks that stayed bound to a machine that hears
+// nobody: its heartbeats came with an old token, nothing in them was trusted, and its lease had
+// ended everything long ago.
+func TestALaterEpochReleasesTasksOfAnUnresponsiveMachine(t *testing.T) {
+	for _, v := range []struct {
+		name     string
+		epoch    uint64
+		released bool
+	}{
+		{"the epoch of the task", 1, false},
+		{"a later epoch", 2, true},
+	} {
+		t.Run(v.name, func(t *testing.T) {
+			s := newScriptWithLaunch(t)
+			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, launchReply(3, protocol.TaskRunning))
+			// Another controller claims it and the worker does not hear of it; it comes back here.
+			s.pass(time.Second)
+			claim := claimRecord{Owner: "n0", Incarnation: 3, Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", Epoch: 1}
+			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 140, Events: []protocol.WatchEvent{{Put: keyClaim + "i-000001", Value: encode(claim), ModRevision: 140}}})
+			s.next++
+			s.ans = nil
+			heartbeat := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a",
+				AgentEpoch: v.epoch, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}}
+			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(heartbeat)))
+			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 150})
+			if answer := s.answer(); answer.FencingToken != 150 {
+				t.Fatalf("answered with %+v", answer)
+			}
+			s.pass(time.Second)
+			released := false
+			for _, call := range s.todo {
+				released = released || call.Path == protocol.PathTxn && strings.Contains(string(call.Body), pageKey("wk-700000", 0))
+			}
+			if released != v.released {
+				t.Errorf("released %v on a heartbeat that shows an old token, want %v", released, v.released)
+			}
+		})
+	}
+}
+
+// TestReleaseNeedsALaterEpoch has each epoch judged against a task of epoch 2.
+func TestReleaseNeedsALaterEpoch(t *testing.T) {
+	for epoch := uint64(1); epoch <= 3; epoch++ {
+		action, proof := fencing.JudgeEarlierEpoch(fencing.Heartbeat{Epoch: epoch}, fencing.Attempt{Epoch: 2})
+		released := action == fencing.Release && proof == fencing.NewerEpoch
+		if released != (epoch == 3) {
+			t.Errorf("epoch %d: %v %v", epoch, action, proof)
+		}
+	}
+}
+
+// TestAnOvertakenHeartbeatIsAnsweredWithStops guards the cancel horizon: the answer to a heartbeat that a direct launch
+// had overtaken renewed the lease and stopped only what the heartbeat listed, which was before the launch.
+func TestAnOvertakenHeartbeatIsAnsweredWithStops(t *testing.T) {
+	for _, v := range []struct {
+		name      string
+		cancelled bool
+	}{{"not cancelled", false}, {"cancelled", true}} {
+		t.Run(v.name, func(t *testing.T) {
+			s := newScriptWithLaunch(t)
+			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, launchReply(4, protocol.TaskPulling))
+			if v.cancelled {
+				s.take(s.c.Peer(s.clock(), "n0", cancellationReply()))
+			}
+			answer := s.report(120, 3) // sent before the launch came
+			if answer.FencingToken != 120 || len(answer.Commands) > 0 != v.cancelled {
+				t.Fatalf("answered with %+v", answer)
+			}
+			if !v.cancelled {
+				return
+			}
+			stop := answer.Commands[0]
+			if stop.Verb != protocol.VerbKill || stop.Task != "wk-700000/0" || stop.Attempt != 1 {
+				t.Errorf("answered with %+v", answer)
+			}
+		})
+	}
+}
+
 // TestEveryAnswerStopsWhatIsCancelled guards against cancelled tasks that lived on
-// (found on a drawn day, 5515 of TestRulesHoldWhenAZoneIsCutOff): a report that is not
-// believed, as the mirror has not reached the claim, was answered without orders, its
+// (found on a drawn day, 5515 of TestRulesHoldWhenAZoneIsCutOff): a heartbeat that is not
+// trusted, as the mirror has not reached the claim, was answered without commands, its
 // lease renewed, for as long as the watch was late.
 func TestEveryAnswerStopsWhatIsCancelled(t *testing.T) {
-	load := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}
 	for _, v := range []struct {
-		name   string
-		status job.Status
-		vouch  *peer.CancellationReply
-		kills  int
+		name      string
+		status    job.Status // by the records; "" without a record
+		cancelled bool       // as a peer says
+		kills     int
 	}{
-		{"cancelled by the records", job.Cancelled, nil, 1},
-		{"done by the records", job.Done, nil, 1},
-		{"open", job.Open, nil, 0},
-		{"cancelled by a peer's word", job.Open, &peer.CancellationReply{Cancelled: []string{"wk-700000"}}, 1},
-		{"not on record, cancelled by a peer's word", "", &peer.CancellationReply{Cancelled: []string{"wk-700000"}}, 1},
+		{"cancelled by the records", job.Cancelled, false, 1},
+		{"done by the records", job.Done, false, 1},
+		{"open", job.Open, false, 0},
+		{"cancelled by a peer's reply", job.Open, true, 1},
+		{"not on record, cancelled by a peer's reply", "", true, 1},
 	} {
-		s := newScript(t)
-		s.pass(100 * time.Millisecond)
-		p := protocol.KeyValuePage{Revision: 100}
-		if v.status != "" {
-			p.KeyValues = []protocol.KeyValue{{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), v.status, 1, "n0"}), ModRevision: 90}}
-		}
-		s.reply(protocol.PathKeys+"?", "", 200, p)
-		if v.vouch != nil {
-			s.take(s.c.Peer(s.clock(), "n0", peer.Message{CancellationReply: v.vouch}))
-		}
-		s.report(0, 1, load)
-		s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120}) // which the watch does not reach
-		s.at += 500 * time.Millisecond
-		a := s.report(120, 2, load)
-		if a.FencingToken != 120 || len(a.Commands) != v.kills || v.kills > 0 && a.Commands[0].Verb != protocol.VerbKill {
-			t.Errorf("%s: answered with %+v, want %d kills", v.name, a, v.kills)
-		}
+		t.Run(v.name, func(t *testing.T) {
+			s := newScript(t)
+			s.pass(100 * time.Millisecond)
+			page := protocol.KeyValuePage{Revision: 100}
+			if v.status != "" {
+				page.KeyValues = []protocol.KeyValue{{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), v.status, 1, "n0"}), ModRevision: 90}}
+			}
+			s.reply(protocol.PathKeys+"?", "", 200, page)
+			if v.cancelled {
+				s.take(s.c.Peer(s.clock(), "n0", cancellationReply()))
+			}
+			running := firstAttemptStatus(protocol.TaskRunning)
+			s.report(0, 1, running)
+			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120}) // which the watch does not reach
+			s.at += 500 * time.Millisecond
+			answer := s.report(120, 2, running)
+			if answer.FencingToken != 120 || len(answer.Commands) != v.kills || v.kills > 0 && answer.Commands[0].Verb != protocol.VerbKill {
+				t.Errorf("answered with %+v, want %d kills", answer, v.kills)
+			}
+		})
+	}
+}
+
+// TestACancellationOnceKnownStays guards against reads that overtake one another: a peer named a cancelled job, and
+// then an answer of the state service came that had been given before the cancellation. The job counted as open
+// again, the peer's reply went on being a proof that no cancellation is unknown, and the worker was answered without a stop.
+func TestACancellationOnceKnownStays(t *testing.T) {
+	older := protocol.WatchEvent{Put: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 135}
+	running := firstAttemptStatus(protocol.TaskRunning)
+	for _, v := range []struct {
+		name    string
+		unknown bool // the job's record had not been read when the peer named it
+		named   bool // by the peer, as cancelled
+	}{
+		{"known, and not cancelled", false, false},
+		{"known", false, true},
+		{"not known", true, true},
+	} {
+		t.Run(v.name, func(t *testing.T) {
+			s := newScript(t)
+			if v.unknown {
+				s.claimBeforeJob()
+			} else {
+				s.held(boundTaskChange())
+				s.reply(protocol.PathCommands, "", 200, launchReply(3, protocol.TaskRunning))
+			}
+			s.pass(1200 * time.Millisecond) // the next watch is opened, and its answer is held up
+			if v.named {
+				message := cancellationReply()
+				message.CancellationReply.AskedAt = s.at
+				message.CancellationReply.Incarnation = 7
+				s.take(s.c.Peer(s.clock(), "n0", message))
+			}
+			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 136, Events: []protocol.WatchEvent{boundTaskChange(), older}})
+			s.at += 500 * time.Millisecond
+			stopped := false
+			for _, command := range s.report(120, 9, running).Commands {
+				stopped = stopped || command.Verb == protocol.VerbKill && command.Task == "wk-700000/0"
+			}
+			if stopped != v.named {
+				t.Errorf("stopped %v by the next answer, want %v", stopped, v.named)
+			}
+		})
 	}
 }
+
+// claimBeforeJob has the controller claim i-000001 with the records of before any job.
+func (s *script) claimBeforeJob() {
+	s.pass(100 * time.Millisecond)
+	s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100})
+	s.pass(200 * time.Millisecond)
+	s.report(0, 1)
+	s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120})
+	s.at += 500 * time.Millisecond
+	s.report(120, 2)
+	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 120})
+}
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -259,15 +259,15 @@
 		return
 	}
 	for attempt := range m.inFlight {
-		if c.knownFinal(attempt.job) && !lists(heartbeat, attempt) {
+		if c.knownFinal(attempt.job) && !listsAttempt(heartbeat, attempt) {
 			m.launchInDoubt = true
 			return
 		}
 	}
 }
 
-// lists tells whether a heartbeat lists an attempt.
-func lists(heartbeat *protocol.Heartbeat, attempt taskAttempt) bool {
+// listsAttempt tells whether a heartbeat lists an attempt.
+func listsAttempt(heartbeat *protocol.Heartbeat, attempt taskAttempt) bool {
 	name := job.TaskName(attempt.job, attempt.index)
 	return slices.ContainsFunc(heartbeat.Tasks, func(status protocol.TaskStatus) bool {
 		return status.Task == name && status.Attempt == attempt.number
