--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -14,26 +14,26 @@
 	"silvergate/internal/protocol"
 )
 
-// takeoverDay is what came of a day on which one controller ends for good, or all end.
+// failoverDay is what came of a day on which one controller ends for good, or all end.
 type failoverDay struct {
-	workers       int           // that were held by those that ended
-	changes       int           // claims and take-overs written within a minute of it
+	workers       int           // of the controllers that ended
+	changes       int           // claims and failovers written within a minute of it
 	failovers     int           // of them
-	half          time.Duration // until half, nine tenths and 99% of the workers were answered
-	most          time.Duration
-	nearly        time.Duration
-	expiredLeases int // sessions with tasks that ended by their leases
+	halfAnswered  time.Duration // until half of the workers were answered
+	mostAnswered  time.Duration // until nine tenths of them were
+	allAnswered   time.Duration // until 99% of them were
+	expiredLeases int           // leases of workers with tasks that ended
 }
 
 func (d failoverDay) String() string {
-	return fmt.Sprintf("%d workers, %d changes (%d take-overs), answered after %.1f, %.1f, %.1f s (half, 90%%, 99%%), %d leases ended with tasks",
-		d.workers, d.changes, d.failovers, d.half.Seconds(), d.most.Seconds(), d.nearly.Seconds(), d.expiredLeases)
+	return fmt.Sprintf("%d workers, %d changes (%d failovers), answered after %.1f, %.1f, %.1f s (half, 90%%, 99%%), %d leases ended with tasks",
+		d.workers, d.changes, d.failovers, d.halfAnswered.Seconds(), d.mostAnswered.Seconds(), d.allAnswered.Seconds(), d.expiredLeases)
 }
 
-// playTakeover plays a grown deployment with times as many machines and as much work.
-func playFailover(t *testing.T, seed uint64, times int, grouped, all bool) failoverDay {
+// newMultipliedSim is a grown deployment with times as many machines and as much work.
+func newMultipliedSim(t *testing.T, seed uint64, times int) *sim {
+	t.Helper()
 	s := grownSim(t, seed)
-	s.alone = !grouped
 	for k := range s.cloud.free {
 		s.cloud.free[k] *= times
 	}
@@ -44,89 +44,123 @@
 	for i := range times {
 		s.loadGrownFrom(10_000*i, 100*time.Second)
 	}
-	s.run(120 * time.Second)
-	ending := s.nodes[:1]
-	if all {
-		ending = s.nodes
-	}
-	lost := map[*simWorker]bool{}
-	for _, n := range ending {
+	return s
+}
+
+// workersOf are the workers that are up and owned by one of the controllers.
+func (s *sim) workersOf(controllers []*simNode) map[*simWorker]bool {
+	workers := map[*simWorker]bool{}
+	for _, n := range controllers {
 		for _, m := range n.core.machines.own {
 			if w := s.cloud.all[m.id]; w != nil && w.up {
-				lost[w] = true
+				workers[w] = true
 			}
 		}
 	}
-	d := failoverDay{workers: len(lost)}
-	ended, takeovers, reclaimed, begun := s.met.ended, s.met.takeovers, s.met.reclaimed, s.now
-	for _, n := range ending {
-		down := time.Hour
-		if all {
-			down = 3 * time.Second
-		}
-		n.crash(down)
-	}
+	return workers
+}
+
+// watchAnswers plays a minute, and returns after how long each of the workers was answered, in
+// order. What is left in workers has not been answered; workers that ended are taken out.
+func (s *sim) watchAnswers(workers map[*simWorker]bool) []time.Duration {
+	startedAt := s.now
 	var answered []time.Duration
-	var look func()
-	look = func() {
-		for w := range lost {
+	var observe func()
+	observe = func() {
+		for w := range workers {
 			switch {
 			case !w.up:
-				delete(lost, w)
-			case w.answered > begun:
-				answered = append(answered, s.now-begun)
-				delete(lost, w)
+				delete(workers, w)
+			case w.answered > startedAt:
+				answered = append(answered, s.now-startedAt)
+				delete(workers, w)
 			}
 		}
-		if s.now < begun+time.Minute {
-			s.after(100*time.Millisecond, look)
+		if s.now < startedAt+time.Minute {
+			s.after(100*time.Millisecond, observe)
 		}
 	}
-	look()
-	s.run(begun + time.Minute)
-	d.failovers = s.met.takeovers - takeovers
-	d.changes = d.failovers + s.met.reclaimed - reclaimed
+	observe()
+	s.run(startedAt + time.Minute)
 	slices.Sort(answered)
-	d.workers = len(answered) + len(lost) // without those that were returned meanwhile
-	at := func(share float64) time.Duration {
-		i := int(share*float64(d.workers)+0.5) - 1
+	return answered
+}
+
+// playFailover plays a grown deployment with times as many machines and as much work, of which
+// the first controller ends for good, or all end for some seconds. With grouped, workers fail
+// over by the group.
+func playFailover(t *testing.T, seed uint64, times int, grouped, all bool) failoverDay {
+	t.Helper()
+	s := newMultipliedSim(t, seed, times)
+	s.alone = !grouped
+	s.run(120 * time.Second)
+	ending := s.nodes[:1]
+	downtime := time.Hour
+	if all {
+		ending = s.nodes
+		downtime = 3 * time.Second
+	}
+	lost := s.workersOf(ending)
+	before := s.met
+	for _, n := range ending {
+		n.crash(downtime)
+	}
+	answered := s.watchAnswers(lost)
+	workers := len(answered) + len(lost) // without those that were returned meanwhile
+	answeredAt := func(share float64) time.Duration {
+		i := int(share*float64(workers)+0.5) - 1
 		if i < 0 || i >= len(answered) {
 			return time.Minute
 		}
 		return answered[i]
 	}
-	d.half, d.most, d.nearly = at(0.5), at(0.9), at(0.99)
-	d.expiredLeases = s.met.ended - ended
 	s.report(t)
-	return d
+	failovers := s.met.takeovers - before.takeovers
+	return failoverDay{
+		workers:       workers,
+		changes:       failovers + s.met.reclaimed - before.reclaimed,
+		failovers:     failovers,
+		halfAnswered:  answeredAt(0.5),
+		mostAnswered:  answeredAt(0.9),
+		allAnswered:   answeredAt(0.99),
+		expiredLeases: s.met.ended - before.ended,
+	}
+}
+
+// multiples are the multiples of the machines that TestGroupTakeover plays.
+func multiples(t *testing.T) []int {
+	t.Helper()
+	list := os.Getenv("SIM_TIMES")
+	if list == "" {
+		return []int{3}
+	}
+	var out []int
+	for _, field := range strings.Split(list, ",") {
+		n, err := strconv.Atoi(field)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out = append(out, n)
+	}
+	return out
 }
 
 // TestGroupTakeover has a controller with a fifth of some 850 machines end for good: its
-// workers pass to the others by some records, where each took a claim of its own, and are
-// answered within half a lease.
+// workers fail over to the others by some records, where each took a claim of its own, and are
+// answered within three quarters of a lease.
 //
 // SIM_TIMES plays it at that many times the machines, and all controllers' end, too.
 func TestGroupTakeover(t *testing.T) {
-	times := []int{3}
-	if list := os.Getenv("SIM_TIMES"); list != "" {
-		times = nil
-		for _, word := range strings.Split(list, ",") {
-			n, err := strconv.Atoi(word)
-			if err != nil {
-				t.Fatal(err)
-			}
-			times = append(times, n)
-		}
-	}
-	for _, n := range times {
-		grouped, alone := playFailover(t, 71, n, true, false), playFailover(t, 71, n, false, false)
+	for _, n := range multiples(t) {
+		grouped := playFailover(t, 71, n, true, false)
+		alone := playFailover(t, 71, n, false, false)
 		t.Logf("%d times, one ends, by the group: %s", n, grouped)
 		t.Logf("%d times, one ends, one by one:   %s", n, alone)
 		if grouped.failovers == 0 || alone.failovers > 0 || grouped.changes*3 > alone.changes {
 			t.Errorf("%d times: %d changes by the group, %d one by one", n, grouped.changes, alone.changes)
 		}
-		if lease := seconds(grownSim(t, 1).facts.Workers.Lease); grouped.most > 3*lease/4 {
-			t.Errorf("%d times: nine tenths are answered after %s, and a lease is %s", n, grouped.most, lease)
+		if lease := seconds(grownSim(t, 1).facts.Workers.Lease); grouped.mostAnswered > 3*lease/4 {
+			t.Errorf("%d times: nine tenths are answered after %s, and a lease is %s", n, grouped.mostAnswered, lease)
 		}
 		if os.Getenv("SIM_TIMES") == "" {
 			continue
@@ -136,40 +170,40 @@
 	}
 }
 
-// TestTakeoverSwitch: the operators' setting turns it off, and it is on by default.
+// TestGroupFailoverSetting has the operators' setting turn failover of groups off, which is on by
+// default.
 func TestGroupFailoverSetting(t *testing.T) {
 	if !config.DefaultOperator().GroupTakeover {
-		t.Error("take-overs by the group are off by default")
+		t.Error("failover of groups is off by default")
 	}
-	o, err := config.ParseOperator([]byte("group_takeover: false\n"))
-	if err != nil || o.GroupTakeover {
-		t.Errorf("%v %v", o.GroupTakeover, err)
+	operator, err := config.ParseOperator([]byte("group_takeover: false\n"))
+	if err != nil || operator.GroupTakeover {
+		t.Errorf("group_takeover: false is read as %v, error %v", operator.GroupTakeover, err)
 	}
 }
 
-// withoutTakeovers is a transaction as the version before take-overs writes it: its claims and
-// member records know of none, and nothing is conditional on any.
-func withoutFailovers(t protocol.Txn) protocol.Txn {
-	t.Compares = slices.DeleteFunc(slices.Clone(t.Compares), func(k protocol.Compare) bool { return strings.HasPrefix(k.Key, keyTakeover) })
-	t.Ops = slices.Clone(t.Ops)
-	for i, o := range t.Ops {
+// withoutFailovers is a transaction as the version before failover of groups writes it: its claims
+// and member records know of none, and nothing is conditional on any.
+func withoutFailovers(txn protocol.Txn) protocol.Txn {
+	txn.Compares = slices.DeleteFunc(slices.Clone(txn.Compares), func(compare protocol.Compare) bool {
+		return strings.HasPrefix(compare.Key, keyTakeover)
+	})
+	txn.Ops = slices.Clone(txn.Ops)
+	for i, op := range txn.Ops {
 		switch {
-		case strings.HasPrefix(o.Put, keyClaim):
-			var k claimRecord
-			_ = json.Unmarshal(o.Value, &k)
-			k.Epoch = 0
-			t.Ops[i].Value = encode(k)
-		case strings.HasPrefix(o.Put, keyMember):
-			var m member
-			_ = json.Unmarshal(o.Value, &m)
-			m.Format = compactPageFormat
-			t.Ops[i].Value = encode(m)
+		case strings.HasPrefix(op.Put, keyClaim):
+			txn.Ops[i].Value = withoutEpoch(op.Put, op.Value)
+		case strings.HasPrefix(op.Put, keyMember):
+			var record member
+			_ = json.Unmarshal(op.Value, &record)
+			record.Format = compactPageFormat
+			txn.Ops[i].Value = encode(record)
 		}
 	}
-	return t
+	return txn
 }
 
-// unseenTakeovers has that version see no record of take-overs, nor an epoch in a claim.
+// hideFailovers has that version see no record of a failover, nor an epoch in a claim.
 func hideFailovers(reply func(int, []byte)) func(int, []byte) {
 	return func(status int, body []byte) {
 		var watch protocol.WatchResult
@@ -177,37 +211,53 @@
 		switch {
 		case status != 200:
 		case json.Unmarshal(body, &watch) == nil && len(watch.Events) > 0:
-			watch.Events = slices.DeleteFunc(watch.Events, func(n protocol.WatchEvent) bool { return strings.HasPrefix(n.Put+n.Delete, keyTakeover) })
-			for i := range watch.Events {
-				watch.Events[i].Value = withoutEpoch(watch.Events[i].Put, watch.Events[i].Value)
-			}
-			body = encode(watch)
+			body = encode(withoutFailoverEvents(watch))
 		case json.Unmarshal(body, &page) == nil && len(page.KeyValues) > 0:
-			if page.KeyValues = slices.DeleteFunc(page.KeyValues, func(e protocol.KeyValue) bool { return strings.HasPrefix(e.Key, keyTakeover) }); len(page.KeyValues) == 0 {
-				page.Truncated = false
-			}
-			for i := range page.KeyValues {
-				page.KeyValues[i].Value = withoutEpoch(page.KeyValues[i].Key, page.KeyValues[i].Value)
-			}
-			body = encode(page)
+			body = encode(withoutFailoverRecords(page))
 		}
 		reply(status, body)
 	}
 }
 
+// withoutFailoverEvents is an answer of the watch without the changes of records of failovers.
+func withoutFailoverEvents(watch protocol.WatchResult) protocol.WatchResult {
+	watch.Events = slices.DeleteFunc(watch.Events, func(event protocol.WatchEvent) bool {
+		return strings.HasPrefix(event.Put+event.Delete, keyTakeover)
+	})
+	for i, event := range watch.Events {
+		watch.Events[i].Value = withoutEpoch(event.Put, event.Value)
+	}
+	return watch
+}
+
+// withoutFailoverRecords is a page of records without those of failovers.
+func withoutFailoverRecords(page protocol.KeyValuePage) protocol.KeyValuePage {
+	page.KeyValues = slices.DeleteFunc(page.KeyValues, func(record protocol.KeyValue) bool {
+		return strings.HasPrefix(record.Key, keyTakeover)
+	})
+	if len(page.KeyValues) == 0 {
+		page.Truncated = false
+	}
+	for i, record := range page.KeyValues {
+		page.KeyValues[i].Value = withoutEpoch(record.Key, record.Value)
+	}
+	return page
+}
+
+// withoutEpoch is a record's value, without the epoch if it is a claim.
 func withoutEpoch(key string, data json.RawMessage) json.RawMessage {
 	if !strings.HasPrefix(key, keyClaim) || data == nil {
 		return data
 	}
-	var k claimRecord
-	_ = json.Unmarshal(data, &k)
-	k.Epoch = 0
-	return encode(k)
+	var claim claimRecord
+	_ = json.Unmarshal(data, &claim)
+	claim.Epoch = 0
+	return encode(claim)
 }
 
-// TestVersionsWithAndWithoutTakeovers rolls a site from the version before take-overs to this one
+// TestVersionsWithAndWithoutFailovers rolls a site from the version before failover of groups to this one
 // and back, while controllers end and lose their workers. As long as a controller of the earlier
-// version is there none takes a group over, and what had passed by groups is claimed one by one.
+// version is there none fails a group over, and what had failed over by groups is claimed one by one.
 func TestVersionsWithAndWithoutFailovers(t *testing.T) {
 	for _, seed := range []uint64{81, 82, 83} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -231,7 +281,7 @@
 			roll(70*time.Second, false)
 			cut(80*time.Second, 4)
 			end(95*time.Second, 1)
-			written := 0 // take-overs while all run this version
+			written := 0 // failovers while all run this version
 			s.after(112*time.Second, func() { written = s.countFailovers() })
 			end(125*time.Second, 0)
 			cut(165*time.Second, 3)
@@ -243,7 +293,7 @@
 			end(270*time.Second-s.now, 3)
 			s.run(300 * time.Second)
 			if after := s.countFailovers(); after != before || written == 0 {
-				t.Errorf("%d take-overs among this version; %d among the earlier one", written, after-before)
+				t.Errorf("%d failovers among this version; %d among the earlier one", written, after-before)
 			}
 			s.finish(t, 350*time.Second)
 			s.report(t)
@@ -251,12 +301,12 @@
 	}
 }
 
-// countTakeovers counts the records of take-overs that were ever written.
+// countFailovers counts the records of failovers that were ever written.
 func (s *sim) countFailovers() int { return s.met.takeovers }
 
-// TestAGroupThatPassesOnTwice: the claims of a life whose workers were taken over are of a new
-// epoch, so that a second loss is taken over by the group, too; and records that nothing stands on
-// are dropped.
+// TestAGroupThatFailsOverTwice has the claims of an incarnation whose workers have failed over be of a
+// new epoch, so that they fail over by the group after a second loss, too; and records that no
+// machine's ownership depends on are dropped.
 func TestAGroupThatFailsOverTwice(t *testing.T) {
 	s := grownSim(t, 84)
 	s.loadGrown(260 * time.Second)
@@ -267,7 +317,7 @@
 	first := s.countFailovers()
 	s.run(220 * time.Second)
 	if second := s.countFailovers() - first; first == 0 || second == 0 {
-		t.Errorf("%d take-overs after the first loss, %d after the second", first, second)
+		t.Errorf("%d failovers after the first loss, %d after the second", first, second)
 	}
 	s.finish(t, 320*time.Second)
 	s.run(500 * time.Second)
@@ -287,17 +337,17 @@
 		}
 	}
 	if left != len(used) {
-		t.Errorf("%d records of take-overs are left, %d are in use", left, len(used))
+		t.Errorf("%d records of failovers are left, %d are in use", left, len(used))
 	}
 }
 
-// TestADeafControllerTakesNoGroupOver plays the drawn day on which one did: cut off from all workers,
-// it took a group over by a report that was held back on its way, and the others sent the group's
+// TestAControllerThatHearsNoWorkersFailsNoGroupOver plays the drawn day on which one did: cut off from all workers,
+// it failed a group over by a heartbeat that was delayed on its way, and the others redirected the group's
 // workers to it until their leases ended, two urgent tasks among theirs.
 func TestAControllerThatHearsNoWorkersFailsNoGroupOver(t *testing.T) {
 	s := drawnCuts(t, 9698)
 	s.report(t)
 	if s.saved.urgent > 0 || s.saved.other > 0 {
-		t.Errorf("%d urgent tasks and %d others were killed that had a way", s.saved.urgent, s.saved.other)
+		t.Errorf("%d urgent tasks and %d others were killed that had a path", s.saved.urgent, s.saved.other)
 	}
 }
