--- /dev/null
+++ b/internal/coordination/links_test.go
@@ -0,0 +1,438 @@
+package coordination
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"silvergate/internal/connectivity"
+	"silvergate/internal/job"
+	"silvergate/internal/peer"
+)
+
+// reachesPeer tells whether messages from n reach o.
+func (n *simNode) reachesPeer(o *simNode) bool {
+	now := n.s.now
+	return n.cut["peers"] <= now && o.cut["peers"] <= now && n.cut["to:"+o.name] <= now
+}
+
+// asReadBy is a message as the other side reads it: a version before link reports and relayed
+// calls ignores what it does not know, as gob does. ok is false if the message is lost.
+func (n *simNode) asReadBy(o *simNode, message peer.Message) (read peer.Message, ok bool) {
+	s := n.s
+	if s.noCarrier && message.RelayRequest != nil {
+		return message, false
+	}
+	if s.mute && message.CancellationReply != nil {
+		reply := *message.CancellationReply
+		reply.Cancelled = nil
+		message.CancellationReply = &reply
+	}
+	if message.Heartbeat != nil && (n.old || o.old || s.lies) {
+		heartbeat := *message.Heartbeat
+		heartbeat.Links = nil
+		if s.lies && !n.old && !o.old {
+			heartbeat.Links = s.drawLinkReports()
+		}
+		message.Heartbeat = &heartbeat
+	}
+	if o.old {
+		message.RelayRequest = nil
+		message.RelayResponse = nil
+		message.Forwarded = nil
+	}
+	if n.old && (message.RelayRequest != nil || message.RelayResponse != nil || message.Forwarded != nil) {
+		s.breaks("versions", "%s sends what its version does not know", n.name)
+	}
+	return message, true
+}
+
+// drawLinkReports draws link reports that mean nothing.
+func (s *sim) drawLinkReports() []connectivity.LinkReport {
+	var out []connectivity.LinkReport
+	for range 1 + s.rnd.IntN(5) {
+		report := connectivity.LinkReport{
+			Node:           s.anyNode().name,
+			AgeMS:          s.rnd.Int64N(20_000) - 1000,
+			StateServiceMS: s.rnd.Int64N(6000) - 500,
+			MirrorAgeMS:    s.rnd.Int64N(6000) - 500,
+			HearsNoWorkers: s.rnd.IntN(3) == 0,
+			Throttled:      s.rnd.IntN(2) == 0,
+		}
+		for _, o := range s.nodes {
+			if s.rnd.IntN(2) == 0 {
+				report.HearsPeers = append(report.HearsPeers, o.name)
+			}
+		}
+		if s.rnd.IntN(3) == 0 {
+			report.Zones = []connectivity.ZoneReport{{
+				Zone:        s.facts.Zones[0],
+				Workers:     s.rnd.IntN(9) - 1,
+				LastHeardMS: s.rnd.Int64N(20_000) - 1000,
+				Unreachable: s.rnd.IntN(2) == 0,
+			}}
+		}
+		out = append(out, report)
+	}
+	return out
+}
+
+// pathLosses counts tasks that were killed by their lease, by whether a path from their
+// worker to the state service was up, through one controller, for the whole of it.
+type pathLosses struct {
+	urgent, other int // there was a path
+	cut           int // there was none, or none that could be found in a lease: each attempt at a controller that hangs takes 5 s
+	// since is when the path through each controller to each zone came up, if it is up.
+	since map[string]map[string]time.Duration
+}
+
+// watchPaths notes since when each worker has had a path through each controller:
+// worker to controller to state service, or to a peer that reaches it.
+func (s *sim) watchPaths() {
+	if s.saved.since == nil {
+		s.saved.since = map[string]map[string]time.Duration{}
+	}
+	reachesState := map[*simNode]bool{}
+	for _, n := range s.nodes {
+		reachesState[n] = n.core != nil && n.frozen <= s.now && n.cut["state"] <= s.now && n.refused <= s.now && s.kv.down <= s.now
+	}
+	for _, n := range s.nodes {
+		served := reachesState[n]
+		for _, o := range s.nodes {
+			served = served || n.frozen <= s.now && n.core != nil && reachesState[o] && n.reachesPeer(o) && o.reachesPeer(n)
+		}
+		up := s.saved.since[n.name]
+		if up == nil {
+			up = map[string]time.Duration{}
+			s.saved.since[n.name] = up
+		}
+		for _, zone := range s.facts.Zones {
+			switch {
+			case !served || n.cut["workers"] > s.now || n.cut["zone:"+zone] > s.now:
+				delete(up, zone)
+			case up[zone] == 0:
+				up[zone] = s.now
+			}
+		}
+	}
+	s.after(100*time.Millisecond, s.watchPaths)
+}
+
+// hadPath tells whether a worker had a path for the whole of its lease that it could find in
+// that time.
+func (w *simWorker) hadPath() bool {
+	s := w.s
+	lease := seconds(s.facts.Workers.Lease)
+	up := false
+	for _, since := range s.saved.since {
+		up = up || since[w.zone] > 0 && s.now-since[w.zone] >= lease
+	}
+	hanging := 0
+	for _, n := range s.nodes {
+		// One that crashes at the same time delays workers like one that can't be reached: they
+		// wait for it to go on without new claims.
+		if n.cut["workers"] > s.now-lease || n.cut["zone:"+w.zone] > s.now-lease {
+			hanging++
+		}
+		if n.core == nil || n.started > s.now-lease || n.frozen > s.now-lease {
+			hanging++
+		}
+	}
+	search := seconds(1.25*s.facts.Workers.Report) + time.Duration(hanging)*5*time.Second + 2*time.Second
+	return up && search < lease
+}
+
+// countLeaseLosses counts the tasks that the end of a worker's lease kills.
+func (w *simWorker) countLeaseLosses() {
+	s := w.s
+	lease := seconds(s.facts.Workers.Lease)
+	if s.saved.since == nil || w.hung > s.now-lease {
+		return
+	}
+	path := w.hadPath()
+	for _, task := range w.loads {
+		switch u := s.users[task.id]; {
+		case !task.on() || u == nil:
+		case !path:
+			s.saved.cut++
+		case u.spec.Priority == job.Production:
+			s.saved.urgent++
+		default:
+			s.saved.other++
+		}
+		if s.trace != nil {
+			fmt.Fprintf(s.trace, "%8.3f LEASE worker=%s zone=%s task=%s/%d path=%v answered=%.3f\n", s.now.Seconds(), w.name, w.zone, task.id, task.index, path, w.answered.Seconds())
+		}
+	}
+}
+
+// cuts are the ways in which a link of one controller can fail.
+func (s *sim) cuts() []string {
+	out := []string{"state", "state reset", "refused", "workers", "workers reset", "state flaps", "workers flap", "peers", "cloud", "users", "stands still"}
+	for _, z := range s.facts.Zones[:1+len(s.nodes)/5*2] { // on few controllers one stands for all
+		out = append(out, "zone:"+z)
+	}
+	for _, o := range s.nodes {
+		out = append(out, "to:"+o.name)
+	}
+	return out
+}
+
+// cutLink makes a link of a controller fail for a time.
+func (s *sim) cutLink(n *simNode, kind string, duration time.Duration) {
+	if s.trace != nil {
+		fmt.Fprintf(s.trace, "%8.3f CUT node=%s %s for %v\n", s.now.Seconds(), n.name, kind, duration)
+	}
+	link, reset := strings.CutSuffix(kind, " reset")
+	switch {
+	case kind == "refused":
+		n.refused = s.now + duration
+	case kind == "stands still": // all its links are up, and the process does nothing
+		n.frozen = s.now + duration
+	case strings.Contains(kind, " flap"):
+		link, _, _ = strings.Cut(kind, " ")
+		for at := time.Duration(0); at < duration; at += 6 * time.Second {
+			s.after(at, func() { n.cut[link] = s.now + 4*time.Second })
+		}
+	default:
+		n.cut[link] = s.now + duration
+		if n.reset == nil {
+			n.reset = map[string]bool{}
+		}
+		n.reset[link] = reset
+	}
+}
+
+// cutDay is a day of a calm site on which links of controllers fail together.
+func cutDay(s *sim, lostMachines int, cuts ...func()) {
+	s.told.Limits.MaxSockets, s.facts.Limits.MaxSockets = 200, 200
+	for i := range 4 {
+		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+1), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 0, 0)
+		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+11), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Low, Tasks: 6, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 90, 0)
+	}
+	s.watchPaths()
+	s.after(50*time.Second, func() {
+		for _, cut := range cuts {
+			cut()
+		}
+	})
+	s.after(54*time.Second, func() {
+		for _, w := range s.cloud.sorted() {
+			if lostMachines--; w.up && lostMachines >= 0 {
+				w.die()
+				w.failed = true
+			}
+		}
+	})
+	s.run(130 * time.Second)
+}
+
+// TestPairsOfCuts has every pair of cuts meet, on three controllers, with and without
+// a loss of machines. Every rule is judged, and no urgent task may be killed
+// by its lease on a machine that had a path to the state service the whole time.
+func TestPairsOfCuts(t *testing.T) {
+	kinds := newSim(t, 1, 0).cuts()
+	type cut struct {
+		node int
+		kind string
+	}
+	var all []cut
+	for node := range 3 {
+		for _, k := range kinds {
+			if k != fmt.Sprintf("to:n%d", node) {
+				all = append(all, cut{node, k})
+			}
+		}
+	}
+	seed := uint64(9000)
+	for i, a := range all {
+		seed += 2 * uint64(len(all)-i)
+		t.Run(fmt.Sprintf("n%d %s", a.node, a.kind), func(t *testing.T) {
+			t.Parallel()
+			other, lost, days := 0, 0, 0
+			for j, b := range all[i+1:] {
+				for k, die := range []int{0, 3} {
+					s := newSim(t, seed+uint64(2*j+k), 0)
+					cutDay(s, die, func() { s.cutLink(s.nodes[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.nodes[b.node], b.kind, 40*time.Second) })
+					days++
+					if len(s.broken) > 0 || s.saved.urgent > 0 {
+						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.node, b.kind, die, s.saved.urgent, s.broken)
+					}
+					other, lost = other+s.saved.other, lost+s.saved.cut
+				}
+			}
+			t.Logf("%d days: %d lesser tasks killed that had a path, %d that had none", days, other, lost)
+		})
+	}
+}
+
+// TestDrawnCuts draws three to six cuts at a time on five controllers and a hundred
+// machines and more, with the rates of a real state service. SIM_DAYS plays more days.
+func TestDrawnCuts(t *testing.T) {
+	drawnDays(t, 9500, 16, func(t *testing.T, seed uint64) {
+		s := drawnCuts(t, seed)
+		s.report(t)
+		if s.saved.urgent > 0 {
+			t.Errorf("%d urgent tasks killed that had a path", s.saved.urgent)
+		}
+		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.saved.urgent, s.saved.other, s.saved.cut)
+	})
+}
+
+// drawnCuts plays a day on which links are cut, controllers crash and machines are lost or hang, as
+// drawn.
+func drawnCuts(t *testing.T, seed uint64) *sim {
+	t.Helper()
+	s := grownSim(t, seed)
+	s.traceTo(t, seed)
+	s.unordered = true // cuts and late watches: see judgeOrder
+	s.loadGrown(3 * time.Minute)
+	s.watchPaths()
+	kinds := s.cuts()
+	var next func()
+	next = func() {
+		if s.now > 150*time.Second {
+			return
+		}
+		for range 3 + s.rnd.IntN(4) {
+			s.cutLink(s.anyNode(), kinds[s.rnd.IntN(len(kinds))], s.ms(10_000, 60_000))
+		}
+		switch s.rnd.IntN(4) {
+		case 0:
+			s.anyNode().crash(s.ms(500, 5000))
+		case 1:
+			for i, w := range s.cloud.sorted() {
+				if i%12 == 0 && w.up {
+					w.die()
+					w.failed = true
+				}
+			}
+		case 2:
+			for i, w := range s.cloud.sorted() {
+				if i%15 == 0 {
+					w.hung = s.now + s.ms(5000, 40_000)
+				}
+			}
+		}
+		s.after(s.ms(30_000, 60_000), next)
+	}
+	s.after(60*time.Second, next)
+	s.run(210 * time.Second)
+	return s
+}
+
+// TestWaysAreJudged has the checker of paths find what it is for: when no controller relays
+// calls, two of three controllers that lose the state service while the third loses its
+// workers lose urgent tasks that had a path.
+func TestWaysAreJudged(t *testing.T) {
+	day := func(noCarrier bool) *sim {
+		s := newSim(t, 9900, 0)
+		s.noCarrier = noCarrier
+		cutDay(s, 0, func() { s.cutLink(s.nodes[0], "state", time.Minute) }, func() { s.cutLink(s.nodes[1], "state", time.Minute) },
+			func() { s.cutLink(s.nodes[2], "workers", time.Minute) })
+		return s
+	}
+	if s := day(false); s.saved.urgent+s.saved.other > 0 || len(s.broken) > 0 {
+		t.Errorf("%+v %v", s.saved, s.broken)
+	}
+	if s := day(true); s.saved.urgent == 0 {
+		t.Error("no controller relays calls, and nothing was found")
+	}
+}
+
+// TestLeaderWithoutTheCloudGivesWay cuts the leader off from the cloud alone: another controller
+// leads soon, and it stays so. Where the cloud answers nobody, the leader stays the same.
+func TestLeaderWithoutTheCloudGivesWay(t *testing.T) {
+	for _, v := range []struct {
+		name string
+		all  bool // all controllers are cut off
+	}{{"the leader is cut off", false}, {"all are cut off", true}} {
+		t.Run(v.name, func(t *testing.T) {
+			s := newSim(t, 9950, 0)
+			s.load(3 * time.Minute)
+			s.run(50 * time.Second)
+			first := s.leader()
+			for _, n := range s.nodes {
+				if n == first || v.all {
+					s.cutLink(n, "cloud", time.Minute)
+				}
+			}
+			changes, rentable := s.watchLeaders(first, 150*time.Second)
+			if v.all && changes != 0 {
+				t.Errorf("leadership changed %d times", changes)
+			}
+			if !v.all && (changes != 1 || rentable < 80*time.Second) {
+				t.Errorf("leadership changed %d times, and the leader could rent for %v of 100 s", changes, rentable)
+			}
+			s.report(t)
+		})
+	}
+}
+
+// leader is the last controller that takes itself for the leader, nil if none does.
+func (s *sim) leader() *simNode {
+	var leader *simNode
+	for _, n := range s.nodes {
+		if n.core.isLeader() {
+			leader = n
+		}
+	}
+	return leader
+}
+
+// watchLeaders plays on until a time, and returns how often the leadership changed and for how
+// long there was a leader that reached the cloud.
+func (s *sim) watchLeaders(first *simNode, until time.Duration) (changes int, rentable time.Duration) {
+	last := first
+	for now := s.now; now < until; now += 500 * time.Millisecond {
+		s.run(now)
+		for _, n := range s.nodes {
+			if !n.core.isLeader() {
+				continue
+			}
+			if n != last {
+				changes++
+				last = n
+			}
+			if n.cut["cloud"] <= now {
+				rentable += 500 * time.Millisecond
+			}
+		}
+	}
+	return changes, rentable
+}
+
+// TestRulesDoNotDependOnLinkReports has peer heartbeats carry drawn link reports, on days with drawn
+// cuts.
+func TestRulesDoNotDependOnLinkReports(t *testing.T) {
+	drawnDays(t, 9700, 12, func(t *testing.T, seed uint64) {
+		s := newSim(t, seed, 0.004)
+		s.unordered, s.lies = true, true
+		s.load(3 * time.Minute)
+		s.after(20*time.Second, func() { s.trouble(3 * time.Minute) })
+		s.after(30*time.Second, func() { s.cutOff(3 * time.Minute) })
+		s.run(4 * time.Minute)
+		s.report(t)
+	})
+}
+
+// TestRollingRestartFromTheVersionBefore has one and two of three controllers run the
+// version before link reports while links fail, and then all the new one.
+func TestRollingRestartFromTheVersionBefore(t *testing.T) {
+	for old := 1; old <= 2; old++ {
+		s := newSim(t, uint64(9800+old), 0.002)
+		s.unordered = true
+		for i := range old {
+			s.nodes[i].old = true
+		}
+		s.load(2 * time.Minute)
+		for i, n := range s.nodes {
+			s.after(time.Duration(40+15*i)*time.Second, func() { n.crash(2 * time.Second); n.old = false })
+		}
+		s.after(25*time.Second, func() { s.cutLink(s.nodes[2], "state", 30*time.Second) })
+		s.after(60*time.Second, func() { s.cutLink(s.nodes[1], "workers", 30*time.Second) })
+		s.finish(t, 150*time.Second)
+		s.report(t)
+	}
+}
--- /dev/null
+++ b/internal/coordination/reconcile.go
@@ -0,0 +1,161 @@
+package coordination
+
+import (
+	"silvergate/internal/fencing"
+	"silvergate/internal/job"
+	"silvergate/internal/losses"
+	"silvergate/internal/protocol"
+)
+
+// This file compares a trusted heartbeat with the records.
+
+// reconcile compares a heartbeat with the records: what should be on the machine is
+// launched, what should not be is stopped, and completions are proposed for commit
+// and forgotten once committed.
+func (c *Core) reconcile(m *machine, heartbeat *protocol.Heartbeat) []protocol.Command {
+	commands := []protocol.Command{}
+	state := c.workerState(m)
+	m.deferredLaunches = nil // what the heartbeat lacks is judged again
+	listed := c.machines.listedBuffer
+	clear(listed)
+	for i := range heartbeat.Tasks {
+		commands = c.reconcileListed(commands, m, state, heartbeat, &heartbeat.Tasks[i], listed)
+	}
+	for _, key := range m.unlisted(listed) {
+		commands = c.reconcileMissing(commands, m, state, heartbeat, key)
+	}
+	for key := range m.stops {
+		if m.bound[key] == nil {
+			delete(m.stops, key)
+		}
+	}
+	return commands
+}
+
+// reconcileListed judges an attempt that a trusted heartbeat lists, and appends the command
+// for it, if any. What is bound here as it is listed is added to listed.
+func (c *Core) reconcileListed(commands []protocol.Command, m *machine, state fencing.WorkerState, heartbeat *protocol.Heartbeat, status *protocol.TaskStatus, listed map[taskKey]bool) []protocol.Command {
+	id, index, err := job.ParseTaskName(status.Task)
+	if err != nil {
+		return commands
+	}
+	key := taskKey{id, index}
+	attempt, bound := c.boundHere(m, key)
+	listedAttempt := fencing.ListedAttempt{Number: status.Attempt, Ended: status.Status == protocol.TaskEnded}
+	launchInFlight := m.inFlight[taskAttempt{key, status.Attempt}]
+	action, _ := state.JudgeListed(heartbeatHead(heartbeat), listedAttempt, attempt, bound, launchInFlight)
+	switch action {
+	case fencing.RenewToken:
+		m.launchInDoubt = true
+		return commands
+	case fencing.Forget:
+		return append(commands, protocol.Command{Verb: protocol.VerbForget, Task: status.Task, Attempt: status.Attempt})
+	case fencing.Kill:
+		return append(commands, killCommand(status, 0))
+	case fencing.Defer:
+		return commands // to be forgotten later
+	}
+	record := c.jobs.byID[id]
+	listed[key] = true
+	if c.verbose {
+		c.log.Debug("task status", "task", status.Task, "attempt", status.Attempt, "status", status.Status, "cause", status.Cause, "machine", m.id)
+	}
+	if action == fencing.Release {
+		c.proposeCompletion(m, record, key, status)
+		return commands
+	}
+	c.noteProgress(m, record, key, status)
+	if record.final() {
+		return append(commands, killCommand(status, 0))
+	}
+	if stop, ok := m.stops[key]; ok && status.Status != protocol.TaskCheckpointing {
+		return append(commands, killCommand(status, stop.gracePeriod))
+	}
+	return commands
+}
+
+// noteProgress takes from a heartbeat how far an attempt is: running, or waiting for its
+// image.
+func (c *Core) noteProgress(m *machine, record *jobRecord, key taskKey, status *protocol.TaskStatus) {
+	image := record.spec.Image
+	switch status.Status {
+	case protocol.TaskRunning:
+		if m.markRunning(key, c.now) {
+			c.traceStart(losses.Began, key.job, key.index, status.Attempt, m.id)
+		}
+		m.imageReadyAt[image] = min(m.imageReadyAt[image], c.now)
+		delete(m.pulling, key)
+	case protocol.TaskPulling:
+		m.pulling[key] = true
+		// It takes longer than expected if it is still not there by the next heartbeat.
+		nextHeartbeatAt := c.now + seconds(c.cfg.Facts.Workers.Report)
+		if m.imageReadyAt[image] < nextHeartbeatAt {
+			m.imageReadyAt[image] = nextHeartbeatAt
+		}
+	}
+}
+
+// reconcileMissing judges a task that is bound to the machine and not on the list of a
+// trusted heartbeat, and appends the command for it, if any.
+func (c *Core) reconcileMissing(commands []protocol.Command, m *machine, state fencing.WorkerState, heartbeat *protocol.Heartbeat, key taskKey) []protocol.Command {
+	record := m.bound[key]
+	task := record.task(c, key.index)
+	_, stopping := m.stops[key]
+	wanted := !record.final() && !stopping && !m.preempted
+	attempt := taskAttempt{key, task.Attempt}
+	boundAttempt, _ := c.boundHere(m, key)
+	action, proof := state.JudgeMissing(heartbeatHead(heartbeat), boundAttempt, m.inFlight[attempt], wanted, c.releasePending(record, key.index))
+	switch action {
+	case fencing.RenewToken:
+		m.launchInDoubt = true
+	case fencing.Release:
+		m.vacate(key, record)
+		c.propose(record, key.index, taskTransition{machine: m.id, epoch: task.Epoch, attempt: task.Attempt, proof: proof})
+		if proof == fencing.NotListed {
+			delete(m.stops, key)
+		}
+	case fencing.Launch:
+		return append(commands, c.launchCommand(m, attempt))
+	case fencing.Keep:
+		if wanted && task.Epoch == heartbeat.AgentEpoch {
+			m.deferLaunch(attempt)
+		}
+	}
+	return commands
+}
+
+// releasePending tells whether a release or completion of the task is queued or being
+// written.
+func (c *Core) releasePending(record *jobRecord, index int) bool {
+	if c.writer.logQueued[taskKey{record.spec.ID, index}] {
+		return true
+	}
+	perPage := c.tasksPerPage()
+	page := record.pages[index/perPage]
+	for i := range page.queue {
+		if page.queue[i].index == index%perPage && !page.queue[i].placement {
+			return true
+		}
+	}
+	return page.inFlight
+}
+
+// proposeCompletion proposes the completion of a task that a trusted heartbeat lists as
+// ended.
+func (c *Core) proposeCompletion(m *machine, record *jobRecord, key taskKey, status *protocol.TaskStatus) {
+	task := record.task(c, key.index)
+	transition := taskTransition{
+		machine: m.id,
+		epoch:   task.Epoch,
+		attempt: task.Attempt,
+		proof:   fencing.Ended,
+		done:    status.Cause == protocol.CauseDone,
+		failed:  status.Cause == protocol.CauseError,
+		cause:   status.Cause,
+	}
+	if transition.failed {
+		c.log.Info("task failed", "task", status.Task, "machine", m.id, "failures", task.Failures+1)
+	}
+	m.vacate(key, record)
+	c.propose(record, key.index, transition)
+}
