--- a/internal/coordination/conform_test.go
+++ b/internal/coordination/conform_test.go
@@ -202,7 +202,7 @@
 	c := s.nodes[0].core
 	a := &announcement{Staging: protocol.Staging{Set: "set0", Version: "1", Team: "red", Priority: "urgent", Machines: 3}}
 	put := func(id, team string, p job.Priority, input string, bound, finished int) {
-		c.jobs.byID[id] = &jobRecord{spec: &job.Spec{ID: id, Team: team, Priority: p, Inputs: []string{input}}, bound: bound, finished: finished}
+		c.jobs.byID[id] = &jobRecord{mirroredJob: mirroredJob{spec: &job.Spec{ID: id, Team: team, Priority: p, Inputs: []string{input}}}, bound: bound, finished: finished}
 	}
 	put("other-set", "red", job.High, "set1/1", 9, 0)
 	put("other-team", "blue", job.High, "set0/1", 9, 0)
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -133,7 +133,7 @@
 		if !slices.Equal(plain, c.jobs.openByUrgency) {
 			t.Fatalf("%v: %d jobs in turns, %d are open", at, len(c.jobs.openByUrgency), len(plain))
 		}
-		if !slices.IsSortedFunc(c.jobs.openByAge, older) || len(c.jobs.openByAge) != len(c.jobs.open) {
+		if !slices.IsSortedFunc(c.jobs.openByAge, compareAge) || len(c.jobs.openByAge) != len(c.jobs.open) {
 			t.Fatalf("%v: %d jobs by age, %d are open", at, len(c.jobs.openByAge), len(c.jobs.open))
 		}
 	}
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/endlog_test.go
@@ -108,7 +108,7 @@
 	s.logged = true
 	s.run(2 * time.Second)
 	c := s.nodes[0].core
-	r := &jobRecord{spec: &job.Spec{ID: "wk-000001", Team: "blue", Shape: job.Array, Tasks: 1}, status: job.Open}
+	r := &jobRecord{mirroredJob: mirroredJob{spec: &job.Spec{ID: "wk-000001", Team: "blue", Shape: job.Array, Tasks: 1}, status: job.Open}}
 	done := taskTransition{proof: 1, done: true}
 	c.membership.formats["n1"], c.membership.formats["n2"] = completionLogFormat, completionLogFormat
 	if !c.goesToCompletionLog(r, done) {
--- a/internal/coordination/losslines_test.go
+++ b/internal/coordination/losslines_test.go
@@ -38,7 +38,7 @@
 	c.now = 30 * time.Second
 	c.machine("i-000001").heardAt = 5 * time.Second
 
-	r := &jobRecord{spec: &job.Spec{ID: "wk-000042", Class: "night run", Priority: job.Production, Tasks: 9}}
+	r := &jobRecord{mirroredJob: mirroredJob{spec: &job.Spec{ID: "wk-000042", Class: "night run", Priority: job.Production, Tasks: 9}}}
 	endings := []taskTransition{
 		{proof: fencing.Ended, cause: protocol.CauseDone, done: true},
 		{proof: fencing.Ended, cause: protocol.CauseError, failed: true},
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -490,7 +490,7 @@
 	case x.latestStart != y.latestStart:
 		return cmp.Compare(x.latestStart, y.latestStart)
 	}
-	return older(x, y)
+	return compareAge(x, y)
 }
 
 // updateJobOrder computes when each job's turn comes among jobs of its priority:
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -43,35 +43,57 @@
 	}
 }
 
-// jobRecord is a mirrored job.
+// jobRecord is a job as the records have it, with what this controller derives from them
+// and decides about it.
 type jobRecord struct {
-	spec               *job.Spec
-	status             job.Status
-	submittedAtMS      int64 // submission, milliseconds of the day's clock
-	owner              string
-	revision           uint64
-	pages              []*page
-	bound              int
-	finished           int
-	lastAttempt        int // the highest attempt
-	retryAt            time.Duration
-	latestStart        float64               // see updateJobOrder
-	targetDuration     float64               // see Core.within
-	withinGuarantee    bool                  // fits into its team's guarantee with the team's earlier jobs
-	failedReservations int                   // how often it was marked in vain, as a gang
-	nextReservationAt  time.Duration         // and is not to be marked before
-	failedOn           map[string]bool       // machines on which a task of it failed, as the records came to show
-	completing         bool                  // being called done
-	maxFailures        int                   // the most failures of one of its tasks
-	firstFailureAt     time.Duration         // when the first was seen
-	tasksByZone        map[string]int        // bound and reserved tasks by zone
-	reservations       map[int]*reservation  // tasks being placed by this controller
-	queue              []*queuedTask         // tasks in our machines' lines, by number
-	queuedByIndex      map[int]*queuedTask   // the same
-	dispatchAfter      map[int]time.Duration // dispatched elsewhere, not before
-	blockMachines      []string              // machines chosen for this gang
+	mirroredJob
+	queueState
+	gangState
+	failureState
+
+	pages        []*page
+	bound        int                  // bound tasks
+	finished     int                  // finished tasks
+	lastAttempt  int                  // the highest attempt number of its tasks
+	tasksByZone  map[string]int       // bound and reserved tasks by zone
+	reservations map[int]*reservation // tasks that this controller is placing, by index
+	completing   bool                 // a transaction that calls it done is in flight
+}
+
+// mirroredJob is the stored part of a job, as of its revision.
+type mirroredJob struct {
+	spec          *job.Spec
+	status        job.Status
+	submittedAtMS int64  // time of submission, milliseconds since the epoch
+	owner         string // the controller that took the job in
+	revision      uint64 // mod revision of the record
+}
+
+// queueState is where a job and its tasks stand in the queues.
+type queueState struct {
+	queue           []*queuedTask         // tasks queued for machines of this controller, by index
+	queuedByIndex   map[int]*queuedTask   // the same tasks
+	dispatchAfter   map[int]time.Duration // tasks that were handed to another controller, until when they stay there
+	latestStart     float64               // see updateJobOrder
+	targetDuration  float64               // see Core.targetDuration
+	withinGuarantee bool                  // fits into its team's guarantee along with the team's earlier jobs
+}
+
+// gangState is how far the search for machines for a gang has come.
+type gangState struct {
+	failedReservations int           // reservations that ended without a start
+	nextReservationAt  time.Duration // no reservation is made before
+	blockMachines      []string      // machines chosen to run the gang together
 	blockChosenAt      time.Duration
-	offers             map[string]peerOffer // machines that peers hold back for this gang
+	offers             map[string]peerOffer // machines that peers hold back for it
+}
+
+// failureState is what the records have shown of the failures of a job's tasks.
+type failureState struct {
+	failedOn       map[string]bool // machines on which a task has failed
+	maxFailures    int             // the most failures of a single task
+	firstFailureAt time.Duration   // when the first failure was seen
+	retryAt        time.Duration   // no task is started before
 }
 
 type reservation struct{ machine string }
@@ -139,7 +161,9 @@
 	// no cancellation is unknown here, so the job must not count as open again.
 	over := c.knownFinal(id)
 	if r == nil {
-		r = &jobRecord{spec: s.Spec, targetDuration: c.targetDuration(s.Spec), tasksByZone: map[string]int{}}
+		r = &jobRecord{tasksByZone: map[string]int{}}
+		r.spec = s.Spec
+		r.targetDuration = c.targetDuration(s.Spec)
 		n := c.tasksPerPage()
 		for k := 0; k*n < s.Spec.Tasks; k++ {
 			tasks := make([]job.Task, min(n, s.Spec.Tasks-k*n))
@@ -276,7 +300,7 @@
 // addOpenJob and close keep the indexes of unfinished jobs.
 func (c *Core) addOpenJob(r *jobRecord) {
 	c.jobs.open[r.spec.ID] = r
-	at, _ := slices.BinarySearchFunc(c.jobs.openByAge, r, older)
+	at, _ := slices.BinarySearchFunc(c.jobs.openByAge, r, compareAge)
 	c.jobs.openByAge = slices.Insert(c.jobs.openByAge, at, r)
 	c.jobs.added = append(c.jobs.added, r)
 	if r.spec.GPUs == 0 {
@@ -286,7 +310,7 @@
 
 func (c *Core) removeOpenJob(r *jobRecord) {
 	delete(c.jobs.open, r.spec.ID)
-	if at, there := slices.BinarySearchFunc(c.jobs.openByAge, r, older); there {
+	if at, there := slices.BinarySearchFunc(c.jobs.openByAge, r, compareAge); there {
 		c.jobs.openByAge = slices.Delete(c.jobs.openByAge, at, at+1)
 	}
 	r.dispatchAfter = nil
@@ -295,7 +319,7 @@
 	}
 }
 
-func older(a, b *jobRecord) int {
+func compareAge(a, b *jobRecord) int {
 	return cmp.Or(cmp.Compare(a.submittedAtMS, b.submittedAtMS), cmp.Compare(a.spec.ID, b.spec.ID))
 }
 
