--- a/internal/coordination/blackstart_test.go
+++ b/internal/coordination/blackstart_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"silvergate/internal/coordination/pagecodec"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
 )
@@ -87,12 +88,12 @@
 		size := n.core.tasksPerPage()
 		u := s.users[id]
 		tasks := make([]job.Task, min(size, u.spec.Tasks-index/size*size))
-		changes, err := readPage(s.kv.keys[pageKey(id, index/size)].data, tasks, nil)
+		changes, err := pagecodec.Decode(s.kv.keys[pageKey(id, index/size)].data, tasks, nil)
 		if err != nil {
 			return nil
 		}
 		for _, ch := range changes {
-			tasks[ch.index] = ch.task
+			tasks[ch.Index] = ch.Task
 		}
 		return &tasks[index%size]
 	}
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/completions_test.go
@@ -11,7 +11,7 @@
 	"silvergate/internal/protocol"
 )
 
-// TestRulesHoldWithTheEndingLog plays days of troubles with the log of endings switched on.
+// TestRulesHoldWithTheEndingLog plays days of troubles with the completion log switched on.
 func TestRulesHoldWithTheEndingLog(t *testing.T) {
 	drawnDays(t, 12_500, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.01)
@@ -24,10 +24,10 @@
 	})
 }
 
-// TestEndingLogSavesChanges compares the changes of a day of arrays with the log and without it, and
+// TestEndingLogSavesChanges compares the revisions of a day of arrays with the log and without it, and
 // that nothing of it is left when all is over.
 func TestEndingLogSavesChanges(t *testing.T) {
-	play := func(logged bool) (changes uint64, left int) {
+	play := func(logged bool) (revisions uint64, left int) {
 		s := grownSim(t, 91)
 		s.logged = logged
 		for i := range s.facts.Teams {
@@ -54,31 +54,34 @@
 	}
 }
 
-// TestALoggedEndingIsOfOneAttempt guards against an entry that ends another attempt than its own: a
-// late record of an earlier one, or of the same number in another session.
+// TestALoggedEndingIsOfOneAttempt guards against a completion that ends another attempt than its
+// own: a late record of an earlier one, or of the same number in another agent epoch.
 func TestALoggedEndingIsOfOneAttempt(t *testing.T) {
-	for _, c := range []struct {
-		entry string
-		ends  bool
+	for _, test := range []struct {
+		name       string
+		completion string
+		ends       bool
 	}{
-		{"wk-700000/0.1 i-000001 1", true},
-		{"wk-700000/0.1 i-000001 2", false},
-		{"wk-700000/0.1 i-000002 1", false},
-		{"wk-700000/0.2 i-000001 1", false},
-		{"wk-700000/9.1 i-000001 1", false},
-		{"nonsense", false},
+		{"the bound attempt", "wk-700000/0.1 i-000001 1", true},
+		{"another agent epoch", "wk-700000/0.1 i-000001 2", false},
+		{"another machine", "wk-700000/0.1 i-000002 1", false},
+		{"another attempt", "wk-700000/0.2 i-000001 1", false},
+		{"a task that the job lacks", "wk-700000/9.1 i-000001 1", false},
+		{"not a completion", "nonsense", false},
 	} {
-		s := newScript(t)
-		s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
-		s.c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{c.entry}}))
-		if ended := s.c.jobs.byID["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != c.ends {
-			t.Errorf("%s: ended %v", c.entry, ended)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			s := newScript(t)
+			s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
+			s.c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{test.completion}}))
+			if ended := s.c.jobs.byID["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != test.ends {
+				t.Errorf("%s: ended %v, want %v", test.completion, ended, test.ends)
+			}
+		})
 	}
 }
 
 // TestAPageBehindTheLog: a page that is read after the log, and binds what the log says has
-// completed, shows it completed; one that shows a later attempt settles the entry.
+// completed, shows it completed; one that shows a later attempt settles the completion.
 func TestAPageBehindTheLog(t *testing.T) {
 	s := newScript(t)
 	s.held()
@@ -97,8 +100,8 @@
 		t.Errorf("%+v", *task)
 	}
 	c.applyPage("wk-700000/0", page(2), 132)
-	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writer.completions.Settled()) != 1 {
-		t.Errorf("%+v, %v", *task, c.writer.completions.Settled())
+	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writer.completions.log.Settled()) != 1 {
+		t.Errorf("%+v, %v", *task, c.writer.completions.log.Settled())
 	}
 }
 
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -419,7 +419,7 @@
 	case keyEndings:
 		c.applyCompletionRecord(name, data)
 	case keyTeam:
-		c.applyTeam(name, data, revision)
+		c.jobs.applyTeam(c.log, name, data, revision)
 	case keyMember:
 		c.applyMember(name, data)
 	case keyDrain:
--- /dev/null
+++ b/internal/coordination/job_table.go
@@ -0,0 +1,244 @@
+package coordination
+
+import (
+	"cmp"
+	"encoding/json"
+	"slices"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
+	"silvergate/internal/stateclient"
+)
+
+// jobTable owns the mirrored jobs, their pages and the teams that they belong to.
+type jobTable struct {
+	byID        map[string]*jobRecord
+	open        map[string]*jobRecord // jobs that are not over
+	openCPUOnly int                   // open jobs without accelerators
+	openByAge   []*jobRecord          // the open jobs, oldest first
+	// openByUrgency are the open jobs, most urgent first, as of the last sweep, and
+	// added those that were opened since then.
+	openByUrgency []*jobRecord
+	added         []*jobRecord
+	orphanPages   map[string]orphanPage // pages that were read before their jobs
+	teams         map[string]*team
+}
+
+func newJobTable() jobTable {
+	return jobTable{
+		byID:        map[string]*jobRecord{},
+		open:        map[string]*jobRecord{},
+		orphanPages: map[string]orphanPage{},
+		teams:       map[string]*team{},
+	}
+}
+
+// teamOf returns a job's team, nil if the settings have none of that name.
+func (t *jobTable) teamOf(r *jobRecord) *team { return t.teams[r.spec.Team] }
+
+// addOpen takes a job into the indexes of open jobs.
+func (t *jobTable) addOpen(r *jobRecord) {
+	t.open[r.spec.ID] = r
+	at, _ := slices.BinarySearchFunc(t.openByAge, r, compareAge)
+	t.openByAge = slices.Insert(t.openByAge, at, r)
+	t.added = append(t.added, r)
+	if r.spec.GPUs == 0 {
+		t.openCPUOnly++
+	}
+}
+
+// removeOpen takes a job that is over out of the indexes of open jobs. The next sweep takes
+// it out of openByUrgency.
+func (t *jobTable) removeOpen(r *jobRecord) {
+	delete(t.open, r.spec.ID)
+	if at, found := slices.BinarySearchFunc(t.openByAge, r, compareAge); found {
+		t.openByAge = slices.Delete(t.openByAge, at, at+1)
+	}
+	r.dispatchAfter = nil
+	if r.spec.GPUs == 0 {
+		t.openCPUOnly--
+	}
+}
+
+// compareAge orders jobs by submission, the oldest first.
+func compareAge(a, b *jobRecord) int {
+	return cmp.Or(cmp.Compare(a.submittedAtMS, b.submittedAtMS), cmp.Compare(a.spec.ID, b.spec.ID))
+}
+
+// jobRecord is a job as the records have it, with what this controller derives from them
+// and decides about it.
+type jobRecord struct {
+	mirroredJob
+	queueState
+	gangState
+	failureState
+
+	pages        []*page
+	bound        int                  // bound tasks
+	finished     int                  // finished tasks
+	lastAttempt  int                  // the highest attempt number of its tasks
+	tasksByZone  map[string]int       // bound and reserved tasks by zone
+	reservations map[int]*reservation // tasks that this controller is placing, by index
+	completing   bool                 // a transaction that calls it done is in flight
+}
+
+// mirroredJob is the stored part of a job, as of its revision.
+type mirroredJob struct {
+	spec          *job.Spec
+	status        job.Status
+	submittedAtMS int64  // time of submission, milliseconds since the epoch
+	owner         string // the controller that took the job in
+	revision      uint64 // mod revision of the record
+}
+
+// queueState is where a job and its tasks stand in the queues.
+type queueState struct {
+	queue           []*queuedTask         // tasks queued for machines of this controller, by index
+	queuedByIndex   map[int]*queuedTask   // the same tasks
+	dispatchAfter   map[int]time.Duration // tasks that were handed to another controller, until when they stay there
+	latestStart     float64               // see updateJobOrder
+	targetDuration  float64               // see Core.targetDuration
+	withinGuarantee bool                  // fits into its team's guarantee along with the team's earlier jobs
+}
+
+// gangState is how far the search for machines for a gang has come.
+type gangState struct {
+	failedReservations int           // reservations that ended without a start
+	nextReservationAt  time.Duration // no reservation is made before
+	blockMachines      []string      // machines chosen to run the gang together
+	blockChosenAt      time.Duration
+	offers             map[string]peerOffer // machines that peers hold back for it
+}
+
+// failureState is what the records have shown of the failures of a job's tasks.
+type failureState struct {
+	failedOn       map[string]bool // machines on which a task has failed
+	maxFailures    int             // the most failures of a single task
+	firstFailureAt time.Duration   // when the first failure was seen
+	retryAt        time.Duration   // no task is started before
+}
+
+// storedJob is a job's record in the state service.
+type storedJob struct {
+	Spec          *job.Spec  `json:"spec"`
+	Status        job.Status `json:"st"`
+	SubmittedAtMS int64      `json:"at"`
+	Owner         string     `json:"home"`
+}
+
+// storedWith returns the job's record with the given status.
+func (r *jobRecord) storedWith(status job.Status) storedJob {
+	return storedJob{Spec: r.spec, Status: status, SubmittedAtMS: r.submittedAtMS, Owner: r.owner}
+}
+
+// final reports whether the job is over: done or cancelled.
+func (r *jobRecord) final() bool { return r.status != job.Open }
+
+// task returns a task of the job, nil if there is none of that index, or if the job is over
+// and its tasks were released.
+func (r *jobRecord) task(c *Core, index int) *job.Task {
+	if index < 0 || index >= r.spec.Tasks {
+		return nil
+	}
+	p := r.pages[index/c.tasksPerPage()]
+	if p.tasks == nil {
+		return nil
+	}
+	return &p.tasks[index-p.firstTask]
+}
+
+// pageOf returns the page that holds a task of the job.
+func (c *Core) pageOf(r *jobRecord, index int) *page { return r.pages[index/c.tasksPerPage()] }
+
+// applyJob applies a change of a job's record.
+func (c *Core) applyJob(id string, data json.RawMessage, revision uint64) {
+	if data == nil {
+		return // job records are kept for ever
+	}
+	var stored storedJob
+	if !decode(c.log, id, data, &stored) || stored.Spec == nil {
+		return
+	}
+	// Guards against reads that overtake one another: a peer names a cancelled job, and then
+	// comes an answer that the state service gave before the cancellation. The peer's reply
+	// goes on being a proof that no cancellation is unknown here, so the job must not count
+	// as open again.
+	knownFinal := c.knownFinal(id)
+	r := c.jobs.byID[id]
+	if r == nil {
+		r = c.newJobRecord(stored.Spec)
+		c.jobs.byID[id] = r
+		c.links.ForgetCancelled(id)
+	}
+	r.status = stored.Status
+	r.submittedAtMS = stored.SubmittedAtMS
+	r.owner = stored.Owner
+	r.revision = revision
+	if knownFinal && stored.Status == job.Open {
+		r.status = job.Cancelled
+	}
+	c.updateOpenIndex(r)
+	c.applyOrphanPages(r)
+	if len(c.scheduler.earlyHandoffs[id]) > 0 {
+		c.replayEarlyHandoffs(id)
+	}
+	if r.final() {
+		for _, p := range r.pages {
+			c.releaseTasks(p)
+		}
+	}
+}
+
+// newJobRecord returns the record of a job whose pages do not exist yet.
+func (c *Core) newJobRecord(spec *job.Spec) *jobRecord {
+	r := &jobRecord{tasksByZone: map[string]int{}}
+	r.spec = spec
+	r.targetDuration = c.targetDuration(spec)
+	r.pages = newPages(r, c.tasksPerPage())
+	return r
+}
+
+// updateOpenIndex opens or closes a job in the indexes, if its status has changed so. Tasks of
+// a job that is over are stopped.
+func (c *Core) updateOpenIndex(r *jobRecord) {
+	_, wasOpen := c.jobs.open[r.spec.ID]
+	switch {
+	case wasOpen && r.final():
+		c.stopTasksOf(r)
+		c.jobs.removeOpen(r)
+	case !wasOpen && !r.final():
+		c.jobs.addOpen(r)
+	}
+}
+
+// applyOrphanPages applies the pages of a job that were read before it.
+func (c *Core) applyOrphanPages(r *jobRecord) {
+	for _, p := range r.pages {
+		name := p.name()
+		if orphan, ok := c.jobs.orphanPages[name]; ok {
+			delete(c.jobs.orphanPages, name)
+			c.applyPage(name, orphan.data, orphan.revision)
+		}
+	}
+}
+
+// completeJob calls a job done whose tasks have all finished, by the records.
+//
+// Guards against a job that is never called done: usually the transaction with its last
+// completion says so, but when the last completions of two of its pages are committed at
+// once, by two controllers or in two transactions, each is without the other's.
+func (c *Core) completeJob(r *jobRecord) {
+	if r.final() || r.completing || c.responsibleController(r.owner) != c.cfg.Node {
+		return
+	}
+	r.completing = true
+	// Finished tasks stay finished, so the pages need no condition.
+	key := keyJob + r.spec.ID
+	compares := []protocol.Compare{{Key: key, ModRevision: r.revision}}
+	ops := []protocol.Op{{Put: key, Value: encode(r.storedWith(job.Done))}}
+	c.state.Txn(ratelimit.UserRequests, compares, ops, func(stateclient.TxnOutcome, []string, uint64) {
+		r.completing = false
+	})
+}
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -3,201 +3,175 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
+	"slices"
 	"strconv"
+	"strings"
+	"time"
 
+	"silvergate/internal/coordination/pagecodec"
 	"silvergate/internal/job"
-	"silvergate/internal/protocol"
 )
 
-// A page's record is one JSON string with a word for each task:
-//
-//	p<try>                       pending; a task never tried is p0
-//	b<try>/<machine>/<session>   bound
-//	d<try>                       finished
-//
-// with !<fails> behind it if it has failed, and *<n> for n tasks alike. It is a
-// third of the size of a JSON list, and whoever reads it need not build the tasks
-// that did not change. Earlier versions wrote a list of objects, which is still
-// read, and written as long as a peer of such a version may be about.
+// page is a run of a job's tasks, stored under one key. A page that does not exist in the
+// state service holds pending tasks only.
+type page struct {
+	job           *jobRecord
+	jobID         string
+	number        int
+	firstTask     int // index of its first task in the job
+	size          int // in tasks
+	revision      uint64
+	tasks         []job.Task // nil once released
+	pending       int        // pending tasks
+	done          int        // finished tasks, once released
+	queue         []taskTransition
+	queuedSince   time.Duration // when the first transition of the queue was proposed
+	inFlight      bool          // a transaction that writes it has not been answered
+	retryAt       time.Duration // not written before
+	foldRequested bool          // to be written to take in what the completion log holds
+}
 
-// Formats of records, each of which includes those before it. A controller publishes the
-// highest that it reads with its member record.
-const (
-	compactPageFormat   = 1 // pages of words
-	failoverFormat      = 2 // take-overs by the group
-	completionLogFormat = 3 // the log of endings
-	latestFormat        = completionLogFormat
-)
+// orphanPage is a page that was read before its job.
+type orphanPage struct {
+	data     json.RawMessage
+	revision uint64
+}
 
-var errMalformedPage = errors.New("not a page of tasks")
+// pageName returns the name of a page: its key without the prefix of pages.
+func pageName(jobID string, number int) string { return jobID + "/" + strconv.Itoa(number) }
 
-// writePage encodes a page.
-func writePage(tasks []job.Task) json.RawMessage {
-	b := make([]byte, 1, 16*len(tasks)+2)
-	b[0] = '"'
-	for i := 0; i < len(tasks); {
-		n := 1
-		for i+n < len(tasks) && tasks[i+n] == tasks[i] {
-			n++
-		}
-		t := &tasks[i]
-		if i > 0 {
-			b = append(b, ' ')
-		}
-		switch t.Phase {
-		case job.Bound:
-			b = strconv.AppendInt(append(b, 'b'), int64(t.Attempt), 10)
-			b = append(append(append(b, '/'), t.Machine...), '/')
-			b = strconv.AppendUint(b, t.Epoch, 10)
-		case job.Finished:
-			b = strconv.AppendInt(append(b, 'd'), int64(t.Attempt), 10)
-		default:
-			b = strconv.AppendInt(append(b, 'p'), int64(t.Attempt), 10)
-		}
-		if t.Failures != 0 {
-			b = strconv.AppendInt(append(b, '!'), int64(t.Failures), 10)
-		}
-		if n > 1 {
-			b = strconv.AppendInt(append(b, '*'), int64(n), 10)
-		}
-		i += n
-	}
-	return append(b, '"')
+// pageKey returns the key of a page in the state service.
+func pageKey(jobID string, number int) string { return keyPage + pageName(jobID, number) }
+
+// newPages returns the pages of a job of which nothing is stored yet.
+func newPages(r *jobRecord, tasksPerPage int) []*page {
+	var pages []*page
+	for first := 0; first < r.spec.Tasks; first += tasksPerPage {
+		size := min(tasksPerPage, r.spec.Tasks-first)
+		pages = append(pages, &page{
+			job:       r,
+			jobID:     r.spec.ID,
+			number:    len(pages),
+			firstTask: first,
+			size:      size,
+			tasks:     make([]job.Task, size),
+			pending:   size,
+		})
+	}
+	return pages
 }
 
-// taskChange is a task of a page that differs from what was there.
-type taskChange struct {
-	index int
-	task  job.Task
+func (p *page) name() string { return pageName(p.jobID, p.number) }
+func (p *page) key() string  { return pageKey(p.jobID, p.number) }
+
+// taskKey returns the key of a task of the page.
+func (p *page) taskKey(index int) taskKey { return taskKey{job: p.jobID, index: p.firstTask + index} }
+
+// restoreTasks makes a page ready to be read again. Guards against a job's end that is
+// read ahead of the watch: placements of before are then still to come.
+func (p *page) restoreTasks() {
+	if p.tasks != nil {
+		return
+	}
+	p.tasks = make([]job.Task, p.size)
+	p.pending = p.size
+	p.job.finished -= p.done
+	p.done = 0
 }
 
-// readPage decodes a page and appends to buf what differs from old. Tasks that
-// the page does not name are untried.
-func readPage(data []byte, old []job.Task, buf []taskChange) ([]taskChange, error) {
-	if len(data) > 0 && data[0] == '[' {
-		return readJSONPage(data, old, buf)
-	}
-	if len(data) < 2 || data[0] != '"' || data[len(data)-1] != '"' || bytes.IndexByte(data, '\\') >= 0 {
-		return nil, errMalformedPage
-	}
-	i := 0
-	for rest := data[1 : len(data)-1]; len(rest) > 0; {
-		w, next, _ := bytes.Cut(rest, []byte(" "))
-		rest = next
-		t, machine, n, err := readTaskWord(w)
-		if err != nil {
-			return nil, err
-		}
-		for ; n > 0 && i < len(old); n, i = n-1, i+1 {
-			o := &old[i]
-			if o.Phase == t.Phase && o.Attempt == t.Attempt && o.Epoch == t.Epoch && o.Failures == t.Failures && o.Machine == string(machine) {
-				continue
-			}
-			t.Machine = string(machine)
-			buf = append(buf, taskChange{i, t})
+// releaseTasks forgets the tasks of a page of a job that is over, unless one is bound:
+// memory must not grow with all the tasks there ever were. What users are told
+// needs the counts alone.
+func (c *Core) releaseTasks(p *page) {
+	switch {
+	case c.jobs.allTasksCompleted(p.job):
+		c.completeBoundTasks(p)
+		c.writer.completions.log.SettleJob(p.jobID)
+	case c.writer.completions.holdsTaskOf(p):
+		return
+	}
+	finished := 0
+	for i := range p.tasks {
+		switch p.tasks[i].Phase {
+		case job.Bound:
+			return
+		case job.Finished:
+			finished++
 		}
 	}
-	return isUntried(i, old, buf), nil
+	if p.tasks != nil {
+		p.tasks = nil
+		p.pending = 0
+		p.done = finished
+	}
 }
 
-// isUntried appends that the tasks from i on are untried.
-func isUntried(i int, old []job.Task, buf []taskChange) []taskChange {
-	for ; i < len(old); i++ {
-		if old[i] != (job.Task{}) {
-			buf = append(buf, taskChange{i, job.Task{}})
-		}
-	}
-	return buf
+// applyPage applies a change of a page. The name is that of the key, job/number.
+func (c *Core) applyPage(name string, data json.RawMessage, revision uint64) {
+	id, number, _ := strings.Cut(name, "/")
+	r := c.jobs.byID[id]
+	if r == nil {
+		// A copy, since data is a part of the whole response.
+		c.jobs.orphanPages[name] = orphanPage{data: bytes.Clone(data), revision: revision}
+		return
+	}
+	k, err := strconv.Atoi(number)
+	if err != nil || k < 0 || k >= len(r.pages) || data == nil {
+		return
+	}
+	p := r.pages[k]
+	p.restoreTasks()
+	if r.final() {
+		defer c.releaseTasks(p)
+	}
+	changes, err := pagecodec.Decode(data, p.tasks, c.writer.changeBuffer[:0])
+	if err != nil {
+		c.log.Error("unreadable record", "key", name, "error", err)
+		return
+	}
+	changes = c.mergeCompletions(p, changes)
+	c.writer.changeBuffer = changes
+	p.revision = revision
+	c.applyTaskChanges(p, changes)
 }
 
-// readTaskWord decodes one word: a task, its machine, and how many are alike.
-func readTaskWord(w []byte) (t job.Task, machine []byte, n int, err error) {
-	if len(w) < 2 {
-		return t, nil, 0, errMalformedPage
-	}
-	kind := w[0]
-	rest := w[1:]
-	number := func() uint64 {
-		v, i := uint64(0), 0
-		for i < len(rest) && rest[i] >= '0' && rest[i] <= '9' {
-			v, i = v*10+uint64(rest[i]-'0'), i+1
+// applyTaskChanges applies what is new in a page to the mirror and its indexes.
+func (c *Core) applyTaskChanges(p *page, changes []pagecodec.Change) {
+	since := p.revision // each change of a page comes, but while the records are read anew
+	if c.state.Rescanning() {
+		since = 0
+	}
+	var failed []taskFailure
+	for i := range changes {
+		index := changes[i].Index
+		task := &changes[i].Task
+		if task.Phase == job.Bound {
+			task.Machine = c.machine(task.Machine).id // one string for each machine
 		}
-		if i == 0 || i > 19 {
-			err = errMalformedPage
+		old := p.tasks[index]
+		if task.Failures > old.Failures {
+			failed = append(failed, taskFailure{was: old, failures: task.Failures})
 		}
-		rest = rest[i:]
-		return v
-	}
-	mark := func(b byte) bool {
-		if len(rest) == 0 || rest[0] != b {
-			return false
+		c.unindexTask(p.job, p.taskKey(index), &old)
+		p.tasks[index] = *task
+		c.indexTask(p.job, p.taskKey(index), task, since)
+		if old.Phase == job.Pending {
+			p.pending--
 		}
-		rest = rest[1:]
-		return true
-	}
-	t.Attempt = int(number())
-	switch kind {
-	case 'p':
-	case 'd':
-		t.Phase = job.Finished
-	case 'b':
-		t.Phase = job.Bound
-		if !mark('/') {
-			return t, nil, 0, errMalformedPage
-		}
-		end := bytes.IndexByte(rest, '/')
-		if end <= 0 {
-			return t, nil, 0, errMalformedPage
-		}
-		machine, rest = rest[:end], rest[end+1:]
-		t.Epoch = number()
-	default:
-		return t, nil, 0, errMalformedPage
-	}
-	if mark('!') {
-		t.Failures = int(number())
-	}
-	n = 1
-	if mark('*') {
-		n = int(number())
-	}
-	if err != nil || len(rest) > 0 {
-		return t, nil, 0, errMalformedPage
-	}
-	return t, machine, n, nil
-}
-
-// readJSONPage decodes a page of an earlier version.
-func readJSONPage(data []byte, old []job.Task, buf []taskChange) ([]taskChange, error) {
-	var tasks []job.Task
-	if err := protocol.DecodeState(data, &tasks); err != nil {
-		return nil, err
-	}
-	n := min(len(tasks), len(old))
-	for i := range n {
-		if old[i] != tasks[i] {
-			buf = append(buf, taskChange{i, tasks[i]})
+		if task.Phase == job.Pending {
+			p.pending++
 		}
 	}
-	return isUntried(n, old, buf), nil
-}
-
-// allPeersRead tells whether all peers are known to read a format: each has published so, in
-// this life of ours.
-func (c *Core) allPeersRead(format int) bool {
-	for _, p := range c.cfg.Peers {
-		if c.membership.formats[p.Node] < format {
-			return false
-		}
+	// Failures are judged once all of the page is in the mirror, the last task's first.
+	for _, failure := range slices.Backward(failed) {
+		c.recordFailure(p.job, failure)
 	}
-	return true
 }
 
 // encodePage encodes a page so that every controller can read it.
 func (c *Core) encodePage(tasks []job.Task) json.RawMessage {
 	if c.allPeersRead(compactPageFormat) {
-		return writePage(tasks)
+		return pagecodec.EncodeCompact(tasks)
 	}
-	return encode(tasks)
+	return pagecodec.EncodeList(tasks)
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -135,7 +135,7 @@
 
 // releasePending tells whether an ending of the task is queued or under way.
 func (c *Core) releasePending(r *jobRecord, index int) bool {
-	if c.writer.logQueued[taskKey{r.spec.ID, index}] {
+	if c.writer.completions.queued[taskKey{r.spec.ID, index}] {
 		return true
 	}
 	n := c.tasksPerPage()
--- a/internal/coordination/storedkeys_test.go
+++ b/internal/coordination/storedkeys_test.go
@@ -50,7 +50,7 @@
 			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.ownClaim.Token == stamp && m.ownClaim.Epoch == 2
 		}},
 		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.machines.ownership.failovers.Pending(passed) }},
-		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writer.completions.Has(ending) && c.writer.completions.Len() == 1 }},
+		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writer.completions.log.Has(ending) && c.writer.completions.log.Len() == 1 }},
 		{"sg/x/i-000231", "x.json", func(c *Core) bool { return c.machines.drains["i-000231"].Reason == "idle" }},
 		{"sg/m/n1", "m.json", func(c *Core) bool {
 			return reflect.DeepEqual(c.membership.members["n1"], &member{7, 5, 6, 3}) && c.membership.formats["n1"] == 3
--- a/internal/coordination/storedrecords_test.go
+++ b/internal/coordination/storedrecords_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"silvergate/internal/completionlog"
+	"silvergate/internal/coordination/pagecodec"
 	"silvergate/internal/failover"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
@@ -59,12 +60,12 @@
 func pageRecord(name, file, key, built string, want []job.Task, write func([]job.Task) json.RawMessage) storedRecord {
 	check := func(t *testing.T, data []byte) {
 		got := make([]job.Task, len(want))
-		changes, err := readPage(data, got, nil)
+		changes, err := pagecodec.Decode(data, got, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, change := range changes {
-			got[change.index] = change.task
+			got[change.Index] = change.Task
 		}
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("read as %+v, not %+v", got, want)
--- /dev/null
+++ b/internal/coordination/transitions.go
@@ -0,0 +1,126 @@
+package coordination
+
+import (
+	"time"
+
+	"silvergate/internal/fencing"
+	"silvergate/internal/job"
+	"silvergate/internal/losses"
+)
+
+// taskTransition is a wanted change of one task: its placement on a machine, or its release
+// from the machine that it is bound to.
+type taskTransition struct {
+	index      int // in the page
+	placement  bool
+	machine    string
+	epoch      uint64 // of the machine's agent
+	attempt    int
+	done       bool          // released since it has completed
+	failed     bool          // released since it has failed
+	proof      fencing.Proof // what proves that it has left the machine
+	token      uint64        // fencing token of the claim under which that was found
+	cause      string        // why the attempt ended, as its worker reports
+	proposedAt time.Duration
+}
+
+// replaces reports whether the transition takes the place of another that was proposed for
+// the same task before.
+func (t *taskTransition) replaces(other *taskTransition) bool {
+	return t.index == other.index && t.placement == other.placement
+}
+
+// withoutPlacements returns the releases among the transitions.
+func withoutPlacements(transitions []taskTransition) []taskTransition {
+	var releases []taskTransition
+	for _, transition := range transitions {
+		if !transition.placement {
+			releases = append(releases, transition)
+		}
+	}
+	return releases
+}
+
+// propose queues a transition of a task; the next transaction of its page carries it. The
+// transition's index is set here. Releases of completed tasks may go to the completion log
+// instead.
+func (c *Core) propose(r *jobRecord, index int, transition taskTransition) {
+	if c.goesToCompletionLog(r, transition) {
+		c.writer.completions.add(c.now, taskKey{job: r.spec.ID, index: index}, transition)
+		return
+	}
+	p := c.pageOf(r, index)
+	transition.index = index - p.firstTask
+	if m := c.machines.byID[transition.machine]; m != nil && !transition.placement {
+		transition.token = m.token
+	}
+	c.writer.addDirty(p)
+	for i := range p.queue {
+		if transition.replaces(&p.queue[i]) {
+			p.queue[i] = transition
+			return
+		}
+	}
+	if len(p.queue) == 0 {
+		p.queuedSince = c.now
+	}
+	transition.proposedAt = c.now
+	p.queue = append(p.queue, transition)
+	if c.verbose && !transition.placement {
+		c.traceEnding(losses.Evidence, r, index, transition)
+	}
+}
+
+// traceEnding writes a step of the end of an attempt to the debug log, as internal/losses
+// reads it.
+func (c *Core) traceEnding(step string, r *jobRecord, index int, transition taskTransition) {
+	reason := transition.proof.String() // as internal/losses names them
+	if transition.proof == fencing.Ended {
+		reason = transition.cause
+	}
+	var silent time.Duration
+	if m := c.machines.byID[transition.machine]; m != nil && m.heardAt > 0 {
+		silent = c.now - m.heardAt
+	}
+	if transition.proof == fencing.LeaseExpired { // as far as anybody can know, it ran on until then
+		silent = max(0, silent-seconds(c.cfg.Facts.Workers.Lease))
+	}
+	c.log.Debug(step, "task", job.TaskName(r.spec.ID, index), "attempt", transition.attempt, "machine", transition.machine,
+		"class", r.spec.Class, "priority", int(r.spec.Priority), "reason", reason, "done", transition.done, "silent_ms", silent.Milliseconds())
+}
+
+// traceStart writes a step of the start of an attempt to the debug log, as internal/losses
+// reads it.
+func (c *Core) traceStart(step string, jobID string, index, attempt int, machineID string) {
+	if c.verbose {
+		c.log.Debug(step, "task", job.TaskName(jobID, index), "attempt", attempt, "machine", machineID)
+	}
+}
+
+// reservation is the room on a machine that a task has until its placement is committed.
+type reservation struct{ machine string }
+
+// reserve holds room on a machine for a task that is to be placed there.
+func (c *Core) reserve(r *jobRecord, index int, m *machine) {
+	if r.reservations == nil {
+		r.reservations = map[int]*reservation{}
+	}
+	r.reservations[index] = &reservation{machine: m.id}
+	m.reserved++
+	m.addUsage(r.spec, 1)
+	r.tasksByZone[m.claim.Zone]++
+}
+
+// unreserve gives up a task's reservation, if it has one.
+func (c *Core) unreserve(r *jobRecord, index int) {
+	held := r.reservations[index]
+	if held == nil {
+		return
+	}
+	delete(r.reservations, index)
+	m := c.machine(held.machine)
+	m.reserved--
+	m.addUsage(r.spec, -1)
+	r.tasksByZone[m.claim.Zone]--
+	c.forgetUnclaimed(m)
+}
