--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -130,7 +130,7 @@
 // teams without limits. A limited team's charge is released with the page.
 func (t *jobTable) usesCompletionLog(r *jobRecord) bool {
 	team := t.teamOf(r)
-	return r.spec.Shape == job.Array && team != nil && !hasQuota(team)
+	return r.spec.Shape == job.Array && team != nil && !team.hasLimit()
 }
 
 // allTasksCompleted reports whether a job's tasks have all completed, whatever its pages bind:
--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -122,3 +122,43 @@
 		t.Error("one does not read it")
 	}
 }
+
+// TestRecordsOfCompletionsKeepToTheirSize: a record takes the completions that fit, in their
+// order, and one at least; the rest waits for the next.
+func TestRecordsOfCompletionsKeepToTheirSize(t *testing.T) {
+	entry := len("wk-000001/0.1 i-000001 1") + completionOverhead
+	for _, test := range []struct {
+		name     string
+		maxBytes int
+		taken    int
+	}{
+		{"room for all", 3 * entry, 3},
+		{"one byte too few", 3*entry - 1, 2},
+		{"room for one", entry, 1},
+		{"room for none", 0, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			w := newCompletionWriter()
+			for index := range 3 {
+				k := taskKey{job: "wk-000001", index: index}
+				w.add(time.Second, k, taskTransition{machine: "i-000001", epoch: 1, attempt: 1})
+				w.add(2*time.Second, k, taskTransition{machine: "i-000001", epoch: 1, attempt: 1}) // once is enough
+			}
+			if w.due(2*time.Second, 2*time.Second) || !w.due(3*time.Second, 2*time.Second) {
+				t.Error("the delay does not count from the first completion")
+			}
+			taken, record := w.take(4*time.Second, test.maxBytes)
+			if len(taken) != test.taken || len(record.Completions) != test.taken || len(w.unlogged) != 3-test.taken {
+				t.Fatalf("%d taken, %d in the record, %d left, want %d taken", len(taken), len(record.Completions), len(w.unlogged), test.taken)
+			}
+			for i, text := range record.Completions {
+				if want := fmt.Sprintf("wk-000001/%d.1 i-000001 1", i); text != want {
+					t.Errorf("%q in the record, want %q", text, want)
+				}
+			}
+			if w.due(time.Minute, 0) || !w.pending() {
+				t.Error("a second record is due while the first is in flight, or nothing is pending")
+			}
+		})
+	}
+}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -467,6 +467,3 @@
 // tasksPerPage is how many tasks a page holds: a bound task takes less than 64
 // bytes with the usual names, and four times that never passes value_kb.
 func (c *Core) tasksPerPage() int { return max(1, int(c.cfg.Facts.State.ValueKB*1024/128)) }
-
-// hasQuota tells whether the team has any limit at all.
-func hasQuota(t *team) bool { return t.cfg.CPUsMax > 0 || t.cfg.GPUsMax > 0 }
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -12,12 +12,15 @@
 // grownSim is a deployment of five controllers and some hundred machines, with
 // the limits of a real state service.
 func grownSim(t testing.TB, seed uint64) *sim {
+	t.Helper()
 	s := newSim(t, seed, 0)
 	s.facts.Workers.Report = 4
 	s.facts.State = config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 12}
 	s.facts.Cloud = config.Cloud{RPS: 5, ListLag: 8}
 	s.facts.Teams = []config.Team{{Name: "red", GPUs: 100, GPUsMax: 500}, {Name: "blue", GPUs: 200, GPUsMax: 5000}}
-	s.kv.memory, s.kv.page, s.cloud.page = 10_000, 1000, 500
+	s.kv.memory = 10_000
+	s.kv.page = 1000
+	s.cloud.page = 500
 	for k := range s.cloud.free {
 		s.cloud.free[k] = map[string]int{"small": 45, "large": 8}[k.machineType]
 	}
@@ -55,7 +58,10 @@
 		switch s.rnd.IntN(8) {
 		case 0:
 			sp := spec(job.Gang, "gng", job.High, 1+s.rnd.IntN(4))
-			sp.CPUs, sp.GPUs, sp.OneZone, sp.MachineTypes = 50, 8, true, []string{"large"}
+			sp.CPUs = 50
+			sp.GPUs = 8
+			sp.OneZone = true
+			sp.MachineTypes = []string{"large"}
 			s.submit(sp, 20, 0)
 		default:
 			sp := spec(job.Array, "arr", job.Normal, 20+s.rnd.IntN(60))
@@ -96,7 +102,9 @@
 		}
 	})
 	s.run(150 * time.Second)
-	up, done, tasks := len(s.cloud.sorted()), 0, 0
+	up := len(s.cloud.sorted())
+	done := 0
+	tasks := 0
 	for _, u := range s.users {
 		for _, d := range u.done {
 			tasks++
@@ -143,7 +151,8 @@
 	s := grownSim(t, 37)
 	s.loadGrown(120 * time.Second)
 	s.run(100 * time.Second)
-	cut, single := map[string]bool{}, map[string]bool{}
+	cut := map[string]bool{}    // machines of the zone
+	single := map[string]bool{} // silent machines elsewhere
 	for _, w := range s.cloud.sorted() {
 		switch {
 		case w.zone == "c":
@@ -155,7 +164,8 @@
 		}
 	}
 	s.run(120 * time.Second)
-	kept, condemned := 0, 0
+	kept := 0
+	condemned := 0 // drained as silent
 	for name := range cut {
 		if s.cloud.all[name] != nil {
 			kept++
@@ -182,14 +192,15 @@
 // workers turn to others a report period and a wait for an answer later, and must
 // not be told then to wait for its return.
 func TestWorkersOfASilentControllerAreTakenInTime(t *testing.T) {
-	ended, held := 0, 0
+	ended := 0 // leases
+	held := 0
 	for seed := uint64(51); seed < 54; seed++ {
 		s := grownSim(t, seed)
 		s.loadGrown(120 * time.Second)
 		s.run(100 * time.Second)
-		shifts := map[string]uint64{}
+		epochs := map[string]uint64{}
 		for _, w := range s.cloud.sorted() {
-			shifts[w.name] = w.shift
+			epochs[w.name] = w.shift
 		}
 		n := s.nodes[0]
 		held += len(n.core.machines.own)
@@ -198,7 +209,7 @@
 		}
 		s.run(128 * time.Second)
 		for _, w := range s.cloud.sorted() {
-			if w.shift > shifts[w.name] && shifts[w.name] > 0 {
+			if w.shift > epochs[w.name] && epochs[w.name] > 0 {
 				ended++
 			}
 		}
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -578,7 +578,7 @@
 	now, within := float64(c.wallTime.UnixMilli())/1000, c.cfg.Operator.BeginWithin.Seconds()
 	for _, r := range c.jobs.openByUrgency {
 		tm := c.jobs.teams[r.spec.Team]
-		if tm == nil || tm.savingFor != nil || !hasQuota(tm) || !isGang(r) || r.bound > 0 || len(r.reservations) > 0 || c.paused(r) {
+		if tm == nil || tm.savingFor != nil || !tm.hasLimit() || !isGang(r) || r.bound > 0 || len(r.reservations) > 0 || c.paused(r) {
 			continue
 		}
 		waits := (now-float64(r.submittedAtMS)/1000-within)/(quotaSavingShare*within) + 2 // its turn comes first from 2 on
--- a/internal/coordination/quota.go
+++ b/internal/coordination/quota.go
@@ -34,6 +34,9 @@
 // user would give.
 const quotaTolerance = 1e-6
 
+// hasLimit reports whether the team has any limit at all.
+func (t *team) hasLimit() bool { return t.cfg.CPUsMax > 0 || t.cfg.GPUsMax > 0 }
+
 // withinLimit reports whether u keeps to the team's limits; 0 is no limit.
 func (t *team) withinLimit(u usage) bool {
 	if t.cfg.CPUsMax != 0 && u.CPUs > t.cfg.CPUsMax+quotaTolerance {
--- a/internal/coordination/txn_batch.go
+++ b/internal/coordination/txn_batch.go
@@ -71,7 +71,7 @@
 		class:        first.class(),
 	}
 	if b.team != nil {
-		b.chargesQuota = hasQuota(b.team)
+		b.chargesQuota = b.team.hasLimit()
 		b.usage = b.team.charged
 	}
 	return b
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -267,7 +267,7 @@
 		return ""
 	case c.paused(r):
 		return "a pause after failures, or the one task that is tried again"
-	case tm != nil && hasQuota(tm) && !tm.withinLimit(tm.running.plus(r.spec, 1)):
+	case tm != nil && tm.hasLimit() && !tm.withinLimit(tm.running.plus(r.spec, 1)):
 		return "the limit of team " + r.spec.Team
 	case r.owner != c.cfg.Node && len(r.queue) == 0:
 		return "a place, by way of " + r.owner
