--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -31,7 +31,7 @@
 		s := grownSim(t, 91)
 		s.logged = logged
 		for i := range s.facts.Teams {
-			s.facts.Teams[i].GPUsMax = 0 // limited teams' endings go with their pages
+			s.facts.Teams[i].GPUsMax = 0 // completions of limited teams are written with their pages
 		}
 		s.told = s.facts
 		for i := range 30 {
--- a/internal/coordination/failure_history_test.go
+++ b/internal/coordination/failure_history_test.go
@@ -9,6 +9,12 @@
 	"silvergate/internal/job"
 )
 
+// smallArray is an array whose tasks fit any machine with an accelerator.
+func smallArray(id string, tasks int) *job.Spec {
+	return &job.Spec{ID: id, Class: "arr", Team: "blue", Shape: job.Array, Tasks: tasks, Priority: job.Normal,
+		CPUs: 4, GPUs: 1, MemoryGB: 8}
+}
+
 // TestJobsThatFailEverywhereCostOthersNothing guards against healthy machines that
 // were returned as faulty since two mistaken jobs had failed on each, and against
 // machines that were rented for such jobs: on carbura-iasi-ops with 8 of 100 jobs
@@ -17,13 +23,11 @@
 	day := func(mistaken bool) (rented, drains, failures int) {
 		s := newSim(t, 71, 0)
 		for i := range 6 {
-			s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 6, Priority: job.Normal,
-				CPUs: 4, GPUs: 1, MemoryGB: 8}, 10, 0)
+			s.submit(smallArray(fmt.Sprintf("wk-7%05d", i), 6), 10, 0)
 		}
 		var bad []*simUser
 		for i := range 6 {
-			u := s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 4, Priority: job.Normal,
-				CPUs: 4, GPUs: 1, MemoryGB: 8}, 10, 150*time.Second)
+			u := s.submit(smallArray(fmt.Sprintf("wk-8%05d", i), 4), 10, 150*time.Second)
 			u.mistaken = mistaken
 			bad = append(bad, u)
 		}
@@ -60,8 +64,7 @@
 func TestAFaultyMachineIsStillFound(t *testing.T) {
 	s := newSim(t, 73, 0)
 	for i := range 8 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 8, Priority: job.Normal,
-			CPUs: 4, GPUs: 1, MemoryGB: 8}, 6, 0)
+		s.submit(smallArray(fmt.Sprintf("wk-7%05d", i), 8), 6, 0)
 	}
 	s.run(25 * time.Second)
 	var bad *simWorker
@@ -72,8 +75,7 @@
 	}
 	bad.faulty = true
 	for i := range 8 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 4, Priority: job.Normal,
-			CPUs: 4, GPUs: 1, MemoryGB: 8}, 6, 0)
+		s.submit(smallArray(fmt.Sprintf("wk-8%05d", i), 4), 6, 0)
 	}
 	s.run(80 * time.Second)
 	if s.kv.drainedAs[keyDrain+bad.name] != drainFaulty {
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -97,7 +97,7 @@
 type queueState struct {
 	queue           []*queuedTask         // tasks queued for machines of this controller, by index
 	queuedByIndex   map[int]*queuedTask   // the same tasks
-	dispatchAfter   map[int]time.Duration // tasks that were handed to another controller, until when they stay there
+	dispatchAfter   map[int]time.Duration // when tasks that were sent to another controller may be dispatched again
 	latestStart     float64               // see updateJobOrder
 	targetDuration  float64               // see Core.targetDuration
 	withinGuarantee bool                  // fits into its team's guarantee along with the team's earlier jobs
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -189,7 +189,7 @@
 
 // TestWorkersOfASilentControllerAreTakenInTime guards against tasks killed by
 // their leases: a controller falls silent without refusing connections, so its
-// workers turn to others a report period and a wait for an answer later, and must
+// workers turn to others a heartbeat period and a response timeout later, and must
 // not be told then to wait for its return.
 func TestWorkersOfASilentControllerAreTakenInTime(t *testing.T) {
 	ended := 0 // leases
