--- /dev/null
+++ b/internal/coordination/completions_test.go
@@ -0,0 +1,164 @@
+package coordination
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"silvergate/internal/completionlog"
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+// TestRulesHoldWithTheEndingLog plays days of troubles with the completion log switched on.
+func TestRulesHoldWithTheEndingLog(t *testing.T) {
+	drawnDays(t, 12_500, 12, func(t *testing.T, seed uint64) {
+		s := newSim(t, seed, 0.01)
+		s.logged = true
+		s.traceTo(t, seed)
+		s.load(2 * time.Minute)
+		s.trouble(2 * time.Minute)
+		s.finish(t, 2*time.Minute)
+		s.report(t)
+	})
+}
+
+// TestEndingLogSavesChanges compares the revisions of a day of arrays with the log and without it, and
+// that nothing of it is left when all is over.
+func TestEndingLogSavesChanges(t *testing.T) {
+	play := func(logged bool) (revisions uint64, left int) {
+		s := grownSim(t, 91)
+		s.logged = logged
+		for i := range s.facts.Teams {
+			s.facts.Teams[i].GPUsMax = 0 // completions of limited teams are written with their pages
+		}
+		s.told = s.facts
+		for i := range 30 {
+			s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+1), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 100, CPUs: 1, GPUs: 0.1, MemoryGB: 1, Spot: true}, 30, 0)
+		}
+		s.finish(t, 4*time.Minute)
+		s.report(t)
+		for key := range s.kv.keys {
+			if strings.HasPrefix(key, keyEndings) {
+				left++
+			}
+		}
+		return s.kv.rev, left
+	}
+	without, _ := play(false)
+	with, left := play(true)
+	t.Logf("%d revisions without the log, %d with it, %d of its records are left", without, with, left)
+	if with*4 > without*3 || left > 3 {
+		t.Errorf("%d revisions without the log, %d with it, %d of its records are left", without, with, left)
+	}
+}
+
+// TestALoggedEndingIsOfOneAttempt guards against a completion that ends another attempt than its
+// own: a late record of an earlier one, or of the same number in another agent epoch.
+func TestALoggedEndingIsOfOneAttempt(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		completion string
+		ends       bool
+	}{
+		{"the bound attempt", "wk-700000/0.1 i-000001 1", true},
+		{"another agent epoch", "wk-700000/0.1 i-000001 2", false},
+		{"another machine", "wk-700000/0.1 i-000002 1", false},
+		{"another attempt", "wk-700000/0.2 i-000001 1", false},
+		{"a task that the job lacks", "wk-700000/9.1 i-000001 1", false},
+		{"not a completion", "nonsense", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := newScript(t)
+			s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
+			s.c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{test.completion}}))
+			if ended := s.c.jobs.byID["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != test.ends {
+				t.Errorf("%s: ended %v, want %v", test.completion, ended, test.ends)
+			}
+		})
+	}
+}
+
+// TestAPageBehindTheLog: a page that is read after the log, and binds what the log says has
+// completed, shows it completed; one that shows a later attempt settles the completion.
+func TestAPageBehindTheLog(t *testing.T) {
+	s := newScript(t)
+	s.held()
+	c := s.c
+	c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{"wk-700000/0.1 i-000001 1"}}))
+	page := func(attempt int) []byte {
+		return writePage([]job.Task{{Phase: job.Bound, Attempt: attempt, Machine: "i-000001", Epoch: 1}})
+	}
+	c.applyPage("wk-700000/0", page(1), 130)
+	task := &c.jobs.byID["wk-700000"].pages[0].tasks[0]
+	if task.Phase != job.Finished || c.jobs.byID["wk-700000"].bound != 0 {
+		t.Errorf("%+v", *task)
+	}
+	c.applyPage("wk-700000/0", page(1), 131) // written again by who has not seen the log
+	if task.Phase != job.Finished {
+		t.Errorf("%+v", *task)
+	}
+	c.applyPage("wk-700000/0", page(2), 132)
+	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writer.completions.log.Settled()) != 1 {
+		t.Errorf("%+v, %v", *task, c.writer.completions.log.Settled())
+	}
+}
+
+// TestEndingLogAmongEarlierVersions: nothing goes to the log while a peer does not read it.
+func TestEndingLogAmongEarlierVersions(t *testing.T) {
+	s := newSim(t, 3, 0)
+	s.logged = true
+	s.run(2 * time.Second)
+	c := s.nodes[0].core
+	r := &jobRecord{mirroredJob: mirroredJob{spec: &job.Spec{ID: "wk-000001", Team: "blue", Shape: job.Array, Tasks: 1}, status: job.Open}}
+	done := taskTransition{proof: 1, done: true}
+	c.membership.formats["n1"], c.membership.formats["n2"] = completionLogFormat, completionLogFormat
+	if !c.goesToCompletionLog(r, done) {
+		t.Error("all read it")
+	}
+	c.membership.formats["n2"] = failoverFormat
+	if c.goesToCompletionLog(r, done) {
+		t.Error("one does not read it")
+	}
+}
+
+// TestRecordsOfCompletionsKeepToTheirSize: a record takes the completions that fit, in their
+// order, and one at least; the rest waits for the next.
+func TestRecordsOfCompletionsKeepToTheirSize(t *testing.T) {
+	entry := len("wk-000001/0.1 i-000001 1") + completionOverhead
+	for _, test := range []struct {
+		name     string
+		maxBytes int
+		taken    int
+	}{
+		{"room for all", 3 * entry, 3},
+		{"one byte too few", 3*entry - 1, 2},
+		{"room for one", entry, 1},
+		{"room for none", 0, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			w := newCompletionWriter()
+			for index := range 3 {
+				k := taskKey{job: "wk-000001", index: index}
+				w.add(time.Second, k, taskTransition{machine: "i-000001", epoch: 1, attempt: 1})
+				w.add(2*time.Second, k, taskTransition{machine: "i-000001", epoch: 1, attempt: 1}) // once is enough
+			}
+			if w.due(2*time.Second, 2*time.Second) || !w.due(3*time.Second, 2*time.Second) {
+				t.Error("the delay does not count from the first completion")
+			}
+			taken, record := w.take(4*time.Second, test.maxBytes)
+			if len(taken) != test.taken || len(record.Completions) != test.taken || len(w.unlogged) != 3-test.taken {
+				t.Fatalf("%d taken, %d in the record, %d left, want %d taken", len(taken), len(record.Completions), len(w.unlogged), test.taken)
+			}
+			for i, text := range record.Completions {
+				if want := fmt.Sprintf("wk-000001/%d.1 i-000001 1", i); text != want {
+					t.Errorf("%q in the record, want %q", text, want)
+				}
+			}
+			if w.due(time.Minute, 0) || !w.pending() {
+				t.Error("a second record is due while the first is in flight, or nothing is pending")
+			}
+		})
+	}
+}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -127,7 +127,7 @@
 // releasePending tells whether a release or completion of the task is queued or being
 // written.
 func (c *Core) releasePending(record *jobRecord, index int) bool {
-	if c.writer.logQueued[taskKey{record.spec.ID, index}] {
+	if c.writer.completions.queued[taskKey{record.spec.ID, index}] {
 		return true
 	}
 	perPage := c.tasksPerPage()
