--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -72,7 +72,7 @@
 	} {
 		facts := config.Facts{Count: 1, Zones: []string{"a", "b", "c"}, Teams: teams, Workers: config.Workers{Report: 3, Lease: 18, Cancel: 48}, State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 5, ListLag: 3}}
 		c := New(&config.Settings{Node: "n0", Zone: "a", Facts: facts, Operator: config.DefaultOperator()}, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)), 1)
-		c.setCatalogue(&protocol.MachineTypes{MachineTypes: types})
+		c.catalogue.update(&protocol.MachineTypes{MachineTypes: types})
 		for _, shape := range []job.Shape{job.Array, job.Gang, job.Service} {
 			for _, n := range []int{1, 2, 3, 5} {
 				for _, team := range []string{"red", "blue", "nobody"} {
--- a/internal/coordination/consolidate.go
+++ b/internal/coordination/consolidate.go
@@ -75,7 +75,7 @@
 		if c.hasRoomFor(m) {
 			m.consolidating = true
 			emptying++
-			c.removeFromIdleList(m)
+			c.scheduler.removeFromIdleList(m)
 			c.log.Debug("consolidating services", "from", m.id, "services", len(m.bound))
 		}
 	}
@@ -83,8 +83,8 @@
 
 // isSparse tells whether a machine holds services alone, and few of them.
 func (c *Core) isSparse(m *machine) bool {
-	f := c.machineTypeOf(m)
-	if c.unschedulable(m) || len(m.bound) == 0 || len(m.stops) > 0 || m.serviceShare > f.GPUs/2 {
+	machineType := c.machineTypeOf(m)
+	if c.unschedulable(m) || len(m.bound) == 0 || len(m.stops) > 0 || m.serviceShare > machineType.GPUs/2 {
 		return false
 	}
 	for _, r := range m.bound {
@@ -100,16 +100,16 @@
 
 // consolidationTarget finds a better machine of ours for a service on m.
 func (c *Core) consolidationTarget(r *jobRecord, m *machine, used map[*machine]usage) *machine {
-	for _, t := range c.machines.own {
-		if t == m || c.unschedulable(t) || t.serviceShare < tolerance || t.serviceShare < m.serviceShare || (t.serviceShare == m.serviceShare && t.id > m.id) ||
-			c.fetchTime(r.spec, t) > 0 || !c.couldHold(r, t) || isPinned(r) && t.claim.Zone != m.claim.Zone {
+	for _, target := range c.machines.own {
+		if target == m || c.unschedulable(target) || target.serviceShare < tolerance || target.serviceShare < m.serviceShare || (target.serviceShare == m.serviceShare && target.id > m.id) ||
+			c.fetchTime(r.spec, target) > 0 || !c.couldHold(r, target) || isPinned(r) && target.claim.Zone != m.claim.Zone {
 			continue
 		}
-		f := c.machineTypeOf(t)
-		u := used[t]
-		if t.cpus+u.CPUs+r.spec.CPUs <= f.CPUs+tolerance && t.gpus+u.GPUs+r.spec.GPUs <= f.GPUs+tolerance &&
-			t.ram+r.spec.MemoryGB <= f.MemoryGB+tolerance {
-			return t
+		machineType := c.machineTypeOf(target)
+		reserved := used[target]
+		if target.cpus+reserved.CPUs+r.spec.CPUs <= machineType.CPUs+tolerance && target.gpus+reserved.GPUs+r.spec.GPUs <= machineType.GPUs+tolerance &&
+			target.ram+r.spec.MemoryGB <= machineType.MemoryGB+tolerance {
+			return target
 		}
 	}
 	return nil
@@ -120,11 +120,11 @@
 	used := map[*machine]usage{}
 	for _, k := range m.tasks() {
 		r := m.bound[k]
-		t := c.consolidationTarget(r, m, used)
-		if t == nil {
+		target := c.consolidationTarget(r, m, used)
+		if target == nil {
 			return false
 		}
-		used[t] = used[t].plus(r.spec, 1)
+		used[target] = used[target].plus(r.spec, 1)
 	}
 	return true
 }
@@ -148,14 +148,14 @@
 			if !m.pulling[k] || r.spec.Shape != job.Service || r.final() {
 				continue
 			}
-			left := max(c.fetchTime(r.spec, m), r.spec.ImageGB/c.machineTypeOf(m).ImagePullGBPerS-(c.now-m.boundAt[k].boundAt).Seconds())
-			t := c.pickIdleMachine(r)
-			if t == nil || t == m || c.fetchTime(r.spec, t)+c.cfg.Facts.Workers.Report/2 > left/2 {
+			remaining := max(c.fetchTime(r.spec, m), r.spec.ImageGB/c.machineTypeOf(m).ImagePullGBPerS-(c.now-m.boundAt[k].boundAt).Seconds())
+			target := c.pickIdleMachine(r)
+			if target == nil || target == m || c.fetchTime(r.spec, target)+c.cfg.Facts.Workers.Report/2 > remaining/2 {
 				continue
 			}
 			c.scheduler.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
-			t.reserveRoom(r.spec.ID, c.scheduler.nextServiceMoveAt, "")
-			c.log.Debug("task is being started again", "task", job.TaskName(k.job, k.index), "from", m.id, "to", t.id, "leftS", left)
+			target.reserveRoom(r.spec.ID, c.scheduler.nextServiceMoveAt, "")
+			c.log.Debug("task is being started again", "task", job.TaskName(k.job, k.index), "from", m.id, "to", target.id, "leftS", remaining)
 			c.stopTask(m, k, "slow image")
 			return
 		}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -245,7 +245,7 @@
 	c.beginStep(t)
 	c.checkLinks()
 	c.keepMembership()
-	c.catalogueTick()
+	c.refreshCatalogue()
 	if c.state.Loaded() && c.now >= c.sweep.nextAt {
 		c.sweep.nextAt = c.now + c.sweepPeriod()
 		if c.sweep.loadedAt == 0 {
@@ -254,17 +254,13 @@
 		c.expirePendingFailovers()
 		c.foldCompletions()
 		c.checkSilentMachines()
-		for id, e := range c.scheduler.earlyHandoffs {
-			if c.now-e[0].at > c.cfg.Operator.PublishInterval {
-				delete(c.scheduler.earlyHandoffs, id)
-			}
-		}
+		c.scheduler.expireEarlyHandoffs(c.now, c.cfg.Operator.PublishInterval)
 		c.updateJobOrder()
 		c.schedule()
 		c.preempt()
 		c.consolidate()
 		c.moveService()
-		c.fleetTick()
+		c.runFleetScaler()
 		c.staging.tick()
 	}
 	return c.endStep()
@@ -433,12 +429,12 @@
 	case keyFleet:
 		c.scaler.applyLeadership(data, revision)
 	case keyGang:
-		c.applyGang(data)
+		c.gangs.applyReservation(data, c.now)
 	case keyFlavors:
 		if len(c.catalogue.types) == 0 && data != nil {
 			var f protocol.MachineTypes
 			if protocol.Decode(data, &f) == nil {
-				c.setCatalogue(&f)
+				c.catalogue.update(&f)
 			}
 		}
 	}
--- a/internal/coordination/data.go
+++ b/internal/coordination/data.go
@@ -274,13 +274,13 @@
 			d.since[k] = c.now
 		}
 		if w == nil {
-			c.enqueueTask(r, &queuedTask{key: k, machine: holder})
+			c.scheduler.enqueueTask(r, &queuedTask{key: k, machine: holder})
 		}
 		return true
 	case staging.ClearThere:
 		if w == nil {
 			w = &queuedTask{key: k, machine: clear.id}
-			c.enqueueTask(r, w)
+			c.scheduler.enqueueTask(r, w)
 		}
 		c.preemptOn(r, w, clear, victims)
 		return true
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -79,7 +79,7 @@
 // own controllers are gone. What is rented or counted on there is of no use until
 // it is back. It is a guess that costs money or time and never a rule.
 func (c *Core) zoneUnreachable(zone string) bool {
-	dark := false
+	lost := false
 	for _, v := range c.scaler.zoneViews {
 		if c.now-v.at > seconds(c.cfg.Facts.Workers.Report) {
 			continue
@@ -87,18 +87,18 @@
 		if slices.Contains(v.reachable, zone) {
 			return false
 		}
-		dark = dark || slices.Contains(v.unreachable, zone)
+		lost = lost || slices.Contains(v.unreachable, zone)
 	}
-	locals, gone := 0, 0
+	inZone, down := 0, 0
 	for _, p := range c.cfg.Peers {
 		if p.Zone == zone {
-			locals++
+			inZone++
 			if !c.alive(p.Node) && c.machines.ownership.machinesByOwner[p.Node] > 0 {
-				gone++
+				down++
 			}
 		}
 	}
-	return dark || locals > 0 && gone == locals && c.cfg.Zone != zone
+	return lost || inZone > 0 && down == inZone && c.cfg.Zone != zone
 }
 
 type offering struct {
@@ -161,7 +161,7 @@
 
 // catalogueTick keeps the machine types, on every controller: submissions
 // can't be judged without them.
-func (c *Core) catalogueTick() {
+func (c *Core) refreshCatalogue() {
 	f := &c.scaler
 	if f.cloudCalls.rate == 0 {
 		f.cloudCalls.rate = c.cfg.Facts.Cloud.RPS / 10
@@ -192,7 +192,7 @@
 			return
 		}
 		c.catalogue.dueAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
-		c.setCatalogue(&v)
+		c.catalogue.update(&v)
 		if c.state.Loaded() && c.state.ModRevision(keyFlavors) == 0 {
 			c.state.Txn(ratelimit.Background, []protocol.Compare{{Key: keyFlavors}}, []protocol.Op{{Put: keyFlavors, Value: encode(v)}},
 				func(stateclient.TxnOutcome, []string, uint64) {})
@@ -223,7 +223,7 @@
 }
 
 // fleetTick takes the lease if it is free and acts while holding it.
-func (c *Core) fleetTick() {
+func (c *Core) runFleetScaler() {
 	f := &c.scaler
 	if c.links.CloudUnreachable() {
 		now := c.links.Snapshot()
@@ -252,7 +252,7 @@
 	if c.now >= f.nextPlanAt {
 		c.dropUnusedFailovers()
 		f.nextPlanAt = c.now + seconds(c.cfg.Facts.Workers.Report/6)
-		c.plan()
+		c.planFleet()
 	}
 }
 
@@ -354,10 +354,10 @@
 	return protocol.Decode(body, &p) != nil || p.Error != "no capacity"
 }
 
-func (c *Core) backOffOffering(p offering) {
+func (c *Core) backOffOffering(where offering) {
 	f := &c.scaler
-	f.refusals[p]++
-	f.refusedUntil[p] = c.now + seconds(2*c.cfg.Facts.Workers.Report)*time.Duration(min(f.refusals[p], 5))
+	f.refusals[where]++
+	f.refusedUntil[where] = c.now + seconds(2*c.cfg.Facts.Workers.Report)*time.Duration(min(f.refusals[where], 5))
 }
 
 func (c *Core) dropRental(name string) {
@@ -368,18 +368,18 @@
 // settleRental drops a rental's record once its machines have all reported,
 // been returned, or been given up.
 func (c *Core) settleRental(name string, r *rental) {
-	t := c.catalogue.types[r.MachineType]
-	if t == nil {
+	machineType := c.catalogue.types[r.MachineType]
+	if machineType == nil {
 		return
 	}
-	late := float64(c.wallTime.UnixMilli()-r.RequestedAtMS)/1000 > 4*t.StartupS+c.cfg.Facts.Workers.Lease
+	overdue := float64(c.wallTime.UnixMilli()-r.RequestedAtMS)/1000 > 4*machineType.StartupS+c.cfg.Facts.Workers.Lease
 	open := false
 	for _, id := range r.Machines {
 		if !c.awaitsFirstHeartbeat(id) {
 			continue
 		}
 		open = true
-		if late {
+		if overdue {
 			c.scaler.toDrain[id] = drainStray
 		}
 	}
@@ -400,7 +400,7 @@
 
 // scaleOut records new rentals, those that production work waits for ahead of other
 // changes; sendRentals sends them once recorded.
-func (c *Core) scaleOut(want map[offering]int, urgent map[offering]bool) {
+func (c *Core) scaleOut(toRent map[offering]int, urgent map[offering]bool) {
 	f := &c.scaler
 	pending := map[offering]bool{}
 	for _, r := range f.rentals {
@@ -409,7 +409,7 @@
 		}
 	}
 	var places []offering
-	for w := range want {
+	for w := range toRent {
 		places = append(places, w)
 	}
 	sort.Slice(places, func(i, j int) bool {
@@ -426,8 +426,8 @@
 			if calls--; calls < 0 {
 				break
 			}
-			c.recordRental(w, min(want[w], maxRentalCount), urgent[w])
-			if want[w] -= maxRentalCount; want[w] > 0 {
+			c.recordRental(w, min(toRent[w], maxRentalCount), urgent[w])
+			if toRent[w] -= maxRentalCount; toRent[w] > 0 {
 				left = append(left, w)
 			}
 			f.refusedUntil[w] = max(f.refusedUntil[w], c.now+time.Second) // until the record shows
@@ -437,12 +437,12 @@
 }
 
 // recordRental writes down what is to be rented.
-func (c *Core) recordRental(w offering, n int, urgent bool) {
+func (c *Core) recordRental(where offering, count int, urgent bool) {
 	f := &c.scaler
 	f.rentalSequence++
 	// The stamp of our tenure's lease key never comes again.
 	name := "r-" + strconv.FormatUint(f.leaderRevision, 10) + "-" + strconv.Itoa(f.rentalSequence)
-	r := rental{MachineType: w.machineType, Zone: w.zone, Spot: w.spot, Count: n, RequestedAtMS: c.wallTime.UnixMilli()}
+	r := rental{MachineType: where.machineType, Zone: where.zone, Spot: where.spot, Count: count, RequestedAtMS: c.wallTime.UnixMilli()}
 	class := ratelimit.OtherWork
 	if urgent {
 		class = ratelimit.UrgentWork
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -39,13 +39,14 @@
 	expiresAt     time.Duration
 }
 
-func (c *Core) applyGang(data json.RawMessage) {
-	if c.gangs.reservation.Job != "" && data == nil {
-		c.gangs.releasedAt = c.now
+// applyReservation takes a change of the reservation's record; data is nil when it is deleted.
+func (g *gangScheduler) applyReservation(data json.RawMessage, now time.Duration) {
+	if g.reservation.Job != "" && data == nil {
+		g.releasedAt = now
 	}
-	c.gangs.reservation = gangReservation{}
+	g.reservation = gangReservation{}
 	if data != nil {
-		_ = protocol.Decode(data, &c.gangs.reservation)
+		_ = protocol.Decode(data, &g.reservation)
 	}
 }
 
@@ -133,20 +134,20 @@
 // free. The choice stands until a machine of it is lost or it has taken half a
 // gang's patience; for as long again whatever is idle is drawn then.
 func (c *Core) requestBlock(r *jobRecord, zones []string, need int) bool {
-	half := seconds(c.cfg.Facts.Workers.GangWait / 2)
-	if len(r.blockMachines) > 0 && c.now-r.blockChosenAt >= half {
-		if c.now-r.blockChosenAt < 2*half {
+	patience := seconds(c.cfg.Facts.Workers.GangWait / 2)
+	if len(r.blockMachines) > 0 && c.now-r.blockChosenAt >= patience {
+		if c.now-r.blockChosenAt < 2*patience {
 			return false
 		}
 		r.blockMachines = nil
 	}
-	good := len(r.blockMachines) > 0
+	intact := len(r.blockMachines) > 0
 	for _, id := range r.blockMachines {
 		m := c.machines.byID[id]
 		_, drained := c.machines.drains[id]
-		good = good && m != nil && m.token != 0 && !drained
+		intact = intact && m != nil && m.token != 0 && !drained
 	}
-	if !good {
+	if !intact {
 		if c.now < r.blockChosenAt+c.cfg.Operator.PublishInterval && r.blockChosenAt > 0 {
 			return len(r.blockMachines) > 0
 		}
@@ -194,43 +195,45 @@
 			continue
 		}
 		f := c.machineTypeOf(m)
-		left, cost := slot{cpus: f.CPUs - m.cpus, gpus: f.GPUs - m.gpus, ram: f.MemoryGB - m.ram}, c.fetchTime(r.spec, m)
+		left, cost := slot{cpus: f.CPUs - m.cpus, gpus: f.GPUs - m.gpus, memoryGB: f.MemoryGB - m.ram}, c.fetchTime(r.spec, m)
 		for k, v := range m.bound {
 			if v.spec.Priority < r.spec.Priority && !isGang(v) && m.vacated[k] == nil {
-				left.cpus, left.gpus, left.ram = left.cpus+v.spec.CPUs, left.gpus+v.spec.GPUs, left.ram+v.spec.MemoryGB
+				left.cpus, left.gpus, left.memoryGB = left.cpus+v.spec.CPUs, left.gpus+v.spec.GPUs, left.memoryGB+v.spec.MemoryGB
 				cost += (c.now - m.boundAt[k].boundAt).Seconds()
 			}
 		}
-		n := 0
-		for left.cpus+tolerance >= r.spec.CPUs && left.gpus+tolerance >= r.spec.GPUs && left.ram+tolerance >= r.spec.MemoryGB && n < need {
+		tasks := 0
+		for left.cpus+tolerance >= r.spec.CPUs && left.gpus+tolerance >= r.spec.GPUs && left.memoryGB+tolerance >= r.spec.MemoryGB && tasks < need {
 			left.add(r.spec)
-			n++
+			tasks++
 		}
-		if n > 0 {
+		if tasks > 0 {
 			zone := m.claim.Zone
 			if len(zones) == 1 && zones[0] == "" {
 				zone = ""
 			}
-			byZone[zone] = append(byZone[zone], choice{id, m.claim.Zone, n, cost})
+			byZone[zone] = append(byZone[zone], choice{id, m.claim.Zone, tasks, cost})
 		}
 	}
 	var best []string
 	bestCost := 0.0
 	for _, z := range zones {
-		list := byZone[z]
-		sort.SliceStable(list, func(i, j int) bool { return list[i].cost/float64(list[i].tasks) < list[j].cost/float64(list[j].tasks) })
+		candidates := byZone[z]
+		sort.SliceStable(candidates, func(i, j int) bool {
+			return candidates[i].cost/float64(candidates[i].tasks) < candidates[j].cost/float64(candidates[j].tasks)
+		})
 		var ids []string
 		cost, found := 0.0, 0
-		depots := map[string]int{}
-		for i := 0; i < len(list) && found < need; i++ {
-			n := min(list[i].tasks, need-found)
+		tasksInZone := map[string]int{}
+		for i := 0; i < len(candidates) && found < need; i++ {
+			tasks := min(candidates[i].tasks, need-found)
 			if r.spec.Spread {
-				if n = min(n, r.spec.SpreadLimit()-depots[list[i].depot]); n <= 0 {
+				if tasks = min(tasks, r.spec.SpreadLimit()-tasksInZone[candidates[i].depot]); tasks <= 0 {
 					continue
 				}
-				depots[list[i].depot] += n
+				tasksInZone[candidates[i].depot] += tasks
 			}
-			ids, cost, found = append(ids, list[i].id), cost+list[i].cost, found+n
+			ids, cost, found = append(ids, candidates[i].id), cost+candidates[i].cost, found+tasks
 		}
 		if found >= need && (best == nil || cost < bestCost) {
 			best, bestCost = ids, cost
@@ -248,18 +251,18 @@
 	if c.fits(r, m) || len(m.stops) > 0 {
 		return
 	}
-	set, _, ok := c.evict(r, m, false)
+	victims, _, ok := c.evict(r, m, false)
 	if !ok {
 		return
 	}
-	for _, k := range set {
+	for _, k := range victims {
 		c.stopTask(m, k, "cleared for a gang")
 		c.Stats.Preemptions++
 	}
 }
 
 // offerHeld tells a peer's gang that a machine kept for it is free.
-func (c *Core) offerHeld(m *machine) {
+func (c *Core) offerHeldRoom(m *machine) {
 	if m.holdBy == "" || c.now >= m.holdTill {
 		return
 	}
@@ -315,45 +318,45 @@
 }
 
 // offerRoom offers a peer's gang room on our idle machines.
-func (c *Core) offerRoom(from string, d *peer.RoomRequest) {
-	r := c.jobs.byID[d.Job]
+func (c *Core) offerRoom(from string, request *peer.RoomRequest) {
+	r := c.jobs.byID[request.Job]
 	if r == nil || r.final() || r.bound > 0 {
 		return
 	}
-	o := &peer.RoomOffer{Job: d.Job}
-	for _, id := range d.Machines {
+	offer := &peer.RoomOffer{Job: request.Job}
+	for _, id := range request.Machines {
 		if m := c.machines.byID[id]; m != nil && c.isOwn(m) {
 			c.clearMachine(r, m, from)
 			if !c.unschedulable(m) && c.fits(r, m) {
-				o.Machines = append(o.Machines, peer.OfferedMachine{Machine: id, Epoch: m.epoch})
+				offer.Machines = append(offer.Machines, peer.OfferedMachine{Machine: id, Epoch: m.epoch})
 			}
 		}
 	}
 	for _, m := range c.scheduler.idle {
-		if d.Machines != nil {
+		if request.Machines != nil {
 			break
 		}
-		if !c.unschedulable(m) && c.fits(r, m) && len(o.Machines) < r.spec.Tasks {
-			m.reserveRoom(d.Job, c.now+c.holdTime(), "")
-			o.Machines = append(o.Machines, peer.OfferedMachine{Machine: m.id, Epoch: m.epoch})
+		if !c.unschedulable(m) && c.fits(r, m) && len(offer.Machines) < r.spec.Tasks {
+			m.reserveRoom(request.Job, c.now+c.holdTime(), "")
+			offer.Machines = append(offer.Machines, peer.OfferedMachine{Machine: m.id, Epoch: m.epoch})
 		}
 	}
-	if len(o.Machines) > 0 {
-		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{RoomOffer: o}})
+	if len(offer.Machines) > 0 {
+		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{RoomOffer: offer}})
 	}
 }
 
-func (c *Core) acceptOffer(o *peer.RoomOffer) {
-	r := c.jobs.byID[o.Job]
+func (c *Core) acceptOffer(offer *peer.RoomOffer) {
+	r := c.jobs.byID[offer.Job]
 	if r == nil || r.final() {
 		return
 	}
 	if r.offers == nil {
 		r.offers = map[string]peerOffer{}
 	}
-	for _, x := range o.Machines {
-		if m := c.machines.byID[x.Machine]; m != nil && m.token != 0 {
-			r.offers[x.Machine] = peerOffer{x.Epoch, m.token, c.now + c.holdTime()}
+	for _, offered := range offer.Machines {
+		if m := c.machines.byID[offered.Machine]; m != nil && m.token != 0 {
+			r.offers[offered.Machine] = peerOffer{offered.Epoch, m.token, c.now + c.holdTime()}
 		}
 	}
 	c.startGang(r)
@@ -370,20 +373,20 @@
 		// Guards against a mark that nobody acts on: a controller that stood
 		// in for the job's keeper gives it back when the keeper returns. A
 		// gang that finds no room for long lets others try.
-		tired := c.now-c.gangs.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
+		timedOut := c.now-c.gangs.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
 		// Guards against one gang for which there is no block at all keeping
 		// others waiting that need fewer machines or another zone.
-		stuck := r != nil && c.gangs.reservation.Owner == c.cfg.Node && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() && c.nextWaitingGang(open, func(o *jobRecord) bool { return o != r }) != nil
-		tired = tired || stuck
-		if c.gangs.reservation.Owner == c.cfg.Node && (c.gangs.reservation.Incarnation != c.incarnation || r == nil || r.final() || r.bound > 0 || tired || c.responsibleController(r.owner) != c.cfg.Node) {
+		noBlock := r != nil && c.gangs.reservation.Owner == c.cfg.Node && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() && c.nextWaitingGang(open, func(o *jobRecord) bool { return o != r }) != nil
+		timedOut = timedOut || noBlock
+		if c.gangs.reservation.Owner == c.cfg.Node && (c.gangs.reservation.Incarnation != c.incarnation || r == nil || r.final() || r.bound > 0 || timedOut || c.responsibleController(r.owner) != c.cfg.Node) {
 			c.gangs.inFlight = true
-			if tired && r != nil && c.gangs.reservation.Incarnation == c.incarnation {
-				rest := c.cfg.Facts.Workers.GangWait / 4
-				if !stuck {
+			if timedOut && r != nil && c.gangs.reservation.Incarnation == c.incarnation {
+				backoff := c.cfg.Facts.Workers.GangWait / 4
+				if !noBlock {
 					r.failedReservations = min(r.failedReservations+1, 4)
-					rest = c.cfg.Facts.Workers.GangWait * float64(r.failedReservations)
+					backoff = c.cfg.Facts.Workers.GangWait * float64(r.failedReservations)
 				}
-				r.nextReservationAt = c.now + seconds(rest)
+				r.nextReservationAt = c.now + seconds(backoff)
 			}
 			c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyGang, ModRevision: c.state.ModRevision(keyGang)}}, []protocol.Op{{Delete: keyGang}},
 				func(stateclient.TxnOutcome, []string, uint64) { c.gangs.inFlight = false })
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -74,7 +74,7 @@
 			if at := (fencing.Position{Epoch: reply.AgentEpoch, Sequence: reply.Sequence}); carried && m.lastLaunch.Before(at) {
 				m.lastLaunch = at
 			}
-			c.handleStatus(m, token, r)
+			c.handleCommandReply(m, token, r)
 			for _, a := range sent {
 				delete(m.inFlight, a)
 			}
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -10,7 +10,6 @@
 	"silvergate/internal/job"
 	"silvergate/internal/losses"
 	"silvergate/internal/peer"
-	"silvergate/internal/protocol"
 )
 
 // scheduler owns the idle list, the queues of waiting tasks, and the credit for moving
@@ -49,12 +48,12 @@
 // oldest tasks that it can hold from any line.
 func (c *Core) offerMachine(m *machine) {
 	if c.unschedulable(m) {
-		c.removeFromIdleList(m)
+		c.scheduler.removeFromIdleList(m)
 		return
 	}
 	c.placeQueuedTasks(m)
 	if !c.hasRoom(m) {
-		c.removeFromIdleList(m)
+		c.scheduler.removeFromIdleList(m)
 		return
 	}
 	m.listedAt = c.now
@@ -62,16 +61,16 @@
 		c.scheduler.idle = append(c.scheduler.idle, m)
 		m.idleListIndex = len(c.scheduler.idle)
 	}
-	c.offerHeld(m)
+	c.offerHeldRoom(m)
 }
 
-func (c *Core) removeFromIdleList(m *machine) {
+func (s *scheduler) removeFromIdleList(m *machine) {
 	if m.idleListIndex == 0 {
 		return
 	}
-	last := c.scheduler.idle[len(c.scheduler.idle)-1]
-	c.scheduler.idle[m.idleListIndex-1], last.idleListIndex = last, m.idleListIndex
-	c.scheduler.idle = c.scheduler.idle[:len(c.scheduler.idle)-1]
+	last := s.idle[len(s.idle)-1]
+	s.idle[m.idleListIndex-1], last.idleListIndex = last, m.idleListIndex
+	s.idle = s.idle[:len(s.idle)-1]
 	m.idleListIndex = 0
 }
 
@@ -83,11 +82,11 @@
 
 // hasRoom tells whether any task could use what is left.
 func (c *Core) hasRoom(m *machine) bool {
-	f := c.machineTypeOf(m)
-	if f.GPUs > 0 && c.jobs.openCPUOnly == 0 && f.GPUs-m.gpus < tolerance {
+	machineType := c.machineTypeOf(m)
+	if machineType.GPUs > 0 && c.jobs.openCPUOnly == 0 && machineType.GPUs-m.gpus < tolerance {
 		return false
 	}
-	return f.CPUs-m.cpus > tolerance && f.MemoryGB-m.ram > tolerance
+	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.ram > tolerance
 }
 
 const tolerance = 1e-6
@@ -95,14 +94,14 @@
 // fits tells whether a machine may and can hold a task now.
 func (c *Core) fits(r *jobRecord, m *machine) bool {
 	s := r.spec
-	f := c.machineTypeOf(m)
-	if f == &unknownMachineType || !s.AllowsMachineType(m.claim.MachineType) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
+	machineType := c.machineTypeOf(m)
+	if machineType == &unknownMachineType || !s.AllowsMachineType(m.claim.MachineType) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
 		return false
 	}
 	if m.holdFor != s.ID && c.now < m.holdTill {
 		return false
 	}
-	if m.cpus+s.CPUs > f.CPUs+tolerance || m.gpus+s.GPUs > f.GPUs+tolerance || m.ram+s.MemoryGB > f.MemoryGB+tolerance {
+	if m.cpus+s.CPUs > machineType.CPUs+tolerance || m.gpus+s.GPUs > machineType.GPUs+tolerance || m.ram+s.MemoryGB > machineType.MemoryGB+tolerance {
 		return false
 	}
 	return c.zoneAllowed(r, m.claim.Zone)
@@ -122,8 +121,8 @@
 // couldHold tells whether a machine could hold the task if it were empty.
 func (c *Core) couldHold(r *jobRecord, m *machine) bool {
 	s := r.spec
-	f := c.machineTypeOf(m)
-	return f != &unknownMachineType && s.AllowsMachineType(m.claim.MachineType) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && typeHolds(f, s)
+	machineType := c.machineTypeOf(m)
+	return machineType != &unknownMachineType && s.AllowsMachineType(m.claim.MachineType) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && typeHolds(machineType, s)
 }
 
 // pickIdleMachine takes an entry of the idle list whose remaining room holds the task: a
@@ -131,7 +130,7 @@
 // random entry on.
 func (c *Core) pickIdleMachine(r *jobRecord) *machine {
 	var pick *machine
-	var best placementRank
+	var bestRank placementRank
 	n, seen := 0, 0
 	if len(c.scheduler.idle) == 0 {
 		return nil
@@ -143,11 +142,11 @@
 			continue
 		}
 		seen++
-		k := c.rankMachine(r, m)
+		rank := c.rankMachine(r, m)
 		switch {
-		case n == 0 || k.before(best):
-			best, n = k, 0
-		case best.before(k):
+		case n == 0 || rank.before(bestRank):
+			bestRank, n = rank, 0
+		case bestRank.before(rank):
 			continue
 		}
 		n++
@@ -181,31 +180,31 @@
 }
 
 func (c *Core) rankMachine(r *jobRecord, m *machine) placementRank {
-	f := c.machineTypeOf(m)
+	machineType := c.machineTypeOf(m)
 	if r.spec.Shape == job.Service {
 		// Services outlive everything else: they gather on the machines
 		// that services hold already, so that the others can be returned.
-		return placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), freeTenths: int(10 * (f.GPUs - m.serviceShare))}
+		return placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), freeTenths: int(10 * (machineType.GPUs - m.serviceShare))}
 	}
-	k := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), wastesOnDemand: r.spec.Spot && !m.claim.Spot}
-	if f.GPUs > 0 {
-		k.freeTenths = int(10 * (f.GPUs - m.gpus) / f.GPUs)
-	} else if f.CPUs > 0 {
-		k.freeTenths = int(10 * (f.CPUs - m.cpus) / f.CPUs)
+	rank := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), wastesOnDemand: r.spec.Spot && !m.claim.Spot}
+	if machineType.GPUs > 0 {
+		rank.freeTenths = int(10 * (machineType.GPUs - m.gpus) / machineType.GPUs)
+	} else if machineType.CPUs > 0 {
+		rank.freeTenths = int(10 * (machineType.CPUs - m.cpus) / machineType.CPUs)
 	}
-	return k
+	return rank
 }
 
 // placeTask binds a task to a machine of ours.
 func (c *Core) placeTask(r *jobRecord, index int, m *machine) {
 	c.reserve(r, index, m)
 	c.propose(r, index, taskTransition{placement: true, machine: m.id, epoch: m.epoch, attempt: c.nextAttempt(r)})
-	c.dequeueTask(r, index)
+	c.scheduler.dequeueTask(r, index)
 	if m.holdFor == r.spec.ID {
 		m.holdTill = 0
 	}
 	if !c.hasRoom(m) {
-		c.removeFromIdleList(m)
+		c.scheduler.removeFromIdleList(m)
 	}
 	c.traceStart(losses.Placing, r.spec.ID, index, 0, m.id)
 }
@@ -253,22 +252,22 @@
 		c.startGang(r)
 		return
 	}
-	var left []int
+	var unplaced []int
 	// Guards against the largest jobs: some pages' worth of tasks on their way
 	// at a time is plenty, and 100,000 would fill lines and messages.
-	under, full := 0, false
+	pending, noneFits := 0, false
 	for _, p := range r.pages {
 		base := p.number * c.tasksPerPage()
-		for j := 0; j < len(p.tasks) && p.pending > 0 && under < maxPagesInFlight*c.tasksPerPage(); j++ {
+		for j := 0; j < len(p.tasks) && p.pending > 0 && pending < maxPagesInFlight*c.tasksPerPage(); j++ {
 			if p.tasks[j].Phase != job.Pending {
 				continue
 			}
-			under++
+			pending++
 			i := base + j
 			if r.queuedByIndex[i] != nil || c.now < r.dispatchAfter[i] || !c.placeable(r, i) {
 				continue
 			}
-			if !full { // the job's tasks are alike: what does not fit one fits none
+			if !noneFits { // the job's tasks are alike: what does not fit one fits none
 				m := c.pickIdleMachine(r) // step 2
 				if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
 					continue
@@ -277,12 +276,12 @@
 					c.placeTask(r, i, m)
 					continue
 				}
-				full = true
+				noneFits = true
 			}
-			left = append(left, i)
+			unplaced = append(unplaced, i)
 		}
 	}
-	c.probe(r, left)
+	c.probe(r, unplaced)
 }
 
 // probe is steps 3 and 4: up to d-2 random peers are checked by their
@@ -306,35 +305,35 @@
 	}
 	sort.Strings(peers)
 	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	to := ""
+	target := ""
 	checked := 0
 	for checked < len(peers) && checked < c.cfg.Operator.Probes-2 {
 		if m := c.membership.members[peers[checked]]; m.IdleMachines > 0 {
-			to = peers[checked]
+			target = peers[checked]
 			break
 		}
 		checked++
 	}
-	if to == "" && checked < len(peers) {
-		to = peers[checked]
+	if target == "" && checked < len(peers) {
+		target = peers[checked]
 		// A line needs a machine to be bound to: a controller without any
 		// that fits can't take the task.
-		if c.membership.members[to].Machines == 0 {
-			to = ""
+		if c.membership.members[target].Machines == 0 {
+			target = ""
 		}
 	}
-	if to == "" {
+	if target == "" {
 		c.enqueue(r, tasks, 0)
 		return
 	}
-	again := c.now + 2*c.cfg.Operator.PublishInterval
+	retryAt := c.now + 2*c.cfg.Operator.PublishInterval
 	for _, i := range tasks {
-		r.deferDispatch(i, again)
+		r.deferDispatch(i, retryAt)
 	}
 	c.Stats.Handoffs += uint64(len(tasks))
 	for len(tasks) > 0 {
 		n := min(len(tasks), 1024)
-		c.effects.Sends = append(c.effects.Sends, Outgoing{to, peer.Message{Handoff: &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}}})
+		c.effects.Sends = append(c.effects.Sends, Outgoing{target, peer.Message{Handoff: &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}}})
 		tasks = tasks[n:]
 	}
 }
@@ -349,26 +348,26 @@
 
 // receiveHandoff takes tasks from a peer: pop, or else a line. What no machine here
 // could hold goes back.
-func (c *Core) receiveHandoff(from string, f *peer.TaskHandoff) {
-	r := c.jobs.byID[f.Job]
+func (c *Core) receiveHandoff(from string, handoff *peer.TaskHandoff) {
+	r := c.jobs.byID[handoff.Job]
 	if r == nil {
 		// Guards against a mirror that lags: a peer's message is often faster
 		// than the watch that brings a new job. Tasks that were dropped here
 		// waited until their sender tried again.
 		if len(c.scheduler.earlyHandoffs) < maxEarlyHandoffs {
-			c.scheduler.earlyHandoffs[f.Job] = append(c.scheduler.earlyHandoffs[f.Job], earlyHandoff{from, f, c.now})
+			c.scheduler.earlyHandoffs[handoff.Job] = append(c.scheduler.earlyHandoffs[handoff.Job], earlyHandoff{from, handoff, c.now})
 		}
 		return
 	}
 	if r.final() {
 		return
 	}
-	var left []int
-	for _, i := range f.Tasks {
+	var unplaced []int
+	for _, i := range handoff.Tasks {
 		if !c.placeable(r, i) {
 			continue
 		}
-		if len(left) == 0 { // else nothing here fits the job
+		if len(unplaced) == 0 { // else nothing here fits the job
 			m := c.pickIdleMachine(r)
 			if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
 				continue
@@ -378,13 +377,13 @@
 				continue
 			}
 		}
-		left = append(left, i)
+		unplaced = append(unplaced, i)
 	}
-	if len(left) > 0 && c.machineThatCouldHold(r) == nil {
-		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: &peer.TaskHandoff{Job: f.Job, Tasks: left}}})
+	if len(unplaced) > 0 && c.machineThatCouldHold(r) == nil {
+		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: &peer.TaskHandoff{Job: handoff.Job, Tasks: unplaced}}})
 		return
 	}
-	c.enqueue(r, left, c.now+3*c.cfg.Operator.PublishInterval)
+	c.enqueue(r, unplaced, c.now+3*c.cfg.Operator.PublishInterval)
 }
 
 // earlyHandoff is a hand-over of a job that the mirror does not hold yet.
@@ -397,6 +396,15 @@
 // maxEarlyHandoffs bounds the jobs of which such hand-overs are kept.
 const maxEarlyHandoffs = 256
 
+// expireEarlyHandoffs forgets the handoffs of each job whose first one is older than maxAge.
+func (s *scheduler) expireEarlyHandoffs(now, maxAge time.Duration) {
+	for id, handoffs := range s.earlyHandoffs {
+		if now-handoffs[0].at > maxAge {
+			delete(s.earlyHandoffs, id)
+		}
+	}
+}
+
 // replayEarlyHandoffs takes what was handed over before the job's record came, unless
 // the sender has given it to somebody else by now.
 func (c *Core) replayEarlyHandoffs(id string) {
@@ -410,12 +418,12 @@
 }
 
 // handoffReturned takes back tasks that a peer has no machine for.
-func (c *Core) handoffReturned(f *peer.TaskHandoff) {
-	r := c.jobs.byID[f.Job]
+func (c *Core) handoffReturned(handoff *peer.TaskHandoff) {
+	r := c.jobs.byID[handoff.Job]
 	if r == nil || r.final() {
 		return
 	}
-	for _, i := range f.Tasks {
+	for _, i := range handoff.Tasks {
 		if _, away := r.dispatchAfter[i]; away {
 			r.deferDispatch(i, c.now+seconds(c.cfg.Facts.Workers.Report/4))
 		}
@@ -429,33 +437,33 @@
 		return
 	}
 	for _, i := range tasks {
-		if w := r.queuedByIndex[i]; w != nil {
-			w.expiresAt = max(w.expiresAt, until)
+		if queued := r.queuedByIndex[i]; queued != nil {
+			queued.expiresAt = max(queued.expiresAt, until)
 			continue
 		}
-		w := &queuedTask{key: taskKey{r.spec.ID, i}, expiresAt: until}
+		queued := &queuedTask{key: taskKey{r.spec.ID, i}, expiresAt: until}
 		if m := c.machineThatCouldHold(r); m != nil {
-			w.machine = m.id
+			queued.machine = m.id
 		} else if until > 0 {
 			return // nothing here could hold it
 		}
-		c.enqueueTask(r, w)
+		c.scheduler.enqueueTask(r, queued)
 	}
 }
 
 // enqueueTask puts a task into a line.
-func (c *Core) enqueueTask(r *jobRecord, w *queuedTask) {
-	i := w.key.index
+func (s *scheduler) enqueueTask(r *jobRecord, queued *queuedTask) {
+	i := queued.key.index
 	if r.queuedByIndex == nil {
 		r.queuedByIndex = map[int]*queuedTask{}
 	}
-	r.queuedByIndex[i] = w
-	c.scheduler.queuedTasks++
+	r.queuedByIndex[i] = queued
+	s.queuedTasks++
 	at := sort.Search(len(r.queue), func(j int) bool { return r.queue[j].key.index > i })
-	r.queue = slices.Insert(r.queue, at, w)
+	r.queue = slices.Insert(r.queue, at, queued)
 	if len(r.queue) == 1 {
-		at := sort.Search(len(c.scheduler.queuedJobs), func(j int) bool { return runsBefore(r, c.scheduler.queuedJobs[j]) })
-		c.scheduler.queuedJobs = slices.Insert(c.scheduler.queuedJobs, at, r)
+		at := sort.Search(len(s.queuedJobs), func(j int) bool { return runsBefore(r, s.queuedJobs[j]) })
+		s.queuedJobs = slices.Insert(s.queuedJobs, at, r)
 	}
 }
 
@@ -525,16 +533,16 @@
 			tm.demand = tm.demand.plus(s, float64(s.Tasks-r.finished))
 			r.withinGuarantee = tm.withinGuarantee(tm.demand)
 		}
-		left := float64(s.Tasks-r.finished-r.bound) * s.EstimateS
+		workLeft := float64(s.Tasks-r.finished-r.bound) * s.EstimateS
 		share := 0.0
 		if s.GPUs > 0 && c.scheduler.capacity.GPUs > 0 {
-			share = left * s.GPUs / c.scheduler.capacity.GPUs
+			share = workLeft * s.GPUs / c.scheduler.capacity.GPUs
 		} else if c.scheduler.capacity.CPUs > 0 {
-			share = left * s.CPUs / c.scheduler.capacity.CPUs
+			share = workLeft * s.CPUs / c.scheduler.capacity.CPUs
 		}
-		last := float64(r.submittedAtMS)/1000 + r.targetDuration - s.EstimateS
-		r.latestStart = last + jobSizeWeight*share
-		if now > last {
+		latest := float64(r.submittedAtMS)/1000 + r.targetDuration - s.EstimateS
+		r.latestStart = latest + jobSizeWeight*share
+		if now > latest {
 			r.latestStart += r.targetDuration
 		}
 		// Guards against the largest jobs, which wait for smaller ones, and jobs that are late, which let those go
@@ -566,13 +574,13 @@
 // Nobody shall wait beside room for long, and it may be machines that the gang lacks: so the limit is saved for a share of the time
 // in which jobs are to begin, then not for as long, and after that twice, four times as long.
 func (c *Core) saveQuotaForGangs() {
-	saved, stays := map[*jobRecord]bool{}, map[*team]usage{}
+	wasSavedFor, byServices := map[*jobRecord]bool{}, map[*team]usage{}
 	for _, tm := range c.jobs.teams {
-		saved[tm.savingFor], tm.savingFor = true, nil
+		wasSavedFor[tm.savingFor], tm.savingFor = true, nil
 	}
 	for _, r := range c.jobs.openByUrgency {
 		if tm := c.jobs.teams[r.spec.Team]; tm != nil && r.spec.Shape == job.Service {
-			stays[tm] = stays[tm].plus(r.spec, float64(r.bound))
+			byServices[tm] = byServices[tm].plus(r.spec, float64(r.bound))
 		}
 	}
 	now, within := float64(c.wallTime.UnixMilli())/1000, c.cfg.Operator.BeginWithin.Seconds()
@@ -581,13 +589,13 @@
 		if tm == nil || tm.savingFor != nil || !hasQuota(tm) || !isGang(r) || r.bound > 0 || len(r.reservations) > 0 || c.paused(r) {
 			continue
 		}
-		waits := (now-float64(r.submittedAtMS)/1000-within)/(quotaSavingShare*within) + 2 // its turn comes first from 2 on
-		if waits < 2 || waits-math.Exp2(math.Floor(math.Log2(waits))) > 1 {
+		periods := (now-float64(r.submittedAtMS)/1000-within)/(quotaSavingShare*within) + 2 // its turn comes first from 2 on
+		if periods < 2 || periods-math.Exp2(math.Floor(math.Log2(periods))) > 1 {
 			continue
 		}
 		n := float64(r.spec.Tasks)
 		// Once it has been saved for, until it has begun: others were placed in the moment in which it could begin.
-		if (saved[r] || !tm.withinLimit(tm.charged.plus(r.spec, n))) && tm.withinLimit(stays[tm].plus(r.spec, n)) {
+		if (wasSavedFor[r] || !tm.withinLimit(tm.charged.plus(r.spec, n))) && tm.withinLimit(byServices[tm].plus(r.spec, n)) {
 			tm.savingFor = r
 		}
 	}
@@ -611,37 +619,37 @@
 
 // targetDuration is the time a job has to finish: its deadline, or the tightest aim of
 // its class, or the loosest of all.
-func (c *Core) targetDuration(s *job.Spec) float64 {
-	if s.DeadlineS != nil {
-		return *s.DeadlineS
+func (c *Core) targetDuration(spec *job.Spec) float64 {
+	if spec.DeadlineS != nil {
+		return *spec.DeadlineS
 	}
-	tight, loose := 0.0, 0.0
+	tightest, loosest := 0.0, 0.0
 	for _, o := range c.cfg.Facts.Objectives {
-		loose = max(loose, o.Within)
-		if o.Class == s.Class && (o.Kind == "finished" || o.Kind == "wait") && (tight == 0 || o.Within < tight) {
-			tight = o.Within
+		loosest = max(loosest, o.Within)
+		if o.Class == spec.Class && (o.Kind == "finished" || o.Kind == "wait") && (tightest == 0 || o.Within < tightest) {
+			tightest = o.Within
 		}
 	}
-	if tight > 0 {
-		return tight
+	if tightest > 0 {
+		return tightest
 	}
-	return loose
+	return loosest
 }
 
-func (c *Core) dequeueTask(r *jobRecord, index int) {
+func (s *scheduler) dequeueTask(r *jobRecord, index int) {
 	if r.queuedByIndex[index] == nil {
 		return
 	}
 	delete(r.queuedByIndex, index)
-	c.scheduler.queuedTasks--
+	s.queuedTasks--
 	at := sort.Search(len(r.queue), func(j int) bool { return r.queue[j].key.index >= index })
 	r.queue = slices.Delete(r.queue, at, at+1)
 	if len(r.queue) > 0 {
 		return
 	}
 	r.queue, r.queuedByIndex = nil, nil
-	if at := slices.Index(c.scheduler.queuedJobs, r); at >= 0 {
-		c.scheduler.queuedJobs = slices.Delete(c.scheduler.queuedJobs, at, at+1)
+	if at := slices.Index(s.queuedJobs, r); at >= 0 {
+		s.queuedJobs = slices.Delete(s.queuedJobs, at, at+1)
 	}
 }
 
@@ -670,7 +678,7 @@
 	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
 		for _, w := range slices.Clone(r.queue) {
 			if r.final() || r.task(c, w.key.index).Phase != job.Pending || (w.expiresAt > 0 && c.now > w.expiresAt) {
-				c.dequeueTask(r, w.key.index)
+				c.scheduler.dequeueTask(r, w.key.index)
 			}
 		}
 	}
@@ -693,28 +701,17 @@
 	// Our own line's tasks look elsewhere again after a while: machines may
 	// have become free at other controllers.
 	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
-		var again []int
+		var retry []int
 		for _, w := range r.queue {
 			if w.expiresAt == 0 && c.now >= w.nextPreemptionAt && c.now >= r.dispatchAfter[w.key.index]+c.cfg.Operator.PublishInterval {
-				again = append(again, w.key.index)
+				retry = append(retry, w.key.index)
 			}
 		}
-		for _, i := range again {
+		for _, i := range retry {
 			r.deferDispatch(i, c.now)
-			c.dequeueTask(r, i)
-		}
-		c.probe(r, again)
-	}
-}
-
-// setCatalogue takes the machine types.
-func (c *Core) setCatalogue(f *protocol.MachineTypes) {
-	for _, t := range f.MachineTypes {
-		if k := c.catalogue.types[t.Name]; k != nil {
-			*k = t // machines point to it
-		} else {
-			c.catalogue.types[t.Name] = &t
+			c.scheduler.dequeueTask(r, i)
 		}
+		c.probe(r, retry)
 	}
 }
 
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -16,40 +16,40 @@
 	offering offering
 	cpus     float64
 	gpus     float64
-	ram      float64
+	memoryGB float64
 	bound    bool
 	used     bool
 	planned  bool
 }
 
-func (s *slot) fits(sp *job.Spec) bool {
-	if !sp.AllowsMachineType(s.offering.machineType) || (sp.Zone != "" && sp.Zone != s.offering.zone) || (s.offering.spot && !sp.Spot) {
+func (s *slot) fits(spec *job.Spec) bool {
+	if !spec.AllowsMachineType(s.offering.machineType) || (spec.Zone != "" && spec.Zone != s.offering.zone) || (s.offering.spot && !spec.Spot) {
 		return false
 	}
-	return sp.CPUs <= s.cpus+tolerance && sp.GPUs <= s.gpus+tolerance && sp.MemoryGB <= s.ram+tolerance
+	return spec.CPUs <= s.cpus+tolerance && spec.GPUs <= s.gpus+tolerance && spec.MemoryGB <= s.memoryGB+tolerance
 }
 
-func (s *slot) add(sp *job.Spec) {
-	s.cpus -= sp.CPUs
-	s.gpus -= sp.GPUs
-	s.ram -= sp.MemoryGB
+func (s *slot) add(spec *job.Spec) {
+	s.cpus -= spec.CPUs
+	s.gpus -= spec.GPUs
+	s.memoryGB -= spec.MemoryGB
 	s.used = true
 }
 
 // plan packs what waits onto the machines there are and those
 // that are booting. What does not fit is rented for; what is not used is
 // returned after a while.
-func (c *Core) plan() {
+func (c *Core) planFleet() {
 	p := c.newBinPacking()
 	p.addMachines()
 	p.addCloudMachines()
 	p.addRentals()
 	p.sortSlots()
 	p.packJobs()
-	c.scaleOut(p.want, p.urgent)
+	c.scaleOut(p.toRent, p.urgent)
 	c.scaleIn(p.slots)
 	if c.verbose {
-		c.log.Debug("fleet plan", "machines", len(p.slots), "booting", p.booting, "renting", len(p.want), "unmet", p.unmet, "kinds", c.machineSummary())
+		c.log.Debug("fleet plan", "machines", len(p.slots), "booting", p.booting, "renting", len(p.toRent), "unmet", p.unplaceable, "kinds", c.machineSummary())
 	}
 }
 
@@ -59,18 +59,18 @@
 	core             *Core
 	slots            []*slot
 	known            map[string]bool // machines that have a slot, or a claim
-	zones            map[string]int  // machines in each
+	machinesByZone   map[string]int  // machines in each
 	unreachableZones map[string]bool // zones that nobody hears
 	unresponsive     map[string]bool // machines to which no work can be given
 	booting          int
-	want             map[offering]int // machines to be rented
+	toRent           map[offering]int // machines to be rented
 	urgent           map[offering]bool
-	unmet            int // tasks for which nothing can be rented
+	unplaceable      int // tasks for which nothing can be rented
 	firstOpenSlot    int // slots before this one have nothing left for any open job
 }
 
 func (c *Core) newBinPacking() *binPacking {
-	p := &binPacking{core: c, known: map[string]bool{}, zones: map[string]int{}, unreachableZones: map[string]bool{}, unresponsive: map[string]bool{}, want: map[offering]int{}, urgent: map[offering]bool{}}
+	p := &binPacking{core: c, known: map[string]bool{}, machinesByZone: map[string]int{}, unreachableZones: map[string]bool{}, unresponsive: map[string]bool{}, toRent: map[offering]int{}, urgent: map[offering]bool{}}
 	for _, v := range c.scaler.zoneViews {
 		for _, id := range v.unresponsive {
 			p.unresponsive[id] = c.now-v.at < seconds(c.cfg.Facts.Workers.Report)
@@ -78,7 +78,7 @@
 	}
 	for _, z := range c.cfg.Facts.Zones {
 		if p.unreachableZones[z] = c.zoneUnreachable(z); p.unreachableZones[z] {
-			p.zones[z] = unreachableZoneLoad
+			p.machinesByZone[z] = unreachableZoneLoad
 		}
 	}
 	return p
@@ -94,9 +94,9 @@
 	if !ok {
 		return
 	}
-	s := &slot{id: id, offering: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.MemoryGB}
+	s := &slot{id: id, offering: where, cpus: t.CPUs, gpus: t.GPUs, memoryGB: t.MemoryGB}
 	if m != nil {
-		s.cpus, s.gpus, s.ram, s.bound = t.CPUs-m.cpus, t.GPUs-m.gpus, t.MemoryGB-m.ram, len(m.bound) > 0
+		s.cpus, s.gpus, s.memoryGB, s.bound = t.CPUs-m.cpus, t.GPUs-m.gpus, t.MemoryGB-m.ram, len(m.bound) > 0
 	}
 	p.slots = append(p.slots, s)
 }
@@ -107,7 +107,7 @@
 	for id, m := range c.machines.byID {
 		p.known[id] = m.token != 0
 		if m.token != 0 {
-			p.zones[m.claim.Zone]++
+			p.machinesByZone[m.claim.Zone]++
 		}
 		if _, drained := c.machines.drains[id]; drained || m.token == 0 || m.draining {
 			continue
@@ -180,11 +180,11 @@
 		if n == 0 {
 			continue
 		}
-		sp := r.spec
-		if sp.OneZone && sp.Zone == "" && n > 1 {
-			sp = c.pinZone(r, n, p.slots, p.want, p.zones)
+		spec := r.spec
+		if spec.OneZone && spec.Zone == "" && n > 1 {
+			spec = c.pinZone(r, n, p.slots, p.toRent, p.machinesByZone)
 		}
-		p.packTasks(sp, n, tasksByZone(r))
+		p.packTasks(spec, n, tasksByZone(r))
 	}
 }
 
@@ -223,28 +223,28 @@
 }
 
 // packTasks packs n tasks of a job; avoid counts its tasks in each zone if it must be spread.
-func (p *binPacking) packTasks(sp *job.Spec, n int, avoid map[string]int) {
+func (p *binPacking) packTasks(spec *job.Spec, n int, tasksByZone map[string]int) {
 	p.skipFullSlots()
 	at := p.firstOpenSlot // a job's tasks are alike: what can't take one takes none
 	for ; n > 0; n-- {
-		for at < len(p.slots) && !(p.slots[at].fits(sp) && (avoid == nil || avoid[p.slots[at].offering.zone] < sp.SpreadLimit())) {
+		for at < len(p.slots) && !(p.slots[at].fits(spec) && (tasksByZone == nil || tasksByZone[p.slots[at].offering.zone] < spec.SpreadLimit())) {
 			at++
 		}
 		if at < len(p.slots) {
-			p.slots[at].add(sp)
-			if avoid != nil {
-				avoid[p.slots[at].offering.zone]++
+			p.slots[at].add(spec)
+			if tasksByZone != nil {
+				tasksByZone[p.slots[at].offering.zone]++
 			}
 			continue
 		}
-		where, found := p.core.cheapestOffering(sp, p.want, avoid, p.zones)
+		where, found := p.core.cheapestOffering(spec, p.toRent, tasksByZone, p.machinesByZone)
 		if !found {
-			p.unmet += n
+			p.unplaceable += n
 			return
 		}
-		p.planMachine(where, sp)
-		if avoid != nil {
-			avoid[where.zone]++
+		p.planMachine(where, spec)
+		if tasksByZone != nil {
+			tasksByZone[where.zone]++
 		}
 	}
 }
@@ -253,7 +253,7 @@
 func (p *binPacking) skipFullSlots() {
 	for p.firstOpenSlot < len(p.slots) {
 		s := p.slots[p.firstOpenSlot]
-		if s.cpus >= tolerance && s.ram >= tolerance && (p.core.jobs.openCPUOnly > 0 || s.gpus >= tolerance) {
+		if s.cpus >= tolerance && s.memoryGB >= tolerance && (p.core.jobs.openCPUOnly > 0 || s.gpus >= tolerance) {
 			return
 		}
 		p.firstOpenSlot++
@@ -261,13 +261,13 @@
 }
 
 // planMachine has a machine rented, with a task of a job on it.
-func (p *binPacking) planMachine(where offering, sp *job.Spec) {
+func (p *binPacking) planMachine(where offering, spec *job.Spec) {
 	t := p.core.catalogue.types[where.machineType]
-	s := &slot{offering: where, cpus: t.CPUs, gpus: t.GPUs, ram: t.MemoryGB, planned: true}
-	s.add(sp)
+	s := &slot{offering: where, cpus: t.CPUs, gpus: t.GPUs, memoryGB: t.MemoryGB, planned: true}
+	s.add(spec)
 	p.slots = append(p.slots, s)
-	p.want[where]++
-	p.urgent[where] = p.urgent[where] || sp.Priority == job.Production
+	p.toRent[where]++
+	p.urgent[where] = p.urgent[where] || spec.Priority == job.Production
 }
 
 // scaleIn drains the machines that have stood idle for long enough.
@@ -321,31 +321,31 @@
 
 // cheapestOffering picks where to rent for a task: the cheapest type and kind per
 // task that has not just been refused, in the zone with the fewest planned.
-func (c *Core) cheapestOffering(s *job.Spec, want map[offering]int, avoid, zones map[string]int) (offering, bool) {
+func (c *Core) cheapestOffering(spec *job.Spec, toRent map[offering]int, tasksByZone, machinesByZone map[string]int) (offering, bool) {
 	var best offering
 	bestCost, bestLoad, found := 0.0, 0, false
-	for _, sku := range sortedKeys(c.catalogue.types) {
-		t := c.catalogue.types[sku]
-		if !s.AllowsMachineType(sku) || !typeHolds(t, s) {
+	for _, typeName := range sortedKeys(c.catalogue.types) {
+		machineType := c.catalogue.types[typeName]
+		if !spec.AllowsMachineType(typeName) || !typeHolds(machineType, spec) {
 			continue
 		}
-		fit := tasksPerMachine(t, s)
+		perMachine := tasksPerMachine(machineType, spec)
 		for _, spot := range []bool{true, false} {
-			if spot && !s.Spot {
+			if spot && !spec.Spot {
 				continue
 			}
-			price := t.OnDemandPrice
+			price := machineType.OnDemandPrice
 			if spot {
-				price = t.SpotPrice
+				price = machineType.SpotPrice
 			}
-			for _, z := range t.Zones {
-				w := offering{sku, z, spot}
-				if (s.Zone != "" && s.Zone != z) || c.now < c.scaler.refusedUntil[w] || (avoid != nil && avoid[z] >= s.SpreadLimit()) {
+			for _, zone := range machineType.Zones {
+				where := offering{typeName, zone, spot}
+				if (spec.Zone != "" && spec.Zone != zone) || c.now < c.scaler.refusedUntil[where] || (tasksByZone != nil && tasksByZone[zone] >= spec.SpreadLimit()) {
 					continue
 				}
-				cost, load := price/fit, want[w]+zones[z]
+				cost, load := price/perMachine, toRent[where]+machinesByZone[zone]
 				if !found || cost < bestCost*0.999 || (cost < bestCost*1.001 && load < bestLoad) {
-					best, bestCost, bestLoad, found = w, cost, load, true
+					best, bestCost, bestLoad, found = where, cost, load, true
 				}
 			}
 		}
@@ -370,23 +370,23 @@
 
 // pinZone picks the zone in which a one-zone job's tasks are planned: where
 // some are already, or else where most of them find room.
-func (c *Core) pinZone(r *jobRecord, n int, slots []*slot, want map[offering]int, zones map[string]int) *job.Spec {
+func (c *Core) pinZone(r *jobRecord, n int, slots []*slot, toRent map[offering]int, machinesByZone map[string]int) *job.Spec {
 	best, bestFit := r.spec, -1
-	for _, z := range c.cfg.Facts.Zones {
-		sp := *r.spec
-		sp.Zone = z
+	for _, zone := range c.cfg.Facts.Zones {
+		pinned := *r.spec
+		pinned.Zone = zone
 		fit := 0
 		for _, s := range slots {
-			for room := *s; fit < n && room.fits(&sp); fit++ {
-				room.add(&sp)
+			for room := *s; fit < n && room.fits(&pinned); fit++ {
+				room.add(&pinned)
 			}
 		}
-		_, rentable := c.cheapestOffering(&sp, want, nil, zones)
-		if r.tasksByZone[z] > 0 {
-			return &sp
+		_, rentable := c.cheapestOffering(&pinned, toRent, nil, machinesByZone)
+		if r.tasksByZone[zone] > 0 {
+			return &pinned
 		}
 		if (fit == n || rentable) && fit > bestFit {
-			best, bestFit = &sp, fit
+			best, bestFit = &pinned, fit
 		}
 	}
 	return best
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -82,15 +82,15 @@
 
 // preemptOn stops tasks on a machine for a waiter. Their exits are reported at
 // once; should that fail, another machine is tried after a report period.
-func (c *Core) preemptOn(r *jobRecord, w *queuedTask, m *machine, victims []taskKey) {
-	w.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Report)
-	m.reserveRoom(r.spec.ID, w.nextPreemptionAt, "")
+func (c *Core) preemptOn(r *jobRecord, queued *queuedTask, m *machine, victims []taskKey) {
+	queued.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Report)
+	m.reserveRoom(r.spec.ID, queued.nextPreemptionAt, "")
 	for _, k := range victims {
-		why := "preempted"
+		reason := "preempted"
 		if isGang(m.bound[k]) {
-			why = preemptedGang
+			reason = preemptedGang
 		}
-		c.stopTask(m, k, why)
+		c.stopTask(m, k, reason)
 		c.Stats.Preemptions++
 	}
 	c.log.Debug("preempting tasks", "for", r.spec.ID, "machine", m.id, "victims", len(victims))
@@ -100,18 +100,18 @@
 // of the machine popped for it, where the image would first have to be fetched.
 // Exception "warm room for services": what must never be down is worth more
 // than the few seconds of lower work that this loses.
-func (c *Core) preemptOnWarmMachine(r *jobRecord, index int, popped *machine) bool {
+func (c *Core) preemptOnWarmMachine(r *jobRecord, index int, picked *machine) bool {
 	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.queuedByIndex[index] != nil ||
-		c.fetchTime(r.spec, popped) <= c.cfg.Facts.Workers.Report/2 {
+		c.fetchTime(r.spec, picked) <= c.cfg.Facts.Workers.Report/2 {
 		return false
 	}
 	m, victims := c.cheapestVictims(r, true)
 	if m == nil {
 		return false
 	}
-	w := &queuedTask{key: taskKey{r.spec.ID, index}, machine: m.id}
-	c.enqueueTask(r, w)
-	c.preemptOn(r, w, m, victims)
+	queued := &queuedTask{key: taskKey{r.spec.ID, index}, machine: m.id}
+	c.scheduler.enqueueTask(r, queued)
+	c.preemptOn(r, queued, m, victims)
 	return true
 }
 
@@ -120,7 +120,7 @@
 // only machines that have the image will do.
 func (c *Core) cheapestVictims(r *jobRecord, warm bool) (*machine, []taskKey) {
 	var best *machine
-	var bestSet []taskKey
+	var bestVictims []taskKey
 	bestCost := 0.0
 	var bestRank placementRank
 	seen := 0
@@ -137,21 +137,21 @@
 		if warm && c.fetchTime(r.spec, m) > 0 {
 			continue
 		}
-		set, cost, ok := c.evict(r, m, false)
+		victims, cost, ok := c.evict(r, m, false)
 		if !ok {
 			continue
 		}
 		seen++
 		cost += c.fetchTime(r.spec, m)
-		k := placementRank{}
+		rank := placementRank{}
 		if r.spec.Shape == job.Service {
-			k = c.rankMachine(r, m)
+			rank = c.rankMachine(r, m)
 		}
-		if best == nil || k.before(bestRank) || (k == bestRank && cost < bestCost) {
-			best, bestSet, bestCost, bestRank = m, set, cost, k
+		if best == nil || rank.before(bestRank) || (rank == bestRank && cost < bestCost) {
+			best, bestVictims, bestCost, bestRank = m, victims, cost, rank
 		}
 	}
-	return best, bestSet
+	return best, bestVictims
 }
 
 // gangVictims finds a machine where production work that ran before gets room at a
@@ -173,7 +173,7 @@
 		}
 	}
 	var best *machine
-	var bestSet []taskKey
+	var bestVictims []taskKey
 	bestCost := 0.0
 	seen := 0
 	start := c.random.IntN(max(1, len(c.machines.own)))
@@ -182,28 +182,28 @@
 		if len(m.bound) == m.services || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
-		set, cost, ok := c.evict(r, m, true)
+		victims, cost, ok := c.evict(r, m, true)
 		if !ok {
 			continue
 		}
 		seen++
 		if cost += c.fetchTime(r.spec, m); best == nil || cost < bestCost {
-			best, bestSet, bestCost = m, set, cost
+			best, bestVictims, bestCost = m, victims, cost
 		}
 	}
-	return best, bestSet
+	return best, bestVictims
 }
 
 // evict picks the tasks of lower priority to stop on a machine, cheapest
 // first, and tells what work that loses in seconds of task time. With gangs, those
 // of several tasks may be among them.
-func (c *Core) evict(r *jobRecord, m *machine, gangs bool) (set []taskKey, cost float64, ok bool) {
+func (c *Core) evict(r *jobRecord, m *machine, gangs bool) (victims []taskKey, cost float64, ok bool) {
 	type victim struct {
 		k    taskKey
 		rec  *jobRecord
 		cost float64
 	}
-	var all []victim
+	var candidates []victim
 	for k, v := range m.bound {
 		if v.spec.Priority >= r.spec.Priority || isGang(v) && !gangs || v.final() || m.vacated[k] != nil {
 			continue
@@ -212,23 +212,23 @@
 		if isGang(v) {
 			cost *= float64(v.spec.Tasks)
 		}
-		all = append(all, victim{k, v, cost})
+		candidates = append(candidates, victim{k, v, cost})
 	}
-	slices.SortFunc(all, func(a, b victim) int {
+	slices.SortFunc(candidates, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.rec.spec.Priority, b.rec.spec.Priority), cmp.Compare(a.cost, b.cost), a.k.compare(b.k))
 	})
-	f := c.machineTypeOf(m)
+	machineType := c.machineTypeOf(m)
 	s := r.spec
 	cpus, gpus, ram := m.cpus, m.gpus, m.ram
-	for _, v := range all {
-		if cpus+s.CPUs <= f.CPUs+tolerance && gpus+s.GPUs <= f.GPUs+tolerance && ram+s.MemoryGB <= f.MemoryGB+tolerance {
+	for _, v := range candidates {
+		if cpus+s.CPUs <= machineType.CPUs+tolerance && gpus+s.GPUs <= machineType.GPUs+tolerance && ram+s.MemoryGB <= machineType.MemoryGB+tolerance {
 			break
 		}
 		cpus, gpus, ram = cpus-v.rec.spec.CPUs, gpus-v.rec.spec.GPUs, ram-v.rec.spec.MemoryGB
-		set, cost = append(set, v.k), cost+v.cost
+		victims, cost = append(victims, v.k), cost+v.cost
 	}
-	ok = len(set) > 0 && cpus+s.CPUs <= f.CPUs+tolerance && gpus+s.GPUs <= f.GPUs+tolerance && ram+s.MemoryGB <= f.MemoryGB+tolerance
-	return set, cost, ok
+	ok = len(victims) > 0 && cpus+s.CPUs <= machineType.CPUs+tolerance && gpus+s.GPUs <= machineType.GPUs+tolerance && ram+s.MemoryGB <= machineType.MemoryGB+tolerance
+	return victims, cost, ok
 }
 
 // lostWork is the work that stopping a task loses: what it has done since its
@@ -252,24 +252,24 @@
 }
 
 func (c *Core) imageTime(s *job.Spec, m *machine) float64 {
-	f := c.machineTypeOf(m)
+	machineType := c.machineTypeOf(m)
 	if at, ok := m.imageReadyAt[s.Image]; ok {
 		return max(0, (at - c.now).Seconds())
 	}
-	if f.ImagePullGBPerS <= 0 {
+	if machineType.ImagePullGBPerS <= 0 {
 		return 0
 	}
-	busy := 1.0
+	pulls := 1.0
 	for _, at := range m.imageReadyAt {
 		if at > c.now {
-			busy++
+			pulls++
 		}
 	}
-	return busy * s.ImageGB / f.ImagePullGBPerS
+	return pulls * s.ImageGB / machineType.ImagePullGBPerS
 }
 
 // fetching notes that a machine will have an image, and when.
-func (c *Core) fetching(m *machine, s *job.Spec) {
+func (c *Core) recordImagePull(m *machine, s *job.Spec) {
 	if _, ok := m.imageReadyAt[s.Image]; !ok {
 		m.imageReadyAt[s.Image] = c.now + seconds(c.imageTime(s, m))
 	}
@@ -280,7 +280,7 @@
 
 // stopTask tells a worker to stop a task, directly and with every answer until it
 // has. A stop that is carried out late does no harm: it names the attempt.
-func (c *Core) stopTask(m *machine, k taskKey, why string) {
+func (c *Core) stopTask(m *machine, k taskKey, reason string) {
 	rec := m.bound[k]
 	if rec == nil || !c.isOwn(m) {
 		return
@@ -290,19 +290,19 @@
 	if rec.spec.CheckpointIntervalS > 0 && !isGang(rec) { // a gang saves when all are told in time
 		grace = rec.spec.CheckpointSaveS * 2
 	}
-	m.stops[k] = taskStop{grace, why, c.now}
-	c.killNow(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
+	m.stops[k] = taskStop{grace, reason, c.now}
+	c.sendCommands(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
 }
 
 // killNow tells a worker directly to stop attempts.
-func (c *Core) killNow(m *machine, orders ...protocol.Command) {
+func (c *Core) sendCommands(m *machine, commands ...protocol.Command) {
 	if m.claim.Address == "" || !m.tokenSeen {
 		return
 	}
 	token := m.token
-	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: orders})
+	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: commands})
 	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodPost, Path: protocol.PathCommands,
-		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.handleStatus(m, token, r) })
+		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
 }
 
 // stopTasksOf stops what a cancelled job has on machines of ours and what has not begun yet, as far as we know: no
@@ -311,7 +311,7 @@
 	if r.status != job.Cancelled || r.bound == 0 {
 		return
 	}
-	orders := map[string][]protocol.Command{}
+	commands := map[string][]protocol.Command{}
 	for _, p := range r.pages {
 		for i := range p.tasks {
 			t := &p.tasks[i]
@@ -320,32 +320,32 @@
 			}
 			k := taskKey{p.jobID, p.number*c.tasksPerPage() + i}
 			if m := c.machines.byID[t.Machine]; m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
-				orders[m.id] = append(orders[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
+				commands[m.id] = append(commands[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
 			}
 		}
 	}
-	for _, id := range sortedKeys(orders) {
-		c.killNow(c.machines.byID[id], orders[id]...)
+	for _, id := range sortedKeys(commands) {
+		c.sendCommands(c.machines.byID[id], commands[id]...)
 	}
 }
 
 // handleStatus takes the report in the answer to direct commands. Only endings are
 // read from it: they stay true however late it comes.
-func (c *Core) handleStatus(m *machine, token uint64, r protocol.Reply) {
+func (c *Core) handleCommandReply(m *machine, token uint64, r protocol.Reply) {
 	var reply protocol.Heartbeat
 	if r.Status != http.StatusOK || m.token != token || protocol.Decode(r.Body, &reply) != nil || reply.FencingToken != token || c.state.AppliedRevision() < token {
 		return
 	}
-	left := len(m.vacated)
+	vacatedBefore := len(m.vacated)
 	defer func() {
-		if len(m.vacated) > left {
+		if len(m.vacated) > vacatedBefore {
 			c.machineFreed(m.id)
 		}
 	}()
 	for i := range reply.Tasks {
-		l := &reply.Tasks[i]
-		id, index, err := job.ParseTaskName(l.Task)
-		if l.Status != protocol.TaskEnded || err != nil {
+		status := &reply.Tasks[i]
+		id, index, err := job.ParseTaskName(status.Task)
+		if status.Status != protocol.TaskEnded || err != nil {
 			continue
 		}
 		k := taskKey{id, index}
@@ -353,14 +353,14 @@
 		if rec == nil {
 			continue
 		}
-		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == l.Attempt && !c.releasePending(rec, index) {
-			c.proposeEnding(m, rec, k, t, l)
+		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == status.Attempt && !c.releasePending(rec, index) {
+			c.proposeEnding(m, rec, k, t, status)
 		}
 	}
 }
 
 // markRunning notes when a task was first seen running, and tells whether this is it.
-func (m *machine) markRunning(k taskKey, at time.Duration) bool {
+func (m *machine) recordRunning(k taskKey, at time.Duration) bool {
 	_, was := m.runningSince[k]
 	if !was {
 		m.runningSince[k] = at
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -362,7 +362,7 @@
 		m.addUsage(r.spec, 1)
 		r.tasksByZone[m.claim.Zone]++
 		m.boundAt[k] = binding{c.now, since}
-		c.fetching(m, r.spec)
+		c.recordImagePull(m, r.spec)
 		c.staging.taskBound(m, r.spec)
 		if !isGang(r) {
 			m.boundByPriority[r.spec.Priority]++
@@ -371,7 +371,7 @@
 			m.services++
 		}
 		delete(r.dispatchAfter, k.index)
-		c.dequeueTask(r, k.index)
+		c.scheduler.dequeueTask(r, k.index)
 		if c.isOwn(m) {
 			c.traceStart(losses.Bound, k.job, k.index, t.Attempt, m.id)
 		}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -77,7 +77,7 @@
 func (c *Core) noteProgress(m *machine, rec *jobRecord, k taskKey, l *protocol.TaskStatus) {
 	switch l.Status {
 	case protocol.TaskRunning:
-		if m.markRunning(k, c.now) {
+		if m.recordRunning(k, c.now) {
 			c.traceStart(losses.Began, k.job, k.index, l.Attempt, m.id)
 		}
 		m.imageReadyAt[rec.spec.Image] = min(m.imageReadyAt[rec.spec.Image], c.now)
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -68,16 +68,16 @@
 			f.toDelete[id] = true
 		}
 	}
-	var odd []string // most machines are looked after by a living controller
+	var unattended []string // most machines are looked after by a living controller
 	for id, m := range c.machines.byID {
 		if _, gone := f.deletedAt[id]; gone || m.token == 0 || !c.alive(m.claim.Owner) {
-			odd = append(odd, id)
+			unattended = append(unattended, id)
 		} else if f.orphanedSince[id] != 0 {
 			delete(f.orphanedSince, id)
 		}
 	}
-	sort.Strings(odd)
-	for _, id := range odd {
+	sort.Strings(unattended)
+	for _, id := range unattended {
 		m := c.machines.byID[id]
 		if t, ok := f.deletedAt[id]; ok && (m.token != 0 || len(m.bound) > 0) && f.deletionConfirmed[id] && c.now-t < seconds(2*c.cfg.Facts.Cloud.ListLag) {
 			// Known to be gone: releases that failed are proposed again, and
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -56,7 +56,7 @@
 	c.links.SetWorkers(held, awaited)
 	for _, m := range c.machines.own {
 		if c.now-m.heardAt > entryAge {
-			c.removeFromIdleList(m)
+			c.scheduler.removeFromIdleList(m)
 		}
 		c.sendDeferred(m)
 		if c.workerState(m).LeaseExpired(c.now, m.answeredAt, c.leaseExpiry()) {
--- a/internal/coordination/takeovers.go
+++ b/internal/coordination/takeovers.go
@@ -71,7 +71,7 @@
 	m.reoccupy()
 	switch {
 	case !c.isOwn(m):
-		c.removeFromIdleList(m)
+		c.scheduler.removeFromIdleList(m)
 		clear(m.stops)
 	case m.failedOver():
 		m.resetForNewToken(c.now)
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -231,7 +231,7 @@
 	m.token, m.ownClaim, m.links = 0, failover.Claim{}, nil
 	m.tokenSeen = false
 	m.reoccupy()
-	c.removeFromIdleList(m)
+	c.scheduler.removeFromIdleList(m)
 	c.forgetUnclaimed(m)
 	c.updateOwnership(m)
 }
@@ -276,7 +276,7 @@
 	if decode(c.log, id, data, &d) {
 		c.machines.drains[id] = d
 		if m := c.machines.byID[id]; m != nil {
-			c.removeFromIdleList(m)
+			c.scheduler.removeFromIdleList(m)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 		return
 	}
 	m.draining = true
-	c.removeFromIdleList(m)
+	c.scheduler.removeFromIdleList(m)
 	c.log.Debug("draining a machine", "machine", m.id, "reason", why)
 	// The claim is a condition too: a controller that was cut off must not
 	// judge machines that have long reported to another.
