--- a/internal/coordination/plan.go
+++ b/internal/coordination/bin_packing.go
@@ -270,55 +270,6 @@
 	p.urgent[where] = p.urgent[where] || spec.Priority == job.Production
 }
 
-// scaleIn drains the machines that have stood idle for long enough.
-func (c *Core) scaleIn(slots []*slot) {
-	for _, s := range slots {
-		m := c.machines.byID[s.id]
-		if m == nil || s.planned {
-			continue
-		}
-		if s.used || s.bound || m.gpus > 0 || m.cpus > 0 {
-			m.unboundSince = c.now
-			continue
-		}
-		if c.now-m.unboundSince > seconds(idleTimeShare*c.machineTypeOf(m).StartupS) && !c.scaler.unshipped.holds(m.id) {
-			c.drainMachine(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.scaler.leaderRevision}) // one that was replaced returns nothing
-		}
-	}
-}
-
-// machineSummary tells how many machines of each type there are, how many of their
-// accelerators are taken, and how many of those by services.
-func (c *Core) machineSummary() string {
-	type sum struct {
-		n                 int
-		all, used, steady float64
-	}
-	by := map[string]*sum{}
-	for id, m := range c.machines.byID {
-		if m.token == 0 {
-			continue
-		}
-		k := m.claim.MachineType
-		if m.claim.Spot {
-			k += ",spot"
-		}
-		if _, drained := c.machines.drains[id]; drained {
-			k += ",drained"
-		}
-		if by[k] == nil {
-			by[k] = &sum{}
-		}
-		s := by[k]
-		s.n, s.all, s.used, s.steady = s.n+1, s.all+c.machineTypeOf(m).GPUs, s.used+m.gpus, s.steady+m.serviceShare
-	}
-	out := ""
-	for _, k := range sortedKeys(by) {
-		out += fmt.Sprintf("%s:%d %g/%g steady %g; ", k, by[k].n, by[k].used, by[k].all, by[k].steady)
-	}
-	return out
-}
-
 // cheapestOffering picks where to rent for a task: the cheapest type and kind per
 // task that has not just been refused, in the zone with the fewest planned.
 func (c *Core) cheapestOffering(spec *job.Spec, toRent map[offering]int, tasksByZone, machinesByZone map[string]int) (offering, bool) {
@@ -364,10 +315,6 @@
 	return max(fit, 1)
 }
 
-// idleTimeShare is how long a machine may stand idle, as a share of the time it
-// took to boot.
-const idleTimeShare = 0.75
-
 // pinZone picks the zone in which a one-zone job's tasks are planned: where
 // some are already, or else where most of them find room.
 func (c *Core) pinZone(r *jobRecord, n int, slots []*slot, toRent map[offering]int, machinesByZone map[string]int) *job.Spec {
@@ -391,3 +338,35 @@
 	}
 	return best
 }
+
+// machineSummary tells how many machines of each type there are, how many of their
+// accelerators are taken, and how many of those by services.
+func (c *Core) machineSummary() string {
+	type sum struct {
+		n                 int
+		all, used, steady float64
+	}
+	by := map[string]*sum{}
+	for id, m := range c.machines.byID {
+		if m.token == 0 {
+			continue
+		}
+		k := m.claim.MachineType
+		if m.claim.Spot {
+			k += ",spot"
+		}
+		if _, drained := c.machines.drains[id]; drained {
+			k += ",drained"
+		}
+		if by[k] == nil {
+			by[k] = &sum{}
+		}
+		s := by[k]
+		s.n, s.all, s.used, s.steady = s.n+1, s.all+c.machineTypeOf(m).GPUs, s.used+m.gpus, s.steady+m.serviceShare
+	}
+	out := ""
+	for _, k := range sortedKeys(by) {
+		out += fmt.Sprintf("%s:%d %g/%g steady %g; ", k, by[k].n, by[k].used, by[k].all, by[k].steady)
+	}
+	return out
+}
--- /dev/null
+++ b/internal/coordination/dispatch.go
@@ -0,0 +1,202 @@
+package coordination
+
+import (
+	"sort"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/peer"
+)
+
+// maxPagesInFlight is how many pages' worth of a job's tasks may be on their way. A page is
+// in one transaction at a time, and those of the largest jobs name so many machines that
+// one does not hold them: with one page 25,000 small tasks took 269 s on
+// shiftbook-akl-ops, with four 162 s (simulated).
+const maxPagesInFlight = 4
+
+// dispatchJob sends a job's pending tasks on their way.
+func (c *Core) dispatchJob(r *jobRecord) {
+	if r == nil || r.final() {
+		return
+	}
+	if isGang(r) {
+		c.startGang(r)
+		return
+	}
+	var unplaced []int
+	// Guards against the largest jobs: some pages' worth of tasks on their way
+	// at a time is plenty, and 100,000 would fill lines and messages.
+	pending, noneFits := 0, false
+	for _, p := range r.pages {
+		base := p.number * c.tasksPerPage()
+		for j := 0; j < len(p.tasks) && p.pending > 0 && pending < maxPagesInFlight*c.tasksPerPage(); j++ {
+			if p.tasks[j].Phase != job.Pending {
+				continue
+			}
+			pending++
+			i := base + j
+			if r.queuedByIndex[i] != nil || c.now < r.dispatchAfter[i] || !c.placeable(r, i) {
+				continue
+			}
+			if !noneFits { // the job's tasks are alike: what does not fit one fits none
+				m := c.pickIdleMachine(r) // step 2
+				if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
+					continue
+				}
+				if m != nil {
+					c.placeTask(r, i, m)
+					continue
+				}
+				noneFits = true
+			}
+			unplaced = append(unplaced, i)
+		}
+	}
+	c.probe(r, unplaced)
+}
+
+// deferDispatch notes that a task is on its way and not to be dispatched before.
+func (r *jobRecord) deferDispatch(i int, until time.Duration) {
+	if r.dispatchAfter == nil {
+		r.dispatchAfter = map[int]time.Duration{}
+	}
+	r.dispatchAfter[i] = until
+}
+
+// probe is steps 3 and 4: up to d-2 random peers are checked by their
+// published list length; if none has entries, one more random controller
+// takes the task unchecked. Many tasks of one job are drawn for in as many
+// parts as there are controllers, not one by one.
+func (c *Core) probe(r *jobRecord, tasks []int) {
+	for parts := 1 + len(c.membership.members); len(tasks) > 0; parts-- {
+		n := (len(tasks) + parts - 1) / max(1, parts)
+		c.probeFor(r, tasks[:n])
+		tasks = tasks[n:]
+	}
+}
+
+func (c *Core) probeFor(r *jobRecord, tasks []int) {
+	var peers []string
+	for _, p := range c.cfg.Peers {
+		if c.membership.members[p.Node] != nil {
+			peers = append(peers, p.Node)
+		}
+	}
+	sort.Strings(peers)
+	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	target := ""
+	checked := 0
+	for checked < len(peers) && checked < c.cfg.Operator.Probes-2 {
+		if m := c.membership.members[peers[checked]]; m.IdleMachines > 0 {
+			target = peers[checked]
+			break
+		}
+		checked++
+	}
+	if target == "" && checked < len(peers) {
+		target = peers[checked]
+		// A line needs a machine to be bound to: a controller without any
+		// that fits can't take the task.
+		if c.membership.members[target].Machines == 0 {
+			target = ""
+		}
+	}
+	if target == "" {
+		c.enqueue(r, tasks, 0)
+		return
+	}
+	retryAt := c.now + 2*c.cfg.Operator.PublishInterval
+	for _, i := range tasks {
+		r.deferDispatch(i, retryAt)
+	}
+	c.Stats.Handoffs += uint64(len(tasks))
+	for len(tasks) > 0 {
+		n := min(len(tasks), 1024)
+		c.effects.Sends = append(c.effects.Sends, Outgoing{target, peer.Message{Handoff: &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}}})
+		tasks = tasks[n:]
+	}
+}
+
+// receiveHandoff takes tasks from a peer: pop, or else a line. What no machine here
+// could hold goes back.
+func (c *Core) receiveHandoff(from string, handoff *peer.TaskHandoff) {
+	r := c.jobs.byID[handoff.Job]
+	if r == nil {
+		// Guards against a mirror that lags: a peer's message is often faster
+		// than the watch that brings a new job. Tasks that were dropped here
+		// waited until their sender tried again.
+		if len(c.scheduler.earlyHandoffs) < maxEarlyHandoffs {
+			c.scheduler.earlyHandoffs[handoff.Job] = append(c.scheduler.earlyHandoffs[handoff.Job], earlyHandoff{from, handoff, c.now})
+		}
+		return
+	}
+	if r.final() {
+		return
+	}
+	var unplaced []int
+	for _, i := range handoff.Tasks {
+		if !c.placeable(r, i) {
+			continue
+		}
+		if len(unplaced) == 0 { // else nothing here fits the job
+			m := c.pickIdleMachine(r)
+			if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
+				continue
+			}
+			if m != nil {
+				c.placeTask(r, i, m)
+				continue
+			}
+		}
+		unplaced = append(unplaced, i)
+	}
+	if len(unplaced) > 0 && c.machineThatCouldHold(r) == nil {
+		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: &peer.TaskHandoff{Job: handoff.Job, Tasks: unplaced}}})
+		return
+	}
+	c.enqueue(r, unplaced, c.now+3*c.cfg.Operator.PublishInterval)
+}
+
+// handoffReturned takes back tasks that a peer has no machine for.
+func (c *Core) handoffReturned(handoff *peer.TaskHandoff) {
+	r := c.jobs.byID[handoff.Job]
+	if r == nil || r.final() {
+		return
+	}
+	for _, i := range handoff.Tasks {
+		if _, away := r.dispatchAfter[i]; away {
+			r.deferDispatch(i, c.now+seconds(c.cfg.Facts.Workers.Report/4))
+		}
+	}
+}
+
+// earlyHandoff is a hand-over of a job that the mirror does not hold yet.
+type earlyHandoff struct {
+	from    string
+	handoff *peer.TaskHandoff
+	at      time.Duration
+}
+
+// maxEarlyHandoffs bounds the jobs of which such hand-overs are kept.
+const maxEarlyHandoffs = 256
+
+// expireEarlyHandoffs forgets the handoffs of each job whose first one is older than maxAge.
+func (s *scheduler) expireEarlyHandoffs(now, maxAge time.Duration) {
+	for id, handoffs := range s.earlyHandoffs {
+		if now-handoffs[0].at > maxAge {
+			delete(s.earlyHandoffs, id)
+		}
+	}
+}
+
+// replayEarlyHandoffs takes what was handed over before the job's record came, unless
+// the sender has given it to somebody else by now.
+func (c *Core) replayEarlyHandoffs(id string) {
+	waiting := c.scheduler.earlyHandoffs[id]
+	delete(c.scheduler.earlyHandoffs, id)
+	for _, e := range waiting {
+		if c.now-e.at < c.cfg.Operator.PublishInterval && c.state.Loaded() {
+			c.receiveHandoff(e.from, e.handoff)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/placement.go
@@ -0,0 +1,170 @@
+package coordination
+
+import (
+	"silvergate/internal/job"
+	"silvergate/internal/losses"
+)
+
+const tolerance = 1e-6
+
+// maxCandidates is how many entries that would do a decision compares, from a
+// random one on, so that its cost does not grow with the fleet.
+const maxCandidates = 64
+
+// fits tells whether a machine may and can hold a task now.
+func (c *Core) fits(r *jobRecord, m *machine) bool {
+	s := r.spec
+	machineType := c.machineTypeOf(m)
+	if machineType == &unknownMachineType || !s.AllowsMachineType(m.claim.MachineType) || (s.Zone != "" && s.Zone != m.claim.Zone) || (m.claim.Spot && !s.Spot) {
+		return false
+	}
+	if m.holdFor != s.ID && c.now < m.holdTill {
+		return false
+	}
+	if m.cpus+s.CPUs > machineType.CPUs+tolerance || m.gpus+s.GPUs > machineType.GPUs+tolerance || m.ram+s.MemoryGB > machineType.MemoryGB+tolerance {
+		return false
+	}
+	return c.zoneAllowed(r, m.claim.Zone)
+}
+
+func (c *Core) zoneAllowed(r *jobRecord, zone string) bool {
+	if r.spec.OneZone {
+		for z, n := range r.tasksByZone {
+			if n > 0 && z != zone {
+				return false
+			}
+		}
+	}
+	return !r.spec.Spread || r.tasksByZone[zone] < r.spec.SpreadLimit()
+}
+
+// couldHold tells whether a machine could hold the task if it were empty.
+func (c *Core) couldHold(r *jobRecord, m *machine) bool {
+	s := r.spec
+	machineType := c.machineTypeOf(m)
+	return machineType != &unknownMachineType && s.AllowsMachineType(m.claim.MachineType) && (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot) && typeHolds(machineType, s)
+}
+
+// machineThatCouldHold is a random machine of ours that could hold a job's task: the first
+// such from a random one on.
+func (c *Core) machineThatCouldHold(r *jobRecord) *machine {
+	if len(c.machines.own) == 0 {
+		return nil
+	}
+	start := c.random.IntN(len(c.machines.own))
+	for i := range c.machines.own {
+		if m := c.machines.own[(start+i)%len(c.machines.own)]; !c.unschedulable(m) && c.couldHold(r, m) {
+			return m
+		}
+	}
+	return nil
+}
+
+// pickIdleMachine takes an entry of the idle list whose remaining room holds the task: a
+// random one of those that suit it best among the first that hold it, from a
+// random entry on.
+func (c *Core) pickIdleMachine(r *jobRecord) *machine {
+	var pick *machine
+	var bestRank placementRank
+	n, seen := 0, 0
+	if len(c.scheduler.idle) == 0 {
+		return nil
+	}
+	start := c.random.IntN(len(c.scheduler.idle))
+	for i := 0; i < len(c.scheduler.idle) && seen < maxCandidates; i++ {
+		m := c.scheduler.idle[(start+i)%len(c.scheduler.idle)]
+		if c.unschedulable(m) || !c.fits(r, m) {
+			continue
+		}
+		seen++
+		rank := c.rankMachine(r, m)
+		switch {
+		case n == 0 || rank.before(bestRank):
+			bestRank, n = rank, 0
+		case bestRank.before(rank):
+			continue
+		}
+		n++
+		if c.random.IntN(n) == 0 {
+			pick = m
+		}
+	}
+	return pick
+}
+
+// placementRank orders entries for a task. The thesis pops at random among servers
+// that are all alike; ours differ, hence three exceptions:
+// "soonest start": a machine that has the image, or fetches it faster;
+// "spot first": what may use cheap machines leaves the ordinary ones;
+// "best fit": the fullest machine, so that whole blocks stay for gangs, or
+// for services the one with the least that services do not hold.
+type placementRank struct {
+	fetchPeriods   int  // in report periods
+	wastesOnDemand bool // the job may use a spot machine and this is none
+	freeTenths     int  // tenths of the machine, or of a unit that services do not hold
+}
+
+func (a placementRank) before(b placementRank) bool {
+	if a.fetchPeriods != b.fetchPeriods {
+		return a.fetchPeriods < b.fetchPeriods
+	}
+	if a.wastesOnDemand != b.wastesOnDemand {
+		return b.wastesOnDemand
+	}
+	return a.freeTenths < b.freeTenths
+}
+
+func (c *Core) rankMachine(r *jobRecord, m *machine) placementRank {
+	machineType := c.machineTypeOf(m)
+	if r.spec.Shape == job.Service {
+		// Services outlive everything else: they gather on the machines
+		// that services hold already, so that the others can be returned.
+		return placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), freeTenths: int(10 * (machineType.GPUs - m.serviceShare))}
+	}
+	rank := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99), wastesOnDemand: r.spec.Spot && !m.claim.Spot}
+	if machineType.GPUs > 0 {
+		rank.freeTenths = int(10 * (machineType.GPUs - m.gpus) / machineType.GPUs)
+	} else if machineType.CPUs > 0 {
+		rank.freeTenths = int(10 * (machineType.CPUs - m.cpus) / machineType.CPUs)
+	}
+	return rank
+}
+
+// placeable tells whether a task may be placed now at all.
+func (c *Core) placeable(r *jobRecord, index int) bool {
+	if r == nil || r.final() || c.paused(r) {
+		return false
+	}
+	t := r.task(c, index)
+	if t == nil || t.Phase != job.Pending || r.reservations[index] != nil {
+		return false
+	}
+	tm := c.jobs.teams[r.spec.Team]
+	return tm != nil && tm.leavesQuotaFor(r, tm.charged.plus(r.spec, 1))
+}
+
+// placeTask binds a task to a machine of ours.
+func (c *Core) placeTask(r *jobRecord, index int, m *machine) {
+	c.reserve(r, index, m)
+	c.propose(r, index, taskTransition{placement: true, machine: m.id, epoch: m.epoch, attempt: c.nextAttempt(r)})
+	c.scheduler.dequeueTask(r, index)
+	if m.holdFor == r.spec.ID {
+		m.holdTill = 0
+	}
+	if !c.hasRoom(m) {
+		c.scheduler.removeFromIdleList(m)
+	}
+	c.traceStart(losses.Placing, r.spec.ID, index, 0, m.id)
+}
+
+// nextAttempt is the attempt of a gang's next start. The tasks of one attempt
+// find one another by it, so all of them get the same.
+func (c *Core) nextAttempt(r *jobRecord) int {
+	if r.spec.Shape != job.Gang {
+		return 0
+	}
+	if r.bound > 0 {
+		return r.lastAttempt
+	}
+	return r.lastAttempt + 1
+}
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preemption.go
@@ -2,12 +2,9 @@
 
 import (
 	"cmp"
-	"net/http"
 	"slices"
-	"time"
 
 	"silvergate/internal/job"
-	"silvergate/internal/protocol"
 )
 
 // Exception "preemption": the thesis's tasks never leave a server before they
@@ -80,6 +77,9 @@
 	}
 }
 
+// preemptedGang is why a task is stopped that takes its gang with it.
+const preemptedGang = "preempted with its gang"
+
 // preemptOn stops tasks on a machine for a waiter. Their exits are reported at
 // once; should that fail, another machine is tried after a report period.
 func (c *Core) preemptOn(r *jobRecord, queued *queuedTask, m *machine, victims []taskKey) {
@@ -244,126 +244,3 @@
 	}
 	return ran
 }
-
-// fetchTime is how long a task would wait for its image and its inputs on a
-// machine, in seconds. Fetches of images under way share the machine's rate.
-func (c *Core) fetchTime(s *job.Spec, m *machine) float64 {
-	return max(c.imageTime(s, m), c.staging.wait(s, m))
-}
-
-func (c *Core) imageTime(s *job.Spec, m *machine) float64 {
-	machineType := c.machineTypeOf(m)
-	if at, ok := m.imageReadyAt[s.Image]; ok {
-		return max(0, (at - c.now).Seconds())
-	}
-	if machineType.ImagePullGBPerS <= 0 {
-		return 0
-	}
-	pulls := 1.0
-	for _, at := range m.imageReadyAt {
-		if at > c.now {
-			pulls++
-		}
-	}
-	return pulls * s.ImageGB / machineType.ImagePullGBPerS
-}
-
-// fetching notes that a machine will have an image, and when.
-func (c *Core) recordImagePull(m *machine, s *job.Spec) {
-	if _, ok := m.imageReadyAt[s.Image]; !ok {
-		m.imageReadyAt[s.Image] = c.now + seconds(c.imageTime(s, m))
-	}
-}
-
-// preemptedGang is why a task is stopped that takes its gang with it.
-const preemptedGang = "preempted with its gang"
-
-// stopTask tells a worker to stop a task, directly and with every answer until it
-// has. A stop that is carried out late does no harm: it names the attempt.
-func (c *Core) stopTask(m *machine, k taskKey, reason string) {
-	rec := m.bound[k]
-	if rec == nil || !c.isOwn(m) {
-		return
-	}
-	t := rec.task(c, k.index)
-	grace := 0.0
-	if rec.spec.CheckpointIntervalS > 0 && !isGang(rec) { // a gang saves when all are told in time
-		grace = rec.spec.CheckpointSaveS * 2
-	}
-	m.stops[k] = taskStop{grace, reason, c.now}
-	c.sendCommands(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
-}
-
-// killNow tells a worker directly to stop attempts.
-func (c *Core) sendCommands(m *machine, commands ...protocol.Command) {
-	if m.claim.Address == "" || !m.tokenSeen {
-		return
-	}
-	token := m.token
-	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: commands})
-	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodPost, Path: protocol.PathCommands,
-		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
-}
-
-// stopTasksOf stops what a cancelled job has on machines of ours and what has not begun yet, as far as we know: no
-// task may start from the answer to the user on. What runs is stopped with the next reports' answers.
-func (c *Core) stopTasksOf(r *jobRecord) {
-	if r.status != job.Cancelled || r.bound == 0 {
-		return
-	}
-	commands := map[string][]protocol.Command{}
-	for _, p := range r.pages {
-		for i := range p.tasks {
-			t := &p.tasks[i]
-			if t.Phase != job.Bound {
-				continue
-			}
-			k := taskKey{p.jobID, p.number*c.tasksPerPage() + i}
-			if m := c.machines.byID[t.Machine]; m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
-				commands[m.id] = append(commands[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
-			}
-		}
-	}
-	for _, id := range sortedKeys(commands) {
-		c.sendCommands(c.machines.byID[id], commands[id]...)
-	}
-}
-
-// handleStatus takes the report in the answer to direct commands. Only endings are
-// read from it: they stay true however late it comes.
-func (c *Core) handleCommandReply(m *machine, token uint64, r protocol.Reply) {
-	var reply protocol.Heartbeat
-	if r.Status != http.StatusOK || m.token != token || protocol.Decode(r.Body, &reply) != nil || reply.FencingToken != token || c.state.AppliedRevision() < token {
-		return
-	}
-	vacatedBefore := len(m.vacated)
-	defer func() {
-		if len(m.vacated) > vacatedBefore {
-			c.machineFreed(m.id)
-		}
-	}()
-	for i := range reply.Tasks {
-		status := &reply.Tasks[i]
-		id, index, err := job.ParseTaskName(status.Task)
-		if status.Status != protocol.TaskEnded || err != nil {
-			continue
-		}
-		k := taskKey{id, index}
-		rec := m.bound[k]
-		if rec == nil {
-			continue
-		}
-		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == status.Attempt && !c.releasePending(rec, index) {
-			c.proposeEnding(m, rec, k, t, status)
-		}
-	}
-}
-
-// markRunning notes when a task was first seen running, and tells whether this is it.
-func (m *machine) recordRunning(k taskKey, at time.Duration) bool {
-	_, was := m.runningSince[k]
-	if !was {
-		m.runningSince[k] = at
-	}
-	return !was
-}
--- a/internal/coordination/returns.go
+++ b/internal/coordination/scale_in.go
@@ -13,41 +13,23 @@
 	"silvergate/internal/stateclient"
 )
 
-// reconcileCloudList looks at a whole list: failed machines are evidence, others that
-// nobody uses are strays.
-func (c *Core) reconcileCloudList() {
-	f := &c.scaler
-	for _, id := range sortedKeys(f.cloudMachines) {
-		l := f.cloudMachines[id]
-		if t, ok := f.deletedAt[id]; ok && c.now-t < seconds(4*c.cfg.Facts.Cloud.ListLag) {
+// idleTimeShare is how long a machine may stand idle, as a share of the time it
+// took to boot.
+const idleTimeShare = 0.75
+
+// scaleIn drains the machines that have stood idle for long enough.
+func (c *Core) scaleIn(slots []*slot) {
+	for _, s := range slots {
+		m := c.machines.byID[s.id]
+		if m == nil || s.planned {
 			continue
 		}
-		t, known := c.catalogue.types[l.MachineType]
-		m := c.machines.byID[id]
-		switch {
-		case l.Status == protocol.StatusFailed:
-			c.releaseMachineTasks(id)
-			f.toDelete[id] = true
-		case m != nil && m.token != 0:
-		case known && c.mirrorFresh() && l.AgeS > 4*t.StartupS+c.cfg.Facts.Workers.Lease:
-			// Never came up, or came up and nobody hears it.
-			f.toDrain[id] = drainStray
+		if s.used || s.bound || m.gpus > 0 || m.cpus > 0 {
+			m.unboundSince = c.now
+			continue
 		}
-	}
-}
-
-// releaseMachineTasks releases everything on a machine of which the cloud has said
-// that it is no more.
-func (c *Core) releaseMachineTasks(id string) {
-	m := c.machines.byID[id]
-	if m == nil {
-		return
-	}
-	for _, k := range m.tasks() {
-		rec := m.bound[k]
-		t := rec.task(c, k.index)
-		if !c.releasePending(rec, k.index) {
-			c.propose(rec, k.index, taskTransition{machine: id, epoch: t.Epoch, attempt: t.Attempt, proof: fencing.MachineDeleted})
+		if c.now-m.unboundSince > seconds(idleTimeShare*c.machineTypeOf(m).StartupS) && !c.scaler.unshipped.holds(m.id) {
+			c.drainMachine(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.scaler.leaderRevision}) // one that was replaced returns nothing
 		}
 	}
 }
@@ -206,10 +188,20 @@
 	return c.state.AppliedRevision() >= c.state.ModRevision(keyDrain+id)
 }
 
-// mirrorFresh tells whether the records that we have can be judged by: they are whole, and new. A machine that nobody seems to hold may have
-// been claimed since, and one whose claim has not been read may be anybody's.
-func (c *Core) mirrorFresh() bool {
-	return c.state.Consistent() && c.now-c.state.FreshAt() < seconds(c.cfg.Facts.Workers.Report)
+// releaseMachineTasks releases everything on a machine of which the cloud has said
+// that it is no more.
+func (c *Core) releaseMachineTasks(id string) {
+	m := c.machines.byID[id]
+	if m == nil {
+		return
+	}
+	for _, k := range m.tasks() {
+		rec := m.bound[k]
+		t := rec.task(c, k.index)
+		if !c.releasePending(rec, k.index) {
+			c.propose(rec, k.index, taskTransition{machine: id, epoch: t.Epoch, attempt: t.Attempt, proof: fencing.MachineDeleted})
+		}
+	}
 }
 
 // dropMachineRecords drops the records of a machine that is gone, once nothing is
--- /dev/null
+++ b/internal/coordination/stop_commands.go
@@ -0,0 +1,99 @@
+package coordination
+
+import (
+	"net/http"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+// stopTask tells a worker to stop a task, directly and with every answer until it
+// has. A stop that is carried out late does no harm: it names the attempt.
+func (c *Core) stopTask(m *machine, k taskKey, reason string) {
+	rec := m.bound[k]
+	if rec == nil || !c.isOwn(m) {
+		return
+	}
+	t := rec.task(c, k.index)
+	grace := 0.0
+	if rec.spec.CheckpointIntervalS > 0 && !isGang(rec) { // a gang saves when all are told in time
+		grace = rec.spec.CheckpointSaveS * 2
+	}
+	m.stops[k] = taskStop{grace, reason, c.now}
+	c.sendCommands(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
+}
+
+// killNow tells a worker directly to stop attempts.
+func (c *Core) sendCommands(m *machine, commands ...protocol.Command) {
+	if m.claim.Address == "" || !m.tokenSeen {
+		return
+	}
+	token := m.token
+	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: commands})
+	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodPost, Path: protocol.PathCommands,
+		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
+}
+
+// stopTasksOf stops what a cancelled job has on machines of ours and what has not begun yet, as far as we know: no
+// task may start from the answer to the user on. What runs is stopped with the next reports' answers.
+func (c *Core) stopTasksOf(r *jobRecord) {
+	if r.status != job.Cancelled || r.bound == 0 {
+		return
+	}
+	commands := map[string][]protocol.Command{}
+	for _, p := range r.pages {
+		for i := range p.tasks {
+			t := &p.tasks[i]
+			if t.Phase != job.Bound {
+				continue
+			}
+			k := taskKey{p.jobID, p.number*c.tasksPerPage() + i}
+			if m := c.machines.byID[t.Machine]; m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
+				commands[m.id] = append(commands[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
+			}
+		}
+	}
+	for _, id := range sortedKeys(commands) {
+		c.sendCommands(c.machines.byID[id], commands[id]...)
+	}
+}
+
+// handleStatus takes the report in the answer to direct commands. Only endings are
+// read from it: they stay true however late it comes.
+func (c *Core) handleCommandReply(m *machine, token uint64, r protocol.Reply) {
+	var reply protocol.Heartbeat
+	if r.Status != http.StatusOK || m.token != token || protocol.Decode(r.Body, &reply) != nil || reply.FencingToken != token || c.state.AppliedRevision() < token {
+		return
+	}
+	vacatedBefore := len(m.vacated)
+	defer func() {
+		if len(m.vacated) > vacatedBefore {
+			c.machineFreed(m.id)
+		}
+	}()
+	for i := range reply.Tasks {
+		status := &reply.Tasks[i]
+		id, index, err := job.ParseTaskName(status.Task)
+		if status.Status != protocol.TaskEnded || err != nil {
+			continue
+		}
+		k := taskKey{id, index}
+		rec := m.bound[k]
+		if rec == nil {
+			continue
+		}
+		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == status.Attempt && !c.releasePending(rec, index) {
+			c.proposeEnding(m, rec, k, t, status)
+		}
+	}
+}
+
+// markRunning notes when a task was first seen running, and tells whether this is it.
+func (m *machine) recordRunning(k taskKey, at time.Duration) bool {
+	_, was := m.runningSince[k]
+	if !was {
+		m.runningSince[k] = at
+	}
+	return !was
+}
