--- a/internal/coordination/bin_packing.go
+++ b/internal/coordination/bin_packing.go
@@ -22,13 +22,20 @@
 	planned  bool
 }
 
+// fits tells whether a task may and can be put into the slot.
 func (s *slot) fits(spec *job.Spec) bool {
 	if !spec.AllowsMachineType(s.offering.machineType) || (spec.Zone != "" && spec.Zone != s.offering.zone) || (s.offering.spot && !spec.Spot) {
 		return false
 	}
+	return s.hasRoomFor(spec)
+}
+
+// hasRoomFor tells whether what is left of the slot holds a task.
+func (s *slot) hasRoomFor(spec *job.Spec) bool {
 	return spec.CPUs <= s.cpus+tolerance && spec.GPUs <= s.gpus+tolerance && spec.MemoryGB <= s.memoryGB+tolerance
 }
 
+// add takes what a task needs from the slot.
 func (s *slot) add(spec *job.Spec) {
 	s.cpus -= spec.CPUs
 	s.gpus -= spec.GPUs
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -1,5 +1,11 @@
 package coordination
 
+// A gang is a job whose tasks start together: the controller responsible for the job binds
+// all tasks in one transaction, on machines of its own and on such as peers have offered. A
+// lease in the state service reserves room for one waiting gang at a time. Only that gang
+// keeps the room it has found and requests more from peers; others look for room and
+// release it.
+
 import (
 	"sort"
 	"time"
@@ -11,18 +17,20 @@
 // isGang tells whether a job must start several tasks at once.
 func isGang(r *jobRecord) bool { return r.spec.Shape == job.Gang && r.spec.Tasks > 1 }
 
+// peerOffer is a peer's promise of room for a gang on a machine that it owns, under one
+// claim and in one agent epoch.
 type peerOffer struct {
 	epoch         uint64
 	claimRevision uint64
 	expiresAt     time.Duration
 }
 
-// holdTime is how long room is held back: until it must have been asked for
+// holdTime is how long room is kept for a gang: until it must have been requested
 // again.
 func (c *Core) holdTime() time.Duration { return 2 * c.cfg.Operator.PublishInterval }
 
-// usable tells whether the job may be bound to a machine in a session now:
-// the machine is ours, or its holder has offered it under the present claim.
+// usable tells whether the job may be bound to a machine in an agent epoch now:
+// the machine is ours, or its owner has offered it under the present claim.
 func (c *Core) usable(r *jobRecord, m *machine, epoch uint64) bool {
 	if c.isOwn(m) {
 		return m.epoch == epoch && !c.unschedulable(m)
@@ -47,37 +55,44 @@
 	if r.spec.OneZone {
 		zones = c.cfg.Facts.Zones
 	}
-	best := 0
+	mostPicked := 0
 	var bestZone string
-	for _, z := range zones {
-		picked := c.reserveGang(r, z)
+	for _, zone := range zones {
+		picked := c.reserveGang(r, zone)
 		if len(picked) == need {
-			for _, i := range picked {
-				m := c.machines.byID[r.reservations[i].machine]
-				epoch := m.epoch
-				if !c.isOwn(m) {
-					epoch = r.offers[m.id].epoch
-				}
-				c.propose(r, i, taskTransition{placement: true, machine: m.id, epoch: epoch, attempt: r.lastAttempt + 1})
-			}
-			c.log.Debug("starting gang", "job", r.spec.ID, "tasks", need)
+			c.proposeGang(r, picked)
 			return
 		}
 		for _, i := range picked {
 			c.unreserve(r, i)
 		}
-		if len(picked) > best {
-			best, bestZone = len(picked), z
+		if len(picked) > mostPicked {
+			mostPicked, bestZone = len(picked), zone
 		}
 	}
-	if c.gangs.reservation.Job != r.spec.ID || c.gangs.reservation.Owner != c.cfg.Node {
+	if !c.holdsGangReservation(r) || c.requestBlock(r, zones, need) {
 		return
 	}
-	if c.requestBlock(r, zones, need) {
-		return
+	c.keepRoom(r, bestZone)
+	c.requestIdleRoom(r)
+}
+
+// proposeGang proposes the placements of all tasks of a gang, for which room is reserved.
+func (c *Core) proposeGang(r *jobRecord, tasks []int) {
+	for _, i := range tasks {
+		m := c.machines.byID[r.reservations[i].machine]
+		epoch := m.epoch
+		if !c.isOwn(m) {
+			epoch = r.offers[m.id].epoch
+		}
+		c.propose(r, i, taskTransition{placement: true, machine: m.id, epoch: epoch, attempt: r.lastAttempt + 1})
 	}
-	// The marked gang keeps what it has found and asks the peers for more.
-	picked := c.reserveGang(r, bestZone)
+	c.log.Debug("starting gang", "job", r.spec.ID, "tasks", len(tasks))
+}
+
+// keepRoom has the gang with the reservation keep what room it finds in a zone.
+func (c *Core) keepRoom(r *jobRecord, zone string) {
+	picked := c.reserveGang(r, zone)
 	for _, i := range picked {
 		m := c.machines.byID[r.reservations[i].machine]
 		m.reserveRoom(r.spec.ID, c.now+c.holdTime(), "")
@@ -85,15 +100,21 @@
 	for _, i := range picked {
 		c.unreserve(r, i)
 	}
-	if c.now >= c.gangs.nextRoomRequestAt {
-		c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
-		for _, p := range c.cfg.Peers {
-			c.effects.Sends = append(c.effects.Sends, Outgoing{p.Node, peer.Message{RoomRequest: &peer.RoomRequest{Job: r.spec.ID}}})
-		}
+}
+
+// requestIdleRoom asks every peer for room on its idle machines for a gang.
+func (c *Core) requestIdleRoom(r *jobRecord) {
+	if c.now < c.gangs.nextRoomRequestAt {
+		return
+	}
+	c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
+	for _, p := range c.cfg.Peers {
+		c.effects.Sends = append(c.effects.Sends, Outgoing{p.Node, peer.Message{RoomRequest: &peer.RoomRequest{Job: r.spec.ID}}})
 	}
 }
 
-// reserveGang reserves room for as many of a gang's tasks as it finds in a zone.
+// reserveGang reserves room for as many of a gang's tasks as it finds in a zone, or
+// anywhere if zone is empty, and returns the indexes of those tasks.
 func (c *Core) reserveGang(r *jobRecord, zone string) []int {
 	ids := make([]string, 0, len(c.scheduler.idle)+len(r.offers))
 	for _, m := range c.scheduler.idle {
@@ -134,13 +155,13 @@
 	return picked
 }
 
-// requestBlock asks for the machines that are cleared for the marked gang at the
-// least loss. Exception "whole blocks": tasks that are popped one by one
-// splinter machines, and a gang that only waits for idle ones rarely finds
-// enough at once. The mirror shows what is on every machine; who holds it stops
+// requestBlock asks for the machines that are cleared for the gang with the reservation
+// at the least loss, and tells whether there are such. Exception "whole blocks": tasks
+// that are placed one by one fragment machines, and a gang that only waits for idle ones
+// rarely finds enough at once. The mirror shows what is on every machine; its owner stops
 // what is of lower priority there, keeps the room, and offers it when it is
-// free. The choice stands until a machine of it is lost or it has taken half a
-// gang's patience; for as long again whatever is idle is drawn then.
+// free. The choice stands until a machine of it is lost or half of gang_wait_s
+// has passed; for as long again only idle machines are asked for.
 func (c *Core) requestBlock(r *jobRecord, zones []string, need int) bool {
 	patience := seconds(c.cfg.Facts.Workers.GangWait / 2)
 	if len(r.blockMachines) > 0 && c.now-r.blockChosenAt >= patience {
@@ -149,26 +170,39 @@
 		}
 		r.blockMachines = nil
 	}
-	intact := len(r.blockMachines) > 0
-	for _, id := range r.blockMachines {
-		m := c.machines.byID[id]
-		_, drained := c.machines.drains[id]
-		intact = intact && m != nil && m.token != 0 && !drained
-	}
-	if !intact {
+	if !c.blockIntact(r) {
 		if c.now < r.blockChosenAt+c.cfg.Operator.PublishInterval && r.blockChosenAt > 0 {
 			return len(r.blockMachines) > 0
 		}
-		r.blockMachines, r.blockChosenAt = c.cheapestBlock(r, zones, need), c.now
+		r.blockMachines = c.cheapestBlock(r, zones, need)
+		r.blockChosenAt = c.now
 		c.gangs.nextRoomRequestAt = 0
 	}
 	if len(r.blockMachines) == 0 {
 		return false
 	}
-	if c.now < c.gangs.nextRoomRequestAt {
-		return true
+	if c.now >= c.gangs.nextRoomRequestAt {
+		c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
+		c.sendBlockRequests(r)
 	}
-	c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
+	return true
+}
+
+// blockIntact tells whether machines were chosen for a gang and none is lost or drained.
+func (c *Core) blockIntact(r *jobRecord) bool {
+	for _, id := range r.blockMachines {
+		m := c.machines.byID[id]
+		_, drained := c.machines.drains[id]
+		if m == nil || m.token == 0 || drained {
+			return false
+		}
+	}
+	return len(r.blockMachines) > 0
+}
+
+// sendBlockRequests clears our own machines of a gang's block and asks the owners of the
+// others to clear theirs.
+func (c *Core) sendBlockRequests(r *jobRecord) {
 	byOwner := map[string][]string{}
 	for _, id := range r.blockMachines {
 		m := c.machines.byID[id]
@@ -182,67 +216,40 @@
 		c.effects.Sends = append(c.effects.Sends, Outgoing{owner, peer.Message{RoomRequest: &peer.RoomRequest{Job: r.spec.ID, Machines: byOwner[owner]}}})
 	}
 	c.log.Debug("requesting machines for a gang", "job", r.spec.ID, "machines", r.blockMachines)
-	return true
+}
+
+// blockCandidate is a machine that may be cleared for a gang.
+type blockCandidate struct {
+	machineID string
+	zone      string
+	tasks     int     // of the gang that it holds once cleared
+	cost      float64 // seconds of work lost and of waiting for the image
 }
 
 // cheapestBlock picks machines for a whole gang, whoever holds them, in the
 // zone where clearing them loses the least work.
 func (c *Core) cheapestBlock(r *jobRecord, zones []string, need int) []string {
-	type choice struct {
-		id    string
-		depot string
-		tasks int
-		cost  float64
-	}
-	byZone := map[string][]choice{}
+	anyZone := len(zones) == 1 && zones[0] == ""
+	byZone := map[string][]blockCandidate{}
 	for _, id := range sortedKeys(c.machines.byID) {
 		m := c.machines.byID[id]
-		_, drained := c.machines.drains[id]
-		if m.token == 0 || drained || !c.couldHold(r, m) || (c.isOwn(m) && c.unschedulable(m)) || !c.alive(m.claim.Owner) ||
-			(m.holdFor != r.spec.ID && c.now < m.holdTill) {
+		if !c.mayBeCleared(r, m) {
 			continue
 		}
-		f := c.machineTypeOf(m)
-		left, cost := slot{cpus: f.CPUs - m.cpus, gpus: f.GPUs - m.gpus, memoryGB: f.MemoryGB - m.ram}, c.fetchTime(r.spec, m)
-		for k, v := range m.bound {
-			if v.spec.Priority < r.spec.Priority && !isGang(v) && m.vacated[k] == nil {
-				left.cpus, left.gpus, left.memoryGB = left.cpus+v.spec.CPUs, left.gpus+v.spec.GPUs, left.memoryGB+v.spec.MemoryGB
-				cost += (c.now - m.boundAt[k].boundAt).Seconds()
-			}
-		}
-		tasks := 0
-		for left.cpus+tolerance >= r.spec.CPUs && left.gpus+tolerance >= r.spec.GPUs && left.memoryGB+tolerance >= r.spec.MemoryGB && tasks < need {
-			left.add(r.spec)
-			tasks++
+		candidate := c.blockCandidate(r, m, need)
+		if candidate.tasks == 0 {
+			continue
 		}
-		if tasks > 0 {
-			zone := m.claim.Zone
-			if len(zones) == 1 && zones[0] == "" {
-				zone = ""
-			}
-			byZone[zone] = append(byZone[zone], choice{id, m.claim.Zone, tasks, cost})
+		zone := candidate.zone
+		if anyZone {
+			zone = ""
 		}
+		byZone[zone] = append(byZone[zone], candidate)
 	}
 	var best []string
 	bestCost := 0.0
-	for _, z := range zones {
-		candidates := byZone[z]
-		sort.SliceStable(candidates, func(i, j int) bool {
-			return candidates[i].cost/float64(candidates[i].tasks) < candidates[j].cost/float64(candidates[j].tasks)
-		})
-		var ids []string
-		cost, found := 0.0, 0
-		tasksInZone := map[string]int{}
-		for i := 0; i < len(candidates) && found < need; i++ {
-			tasks := min(candidates[i].tasks, need-found)
-			if r.spec.Spread {
-				if tasks = min(tasks, r.spec.SpreadLimit()-tasksInZone[candidates[i].depot]); tasks <= 0 {
-					continue
-				}
-				tasksInZone[candidates[i].depot] += tasks
-			}
-			ids, cost, found = append(ids, candidates[i].id), cost+candidates[i].cost, found+tasks
-		}
+	for _, zone := range zones {
+		ids, cost, found := cheapestCandidates(r.spec, byZone[zone], need)
 		if found >= need && (best == nil || cost < bestCost) {
 			best, bestCost = ids, cost
 		}
@@ -250,6 +257,64 @@
 	return best
 }
 
+// mayBeCleared tells whether a machine may be asked for on behalf of a gang.
+func (c *Core) mayBeCleared(r *jobRecord, m *machine) bool {
+	if _, drained := c.machines.drains[m.id]; m.token == 0 || drained || !c.couldHold(r, m) {
+		return false
+	}
+	if c.isOwn(m) && c.unschedulable(m) || !c.alive(m.claim.Owner) {
+		return false
+	}
+	return m.holdFor == r.spec.ID || c.now >= m.holdTill
+}
+
+// blockCandidate computes how many of a gang's tasks, need at the most, a machine holds
+// once work of lower priority is stopped there, and what that loses.
+func (c *Core) blockCandidate(r *jobRecord, m *machine, need int) blockCandidate {
+	machineType := c.machineTypeOf(m)
+	room := slot{cpus: machineType.CPUs - m.cpus, gpus: machineType.GPUs - m.gpus, memoryGB: machineType.MemoryGB - m.ram}
+	cost := c.fetchTime(r.spec, m)
+	for k, v := range m.bound {
+		if v.spec.Priority < r.spec.Priority && !isGang(v) && m.vacated[k] == nil {
+			room.cpus += v.spec.CPUs
+			room.gpus += v.spec.GPUs
+			room.memoryGB += v.spec.MemoryGB
+			cost += (c.now - m.boundAt[k].boundAt).Seconds()
+		}
+	}
+	tasks := 0
+	for tasks < need && room.hasRoomFor(r.spec) {
+		room.add(r.spec)
+		tasks++
+	}
+	return blockCandidate{m.id, m.claim.Zone, tasks, cost}
+}
+
+// cheapestCandidates picks the machines of a zone with the least cost a task until they
+// hold the gang, and tells how many tasks they hold.
+func cheapestCandidates(spec *job.Spec, candidates []blockCandidate, need int) (ids []string, cost float64, found int) {
+	sort.SliceStable(candidates, func(i, j int) bool {
+		a, b := candidates[i], candidates[j]
+		return a.cost/float64(a.tasks) < b.cost/float64(b.tasks)
+	})
+	tasksInZone := map[string]int{}
+	for i := 0; i < len(candidates) && found < need; i++ {
+		candidate := candidates[i]
+		tasks := min(candidate.tasks, need-found)
+		if spec.Spread {
+			tasks = min(tasks, spec.SpreadLimit()-tasksInZone[candidate.zone])
+			if tasks <= 0 {
+				continue
+			}
+			tasksInZone[candidate.zone] += tasks
+		}
+		ids = append(ids, candidate.machineID)
+		cost += candidate.cost
+		found += tasks
+	}
+	return ids, cost, found
+}
+
 // clearMachine keeps a machine's room for a gang and stops what is in the way.
 func (c *Core) clearMachine(r *jobRecord, m *machine, by string) {
 	if c.unschedulable(m) || (m.holdFor != r.spec.ID && c.now < m.holdTill) {
@@ -280,39 +345,56 @@
 	case m.holdBy == c.cfg.Node:
 		c.startGang(r)
 	default:
-		c.effects.Sends = append(c.effects.Sends, Outgoing{m.holdBy, peer.Message{RoomOffer: &peer.RoomOffer{Job: m.holdFor, Machines: []peer.OfferedMachine{{Machine: m.id, Epoch: m.epoch}}}}})
+		offer := &peer.RoomOffer{Job: m.holdFor, Machines: []peer.OfferedMachine{{Machine: m.id, Epoch: m.epoch}}}
+		c.effects.Sends = append(c.effects.Sends, Outgoing{m.holdBy, peer.Message{RoomOffer: offer}})
 	}
 }
 
-// offerRoom offers a peer's gang room on our idle machines.
+// offerRoom answers a peer's request for room for its gang: with the machines named in it,
+// cleared as far as they are, or with our idle machines if none is named.
 func (c *Core) offerRoom(from string, request *peer.RoomRequest) {
 	r := c.jobs.byID[request.Job]
 	if r == nil || r.final() || r.bound > 0 {
 		return
 	}
 	offer := &peer.RoomOffer{Job: request.Job}
-	for _, id := range request.Machines {
-		if m := c.machines.byID[id]; m != nil && c.isOwn(m) {
-			c.clearMachine(r, m, from)
-			if !c.unschedulable(m) && c.fits(r, m) {
-				offer.Machines = append(offer.Machines, peer.OfferedMachine{Machine: id, Epoch: m.epoch})
-			}
-		}
+	if request.Machines != nil {
+		offer.Machines = c.offerBlock(r, from, request.Machines)
+	} else {
+		offer.Machines = c.offerIdleMachines(r)
 	}
-	for _, m := range c.scheduler.idle {
-		if request.Machines != nil {
-			break
+	if len(offer.Machines) > 0 {
+		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{RoomOffer: offer}})
+	}
+}
+
+// offerBlock clears machines for a peer's gang and returns those that have room already.
+func (c *Core) offerBlock(r *jobRecord, from string, ids []string) (offered []peer.OfferedMachine) {
+	for _, id := range ids {
+		m := c.machines.byID[id]
+		if m == nil || !c.isOwn(m) {
+			continue
 		}
-		if !c.unschedulable(m) && c.fits(r, m) && len(offer.Machines) < r.spec.Tasks {
-			m.reserveRoom(request.Job, c.now+c.holdTime(), "")
-			offer.Machines = append(offer.Machines, peer.OfferedMachine{Machine: m.id, Epoch: m.epoch})
+		c.clearMachine(r, m, from)
+		if !c.unschedulable(m) && c.fits(r, m) {
+			offered = append(offered, peer.OfferedMachine{Machine: id, Epoch: m.epoch})
 		}
 	}
-	if len(offer.Machines) > 0 {
-		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{RoomOffer: offer}})
+	return offered
+}
+
+// offerIdleMachines keeps room on idle machines for a peer's gang and returns them.
+func (c *Core) offerIdleMachines(r *jobRecord) (offered []peer.OfferedMachine) {
+	for _, m := range c.scheduler.idle {
+		if !c.unschedulable(m) && c.fits(r, m) && len(offered) < r.spec.Tasks {
+			m.reserveRoom(r.spec.ID, c.now+c.holdTime(), "")
+			offered = append(offered, peer.OfferedMachine{Machine: m.id, Epoch: m.epoch})
+		}
 	}
+	return offered
 }
 
+// acceptOffer records the room that a peer offers a gang, and tries to start the gang.
 func (c *Core) acceptOffer(offer *peer.RoomOffer) {
 	r := c.jobs.byID[offer.Job]
 	if r == nil || r.final() {
--- a/internal/coordination/gang_reservation.go
+++ b/internal/coordination/gang_reservation.go
@@ -9,21 +9,16 @@
 	"silvergate/internal/stateclient"
 )
 
-// A gang of several tasks starts whole: its keeper binds all tasks in one
-// transaction, on machines of its own and on such as peers have offered. A
-// lease in the state service marks one waiting gang. Only that gang keeps the
-// room it has found and draws from peers; others look for room and let go.
-
 // gangScheduler owns the reservation that lets one waiting gang at a time keep room.
 type gangScheduler struct {
 	reservation       gangReservation // the record, whoever holds it
 	inFlight          bool            // the record is being written or deleted
 	reservedAt        time.Duration   // when this controller last wrote it
 	releasedAt        time.Duration   // when the record last went
-	nextRoomRequestAt time.Duration
+	nextRoomRequestAt time.Duration   // to the peers: not again before
 }
 
-// gangReservation is the record that marks the waiting gang.
+// gangReservation is the record that names the waiting gang that may keep room.
 type gangReservation struct {
 	Job         string `json:"j"`
 	Owner       string `json:"o"`
@@ -41,51 +36,97 @@
 	}
 }
 
-// updateGangReservation takes the lease for the first waiting gang, if that is ours to
-// look after, and gives it back once it no longer waits.
+// holdsGangReservation tells whether the reservation is held for a job by this controller.
+func (c *Core) holdsGangReservation(r *jobRecord) bool {
+	return c.gangs.reservation.Job == r.spec.ID && c.gangs.reservation.Owner == c.cfg.Node
+}
+
+// updateGangReservation takes the reservation for the first waiting gang, if that is ours
+// to look after, and gives it back once the gang no longer waits.
 func (c *Core) updateGangReservation(open []*jobRecord) {
 	if c.gangs.inFlight || c.membership.lease == 0 {
 		return
 	}
 	if c.gangs.reservation.Job != "" {
-		r := c.jobs.byID[c.gangs.reservation.Job]
-		// Guards against a mark that nobody acts on: a controller that stood
-		// in for the job's keeper gives it back when the keeper returns. A
-		// gang that finds no room for long lets others try.
-		timedOut := c.now-c.gangs.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
-		// Guards against one gang for which there is no block at all keeping
-		// others waiting that need fewer machines or another zone.
-		noBlock := r != nil && c.gangs.reservation.Owner == c.cfg.Node && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() && c.nextWaitingGang(open, func(o *jobRecord) bool { return o != r }) != nil
-		timedOut = timedOut || noBlock
-		if c.gangs.reservation.Owner == c.cfg.Node && (c.gangs.reservation.Incarnation != c.incarnation || r == nil || r.final() || r.bound > 0 || timedOut || c.responsibleController(r.owner) != c.cfg.Node) {
-			c.gangs.inFlight = true
-			if timedOut && r != nil && c.gangs.reservation.Incarnation == c.incarnation {
-				backoff := c.cfg.Facts.Workers.GangWait / 4
-				if !noBlock {
-					r.failedReservations = min(r.failedReservations+1, 4)
-					backoff = c.cfg.Facts.Workers.GangWait * float64(r.failedReservations)
-				}
-				r.nextReservationAt = c.now + seconds(backoff)
-			}
-			c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyGang, ModRevision: c.state.ModRevision(keyGang)}}, []protocol.Op{{Delete: keyGang}},
-				func(stateclient.TxnOutcome, []string, uint64) { c.gangs.inFlight = false })
-		}
+		c.checkGangReservation(open)
 		return
 	}
 	r := c.nextWaitingGang(open, func(*jobRecord) bool { return true })
-	if r != nil && c.responsibleController(r.owner) != c.cfg.Node && c.now-c.gangs.releasedAt > seconds(c.cfg.Facts.Workers.Report/4) {
-		// The first one's keeper lets the mark lie: it has had its turn.
-		r = c.nextWaitingGang(open, func(r *jobRecord) bool { return c.responsibleController(r.owner) == c.cfg.Node })
+	if r != nil && !c.isResponsibleFor(r) && c.now-c.gangs.releasedAt > seconds(c.cfg.Facts.Workers.Report/4) {
+		// The controller that is responsible for the first one has had time to
+		// reserve and did not.
+		r = c.nextWaitingGang(open, c.isResponsibleFor)
+	}
+	if r != nil && c.isResponsibleFor(r) {
+		c.acquireGangReservation(r)
+	}
+}
+
+// isResponsibleFor tells whether this controller looks after a job at present.
+func (c *Core) isResponsibleFor(r *jobRecord) bool {
+	return c.responsibleController(r.owner) == c.cfg.Node
+}
+
+// checkGangReservation releases the reservation if it is ours and of no use any more.
+func (c *Core) checkGangReservation(open []*jobRecord) {
+	if c.gangs.reservation.Owner != c.cfg.Node {
+		return
 	}
-	if r != nil && c.responsibleController(r.owner) == c.cfg.Node {
-		c.gangs.inFlight, c.gangs.reservedAt = true, c.now
-		c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyGang}},
-			[]protocol.Op{{Put: keyGang, Value: encode(gangReservation{r.spec.ID, c.cfg.Node, c.incarnation}), Lease: c.membership.lease}},
-			func(stateclient.TxnOutcome, []string, uint64) { c.gangs.inFlight = false })
+	r := c.jobs.byID[c.gangs.reservation.Job]
+	ofThisIncarnation := c.gangs.reservation.Incarnation == c.incarnation
+	// Guards against one gang for which there is no block at all keeping
+	// others waiting that need fewer machines or another zone.
+	noBlock := r != nil && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() &&
+		c.nextWaitingGang(open, func(other *jobRecord) bool { return other != r }) != nil
+	// A gang that finds no room for long lets others try.
+	timedOut := noBlock || c.now-c.gangs.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
+	waiting := r != nil && !r.final() && r.bound == 0
+	// Guards against a reservation that nobody acts on: a controller that stood in
+	// for the job's owner gives it back when the owner returns.
+	if ofThisIncarnation && waiting && !timedOut && c.isResponsibleFor(r) {
+		return
 	}
+	if timedOut && r != nil && ofThisIncarnation {
+		backoff := c.cfg.Facts.Workers.GangWait / 4
+		if !noBlock {
+			r.failedReservations = min(r.failedReservations+1, maxReservationBackoff)
+			backoff = c.cfg.Facts.Workers.GangWait * float64(r.failedReservations)
+		}
+		r.nextReservationAt = c.now + seconds(backoff)
+	}
+	c.releaseGangReservation()
+}
+
+// maxReservationBackoff bounds how long a gang that found no room leaves the reservation to
+// others, as a multiple of gang_wait_s.
+const maxReservationBackoff = 4
+
+// acquireGangReservation writes the reservation's record for a gang, under the lease of our
+// membership.
+func (c *Core) acquireGangReservation(r *jobRecord) {
+	c.gangs.inFlight = true
+	c.gangs.reservedAt = c.now
+	record := encode(gangReservation{r.spec.ID, c.cfg.Node, c.incarnation})
+	c.state.Txn(ratelimit.OtherWork,
+		[]protocol.Compare{{Key: keyGang}},
+		[]protocol.Op{{Put: keyGang, Value: record, Lease: c.membership.lease}},
+		c.gangs.finishWrite)
 }
 
-// nextWaitingGang is the first waiting gang of those wanted.
+// releaseGangReservation deletes the reservation's record unless it has changed.
+func (c *Core) releaseGangReservation() {
+	c.gangs.inFlight = true
+	c.state.Txn(ratelimit.OtherWork,
+		[]protocol.Compare{{Key: keyGang, ModRevision: c.state.ModRevision(keyGang)}},
+		[]protocol.Op{{Delete: keyGang}},
+		c.gangs.finishWrite)
+}
+
+// finishWrite takes what came of a write of the record: the mirror shows the result.
+func (g *gangScheduler) finishWrite(stateclient.TxnOutcome, []string, uint64) { g.inFlight = false }
+
+// nextWaitingGang returns the first waiting gang that is wanted and whose team's limit
+// allows it to start, or nil.
 func (c *Core) nextWaitingGang(open []*jobRecord, wanted func(*jobRecord) bool) *jobRecord {
 	for _, r := range open {
 		if !isGang(r) || !wanted(r) || r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt || c.now < r.nextReservationAt {
