--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -31,25 +31,15 @@
 	}
 }
 
-// catalogueTick keeps the machine types, on every controller: submissions
+// refreshCatalogue reads the machine types from the cloud, on every controller: submissions
 // can't be judged without them.
 func (c *Core) refreshCatalogue() {
-	f := &c.scaler
-	if f.cloudCalls.rate == 0 {
-		f.cloudCalls.rate = c.cfg.Facts.Cloud.RPS / 10
-		f.cloudCalls.level = 1
-	}
-	rate := f.cloudCalls.rate
-	if c.isLeader() {
-		rate *= 7 // the others call only until they know the machine types
-	}
-	f.cloudCalls.level = min(max(1, rate), f.cloudCalls.level+rate*(c.now-f.cloudCallsFilledAt).Seconds())
-	f.cloudCallsFilledAt = c.now
-	if c.catalogue.requestInFlight || f.cloudCalls.level < 1 {
+	c.refillCloudCalls()
+	if c.catalogue.requestInFlight || c.scaler.cloudCalls.level < 1 {
 		return
 	}
 	if len(c.catalogue.types) > 0 && !c.isLeader() {
-		if !c.links.ShouldProbeCloud(f.leader) {
+		if !c.links.ShouldProbeCloud(c.scaler.leader) {
 			return
 		}
 	} else if c.now < c.catalogue.dueAt {
@@ -58,15 +48,17 @@
 	c.catalogue.requestInFlight = true
 	c.callCloud(http.MethodGet, protocol.PathMachineTypes, nil, func(r protocol.Reply) {
 		c.catalogue.requestInFlight = false
-		var v protocol.MachineTypes
-		if r.Status != http.StatusOK || protocol.Decode(r.Body, &v) != nil || len(v.MachineTypes) == 0 {
+		var types protocol.MachineTypes
+		if r.Status != http.StatusOK || protocol.Decode(r.Body, &types) != nil || len(types.MachineTypes) == 0 {
 			c.catalogue.dueAt = c.now + time.Second
 			return
 		}
 		c.catalogue.dueAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
-		c.catalogue.update(&v)
+		c.catalogue.update(&types)
 		if c.state.Loaded() && c.state.ModRevision(keyFlavors) == 0 {
-			c.state.Txn(ratelimit.Background, []protocol.Compare{{Key: keyFlavors}}, []protocol.Op{{Put: keyFlavors, Value: encode(v)}},
+			c.state.Txn(ratelimit.Background,
+				[]protocol.Compare{{Key: keyFlavors}},
+				[]protocol.Op{{Put: keyFlavors, Value: encode(types)}},
 				func(stateclient.TxnOutcome, []string, uint64) {})
 		}
 	})
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -2,11 +2,12 @@
 
 import (
 	"sort"
+	"time"
 
 	"silvergate/internal/job"
 )
 
-// consolidationShare is the share of our services that may be moved in a report
+// consolidationShare is the share of our services that may be moved in a heartbeat
 // period. A moved one is away for about a second.
 const consolidationShare = 0.025
 
@@ -14,7 +15,7 @@
 // not. Left alone, a few of them keep many machines half empty. When nothing
 // waits, the services of our sparsest machines move to machines of ours that
 // hold more of them, have their images and have room, in the same zone where
-// zones matter. A few at a time: one a report period, or consolidationShare of them
+// zones matter. A few at a time: one a heartbeat period, or consolidationShare of them
 // where there are many.
 func (c *Core) consolidate() {
 	if c.scheduler.queuedTasks > 0 {
@@ -24,60 +25,91 @@
 		c.scheduler.serviceMoveCreditAt = c.now
 		return
 	}
-	services, emptying := 0, 0
+	services := 0
 	for _, m := range c.machines.own {
 		services += m.services
 	}
-	most := max(1, consolidationShare*float64(services))
-	c.scheduler.serviceMoveCredit = min(max(1, most/4), c.scheduler.serviceMoveCredit+most*(c.now-c.scheduler.serviceMoveCreditAt).Seconds()/c.cfg.Facts.Workers.Report)
-	c.scheduler.serviceMoveCreditAt = c.now
-	var from []*machine
+	movesPerPeriod := max(1, consolidationShare*float64(services))
+	c.scheduler.addServiceMoveCredit(c.now, movesPerPeriod, c.cfg.Facts.Workers.Report)
+	emptying := 0
+	var sparse []*machine
 	for _, m := range c.machines.own {
-		if m.consolidating {
-			switch {
-			case len(m.bound) == 0 && c.scaler.unshipped.holds(m.id):
+		switch {
+		case m.consolidating:
+			if c.continueConsolidation(m) {
 				emptying++
-			case len(m.bound) == 0:
-				// Guards against a machine that is out of use here while the
-				// plan counts on it for a waiting gang: it goes back at once.
-				c.drainMachine(m, drainIdle)
-			case len(m.stops) > 0:
-				emptying++
-			case !c.hasRoomFor(m):
-				m.consolidating = false
-			default:
-				emptying++
-				if c.scheduler.serviceMoveCredit >= 1 {
-					c.scheduler.serviceMoveCredit--
-					c.stopTask(m, m.tasks()[0], "moved")
-				}
 			}
-			continue
-		}
-		if !c.isSparse(m) {
-			m.sparseSince = 0
-			continue
-		}
-		if m.sparseSince == 0 {
-			m.sparseSince = c.now
-		}
-		// As long as the return of an idle machine is awaited.
-		if c.now-m.sparseSince > seconds(idleTimeShare*c.machineTypeOf(m).StartupS) {
-			from = append(from, m)
+		case c.sparseForLong(m):
+			sparse = append(sparse, m)
 		}
 	}
-	// Those with the fewest first, and no more than will be empty soon.
-	sort.SliceStable(from, func(i, j int) bool { return from[i].serviceShare < from[j].serviceShare })
-	for _, m := range from {
-		if float64(emptying) >= max(1, most/4) {
+	c.startConsolidation(sparse, emptying, maxEmptying(movesPerPeriod))
+}
+
+// maxEmptying is how many machines may be emptied at a time, and how many moves may be saved
+// up: a quarter of those of a period, and one at least.
+func maxEmptying(movesPerPeriod float64) float64 { return max(1, movesPerPeriod/4) }
+
+// addServiceMoveCredit adds the moves of services that the time since the last call allows;
+// periodS is the heartbeat period in seconds.
+func (s *scheduler) addServiceMoveCredit(now time.Duration, movesPerPeriod, periodS float64) {
+	earned := movesPerPeriod * (now - s.serviceMoveCreditAt).Seconds() / periodS
+	s.serviceMoveCredit = min(maxEmptying(movesPerPeriod), s.serviceMoveCredit+earned)
+	s.serviceMoveCreditAt = now
+}
+
+// continueConsolidation moves the next service off a machine, or drains it once it is empty,
+// and tells whether the machine is still being emptied.
+func (c *Core) continueConsolidation(m *machine) bool {
+	switch {
+	case len(m.bound) == 0 && c.scaler.unshipped.holds(m.id):
+		return true
+	case len(m.bound) == 0:
+		// Guards against a machine that is out of use here while the
+		// plan counts on it for a waiting gang: it is drained at once.
+		c.drainMachine(m, drainIdle)
+		return false
+	case len(m.stops) > 0:
+		return true
+	case !c.hasRoomFor(m):
+		m.consolidating = false
+		return false
+	}
+	if c.scheduler.serviceMoveCredit >= 1 {
+		c.scheduler.serviceMoveCredit--
+		c.stopTask(m, m.tasks()[0], "moved")
+	}
+	return true
+}
+
+// sparseForLong tells whether a machine has been sparse for as long as an idle one waits for
+// its deletion.
+func (c *Core) sparseForLong(m *machine) bool {
+	if !c.isSparse(m) {
+		m.sparseSince = 0
+		return false
+	}
+	if m.sparseSince == 0 {
+		m.sparseSince = c.now
+	}
+	return c.now-m.sparseSince > seconds(idleTimeShare*c.machineTypeOf(m).StartupS)
+}
+
+// startConsolidation has the sparsest machines emptied whose services have a place
+// elsewhere, until as many are being emptied as may be.
+func (c *Core) startConsolidation(sparse []*machine, emptying int, most float64) {
+	sort.SliceStable(sparse, func(i, j int) bool { return sparse[i].serviceShare < sparse[j].serviceShare })
+	for _, m := range sparse {
+		if float64(emptying) >= most {
 			return
 		}
-		if c.hasRoomFor(m) {
-			m.consolidating = true
-			emptying++
-			c.scheduler.removeFromIdleList(m)
-			c.log.Debug("consolidating services", "from", m.id, "services", len(m.bound))
+		if !c.hasRoomFor(m) {
+			continue
 		}
+		m.consolidating = true
+		emptying++
+		c.scheduler.removeFromIdleList(m)
+		c.log.Debug("consolidating services", "from", m.id, "services", len(m.bound))
 	}
 }
 
@@ -98,16 +130,20 @@
 // isPinned tells whether the zones of a job's tasks matter to one another.
 func isPinned(r *jobRecord) bool { return r.spec.Tasks > 1 && (r.spec.OneZone || r.spec.Spread) }
 
-// consolidationTarget finds a better machine of ours for a service on m.
-func (c *Core) consolidationTarget(r *jobRecord, m *machine, used map[*machine]usage) *machine {
+// consolidationTarget finds a better machine of ours for a service on m; reserved is what
+// services that move with it will take on each.
+func (c *Core) consolidationTarget(r *jobRecord, m *machine, reserved map[*machine]usage) *machine {
 	for _, target := range c.machines.own {
-		if target == m || c.unschedulable(target) || target.serviceShare < tolerance || target.serviceShare < m.serviceShare || (target.serviceShare == m.serviceShare && target.id > m.id) ||
-			c.fetchTime(r.spec, target) > 0 || !c.couldHold(r, target) || isPinned(r) && target.claim.Zone != m.claim.Zone {
+		if target == m || c.unschedulable(target) || !holdsMoreServices(target, m) {
+			continue
+		}
+		if c.fetchTime(r.spec, target) > 0 || !c.couldHold(r, target) || isPinned(r) && target.claim.Zone != m.claim.Zone {
 			continue
 		}
 		machineType := c.machineTypeOf(target)
-		reserved := used[target]
-		if target.cpus+reserved.CPUs+r.spec.CPUs <= machineType.CPUs+tolerance && target.gpus+reserved.GPUs+r.spec.GPUs <= machineType.GPUs+tolerance &&
+		taken := reserved[target]
+		if target.cpus+taken.CPUs+r.spec.CPUs <= machineType.CPUs+tolerance &&
+			target.gpus+taken.GPUs+r.spec.GPUs <= machineType.GPUs+tolerance &&
 			target.ram+r.spec.MemoryGB <= machineType.MemoryGB+tolerance {
 			return target
 		}
@@ -115,16 +151,25 @@
 	return nil
 }
 
+// holdsMoreServices tells whether services move to target rather than away from it; of
+// machines that hold the same share, they gather on the one whose name comes first.
+func holdsMoreServices(target, m *machine) bool {
+	if target.serviceShare < tolerance || target.serviceShare < m.serviceShare {
+		return false
+	}
+	return target.serviceShare != m.serviceShare || target.id <= m.id
+}
+
 // hasRoomFor tells whether all services on m have a place elsewhere.
 func (c *Core) hasRoomFor(m *machine) bool {
-	used := map[*machine]usage{}
+	reserved := map[*machine]usage{}
 	for _, k := range m.tasks() {
 		r := m.bound[k]
-		target := c.consolidationTarget(r, m, used)
+		target := c.consolidationTarget(r, m, reserved)
 		if target == nil {
 			return false
 		}
-		used[target] = used[target].plus(r.spec, 1)
+		reserved[target] = reserved[target].plus(r.spec, 1)
 	}
 	return true
 }
@@ -137,10 +182,7 @@
 		return
 	}
 	for _, m := range c.machines.own {
-		if len(m.pulling) == 0 {
-			continue
-		}
-		if len(m.stops) > 0 || m.services == 0 {
+		if len(m.pulling) == 0 || len(m.stops) > 0 || m.services == 0 {
 			continue
 		}
 		for _, k := range m.tasks() {
@@ -148,7 +190,7 @@
 			if !m.pulling[k] || r.spec.Shape != job.Service || r.final() {
 				continue
 			}
-			remaining := max(c.fetchTime(r.spec, m), r.spec.ImageGB/c.machineTypeOf(m).ImagePullGBPerS-(c.now-m.boundAt[k].boundAt).Seconds())
+			remaining := c.remainingPull(r, k, m)
 			target := c.pickIdleMachine(r)
 			if target == nil || target == m || c.fetchTime(r.spec, target)+c.cfg.Facts.Workers.Report/2 > remaining/2 {
 				continue
@@ -161,3 +203,11 @@
 		}
 	}
 }
+
+// remainingPull is how long a task on a machine will still wait for its image, in seconds:
+// by what the machine is known to pull, or by its rate alone if that is longer.
+func (c *Core) remainingPull(r *jobRecord, k taskKey, m *machine) float64 {
+	pullS := r.spec.ImageGB / c.machineTypeOf(m).ImagePullGBPerS
+	waitedS := (c.now - m.boundAt[k].boundAt).Seconds()
+	return max(c.fetchTime(r.spec, m), pullS-waitedS)
+}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -153,8 +153,7 @@
 		c.jobs.teams[t.Name] = &team{cfg: t}
 	}
 	c.verbose = log.Enabled(context.Background(), slog.LevelDebug)
-	c.scaler.init()
-	c.scaler.unshipped = newUnshipped(c)
+	c.scaler = newFleetScaler(newUnshipped(c))
 	c.queries = newQueryHandler(c)
 	c.staging = newStagingCoordinator(c)
 	c.state = stateclient.New(&cfg.Facts, 1+len(cfg.Peers))
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -13,11 +13,31 @@
 	"silvergate/internal/stateclient"
 )
 
-// idleTimeShare is how long a machine may stand idle, as a share of the time it
+// deletionState is what is known of machines that are to be drained or deleted.
+type deletionState struct {
+	toDelete          map[string]bool
+	deletedAt         map[string]time.Duration // when the deletion was requested
+	deletionConfirmed map[string]bool          // and whether the cloud has confirmed it
+	toDrain           map[string]string        // machines that nobody looks after, with the reason of the drain
+	drainInFlight     bool
+	orphanedSince     map[string]time.Duration // since when a machine's owner is down
+}
+
+func newDeletionState() deletionState {
+	return deletionState{
+		toDelete:          map[string]bool{},
+		deletedAt:         map[string]time.Duration{},
+		deletionConfirmed: map[string]bool{},
+		toDrain:           map[string]string{},
+		orphanedSince:     map[string]time.Duration{},
+	}
+}
+
+// idleTimeShare is how long a machine may be idle, as a share of the time it
 // took to boot.
 const idleTimeShare = 0.75
 
-// scaleIn drains the machines that have stood idle for long enough.
+// scaleIn drains the machines that have been idle for long enough.
 func (c *Core) scaleIn(slots []*slot) {
 	for _, s := range slots {
 		m := c.machines.byID[s.id]
@@ -28,81 +48,125 @@
 			m.unboundSince = c.now
 			continue
 		}
-		if c.now-m.unboundSince > seconds(idleTimeShare*c.machineTypeOf(m).StartupS) && !c.scaler.unshipped.holds(m.id) {
-			c.drainMachine(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.scaler.leaderRevision}) // one that was replaced returns nothing
+		idleLimit := seconds(idleTimeShare * c.machineTypeOf(m).StartupS)
+		if c.now-m.unboundSince > idleLimit && !c.scaler.unshipped.holds(m.id) {
+			// A leader that was replaced drains nothing.
+			c.drainMachine(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.scaler.leaderRevision})
 		}
 	}
 }
 
-// deleteMachines returns machines: drained ones once nothing is bound to them,
+// deleteMachines deletes machines: drained ones once nothing is bound to them,
 // silent and lost ones at once. The cloud's 200 is the evidence that
 // whatever was on them is gone.
 //
-// The fence: no deletion is asked for but of a machine that the cloud lists as failed, or whose drain is on record. Every
-// placement is conditional on the absence of a drain, and only a deletion that was answered lets the record go. So a deletion that is
-// carried out late, after its sender was replaced and forgotten, hits a machine on which nothing was placed
-// since it was asked for.
+// The fence: no deletion is requested but of a machine that the cloud lists as failed, or
+// whose drain is on record. Every placement is conditional on the absence of a drain, and
+// only a confirmed deletion lets the record go. So a deletion that is carried out late,
+// after its sender was replaced and forgotten, hits a machine on which nothing was placed
+// since it was requested.
 func (c *Core) deleteMachines() {
-	f := &c.scaler
-	for id, d := range c.machines.drains {
+	c.collectDrained()
+	for _, id := range c.unattendedMachines() {
+		c.checkUnattended(id)
+	}
+	c.drainUnheldMachines()
+	if len(c.scaler.toDelete) == 0 || c.scaler.cloudCalls.level < 1 {
+		return
+	}
+	c.requestDeletions()
+}
+
+// collectDrained has drained machines deleted that hold nothing, or that are beyond use.
+func (c *Core) collectDrained() {
+	for id, drain := range c.machines.drains {
 		m := c.machines.byID[id]
-		if m == nil || m.token == 0 || len(m.bound) == 0 && c.drainSettled(id) || drainSeverity[d.Reason] >= drainSeverity[drainSilent] {
-			f.toDelete[id] = true
+		unclaimed := m == nil || m.token == 0
+		beyondUse := drainSeverity[drain.Reason] >= drainSeverity[drainSilent]
+		if unclaimed || beyondUse || len(m.bound) == 0 && c.drainSettled(id) {
+			c.scaler.toDelete[id] = true
 		}
 	}
-	var unattended []string // most machines are looked after by a living controller
+}
+
+// unattendedMachines lists, by name, the machines that no controller which is up looks after
+// and those whose deletion was requested: few, as a rule.
+func (c *Core) unattendedMachines() (ids []string) {
+	f := &c.scaler
 	for id, m := range c.machines.byID {
-		if _, gone := f.deletedAt[id]; gone || m.token == 0 || !c.alive(m.claim.Owner) {
-			unattended = append(unattended, id)
+		_, deleted := f.deletedAt[id]
+		if deleted || m.token == 0 || !c.alive(m.claim.Owner) {
+			ids = append(ids, id)
 		} else if f.orphanedSince[id] != 0 {
 			delete(f.orphanedSince, id)
 		}
 	}
-	sort.Strings(unattended)
-	for _, id := range unattended {
-		m := c.machines.byID[id]
-		if t, ok := f.deletedAt[id]; ok && (m.token != 0 || len(m.bound) > 0) && f.deletionConfirmed[id] && c.now-t < seconds(2*c.cfg.Facts.Cloud.ListLag) {
-			// Known to be gone: releases that failed are proposed again, and
-			// the records go once nothing is bound any more.
-			c.releaseMachineTasks(id)
-			c.dropMachineRecords(id)
-			continue
-		}
-		if !c.mirrorFresh() {
-			continue
-		}
-		// Guards against tasks bound for ever: whoever deleted the machine
-		// may have died before their release was committed.
-		if m.token == 0 && len(m.bound) > 0 {
-			f.toDrain[id] = drainStray
-			continue
-		}
-		// Machines of dead controllers that report to nobody else.
-		if m.token == 0 || c.alive(m.claim.Owner) { // a living owner looks after them itself
-			delete(f.orphanedSince, id)
-			continue
-		}
-		if f.orphanedSince[id] == 0 {
-			f.orphanedSince[id] = c.now
-		} else if c.now-f.orphanedSince[id] > c.cancelHorizon()+seconds(3*c.cfg.Facts.Workers.Report) {
-			// A controller that is only cut off sends its workers on when
-			// its horizon is reached; what has not moved by then is lost.
-			f.toDrain[id] = drainLost
-		}
+	sort.Strings(ids)
+	return ids
+}
+
+// checkUnattended drops the records of a machine that is deleted, and has one drained that
+// nobody looks after.
+func (c *Core) checkUnattended(id string) {
+	f := &c.scaler
+	m := c.machines.byID[id]
+	if c.recentlyDeleted(id) && (m.token != 0 || len(m.bound) > 0) {
+		// Releases that failed are proposed again, and the records go once
+		// nothing is bound any more.
+		c.releaseMachineTasks(id)
+		c.dropMachineRecords(id)
+		return
 	}
-	c.drainUnheldMachines()
-	if len(f.toDelete) == 0 || f.cloudCalls.level < 1 {
+	if !c.mirrorFresh() {
+		return
+	}
+	// Guards against tasks bound for ever: whoever deleted the machine
+	// may have died before their release was committed.
+	if m.token == 0 && len(m.bound) > 0 {
+		f.toDrain[id] = drainStray
+		return
+	}
+	if m.token == 0 || c.alive(m.claim.Owner) { // an owner that is up looks after them itself
+		delete(f.orphanedSince, id)
 		return
 	}
+	if f.orphanedSince[id] == 0 {
+		f.orphanedSince[id] = c.now
+		return
+	}
+	// A controller that is only cut off redirects its workers when its cancellation
+	// horizon is reached; what has not moved by then is lost.
+	if c.now-f.orphanedSince[id] > c.cancelHorizon()+seconds(3*c.cfg.Facts.Workers.Report) {
+		f.toDrain[id] = drainLost
+	}
+}
+
+// recentlyDeleted tells whether a machine's deletion was requested a short while ago and has
+// been confirmed.
+func (c *Core) recentlyDeleted(id string) bool {
+	at, deleted := c.scaler.deletedAt[id]
+	return deleted && c.scaler.deletionConfirmed[id] && c.now-at < c.deletionRetryAfter()
+}
+
+// deletionRetryAfter is how long after a deletion was requested it may be requested again:
+// by then the cloud's list shows whether it was carried out.
+func (c *Core) deletionRetryAfter() time.Duration { return seconds(2 * c.cfg.Facts.Cloud.ListLag) }
+
+// maxDeletionCount bounds the machines of one request.
+const maxDeletionCount = 100
+
+// requestDeletions has the cloud delete the machines that are to be deleted.
+func (c *Core) requestDeletions() {
+	f := &c.scaler
 	var names []string
 	for id := range f.toDelete {
-		if t, ok := f.deletedAt[id]; !ok || c.now-t > seconds(2*c.cfg.Facts.Cloud.ListLag) {
+		if at, ok := f.deletedAt[id]; !ok || c.now-at > c.deletionRetryAfter() {
 			names = append(names, id)
 		}
 	}
 	sort.Strings(names)
-	if len(names) > 100 {
-		names = names[:100]
+	if len(names) > maxDeletionCount {
+		names = names[:maxDeletionCount]
 	}
 	clear(f.toDelete)
 	if len(names) == 0 {
@@ -113,74 +177,100 @@
 		delete(f.deletionConfirmed, id)
 	}
 	c.callCloud(http.MethodPost, protocol.PathRentalsDelete, protocol.MachineNames{Machines: names}, func(r protocol.Reply) {
-		if r.Status != http.StatusOK {
-			for _, id := range names {
-				f.toDelete[id] = true
-				delete(f.deletedAt, id)
-			}
-			return
-		}
-		c.Stats.MachinesDeleted += uint64(len(names))
-		c.log.Info("machines returned", "machines", names)
-		for _, id := range names {
-			f.deletionConfirmed[id] = true
-			c.releaseMachineTasks(id)
-			c.dropMachineRecords(id)
-		}
+		c.handleDeletionReply(names, r)
 	})
 }
 
-// drainUnheldMachines writes the drains of machines that are to be returned and that nobody looks after, as many in a transaction as it
-// takes: conditional on who rents, so that one that was replaced condemns nothing, and on their claims, so that what has been claimed
-// since is left alone.
-func (c *Core) drainUnheldMachines() {
+// handleDeletionReply takes the cloud's answer to a request for deletions.
+func (c *Core) handleDeletionReply(names []string, r protocol.Reply) {
 	f := &c.scaler
-	// Guards against a judgement that waits for the budget while the machine reports and is claimed: conditional on
-	// that claim, the drain would be written all the same.
-	for id, why := range f.toDrain {
-		m := c.machines.byID[id]
-		claimed := m != nil && m.token != 0
-		if _, drained := c.machines.drains[id]; drained || claimed != (why == drainLost) || claimed && c.alive(m.claim.Owner) {
-			delete(f.toDrain, id)
+	if r.Status != http.StatusOK {
+		for _, id := range names {
+			f.toDelete[id] = true
+			delete(f.deletedAt, id)
 		}
+		return
 	}
+	c.Stats.MachinesDeleted += uint64(len(names))
+	c.log.Info("machines returned", "machines", names)
+	for _, id := range names {
+		f.deletionConfirmed[id] = true
+		c.releaseMachineTasks(id)
+		c.dropMachineRecords(id)
+	}
+}
+
+// drainUnheldMachines writes the drains of machines that are to be deleted and that nobody
+// looks after, as many in a transaction as it takes: conditional on our leadership, so that a
+// leader that was replaced drains nothing, and on their claims, so that what has been
+// claimed since is left alone.
+func (c *Core) drainUnheldMachines() {
+	f := &c.scaler
+	c.dropObsoleteDrains()
 	if f.drainInFlight || f.leadershipInFlight || len(f.toDrain) == 0 {
 		return
 	}
 	compares := []protocol.Compare{{Key: keyFleet, ModRevision: f.leaderRevision}}
 	var ops []protocol.Op
+	maxOps := c.cfg.Facts.State.TxnOps
 	for _, id := range sortedKeys(f.toDrain) {
-		held := []protocol.Compare{{Key: keyDrain + id}, {Key: keyClaim + id}}
+		conditions := []protocol.Compare{{Key: keyDrain + id}, {Key: keyClaim + id}}
 		if m := c.machines.byID[id]; m != nil {
-			held = append(m.ownershipCompares(), held[0])
+			conditions = append(m.ownershipCompares(), conditions[0])
 		}
-		held = slices.DeleteFunc(held, func(k protocol.Compare) bool { return slices.Contains(compares, k) })
-		if len(ops) == c.cfg.Facts.State.TxnOps || len(compares)+len(held) > 4*c.cfg.Facts.State.TxnOps {
+		conditions = slices.DeleteFunc(conditions, func(k protocol.Compare) bool { return slices.Contains(compares, k) })
+		if len(ops) == maxOps || len(compares)+len(conditions) > maxComparesPerOp*maxOps {
 			break
 		}
-		compares = append(compares, held...)
+		compares = append(compares, conditions...)
 		ops = append(ops, protocol.Op{Put: keyDrain + id, Value: encode(drainRecord{f.toDrain[id]})})
 	}
 	f.drainInFlight = true
 	c.state.Txn(ratelimit.OtherWork, compares, ops, func(o stateclient.TxnOutcome, failed []string, _ uint64) {
-		f.drainInFlight = false
-		if o == stateclient.Committed {
-			for _, op := range ops {
-				id := strings.TrimPrefix(op.Put, keyDrain)
-				c.log.Info("draining a machine that nobody holds", "machine", id, "reason", c.machines.drains[id].Reason)
-			}
+		c.handleDrainOutcome(ops, o, failed)
+	})
+}
+
+// maxComparesPerOp is how many conditions a transaction may have for each change that it may
+// have (PROTOCOL).
+const maxComparesPerOp = 4
+
+// dropObsoleteDrains forgets drains that are on record by now, or whose reason holds no more.
+//
+// Guards against a judgement that waits for the rate limit while the machine sends a
+// heartbeat and is claimed: conditional on that claim, the drain would be written all the same.
+func (c *Core) dropObsoleteDrains() {
+	toDrain := c.scaler.toDrain
+	for id, reason := range toDrain {
+		m := c.machines.byID[id]
+		claimed := m != nil && m.token != 0
+		_, drained := c.machines.drains[id]
+		if drained || claimed != (reason == drainLost) || claimed && c.alive(m.claim.Owner) {
+			delete(toDrain, id)
 		}
-		if o != stateclient.Conflict {
-			return // what is not on record then is tried again
+	}
+}
+
+// handleDrainOutcome takes what came of a transaction that writes drains. What is not on
+// record then is tried again, unless a condition on it failed.
+func (c *Core) handleDrainOutcome(ops []protocol.Op, outcome stateclient.TxnOutcome, failed []string) {
+	c.scaler.drainInFlight = false
+	switch outcome {
+	case stateclient.Committed:
+		for _, op := range ops {
+			id := strings.TrimPrefix(op.Put, keyDrain)
+			c.log.Info("draining a machine that nobody holds", "machine", id, "reason", c.machines.drains[id].Reason)
 		}
+	case stateclient.Conflict:
 		for _, key := range failed {
-			delete(f.toDrain, strings.TrimPrefix(strings.TrimPrefix(key, keyClaim), keyDrain))
+			delete(c.scaler.toDrain, strings.TrimPrefix(strings.TrimPrefix(key, keyClaim), keyDrain))
 		}
-	})
+	}
 }
 
-// drainSettled tells whether nothing can be placed on a drained machine any more that our mirror does not show. Placements are
-// conditional on the absence of the drain, so what there is was committed before it, and the mirror has reached it.
+// drainSettled tells whether the mirror shows everything that is placed on a drained machine.
+// Placements are conditional on the absence of the drain, so what there is was committed
+// before it, and the mirror has reached the drain's revision.
 //
 // Guards against a deletion that overtakes the records: our own drain is in the mirror with its answer, ahead of
 // what others had placed there before it.
@@ -188,8 +278,8 @@
 	return c.state.AppliedRevision() >= c.state.ModRevision(keyDrain+id)
 }
 
-// releaseMachineTasks releases everything on a machine of which the cloud has said
-// that it is no more.
+// releaseMachineTasks proposes the release of everything on a machine of which the cloud
+// has said that it is gone.
 func (c *Core) releaseMachineTasks(id string) {
 	m := c.machines.byID[id]
 	if m == nil {
@@ -204,7 +294,7 @@
 	}
 }
 
-// dropMachineRecords drops the records of a machine that is gone, once nothing is
+// dropMachineRecords deletes the claim and the drain of a machine that is gone, once nothing is
 // bound to it.
 func (c *Core) dropMachineRecords(id string) {
 	if m := c.machines.byID[id]; m != nil && (len(m.bound) > 0 || m.dropRetryAt > c.now) {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -13,29 +13,49 @@
 	"silvergate/internal/stateclient"
 )
 
+// offering is what the cloud rents: machines of a type in a zone, spot or on demand.
 type offering struct {
 	machineType string
 	zone        string
 	spot        bool
 }
 
-// rental is recorded before the request is sent, so that whoever leads next
-// sends the same request again instead of a new one.
+// rentalState is what is known of rentals and of the cloud's refusals.
+type rentalState struct {
+	rentals        map[string]*rental         // by the name of the request
+	rentalSequence int                        // of the last request that we have named
+	refusedUntil   map[offering]time.Duration // no capacity: not to be requested before
+	refusals       map[offering]int           // in a row
+}
+
+func newRentalState() rentalState {
+	return rentalState{
+		rentals:      map[string]*rental{},
+		refusedUntil: map[offering]time.Duration{},
+		refusals:     map[offering]int{},
+	}
+}
+
+// rental is the record of a request for machines. It is written before the request is sent,
+// so that whoever leads next sends the same request again instead of a new one.
 type rental struct {
-	MachineType   string   `json:"t"`
-	Zone          string   `json:"z"`
-	Spot          bool     `json:"s,omitempty"`
-	Count         int      `json:"n"`
-	RequestedAtMS int64    `json:"at"`
-	Machines      []string `json:"names,omitempty"`
-	inFlight      bool
-	retryAt       time.Duration
+	MachineType   string        `json:"t"`
+	Zone          string        `json:"z"`
+	Spot          bool          `json:"s,omitempty"`
+	Count         int           `json:"n"`
+	RequestedAtMS int64         `json:"at"`
+	Machines      []string      `json:"names,omitempty"`
+	inFlight      bool          // the request is being sent, or the record deleted
+	retryAt       time.Duration // the request is not to be sent before
 }
 
+func (r *rental) offering() offering { return offering{r.MachineType, r.Zone, r.Spot} }
+
 // maxRentalCount is the most machines that a request may ask for (PROTOCOL).
 const maxRentalCount = 50
 
-func (f *fleetScaler) applyRental(name string, data json.RawMessage) {
+// applyRental takes a change of a rental's record; data is nil when it is deleted.
+func (f *rentalState) applyRental(name string, data json.RawMessage) {
 	if data == nil {
 		delete(f.rentals, name)
 		return
@@ -53,53 +73,69 @@
 // changes; sendRentals sends them once recorded.
 func (c *Core) scaleOut(toRent map[offering]int, urgent map[offering]bool) {
 	f := &c.scaler
-	pending := map[offering]bool{}
-	for _, r := range f.rentals {
-		if r.Machines == nil {
-			pending[offering{r.MachineType, r.Zone, r.Spot}] = true
-		}
-	}
-	var places []offering
-	for w := range toRent {
-		places = append(places, w)
-	}
-	sort.Slice(places, func(i, j int) bool {
-		a, b := places[i], places[j]
-		return a.machineType+a.zone < b.machineType+b.zone || (a.machineType+a.zone == b.machineType+b.zone && !a.spot && b.spot)
-	})
+	offerings := sortedOfferings(toRent)
 	// As many requests as the cloud takes until about the next plan, in rounds
-	// over the places; what it refuses costs a call and two changes each.
-	calls := max(len(places), int(f.cloudCalls.rate*7*1.5))
-	places = slices.DeleteFunc(places, func(w offering) bool { return pending[w] || f.leadershipInFlight })
-	for len(places) > 0 && calls > 0 {
-		left := places[:0]
-		for _, w := range places {
+	// over the offerings; what it refuses costs a call and two changes each.
+	calls := max(len(offerings), int(f.cloudCalls.rate*leaderRateFactor*1.5))
+	unanswered := f.unansweredOfferings()
+	offerings = slices.DeleteFunc(offerings, func(where offering) bool { return unanswered[where] || f.leadershipInFlight })
+	for len(offerings) > 0 && calls > 0 {
+		remaining := offerings[:0]
+		for _, where := range offerings {
 			if calls--; calls < 0 {
 				break
 			}
-			c.recordRental(w, min(toRent[w], maxRentalCount), urgent[w])
-			if toRent[w] -= maxRentalCount; toRent[w] > 0 {
-				left = append(left, w)
+			c.recordRental(where, min(toRent[where], maxRentalCount), urgent[where])
+			if toRent[where] -= maxRentalCount; toRent[where] > 0 {
+				remaining = append(remaining, where)
 			}
-			f.refusedUntil[w] = max(f.refusedUntil[w], c.now+time.Second) // until the record shows
+			f.refusedUntil[where] = max(f.refusedUntil[where], c.now+time.Second) // until the record shows
+		}
+		offerings = remaining
+	}
+}
+
+// sortedOfferings lists offerings by machine type and zone, on demand before spot.
+func sortedOfferings(toRent map[offering]int) (offerings []offering) {
+	for where := range toRent {
+		offerings = append(offerings, where)
+	}
+	sort.Slice(offerings, func(i, j int) bool {
+		a, b := offerings[i], offerings[j]
+		if a.machineType+a.zone != b.machineType+b.zone {
+			return a.machineType+a.zone < b.machineType+b.zone
+		}
+		return !a.spot && b.spot
+	})
+	return offerings
+}
+
+// unansweredOfferings are those of rentals that the cloud has not answered yet.
+func (f *rentalState) unansweredOfferings() map[offering]bool {
+	unanswered := map[offering]bool{}
+	for _, r := range f.rentals {
+		if r.Machines == nil {
+			unanswered[r.offering()] = true
 		}
-		places = left
 	}
+	return unanswered
 }
 
-// recordRental writes down what is to be rented.
+// recordRental writes the record of a rental, on the condition that we still lead.
 func (c *Core) recordRental(where offering, count int, urgent bool) {
 	f := &c.scaler
 	f.rentalSequence++
-	// The stamp of our tenure's lease key never comes again.
+	// The revision of the leader's record never comes again, so neither does the name.
 	name := "r-" + strconv.FormatUint(f.leaderRevision, 10) + "-" + strconv.Itoa(f.rentalSequence)
-	r := rental{MachineType: where.machineType, Zone: where.zone, Spot: where.spot, Count: count, RequestedAtMS: c.wallTime.UnixMilli()}
+	record := encode(rental{MachineType: where.machineType, Zone: where.zone, Spot: where.spot, Count: count, RequestedAtMS: c.wallTime.UnixMilli()})
 	class := ratelimit.OtherWork
 	if urgent {
 		class = ratelimit.UrgentWork
 	}
-	c.state.Txn(class, []protocol.Compare{{Key: keyRental + name}, {Key: keyFleet, ModRevision: f.leaderRevision}},
-		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(stateclient.TxnOutcome, []string, uint64) {})
+	c.state.Txn(class,
+		[]protocol.Compare{{Key: keyRental + name}, {Key: keyFleet, ModRevision: f.leaderRevision}},
+		[]protocol.Op{{Put: keyRental + name, Value: record}},
+		func(stateclient.TxnOutcome, []string, uint64) {})
 }
 
 // sendRentals sends recorded requests until each has got an answer.
@@ -115,82 +151,104 @@
 			continue
 		}
 		r.inFlight = true
-		where := offering{r.MachineType, r.Zone, r.Spot}
-		c.callCloud(http.MethodPost, protocol.PathRentals, protocol.RentalRequest{RequestID: name, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, func(reply protocol.Reply) {
-			r.inFlight = false
-			var n protocol.MachineNames
-			switch {
-			case reply.Status == http.StatusOK && protocol.Decode(reply.Body, &n) == nil:
-				c.Stats.MachinesRented += uint64(len(n.Machines))
-				c.log.Info("rented", "rental", name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", n.Machines)
-				if len(n.Machines) < r.Count {
-					c.backOffOffering(where)
-				} else {
-					f.refusals[where] = 0
-				}
-				if len(n.Machines) == 0 {
-					c.dropRental(name)
-					return
-				}
-				r.Machines = n.Machines
-				c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
-					[]protocol.Op{{Put: keyRental + name, Value: encode(r)}}, func(stateclient.TxnOutcome, []string, uint64) {})
-			case reply.Status == http.StatusServiceUnavailable && string(reply.Body) != "" && !isTransientCloudError(reply.Body):
-				c.backOffOffering(where)
-				c.dropRental(name)
-			case reply.Status == http.StatusBadRequest:
-				c.log.Error("the cloud refused a rental as malformed", "rental", name)
-				c.dropRental(name)
-			default:
-				r.retryAt = c.now + time.Second
-			}
-		})
+		request := protocol.RentalRequest{RequestID: name, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
+		c.callCloud(http.MethodPost, protocol.PathRentals, request, func(reply protocol.Reply) { c.handleRentalReply(name, r, reply) })
+	}
+}
+
+// handleRentalReply takes the cloud's answer to a request for machines.
+func (c *Core) handleRentalReply(name string, r *rental, reply protocol.Reply) {
+	r.inFlight = false
+	var rented protocol.MachineNames
+	switch {
+	case reply.Status == http.StatusOK && protocol.Decode(reply.Body, &rented) == nil:
+		c.recordRented(name, r, rented.Machines)
+	case reply.Status == http.StatusServiceUnavailable && string(reply.Body) != "" && !isTransientCloudError(reply.Body):
+		c.backOffOffering(r.offering())
+		c.dropRental(name)
+	case reply.Status == http.StatusBadRequest:
+		c.log.Error("the cloud refused a rental as malformed", "rental", name)
+		c.dropRental(name)
+	default:
+		r.retryAt = c.now + time.Second
 	}
 }
 
+// recordRented adds the names of the machines that the cloud has rented to the record.
+func (c *Core) recordRented(name string, r *rental, machines []string) {
+	c.Stats.MachinesRented += uint64(len(machines))
+	c.log.Info("rented", "rental", name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", machines)
+	if len(machines) < r.Count {
+		c.backOffOffering(r.offering())
+	} else {
+		c.scaler.refusals[r.offering()] = 0
+	}
+	if len(machines) == 0 {
+		c.dropRental(name)
+		return
+	}
+	r.Machines = machines
+	c.state.Txn(ratelimit.OtherWork,
+		[]protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
+		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}},
+		func(stateclient.TxnOutcome, []string, uint64) {})
+}
+
+// isTransientCloudError tells whether the cloud refused a request for another reason than a
+// lack of capacity.
 func isTransientCloudError(body []byte) bool {
 	var p protocol.ErrorResponse
 	return protocol.Decode(body, &p) != nil || p.Error != "no capacity"
 }
 
+// maxRefusalBackoff bounds how long an offering is left alone, as a multiple of two
+// heartbeat periods.
+const maxRefusalBackoff = 5
+
+// backOffOffering leaves an offering alone for a while, longer with each refusal in a row.
 func (c *Core) backOffOffering(where offering) {
 	f := &c.scaler
 	f.refusals[where]++
-	f.refusedUntil[where] = c.now + seconds(2*c.cfg.Facts.Workers.Report)*time.Duration(min(f.refusals[where], 5))
+	period := seconds(2 * c.cfg.Facts.Workers.Report)
+	f.refusedUntil[where] = c.now + period*time.Duration(min(f.refusals[where], maxRefusalBackoff))
 }
 
+// dropRental deletes a rental's record.
 func (c *Core) dropRental(name string) {
-	c.state.Txn(ratelimit.OtherWork, []protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
-		[]protocol.Op{{Delete: keyRental + name}}, func(stateclient.TxnOutcome, []string, uint64) {})
+	c.state.Txn(ratelimit.OtherWork,
+		[]protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
+		[]protocol.Op{{Delete: keyRental + name}},
+		func(stateclient.TxnOutcome, []string, uint64) {})
 }
 
-// settleRental drops a rental's record once its machines have all reported,
-// been returned, or been given up.
+// settleRental drops a rental's record once its machines have all sent a heartbeat, been
+// deleted, or been given up.
 func (c *Core) settleRental(name string, r *rental) {
 	machineType := c.catalogue.types[r.MachineType]
 	if machineType == nil {
 		return
 	}
-	overdue := float64(c.wallTime.UnixMilli()-r.RequestedAtMS)/1000 > 4*machineType.StartupS+c.cfg.Facts.Workers.Lease
-	open := false
+	ageS := float64(c.wallTime.UnixMilli()-r.RequestedAtMS) / 1000
+	overdue := ageS > c.startupDeadlineS(machineType)
+	awaited := false
 	for _, id := range r.Machines {
 		if !c.awaitsFirstHeartbeat(id) {
 			continue
 		}
-		open = true
+		awaited = true
 		if overdue {
 			c.scaler.toDrain[id] = drainStray
 		}
 	}
-	if !open && !r.inFlight {
+	if !awaited && !r.inFlight {
 		r.inFlight = true
 		c.dropRental(name)
 	}
 }
 
-// awaitsFirstHeartbeat tells whether a rented machine has yet to report.
+// awaitsFirstHeartbeat tells whether a rented machine has yet to send a heartbeat.
 func (c *Core) awaitsFirstHeartbeat(id string) bool {
-	if _, gone := c.scaler.deletedAt[id]; gone {
+	if _, deleted := c.scaler.deletedAt[id]; deleted {
 		return false
 	}
 	m := c.machines.byID[id]
--- a/internal/coordination/zone_view.go
+++ b/internal/coordination/zone_view.go
@@ -5,33 +5,38 @@
 	"time"
 )
 
-// zoneView is in which zones a controller hears machines of its own, and in which
-// none of them any more; and which of its machines do not hear it.
+// zoneView is what a controller says of the zones: in which it hears machines of its own and
+// in which none of them any more; and which of its machines are unresponsive: their
+// heartbeats arrive, and they do not hear its answers.
 type zoneView struct {
 	at                     time.Duration
 	reachable, unreachable []string
 	unresponsive           []string
 }
 
-// updateZoneView takes what this controller hears. A zone is dark when nothing of it was
-// heard for a while.
-func (f *fleetScaler) updateZoneView(node string, now time.Duration, zones map[string]*zoneHeartbeats, unresponsive []string, while time.Duration) {
+// minMachinesOfLostZone is how many machines a controller must hold in a zone for their
+// silence to say something of the zone.
+const minMachinesOfLostZone = 4
+
+// updateZoneView takes what this controller hears. A zone is unreachable when no heartbeat
+// came from it within the timeout.
+func (f *fleetScaler) updateZoneView(node string, now time.Duration, zones map[string]*zoneHeartbeats, unresponsive []string, timeout time.Duration) {
 	v := zoneView{at: now, unresponsive: unresponsive}
 	for _, z := range sortedKeys(zones) {
 		switch h := zones[z]; {
-		case now-h.lastHeartbeat <= while:
+		case now-h.lastHeartbeat <= timeout:
 			v.reachable = append(v.reachable, z)
-		case h.machines >= 4:
+		case h.machines >= minMachinesOfLostZone:
 			v.unreachable = append(v.unreachable, z)
 		}
 	}
 	f.zoneViews[node] = v
 }
 
-// zoneUnreachable tells whether a zone seems to be cut off: no controller that can be
-// heard hears a machine there, and one has lost all it held there, or the zone's
-// own controllers are gone. What is rented or counted on there is of no use until
-// it is back. It is a guess that costs money or time and never a rule.
+// zoneUnreachable tells whether a zone seems to be cut off: no controller that we
+// hear from hears a machine there, and one has lost all it held there, or the zone's
+// own controllers are down. What is rented or counted on there is of no use until
+// it is back. A wrong guess costs money or time and never breaks a rule.
 func (c *Core) zoneUnreachable(zone string) bool {
 	lost := false
 	for _, v := range c.scaler.zoneViews {
@@ -43,14 +48,21 @@
 		}
 		lost = lost || slices.Contains(v.unreachable, zone)
 	}
+	return lost || c.zoneControllersDown(zone) && c.cfg.Zone != zone
+}
+
+// zoneControllersDown tells whether there are other controllers in a zone and all of them
+// are down with machines still in their name.
+func (c *Core) zoneControllersDown(zone string) bool {
 	inZone, down := 0, 0
 	for _, p := range c.cfg.Peers {
-		if p.Zone == zone {
-			inZone++
-			if !c.alive(p.Node) && c.machines.ownership.machinesByOwner[p.Node] > 0 {
-				down++
-			}
+		if p.Zone != zone {
+			continue
+		}
+		inZone++
+		if !c.alive(p.Node) && c.machines.ownership.machinesByOwner[p.Node] > 0 {
+			down++
 		}
 	}
-	return lost || inZone > 0 && down == inZone && c.cfg.Zone != zone
+	return inZone > 0 && down == inZone
 }
