--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -8,13 +8,14 @@
 	"silvergate/internal/peer"
 )
 
-// maxPagesInFlight is how many pages' worth of a job's tasks may be on their way. A page is
+// maxPagesInFlight is how many pages' worth of a job's tasks may be in dispatch. A page is
 // in one transaction at a time, and those of the largest jobs name so many machines that
 // one does not hold them: with one page 25,000 small tasks took 269 s on
 // shiftbook-akl-ops, with four 162 s (simulated).
 const maxPagesInFlight = 4
 
-// dispatchJob sends a job's pending tasks on their way.
+// dispatchJob places a job's pending tasks here as far as there is room, and probes peers
+// for the rest.
 func (c *Core) dispatchJob(r *jobRecord) {
 	if r == nil || r.final() {
 		return
@@ -24,8 +25,8 @@
 		return
 	}
 	var unplaced []int
-	// Guards against the largest jobs: some pages' worth of tasks on their way
-	// at a time is plenty, and 100,000 would fill lines and messages.
+	// Guards against the largest jobs: some pages' worth of tasks in dispatch
+	// at a time is plenty, and 100,000 would fill queues and messages.
 	pending, noneFits := 0, false
 	for _, p := range r.pages {
 		base := p.number * c.tasksPerPage()
@@ -38,34 +39,35 @@
 			if r.queuedByIndex[i] != nil || c.now < r.dispatchAfter[i] || !c.placeable(r, i) {
 				continue
 			}
-			if !noneFits { // the job's tasks are alike: what does not fit one fits none
-				m := c.pickIdleMachine(r) // step 2
-				if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
-					continue
-				}
-				if m != nil {
-					c.placeTask(r, i, m)
-					continue
-				}
+			if noneFits { // the job's tasks are alike: what does not fit one fits none
+				unplaced = append(unplaced, i)
+				continue
+			}
+			if !c.placeOnIdleMachine(r, i) { // step 2
 				noneFits = true
+				unplaced = append(unplaced, i)
 			}
-			unplaced = append(unplaced, i)
 		}
 	}
 	c.probe(r, unplaced)
 }
 
-// deferDispatch notes that a task is on its way and not to be dispatched before.
-func (r *jobRecord) deferDispatch(i int, until time.Duration) {
-	if r.dispatchAfter == nil {
-		r.dispatchAfter = map[int]time.Duration{}
+// placeOnIdleMachine places a task on a machine of the idle list, or has it wait for one that
+// has its image or inputs, and tells whether any machine fits it.
+func (c *Core) placeOnIdleMachine(r *jobRecord, index int) bool {
+	m := c.pickIdleMachine(r)
+	if m == nil {
+		return false
 	}
-	r.dispatchAfter[i] = until
+	if !c.preemptOnWarmMachine(r, index, m) && !c.staging.waitsForWarmMachine(r, index, m) {
+		c.placeTask(r, index, m)
+	}
+	return true
 }
 
-// probe is steps 3 and 4: up to d-2 random peers are checked by their
-// published list length; if none has entries, one more random controller
-// takes the task unchecked. Many tasks of one job are drawn for in as many
+// probe is steps 3 and 4: up to d-2 random peers are checked by the
+// published length of their idle lists; if none has entries, one more random controller
+// takes the task unchecked. Many tasks of one job are probed for in as many
 // parts as there are controllers, not one by one.
 func (c *Core) probe(r *jobRecord, tasks []int) {
 	for parts := 1 + len(c.membership.members); len(tasks) > 0; parts-- {
@@ -75,32 +77,13 @@
 	}
 }
 
+// maxHandoffTasks bounds the tasks of one handoff message.
+const maxHandoffTasks = 1024
+
+// probeFor hands tasks off to a peer that has room, or enqueues them here if no peer is known
+// that could take them.
 func (c *Core) probeFor(r *jobRecord, tasks []int) {
-	var peers []string
-	for _, p := range c.cfg.Peers {
-		if c.membership.members[p.Node] != nil {
-			peers = append(peers, p.Node)
-		}
-	}
-	sort.Strings(peers)
-	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	target := ""
-	checked := 0
-	for checked < len(peers) && checked < c.cfg.Operator.Probes-2 {
-		if m := c.membership.members[peers[checked]]; m.IdleMachines > 0 {
-			target = peers[checked]
-			break
-		}
-		checked++
-	}
-	if target == "" && checked < len(peers) {
-		target = peers[checked]
-		// A line needs a machine to be bound to: a controller without any
-		// that fits can't take the task.
-		if c.membership.members[target].Machines == 0 {
-			target = ""
-		}
-	}
+	target := c.pickPeer()
 	if target == "" {
 		c.enqueue(r, tasks, 0)
 		return
@@ -111,14 +94,49 @@
 	}
 	c.Stats.Handoffs += uint64(len(tasks))
 	for len(tasks) > 0 {
-		n := min(len(tasks), 1024)
+		n := min(len(tasks), maxHandoffTasks)
 		c.effects.Sends = append(c.effects.Sends, Outgoing{target, peer.Message{Handoff: &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}}})
 		tasks = tasks[n:]
 	}
 }
 
-// receiveHandoff takes tasks from a peer: pop, or else a line. What no machine here
-// could hold goes back.
+// pickPeer picks a peer to hand tasks off to: the first with idle machines of those probed,
+// or else the next one if it has any machines. It returns "" if there is none.
+func (c *Core) pickPeer() string {
+	var peers []string
+	for _, p := range c.cfg.Peers {
+		if c.membership.members[p.Node] != nil {
+			peers = append(peers, p.Node)
+		}
+	}
+	sort.Strings(peers)
+	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	probed := 0
+	for probed < len(peers) && probed < c.cfg.Operator.Probes-2 {
+		if c.membership.members[peers[probed]].IdleMachines > 0 {
+			return peers[probed]
+		}
+		probed++
+	}
+	// A queue needs a machine to be bound to: a controller without any
+	// can't take the task.
+	if probed < len(peers) && c.membership.members[peers[probed]].Machines > 0 {
+		return peers[probed]
+	}
+	return ""
+}
+
+// deferDispatch records that a task is with another controller and not to be dispatched
+// before a time.
+func (r *jobRecord) deferDispatch(i int, until time.Duration) {
+	if r.dispatchAfter == nil {
+		r.dispatchAfter = map[int]time.Duration{}
+	}
+	r.dispatchAfter[i] = until
+}
+
+// receiveHandoff takes tasks from a peer: they are placed on idle machines, or else queued.
+// What no machine here could hold goes back.
 func (c *Core) receiveHandoff(from string, handoff *peer.TaskHandoff) {
 	r := c.jobs.byID[handoff.Job]
 	if r == nil {
@@ -138,17 +156,10 @@
 		if !c.placeable(r, i) {
 			continue
 		}
-		if len(unplaced) == 0 { // else nothing here fits the job
-			m := c.pickIdleMachine(r)
-			if m != nil && (c.preemptOnWarmMachine(r, i, m) || c.staging.waitsForWarmMachine(r, i, m)) {
-				continue
-			}
-			if m != nil {
-				c.placeTask(r, i, m)
-				continue
-			}
+		// Once a task is left, nothing here fits the job.
+		if len(unplaced) > 0 || !c.placeOnIdleMachine(r, i) {
+			unplaced = append(unplaced, i)
 		}
-		unplaced = append(unplaced, i)
 	}
 	if len(unplaced) > 0 && c.machineThatCouldHold(r) == nil {
 		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: &peer.TaskHandoff{Job: handoff.Job, Tasks: unplaced}}})
@@ -164,20 +175,20 @@
 		return
 	}
 	for _, i := range handoff.Tasks {
-		if _, away := r.dispatchAfter[i]; away {
+		if _, deferred := r.dispatchAfter[i]; deferred {
 			r.deferDispatch(i, c.now+seconds(c.cfg.Facts.Workers.Report/4))
 		}
 	}
 }
 
-// earlyHandoff is a hand-over of a job that the mirror does not hold yet.
+// earlyHandoff is a handoff of tasks of a job that the mirror does not hold yet.
 type earlyHandoff struct {
 	from    string
 	handoff *peer.TaskHandoff
 	at      time.Duration
 }
 
-// maxEarlyHandoffs bounds the jobs of which such hand-overs are kept.
+// maxEarlyHandoffs bounds the jobs of which such handoffs are kept.
 const maxEarlyHandoffs = 256
 
 // expireEarlyHandoffs forgets the handoffs of each job whose first one is older than maxAge.
@@ -189,7 +200,7 @@
 	}
 }
 
-// replayEarlyHandoffs takes what was handed over before the job's record came, unless
+// replayEarlyHandoffs takes what was handed off before the job's record came, unless
 // the sender has given it to somebody else by now.
 func (c *Core) replayEarlyHandoffs(id string) {
 	waiting := c.scheduler.earlyHandoffs[id]
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -4,40 +4,42 @@
 	"slices"
 	"sort"
 	"time"
+
+	"silvergate/internal/job"
 )
 
-// queuedTask is a task in a machine's line. The lines of our machines are kept by
-// job, in the order of the jobs' turns: a job's tasks are alike, so what one of
+// queuedTask is a task in a machine's queue. The queues of our machines are kept by
+// job, in the order of the jobs: a job's tasks are alike, so what one of
 // them can't use none of them can. Each entry names its machine.
 type queuedTask struct {
 	key              taskKey
 	machine          string
-	expiresAt        time.Duration // handed over by a peer: kept until then
+	expiresAt        time.Duration // handed off by a peer: kept until then; 0: not handed off
 	nextPreemptionAt time.Duration // stops were ordered for it: no others before
 }
 
-// enqueue binds tasks to the line of a random machine of ours that could hold
-// them.
-func (c *Core) enqueue(r *jobRecord, tasks []int, until time.Duration) {
+// enqueue puts tasks into the queue of a random machine of ours that could hold
+// them, those of a peer until they expire.
+func (c *Core) enqueue(r *jobRecord, tasks []int, expiresAt time.Duration) {
 	if len(tasks) == 0 {
 		return
 	}
 	for _, i := range tasks {
 		if queued := r.queuedByIndex[i]; queued != nil {
-			queued.expiresAt = max(queued.expiresAt, until)
+			queued.expiresAt = max(queued.expiresAt, expiresAt)
 			continue
 		}
-		queued := &queuedTask{key: taskKey{r.spec.ID, i}, expiresAt: until}
+		queued := &queuedTask{key: taskKey{r.spec.ID, i}, expiresAt: expiresAt}
 		if m := c.machineThatCouldHold(r); m != nil {
 			queued.machine = m.id
-		} else if until > 0 {
+		} else if expiresAt > 0 {
 			return // nothing here could hold it
 		}
 		c.scheduler.enqueueTask(r, queued)
 	}
 }
 
-// enqueueTask puts a task into a line.
+// enqueueTask puts a task into the queue, and its job in its place by urgency.
 func (s *scheduler) enqueueTask(r *jobRecord, queued *queuedTask) {
 	i := queued.key.index
 	if r.queuedByIndex == nil {
@@ -53,6 +55,7 @@
 	}
 }
 
+// dequeueTask removes a task from the queue, if it is there.
 func (s *scheduler) dequeueTask(r *jobRecord, index int) {
 	if r.queuedByIndex[index] == nil {
 		return
@@ -71,16 +74,16 @@
 }
 
 // placeQueuedTasks is step 5: a joining machine takes the oldest tasks it can hold,
-// from its own line or another's.
+// from its own queue or another's.
 func (c *Core) placeQueuedTasks(m *machine) {
 	for i := 0; i < len(c.scheduler.queuedJobs) && c.hasRoom(m); {
 		r := c.scheduler.queuedJobs[i]
 		for c.fits(r, m) {
-			at := slices.IndexFunc(r.queue, func(w *queuedTask) bool { return c.placeable(r, w.key.index) })
+			at := slices.IndexFunc(r.queue, func(queued *queuedTask) bool { return c.placeable(r, queued.key.index) })
 			if at < 0 || c.staging.waitsForWarmMachine(r, r.queue[at].key.index, m) {
 				break
 			}
-			c.placeTask(r, r.queue[at].key.index, m) // takes it out of the line
+			c.placeTask(r, r.queue[at].key.index, m) // takes it out of the queue
 		}
 		if i < len(c.scheduler.queuedJobs) && c.scheduler.queuedJobs[i] == r {
 			i++
@@ -88,7 +91,42 @@
 	}
 }
 
-// runsBefore orders the lines. Exception "urgency": the design's line is first-in
-// first-out; here a higher priority goes first, and within it the job whose
-// turn comes earlier.
+// pruneQueues orders the queued jobs by urgency and removes the tasks that are placed, over
+// or expired.
+func (c *Core) pruneQueues() {
+	slices.SortStableFunc(c.scheduler.queuedJobs, compareUrgency)
+	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
+		for _, queued := range slices.Clone(r.queue) {
+			index := queued.key.index
+			expired := queued.expiresAt > 0 && c.now > queued.expiresAt
+			if expired || r.final() || r.task(c, index).Phase != job.Pending {
+				c.scheduler.dequeueTask(r, index)
+			}
+		}
+	}
+}
+
+// retryQueuedTasks sends the queued tasks of our own jobs to probe again after a while:
+// machines may have become free at other controllers.
+func (c *Core) retryQueuedTasks() {
+	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
+		var retry []int
+		for _, queued := range r.queue {
+			index := queued.key.index
+			due := r.dispatchAfter[index] + c.cfg.Operator.PublishInterval
+			if queued.expiresAt == 0 && c.now >= queued.nextPreemptionAt && c.now >= due {
+				retry = append(retry, index)
+			}
+		}
+		for _, i := range retry {
+			r.deferDispatch(i, c.now)
+			c.scheduler.dequeueTask(r, i)
+		}
+		c.probe(r, retry)
+	}
+}
+
+// runsBefore orders the queues. Exception "urgency": the thesis's queue is first-in
+// first-out; here a higher priority goes first, and within it the job with the earlier
+// latest start.
 func runsBefore(x, y *jobRecord) bool { return compareUrgency(x, y) < 0 }
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -3,8 +3,6 @@
 import (
 	"slices"
 	"time"
-
-	"silvergate/internal/job"
 )
 
 // scheduler owns the idle list, the queues of waiting tasks, and the credit for moving
@@ -18,24 +16,17 @@
 	capacityAt          time.Duration             // when it was last summed
 	serviceMoveCredit   float64                   // services that may be moved now, see consolidate
 	serviceMoveCreditAt time.Duration
-	nextServiceMoveAt   time.Duration
+	nextServiceMoveAt   time.Duration // see moveService
 }
 
 func newScheduler() scheduler {
 	return scheduler{earlyHandoffs: map[string][]earlyHandoff{}}
 }
 
-// schedule sends every pending task that is ours to look after on its way
-// again, and clears the lines of what has been placed or is over.
+// schedule removes from the queues what has been placed or is over, and dispatches every
+// pending task of the jobs that we are responsible for.
 func (c *Core) schedule() {
-	slices.SortStableFunc(c.scheduler.queuedJobs, compareUrgency)
-	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
-		for _, w := range slices.Clone(r.queue) {
-			if r.final() || r.task(c, w.key.index).Phase != job.Pending || (w.expiresAt > 0 && c.now > w.expiresAt) {
-				c.scheduler.dequeueTask(r, w.key.index)
-			}
-		}
-	}
+	c.pruneQueues()
 	if len(c.scheduler.queuedJobs) > 0 {
 		for _, m := range slices.Clone(c.scheduler.idle) {
 			if !c.unschedulable(m) {
@@ -48,29 +39,15 @@
 		switch {
 		case r.finished == r.spec.Tasks:
 			c.completeJob(r)
-		case r.bound+r.finished+len(r.reservations) < r.spec.Tasks && c.responsibleController(r.owner) == c.cfg.Node:
+		case r.bound+r.finished+len(r.reservations) < r.spec.Tasks && c.isResponsibleFor(r):
 			c.dispatchJob(r)
 		}
 	}
-	// Our own line's tasks look elsewhere again after a while: machines may
-	// have become free at other controllers.
-	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
-		var retry []int
-		for _, w := range r.queue {
-			if w.expiresAt == 0 && c.now >= w.nextPreemptionAt && c.now >= r.dispatchAfter[w.key.index]+c.cfg.Operator.PublishInterval {
-				retry = append(retry, w.key.index)
-			}
-		}
-		for _, i := range retry {
-			r.deferDispatch(i, c.now)
-			c.scheduler.dequeueTask(r, i)
-		}
-		c.probe(r, retry)
-	}
+	c.retryQueuedTasks()
 }
 
 // offerMachine puts a machine with room into the idle list, after it has taken the
-// oldest tasks that it can hold from any line.
+// oldest tasks that it can hold from any queue.
 func (c *Core) offerMachine(m *machine) {
 	if c.unschedulable(m) {
 		c.scheduler.removeFromIdleList(m)
@@ -89,18 +66,27 @@
 	c.offerHeldRoom(m)
 }
 
+// removeFromIdleList removes a machine from the idle list, if it is there; the last one takes
+// its place.
 func (s *scheduler) removeFromIdleList(m *machine) {
 	if m.idleListIndex == 0 {
 		return
 	}
 	last := s.idle[len(s.idle)-1]
-	s.idle[m.idleListIndex-1], last.idleListIndex = last, m.idleListIndex
+	s.idle[m.idleListIndex-1] = last
+	last.idleListIndex = m.idleListIndex
 	s.idle = s.idle[:len(s.idle)-1]
 	m.idleListIndex = 0
 }
 
+// machineFreed offers a machine of ours on which room has become free, if its last heartbeat
+// is recent enough for an entry of the idle list.
 func (c *Core) machineFreed(id string) {
-	if m := c.machines.byID[id]; m != nil && c.isOwn(m) && m.tokenSeen && c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
+	m := c.machines.byID[id]
+	if m == nil || !c.isOwn(m) || !m.tokenSeen {
+		return
+	}
+	if c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
 		c.offerMachine(m)
 	}
 }
@@ -115,7 +101,7 @@
 }
 
 // requeueTask looks for a new place for a task that was stopped or lost, at once
-// and here; failing that, its job's keeper sends it on its way.
+// and here; failing that, the controller responsible for its job dispatches it.
 func (c *Core) requeueTask(r *jobRecord, index int) {
 	if isGang(r) || !c.placeable(r, index) {
 		return
