--- a/internal/coordination/bin_packing.go
+++ b/internal/coordination/bin_packing.go
@@ -10,16 +10,16 @@
 	"silvergate/internal/protocol"
 )
 
-// shape of a machine in a plan.
+// slot is a machine in a packing, with what is left of it.
 type slot struct {
 	id       string
 	offering offering
 	cpus     float64
 	gpus     float64
 	memoryGB float64
-	bound    bool
-	used     bool
-	planned  bool
+	bound    bool // tasks are bound to it
+	used     bool // the packing has put tasks onto it
+	planned  bool // it is to be rented
 }
 
 // fits tells whether a task may and can be put into the slot.
@@ -43,9 +43,8 @@
 	s.used = true
 }
 
-// plan packs what waits onto the machines there are and those
-// that are booting. What does not fit is rented for; what is not used is
-// returned after a while.
+// planFleet packs the open work onto the machines there are and those that are booting.
+// Machines are rented for what does not fit; what is not used is drained after a while.
 func (c *Core) planFleet() {
 	p := c.newBinPacking()
 	p.addMachines()
@@ -61,49 +60,61 @@
 }
 
 // binPacking is one plan: the machines that there are, that boot and that are to be rented,
-// with what waits put onto them.
+// with the open work put onto them.
 type binPacking struct {
 	core             *Core
 	slots            []*slot
 	known            map[string]bool // machines that have a slot, or a claim
-	machinesByZone   map[string]int  // machines in each
-	unreachableZones map[string]bool // zones that nobody hears
+	machinesByZone   map[string]int
+	unreachableZones map[string]bool // see zoneUnreachable
 	unresponsive     map[string]bool // machines to which no work can be given
 	booting          int
-	toRent           map[offering]int // machines to be rented
-	urgent           map[offering]bool
-	unplaceable      int // tasks for which nothing can be rented
-	firstOpenSlot    int // slots before this one have nothing left for any open job
+	toRent           map[offering]int
+	urgent           map[offering]bool // production work waits for these
+	unplaceable      int               // tasks for which nothing can be rented
+	firstOpenSlot    int               // slots before this one have nothing left for any open job
 }
 
 func (c *Core) newBinPacking() *binPacking {
-	p := &binPacking{core: c, known: map[string]bool{}, machinesByZone: map[string]int{}, unreachableZones: map[string]bool{}, unresponsive: map[string]bool{}, toRent: map[offering]int{}, urgent: map[offering]bool{}}
+	p := &binPacking{
+		core:             c,
+		known:            map[string]bool{},
+		machinesByZone:   map[string]int{},
+		unreachableZones: map[string]bool{},
+		unresponsive:     map[string]bool{},
+		toRent:           map[offering]int{},
+		urgent:           map[offering]bool{},
+	}
 	for _, v := range c.scaler.zoneViews {
 		for _, id := range v.unresponsive {
 			p.unresponsive[id] = c.now-v.at < seconds(c.cfg.Facts.Workers.Report)
 		}
 	}
-	for _, z := range c.cfg.Facts.Zones {
-		if p.unreachableZones[z] = c.zoneUnreachable(z); p.unreachableZones[z] {
-			p.machinesByZone[z] = unreachableZoneLoad
+	for _, zone := range c.cfg.Facts.Zones {
+		if c.zoneUnreachable(zone) {
+			p.unreachableZones[zone] = true
+			p.machinesByZone[zone] = unreachableZoneLoad
 		}
 	}
 	return p
 }
 
-// unreachableZoneLoad is counted as the machines of a dark zone: nothing is rented there while there
-// is another way.
+// unreachableZoneLoad is counted as the machines of an unreachable zone: nothing is rented
+// there while there is another way.
 const unreachableZoneLoad = 1 << 20
 
 // addSlot makes a slot of a machine; m is nil while it has no claim.
 func (p *binPacking) addSlot(id string, where offering, m *machine) {
-	t, ok := p.core.catalogue.types[where.machineType]
+	machineType, ok := p.core.catalogue.types[where.machineType]
 	if !ok {
 		return
 	}
-	s := &slot{id: id, offering: where, cpus: t.CPUs, gpus: t.GPUs, memoryGB: t.MemoryGB}
+	s := &slot{id: id, offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB}
 	if m != nil {
-		s.cpus, s.gpus, s.memoryGB, s.bound = t.CPUs-m.cpus, t.GPUs-m.gpus, t.MemoryGB-m.ram, len(m.bound) > 0
+		s.cpus = machineType.CPUs - m.cpus
+		s.gpus = machineType.GPUs - m.gpus
+		s.memoryGB = machineType.MemoryGB - m.ram
+		s.bound = len(m.bound) > 0
 	}
 	p.slots = append(p.slots, s)
 }
@@ -130,17 +141,17 @@
 // addCloudMachines adds the machines that the cloud lists and nobody has claimed yet.
 func (p *binPacking) addCloudMachines() {
 	f := &p.core.scaler
-	for id, l := range f.cloudMachines {
-		if _, gone := f.deletedAt[id]; gone || p.known[id] || l.Status == protocol.StatusFailed {
+	for id, listed := range f.cloudMachines {
+		if _, deleted := f.deletedAt[id]; deleted || p.known[id] || listed.Status == protocol.StatusFailed {
 			continue
 		}
 		p.known[id] = true
 		p.booting++
-		p.addSlot(id, offering{l.MachineType, l.Zone, l.Spot}, nil)
+		p.addSlot(id, offering{listed.MachineType, listed.Zone, listed.Spot}, nil)
 	}
 }
 
-// addRentals adds the machines of rentals that are asked for, or answered and not listed yet.
+// addRentals adds the machines of rentals that are recorded, or answered and not listed yet.
 func (p *binPacking) addRentals() {
 	for name, r := range p.core.scaler.rentals {
 		for i := 0; i < r.Count; i++ {
@@ -156,12 +167,12 @@
 				p.known[id] = true
 			}
 			p.booting++
-			p.addSlot(id, offering{r.MachineType, r.Zone, r.Spot}, nil)
+			p.addSlot(id, r.offering(), nil)
 		}
 	}
 }
 
-// sortSlots puts fuller machines first, so that empty ones can be returned.
+// sortSlots puts machines with bound tasks first, so that empty ones can be deleted.
 func (p *binPacking) sortSlots() {
 	sort.Slice(p.slots, func(i, j int) bool {
 		a, b := p.slots[i], p.slots[j]
@@ -175,7 +186,7 @@
 	})
 }
 
-// packJobs packs the open jobs, in the order of their turns.
+// packJobs packs the open jobs, most urgent first.
 func (p *binPacking) packJobs() {
 	c := p.core
 	uses := map[string]usage{}
@@ -195,27 +206,27 @@
 	}
 }
 
-// tasksToPack is how many tasks of a job are to be packed within its team's limit; uses is what the
-// teams use with what has been packed already.
+// tasksToPack is how many tasks of a job are to be packed within its team's limit; uses is
+// what the teams use with what has been packed already.
 func (p *binPacking) tasksToPack(r *jobRecord, uses map[string]usage) (n int) {
 	c := p.core
 	tm := c.jobs.teams[r.spec.Team]
-	if tm == nil || c.paused(r) { // nothing is rented for what is not tried now
+	if tm == nil || c.paused(r) { // nothing is rented for a job that is not retried now
 		return 0
 	}
-	u, ok := uses[r.spec.Team]
+	used, ok := uses[r.spec.Team]
 	if !ok {
-		u = tm.charged
+		used = tm.charged
 	}
-	// More than a page's worth at a time need not be planned for.
+	// More than two pages' worth at a time need not be planned for.
 	pending := min(r.spec.Tasks-r.bound-r.finished, 2*c.tasksPerPage())
 	if !isGang(r) {
 		pending = c.failureHistory(r).AtOnce(pending)
 	}
-	for ; n < pending && tm.withinLimit(u.plus(r.spec, 1)); n++ {
-		u = u.plus(r.spec, 1)
+	for ; n < pending && tm.withinLimit(used.plus(r.spec, 1)); n++ {
+		used = used.plus(r.spec, 1)
 	}
-	uses[r.spec.Team] = u
+	uses[r.spec.Team] = used
 	return n
 }
 
@@ -229,12 +240,13 @@
 	return counts
 }
 
-// packTasks packs n tasks of a job; avoid counts its tasks in each zone if it must be spread.
+// packTasks packs n tasks of a job; tasksByZone counts its tasks in each zone if it must be
+// spread, and is nil otherwise.
 func (p *binPacking) packTasks(spec *job.Spec, n int, tasksByZone map[string]int) {
 	p.skipFullSlots()
 	at := p.firstOpenSlot // a job's tasks are alike: what can't take one takes none
 	for ; n > 0; n-- {
-		for at < len(p.slots) && !(p.slots[at].fits(spec) && (tasksByZone == nil || tasksByZone[p.slots[at].offering.zone] < spec.SpreadLimit())) {
+		for at < len(p.slots) && !(p.slots[at].fits(spec) && spreadAllows(spec, tasksByZone, p.slots[at].offering.zone)) {
 			at++
 		}
 		if at < len(p.slots) {
@@ -256,7 +268,13 @@
 	}
 }
 
-// skipFullSlots passes over slots that have nothing left.
+// spreadAllows tells whether another task of a job may go to a zone; tasksByZone is nil for a
+// job that need not be spread.
+func spreadAllows(spec *job.Spec, tasksByZone map[string]int, zone string) bool {
+	return tasksByZone == nil || tasksByZone[zone] < spec.SpreadLimit()
+}
+
+// skipFullSlots passes over slots that have nothing left for any open job.
 func (p *binPacking) skipFullSlots() {
 	for p.firstOpenSlot < len(p.slots) {
 		s := p.slots[p.firstOpenSlot]
@@ -267,18 +285,19 @@
 	}
 }
 
-// planMachine has a machine rented, with a task of a job on it.
+// planMachine adds a machine that is to be rented, with a task of a job on it.
 func (p *binPacking) planMachine(where offering, spec *job.Spec) {
-	t := p.core.catalogue.types[where.machineType]
-	s := &slot{offering: where, cpus: t.CPUs, gpus: t.GPUs, memoryGB: t.MemoryGB, planned: true}
+	machineType := p.core.catalogue.types[where.machineType]
+	s := &slot{offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB, planned: true}
 	s.add(spec)
 	p.slots = append(p.slots, s)
 	p.toRent[where]++
 	p.urgent[where] = p.urgent[where] || spec.Priority == job.Production
 }
 
-// cheapestOffering picks where to rent for a task: the cheapest type and kind per
-// task that has not just been refused, in the zone with the fewest planned.
+// cheapestOffering picks where to rent for a task: the offering that costs least for each
+// task on it and was not refused a short while ago, in the zone with the fewest machines.
+// Costs that differ by less than priceTolerance count as equal.
 func (c *Core) cheapestOffering(spec *job.Spec, toRent map[offering]int, tasksByZone, machinesByZone map[string]int) (offering, bool) {
 	var best offering
 	bestCost, bestLoad, found := 0.0, 0, false
@@ -288,32 +307,43 @@
 			continue
 		}
 		perMachine := tasksPerMachine(machineType, spec)
-		for _, spot := range []bool{true, false} {
-			if spot && !spec.Spot {
+		for _, where := range offeringsFor(typeName, machineType, spec) {
+			if c.now < c.scaler.refusedUntil[where] || !spreadAllows(spec, tasksByZone, where.zone) {
 				continue
 			}
-			price := machineType.OnDemandPrice
-			if spot {
-				price = machineType.SpotPrice
-			}
-			for _, zone := range machineType.Zones {
-				where := offering{typeName, zone, spot}
-				if (spec.Zone != "" && spec.Zone != zone) || c.now < c.scaler.refusedUntil[where] || (tasksByZone != nil && tasksByZone[zone] >= spec.SpreadLimit()) {
-					continue
-				}
-				cost, load := price/perMachine, toRent[where]+machinesByZone[zone]
-				if !found || cost < bestCost*0.999 || (cost < bestCost*1.001 && load < bestLoad) {
-					best, bestCost, bestLoad, found = where, cost, load, true
-				}
+			cost := where.price(machineType) / perMachine
+			load := toRent[where] + machinesByZone[where.zone]
+			cheaper := cost < bestCost*(1-priceTolerance)
+			alike := cost < bestCost*(1+priceTolerance)
+			if !found || cheaper || alike && load < bestLoad {
+				best, bestCost, bestLoad, found = where, cost, load, true
 			}
 		}
 	}
 	return best, found
 }
 
-// tasksPerMachine is how many such tasks a machine of a type holds.
+// priceTolerance is the share by which costs may differ and still count as equal.
+const priceTolerance = 0.001
+
+// offeringsFor lists the offerings of a machine type that a job may use, spot first.
+func offeringsFor(typeName string, machineType *protocol.MachineType, spec *job.Spec) (offerings []offering) {
+	for _, spot := range []bool{true, false} {
+		if spot && !spec.Spot {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			if spec.Zone == "" || spec.Zone == zone {
+				offerings = append(offerings, offering{typeName, zone, spot})
+			}
+		}
+	}
+	return offerings
+}
+
+// tasksPerMachine is how many tasks of a job a machine of a type holds, one at least.
 func tasksPerMachine(t *protocol.MachineType, s *job.Spec) float64 {
-	fit := 1e9
+	fit := 1e9 // for a job that asks for nothing
 	for _, d := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
 		if d[1] > 0 {
 			fit = min(fit, float64(int(d[0]/d[1]+tolerance)))
@@ -322,8 +352,9 @@
 	return max(fit, 1)
 }
 
-// pinZone picks the zone in which a one-zone job's tasks are planned: where
-// some are already, or else where most of them find room.
+// pinZone picks the zone in which a one-zone job's tasks are packed: where
+// some are already, or else where most of them find room. It returns the job's
+// specification with that zone.
 func (c *Core) pinZone(r *jobRecord, n int, slots []*slot, toRent map[offering]int, machinesByZone map[string]int) *job.Spec {
 	best, bestFit := r.spec, -1
 	for _, zone := range c.cfg.Facts.Zones {
@@ -346,34 +377,38 @@
 	return best
 }
 
-// machineSummary tells how many machines of each type there are, how many of their
-// accelerators are taken, and how many of those by services.
+// machineSummary tells, for the log, how many machines of each type there are, how many of
+// their GPUs are taken, and how many of those by services.
 func (c *Core) machineSummary() string {
-	type sum struct {
-		n                 int
-		all, used, steady float64
+	type summary struct {
+		machines                 int
+		gpus, taken, forServices float64
 	}
-	by := map[string]*sum{}
+	byKind := map[string]*summary{}
 	for id, m := range c.machines.byID {
 		if m.token == 0 {
 			continue
 		}
-		k := m.claim.MachineType
+		kind := m.claim.MachineType
 		if m.claim.Spot {
-			k += ",spot"
+			kind += ",spot"
 		}
 		if _, drained := c.machines.drains[id]; drained {
-			k += ",drained"
+			kind += ",drained"
 		}
-		if by[k] == nil {
-			by[k] = &sum{}
+		if byKind[kind] == nil {
+			byKind[kind] = &summary{}
 		}
-		s := by[k]
-		s.n, s.all, s.used, s.steady = s.n+1, s.all+c.machineTypeOf(m).GPUs, s.used+m.gpus, s.steady+m.serviceShare
+		s := byKind[kind]
+		s.machines++
+		s.gpus += c.machineTypeOf(m).GPUs
+		s.taken += m.gpus
+		s.forServices += m.serviceShare
 	}
 	out := ""
-	for _, k := range sortedKeys(by) {
-		out += fmt.Sprintf("%s:%d %g/%g steady %g; ", k, by[k].n, by[k].used, by[k].all, by[k].steady)
+	for _, kind := range sortedKeys(byKind) {
+		s := byKind[kind]
+		out += fmt.Sprintf("%s:%d %g/%g steady %g; ", kind, s.machines, s.taken, s.gpus, s.forServices)
 	}
 	return out
 }
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -142,9 +142,7 @@
 		}
 		machineType := c.machineTypeOf(target)
 		taken := reserved[target]
-		if target.cpus+taken.CPUs+r.spec.CPUs <= machineType.CPUs+tolerance &&
-			target.gpus+taken.GPUs+r.spec.GPUs <= machineType.GPUs+tolerance &&
-			target.ram+r.spec.MemoryGB <= machineType.MemoryGB+tolerance {
+		if hasCapacity(machineType, target.cpus+taken.CPUs, target.gpus+taken.GPUs, target.ram, r.spec) {
 			return target
 		}
 	}
--- a/internal/coordination/image_fetch.go
+++ b/internal/coordination/image_fetch.go
@@ -10,6 +10,7 @@
 	return max(c.imageTime(s, m), c.staging.wait(s, m))
 }
 
+// imageTime is how long a task would wait for its image on a machine, in seconds.
 func (c *Core) imageTime(s *job.Spec, m *machine) float64 {
 	machineType := c.machineTypeOf(m)
 	if at, ok := m.imageReadyAt[s.Image]; ok {
@@ -27,7 +28,7 @@
 	return pulls * s.ImageGB / machineType.ImagePullGBPerS
 }
 
-// fetching notes that a machine will have an image, and when.
+// recordImagePull records when a machine will have an image that it pulls from now on.
 func (c *Core) recordImagePull(m *machine, s *job.Spec) {
 	if _, ok := m.imageReadyAt[s.Image]; !ok {
 		m.imageReadyAt[s.Image] = c.now + seconds(c.imageTime(s, m))
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -11,24 +11,11 @@
 // are done. Here a waiting task of higher priority stops lower ones on one
 // machine of ours, chosen so that the least work is lost.
 
-// preempt looks for room for the waiters that nothing free can hold.
+// preempt looks for room for the queued tasks that nothing free can hold.
 func (c *Core) preempt() {
 	for _, r := range c.scheduler.queuedJobs {
-		if r.spec.Priority <= job.Low || isGang(r) {
-			continue
-		}
-		for _, w := range r.queue {
-			if c.now < w.nextPreemptionAt || !c.placeable(r, w.key.index) {
-				continue
-			}
-			m, victims := c.cheapestVictims(r, false)
-			if m == nil && r.task(c, w.key.index).Attempt > 0 {
-				m, victims = c.gangVictims(r) // it ran before
-			}
-			if m == nil {
-				break // the job's tasks are alike
-			}
-			c.preemptOn(r, w, m, victims)
+		if r.spec.Priority > job.Low && !isGang(r) {
+			c.preemptForJob(r)
 		}
 	}
 	for _, name := range sortedKeys(c.jobs.teams) {
@@ -36,11 +23,30 @@
 	}
 }
 
+// preemptForJob looks for room for a job's queued tasks.
+func (c *Core) preemptForJob(r *jobRecord) {
+	for _, queued := range r.queue {
+		if c.now < queued.nextPreemptionAt || !c.placeable(r, queued.key.index) {
+			continue
+		}
+		m, victims := c.cheapestVictims(r, false)
+		ranBefore := r.task(c, queued.key.index).Attempt > 0
+		if m == nil && ranBefore {
+			m, victims = c.gangVictims(r)
+		}
+		if m == nil {
+			return // the job's tasks are alike
+		}
+		c.preemptOn(r, queued, m, victims)
+	}
+}
+
 // preemptedForQuota is why a task is stopped whose team's limit is saved for a gang.
 const preemptedForQuota = "preempted for its team's limit"
 
-// preemptForQuota stops a task of lower priority of the team whose limit is saved for a gang, the one that loses least. Only one at a
-// time: every controller does so, and each learns from the records what the others have done.
+// preemptForQuota stops a task of lower priority of the team whose limit is saved for a gang,
+// the one that loses least. Only one at a time: every controller does so, and each learns
+// from the records what the others have done.
 func (c *Core) preemptForQuota(tm *team) {
 	r := tm.savingFor
 	if r == nil || tm.withinLimit(tm.charged.plus(r.spec, float64(r.spec.Tasks))) {
@@ -48,14 +54,12 @@
 	}
 	var best *machine
 	var victim taskKey
-	cost, seen := 0.0, 0
+	bestLoss, seen := 0.0, 0
 	start := c.random.IntN(max(1, len(c.machines.own)))
 	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
 		m := c.machines.own[(start+i)%len(c.machines.own)]
-		for k, s := range m.stops {
-			if v := m.bound[k]; s.reason == preemptedForQuota && v != nil && v.spec.Team == r.spec.Team {
-				return
-			}
+		if preemptsForQuotaOf(m, r.spec.Team) {
+			return
 		}
 		if len(m.bound) == m.services || len(m.stops) > 0 || !m.tokenSeen || m.leaseExpired {
 			continue
@@ -66,8 +70,8 @@
 			if v.spec.Team != r.spec.Team || v.spec.Priority >= r.spec.Priority || isGang(v) || v.final() || m.vacated[k] != nil {
 				continue
 			}
-			if loss := c.lostWork(m, k, v); best == nil || loss < cost {
-				best, victim, cost = m, k, loss
+			if loss := c.lostWork(m, k, v); best == nil || loss < bestLoss {
+				best, victim, bestLoss = m, k, loss
 			}
 		}
 	}
@@ -77,11 +81,21 @@
 	}
 }
 
+// preemptsForQuotaOf tells whether a task is being stopped on a machine for its team's limit.
+func preemptsForQuotaOf(m *machine, teamName string) bool {
+	for k, stop := range m.stops {
+		if v := m.bound[k]; stop.reason == preemptedForQuota && v != nil && v.spec.Team == teamName {
+			return true
+		}
+	}
+	return false
+}
+
 // preemptedGang is why a task is stopped that takes its gang with it.
 const preemptedGang = "preempted with its gang"
 
-// preemptOn stops tasks on a machine for a waiter. Their exits are reported at
-// once; should that fail, another machine is tried after a report period.
+// preemptOn stops tasks on a machine for a queued one. Their ends are reported at
+// once; should that fail, another machine is tried after a heartbeat period.
 func (c *Core) preemptOn(r *jobRecord, queued *queuedTask, m *machine, victims []taskKey) {
 	queued.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Report)
 	m.reserveRoom(r.spec.ID, queued.nextPreemptionAt, "")
@@ -97,12 +111,14 @@
 }
 
 // preemptOnWarmMachine has a service wait a moment for room where its image is, in place
-// of the machine popped for it, where the image would first have to be fetched.
+// of the machine picked for it, where the image would first have to be fetched.
 // Exception "warm room for services": what must never be down is worth more
 // than the few seconds of lower work that this loses.
 func (c *Core) preemptOnWarmMachine(r *jobRecord, index int, picked *machine) bool {
-	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.queuedByIndex[index] != nil ||
-		c.fetchTime(r.spec, picked) <= c.cfg.Facts.Workers.Report/2 {
+	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.queuedByIndex[index] != nil {
+		return false
+	}
+	if c.fetchTime(r.spec, picked) <= c.cfg.Facts.Workers.Report/2 {
 		return false
 	}
 	m, victims := c.cheapestVictims(r, true)
@@ -127,11 +143,7 @@
 	start := c.random.IntN(max(1, len(c.machines.own)))
 	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
 		m := c.machines.own[(start+i)%len(c.machines.own)]
-		lower := 0
-		for p := job.Low; p < r.spec.Priority; p++ {
-			lower += m.boundByPriority[p]
-		}
-		if lower == 0 || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
+		if !m.holdsBelow(r.spec.Priority) || !c.mayPreemptOn(r, m) {
 			continue
 		}
 		if warm && c.fetchTime(r.spec, m) > 0 {
@@ -154,6 +166,24 @@
 	return best, bestVictims
 }
 
+// holdsBelow tells whether tasks of a priority below the given one are bound to a machine.
+func (m *machine) holdsBelow(priority job.Priority) bool {
+	for p := job.Low; p < priority; p++ {
+		if m.boundByPriority[p] > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// mayPreemptOn tells whether tasks may be stopped on a machine to make room for a job's.
+func (c *Core) mayPreemptOn(r *jobRecord, m *machine) bool {
+	if len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) {
+		return false
+	}
+	return c.couldHold(r, m) && c.zoneAllowed(r, m.claim.Zone)
+}
+
 // gangVictims finds a machine where production work that ran before gets room at a
 // gang's cost: what is lost with a third of the machines is up again before training
 // is. What is new waits for room, as it did: stopping gangs for it too cost antrenare
@@ -162,16 +192,9 @@
 // the room of a whole machine, and soon that of the gang's others, serves several
 // that wait.
 func (c *Core) gangVictims(r *jobRecord) (*machine, []taskKey) {
-	if r.spec.Priority < job.Production {
+	if r.spec.Priority < job.Production || c.preemptsGang() {
 		return nil, nil
 	}
-	for _, m := range c.machines.own {
-		for _, s := range m.stops {
-			if s.reason == preemptedGang {
-				return nil, nil
-			}
-		}
-	}
 	var best *machine
 	var bestVictims []taskKey
 	bestCost := 0.0
@@ -179,7 +202,7 @@
 	start := c.random.IntN(max(1, len(c.machines.own)))
 	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
 		m := c.machines.own[(start+i)%len(c.machines.own)]
-		if len(m.bound) == m.services || len(m.stops) > 0 || c.now < m.holdTill || c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
+		if len(m.bound) == m.services || !c.mayPreemptOn(r, m) {
 			continue
 		}
 		victims, cost, ok := c.evict(r, m, true)
@@ -187,22 +210,57 @@
 			continue
 		}
 		seen++
-		if cost += c.fetchTime(r.spec, m); best == nil || cost < bestCost {
+		cost += c.fetchTime(r.spec, m)
+		if best == nil || cost < bestCost {
 			best, bestVictims, bestCost = m, victims, cost
 		}
 	}
 	return best, bestVictims
 }
 
+// preemptsGang tells whether a gang's task is being stopped on a machine of ours to make room.
+func (c *Core) preemptsGang() bool {
+	for _, m := range c.machines.own {
+		for _, stop := range m.stops {
+			if stop.reason == preemptedGang {
+				return true
+			}
+		}
+	}
+	return false
+}
+
 // evict picks the tasks of lower priority to stop on a machine, cheapest
 // first, and tells what work that loses in seconds of task time. With gangs, those
-// of several tasks may be among them.
+// of several tasks may be among them. It is not ok if nothing has to be stopped, or if all
+// that may be is not enough.
 func (c *Core) evict(r *jobRecord, m *machine, gangs bool) (victims []taskKey, cost float64, ok bool) {
-	type victim struct {
-		k    taskKey
-		rec  *jobRecord
-		cost float64
+	machineType := c.machineTypeOf(m)
+	cpus, gpus, memoryGB := m.cpus, m.gpus, m.ram
+	for _, v := range c.evictable(r, m, gangs) {
+		if hasCapacity(machineType, cpus, gpus, memoryGB, r.spec) {
+			break
+		}
+		cpus -= v.job.spec.CPUs
+		gpus -= v.job.spec.GPUs
+		memoryGB -= v.job.spec.MemoryGB
+		victims = append(victims, v.key)
+		cost += v.cost
 	}
+	ok = len(victims) > 0 && hasCapacity(machineType, cpus, gpus, memoryGB, r.spec)
+	return victims, cost, ok
+}
+
+// victim is a task that may be stopped, and what work that loses.
+type victim struct {
+	key  taskKey
+	job  *jobRecord
+	cost float64 // seconds of task time
+}
+
+// evictable lists the tasks on a machine that a job's task may displace: those of the lowest
+// priority first, and of these the cheapest.
+func (c *Core) evictable(r *jobRecord, m *machine, gangs bool) []victim {
 	var candidates []victim
 	for k, v := range m.bound {
 		if v.spec.Priority >= r.spec.Priority || isGang(v) && !gangs || v.final() || m.vacated[k] != nil {
@@ -215,23 +273,12 @@
 		candidates = append(candidates, victim{k, v, cost})
 	}
 	slices.SortFunc(candidates, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.rec.spec.Priority, b.rec.spec.Priority), cmp.Compare(a.cost, b.cost), a.k.compare(b.k))
+		return cmp.Or(cmp.Compare(a.job.spec.Priority, b.job.spec.Priority), cmp.Compare(a.cost, b.cost), a.key.compare(b.key))
 	})
-	machineType := c.machineTypeOf(m)
-	s := r.spec
-	cpus, gpus, ram := m.cpus, m.gpus, m.ram
-	for _, v := range candidates {
-		if cpus+s.CPUs <= machineType.CPUs+tolerance && gpus+s.GPUs <= machineType.GPUs+tolerance && ram+s.MemoryGB <= machineType.MemoryGB+tolerance {
-			break
-		}
-		cpus, gpus, ram = cpus-v.rec.spec.CPUs, gpus-v.rec.spec.GPUs, ram-v.rec.spec.MemoryGB
-		victims, cost = append(victims, v.k), cost+v.cost
-	}
-	ok = len(victims) > 0 && cpus+s.CPUs <= machineType.CPUs+tolerance && gpus+s.GPUs <= machineType.GPUs+tolerance && ram+s.MemoryGB <= machineType.MemoryGB+tolerance
-	return victims, cost, ok
+	return candidates
 }
 
-// lostWork is the work that stopping a task loses: what it has done since its
+// lostWork is the work that stopping a task loses, in seconds: what it has done since its
 // start or its last checkpoint.
 func (c *Core) lostWork(m *machine, k taskKey, r *jobRecord) float64 {
 	at, ok := m.runningSince[k]
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -20,6 +20,14 @@
 	spot        bool
 }
 
+// price is what a machine of the offering costs.
+func (o offering) price(t *protocol.MachineType) float64 {
+	if o.spot {
+		return t.SpotPrice
+	}
+	return t.OnDemandPrice
+}
+
 // rentalState is what is known of rentals and of the cloud's refusals.
 type rentalState struct {
 	rentals        map[string]*rental         // by the name of the request
--- a/internal/coordination/stop_commands.go
+++ b/internal/coordination/stop_commands.go
@@ -17,26 +17,35 @@
 	}
 	t := rec.task(c, k.index)
 	grace := 0.0
-	if rec.spec.CheckpointIntervalS > 0 && !isGang(rec) { // a gang saves when all are told in time
+	if rec.spec.CheckpointIntervalS > 0 && !isGang(rec) { // a gang saves when all its tasks get their notice in time
 		grace = rec.spec.CheckpointSaveS * 2
 	}
 	m.stops[k] = taskStop{grace, reason, c.now}
 	c.sendCommands(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
 }
 
-// killNow tells a worker directly to stop attempts.
+// sendCommands sends commands to a worker directly, ahead of its next heartbeat. Its reply
+// is taken in by handleCommandReply.
 func (c *Core) sendCommands(m *machine, commands ...protocol.Command) {
 	if m.claim.Address == "" || !m.tokenSeen {
 		return
 	}
 	token := m.token
 	body := encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: commands})
-	c.call(protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodPost, Path: protocol.PathCommands,
-		Body: body, Timeout: seconds(c.cfg.Facts.Workers.Report / 2)}, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
+	call := protocol.Call{
+		Target:  protocol.ToWorker,
+		Address: m.claim.Address,
+		Method:  http.MethodPost,
+		Path:    protocol.PathCommands,
+		Body:    body,
+		Timeout: seconds(c.cfg.Facts.Workers.Report / 2),
+	}
+	c.call(call, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
 }
 
-// stopTasksOf stops what a cancelled job has on machines of ours and what has not begun yet, as far as we know: no
-// task may start from the answer to the user on. What runs is stopped with the next reports' answers.
+// stopTasksOf stops the tasks of a cancelled job on machines of ours that have not begun yet,
+// as far as we know: no task may start once the user is answered. What runs is stopped with
+// the answers to the next heartbeats.
 func (c *Core) stopTasksOf(r *jobRecord) {
 	if r.status != job.Cancelled || r.bound == 0 {
 		return
@@ -49,7 +58,8 @@
 				continue
 			}
 			k := taskKey{p.jobID, p.number*c.tasksPerPage() + i}
-			if m := c.machines.byID[t.Machine]; m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
+			m := c.machines.byID[t.Machine]
+			if m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
 				commands[m.id] = append(commands[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
 			}
 		}
@@ -59,11 +69,14 @@
 	}
 }
 
-// handleStatus takes the report in the answer to direct commands. Only endings are
-// read from it: they stay true however late it comes.
+// handleCommandReply takes the heartbeat in the reply to direct commands. Only the ends of
+// tasks are read from it: they stay true however late it comes.
 func (c *Core) handleCommandReply(m *machine, token uint64, r protocol.Reply) {
 	var reply protocol.Heartbeat
-	if r.Status != http.StatusOK || m.token != token || protocol.Decode(r.Body, &reply) != nil || reply.FencingToken != token || c.state.AppliedRevision() < token {
+	if r.Status != http.StatusOK || m.token != token || protocol.Decode(r.Body, &reply) != nil {
+		return
+	}
+	if reply.FencingToken != token || c.state.AppliedRevision() < token {
 		return
 	}
 	vacatedBefore := len(m.vacated)
@@ -83,17 +96,20 @@
 		if rec == nil {
 			continue
 		}
-		if t := rec.task(c, index); t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == status.Attempt && !c.releasePending(rec, index) {
+		t := rec.task(c, index)
+		sameAttempt := t.Phase == job.Bound && t.Machine == m.id && t.Epoch == reply.AgentEpoch && t.Attempt == status.Attempt
+		if sameAttempt && !c.releasePending(rec, index) {
 			c.proposeEnding(m, rec, k, t, status)
 		}
 	}
 }
 
-// markRunning notes when a task was first seen running, and tells whether this is it.
+// recordRunning records when a task was first seen running, and tells whether this is the
+// first time.
 func (m *machine) recordRunning(k taskKey, at time.Duration) bool {
-	_, was := m.runningSince[k]
-	if !was {
-		m.runningSince[k] = at
+	if _, known := m.runningSince[k]; known {
+		return false
 	}
-	return !was
+	m.runningSince[k] = at
+	return true
 }
