--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -77,10 +77,10 @@
 			for _, n := range []int{1, 2, 3, 5} {
 				for _, team := range []string{"red", "blue", "nobody"} {
 					for _, need := range [][3]float64{{1, 0, 1}, {4, 1, 8}, {5, 1, 8}, {16, 4, 64}, {1, 0, 65}} {
-						for _, rigs := range [][]string{nil, {"small"}, {"large"}, {"none"}, {}} {
+						for _, machineTypes := range [][]string{nil, {"small"}, {"large"}, {"none"}, {}} {
 							for _, zone := range []string{"", "a", "c", "z"} {
 								for flags := range 8 {
-									s := &job.Spec{ID: "wk-000001", Shape: shape, Tasks: n, Team: team, CPUs: need[0], GPUs: need[1], MemoryGB: need[2], MachineTypes: rigs, Zone: zone,
+									s := &job.Spec{ID: "wk-000001", Shape: shape, Tasks: n, Team: team, CPUs: need[0], GPUs: need[1], MemoryGB: need[2], MachineTypes: machineTypes, Zone: zone,
 										OneZone: flags&1 > 0, Spread: flags&2 > 0, Spot: flags&4 > 0}
 									err := c.checkFeasible(s)
 									if want := canRun(s, types, teams); want != (err == nil) {
@@ -113,7 +113,7 @@
 		return map[string]any{"ref": id, "jobclass": "arr", "crew": "blue", "shape": "batch", "urgency": "idle", "loads": 2, "cpus": 1, "accelerators": 0, "ramGb": 1,
 			"kit": "k", "sizeGb": 1, "rigs": nil, "depot": nil, "oneZone": false, "apart": false, "casual": true, "etaS": 5, "waypointS": 0, "stowS": 0, "dueS": nil}
 	}
-	ask := func(n int, method, path string, body []byte) (status int, answer string) {
+	request := func(n int, method, path string, body []byte) (status int, answer string) {
 		s.nodes[n].request("users", method, path, body, func(st int, b []byte) { status, answer = st, string(b) })
 		for end := s.now + 4500*time.Millisecond; status == 0 && s.now < end; {
 			s.run(s.now + 10*time.Millisecond)
@@ -127,7 +127,7 @@
 		}
 		return encode(m)
 	}
-	if st, answer := ask(0, "POST", protocol.PathJobs, encode(valid("wk-700000"))); st != 201 {
+	if st, answer := request(0, "POST", protocol.PathJobs, encode(valid("wk-700000"))); st != 201 {
 		t.Fatal(st, answer)
 	}
 	type bad struct {
@@ -147,18 +147,18 @@
 	}
 	for i, k := range cases {
 		id := fmt.Sprintf("wk-71%04d", i)
-		if st, answer := ask(i%3, "POST", protocol.PathJobs, with(id, k.field, k.v)); st != k.status || !strings.Contains(answer, k.says) {
+		if st, answer := request(i%3, "POST", protocol.PathJobs, with(id, k.field, k.v)); st != k.status || !strings.Contains(answer, k.says) {
 			t.Errorf("%s = %v: %d %s", k.field, k.v, st, answer)
 		}
-		if st, answer := ask((i+1)%3, "GET", protocol.PathJobs+"/"+id, nil); st != 404 {
+		if st, answer := request((i+1)%3, "GET", protocol.PathJobs+"/"+id, nil); st != 404 {
 			t.Errorf("%s = %v: then %d %s", k.field, k.v, st, answer)
 		}
 		// The same as a repetition of a known job.
-		if st, answer := ask((i+1)%3, "POST", protocol.PathJobs, with("wk-700000", k.field, k.v)); st != 200 {
+		if st, answer := request((i+1)%3, "POST", protocol.PathJobs, with("wk-700000", k.field, k.v)); st != 200 {
 			t.Errorf("repeated with %s = %v: %d %s", k.field, k.v, st, answer)
 		}
 	}
-	if st, _ := ask(1, "POST", protocol.PathJobs+"/wk-799999/abort", nil); st != 404 {
+	if st, _ := request(1, "POST", protocol.PathJobs+"/wk-799999/abort", nil); st != 404 {
 		t.Errorf("cancelling an unknown job: %d", st)
 	}
 	// A job that is known by a record that can't be read is not unknown, and a job that is done is not cancelled.
@@ -170,16 +170,16 @@
 		t.Fatalf("the job is %q", u.final)
 	}
 	for n := range s.nodes {
-		if st, answer := ask(n, "POST", protocol.PathJobs+"/wk-700001/abort", nil); st != 200 || !strings.Contains(answer, `"done"`) {
+		if st, answer := request(n, "POST", protocol.PathJobs+"/wk-700001/abort", nil); st != 200 || !strings.Contains(answer, `"done"`) {
 			t.Errorf("cancelling what is done, at n%d: %d %s", n, st, answer)
 		}
-		if st, answer := ask(n, "GET", protocol.PathJobs+"/wk-700002", nil); st != 503 {
+		if st, answer := request(n, "GET", protocol.PathJobs+"/wk-700002", nil); st != 503 {
 			t.Errorf("asking for what can't be read, at n%d: %d %s", n, st, answer)
 		}
-		if st, answer := ask(n, "POST", protocol.PathJobs+"/wk-700002/abort", nil); st != 503 {
+		if st, answer := request(n, "POST", protocol.PathJobs+"/wk-700002/abort", nil); st != 503 {
 			t.Errorf("cancelling what can't be read, at n%d: %d %s", n, st, answer)
 		}
-		if st, answer := ask(n, "POST", protocol.PathJobs, with("wk-700002", "loads", 0)); st != 503 {
+		if st, answer := request(n, "POST", protocol.PathJobs, with("wk-700002", "loads", 0)); st != 503 {
 			t.Errorf("repeating what can't be read, at n%d: %d %s", n, st, answer)
 		}
 	}
--- a/internal/coordination/apart_test.go
+++ b/internal/coordination/failover_completions_test.go
@@ -22,9 +22,10 @@
 	return s
 }
 
-// TestEndingsFarApart has the controllers change in every way between the endings of a job's tasks. No ending
-// is forgotten before it is committed and none is counted twice: every job is called done,
-// not early (the checker of the rules says), and no task is started a second time while its machine is there.
+// TestEndingsFarApart has the controllers change in every way between the completions of a
+// job's tasks. No completion is forgotten before it is committed and none is counted twice:
+// every job is called done, not early (the checker of the rules says), and no task is started a
+// second time while its machine is there.
 func TestEndingsFarApart(t *testing.T) {
 	for name, change := range map[string]func(s *sim){
 		"the leader ends for good": func(s *sim) { s.busiest().crash(5 * time.Minute) },
@@ -67,9 +68,11 @@
 	}
 }
 
-// TestMachinesThatHearNobodyWhenTheirLeaderEnds has the leader end for good while its machines hear nobody, for
-// longer than their leases. What was bound there counts until there is evidence, so that no team is over its
-// limit and no task runs twice (the checkers say), and then it is free without the cloud's help, while they are still deaf, and runs in the end.
+// TestMachinesThatHearNobodyWhenTheirLeaderEnds has the leader end for good while its machines
+// are unresponsive, for longer than their leases. What was bound there counts until there is
+// evidence, so that no team is over its limit and no task runs twice (the checkers say), and
+// then it is free without the cloud's help, while they are still unresponsive, and runs in the
+// end.
 func TestMachinesThatHearNobodyWhenTheirLeaderEnds(t *testing.T) {
 	for seed := uint64(43_100); seed < 43_106; seed++ {
 		s := newSim(t, seed, 0)
@@ -125,31 +128,32 @@
 	}
 }
 
-// TestOldReportsChangeNothing sends copies of old reports, of an earlier session, attempt, holder and of after the
-// forgetting, at every later moment of a machine's story: none has anything written or launched.
+// TestOldReportsChangeNothing sends copies of old heartbeats, of an earlier agent epoch,
+// attempt, owner and of after the forgetting, at every later moment of a machine's history:
+// none has anything written or launched.
 func TestOldReportsChangeNothing(t *testing.T) {
 	running := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}
 	over := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseDone}
-	type old struct {
-		baton, shift, tally uint64
-		loads               []protocol.TaskStatus
+	type heartbeat struct {
+		token, epoch, sequence uint64
+		statuses               []protocol.TaskStatus
 	}
-	copies := []old{
+	copies := []heartbeat{
 		{0, 1, 1, nil},                              // before the claim
-		{50, 1, 1, []protocol.TaskStatus{over}},     // of an earlier holder's time
+		{50, 1, 1, []protocol.TaskStatus{over}},     // of an earlier owner's time
 		{120, 1, 2, nil},                            // before the launch
 		{120, 1, 4, []protocol.TaskStatus{running}}, // while it ran
-		{120, 1, 4, []protocol.TaskStatus{over}},    // a tally that is not newer
+		{120, 1, 4, []protocol.TaskStatus{over}},    // a sequence number that is not newer
 		{120, 1, 4, []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 0, Status: protocol.TaskEnded}}},
 	}
 	for i, k := range copies {
-		for _, later := range []string{"it runs", "in the next session", "under a new token"} {
+		for _, later := range []string{"it runs", "in the next agent epoch", "under a new token"} {
 			s := launching(t)
 			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120, Tasks: []protocol.TaskStatus{running}})
 			s.at += time.Second
 			s.report(120, 5, running)
 			switch later {
-			case "in the next session":
+			case "in the next agent epoch":
 				s.next++
 				s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
 					MachineType: "small", Zone: "a", AgentEpoch: 2, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}})))
@@ -158,12 +162,12 @@
 				s.report(130, 6, running) // as if a peer had answered it: a claim is due
 				s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 140})
 			}
-			open := len(s.todo)
+			callsBefore := len(s.todo)
 			s.next++
 			s.ans = nil
 			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
-				MachineType: "small", Zone: "a", AgentEpoch: k.shift, Sequence: k.tally, FencingToken: k.baton, Tasks: append([]protocol.TaskStatus{}, k.loads...)})))
-			for _, c := range s.todo[open:] {
+				MachineType: "small", Zone: "a", AgentEpoch: k.epoch, Sequence: k.sequence, FencingToken: k.token, Tasks: append([]protocol.TaskStatus{}, k.statuses...)})))
+			for _, c := range s.todo[callsBefore:] {
 				if c.Path == protocol.PathTxn || c.Path == protocol.PathCommands {
 					t.Errorf("copy %d when %s: %s %s", i, later, c.Path, c.Body)
 				}
@@ -177,9 +181,10 @@
 	}
 }
 
-// TestASiteThatCantBeReachedAfterARestartIsKept guards against a site that was returned whole: all controllers
-// ended, and their machines could not be reached for a while. None of the new lives held any of them, so
-// "most of ours are heard" was true of nothing, and after two and a half report periods all were drained.
+// TestASiteThatCantBeReachedAfterARestartIsKept guards against a site that was deleted whole:
+// all controllers ended, and their machines could not be reached for a while. None of the new
+// incarnations held any of them, so "most of ours are heard" was true of nothing, and after two
+// and a half heartbeat periods all were drained.
 func TestASiteThatCantBeReachedAfterARestartIsKept(t *testing.T) {
 	for _, v := range []struct {
 		name  string
@@ -197,11 +202,11 @@
 			}
 		})
 		s.run(60 * time.Second)
-		n := 0
+		unreachable := 0
 		for i, w := range s.cloud.sorted() {
 			if w.up && i%4 < v.share {
 				w.hung = s.now + 15*time.Second
-				n++
+				unreachable++
 			}
 		}
 		for _, c := range s.nodes {
@@ -214,8 +219,8 @@
 				drained++
 			}
 		}
-		if n == 0 || (drained == 0) != v.kept {
-			t.Errorf("%s: %d of %d that could not be reached were drained as silent", v.name, drained, n)
+		if unreachable == 0 || (drained == 0) != v.kept {
+			t.Errorf("%s: %d of %d that could not be reached were drained as silent", v.name, drained, unreachable)
 		}
 		s.run(2 * time.Minute)
 		s.report(t)
--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/protocol"
 )
 
-// leading is the controller that rents, nil if none does.
+// leading is the fleet's leader, nil if there is none.
 func (s *sim) leading() *simNode {
 	for _, n := range s.nodes {
 		if n.core != nil && n.core.isLeader() {
@@ -20,11 +20,12 @@
 	return nil
 }
 
-// TestNoMachineIsReturnedThatIsInUse guards against a deletion that overtakes the records: who rents drained a machine
-// as idle while its mirror was behind, its own drain was in the mirror at once, and it had the machine deleted
-// before the watch showed what had been placed there before the drain.
+// TestNoMachineIsReturnedThatIsInUse guards against a deletion that overtakes the records: the
+// leader drained a machine as idle while its mirror was behind, its own drain was in the mirror
+// at once, and it had the machine deleted before the watch showed what had been placed there
+// before the drain.
 func TestNoMachineIsReturnedThatIsInUse(t *testing.T) {
-	met := 0
+	drained := 0
 	for seed := uint64(45_000); seed < 45_006; seed++ {
 		s := newSim(t, seed, 0)
 		s.after(time.Second, func() {
@@ -33,17 +34,17 @@
 			}
 		})
 		s.run(50 * time.Second)
-		l := s.leading()
-		l.lag = time.Hour // its watch is answered late
+		leader := s.leading()
+		leader.lag = time.Hour // its watch is answered late
 		s.launched = func(w *simWorker, o protocol.Command) {
-			m := l.core.machines.byID[w.name]
-			if m == nil || m.token == 0 || len(m.bound) > 0 || l.core.isOwn(m) {
+			m := leader.core.machines.byID[w.name]
+			if m == nil || m.token == 0 || len(m.bound) > 0 || leader.core.isOwn(m) {
 				return
 			}
-			met++
-			l.core.beginStep(l.clock())
-			l.core.drainMachine(m, drainIdle)
-			l.effects(l.core.endStep())
+			drained++
+			leader.core.beginStep(leader.clock())
+			leader.core.drainMachine(m, drainIdle)
+			leader.effects(leader.core.endStep())
 		}
 		for i := range 12 {
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8}, 30, 0)
@@ -55,80 +56,91 @@
 		}
 		s.report(t)
 	}
-	if met == 0 {
+	if drained == 0 {
 		t.Error("no machine was drained behind the records: the day is none")
 	}
 }
 
-// TestATornMirrorReturnsNothing guards against a deletion while the records are read anew, by pages: what is bound to a machine
-// may be read although its claim, written meanwhile, was not, and a machine with tasks and no claim is one to be returned.
+// TestATornMirrorReturnsNothing guards against a deletion while the records are read anew, by
+// pages: what is bound to a machine may be read although its claim, written meanwhile, was not,
+// and a machine with tasks and no claim is one to be deleted.
 func TestATornMirrorReturnsNothing(t *testing.T) {
-	for _, torn := range []bool{true, false} {
-		s := newSim(t, 45_100, 0)
-		s.run(20 * time.Second)
-		l := s.leading()
-		c := l.core
-		// A job of one task that runs on a machine of which the mirror has no claim.
-		spec := encode(storedJob{&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, job.Open, 1, l.name})
-		page := json.RawMessage(writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-900000", Epoch: 1}}))
-		write := func(key string, data json.RawMessage) {
-			s.kv.rev++
-			s.kv.change(key, data, 0, s.kv.rev)
-		}
-		asked := 0
-		count := func(e Effects) Effects {
-			for _, k := range e.Calls {
-				if k.Path == protocol.PathRentalsDelete {
-					asked++
-				}
-			}
-			return e
-		}
-		if torn { // the watch is too old, and the page of claims has been read before the claim
-			l.cut["state"] = s.now + 1500*time.Millisecond // a watch is lost meanwhile
-			s.run(s.now + 1500*time.Millisecond)
-			for i := range 2 * s.kv.memory {
-				write(fmt.Sprintf("sg/s/x%d", i), json.RawMessage("0"))
+	for _, v := range []struct {
+		name string
+		torn bool
+	}{
+		{"the records are being read anew", true},
+		{"the records are complete", false},
+	} {
+		t.Run(v.name, func(t *testing.T) {
+			torn := v.torn
+			s := newSim(t, 45_100, 0)
+			s.run(20 * time.Second)
+			leader := s.leading()
+			c := leader.core
+			// A job of one task that runs on a machine of which the mirror has no claim.
+			spec := encode(storedJob{&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, job.Open, 1, leader.name})
+			page := json.RawMessage(writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-900000", Epoch: 1}}))
+			write := func(key string, data json.RawMessage) {
+				s.kv.rev++
+				s.kv.change(key, data, 0, s.kv.rev)
 			}
-			claimed := false
-			for at := s.now; s.now < at+20*time.Second && !claimed; {
-				s.run(s.now + time.Millisecond)
-				if c.state.Rescanning() {
-					claimed = true
-					write(keyClaim+"i-900000", encode(claimRecord{"n9", 1, "w:i-900000", "small", "a", false, 1}))
-					write(keyJob+"wk-700000", spec)
-					write(pageKey("wk-700000", 0), page)
-					s.kv.change(keyClaim+"i-900000", nil, 0, s.kv.rev) // as the reader saw it
+			deletions := 0
+			count := func(e Effects) Effects {
+				for _, k := range e.Calls {
+					if k.Path == protocol.PathRentalsDelete {
+						deletions++
+					}
 				}
+				return e
 			}
-			if !claimed {
-				t.Fatal("the records were not read anew")
+			if torn { // the watch is too old, and the page of claims has been read before the claim
+				leader.cut["state"] = s.now + 1500*time.Millisecond // a watch is lost meanwhile
+				s.run(s.now + 1500*time.Millisecond)
+				for i := range 2 * s.kv.memory {
+					write(fmt.Sprintf("sg/s/x%d", i), json.RawMessage("0"))
+				}
+				claimed := false
+				for at := s.now; s.now < at+20*time.Second && !claimed; {
+					s.run(s.now + time.Millisecond)
+					if c.state.Rescanning() {
+						claimed = true
+						write(keyClaim+"i-900000", encode(claimRecord{"n9", 1, "w:i-900000", "small", "a", false, 1}))
+						write(keyJob+"wk-700000", spec)
+						write(pageKey("wk-700000", 0), page)
+						s.kv.change(keyClaim+"i-900000", nil, 0, s.kv.rev) // as the reader saw it
+					}
+				}
+				if !claimed {
+					t.Fatal("the records were not read anew")
+				}
+			} else { // the same without a reading: the claim is gone, the task is not
+				write(keyJob+"wk-700000", spec)
+				write(pageKey("wk-700000", 0), page)
 			}
-		} else { // the same without a reading: the claim is gone, the task is not
-			write(keyJob+"wk-700000", spec)
-			write(pageKey("wk-700000", 0), page)
-		}
-		for end := s.now + 2*time.Second; s.now < end; {
-			s.run(s.now + 10*time.Millisecond)
-			if torn && !c.state.Rescanning() && c.state.Consistent() {
-				break
+			for end := s.now + 2*time.Second; s.now < end; {
+				s.run(s.now + 10*time.Millisecond)
+				if torn && !c.state.Rescanning() && c.state.Consistent() {
+					break
+				}
+				if m := c.machines.byID["i-900000"]; m == nil || len(m.bound) == 0 {
+					continue
+				}
+				c.beginStep(leader.clock())
+				c.deleteMachines()
+				leader.effects(count(c.endStep()))
 			}
-			if m := c.machines.byID["i-900000"]; m == nil || len(m.bound) == 0 {
-				continue
+			if torn && deletions > 0 || !torn && deletions == 0 {
+				t.Errorf("torn %v: %d deletions were asked for", torn, deletions)
 			}
-			c.beginStep(l.clock())
-			c.deleteMachines()
-			l.effects(count(c.endStep()))
-		}
-		if torn && asked > 0 || !torn && asked == 0 {
-			t.Errorf("torn %v: %d deletions were asked for", torn, asked)
-		}
+		})
 	}
 }
 
-// TestALateDeletionHitsNothingInUse guards against deletions without a record: the leader has machines deleted that it takes for strays
-// or for lost with their controller, the request is held up, and meanwhile they report, are claimed and get work. The drain that goes ahead of
-// every deletion keeps them from it, whoever leads by then.
+// TestALateDeletionHitsNothingInUse guards against deletions without a record: the leader has
+// machines deleted that it takes for strays or for lost with their controller, the request is
+// held up, and meanwhile they send heartbeats, are claimed and get work. The drain that goes
+// ahead of every deletion keeps them from it, whoever leads by then.
 func TestALateDeletionHitsNothingInUse(t *testing.T) {
 	for _, v := range []struct {
 		name string
@@ -139,36 +151,36 @@
 			held := 0
 			for seed := uint64(45_200); seed < 45_206; seed++ {
 				s := newSim(t, seed, 0)
-				more := func(from, n int) {
+				submitJobs := func(from, n int) {
 					for i := range n {
 						s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", from+i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8}, 20, 0)
 					}
 				}
-				s.after(time.Second, func() { more(0, 8) })
+				s.after(time.Second, func() { submitJobs(0, 8) })
 				s.met.returns = func(names []string) bool {
-					mine := false
+					holdUp := false
 					for _, name := range names {
 						w := s.cloud.all[name]
 						if w == nil || w.dead || s.kv.drainedAs[keyDrain+name] == drainIdle {
 							continue
 						}
-						mine = true
+						holdUp = true
 						if !w.up { // it comes up just now
 							s.after(s.ms(0, 500), w.boot)
 						}
 						w.hung = s.now
 						held++
 					}
-					if mine { // who asked for it stands still, or ends, and there is work
+					if holdUp { // who asked for it stands still, or ends, and there is work
 						l := s.leading()
 						if l != nil && s.rnd.IntN(2) == 0 {
 							l.crash(s.ms(1000, 20_000))
 						} else if l != nil {
 							l.frozen = s.now + s.ms(1000, 20_000)
 						}
-						more(700_000+int(s.now/time.Millisecond), 3)
+						submitJobs(700_000+int(s.now/time.Millisecond), 3)
 					}
-					return mine
+					return holdUp
 				}
 				if v.lost {
 					s.run(40 * time.Second)
@@ -196,14 +208,16 @@
 	}
 }
 
-// TestWhoRentsIsReplaced has the controller that rents stand still, end or lose a link, again and again, while machines are rented
-// and returned. Two never act at a time: what one that was replaced has asked for is finished by its successor under the same
-// name, or hits nothing in use; nobody rents for no longer than its lease and two report periods; and in the end nothing is paid for.
+// TestWhoRentsIsReplaced has the fleet's leader stand still, end or lose a link, again and
+// again, while machines are rented and deleted. Two never act at a time: what one that was
+// replaced has requested is finished by its successor under the same name, or hits nothing in
+// use; nobody leads for no longer than its lease and two heartbeat periods; and in the end
+// nothing is paid for.
 func TestWhoRentsIsReplaced(t *testing.T) {
 	for _, v := range []struct {
 		name  string
 		do    func(s *sim, l *simNode)
-		keeps bool // others carry its calls, and it goes on
+		keeps bool // others relay its calls, and it goes on
 		late  bool // a renewal that is held up is carried out later: the record lives for another term, and nobody knows
 	}{
 		{"it stands still", func(s *sim, l *simNode) { l.frozen = s.now + s.ms(8000, 20_000) }, false, false},
@@ -229,7 +243,7 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
-			longest, replaced, met := time.Duration(0), 0, 0
+			longest, replaced, incidents := time.Duration(0), 0, 0
 			for seed := uint64(45_300); seed < 45_304; seed++ {
 				s := meetingSim(t, seed, meeting{nodes: 3 + 2*int(seed%2), workers: "well"})
 				s.unordered = true
@@ -238,13 +252,13 @@
 				for i := range 4 {
 					s.after(time.Duration(30+28*i)*time.Second, func() {
 						if l := s.leading(); l != nil {
-							met++
+							incidents++
 							v.do(s, l)
 						}
 					})
 				}
 				var last *simNode
-				since, worst := time.Duration(0), time.Duration(0)
+				since, longestGap := time.Duration(0), time.Duration(0)
 				var watch func()
 				watch = func() {
 					leads := 0
@@ -262,7 +276,7 @@
 					if leads > 0 || s.now < 20*time.Second {
 						since = s.now
 					}
-					worst = max(worst, s.now-since)
+					longestGap = max(longestGap, s.now-since)
 					s.after(50*time.Millisecond, watch)
 				}
 				watch()
@@ -271,10 +285,10 @@
 				if v.late {
 					bound += s.lease(1.0 / 3)
 				}
-				if worst > bound {
-					t.Errorf("seed %d: nobody rents for %v, the bound is %v", seed, worst, bound)
+				if longestGap > bound {
+					t.Errorf("seed %d: nobody rents for %v, the bound is %v", seed, longestGap, bound)
 				}
-				longest = max(longest, worst)
+				longest = max(longest, longestGap)
 				s.run(s.now + 3*time.Minute)
 				for _, w := range s.cloud.sorted() {
 					t.Errorf("seed %d: %s is still paid for, up %v", seed, w.name, w.up)
@@ -284,22 +298,23 @@
 				}
 				s.report(t)
 			}
-			if met < 12 || replaced < 8 && !v.keeps {
-				t.Errorf("it took place %d times, and who rents changed %d times", met, replaced)
+			if incidents < 12 || replaced < 8 && !v.keeps {
+				t.Errorf("it took place %d times, and who rents changed %d times", incidents, replaced)
 			}
 			t.Logf("nobody rents for %v at the longest, %d changes", longest, replaced)
 		})
 	}
 }
 
-// TestWhatWasClaimedSinceIsNotCondemned guards against a judgement that had waited for the budget while the machine was claimed.
+// TestWhatWasClaimedSinceIsNotCondemned guards against a judgement that had waited for the rate
+// limit while the machine was claimed.
 func TestWhatWasClaimedSinceIsNotCondemned(t *testing.T) {
 	s := newSim(t, 45_400, 0)
 	s.submit(&job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
 	s.run(50 * time.Second)
-	l := s.leading()
-	c := l.core
-	c.beginStep(l.clock())
+	leader := s.leading()
+	c := leader.core
+	c.beginStep(leader.clock())
 	for _, w := range s.cloud.sorted() {
 		if w.up {
 			c.scaler.toDrain[w.name] = []string{drainStray, drainLost}[len(c.scaler.toDrain)%2]
@@ -310,7 +325,7 @@
 		t.Fatal("no machine is up")
 	}
 	c.drainUnheldMachines()
-	l.effects(c.endStep())
+	leader.effects(c.endStep())
 	s.run(52 * time.Second)
 	for key := range s.kv.drains {
 		if key != keyDrain+"i-900000" {
--- a/internal/coordination/late_test.go
+++ b/internal/coordination/stale_launch_test.go
@@ -1,105 +1,20 @@
 package coordination
 
 import (
-	"io"
-	"log/slog"
-	"math/rand/v2"
 	"strings"
 	"testing"
 	"time"
 
-	"silvergate/internal/config"
 	"silvergate/internal/fencing"
 	"silvergate/internal/job"
 	"silvergate/internal/protocol"
 )
 
-// script drives one core by hand: every answer from outside is the test's.
-type script struct {
-	t    *testing.T
-	c    *Core
-	at   time.Duration
-	todo []protocol.Call
-	ans  []Response
-	next uint64
-
-	recall float64 // in the reports, 0: none
-}
-
-func newScript(t *testing.T) *script {
-	facts := newSim(t, 1, 0).facts
-	facts.Teams = []config.Team{{Name: "blue"}}
-	cfg := &config.Settings{Node: "n1", Zone: "a", Peers: []config.Peer{{Node: "n0", Zone: "b"}}, Facts: facts, Operator: config.DefaultOperator()}
-	return &script{t: t, c: New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 2)), 7), next: 1 << 40}
-}
-
-func (s *script) clock() Timestamp {
-	return Timestamp{s.at, time.UnixMilli(1_700_000_000_000 + s.at.Milliseconds())}
-}
-
-func (s *script) take(e Effects) {
-	s.todo = append(s.todo, e.Calls...)
-	s.ans = append(s.ans, e.Responses...)
-}
-
-func (s *script) pass(d time.Duration) {
-	for end := s.at + d; s.at < end; {
-		s.at += Pace
-		s.take(s.c.Tick(s.clock()))
-	}
-}
-
-// reply answers the first open call whose path begins so and whose body holds that.
-func (s *script) reply(path, body string, status int, v any) {
-	s.t.Helper()
-	for i, k := range s.todo {
-		if strings.HasPrefix(k.Path, path) && strings.Contains(string(k.Body), body) {
-			s.todo = append(s.todo[:i:i], s.todo[i+1:]...)
-			s.take(s.c.Reply(s.clock(), protocol.Reply{ID: k.ID, Status: status, Sent: true, Body: encode(v)}))
-			return
-		}
-	}
-	s.t.Fatalf("no call of %s with %q is open: %v", path, body, s.todo)
-}
-
-// launches counts the open direct calls that launch a task.
-func (s *script) launches() (n int) {
-	for _, k := range s.todo {
-		if k.Path == protocol.PathCommands {
-			n += strings.Count(string(k.Body), protocol.VerbLaunch)
-		}
-	}
-	return n
-}
-
-func (s *script) report(baton, tally uint64, loads ...protocol.TaskStatus) protocol.HeartbeatResponse {
-	s.t.Helper()
-	s.next++
-	s.ans = nil
-	r := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a",
-		AgentEpoch: 1, Sequence: tally, FencingToken: baton, Tasks: append([]protocol.TaskStatus{}, loads...)}
-	if s.recall > 0 {
-		r.PreemptionNoticeS = &s.recall
-	}
-	s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(r)))
-	return s.answer()
-}
-
-func (s *script) answer() protocol.HeartbeatResponse {
-	var a protocol.HeartbeatResponse
-	for _, x := range s.ans {
-		if x.ID == s.next && x.Status == 200 {
-			_ = protocol.Decode(x.Body, &a)
-		}
-	}
-	return a
-}
-
 // TestNothingIsLaunchedFromThePast guards against the task that ran twice on a
 // drawn day of shiftbook-akl-grown. A controller whose watch was answered late had
-// taken a worker over, and the worker showed its token; then the watch brought, as
+// claimed a worker, and the worker showed its fencing token; then the watch brought, as
 // news, that a task was bound to that machine. So it had been, before the claim: its
-// ending had been committed and forgotten since, and the task ran elsewhere. The
+// completion had been committed and forgotten since, and the task ran elsewhere. The
 // launch that was sent at once started it again.
 func TestNothingIsLaunchedFromThePast(t *testing.T) {
 	page := func(revision uint64, tasks ...job.Task) protocol.WatchEvent {
@@ -109,7 +24,7 @@
 	there := job.Task{Phase: job.Bound, Attempt: 2, Machine: "i-000002", Epoch: 1}
 	for _, v := range []struct {
 		name     string
-		ledger   uint64
+		revision uint64 // that the watch reaches
 		news     []protocol.WatchEvent
 		launches int
 	}{
@@ -138,7 +53,7 @@
 			if a := s.report(120, 2); a.FencingToken != 120 || len(a.Commands) > 0 {
 				t.Fatalf("the report that shows the token was answered with %+v", a)
 			}
-			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: v.ledger, Events: v.news})
+			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: v.revision, Events: v.news})
 			if n := s.launches(); n != v.launches {
 				t.Errorf("%d launches are sent, want %d", n, v.launches)
 			}
@@ -150,56 +65,37 @@
 	return &job.Spec{ID: "wk-700000", Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1, Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}
 }
 
-// held drives a script to where machine i-000001 is ours and has shown its token, 120,
-// and a watch is answered with what is given.
-func (s *script) held(news ...protocol.WatchEvent) {
-	s.t.Helper()
-	s.pass(100 * time.Millisecond)
-	s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
-		{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 90}}})
-	s.pass(200 * time.Millisecond)
-	s.report(0, 1)
-	s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120})
-	s.at += 500 * time.Millisecond
-	s.report(120, 2)
-	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 130, Events: news})
-}
-
-// releases counts the open transactions that end the task.
-func (s *script) releases() (n int) {
-	for _, k := range s.todo {
-		if k.Path == protocol.PathTxn && strings.Contains(string(k.Body), `"write":"`+pageKey("wk-700000", 0)) {
-			n++
-		}
-	}
-	return n
-}
-
 // TestAReportThatALaunchOvertookProvesNoAbsence guards against a fault found by the
-// model in internal/fencing: a report was on its way when a direct launch was carried
-// out and answered. Its list lacks the attempt; the notice that it brought made the
-// attempt unwanted, and it was released for being absent while it ran.
+// model in internal/fencing: a heartbeat was on its way when a direct launch was carried
+// out and answered. Its list lacks the attempt; the preemption notice that it brought made
+// the attempt unwanted, and it was released for being absent while it ran.
 func TestAReportThatALaunchOvertookProvesNoAbsence(t *testing.T) {
 	here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125}
 	for _, v := range []struct {
-		tally    uint64 // of the report that comes after the launch's answer, whose own is 4
+		name     string
+		sequence uint64 // of the heartbeat that comes after the launch's answer, whose own is 4
 		releases int
-	}{{3, 0}, {5, 1}} {
-		s := newScript(t)
-		s.held(here)
-		if s.launches() != 1 {
-			t.Fatal("the attempt is not launched directly")
-		}
-		s.reply(protocol.PathCommands, "", 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120,
-			Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}}})
-		s.recall = 10
-		if a := s.report(120, v.tally); a.FencingToken != 120 {
-			t.Errorf("the report is not answered: %+v", a)
-		}
-		s.pass(200 * time.Millisecond)
-		if n := s.releases(); n != v.releases {
-			t.Errorf("a report with tally %d leads to %d releases, want %d", v.tally, n, v.releases)
-		}
+	}{
+		{"a heartbeat from before the launch", 3, 0},
+		{"a heartbeat from after the launch", 5, 1},
+	} {
+		t.Run(v.name, func(t *testing.T) {
+			s := newScript(t)
+			s.held(here)
+			if s.launches() != 1 {
+				t.Fatal("the attempt is not launched directly")
+			}
+			s.reply(protocol.PathCommands, "", 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120,
+				Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}}})
+			s.recall = 10
+			if a := s.report(120, v.sequence); a.FencingToken != 120 {
+				t.Errorf("the report is not answered: %+v", a)
+			}
+			s.pass(200 * time.Millisecond)
+			if n := s.releases(); n != v.releases {
+				t.Errorf("a heartbeat with sequence number %d leads to %d releases, want %d", v.sequence, n, v.releases)
+			}
+		})
 	}
 }
 
@@ -222,7 +118,7 @@
 }
 
 // TestAPlacementBesideAnEndingHeedsTheDrain guards against a placement whose
-// transaction did not name the machine's drain, since an ending on the same machine
+// transaction did not name the machine's drain, since a release on the same machine
 // had named its claim before.
 func TestAPlacementBesideAnEndingHeedsTheDrain(t *testing.T) {
 	s := newSim(t, 67, 0)
--- a/internal/coordination/served_test.go
+++ b/internal/coordination/user_expectations_test.go
@@ -57,7 +57,7 @@
 	u.askAt(u.s.anyNode())
 }
 
-// nextProbeAt polls once more at a node.
+// askAt polls once more at a node.
 func (u *simUser) askAt(n *simNode) {
 	before := u.told()
 	n.request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) { u.polled(st, body, before) })
@@ -80,11 +80,11 @@
 // each class's largest jobs was served, and whether those largest began in time. Jobs that their users
 // cancelled or that came too late to be judged do not count.
 func (s *sim) judgeServed() {
-	type tally struct{ served, all int }
-	groups := map[string]*tally{}
-	count := func(name string, ok bool) {
+	type count struct{ served, all int }
+	groups := map[string]*count{}
+	add := func(name string, ok bool) {
 		if groups[name] == nil {
-			groups[name] = &tally{}
+			groups[name] = &count{}
 		}
 		groups[name].all++
 		if ok {
@@ -101,13 +101,13 @@
 			continue
 		}
 		ok := u.accepted && u.begun == u.spec.Tasks
-		count("class "+u.spec.Class, ok)
-		count("team "+u.spec.Team, ok)
+		add("class "+u.spec.Class, ok)
+		add("team "+u.spec.Team, ok)
 		if u.spec.Tasks*4 < most[u.spec.Class]*3 {
 			continue
 		}
 		// To be served, these have to begin in time.
-		count("largest of class "+u.spec.Class, ok && u.waited <= largestWithin)
+		add("largest of class "+u.spec.Class, ok && u.waited <= largestWithin)
 	}
 	for _, name := range sortedKeys(groups) {
 		if g := groups[name]; 2*g.served < g.all {
@@ -122,8 +122,8 @@
 	shift uint64
 }
 
-// start notes a task's start, and whether it was started before on a machine that is still there, in
-// the same session.
+// start records a task's start, and whether it was started before on a machine that is still
+// there, in the same agent epoch.
 func (u *simUser) start(index int, w *simWorker) {
 	if u.started == nil {
 		u.started = make([]startedOn, u.spec.Tasks)
@@ -182,19 +182,25 @@
 			})
 		}},
 	} {
-		s := newSim(t, 42_000, 0)
-		s.after(time.Second, func() {
-			for i := range 6 {
-				s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 4, GPUs: 1, MemoryGB: 8}, 30, 0)
+		name := v.rule
+		if name == "" {
+			name = "nothing is wrong"
+		}
+		t.Run(name, func(t *testing.T) {
+			s := newSim(t, 42_000, 0)
+			s.after(time.Second, func() {
+				for i := range 6 {
+					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 4, GPUs: 1, MemoryGB: 8}, 30, 0)
+				}
+				s.largeJob(1)
+			})
+			v.spoil(s)
+			s.knownFrom(90 * time.Second)
+			s.run(6 * time.Minute)
+			s.judgeServed()
+			if got := strings.Join(s.broken, "\n"); v.rule == "" && got != "" || v.rule != "" && !strings.Contains(got, v.rule) {
+				t.Errorf("%q: the checkers say %q", v.rule, got)
 			}
-			s.largeJob(1)
 		})
-		v.spoil(s)
-		s.knownFrom(90 * time.Second)
-		s.run(6 * time.Minute)
-		s.judgeServed()
-		if got := strings.Join(s.broken, "\n"); v.rule == "" && got != "" || v.rule != "" && !strings.Contains(got, v.rule) {
-			t.Errorf("%q: the checkers say %q", v.rule, got)
-		}
 	}
 }
