--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -15,7 +15,8 @@
 	"silvergate/internal/protocol"
 )
 
-// canRun tells by trying every way of laying a job's tasks into zones, however many machines there are, whether it can ever run.
+// canRun tells by trying every way of laying a job's tasks into zones, however many machines
+// there are, whether it can ever run.
 func canRun(s *job.Spec, types []protocol.MachineType, teams []config.Team) bool {
 	n := 1 // tasks that must be there at the same time
 	if s.Shape != job.Array {
@@ -60,8 +61,8 @@
 	return within && lay(n, map[string]int{})
 }
 
-// TestNothingThatCanRunIsRefused compares what is accepted with a brute-force answer, for every combination of what a job may ask
-// for on small catalogues.
+// TestNothingThatCanRunIsRefused compares what is accepted with a brute-force answer, for every
+// combination of what a job may ask for on small catalogues.
 func TestNothingThatCanRunIsRefused(t *testing.T) {
 	teams := []config.Team{{Name: "red", GPUsMax: 3, CPUsMax: 20}, {Name: "blue"}}
 	accepted, refused := 0, 0
@@ -104,8 +105,9 @@
 	}
 }
 
-// TestWhatUsersAreToldOfBadRequests is the table of bad and repeated requests, at a controller that knows the job and at one whose
-// mirror lacks it: the field is named, a known job is never refused, and nothing is said of unknown ones without a look.
+// TestWhatUsersAreToldOfBadRequests is the table of bad and repeated requests, at a controller
+// that knows the job and at one whose mirror lacks it: the field is named, a known job is never
+// refused, and nothing is said of unknown ones without a look.
 func TestWhatUsersAreToldOfBadRequests(t *testing.T) {
 	s := newSim(t, 49_000, 0)
 	s.run(10 * time.Second)
@@ -185,8 +187,8 @@
 	}
 }
 
-// TestNothingBeginsAfterACancellation guards against tasks that wait for their image when their job is cancelled: the stop came with
-// the next report, and they had begun by then.
+// TestNothingBeginsAfterACancellation guards against tasks that wait for their image when their
+// job is cancelled: the stop came with the next heartbeat, and they had begun by then.
 func TestNothingBeginsAfterACancellation(t *testing.T) {
 	for seed := uint64(49_100); seed < 49_103; seed++ {
 		s := newSim(t, seed, 0)
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -95,7 +95,8 @@
 	c.Stats.Handoffs += uint64(len(tasks))
 	for len(tasks) > 0 {
 		n := min(len(tasks), maxHandoffTasks)
-		c.effects.Sends = append(c.effects.Sends, Outgoing{target, peer.Message{Handoff: &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}}})
+		handoff := &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}
+		c.effects.Sends = append(c.effects.Sends, Outgoing{target, peer.Message{Handoff: handoff}})
 		tasks = tasks[n:]
 	}
 }
@@ -162,7 +163,8 @@
 		}
 	}
 	if len(unplaced) > 0 && c.machineThatCouldHold(r) == nil {
-		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: &peer.TaskHandoff{Job: handoff.Job, Tasks: unplaced}}})
+		returned := &peer.TaskHandoff{Job: handoff.Job, Tasks: unplaced}
+		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: returned}})
 		return
 	}
 	c.enqueue(r, unplaced, c.now+3*c.cfg.Operator.PublishInterval)
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -109,7 +109,8 @@
 	}
 	c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
 	for _, p := range c.cfg.Peers {
-		c.effects.Sends = append(c.effects.Sends, Outgoing{p.Node, peer.Message{RoomRequest: &peer.RoomRequest{Job: r.spec.ID}}})
+		request := &peer.RoomRequest{Job: r.spec.ID}
+		c.effects.Sends = append(c.effects.Sends, Outgoing{p.Node, peer.Message{RoomRequest: request}})
 	}
 }
 
@@ -161,7 +162,7 @@
 // rarely finds enough at once. The mirror shows what is on every machine; its owner stops
 // what is of lower priority there, keeps the room, and offers it when it is
 // free. The choice stands until a machine of it is lost or half of gang_wait_s
-// has passed; for as long again only idle machines are asked for.
+// has passed; for as long again only room on idle machines is requested.
 func (c *Core) requestBlock(r *jobRecord, zones []string, need int) bool {
 	patience := seconds(c.cfg.Facts.Workers.GangWait / 2)
 	if len(r.blockMachines) > 0 && c.now-r.blockChosenAt >= patience {
@@ -213,7 +214,8 @@
 		}
 	}
 	for _, owner := range sortedKeys(byOwner) {
-		c.effects.Sends = append(c.effects.Sends, Outgoing{owner, peer.Message{RoomRequest: &peer.RoomRequest{Job: r.spec.ID, Machines: byOwner[owner]}}})
+		request := &peer.RoomRequest{Job: r.spec.ID, Machines: byOwner[owner]}
+		c.effects.Sends = append(c.effects.Sends, Outgoing{owner, peer.Message{RoomRequest: request}})
 	}
 	c.log.Debug("requesting machines for a gang", "job", r.spec.ID, "machines", r.blockMachines)
 }
@@ -257,7 +259,7 @@
 	return best
 }
 
-// mayBeCleared tells whether a machine may be asked for on behalf of a gang.
+// mayBeCleared tells whether a machine may be part of the block of a gang.
 func (c *Core) mayBeCleared(r *jobRecord, m *machine) bool {
 	if _, drained := c.machines.drains[m.id]; m.token == 0 || drained || !c.couldHold(r, m) {
 		return false
@@ -334,7 +336,8 @@
 	}
 }
 
-// offerHeld tells a peer's gang that a machine kept for it is free.
+// offerHeldRoom starts the gang that a machine's room is kept for, or tells the peer that
+// looks after the gang that the room is free.
 func (c *Core) offerHeldRoom(m *machine) {
 	if m.holdBy == "" || c.now >= m.holdTill {
 		return
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -135,7 +135,7 @@
 	rank := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99)}
 	if r.spec.Shape == job.Service {
 		// Services outlive everything else: they gather on the machines
-		// that services hold already, so that the others can be returned.
+		// that services hold already, so that the others can be deleted.
 		rank.freeTenths = int(10 * (machineType.GPUs - m.serviceShare))
 		return rank
 	}
@@ -176,8 +176,8 @@
 	c.traceStart(losses.Placing, r.spec.ID, index, 0, m.id)
 }
 
-// nextAttempt is the attempt number of a gang's next start, 0 for other jobs. The tasks of one attempt
-// find one another by it, so all of them get the same.
+// nextAttempt is the attempt number of a gang's next start, 0 for other jobs. The tasks of
+// one attempt find one another by it, so all of them get the same.
 func (c *Core) nextAttempt(r *jobRecord) int {
 	if r.spec.Shape != job.Gang {
 		return 0
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -135,7 +135,13 @@
 	f.rentalSequence++
 	// The revision of the leader's record never comes again, so neither does the name.
 	name := "r-" + strconv.FormatUint(f.leaderRevision, 10) + "-" + strconv.Itoa(f.rentalSequence)
-	record := encode(rental{MachineType: where.machineType, Zone: where.zone, Spot: where.spot, Count: count, RequestedAtMS: c.wallTime.UnixMilli()})
+	record := encode(rental{
+		MachineType:   where.machineType,
+		Zone:          where.zone,
+		Spot:          where.spot,
+		Count:         count,
+		RequestedAtMS: c.wallTime.UnixMilli(),
+	})
 	class := ratelimit.OtherWork
 	if urgent {
 		class = ratelimit.UrgentWork
--- a/internal/coordination/zone_view.go
+++ b/internal/coordination/zone_view.go
@@ -20,7 +20,8 @@
 
 // updateZoneView takes what this controller hears. A zone is unreachable when no heartbeat
 // came from it within the timeout.
-func (f *fleetScaler) updateZoneView(node string, now time.Duration, zones map[string]*zoneHeartbeats, unresponsive []string, timeout time.Duration) {
+func (f *fleetScaler) updateZoneView(node string, now time.Duration, zones map[string]*zoneHeartbeats,
+	unresponsive []string, timeout time.Duration) {
 	v := zoneView{at: now, unresponsive: unresponsive}
 	for _, z := range sortedKeys(zones) {
 		switch h := zones[z]; {
