--- /dev/null
+++ b/internal/coordination/bin_packing.go
@@ -0,0 +1,231 @@
+package coordination
+
+import (
+	"sort"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+// slot is a machine in a packing, with what is left of it.
+type slot struct {
+	id       string
+	offering offering
+	cpus     float64
+	gpus     float64
+	memoryGB float64
+	bound    bool // tasks are bound to it
+	used     bool // the packing has put tasks onto it
+	planned  bool // it is to be rented
+}
+
+// fits tells whether a task may and can be put into the slot.
+func (s *slot) fits(spec *job.Spec) bool {
+	if !spec.AllowsMachineType(s.offering.machineType) || s.offering.spot && !spec.Spot {
+		return false
+	}
+	if spec.Zone != "" && spec.Zone != s.offering.zone {
+		return false
+	}
+	return s.hasRoomFor(spec)
+}
+
+// hasRoomFor tells whether what is left of the slot holds a task.
+func (s *slot) hasRoomFor(spec *job.Spec) bool {
+	return spec.CPUs <= s.cpus+tolerance && spec.GPUs <= s.gpus+tolerance && spec.MemoryGB <= s.memoryGB+tolerance
+}
+
+// add takes what a task needs from the slot.
+func (s *slot) add(spec *job.Spec) {
+	s.cpus -= spec.CPUs
+	s.gpus -= spec.GPUs
+	s.memoryGB -= spec.MemoryGB
+	s.used = true
+}
+
+// binPacking packs tasks onto slots: first fit, in the order of the slots. For what fits none
+// it chooses the cheapest machines to rent. It knows nothing of the controller.
+type binPacking struct {
+	types          map[string]*protocol.MachineType
+	refused        func(offering) bool // the cloud has refused it a short while ago
+	cpuOnlyWork    bool                // there are open jobs that need no GPU
+	slots          []*slot
+	machinesByZone map[string]int
+	toRent         map[offering]int
+	urgent         map[offering]bool // production work waits for these
+	unplaceable    int               // tasks for which nothing can be rented
+	firstOpenSlot  int               // slots before this one have nothing left for any open job
+}
+
+func newBinPacking(types map[string]*protocol.MachineType, refused func(offering) bool, cpuOnlyWork bool) *binPacking {
+	return &binPacking{
+		types:          types,
+		refused:        refused,
+		cpuOnlyWork:    cpuOnlyWork,
+		machinesByZone: map[string]int{},
+		toRent:         map[offering]int{},
+		urgent:         map[offering]bool{},
+	}
+}
+
+// addSlot adds an empty machine and returns its slot, nil if its type is not known.
+func (p *binPacking) addSlot(id string, where offering) *slot {
+	machineType, ok := p.types[where.machineType]
+	if !ok {
+		return nil
+	}
+	s := &slot{id: id, offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB}
+	p.slots = append(p.slots, s)
+	return s
+}
+
+// sortSlots puts machines with bound tasks first, so that empty ones can be deleted.
+func (p *binPacking) sortSlots() {
+	sort.Slice(p.slots, func(i, j int) bool {
+		a, b := p.slots[i], p.slots[j]
+		if a.bound != b.bound {
+			return a.bound
+		}
+		if a.offering.spot != b.offering.spot {
+			return a.offering.spot // what may use spot machines leaves the others alone
+		}
+		return a.id < b.id
+	})
+}
+
+// packTasks packs n tasks of a job; tasksByZone counts its tasks in each zone if it must be
+// spread, and is nil otherwise.
+func (p *binPacking) packTasks(spec *job.Spec, n int, tasksByZone map[string]int) {
+	p.skipFullSlots()
+	at := p.firstOpenSlot // a job's tasks are alike: what can't take one takes none
+	for ; n > 0; n-- {
+		for at < len(p.slots) && !(p.slots[at].fits(spec) && spreadAllows(spec, tasksByZone, p.slots[at].offering.zone)) {
+			at++
+		}
+		if at < len(p.slots) {
+			p.slots[at].add(spec)
+			if tasksByZone != nil {
+				tasksByZone[p.slots[at].offering.zone]++
+			}
+			continue
+		}
+		where, found := p.cheapestOffering(spec, tasksByZone)
+		if !found {
+			p.unplaceable += n
+			return
+		}
+		p.planMachine(where, spec)
+		if tasksByZone != nil {
+			tasksByZone[where.zone]++
+		}
+	}
+}
+
+// spreadAllows tells whether another task of a job may go to a zone; tasksByZone is nil for a
+// job that need not be spread.
+func spreadAllows(spec *job.Spec, tasksByZone map[string]int, zone string) bool {
+	return tasksByZone == nil || tasksByZone[zone] < spec.SpreadLimit()
+}
+
+// skipFullSlots passes over slots that have nothing left for any open job.
+func (p *binPacking) skipFullSlots() {
+	for p.firstOpenSlot < len(p.slots) {
+		s := p.slots[p.firstOpenSlot]
+		if s.cpus >= tolerance && s.memoryGB >= tolerance && (p.cpuOnlyWork || s.gpus >= tolerance) {
+			return
+		}
+		p.firstOpenSlot++
+	}
+}
+
+// planMachine adds a machine that is to be rented, with a task of a job on it.
+func (p *binPacking) planMachine(where offering, spec *job.Spec) {
+	machineType := p.types[where.machineType]
+	s := &slot{offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB, planned: true}
+	s.add(spec)
+	p.slots = append(p.slots, s)
+	p.toRent[where]++
+	p.urgent[where] = p.urgent[where] || spec.Priority == job.Production
+}
+
+// cheapestOffering picks where to rent for a task: the offering that costs least for each
+// task on it and was not refused a short while ago, in the zone with the fewest machines.
+// Costs that differ by less than priceTolerance count as equal.
+func (p *binPacking) cheapestOffering(spec *job.Spec, tasksByZone map[string]int) (offering, bool) {
+	var best offering
+	bestCost, bestLoad, found := 0.0, 0, false
+	for _, typeName := range sortedKeys(p.types) {
+		machineType := p.types[typeName]
+		if !spec.AllowsMachineType(typeName) || !typeHolds(machineType, spec) {
+			continue
+		}
+		perMachine := tasksPerMachine(machineType, spec)
+		for _, where := range offeringsFor(typeName, machineType, spec) {
+			if p.refused(where) || !spreadAllows(spec, tasksByZone, where.zone) {
+				continue
+			}
+			cost := where.price(machineType) / perMachine
+			load := p.toRent[where] + p.machinesByZone[where.zone]
+			cheaper := cost < bestCost*(1-priceTolerance)
+			alike := cost < bestCost*(1+priceTolerance)
+			if !found || cheaper || alike && load < bestLoad {
+				best, bestCost, bestLoad, found = where, cost, load, true
+			}
+		}
+	}
+	return best, found
+}
+
+// priceTolerance is the share by which costs may differ and still count as equal.
+const priceTolerance = 0.001
+
+// offeringsFor lists the offerings of a machine type that a job may use, spot first.
+func offeringsFor(typeName string, machineType *protocol.MachineType, spec *job.Spec) (offerings []offering) {
+	for _, spot := range []bool{true, false} {
+		if spot && !spec.Spot {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			if spec.Zone == "" || spec.Zone == zone {
+				offerings = append(offerings, offering{typeName, zone, spot})
+			}
+		}
+	}
+	return offerings
+}
+
+// tasksPerMachine is how many tasks of a job a machine of a type holds, one at least.
+func tasksPerMachine(t *protocol.MachineType, s *job.Spec) float64 {
+	fit := 1e9 // for a job that asks for nothing
+	for _, d := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
+		if d[1] > 0 {
+			fit = min(fit, float64(int(d[0]/d[1]+tolerance)))
+		}
+	}
+	return max(fit, 1)
+}
+
+// pinZone picks the zone in which n tasks of a one-zone job are packed: where
+// some are already, or else where most of them find room. It returns the job's
+// specification with that zone.
+func (p *binPacking) pinZone(spec *job.Spec, n int, zones []string, tasksByZone map[string]int) *job.Spec {
+	best, bestFit := spec, -1
+	for _, zone := range zones {
+		pinned := *spec
+		pinned.Zone = zone
+		if tasksByZone[zone] > 0 {
+			return &pinned
+		}
+		fit := 0
+		for _, s := range p.slots {
+			for room := *s; fit < n && room.fits(&pinned); fit++ {
+				room.add(&pinned)
+			}
+		}
+		_, rentable := p.cheapestOffering(&pinned, nil)
+		if (fit == n || rentable) && fit > bestFit {
+			best, bestFit = &pinned, fit
+		}
+	}
+	return best
+}
--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -1,9 +1,12 @@
 package coordination
 
 import (
+	"net/http"
 	"time"
 
 	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
+	"silvergate/internal/stateclient"
 )
 
 // catalogue holds the cloud's machine types. Submissions can't be judged without them.
@@ -16,3 +19,47 @@
 func newCatalogue() catalogue {
 	return catalogue{types: map[string]*protocol.MachineType{}}
 }
+
+// update takes the machine types that the cloud or the record tells of.
+func (g *catalogue) update(types *protocol.MachineTypes) {
+	for _, t := range types.MachineTypes {
+		if known := g.types[t.Name]; known != nil {
+			*known = t // machines point to it
+		} else {
+			g.types[t.Name] = &t
+		}
+	}
+}
+
+// refreshCatalogue reads the machine types from the cloud, on every controller: submissions
+// can't be judged without them.
+func (c *Core) refreshCatalogue() {
+	c.refillCloudCalls()
+	if c.catalogue.requestInFlight || c.scaler.cloudCalls.level < 1 {
+		return
+	}
+	if len(c.catalogue.types) > 0 && !c.isLeader() {
+		if !c.links.ShouldProbeCloud(c.scaler.leader) {
+			return
+		}
+	} else if c.now < c.catalogue.dueAt {
+		return
+	}
+	c.catalogue.requestInFlight = true
+	c.callCloud(http.MethodGet, protocol.PathMachineTypes, nil, func(r protocol.Reply) {
+		c.catalogue.requestInFlight = false
+		var types protocol.MachineTypes
+		if r.Status != http.StatusOK || protocol.Decode(r.Body, &types) != nil || len(types.MachineTypes) == 0 {
+			c.catalogue.dueAt = c.now + time.Second
+			return
+		}
+		c.catalogue.dueAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
+		c.catalogue.update(&types)
+		if c.state.Loaded() && c.state.ModRevision(keyFlavors) == 0 {
+			c.state.Txn(ratelimit.Background,
+				[]protocol.Compare{{Key: keyFlavors}},
+				[]protocol.Op{{Put: keyFlavors, Value: encode(types)}},
+				func(stateclient.TxnOutcome, []string, uint64) {})
+		}
+	})
+}
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -108,7 +108,7 @@
 	m.links = nil
 	m.tokenSeen = false
 	m.reoccupy()
-	c.removeFromIdleList(m)
+	c.scheduler.removeFromIdleList(m)
 	c.forgetUnclaimed(m)
 	c.updateOwnership(m)
 }
@@ -157,7 +157,7 @@
 	m.reoccupy()
 	switch {
 	case !c.isOwn(m):
-		c.removeFromIdleList(m)
+		c.scheduler.removeFromIdleList(m)
 		clear(m.stops)
 	case m.failedOver():
 		m.resetForNewToken(c.now)
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -53,7 +53,7 @@
 	}
 	c.machines.drains[id] = drain
 	if m := c.machines.byID[id]; m != nil {
-		c.removeFromIdleList(m)
+		c.scheduler.removeFromIdleList(m)
 	}
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	m.draining = true
-	c.removeFromIdleList(m)
+	c.scheduler.removeFromIdleList(m)
 	c.log.Debug("draining a machine", "machine", m.id, "reason", reason)
 	key := keyDrain + m.id
 	compares = append(compares, protocol.Compare{Key: key, ModRevision: c.state.ModRevision(key)})
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -93,7 +93,7 @@
 	idleEntryLifetime := seconds(period * c.cfg.Operator.EntryAge)
 	for _, m := range c.machines.own {
 		if c.now-m.heardAt > idleEntryLifetime {
-			c.removeFromIdleList(m)
+			c.scheduler.removeFromIdleList(m)
 		}
 		c.sendDeferred(m)
 		c.checkLease(m)
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -103,7 +103,7 @@
 	if executed && m.lastLaunch.Before(position) {
 		m.lastLaunch = position
 	}
-	c.handleStatus(m, token, reply)
+	c.handleCommandReply(m, token, reply)
 	for _, attempt := range attempts {
 		delete(m.inFlight, attempt)
 	}
--- /dev/null
+++ b/internal/coordination/preemption.go
@@ -0,0 +1,293 @@
+package coordination
+
+import (
+	"cmp"
+	"slices"
+
+	"silvergate/internal/job"
+)
+
+// Exception "preemption": the thesis's tasks never leave a server before they
+// are done. Here a waiting task of higher priority stops lower ones on one
+// machine of ours, chosen so that the least work is lost.
+
+// preempt looks for room for the queued tasks that nothing free can hold.
+func (c *Core) preempt() {
+	for _, r := range c.scheduler.queuedJobs {
+		if r.spec.Priority > job.Low && !isGang(r) {
+			c.preemptForJob(r)
+		}
+	}
+	for _, name := range sortedKeys(c.jobs.teams) {
+		c.preemptForQuota(c.jobs.teams[name])
+	}
+}
+
+// preemptForJob looks for room for a job's queued tasks.
+func (c *Core) preemptForJob(r *jobRecord) {
+	for _, queued := range r.queue {
+		if c.now < queued.nextPreemptionAt || !c.placeable(r, queued.key.index) {
+			continue
+		}
+		m, victims := c.cheapestVictims(r, false)
+		ranBefore := r.task(c, queued.key.index).Attempt > 0
+		if m == nil && ranBefore {
+			m, victims = c.gangVictims(r)
+		}
+		if m == nil {
+			return // the job's tasks are alike
+		}
+		c.preemptOn(r, queued, m, victims)
+	}
+}
+
+// preemptedForQuota is why a task is stopped whose team's limit is saved for a gang.
+const preemptedForQuota = "preempted for its team's limit"
+
+// preemptForQuota stops a task of lower priority of the team whose limit is saved for a gang,
+// the one that loses least. Only one at a time: every controller does so, and each learns
+// from the records what the others have done.
+func (c *Core) preemptForQuota(tm *team) {
+	r := tm.savingFor
+	if r == nil || tm.withinLimit(tm.charged.plus(r.spec, float64(r.spec.Tasks))) {
+		return
+	}
+	var best *machine
+	var victim taskKey
+	bestLoss, seen := 0.0, 0
+	start := c.random.IntN(max(1, len(c.machines.own)))
+	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
+		m := c.machines.own[(start+i)%len(c.machines.own)]
+		if preemptsForQuotaOf(m, r.spec.Team) {
+			return
+		}
+		if len(m.bound) == m.services || len(m.stops) > 0 || !m.tokenSeen || m.leaseExpired {
+			continue
+		}
+		seen++
+		for _, k := range m.tasks() {
+			v := m.bound[k]
+			if v.spec.Team != r.spec.Team || v.spec.Priority >= r.spec.Priority || isGang(v) || v.final() || m.vacated[k] != nil {
+				continue
+			}
+			if loss := c.lostWork(m, k, v); best == nil || loss < bestLoss {
+				best, victim, bestLoss = m, k, loss
+			}
+		}
+	}
+	if best != nil {
+		c.stopTask(best, victim, preemptedForQuota)
+		c.Stats.Preemptions++
+	}
+}
+
+// preemptsForQuotaOf tells whether a task is being stopped on a machine for its team's limit.
+func preemptsForQuotaOf(m *machine, teamName string) bool {
+	for k, stop := range m.stops {
+		if v := m.bound[k]; stop.reason == preemptedForQuota && v != nil && v.spec.Team == teamName {
+			return true
+		}
+	}
+	return false
+}
+
+// preemptedGang is why a task is stopped that takes its gang with it.
+const preemptedGang = "preempted with its gang"
+
+// preemptOn stops tasks on a machine for a queued one. Their ends are reported at
+// once; should that fail, another machine is tried after a heartbeat period.
+func (c *Core) preemptOn(r *jobRecord, queued *queuedTask, m *machine, victims []taskKey) {
+	queued.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Report)
+	m.reserveRoom(r.spec.ID, queued.nextPreemptionAt, "")
+	for _, k := range victims {
+		reason := "preempted"
+		if isGang(m.bound[k]) {
+			reason = preemptedGang
+		}
+		c.stopTask(m, k, reason)
+		c.Stats.Preemptions++
+	}
+	c.log.Debug("preempting tasks", "for", r.spec.ID, "machine", m.id, "victims", len(victims))
+}
+
+// preemptOnWarmMachine has a service wait a moment for room where its image is, in place
+// of the machine picked for it, where the image would first have to be fetched.
+// Exception "warm room for services": what must never be down is worth more
+// than the few seconds of lower work that this loses.
+func (c *Core) preemptOnWarmMachine(r *jobRecord, index int, picked *machine) bool {
+	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.queuedByIndex[index] != nil {
+		return false
+	}
+	if c.fetchTime(r.spec, picked) <= c.cfg.Facts.Workers.Report/2 {
+		return false
+	}
+	m, victims := c.cheapestVictims(r, true)
+	if m == nil {
+		return false
+	}
+	queued := &queuedTask{key: taskKey{r.spec.ID, index}, machine: m.id}
+	c.scheduler.enqueueTask(r, queued)
+	c.preemptOn(r, queued, m, victims)
+	return true
+}
+
+// cheapestVictims finds the machine where room for the task costs least, among the
+// first that will do from a random one on, and what to stop there. With warm,
+// only machines that have the image will do.
+func (c *Core) cheapestVictims(r *jobRecord, warm bool) (*machine, []taskKey) {
+	var best *machine
+	var bestVictims []taskKey
+	bestCost := 0.0
+	var bestRank placementRank
+	seen := 0
+	start := c.random.IntN(max(1, len(c.machines.own)))
+	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
+		m := c.machines.own[(start+i)%len(c.machines.own)]
+		if !m.holdsBelow(r.spec.Priority) || !c.mayPreemptOn(r, m) {
+			continue
+		}
+		if warm && c.fetchTime(r.spec, m) > 0 {
+			continue
+		}
+		victims, cost, ok := c.evict(r, m, false)
+		if !ok {
+			continue
+		}
+		seen++
+		cost += c.fetchTime(r.spec, m)
+		rank := placementRank{}
+		if r.spec.Shape == job.Service {
+			rank = c.rankMachine(r, m)
+		}
+		if best == nil || rank.before(bestRank) || (rank == bestRank && cost < bestCost) {
+			best, bestVictims, bestCost, bestRank = m, victims, cost, rank
+		}
+	}
+	return best, bestVictims
+}
+
+// holdsBelow tells whether tasks of a priority below the given one are bound to a machine.
+func (m *machine) holdsBelow(priority job.Priority) bool {
+	for p := job.Low; p < priority; p++ {
+		if m.boundByPriority[p] > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// mayPreemptOn tells whether tasks may be stopped on a machine to make room for a job's.
+func (c *Core) mayPreemptOn(r *jobRecord, m *machine) bool {
+	if len(m.stops) > 0 || c.now < m.reservedUntil || c.unschedulable(m) {
+		return false
+	}
+	return c.couldHold(r, m) && c.zoneAllowed(r, m.claim.Zone)
+}
+
+// gangVictims finds a machine where production work that ran before gets room at a
+// gang's cost: what is lost with a third of the machines is up again before training
+// is. What is new waits for room, as it did: stopping gangs for it too cost antrenare
+// more than ruteplan gained (carbura-iasi-fleet, calm).
+// Elsewhere gangs are not stopped, as one task's end ends them all. One at a time:
+// the room of a whole machine, and soon that of the gang's others, serves several
+// that wait.
+func (c *Core) gangVictims(r *jobRecord) (*machine, []taskKey) {
+	if r.spec.Priority < job.Production || c.preemptsGang() {
+		return nil, nil
+	}
+	var best *machine
+	var bestVictims []taskKey
+	bestCost := 0.0
+	seen := 0
+	start := c.random.IntN(max(1, len(c.machines.own)))
+	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
+		m := c.machines.own[(start+i)%len(c.machines.own)]
+		if len(m.bound) == m.services || !c.mayPreemptOn(r, m) {
+			continue
+		}
+		victims, cost, ok := c.evict(r, m, true)
+		if !ok {
+			continue
+		}
+		seen++
+		cost += c.fetchTime(r.spec, m)
+		if best == nil || cost < bestCost {
+			best, bestVictims, bestCost = m, victims, cost
+		}
+	}
+	return best, bestVictims
+}
+
+// preemptsGang tells whether a gang's task is being stopped on a machine of ours to make room.
+func (c *Core) preemptsGang() bool {
+	for _, m := range c.machines.own {
+		for _, stop := range m.stops {
+			if stop.reason == preemptedGang {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// evict picks the tasks of lower priority to stop on a machine, cheapest
+// first, and tells what work that loses in seconds of task time. With gangs, those
+// of several tasks may be among them. It is not ok if nothing has to be stopped, or if all
+// that may be is not enough.
+func (c *Core) evict(r *jobRecord, m *machine, gangs bool) (victims []taskKey, cost float64, ok bool) {
+	machineType := c.machineTypeOf(m)
+	cpus, gpus, memoryGB := m.cpus, m.gpus, m.ram
+	for _, v := range c.evictable(r, m, gangs) {
+		if hasCapacity(machineType, cpus, gpus, memoryGB, r.spec) {
+			break
+		}
+		cpus -= v.job.spec.CPUs
+		gpus -= v.job.spec.GPUs
+		memoryGB -= v.job.spec.MemoryGB
+		victims = append(victims, v.key)
+		cost += v.cost
+	}
+	ok = len(victims) > 0 && hasCapacity(machineType, cpus, gpus, memoryGB, r.spec)
+	return victims, cost, ok
+}
+
+// victim is a task that may be stopped, and what work that loses.
+type victim struct {
+	key  taskKey
+	job  *jobRecord
+	cost float64 // seconds of task time
+}
+
+// evictable lists the tasks on a machine that a job's task may displace: those of the lowest
+// priority first, and of these the cheapest.
+func (c *Core) evictable(r *jobRecord, m *machine, gangs bool) []victim {
+	var candidates []victim
+	for k, v := range m.bound {
+		if v.spec.Priority >= r.spec.Priority || isGang(v) && !gangs || v.final() || m.vacated[k] != nil {
+			continue
+		}
+		cost := c.lostWork(m, k, v)
+		if isGang(v) {
+			cost *= float64(v.spec.Tasks)
+		}
+		candidates = append(candidates, victim{k, v, cost})
+	}
+	slices.SortFunc(candidates, func(a, b victim) int {
+		return cmp.Or(cmp.Compare(a.job.spec.Priority, b.job.spec.Priority), cmp.Compare(a.cost, b.cost), a.key.compare(b.key))
+	})
+	return candidates
+}
+
+// lostWork is the work that stopping a task loses, in seconds: what it has done since its
+// start or its last checkpoint.
+func (c *Core) lostWork(m *machine, k taskKey, r *jobRecord) float64 {
+	at, ok := m.runningSince[k]
+	if !ok {
+		return 0
+	}
+	ran := (c.now - at).Seconds()
+	if r.spec.CheckpointIntervalS > 0 {
+		return min(ran, r.spec.CheckpointIntervalS)
+	}
+	return ran
+}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -80,7 +80,7 @@
 	image := record.spec.Image
 	switch status.Status {
 	case protocol.TaskRunning:
-		if m.markRunning(key, c.now) {
+		if m.recordRunning(key, c.now) {
 			c.traceStart(losses.Began, key.job, key.index, status.Attempt, m.id)
 		}
 		m.imageReadyAt[image] = min(m.imageReadyAt[image], c.now)
--- /dev/null
+++ b/internal/coordination/scheduler.go
@@ -0,0 +1,112 @@
+package coordination
+
+import (
+	"slices"
+	"time"
+)
+
+// scheduler owns the idle list, the queues of waiting tasks, and the credit for moving
+// services.
+type scheduler struct {
+	idle                []*machine   // machines with room
+	queuedJobs          []*jobRecord // jobs with queued tasks, most urgent first
+	queuedTasks         int
+	earlyHandoffs       map[string][]earlyHandoff // by job: handed off before the job's record came
+	capacity            usage                     // of all machines
+	capacityAt          time.Duration             // when it was last summed
+	serviceMoveCredit   float64                   // services that may be moved now, see consolidate
+	serviceMoveCreditAt time.Duration
+	nextServiceMoveAt   time.Duration // see moveService
+}
+
+func newScheduler() scheduler {
+	return scheduler{earlyHandoffs: map[string][]earlyHandoff{}}
+}
+
+// schedule removes from the queues what has been placed or is over, and dispatches every
+// pending task of the jobs that we are responsible for.
+func (c *Core) schedule() {
+	c.pruneQueues()
+	if len(c.scheduler.queuedJobs) > 0 {
+		for _, m := range slices.Clone(c.scheduler.idle) {
+			if !c.unschedulable(m) {
+				c.placeQueuedTasks(m)
+			}
+		}
+	}
+	c.updateGangReservation(c.jobs.openByUrgency)
+	for _, r := range c.jobs.openByUrgency {
+		switch {
+		case r.finished == r.spec.Tasks:
+			c.completeJob(r)
+		case r.bound+r.finished+len(r.reservations) < r.spec.Tasks && c.isResponsibleFor(r):
+			c.dispatchJob(r)
+		}
+	}
+	c.retryQueuedTasks()
+}
+
+// offerMachine puts a machine with room into the idle list, after it has taken the
+// oldest tasks that it can hold from any queue.
+func (c *Core) offerMachine(m *machine) {
+	if c.unschedulable(m) {
+		c.scheduler.removeFromIdleList(m)
+		return
+	}
+	c.placeQueuedTasks(m)
+	if !c.hasRoom(m) {
+		c.scheduler.removeFromIdleList(m)
+		return
+	}
+	m.listedAt = c.now
+	if m.idleListIndex == 0 {
+		c.scheduler.idle = append(c.scheduler.idle, m)
+		m.idleListIndex = len(c.scheduler.idle)
+	}
+	c.offerHeldRoom(m)
+}
+
+// removeFromIdleList removes a machine from the idle list, if it is there; the last one takes
+// its place.
+func (s *scheduler) removeFromIdleList(m *machine) {
+	if m.idleListIndex == 0 {
+		return
+	}
+	last := s.idle[len(s.idle)-1]
+	s.idle[m.idleListIndex-1] = last
+	last.idleListIndex = m.idleListIndex
+	s.idle = s.idle[:len(s.idle)-1]
+	m.idleListIndex = 0
+}
+
+// machineFreed offers a machine of ours on which room has become free, if its last heartbeat
+// is recent enough for an entry of the idle list.
+func (c *Core) machineFreed(id string) {
+	m := c.machines.byID[id]
+	if m == nil || !c.isOwn(m) || !m.tokenSeen {
+		return
+	}
+	if c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
+		c.offerMachine(m)
+	}
+}
+
+// hasRoom tells whether any task could use what is left.
+func (c *Core) hasRoom(m *machine) bool {
+	machineType := c.machineTypeOf(m)
+	if machineType.GPUs > 0 && c.jobs.openCPUOnly == 0 && machineType.GPUs-m.gpus < tolerance {
+		return false
+	}
+	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.ram > tolerance
+}
+
+// requeueTask looks for a new place for a task that was stopped or lost, at once
+// and here; failing that, the controller responsible for its job dispatches it.
+func (c *Core) requeueTask(r *jobRecord, index int) {
+	if isGang(r) || !c.placeable(r, index) {
+		return
+	}
+	if m := c.pickIdleMachine(r); m != nil && !c.preemptOnWarmMachine(r, index, m) {
+		c.placeTask(r, index, m)
+	}
+}
