--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -114,7 +114,7 @@
 			"kit": "k", "sizeGb": 1, "rigs": nil, "depot": nil, "oneZone": false, "apart": false, "casual": true, "etaS": 5, "waypointS": 0, "stowS": 0, "dueS": nil}
 	}
 	ask := func(n int, method, path string, body []byte) (status int, answer string) {
-		s.nodes[n].request("users", method, path, body, func(st int, b []byte) { status, answer = st, string(b) })
+		s.controllers[n].request("users", method, path, body, func(st int, b []byte) { status, answer = st, string(b) })
 		for end := s.now + 4500*time.Millisecond; status == 0 && s.now < end; {
 			s.run(s.now + 10*time.Millisecond)
 		}
@@ -163,13 +163,13 @@
 	}
 	// A job that is known by a record that can't be read is not unknown, and a job that is done is not cancelled.
 	u := s.submit(&job.Spec{ID: "wk-700001", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, 5, 0)
-	s.kv.rev++
-	s.kv.change(keyJob+"wk-700002", json.RawMessage(`{"spec":7}`), 0, s.kv.rev)
+	s.state.revision++
+	s.state.apply(keyJob+"wk-700002", json.RawMessage(`{"spec":7}`), 0, s.state.revision)
 	s.run(s.now + 60*time.Second)
-	if u.final != "done" {
-		t.Fatalf("the job is %q", u.final)
+	if u.finalStatus != "done" {
+		t.Fatalf("the job is %q", u.finalStatus)
 	}
-	for n := range s.nodes {
+	for n := range s.controllers {
 		if st, answer := ask(n, "POST", protocol.PathJobs+"/wk-700001/abort", nil); st != 200 || !strings.Contains(answer, `"done"`) {
 			t.Errorf("cancelling what is done, at n%d: %d %s", n, st, answer)
 		}
@@ -190,20 +190,20 @@
 func TestNothingBeginsAfterACancellation(t *testing.T) {
 	for seed := uint64(49_100); seed < 49_103; seed++ {
 		s := newSim(t, seed, 0)
-		s.met.quickBoots = true // each machine comes up
+		s.faults.quickBoots = true // each machine comes up
 		s.after(time.Second, func() {
 			s.submit(&job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 6, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
 		})
 		s.run(40 * time.Second) // there are machines
 		for i := range 40 {
 			s.after(time.Duration(i)*500*time.Millisecond, func() {
-				s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2, CPUs: 1, GPUs: 0.25, MemoryGB: 1}, 20, s.ms(100, 2500))
+				s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2, CPUs: 1, GPUs: 0.25, MemoryGB: 1}, 20, s.randomMillis(100, 2500))
 			})
 		}
 		s.run(80 * time.Second)
-		if s.starts < 10 || s.met.lateStarts > 0 {
-			t.Errorf("seed %d: %d of %d starts came after the user had been told that the job is cancelled", seed, s.met.lateStarts, s.starts)
+		if s.counts.taskStarts < 10 || s.faultCounts.lateStarts > 0 {
+			t.Errorf("seed %d: %d of %d starts came after the user had been told that the job is cancelled", seed, s.faultCounts.lateStarts, s.counts.taskStarts)
 		}
-		s.report(t)
+		s.reportViolations(t)
 	}
 }
--- a/internal/coordination/apart_test.go
+++ b/internal/coordination/apart_test.go
@@ -16,7 +16,7 @@
 		for i := range 8 {
 			u := s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2 + i%2,
 				CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 8, 0)
-			u.apart = 40
+			u.runtimeStepS = 40
 		}
 	})
 	return s
@@ -27,28 +27,34 @@
 // not early (the checker of the rules says), and no task is started a second time while its machine is there.
 func TestEndingsFarApart(t *testing.T) {
 	for name, change := range map[string]func(s *sim){
-		"the leader ends for good": func(s *sim) { s.busiest().crash(5 * time.Minute) },
+		"the leader ends for good": func(s *sim) { s.busiestController().crash(5 * time.Minute) },
 		"it is back within a second": func(s *sim) {
-			for at := time.Duration(0); at < 70*time.Second; at += s.ms(2000, 12_000) {
-				s.after(at, func() { s.busiest().crash(s.ms(50, 900)) })
+			for at := time.Duration(0); at < 70*time.Second; at += s.randomMillis(2000, 12_000) {
+				s.after(at, func() { s.busiestController().crash(s.randomMillis(50, 900)) })
 			}
 		},
 		"hand-over and back": func(s *sim) {
-			for i, n := range s.nodes {
-				s.after(time.Duration(15*i)*time.Second, func() { n.cut["workers"] = s.now + 14*time.Second })
+			for i, n := range s.controllers {
+				s.after(time.Duration(15*i)*time.Second, func() { n.unreachableUntil["workers"] = s.now + 14*time.Second })
 			}
 		},
 		"all end, one returns": func(s *sim) {
-			for i, n := range s.nodes {
+			for i, n := range s.controllers {
 				n.crash(700*time.Millisecond + time.Duration(i)*40*time.Second)
 			}
 		},
 		"refused, then down for all": func(s *sim) {
-			s.busiest().refused = s.now + 20*time.Second
-			s.after(20*time.Second, func() { s.kv.down = s.now + 30*time.Second })
+			s.busiestController().refusedUntil = s.now + 20*time.Second
+			s.after(20*time.Second, func() { s.state.downUntil = s.now + 30*time.Second })
+		},
+		"late transactions": func(s *sim) {
+			s.faults.lateTransactions = 0.3
+			s.after(time.Minute, func() { s.faults.lateTransactions = 0 })
+		},
+		"late reports": func(s *sim) {
+			s.faults.duplicateHeartbeats = 0.5
+			s.after(time.Minute, func() { s.faults.duplicateHeartbeats = 0 })
 		},
-		"late transactions": func(s *sim) { s.lateTxns = 0.3; s.after(time.Minute, func() { s.lateTxns = 0 }) },
-		"late reports":      func(s *sim) { s.copies = 0.5; s.after(time.Minute, func() { s.copies = 0 }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -56,10 +62,10 @@
 				s := apartDay(t, seed)
 				s.after(36*time.Second, func() { change(s) })
 				s.finish(t, 150*time.Second)
-				s.report(t)
+				s.reportViolations(t)
 				for _, u := range s.users {
-					if u.again > 0 || u.begun != u.spec.Tasks {
-						t.Errorf("seed %d: %s: %d of %d tasks begun, %d of them again though their machines were there", seed, u.spec.ID, u.begun, u.spec.Tasks, u.again)
+					if u.restarts > 0 || u.tasksStarted != u.spec.Tasks {
+						t.Errorf("seed %d: %s: %d of %d tasks begun, %d of them again though their machines were there", seed, u.spec.ID, u.tasksStarted, u.spec.Tasks, u.restarts)
 					}
 				}
 			}
@@ -80,15 +86,15 @@
 			}
 		})
 		s.run(50 * time.Second)
-		leader := s.busiest()
+		leader := s.busiestController()
 		unresponsive := map[string]bool{}
-		for _, w := range s.cloud.sorted() {
+		for _, w := range s.cloud.sortedMachines() {
 			if m := leader.core.machines.byID[w.name]; m != nil && leader.core.isOwn(m) {
-				w.deaf, unresponsive[w.name] = s.now+70*time.Second, true
+				w.unresponsiveUntil, unresponsive[w.name] = s.now+70*time.Second, true
 			}
 		}
 		bound := func() (n int) {
-			for _, o := range s.nodes {
+			for _, o := range s.controllers {
 				if o.core == nil {
 					continue
 				}
@@ -110,9 +116,9 @@
 		s.run(4 * time.Minute)
 		for _, id := range sortedKeys(s.users) {
 			on := 0
-			for _, w := range s.work {
-				for _, l := range w.loads {
-					if l.id == id && l.on() {
+			for _, w := range s.workers {
+				for _, l := range w.tasks {
+					if l.jobID == id && l.isActive() {
 						on++
 					}
 				}
@@ -121,7 +127,7 @@
 				t.Errorf("seed %d: %s: %d of 2 run in the end", seed, id, on)
 			}
 		}
-		s.report(t)
+		s.reportViolations(t)
 	}
 }
 
@@ -187,8 +193,8 @@
 		kept  bool
 	}{{"all of them", 4, true}, {"a few of them", 1, false}} {
 		s := newSim(t, 43_200, 0)
-		for k := range s.cloud.free {
-			s.cloud.free[k] = map[string]int{"small": 6}[k.machineType]
+		for k := range s.cloud.capacity {
+			s.cloud.capacity[k] = map[string]int{"small": 6}[k.machineType]
 		}
 		s.after(time.Second, func() {
 			for i := range 16 {
@@ -198,18 +204,18 @@
 		})
 		s.run(60 * time.Second)
 		n := 0
-		for i, w := range s.cloud.sorted() {
+		for i, w := range s.cloud.sortedMachines() {
 			if w.up && i%4 < v.share {
-				w.hung = s.now + 15*time.Second
+				w.hungUntil = s.now + 15*time.Second
 				n++
 			}
 		}
-		for _, c := range s.nodes {
+		for _, c := range s.controllers {
 			c.crash(time.Second)
 		}
 		s.run(75 * time.Second)
 		drained := 0
-		for _, why := range s.kv.drainedAs {
+		for _, why := range s.state.drainReasons {
 			if why == drainSilent {
 				drained++
 			}
@@ -218,6 +224,6 @@
 			t.Errorf("%s: %d of %d that could not be reached were drained as silent", v.name, drained, n)
 		}
 		s.run(2 * time.Minute)
-		s.report(t)
+		s.reportViolations(t)
 	}
 }
--- a/internal/coordination/begin_test.go
+++ b/internal/coordination/begin_test.go
@@ -27,17 +27,17 @@
 			t.Parallel()
 			for seed := uint64(48_000); seed < 48_004; seed++ {
 				s := newSim(t, seed, 0)
-				for k := range s.cloud.free {
-					s.cloud.free[k] *= 2
+				for k := range s.cloud.capacity {
+					s.cloud.capacity[k] *= 2
 				}
 				s.facts.Teams = []config.Team{{Name: "red", GPUsMax: 8}, {Name: "blue"}}
-				s.told = s.facts
+				s.advertised = s.facts
 				n := 0
 				var next func()
 				next = func() {
 					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: "red", Shape: job.Array, Tasks: 3, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, v.runs, 0)
 					n++
-					s.after(s.ms(2000, 3600), next)
+					s.after(s.randomMillis(2000, 3600), next)
 				}
 				s.after(time.Second, next)
 				sp := *v.slow
@@ -45,19 +45,19 @@
 				var u *simUser
 				s.after(60*time.Second, func() { u = s.submit(&sp, 20, 0) })
 				s.run(60*time.Second + largestWithin)
-				if u.begun == 0 {
+				if u.tasksStarted == 0 {
 					t.Errorf("seed %d: it has not begun", seed)
 				}
 				begun := 0
 				for _, o := range s.users {
-					if o != u && o.begun > 0 && o.began > 60*time.Second {
+					if o != u && o.tasksStarted > 0 && o.firstStartAt > 60*time.Second {
 						begun++
 					}
 				}
 				if want := min(40, int(400/v.runs)); begun < want {
 					t.Errorf("seed %d: only %d small jobs began meanwhile", seed, begun)
 				}
-				s.report(t)
+				s.reportViolations(t)
 			}
 		})
 	}
@@ -68,21 +68,21 @@
 func TestNothingWaitsForRoomOnDeafMachines(t *testing.T) {
 	for seed := uint64(48_100); seed < 48_104; seed++ {
 		s := newSim(t, seed, 0)
-		for k := range s.cloud.free {
-			s.cloud.free[k] = map[string]int{"large": 4}[k.machineType]
+		for k := range s.cloud.capacity {
+			s.cloud.capacity[k] = map[string]int{"large": 4}[k.machineType]
 		}
 		keep := &job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Production}
 		s.after(time.Second, func() { s.submit(keep, 0, 0) })
 		s.run(40 * time.Second)
-		for _, w := range s.cloud.sorted() {
-			w.deaf = s.now + 90*time.Second
+		for _, w := range s.cloud.sortedMachines() {
+			w.unresponsiveUntil = s.now + 90*time.Second
 		}
 		s.run(65 * time.Second) // the service's lease has ended, and its machine shows no token
 		u := s.submit(&job.Spec{ID: "wk-000002", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, 5, 0)
 		s.run(120 * time.Second)
-		if u.begun == 0 || u.began > 110*time.Second {
-			t.Errorf("seed %d: nothing began within 45 s, %d of 4 tasks in the end", seed, u.begun)
+		if u.tasksStarted == 0 || u.firstStartAt > 110*time.Second {
+			t.Errorf("seed %d: nothing began within 45 s, %d of 4 tasks in the end", seed, u.tasksStarted)
 		}
-		s.report(t)
+		s.reportViolations(t)
 	}
 }
--- a/internal/coordination/blame_test.go
+++ b/internal/coordination/blame_test.go
@@ -24,28 +24,28 @@
 		for i := range 6 {
 			u := s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 4, Priority: job.Normal,
 				CPUs: 4, GPUs: 1, MemoryGB: 8}, 10, 150*time.Second)
-			u.mistaken = mistaken
+			u.failsEverywhere = mistaken
 			bad = append(bad, u)
 		}
 		s.run(200 * time.Second)
-		for key := range s.kv.drains {
-			if s.kv.drainedAs[key] == drainFaulty {
+		for key := range s.state.drainWrites {
+			if s.state.drainReasons[key] == drainFaulty {
 				drains++
 			}
 		}
 		for i, u := range bad {
 			failures += u.failures
-			if want := map[bool]string{true: "cancelled", false: "done"}[mistaken]; u.final != want {
-				t.Errorf("job %d, mistaken %v, is %q", i, mistaken, u.final)
+			if want := map[bool]string{true: "cancelled", false: "done"}[mistaken]; u.finalStatus != want {
+				t.Errorf("job %d, mistaken %v, is %q", i, mistaken, u.finalStatus)
 			}
 		}
 		for _, id := range sortedKeys(s.users) {
-			if u := s.users[id]; strings.HasPrefix(id, "wk-7") && u.final != "done" {
-				t.Errorf("%s is %q beside jobs that fail", id, u.final)
+			if u := s.users[id]; strings.HasPrefix(id, "wk-7") && u.finalStatus != "done" {
+				t.Errorf("%s is %q beside jobs that fail", id, u.finalStatus)
 			}
 		}
-		s.report(t)
-		return s.cloud.next, drains, failures
+		s.reportViolations(t)
+		return s.cloud.nextMachine, drains, failures
 	}
 	plain, _, _ := day(false)
 	rented, drains, failures := day(true)
@@ -65,8 +65,8 @@
 	}
 	s.run(25 * time.Second)
 	var bad *simWorker
-	for _, w := range s.cloud.sorted() {
-		if w.up && len(w.loads) > 0 {
+	for _, w := range s.cloud.sortedMachines() {
+		if w.up && len(w.tasks) > 0 {
 			bad = w
 		}
 	}
@@ -76,9 +76,9 @@
 			CPUs: 4, GPUs: 1, MemoryGB: 8}, 6, 0)
 	}
 	s.run(80 * time.Second)
-	if s.kv.drainedAs[keyDrain+bad.name] != drainFaulty {
-		t.Errorf("%s fails whatever runs there, and is drained as %q", bad.name, s.kv.drainedAs[keyDrain+bad.name])
+	if s.state.drainReasons[keyDrain+bad.name] != drainFaulty {
+		t.Errorf("%s fails whatever runs there, and is drained as %q", bad.name, s.state.drainReasons[keyDrain+bad.name])
 	}
 	s.finish(t, 100*time.Second)
-	s.report(t)
+	s.reportViolations(t)
 }
--- a/internal/coordination/conform_test.go
+++ b/internal/coordination/conform_test.go
@@ -38,11 +38,11 @@
 func TestStandInsConformToProtocol(t *testing.T) {
 	quietSim := func() *sim {
 		s := newSim(t, 1, 0)
-		s.nodes, s.q = nil, nil // no controllers and nothing else that happens
+		s.controllers, s.pending = nil, nil // no controllers and nothing else that happens
 		var expire func()
-		expire = func() { s.kv.expire(); s.after(100*time.Millisecond, expire) }
+		expire = func() { s.state.expireLeases(); s.after(100*time.Millisecond, expire) }
 		expire()
-		s.cloud.hist = nil
+		s.cloud.listHistory = nil
 		s.cloud.snapshot()
 		s.run(2 * time.Second) // the rates' bursts fill up
 		return s
@@ -50,17 +50,17 @@
 	t.Run("state", func(t *testing.T) {
 		conformance.Run(t, conformance.State, false, func(t *testing.T) conformance.Target {
 			s := quietSim()
-			n := &simNode{s: s}
-			return standIn{s, func(k protocol.Call, reply func(int, []byte)) { s.kv.serve(n, k, reply) }}
+			n := &simController{s: s}
+			return standIn{s, func(k protocol.Call, reply func(int, []byte)) { s.state.serve(n, k, reply) }}
 		})
 	})
 	t.Run("cloud", func(t *testing.T) {
 		conformance.Run(t, conformance.Cloud, false, func(t *testing.T) conformance.Target {
 			s := quietSim()
 			s.facts.Cloud.ListLag = 1
-			s.cloud.page = 500
-			s.cloud.types = map[string]protocol.MachineType{"small": {Name: "small", StartupS: 1000, Zones: []string{"a", "b"}}}
-			s.cloud.free = map[offering]int{{"small", "a", false}: 2, {"small", "b", false}: 1}
+			s.cloud.pageSize = 500
+			s.cloud.machineTypes = map[string]protocol.MachineType{"small": {Name: "small", StartupS: 1000, Zones: []string{"a", "b"}}}
+			s.cloud.capacity = map[offering]int{{"small", "a", false}: 2, {"small", "b", false}: 1}
 			return standIn{s, s.cloud.serve}
 		})
 	})
@@ -68,8 +68,8 @@
 		conformance.Run(t, conformance.Worker, false, func(t *testing.T) conformance.Target {
 			s := quietSim()
 			s.users["wk-000001"] = &simUser{s: s, spec: &job.Spec{ID: "wk-000001", Shape: job.Service, Tasks: 9, CPUs: 8}, done: make([]bool, 9)}
-			w := &simWorker{s: s, name: "i-1", addr: "w:i-1", rig: "small", zone: "a", up: true, shift: 1, loads: map[string]*simLoad{}}
-			return standIn{s, w.direct}
+			w := &simWorker{s: s, name: "i-1", address: "w:i-1", machineType: "small", zone: "a", up: true, agentEpoch: 1, tasks: map[string]*simTask{}}
+			return standIn{s, w.serveDirect}
 		})
 	})
 }
@@ -85,7 +85,7 @@
 			"kit":"k","sizeGb":1,"oneZone":false,"apart":false,"casual":true,"etaS":5,"waypointS":0,"stowS":0%s}`, id, more))
 	}
 	ask := func(n int, method, path string, body []byte) (status int, answer string) {
-		n0 := s.nodes[n]
+		n0 := s.controllers[n]
 		n0.request("users", method, path, body, func(st int, b []byte) { status, answer = st, string(b) })
 		s.run(s.now + 4500*time.Millisecond)
 		return status, answer
@@ -106,12 +106,12 @@
 	if st, answer := ask(1, "POST", protocol.PathJobs, body("wk-600002", `,"unknown":1,"env":{},"inputs":null`)); st != 201 {
 		t.Fatal(st, answer)
 	}
-	if raw := s.kv.keys[keyJob+"wk-600002"].data; bytes.Contains(raw, []byte(`"x"`)) {
+	if raw := s.state.keys[keyJob+"wk-600002"].value; bytes.Contains(raw, []byte(`"x"`)) {
 		t.Errorf("the record of a job without extension fields: %s", raw)
 	}
-	s.nodes[2].crash(time.Second)
+	s.controllers[2].crash(time.Second)
 	s.run(s.now + 10*time.Second)
-	for n := range s.nodes {
+	for n := range s.controllers {
 		for range 2 { // the second time from the cache
 			st, answer := ask(n, "GET", protocol.PathJobs+"/wk-600001/description", nil)
 			var d protocol.JobDescription
@@ -132,8 +132,8 @@
 			t.Errorf("node %d: nodes: %d %s", n, st, answer)
 		}
 	}
-	if len(s.broken) > 0 {
-		t.Error(s.broken)
+	if len(s.violations) > 0 {
+		t.Error(s.violations)
 	}
 }
 
@@ -145,18 +145,18 @@
 	for seed := uint64(300); seed < 308; seed++ {
 		s := newSim(t, seed, 0.004)
 		for i := range 4 {
-			s.sets = append(s.sets, protocol.DataSet{Set: fmt.Sprint("set", i), Version: "1", Digest: strings.Repeat(fmt.Sprint(i), 64), Bytes: 800e6, Sources: []string{"127.0.0.1:1"}})
+			s.options.dataSets = append(s.options.dataSets, protocol.DataSet{Set: fmt.Sprint("set", i), Version: "1", Digest: strings.Repeat(fmt.Sprint(i), 64), Bytes: 800e6, Sources: []string{"127.0.0.1:1"}})
 		}
-		for i := range s.sets {
+		for i := range s.options.dataSets {
 			var register func()
 			register = func() {
-				s.anyNode().request("users", "POST", protocol.PathDataSets, encode(s.sets[i]), func(st int, body []byte) {
+				s.anyController().request("users", "POST", protocol.PathDataSets, encode(s.options.dataSets[i]), func(st int, body []byte) {
 					switch st {
 					case 200, 201:
 					case 503, 0:
 						s.after(500*time.Millisecond, register)
 					default:
-						s.breaks("data sets", "%d %s", st, body)
+						s.violation("data sets", "%d %s", st, body)
 					}
 				})
 			}
@@ -164,19 +164,19 @@
 		}
 		s.after(20*time.Second, func() {
 			zone := "a"
-			s.anyNode().request("users", "POST", protocol.PathStagings, encode(protocol.Staging{ID: "x", Set: "set0", Version: "latest", Team: "red", Priority: "urgent", ByS: 30, Machines: 2, Zone: &zone}),
+			s.anyController().request("users", "POST", protocol.PathStagings, encode(protocol.Staging{ID: "x", Set: "set0", Version: "latest", Team: "red", Priority: "urgent", ByS: 30, Machines: 2, Zone: &zone}),
 				func(st int, body []byte) {
 					if st != 201 && st != 503 && st != 0 {
-						s.breaks("announcements", "%d %s", st, body)
+						s.violation("announcements", "%d %s", st, body)
 					}
 				})
 		})
-		s.load(3 * time.Minute)
-		s.after(30*time.Second, func() { s.trouble(3 * time.Minute) })
+		s.submitMixedJobs(3 * time.Minute)
+		s.after(30*time.Second, func() { s.injectFaults(3 * time.Minute) })
 		s.finish(t, 4*time.Minute)
-		s.report(t)
-		warm, cold = warm+s.warm, cold+s.cold
-		for _, n := range s.nodes {
+		s.reportViolations(t)
+		warm, cold = warm+s.counts.warmStarts, cold+s.counts.coldStarts
+		for _, n := range s.controllers {
 			withdrawn += int(n.core.staging.planner.Stats.Withdrawn)
 			if k := len(n.core.staging.warmedFor); k > 0 {
 				t.Errorf("seed %d: %s still brings %d copies for jobs that are over", seed, n.name, k)
@@ -197,9 +197,9 @@
 // has come.
 func TestAnnouncementEndsWhenMet(t *testing.T) {
 	s := newSim(t, 1, 0)
-	s.sets = []protocol.DataSet{{Set: "set0", Version: "1"}}
+	s.options.dataSets = []protocol.DataSet{{Set: "set0", Version: "1"}}
 	s.run(time.Second)
-	c := s.nodes[0].core
+	c := s.controllers[0].core
 	a := &announcement{Staging: protocol.Staging{Set: "set0", Version: "1", Team: "red", Priority: "urgent", Machines: 3}}
 	put := func(id, team string, p job.Priority, input string, bound, finished int) {
 		c.jobs.byID[id] = &jobRecord{spec: &job.Spec{ID: id, Team: team, Priority: p, Inputs: []string{input}}, bound: bound, finished: finished}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -17,43 +17,49 @@
 )
 
 func newSim(t testing.TB, seed uint64, noise float64) *sim {
-	s := &sim{digest: newEffectsDigest(t, seed), logged: os.Getenv("SIM_LOGGED") != "", rnd: rand.New(rand.NewPCG(seed, 7)), work: map[string]*simWorker{}, users: map[string]*simUser{}, noise: noise}
+	s := &sim{
+		random:  rand.New(rand.NewPCG(seed, 7)),
+		workers: map[string]*simWorker{}, users: map[string]*simUser{},
+		options: simOptions{completionLog: os.Getenv("SIM_LOGGED") != ""},
+		faults:  simFaults{messageLoss: noise},
+		output:  simOutput{digest: newEffectsDigest(t, seed)},
+	}
 	s.facts = config.Facts{Count: 3, Zones: []string{"a", "b", "c"},
 		Teams:      []config.Team{{Name: "red", GPUs: 4, GPUsMax: 10}, {Name: "blue"}},
 		Objectives: []config.Objective{{Kind: "wait", Class: "svc", Within: 5}, {Kind: "finished", Class: "arr", Within: 60}},
 		Workers:    config.Workers{Report: 3, Lease: 18, GangWait: 30, GangPeer: 4, Cancel: 48},
 		State:      config.State{RPS: 300, WriteRPS: 120, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 10, ListLag: 4}, Limits: config.Limits{CPU: 1, RAMMB: 100, MaxSockets: 100}}
-	s.told = s.facts
-	s.kv = &simState{s: s, drains: map[string]int{}, drainedAs: map[string]string{}, keys: map[string]simKey{}, rev: 1, leases: map[uint64]time.Duration{}, ttls: map[uint64]time.Duration{},
-		memory: 300, page: 40} // short, so that 410 and paging are met often
-	s.cloud = &simCloud{s: s, page: 7, free: map[offering]int{}, hires: map[string][]string{}, all: map[string]*simWorker{}, types: map[string]protocol.MachineType{
+	s.advertised = s.facts
+	s.state = &simState{s: s, drainWrites: map[string]int{}, drainReasons: map[string]string{}, keys: map[string]simKey{}, revision: 1, leaseExpiry: map[uint64]time.Duration{}, leaseTTL: map[uint64]time.Duration{},
+		eventHistory: 300, pageSize: 40} // short, so that 410 and paging are met often
+	s.cloud = &simCloud{s: s, pageSize: 7, capacity: map[offering]int{}, rentalsByRequest: map[string][]string{}, machines: map[string]*simWorker{}, machineTypes: map[string]protocol.MachineType{
 		"small": {Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 64, ImagePullGBPerS: 1, OnDemandPrice: 4, SpotPrice: 1.5, StartupS: 8, Zones: []string{"a", "b", "c"}},
 		"large": {Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 12, Zones: []string{"a", "b"}}}}
 	for _, z := range []string{"a", "b", "c"} {
 		for _, spot := range []bool{true, false} {
-			s.cloud.free[offering{"small", z, spot}] = 2
-			s.cloud.free[offering{"large", z, spot}] = 1
+			s.cloud.capacity[offering{"small", z, spot}] = 2
+			s.cloud.capacity[offering{"large", z, spot}] = 1
 		}
 	}
 	s.cloud.snapshot()
 	for i := range 3 {
-		s.nodes = append(s.nodes, &simNode{s: s, name: fmt.Sprintf("n%d", i), zone: s.facts.Zones[i%2], cut: map[string]time.Duration{}})
+		s.controllers = append(s.controllers, newSimController(s, i))
 	}
 	var expire func()
-	expire = func() { s.kv.expire(); s.after(100*time.Millisecond, expire) }
+	expire = func() { s.state.expireLeases(); s.after(100*time.Millisecond, expire) }
 	expire()
-	for _, n := range s.nodes {
-		s.after(s.ms(0, 500), n.start)
+	for _, n := range s.controllers {
+		s.after(s.randomMillis(0, 500), n.start)
 	}
 	s.watchCancelled()
 	s.countOutages()
-	s.stranger()
+	s.queryUnknownJobs()
 	return s
 }
 
 // traceTo writes the day's logs where SIM_TRACE says, for looking into a failure.
-func (s *sim) traceTo(t *testing.T, seed uint64) {
+func (s *sim) traceDay(t *testing.T, seed uint64) {
 	path := os.Getenv("SIM_TRACE")
 	if path == "" {
 		return
@@ -63,110 +69,110 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Close() })
-	s.trace = f
+	s.output.trace = f
 }
 
 // load lets users submit jobs of all shapes until the time given.
-func (s *sim) load(until time.Duration) {
+func (s *sim) submitMixedJobs(until time.Duration) {
 	n := 0
 	var next func()
 	next = func() {
 		if s.now > until {
 			return
 		}
-		sp := &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: []string{"red", "blue"}[s.rnd.IntN(2)], Shape: job.Array,
-			Priority: job.Priority(s.rnd.IntN(3)), Tasks: 1 + s.rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 8, Spot: s.rnd.IntN(2) == 0}
+		sp := &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: []string{"red", "blue"}[s.random.IntN(2)], Shape: job.Array,
+			Priority: job.Priority(s.random.IntN(3)), Tasks: 1 + s.random.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 8, Spot: s.random.IntN(2) == 0}
 		n++
-		runs, cancel := 3+12*s.rnd.Float64(), time.Duration(0)
-		switch s.rnd.IntN(5) {
+		runs, cancel := 3+12*s.random.Float64(), time.Duration(0)
+		switch s.random.IntN(5) {
 		case 0:
-			sp.Shape, sp.Class, sp.Priority, sp.Tasks = job.Service, "svc", job.Production, 1+s.rnd.IntN(2)
-			cancel = s.ms(5_000, 60_000)
+			sp.Shape, sp.Class, sp.Priority, sp.Tasks = job.Service, "svc", job.Production, 1+s.random.IntN(2)
+			cancel = s.randomMillis(5_000, 60_000)
 		case 1:
-			sp.Shape, sp.Class, sp.Tasks = job.Gang, "gng", 1+s.rnd.IntN(3)
+			sp.Shape, sp.Class, sp.Tasks = job.Gang, "gng", 1+s.random.IntN(3)
 			sp.GPUs = 2
 		}
-		switch s.rnd.IntN(6) {
+		switch s.random.IntN(6) {
 		case 0:
 			sp.OneZone = true
 		case 1:
 			sp.Spread = true
 		case 2:
-			sp.Zone = []string{"a", "b"}[s.rnd.IntN(2)]
+			sp.Zone = []string{"a", "b"}[s.random.IntN(2)]
 		case 3:
 			sp.MachineTypes = []string{"small", "large"}
 		}
-		if cancel == 0 && s.rnd.IntN(6) == 0 {
-			cancel = s.ms(100, 20_000)
+		if cancel == 0 && s.random.IntN(6) == 0 {
+			cancel = s.randomMillis(100, 20_000)
 		}
 		s.submit(sp, runs, cancel)
-		s.after(s.ms(300, 3500), next)
+		s.after(s.randomMillis(300, 3500), next)
 	}
 	next()
 }
 
 // trouble draws faults from a list until the time given.
-func (s *sim) trouble(until time.Duration) {
+func (s *sim) injectFaults(until time.Duration) {
 	if s.now > until {
 		return
 	}
-	n := s.anyNode()
-	long := s.ms(3_000, 50_000)
+	n := s.anyController()
+	long := s.randomMillis(3_000, 50_000)
 	worker := func() *simWorker {
-		for _, w := range s.cloud.sorted() {
-			if w.up && s.rnd.IntN(4) == 0 {
+		for _, w := range s.cloud.sortedMachines() {
+			if w.up && s.random.IntN(4) == 0 {
 				return w
 			}
 		}
 		return nil
 	}
-	switch s.rnd.IntN(9) {
+	switch s.random.IntN(9) {
 	case 0:
-		n.crash(s.ms(1_000, 5_000))
+		n.crash(s.randomMillis(1_000, 5_000))
 	case 1:
-		for _, o := range s.nodes {
-			o.crash(s.ms(500, 6_000))
+		for _, o := range s.controllers {
+			o.crash(s.randomMillis(500, 6_000))
 		}
 	case 2:
-		n.cut["state"] = s.now + long
+		n.unreachableUntil["state"] = s.now + long
 	case 3:
-		n.cut["workers"] = s.now + long
+		n.unreachableUntil["workers"] = s.now + long
 	case 4:
 		for _, k := range []string{"state", "workers", "peers", "users", "cloud"} {
-			n.cut[k] = s.now + long
+			n.unreachableUntil[k] = s.now + long
 		}
 	case 5:
-		n.refused = s.now + long
+		n.refusedUntil = s.now + long
 	case 6:
-		s.kv.down = s.now + s.ms(2_000, 40_000)
+		s.state.downUntil = s.now + s.randomMillis(2_000, 40_000)
 	case 7:
 		if w := worker(); w != nil {
-			w.hung = s.now + s.ms(2_000, 60_000)
+			w.hungUntil = s.now + s.randomMillis(2_000, 60_000)
 		}
 	case 8:
 		if w := worker(); w != nil {
-			switch s.rnd.IntN(3) {
+			switch s.random.IntN(3) {
 			case 0: // stops, and is listed as failed
 				w.die()
 				w.failed = true
 			case 1: // taken without a notice, and listed a while longer
 				w.die()
-				w.taken = true
+				w.preempted = true
 				name := w.name
-				p := offering{w.rig, w.zone, w.spot}
-				s.after(30*time.Second, func() { delete(s.cloud.all, name); s.cloud.free[p]++ })
+				p := offering{w.machineType, w.zone, w.spot}
+				s.after(30*time.Second, func() { delete(s.cloud.machines, name); s.cloud.capacity[p]++ })
 			case 2:
 				w.faulty = true
 			}
 		}
 	}
-	s.after(s.ms(4_000, 25_000), func() { s.trouble(until) })
+	s.after(s.randomMillis(4_000, 25_000), func() { s.injectFaults(until) })
 }
 
-func (c *simCloud) sorted() []*simWorker {
+func (c *simCloud) sortedMachines() []*simWorker {
 	var out []*simWorker
-	for i := 0; i < c.next; i++ {
-		if w := c.all[fmt.Sprintf("i-%06d", i)]; w != nil {
+	for i := 0; i < c.nextMachine; i++ {
+		if w := c.machines[fmt.Sprintf("i-%06d", i)]; w != nil {
 			out = append(out, w)
 		}
 	}
@@ -176,26 +182,26 @@
 // finish lets everything calm down and then demands that every job that can
 // be done is done: safety without progress would be no use.
 func (s *sim) finish(t *testing.T, until time.Duration) {
-	s.noise = 0
+	s.faults.messageLoss = 0
 	s.run(until)
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		if n.core == nil {
 			n.start()
 		}
 	}
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
-		if u.spec.Shape == job.Service && !u.asked {
+		if u.spec.Shape == job.Service && !u.cancelRequested {
 			u.cancel()
 		}
 	}
 	s.run(until + 6*time.Minute)
 	open := 0
-	n := s.nodes[0]
+	n := s.controllers[0]
 	for _, id := range sortedKeys(s.users) {
-		if u := s.users[id]; u.final == "" {
+		if u := s.users[id]; u.finalStatus == "" {
 			if open++; open < 2 || n.core.gangs.reservation.Job == id {
-				s.dump(t, id)
+				s.logJob(t, id)
 			}
 			t.Logf("%s (%s of %d, team %s) has not ended: %v", u.spec.ID, u.spec.Shape, u.spec.Tasks, u.spec.Team, u.done)
 		}
@@ -206,8 +212,8 @@
 }
 
 // dump tells what the controllers think about a job that does not end.
-func (s *sim) dump(t *testing.T, id string) {
-	for _, n := range s.nodes {
+func (s *sim) logJob(t *testing.T, id string) {
+	for _, n := range s.controllers {
 		c := n.core
 		r := c.jobs.byID[id]
 		if r == nil {
@@ -218,7 +224,7 @@
 			n.name, *r.spec, r.status, r.owner, r.bound, len(r.reservations), r.tasksByZone, r.retryAt-c.now, r.failedOn, r.pages[0].tasks, len(r.pages[0].queue),
 			r.pages[0].inFlight, c.isLeader(), c.gangs.reservation, c.jobs.teams[r.spec.Team].charged, c.scheduler.idle, r.offers)
 		if c.isLeader() {
-			t.Logf("  rentals %+v refused %v now %v free %v listed %d gone %v drains %v", c.scaler.rentals, c.scaler.refusedUntil, c.now, s.cloud.free, len(c.scaler.cloudMachines), c.scaler.deletedAt, c.machines.drains)
+			t.Logf("  rentals %+v refused %v now %v free %v listed %d gone %v drains %v", c.scaler.rentals, c.scaler.refusedUntil, c.now, s.cloud.capacity, len(c.scaler.cloudMachines), c.scaler.deletedAt, c.machines.drains)
 		}
 		for _, mid := range sortedKeys(c.machines.byID) {
 			if m := c.machines.byID[mid]; c.isOwn(m) || m.token == 0 {
@@ -228,9 +234,9 @@
 	}
 }
 
-func (s *sim) report(t *testing.T) {
+func (s *sim) reportViolations(t *testing.T) {
 	t.Helper()
-	for _, b := range s.broken {
+	for _, b := range s.violations {
 		t.Error(b)
 	}
 	s.saveTapes(t)
@@ -240,15 +246,15 @@
 	for _, g := range drainSeverity {
 		grades[g] = true
 	}
-	for _, key := range sortedKeys(s.kv.drains) {
-		if n := s.kv.drains[key]; n > len(grades) {
+	for _, key := range sortedKeys(s.state.drainWrites) {
+		if n := s.state.drainWrites[key]; n > len(grades) {
 			t.Errorf("%s was written %d times", key, n)
 		}
 	}
-	if s.starts == 0 {
+	if s.counts.taskStarts == 0 {
 		t.Error("nothing ran")
 	}
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		if n.core != nil {
 			n.core.checkRoom(t, n.name)
 		}
@@ -286,9 +292,9 @@
 
 func TestQuietDayEndsEverything(t *testing.T) {
 	s := newSim(t, 1, 0)
-	s.load(2 * time.Minute)
+	s.submitMixedJobs(2 * time.Minute)
 	s.finish(t, 3*time.Minute)
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestRulesHoldUnderTrouble plays days with drawn faults: lost, late and
@@ -303,11 +309,11 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			s := newSim(t, seed, 0.004)
-			s.traceTo(t, seed)
-			s.load(4 * time.Minute)
-			s.after(20*time.Second, func() { s.trouble(4 * time.Minute) })
+			s.traceDay(t, seed)
+			s.submitMixedJobs(4 * time.Minute)
+			s.after(20*time.Second, func() { s.injectFaults(4 * time.Minute) })
 			s.finish(t, 5*time.Minute)
-			s.report(t)
+			s.reportViolations(t)
 		})
 	}
 }
@@ -322,33 +328,33 @@
 		spoil      func(s *sim)
 		during     func(s *sim)
 	}{
-		{"state service ignores conditions", "", 3, func(s *sim) { s.kv.blind = true }, nil},
-		{"leases believed shorter than they are", "ran_twice", 6, func(s *sim) { s.told.Workers.Lease = 2 }, func(s *sim) {
-			for _, w := range s.cloud.sorted() {
-				s.nodes[w.node].cut["workers"] = s.now + 15*time.Second
+		{"state service ignores conditions", "", 3, func(s *sim) { s.state.ignoresCompares = true }, nil},
+		{"leases believed shorter than they are", "ran_twice", 6, func(s *sim) { s.advertised.Workers.Lease = 2 }, func(s *sim) {
+			for _, w := range s.cloud.sortedMachines() {
+				s.controllers[w.controller].unreachableUntil["workers"] = s.now + 15*time.Second
 			}
 		}},
 		{"a limit believed higher than it is", "quota", 3, func(s *sim) {
-			s.told.Teams = []config.Team{{Name: "red", GPUsMax: 100}, {Name: "blue"}}
+			s.advertised.Teams = []config.Team{{Name: "red", GPUsMax: 100}, {Name: "blue"}}
 		}, nil},
-		{"cancellations believed to have ages", "ran_cancelled", 3, func(s *sim) { s.told.Workers.Cancel = 1000 }, func(s *sim) {
+		{"cancellations believed to have ages", "ran_cancelled", 3, func(s *sim) { s.advertised.Workers.Cancel = 1000 }, func(s *sim) {
 			// The busiest controller keeps its workers but not the state
 			// service, and everybody cancels.
-			var busiest *simNode
+			var busiest *simController
 			most := -1
-			for i, n := range s.nodes {
+			for i, n := range s.controllers {
 				tasks := 0
-				for _, w := range s.cloud.sorted() {
-					if w.node == i {
-						tasks += len(w.loads)
+				for _, w := range s.cloud.sortedMachines() {
+					if w.controller == i {
+						tasks += len(w.tasks)
 					}
 				}
 				if tasks > most {
 					busiest, most = n, tasks
 				}
 			}
-			busiest.cut["state"] = s.now + 100*time.Second
-			busiest.cut["peers"] = s.now + 100*time.Second
+			busiest.unreachableUntil["state"] = s.now + 100*time.Second
+			busiest.unreachableUntil["peers"] = s.now + 100*time.Second
 			s.after(3*time.Second, func() {
 				for _, id := range sortedKeys(s.users) {
 					s.users[id].cancel()
@@ -364,12 +370,12 @@
 					s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
 						Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
 				}
-				s.load(2 * time.Minute)
+				s.submitMixedJobs(2 * time.Minute)
 				if v.during != nil {
 					s.after(40*time.Second, func() { v.during(s) })
 				}
 				s.run(3 * time.Minute)
-				for _, b := range s.broken {
+				for _, b := range s.violations {
 					if strings.Contains(b, v.rule) {
 						return
 					}
@@ -386,20 +392,20 @@
 // mirror, and had the healthy machines deleted once it was back.
 func TestCutOffControllerDoesNotCondemnMachines(t *testing.T) {
 	s := newSim(t, 5, 0)
-	s.load(time.Minute)
+	s.submitMixedJobs(time.Minute)
 	s.run(50 * time.Second)
-	up := len(s.cloud.sorted())
-	s.nodes[1].cut["state"] = s.now + 35*time.Second
+	up := len(s.cloud.sortedMachines())
+	s.controllers[1].unreachableUntil["state"] = s.now + 35*time.Second
 	s.run(95 * time.Second)
-	for key, v := range s.kv.keys {
-		if strings.HasPrefix(key, keyDrain) && strings.Contains(string(v.data), drainSilent) {
-			t.Errorf("%s: %s", key, v.data)
+	for key, v := range s.state.keys {
+		if strings.HasPrefix(key, keyDrain) && strings.Contains(string(v.value), drainSilent) {
+			t.Errorf("%s: %s", key, v.value)
 		}
 	}
 	if up == 0 {
 		t.Fatal("no machines were rented")
 	}
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestLongOutageKeepsTasksRunning guards the vouching between controllers: in
@@ -413,9 +419,9 @@
 	}
 	s.run(60 * time.Second)
 	on := func() (n int) {
-		for _, w := range s.cloud.sorted() {
-			for _, l := range w.loads {
-				if l.on() {
+		for _, w := range s.cloud.sortedMachines() {
+			for _, l := range w.tasks {
+				if l.isActive() {
 					n++
 				}
 			}
@@ -425,19 +431,19 @@
 	if on() != 6 {
 		t.Fatalf("%d of 6 run before the outage", on())
 	}
-	starts := s.starts
-	s.kv.down = s.now + 3*time.Minute
+	starts := s.counts.taskStarts
+	s.state.downUntil = s.now + 3*time.Minute
 	s.run(s.now + 2*time.Minute)
-	if on() != 6 || s.starts != starts {
-		t.Errorf("%d of 6 run two minutes into the outage, %d were started again", on(), s.starts-starts)
+	if on() != 6 || s.counts.taskStarts != starts {
+		t.Errorf("%d of 6 run two minutes into the outage, %d were started again", on(), s.counts.taskStarts-starts)
 	}
 	// With one controller gone nobody can vouch for it.
-	s.nodes[2].crash(time.Hour)
+	s.controllers[2].crash(time.Hour)
 	s.run(s.now + 55*time.Second)
 	if on() != 0 {
 		t.Errorf("%d tasks still run although a controller can't be asked", on())
 	}
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestLargestJobRunsWithinLimits submits a job of 100,000 tasks beside others:
@@ -448,7 +454,7 @@
 	big := s.submit(&job.Spec{ID: "wk-800000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: protocol.MaxTasks,
 		Priority: job.Low, CPUs: 1, GPUs: 1, MemoryGB: 1, Spot: true}, 3, 0)
 	s.run(30 * time.Second)
-	s.load(time.Minute)
+	s.submitMixedJobs(time.Minute)
 	s.run(90 * time.Second)
 	done := 0
 	for _, d := range big.done {
@@ -463,10 +469,10 @@
 		s.users[id].cancel()
 	}
 	s.run(s.now + seconds(s.facts.Workers.Cancel) + 10*time.Second)
-	if big.final != "cancelled" {
-		t.Errorf("the largest job is %q", big.final)
+	if big.finalStatus != "cancelled" {
+		t.Errorf("the largest job is %q", big.finalStatus)
 	}
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestEarlyHandOverIsKept guards against tasks lost for two publishing
@@ -474,7 +480,7 @@
 func TestEarlyHandOverIsKept(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(20 * time.Second)
-	c := s.nodes[0].core
+	c := s.controllers[0].core
 	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 3, CPUs: 1, GPUs: 1, MemoryGB: 1}
 	c.receiveHandoff("n1", &peer.TaskHandoff{Job: sp.ID, Tasks: []int{0, 1, 2}})
 	if len(c.scheduler.earlyHandoffs[sp.ID]) != 1 {
@@ -498,7 +504,7 @@
 	var adopted uint64
 	const seeds = 12
 	for seed := uint64(1); seed <= seeds; seed++ {
-		adopted += restartAll(t, seed)
+		adopted += adoptionsAfterRestart(t, seed)
 	}
 	// Some workers find another controller first, whose claim they then need.
 	if adopted < seeds {
@@ -508,7 +514,7 @@
 
 // restartAll crashes all controllers of a small site and tells how many
 // workers they adopted.
-func restartAll(t *testing.T, seed uint64) (adopted uint64) {
+func adoptionsAfterRestart(t *testing.T, seed uint64) (adopted uint64) {
 	s := newSim(t, seed, 0)
 	for i := range 8 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
@@ -517,29 +523,29 @@
 	s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal,
 		CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: "a"}, 40, 0)
 	s.run(50 * time.Second)
-	starts := s.starts
-	for _, n := range s.nodes {
+	starts := s.counts.taskStarts
+	for _, n := range s.controllers {
 		n.crash(2 * time.Second)
 	}
 	s.run(64 * time.Second)
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		adopted += n.core.Stats.Adopted
 	}
-	if s.starts != starts {
-		t.Errorf("%d tasks were started again", s.starts-starts)
+	if s.counts.taskStarts != starts {
+		t.Errorf("%d tasks were started again", s.counts.taskStarts-starts)
 	}
 	s.run(150 * time.Second)
-	if u := s.users["wk-700000"]; u.final != "done" {
-		t.Errorf("the array is %q", u.final)
+	if u := s.users["wk-700000"]; u.finalStatus != "done" {
+		t.Errorf("the array is %q", u.finalStatus)
 	}
-	for _, w := range s.cloud.sorted() {
-		for name, l := range w.loads {
+	for _, w := range s.cloud.sortedMachines() {
+		for name, l := range w.tasks {
 			if l.status == protocol.TaskEnded {
 				t.Errorf("%s on %s was never forgotten", name, w.name)
 			}
 		}
 	}
-	s.report(t)
+	s.reportViolations(t)
 	return adopted
 }
 
@@ -555,19 +561,19 @@
 				Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: []string{"a", "b"}[i%2]}, 0, 0)
 		}
 		s.run(50 * time.Second)
-		starts := s.starts
-		for _, n := range s.nodes {
+		starts := s.counts.taskStarts
+		for _, n := range s.controllers {
 			n.crash(25 * time.Second)
 		}
 		s.run(100 * time.Second)
-		if s.starts < starts+8 {
-			t.Errorf("seed %d: %d of 8 tasks were started again", seed, s.starts-starts)
+		if s.counts.taskStarts < starts+8 {
+			t.Errorf("seed %d: %d of 8 tasks were started again", seed, s.counts.taskStarts-starts)
 		}
-		for _, n := range s.nodes {
+		for _, n := range s.controllers {
 			adopted += n.core.Stats.Adopted
 			claims += n.core.Stats.Claims
 		}
-		s.report(t)
+		s.reportViolations(t)
 	}
 	t.Logf("%d adopted, %d claimed", adopted, claims)
 	if adopted == 0 {
@@ -581,7 +587,7 @@
 func TestGangGetsABlockCleared(t *testing.T) {
 	s := newSim(t, 23, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
-	s.told = s.facts
+	s.advertised = s.facts
 	for i := range 4 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 40,
 			Priority: job.Low, CPUs: 2, GPUs: 1, MemoryGB: 1, Spot: true}, 300, 0)
@@ -595,7 +601,7 @@
 			t.Errorf("task %d of the gang has not run 15 s after its submission", i)
 		}
 	}
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestHungMachineOfARestartedControllerIsReturned guards against services that
@@ -608,30 +614,30 @@
 			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
 	}
 	s.run(60 * time.Second)
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		n.crash(2 * time.Second)
 	}
 	var hung *simWorker
-	for _, w := range s.cloud.sorted() {
-		if len(w.loads) > 0 {
+	for _, w := range s.cloud.sortedMachines() {
+		if len(w.tasks) > 0 {
 			hung = w
 		}
 	}
-	hung.hung = s.now + 5*time.Minute
-	before, busy := s.cloud.sorted(), map[string]bool{}
+	hung.hungUntil = s.now + 5*time.Minute
+	before, busy := s.cloud.sortedMachines(), map[string]bool{}
 	for _, w := range before {
-		busy[w.name] = len(w.loads) > 0
+		busy[w.name] = len(w.tasks) > 0
 	}
 	s.run(60*time.Second + seconds(5*s.facts.Workers.Report))
-	if w := s.cloud.all[hung.name]; w != nil {
+	if w := s.cloud.machines[hung.name]; w != nil {
 		t.Errorf("%s hangs and was not returned", hung.name)
 	}
 	for _, w := range before {
-		if w != hung && s.cloud.all[w.name] == nil && busy[w.name] {
+		if w != hung && s.cloud.machines[w.name] == nil && busy[w.name] {
 			t.Errorf("%s was returned too", w.name)
 		}
 	}
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestGangWithoutABlockLetsOthersStart guards against one gang holding the mark
@@ -640,7 +646,7 @@
 func TestGangWithoutABlockLetsOthersStart(t *testing.T) {
 	s := newSim(t, 41, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
-	s.told = s.facts
+	s.advertised = s.facts
 	gang := func(id string, tasks int) *simUser {
 		return s.submit(&job.Spec{ID: id, Class: "gng", Team: "red", Shape: job.Gang, Tasks: tasks, Priority: job.High,
 			CPUs: 16, GPUs: 2, MemoryGB: 1, Spot: true, OneZone: true, MachineTypes: []string{"small"}}, 5, 0)
@@ -662,7 +668,7 @@
 			t.Errorf("%s has not run", u.spec.ID)
 		}
 	}
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestUsersAreToldAtOnceThatTheStateServiceIsAway guards against users who give
@@ -673,10 +679,10 @@
 	u := s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 2, 0)
 	open := s.submit(&job.Spec{ID: "wk-700001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
 	s.run(60 * time.Second)
-	if u.final != "done" {
-		t.Fatalf("the array is %q", u.final)
+	if u.finalStatus != "done" {
+		t.Fatalf("the array is %q", u.finalStatus)
 	}
-	s.kv.down = s.now + time.Minute
+	s.state.downUntil = s.now + time.Minute
 	s.run(s.now + 5*time.Second)
 	for _, c := range []struct {
 		method, path string
@@ -688,7 +694,7 @@
 		{"GET", protocol.PathJobs + "/wk-999999", nil, 503},
 		{"POST", protocol.PathJobs, []byte(strings.Replace(string(open.body), "wk-700001", "wk-700002", 1)), 503},
 	} {
-		e := s.nodes[0].core.Request(s.nodes[0].clock(), 1<<40, c.method, c.path, c.body)
+		e := s.controllers[0].core.Request(s.controllers[0].clock(), 1<<40, c.method, c.path, c.body)
 		if len(e.Responses) != 1 || e.Responses[0].Status != c.want || (c.want == 503) != (e.Responses[0].RetryAfter > 0) {
 			t.Errorf("%s %s: %+v, want %d at once", c.method, c.path, e.Responses, c.want)
 		}
@@ -705,11 +711,11 @@
 			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
 	}
 	s.run(60 * time.Second)
-	for _, n := range s.nodes {
-		n.cut["cloud"] = s.now + time.Hour // nothing is returned
+	for _, n := range s.controllers {
+		n.unreachableUntil["cloud"] = s.now + time.Hour // nothing is returned
 	}
 	var gone *machine
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		for _, m := range n.core.machines.own {
 			if len(m.bound) > 0 && gone == nil {
 				gone = m
@@ -725,9 +731,9 @@
 	}
 	gone.consolidating = true
 	s.run(70 * time.Second)
-	s.work[gone.claim.Address].die()
+	s.workers[gone.claim.Address].die()
 	s.run(100 * time.Second)
-	if n := s.kv.drains[keyDrain+gone.id]; n == 0 || n > 2 {
+	if n := s.state.drainWrites[keyDrain+gone.id]; n == 0 || n > 2 {
 		t.Errorf("the drain of %s was written %d times", gone.id, n)
 	}
 }
@@ -743,7 +749,7 @@
 			CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
 		s.run(40 * time.Second)
 		tried := false
-		for _, n := range s.nodes {
+		for _, n := range s.controllers {
 			c := n.core
 			for _, m := range c.machines.own {
 				for _, k := range m.tasks() {
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -17,7 +17,7 @@
 	s := grownSim(t, 31)
 	s.loadGrown(80 * time.Second)
 	s.run(60 * time.Second)
-	c := s.nodes[0].core
+	c := s.controllers[0].core
 	if len(c.machines.byID) < 150 || len(c.machines.own) < 20 {
 		t.Fatalf("only %d machines, %d of them ours", len(c.machines.byID), len(c.machines.own))
 	}
@@ -47,7 +47,7 @@
 	n := 0
 	answered := 0
 	allocs := testing.AllocsPerRun(200, func() {
-		e := c.Request(s.nodes[0].clock(), uint64(1e9)+uint64(n), "POST", protocol.PathHeartbeat, bodies[n])
+		e := c.Request(s.controllers[0].clock(), uint64(1e9)+uint64(n), "POST", protocol.PathHeartbeat, bodies[n])
 		for _, a := range e.Responses {
 			if a.Status == 200 {
 				answered++
@@ -104,7 +104,7 @@
 // due.
 func TestCostOfAnIdleTick(t *testing.T) {
 	s, c, _ := grownCore(t)
-	clock := s.nodes[0].clock()
+	clock := s.controllers[0].clock()
 	c.Tick(clock)
 	if c.sweep.nextAt <= clock.Steady {
 		t.Fatal("a sweep is due")
--- a/internal/coordination/cutoff_test.go
+++ b/internal/coordination/cutoff_test.go
@@ -14,19 +14,19 @@
 // answered late, in part, while peers claim its machines and releases under the old
 // tokens wait. SIM_DAYS plays more of them.
 func TestRulesHoldWhenAZoneIsCutOff(t *testing.T) {
-	drawnDays(t, 5000, 12, func(t *testing.T, seed uint64) {
+	runSeeds(t, 5000, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
-		s.unordered = true
-		s.traceTo(t, seed)
-		s.load(3 * time.Minute)
-		s.after(20*time.Second, func() { s.cutOff(3 * time.Minute) })
+		s.options.unorderedLaunches = true
+		s.traceDay(t, seed)
+		s.submitMixedJobs(3 * time.Minute)
+		s.after(20*time.Second, func() { s.injectPartitions(3 * time.Minute) })
 		s.run(4 * time.Minute)
-		s.report(t)
+		s.reportViolations(t)
 	})
 }
 
 // drawnDays plays days from a first seed on, as many as SIM_DAYS says.
-func drawnDays(t *testing.T, first uint64, usual int, day func(t *testing.T, seed uint64)) {
+func runSeeds(t *testing.T, first uint64, usual int, day func(t *testing.T, seed uint64)) {
 	days, err := strconv.Atoi(os.Getenv("SIM_DAYS"))
 	if err != nil {
 		days = usual
@@ -40,26 +40,26 @@
 }
 
 // cutOff draws such cuts until the time given.
-func (s *sim) cutOff(until time.Duration) {
+func (s *sim) injectPartitions(until time.Duration) {
 	if s.now > until {
 		return
 	}
-	n := s.anyNode()
-	long := s.ms(5_000, 45_000)
+	n := s.anyController()
+	long := s.randomMillis(5_000, 45_000)
 	for _, k := range []string{"state", "peers", "users", "cloud"} {
-		n.cut[k] = s.now + long
+		n.unreachableUntil[k] = s.now + long
 	}
-	if s.rnd.IntN(2) == 0 {
-		n.cut["workers"] = s.now + long
+	if s.random.IntN(2) == 0 {
+		n.unreachableUntil["workers"] = s.now + long
 	}
-	n.lag = s.now + long + s.ms(2000, 15000)
-	o := s.anyNode()
-	o.lag = max(o.lag, s.now+s.ms(5000, 30000))
-	if s.rnd.IntN(3) == 0 {
-		s.anyNode().crash(s.ms(1000, 5000))
+	n.watchDelayedUntil = s.now + long + s.randomMillis(2000, 15000)
+	o := s.anyController()
+	o.watchDelayedUntil = max(o.watchDelayedUntil, s.now+s.randomMillis(5000, 30000))
+	if s.random.IntN(3) == 0 {
+		s.anyController().crash(s.randomMillis(1000, 5000))
 	}
-	if w := s.cloud.sorted(); len(w) > 0 && s.rnd.IntN(3) == 0 {
-		w[s.rnd.IntN(len(w))].hung = s.now + s.ms(2_000, 30_000)
+	if w := s.cloud.sortedMachines(); len(w) > 0 && s.random.IntN(3) == 0 {
+		w[s.random.IntN(len(w))].hungUntil = s.now + s.randomMillis(2_000, 30_000)
 	}
-	s.after(s.ms(15_000, 50_000), func() { s.cutOff(until) })
+	s.after(s.randomMillis(15_000, 50_000), func() { s.injectPartitions(until) })
 }
--- a/internal/coordination/endlog_test.go
+++ b/internal/coordination/endlog_test.go
@@ -13,14 +13,14 @@
 
 // TestRulesHoldWithTheEndingLog plays days of troubles with the log of endings switched on.
 func TestRulesHoldWithTheEndingLog(t *testing.T) {
-	drawnDays(t, 12_500, 12, func(t *testing.T, seed uint64) {
+	runSeeds(t, 12_500, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.01)
-		s.logged = true
-		s.traceTo(t, seed)
-		s.load(2 * time.Minute)
-		s.trouble(2 * time.Minute)
+		s.options.completionLog = true
+		s.traceDay(t, seed)
+		s.submitMixedJobs(2 * time.Minute)
+		s.injectFaults(2 * time.Minute)
 		s.finish(t, 2*time.Minute)
-		s.report(t)
+		s.reportViolations(t)
 	})
 }
 
@@ -29,22 +29,22 @@
 func TestEndingLogSavesChanges(t *testing.T) {
 	play := func(logged bool) (changes uint64, left int) {
 		s := grownSim(t, 91)
-		s.logged = logged
+		s.options.completionLog = logged
 		for i := range s.facts.Teams {
 			s.facts.Teams[i].GPUsMax = 0 // limited teams' endings go with their pages
 		}
-		s.told = s.facts
+		s.advertised = s.facts
 		for i := range 30 {
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+1), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 100, CPUs: 1, GPUs: 0.1, MemoryGB: 1, Spot: true}, 30, 0)
 		}
 		s.finish(t, 4*time.Minute)
-		s.report(t)
-		for key := range s.kv.keys {
+		s.reportViolations(t)
+		for key := range s.state.keys {
 			if strings.HasPrefix(key, keyEndings) {
 				left++
 			}
 		}
-		return s.kv.rev, left
+		return s.state.revision, left
 	}
 	without, _ := play(false)
 	with, left := play(true)
@@ -105,9 +105,9 @@
 // TestEndingLogAmongEarlierVersions: nothing goes to the log while a peer does not read it.
 func TestEndingLogAmongEarlierVersions(t *testing.T) {
 	s := newSim(t, 3, 0)
-	s.logged = true
+	s.options.completionLog = true
 	s.run(2 * time.Second)
-	c := s.nodes[0].core
+	c := s.controllers[0].core
 	r := &jobRecord{spec: &job.Spec{ID: "wk-000001", Team: "blue", Shape: job.Array, Tasks: 1}, status: job.Open}
 	done := taskTransition{proof: 1, done: true}
 	c.membership.formats["n1"], c.membership.formats["n2"] = completionLogFormat, completionLogFormat
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -17,17 +17,17 @@
 	s.facts.State = config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 12}
 	s.facts.Cloud = config.Cloud{RPS: 5, ListLag: 8}
 	s.facts.Teams = []config.Team{{Name: "red", GPUs: 100, GPUsMax: 500}, {Name: "blue", GPUs: 200, GPUsMax: 5000}}
-	s.kv.memory, s.kv.page, s.cloud.page = 10_000, 1000, 500
-	for k := range s.cloud.free {
-		s.cloud.free[k] = map[string]int{"small": 45, "large": 8}[k.machineType]
+	s.state.eventHistory, s.state.pageSize, s.cloud.pageSize = 10_000, 1000, 500
+	for k := range s.cloud.capacity {
+		s.cloud.capacity[k] = map[string]int{"small": 45, "large": 8}[k.machineType]
 	}
 	for i := 3; i < 5; i++ {
-		n := &simNode{s: s, name: fmt.Sprintf("n%d", i), zone: s.facts.Zones[i%2], cut: map[string]time.Duration{}}
-		s.nodes = append(s.nodes, n)
-		s.after(s.ms(0, 500), n.start)
+		n := newSimController(s, i)
+		s.controllers = append(s.controllers, n)
+		s.after(s.randomMillis(0, 500), n.start)
 	}
 	s.facts.Count = 5
-	s.told = s.facts
+	s.advertised = s.facts
 	return s
 }
 
@@ -39,30 +39,30 @@
 func (s *sim) loadGrownFrom(n int, until time.Duration) {
 	spec := func(shape job.Shape, class string, p job.Priority, tasks int) *job.Spec {
 		n++
-		return &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: class, Team: []string{"red", "blue"}[s.rnd.IntN(2)], Shape: shape, Priority: p,
+		return &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: class, Team: []string{"red", "blue"}[s.random.IntN(2)], Shape: shape, Priority: p,
 			Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 8}
 	}
 	for range 40 {
-		sp := spec(job.Service, "svc", job.Production, 2+s.rnd.IntN(4))
+		sp := spec(job.Service, "svc", job.Production, 2+s.random.IntN(4))
 		sp.Spread = true
-		s.submit(sp, 0, s.ms(60_000, 600_000))
+		s.submit(sp, 0, s.randomMillis(60_000, 600_000))
 	}
 	var next func()
 	next = func() {
 		if s.now > until {
 			return
 		}
-		switch s.rnd.IntN(8) {
+		switch s.random.IntN(8) {
 		case 0:
-			sp := spec(job.Gang, "gng", job.High, 1+s.rnd.IntN(4))
+			sp := spec(job.Gang, "gng", job.High, 1+s.random.IntN(4))
 			sp.CPUs, sp.GPUs, sp.OneZone, sp.MachineTypes = 50, 8, true, []string{"large"}
 			s.submit(sp, 20, 0)
 		default:
-			sp := spec(job.Array, "arr", job.Normal, 20+s.rnd.IntN(60))
+			sp := spec(job.Array, "arr", job.Normal, 20+s.random.IntN(60))
 			sp.Spot = true
-			s.submit(sp, 10+20*s.rnd.Float64(), 0)
+			s.submit(sp, 10+20*s.random.Float64(), 0)
 		}
-		s.after(s.ms(500, 4500), next)
+		s.after(s.randomMillis(500, 4500), next)
 	}
 	next()
 }
@@ -74,29 +74,29 @@
 	s := grownSim(t, 31)
 	s.loadGrown(150 * time.Second)
 	s.after(60*time.Second, func() {
-		for i, w := range s.cloud.sorted() {
+		for i, w := range s.cloud.sortedMachines() {
 			if i%16 == 0 {
-				w.hung = s.now + 40*time.Second
+				w.hungUntil = s.now + 40*time.Second
 			}
 		}
 	})
 	s.after(90*time.Second, func() {
-		for i, w := range s.cloud.sorted() {
+		for i, w := range s.cloud.sortedMachines() {
 			if w.spot && i%3 == 0 {
 				w.die()
-				w.taken = true
+				w.preempted = true
 				name := w.name
-				s.after(30*time.Second, func() { delete(s.cloud.all, name) })
+				s.after(30*time.Second, func() { delete(s.cloud.machines, name) })
 			}
 		}
 	})
 	s.after(110*time.Second, func() {
-		for _, n := range s.nodes {
+		for _, n := range s.controllers {
 			n.crash(3 * time.Second)
 		}
 	})
 	s.run(150 * time.Second)
-	up, done, tasks := len(s.cloud.sorted()), 0, 0
+	up, done, tasks := len(s.cloud.sortedMachines()), 0, 0
 	for _, u := range s.users {
 		for _, d := range u.done {
 			tasks++
@@ -106,16 +106,16 @@
 		}
 	}
 	var total Stats
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		total.Conflicts += n.core.Stats.Conflicts
 		total.Claims += n.core.Stats.Claims
 	}
-	t.Logf("%d machines, %d of %d tasks done, %d starts, %d conflicts, %d claims, %d refused", up, done, tasks, s.starts, total.Conflicts, total.Claims, s.kv.refused)
+	t.Logf("%d machines, %d of %d tasks done, %d starts, %d conflicts, %d claims, %d refused", up, done, tasks, s.counts.taskStarts, total.Conflicts, total.Claims, s.state.throttled)
 	if up < 200 {
 		t.Errorf("only %d machines are rented", up)
 	}
 	s.finish(t, 160*time.Second)
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestIdleControllerSleeps guards the processor of small machines: a controller
@@ -124,13 +124,13 @@
 	s := newSim(t, 5, 0)
 	s.run(20 * time.Second)
 	before := map[string]int{}
-	for _, n := range s.nodes {
-		before[n.name] = n.ticks
+	for _, n := range s.controllers {
+		before[n.name] = n.tickCount
 	}
 	s.run(50 * time.Second)
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		sweeps := int(30 * time.Second / n.core.sweepPeriod())
-		if ticks := n.ticks - before[n.name]; ticks > sweeps*5/4 {
+		if ticks := n.tickCount - before[n.name]; ticks > sweeps*5/4 {
 			t.Errorf("%s: %d ticks for %d sweeps", n.name, ticks, sweeps)
 		}
 	}
@@ -144,23 +144,23 @@
 	s.loadGrown(120 * time.Second)
 	s.run(100 * time.Second)
 	cut, single := map[string]bool{}, map[string]bool{}
-	for _, w := range s.cloud.sorted() {
+	for _, w := range s.cloud.sortedMachines() {
 		switch {
 		case w.zone == "c":
 			cut[w.name] = true
-			w.hung = s.now + 15*time.Second
-		case len(single) < 3 && len(w.loads) > 0:
+			w.hungUntil = s.now + 15*time.Second
+		case len(single) < 3 && len(w.tasks) > 0:
 			single[w.name] = true
-			w.hung = s.now + 60*time.Second
+			w.hungUntil = s.now + 60*time.Second
 		}
 	}
 	s.run(120 * time.Second)
 	kept, condemned := 0, 0
 	for name := range cut {
-		if s.cloud.all[name] != nil {
+		if s.cloud.machines[name] != nil {
 			kept++
 		}
-		if s.kv.drains[keyDrain+name] > 0 && s.nodes[0].core.machines.drains[name].Reason == drainSilent {
+		if s.state.drainWrites[keyDrain+name] > 0 && s.controllers[0].core.machines.drains[name].Reason == drainSilent {
 			condemned++
 		}
 	}
@@ -169,12 +169,12 @@
 		t.Errorf("%d machines were cut off, %d are there, %d condemned", len(cut), kept, condemned)
 	}
 	for name := range single {
-		if s.cloud.all[name] != nil {
+		if s.cloud.machines[name] != nil {
 			t.Errorf("%s is silent among machines that are heard, and was not returned", name)
 		}
 	}
 	s.finish(t, 160*time.Second)
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestWorkersOfASilentControllerAreTakenInTime guards against tasks killed by
@@ -188,22 +188,22 @@
 		s.loadGrown(120 * time.Second)
 		s.run(100 * time.Second)
 		shifts := map[string]uint64{}
-		for _, w := range s.cloud.sorted() {
-			shifts[w.name] = w.shift
+		for _, w := range s.cloud.sortedMachines() {
+			shifts[w.name] = w.agentEpoch
 		}
-		n := s.nodes[0]
+		n := s.controllers[0]
 		held += len(n.core.machines.own)
 		for _, who := range []string{"workers", "peers", "state", "users"} {
-			n.cut[who] = s.now + 30*time.Second
+			n.unreachableUntil[who] = s.now + 30*time.Second
 		}
 		s.run(128 * time.Second)
-		for _, w := range s.cloud.sorted() {
-			if w.shift > shifts[w.name] && shifts[w.name] > 0 {
+		for _, w := range s.cloud.sortedMachines() {
+			if w.agentEpoch > shifts[w.name] && shifts[w.name] > 0 {
 				ended++
 			}
 		}
 		s.finish(t, 160*time.Second)
-		s.report(t)
+		s.reportViolations(t)
 	}
 	t.Logf("%d of %d leases ended", ended, held)
 	if ended*20 > held {
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -167,12 +167,12 @@
 func TestAnOlderPublicationIsWrittenOver(t *testing.T) {
 	s := newSim(t, 41_000, 0)
 	s.run(30 * time.Second)
-	n := s.nodes[0]
+	n := s.controllers[0]
 	old := encode(member{n.core.incarnation - 1, 99, 0, latestFormat})
-	s.kv.rev++
-	s.kv.change(keyMember+n.name, old, n.core.membership.lease, s.kv.rev)
+	s.state.revision++
+	s.state.apply(keyMember+n.name, old, n.core.membership.lease, s.state.revision)
 	s.run(40 * time.Second)
-	if got := s.kv.keys[keyMember+n.name].data; string(got) == string(old) {
+	if got := s.state.keys[keyMember+n.name].value; string(got) == string(old) {
 		t.Errorf("ten seconds later the record is still %s", got)
 	}
 }
@@ -182,18 +182,20 @@
 func TestAControllerThatIsCutOffFromAllLeavesTheBalancer(t *testing.T) {
 	for _, v := range []struct {
 		name   string
-		spoil  func(s *sim, n *simNode)
+		spoil  func(s *sim, n *simController)
 		status int
 	}{
-		{"well", func(*sim, *simNode) {}, 200},
-		{"no state service and no peers", func(s *sim, n *simNode) { n.cut["state"], n.cut["peers"] = time.Hour, time.Hour }, 503},
-		{"no peers", func(s *sim, n *simNode) { n.cut["peers"] = time.Hour }, 200},
-		{"an outage", func(s *sim, n *simNode) { s.kv.down = time.Hour }, 200},
-		{"an outage, and no peers", func(s *sim, n *simNode) { s.kv.down, n.cut["peers"] = time.Hour, time.Hour }, 200},
+		{"well", func(*sim, *simController) {}, 200},
+		{"no state service and no peers", func(s *sim, n *simController) {
+			n.unreachableUntil["state"], n.unreachableUntil["peers"] = time.Hour, time.Hour
+		}, 503},
+		{"no peers", func(s *sim, n *simController) { n.unreachableUntil["peers"] = time.Hour }, 200},
+		{"an outage", func(s *sim, n *simController) { s.state.downUntil = time.Hour }, 200},
+		{"an outage, and no peers", func(s *sim, n *simController) { s.state.downUntil, n.unreachableUntil["peers"] = time.Hour, time.Hour }, 200},
 	} {
 		s := newSim(t, 41_100, 0)
 		s.run(20 * time.Second)
-		n := s.nodes[0]
+		n := s.controllers[0]
 		v.spoil(s, n)
 		s.run(28 * time.Second)
 		got := 0
--- a/internal/coordination/late_test.go
+++ b/internal/coordination/late_test.go
@@ -229,7 +229,7 @@
 	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal, CPUs: 1, GPUs: 1, MemoryGB: 1, MachineTypes: []string{"large"}}
 	s.submit(sp, 500, 0)
 	s.run(40 * time.Second)
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		c := n.core
 		for _, m := range c.machines.own {
 			if !m.tokenSeen || len(m.bound) != 2 {
--- a/internal/coordination/page_test.go
+++ b/internal/coordination/page_test.go
@@ -104,7 +104,7 @@
 func TestPagesAreListsAmongEarlierVersions(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(time.Second)
-	c := s.nodes[0].core
+	c := s.controllers[0].core
 	clear(c.membership.formats)
 	tasks := []job.Task{{Phase: job.Bound, Attempt: 1, Machine: "m", Epoch: 1}}
 	if b := c.encodePage(tasks); b[0] != '[' {
--- a/internal/coordination/reach_test.go
+++ b/internal/coordination/reach_test.go
@@ -14,35 +14,35 @@
 )
 
 // tells tells whether messages from n reach o.
-func (n *simNode) tells(o *simNode) bool {
+func (n *simController) tells(o *simController) bool {
 	now := n.s.now
-	return n.cut["peers"] <= now && o.cut["peers"] <= now && n.cut["to:"+o.name] <= now
+	return n.unreachableUntil["peers"] <= now && o.unreachableUntil["peers"] <= now && n.unreachableUntil["to:"+o.name] <= now
 }
 
 // said is a message as the other side reads it: a version before rows and carried calls
 // passes over what it does not know, as gob does.
-func (n *simNode) said(o *simNode, m peer.Message) (peer.Message, bool) {
+func (n *simController) said(o *simController, m peer.Message) (peer.Message, bool) {
 	s := n.s
-	if s.noCarrier && m.RelayRequest != nil {
+	if s.defects.noRelays && m.RelayRequest != nil {
 		return m, false
 	}
-	if s.mute && m.CancellationReply != nil {
+	if s.defects.noCancellationReplies && m.CancellationReply != nil {
 		v := *m.CancellationReply
 		v.Cancelled, m.CancellationReply = nil, &v
 	}
-	if m.Heartbeat != nil && (n.old || o.old || s.lies) {
+	if m.Heartbeat != nil && (n.beforeRelays || o.beforeRelays || s.faults.randomLinkReports) {
 		b := *m.Heartbeat
 		switch b.Links = nil; {
-		case s.lies && !n.old && !o.old:
+		case s.faults.randomLinkReports && !n.beforeRelays && !o.beforeRelays:
 			b.Links = s.lie()
 		}
 		m.Heartbeat = &b
 	}
-	if o.old {
+	if o.beforeRelays {
 		m.RelayRequest, m.RelayResponse, m.Forwarded = nil, nil, nil
 	}
-	if n.old && (m.RelayRequest != nil || m.RelayResponse != nil || m.Forwarded != nil) {
-		s.breaks("versions", "%s sends what its version does not know", n.name)
+	if n.beforeRelays && (m.RelayRequest != nil || m.RelayResponse != nil || m.Forwarded != nil) {
+		s.violation("versions", "%s sends what its version does not know", n.name)
 	}
 	return m, true
 }
@@ -50,16 +50,16 @@
 // lie draws rows that mean nothing.
 func (s *sim) lie() []connectivity.LinkReport {
 	var out []connectivity.LinkReport
-	for range 1 + s.rnd.IntN(5) {
-		r := connectivity.LinkReport{Node: s.anyNode().name, AgeMS: s.rnd.Int64N(20_000) - 1000, StateServiceMS: s.rnd.Int64N(6000) - 500, MirrorAgeMS: s.rnd.Int64N(6000) - 500,
-			HearsNoWorkers: s.rnd.IntN(3) == 0, Throttled: s.rnd.IntN(2) == 0}
-		for _, o := range s.nodes {
-			if s.rnd.IntN(2) == 0 {
+	for range 1 + s.random.IntN(5) {
+		r := connectivity.LinkReport{Node: s.anyController().name, AgeMS: s.random.Int64N(20_000) - 1000, StateServiceMS: s.random.Int64N(6000) - 500, MirrorAgeMS: s.random.Int64N(6000) - 500,
+			HearsNoWorkers: s.random.IntN(3) == 0, Throttled: s.random.IntN(2) == 0}
+		for _, o := range s.controllers {
+			if s.random.IntN(2) == 0 {
 				r.HearsPeers = append(r.HearsPeers, o.name)
 			}
 		}
-		if s.rnd.IntN(3) == 0 {
-			r.Zones = []connectivity.ZoneReport{{Zone: s.facts.Zones[0], Workers: s.rnd.IntN(9) - 1, LastHeardMS: s.rnd.Int64N(20_000) - 1000, Unreachable: s.rnd.IntN(2) == 0}}
+		if s.random.IntN(3) == 0 {
+			r.Zones = []connectivity.ZoneReport{{Zone: s.facts.Zones[0], Workers: s.random.IntN(9) - 1, LastHeardMS: s.random.Int64N(20_000) - 1000, Unreachable: s.random.IntN(2) == 0}}
 		}
 		out = append(out, r)
 	}
@@ -77,26 +77,26 @@
 // watchWays notes since when each worker has had a way through each controller:
 // worker to controller to state service, or to a peer that has it.
 func (s *sim) watchWays() {
-	if s.saved.since == nil {
-		s.saved.since = map[string]map[string]time.Duration{}
+	if s.leaseLosses.since == nil {
+		s.leaseLosses.since = map[string]map[string]time.Duration{}
 	}
-	states := map[*simNode]bool{}
-	for _, n := range s.nodes {
-		states[n] = n.core != nil && n.frozen <= s.now && n.cut["state"] <= s.now && n.refused <= s.now && s.kv.down <= s.now
+	states := map[*simController]bool{}
+	for _, n := range s.controllers {
+		states[n] = n.core != nil && n.pausedUntil <= s.now && n.unreachableUntil["state"] <= s.now && n.refusedUntil <= s.now && s.state.downUntil <= s.now
 	}
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		served := states[n]
-		for _, o := range s.nodes {
-			served = served || n.frozen <= s.now && n.core != nil && states[o] && n.tells(o) && o.tells(n)
+		for _, o := range s.controllers {
+			served = served || n.pausedUntil <= s.now && n.core != nil && states[o] && n.tells(o) && o.tells(n)
 		}
-		up := s.saved.since[n.name]
+		up := s.leaseLosses.since[n.name]
 		if up == nil {
 			up = map[string]time.Duration{}
-			s.saved.since[n.name] = up
+			s.leaseLosses.since[n.name] = up
 		}
 		for _, z := range s.facts.Zones {
 			switch {
-			case !served || n.cut["workers"] > s.now || n.cut["zone:"+z] > s.now:
+			case !served || n.unreachableUntil["workers"] > s.now || n.unreachableUntil["zone:"+z] > s.now:
 				delete(up, z)
 			case up[z] == 0:
 				up[z] = s.now
@@ -110,36 +110,36 @@
 func (w *simWorker) judgeLoss() {
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
-	if s.saved.since == nil || w.hung > s.now-lease {
+	if s.leaseLosses.since == nil || w.hungUntil > s.now-lease {
 		return
 	}
 	way, held := false, 0
-	for _, up := range s.saved.since {
+	for _, up := range s.leaseLosses.since {
 		way = way || up[w.zone] > 0 && s.now-up[w.zone] >= lease
 	}
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		// One that crashes at the same time holds them up like one that can't be reached: they
 		// wait for it to go on without new claims.
-		if n.cut["workers"] > s.now-lease || n.cut["zone:"+w.zone] > s.now-lease {
+		if n.unreachableUntil["workers"] > s.now-lease || n.unreachableUntil["zone:"+w.zone] > s.now-lease {
 			held++
 		}
-		if n.core == nil || n.started > s.now-lease || n.frozen > s.now-lease {
+		if n.core == nil || n.startedAt > s.now-lease || n.pausedUntil > s.now-lease {
 			held++
 		}
 	}
 	way = way && seconds(1.25*s.facts.Workers.Report)+time.Duration(held)*5*time.Second+2*time.Second < lease
-	for _, l := range w.loads {
-		switch u := s.users[l.id]; {
-		case !l.on() || u == nil:
+	for _, l := range w.tasks {
+		switch u := s.users[l.jobID]; {
+		case !l.isActive() || u == nil:
 		case !way:
-			s.saved.cut++
+			s.leaseLosses.cut++
 		case u.spec.Priority == job.Production:
-			s.saved.urgent++
+			s.leaseLosses.urgent++
 		default:
-			s.saved.other++
+			s.leaseLosses.other++
 		}
-		if s.trace != nil {
-			fmt.Fprintf(s.trace, "%8.3f LEASE stoker=%s zone=%s load=%s/%d way=%v answered=%.3f\n", s.now.Seconds(), w.name, w.zone, l.id, l.index, way, w.answered.Seconds())
+		if s.output.trace != nil {
+			fmt.Fprintf(s.output.trace, "%8.3f LEASE stoker=%s zone=%s load=%s/%d way=%v answered=%.3f\n", s.now.Seconds(), w.name, w.zone, l.jobID, l.index, way, w.lastAnsweredAt.Seconds())
 		}
 	}
 }
@@ -147,43 +147,43 @@
 // cuts are the ways in which a link of one controller can fail.
 func (s *sim) cuts() []string {
 	out := []string{"state", "state reset", "refused", "workers", "workers reset", "state flaps", "workers flap", "peers", "cloud", "users", "stands still"}
-	for _, z := range s.facts.Zones[:1+len(s.nodes)/5*2] { // on few controllers one stands for all
+	for _, z := range s.facts.Zones[:1+len(s.controllers)/5*2] { // on few controllers one stands for all
 		out = append(out, "zone:"+z)
 	}
-	for _, o := range s.nodes {
+	for _, o := range s.controllers {
 		out = append(out, "to:"+o.name)
 	}
 	return out
 }
 
 // cutLink makes a link of a controller fail for a time.
-func (s *sim) cutLink(n *simNode, kind string, long time.Duration) {
-	if s.trace != nil {
-		fmt.Fprintf(s.trace, "%8.3f CUT node=%s %s for %v\n", s.now.Seconds(), n.name, kind, long)
+func (s *sim) cutLink(n *simController, kind string, long time.Duration) {
+	if s.output.trace != nil {
+		fmt.Fprintf(s.output.trace, "%8.3f CUT node=%s %s for %v\n", s.now.Seconds(), n.name, kind, long)
 	}
 	link, reset := strings.CutSuffix(kind, " reset")
 	switch {
 	case kind == "refused":
-		n.refused = s.now + long
+		n.refusedUntil = s.now + long
 	case kind == "stands still": // all its links hold, and nobody is at home
-		n.frozen = s.now + long
+		n.pausedUntil = s.now + long
 	case strings.Contains(kind, " flap"):
 		link, _, _ = strings.Cut(kind, " ")
 		for at := time.Duration(0); at < long; at += 6 * time.Second {
-			s.after(at, func() { n.cut[link] = s.now + 4*time.Second })
+			s.after(at, func() { n.unreachableUntil[link] = s.now + 4*time.Second })
 		}
 	default:
-		n.cut[link] = s.now + long
-		if n.reset == nil {
-			n.reset = map[string]bool{}
+		n.unreachableUntil[link] = s.now + long
+		if n.resetLinks == nil {
+			n.resetLinks = map[string]bool{}
 		}
-		n.reset[link] = reset
+		n.resetLinks[link] = reset
 	}
 }
 
 // cutDay is a day of a calm site on which links of controllers fail together.
 func cutDay(s *sim, die int, cuts ...func()) {
-	s.told.Limits.MaxSockets, s.facts.Limits.MaxSockets = 200, 200
+	s.advertised.Limits.MaxSockets, s.facts.Limits.MaxSockets = 200, 200
 	for i := range 4 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+1), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 0, 0)
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+11), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Low, Tasks: 6, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 90, 0)
@@ -195,7 +195,7 @@
 		}
 	})
 	s.after(54*time.Second, func() {
-		for _, w := range s.cloud.sorted() {
+		for _, w := range s.cloud.sortedMachines() {
 			if die--; w.up && die >= 0 {
 				w.die()
 				w.failed = true
@@ -231,12 +231,12 @@
 			for j, b := range all[i+1:] {
 				for k, die := range []int{0, 3} {
 					s := newSim(t, seed+uint64(2*j+k), 0)
-					cutDay(s, die, func() { s.cutLink(s.nodes[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.nodes[b.node], b.kind, 40*time.Second) })
+					cutDay(s, die, func() { s.cutLink(s.controllers[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.node], b.kind, 40*time.Second) })
 					days++
-					if len(s.broken) > 0 || s.saved.urgent > 0 {
-						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a way; %v", b.node, b.kind, die, s.saved.urgent, s.broken)
+					if len(s.violations) > 0 || s.leaseLosses.urgent > 0 {
+						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a way; %v", b.node, b.kind, die, s.leaseLosses.urgent, s.violations)
 					}
-					other, lost = other+s.saved.other, lost+s.saved.cut
+					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.cut
 				}
 			}
 			t.Logf("%d days: %d lesser tasks killed that had a way, %d that had none", days, other, lost)
@@ -247,20 +247,20 @@
 // TestDrawnCuts draws three to six cuts at a time on five controllers and a hundred
 // machines and more, with the rates of a real state service. SIM_DAYS plays more days.
 func TestDrawnCuts(t *testing.T) {
-	drawnDays(t, 9500, 16, func(t *testing.T, seed uint64) {
+	runSeeds(t, 9500, 16, func(t *testing.T, seed uint64) {
 		s := drawnCuts(t, seed)
-		s.report(t)
-		if s.saved.urgent > 0 {
-			t.Errorf("%d urgent tasks killed that had a way", s.saved.urgent)
+		s.reportViolations(t)
+		if s.leaseLosses.urgent > 0 {
+			t.Errorf("%d urgent tasks killed that had a way", s.leaseLosses.urgent)
 		}
-		t.Logf("killed by their lease: %d urgent and %d others that had a way, %d that had none", s.saved.urgent, s.saved.other, s.saved.cut)
+		t.Logf("killed by their lease: %d urgent and %d others that had a way, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.cut)
 	})
 }
 
 func drawnCuts(t *testing.T, seed uint64) *sim {
 	s := grownSim(t, seed)
-	s.traceTo(t, seed)
-	s.unordered = true // cuts and late watches: see judgeOrder
+	s.traceDay(t, seed)
+	s.options.unorderedLaunches = true // cuts and late watches: see judgeOrder
 	s.loadGrown(3 * time.Minute)
 	s.watchWays()
 	kinds := s.cuts()
@@ -269,27 +269,27 @@
 		if s.now > 150*time.Second {
 			return
 		}
-		for range 3 + s.rnd.IntN(4) {
-			s.cutLink(s.anyNode(), kinds[s.rnd.IntN(len(kinds))], s.ms(10_000, 60_000))
+		for range 3 + s.random.IntN(4) {
+			s.cutLink(s.anyController(), kinds[s.random.IntN(len(kinds))], s.randomMillis(10_000, 60_000))
 		}
-		switch s.rnd.IntN(4) {
+		switch s.random.IntN(4) {
 		case 0:
-			s.anyNode().crash(s.ms(500, 5000))
+			s.anyController().crash(s.randomMillis(500, 5000))
 		case 1:
-			for i, w := range s.cloud.sorted() {
+			for i, w := range s.cloud.sortedMachines() {
 				if i%12 == 0 && w.up {
 					w.die()
 					w.failed = true
 				}
 			}
 		case 2:
-			for i, w := range s.cloud.sorted() {
+			for i, w := range s.cloud.sortedMachines() {
 				if i%15 == 0 {
-					w.hung = s.now + s.ms(5000, 40_000)
+					w.hungUntil = s.now + s.randomMillis(5000, 40_000)
 				}
 			}
 		}
-		s.after(s.ms(30_000, 60_000), next)
+		s.after(s.randomMillis(30_000, 60_000), next)
 	}
 	s.after(60*time.Second, next)
 	s.run(210 * time.Second)
@@ -302,15 +302,15 @@
 func TestWaysAreJudged(t *testing.T) {
 	day := func(noCarrier bool) *sim {
 		s := newSim(t, 9900, 0)
-		s.noCarrier = noCarrier
-		cutDay(s, 0, func() { s.cutLink(s.nodes[0], "state", time.Minute) }, func() { s.cutLink(s.nodes[1], "state", time.Minute) },
-			func() { s.cutLink(s.nodes[2], "workers", time.Minute) })
+		s.defects.noRelays = noCarrier
+		cutDay(s, 0, func() { s.cutLink(s.controllers[0], "state", time.Minute) }, func() { s.cutLink(s.controllers[1], "state", time.Minute) },
+			func() { s.cutLink(s.controllers[2], "workers", time.Minute) })
 		return s
 	}
-	if s := day(false); s.saved.urgent+s.saved.other > 0 || len(s.broken) > 0 {
-		t.Errorf("%+v %v", s.saved, s.broken)
+	if s := day(false); s.leaseLosses.urgent+s.leaseLosses.other > 0 || len(s.violations) > 0 {
+		t.Errorf("%+v %v", s.leaseLosses, s.violations)
 	}
-	if s := day(true); s.saved.urgent == 0 {
+	if s := day(true); s.leaseLosses.urgent == 0 {
 		t.Error("nobody carries calls, and nothing was found")
 	}
 }
@@ -320,15 +320,15 @@
 func TestRenterWithoutTheCloudGivesWay(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		s := newSim(t, 9950, 0)
-		s.load(3 * time.Minute)
+		s.submitMixedJobs(3 * time.Minute)
 		s.run(50 * time.Second)
-		var first *simNode
-		for _, n := range s.nodes {
+		var first *simController
+		for _, n := range s.controllers {
 			if n.core.isLeader() {
 				first = n
 			}
 		}
-		for _, n := range s.nodes {
+		for _, n := range s.controllers {
 			if n == first || all {
 				s.cutLink(n, "cloud", time.Minute)
 			}
@@ -336,14 +336,14 @@
 		changes, last, rentable := 0, first, time.Duration(0)
 		for now := 50 * time.Second; now < 150*time.Second; now += 500 * time.Millisecond {
 			s.run(now)
-			for _, n := range s.nodes {
+			for _, n := range s.controllers {
 				if !n.core.isLeader() {
 					continue
 				}
 				if n != last {
 					changes, last = changes+1, n
 				}
-				if n.cut["cloud"] <= now {
+				if n.unreachableUntil["cloud"] <= now {
 					rentable += 500 * time.Millisecond
 				}
 			}
@@ -351,20 +351,20 @@
 		if all && changes != 0 || !all && (changes != 1 || rentable < 80*time.Second) {
 			t.Errorf("all cut off: %v; the lease changed hands %d times, and its holder could rent for %v of 100 s", all, changes, rentable)
 		}
-		s.report(t)
+		s.reportViolations(t)
 	}
 }
 
 // TestRulesDoNotDependOnRows has beats tell drawn rows, on days with drawn cuts.
 func TestRulesDoNotDependOnRows(t *testing.T) {
-	drawnDays(t, 9700, 12, func(t *testing.T, seed uint64) {
+	runSeeds(t, 9700, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
-		s.unordered, s.lies = true, true
-		s.load(3 * time.Minute)
-		s.after(20*time.Second, func() { s.trouble(3 * time.Minute) })
-		s.after(30*time.Second, func() { s.cutOff(3 * time.Minute) })
+		s.options.unorderedLaunches, s.faults.randomLinkReports = true, true
+		s.submitMixedJobs(3 * time.Minute)
+		s.after(20*time.Second, func() { s.injectFaults(3 * time.Minute) })
+		s.after(30*time.Second, func() { s.injectPartitions(3 * time.Minute) })
 		s.run(4 * time.Minute)
-		s.report(t)
+		s.reportViolations(t)
 	})
 }
 
@@ -373,18 +373,18 @@
 func TestRollingRestartFromTheVersionBefore(t *testing.T) {
 	for old := 1; old <= 2; old++ {
 		s := newSim(t, uint64(9800+old), 0.002)
-		s.unordered = true
+		s.options.unorderedLaunches = true
 		for i := range old {
-			s.nodes[i].old = true
+			s.controllers[i].beforeRelays = true
 		}
-		s.load(2 * time.Minute)
-		for i, n := range s.nodes {
-			s.after(time.Duration(40+15*i)*time.Second, func() { n.crash(2 * time.Second); n.old = false })
+		s.submitMixedJobs(2 * time.Minute)
+		for i, n := range s.controllers {
+			s.after(time.Duration(40+15*i)*time.Second, func() { n.crash(2 * time.Second); n.beforeRelays = false })
 		}
-		s.after(25*time.Second, func() { s.cutLink(s.nodes[2], "state", 30*time.Second) })
-		s.after(60*time.Second, func() { s.cutLink(s.nodes[1], "workers", 30*time.Second) })
+		s.after(25*time.Second, func() { s.cutLink(s.controllers[2], "state", 30*time.Second) })
+		s.after(60*time.Second, func() { s.cutLink(s.controllers[1], "workers", 30*time.Second) })
 		s.finish(t, 150*time.Second)
-		s.report(t)
+		s.reportViolations(t)
 	}
 }
 
@@ -450,13 +450,13 @@
 		m := w.Message()
 		s := newSim(t, 9990, 0)
 		s.run(4 * time.Second) // the records are read
-		n := s.nodes[0]
+		n := s.controllers[0]
 		for _, from := range []string{"n1", "nobody"} {
-			n.effects(n.tape.Peer(n.clock(), from, m))
+			n.applyEffects(n.recorded.Peer(n.clock(), from, m))
 		}
 		s.run(8 * time.Second)
-		if len(s.broken) > 0 {
-			t.Error(s.broken)
+		if len(s.violations) > 0 {
+			t.Error(s.violations)
 		}
 	})
 }
--- a/internal/coordination/recorded_test.go
+++ b/internal/coordination/recorded_test.go
@@ -36,14 +36,14 @@
 		panic(err)
 	}
 	t.w = recorder.NewMemory(&t.out, h)
-	s.tapes = append(s.tapes, t)
+	s.output.recordings = append(s.output.recordings, t)
 	return t.w
 }
 
 // saveTapes writes the recordings of a day that failed: silvergate replay reads them.
 func (s *sim) saveTapes(t *testing.T) {
 	t.Helper()
-	for _, x := range s.tapes {
+	for _, x := range s.output.recordings {
 		if err := x.w.Close(); err != nil {
 			t.Error(err)
 		}
@@ -56,7 +56,7 @@
 		t.Error(err)
 		return
 	}
-	for _, x := range s.tapes {
+	for _, x := range s.output.recordings {
 		if err := os.WriteFile(filepath.Join(dir, x.name), x.out.Bytes(), 0o600); err != nil {
 			t.Error(err)
 		}
@@ -107,11 +107,11 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				s := newSim(t, 7000+seed, 0.004)
-				s.load(3 * time.Minute)
-				s.after(20*time.Second, func() { s.trouble(3 * time.Minute) })
+				s.submitMixedJobs(3 * time.Minute)
+				s.after(20*time.Second, func() { s.injectFaults(3 * time.Minute) })
 				s.run(4 * time.Minute)
 				inputs, lives := 0, 0
-				for _, x := range s.tapes {
+				for _, x := range s.output.recordings {
 					if err := x.w.Close(); err != nil {
 						t.Fatal(err)
 					}
@@ -142,9 +142,9 @@
 // TestReplaysNoticeAnotherCore shows that the comparison can fail.
 func TestReplaysNoticeAnotherCore(t *testing.T) {
 	s := newSim(t, 3, 0)
-	s.load(30 * time.Second)
+	s.submitMixedJobs(30 * time.Second)
 	s.run(time.Minute)
-	x := s.tapes[0]
+	x := s.output.recordings[0]
 	if err := x.w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 	s.loadGrown(100 * time.Second)
 	s.run(120 * time.Second)
 	var raw []byte
-	for _, x := range s.tapes {
+	for _, x := range s.output.recordings {
 		if err := x.w.Close(); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/coordination/recordinggolden_test.go
+++ b/internal/coordination/recordinggolden_test.go
@@ -31,12 +31,12 @@
 func recordDay(t *testing.T) map[string][]byte {
 	const day = 40 * time.Second
 	s := newSim(t, 3, 0.004)
-	s.logged = true
-	s.load(day / 2)
-	s.after(5*time.Second, func() { s.trouble(day * 2 / 3) })
+	s.options.completionLog = true
+	s.submitMixedJobs(day / 2)
+	s.after(5*time.Second, func() { s.injectFaults(day * 2 / 3) })
 	s.run(day)
 	recordings := map[string][]byte{}
-	for _, tape := range s.tapes {
+	for _, tape := range s.output.recordings {
 		if err := tape.w.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coordination/recover_test.go
+++ b/internal/coordination/recover_test.go
@@ -19,14 +19,14 @@
 func TestUrgentWorkGetsRoomFromGangs(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		s := newSim(t, seed, 0)
-		for k := range s.cloud.free {
-			s.cloud.free[k] = 0
+		for k := range s.cloud.capacity {
+			s.cloud.capacity[k] = 0
 			if k.machineType == "large" && k.zone == "a" && !k.spot {
-				s.cloud.free[k] = 3
+				s.cloud.capacity[k] = 3
 			}
 		}
 		s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
-		s.told = s.facts
+		s.advertised = s.facts
 		gang := s.submit(&job.Spec{ID: "wk-000001", Class: "gng", Team: "red", Shape: job.Gang, Priority: job.High, Tasks: 2, CPUs: 8, GPUs: 8, MemoryGB: 8, MachineTypes: []string{"large"}}, 120, 0)
 		s.run(30 * time.Second)
 		for i := range 3 {
@@ -34,9 +34,9 @@
 		}
 		s.run(60 * time.Second)
 		on := func(ids ...string) (n int) {
-			for _, w := range s.work {
-				for _, l := range w.loads {
-					if slices.Contains(ids, l.id) && l.on() && !w.dead {
+			for _, w := range s.workers {
+				for _, l := range w.tasks {
+					if slices.Contains(ids, l.jobID) && l.isActive() && !w.dead {
 						n++
 					}
 				}
@@ -47,10 +47,10 @@
 		if on("wk-000001") != 2 || on(replicas...) != 6 {
 			t.Fatalf("seed %d: %d of 2 tasks of the gang and %d of 6 replicas run", seed, on("wk-000001"), on(replicas...))
 		}
-		for _, w := range s.cloud.sorted() {
-			if slices.ContainsFunc(sortedKeys(w.loads), func(key string) bool { return w.loads[key].id == replicas[0] }) {
+		for _, w := range s.cloud.sortedMachines() {
+			if slices.ContainsFunc(sortedKeys(w.tasks), func(key string) bool { return w.tasks[key].jobID == replicas[0] }) {
 				w.die()
-				w.taken = true
+				w.preempted = true
 			}
 		}
 		s.run(85 * time.Second)
@@ -58,10 +58,10 @@
 			t.Errorf("seed %d: %d of 6 replicas run, and %d tasks of a gang of lower priority", seed, n, on("wk-000001"))
 		}
 		s.run(360 * time.Second) // the services are over
-		if gang.final != "done" {
-			t.Errorf("seed %d: the gang is not done: %q", seed, gang.final)
+		if gang.finalStatus != "done" {
+			t.Errorf("seed %d: the gang is not done: %q", seed, gang.finalStatus)
 		}
-		s.report(t)
+		s.reportViolations(t)
 	}
 }
 
@@ -94,16 +94,16 @@
 // day zone: replicas without room for 45 s).
 func TestMostOfAControllersMachinesHang(t *testing.T) {
 	s := grownSim(t, 41)
-	s.told.Limits.MaxSockets = 2000
+	s.advertised.Limits.MaxSockets = 2000
 	s.loadGrown(140 * time.Second)
 	s.run(100 * time.Second)
-	c := s.nodes[0].core
+	c := s.controllers[0].core
 	hung := map[string]bool{}
 	for i, m := range c.machines.own {
 		if i%5 < 3 {
-			for _, w := range s.cloud.sorted() {
+			for _, w := range s.cloud.sortedMachines() {
 				if w.name == m.id {
-					w.hung = s.now + 60*time.Second
+					w.hungUntil = s.now + 60*time.Second
 					hung[m.id] = true
 				}
 			}
@@ -111,7 +111,7 @@
 	}
 	found := func() (n int) {
 		for id := range hung {
-			if s.kv.drains[keyDrain+id] > 0 {
+			if s.state.drainWrites[keyDrain+id] > 0 {
 				n++
 			}
 		}
@@ -124,7 +124,7 @@
 		t.Errorf("%d of %d hung machines are found three report periods later", n, len(hung))
 	}
 	s.finish(t, 160*time.Second)
-	s.report(t)
+	s.reportViolations(t)
 }
 
 // TestUrgentWorkGoesFirst loses a third of the machines, in a zone or anywhere,
@@ -134,23 +134,23 @@
 func TestUrgentWorkGoesFirst(t *testing.T) {
 	day := func(seed uint64, misled bool) *sim {
 		s := grownSim(t, seed)
-		s.misled = misled
+		s.defects.productionAsLow = misled
 		s.loadGrown(130 * time.Second)
 		s.after(80*time.Second, func() {
 			kind := seed % 4
-			for i, w := range s.cloud.sorted() {
+			for i, w := range s.cloud.sortedMachines() {
 				switch {
 				case kind == 0 && i%3 == 0, kind == 1 && w.zone == "b":
 					w.die()
-					w.taken = true
+					w.preempted = true
 					name := w.name
-					s.after(30*time.Second, func() { delete(s.cloud.all, name) })
+					s.after(30*time.Second, func() { delete(s.cloud.machines, name) })
 				case kind == 2 && i%10 == 0:
-					w.hung = s.now + 40*time.Second
+					w.hungUntil = s.now + 40*time.Second
 				}
 			}
 			if kind == 3 {
-				for _, n := range s.nodes {
+				for _, n := range s.controllers {
 					n.crash(3 * time.Second)
 				}
 			}
@@ -174,8 +174,8 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				s := day(200+seed, false)
-				s.report(t)
-				judged <- s.judged
+				s.reportViolations(t)
+				judged <- s.counts.launchesJudged
 			})
 		}
 	})
@@ -190,7 +190,7 @@
 	}
 	for seed := uint64(0); ; seed++ {
 		s := day(200+seed, true)
-		if slices.ContainsFunc(s.broken, func(b string) bool { return strings.Contains(b, "lesser first") }) {
+		if slices.ContainsFunc(s.violations, func(b string) bool { return strings.Contains(b, "lesser first") }) {
 			break
 		}
 		if seed == 8 {
--- a/internal/coordination/returns_test.go
+++ b/internal/coordination/returns_test.go
@@ -11,8 +11,8 @@
 )
 
 // leading is the controller that rents, nil if none does.
-func (s *sim) leading() *simNode {
-	for _, n := range s.nodes {
+func (s *sim) leading() *simController {
+	for _, n := range s.controllers {
 		if n.core != nil && n.core.isLeader() {
 			return n
 		}
@@ -34,8 +34,8 @@
 		})
 		s.run(50 * time.Second)
 		l := s.leading()
-		l.lag = time.Hour // its watch is answered late
-		s.launched = func(w *simWorker, o protocol.Command) {
+		l.watchDelayedUntil = time.Hour // its watch is answered late
+		s.hooks.onLaunch = func(w *simWorker, o protocol.Command) {
 			m := l.core.machines.byID[w.name]
 			if m == nil || m.token == 0 || len(m.bound) > 0 || l.core.isOwn(m) {
 				return
@@ -43,17 +43,17 @@
 			met++
 			l.core.beginStep(l.clock())
 			l.core.drainMachine(m, drainIdle)
-			l.effects(l.core.endStep())
+			l.applyEffects(l.core.endStep())
 		}
 		for i := range 12 {
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8}, 30, 0)
 		}
 		s.run(80 * time.Second)
-		s.launched = nil
-		if s.met.inUse > 0 {
-			t.Errorf("seed %d: %d tasks ran on machines that were returned as idle", seed, s.met.inUse)
+		s.hooks.onLaunch = nil
+		if s.faultCounts.deletedInUse > 0 {
+			t.Errorf("seed %d: %d tasks ran on machines that were returned as idle", seed, s.faultCounts.deletedInUse)
 		}
-		s.report(t)
+		s.reportViolations(t)
 	}
 	if met == 0 {
 		t.Error("no machine was drained behind the records: the day is none")
@@ -72,8 +72,8 @@
 		spec := encode(storedJob{&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, job.Open, 1, l.name})
 		page := json.RawMessage(writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-900000", Epoch: 1}}))
 		write := func(key string, data json.RawMessage) {
-			s.kv.rev++
-			s.kv.change(key, data, 0, s.kv.rev)
+			s.state.revision++
+			s.state.apply(key, data, 0, s.state.revision)
 		}
 		asked := 0
 		count := func(e Effects) Effects {
@@ -85,9 +85,9 @@
 			return e
 		}
 		if torn { // the watch is too old, and the page of claims has been read before the claim
-			l.cut["state"] = s.now + 1500*time.Millisecond // a watch is lost meanwhile
+			l.unreachableUntil["state"] = s.now + 1500*time.Millisecond // a watch is lost meanwhile
 			s.run(s.now + 1500*time.Millisecond)
-			for i := range 2 * s.kv.memory {
+			for i := range 2 * s.state.eventHistory {
 				write(fmt.Sprintf("sg/s/x%d", i), json.RawMessage("0"))
 			}
 			claimed := false
@@ -98,7 +98,7 @@
 					write(keyClaim+"i-900000", encode(claimRecord{"n9", 1, "w:i-900000", "small", "a", false, 1}))
 					write(keyJob+"wk-700000", spec)
 					write(pageKey("wk-700000", 0), page)
-					s.kv.change(keyClaim+"i-900000", nil, 0, s.kv.rev) // as the reader saw it
+					s.state.apply(keyClaim+"i-900000", nil, 0, s.state.revision) // as the reader saw it
 				}
 			}
 			if !claimed {
@@ -118,7 +118,7 @@
 			}
 			c.beginStep(l.clock())
 			c.deleteMachines()
-			l.effects(count(c.endStep()))
+			l.applyEffects(count(c.endStep()))
 		}
 		if torn && asked > 0 || !torn && asked == 0 {
 			t.Errorf("torn %v: %d deletions were asked for", torn, asked)
@@ -145,26 +145,26 @@
 					}
 				}
 				s.after(time.Second, func() { more(0, 8) })
-				s.met.returns = func(names []string) bool {
+				s.faults.delaysDeletion = func(names []string) bool {
 					mine := false
 					for _, name := range names {
-						w := s.cloud.all[name]
-						if w == nil || w.dead || s.kv.drainedAs[keyDrain+name] == drainIdle {
+						w := s.cloud.machines[name]
+						if w == nil || w.dead || s.state.drainReasons[keyDrain+name] == drainIdle {
 							continue
 						}
 						mine = true
 						if !w.up { // it comes up just now
-							s.after(s.ms(0, 500), w.boot)
+							s.after(s.randomMillis(0, 500), w.boot)
 						}
-						w.hung = s.now
+						w.hungUntil = s.now
 						held++
 					}
 					if mine { // who asked for it stands still, or ends, and there is work
 						l := s.leading()
-						if l != nil && s.rnd.IntN(2) == 0 {
-							l.crash(s.ms(1000, 20_000))
+						if l != nil && s.random.IntN(2) == 0 {
+							l.crash(s.randomMillis(1000, 20_000))
 						} else if l != nil {
-							l.frozen = s.now + s.ms(1000, 20_000)
+							l.pausedUntil = s.now + s.randomMillis(1000, 20_000)
 						}
 						more(700_000+int(s.now/time.Millisecond), 3)
 					}
@@ -172,22 +172,22 @@
 				}
 				if v.lost {
 					s.run(40 * time.Second)
-					n := s.busiest()
+					n := s.busiestController()
 					if n == s.leading() {
-						n = s.others(n)[0]
+						n = s.otherControllers(n)[0]
 					}
-					for _, w := range s.cloud.sorted() {
+					for _, w := range s.cloud.sortedMachines() {
 						if n.holds(w) {
-							w.hung = s.now + time.Hour // until it is to be returned
+							w.hungUntil = s.now + time.Hour // until it is to be returned
 						}
 					}
 					n.crash(time.Hour)
 				}
 				s.run(4 * time.Minute)
-				if s.met.inUse > 0 {
-					t.Errorf("seed %d: %d tasks ran on machines when a deletion was carried out that was asked for before they started", seed, s.met.inUse)
+				if s.faultCounts.deletedInUse > 0 {
+					t.Errorf("seed %d: %d tasks ran on machines when a deletion was carried out that was asked for before they started", seed, s.faultCounts.deletedInUse)
 				}
-				s.report(t)
+				s.reportViolations(t)
 			}
 			if held == 0 {
 				t.Error("no deletion was held up: the day is none")
@@ -202,39 +202,39 @@
 func TestWhoRentsIsReplaced(t *testing.T) {
 	for _, v := range []struct {
 		name  string
-		do    func(s *sim, l *simNode)
+		do    func(s *sim, l *simController)
 		keeps bool // others carry its calls, and it goes on
 		late  bool // a renewal that is held up is carried out later: the record lives for another term, and nobody knows
 	}{
-		{"it stands still", func(s *sim, l *simNode) { l.frozen = s.now + s.ms(8000, 20_000) }, false, false},
-		{"it ends in the middle of a call", func(s *sim, l *simNode) {
-			s.met.returns = func([]string) bool { s.met.returns = nil; l.crash(s.ms(300, 9000)); return true }
+		{"it stands still", func(s *sim, l *simController) { l.pausedUntil = s.now + s.randomMillis(8000, 20_000) }, false, false},
+		{"it ends in the middle of a call", func(s *sim, l *simController) {
+			s.faults.delaysDeletion = func([]string) bool { s.faults.delaysDeletion = nil; l.crash(s.randomMillis(300, 9000)); return true }
 		}, false, false},
-		{"it ends as a rental is recorded", func(s *sim, l *simNode) {
-			s.met.loses = func(n *simNode, t protocol.Txn) bool {
-				if n != l || !touches(t, keyRental) {
+		{"it ends as a rental is recorded", func(s *sim, l *simController) {
+			s.faults.losesReply = func(n *simController, t protocol.Txn) bool {
+				if n != l || !writesKind(t, keyRental) {
 					return false
 				}
-				s.met.loses = nil
-				s.after(s.ms(0, 400), func() { l.crash(s.ms(300, 9000)) })
+				s.faults.losesReply = nil
+				s.after(s.randomMillis(0, 400), func() { l.crash(s.randomMillis(300, 9000)) })
 				return true
 			}
 		}, false, false},
-		{"it loses the state service", func(s *sim, l *simNode) { l.cut["state"] = s.now + s.ms(10_000, 30_000) }, true, true},
-		{"it loses the state service and the others", func(s *sim, l *simNode) {
-			l.cut["state"], l.cut["peers"] = s.now+20*time.Second, s.now+20*time.Second
+		{"it loses the state service", func(s *sim, l *simController) { l.unreachableUntil["state"] = s.now + s.randomMillis(10_000, 30_000) }, true, true},
+		{"it loses the state service and the others", func(s *sim, l *simController) {
+			l.unreachableUntil["state"], l.unreachableUntil["peers"] = s.now+20*time.Second, s.now+20*time.Second
 		}, false, true},
-		{"it is refused", func(s *sim, l *simNode) { l.refused = s.now + s.ms(10_000, 30_000) }, true, false},
-		{"the cloud does not answer it", func(s *sim, l *simNode) { l.cut["cloud"] = s.now + s.ms(15_000, 40_000) }, false, false},
+		{"it is refused", func(s *sim, l *simController) { l.refusedUntil = s.now + s.randomMillis(10_000, 30_000) }, true, false},
+		{"the cloud does not answer it", func(s *sim, l *simController) { l.unreachableUntil["cloud"] = s.now + s.randomMillis(15_000, 40_000) }, false, false},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
 			longest, replaced, met := time.Duration(0), 0, 0
 			for seed := uint64(45_300); seed < 45_304; seed++ {
-				s := meetingSim(t, seed, meeting{nodes: 3 + 2*int(seed%2), workers: "well"})
-				s.unordered = true
-				s.met.quickBoots = seed%2 == 0
-				s.load(140 * time.Second)
+				s := newOutageSim(t, seed, outageScenario{controllers: 3 + 2*int(seed%2), workers: "well"})
+				s.options.unorderedLaunches = true
+				s.faults.quickBoots = seed%2 == 0
+				s.submitMixedJobs(140 * time.Second)
 				for i := range 4 {
 					s.after(time.Duration(30+28*i)*time.Second, func() {
 						if l := s.leading(); l != nil {
@@ -243,13 +243,13 @@
 						}
 					})
 				}
-				var last *simNode
+				var last *simController
 				since, worst := time.Duration(0), time.Duration(0)
 				var watch func()
 				watch = func() {
 					leads := 0
-					for _, n := range s.nodes {
-						if n.core != nil && n.frozen <= s.now && n.core.isLeader() {
+					for _, n := range s.controllers {
+						if n.core != nil && n.pausedUntil <= s.now && n.core.isLeader() {
 							if leads++; n != last {
 								last = n
 								replaced++
@@ -267,22 +267,22 @@
 				}
 				watch()
 				s.finish(t, 180*time.Second)
-				bound := s.lease(1.0/3) + seconds(2*s.facts.Workers.Report)
+				bound := s.leaseTimes(1.0/3) + seconds(2*s.facts.Workers.Report)
 				if v.late {
-					bound += s.lease(1.0 / 3)
+					bound += s.leaseTimes(1.0 / 3)
 				}
 				if worst > bound {
 					t.Errorf("seed %d: nobody rents for %v, the bound is %v", seed, worst, bound)
 				}
 				longest = max(longest, worst)
 				s.run(s.now + 3*time.Minute)
-				for _, w := range s.cloud.sorted() {
+				for _, w := range s.cloud.sortedMachines() {
 					t.Errorf("seed %d: %s is still paid for, up %v", seed, w.name, w.up)
 				}
-				if s.met.inUse > 0 {
-					t.Errorf("seed %d: %d tasks ran on machines that were returned", seed, s.met.inUse)
+				if s.faultCounts.deletedInUse > 0 {
+					t.Errorf("seed %d: %d tasks ran on machines that were returned", seed, s.faultCounts.deletedInUse)
 				}
-				s.report(t)
+				s.reportViolations(t)
 			}
 			if met < 12 || replaced < 8 && !v.keeps {
 				t.Errorf("it took place %d times, and who rents changed %d times", met, replaced)
@@ -300,7 +300,7 @@
 	l := s.leading()
 	c := l.core
 	c.beginStep(l.clock())
-	for _, w := range s.cloud.sorted() {
+	for _, w := range s.cloud.sortedMachines() {
 		if w.up {
 			c.scaler.toDrain[w.name] = []string{drainStray, drainLost}[len(c.scaler.toDrain)%2]
 		}
@@ -310,14 +310,14 @@
 		t.Fatal("no machine is up")
 	}
 	c.drainUnheldMachines()
-	l.effects(c.endStep())
+	l.applyEffects(c.endStep())
 	s.run(52 * time.Second)
-	for key := range s.kv.drains {
+	for key := range s.state.drainWrites {
 		if key != keyDrain+"i-900000" {
-			t.Errorf("%s was written as %s", key, s.kv.drainedAs[key])
+			t.Errorf("%s was written as %s", key, s.state.drainReasons[key])
 		}
 	}
-	if s.kv.drains[keyDrain+"i-900000"] != 1 {
+	if s.state.drainWrites[keyDrain+"i-900000"] != 1 {
 		t.Error("what nobody has claimed was not condemned")
 	}
 }
--- a/internal/coordination/served_test.go
+++ b/internal/coordination/served_test.go
@@ -28,9 +28,9 @@
 // are over, and judges that each gets an answer.
 func (s *sim) knownFrom(now time.Duration) {
 	s.after(now-s.now, func() {
-		s.served = served{from: s.now, lost: map[string]bool{}}
+		s.service = served{from: s.now, lost: map[string]bool{}}
 		s.askAll()
-		s.watchRoom()
+		s.watchIdleCapacity()
 	})
 }
 
@@ -40,11 +40,11 @@
 		if !u.accepted {
 			continue
 		}
-		if since := s.now - max(s.served.from, u.knownAt, u.sentAt); since > forgottenAfter && !s.served.lost[id] {
-			s.served.lost[id] = true
-			s.breaks("unanswered", "%s: no question is answered for %v", id, since)
+		if since := s.now - max(s.service.from, u.lastAnsweredAt, u.submittedAt); since > forgottenAfter && !s.service.lost[id] {
+			s.service.lost[id] = true
+			s.violation("unanswered", "%s: no question is answered for %v", id, since)
 		}
-		if u.final == "" {
+		if u.finalStatus == "" {
 			continue // its user polls anyway
 		}
 		u.ask()
@@ -54,24 +54,24 @@
 
 // ask polls once more.
 func (u *simUser) ask() {
-	u.askAt(u.s.anyNode())
+	u.askAt(u.s.anyController())
 }
 
 // nextProbeAt polls once more at a node.
-func (u *simUser) askAt(n *simNode) {
-	before := u.told()
+func (u *simUser) askAt(n *simController) {
+	before := u.knownStatus()
 	n.request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) { u.polled(st, body, before) })
 }
 
 // polled judges a poll's answer.
-func (u *simUser) polled(st int, body []byte, before told) {
+func (u *simUser) polled(st int, body []byte, before knownStatus) {
 	switch st {
 	case 200:
-		u.knownAt = u.s.now
-		u.hear(body, before)
+		u.lastAnsweredAt = u.s.now
+		u.checkAnswer(body, before)
 	case 404:
 		if before.known {
-			u.s.breaks("forgotten", "%s", u.spec.ID)
+			u.s.violation("forgotten", "%s", u.spec.ID)
 		}
 	}
 }
@@ -97,21 +97,21 @@
 	}
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
-		if u.asked || u.mistaken || s.now-u.sentAt < largestWithin {
+		if u.cancelRequested || u.failsEverywhere || s.now-u.submittedAt < largestWithin {
 			continue
 		}
-		ok := u.accepted && u.begun == u.spec.Tasks
+		ok := u.accepted && u.tasksStarted == u.spec.Tasks
 		count("class "+u.spec.Class, ok)
 		count("team "+u.spec.Team, ok)
 		if u.spec.Tasks*4 < most[u.spec.Class]*3 {
 			continue
 		}
 		// To be served, these have to begin in time.
-		count("largest of class "+u.spec.Class, ok && u.waited <= largestWithin)
+		count("largest of class "+u.spec.Class, ok && u.startDelay <= largestWithin)
 	}
 	for _, name := range sortedKeys(groups) {
 		if g := groups[name]; 2*g.served < g.all {
-			s.breaks("not served", "%s: %d of %d jobs", name, g.served, g.all)
+			s.violation("not served", "%s: %d of %d jobs", name, g.served, g.all)
 		}
 	}
 }
@@ -125,26 +125,26 @@
 // start notes a task's start, and whether it was started before on a machine that is still there, in
 // the same session.
 func (u *simUser) start(index int, w *simWorker) {
-	if u.started == nil {
-		u.started = make([]startedOn, u.spec.Tasks)
+	if u.lastStarts == nil {
+		u.lastStarts = make([]startedOn, u.spec.Tasks)
 	}
-	if b := u.started[index]; b.w == nil {
-		u.begun++
-	} else if !b.w.dead && b.w.shift == b.shift {
-		u.again++
+	if b := u.lastStarts[index]; b.w == nil {
+		u.tasksStarted++
+	} else if !b.w.dead && b.w.agentEpoch == b.shift {
+		u.restarts++
 	}
-	u.started[index] = startedOn{w, w.shift}
-	if u.began == 0 {
-		u.began = u.s.now
-		u.waited = u.s.now - u.sentAt - (u.s.outages - u.outagesAt)
+	u.lastStarts[index] = startedOn{w, w.agentEpoch}
+	if u.firstStartAt == 0 {
+		u.firstStartAt = u.s.now
+		u.startDelay = u.s.now - u.submittedAt - (u.s.counts.outage - u.outageAtSubmission)
 	}
 }
 
 // countOutages adds up the times in which the state service was down for all: nobody can
 // begin anything in them, and they do not count for what has to begin in time.
 func (s *sim) countOutages() {
-	if s.kv.down > s.now {
-		s.outages += 100 * time.Millisecond
+	if s.state.downUntil > s.now {
+		s.counts.outage += 100 * time.Millisecond
 	}
 	s.after(100*time.Millisecond, s.countOutages)
 }
@@ -164,19 +164,19 @@
 		{"", func(*sim) {}},
 		{"unanswered", func(s *sim) { // users who reach nobody after the troubles
 			s.after(100*time.Second, func() {
-				for _, n := range s.nodes {
-					n.cut["users"] = time.Hour
+				for _, n := range s.controllers {
+					n.unreachableUntil["users"] = time.Hour
 				}
 			})
 		}},
 		{"not served: class arr", func(s *sim) { // no machine ever reaches a controller
-			for _, n := range s.nodes {
-				n.cut["workers"] = time.Hour
+			for _, n := range s.controllers {
+				n.unreachableUntil["workers"] = time.Hour
 			}
 		}},
-		{"not served: team blue", func(s *sim) { s.cloud.free = map[offering]int{} }},
+		{"not served: team blue", func(s *sim) { s.cloud.capacity = map[offering]int{} }},
 		{"not served: largest of class arr", func(s *sim) { // no machine of the type that the largest job wants
-			s.cloud.free = map[offering]int{{"small", "a", false}: 4}
+			s.cloud.capacity = map[offering]int{{"small", "a", false}: 4}
 			s.after(2*time.Second, func() {
 				s.submit(&job.Spec{ID: "wk-600000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 60, CPUs: 4, GPUs: 1, MemoryGB: 8, MachineTypes: []string{"large"}}, 30, 0)
 			})
@@ -193,7 +193,7 @@
 		s.knownFrom(90 * time.Second)
 		s.run(6 * time.Minute)
 		s.judgeServed()
-		if got := strings.Join(s.broken, "\n"); v.rule == "" && got != "" || v.rule != "" && !strings.Contains(got, v.rule) {
+		if got := strings.Join(s.violations, "\n"); v.rule == "" && got != "" || v.rule != "" && !strings.Contains(got, v.rule) {
 			t.Errorf("%q: the checkers say %q", v.rule, got)
 		}
 	}
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -24,165 +24,196 @@
 // service, the cloud, workers and users, written from the protocol, in
 // simulated time and with generated faults. A checker watches every rule.
 
+// event is something that happens at a simulated time.
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at       time.Duration
+	sequence int // of its creation: events of the same time run in this order
+	run      func()
 }
 
-type events []*event
+// eventHeap is a heap of events for container/heap, the earliest first.
+type eventHeap []*event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].seq < e[j].seq)
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
+	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].sequence < e[j].sequence)
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(*event)) }
-func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(*event)) }
+func (e *eventHeap) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
+// eventQueue is the simulated clock and what is to happen later.
+type eventQueue struct {
+	now          time.Duration // since the start of the day
+	nextSequence int
+	pending      eventHeap
+}
+
+// sim is one simulated day of a deployment: the controllers' cores and the stand-ins around them.
 type sim struct {
-	launched  func(*simWorker, protocol.Command) // sees launches; may be nil
-	digest    *effectsDigest                     // of what the controllers do; nil: not wanted
-	rnd       *rand.Rand
-	now       time.Duration
-	seq       int
-	q         events
-	facts     config.Facts // what is true
-	told      config.Facts // what the controllers are told
-	nodes     []*simNode
-	kv        *simState
-	cloud     *simCloud
-	work      map[string]*simWorker
-	users     map[string]*simUser
-	broken    []string
-	starts    int
-	trace     io.Writer          // of the controllers' logs, if wanted
-	noise     float64            // probability that a message is lost, late or loses its answer
-	sets      []protocol.DataSet // data sets that jobs read; nil: staging is off
-	unordered bool               // the order of launches is not judged: controllers learn late when what they launch was committed
-	misled    bool               // broken on purpose: production jobs are submitted as idle ones
-	mute      bool               // broken on purpose: peers name no cancellations
-	noCarrier bool               // broken on purpose: nobody carries calls of the state service
-	lies      bool               // rows of beats are drawn, not true
-	saved     wayLosses          // tasks killed by leases, judged by the ways that were up
-	judged    int                // launches of lesser work while production work waited
-	lateTxns  float64            // share of transactions without an answer that are carried out later, after newer ones
-	copies    float64            // share of reports of which a copy comes again, up to more than a lease later
-	served    served
-	outages   time.Duration // of the state service, for all, so far
-	cautious  int           // tasks of jobs that nobody cancelled, killed by leases on machines that were well
-	warm      int           // starts on machines that held the inputs when the launch came
-	cold      int
-	tapes     []*simTape
-	met       meetings
-	logged    bool // the log of endings is on
-	alone     bool // workers are taken over one by one, not by the group
+	eventQueue
+	random      *rand.Rand
+	facts       config.Facts // what is true
+	advertised  config.Facts // what the controllers' configuration says; differs from facts in tests of defects
+	controllers []*simController
+	state       *simState
+	cloud       *simCloud
+	workers     map[string]*simWorker // by address
+	users       map[string]*simUser   // by job
+	options     simOptions
+	faults      simFaults
+	defects     simDefects
+	hooks       simHooks
+	output      simOutput
+
+	violations  []string // of the rules, as they were found
+	counts      simCounts
+	faultCounts faultCounts
+	leaseLosses wayLosses // tasks killed by leases, judged by the ways that were up
+	service     served
+}
+
+// simOptions are the settings of a deployment that vary from day to day.
+type simOptions struct {
+	dataSets          []protocol.DataSet // that jobs read; nil: staging is off
+	unorderedLaunches bool               // the order of launches is not checked: controllers learn late when what they launch was committed
+	completionLog     bool               // the controllers write the completion log
+	perWorkerFailover bool               // workers fail over one by one, not by the group
+}
+
+// simHooks let a test see what reaches the workers. Each may be nil.
+type simHooks struct {
+	onLaunch func(*simWorker, protocol.Command)
+	onKill   func(*simWorker, protocol.Command)
+}
+
+// simOutput is what a day leaves behind, where it is wanted.
+type simOutput struct {
+	trace      io.Writer      // the controllers' logs, and what workers do; nil: off
+	digest     *effectsDigest // of what the controllers do; nil: off
+	recordings []*simTape     // the controllers' recordings, one for each incarnation
+}
+
+// simCounts count what happened on a day.
+type simCounts struct {
+	taskStarts     int
+	warmStarts     int           // launches of tasks on machines that held their inputs when the launch came
+	coldStarts     int           // launches of tasks on machines that did not
+	launchesJudged int           // of work of lower priority while production work waited
+	leaseKills     int           // tasks of jobs that nobody cancelled, killed by leases on healthy machines
+	outage         time.Duration // of the state service, for all controllers, so far
 }
 
-func (s *sim) after(d time.Duration, do func()) {
-	s.seq++
-	heap.Push(&s.q, &event{s.now + d, s.seq, do})
+// after runs do when that much time has passed.
+func (q *eventQueue) after(d time.Duration, do func()) {
+	q.nextSequence++
+	heap.Push(&q.pending, &event{q.now + d, q.nextSequence, do})
 }
 
 func (s *sim) run(until time.Duration) {
-	for len(s.q) > 0 && s.q[0].at <= until && len(s.broken) < 20 {
-		e := heap.Pop(&s.q).(*event)
+	for len(s.pending) > 0 && s.pending[0].at <= until && len(s.violations) < 20 {
+		e := heap.Pop(&s.pending).(*event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	s.now = until
 }
 
-func (s *sim) breaks(rule, format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf("%8.3f %s: ", s.now.Seconds(), rule)+fmt.Sprintf(format, args...))
+func (s *sim) violation(rule, format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%8.3f %s: ", s.now.Seconds(), rule)+fmt.Sprintf(format, args...))
 }
 
-func (s *sim) ms(lo, hi float64) time.Duration { return seconds((lo + (hi-lo)*s.rnd.Float64()) / 1000) }
+func (s *sim) randomMillis(lo, hi float64) time.Duration {
+	return seconds((lo + (hi-lo)*s.random.Float64()) / 1000)
+}
 
 // simClock marks the controllers' log lines with the simulated time.
-type simClock struct{ s *sim }
+type traceWriter struct{ s *sim }
 
-func (w simClock) Write(b []byte) (int, error) {
-	fmt.Fprintf(w.s.trace, "%8.3f %s", w.s.now.Seconds(), b)
+func (w traceWriter) Write(b []byte) (int, error) {
+	fmt.Fprintf(w.s.output.trace, "%8.3f %s", w.s.now.Seconds(), b)
 	return len(b), nil
 }
 
 // ---- controllers
 
-type simNode struct {
-	s       *sim
-	name    string
-	zone    string
-	core    *Core
-	tape    *RecordedCore // what the world goes through
-	started time.Duration
-	life    int64
-	tickAt  time.Duration
-	ticks   int                      // in all its lives
-	cut     map[string]time.Duration // "state", "workers", "peers", "users", "cloud", "zone:Z" (its workers), "to:N" (messages to a peer): cut off until
-	reset   map[string]bool          // cut off so that connections fail at once
-	old     bool                     // runs the version before rows and carried calls
-	legacy  bool                     // runs the version before take-overs by the group
-	refused time.Duration            // by the state service alone
-	frozen  time.Duration            // until then it stands still, and its clock does not
-	drift   float64                  // of its steady clock
-	mislays time.Duration            // until then answers to its transactions are lost
-	holding time.Duration            // direct orders of now come not before then
-	lag     time.Duration            // until then watches are answered late, transactions are not
-	reqs    map[uint64]func(status int, body []byte)
-	askers  map[uint64]string // workers whose reports are being answered
-	waits   map[waitIn]time.Duration
-	archive *config.Archive // nil: off
-	nextReq uint64
+// simController is one controller's process. Its name, zone and faults last; its core is made anew at
+// every start.
+type simController struct {
+	controllerFaults
+	s           *sim
+	name        string
+	zone        string
+	core        *Core         // nil while the process is down
+	recorded    *RecordedCore // the core with its recorder in front: all inputs pass through it
+	startedAt   time.Duration
+	incarnation int64 // number of starts and crashes; what belongs to an earlier one is dropped
+	nextTickAt  time.Duration
+	tickCount   int // in all its incarnations
+
+	beforeRelays        bool // runs the version before link reports and relayed calls
+	beforeGroupFailover bool // runs the version before failover by the group
+
+	pendingRequests  map[uint64]func(status int, body []byte)
+	lastRequestID    uint64
+	heartbeatSenders map[uint64]string // workers whose heartbeats are being answered, by request
+	waitingSince     map[zoneWait]time.Duration
+	archive          *config.Archive // nil: off
+}
+
+// newSimController is the controller of that number, which is not started.
+func newSimController(s *sim, number int) *simController {
+	return &simController{s: s, name: fmt.Sprintf("n%d", number), zone: s.facts.Zones[number%2],
+		controllerFaults: controllerFaults{unreachableUntil: map[string]time.Duration{}}}
 }
 
-func (n *simNode) start() {
+func (n *simController) start() {
 	s := n.s
-	n.life++
-	n.started = s.now
-	n.reqs, n.askers, n.waits = map[uint64]func(int, []byte){}, map[uint64]string{}, map[waitIn]time.Duration{}
-	cfg := &config.Settings{Node: n.name, Zone: n.zone, Facts: s.told, Operator: config.DefaultOperator()}
+	n.incarnation++
+	n.startedAt = s.now
+	n.pendingRequests, n.heartbeatSenders, n.waitingSince = map[uint64]func(int, []byte){}, map[uint64]string{}, map[zoneWait]time.Duration{}
+	cfg := &config.Settings{Node: n.name, Zone: n.zone, Facts: s.advertised, Operator: config.DefaultOperator()}
 	cfg.Operator.Archive = n.archive
-	cfg.Operator.GroupTakeover, cfg.Operator.EndingLog = !s.alone, s.logged
-	if s.sets != nil {
+	cfg.Operator.GroupTakeover, cfg.Operator.EndingLog = !s.options.perWorkerFailover, s.options.completionLog
+	if s.options.dataSets != nil {
 		cfg.Operator.Staging = &config.Staging{ServerStreams: 6, PeerStreams: 2, MachineStreams: 1, RateMBPerS: 100}
 	}
-	for _, o := range s.nodes {
+	for _, o := range s.controllers {
 		if o != n {
 			cfg.Peers = append(cfg.Peers, config.Peer{Node: o.name, Zone: o.zone})
 		}
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	if s.trace != nil {
-		log = slog.New(slog.NewTextHandler(simClock{s}, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", n.name)
+	if s.output.trace != nil {
+		log = slog.New(slog.NewTextHandler(traceWriter{s}, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", n.name)
 	}
-	seed, incarnation := s.rnd.Uint64(), n.life*1000+s.now.Milliseconds()+1
+	seed, incarnation := s.random.Uint64(), n.incarnation*1000+s.now.Milliseconds()+1
 	n.core = New(cfg, log, rand.New(rand.NewPCG(seed, 1)), incarnation)
-	n.tape = NewRecordedCore(n.core, s.record(cfg, incarnation, seed))
-	n.tick(n.life)
+	n.recorded = NewRecordedCore(n.core, s.record(cfg, incarnation, seed))
+	n.tick(n.incarnation)
 }
 
-func (n *simNode) tick(incarnation int64) {
-	if n.core == nil || n.life != incarnation {
+func (n *simController) tick(incarnation int64) {
+	if n.core == nil || n.incarnation != incarnation {
 		return
 	}
-	if n.frozen > n.s.now {
-		n.awake(func() { n.tick(incarnation) })
+	if n.pausedUntil > n.s.now {
+		n.whenRunning(func() { n.tick(incarnation) })
 		return
 	}
-	n.tickAt = 0
-	n.ticks++
-	n.effects(n.tape.Tick(n.clock()))
-	n.plan()
+	n.nextTickAt = 0
+	n.tickCount++
+	n.applyEffects(n.recorded.Tick(n.clock()))
+	n.scheduleTick()
 }
 
 // plan has the next tick come when the core is due, as the program does.
-func (n *simNode) plan() {
-	s, incarnation := n.s, n.life
-	if at := s.now + n.core.Due(); n.tickAt == 0 || at < n.tickAt {
-		n.tickAt = at
+func (n *simController) scheduleTick() {
+	s, incarnation := n.s, n.incarnation
+	if at := s.now + n.core.Due(); n.nextTickAt == 0 || at < n.nextTickAt {
+		n.nextTickAt = at
 		s.after(at-s.now, func() {
-			if n.tickAt == at {
+			if n.nextTickAt == at {
 				n.tick(incarnation)
 			}
 		})
@@ -190,21 +221,21 @@
 }
 
 // awake does something when the process does not stand still.
-func (n *simNode) awake(do func()) {
-	if n.frozen > n.s.now {
-		n.s.after(n.frozen-n.s.now, do)
+func (n *simController) whenRunning(do func()) {
+	if n.pausedUntil > n.s.now {
+		n.s.after(n.pausedUntil-n.s.now, do)
 		return
 	}
 	do()
 }
 
-func (n *simNode) clock() Timestamp {
-	return Timestamp{time.Duration(float64(n.s.now-n.started) * (1 + n.drift)), time.UnixMilli(1_700_000_000_000 + n.s.now.Milliseconds())}
+func (n *simController) clock() Timestamp {
+	return Timestamp{time.Duration(float64(n.s.now-n.startedAt) * (1 + n.clockDrift)), time.UnixMilli(1_700_000_000_000 + n.s.now.Milliseconds())}
 }
 
-func (n *simNode) crash(down time.Duration) {
+func (n *simController) crash(down time.Duration) {
 	n.core = nil
-	n.life++
+	n.incarnation++
 	n.s.after(down, func() {
 		if n.core == nil {
 			n.start()
@@ -213,7 +244,7 @@
 }
 
 // request delivers a request; done is called with status 0 when nothing comes.
-func (n *simNode) request(who, method, path string, body []byte, done func(int, []byte)) {
+func (n *simController) request(who, method, path string, body []byte, done func(int, []byte)) {
 	s := n.s
 	answered := false
 	once := func(st int, b []byte) {
@@ -223,77 +254,77 @@
 		}
 	}
 	s.after(4*time.Second, func() { once(0, nil) })
-	if n.cut[who] > s.now && n.reset[who] {
-		s.after(s.ms(0.2, 3), func() { once(0, nil) })
+	if n.unreachableUntil[who] > s.now && n.resetLinks[who] {
+		s.after(s.randomMillis(0.2, 3), func() { once(0, nil) })
 		return
 	}
-	if n.cut[who] > s.now || s.rnd.Float64() < s.noise/4 {
-		if who != "users" && s.rnd.IntN(2) == 0 { // held back and delivered late
-			s.after(s.ms(1000, 60_000), func() { n.deliver(method, path, body, func(int, []byte) {}) })
+	if n.unreachableUntil[who] > s.now || s.random.Float64() < s.faults.messageLoss/4 {
+		if who != "users" && s.random.IntN(2) == 0 { // held back and delivered late
+			s.after(s.randomMillis(1000, 60_000), func() { n.deliver(method, path, body, func(int, []byte) {}) })
 		}
 		return
 	}
-	s.after(s.hop(), func() { n.deliver(method, path, body, once) })
+	s.after(s.linkDelay(), func() { n.deliver(method, path, body, once) })
 }
 
-func (n *simNode) deliver(method, path string, body []byte, done func(int, []byte)) {
+func (n *simController) deliver(method, path string, body []byte, done func(int, []byte)) {
 	if n.core == nil {
 		return
 	}
-	if n.frozen > n.s.now {
-		incarnation := n.life
-		n.awake(func() {
-			if n.life == incarnation {
+	if n.pausedUntil > n.s.now {
+		incarnation := n.incarnation
+		n.whenRunning(func() {
+			if n.incarnation == incarnation {
 				n.deliver(method, path, body, done)
 			}
 		})
 		return
 	}
-	n.nextReq++
-	id := n.nextReq
-	incarnation := n.life
-	n.reqs[id] = func(st int, b []byte) {
-		n.s.after(n.s.hop(), func() {
-			if n.life == incarnation {
+	n.lastRequestID++
+	id := n.lastRequestID
+	incarnation := n.incarnation
+	n.pendingRequests[id] = func(st int, b []byte) {
+		n.s.after(n.s.linkDelay(), func() {
+			if n.incarnation == incarnation {
 				done(st, b)
 			}
 		})
 	}
 	if path == protocol.PathHeartbeat {
 		if r, err := protocol.ParseHeartbeat(body); err == nil {
-			n.askers[id] = r.Worker
+			n.heartbeatSenders[id] = r.Worker
 		}
 	}
-	n.effects(n.tape.Request(n.clock(), id, method, path, body))
+	n.applyEffects(n.recorded.Request(n.clock(), id, method, path, body))
 }
 
-func (n *simNode) effects(e Effects) {
+func (n *simController) applyEffects(e Effects) {
 	s := n.s
-	incarnation := n.life
-	n.plan()
-	s.digest.add(n.name, s.now, e)
-	n.judgeOrder(e)
+	incarnation := n.incarnation
+	n.scheduleTick()
+	s.output.digest.add(n.name, s.now, e)
+	n.checkLaunchOrder(e)
 	for _, a := range e.Responses {
-		delete(n.askers, a.ID)
-		if done := n.reqs[a.ID]; done != nil {
-			delete(n.reqs, a.ID)
+		delete(n.heartbeatSenders, a.ID)
+		if done := n.pendingRequests[a.ID]; done != nil {
+			delete(n.pendingRequests, a.ID)
 			done(a.Status, a.Body)
 		}
 	}
 	for _, m := range e.Sends {
-		for _, o := range s.nodes {
-			if o.name != m.To || !n.tells(o) || s.rnd.Float64() < s.noise {
+		for _, o := range s.controllers {
+			if o.name != m.To || !n.tells(o) || s.random.Float64() < s.faults.messageLoss {
 				continue
 			}
 			msg, ok := n.said(o, m.Message)
 			if !ok {
 				continue
 			}
-			s.after(s.ms(0.2, 5), func() {
-				incarnation := o.life
-				o.awake(func() {
-					if o.core != nil && o.life == incarnation {
-						o.effects(o.tape.Peer(o.clock(), n.name, msg))
+			s.after(s.randomMillis(0.2, 5), func() {
+				incarnation := o.incarnation
+				o.whenRunning(func() {
+					if o.core != nil && o.incarnation == incarnation {
+						o.applyEffects(o.recorded.Peer(o.clock(), n.name, msg))
 					}
 				})
 			})
@@ -302,71 +333,71 @@
 	for _, k := range e.Calls {
 		answered := false
 		reply := func(st int, body []byte) {
-			n.awake(func() {
-				if answered || n.core == nil || n.life != incarnation {
+			n.whenRunning(func() {
+				if answered || n.core == nil || n.incarnation != incarnation {
 					return
 				}
 				answered = true
-				n.effects(n.tape.Reply(n.clock(), protocol.Reply{ID: k.ID, Status: st, Sent: true, Body: body}))
+				n.applyEffects(n.recorded.Reply(n.clock(), protocol.Reply{ID: k.ID, Status: st, Sent: true, Body: body}))
 			})
 		}
 		s.after(k.Timeout, func() { reply(0, nil) })
 		who := [...]string{"state", "cloud", "workers"}[k.Target]
-		if w := s.work[k.Address]; k.Target == protocol.ToWorker && w != nil && n.cut["zone:"+w.zone] > s.now {
+		if w := s.workers[k.Address]; k.Target == protocol.ToWorker && w != nil && n.unreachableUntil["zone:"+w.zone] > s.now {
 			who = "zone:" + w.zone
 		}
-		if n.cut[who] > s.now && n.reset[who] {
-			s.after(s.ms(0.2, 3), func() { reply(0, nil) })
+		if n.unreachableUntil[who] > s.now && n.resetLinks[who] {
+			s.after(s.randomMillis(0.2, 3), func() { reply(0, nil) })
 			continue
 		}
 		serve := func(reply func(int, []byte)) {
 			switch k.Target {
 			case protocol.ToStateService:
-				s.kv.serve(n, k, reply)
+				s.state.serve(n, k, reply)
 			case protocol.ToCloud:
 				s.cloud.serve(k, reply)
 			case protocol.ToWorker:
-				if w := s.work[k.Address]; w != nil {
-					w.direct(k, reply)
+				if w := s.workers[k.Address]; w != nil {
+					w.serveDirect(k, reply)
 				}
 			}
 		}
-		if n.loses(k) { // carried out at once, and only the answer is lost
-			s.after(s.ms(1, 5), func() { serve(func(int, []byte) {}) })
+		if n.losesReply(k) { // carried out at once, and only the answer is lost
+			s.after(s.randomMillis(1, 5), func() { serve(func(int, []byte) {}) })
 			continue
 		}
 		watch := strings.HasPrefix(k.Path, protocol.PathWatch)
 		switch { // troubles that are no noise: see meeting_test.go
-		case k.Path == protocol.PathCommands && n.holding > s.now:
-			s.met.heldUp++
-			s.after(n.holding-s.now+s.ms(0, 5000), func() { serve(func(int, []byte) {}) })
+		case k.Path == protocol.PathCommands && n.commandsDelayedUntil > s.now:
+			s.faultCounts.delayedCommands++
+			s.after(n.commandsDelayedUntil-s.now+s.randomMillis(0, 5000), func() { serve(func(int, []byte) {}) })
 			continue
-		case k.Path == protocol.PathTxn && n.mislays > s.now:
-			s.after(s.ms(1, 5), func() { serve(func(int, []byte) {}) })
+		case k.Path == protocol.PathTxn && n.repliesLostUntil > s.now:
+			s.after(s.randomMillis(1, 5), func() { serve(func(int, []byte) {}) })
 			continue
-		case k.Path == protocol.PathTxn && s.lateTxns > 0 && s.rnd.Float64() < s.lateTxns:
-			s.after(s.ms(2000, 12_000), func() { serve(func(int, []byte) {}) })
+		case k.Path == protocol.PathTxn && s.faults.lateTransactions > 0 && s.random.Float64() < s.faults.lateTransactions:
+			s.after(s.randomMillis(2000, 12_000), func() { serve(func(int, []byte) {}) })
 			continue
 		}
-		switch luck := s.rnd.Float64(); {
-		case n.cut[who] > s.now || luck < s.noise:
-			switch s.rnd.IntN(3) { // lost, or executed late
+		switch luck := s.random.Float64(); {
+		case n.unreachableUntil[who] > s.now || luck < s.faults.messageLoss:
+			switch s.random.IntN(3) { // lost, or executed late
 			case 0:
 			case 1:
-				s.after(s.ms(10, 60_000), func() { serve(func(int, []byte) {}) })
+				s.after(s.randomMillis(10, 60_000), func() { serve(func(int, []byte) {}) })
 			case 2:
-				s.after(s.ms(1, 20), func() { serve(func(int, []byte) {}) })
+				s.after(s.randomMillis(1, 20), func() { serve(func(int, []byte) {}) })
 			}
-		case watch && n.lag > s.now:
-			late := s.ms(200, 3900)
-			s.after(s.ms(1, 5), func() { serve(func(st int, b []byte) { s.after(late, func() { reply(st, b) }) }) })
+		case watch && n.watchDelayedUntil > s.now:
+			late := s.randomMillis(200, 3900)
+			s.after(s.randomMillis(1, 5), func() { serve(func(st int, b []byte) { s.after(late, func() { reply(st, b) }) }) })
 		case watch:
-			s.after(s.ms(1, 5), func() { serve(reply) })
-		case k.Path == protocol.PathTxn && s.met.writesLag > s.now:
-			s.after(s.ms(200, 1600), func() { serve(func(st int, b []byte) { s.after(s.ms(1, 5), func() { reply(st, b) }) }) })
+			s.after(s.randomMillis(1, 5), func() { serve(reply) })
+		case k.Path == protocol.PathTxn && s.faults.slowWritesUntil > s.now:
+			s.after(s.randomMillis(200, 1600), func() { serve(func(st int, b []byte) { s.after(s.randomMillis(1, 5), func() { reply(st, b) }) }) })
 		default:
-			s.after(s.ms(1, 5), func() {
-				serve(func(st int, b []byte) { s.after(s.ms(1, 5), func() { reply(st, b) }) })
+			s.after(s.randomMillis(1, 5), func() {
+				serve(func(st int, b []byte) { s.after(s.randomMillis(1, 5), func() { reply(st, b) }) })
 			})
 		}
 	}
@@ -375,80 +406,80 @@
 // ---- state service
 
 type simKey struct {
-	data   json.RawMessage
-	stamp  uint64
-	permit uint64
+	value       json.RawMessage
+	modRevision uint64
+	lease       uint64
 }
 
 type simState struct {
-	s         *sim
-	keys      map[string]simKey
-	rev       uint64
-	news      []protocol.WatchEvent
-	leases    map[uint64]time.Duration
-	ttls      map[uint64]time.Duration
-	next      uint64
-	down      time.Duration
-	watches   []*simWatch
-	drains    map[string]int    // how often each drain was written
-	drainedAs map[string]string // and why, the last time
-	blind     bool              // broken on purpose: ignores conditions
-	memory    int               // changes that a watch can go back
-	page      int               // keys on a page
-	reads     float64
-	writes    float64
-	filled    time.Duration
-	refused   int // requests over the limits
-	failed    int // transactions whose conditions did not hold
+	s                  *sim
+	keys               map[string]simKey
+	revision           uint64
+	events             []protocol.WatchEvent
+	leaseExpiry        map[uint64]time.Duration
+	leaseTTL           map[uint64]time.Duration
+	lastLease          uint64
+	downUntil          time.Duration
+	watches            []*simWatch
+	drainWrites        map[string]int    // how often each drain was written
+	drainReasons       map[string]string // and why, the last time
+	ignoresCompares    bool              // broken on purpose: ignores conditions
+	eventHistory       int               // changes that a watch can go back
+	pageSize           int               // keys on a page
+	readTokens         float64
+	writeTokens        float64
+	refilledAt         time.Duration
+	throttled          int // requests over the limits
+	failedTransactions int // transactions whose conditions did not hold
 }
 
 // over tells whether a request is above the limits, with bursts of a second.
-func (k *simState) over(ops int) bool {
-	d := (k.s.now - k.filled).Seconds()
-	k.filled = k.s.now
+func (k *simState) exceedsLimits(ops int) bool {
+	d := (k.s.now - k.refilledAt).Seconds()
+	k.refilledAt = k.s.now
 	f := &k.s.facts.State
-	k.reads, k.writes = min(f.RPS, k.reads+d*f.RPS), min(f.WriteRPS, k.writes+d*f.WriteRPS)
-	if k.reads < 1 || k.writes < float64(ops) {
-		k.refused++
+	k.readTokens, k.writeTokens = min(f.RPS, k.readTokens+d*f.RPS), min(f.WriteRPS, k.writeTokens+d*f.WriteRPS)
+	if k.readTokens < 1 || k.writeTokens < float64(ops) {
+		k.throttled++
 		return true
 	}
-	k.reads, k.writes = k.reads-1, k.writes-float64(ops)
+	k.readTokens, k.writeTokens = k.readTokens-1, k.writeTokens-float64(ops)
 	return false
 }
 
 type simWatch struct {
-	under string
-	from  uint64
-	until time.Duration
-	node  *simNode
-	reply func(int, []byte)
+	prefix       string
+	fromRevision uint64
+	deadline     time.Duration
+	controller   *simController
+	reply        func(int, []byte)
 }
 
-func (k *simState) expire() {
-	if k.down > k.s.now {
-		for p := range k.leases {
-			k.leases[p] = k.down + k.ttls[p]
+func (k *simState) expireLeases() {
+	if k.downUntil > k.s.now {
+		for p := range k.leaseExpiry {
+			k.leaseExpiry[p] = k.downUntil + k.leaseTTL[p]
 		}
 	}
-	for p := uint64(1); p <= k.next; p++ {
-		if at, ok := k.leases[p]; !ok || at > k.s.now {
+	for p := uint64(1); p <= k.lastLease; p++ {
+		if at, ok := k.leaseExpiry[p]; !ok || at > k.s.now {
 			continue
 		}
-		delete(k.leases, p)
-		for _, key := range k.sorted("") {
-			if k.keys[key].permit == p {
-				k.change(key, nil, 0, k.rev+1)
+		delete(k.leaseExpiry, p)
+		for _, key := range k.keysAfter("") {
+			if k.keys[key].lease == p {
+				k.apply(key, nil, 0, k.revision+1)
 			}
 		}
-		k.rev++
+		k.revision++
 	}
-	k.wake()
+	k.notifyWatches()
 }
 
 // judgeCondition judges that a transaction which is carried out late, after newer ones, stops by itself:
 // every key that it writes or drops is among its conditions. Member records are the one exception, which
 // nothing but time hangs on; what a job is to run goes with its acceptance.
-func (k *simState) judgeCondition(t protocol.Txn, o protocol.Op) {
+func (k *simState) checkCompares(t protocol.Txn, o protocol.Op) {
 	key := o.Put + o.Delete
 	if strings.HasPrefix(key, keyMember) || strings.HasPrefix(key, keyExtra) {
 		return
@@ -458,10 +489,10 @@
 			return
 		}
 	}
-	k.s.breaks("unconditional", "%s", key)
+	k.s.violation("unconditional", "%s", key)
 }
 
-func (k *simState) sorted(after string) []string {
+func (k *simState) keysAfter(after string) []string {
 	var out []string
 	for key := range k.keys {
 		if key > after {
@@ -472,52 +503,52 @@
 	return out
 }
 
-func (k *simState) change(key string, data json.RawMessage, lease, rev uint64) {
+func (k *simState) apply(key string, data json.RawMessage, lease, rev uint64) {
 	if strings.HasPrefix(key, keyDrain) && data != nil {
-		k.drains[key]++
+		k.drainWrites[key]++
 		var d drainRecord
 		_ = json.Unmarshal(data, &d)
-		k.drainedAs[key] = d.Reason
+		k.drainReasons[key] = d.Reason
 	}
-	k.s.claimed(key, data)
+	k.s.claimWritten(key, data)
 	if data == nil {
 		delete(k.keys, key)
-		k.news = append(k.news, protocol.WatchEvent{Delete: key, ModRevision: rev})
+		k.events = append(k.events, protocol.WatchEvent{Delete: key, ModRevision: rev})
 	} else {
 		k.keys[key] = simKey{data, rev, lease}
-		k.news = append(k.news, protocol.WatchEvent{Put: key, Value: data, ModRevision: rev})
+		k.events = append(k.events, protocol.WatchEvent{Put: key, Value: data, ModRevision: rev})
 	}
 }
 
-func (k *simState) wake() {
-	if k.down > k.s.now {
+func (k *simState) notifyWatches() {
+	if k.downUntil > k.s.now {
 		return
 	}
 	rest := k.watches[:0]
 	for _, w := range k.watches {
-		if w.node.refused > k.s.now {
+		if w.controller.refusedUntil > k.s.now {
 			rest = append(rest, w)
 			continue
 		}
-		r := protocol.WatchResult{Revision: k.rev, Events: []protocol.WatchEvent{}}
-		at := sort.Search(len(k.news), func(i int) bool { return k.news[i].ModRevision > w.from })
-		for _, n := range k.news[at:] {
-			if strings.HasPrefix(n.Put+n.Delete, w.under) {
+		r := protocol.WatchResult{Revision: k.revision, Events: []protocol.WatchEvent{}}
+		at := sort.Search(len(k.events), func(i int) bool { return k.events[i].ModRevision > w.fromRevision })
+		for _, n := range k.events[at:] {
+			if strings.HasPrefix(n.Put+n.Delete, w.prefix) {
 				r.Events = append(r.Events, n)
 			}
 		}
-		if len(r.Events) == 0 && k.s.now < w.until {
+		if len(r.Events) == 0 && k.s.now < w.deadline {
 			rest = append(rest, w)
 			continue
 		}
 		reply := w.reply
-		k.s.after(k.s.ms(1, 5), func() { reply(200, encode(r)) })
+		k.s.after(k.s.randomMillis(1, 5), func() { reply(200, encode(r)) })
 	}
 	k.watches = rest
 }
 
-func (k *simState) serve(n *simNode, c protocol.Call, reply func(int, []byte)) {
-	if k.down > k.s.now || n.refused > k.s.now {
+func (k *simState) serve(n *simController, c protocol.Call, reply func(int, []byte)) {
+	if k.downUntil > k.s.now || n.refusedUntil > k.s.now {
 		reply(503, nil)
 		return
 	}
@@ -527,10 +558,10 @@
 	if u.Path == protocol.PathTxn {
 		_ = json.Unmarshal(c.Body, &t)
 	}
-	if n.legacy {
+	if n.beforeGroupFailover {
 		t, reply = withoutTakeovers(t), unseenTakeovers(reply)
 	}
-	if k.over(len(t.Ops)) {
+	if k.exceedsLimits(len(t.Ops)) {
 		reply(429, nil)
 		return
 	}
@@ -538,137 +569,137 @@
 	case u.Path == protocol.PathWatch:
 		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 		block, _ := strconv.Atoi(q.Get("blockMs"))
-		if len(k.news) > k.memory {
-			k.news = append([]protocol.WatchEvent(nil), k.news[k.memory*2/3:]...)
+		if len(k.events) > k.eventHistory {
+			k.events = append([]protocol.WatchEvent(nil), k.events[k.eventHistory*2/3:]...)
 		}
-		if len(k.news) > 0 && from+1 < k.news[0].ModRevision && from < k.rev {
+		if len(k.events) > 0 && from+1 < k.events[0].ModRevision && from < k.revision {
 			reply(410, nil)
 			return
 		}
 		d := time.Duration(block) * time.Millisecond
-		k.watches = append(k.watches, &simWatch{under: q.Get("under"), from: from, until: k.s.now + d, node: n, reply: reply})
-		k.s.after(d, k.wake)
-		k.wake()
+		k.watches = append(k.watches, &simWatch{prefix: q.Get("under"), fromRevision: from, deadline: k.s.now + d, controller: n, reply: reply})
+		k.s.after(d, k.notifyWatches)
+		k.notifyWatches()
 	case u.Path == protocol.PathTxn:
 		if len(t.Ops) > k.s.facts.State.TxnOps || len(t.Compares) > 4*k.s.facts.State.TxnOps || len(c.Body) > 64<<10 {
-			k.s.breaks("state limits", "%d ops, %d conditions, %d bytes", len(t.Ops), len(t.Compares), len(c.Body))
+			k.s.violation("state limits", "%d ops, %d conditions, %d bytes", len(t.Ops), len(t.Compares), len(c.Body))
 		}
 		var failed []string
 		for _, f := range t.Compares {
-			if k.keys[f.Key].stamp != f.ModRevision && !k.blind && !(k.s.met.agrees && len(t.Ops) == 0) {
+			if k.keys[f.Key].modRevision != f.ModRevision && !k.ignoresCompares && !(k.s.defects.readOnlyComparesHold && len(t.Ops) == 0) {
 				failed = append(failed, f.Key)
 			}
 		}
 		for _, o := range t.Ops {
-			k.judgeCondition(t, o)
+			k.checkCompares(t, o)
 			if len(o.Value) > int(k.s.facts.State.ValueKB*1024) {
-				k.s.breaks("state limits", "value of %d bytes at %s", len(o.Value), o.Put)
+				k.s.violation("state limits", "value of %d bytes at %s", len(o.Value), o.Put)
 			}
-			if _, ok := k.leases[o.Lease]; o.Lease != 0 && !ok {
+			if _, ok := k.leaseExpiry[o.Lease]; o.Lease != 0 && !ok {
 				reply(400, nil)
 				return
 			}
 		}
 		if failed != nil {
-			k.failed++
-			reply(409, encode(protocol.TxnResult{Failed: failed, Revision: k.rev}))
+			k.failedTransactions++
+			reply(409, encode(protocol.TxnResult{Failed: failed, Revision: k.revision}))
 			return
 		}
 		if len(t.Ops) > 0 {
 			for _, o := range t.Ops {
 				if o.Put != "" {
-					k.change(o.Put, o.Value, o.Lease, k.rev+1)
+					k.apply(o.Put, o.Value, o.Lease, k.revision+1)
 				} else if _, ok := k.keys[o.Delete]; ok {
-					k.change(o.Delete, nil, 0, k.rev+1)
+					k.apply(o.Delete, nil, 0, k.revision+1)
 				}
 			}
-			k.rev++
+			k.revision++
 		}
-		reply(200, encode(protocol.TxnResult{Revision: k.rev}))
-		k.wake()
+		reply(200, encode(protocol.TxnResult{Revision: k.revision}))
+		k.notifyWatches()
 	case u.Path == protocol.PathKeys:
 		page, _ := strconv.Atoi(q.Get("page"))
-		r := protocol.KeyValuePage{Revision: k.rev}
-		for _, key := range k.sorted(q.Get("from")) {
+		r := protocol.KeyValuePage{Revision: k.revision}
+		for _, key := range k.keysAfter(q.Get("from")) {
 			if !strings.HasPrefix(key, q.Get("under")) {
 				continue
 			}
-			if len(r.KeyValues) == min(page, k.page) {
+			if len(r.KeyValues) == min(page, k.pageSize) {
 				r.Truncated = true
 				break
 			}
-			r.KeyValues = append(r.KeyValues, protocol.KeyValue{Key: key, Value: k.keys[key].data, ModRevision: k.keys[key].stamp})
+			r.KeyValues = append(r.KeyValues, protocol.KeyValue{Key: key, Value: k.keys[key].value, ModRevision: k.keys[key].modRevision})
 		}
 		reply(200, encode(r))
 	case strings.HasPrefix(u.Path, protocol.PathKeys+"/"):
 		key := u.Path[len(protocol.PathKeys)+1:]
 		if v, ok := k.keys[key]; ok {
-			reply(200, encode(protocol.KeyValue{Key: key, Value: v.data, ModRevision: v.stamp, Lease: v.permit}))
+			reply(200, encode(protocol.KeyValue{Key: key, Value: v.value, ModRevision: v.modRevision, Lease: v.lease}))
 		} else {
-			reply(404, encode(protocol.KeyValuePage{Revision: k.rev}))
+			reply(404, encode(protocol.KeyValuePage{Revision: k.revision}))
 		}
 	case c.Method == "DELETE":
 		p, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
-		if _, ok := k.leases[p]; !ok {
+		if _, ok := k.leaseExpiry[p]; !ok {
 			reply(404, nil)
 			return
 		}
-		k.leases[p] = k.s.now
-		k.expire()
+		k.leaseExpiry[p] = k.s.now
+		k.expireLeases()
 		reply(200, nil)
 	case u.Path == protocol.PathLeases:
 		var g protocol.LeaseRequest
 		_ = json.Unmarshal(c.Body, &g)
-		k.next++
-		k.ttls[k.next] = time.Duration(g.TTLMs) * time.Millisecond
-		k.leases[k.next] = k.s.now + k.ttls[k.next]
-		reply(200, encode(protocol.LeaseResponse{Lease: k.next}))
+		k.lastLease++
+		k.leaseTTL[k.lastLease] = time.Duration(g.TTLMs) * time.Millisecond
+		k.leaseExpiry[k.lastLease] = k.s.now + k.leaseTTL[k.lastLease]
+		reply(200, encode(protocol.LeaseResponse{Lease: k.lastLease}))
 	case strings.HasSuffix(u.Path, "/"+protocol.PathKeepAlive):
 		p, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
-		if _, ok := k.leases[p]; !ok {
+		if _, ok := k.leaseExpiry[p]; !ok {
 			reply(404, nil)
 			return
 		}
-		k.leases[p] = k.s.now + k.ttls[p]
+		k.leaseExpiry[p] = k.s.now + k.leaseTTL[p]
 		reply(200, nil)
 	default:
-		k.s.breaks("state limits", "unknown request %s %s", c.Method, c.Path)
+		k.s.violation("state limits", "unknown request %s %s", c.Method, c.Path)
 	}
 }
 
 // ---- cloud
 
 type simCloud struct {
-	s     *sim
-	types map[string]protocol.MachineType
-	free  map[offering]int
-	hires map[string][]string
-	next  int
-	all   map[string]*simWorker // by name
-	hist  []listSnap
-	page  int
+	s                *sim
+	machineTypes     map[string]protocol.MachineType
+	capacity         map[offering]int
+	rentalsByRequest map[string][]string
+	nextMachine      int
+	machines         map[string]*simWorker // by name
+	listHistory      []listSnapshot
+	pageSize         int
 }
 
-type listSnap struct {
-	at   time.Duration
-	list []protocol.RentedMachine
+type listSnapshot struct {
+	at       time.Duration
+	machines []protocol.RentedMachine
 }
 
 func (c *simCloud) snapshot() {
 	var l []protocol.RentedMachine
-	for _, n := range sortedKeys(c.all) {
-		w := c.all[n]
+	for _, n := range sortedKeys(c.machines) {
+		w := c.machines[n]
 		st := protocol.StatusRunning
 		if w.failed {
 			st = protocol.StatusFailed
 		} else if !w.up {
 			st = protocol.StatusBooting
 		}
-		l = append(l, protocol.RentedMachine{Name: w.name, Address: w.addr, MachineType: w.rig, Zone: w.zone, Spot: w.spot, Status: st, AgeS: (c.s.now - w.rented).Seconds()})
+		l = append(l, protocol.RentedMachine{Name: w.name, Address: w.address, MachineType: w.machineType, Zone: w.zone, Spot: w.spot, Status: st, AgeS: (c.s.now - w.rentedAt).Seconds()})
 	}
-	c.hist = append(c.hist, listSnap{c.s.now, l})
-	if len(c.hist) > 60 {
-		c.hist = c.hist[20:]
+	c.listHistory = append(c.listHistory, listSnapshot{c.s.now, l})
+	if len(c.listHistory) > 60 {
+		c.listHistory = c.listHistory[20:]
 	}
 	c.s.after(time.Second, c.snapshot)
 }
@@ -678,37 +709,37 @@
 	switch {
 	case k.Path == protocol.PathMachineTypes:
 		var f protocol.MachineTypes
-		for _, n := range sortedKeys(c.types) {
-			f.MachineTypes = append(f.MachineTypes, c.types[n])
+		for _, n := range sortedKeys(c.machineTypes) {
+			f.MachineTypes = append(f.MachineTypes, c.machineTypes[n])
 		}
 		reply(200, encode(f))
 	case k.Path == protocol.PathRentalsDelete:
 		var n protocol.MachineNames
 		_ = json.Unmarshal(k.Body, &n)
-		if f := s.met.returns; f != nil && f(n.Machines) { // held up: carried out later, and unanswered
-			s.after(s.ms(10_000, 30_000), func() { s.met.returns = nil; c.serve(k, func(int, []byte) {}); s.met.returns = f })
+		if f := s.faults.delaysDeletion; f != nil && f(n.Machines) { // held up: carried out later, and unanswered
+			s.after(s.randomMillis(10_000, 30_000), func() { s.faults.delaysDeletion = nil; c.serve(k, func(int, []byte) {}); s.faults.delaysDeletion = f })
 			return
 		}
 		for _, name := range n.Machines {
-			if w := c.all[name]; w != nil {
-				s.judgeReturn(w)
+			if w := c.machines[name]; w != nil {
+				s.countDeletionInUse(w)
 				w.die()
-				delete(c.all, name)
-				if !w.taken {
-					c.free[offering{w.rig, w.zone, w.spot}]++
+				delete(c.machines, name)
+				if !w.preempted {
+					c.capacity[offering{w.machineType, w.zone, w.spot}]++
 				}
 			}
 		}
 		reply(200, []byte("{}"))
 	case strings.HasPrefix(k.Path, protocol.PathRentals+"?"):
-		lag := seconds(s.facts.Cloud.ListLag * (1 + s.rnd.Float64()))
+		lag := seconds(s.facts.Cloud.ListLag * (1 + s.random.Float64()))
 		r := protocol.RentalList{Machines: []protocol.RentedMachine{}}
 		u, _ := url.Parse(k.Path)
-		for i := len(c.hist) - 1; i >= 0; i-- {
-			if c.hist[i].at <= s.now-lag {
-				for _, l := range c.hist[i].list {
+		for i := len(c.listHistory) - 1; i >= 0; i-- {
+			if c.listHistory[i].at <= s.now-lag {
+				for _, l := range c.listHistory[i].machines {
 					if l.Name > u.Query().Get("from") {
-						if page, err := strconv.Atoi(u.Query().Get("page")); len(r.Machines) == c.page || err == nil && len(r.Machines) == page {
+						if page, err := strconv.Atoi(u.Query().Get("page")); len(r.Machines) == c.pageSize || err == nil && len(r.Machines) == page {
 							r.Truncated = true
 							break
 						}
@@ -722,147 +753,142 @@
 	case k.Path == protocol.PathRentals:
 		var r protocol.RentalRequest
 		_ = json.Unmarshal(k.Body, &r)
-		if old, ok := c.hires[r.RequestID]; ok {
+		if old, ok := c.rentalsByRequest[r.RequestID]; ok {
 			reply(200, encode(protocol.MachineNames{Machines: old}))
 			return
 		}
 		p := offering{r.MachineType, r.Zone, r.Spot}
-		n := min(r.Count, c.free[p])
+		n := min(r.Count, c.capacity[p])
 		if n == 0 {
 			reply(503, []byte(`{"error":"no capacity"}`))
 			return
 		}
-		c.free[p] -= n
+		c.capacity[p] -= n
 		names := []string{}
 		for i := 0; i < n; i++ {
-			w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.next), rig: r.MachineType, zone: r.Zone, spot: r.Spot, rented: s.now, loads: map[string]*simLoad{}}
-			c.next++
-			w.addr = "w:" + w.name
-			s.work[w.addr] = w
-			c.all[w.name] = w
+			w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.nextMachine), machineType: r.MachineType, zone: r.Zone, spot: r.Spot, rentedAt: s.now, tasks: map[string]*simTask{}}
+			c.nextMachine++
+			w.address = "w:" + w.name
+			s.workers[w.address] = w
+			c.machines[w.name] = w
 			names = append(names, w.name)
-			if s.met.quickBoots {
-				s.after(s.ms(50, 2000), w.boot)
-			} else if s.rnd.IntN(20) > 0 {
-				s.after(seconds(c.types[r.MachineType].StartupS*(0.6+0.9*s.rnd.Float64())), w.boot)
+			if s.faults.quickBoots {
+				s.after(s.randomMillis(50, 2000), w.boot)
+			} else if s.random.IntN(20) > 0 {
+				s.after(seconds(c.machineTypes[r.MachineType].StartupS*(0.6+0.9*s.random.Float64())), w.boot)
 			}
 		}
-		c.hires[r.RequestID] = names
+		c.rentalsByRequest[r.RequestID] = names
 		reply(200, encode(protocol.MachineNames{Machines: names}))
 	}
 }
 
 // ---- workers
 
-type simLoad struct {
-	id     string
-	index  int
-	try    int
-	status string
-	cause  string
-	gen    int
+type simTask struct {
+	jobID      string
+	index      int
+	attempt    int
+	status     string
+	cause      string
+	generation int
 }
 
-func (l *simLoad) on() bool {
+func (l *simTask) isActive() bool {
 	return l.status == protocol.TaskRunning || l.status == protocol.TaskWaiting || l.status == protocol.TaskCheckpointing
 }
 
+// simWorker is a rented machine with its agent.
 type simWorker struct {
-	s        *sim
-	name     string
-	addr     string
-	rig      string
-	zone     string
-	spot     bool
-	rented   time.Duration
-	up       bool
-	dead     bool
-	failed   bool
-	taken    bool
-	hung     time.Duration
-	deaf     time.Duration // until then answers and direct commands are lost
-	mute     time.Duration // until then it reaches no controller, while direct commands reach it
-	partly   float64       // the share of them that is lost at any time
-	keeps    bool          // is one of those whose tasks are counted, see countCaution
-	shift    uint64
-	tally    uint64
-	baton    uint64
-	began    time.Duration // of the session
-	answered time.Duration // sending time of the last answered report
-	node     int
-	loads    map[string]*simLoad
-	faulty   bool
-	copies   map[string]bool // whole, or (false) being fetched
-	unkept   time.Duration   // until then output waits to be shipped
+	workerFaults
+	s              *sim
+	name           string
+	address        string
+	machineType    string
+	zone           string
+	spot           bool
+	rentedAt       time.Duration
+	up             bool
+	dead           bool
+	failed         bool // the cloud lists it as failed
+	preempted      bool // taken by the cloud, without notice
+	agentEpoch     uint64
+	epochStartedAt time.Duration
+	sequence       uint64        // of its heartbeats
+	fencingToken   uint64        // highest seen
+	lastAnsweredAt time.Duration // sending time of the last answered heartbeat
+	controller     int           // index of the one that it reports to
+	tasks          map[string]*simTask
+	dataSetCopies  map[string]bool // complete, or (false) being fetched
 }
 
 func (w *simWorker) die() {
 	w.dead = true
 	w.up = false
-	for _, l := range w.loads {
-		l.status, l.gen = protocol.TaskEnded, l.gen+1
+	for _, l := range w.tasks {
+		l.status, l.generation = protocol.TaskEnded, l.generation+1
 	}
-	w.loads = map[string]*simLoad{}
+	w.tasks = map[string]*simTask{}
 }
 
 func (w *simWorker) boot() {
 	if w.dead {
 		return
 	}
-	w.up, w.shift, w.began, w.answered = true, 1, w.s.now, w.s.now
-	w.s.countEarly(w)
-	w.node = w.s.rnd.IntN(len(w.s.nodes))
-	w.report()
-	w.leaseLoop()
+	w.up, w.agentEpoch, w.epochStartedAt, w.lastAnsweredAt = true, 1, w.s.now, w.s.now
+	w.s.countEarlyBoot(w)
+	w.controller = w.s.random.IntN(len(w.s.controllers))
+	w.sendHeartbeat()
+	w.watchLease()
 }
 
-func (w *simWorker) leaseLoop() {
+func (w *simWorker) watchLease() {
 	if w.dead {
 		return
 	}
-	over := max(w.answered, w.began) + seconds(w.s.facts.Workers.Lease)
+	over := max(w.lastAnsweredAt, w.epochStartedAt) + seconds(w.s.facts.Workers.Lease)
 	if w.s.now > over {
 		w.judgeLoss()
-		w.countCaution()
-		if len(w.loads) > 0 {
-			w.s.met.ended++
+		w.countLeaseKills()
+		if len(w.tasks) > 0 {
+			w.s.faultCounts.expiredLeases++
 		}
-		if !w.s.met.noLease {
-			for _, l := range w.loads {
-				l.status, l.gen = protocol.TaskEnded, l.gen+1
+		if !w.s.defects.ignoreLeaseExpiry {
+			for _, l := range w.tasks {
+				l.status, l.generation = protocol.TaskEnded, l.generation+1
 			}
-			w.loads = map[string]*simLoad{}
+			w.tasks = map[string]*simTask{}
 		}
-		w.shift++
-		w.began = w.s.now
-		over = w.began + seconds(w.s.facts.Workers.Lease)
+		w.agentEpoch++
+		w.epochStartedAt = w.s.now
+		over = w.epochStartedAt + seconds(w.s.facts.Workers.Lease)
 	}
-	w.s.after(over-w.s.now+time.Millisecond, w.leaseLoop)
+	w.s.after(over-w.s.now+time.Millisecond, w.watchLease)
 }
 
-func (w *simWorker) state() protocol.Heartbeat {
-	w.tally++
-	r := protocol.Heartbeat{Worker: w.name, Address: w.addr, MachineType: w.rig, Zone: w.tellsZone(), Spot: w.spot, AgentEpoch: w.shift, Sequence: w.tally, FencingToken: w.baton, Tasks: []protocol.TaskStatus{}}
-	if w.unkept > w.s.now {
+func (w *simWorker) heartbeat() protocol.Heartbeat {
+	w.sequence++
+	r := protocol.Heartbeat{Worker: w.name, Address: w.address, MachineType: w.machineType, Zone: w.reportedZone(), Spot: w.spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
+	if w.unshippedUntil > w.s.now {
 		r.Unshipped = 1
 	}
-	if w.s.met.emptyLists {
+	if w.s.defects.emptyTaskLists {
 		return r
 	}
 	var names []string
-	for n := range w.loads {
+	for n := range w.tasks {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		l := w.loads[n]
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.id + "/" + strconv.Itoa(l.index), Attempt: l.try, Status: l.status, Cause: l.cause})
+		l := w.tasks[n]
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.jobID + "/" + strconv.Itoa(l.index), Attempt: l.attempt, Status: l.status, Cause: l.cause})
 	}
-	if w.s.sets != nil {
-		r.DataStore = &protocol.StoreReport{Listed: w.s.rnd.IntN(2) == 0} // lists are seldom whole in time
+	if w.s.options.dataSets != nil {
+		r.DataStore = &protocol.StoreReport{Listed: w.s.random.IntN(2) == 0} // lists are seldom whole in time
 		var held []dataset.ID
-		for _, id := range sortedKeys(w.copies) {
-			if w.copies[id] {
+		for _, id := range sortedKeys(w.dataSetCopies) {
+			if w.dataSetCopies[id] {
 				held = append(held, dataset.ID(id))
 				if r.DataStore.Listed {
 					r.DataStore.Copies = append(r.DataStore.Copies, id)
@@ -874,60 +900,60 @@
 	return r
 }
 
-func (w *simWorker) report() {
+func (w *simWorker) sendHeartbeat() {
 	s := w.s
 	if w.dead {
 		return
 	}
-	if s.now < w.hung {
-		s.after(w.hung-s.now, w.report)
+	if s.now < w.hungUntil {
+		s.after(w.hungUntil-s.now, w.sendHeartbeat)
 		return
 	}
-	if s.now < w.mute {
-		w.node = (w.node + 1) % len(s.nodes)
-		s.met.unopened++
-		s.after(time.Second, w.report)
+	if s.now < w.isolatedUntil {
+		w.controller = (w.controller + 1) % len(s.controllers)
+		s.faultCounts.unsentHeartbeats++
+		s.after(time.Second, w.sendHeartbeat)
 		return
 	}
-	reply := w.state()
-	shift, sent := w.shift, s.now
-	n := s.nodes[w.node]
+	reply := w.heartbeat()
+	shift, sent := w.agentEpoch, s.now
+	n := s.controllers[w.controller]
 	link := "workers"
-	if n.cut["zone:"+w.zone] > s.now {
+	if n.unreachableUntil["zone:"+w.zone] > s.now {
 		link = "zone:" + w.zone
 	}
-	if s.copies > 0 && s.rnd.Float64() < s.copies {
-		s.after(s.ms(2000, 1300*s.facts.Workers.Lease), func() { n.deliver("POST", protocol.PathHeartbeat, encode(reply), func(int, []byte) {}) })
+	if s.faults.duplicateHeartbeats > 0 && s.random.Float64() < s.faults.duplicateHeartbeats {
+		s.after(s.randomMillis(2000, 1300*s.facts.Workers.Lease), func() { n.deliver("POST", protocol.PathHeartbeat, encode(reply), func(int, []byte) {}) })
 	}
-	s.keepCopy(w, reply)
+	s.keepHeartbeatCopy(w, reply)
 	ask := func(done func(int, []byte)) { n.request(link, "POST", protocol.PathHeartbeat, encode(reply), done) }
-	if s.holdBack(w, reply) {
+	if s.holdBackHeartbeat(w, reply) {
 		ask = func(done func(int, []byte)) { s.after(4*time.Second, func() { done(0, nil) }) }
 	}
 	ask(func(st int, body []byte) {
-		if s.trace != nil {
-			fmt.Fprintf(s.trace, "%8.3f CHECKIN stoker=%s node=%s shift=%d tally=%d baton=%d sent=%.3f status=%d %s\n", s.now.Seconds(), w.name, n.name, shift, reply.Sequence, reply.FencingToken, sent.Seconds(), st, body)
+		if s.output.trace != nil {
+			fmt.Fprintf(s.output.trace, "%8.3f CHECKIN stoker=%s node=%s shift=%d tally=%d baton=%d sent=%.3f status=%d %s\n", s.now.Seconds(), w.name, n.name, shift, reply.Sequence, reply.FencingToken, sent.Seconds(), st, body)
 		}
 		if w.dead {
 			return
 		}
-		next := seconds(s.facts.Workers.Report * (0.75 + 0.5*s.rnd.Float64()))
+		next := seconds(s.facts.Workers.Report * (0.75 + 0.5*s.random.Float64()))
 		switch {
-		case w.misses(): // no answer has come
-			w.node = (w.node + 1) % len(s.nodes)
+		case w.missesMessage(): // no answer has come
+			w.controller = (w.controller + 1) % len(s.controllers)
 			next = max(0, sent+4*time.Second-s.now) + time.Second
 		case st == 200:
 			var a protocol.HeartbeatResponse
 			_ = json.Unmarshal(body, &a)
 			// A hung machine takes nothing in, and drops what is over 4 s old.
-			if s.now >= w.hung && a.FencingToken >= w.baton && a.FencingToken > 0 && shift == w.shift && s.now-sent <= 4*time.Second {
-				if a.FencingToken > w.baton {
+			if s.now >= w.hungUntil && a.FencingToken >= w.fencingToken && a.FencingToken > 0 && shift == w.agentEpoch && s.now-sent <= 4*time.Second {
+				if a.FencingToken > w.fencingToken {
 					next = 500 * time.Millisecond
 				}
-				w.baton, w.answered = a.FencingToken, sent
+				w.fencingToken, w.lastAnsweredAt = a.FencingToken, sent
 				if a.DataStore != nil {
 					for _, f := range a.DataStore.Fetch {
-						w.fetch(f.CopyID())
+						w.fetchCopy(f.CopyID())
 					}
 				}
 				w.execute(a.Commands)
@@ -935,52 +961,52 @@
 		case st == 421:
 			var r protocol.Redirect
 			_ = json.Unmarshal(body, &r)
-			w.node = (w.node + 1) % len(s.nodes)
-			for i, o := range s.nodes {
+			w.controller = (w.controller + 1) % len(s.controllers)
+			for i, o := range s.controllers {
 				if o.name == r.Controller {
-					w.node = i
+					w.controller = i
 				}
 			}
-			next = s.ms(0, 500)
+			next = s.randomMillis(0, 500)
 		default:
-			w.node = (w.node + 1) % len(s.nodes)
+			w.controller = (w.controller + 1) % len(s.controllers)
 			next = time.Second
 		}
-		s.after(next, w.report)
+		s.after(next, w.sendHeartbeat)
 	})
 }
 
 // misses tells whether what is said to the worker now is lost.
-func (w *simWorker) misses() bool {
-	return w.deaf > w.s.now || w.partly > 0 && w.s.rnd.Float64() < w.partly
+func (w *simWorker) missesMessage() bool {
+	return w.unresponsiveUntil > w.s.now || w.messageLoss > 0 && w.s.random.Float64() < w.messageLoss
 }
 
-func (w *simWorker) direct(k protocol.Call, reply func(int, []byte)) {
+func (w *simWorker) serveDirect(k protocol.Call, reply func(int, []byte)) {
 	s := w.s
-	if w.dead || !w.up || w.misses() {
+	if w.dead || !w.up || w.missesMessage() {
 		return
 	}
-	if s.now < w.hung { // taken in when the machine goes on
-		s.met.heldUp++
-		s.after(w.hung-s.now+time.Millisecond, func() { w.direct(k, reply) })
+	if s.now < w.hungUntil { // taken in when the machine goes on
+		s.faultCounts.delayedCommands++
+		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.serveDirect(k, reply) })
 		return
 	}
-	if w.mute > s.now {
-		s.met.direct++
+	if w.isolatedUntil > s.now {
+		s.faultCounts.directWhileIsolated++
 	}
 	if k.Path == protocol.PathStatus {
-		reply(200, encode(w.state()))
+		reply(200, encode(w.heartbeat()))
 		return
 	}
 	var d protocol.DirectCommands
 	_ = json.Unmarshal(k.Body, &d)
-	if d.FencingToken < w.baton || d.AgentEpoch != w.shift {
-		reply(409, encode(w.state()))
+	if d.FencingToken < w.fencingToken || d.AgentEpoch != w.agentEpoch {
+		reply(409, encode(w.heartbeat()))
 		return
 	}
-	w.baton = d.FencingToken
+	w.fencingToken = d.FencingToken
 	w.execute(d.Commands)
-	reply(200, encode(w.state()))
+	reply(200, encode(w.heartbeat()))
 }
 
 func (w *simWorker) execute(orders []protocol.Command) {
@@ -993,108 +1019,108 @@
 		}
 		switch o.Verb {
 		case protocol.VerbLaunch:
-			if s.launched != nil {
-				s.launched(w, o)
+			if s.hooks.onLaunch != nil {
+				s.hooks.onLaunch(w, o)
 			}
-			if w.loads[key] != nil {
+			if w.tasks[key] != nil {
 				continue
 			}
-			l := &simLoad{id: id, index: index, try: o.Attempt, status: protocol.TaskPulling}
+			l := &simTask{jobID: id, index: index, attempt: o.Attempt, status: protocol.TaskPulling}
 			u := s.users[id]
 			if u == nil {
 				l.status, l.cause = protocol.TaskEnded, protocol.CauseUnknown
-				w.loads[key] = l
+				w.tasks[key] = l
 				continue
 			}
-			if w.busy(id, index) {
+			if w.runsTask(id, index) {
 				l.status, l.cause = protocol.TaskEnded, protocol.CauseBusy
-				w.loads[key] = l
+				w.tasks[key] = l
 				continue
 			}
-			if !w.room(u.spec) {
+			if !w.hasRoom(u.spec) {
 				l.status, l.cause = protocol.TaskEnded, protocol.CauseNoRoom
-				w.loads[key] = l
+				w.tasks[key] = l
 				continue
 			}
-			w.loads[key] = l
-			if u.copy != "" && w.copies[u.copy] {
-				s.warm++
-			} else if u.copy != "" {
-				s.cold++
+			w.tasks[key] = l
+			if u.dataSetCopy != "" && w.dataSetCopies[u.dataSetCopy] {
+				s.counts.warmStarts++
+			} else if u.dataSetCopy != "" {
+				s.counts.coldStarts++
 			}
-			gen := l.gen
-			s.after(s.ms(200, 4000), func() { w.begin(u, l, gen) })
+			gen := l.generation
+			s.after(s.randomMillis(200, 4000), func() { w.beginTask(u, l, gen) })
 		case protocol.VerbKill:
-			if s.met.killed != nil {
-				s.met.killed(w, o)
+			if s.hooks.onKill != nil {
+				s.hooks.onKill(w, o)
 			}
-			if l := w.loads[key]; l != nil && !s.met.noKills && l.status != protocol.TaskEnded {
-				l.status, l.cause, l.gen = protocol.TaskEnded, protocol.CauseStopped, l.gen+1
+			if l := w.tasks[key]; l != nil && !s.defects.ignoreKills && l.status != protocol.TaskEnded {
+				l.status, l.cause, l.generation = protocol.TaskEnded, protocol.CauseStopped, l.generation+1
 			}
 		case protocol.VerbForget:
-			if l := w.loads[key]; l != nil && l.status == protocol.TaskEnded {
-				delete(w.loads, key)
+			if l := w.tasks[key]; l != nil && l.status == protocol.TaskEnded {
+				delete(w.tasks, key)
 			}
 		}
 	}
 }
 
 // fetch brings a copy, which takes a while; some are lost on the way.
-func (w *simWorker) fetch(id string) {
-	if _, under := w.copies[id]; under {
+func (w *simWorker) fetchCopy(id string) {
+	if _, under := w.dataSetCopies[id]; under {
 		return
 	}
-	if w.copies == nil {
-		w.copies = map[string]bool{}
+	if w.dataSetCopies == nil {
+		w.dataSetCopies = map[string]bool{}
 	}
-	w.copies[id] = false
-	w.s.after(w.s.ms(4000, 12_000), func() {
-		if w.s.rnd.IntN(10) == 0 {
-			delete(w.copies, id)
+	w.dataSetCopies[id] = false
+	w.s.after(w.s.randomMillis(4000, 12_000), func() {
+		if w.s.random.IntN(10) == 0 {
+			delete(w.dataSetCopies, id)
 		} else {
-			w.copies[id] = true
+			w.dataSetCopies[id] = true
 		}
 	})
 }
 
-func (w *simWorker) busy(id string, index int) bool {
-	for _, l := range w.loads {
-		if l.id == id && l.index == index && l.status != protocol.TaskEnded {
+func (w *simWorker) runsTask(id string, index int) bool {
+	for _, l := range w.tasks {
+		if l.jobID == id && l.index == index && l.status != protocol.TaskEnded {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *simWorker) room(sp *job.Spec) bool {
-	t := w.s.cloud.types[w.rig]
+func (w *simWorker) hasRoom(sp *job.Spec) bool {
+	t := w.s.cloud.machineTypes[w.machineType]
 	g, c := sp.GPUs, sp.CPUs
-	for _, l := range w.loads {
+	for _, l := range w.tasks {
 		if l.status != protocol.TaskEnded {
-			g, c = g+w.s.users[l.id].spec.GPUs, c+w.s.users[l.id].spec.CPUs
+			g, c = g+w.s.users[l.jobID].spec.GPUs, c+w.s.users[l.jobID].spec.CPUs
 		}
 	}
 	return g <= t.GPUs && c <= t.CPUs
 }
 
 // begin is the moment from which a task is on its machine.
-func (w *simWorker) begin(u *simUser, l *simLoad, gen int) {
+func (w *simWorker) beginTask(u *simUser, l *simTask, gen int) {
 	s := w.s
-	if w.dead || l.gen != gen || l.status != protocol.TaskPulling {
+	if w.dead || l.generation != gen || l.status != protocol.TaskPulling {
 		return
 	}
-	if s.now < w.hung {
-		s.after(w.hung-s.now+time.Millisecond, func() { w.begin(u, l, gen) })
+	if s.now < w.hungUntil {
+		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.beginTask(u, l, gen) })
 		return
 	}
-	if u.copy != "" && !w.copies[u.copy] { // it reads nothing that is not whole
-		w.fetch(u.copy)
-		s.after(time.Second, func() { w.begin(u, l, gen) })
+	if u.dataSetCopy != "" && !w.dataSetCopies[u.dataSetCopy] { // it reads nothing that is not whole
+		w.fetchCopy(u.dataSetCopy)
+		s.after(time.Second, func() { w.beginTask(u, l, gen) })
 		return
 	}
-	s.starts++
-	if s.trace != nil {
-		fmt.Fprintf(s.trace, "%8.3f START load=%s/%d try=%d stoker=%s shift=%d baton=%d\n", s.now.Seconds(), l.id, l.index, l.try, w.name, w.shift, w.baton)
+	s.counts.taskStarts++
+	if s.output.trace != nil {
+		fmt.Fprintf(s.output.trace, "%8.3f START load=%s/%d try=%d stoker=%s shift=%d baton=%d\n", s.now.Seconds(), l.jobID, l.index, l.attempt, w.name, w.agentEpoch, w.fencingToken)
 	}
 	s.checkStart(w, u, l)
 	s.countLateStart(u)
@@ -1104,7 +1130,7 @@
 		l.status, l.cause = protocol.TaskEnded, protocol.CauseDone
 		return
 	}
-	if w.faulty || u.mistaken {
+	if w.faulty || u.failsEverywhere {
 		u.failures++
 		l.status, l.cause = protocol.TaskEnded, protocol.CauseError
 		return
@@ -1112,15 +1138,15 @@
 	if u.spec.Shape == job.Service {
 		return
 	}
-	s.after(seconds(u.runs+u.apart*float64(l.index)), func() { w.finish(u, l, l.gen) })
+	s.after(seconds(u.runtimeS+u.runtimeStepS*float64(l.index)), func() { w.finishTask(u, l, l.generation) })
 }
 
-func (w *simWorker) finish(u *simUser, l *simLoad, gen int) {
-	if w.dead || l.gen != gen || l.status != protocol.TaskRunning {
+func (w *simWorker) finishTask(u *simUser, l *simTask, gen int) {
+	if w.dead || l.generation != gen || l.status != protocol.TaskRunning {
 		return
 	}
-	if w.s.now < w.hung {
-		w.s.after(w.hung-w.s.now+time.Millisecond, func() { w.finish(u, l, gen) })
+	if w.s.now < w.hungUntil {
+		w.s.after(w.hungUntil-w.s.now+time.Millisecond, func() { w.finishTask(u, l, gen) })
 		return
 	}
 	l.status, l.cause = protocol.TaskEnded, protocol.CauseDone
@@ -1130,5 +1156,5 @@
 		}
 	}
 	u.done[l.index] = true
-	u.ends()
+	u.taskEnded()
 }
--- a/internal/coordination/slopes_test.go
+++ b/internal/coordination/slopes_test.go
@@ -33,7 +33,7 @@
 func benchReports(b *testing.B, extra int) {
 	s, c, m := grownCore(b)
 	r := reportOf(c, m, extra)
-	clock, id := s.nodes[0].clock(), uint64(1e9)
+	clock, id := s.controllers[0].clock(), uint64(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Sequence++
@@ -99,7 +99,7 @@
 	if over == "" {
 		b.Fatal("no job is over")
 	}
-	clock, id := s.nodes[0].clock(), uint64(1e9)
+	clock, id := s.controllers[0].clock(), uint64(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
@@ -112,7 +112,7 @@
 // BenchmarkSlopeSubmission reads and checks a submission and hands its transaction to the budget.
 func BenchmarkSlopeSubmission(b *testing.B) {
 	s, c, _ := grownCore(b)
-	clock, id := s.nodes[0].clock(), uint64(1e9)
+	clock, id := s.controllers[0].clock(), uint64(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
--- a/internal/coordination/takeovers_test.go
+++ b/internal/coordination/takeovers_test.go
@@ -33,32 +33,32 @@
 // playTakeover plays a grown deployment with times as many machines and as much work.
 func playTakeover(t *testing.T, seed uint64, times int, grouped, all bool) takeoverDay {
 	s := grownSim(t, seed)
-	s.alone = !grouped
-	for k := range s.cloud.free {
-		s.cloud.free[k] *= times
+	s.options.perWorkerFailover = !grouped
+	for k := range s.cloud.capacity {
+		s.cloud.capacity[k] *= times
 	}
 	for i := range s.facts.Teams {
 		s.facts.Teams[i].GPUsMax *= float64(times)
 	}
-	s.told = s.facts
+	s.advertised = s.facts
 	for i := range times {
 		s.loadGrownFrom(10_000*i, 100*time.Second)
 	}
 	s.run(120 * time.Second)
-	ending := s.nodes[:1]
+	ending := s.controllers[:1]
 	if all {
-		ending = s.nodes
+		ending = s.controllers
 	}
 	lost := map[*simWorker]bool{}
 	for _, n := range ending {
 		for _, m := range n.core.machines.own {
-			if w := s.cloud.all[m.id]; w != nil && w.up {
+			if w := s.cloud.machines[m.id]; w != nil && w.up {
 				lost[w] = true
 			}
 		}
 	}
 	d := takeoverDay{workers: len(lost)}
-	ended, takeovers, reclaimed, begun := s.met.ended, s.met.takeovers, s.met.reclaimed, s.now
+	ended, takeovers, reclaimed, begun := s.faultCounts.expiredLeases, s.faultCounts.groupFailovers, s.faultCounts.replacedClaims, s.now
 	for _, n := range ending {
 		down := time.Hour
 		if all {
@@ -73,7 +73,7 @@
 			switch {
 			case !w.up:
 				delete(lost, w)
-			case w.answered > begun:
+			case w.lastAnsweredAt > begun:
 				answered = append(answered, s.now-begun)
 				delete(lost, w)
 			}
@@ -84,8 +84,8 @@
 	}
 	look()
 	s.run(begun + time.Minute)
-	d.takeovers = s.met.takeovers - takeovers
-	d.changes = d.takeovers + s.met.reclaimed - reclaimed
+	d.takeovers = s.faultCounts.groupFailovers - takeovers
+	d.changes = d.takeovers + s.faultCounts.replacedClaims - reclaimed
 	slices.Sort(answered)
 	d.workers = len(answered) + len(lost) // without those that were returned meanwhile
 	at := func(share float64) time.Duration {
@@ -96,8 +96,8 @@
 		return answered[i]
 	}
 	d.half, d.most, d.nearly = at(0.5), at(0.9), at(0.99)
-	d.ended = s.met.ended - ended
-	s.report(t)
+	d.ended = s.faultCounts.expiredLeases - ended
+	s.reportViolations(t)
 	return d
 }
 
@@ -213,19 +213,19 @@
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
 			s := grownSim(t, seed)
-			s.unordered = true
-			for _, n := range s.nodes {
-				n.legacy = true
+			s.options.unorderedLaunches = true
+			for _, n := range s.controllers {
+				n.beforeGroupFailover = true
 			}
 			s.loadGrown(330 * time.Second)
 			roll := func(at time.Duration, legacy bool) {
-				for i, n := range s.nodes {
-					s.after(at+time.Duration(8*i)*time.Second, func() { n.legacy = legacy; n.crash(2 * time.Second) })
+				for i, n := range s.controllers {
+					s.after(at+time.Duration(8*i)*time.Second, func() { n.beforeGroupFailover = legacy; n.crash(2 * time.Second) })
 				}
 			}
-			end := func(at time.Duration, i int) { s.after(at, func() { s.nodes[i].crash(25 * time.Second) }) }
+			end := func(at time.Duration, i int) { s.after(at, func() { s.controllers[i].crash(25 * time.Second) }) }
 			cut := func(at time.Duration, i int) {
-				s.after(at, func() { s.cutLink(s.nodes[i], "workers", 25*time.Second) })
+				s.after(at, func() { s.cutLink(s.controllers[i], "workers", 25*time.Second) })
 			}
 			end(40*time.Second, 0)
 			roll(70*time.Second, false)
@@ -246,13 +246,13 @@
 				t.Errorf("%d take-overs among this version; %d among the earlier one", written, after-before)
 			}
 			s.finish(t, 350*time.Second)
-			s.report(t)
+			s.reportViolations(t)
 		})
 	}
 }
 
 // countTakeovers counts the records of take-overs that were ever written.
-func (s *sim) countTakeovers() int { return s.met.takeovers }
+func (s *sim) countTakeovers() int { return s.faultCounts.groupFailovers }
 
 // TestAGroupThatPassesOnTwice: the claims of a life whose workers were taken over are of a new
 // epoch, so that a second loss is taken over by the group, too; and records that nothing stands on
@@ -261,7 +261,7 @@
 	s := grownSim(t, 84)
 	s.loadGrown(260 * time.Second)
 	for _, at := range []time.Duration{60, 150} {
-		s.after(at*time.Second, func() { s.cutLink(s.nodes[0], "workers", 30*time.Second) })
+		s.after(at*time.Second, func() { s.cutLink(s.controllers[0], "workers", 30*time.Second) })
 	}
 	s.run(145 * time.Second)
 	first := s.countTakeovers()
@@ -271,15 +271,15 @@
 	}
 	s.finish(t, 320*time.Second)
 	s.run(500 * time.Second)
-	s.report(t)
+	s.reportViolations(t)
 	left := 0
-	for key := range s.kv.keys {
+	for key := range s.state.keys {
 		if strings.HasPrefix(key, keyTakeover) {
 			left++
 		}
 	}
 	used := map[string]bool{}
-	for _, m := range s.nodes[0].core.machines.byID {
+	for _, m := range s.controllers[0].core.machines.byID {
 		for _, l := range m.links {
 			if l.Revision > 0 {
 				used[l.Group.Key()] = true
@@ -296,8 +296,8 @@
 // workers to it until their leases ended, two urgent tasks among theirs.
 func TestADeafControllerTakesNoGroupOver(t *testing.T) {
 	s := drawnCuts(t, 9698)
-	s.report(t)
-	if s.saved.urgent > 0 || s.saved.other > 0 {
-		t.Errorf("%d urgent tasks and %d others were killed that had a way", s.saved.urgent, s.saved.other)
+	s.reportViolations(t)
+	if s.leaseLosses.urgent > 0 || s.leaseLosses.other > 0 {
+		t.Errorf("%d urgent tasks and %d others were killed that had a way", s.leaseLosses.urgent, s.leaseLosses.other)
 	}
 }
