--- a/internal/coordination/troublemakers_test.go
+++ b/internal/coordination/troublemakers_test.go
@@ -15,84 +15,120 @@
 // Troubles that users and machines make, with the meaning that the operators' page gives them, and the
 // checkers that go with them. sim_test.go calls in here where they take effect.
 
-// meetings is what troubles change in the simulated world, and what is counted of them.
-type meetings struct {
-	slow       time.Duration // until then links between machines, users and controllers are slow
-	writesLag  time.Duration // until then transactions are carried out late, though within their time
-	quickBoots bool          // machines are up within two seconds
-
-	loses     func(n *simNode, t protocol.Txn) bool // transactions that are carried out at once while only the answer is lost
-	returns   func(names []string) bool             // deletions that are held up
-	held      float64                               // share of reports that are held back until a new leader has acted
-	kept      float64                               // share of reports of which a copy is kept for the next leader
-	looks     bool                                  // users ask at all nodes, within milliseconds
-	endCancel float64                               // share of jobs that are called off at the moment of their end
-	handOver  float64                               // share of jobs that are called off as their machine changes hands
-	heldBack  map[string][]byte
-	copies    map[string][]byte
-
-	// Broken on purpose.
-	agrees     bool // the state service confirms every comparison
-	emptyLists bool // reports list nothing
-	noKills    bool // workers stop nothing
-	noLease    bool // workers go on with their tasks when their lease has ended
-	astray     bool // some workers tell a wrong zone
-	forged     bool // old reports show the newest token, and tell that everything is done
-
-	killed  func(*simWorker, protocol.Command) // sees stops; may be nil
-	short   bool                               // there is less room than work
-	byKind  map[string]int                     // answers lost, by the kind of record
-	changes int                                // of leaders
-	hungNow int                                // machines that hang as their jobs are called off
-
-	direct     int // orders and questions that reached a mute machine
-	heldUp     int // orders held up, by a link or a machine that hangs
-	ended      int // sessions that ended with work
-	early      int // machines up before the rental's record named them
-	unopened   int // reports that found no controller, as their machine is mute
-	answers    int // of transactions, lost
-	takeovers  int // of groups of workers, written
-	reclaimed  int // claims of machines that had one, written
-	delivered  int // reports, held back or kept, to a new leader
-	asked      int // questions within milliseconds
-	atEnd      int // jobs called off at their end
-	changing   int // jobs called off as their machine changed hands
-	odd        int // odd requests
-	owners     int // changes of a machine's holder
-	lateStarts int // starts of tasks after the user was told that the job is cancelled
-	inUse      int // machines returned with work on them that nobody had given up
+// simFaults are the faults that messages, machines and users are subject to now. Those of one controller
+// or worker are in controllerFaults and workerFaults.
+type simFaults struct {
+	messageLoss         float64       // probability that a message is lost, late or loses its answer
+	lateTransactions    float64       // share of transactions without an answer that are carried out later, after newer ones
+	duplicateHeartbeats float64       // share of heartbeats of which a copy arrives later, up to more than a lease
+	randomLinkReports   bool          // the link reports in peers' heartbeats are drawn, not true
+	slowLinksUntil      time.Duration // links between machines, users and controllers
+	slowWritesUntil     time.Duration // transactions are carried out late, though within their time-out
+	quickBoots          bool          // machines are up within two seconds
+	scarceCapacity      bool          // the cloud has less capacity than there is work
+
+	losesReply     func(n *simController, t protocol.Txn) bool // picks transactions that are carried out at once and whose answer is lost
+	delaysDeletion func(names []string) bool                   // picks deletions that are carried out late
+
+	heldBackShare float64           // share of heartbeats that are held back until a new leader has acted
+	heldBack      map[string][]byte // by machine
+	copiedShare   float64           // share of heartbeats of which a copy is kept for the next leader
+	copied        map[string][]byte // by machine
+
+	queryEverywhere  bool    // users query all controllers, within milliseconds
+	cancelAtEnd      float64 // share of jobs that are cancelled at the moment of their end
+	cancelAtFailover float64 // share of jobs that are cancelled as their machine changes its holder
+}
+
+// simDefects break the stand-ins or the controllers on purpose, so that the checkers are seen to find it.
+type simDefects struct {
+	productionAsLow       bool // production jobs are submitted as idle ones
+	noCancellationReplies bool // peers name no cancellations
+	noRelays              bool // no controller relays calls of the state service
+	readOnlyComparesHold  bool // the state service confirms every comparison of a transaction without operations
+	emptyTaskLists        bool // heartbeats list no tasks
+	ignoreKills           bool // workers kill no task
+	ignoreLeaseExpiry     bool // workers go on with their tasks when their lease has expired
+	wrongZones            bool // some workers report a wrong zone
+	forgedHeartbeats      bool // copies of heartbeats show the newest fencing token, and that everything is done
+}
+
+// faultCounts count how often a fault had an effect, so that a test fails on which it had none.
+type faultCounts struct {
+	affected            int // tasks, machines or jobs that the day's fault concerned; see each faultDay
+	leaderCrashes       int
+	hungAtCancel        int            // machines that hang as their jobs are cancelled
+	directWhileIsolated int            // direct commands and queries that reached a machine which reaches no controller
+	delayedCommands     int            // commands delayed by a link or a machine that hangs
+	expiredLeases       int            // of workers with tasks
+	earlyBoots          int            // machines up before the rental's record named them
+	unsentHeartbeats    int            // of machines that reach no controller
+	lostReplies         int            // of transactions
+	lostRepliesByKind   map[string]int // the same, by the kind of record
+	groupFailovers      int            // written
+	replacedClaims      int            // claims written of machines that had one
+	holderChanges       int            // of machines
+	lateHeartbeats      int            // held back or copied, and delivered to a new leader
+	concurrentQueries   int            // within milliseconds
+	requestsAtEnd       int            // at the moment of a job's end
+	invalidRequests     int
+	lateStarts          int // of tasks after the user was told that the job is cancelled
+	deletedInUse        int // machines deleted with tasks on them that nobody had given up
+}
+
+// controllerFaults are the faults of one controller and its links.
+type controllerFaults struct {
+	unreachableUntil     map[string]time.Duration // by link: "state", "workers", "peers", "users", "cloud", "zone:Z" (the workers of a zone), "to:N" (messages to a peer)
+	resetLinks           map[string]bool          // unreachable links that fail at once, instead of at the time-out
+	refusedUntil         time.Duration            // by the state service, this controller alone
+	pausedUntil          time.Duration            // the process stands still, and its clock does not
+	clockDrift           float64                  // of its monotonic clock, as a fraction
+	repliesLostUntil     time.Duration            // the answers to its transactions
+	commandsDelayedUntil time.Duration            // direct commands of now arrive after that
+	watchDelayedUntil    time.Duration            // watches are answered late, transactions are not
+}
+
+// workerFaults are the faults of one machine.
+type workerFaults struct {
+	faulty            bool          // every task fails there
+	hungUntil         time.Duration // it stands still, and takes in late what came meanwhile
+	unresponsiveUntil time.Duration // answers and direct commands to it are lost
+	isolatedUntil     time.Duration // it reaches no controller, while direct commands reach it
+	messageLoss       float64       // share of answers and direct commands that is lost at any time
+	unshippedUntil    time.Duration // output waits to be shipped
+	observed          bool          // its tasks are counted, see countLeaseKills
 }
 
 // hop is how long a message takes between machines, users and controllers.
-func (s *sim) hop() time.Duration {
-	if s.met.slow > s.now {
-		return s.ms(50, 1200)
+func (s *sim) linkDelay() time.Duration {
+	if s.faults.slowLinksUntil > s.now {
+		return s.randomMillis(50, 1200)
 	}
-	return s.ms(0.2, 3)
+	return s.randomMillis(0.2, 3)
 }
 
 // loses tells whether a call is a transaction whose answer alone is lost.
-func (n *simNode) loses(k protocol.Call) bool {
-	if n.s.met.loses == nil || k.Target != protocol.ToStateService || k.Path != protocol.PathTxn {
+func (n *simController) losesReply(k protocol.Call) bool {
+	if n.s.faults.losesReply == nil || k.Target != protocol.ToStateService || k.Path != protocol.PathTxn {
 		return false
 	}
 	var t protocol.Txn
 	_ = json.Unmarshal(k.Body, &t)
-	if len(t.Ops) == 0 || !n.s.met.loses(n, t) {
+	if len(t.Ops) == 0 || !n.s.faults.losesReply(n, t) {
 		return false
 	}
-	n.s.met.answers++
+	n.s.faultCounts.lostReplies++
 	return true
 }
 
 // loseAnswers has the answers to a share of the transactions lost for a while.
-func (s *sim) loseAnswers(share float64, long time.Duration) {
+func (s *sim) loseReplies(share float64, long time.Duration) {
 	until := s.now + long
-	s.met.loses = func(*simNode, protocol.Txn) bool { return s.now < until && s.rnd.Float64() < share }
+	s.faults.losesReply = func(*simController, protocol.Txn) bool { return s.now < until && s.random.Float64() < share }
 }
 
 // touches tells whether a transaction writes or drops a kind of record.
-func touches(t protocol.Txn, kind string) bool {
+func writesKind(t protocol.Txn, kind string) bool {
 	for _, o := range t.Ops {
 		if strings.HasPrefix(o.Put+o.Delete, kind) {
 			return true
@@ -102,35 +138,35 @@
 }
 
 // keepCopy keeps a report's copy for whoever leads next.
-func (s *sim) keepCopy(w *simWorker, reply protocol.Heartbeat) {
-	if s.met.kept > 0 && s.rnd.Float64() < s.met.kept {
-		if s.met.copies == nil {
-			s.met.copies = map[string][]byte{}
+func (s *sim) keepHeartbeatCopy(w *simWorker, reply protocol.Heartbeat) {
+	if s.faults.copiedShare > 0 && s.random.Float64() < s.faults.copiedShare {
+		if s.faults.copied == nil {
+			s.faults.copied = map[string][]byte{}
 		}
-		s.met.copies[w.name] = encode(reply)
+		s.faults.copied[w.name] = encode(reply)
 	}
 }
 
 // holdBack keeps a report itself: it does not arrive before a new leader has acted.
-func (s *sim) holdBack(w *simWorker, reply protocol.Heartbeat) bool {
-	if s.met.held == 0 || s.rnd.Float64() >= s.met.held {
+func (s *sim) holdBackHeartbeat(w *simWorker, reply protocol.Heartbeat) bool {
+	if s.faults.heldBackShare == 0 || s.random.Float64() >= s.faults.heldBackShare {
 		return false
 	}
-	if s.met.heldBack == nil {
-		s.met.heldBack = map[string][]byte{}
+	if s.faults.heldBack == nil {
+		s.faults.heldBack = map[string][]byte{}
 	}
-	s.met.heldBack[w.name] = encode(reply)
+	s.faults.heldBack[w.name] = encode(reply)
 	return true
 }
 
 // claimed sees a claim being written: where the machine changes hands, reports that were held back or kept
 // arrive, and users may call jobs off.
-func (s *sim) claimed(key string, data json.RawMessage) {
+func (s *sim) claimWritten(key string, data json.RawMessage) {
 	if data == nil {
 		return
 	}
 	if group, is := strings.CutPrefix(key, keyTakeover); is {
-		s.takenOver(group, data)
+		s.failoverWritten(group, data)
 		return
 	}
 	name, is := strings.CutPrefix(key, keyClaim)
@@ -139,74 +175,74 @@
 	}
 	var now, was claimRecord
 	_ = json.Unmarshal(data, &now)
-	if old, ok := s.kv.keys[key]; ok {
-		_ = json.Unmarshal(old.data, &was)
-		s.met.reclaimed++
+	if old, ok := s.state.keys[key]; ok {
+		_ = json.Unmarshal(old.value, &was)
+		s.faultCounts.replacedClaims++
 	}
 	if now.Owner != was.Owner || now.Incarnation != was.Incarnation {
-		s.changesHands(name, now.Owner)
+		s.holderChanged(name, now.Owner)
 	}
 }
 
 // takenOver sees the take-over of a group being written: what happens to a worker that changes hands
 // happens to all of it.
-func (s *sim) takenOver(key string, data json.RawMessage) {
-	s.met.takeovers++
+func (s *sim) failoverWritten(key string, data json.RawMessage) {
+	s.faultCounts.groupFailovers++
 	var successor failover.Holder
 	_ = json.Unmarshal(data, &successor)
 	g, _ := failover.ParseKey(key)
-	for _, id := range sortedKeys(s.cloud.all) {
+	for _, id := range sortedKeys(s.cloud.machines) {
 		var own claimRecord
-		_ = json.Unmarshal(s.kv.keys[keyClaim+id].data, &own)
+		_ = json.Unmarshal(s.state.keys[keyClaim+id].value, &own)
 		holder := failover.Holder{Node: own.Owner, Incarnation: own.Incarnation, Epoch: own.Epoch}
 		if failover.GroupOf(holder, id, own.Zone) == g {
-			s.changesHands(id, successor.Node)
+			s.holderChanged(id, successor.Node)
 		}
 	}
 }
 
 // changesHands has reports of a machine that were held back or kept arrive as it gets another holder.
-func (s *sim) changesHands(name, owner string) {
-	s.met.owners++
-	if body, ok := s.met.heldBack[name]; ok {
-		delete(s.met.heldBack, name)
-		for _, n := range s.nodes {
+func (s *sim) holderChanged(name, owner string) {
+	s.faultCounts.holderChanges++
+	if body, ok := s.faults.heldBack[name]; ok {
+		delete(s.faults.heldBack, name)
+		for _, n := range s.controllers {
 			if n.name == owner {
-				s.met.delivered++
-				s.after(s.ms(1, 4000), func() { n.hearsLate(name, body) })
+				s.faultCounts.lateHeartbeats++
+				s.after(s.randomMillis(1, 4000), func() { n.deliverLate(name, body) })
 			}
 		}
 	}
-	if body, ok := s.met.copies[name]; ok {
-		delete(s.met.copies, name)
-		for _, n := range s.nodes {
-			s.met.delivered++
-			s.after(s.ms(0, 1500), func() { n.hearsLate(name, body) })
+	if body, ok := s.faults.copied[name]; ok {
+		delete(s.faults.copied, name)
+		for _, n := range s.controllers {
+			s.faultCounts.lateHeartbeats++
+			s.after(s.randomMillis(0, 1500), func() { n.deliverLate(name, body) })
 		}
 	}
-	w := s.cloud.all[name]
-	if w == nil || s.met.handOver == 0 {
+	w := s.cloud.machines[name]
+	if w == nil || s.faults.cancelAtFailover == 0 {
 		return
 	}
-	for _, k := range sortedKeys(w.loads) {
-		u := s.users[w.loads[k].id]
-		if u != nil && !u.asked && s.rnd.Float64() < s.met.handOver {
-			s.met.changing++
-			s.after(s.ms(0, 1000), u.cancel)
+	for _, k := range sortedKeys(w.tasks) {
+		u := s.users[w.tasks[k].jobID]
+		if u != nil && !u.cancelRequested && s.random.Float64() < s.faults.cancelAtFailover {
+			s.faultCounts.affected++
+			s.after(s.randomMillis(0, 1000), u.cancel)
 		}
 	}
 }
 
 // old is a report that was kept, as it arrives.
-func (s *sim) old(name string, body []byte) []byte {
-	if !s.met.forged {
+func (s *sim) forgeHeartbeat(name string, body []byte) []byte {
+	if !s.defects.forgedHeartbeats {
 		return body
 	}
 	var r protocol.Heartbeat
 	_ = json.Unmarshal(body, &r)
-	r.FencingToken, r.Sequence = s.kv.keys[keyClaim+name].stamp, r.Sequence+1_000_000
-	if w := s.cloud.all[name]; w != nil {
-		r.AgentEpoch, r.Tasks = w.shift, w.state().Tasks
+	r.FencingToken, r.Sequence = s.state.keys[keyClaim+name].modRevision, r.Sequence+1_000_000
+	if w := s.cloud.machines[name]; w != nil {
+		r.AgentEpoch, r.Tasks = w.agentEpoch, w.heartbeat().Tasks
 	}
 	for i := range r.Tasks {
 		r.Tasks[i].Status, r.Tasks[i].Cause = protocol.TaskEnded, protocol.CauseDone
@@ -215,38 +251,38 @@
 }
 
 // hearsLate has a controller get a report that was kept; nobody waits for its answer.
-func (n *simNode) hearsLate(name string, body []byte) {
-	n.deliver("POST", protocol.PathHeartbeat, n.s.old(name, body), func(int, []byte) {})
+func (n *simController) deliverLate(name string, body []byte) {
+	n.deliver("POST", protocol.PathHeartbeat, n.s.forgeHeartbeat(name, body), func(int, []byte) {})
 }
 
 // countEarly counts machines that are up before anybody could have read that they were rented.
-func (s *sim) countEarly(w *simWorker) {
-	for key, v := range s.kv.keys {
-		if strings.HasPrefix(key, keyRental) && bytes.Contains(v.data, []byte(`"`+w.name+`"`)) {
+func (s *sim) countEarlyBoot(w *simWorker) {
+	for key, v := range s.state.keys {
+		if strings.HasPrefix(key, keyRental) && bytes.Contains(v.value, []byte(`"`+w.name+`"`)) {
 			return
 		}
 	}
-	s.met.early++
+	s.faultCounts.earlyBoots++
 }
 
 // tellsZone is the zone that a worker reports.
-func (w *simWorker) tellsZone() string {
-	if !w.s.met.astray || len(w.name) == 0 || w.name[len(w.name)-1]%3 > 0 {
+func (w *simWorker) reportedZone() string {
+	if !w.s.defects.wrongZones || len(w.name) == 0 || w.name[len(w.name)-1]%3 > 0 {
 		return w.zone
 	}
 	return map[string]string{"a": "b", "b": "a", "c": "a"}[w.zone]
 }
 
 // oldReports has every controller hear all copies that are kept.
-func (s *sim) oldReports(within time.Duration) {
-	copies := s.met.copies
-	s.met.copies = nil
+func (s *sim) deliverCopies(within time.Duration) {
+	copies := s.faults.copied
+	s.faults.copied = nil
 	for _, name := range sortedKeys(copies) {
 		body := copies[name]
-		for _, n := range s.nodes {
-			s.after(s.ms(0, 1000*within.Seconds()), func() {
-				s.met.delivered++
-				n.hearsLate(name, body)
+		for _, n := range s.controllers {
+			s.after(s.randomMillis(0, 1000*within.Seconds()), func() {
+				s.faultCounts.lateHeartbeats++
+				n.deliverLate(name, body)
 			})
 		}
 	}
@@ -254,28 +290,28 @@
 
 // cancelNow has users call off so many jobs that run and have long to go, within a fifth of a second; some of
 // their machines, eight at the most, hang for a time.
-func (s *sim) cancelNow(count int, hang time.Duration) {
+func (s *sim) cancelRunning(count int, hang time.Duration) {
 	hung := 0
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
-		if count == 0 || u.asked || u.final != "" || !u.accepted || u.begun == 0 || u.runs < 5 && u.spec.Shape != job.Service {
+		if count == 0 || u.cancelRequested || u.finalStatus != "" || !u.accepted || u.tasksStarted == 0 || u.runtimeS < 5 && u.spec.Shape != job.Service {
 			continue
 		}
 		count--
-		s.after(s.ms(0, 200), u.cancel)
-		for _, w := range s.cloud.sorted() {
-			if hang > 0 && hung < 8 && w.up && w.holds(id) && w.hung <= s.now {
+		s.after(s.randomMillis(0, 200), u.cancel)
+		for _, w := range s.cloud.sortedMachines() {
+			if hang > 0 && hung < 8 && w.up && w.runsJob(id) && w.hungUntil <= s.now {
 				hung++
-				s.met.hungNow++
-				s.after(s.ms(0, 300), func() { w.hung = s.now + hang })
+				s.faultCounts.hungAtCancel++
+				s.after(s.randomMillis(0, 300), func() { w.hungUntil = s.now + hang })
 			}
 		}
 	}
 }
 
-func (w *simWorker) holds(id string) bool {
-	for _, l := range w.loads {
-		if l.id == id && l.status != protocol.TaskEnded {
+func (w *simWorker) runsJob(id string) bool {
+	for _, l := range w.tasks {
+		if l.jobID == id && l.status != protocol.TaskEnded {
 			return true
 		}
 	}
@@ -283,125 +319,125 @@
 }
 
 // ends is the moment of a task's end: at a job's last one some users call it off, ask, or submit it again.
-func (u *simUser) ends() {
+func (u *simUser) taskEnded() {
 	s := u.s
 	for _, d := range u.done {
 		if !d {
 			return
 		}
 	}
-	if s.met.endCancel == 0 || s.rnd.Float64() >= s.met.endCancel {
+	if s.faults.cancelAtEnd == 0 || s.random.Float64() >= s.faults.cancelAtEnd {
 		return
 	}
-	s.met.atEnd++
-	for range 1 + s.rnd.IntN(2) {
-		s.after(s.ms(0, 1500), func() {
-			switch s.rnd.IntN(3) {
+	s.faultCounts.requestsAtEnd++
+	for range 1 + s.random.IntN(2) {
+		s.after(s.randomMillis(0, 1500), func() {
+			switch s.random.IntN(3) {
 			case 0:
-				u.send()
+				u.sendSubmission()
 			case 1:
 				u.cancel()
 			}
-			u.lookClosely()
+			u.queryEverywhere()
 		})
 	}
 }
 
 // lookClosely has the user ask at all nodes, and some submit again or cancel again, within milliseconds.
-func (u *simUser) lookClosely() {
+func (u *simUser) queryEverywhere() {
 	s := u.s
-	if !s.met.looks {
+	if !s.faults.queryEverywhere {
 		return
 	}
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		for range 2 {
-			s.met.asked++
-			s.after(s.ms(0, 60), func() { u.askAt(n) })
+			s.faultCounts.concurrentQueries++
+			s.after(s.randomMillis(0, 60), func() { u.askAt(n) })
 		}
-		switch s.rnd.IntN(8) {
+		switch s.random.IntN(8) {
 		case 0:
-			s.after(s.ms(0, 60), func() { u.repeat(n, u.body) })
+			s.after(s.randomMillis(0, 60), func() { u.resubmit(n, u.body) })
 		case 1:
-			if u.asked || u.final == "done" {
-				s.after(s.ms(0, 60), u.cancelAgain)
+			if u.cancelRequested || u.finalStatus == "done" {
+				s.after(s.randomMillis(0, 60), u.cancelAgain)
 			}
 		}
 	}
 }
 
 // repeat submits the job once more at a node: once known, it is never refused.
-func (u *simUser) repeat(n *simNode, body []byte) {
-	before := u.told()
+func (u *simUser) resubmit(n *simController, body []byte) {
+	before := u.knownStatus()
 	n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
 		switch {
 		case st == 200 || st == 201 && !before.known:
 			u.accepted = true
-			u.hear(b, before)
+			u.checkAnswer(b, before)
 		case before.known && (st == 201 || st == 400 || st == 422 || st == 404):
-			u.s.breaks("forgotten", "%s repeated: %d %s", u.spec.ID, st, b)
+			u.s.violation("forgotten", "%s repeated: %d %s", u.spec.ID, st, b)
 		}
 	})
 }
 
 // cancelAgain asks once for a cancellation of what is over or was cancelled before.
 func (u *simUser) cancelAgain() {
-	before := u.told()
-	u.s.anyNode().request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.aborted(st, b, before) })
+	before := u.knownStatus()
+	u.s.anyController().request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.cancelAnswered(st, b, before) })
 }
 
 // aborted judges the answer to a cancellation, and tells whether it is one.
-func (u *simUser) aborted(st int, body []byte, before told) bool {
+func (u *simUser) cancelAnswered(st int, body []byte, before knownStatus) bool {
 	if st == 404 && before.known {
-		u.s.breaks("forgotten", "%s can't be cancelled", u.spec.ID)
+		u.s.violation("forgotten", "%s can't be cancelled", u.spec.ID)
 	}
 	if st == 200 {
-		u.hear(body, before)
+		u.checkAnswer(body, before)
 	}
 	return st == 200
 }
 
 // oddRequests has users repeat submissions, also with other content, cancel what is done, and send what fits
 // no machine or lacks a field.
-func (s *sim) oddRequests(until time.Duration) {
+func (s *sim) sendInvalidRequests(until time.Duration) {
 	if s.now > until {
 		return
 	}
-	s.met.odd++
+	s.faultCounts.invalidRequests++
 	ids := sortedKeys(s.users)
 	if len(ids) > 0 {
-		u := s.users[ids[s.rnd.IntN(len(ids))]]
+		u := s.users[ids[s.random.IntN(len(ids))]]
 		if u.known {
 			body := u.body
-			if s.rnd.IntN(2) == 0 {
-				body = oddBody(s, body, u.spec.ID)
+			if s.random.IntN(2) == 0 {
+				body = invalidBody(s, body, u.spec.ID)
 			}
-			u.repeat(s.anyNode(), body)
+			u.resubmit(s.anyController(), body)
 		}
-		if u.final == "done" {
+		if u.finalStatus == "done" {
 			u.cancelAgain()
 		}
-		id := fmt.Sprintf("wk-8%05d", s.rnd.IntN(100_000))
+		id := fmt.Sprintf("wk-8%05d", s.random.IntN(100_000))
 		if s.users[id] == nil {
-			n, body := s.anyNode(), oddBody(s, u.body, id)
+			n, body := s.anyController(), invalidBody(s, u.body, id)
 			n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
 				if st == 200 || st == 201 {
-					s.breaks("accepted", "%s: %d %s", body, st, b)
+					s.violation("accepted", "%s: %d %s", body, st, b)
 				}
 			})
 		}
 	}
-	s.after(s.ms(100, 900), func() { s.oddRequests(until) })
+	s.after(s.randomMillis(100, 900), func() { s.sendInvalidRequests(until) })
 }
 
 // oddBody is a submission that can't be accepted: a field is missing, or it fits no machine.
-func oddBody(s *sim, body []byte, id string) []byte {
+func invalidBody(s *sim, body []byte, id string) []byte {
 	var m map[string]any
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
 	_ = d.Decode(&m)
 	m["ref"] = id
 	fields := []string{"jobclass", "crew", "shape", "urgency", "loads", "cpus", "accelerators", "ramGb", "kit", "sizeGb", "oneZone", "apart", "casual", "etaS", "waypointS", "stowS"}
-	switch s.rnd.IntN(4) {
+	switch s.random.IntN(4) {
 	case 0:
 		m["cpus"] = 10_000
 	case 1:
@@ -409,7 +445,7 @@
 	case 2:
 		m["crew"] = "nobody"
 	default:
-		delete(m, fields[s.rnd.IntN(len(fields))])
+		delete(m, fields[s.random.IntN(len(fields))])
 	}
 	return encode(m)
 }
@@ -417,40 +453,40 @@
 // countLateStart counts what begins after its user was told that the job is cancelled. Within cancel_s that
 // breaks no rule.
 func (s *sim) countLateStart(u *simUser) {
-	if u.cancelled > 0 {
-		s.met.lateStarts++
+	if u.cancelledAt > 0 {
+		s.faultCounts.lateStarts++
 	}
 }
 
 // judgeReturn counts machines that are returned while work runs there that was not given up: nobody called the
 // machine silent, failed, faulty or recalled, and the job is not over.
-func (s *sim) judgeReturn(w *simWorker) {
-	switch s.kv.drainedAs[keyDrain+w.name] {
+func (s *sim) countDeletionInUse(w *simWorker) {
+	switch s.state.drainReasons[keyDrain+w.name] {
 	case "", drainIdle, drainStray, drainLost:
 	default:
 		return
 	}
-	if w.dead || !w.up || s.now < w.hung {
+	if w.dead || !w.up || s.now < w.hungUntil {
 		return
 	}
-	for _, k := range sortedKeys(w.loads) {
-		if u := s.users[w.loads[k].id]; u != nil && w.loads[k].status != protocol.TaskEnded && u.final == "" && !u.asked && !w.outdated(w.loads[k]) {
-			s.met.inUse++
-			if s.trace != nil {
-				fmt.Fprintf(s.trace, "%8.3f INUSE %s returned with %s\n", s.now.Seconds(), w.name, k)
+	for _, k := range sortedKeys(w.tasks) {
+		if u := s.users[w.tasks[k].jobID]; u != nil && w.tasks[k].status != protocol.TaskEnded && u.finalStatus == "" && !u.cancelRequested && !w.isOutdated(w.tasks[k]) {
+			s.faultCounts.deletedInUse++
+			if s.output.trace != nil {
+				fmt.Fprintf(s.output.trace, "%8.3f INUSE %s returned with %s\n", s.now.Seconds(), w.name, k)
 			}
 		}
 	}
 }
 
 // outdated tells whether the records do not bind an attempt to its machine any more.
-func (w *simWorker) outdated(l *simLoad) bool {
-	for _, n := range w.s.nodes {
+func (w *simWorker) isOutdated(l *simTask) bool {
+	for _, n := range w.s.controllers {
 		if n.core == nil {
 			continue
 		}
-		if r := n.core.jobs.byID[l.id]; r != nil {
-			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == l.try {
+		if r := n.core.jobs.byID[l.jobID]; r != nil {
+			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == l.attempt {
 				return false
 			}
 		}
@@ -460,52 +496,52 @@
 
 // roomWait is since when a job has waited beside room, without a break.
 type roomWait struct {
-	since time.Duration
-	begun int
+	since        time.Duration
+	tasksStarted int
 }
 
-const waitsAtMost = 90 * time.Second
+const maxRoomWait = 90 * time.Second
 
 // watchRoom judges that no job waits beside room: a machine that fits holds it, its team is under its limit, and
 // nothing of it has started for 90 s. A gang needs room for all its tasks.
-func (s *sim) watchRoom() {
+func (s *sim) watchIdleCapacity() {
 	use := map[string]float64{}
 	on := map[string]map[int]bool{}
 	zones := map[string]map[string]int{}
-	for _, w := range s.work {
-		for _, l := range w.loads {
-			u := s.users[l.id]
+	for _, w := range s.workers {
+		for _, l := range w.tasks {
+			u := s.users[l.jobID]
 			if u == nil || l.status == protocol.TaskEnded {
 				continue
 			}
 			use[u.spec.Team] += u.spec.GPUs
-			if on[l.id] == nil {
-				on[l.id], zones[l.id] = map[int]bool{}, map[string]int{}
+			if on[l.jobID] == nil {
+				on[l.jobID], zones[l.jobID] = map[int]bool{}, map[string]int{}
 			}
-			on[l.id][l.index] = true
-			zones[l.id][w.zone]++
+			on[l.jobID][l.index] = true
+			zones[l.jobID][w.zone]++
 		}
 	}
 	var usable []*simWorker
-	for _, w := range s.cloud.sorted() {
-		_, drained := s.kv.keys[keyDrain+w.name]
-		if w.up && !w.dead && !drained && !w.faulty && w.unkept <= s.now && max(w.hung, w.deaf, w.mute) <= s.now && w.partly == 0 {
+	for _, w := range s.cloud.sortedMachines() {
+		_, drained := s.state.keys[keyDrain+w.name]
+		if w.up && !w.dead && !drained && !w.faulty && w.unshippedUntil <= s.now && max(w.hungUntil, w.unresponsiveUntil, w.isolatedUntil) <= s.now && w.messageLoss == 0 {
 			usable = append(usable, w)
 		}
 	}
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
-		started := u.begun + u.again
-		if u.waits.since == 0 || !u.accepted || u.asked || u.mistaken || u.failures > 0 || u.final != "" || started != u.waits.begun || !u.couldStart(usable, on[id], zones[id], use[u.spec.Team]) {
-			u.waits = roomWait{s.now, started}
+		started := u.tasksStarted + u.restarts
+		if u.roomWait.since == 0 || !u.accepted || u.cancelRequested || u.failsEverywhere || u.failures > 0 || u.finalStatus != "" || started != u.roomWait.tasksStarted || !u.couldStart(usable, on[id], zones[id], use[u.spec.Team]) {
+			u.roomWait = roomWait{s.now, started}
 			continue
 		}
-		if s.now-u.waits.since > waitsAtMost {
-			s.breaks("waits beside room", "%s (%s of %d, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
-			u.waits.since = s.now
+		if s.now-u.roomWait.since > maxRoomWait {
+			s.violation("waits beside room", "%s (%s of %d, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
+			u.roomWait.since = s.now
 		}
 	}
-	s.after(time.Second, s.watchRoom)
+	s.after(time.Second, s.watchIdleCapacity)
 }
 
 // couldStart tells whether what waits of the job would find room: one task, or all of a gang.
@@ -531,13 +567,13 @@
 	for _, only := range s.facts.Zones {
 		found, spread := 0, map[string]int{}
 		for _, w := range usable {
-			if !sp.AllowsMachineType(w.rig) || w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone || sp.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
+			if !sp.AllowsMachineType(w.machineType) || w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone || sp.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
 				continue
 			}
-			t := s.cloud.types[w.rig]
+			t := s.cloud.machineTypes[w.machineType]
 			g, c := t.GPUs, t.CPUs
-			for _, l := range w.loads {
-				if o := s.users[l.id]; o != nil && l.status != protocol.TaskEnded {
+			for _, l := range w.tasks {
+				if o := s.users[l.jobID]; o != nil && l.status != protocol.TaskEnded {
 					g, c = g-o.spec.GPUs, c-o.spec.CPUs
 				}
 			}
