--- /dev/null
+++ b/internal/coordination/drains_test.go
@@ -0,0 +1,85 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"silvergate/internal/job"
+)
+
+// TestMostOfAControllersMachinesHang guards against a controller that took itself
+// for cut off when more than half of its machines hung: they were returned twice
+// as late, and their free room was planned with meanwhile (carbura-iasi-fleet,
+// day zone: replicas without room for 45 s).
+func TestMostOfAControllersMachinesHang(t *testing.T) {
+	s := grownSim(t, 41)
+	s.advertised.Limits.MaxSockets = 2000
+	s.loadGrown(140 * time.Second)
+	s.run(100 * time.Second)
+	c := s.controllers[0].core
+	hung := map[string]bool{}
+	for i, m := range c.machines.own {
+		if i%5 < 3 {
+			for _, w := range s.cloud.sortedMachines() {
+				if w.name == m.id {
+					w.hungUntil = s.now + 60*time.Second
+					hung[m.id] = true
+				}
+			}
+		}
+	}
+	found := func() (n int) {
+		for id := range hung {
+			if s.state.drainWrites[keyDrain+id] > 0 {
+				n++
+			}
+		}
+		return n
+	}
+	s.run(100*time.Second + seconds(3*s.facts.Workers.Report))
+	n := found()
+	t.Logf("%d of %d hung machines found, of %d", n, len(hung), len(c.machines.own))
+	if len(hung) < 20 || n < len(hung)*9/10 {
+		t.Errorf("%d of %d hung machines are found three report periods later", n, len(hung))
+	}
+	s.finish(t, 160*time.Second)
+	s.reportViolations(t)
+}
+
+// TestDrainsDoNotTakeTurns guards against a fault found on inc-41e3: a gathered
+// machine that was returned fell silent, and "idle" and "silent" replaced one
+// another in its drain at every sweep until its records went.
+func TestDrainsDoNotTakeTurns(t *testing.T) {
+	s := newSim(t, 47, 0)
+	for i := range 8 {
+		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
+			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
+	}
+	s.run(60 * time.Second)
+	for _, n := range s.controllers {
+		n.unreachableUntil["cloud"] = s.now + time.Hour // nothing is returned
+	}
+	var gone *machine
+	for _, n := range s.controllers {
+		for _, m := range n.core.machines.own {
+			if len(m.bound) > 0 && gone == nil {
+				gone = m
+			}
+		}
+	}
+	for _, k := range gone.tasks() {
+		s.users[k.job].cancel()
+	}
+	s.run(66 * time.Second)
+	if len(gone.bound) > 0 {
+		t.Fatalf("%v are still bound", gone.tasks())
+	}
+	gone.consolidating = true
+	s.run(70 * time.Second)
+	s.workers[gone.claim.Address].die()
+	s.run(100 * time.Second)
+	if n := s.state.drainWrites[keyDrain+gone.id]; n == 0 || n > 2 {
+		t.Errorf("the drain of %s was written %d times", gone.id, n)
+	}
+}
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/fault_days_test.go
@@ -11,9 +11,9 @@
 	"silvergate/internal/protocol"
 )
 
-// Each meeting of troubles on the operators' page that has no test of its own elsewhere (docs/design.md, "Meetings of troubles",
-// has the whole table) is a day here: brought about on purpose, on 3 and 5 controllers, with several
-// seeds; counted, so that a day on which it did not take place fails; and broken on purpose, so that its checkers are seen to work.
+// Each coincidence of faults on the operators' page that has no test of its own elsewhere (docs/design.md, "Meetings of
+// troubles", has the whole table, by these names) is a day here: injected on 3 and 5 controllers, with several seeds; counted,
+// so that a day fails on which it did not occur; and played with a defect, so that its checkers are seen to work.
 
 type faultDay struct {
 	name        string
@@ -27,68 +27,6 @@
 	setup       func(s *sim)               // before the day; may be nil
 }
 
-// longTasks submits jobs of all shapes whose tasks run for minutes.
-func submitLongJobs(n int) func(s *sim) {
-	return func(s *sim) {
-		for i := range n {
-			sp := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Shape: job.Array, Priority: job.Normal, Tasks: 1 + i%3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}
-			switch i % 4 {
-			case 1:
-				sp.Shape, sp.Class, sp.Priority = job.Service, "svc", job.Production
-			case 2:
-				sp.Shape, sp.Class, sp.OneZone = job.Gang, "gng", i%8 == 2
-			case 3:
-				sp.OneZone, sp.Spread = i%8 == 3, i%8 == 7
-			}
-			s.submit(sp, 60+60*s.random.Float64(), 0)
-		}
-	}
-}
-
-// everybodyCancels has a share of the users call their jobs off within a time, by way of a node if one is given.
-func (s *sim) cancelShare(share float64, within time.Duration, via *simController) (n int) {
-	for _, id := range sortedKeys(s.users) {
-		if u := s.users[id]; u.accepted && !u.cancelRequested && u.finalStatus == "" && s.random.Float64() < share {
-			n++
-			u.cancelVia = via
-			s.after(s.randomMillis(0, 1000*within.Seconds()), u.cancel)
-		}
-	}
-	return n
-}
-
-func (s *sim) otherControllers(n *simController) (out []*simController) {
-	for _, o := range s.controllers {
-		if o != n {
-			out = append(out, o)
-		}
-	}
-	return out
-}
-
-// running counts tasks that are on machines for which want says so.
-func (s *sim) countRunning(want func(w *simWorker, u *simUser) bool) (n int) {
-	for _, w := range s.workers {
-		for _, l := range w.tasks {
-			if u := s.users[l.jobID]; u != nil && l.isActive() && want(w, u) {
-				n++
-			}
-		}
-	}
-	return n
-}
-
-// holds tells whether a controller holds a worker, by its own records.
-func (n *simController) holds(w *simWorker) bool {
-	if n.core == nil {
-		return false
-	}
-	m := n.core.machines.byID[w.name]
-	return m != nil && n.core.isOwn(m)
-}
-
-func (s *sim) leaseTimes(times float64) time.Duration { return seconds(times * s.facts.Workers.Lease) }
-
 var faultDays = []faultDay{
 	{name: "a leader ends while machines with long tasks can't be reached",
 		workload: submitLongJobs(14), duration: 60 * time.Second,
@@ -515,36 +453,6 @@
 		defect:      func(s *sim) { s.defects.ignoreLeaseExpiry = true }, violation: "ran_twice"},
 }
 
-// tenChanges has the controller with the most workers end every ten seconds or so, and be back soon.
-func (s *sim) crashLeaderRepeatedly() {
-	for i := range 11 {
-		s.after(time.Duration(11*i)*time.Second, func() {
-			s.faultCounts.leaderCrashes++
-			s.busiestController().crash(s.randomMillis(300, 9000))
-		})
-	}
-}
-
-// fourASecond submits one-task jobs, a quarter of which are cancelled.
-func (s *sim) submitSmallJobs(until time.Duration) {
-	n := 0
-	var next func()
-	next = func() {
-		if s.now > until {
-			return
-		}
-		cancel := time.Duration(0)
-		if s.random.IntN(4) == 0 {
-			cancel = s.randomMillis(20, 5000)
-		}
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-3%05d", n), Class: "arr", Team: []string{"red", "blue"}[n%2], Shape: job.Array, Priority: job.Priority(n % 3), Tasks: 1, CPUs: 1, GPUs: 0.25, MemoryGB: 2, Spot: true},
-			2+4*s.random.Float64(), cancel)
-		n++
-		s.after(s.randomMillis(150, 350), next)
-	}
-	next()
-}
-
 // play plays the day. Nothing is judged here but by the checkers that are always there.
 func (d *faultDay) play(t *testing.T, nodes int, seed uint64, spoil func(s *sim)) *sim {
 	s := newOutageSim(t, seed, outageScenario{controllers: nodes, workers: "well"})
--- a/internal/coordination/troubles_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -8,23 +8,15 @@
 	"silvergate/internal/config"
 )
 
-// The meetings of two troubles that users have named, brought about by drawing: each of
-// the troubles below meets each of the others, begun at the same time or one in the middle of the other.
+// Pairs of faults that users have named: each of the faults below coincides with each of the others, begun at
+// the same time or one during the other. docs/design.md ("Meetings of troubles") refers to them by their names.
 
-// trouble is something that goes wrong for a time.
+// faultKind is something that goes wrong for a time, at a controller or around it.
 type faultKind struct {
 	name   string
 	inject func(s *sim, n *simController, long time.Duration)
 }
 
-func (s *sim) forSomeWorkers(share float64, do func(*simWorker)) {
-	for _, w := range s.cloud.sortedMachines() {
-		if w.up && s.random.Float64() < share {
-			do(w)
-		}
-	}
-}
-
 var faultKinds = []faultKind{
 	{"a leader cut from state and peers", func(s *sim, n *simController, long time.Duration) {
 		n.unreachableUntil["state"], n.unreachableUntil["peers"] = s.now+long, s.now+long
--- a/internal/coordination/blackstart_test.go
+++ b/internal/coordination/full_restart_test.go
@@ -9,10 +9,10 @@
 	"silvergate/internal/protocol"
 )
 
-// The start after all controllers went down, at the size of a grown site: what it costs against what it must, and what
-// is ordered that was not to be.
+// The restart after all controllers went down, in a deployment of some hundred machines: what it costs, against what it
+// must cost, and which commands are sent that should not be.
 
-// blackStart is what a start came to.
+// fullRestart is what was counted of such a restart.
 type fullRestart struct {
 	machines          int              // machines
 	tasks             int              // on them at the return
--- /dev/null
+++ b/internal/coordination/largest_job_test.go
@@ -0,0 +1,38 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+// TestLargestJobRunsWithinLimits submits a job of 100,000 tasks beside others:
+// records keep to the state service's limits (the stand-in checks them), the
+// others run, and a cancellation clears everything.
+func TestLargestJobRunsWithinLimits(t *testing.T) {
+	s := newSim(t, 21, 0)
+	big := s.submit(&job.Spec{ID: "wk-800000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: protocol.MaxTasks,
+		Priority: job.Low, CPUs: 1, GPUs: 1, MemoryGB: 1, Spot: true}, 3, 0)
+	s.run(30 * time.Second)
+	s.submitMixedJobs(time.Minute)
+	s.run(90 * time.Second)
+	done := 0
+	for _, d := range big.done {
+		if d {
+			done++
+		}
+	}
+	if done < 100 {
+		t.Errorf("%d tasks of the largest job are done", done)
+	}
+	for _, id := range sortedKeys(s.users) {
+		s.users[id].cancel()
+	}
+	s.run(s.now + seconds(s.facts.Workers.Cancel) + 10*time.Second)
+	if big.finalStatus != "cancelled" {
+		t.Errorf("the largest job is %q", big.finalStatus)
+	}
+	s.reportViolations(t)
+}
--- a/internal/coordination/meeting_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -50,41 +50,6 @@
 	survivors     int           // and those that run on at the end
 }
 
-// countCaution counts what a lease ends that nobody wanted gone.
-func (w *simWorker) countLeaseKills() {
-	if !w.observed || w.hungUntil > w.s.now-seconds(w.s.facts.Workers.Lease) || w.unresponsiveUntil > w.s.now-seconds(w.s.facts.Workers.Lease) {
-		return
-	}
-	for _, l := range w.tasks {
-		if u := w.s.users[l.jobID]; u != nil && l.isActive() && !u.cancelRequested {
-			w.s.counts.leaseKills++
-		}
-	}
-}
-
-// busiest is the controller that holds the most workers, by its own records.
-func (s *sim) busiestController() *simController {
-	best := s.controllers[0]
-	for _, n := range s.controllers {
-		if n.core != nil && (best.core == nil || len(n.core.machines.own) > len(best.core.machines.own)) {
-			best = n
-		}
-	}
-	return best
-}
-
-// followCancelled notes how long tasks of cancelled jobs stay.
-func (s *sim) followCancelled() {
-	for _, w := range s.workers {
-		for _, l := range w.tasks {
-			if u := s.users[l.jobID]; u != nil && u.cancelledAt > 0 && l.isActive() {
-				u.lastActiveAt = s.now
-			}
-		}
-	}
-	s.after(100*time.Millisecond, s.followCancelled)
-}
-
 // meetingSim is a calm site whose controllers' and workers' clocks are apart by what PROTOCOL allows.
 func newOutageSim(t testing.TB, seed uint64, m outageScenario) *sim {
 	s := newSim(t, seed, 0)
--- a/internal/coordination/recover_test.go
+++ b/internal/coordination/priority_test.go
@@ -65,68 +65,6 @@
 	}
 }
 
-// TestZoneThatIsCutOffIsSeenAtOnce guards against the machines that reported
-// longest ago: in the first seconds of a cut they alone were overdue, and were
-// returned (34 of shiftbook-akl-fleet's, day zone).
-func TestZoneThatIsCutOffIsSeenAtOnce(t *testing.T) {
-	now, report := 100*time.Second, 8*time.Second
-	for _, c := range []struct {
-		name string
-		z    zoneHeartbeats
-		cut  bool
-	}{
-		{"no report of a hundred for a second", zoneHeartbeats{machines: 100, overdue: 12, lastHeartbeat: now - time.Second}, true},
-		{"a hundred, the last just now", zoneHeartbeats{machines: 100, overdue: 12, lastHeartbeat: now - 100*time.Millisecond}, false},
-		{"half of a hundred quiet", zoneHeartbeats{machines: 100, overdue: 50, lastHeartbeat: now - 200*time.Millisecond}, false},
-		{"most quiet, one heard just now", zoneHeartbeats{machines: 100, overdue: 80, lastHeartbeat: now}, true},
-		{"three machines, all quiet", zoneHeartbeats{machines: 3, overdue: 3, lastHeartbeat: now - 30*time.Second}, false},
-		{"five machines, all quiet", zoneHeartbeats{machines: 5, overdue: 5, lastHeartbeat: now - 11*time.Second}, true},
-	} {
-		if got := c.z.unreachable(now, report); got != c.cut {
-			t.Errorf("%s: cut %v", c.name, got)
-		}
-	}
-}
-
-// TestMostOfAControllersMachinesHang guards against a controller that took itself
-// for cut off when more than half of its machines hung: they were returned twice
-// as late, and their free room was planned with meanwhile (carbura-iasi-fleet,
-// day zone: replicas without room for 45 s).
-func TestMostOfAControllersMachinesHang(t *testing.T) {
-	s := grownSim(t, 41)
-	s.advertised.Limits.MaxSockets = 2000
-	s.loadGrown(140 * time.Second)
-	s.run(100 * time.Second)
-	c := s.controllers[0].core
-	hung := map[string]bool{}
-	for i, m := range c.machines.own {
-		if i%5 < 3 {
-			for _, w := range s.cloud.sortedMachines() {
-				if w.name == m.id {
-					w.hungUntil = s.now + 60*time.Second
-					hung[m.id] = true
-				}
-			}
-		}
-	}
-	found := func() (n int) {
-		for id := range hung {
-			if s.state.drainWrites[keyDrain+id] > 0 {
-				n++
-			}
-		}
-		return n
-	}
-	s.run(100*time.Second + seconds(3*s.facts.Workers.Report))
-	n := found()
-	t.Logf("%d of %d hung machines found, of %d", n, len(hung), len(c.machines.own))
-	if len(hung) < 20 || n < len(hung)*9/10 {
-		t.Errorf("%d of %d hung machines are found three report periods later", n, len(hung))
-	}
-	s.finish(t, 160*time.Second)
-	s.reportViolations(t)
-}
-
 // TestUrgentWorkGoesFirst loses a third of the machines, in a zone or anywhere,
 // crashes all controllers or hangs a tenth, while more is submitted than fits. No
 // work of lower priority is launched where production work waits that fits; told
--- /dev/null
+++ b/internal/coordination/restart_test.go
@@ -0,0 +1,131 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+// TestRestartAdoptsWorkers guards the way back after all controllers crashed:
+// each goes on with the tokens of its earlier life, without a new claim for
+// every worker, and takes a new one when an attempt of that time ends, so that
+// a launch of the earlier life that comes late can't start it again.
+func TestRestartAdoptsWorkers(t *testing.T) {
+	var adopted uint64
+	const seeds = 12
+	for seed := uint64(1); seed <= seeds; seed++ {
+		adopted += adoptionsAfterRestart(t, seed)
+	}
+	// Some workers find another controller first, whose claim they then need.
+	if adopted < seeds {
+		t.Errorf("%d workers were adopted in %d restarts", adopted, seeds)
+	}
+}
+
+// restartAll crashes all controllers of a small site and tells how many
+// workers they adopted.
+func adoptionsAfterRestart(t *testing.T, seed uint64) (adopted uint64) {
+	s := newSim(t, seed, 0)
+	for i := range 8 {
+		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
+			Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: []string{"a", "b"}[i%2]}, 0, 0)
+	}
+	s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal,
+		CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: "a"}, 40, 0)
+	s.run(50 * time.Second)
+	starts := s.counts.taskStarts
+	for _, n := range s.controllers {
+		n.crash(2 * time.Second)
+	}
+	s.run(64 * time.Second)
+	for _, n := range s.controllers {
+		adopted += n.core.Stats.Adopted
+	}
+	if s.counts.taskStarts != starts {
+		t.Errorf("%d tasks were started again", s.counts.taskStarts-starts)
+	}
+	s.run(150 * time.Second)
+	if u := s.users["wk-700000"]; u.finalStatus != "done" {
+		t.Errorf("the array is %q", u.finalStatus)
+	}
+	for _, w := range s.cloud.sortedMachines() {
+		for name, l := range w.tasks {
+			if l.status == protocol.TaskEnded {
+				t.Errorf("%s on %s was never forgotten", name, w.name)
+			}
+		}
+	}
+	s.reportViolations(t)
+	return adopted
+}
+
+// TestRestartAdoptsWorkersWhoseLeasesEnded guards the way back after an outage
+// longer than a lease: the workers are in a new session, so nothing of before can
+// come, and the controllers need no new claim for each to start the tasks again.
+func TestRestartAdoptsWorkersWhoseLeasesEnded(t *testing.T) {
+	var adopted, claims uint64
+	for seed := uint64(1); seed <= 8; seed++ {
+		s := newSim(t, seed, 0)
+		for i := range 8 {
+			s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
+				Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: []string{"a", "b"}[i%2]}, 0, 0)
+		}
+		s.run(50 * time.Second)
+		starts := s.counts.taskStarts
+		for _, n := range s.controllers {
+			n.crash(25 * time.Second)
+		}
+		s.run(100 * time.Second)
+		if s.counts.taskStarts < starts+8 {
+			t.Errorf("seed %d: %d of 8 tasks were started again", seed, s.counts.taskStarts-starts)
+		}
+		for _, n := range s.controllers {
+			adopted += n.core.Stats.Adopted
+			claims += n.core.Stats.Claims
+		}
+		s.reportViolations(t)
+	}
+	t.Logf("%d adopted, %d claimed", adopted, claims)
+	if adopted == 0 {
+		t.Error("no worker was adopted")
+	}
+}
+
+// TestHungMachineOfARestartedControllerIsReturned guards against services that
+// stay down: a machine that hangs while its controller restarts reports to
+// nobody, and the new life has to look for it.
+func TestHungMachineOfARestartedControllerIsReturned(t *testing.T) {
+	s := newSim(t, 29, 0)
+	for i := range 12 {
+		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
+			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
+	}
+	s.run(60 * time.Second)
+	for _, n := range s.controllers {
+		n.crash(2 * time.Second)
+	}
+	var hung *simWorker
+	for _, w := range s.cloud.sortedMachines() {
+		if len(w.tasks) > 0 {
+			hung = w
+		}
+	}
+	hung.hungUntil = s.now + 5*time.Minute
+	before, busy := s.cloud.sortedMachines(), map[string]bool{}
+	for _, w := range before {
+		busy[w.name] = len(w.tasks) > 0
+	}
+	s.run(60*time.Second + seconds(5*s.facts.Workers.Report))
+	if w := s.cloud.machines[hung.name]; w != nil {
+		t.Errorf("%s hangs and was not returned", hung.name)
+	}
+	for _, w := range before {
+		if w != hung && s.cloud.machines[w.name] == nil && busy[w.name] {
+			t.Errorf("%s was returned too", w.name)
+		}
+	}
+	s.reportViolations(t)
+}
--- /dev/null
+++ b/internal/coordination/rules_checker_test.go
@@ -0,0 +1,376 @@
+package coordination
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+func (s *sim) reportViolations(t *testing.T) {
+	t.Helper()
+	for _, b := range s.violations {
+		t.Error(b)
+	}
+	s.saveTapes(t)
+	// Guards against judgements that take turns on a machine: inc-41e3 spent
+	// the state service's whole rate on them.
+	grades := map[int]bool{} // each replaces the ones before once
+	for _, g := range drainSeverity {
+		grades[g] = true
+	}
+	for _, key := range sortedKeys(s.state.drainWrites) {
+		if n := s.state.drainWrites[key]; n > len(grades) {
+			t.Errorf("%s was written %d times", key, n)
+		}
+	}
+	if s.counts.taskStarts == 0 {
+		t.Error("nothing ran")
+	}
+	for _, n := range s.controllers {
+		if n.core != nil {
+			n.core.checkRoom(t, n.name)
+		}
+	}
+}
+
+// checkRoom compares what is counted as taken on each machine with what is bound
+// and reserved there, without what is known to have left.
+func (c *Core) checkRoom(t *testing.T, name string) {
+	t.Helper()
+	sums := map[string]usage{}
+	for id, m := range c.machines.byID {
+		for k, r := range m.bound {
+			if m.vacated[k] == nil {
+				sums[id] = sums[id].plus(r.spec, 1)
+			}
+		}
+		for k := range m.vacated {
+			if m.bound[k] == nil {
+				t.Errorf("%s: %v has left %s, where it is not bound", name, k, id)
+			}
+		}
+	}
+	for _, r := range c.jobs.byID {
+		for _, h := range r.reservations {
+			sums[h.machine] = sums[h.machine].plus(r.spec, 1)
+		}
+	}
+	for id, m := range c.machines.byID {
+		if d := sums[id]; math.Abs(d.CPUs-m.cpus) > 1e-3 || math.Abs(d.GPUs-m.gpus) > 1e-3 {
+			t.Errorf("%s: %s counts %v processors and %v accelerators as taken, %+v are", name, id, m.cpus, m.gpus, d)
+		}
+	}
+}
+
+// checkStart judges the rules that a start can break.
+func (s *sim) checkStart(w *simWorker, u *simUser, l *simTask) {
+	sp := u.spec
+	name := fmt.Sprintf("%s/%d try %d on %s", l.jobID, l.index, l.attempt, w.name)
+	zones := map[string]int{}
+	gpus := sp.GPUs
+	for _, o := range s.workers {
+		for _, x := range o.tasks {
+			if !x.isActive() {
+				continue
+			}
+			xs := s.users[x.jobID].spec
+			if x.jobID == l.jobID {
+				zones[o.zone]++
+				if x.index == l.index {
+					s.violation("ran_twice", "%s is on %s", name, o.name)
+				}
+			}
+			if xs.Team == sp.Team {
+				gpus += xs.GPUs
+			}
+		}
+	}
+	for _, t := range s.facts.Teams {
+		if t.Name == sp.Team && t.GPUsMax > 0 && gpus > t.GPUsMax+1e-6 {
+			s.violation("quota", "%s: team %s uses %v", name, t.Name, gpus)
+		}
+	}
+	if !sp.AllowsMachineType(w.machineType) || (w.spot && !sp.Spot) || (sp.Zone != "" && sp.Zone != w.zone) ||
+		(sp.Spread && zones[w.zone]+1 > sp.SpreadLimit()) || (sp.OneZone && len(zones) > 0 && zones[w.zone] == 0) {
+		s.violation("wrong_place", "%s", name)
+	}
+	if u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
+		s.violation("ran_cancelled", "%s starts", name)
+	}
+}
+
+// watchCancelled judges what is still on machines.
+func (s *sim) watchCancelled() {
+	for _, w := range s.workers {
+		for _, x := range w.tasks {
+			u := s.users[x.jobID]
+			if u != nil && x.isActive() && u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
+				s.violation("ran_cancelled", "%s/%d is on %s", x.jobID, x.index, w.name)
+			}
+		}
+	}
+	s.after(500*time.Millisecond, s.watchCancelled)
+}
+
+// followCancelled notes how long tasks of cancelled jobs stay.
+func (s *sim) followCancelled() {
+	for _, w := range s.workers {
+		for _, l := range w.tasks {
+			if u := s.users[l.jobID]; u != nil && u.cancelledAt > 0 && l.isActive() {
+				u.lastActiveAt = s.now
+			}
+		}
+	}
+	s.after(100*time.Millisecond, s.followCancelled)
+}
+
+// waitIn is a task that waits, and a zone that its job's limits let it start in.
+type zoneWait struct {
+	taskKey
+	zone string
+}
+
+// judgeOrder judges the launches among a step's effects: work of lower priority
+// must not be started on a place that was committed while a production task that
+// fits there had waited in this controller's lines, free to be placed in that zone,
+// for longer than a report period. (What was committed before is started even if it is told
+// late, with the worker's next report, as after a restart.) It is the order as an
+// outsider sees it, whatever decided it: lines, pops, hand-overs, changes that waited
+// for the state service's rate.
+func (n *simController) checkLaunchOrder(e Effects) {
+	c, s := n.core, n.s
+	waits := map[zoneWait]time.Duration{}
+	for _, r := range c.scheduler.queuedJobs {
+		u := s.users[r.spec.ID]
+		if u == nil || u.spec.Priority < job.Production {
+			continue
+		}
+		for _, w := range r.queue {
+			if !c.placeable(r, w.key.index) {
+				continue
+			}
+			for _, z := range s.facts.Zones {
+				if !c.zoneAllowed(r, z) {
+					continue
+				}
+				k := zoneWait{w.key, z}
+				since, was := n.waitingSince[k]
+				if !was {
+					since = s.now
+				}
+				waits[k] = since
+			}
+		}
+	}
+	n.waitingSince = waits
+	if len(waits) == 0 || s.options.unorderedLaunches {
+		return
+	}
+	launches := func(m *machine, orders []protocol.Command) {
+		for _, o := range orders {
+			id, index, err := job.ParseTaskName(o.Task)
+			if err != nil || o.Verb != protocol.VerbLaunch || m == nil || s.users[id].spec.Priority == job.Production {
+				continue
+			}
+			s.counts.launchesJudged++
+			lesser := c.jobs.byID[id].spec
+			committed := n.startedAt + m.boundAt[taskKey{id, index}].boundAt
+			for k, since := range waits {
+				r := c.jobs.byID[k.job]
+				if k.zone != m.claim.Zone || committed-since <= seconds(s.facts.Workers.Report) {
+					continue
+				}
+				m.addUsage(lesser, -1)
+				fits := c.fits(r, m) && !c.unschedulable(m)
+				m.addUsage(lesser, 1)
+				if fits {
+					s.violation("lesser first", "%s is launched on %s, where %s/%d would fit that had waited for %v", o.Task, m.id, k.job, k.index, committed-since)
+				}
+			}
+		}
+	}
+	for _, k := range e.Calls {
+		var d protocol.DirectCommands
+		if k.Path == protocol.PathCommands && json.Unmarshal(k.Body, &d) == nil {
+			for _, m := range c.machines.own {
+				if m.claim.Address == k.Address {
+					launches(m, d.Commands)
+				}
+			}
+		}
+	}
+	for _, a := range e.Responses {
+		var d protocol.HeartbeatResponse
+		if who := n.heartbeatSenders[a.ID]; who != "" && a.Status == 200 && json.Unmarshal(a.Body, &d) == nil {
+			launches(c.machines.byID[who], d.Commands)
+		}
+	}
+}
+
+// countCaution counts what a lease ends that nobody wanted gone.
+func (w *simWorker) countLeaseKills() {
+	if !w.observed || w.hungUntil > w.s.now-seconds(w.s.facts.Workers.Lease) || w.unresponsiveUntil > w.s.now-seconds(w.s.facts.Workers.Lease) {
+		return
+	}
+	for _, l := range w.tasks {
+		if u := w.s.users[l.jobID]; u != nil && l.isActive() && !u.cancelRequested {
+			w.s.counts.leaseKills++
+		}
+	}
+}
+
+// countLateStart counts what begins after its user was told that the job is cancelled. Within cancel_s that
+// breaks no rule.
+func (s *sim) countLateStart(u *simUser) {
+	if u.cancelledAt > 0 {
+		s.faultCounts.lateStarts++
+	}
+}
+
+// judgeReturn counts machines that are returned while work runs there that was not given up: nobody called the
+// machine silent, failed, faulty or recalled, and the job is not over.
+func (s *sim) countDeletionInUse(w *simWorker) {
+	switch s.state.drainReasons[keyDrain+w.name] {
+	case "", drainIdle, drainStray, drainLost:
+	default:
+		return
+	}
+	if w.dead || !w.up || s.now < w.hungUntil {
+		return
+	}
+	for _, k := range sortedKeys(w.tasks) {
+		if u := s.users[w.tasks[k].jobID]; u != nil && w.tasks[k].status != protocol.TaskEnded && u.finalStatus == "" && !u.cancelRequested && !w.isOutdated(w.tasks[k]) {
+			s.faultCounts.deletedInUse++
+			if s.output.trace != nil {
+				fmt.Fprintf(s.output.trace, "%8.3f INUSE %s returned with %s\n", s.now.Seconds(), w.name, k)
+			}
+		}
+	}
+}
+
+// outdated tells whether the records do not bind an attempt to its machine any more.
+func (w *simWorker) isOutdated(l *simTask) bool {
+	for _, n := range w.s.controllers {
+		if n.core == nil {
+			continue
+		}
+		if r := n.core.jobs.byID[l.jobID]; r != nil {
+			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == l.attempt {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// running counts tasks that are on machines for which want says so.
+func (s *sim) countRunning(want func(w *simWorker, u *simUser) bool) (n int) {
+	for _, w := range s.workers {
+		for _, l := range w.tasks {
+			if u := s.users[l.jobID]; u != nil && l.isActive() && want(w, u) {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// roomWait is since when a job has waited beside room, without a break.
+type roomWait struct {
+	since        time.Duration
+	tasksStarted int
+}
+
+const maxRoomWait = 90 * time.Second
+
+// watchRoom judges that no job waits beside room: a machine that fits holds it, its team is under its limit, and
+// nothing of it has started for 90 s. A gang needs room for all its tasks.
+func (s *sim) watchIdleCapacity() {
+	use := map[string]float64{}
+	on := map[string]map[int]bool{}
+	zones := map[string]map[string]int{}
+	for _, w := range s.workers {
+		for _, l := range w.tasks {
+			u := s.users[l.jobID]
+			if u == nil || l.status == protocol.TaskEnded {
+				continue
+			}
+			use[u.spec.Team] += u.spec.GPUs
+			if on[l.jobID] == nil {
+				on[l.jobID], zones[l.jobID] = map[int]bool{}, map[string]int{}
+			}
+			on[l.jobID][l.index] = true
+			zones[l.jobID][w.zone]++
+		}
+	}
+	var usable []*simWorker
+	for _, w := range s.cloud.sortedMachines() {
+		_, drained := s.state.keys[keyDrain+w.name]
+		if w.up && !w.dead && !drained && !w.faulty && w.unshippedUntil <= s.now && max(w.hungUntil, w.unresponsiveUntil, w.isolatedUntil) <= s.now && w.messageLoss == 0 {
+			usable = append(usable, w)
+		}
+	}
+	for _, id := range sortedKeys(s.users) {
+		u := s.users[id]
+		started := u.tasksStarted + u.restarts
+		if u.roomWait.since == 0 || !u.accepted || u.cancelRequested || u.failsEverywhere || u.failures > 0 || u.finalStatus != "" || started != u.roomWait.tasksStarted || !u.couldStart(usable, on[id], zones[id], use[u.spec.Team]) {
+			u.roomWait = roomWait{s.now, started}
+			continue
+		}
+		if s.now-u.roomWait.since > maxRoomWait {
+			s.violation("waits beside room", "%s (%s of %d, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
+			u.roomWait.since = s.now
+		}
+	}
+	s.after(time.Second, s.watchIdleCapacity)
+}
+
+// couldStart tells whether what waits of the job would find room: one task, or all of a gang.
+func (u *simUser) couldStart(usable []*simWorker, on map[int]bool, zones map[string]int, use float64) bool {
+	s, sp := u.s, u.spec
+	need := 0
+	for i := range u.done {
+		if !u.done[i] && !on[i] {
+			need++
+		}
+	}
+	if need == 0 || sp.Shape == job.Gang && len(on) > 0 {
+		return false
+	}
+	if sp.Shape != job.Gang {
+		need = 1
+	}
+	for _, t := range s.facts.Teams {
+		if t.Name == sp.Team && t.GPUsMax > 0 && use+float64(need)*sp.GPUs > t.GPUsMax+1e-6 {
+			return false
+		}
+	}
+	for _, only := range s.facts.Zones {
+		found, spread := 0, map[string]int{}
+		for _, w := range usable {
+			if !sp.AllowsMachineType(w.machineType) || w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone || sp.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
+				continue
+			}
+			t := s.cloud.machineTypes[w.machineType]
+			g, c := t.GPUs, t.CPUs
+			for _, l := range w.tasks {
+				if o := s.users[l.jobID]; o != nil && l.status != protocol.TaskEnded {
+					g, c = g-o.spec.GPUs, c-o.spec.CPUs
+				}
+			}
+			for ; found < need && sp.GPUs <= g && sp.CPUs <= c && (!sp.Spread || zones[w.zone]+spread[w.zone] < sp.SpreadLimit()); found++ {
+				g, c = g-sp.GPUs, c-sp.CPUs
+				spread[w.zone]++
+			}
+		}
+		if found >= need {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/coordination/troublemakers_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -3,17 +3,15 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"strings"
 	"time"
 
 	"silvergate/internal/failover"
-	"silvergate/internal/job"
 	"silvergate/internal/protocol"
 )
 
-// Troubles that users and machines make, with the meaning that the operators' page gives them, and the
-// checkers that go with them. sim_test.go calls in here where they take effect.
+// Fault injection, with the meaning that the operators' page gives the faults. The stand-ins call in here
+// where a fault takes effect.
 
 // simFaults are the faults that messages, machines and users are subject to now. Those of one controller
 // or worker are in controllerFaults and workerFaults.
@@ -99,6 +97,107 @@
 	observed          bool          // its tasks are counted, see countLeaseKills
 }
 
+// trouble draws faults from a list until the time given.
+func (s *sim) injectFaults(until time.Duration) {
+	if s.now > until {
+		return
+	}
+	n := s.anyController()
+	long := s.randomMillis(3_000, 50_000)
+	worker := func() *simWorker {
+		for _, w := range s.cloud.sortedMachines() {
+			if w.up && s.random.IntN(4) == 0 {
+				return w
+			}
+		}
+		return nil
+	}
+	switch s.random.IntN(9) {
+	case 0:
+		n.crash(s.randomMillis(1_000, 5_000))
+	case 1:
+		for _, o := range s.controllers {
+			o.crash(s.randomMillis(500, 6_000))
+		}
+	case 2:
+		n.unreachableUntil["state"] = s.now + long
+	case 3:
+		n.unreachableUntil["workers"] = s.now + long
+	case 4:
+		for _, k := range []string{"state", "workers", "peers", "users", "cloud"} {
+			n.unreachableUntil[k] = s.now + long
+		}
+	case 5:
+		n.refusedUntil = s.now + long
+	case 6:
+		s.state.downUntil = s.now + s.randomMillis(2_000, 40_000)
+	case 7:
+		if w := worker(); w != nil {
+			w.hungUntil = s.now + s.randomMillis(2_000, 60_000)
+		}
+	case 8:
+		if w := worker(); w != nil {
+			switch s.random.IntN(3) {
+			case 0: // stops, and is listed as failed
+				w.die()
+				w.failed = true
+			case 1: // taken without a notice, and listed a while longer
+				w.die()
+				w.preempted = true
+				name := w.name
+				p := offering{w.machineType, w.zone, w.spot}
+				s.after(30*time.Second, func() { delete(s.cloud.machines, name); s.cloud.capacity[p]++ })
+			case 2:
+				w.faulty = true
+			}
+		}
+	}
+	s.after(s.randomMillis(4_000, 25_000), func() { s.injectFaults(until) })
+}
+
+// cutOff draws such cuts until the time given.
+func (s *sim) injectPartitions(until time.Duration) {
+	if s.now > until {
+		return
+	}
+	n := s.anyController()
+	long := s.randomMillis(5_000, 45_000)
+	for _, k := range []string{"state", "peers", "users", "cloud"} {
+		n.unreachableUntil[k] = s.now + long
+	}
+	if s.random.IntN(2) == 0 {
+		n.unreachableUntil["workers"] = s.now + long
+	}
+	n.watchDelayedUntil = s.now + long + s.randomMillis(2000, 15000)
+	o := s.anyController()
+	o.watchDelayedUntil = max(o.watchDelayedUntil, s.now+s.randomMillis(5000, 30000))
+	if s.random.IntN(3) == 0 {
+		s.anyController().crash(s.randomMillis(1000, 5000))
+	}
+	if w := s.cloud.sortedMachines(); len(w) > 0 && s.random.IntN(3) == 0 {
+		w[s.random.IntN(len(w))].hungUntil = s.now + s.randomMillis(2_000, 30_000)
+	}
+	s.after(s.randomMillis(15_000, 50_000), func() { s.injectPartitions(until) })
+}
+
+func (s *sim) forSomeWorkers(share float64, do func(*simWorker)) {
+	for _, w := range s.cloud.sortedMachines() {
+		if w.up && s.random.Float64() < share {
+			do(w)
+		}
+	}
+}
+
+// tenChanges has the controller with the most workers end every ten seconds or so, and be back soon.
+func (s *sim) crashLeaderRepeatedly() {
+	for i := range 11 {
+		s.after(time.Duration(11*i)*time.Second, func() {
+			s.faultCounts.leaderCrashes++
+			s.busiestController().crash(s.randomMillis(300, 9000))
+		})
+	}
+}
+
 // hop is how long a message takes between machines, users and controllers.
 func (s *sim) linkDelay() time.Duration {
 	if s.faults.slowLinksUntil > s.now {
@@ -255,24 +354,6 @@
 	n.deliver("POST", protocol.PathHeartbeat, n.s.forgeHeartbeat(name, body), func(int, []byte) {})
 }
 
-// countEarly counts machines that are up before anybody could have read that they were rented.
-func (s *sim) countEarlyBoot(w *simWorker) {
-	for key, v := range s.state.keys {
-		if strings.HasPrefix(key, keyRental) && bytes.Contains(v.value, []byte(`"`+w.name+`"`)) {
-			return
-		}
-	}
-	s.faultCounts.earlyBoots++
-}
-
-// tellsZone is the zone that a worker reports.
-func (w *simWorker) reportedZone() string {
-	if !w.s.defects.wrongZones || len(w.name) == 0 || w.name[len(w.name)-1]%3 > 0 {
-		return w.zone
-	}
-	return map[string]string{"a": "b", "b": "a", "c": "a"}[w.zone]
-}
-
 // oldReports has every controller hear all copies that are kept.
 func (s *sim) deliverCopies(within time.Duration) {
 	copies := s.faults.copied
@@ -288,303 +369,12 @@
 	}
 }
 
-// cancelNow has users call off so many jobs that run and have long to go, within a fifth of a second; some of
-// their machines, eight at the most, hang for a time.
-func (s *sim) cancelRunning(count int, hang time.Duration) {
-	hung := 0
-	for _, id := range sortedKeys(s.users) {
-		u := s.users[id]
-		if count == 0 || u.cancelRequested || u.finalStatus != "" || !u.accepted || u.tasksStarted == 0 || u.runtimeS < 5 && u.spec.Shape != job.Service {
-			continue
-		}
-		count--
-		s.after(s.randomMillis(0, 200), u.cancel)
-		for _, w := range s.cloud.sortedMachines() {
-			if hang > 0 && hung < 8 && w.up && w.runsJob(id) && w.hungUntil <= s.now {
-				hung++
-				s.faultCounts.hungAtCancel++
-				s.after(s.randomMillis(0, 300), func() { w.hungUntil = s.now + hang })
-			}
-		}
-	}
-}
-
-func (w *simWorker) runsJob(id string) bool {
-	for _, l := range w.tasks {
-		if l.jobID == id && l.status != protocol.TaskEnded {
-			return true
-		}
-	}
-	return false
-}
-
-// ends is the moment of a task's end: at a job's last one some users call it off, ask, or submit it again.
-func (u *simUser) taskEnded() {
-	s := u.s
-	for _, d := range u.done {
-		if !d {
+// countEarly counts machines that are up before anybody could have read that they were rented.
+func (s *sim) countEarlyBoot(w *simWorker) {
+	for key, v := range s.state.keys {
+		if strings.HasPrefix(key, keyRental) && bytes.Contains(v.value, []byte(`"`+w.name+`"`)) {
 			return
 		}
 	}
-	if s.faults.cancelAtEnd == 0 || s.random.Float64() >= s.faults.cancelAtEnd {
-		return
-	}
-	s.faultCounts.requestsAtEnd++
-	for range 1 + s.random.IntN(2) {
-		s.after(s.randomMillis(0, 1500), func() {
-			switch s.random.IntN(3) {
-			case 0:
-				u.sendSubmission()
-			case 1:
-				u.cancel()
-			}
-			u.queryEverywhere()
-		})
-	}
-}
-
-// lookClosely has the user ask at all nodes, and some submit again or cancel again, within milliseconds.
-func (u *simUser) queryEverywhere() {
-	s := u.s
-	if !s.faults.queryEverywhere {
-		return
-	}
-	for _, n := range s.controllers {
-		for range 2 {
-			s.faultCounts.concurrentQueries++
-			s.after(s.randomMillis(0, 60), func() { u.askAt(n) })
-		}
-		switch s.random.IntN(8) {
-		case 0:
-			s.after(s.randomMillis(0, 60), func() { u.resubmit(n, u.body) })
-		case 1:
-			if u.cancelRequested || u.finalStatus == "done" {
-				s.after(s.randomMillis(0, 60), u.cancelAgain)
-			}
-		}
-	}
-}
-
-// repeat submits the job once more at a node: once known, it is never refused.
-func (u *simUser) resubmit(n *simController, body []byte) {
-	before := u.knownStatus()
-	n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
-		switch {
-		case st == 200 || st == 201 && !before.known:
-			u.accepted = true
-			u.checkAnswer(b, before)
-		case before.known && (st == 201 || st == 400 || st == 422 || st == 404):
-			u.s.violation("forgotten", "%s repeated: %d %s", u.spec.ID, st, b)
-		}
-	})
-}
-
-// cancelAgain asks once for a cancellation of what is over or was cancelled before.
-func (u *simUser) cancelAgain() {
-	before := u.knownStatus()
-	u.s.anyController().request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.cancelAnswered(st, b, before) })
-}
-
-// aborted judges the answer to a cancellation, and tells whether it is one.
-func (u *simUser) cancelAnswered(st int, body []byte, before knownStatus) bool {
-	if st == 404 && before.known {
-		u.s.violation("forgotten", "%s can't be cancelled", u.spec.ID)
-	}
-	if st == 200 {
-		u.checkAnswer(body, before)
-	}
-	return st == 200
-}
-
-// oddRequests has users repeat submissions, also with other content, cancel what is done, and send what fits
-// no machine or lacks a field.
-func (s *sim) sendInvalidRequests(until time.Duration) {
-	if s.now > until {
-		return
-	}
-	s.faultCounts.invalidRequests++
-	ids := sortedKeys(s.users)
-	if len(ids) > 0 {
-		u := s.users[ids[s.random.IntN(len(ids))]]
-		if u.known {
-			body := u.body
-			if s.random.IntN(2) == 0 {
-				body = invalidBody(s, body, u.spec.ID)
-			}
-			u.resubmit(s.anyController(), body)
-		}
-		if u.finalStatus == "done" {
-			u.cancelAgain()
-		}
-		id := fmt.Sprintf("wk-8%05d", s.random.IntN(100_000))
-		if s.users[id] == nil {
-			n, body := s.anyController(), invalidBody(s, u.body, id)
-			n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
-				if st == 200 || st == 201 {
-					s.violation("accepted", "%s: %d %s", body, st, b)
-				}
-			})
-		}
-	}
-	s.after(s.randomMillis(100, 900), func() { s.sendInvalidRequests(until) })
-}
-
-// oddBody is a submission that can't be accepted: a field is missing, or it fits no machine.
-func invalidBody(s *sim, body []byte, id string) []byte {
-	var m map[string]any
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.UseNumber()
-	_ = d.Decode(&m)
-	m["ref"] = id
-	fields := []string{"jobclass", "crew", "shape", "urgency", "loads", "cpus", "accelerators", "ramGb", "kit", "sizeGb", "oneZone", "apart", "casual", "etaS", "waypointS", "stowS"}
-	switch s.random.IntN(4) {
-	case 0:
-		m["cpus"] = 10_000
-	case 1:
-		m["rigs"] = []string{"none"}
-	case 2:
-		m["crew"] = "nobody"
-	default:
-		delete(m, fields[s.random.IntN(len(fields))])
-	}
-	return encode(m)
-}
-
-// countLateStart counts what begins after its user was told that the job is cancelled. Within cancel_s that
-// breaks no rule.
-func (s *sim) countLateStart(u *simUser) {
-	if u.cancelledAt > 0 {
-		s.faultCounts.lateStarts++
-	}
-}
-
-// judgeReturn counts machines that are returned while work runs there that was not given up: nobody called the
-// machine silent, failed, faulty or recalled, and the job is not over.
-func (s *sim) countDeletionInUse(w *simWorker) {
-	switch s.state.drainReasons[keyDrain+w.name] {
-	case "", drainIdle, drainStray, drainLost:
-	default:
-		return
-	}
-	if w.dead || !w.up || s.now < w.hungUntil {
-		return
-	}
-	for _, k := range sortedKeys(w.tasks) {
-		if u := s.users[w.tasks[k].jobID]; u != nil && w.tasks[k].status != protocol.TaskEnded && u.finalStatus == "" && !u.cancelRequested && !w.isOutdated(w.tasks[k]) {
-			s.faultCounts.deletedInUse++
-			if s.output.trace != nil {
-				fmt.Fprintf(s.output.trace, "%8.3f INUSE %s returned with %s\n", s.now.Seconds(), w.name, k)
-			}
-		}
-	}
-}
-
-// outdated tells whether the records do not bind an attempt to its machine any more.
-func (w *simWorker) isOutdated(l *simTask) bool {
-	for _, n := range w.s.controllers {
-		if n.core == nil {
-			continue
-		}
-		if r := n.core.jobs.byID[l.jobID]; r != nil {
-			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == l.attempt {
-				return false
-			}
-		}
-	}
-	return true
-}
-
-// roomWait is since when a job has waited beside room, without a break.
-type roomWait struct {
-	since        time.Duration
-	tasksStarted int
-}
-
-const maxRoomWait = 90 * time.Second
-
-// watchRoom judges that no job waits beside room: a machine that fits holds it, its team is under its limit, and
-// nothing of it has started for 90 s. A gang needs room for all its tasks.
-func (s *sim) watchIdleCapacity() {
-	use := map[string]float64{}
-	on := map[string]map[int]bool{}
-	zones := map[string]map[string]int{}
-	for _, w := range s.workers {
-		for _, l := range w.tasks {
-			u := s.users[l.jobID]
-			if u == nil || l.status == protocol.TaskEnded {
-				continue
-			}
-			use[u.spec.Team] += u.spec.GPUs
-			if on[l.jobID] == nil {
-				on[l.jobID], zones[l.jobID] = map[int]bool{}, map[string]int{}
-			}
-			on[l.jobID][l.index] = true
-			zones[l.jobID][w.zone]++
-		}
-	}
-	var usable []*simWorker
-	for _, w := range s.cloud.sortedMachines() {
-		_, drained := s.state.keys[keyDrain+w.name]
-		if w.up && !w.dead && !drained && !w.faulty && w.unshippedUntil <= s.now && max(w.hungUntil, w.unresponsiveUntil, w.isolatedUntil) <= s.now && w.messageLoss == 0 {
-			usable = append(usable, w)
-		}
-	}
-	for _, id := range sortedKeys(s.users) {
-		u := s.users[id]
-		started := u.tasksStarted + u.restarts
-		if u.roomWait.since == 0 || !u.accepted || u.cancelRequested || u.failsEverywhere || u.failures > 0 || u.finalStatus != "" || started != u.roomWait.tasksStarted || !u.couldStart(usable, on[id], zones[id], use[u.spec.Team]) {
-			u.roomWait = roomWait{s.now, started}
-			continue
-		}
-		if s.now-u.roomWait.since > maxRoomWait {
-			s.violation("waits beside room", "%s (%s of %d, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
-			u.roomWait.since = s.now
-		}
-	}
-	s.after(time.Second, s.watchIdleCapacity)
-}
-
-// couldStart tells whether what waits of the job would find room: one task, or all of a gang.
-func (u *simUser) couldStart(usable []*simWorker, on map[int]bool, zones map[string]int, use float64) bool {
-	s, sp := u.s, u.spec
-	need := 0
-	for i := range u.done {
-		if !u.done[i] && !on[i] {
-			need++
-		}
-	}
-	if need == 0 || sp.Shape == job.Gang && len(on) > 0 {
-		return false
-	}
-	if sp.Shape != job.Gang {
-		need = 1
-	}
-	for _, t := range s.facts.Teams {
-		if t.Name == sp.Team && t.GPUsMax > 0 && use+float64(need)*sp.GPUs > t.GPUsMax+1e-6 {
-			return false
-		}
-	}
-	for _, only := range s.facts.Zones {
-		found, spread := 0, map[string]int{}
-		for _, w := range usable {
-			if !sp.AllowsMachineType(w.machineType) || w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone || sp.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
-				continue
-			}
-			t := s.cloud.machineTypes[w.machineType]
-			g, c := t.GPUs, t.CPUs
-			for _, l := range w.tasks {
-				if o := s.users[l.jobID]; o != nil && l.status != protocol.TaskEnded {
-					g, c = g-o.spec.GPUs, c-o.spec.CPUs
-				}
-			}
-			for ; found < need && sp.GPUs <= g && sp.CPUs <= c && (!sp.Spread || zones[w.zone]+spread[w.zone] < sp.SpreadLimit()); found++ {
-				g, c = g-sp.GPUs, c-sp.CPUs
-				spread[w.zone]++
-			}
-		}
-		if found >= need {
-			return true
-		}
-	}
-	return false
+	s.faultCounts.earlyBoots++
 }
--- a/internal/coordination/checker_test.go
+++ b/internal/coordination/sim_user_test.go
@@ -79,8 +79,6 @@
 	return u
 }
 
-func (s *sim) anyController() *simController { return s.controllers[s.random.IntN(len(s.controllers))] }
-
 // told is the most that any answer has told of a job: nothing, that it is accepted, or its final state.
 // No answer to a question that is asked later may be older.
 type knownStatus struct {
@@ -178,146 +176,91 @@
 	})
 }
 
-// stranger asks about jobs that nobody has submitted.
-func (s *sim) queryUnknownJobs() {
-	id := fmt.Sprintf("wk-%06d", 900000+s.random.IntN(1000))
-	s.anyController().request("users", "GET", protocol.PathJobs+"/"+id, nil, func(st int, _ []byte) {
-		if st == 200 {
-			s.violation("invented", "%s", id)
-		}
-	})
-	s.after(s.randomMillis(3000, 9000), s.queryUnknownJobs)
+// cancelAgain asks once for a cancellation of what is over or was cancelled before.
+func (u *simUser) cancelAgain() {
+	before := u.knownStatus()
+	u.s.anyController().request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.cancelAnswered(st, b, before) })
 }
 
-// checkStart judges the rules that a start can break.
-func (s *sim) checkStart(w *simWorker, u *simUser, l *simTask) {
-	sp := u.spec
-	name := fmt.Sprintf("%s/%d try %d on %s", l.jobID, l.index, l.attempt, w.name)
-	zones := map[string]int{}
-	gpus := sp.GPUs
-	for _, o := range s.workers {
-		for _, x := range o.tasks {
-			if !x.isActive() {
-				continue
-			}
-			xs := s.users[x.jobID].spec
-			if x.jobID == l.jobID {
-				zones[o.zone]++
-				if x.index == l.index {
-					s.violation("ran_twice", "%s is on %s", name, o.name)
-				}
-			}
-			if xs.Team == sp.Team {
-				gpus += xs.GPUs
-			}
-		}
-	}
-	for _, t := range s.facts.Teams {
-		if t.Name == sp.Team && t.GPUsMax > 0 && gpus > t.GPUsMax+1e-6 {
-			s.violation("quota", "%s: team %s uses %v", name, t.Name, gpus)
-		}
+// aborted judges the answer to a cancellation, and tells whether it is one.
+func (u *simUser) cancelAnswered(st int, body []byte, before knownStatus) bool {
+	if st == 404 && before.known {
+		u.s.violation("forgotten", "%s can't be cancelled", u.spec.ID)
 	}
-	if !sp.AllowsMachineType(w.machineType) || (w.spot && !sp.Spot) || (sp.Zone != "" && sp.Zone != w.zone) ||
-		(sp.Spread && zones[w.zone]+1 > sp.SpreadLimit()) || (sp.OneZone && len(zones) > 0 && zones[w.zone] == 0) {
-		s.violation("wrong_place", "%s", name)
-	}
-	if u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
-		s.violation("ran_cancelled", "%s starts", name)
+	if st == 200 {
+		u.checkAnswer(body, before)
 	}
+	return st == 200
 }
 
-// watchCancelled judges what is still on machines.
-func (s *sim) watchCancelled() {
-	for _, w := range s.workers {
-		for _, x := range w.tasks {
-			u := s.users[x.jobID]
-			if u != nil && x.isActive() && u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
-				s.violation("ran_cancelled", "%s/%d is on %s", x.jobID, x.index, w.name)
-			}
+// repeat submits the job once more at a node: once known, it is never refused.
+func (u *simUser) resubmit(n *simController, body []byte) {
+	before := u.knownStatus()
+	n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
+		switch {
+		case st == 200 || st == 201 && !before.known:
+			u.accepted = true
+			u.checkAnswer(b, before)
+		case before.known && (st == 201 || st == 400 || st == 422 || st == 404):
+			u.s.violation("forgotten", "%s repeated: %d %s", u.spec.ID, st, b)
 		}
-	}
-	s.after(500*time.Millisecond, s.watchCancelled)
-}
-
-// waitIn is a task that waits, and a zone that its job's limits let it start in.
-type zoneWait struct {
-	taskKey
-	zone string
+	})
 }
 
-// judgeOrder judges the launches among a step's effects: work of lower priority
-// must not be started on a place that was committed while a production task that
-// fits there had waited in this controller's lines, free to be placed in that zone,
-// for longer than a report period. (What was committed before is started even if it is told
-// late, with the worker's next report, as after a restart.) It is the order as an
-// outsider sees it, whatever decided it: lines, pops, hand-overs, changes that waited
-// for the state service's rate.
-func (n *simController) checkLaunchOrder(e Effects) {
-	c, s := n.core, n.s
-	waits := map[zoneWait]time.Duration{}
-	for _, r := range c.scheduler.queuedJobs {
-		u := s.users[r.spec.ID]
-		if u == nil || u.spec.Priority < job.Production {
-			continue
+// lookClosely has the user ask at all nodes, and some submit again or cancel again, within milliseconds.
+func (u *simUser) queryEverywhere() {
+	s := u.s
+	if !s.faults.queryEverywhere {
+		return
+	}
+	for _, n := range s.controllers {
+		for range 2 {
+			s.faultCounts.concurrentQueries++
+			s.after(s.randomMillis(0, 60), func() { u.askAt(n) })
 		}
-		for _, w := range r.queue {
-			if !c.placeable(r, w.key.index) {
-				continue
-			}
-			for _, z := range s.facts.Zones {
-				if !c.zoneAllowed(r, z) {
-					continue
-				}
-				k := zoneWait{w.key, z}
-				since, was := n.waitingSince[k]
-				if !was {
-					since = s.now
-				}
-				waits[k] = since
+		switch s.random.IntN(8) {
+		case 0:
+			s.after(s.randomMillis(0, 60), func() { u.resubmit(n, u.body) })
+		case 1:
+			if u.cancelRequested || u.finalStatus == "done" {
+				s.after(s.randomMillis(0, 60), u.cancelAgain)
 			}
 		}
 	}
-	n.waitingSince = waits
-	if len(waits) == 0 || s.options.unorderedLaunches {
-		return
-	}
-	launches := func(m *machine, orders []protocol.Command) {
-		for _, o := range orders {
-			id, index, err := job.ParseTaskName(o.Task)
-			if err != nil || o.Verb != protocol.VerbLaunch || m == nil || s.users[id].spec.Priority == job.Production {
-				continue
-			}
-			s.counts.launchesJudged++
-			lesser := c.jobs.byID[id].spec
-			committed := n.startedAt + m.boundAt[taskKey{id, index}].boundAt
-			for k, since := range waits {
-				r := c.jobs.byID[k.job]
-				if k.zone != m.claim.Zone || committed-since <= seconds(s.facts.Workers.Report) {
-					continue
-				}
-				m.addUsage(lesser, -1)
-				fits := c.fits(r, m) && !c.unschedulable(m)
-				m.addUsage(lesser, 1)
-				if fits {
-					s.violation("lesser first", "%s is launched on %s, where %s/%d would fit that had waited for %v", o.Task, m.id, k.job, k.index, committed-since)
-				}
-			}
+}
+
+// ends is the moment of a task's end: at a job's last one some users call it off, ask, or submit it again.
+func (u *simUser) taskEnded() {
+	s := u.s
+	for _, d := range u.done {
+		if !d {
+			return
 		}
 	}
-	for _, k := range e.Calls {
-		var d protocol.DirectCommands
-		if k.Path == protocol.PathCommands && json.Unmarshal(k.Body, &d) == nil {
-			for _, m := range c.machines.own {
-				if m.claim.Address == k.Address {
-					launches(m, d.Commands)
-				}
+	if s.faults.cancelAtEnd == 0 || s.random.Float64() >= s.faults.cancelAtEnd {
+		return
+	}
+	s.faultCounts.requestsAtEnd++
+	for range 1 + s.random.IntN(2) {
+		s.after(s.randomMillis(0, 1500), func() {
+			switch s.random.IntN(3) {
+			case 0:
+				u.sendSubmission()
+			case 1:
+				u.cancel()
 			}
-		}
+			u.queryEverywhere()
+		})
 	}
-	for _, a := range e.Responses {
-		var d protocol.HeartbeatResponse
-		if who := n.heartbeatSenders[a.ID]; who != "" && a.Status == 200 && json.Unmarshal(a.Body, &d) == nil {
-			launches(c.machines.byID[who], d.Commands)
+}
+
+// stranger asks about jobs that nobody has submitted.
+func (s *sim) queryUnknownJobs() {
+	id := fmt.Sprintf("wk-%06d", 900000+s.random.IntN(1000))
+	s.anyController().request("users", "GET", protocol.PathJobs+"/"+id, nil, func(st int, _ []byte) {
+		if st == 200 {
+			s.violation("invented", "%s", id)
 		}
-	}
+	})
+	s.after(s.randomMillis(3000, 9000), s.queryUnknownJobs)
 }
--- /dev/null
+++ b/internal/coordination/state_outage_test.go
@@ -0,0 +1,79 @@
+package coordination
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+)
+
+// TestLongOutageKeepsTasksRunning guards the vouching between controllers: in
+// an outage of the state service that all of them see, no cancellation can be
+// acknowledged, so workers are answered however long it lasts.
+func TestLongOutageKeepsTasksRunning(t *testing.T) {
+	s := newSim(t, 11, 0)
+	for i := range 6 {
+		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
+			Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
+	}
+	s.run(60 * time.Second)
+	on := func() (n int) {
+		for _, w := range s.cloud.sortedMachines() {
+			for _, l := range w.tasks {
+				if l.isActive() {
+					n++
+				}
+			}
+		}
+		return n
+	}
+	if on() != 6 {
+		t.Fatalf("%d of 6 run before the outage", on())
+	}
+	starts := s.counts.taskStarts
+	s.state.downUntil = s.now + 3*time.Minute
+	s.run(s.now + 2*time.Minute)
+	if on() != 6 || s.counts.taskStarts != starts {
+		t.Errorf("%d of 6 run two minutes into the outage, %d were started again", on(), s.counts.taskStarts-starts)
+	}
+	// With one controller gone nobody can vouch for it.
+	s.controllers[2].crash(time.Hour)
+	s.run(s.now + 55*time.Second)
+	if on() != 0 {
+		t.Errorf("%d tasks still run although a controller can't be asked", on())
+	}
+	s.reportViolations(t)
+}
+
+// TestUsersAreToldAtOnceThatTheStateServiceIsAway guards against users who give
+// up before their refusal comes: in an outage whoever asks gets 503 at once,
+// except about jobs that are over.
+func TestUsersAreToldAtOnceThatTheStateServiceIsAway(t *testing.T) {
+	s := newSim(t, 43, 0)
+	u := s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 2, 0)
+	open := s.submit(&job.Spec{ID: "wk-700001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
+	s.run(60 * time.Second)
+	if u.finalStatus != "done" {
+		t.Fatalf("the array is %q", u.finalStatus)
+	}
+	s.state.downUntil = s.now + time.Minute
+	s.run(s.now + 5*time.Second)
+	for _, c := range []struct {
+		method, path string
+		body         []byte
+		want         int
+	}{
+		{"GET", protocol.PathJobs + "/wk-700000", nil, 200},
+		{"GET", protocol.PathJobs + "/wk-700001", nil, 503},
+		{"GET", protocol.PathJobs + "/wk-999999", nil, 503},
+		{"POST", protocol.PathJobs, []byte(strings.Replace(string(open.body), "wk-700001", "wk-700002", 1)), 503},
+	} {
+		e := s.controllers[0].core.Request(s.controllers[0].clock(), 1<<40, c.method, c.path, c.body)
+		if len(e.Responses) != 1 || e.Responses[0].Status != c.want || (c.want == 503) != (e.Responses[0].RetryAfter > 0) {
+			t.Errorf("%s %s: %+v, want %d at once", c.method, c.path, e.Responses, c.want)
+		}
+	}
+}
