--- /dev/null
+++ b/internal/coordination/fault_days_controllers_test.go
@@ -0,0 +1,195 @@
+package coordination
+
+import (
+	"time"
+
+	"silvergate/internal/protocol"
+)
+
+// Fault days on which controllers or the state service fail, or can't be reached.
+
+func leaderCrashWithHungMachinesDay() faultDay {
+	return faultDay{
+		name:     "a leader ends while machines with long tasks can't be reached",
+		workload: submitLongJobs(14),
+		duration: 60 * time.Second,
+		inject: func(s *sim) {
+			l := s.busiestController()
+			for _, w := range s.cloud.sortedMachines() {
+				if w.up && l.holds(w) {
+					s.faultCounts.affected += len(w.tasks)
+					w.hungUntil = s.now + s.leaseTimes(0.4+0.8*s.random.Float64())
+				}
+			}
+			l.crash(40 * time.Second)
+			s.after(s.randomMillis(0, 8000), func() { s.cancelShare(0.3, time.Second, nil) })
+		},
+		occurrences: func(s *sim) int { return s.faultCounts.affected },
+		defect:      func(s *sim) { s.advertised.Workers.Lease = 2 },
+		violation:   "ran_twice",
+	}
+}
+
+func lostTransactionRepliesDay() faultDay {
+	return faultDay{
+		name:     "a transaction is carried out at once and only its answer is lost",
+		duration: 100 * time.Second,
+		setup:    func(s *sim) { s.faults.queryEverywhere = true },
+		inject: func(s *sim) {
+			s.faultCounts.lostRepliesByKind = map[string]int{}
+			kinds := []string{keyJob, keyPage, keyTeam, keyClaim, keyDrain, keyRental, keyFleet, keyGang, keyMember}
+			until := s.now + 90*time.Second
+			// Up to twelve of each kind; crashes have others act on what was written.
+			s.faults.losesReply = func(n *simController, t protocol.Txn) bool {
+				for _, k := range kinds {
+					often := 0.4
+					if k == keyRental || k == keyClaim || k == keyDrain {
+						often = 0.9 // there are few
+					}
+					if s.now < until && writesKind(t, k) && s.faultCounts.lostRepliesByKind[k] < 12 && s.random.Float64() < often {
+						s.faultCounts.lostRepliesByKind[k]++
+						return true
+					}
+				}
+				return false
+			}
+			for _, at := range []time.Duration{12, 40, 70} {
+				s.after(at*time.Second, func() { s.busiestController().crash(s.randomMillis(100, 3000)); s.cancelShare(0.2, 5*time.Second, nil) })
+			}
+		},
+		occurrences: func(s *sim) int {
+			for _, k := range []string{keyJob, keyPage, keyClaim, keyRental, keyMember} {
+				if s.faultCounts.lostRepliesByKind[k] == 0 {
+					return 0
+				}
+			}
+			return len(s.faultCounts.lostRepliesByKind)
+		},
+		defect:    func(s *sim) { s.state.ignoresCompares = true },
+		violation: "",
+	}
+}
+
+func partitionedZoneDay() faultDay {
+	return faultDay{
+		name:     "a zone with workers and a controller is cut off for longer than the lease",
+		workload: submitLongJobs(20),
+		duration: 70 * time.Second,
+		inject: func(s *sim) {
+			in := s.controllers[0] // its zone is a
+			until := s.now + max(s.leaseTimes(1.2), seconds((1+0.3*s.random.Float64())*s.facts.Workers.Cancel))
+			for _, k := range []string{"state", "peers", "users", "cloud"} {
+				in.unreachableUntil[k] = until
+			}
+			for _, n := range s.controllers {
+				for _, z := range s.facts.Zones {
+					if n.zone == "a" != (z == "a") {
+						n.unreachableUntil["zone:"+z] = until
+					}
+				}
+				if n.zone == "a" {
+					for _, k := range []string{"state", "peers", "users", "cloud"} {
+						n.unreachableUntil[k] = until
+					}
+				}
+			}
+			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return w.zone == "a" })
+			s.cancelShare(0.4, 5*time.Second, nil)
+		},
+		occurrences: func(s *sim) int { return s.faultCounts.affected },
+		defect:      func(s *sim) { s.advertised.Workers.Cancel = 10_000 },
+		violation:   "ran_cancelled",
+	}
+}
+
+func partitionedLeaderDay() faultDay {
+	return faultDay{
+		name:     "a leader is cut from state service and controllers, workers and users reach it, and jobs are cancelled through another",
+		workload: submitLongJobs(20),
+		duration: 90 * time.Second,
+		setup:    func(s *sim) { s.faults.queryEverywhere = true },
+		inject: func(s *sim) {
+			l := s.busiestController()
+			long := seconds(1.4 * s.facts.Workers.Cancel)
+			l.unreachableUntil["state"], l.unreachableUntil["peers"] = s.now+long, s.now+long
+			for _, o := range s.otherControllers(l) { // nor can its workers go elsewhere
+				o.unreachableUntil["workers"] = s.now + long
+			}
+			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return l.holds(w) })
+			s.after(3*time.Second, func() { s.cancelShare(0.5, 10*time.Second, s.otherControllers(l)[0]) })
+		},
+		occurrences: func(s *sim) int { return s.faultCounts.affected },
+		defect:      func(s *sim) { s.advertised.Workers.Cancel = 10_000 },
+		violation:   "ran_cancelled",
+	}
+}
+
+func stateServiceDegradesThenFailsDay() faultDay {
+	return faultDay{
+		name:     "the state service is slow, refuses the leader, and then everybody for longer than cancel_s while users cancel and ask",
+		workload: submitLongJobs(20),
+		duration: 130 * time.Second,
+		setup:    func(s *sim) { s.faults.queryEverywhere = true },
+		inject: func(s *sim) {
+			for _, n := range s.controllers {
+				n.watchDelayedUntil = s.now + 20*time.Second
+			}
+			l := s.busiestController()
+			s.after(15*time.Second, func() { l.refusedUntil = s.now + 12*time.Second })
+			s.after(16*time.Second, func() { s.faultCounts.affected = s.cancelShare(0.4, 14*time.Second, nil) })
+			s.after(27*time.Second, func() { s.state.downUntil = s.now + seconds(1.2*s.facts.Workers.Cancel) })
+			s.after(40*time.Second, func() { s.cancelShare(0.3, 30*time.Second, nil) })
+		},
+		occurrences: func(s *sim) int { return s.faultCounts.affected },
+		defect:      func(s *sim) { s.state.ignoresCompares = true },
+		violation:   "",
+	}
+}
+
+func repeatedLeaderCrashesDay() faultDay {
+	return faultDay{
+		name:        "leaders change ten times in two minutes",
+		workload:    submitLongJobs(16),
+		duration:    130 * time.Second,
+		setup:       func(s *sim) { s.faults.queryEverywhere = true },
+		inject:      func(s *sim) { s.crashLeaderRepeatedly(); s.submitMixedJobs(120 * time.Second) },
+		occurrences: func(s *sim) int { return s.faultCounts.leaderCrashes / 10 },
+		defect:      func(s *sim) { s.defects.readOnlyComparesHold = true },
+		violation:   "",
+	}
+}
+
+func repeatedLeaderCrashesInOutageDay() faultDay {
+	return faultDay{
+		name:     "leaders change ten times in two minutes, inside an outage",
+		workload: submitLongJobs(16),
+		duration: 150 * time.Second,
+		inject: func(s *sim) {
+			s.crashLeaderRepeatedly()
+			s.after(20*time.Second, func() { s.state.downUntil = s.now + 70*time.Second })
+			s.after(30*time.Second, func() { s.cancelShare(0.3, 40*time.Second, nil) })
+		},
+		occurrences: func(s *sim) int { return s.faultCounts.leaderCrashes / 10 },
+		defect:      func(s *sim) { s.advertised.Workers.Lease = 2 },
+		violation:   "ran_twice",
+	}
+}
+
+func allControllersDownDay() faultDay {
+	return faultDay{
+		name:     "all controllers are away for longer than the lease",
+		workload: submitLongJobs(20),
+		duration: 90 * time.Second,
+		inject: func(s *sim) {
+			s.cancelShare(0.2, 300*time.Millisecond, nil)
+			s.after(350*time.Millisecond, func() {
+				for _, n := range s.controllers {
+					n.crash(s.leaseTimes(1.1 + 0.6*s.random.Float64()))
+				}
+			})
+		},
+		occurrences: func(s *sim) int { return s.faultCounts.expiredLeases },
+		defect:      func(s *sim) { s.defects.ignoreLeaseExpiry = true },
+		violation:   "ran_twice",
+	}
+}
