--- a/internal/coordination/sim_cloud_test.go
+++ b/internal/coordination/sim_cloud_test.go
@@ -56,81 +56,118 @@
 	c.s.after(time.Second, c.snapshot)
 }
 
-func (c *simCloud) serve(k protocol.Call, reply func(int, []byte)) {
-	s := c.s
+// serve carries out a call of a controller and answers it.
+func (c *simCloud) serve(call protocol.Call, reply func(int, []byte)) {
 	switch {
-	case k.Path == protocol.PathMachineTypes:
-		var f protocol.MachineTypes
-		for _, n := range sortedKeys(c.machineTypes) {
-			f.MachineTypes = append(f.MachineTypes, c.machineTypes[n])
-		}
-		reply(200, encode(f))
-	case k.Path == protocol.PathRentalsDelete:
-		var n protocol.MachineNames
-		_ = json.Unmarshal(k.Body, &n)
-		if f := s.faults.delaysDeletion; f != nil && f(n.Machines) { // held up: carried out later, and unanswered
-			s.after(s.randomMillis(10_000, 30_000), func() { s.faults.delaysDeletion = nil; c.serve(k, func(int, []byte) {}); s.faults.delaysDeletion = f })
-			return
+	case call.Path == protocol.PathMachineTypes:
+		var types protocol.MachineTypes
+		for _, name := range sortedKeys(c.machineTypes) {
+			types.MachineTypes = append(types.MachineTypes, c.machineTypes[name])
 		}
-		for _, name := range n.Machines {
-			if w := c.machines[name]; w != nil {
-				s.countDeletionInUse(w)
-				w.die()
-				delete(c.machines, name)
-				if !w.preempted {
-					c.capacity[offering{w.machineType, w.zone, w.spot}]++
-				}
-			}
+		reply(200, encode(types))
+	case call.Path == protocol.PathRentalsDelete:
+		c.serveDeletion(call, reply)
+	case strings.HasPrefix(call.Path, protocol.PathRentals+"?"):
+		c.serveList(call.Path, reply)
+	case call.Path == protocol.PathRentals:
+		c.serveRental(call.Body, reply)
+	}
+}
+
+// serveDeletion deletes machines. A deletion that a fault delays is carried out later, and not answered.
+func (c *simCloud) serveDeletion(call protocol.Call, reply func(int, []byte)) {
+	s := c.s
+	var deletion protocol.MachineNames
+	_ = json.Unmarshal(call.Body, &deletion)
+	if delays := s.faults.delaysDeletion; delays != nil && delays(deletion.Machines) {
+		s.after(s.randomMillis(10_000, 30_000), func() {
+			s.faults.delaysDeletion = nil
+			c.serve(call, func(int, []byte) {})
+			s.faults.delaysDeletion = delays
+		})
+		return
+	}
+	for _, name := range deletion.Machines {
+		w := c.machines[name]
+		if w == nil {
+			continue
 		}
-		reply(200, []byte("{}"))
-	case strings.HasPrefix(k.Path, protocol.PathRentals+"?"):
-		lag := seconds(s.facts.Cloud.ListLag * (1 + s.random.Float64()))
-		r := protocol.RentalList{Machines: []protocol.RentedMachine{}}
-		u, _ := url.Parse(k.Path)
-		for i := len(c.listHistory) - 1; i >= 0; i-- {
-			if c.listHistory[i].at <= s.now-lag {
-				for _, l := range c.listHistory[i].machines {
-					if l.Name > u.Query().Get("from") {
-						if page, err := strconv.Atoi(u.Query().Get("page")); len(r.Machines) == c.pageSize || err == nil && len(r.Machines) == page {
-							r.Truncated = true
-							break
-						}
-						r.Machines = append(r.Machines, l)
-					}
-				}
-				break
-			}
+		s.countDeletionInUse(w)
+		w.die()
+		delete(c.machines, name)
+		if !w.preempted {
+			c.capacity[offering{w.machineType, w.zone, w.spot}]++
 		}
-		reply(200, encode(r))
-	case k.Path == protocol.PathRentals:
-		var r protocol.RentalRequest
-		_ = json.Unmarshal(k.Body, &r)
-		if old, ok := c.rentalsByRequest[r.RequestID]; ok {
-			reply(200, encode(protocol.MachineNames{Machines: old}))
-			return
+	}
+	reply(200, []byte("{}"))
+}
+
+// serveList lists the machines as they were some seconds ago, as many as fit on a page.
+func (c *simCloud) serveList(path string, reply func(int, []byte)) {
+	lag := seconds(c.s.facts.Cloud.ListLag * (1 + c.s.random.Float64()))
+	list := protocol.RentalList{Machines: []protocol.RentedMachine{}}
+	u, _ := url.Parse(path)
+	query := u.Query()
+	size, err := strconv.Atoi(query.Get("page"))
+	for _, m := range c.listed(c.s.now - lag) {
+		if m.Name <= query.Get("from") {
+			continue
 		}
-		p := offering{r.MachineType, r.Zone, r.Spot}
-		n := min(r.Count, c.capacity[p])
-		if n == 0 {
-			reply(503, []byte(`{"error":"no capacity"}`))
-			return
+		if len(list.Machines) == c.pageSize || err == nil && len(list.Machines) == size {
+			list.Truncated = true
+			break
 		}
-		c.capacity[p] -= n
-		names := []string{}
-		for i := 0; i < n; i++ {
-			w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.nextMachine), machineType: r.MachineType, zone: r.Zone, spot: r.Spot, rentedAt: s.now, tasks: map[string]*simTask{}}
-			c.nextMachine++
-			w.address = "w:" + w.name
-			s.workers[w.address] = w
-			c.machines[w.name] = w
-			names = append(names, w.name)
-			if s.faults.quickBoots {
-				s.after(s.randomMillis(50, 2000), w.boot)
-			} else if s.random.IntN(20) > 0 {
-				s.after(seconds(c.machineTypes[r.MachineType].StartupS*(0.6+0.9*s.random.Float64())), w.boot)
-			}
+		list.Machines = append(list.Machines, m)
+	}
+	reply(200, encode(list))
+}
+
+// listed is the last snapshot that was taken by then.
+func (c *simCloud) listed(by time.Duration) []protocol.RentedMachine {
+	for i := len(c.listHistory) - 1; i >= 0; i-- {
+		if c.listHistory[i].at <= by {
+			return c.listHistory[i].machines
 		}
-		c.rentalsByRequest[r.RequestID] = names
+	}
+	return nil
+}
+
+// serveRental rents as many machines as there is capacity for. A repeated request gets the first one's answer.
+func (c *simCloud) serveRental(body []byte, reply func(int, []byte)) {
+	var request protocol.RentalRequest
+	_ = json.Unmarshal(body, &request)
+	if names, ok := c.rentalsByRequest[request.RequestID]; ok {
 		reply(200, encode(protocol.MachineNames{Machines: names}))
+		return
+	}
+	wanted := offering{request.MachineType, request.Zone, request.Spot}
+	count := min(request.Count, c.capacity[wanted])
+	if count == 0 {
+		reply(503, []byte(`{"error":"no capacity"}`))
+		return
+	}
+	c.capacity[wanted] -= count
+	names := []string{}
+	for range count {
+		names = append(names, c.addMachine(wanted).name)
+	}
+	c.rentalsByRequest[request.RequestID] = names
+	reply(200, encode(protocol.MachineNames{Machines: names}))
+}
+
+// addMachine rents a machine, which boots after a while; one in twenty never does.
+func (c *simCloud) addMachine(of offering) *simWorker {
+	s := c.s
+	w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.nextMachine), machineType: of.machineType, zone: of.zone, spot: of.spot,
+		rentedAt: s.now, tasks: map[string]*simTask{}}
+	c.nextMachine++
+	w.address = "w:" + w.name
+	s.workers[w.address] = w
+	c.machines[w.name] = w
+	if s.faults.quickBoots {
+		s.after(s.randomMillis(50, 2000), w.boot)
+	} else if s.random.IntN(20) > 0 {
+		s.after(seconds(c.machineTypes[of.machineType].StartupS*(0.6+0.9*s.random.Float64())), w.boot)
 	}
+	return w
 }
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -42,6 +42,7 @@
 		controllerFaults: controllerFaults{unreachableUntil: map[string]time.Duration{}}}
 }
 
+// start begins a new incarnation, with an empty core.
 func (n *simController) start() {
 	s := n.s
 	n.incarnation++
@@ -68,6 +69,7 @@
 	n.tick(n.incarnation)
 }
 
+// tick lets the core do what is due, unless the incarnation is over.
 func (n *simController) tick(incarnation int64) {
 	if n.core == nil || n.incarnation != incarnation {
 		return
@@ -82,7 +84,7 @@
 	n.scheduleTick()
 }
 
-// plan has the next tick come when the core is due, as the program does.
+// scheduleTick has the next tick come when the core is due, as the program does.
 func (n *simController) scheduleTick() {
 	s, incarnation := n.s, n.incarnation
 	if at := s.now + n.core.Due(); n.nextTickAt == 0 || at < n.nextTickAt {
@@ -95,7 +97,7 @@
 	}
 }
 
-// awake does something when the process does not stand still.
+// whenRunning does something now, or once a paused process goes on.
 func (n *simController) whenRunning(do func()) {
 	if n.pausedUntil > n.s.now {
 		n.s.after(n.pausedUntil-n.s.now, do)
@@ -104,10 +106,12 @@
 	do()
 }
 
+// clock is the controller's monotonic and wall-clock time.
 func (n *simController) clock() Timestamp {
 	return Timestamp{time.Duration(float64(n.s.now-n.startedAt) * (1 + n.clockDrift)), time.UnixMilli(1_700_000_000_000 + n.s.now.Milliseconds())}
 }
 
+// crash ends the process, which starts again later.
 func (n *simController) crash(down time.Duration) {
 	n.core = nil
 	n.incarnation++
@@ -118,8 +122,9 @@
 	})
 }
 
-// request delivers a request; done is called with status 0 when nothing comes.
-func (n *simController) request(who, method, path string, body []byte, done func(int, []byte)) {
+// request sends a request by a link, with the faults that requests are subject to. done is called once, with
+// status 0 when no answer comes within 4 s.
+func (n *simController) request(link, method, path string, body []byte, done func(int, []byte)) {
 	s := n.s
 	answered := false
 	once := func(st int, b []byte) {
@@ -129,12 +134,12 @@
 		}
 	}
 	s.after(4*time.Second, func() { once(0, nil) })
-	if n.unreachableUntil[who] > s.now && n.resetLinks[who] {
+	if n.unreachableUntil[link] > s.now && n.resetLinks[link] {
 		s.after(s.randomMillis(0.2, 3), func() { once(0, nil) })
 		return
 	}
-	if n.unreachableUntil[who] > s.now || s.random.Float64() < s.faults.messageLoss/4 {
-		if who != "users" && s.random.IntN(2) == 0 { // held back and delivered late
+	if n.unreachableUntil[link] > s.now || s.random.Float64() < s.faults.messageLoss/4 {
+		if link != "users" && s.random.IntN(2) == 0 { // delivered late, and unanswered
 			s.after(s.randomMillis(1000, 60_000), func() { n.deliver(method, path, body, func(int, []byte) {}) })
 		}
 		return
@@ -142,6 +147,7 @@
 	s.after(s.linkDelay(), func() { n.deliver(method, path, body, once) })
 }
 
+// deliver gives the core a request that has arrived. done is called when it is answered.
 func (n *simController) deliver(method, path string, body []byte, done func(int, []byte)) {
 	if n.core == nil {
 		return
@@ -173,111 +179,165 @@
 	n.applyEffects(n.recorded.Request(n.clock(), id, method, path, body))
 }
 
+// applyEffects carries out what the core wants done: it answers requests, sends messages and makes calls.
 func (n *simController) applyEffects(e Effects) {
-	s := n.s
-	incarnation := n.incarnation
 	n.scheduleTick()
-	s.output.digest.add(n.name, s.now, e)
+	n.s.output.digest.add(n.name, n.s.now, e)
 	n.checkLaunchOrder(e)
-	for _, a := range e.Responses {
-		delete(n.heartbeatSenders, a.ID)
-		if done := n.pendingRequests[a.ID]; done != nil {
-			delete(n.pendingRequests, a.ID)
-			done(a.Status, a.Body)
+	for _, response := range e.Responses {
+		delete(n.heartbeatSenders, response.ID)
+		if done := n.pendingRequests[response.ID]; done != nil {
+			delete(n.pendingRequests, response.ID)
+			done(response.Status, response.Body)
 		}
 	}
-	for _, m := range e.Sends {
-		for _, o := range s.controllers {
-			if o.name != m.To || !n.tells(o) || s.random.Float64() < s.faults.messageLoss {
-				continue
-			}
-			msg, ok := n.said(o, m.Message)
-			if !ok {
-				continue
-			}
-			s.after(s.randomMillis(0.2, 5), func() {
-				incarnation := o.incarnation
-				o.whenRunning(func() {
-					if o.core != nil && o.incarnation == incarnation {
-						o.applyEffects(o.recorded.Peer(o.clock(), n.name, msg))
-					}
-				})
-			})
-		}
+	for _, message := range e.Sends {
+		n.send(message)
 	}
-	for _, k := range e.Calls {
-		answered := false
-		reply := func(st int, body []byte) {
-			n.whenRunning(func() {
-				if answered || n.core == nil || n.incarnation != incarnation {
-					return
-				}
-				answered = true
-				n.applyEffects(n.recorded.Reply(n.clock(), protocol.Reply{ID: k.ID, Status: st, Sent: true, Body: body}))
-			})
-		}
-		s.after(k.Timeout, func() { reply(0, nil) })
-		who := [...]string{"state", "cloud", "workers"}[k.Target]
-		if w := s.workers[k.Address]; k.Target == protocol.ToWorker && w != nil && n.unreachableUntil["zone:"+w.zone] > s.now {
-			who = "zone:" + w.zone
-		}
-		if n.unreachableUntil[who] > s.now && n.resetLinks[who] {
-			s.after(s.randomMillis(0.2, 3), func() { reply(0, nil) })
-			continue
-		}
-		serve := func(reply func(int, []byte)) {
-			switch k.Target {
-			case protocol.ToStateService:
-				s.state.serve(n, k, reply)
-			case protocol.ToCloud:
-				s.cloud.serve(k, reply)
-			case protocol.ToWorker:
-				if w := s.workers[k.Address]; w != nil {
-					w.serveDirect(k, reply)
-				}
-			}
-		}
-		if n.losesReply(k) { // carried out at once, and only the answer is lost
-			s.after(s.randomMillis(1, 5), func() { serve(func(int, []byte) {}) })
+	for _, call := range e.Calls {
+		n.call(call)
+	}
+}
+
+// send delivers a message to a peer, unless their link loses it.
+func (n *simController) send(outgoing Outgoing) {
+	s := n.s
+	for _, peer := range s.controllers {
+		if peer.name != outgoing.To || !n.tells(peer) || s.random.Float64() < s.faults.messageLoss {
 			continue
 		}
-		watch := strings.HasPrefix(k.Path, protocol.PathWatch)
-		switch { // troubles that are no noise: see meeting_test.go
-		case k.Path == protocol.PathCommands && n.commandsDelayedUntil > s.now:
-			s.faultCounts.delayedCommands++
-			s.after(n.commandsDelayedUntil-s.now+s.randomMillis(0, 5000), func() { serve(func(int, []byte) {}) })
-			continue
-		case k.Path == protocol.PathTxn && n.repliesLostUntil > s.now:
-			s.after(s.randomMillis(1, 5), func() { serve(func(int, []byte) {}) })
-			continue
-		case k.Path == protocol.PathTxn && s.faults.lateTransactions > 0 && s.random.Float64() < s.faults.lateTransactions:
-			s.after(s.randomMillis(2000, 12_000), func() { serve(func(int, []byte) {}) })
+		message, ok := n.said(peer, outgoing.Message)
+		if !ok {
 			continue
 		}
-		switch luck := s.random.Float64(); {
-		case n.unreachableUntil[who] > s.now || luck < s.faults.messageLoss:
-			switch s.random.IntN(3) { // lost, or executed late
-			case 0:
-			case 1:
-				s.after(s.randomMillis(10, 60_000), func() { serve(func(int, []byte) {}) })
-			case 2:
-				s.after(s.randomMillis(1, 20), func() { serve(func(int, []byte) {}) })
-			}
-		case watch && n.watchDelayedUntil > s.now:
-			late := s.randomMillis(200, 3900)
-			s.after(s.randomMillis(1, 5), func() { serve(func(st int, b []byte) { s.after(late, func() { reply(st, b) }) }) })
-		case watch:
-			s.after(s.randomMillis(1, 5), func() { serve(reply) })
-		case k.Path == protocol.PathTxn && s.faults.slowWritesUntil > s.now:
-			s.after(s.randomMillis(200, 1600), func() { serve(func(st int, b []byte) { s.after(s.randomMillis(1, 5), func() { reply(st, b) }) }) })
-		default:
-			s.after(s.randomMillis(1, 5), func() {
-				serve(func(st int, b []byte) { s.after(s.randomMillis(1, 5), func() { reply(st, b) }) })
+		s.after(s.randomMillis(0.2, 5), func() {
+			incarnation := peer.incarnation
+			peer.whenRunning(func() {
+				if peer.core != nil && peer.incarnation == incarnation {
+					peer.applyEffects(peer.recorded.Peer(peer.clock(), n.name, message))
+				}
 			})
+		})
+	}
+}
+
+// call makes a call to a stand-in, with the faults that calls are subject to. The core gets one reply, which
+// has status 0 if none comes within the call's time-out.
+func (n *simController) call(call protocol.Call) {
+	s := n.s
+	reply := n.replyOnce(call.ID)
+	s.after(call.Timeout, func() { reply(0, nil) })
+	link := n.linkOf(call)
+	if n.unreachableUntil[link] > s.now && n.resetLinks[link] {
+		s.after(s.randomMillis(0.2, 3), func() { reply(0, nil) })
+		return
+	}
+	if n.losesReply(call) {
+		s.after(s.randomMillis(1, 5), func() { n.serveUnanswered(call) })
+		return
+	}
+	if n.callFails(call) {
+		return
+	}
+	watch := strings.HasPrefix(call.Path, protocol.PathWatch)
+	switch luck := s.random.Float64(); {
+	case n.unreachableUntil[link] > s.now || luck < s.faults.messageLoss:
+		n.loseCall(call)
+	case watch && n.watchDelayedUntil > s.now:
+		replyDelay := s.randomMillis(200, 3900)
+		s.after(s.randomMillis(1, 5), func() {
+			n.serve(call, func(status int, body []byte) { s.after(replyDelay, func() { reply(status, body) }) })
+		})
+	case watch: // the stand-in delays the answer itself
+		s.after(s.randomMillis(1, 5), func() { n.serve(call, reply) })
+	case call.Path == protocol.PathTxn && s.faults.slowWritesUntil > s.now:
+		s.after(s.randomMillis(200, 1600), func() { n.serveAndReply(call, reply) })
+	default:
+		s.after(s.randomMillis(1, 5), func() { n.serveAndReply(call, reply) })
+	}
+}
+
+// replyOnce gives the core the first reply to a call, if it is still the core that made the call.
+func (n *simController) replyOnce(id uint64) func(status int, body []byte) {
+	incarnation := n.incarnation
+	answered := false
+	return func(status int, body []byte) {
+		n.whenRunning(func() {
+			if answered || n.core == nil || n.incarnation != incarnation {
+				return
+			}
+			answered = true
+			n.applyEffects(n.recorded.Reply(n.clock(), protocol.Reply{ID: id, Status: status, Sent: true, Body: body}))
+		})
+	}
+}
+
+// linkOf is the link that a call takes, as unreachableUntil names it.
+func (n *simController) linkOf(call protocol.Call) string {
+	if w := n.s.workers[call.Address]; call.Target == protocol.ToWorker && w != nil && n.unreachableUntil["zone:"+w.zone] > n.s.now {
+		return "zone:" + w.zone
+	}
+	return [...]string{"state", "cloud", "workers"}[call.Target]
+}
+
+// serve has the stand-in carry out a call.
+func (n *simController) serve(call protocol.Call, reply func(status int, body []byte)) {
+	switch call.Target {
+	case protocol.ToStateService:
+		n.s.state.serve(n, call, reply)
+	case protocol.ToCloud:
+		n.s.cloud.serve(call, reply)
+	case protocol.ToWorker:
+		if w := n.s.workers[call.Address]; w != nil {
+			w.serveDirect(call, reply)
 		}
 	}
 }
 
+// serveAndReply has the reply take as long as a request.
+func (n *simController) serveAndReply(call protocol.Call, reply func(status int, body []byte)) {
+	n.serve(call, func(status int, body []byte) {
+		n.s.after(n.s.randomMillis(1, 5), func() { reply(status, body) })
+	})
+}
+
+// serveUnanswered has a call carried out whose answer is lost.
+func (n *simController) serveUnanswered(call protocol.Call) {
+	n.serve(call, func(int, []byte) {})
+}
+
+// callFails injects the faults of calls other than random loss, and tells whether one struck the call: it is
+// carried out then, late for some, and not answered.
+func (n *simController) callFails(call protocol.Call) bool {
+	s := n.s
+	var delay time.Duration
+	switch {
+	case call.Path == protocol.PathCommands && n.commandsDelayedUntil > s.now:
+		s.faultCounts.delayedCommands++
+		delay = n.commandsDelayedUntil - s.now + s.randomMillis(0, 5000)
+	case call.Path == protocol.PathTxn && n.repliesLostUntil > s.now:
+		delay = s.randomMillis(1, 5)
+	case call.Path == protocol.PathTxn && s.faults.lateTransactions > 0 && s.random.Float64() < s.faults.lateTransactions:
+		delay = s.randomMillis(2000, 12_000)
+	default:
+		return false
+	}
+	s.after(delay, func() { n.serveUnanswered(call) })
+	return true
+}
+
+// loseCall loses a call, or only its answer; some are carried out long after.
+func (n *simController) loseCall(call protocol.Call) {
+	s := n.s
+	switch s.random.IntN(3) {
+	case 0: // lost
+	case 1:
+		s.after(s.randomMillis(10, 60_000), func() { n.serveUnanswered(call) })
+	case 2:
+		s.after(s.randomMillis(1, 20), func() { n.serveUnanswered(call) })
+	}
+}
+
 // holds tells whether a controller holds a worker, by its own records.
 func (n *simController) holds(w *simWorker) bool {
 	if n.core == nil {
@@ -287,6 +347,7 @@
 	return m != nil && n.core.isOwn(m)
 }
 
+// anyController draws one.
 func (s *sim) anyController() *simController { return s.controllers[s.random.IntN(len(s.controllers))] }
 
 // busiest is the controller that holds the most workers, by its own records.
--- a/internal/coordination/sim_state_test.go
+++ b/internal/coordination/sim_state_test.go
@@ -153,122 +153,168 @@
 	k.watches = rest
 }
 
-func (k *simState) serve(n *simController, c protocol.Call, reply func(int, []byte)) {
+// serve carries out a call of a controller and answers it, a watch when there is something to tell.
+func (k *simState) serve(n *simController, call protocol.Call, reply func(int, []byte)) {
 	if k.downUntil > k.s.now || n.refusedUntil > k.s.now {
 		reply(503, nil)
 		return
 	}
-	u, _ := url.Parse(c.Path)
-	q := u.Query()
-	var t protocol.Txn
+	u, _ := url.Parse(call.Path)
+	var txn protocol.Txn
 	if u.Path == protocol.PathTxn {
-		_ = json.Unmarshal(c.Body, &t)
+		_ = json.Unmarshal(call.Body, &txn)
 	}
 	if n.beforeGroupFailover {
-		t, reply = withoutTakeovers(t), unseenTakeovers(reply)
+		txn, reply = withoutTakeovers(txn), unseenTakeovers(reply)
 	}
-	if k.exceedsLimits(len(t.Ops)) {
+	if k.exceedsLimits(len(txn.Ops)) {
 		reply(429, nil)
 		return
 	}
 	switch {
 	case u.Path == protocol.PathWatch:
-		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
-		block, _ := strconv.Atoi(q.Get("blockMs"))
-		if len(k.events) > k.eventHistory {
-			k.events = append([]protocol.WatchEvent(nil), k.events[k.eventHistory*2/3:]...)
-		}
-		if len(k.events) > 0 && from+1 < k.events[0].ModRevision && from < k.revision {
-			reply(410, nil)
-			return
-		}
-		d := time.Duration(block) * time.Millisecond
-		k.watches = append(k.watches, &simWatch{prefix: q.Get("under"), fromRevision: from, deadline: k.s.now + d, controller: n, reply: reply})
-		k.s.after(d, k.notifyWatches)
-		k.notifyWatches()
+		k.serveWatch(n, u.Query(), reply)
 	case u.Path == protocol.PathTxn:
-		if len(t.Ops) > k.s.facts.State.TxnOps || len(t.Compares) > 4*k.s.facts.State.TxnOps || len(c.Body) > 64<<10 {
-			k.s.violation("state limits", "%d ops, %d conditions, %d bytes", len(t.Ops), len(t.Compares), len(c.Body))
-		}
-		var failed []string
-		for _, f := range t.Compares {
-			if k.keys[f.Key].modRevision != f.ModRevision && !k.ignoresCompares && !(k.s.defects.readOnlyComparesHold && len(t.Ops) == 0) {
-				failed = append(failed, f.Key)
-			}
-		}
-		for _, o := range t.Ops {
-			k.checkCompares(t, o)
-			if len(o.Value) > int(k.s.facts.State.ValueKB*1024) {
-				k.s.violation("state limits", "value of %d bytes at %s", len(o.Value), o.Put)
-			}
-			if _, ok := k.leaseExpiry[o.Lease]; o.Lease != 0 && !ok {
-				reply(400, nil)
-				return
-			}
+		k.serveTxn(txn, len(call.Body), reply)
+	case u.Path == protocol.PathKeys:
+		k.servePage(u.Query(), reply)
+	case strings.HasPrefix(u.Path, protocol.PathKeys+"/"):
+		k.serveKey(u.Path[len(protocol.PathKeys)+1:], reply)
+	case call.Method == "DELETE":
+		k.serveRevocation(leaseOfPath(u.Path), reply)
+	case u.Path == protocol.PathLeases:
+		k.serveLease(call.Body, reply)
+	case strings.HasSuffix(u.Path, "/"+protocol.PathKeepAlive):
+		k.serveKeepAlive(leaseOfPath(u.Path), reply)
+	default:
+		k.s.violation("state limits", "unknown request %s %s", call.Method, call.Path)
+	}
+}
+
+// serveWatch answers when a key changes, or when the watch's time is over. A watch from a revision that the
+// history does not reach back to is refused.
+func (k *simState) serveWatch(n *simController, query url.Values, reply func(int, []byte)) {
+	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
+	blockMs, _ := strconv.Atoi(query.Get("blockMs"))
+	if len(k.events) > k.eventHistory {
+		k.events = append([]protocol.WatchEvent(nil), k.events[k.eventHistory*2/3:]...)
+	}
+	if len(k.events) > 0 && from+1 < k.events[0].ModRevision && from < k.revision {
+		reply(410, nil)
+		return
+	}
+	block := time.Duration(blockMs) * time.Millisecond
+	k.watches = append(k.watches, &simWatch{prefix: query.Get("under"), fromRevision: from, deadline: k.s.now + block, controller: n, reply: reply})
+	k.s.after(block, k.notifyWatches)
+	k.notifyWatches()
+}
+
+// serveTxn carries out a transaction if all that it compares holds.
+func (k *simState) serveTxn(txn protocol.Txn, size int, reply func(int, []byte)) {
+	limits := k.s.facts.State
+	if len(txn.Ops) > limits.TxnOps || len(txn.Compares) > 4*limits.TxnOps || size > 64<<10 {
+		k.s.violation("state limits", "%d ops, %d conditions, %d bytes", len(txn.Ops), len(txn.Compares), size)
+	}
+	failed := k.failedCompares(txn)
+	for _, op := range txn.Ops {
+		k.checkCompares(txn, op)
+		if len(op.Value) > int(limits.ValueKB*1024) {
+			k.s.violation("state limits", "value of %d bytes at %s", len(op.Value), op.Put)
 		}
-		if failed != nil {
-			k.failedTransactions++
-			reply(409, encode(protocol.TxnResult{Failed: failed, Revision: k.revision}))
+		if _, ok := k.leaseExpiry[op.Lease]; op.Lease != 0 && !ok {
+			reply(400, nil)
 			return
 		}
-		if len(t.Ops) > 0 {
-			for _, o := range t.Ops {
-				if o.Put != "" {
-					k.apply(o.Put, o.Value, o.Lease, k.revision+1)
-				} else if _, ok := k.keys[o.Delete]; ok {
-					k.apply(o.Delete, nil, 0, k.revision+1)
-				}
-			}
-			k.revision++
-		}
-		reply(200, encode(protocol.TxnResult{Revision: k.revision}))
-		k.notifyWatches()
-	case u.Path == protocol.PathKeys:
-		page, _ := strconv.Atoi(q.Get("page"))
-		r := protocol.KeyValuePage{Revision: k.revision}
-		for _, key := range k.keysAfter(q.Get("from")) {
-			if !strings.HasPrefix(key, q.Get("under")) {
-				continue
-			}
-			if len(r.KeyValues) == min(page, k.pageSize) {
-				r.Truncated = true
-				break
+	}
+	if failed != nil {
+		k.failedTransactions++
+		reply(409, encode(protocol.TxnResult{Failed: failed, Revision: k.revision}))
+		return
+	}
+	if len(txn.Ops) > 0 {
+		for _, op := range txn.Ops {
+			if op.Put != "" {
+				k.apply(op.Put, op.Value, op.Lease, k.revision+1)
+			} else if _, ok := k.keys[op.Delete]; ok {
+				k.apply(op.Delete, nil, 0, k.revision+1)
 			}
-			r.KeyValues = append(r.KeyValues, protocol.KeyValue{Key: key, Value: k.keys[key].value, ModRevision: k.keys[key].modRevision})
 		}
-		reply(200, encode(r))
-	case strings.HasPrefix(u.Path, protocol.PathKeys+"/"):
-		key := u.Path[len(protocol.PathKeys)+1:]
-		if v, ok := k.keys[key]; ok {
-			reply(200, encode(protocol.KeyValue{Key: key, Value: v.value, ModRevision: v.modRevision, Lease: v.lease}))
-		} else {
-			reply(404, encode(protocol.KeyValuePage{Revision: k.revision}))
+		k.revision++
+	}
+	reply(200, encode(protocol.TxnResult{Revision: k.revision}))
+	k.notifyWatches()
+}
+
+// failedCompares are the keys that were changed since the revision that the transaction expects.
+func (k *simState) failedCompares(txn protocol.Txn) []string {
+	if k.ignoresCompares || k.s.defects.readOnlyComparesHold && len(txn.Ops) == 0 {
+		return nil
+	}
+	var failed []string
+	for _, compare := range txn.Compares {
+		if k.keys[compare.Key].modRevision != compare.ModRevision {
+			failed = append(failed, compare.Key)
 		}
-	case c.Method == "DELETE":
-		p, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
-		if _, ok := k.leaseExpiry[p]; !ok {
-			reply(404, nil)
-			return
+	}
+	return failed
+}
+
+// servePage reads keys in their order, as many as fit on a page.
+func (k *simState) servePage(query url.Values, reply func(int, []byte)) {
+	size, _ := strconv.Atoi(query.Get("page"))
+	page := protocol.KeyValuePage{Revision: k.revision}
+	for _, key := range k.keysAfter(query.Get("from")) {
+		if !strings.HasPrefix(key, query.Get("under")) {
+			continue
 		}
-		k.leaseExpiry[p] = k.s.now
-		k.expireLeases()
-		reply(200, nil)
-	case u.Path == protocol.PathLeases:
-		var g protocol.LeaseRequest
-		_ = json.Unmarshal(c.Body, &g)
-		k.lastLease++
-		k.leaseTTL[k.lastLease] = time.Duration(g.TTLMs) * time.Millisecond
-		k.leaseExpiry[k.lastLease] = k.s.now + k.leaseTTL[k.lastLease]
-		reply(200, encode(protocol.LeaseResponse{Lease: k.lastLease}))
-	case strings.HasSuffix(u.Path, "/"+protocol.PathKeepAlive):
-		p, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
-		if _, ok := k.leaseExpiry[p]; !ok {
-			reply(404, nil)
-			return
+		if len(page.KeyValues) == min(size, k.pageSize) {
+			page.Truncated = true
+			break
 		}
-		k.leaseExpiry[p] = k.s.now + k.leaseTTL[p]
-		reply(200, nil)
-	default:
-		k.s.violation("state limits", "unknown request %s %s", c.Method, c.Path)
+		page.KeyValues = append(page.KeyValues, protocol.KeyValue{Key: key, Value: k.keys[key].value, ModRevision: k.keys[key].modRevision})
+	}
+	reply(200, encode(page))
+}
+
+func (k *simState) serveKey(key string, reply func(int, []byte)) {
+	v, ok := k.keys[key]
+	if !ok {
+		reply(404, encode(protocol.KeyValuePage{Revision: k.revision}))
+		return
+	}
+	reply(200, encode(protocol.KeyValue{Key: key, Value: v.value, ModRevision: v.modRevision, Lease: v.lease}))
+}
+
+// leaseOfPath is the lease that a path names, 0 if it names none.
+func leaseOfPath(path string) uint64 {
+	lease, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
+	return lease
+}
+
+func (k *simState) serveLease(body []byte, reply func(int, []byte)) {
+	var request protocol.LeaseRequest
+	_ = json.Unmarshal(body, &request)
+	k.lastLease++
+	k.leaseTTL[k.lastLease] = time.Duration(request.TTLMs) * time.Millisecond
+	k.leaseExpiry[k.lastLease] = k.s.now + k.leaseTTL[k.lastLease]
+	reply(200, encode(protocol.LeaseResponse{Lease: k.lastLease}))
+}
+
+func (k *simState) serveKeepAlive(lease uint64, reply func(int, []byte)) {
+	if _, ok := k.leaseExpiry[lease]; !ok {
+		reply(404, nil)
+		return
+	}
+	k.leaseExpiry[lease] = k.s.now + k.leaseTTL[lease]
+	reply(200, nil)
+}
+
+func (k *simState) serveRevocation(lease uint64, reply func(int, []byte)) {
+	if _, ok := k.leaseExpiry[lease]; !ok {
+		reply(404, nil)
+		return
 	}
+	k.leaseExpiry[lease] = k.s.now
+	k.expireLeases()
+	reply(200, nil)
 }
