--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -11,21 +11,22 @@
 	"silvergate/internal/protocol"
 )
 
+// reportViolations fails the test for each rule that was broken on the day, and for what is wrong at its end.
 func (s *sim) reportViolations(t *testing.T) {
 	t.Helper()
-	for _, b := range s.violations {
-		t.Error(b)
+	for _, violation := range s.violations {
+		t.Error(violation)
 	}
 	s.saveTapes(t)
-	// Guards against judgements that take turns on a machine: inc-41e3 spent
-	// the state service's whole rate on them.
-	grades := map[int]bool{} // each replaces the ones before once
-	for _, g := range drainSeverity {
-		grades[g] = true
+	// Guards against reasons that alternate in a machine's drain: inc-41e3 spent the state service's whole
+	// rate on them. A drain is replaced by those of higher severity only, so once for each severity.
+	severities := map[int]bool{}
+	for _, severity := range drainSeverity {
+		severities[severity] = true
 	}
 	for _, key := range sortedKeys(s.state.drainWrites) {
-		if n := s.state.drainWrites[key]; n > len(grades) {
-			t.Errorf("%s was written %d times", key, n)
+		if writes := s.state.drainWrites[key]; writes > len(severities) {
+			t.Errorf("%s was written %d times", key, writes)
 		}
 	}
 	if s.counts.taskStarts == 0 {
@@ -38,8 +39,8 @@
 	}
 }
 
-// checkRoom compares what is counted as taken on each machine with what is bound
-// and reserved there, without what is known to have left.
+// checkRoom compares the usage that is counted for each machine with what is bound
+// and reserved there, without tasks that are known to have left.
 func (c *Core) checkRoom(t *testing.T, name string) {
 	t.Helper()
 	sums := map[string]usage{}
@@ -67,7 +68,7 @@
 	}
 }
 
-// checkStart judges the rules that a start can break.
+// checkStart checks the rules that a task's start can break.
 func (s *sim) checkStart(w *simWorker, u *simUser, l *simTask) {
 	sp := u.spec
 	name := fmt.Sprintf("%s/%d try %d on %s", l.jobID, l.index, l.attempt, w.name)
@@ -104,7 +105,7 @@
 	}
 }
 
-// watchCancelled judges what is still on machines.
+// watchCancelled checks that nothing of a job is active cancel_s after its cancellation was confirmed.
 func (s *sim) watchCancelled() {
 	for _, w := range s.workers {
 		for _, x := range w.tasks {
@@ -117,7 +118,7 @@
 	s.after(500*time.Millisecond, s.watchCancelled)
 }
 
-// followCancelled notes how long tasks of cancelled jobs stay.
+// followCancelled notes how long tasks of cancelled jobs stay active.
 func (s *sim) followCancelled() {
 	for _, w := range s.workers {
 		for _, l := range w.tasks {
@@ -129,20 +130,43 @@
 	s.after(100*time.Millisecond, s.followCancelled)
 }
 
-// waitIn is a task that waits, and a zone that its job's limits let it start in.
+// zoneWait is a task that waits, and a zone in which its job's limits let it start.
 type zoneWait struct {
 	taskKey
 	zone string
 }
 
-// judgeOrder judges the launches among a step's effects: work of lower priority
-// must not be started on a place that was committed while a production task that
-// fits there had waited in this controller's lines, free to be placed in that zone,
-// for longer than a report period. (What was committed before is started even if it is told
-// late, with the worker's next report, as after a restart.) It is the order as an
-// outsider sees it, whatever decided it: lines, pops, hand-overs, changes that waited
-// for the state service's rate.
+// checkLaunchOrder checks the launches among a step's effects: work of lower priority must not be launched on a
+// machine to which it was bound while a production task that fits there had waited in this controller's queues,
+// free to be placed in that zone, for longer than a heartbeat's period. (What was bound before is launched even if
+// that is sent late, with the worker's next heartbeat, as after a restart.) It is the order as an outsider sees it,
+// whatever decided it: queues, hand-offs, changes that waited for the state service's rate.
 func (n *simController) checkLaunchOrder(e Effects) {
+	n.updateWaits()
+	if len(n.waitingSince) == 0 || n.s.options.unorderedLaunches {
+		return
+	}
+	for _, call := range e.Calls {
+		var direct protocol.DirectCommands
+		if call.Path != protocol.PathCommands || json.Unmarshal(call.Body, &direct) != nil {
+			continue
+		}
+		for _, m := range n.core.machines.own {
+			if m.claim.Address == call.Address {
+				n.checkLaunches(m, direct.Commands)
+			}
+		}
+	}
+	for _, response := range e.Responses {
+		var answer protocol.HeartbeatResponse
+		if worker := n.heartbeatSenders[response.ID]; worker != "" && response.Status == 200 && json.Unmarshal(response.Body, &answer) == nil {
+			n.checkLaunches(n.core.machines.byID[worker], answer.Commands)
+		}
+	}
+}
+
+// updateWaits notes since when each production task has waited in each zone without a break.
+func (n *simController) updateWaits() {
 	c, s := n.core, n.s
 	waits := map[zoneWait]time.Duration{}
 	for _, r := range c.scheduler.queuedJobs {
@@ -150,69 +174,53 @@
 		if u == nil || u.spec.Priority < job.Production {
 			continue
 		}
-		for _, w := range r.queue {
-			if !c.placeable(r, w.key.index) {
+		for _, queued := range r.queue {
+			if !c.placeable(r, queued.key.index) {
 				continue
 			}
-			for _, z := range s.facts.Zones {
-				if !c.zoneAllowed(r, z) {
+			for _, zone := range s.facts.Zones {
+				if !c.zoneAllowed(r, zone) {
 					continue
 				}
-				k := zoneWait{w.key, z}
-				since, was := n.waitingSince[k]
-				if !was {
+				wait := zoneWait{queued.key, zone}
+				since, known := n.waitingSince[wait]
+				if !known {
 					since = s.now
 				}
-				waits[k] = since
+				waits[wait] = since
 			}
 		}
 	}
 	n.waitingSince = waits
-	if len(waits) == 0 || s.options.unorderedLaunches {
-		return
-	}
-	launches := func(m *machine, orders []protocol.Command) {
-		for _, o := range orders {
-			id, index, err := job.ParseTaskName(o.Task)
-			if err != nil || o.Verb != protocol.VerbLaunch || m == nil || s.users[id].spec.Priority == job.Production {
+}
+
+// checkLaunches checks the launches that are sent to a machine against what waits.
+func (n *simController) checkLaunches(m *machine, commands []protocol.Command) {
+	c, s := n.core, n.s
+	for _, command := range commands {
+		jobID, index, err := job.ParseTaskName(command.Task)
+		if err != nil || command.Verb != protocol.VerbLaunch || m == nil || s.users[jobID].spec.Priority == job.Production {
+			continue
+		}
+		s.counts.launchesJudged++
+		launched := c.jobs.byID[jobID].spec
+		boundAt := n.startedAt + m.boundAt[taskKey{jobID, index}].boundAt
+		for wait, since := range n.waitingSince {
+			waited := boundAt - since
+			if wait.zone != m.claim.Zone || waited <= seconds(s.facts.Workers.Report) {
 				continue
 			}
-			s.counts.launchesJudged++
-			lesser := c.jobs.byID[id].spec
-			committed := n.startedAt + m.boundAt[taskKey{id, index}].boundAt
-			for k, since := range waits {
-				r := c.jobs.byID[k.job]
-				if k.zone != m.claim.Zone || committed-since <= seconds(s.facts.Workers.Report) {
-					continue
-				}
-				m.addUsage(lesser, -1)
-				fits := c.fits(r, m) && !c.unschedulable(m)
-				m.addUsage(lesser, 1)
-				if fits {
-					s.violation("lesser first", "%s is launched on %s, where %s/%d would fit that had waited for %v", o.Task, m.id, k.job, k.index, committed-since)
-				}
+			m.addUsage(launched, -1)
+			fits := c.fits(c.jobs.byID[wait.job], m) && !c.unschedulable(m)
+			m.addUsage(launched, 1)
+			if fits {
+				s.violation("lesser first", "%s is launched on %s, where %s/%d would fit that had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
 			}
 		}
 	}
-	for _, k := range e.Calls {
-		var d protocol.DirectCommands
-		if k.Path == protocol.PathCommands && json.Unmarshal(k.Body, &d) == nil {
-			for _, m := range c.machines.own {
-				if m.claim.Address == k.Address {
-					launches(m, d.Commands)
-				}
-			}
-		}
-	}
-	for _, a := range e.Responses {
-		var d protocol.HeartbeatResponse
-		if who := n.heartbeatSenders[a.ID]; who != "" && a.Status == 200 && json.Unmarshal(a.Body, &d) == nil {
-			launches(c.machines.byID[who], d.Commands)
-		}
-	}
 }
 
-// countCaution counts what a lease ends that nobody wanted gone.
+// countLeaseKills counts tasks that a lease ends although their job goes on and the machine is healthy.
 func (w *simWorker) countLeaseKills() {
 	if !w.observed || w.hungUntil > w.s.now-seconds(w.s.facts.Workers.Lease) || w.unresponsiveUntil > w.s.now-seconds(w.s.facts.Workers.Lease) {
 		return
@@ -224,16 +232,16 @@
 	}
 }
 
-// countLateStart counts what begins after its user was told that the job is cancelled. Within cancel_s that
-// breaks no rule.
+// countLateStart counts tasks that begin after their user was told that the job is cancelled. Within cancel_s
+// that breaks no rule.
 func (s *sim) countLateStart(u *simUser) {
 	if u.cancelledAt > 0 {
 		s.faultCounts.lateStarts++
 	}
 }
 
-// judgeReturn counts machines that are returned while work runs there that was not given up: nobody called the
-// machine silent, failed, faulty or recalled, and the job is not over.
+// countDeletionInUse counts machines that are deleted while tasks run there that were not given up: no controller
+// drains the machine as silent, failed, faulty or recalled, and the job is not over.
 func (s *sim) countDeletionInUse(w *simWorker) {
 	switch s.state.drainReasons[keyDrain+w.name] {
 	case "", drainIdle, drainStray, drainLost:
@@ -247,13 +255,13 @@
 		if u := s.users[w.tasks[k].jobID]; u != nil && w.tasks[k].status != protocol.TaskEnded && u.finalStatus == "" && !u.cancelRequested && !w.isOutdated(w.tasks[k]) {
 			s.faultCounts.deletedInUse++
 			if s.output.trace != nil {
-				fmt.Fprintf(s.output.trace, "%8.3f INUSE %s returned with %s\n", s.now.Seconds(), w.name, k)
+				fmt.Fprintf(s.output.trace, "%8.3f INUSE %s deleted with %s\n", s.now.Seconds(), w.name, k)
 			}
 		}
 	}
 }
 
-// outdated tells whether the records do not bind an attempt to its machine any more.
+// isOutdated tells whether no controller's records bind the attempt to its machine any more.
 func (w *simWorker) isOutdated(l *simTask) bool {
 	for _, n := range w.s.controllers {
 		if n.core == nil {
@@ -268,7 +276,7 @@
 	return true
 }
 
-// running counts tasks that are on machines for which want says so.
+// countRunning counts the active tasks that are wanted.
 func (s *sim) countRunning(want func(w *simWorker, u *simUser) bool) (n int) {
 	for _, w := range s.workers {
 		for _, l := range w.tasks {
@@ -280,16 +288,17 @@
 	return n
 }
 
-// roomWait is since when a job has waited beside room, without a break.
+// roomWait is since when a job has waited although there was room, without a break.
 type roomWait struct {
 	since        time.Duration
 	tasksStarted int
 }
 
+// maxRoomWait is how long a job may wait although there is room.
 const maxRoomWait = 90 * time.Second
 
-// watchRoom judges that no job waits beside room: a machine that fits holds it, its team is under its limit, and
-// nothing of it has started for 90 s. A gang needs room for all its tasks.
+// watchIdleCapacity checks that no job waits although there is room: a machine would fit it, its team is under its
+// limit, and nothing of it has started for maxRoomWait. A gang needs room for all its tasks.
 func (s *sim) watchIdleCapacity() {
 	use := map[string]float64{}
 	on := map[string]map[int]bool{}
@@ -330,7 +339,7 @@
 	s.after(time.Second, s.watchIdleCapacity)
 }
 
-// couldStart tells whether what waits of the job would find room: one task, or all of a gang.
+// couldStart tells whether one waiting task of the job would find room, or all of a gang.
 func (u *simUser) couldStart(usable []*simWorker, on map[int]bool, zones map[string]int, use float64) bool {
 	s, sp := u.s, u.spec
 	need := 0
--- a/internal/coordination/sim_cloud_test.go
+++ b/internal/coordination/sim_cloud_test.go
@@ -11,22 +11,25 @@
 	"silvergate/internal/protocol"
 )
 
+// simCloud stands in for the cloud: it rents machines, lists them late and deletes them.
 type simCloud struct {
 	s                *sim
 	machineTypes     map[string]protocol.MachineType
-	capacity         map[offering]int
+	capacity         map[offering]int // machines that can be rented
 	rentalsByRequest map[string][]string
-	nextMachine      int
+	nextMachine      int                   // number
 	machines         map[string]*simWorker // by name
 	listHistory      []listSnapshot
-	pageSize         int
+	pageSize         int // in machines
 }
 
+// listSnapshot is the list of machines at a time.
 type listSnapshot struct {
 	at       time.Duration
 	machines []protocol.RentedMachine
 }
 
+// sortedMachines are the machines that are rented now, in the order of their numbers.
 func (c *simCloud) sortedMachines() []*simWorker {
 	var out []*simWorker
 	for i := 0; i < c.nextMachine; i++ {
@@ -37,19 +40,21 @@
 	return out
 }
 
+// snapshot records the list of machines, each second, for requests that see it late.
 func (c *simCloud) snapshot() {
-	var l []protocol.RentedMachine
-	for _, n := range sortedKeys(c.machines) {
-		w := c.machines[n]
-		st := protocol.StatusRunning
+	var machines []protocol.RentedMachine
+	for _, name := range sortedKeys(c.machines) {
+		w := c.machines[name]
+		status := protocol.StatusRunning
 		if w.failed {
-			st = protocol.StatusFailed
+			status = protocol.StatusFailed
 		} else if !w.up {
-			st = protocol.StatusBooting
+			status = protocol.StatusBooting
 		}
-		l = append(l, protocol.RentedMachine{Name: w.name, Address: w.address, MachineType: w.machineType, Zone: w.zone, Spot: w.spot, Status: st, AgeS: (c.s.now - w.rentedAt).Seconds()})
+		machines = append(machines, protocol.RentedMachine{Name: w.name, Address: w.address, MachineType: w.machineType, Zone: w.zone, Spot: w.spot,
+			Status: status, AgeS: (c.s.now - w.rentedAt).Seconds()})
 	}
-	c.listHistory = append(c.listHistory, listSnapshot{c.s.now, l})
+	c.listHistory = append(c.listHistory, listSnapshot{c.s.now, machines})
 	if len(c.listHistory) > 60 {
 		c.listHistory = c.listHistory[20:]
 	}
--- a/internal/coordination/sim_state_test.go
+++ b/internal/coordination/sim_state_test.go
@@ -11,40 +11,43 @@
 	"silvergate/internal/protocol"
 )
 
+// simKey is a key's value and when it was written.
 type simKey struct {
 	value       json.RawMessage
 	modRevision uint64
-	lease       uint64
+	lease       uint64 // that the key goes with; 0: none
 }
 
+// simState stands in for the state service: a key-value store with revisions, transactions, watches and leases.
 type simState struct {
 	s                  *sim
 	keys               map[string]simKey
 	revision           uint64
 	events             []protocol.WatchEvent
-	leaseExpiry        map[uint64]time.Duration
+	leaseExpiry        map[uint64]time.Duration // when each lease expires
 	leaseTTL           map[uint64]time.Duration
 	lastLease          uint64
-	downUntil          time.Duration
+	downUntil          time.Duration // for all controllers
 	watches            []*simWatch
 	drainWrites        map[string]int    // how often each drain was written
 	drainReasons       map[string]string // and why, the last time
-	ignoresCompares    bool              // broken on purpose: ignores conditions
-	eventHistory       int               // changes that a watch can go back
-	pageSize           int               // keys on a page
-	readTokens         float64
+	ignoresCompares    bool              // a defect: transactions are carried out whatever they compare
+	eventHistory       int               // events that a watch can go back
+	pageSize           int               // in keys
+	readTokens         float64           // of the rate limits
 	writeTokens        float64
 	refilledAt         time.Duration
-	throttled          int // requests over the limits
-	failedTransactions int // transactions whose conditions did not hold
+	throttled          int // requests above the rate limits
+	failedTransactions int // whose comparisons did not hold
 }
 
-// over tells whether a request is above the limits, with bursts of a second.
+// exceedsLimits tells whether a request is above the rate limits, which allow bursts of a second.
 func (k *simState) exceedsLimits(ops int) bool {
-	d := (k.s.now - k.refilledAt).Seconds()
+	elapsed := (k.s.now - k.refilledAt).Seconds()
 	k.refilledAt = k.s.now
-	f := &k.s.facts.State
-	k.readTokens, k.writeTokens = min(f.RPS, k.readTokens+d*f.RPS), min(f.WriteRPS, k.writeTokens+d*f.WriteRPS)
+	limits := &k.s.facts.State
+	k.readTokens = min(limits.RPS, k.readTokens+elapsed*limits.RPS)
+	k.writeTokens = min(limits.WriteRPS, k.writeTokens+elapsed*limits.WriteRPS)
 	if k.readTokens < 1 || k.writeTokens < float64(ops) {
 		k.throttled++
 		return true
@@ -53,6 +56,7 @@
 	return false
 }
 
+// simWatch is a watch that waits for events of keys with a prefix.
 type simWatch struct {
 	prefix       string
 	fromRevision uint64
@@ -61,19 +65,20 @@
 	reply        func(int, []byte)
 }
 
+// expireLeases deletes the keys of leases that have expired. An outage renews all leases.
 func (k *simState) expireLeases() {
 	if k.downUntil > k.s.now {
-		for p := range k.leaseExpiry {
-			k.leaseExpiry[p] = k.downUntil + k.leaseTTL[p]
+		for lease := range k.leaseExpiry {
+			k.leaseExpiry[lease] = k.downUntil + k.leaseTTL[lease]
 		}
 	}
-	for p := uint64(1); p <= k.lastLease; p++ {
-		if at, ok := k.leaseExpiry[p]; !ok || at > k.s.now {
+	for lease := uint64(1); lease <= k.lastLease; lease++ {
+		if at, ok := k.leaseExpiry[lease]; !ok || at > k.s.now {
 			continue
 		}
-		delete(k.leaseExpiry, p)
+		delete(k.leaseExpiry, lease)
 		for _, key := range k.keysAfter("") {
-			if k.keys[key].lease == p {
+			if k.keys[key].lease == lease {
 				k.apply(key, nil, 0, k.revision+1)
 			}
 		}
@@ -82,22 +87,23 @@
 	k.notifyWatches()
 }
 
-// judgeCondition judges that a transaction which is carried out late, after newer ones, stops by itself:
-// every key that it writes or drops is among its conditions. Member records are the one exception, which
-// nothing but time hangs on; what a job is to run goes with its acceptance.
-func (k *simState) checkCompares(t protocol.Txn, o protocol.Op) {
-	key := o.Put + o.Delete
+// checkCompares checks that a transaction which is carried out late, after newer ones, fails: it compares every
+// key that it writes or deletes. Member records are the one exception, as nothing but liveness depends on them;
+// the record of what a job runs is written with the job's own, which is compared.
+func (k *simState) checkCompares(txn protocol.Txn, op protocol.Op) {
+	key := op.Put + op.Delete
 	if strings.HasPrefix(key, keyMember) || strings.HasPrefix(key, keyExtra) {
 		return
 	}
-	for _, f := range t.Compares {
-		if f.Key == key {
+	for _, compare := range txn.Compares {
+		if compare.Key == key {
 			return
 		}
 	}
 	k.s.violation("unconditional", "%s", key)
 }
 
+// keysAfter are the keys above one, in order.
 func (k *simState) keysAfter(after string) []string {
 	var out []string
 	for key := range k.keys {
@@ -109,48 +115,50 @@
 	return out
 }
 
-func (k *simState) apply(key string, data json.RawMessage, lease, rev uint64) {
+// apply writes a key, or deletes it if data is nil.
+func (k *simState) apply(key string, data json.RawMessage, lease, revision uint64) {
 	if strings.HasPrefix(key, keyDrain) && data != nil {
 		k.drainWrites[key]++
-		var d drainRecord
-		_ = json.Unmarshal(data, &d)
-		k.drainReasons[key] = d.Reason
+		var drain drainRecord
+		_ = json.Unmarshal(data, &drain)
+		k.drainReasons[key] = drain.Reason
 	}
 	k.s.claimWritten(key, data)
 	if data == nil {
 		delete(k.keys, key)
-		k.events = append(k.events, protocol.WatchEvent{Delete: key, ModRevision: rev})
+		k.events = append(k.events, protocol.WatchEvent{Delete: key, ModRevision: revision})
 	} else {
-		k.keys[key] = simKey{data, rev, lease}
-		k.events = append(k.events, protocol.WatchEvent{Put: key, Value: data, ModRevision: rev})
+		k.keys[key] = simKey{data, revision, lease}
+		k.events = append(k.events, protocol.WatchEvent{Put: key, Value: data, ModRevision: revision})
 	}
 }
 
+// notifyWatches answers the watches that have events, or whose time is over.
 func (k *simState) notifyWatches() {
 	if k.downUntil > k.s.now {
 		return
 	}
-	rest := k.watches[:0]
+	waiting := k.watches[:0]
 	for _, w := range k.watches {
 		if w.controller.refusedUntil > k.s.now {
-			rest = append(rest, w)
+			waiting = append(waiting, w)
 			continue
 		}
-		r := protocol.WatchResult{Revision: k.revision, Events: []protocol.WatchEvent{}}
-		at := sort.Search(len(k.events), func(i int) bool { return k.events[i].ModRevision > w.fromRevision })
-		for _, n := range k.events[at:] {
-			if strings.HasPrefix(n.Put+n.Delete, w.prefix) {
-				r.Events = append(r.Events, n)
+		result := protocol.WatchResult{Revision: k.revision, Events: []protocol.WatchEvent{}}
+		first := sort.Search(len(k.events), func(i int) bool { return k.events[i].ModRevision > w.fromRevision })
+		for _, event := range k.events[first:] {
+			if strings.HasPrefix(event.Put+event.Delete, w.prefix) {
+				result.Events = append(result.Events, event)
 			}
 		}
-		if len(r.Events) == 0 && k.s.now < w.deadline {
-			rest = append(rest, w)
+		if len(result.Events) == 0 && k.s.now < w.deadline {
+			waiting = append(waiting, w)
 			continue
 		}
 		reply := w.reply
-		k.s.after(k.s.randomMillis(1, 5), func() { reply(200, encode(r)) })
+		k.s.after(k.s.randomMillis(1, 5), func() { reply(200, encode(result)) })
 	}
-	k.watches = rest
+	k.watches = waiting
 }
 
 // serve carries out a call of a controller and answers it, a watch when there is something to tell.
@@ -276,6 +284,7 @@
 	reply(200, encode(page))
 }
 
+// serveKey reads one key.
 func (k *simState) serveKey(key string, reply func(int, []byte)) {
 	v, ok := k.keys[key]
 	if !ok {
@@ -291,6 +300,7 @@
 	return lease
 }
 
+// serveLease grants a lease.
 func (k *simState) serveLease(body []byte, reply func(int, []byte)) {
 	var request protocol.LeaseRequest
 	_ = json.Unmarshal(body, &request)
@@ -300,6 +310,7 @@
 	reply(200, encode(protocol.LeaseResponse{Lease: k.lastLease}))
 }
 
+// serveKeepAlive renews a lease.
 func (k *simState) serveKeepAlive(lease uint64, reply func(int, []byte)) {
 	if _, ok := k.leaseExpiry[lease]; !ok {
 		reply(404, nil)
@@ -309,6 +320,7 @@
 	reply(200, nil)
 }
 
+// serveRevocation ends a lease.
 func (k *simState) serveRevocation(lease uint64, reply func(int, []byte)) {
 	if _, ok := k.leaseExpiry[lease]; !ok {
 		reply(404, nil)
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -13,15 +13,17 @@
 	"silvergate/internal/protocol"
 )
 
+// simTask is an attempt of a task, on its machine.
 type simTask struct {
 	jobID      string
 	index      int
 	attempt    int
 	status     string
 	cause      string
-	generation int
+	generation int // grows when the task is ended from outside; what was to happen to it then does not
 }
 
+// isActive tells whether the task has begun and not ended.
 func (l *simTask) isActive() bool {
 	return l.status == protocol.TaskRunning || l.status == protocol.TaskWaiting || l.status == protocol.TaskCheckpointing
 }
@@ -50,6 +52,7 @@
 	dataSetCopies  map[string]bool // complete, or (false) being fetched
 }
 
+// die ends the machine with all that runs there.
 func (w *simWorker) die() {
 	w.dead = true
 	w.up = false
@@ -59,6 +62,7 @@
 	w.tasks = map[string]*simTask{}
 }
 
+// boot starts the agent.
 func (w *simWorker) boot() {
 	if w.dead {
 		return
@@ -70,6 +74,7 @@
 	w.watchLease()
 }
 
+// watchLease ends everything, and begins a new agent epoch, when no heartbeat was answered for a lease.
 func (w *simWorker) watchLease() {
 	if w.dead {
 		return
@@ -94,6 +99,7 @@
 	w.s.after(over-w.s.now+time.Millisecond, w.watchLease)
 }
 
+// heartbeat is what the worker would send now.
 func (w *simWorker) heartbeat() protocol.Heartbeat {
 	w.sequence++
 	r := protocol.Heartbeat{Worker: w.name, Address: w.address, MachineType: w.machineType, Zone: w.reportedZone(), Spot: w.spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
@@ -113,7 +119,7 @@
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.jobID + "/" + strconv.Itoa(l.index), Attempt: l.attempt, Status: l.status, Cause: l.cause})
 	}
 	if w.s.options.dataSets != nil {
-		r.DataStore = &protocol.StoreReport{Listed: w.s.random.IntN(2) == 0} // lists are seldom whole in time
+		r.DataStore = &protocol.StoreReport{Listed: w.s.random.IntN(2) == 0} // complete lists are rare
 		var held []dataset.ID
 		for _, id := range sortedKeys(w.dataSetCopies) {
 			if w.dataSetCopies[id] {
@@ -128,6 +134,7 @@
 	return r
 }
 
+// sendHeartbeat sends a heartbeat and takes in its answer; then, or when none has come, the next one follows.
 func (w *simWorker) sendHeartbeat() {
 	s := w.s
 	if w.dead {
@@ -138,77 +145,105 @@
 		return
 	}
 	if s.now < w.isolatedUntil {
-		w.controller = (w.controller + 1) % len(s.controllers)
+		w.nextController()
 		s.faultCounts.unsentHeartbeats++
 		s.after(time.Second, w.sendHeartbeat)
 		return
 	}
-	reply := w.heartbeat()
-	shift, sent := w.agentEpoch, s.now
+	heartbeat := w.heartbeat()
+	sent := s.now
 	n := s.controllers[w.controller]
 	link := "workers"
 	if n.unreachableUntil["zone:"+w.zone] > s.now {
 		link = "zone:" + w.zone
 	}
 	if s.faults.duplicateHeartbeats > 0 && s.random.Float64() < s.faults.duplicateHeartbeats {
-		s.after(s.randomMillis(2000, 1300*s.facts.Workers.Lease), func() { n.deliver("POST", protocol.PathHeartbeat, encode(reply), func(int, []byte) {}) })
+		s.after(s.randomMillis(2000, 1300*s.facts.Workers.Lease), func() {
+			n.deliver("POST", protocol.PathHeartbeat, encode(heartbeat), func(int, []byte) {})
+		})
+	}
+	s.keepHeartbeatCopy(w, heartbeat)
+	answered := func(status int, body []byte) {
+		w.traceHeartbeat(n, heartbeat, sent, status, body)
+		if !w.dead {
+			s.after(w.heartbeatAnswered(heartbeat, sent, status, body), w.sendHeartbeat)
+		}
 	}
-	s.keepHeartbeatCopy(w, reply)
-	ask := func(done func(int, []byte)) { n.request(link, "POST", protocol.PathHeartbeat, encode(reply), done) }
-	if s.holdBackHeartbeat(w, reply) {
-		ask = func(done func(int, []byte)) { s.after(4*time.Second, func() { done(0, nil) }) }
+	if s.holdBackHeartbeat(w, heartbeat) {
+		s.after(4*time.Second, func() { answered(0, nil) })
+		return
 	}
-	ask(func(st int, body []byte) {
-		if s.output.trace != nil {
-			fmt.Fprintf(s.output.trace, "%8.3f CHECKIN stoker=%s node=%s shift=%d tally=%d baton=%d sent=%.3f status=%d %s\n", s.now.Seconds(), w.name, n.name, shift, reply.Sequence, reply.FencingToken, sent.Seconds(), st, body)
-		}
-		if w.dead {
-			return
+	n.request(link, "POST", protocol.PathHeartbeat, encode(heartbeat), answered)
+}
+
+func (w *simWorker) traceHeartbeat(n *simController, heartbeat protocol.Heartbeat, sent time.Duration, status int, body []byte) {
+	if trace := w.s.output.trace; trace != nil {
+		fmt.Fprintf(trace, "%8.3f HEARTBEAT worker=%s controller=%s epoch=%d sequence=%d token=%d sent=%.3f status=%d %s\n",
+			w.s.now.Seconds(), w.name, n.name, heartbeat.AgentEpoch, heartbeat.Sequence, heartbeat.FencingToken, sent.Seconds(), status, body)
+	}
+}
+
+// heartbeatAnswered takes in the answer to a heartbeat, status 0 if there is none, and tells after how long the
+// next heartbeat is sent.
+func (w *simWorker) heartbeatAnswered(heartbeat protocol.Heartbeat, sent time.Duration, status int, body []byte) time.Duration {
+	s := w.s
+	next := seconds(s.facts.Workers.Report * (0.75 + 0.5*s.random.Float64()))
+	switch {
+	case w.missesMessage(): // as if no answer had come
+		w.nextController()
+		return max(0, sent+4*time.Second-s.now) + time.Second
+	case status == 200:
+		var response protocol.HeartbeatResponse
+		_ = json.Unmarshal(body, &response)
+		if w.accept(response, heartbeat.AgentEpoch, sent) {
+			return 500 * time.Millisecond
 		}
-		next := seconds(s.facts.Workers.Report * (0.75 + 0.5*s.random.Float64()))
-		switch {
-		case w.missesMessage(): // no answer has come
-			w.controller = (w.controller + 1) % len(s.controllers)
-			next = max(0, sent+4*time.Second-s.now) + time.Second
-		case st == 200:
-			var a protocol.HeartbeatResponse
-			_ = json.Unmarshal(body, &a)
-			// A hung machine takes nothing in, and drops what is over 4 s old.
-			if s.now >= w.hungUntil && a.FencingToken >= w.fencingToken && a.FencingToken > 0 && shift == w.agentEpoch && s.now-sent <= 4*time.Second {
-				if a.FencingToken > w.fencingToken {
-					next = 500 * time.Millisecond
-				}
-				w.fencingToken, w.lastAnsweredAt = a.FencingToken, sent
-				if a.DataStore != nil {
-					for _, f := range a.DataStore.Fetch {
-						w.fetchCopy(f.CopyID())
-					}
-				}
-				w.execute(a.Commands)
-			}
-		case st == 421:
-			var r protocol.Redirect
-			_ = json.Unmarshal(body, &r)
-			w.controller = (w.controller + 1) % len(s.controllers)
-			for i, o := range s.controllers {
-				if o.name == r.Controller {
-					w.controller = i
-				}
+		return next
+	case status == 421:
+		var redirect protocol.Redirect
+		_ = json.Unmarshal(body, &redirect)
+		w.nextController()
+		for i, n := range s.controllers {
+			if n.name == redirect.Controller {
+				w.controller = i
 			}
-			next = s.randomMillis(0, 500)
-		default:
-			w.controller = (w.controller + 1) % len(s.controllers)
-			next = time.Second
 		}
-		s.after(next, w.sendHeartbeat)
-	})
+		return s.randomMillis(0, 500)
+	default:
+		w.nextController()
+		return time.Second
+	}
+}
+
+// nextController has the worker turn to another controller.
+func (w *simWorker) nextController() {
+	w.controller = (w.controller + 1) % len(w.s.controllers)
+}
+
+// accept carries out an answer that is not outdated, and tells whether it has shown a new fencing token. A
+// hung machine takes nothing in, and drops what is over 4 s old when it goes on.
+func (w *simWorker) accept(response protocol.HeartbeatResponse, epoch uint64, sent time.Duration) bool {
+	now := w.s.now
+	if now < w.hungUntil || response.FencingToken < w.fencingToken || response.FencingToken == 0 || epoch != w.agentEpoch || now-sent > 4*time.Second {
+		return false
+	}
+	newToken := response.FencingToken > w.fencingToken
+	w.fencingToken, w.lastAnsweredAt = response.FencingToken, sent
+	if response.DataStore != nil {
+		for _, fetch := range response.DataStore.Fetch {
+			w.fetchCopy(fetch.CopyID())
+		}
+	}
+	w.execute(response.Commands)
+	return newToken
 }
 
-// misses tells whether what is said to the worker now is lost.
+// missesMessage tells whether a message to the worker is lost now.
 func (w *simWorker) missesMessage() bool {
 	return w.unresponsiveUntil > w.s.now || w.messageLoss > 0 && w.s.random.Float64() < w.messageLoss
 }
 
+// serveDirect carries out a direct request of a controller and answers it.
 func (w *simWorker) serveDirect(k protocol.Call, reply func(int, []byte)) {
 	s := w.s
 	if w.dead || !w.up || w.missesMessage() {
@@ -237,65 +272,66 @@
 	reply(200, encode(w.heartbeat()))
 }
 
-func (w *simWorker) execute(orders []protocol.Command) {
-	s := w.s
-	for _, o := range orders {
-		key := o.Task + "#" + strconv.Itoa(o.Attempt)
-		id, index, err := job.ParseTaskName(o.Task)
+// execute carries out commands, in their order.
+func (w *simWorker) execute(commands []protocol.Command) {
+	for _, command := range commands {
+		key := command.Task + "#" + strconv.Itoa(command.Attempt)
+		jobID, index, err := job.ParseTaskName(command.Task)
 		if err != nil {
 			continue
 		}
-		switch o.Verb {
+		task := w.tasks[key]
+		switch command.Verb {
 		case protocol.VerbLaunch:
-			if s.hooks.onLaunch != nil {
-				s.hooks.onLaunch(w, o)
-			}
-			if w.tasks[key] != nil {
-				continue
-			}
-			l := &simTask{jobID: id, index: index, attempt: o.Attempt, status: protocol.TaskPulling}
-			u := s.users[id]
-			if u == nil {
-				l.status, l.cause = protocol.TaskEnded, protocol.CauseUnknown
-				w.tasks[key] = l
-				continue
+			if w.s.hooks.onLaunch != nil {
+				w.s.hooks.onLaunch(w, command)
 			}
-			if w.runsTask(id, index) {
-				l.status, l.cause = protocol.TaskEnded, protocol.CauseBusy
-				w.tasks[key] = l
-				continue
+			if task == nil {
+				w.launch(key, &simTask{jobID: jobID, index: index, attempt: command.Attempt, status: protocol.TaskPulling})
 			}
-			if !w.hasRoom(u.spec) {
-				l.status, l.cause = protocol.TaskEnded, protocol.CauseNoRoom
-				w.tasks[key] = l
-				continue
-			}
-			w.tasks[key] = l
-			if u.dataSetCopy != "" && w.dataSetCopies[u.dataSetCopy] {
-				s.counts.warmStarts++
-			} else if u.dataSetCopy != "" {
-				s.counts.coldStarts++
-			}
-			gen := l.generation
-			s.after(s.randomMillis(200, 4000), func() { w.beginTask(u, l, gen) })
 		case protocol.VerbKill:
-			if s.hooks.onKill != nil {
-				s.hooks.onKill(w, o)
+			if w.s.hooks.onKill != nil {
+				w.s.hooks.onKill(w, command)
 			}
-			if l := w.tasks[key]; l != nil && !s.defects.ignoreKills && l.status != protocol.TaskEnded {
-				l.status, l.cause, l.generation = protocol.TaskEnded, protocol.CauseStopped, l.generation+1
+			if task != nil && !w.s.defects.ignoreKills && task.status != protocol.TaskEnded {
+				task.status, task.cause, task.generation = protocol.TaskEnded, protocol.CauseStopped, task.generation+1
 			}
 		case protocol.VerbForget:
-			if l := w.tasks[key]; l != nil && l.status == protocol.TaskEnded {
+			if task != nil && task.status == protocol.TaskEnded {
 				delete(w.tasks, key)
 			}
 		}
 	}
 }
 
-// fetch brings a copy, which takes a while; some are lost on the way.
+// launch has a task begin after a while. One that can't run here has ended at once, with the cause.
+func (w *simWorker) launch(key string, task *simTask) {
+	s := w.s
+	u := s.users[task.jobID]
+	switch {
+	case u == nil:
+		task.status, task.cause = protocol.TaskEnded, protocol.CauseUnknown
+	case w.runsTask(task.jobID, task.index):
+		task.status, task.cause = protocol.TaskEnded, protocol.CauseBusy
+	case !w.hasRoom(u.spec):
+		task.status, task.cause = protocol.TaskEnded, protocol.CauseNoRoom
+	}
+	w.tasks[key] = task
+	if task.status == protocol.TaskEnded {
+		return
+	}
+	if u.dataSetCopy != "" && w.dataSetCopies[u.dataSetCopy] {
+		s.counts.warmStarts++
+	} else if u.dataSetCopy != "" {
+		s.counts.coldStarts++
+	}
+	generation := task.generation
+	s.after(s.randomMillis(200, 4000), func() { w.beginTask(u, task, generation) })
+}
+
+// fetchCopy fetches a copy of a data set, which takes a while; some are lost on the way.
 func (w *simWorker) fetchCopy(id string) {
-	if _, under := w.dataSetCopies[id]; under {
+	if _, known := w.dataSetCopies[id]; known {
 		return
 	}
 	if w.dataSetCopies == nil {
@@ -311,6 +347,7 @@
 	})
 }
 
+// runsTask tells whether any attempt of the task is here.
 func (w *simWorker) runsTask(id string, index int) bool {
 	for _, l := range w.tasks {
 		if l.jobID == id && l.index == index && l.status != protocol.TaskEnded {
@@ -320,6 +357,7 @@
 	return false
 }
 
+// runsJob tells whether any task of the job is here.
 func (w *simWorker) runsJob(id string) bool {
 	for _, l := range w.tasks {
 		if l.jobID == id && l.status != protocol.TaskEnded {
@@ -329,6 +367,7 @@
 	return false
 }
 
+// hasRoom tells whether one more task fits.
 func (w *simWorker) hasRoom(sp *job.Spec) bool {
 	t := w.s.cloud.machineTypes[w.machineType]
 	g, c := sp.GPUs, sp.CPUs
@@ -340,24 +379,24 @@
 	return g <= t.GPUs && c <= t.CPUs
 }
 
-// begin is the moment from which a task is on its machine.
-func (w *simWorker) beginTask(u *simUser, l *simTask, gen int) {
+// beginTask is the moment from which a task is on its machine.
+func (w *simWorker) beginTask(u *simUser, l *simTask, generation int) {
 	s := w.s
-	if w.dead || l.generation != gen || l.status != protocol.TaskPulling {
+	if w.dead || l.generation != generation || l.status != protocol.TaskPulling {
 		return
 	}
 	if s.now < w.hungUntil {
-		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.beginTask(u, l, gen) })
+		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.beginTask(u, l, generation) })
 		return
 	}
-	if u.dataSetCopy != "" && !w.dataSetCopies[u.dataSetCopy] { // it reads nothing that is not whole
+	if u.dataSetCopy != "" && !w.dataSetCopies[u.dataSetCopy] { // only complete copies are read
 		w.fetchCopy(u.dataSetCopy)
-		s.after(time.Second, func() { w.beginTask(u, l, gen) })
+		s.after(time.Second, func() { w.beginTask(u, l, generation) })
 		return
 	}
 	s.counts.taskStarts++
 	if s.output.trace != nil {
-		fmt.Fprintf(s.output.trace, "%8.3f START load=%s/%d try=%d stoker=%s shift=%d baton=%d\n", s.now.Seconds(), l.jobID, l.index, l.attempt, w.name, w.agentEpoch, w.fencingToken)
+		fmt.Fprintf(s.output.trace, "%8.3f START task=%s/%d attempt=%d worker=%s epoch=%d token=%d\n", s.now.Seconds(), l.jobID, l.index, l.attempt, w.name, w.agentEpoch, w.fencingToken)
 	}
 	s.checkStart(w, u, l)
 	s.countLateStart(u)
@@ -378,12 +417,13 @@
 	s.after(seconds(u.runtimeS+u.runtimeStepS*float64(l.index)), func() { w.finishTask(u, l, l.generation) })
 }
 
-func (w *simWorker) finishTask(u *simUser, l *simTask, gen int) {
-	if w.dead || l.generation != gen || l.status != protocol.TaskRunning {
+// finishTask is the moment at which a task completes.
+func (w *simWorker) finishTask(u *simUser, l *simTask, generation int) {
+	if w.dead || l.generation != generation || l.status != protocol.TaskRunning {
 		return
 	}
 	if w.s.now < w.hungUntil {
-		w.s.after(w.hungUntil-w.s.now+time.Millisecond, func() { w.finishTask(u, l, gen) })
+		w.s.after(w.hungUntil-w.s.now+time.Millisecond, func() { w.finishTask(u, l, generation) })
 		return
 	}
 	l.status, l.cause = protocol.TaskEnded, protocol.CauseDone
@@ -396,7 +436,7 @@
 	u.taskEnded()
 }
 
-// tellsZone is the zone that a worker reports.
+// reportedZone is the zone that a worker reports.
 func (w *simWorker) reportedZone() string {
 	if !w.s.defects.wrongZones || len(w.name) == 0 || w.name[len(w.name)-1]%3 > 0 {
 		return w.zone
