--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -11,46 +11,54 @@
 	"silvergate/internal/protocol"
 )
 
-// The day on which two troubles meet at the cancel horizon: the state service refuses the
+// outageScenario is a day on which two faults coincide at the cancel horizon: the state service refuses the
 // controller that holds most workers, alone; another one confirms cancellations to users; then
 // the state service is down for all, for longer than cancel_s, while the workers keep to the
 // old controller. The tasks run for many minutes and end by nothing else.
 type outageScenario struct {
 	controllers     int
-	links           string // between controllers: "up", "refused" for the length of the day, "third" (the two reach one another by way of a third alone)
+	links           string // between controllers: "up", "refused" for the length of the day, "third" (the leader and the confirming controller reach one another by a third one only)
 	cancelWhen      string // the cancellations are confirmed: "before" the refusal, "during" it, at its very "end", or "unanswered": committed by a transaction whose answer is lost
 	confirmerFate   string // what becomes of the confirming controller: "lives", "dead" until the end, "restarted" at once and unable to read
-	leader          string // the old one: "well", "frozen" or "restarted" in the middle
-	workers         string // "well", "hung", "deaf", "partly" deaf, or they report "rarely"
+	leader          string // the refused controller: "well", "frozen" or "restarted" during the outage
+	workers         string // "well", "hung", "deaf" (unresponsive), "partly" so, or they send heartbeats "rarely"
 	delayedLaunches bool   // direct launches of jobs that are cancelled come after more than cancel_s
-	checkpointing   bool   // the gangs are saving, and take long
+	checkpointing   bool   // the gangs save a checkpoint, which takes long
 	stayWithHolder  bool   // no worker reaches another controller
-	shortCancel     bool   // cancel_s is hardly longer than lease_s
+	shortCancel     bool   // cancel_s is little above lease_s
 	simultaneous    bool   // the cancellations come at the very moment of the refusal, and the outage a second later
 
-	defect func(s *sim) // breaks something on purpose; nil: nothing
+	defect func(s *sim) // may be nil
 }
 
 func (m outageScenario) String() string {
-	return fmt.Sprintf("{nodes:%d links:%s when:%s after:%s leader:%s workers:%s held:%v saving:%v stay:%v shortest:%v moment:%v}",
+	return fmt.Sprintf("{controllers:%d links:%s cancelWhen:%s confirmerFate:%s leader:%s workers:%s delayedLaunches:%v checkpointing:%v stayWithHolder:%v shortCancel:%v simultaneous:%v}",
 		m.controllers, m.links, m.cancelWhen, m.confirmerFate, m.leader, m.workers, m.delayedLaunches, m.checkpointing, m.stayWithHolder, m.shortCancel, m.simultaneous)
 }
 
-// dimensions are the values of a meeting's fields.
-var scenarioValues = struct{ links, when, after, leader, workers []string }{
-	[]string{"up", "refused", "third"}, []string{"before", "during", "end", "unanswered"}, []string{"lives", "dead", "restarted"},
-	[]string{"well", "frozen", "restarted"}, []string{"well", "hung", "deaf", "partly", "rarely"},
+// usualOutage is the scenario without faults beside the refusal and the outage.
+var usualOutage = outageScenario{
+	controllers: 3, links: "up", cancelWhen: "during", confirmerFate: "lives", leader: "well", workers: "well", stayWithHolder: true,
+}
+
+// scenarioValues are the values of a scenario's fields.
+var scenarioValues = struct{ links, cancelWhen, confirmerFate, leader, workers []string }{
+	links:         []string{"up", "refused", "third"},
+	cancelWhen:    []string{"before", "during", "end", "unanswered"},
+	confirmerFate: []string{"lives", "dead", "restarted"},
+	leader:        []string{"well", "frozen", "restarted"},
+	workers:       []string{"well", "hung", "deaf", "partly", "rarely"},
 }
 
 // outcome is what such a day came to.
 type outcome struct {
 	confirmed     int
-	longestActive time.Duration // from a confirmation to the last task gone
-	leaseKills    int           // of the old controller's tasks, jobs that nobody cancelled, on machines that were well: killed by leases
-	survivors     int           // and those that run on at the end
+	longestActive time.Duration // from a confirmation to the end of the last task
+	leaseKills    int           // of the refused controller's tasks on healthy machines, whose jobs nobody cancelled
+	survivors     int           // of the same tasks: active at the end
 }
 
-// meetingSim is a calm site whose controllers' and workers' clocks are apart by what PROTOCOL allows.
+// newOutageSim is a day without drawn faults, on which the clocks of controllers drift by what the protocol allows.
 func newOutageSim(t testing.TB, seed uint64, m outageScenario) *sim {
 	s := newSim(t, seed, 0)
 	for i := 3; i < m.controllers; i++ {
@@ -81,169 +89,218 @@
 	return s
 }
 
+// outageDay is a scenario while it is played.
+type outageDay struct {
+	outageScenario
+	s            *sim
+	jobs         int            // submitted
+	leader       *simController // the controller that is refused
+	others       []*simController
+	confirmer    *simController // takes the cancellations
+	refusedAt    time.Duration
+	outageAt     time.Duration // when the refusal ends and the outage begins
+	outageEndsAt time.Duration
+}
+
 // play plays the day.
 func (m outageScenario) play(t *testing.T, seed uint64) (*sim, outcome) {
 	s := newOutageSim(t, seed, m)
 	s.traceDay(t, seed)
-	long, n := 3600.0, 0
-	submit := func(shape job.Shape, p job.Priority, tasks int) {
-		n++
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "long", Team: []string{"red", "blue"}[n%2], Shape: shape, Priority: p, Tasks: tasks, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, long, 0)
-	}
+	day := &outageDay{outageScenario: m, s: s}
 	for range 4 {
-		submit(job.Service, job.Production, 3)
-		submit(job.Array, job.Low, 5)
-		submit(job.Gang, job.High, 2)
+		day.submit(job.Service, job.Production, 3)
+		day.submit(job.Array, job.Low, 5)
+		day.submit(job.Gang, job.High, 2)
 	}
 	s.followCancelled()
-	refusedFor := 25 * time.Second
-	if m.simultaneous {
-		refusedFor = time.Second
-	}
 	s.run(55 * time.Second)
-	leader := s.busiestController()
-	var others []*simController
-	for _, o := range s.controllers {
-		if o != leader {
-			others = append(others, o)
-		}
+	day.pickControllers()
+	day.refusedAt, day.outageAt = 60*time.Second, 85*time.Second
+	if m.simultaneous {
+		day.outageAt = day.refusedAt + time.Second
 	}
-	confirms := others[s.random.IntN(len(others))]
-	at, end := 60*time.Second, 60*time.Second+refusedFor
-	outage := seconds(1.3 * s.facts.Workers.Cancel)
+	day.outageEndsAt = day.outageAt + seconds(1.3*s.facts.Workers.Cancel)
 	if m.delayedLaunches {
-		s.after(0, func() {
-			leader.commandsDelayedUntil = end + seconds(1.1*s.facts.Workers.Cancel)
-			for range 3 {
-				submit(job.Array, job.Normal, 4)
-			}
-		})
+		s.after(0, day.delayLaunches)
+	}
+	s.after(day.refusedAt-s.now, day.refuseLeader)
+	s.after(day.drawCancellationTime()-s.now, day.cancelJobs)
+	if m.confirmerFate != "lives" {
+		day.crashConfirmerOnceTold()
+	}
+	s.after(day.outageAt-s.now, func() { s.state.downUntil = day.outageEndsAt })
+	s.after(day.outageAt+s.randomMillis(0, 6000)-s.now, day.injectDuringOutage)
+	s.run(day.outageEndsAt + 5*time.Second)
+	return s, day.outcome()
+}
+
+// submit submits a job whose tasks run for an hour.
+func (d *outageDay) submit(shape job.Shape, priority job.Priority, tasks int) {
+	d.jobs++
+	d.s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", d.jobs), Class: "long", Team: []string{"red", "blue"}[d.jobs%2], Shape: shape, Priority: priority,
+		Tasks: tasks, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 3600, 0)
+}
+
+func (d *outageDay) pickControllers() {
+	d.leader = d.s.busiestController()
+	d.others = d.s.otherControllers(d.leader)
+	d.confirmer = d.others[d.s.random.IntN(len(d.others))]
+}
+
+// delayLaunches has launches of new jobs arrive after more than cancel_s.
+func (d *outageDay) delayLaunches() {
+	d.leader.commandsDelayedUntil = d.outageAt + seconds(1.1*d.s.facts.Workers.Cancel)
+	for range 3 {
+		d.submit(job.Array, job.Normal, 4)
+	}
+}
+
+// refuseLeader has the state service refuse the leader, and cuts the links of the scenario.
+func (d *outageDay) refuseLeader() {
+	for _, w := range d.s.cloud.sortedMachines() {
+		w.observed = d.leader.holds(w)
 	}
-	s.after(at-s.now, func() {
-		for _, w := range s.cloud.sortedMachines() {
-			m := leader.core.machines.byID[w.name]
-			w.observed = m != nil && leader.core.isOwn(m)
+	d.leader.refusedUntil = d.outageAt
+	if d.stayWithHolder {
+		for _, n := range d.others {
+			n.unreachableUntil["workers"] = d.outageEndsAt
 		}
-		leader.refusedUntil = end
-		for _, o := range others {
-			if m.stayWithHolder {
-				o.unreachableUntil["workers"] = end + outage
+	}
+	for _, from := range d.s.controllers {
+		for _, to := range d.s.controllers {
+			between := from == d.leader && to == d.confirmer || from == d.confirmer && to == d.leader
+			if from != to && (d.links == "refused" || d.links == "third" && between) {
+				from.unreachableUntil["to:"+to.name] = d.outageEndsAt
 			}
 		}
-		for _, a := range s.controllers {
-			for _, b := range s.controllers {
-				if a != b && (m.links == "refused" || m.links == "third" && (a == leader && b == confirms || a == confirms && b == leader)) {
-					a.unreachableUntil["to:"+b.name] = end + outage
-				}
-			}
+	}
+}
+
+// drawCancellationTime draws all times, so that scenarios of one seed differ in nothing else.
+func (d *outageDay) drawCancellationTime() time.Duration {
+	at := map[string]time.Duration{
+		"before":     d.refusedAt - d.s.randomMillis(0, 60),
+		"during":     d.refusedAt + (d.outageAt-d.refusedAt)/2,
+		"end":        d.outageAt - d.s.randomMillis(0, 100),
+		"unanswered": d.outageAt - d.s.randomMillis(100, 4000),
+	}[d.cancelWhen]
+	if d.simultaneous {
+		at = d.refusedAt + d.s.randomMillis(-20, 20)
+	}
+	return at
+}
+
+// cancelJobs has the users of half of the jobs, and of those whose launches are delayed, cancel them.
+func (d *outageDay) cancelJobs() {
+	if d.cancelWhen == "unanswered" {
+		d.confirmer.repliesLostUntil = d.s.now + 2*time.Second
+	}
+	for i, id := range sortedKeys(d.s.users) {
+		if u := d.s.users[id]; i%2 == 0 || i > 12 {
+			u.cancelVia = d.confirmer
+			u.cancel()
 		}
-	})
-	when := map[string]time.Duration{"before": at - s.randomMillis(0, 60), "during": at + refusedFor/2, "end": end - s.randomMillis(0, 100), "unanswered": end - s.randomMillis(100, 4000)}[m.cancelWhen]
-	if m.simultaneous {
-		when = at + s.randomMillis(-20, 20)
 	}
-	s.after(when-s.now, func() {
-		if m.cancelWhen == "unanswered" {
-			confirms.repliesLostUntil = s.now + 2*time.Second
+}
+
+// crashConfirmerOnceTold crashes the confirming controller as soon as a user was told that a job is cancelled.
+func (d *outageDay) crashConfirmerOnceTold() {
+	s := d.s
+	for _, u := range s.users {
+		if u.cancelledAt == 0 {
+			continue
 		}
-		for i, id := range sortedKeys(s.users) {
-			if u := s.users[id]; i%2 == 0 || i > 12 {
-				u.cancelVia = confirms
-				u.cancel()
-			}
+		down := s.randomMillis(300, 3000)
+		if d.confirmerFate == "dead" {
+			down = d.outageEndsAt - s.now
 		}
-	})
-	var told func()
-	told = func() {
-		for _, u := range s.users {
-			if u.cancelledAt > 0 {
-				down := s.randomMillis(300, 3000)
-				if m.confirmerFate == "dead" {
-					down = end + outage - s.now
-				}
-				s.after(s.randomMillis(0, 300), func() {
-					if m.confirmerFate == "restarted" {
-						confirms.unreachableUntil["state"] = s.now + down + 10*time.Second // it is back, and can't read
-					}
-					confirms.crash(down)
-				})
-				return
+		s.after(s.randomMillis(0, 300), func() {
+			if d.confirmerFate == "restarted" {
+				d.confirmer.unreachableUntil["state"] = s.now + down + 10*time.Second // it can't read when it is back
 			}
-		}
-		s.after(10*time.Millisecond, told)
+			d.confirmer.crash(down)
+		})
+		return
 	}
-	if m.confirmerFate != "lives" {
-		told()
+	s.after(10*time.Millisecond, d.crashConfirmerOnceTold)
+}
+
+// injectDuringOutage injects the faults of the leader and its workers.
+func (d *outageDay) injectDuringOutage() {
+	s := d.s
+	switch d.outageScenario.leader {
+	case "frozen":
+		d.leader.pausedUntil = s.now + s.randomMillis(3000, 20_000)
+	case "restarted":
+		d.leader.crash(s.randomMillis(200, 4000))
 	}
-	s.after(end-s.now, func() { s.state.downUntil = end + outage })
-	s.after(end+s.randomMillis(0, 6000)-s.now, func() {
-		switch m.leader {
-		case "frozen":
-			leader.pausedUntil = s.now + s.randomMillis(3000, 20_000)
-		case "restarted":
-			leader.crash(s.randomMillis(200, 4000))
+	for i, w := range s.cloud.sortedMachines() {
+		switch {
+		case !w.observed:
+		case d.workers == "hung" && i%2 == 0:
+			w.hungUntil = s.now + s.randomMillis(2000, 700*s.facts.Workers.Lease)
+		case d.workers == "deaf" && i%2 == 0:
+			w.unresponsiveUntil = s.now + s.randomMillis(5000, 2000*s.facts.Workers.Lease)
+		case d.workers == "partly":
+			w.messageLoss = 0.5
 		}
-		for i, w := range s.cloud.sortedMachines() {
-			switch {
-			case !w.observed:
-			case m.workers == "hung" && i%2 == 0:
-				w.hungUntil = s.now + s.randomMillis(2000, 700*s.facts.Workers.Lease)
-			case m.workers == "deaf" && i%2 == 0:
-				w.unresponsiveUntil = s.now + s.randomMillis(5000, 2000*s.facts.Workers.Lease)
-			case m.workers == "partly":
-				w.messageLoss = 0.5
-			}
-			for _, l := range w.tasks {
-				if u := s.users[l.jobID]; m.checkpointing && u != nil && u.spec.Shape == job.Gang && l.status == protocol.TaskRunning {
-					l.status = protocol.TaskCheckpointing
-				}
+		for _, l := range w.tasks {
+			if u := s.users[l.jobID]; d.checkpointing && u != nil && u.spec.Shape == job.Gang && l.status == protocol.TaskRunning {
+				l.status = protocol.TaskCheckpointing
 			}
 		}
-	})
-	s.run(end + outage + 5*time.Second)
-	var o outcome
-	for _, u := range s.users {
+	}
+}
+
+func (d *outageDay) outcome() outcome {
+	o := outcome{leaseKills: d.s.counts.leaseKills}
+	for _, u := range d.s.users {
 		if u.cancelledAt > 0 {
 			o.confirmed++
 			o.longestActive = max(o.longestActive, u.lastActiveAt-u.cancelledAt)
 		}
 	}
-	for _, w := range s.workers {
-		for _, l := range w.tasks {
-			if u := s.users[l.jobID]; w.observed && u != nil && l.isActive() && !u.cancelRequested {
-				o.survivors++
-			}
-		}
-	}
-	o.leaseKills = s.counts.leaseKills
-	return s, o
+	o.survivors = d.s.countRunning(func(w *simWorker, u *simUser) bool { return w.observed && !u.cancelRequested })
+	return o
 }
 
-// draw draws a meeting.
+// drawScenario draws a scenario.
 func drawScenario(s *sim) outageScenario {
 	one := func(of []string) string { return of[s.random.IntN(len(of))] }
 	coin := func() bool { return s.random.IntN(2) == 0 }
-	return outageScenario{3 + 2*s.random.IntN(2), one(scenarioValues.links), one(scenarioValues.when), one(scenarioValues.after), one(scenarioValues.leader), one(scenarioValues.workers), coin(), coin(), coin(), s.random.IntN(4) == 0, s.random.IntN(3) == 0, nil}
+	return outageScenario{ // drawn in this order
+		controllers:     3 + 2*s.random.IntN(2),
+		links:           one(scenarioValues.links),
+		cancelWhen:      one(scenarioValues.cancelWhen),
+		confirmerFate:   one(scenarioValues.confirmerFate),
+		leader:          one(scenarioValues.leader),
+		workers:         one(scenarioValues.workers),
+		delayedLaunches: coin(),
+		checkpointing:   coin(),
+		stayWithHolder:  coin(),
+		shortCancel:     s.random.IntN(4) == 0,
+		simultaneous:    s.random.IntN(3) == 0,
+	}
 }
 
-// judge fails the test if a rule broke, and tells how near the day came to cancel_s.
+// judge fails the test if a rule was broken, and logs how near the day came to cancel_s.
 func (m outageScenario) judge(t *testing.T, s *sim, o outcome) {
 	t.Helper()
-	for _, b := range s.violations {
-		t.Error(b)
+	for _, violation := range s.violations {
+		t.Error(violation)
 	}
 	limit := seconds(s.facts.Workers.Cancel)
 	if o.longestActive > limit {
-		t.Errorf("a task is there %v after its job's cancellation was confirmed, cancel_s is %v", o.longestActive, limit)
+		t.Errorf("a task is active %v after its job's cancellation was confirmed, cancel_s is %v", o.longestActive, limit)
 	}
-	t.Logf("%s: %d confirmed, the last task gone after %.1f s of %.1f (lease_s %.1f, report_s %.1f); %d killed for caution, %d run on",
+	t.Logf("%s: %d confirmed, the last task ended after %.1f s of %.1f (lease_s %.1f, report_s %.1f); %d others killed by their lease, %d run on",
 		m, o.confirmed, o.longestActive.Seconds(), limit.Seconds(), s.facts.Workers.Lease, s.facts.Workers.Report, o.leaseKills, o.survivors)
 }
 
-// TestRefusedThenDown plays the day with each of its variants alone, and then with drawn
-// ones of all; SIM_DAYS plays more of those.
+// TestRefusedThenDown plays the usual scenario with each value of each field alone, and then
+// scenarios whose fields are all drawn; SIM_DAYS plays more of those.
 func TestRefusedThenDown(t *testing.T) {
-	usual := outageScenario{3, "up", "during", "lives", "well", "well", false, false, true, false, false, nil}
+	usual := usualOutage
 	var all []outageScenario
 	for _, d := range []struct {
 		values []string
@@ -251,8 +308,8 @@
 	}{
 		{scenarioValues.links, func(m *outageScenario, v string) { m.links = v }},
 		{scenarioValues.links, func(m *outageScenario, v string) { m.links, m.stayWithHolder = v, false }},
-		{scenarioValues.when, func(m *outageScenario, v string) { m.cancelWhen = v }},
-		{scenarioValues.after, func(m *outageScenario, v string) { m.confirmerFate = v }},
+		{scenarioValues.cancelWhen, func(m *outageScenario, v string) { m.cancelWhen = v }},
+		{scenarioValues.confirmerFate, func(m *outageScenario, v string) { m.confirmerFate = v }},
 		{scenarioValues.leader, func(m *outageScenario, v string) { m.leader = v }},
 		{scenarioValues.workers, func(m *outageScenario, v string) { m.workers = v }},
 	} {
@@ -280,7 +337,7 @@
 				s, o := m.play(t, uint64(20_000+i))
 				m.judge(t, s, o)
 				if o.confirmed == 0 {
-					t.Error("nothing was confirmed: the day is none")
+					t.Error("no cancellation was confirmed: the scenario did not occur")
 				}
 			})
 		}
@@ -292,13 +349,13 @@
 	})
 }
 
-// TestTheMeetingIsJudged breaks what the day stands on, one thing at a time, and has the checker find it.
+// TestTheMeetingIsJudged breaks what the scenario depends on, one thing at a time, and has the checker find it.
 func TestTheMeetingIsJudged(t *testing.T) {
-	base := outageScenario{3, "up", "during", "lives", "well", "well", false, false, true, false, false, nil}
+	base := usualOutage
 	for _, v := range []struct {
-		name  string
-		m     func(m *outageScenario)
-		spoil func(s *sim)
+		name   string
+		change func(m *outageScenario)
+		defect func(s *sim)
 	}{
 		{"cancellations are believed to have ages", func(m *outageScenario) { m.confirmerFate, m.links = "dead", "refused" }, func(s *sim) { s.advertised.Workers.Cancel = 10_000 }},
 		{"peers name no cancellations, and nobody carries calls", func(*outageScenario) {}, func(s *sim) { s.defects.noCancellationReplies, s.defects.noRelays = true, true }},
@@ -306,8 +363,8 @@
 		t.Run(v.name, func(t *testing.T) {
 			for seed := uint64(23_000); seed < 23_012; seed++ {
 				m := base
-				v.m(&m)
-				m.defect = v.spoil
+				v.change(&m)
+				m.defect = v.defect
 				s, o := m.play(t, seed)
 				if o.longestActive > seconds(s.facts.Workers.Cancel) && strings.Contains(strings.Join(s.violations, ""), "ran_cancelled") {
 					return
