--- a/internal/coordination/data_sets_test.go
+++ b/internal/coordination/data_sets_test.go
@@ -10,9 +10,9 @@
 	"silvergate/internal/protocol"
 )
 
-// TestRulesHoldWithDataSets runs days of trouble on which jobs read data sets,
-// and demands what every day does; and that tasks mostly start where their
-// inputs are, though these are elsewhere for most machines.
+// TestRulesHoldWithDataSets plays days with faults on which jobs read data sets,
+// and requires what every day does; and that tasks mostly start on machines that hold their
+// inputs, though most machines do not.
 func TestRulesHoldWithDataSets(t *testing.T) {
 	warm, cold, withdrawn := 0, 0, 0
 	for seed := uint64(300); seed < 308; seed++ {
@@ -51,13 +51,13 @@
 		warm, cold = warm+s.counts.warmStarts, cold+s.counts.coldStarts
 		for _, n := range s.controllers {
 			withdrawn += int(n.core.staging.planner.Stats.Withdrawn)
-			if k := len(n.core.staging.warmedFor); k > 0 {
-				t.Errorf("seed %d: %s still brings %d copies for jobs that are over", seed, n.name, k)
+			if copies := len(n.core.staging.warmedFor); copies > 0 {
+				t.Errorf("seed %d: %s still brings %d copies for jobs that are over", seed, n.name, copies)
 			}
 		}
 	}
 	t.Logf("%d launches where the inputs were, %d elsewhere, %d orders withdrawn", warm, cold, withdrawn)
-	// Guards against copies that go on being fetched for tasks placed elsewhere.
+	// Guards against copies that are fetched on for tasks that were placed elsewhere.
 	if withdrawn == 0 {
 		t.Error("no order was withdrawn")
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestAnnouncementEndsWhenMet guards against copies that are kept for work that
-// has come.
+// TestAnnouncementEndsWhenMet guards against copies that are kept for an announcement
+// whose tasks are placed.
 func TestAnnouncementEndsWhenMet(t *testing.T) {
 	s := newSim(t, 1, 0)
 	s.options.dataSets = []protocol.DataSet{{Set: "set0", Version: "1"}}
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestMostOfAControllersMachinesHang guards against a controller that took itself
-// for cut off when more than half of its machines hung: they were returned twice
-// as late, and their free room was planned with meanwhile (carbura-iasi-fleet,
+// for partitioned when more than half of its machines hung: they were deleted twice
+// as late, and their free capacity was planned with meanwhile (carbura-iasi-fleet,
 // day zone: replicas without room for 45 s).
 func TestMostOfAControllersMachinesHang(t *testing.T) {
 	s := grownSim(t, 41)
@@ -47,9 +47,9 @@
 	s.reportViolations(t)
 }
 
-// TestDrainsDoNotTakeTurns guards against a fault found on inc-41e3: a gathered
-// machine that was returned fell silent, and "idle" and "silent" replaced one
-// another in its drain at every sweep until its records went.
+// TestDrainsDoNotTakeTurns guards against a fault found on inc-41e3: a machine that
+// was emptied by consolidation and deleted fell silent, and "idle" and "silent" replaced
+// one another in its drain at every sweep until its records were deleted.
 func TestDrainsDoNotTakeTurns(t *testing.T) {
 	s := newSim(t, 47, 0)
 	for i := range 8 {
@@ -58,7 +58,7 @@
 	}
 	s.run(60 * time.Second)
 	for _, n := range s.controllers {
-		n.unreachableUntil["cloud"] = s.now + time.Hour // nothing is returned
+		n.unreachableUntil["cloud"] = s.now + time.Hour // nothing is deleted
 	}
 	var gone *machine
 	for _, n := range s.controllers {
--- a/internal/coordination/fault_days_controllers_test.go
+++ b/internal/coordination/fault_days_controllers_test.go
@@ -14,14 +14,14 @@
 		workload: submitLongJobs(14),
 		duration: 60 * time.Second,
 		inject: func(s *sim) {
-			l := s.busiestController()
+			leader := s.busiestController()
 			for _, w := range s.cloud.sortedMachines() {
-				if w.up && l.holds(w) {
+				if w.up && leader.holds(w) {
 					s.faultCounts.affected += len(w.tasks)
 					w.hungUntil = s.now + s.leaseTimes(0.4+0.8*s.random.Float64())
 				}
 			}
-			l.crash(40 * time.Second)
+			leader.crash(40 * time.Second)
 			s.after(s.randomMillis(0, 8000), func() { s.cancelShare(0.3, time.Second, nil) })
 		},
 		occurrences: func(s *sim) int { return s.faultCounts.affected },
@@ -40,14 +40,14 @@
 			kinds := []string{keyJob, keyPage, keyTeam, keyClaim, keyDrain, keyRental, keyFleet, keyGang, keyMember}
 			until := s.now + 90*time.Second
 			// Up to twelve of each kind; crashes have others act on what was written.
-			s.faults.losesReply = func(n *simController, t protocol.Txn) bool {
-				for _, k := range kinds {
-					often := 0.4
-					if k == keyRental || k == keyClaim || k == keyDrain {
-						often = 0.9 // there are few
+			s.faults.losesReply = func(n *simController, txn protocol.Txn) bool {
+				for _, kind := range kinds {
+					probability := 0.4
+					if kind == keyRental || kind == keyClaim || kind == keyDrain {
+						probability = 0.9 // these are rare
 					}
-					if s.now < until && writesKind(t, k) && s.faultCounts.lostRepliesByKind[k] < 12 && s.random.Float64() < often {
-						s.faultCounts.lostRepliesByKind[k]++
+					if s.now < until && writesKind(txn, kind) && s.faultCounts.lostRepliesByKind[kind] < 12 && s.random.Float64() < probability {
+						s.faultCounts.lostRepliesByKind[kind]++
 						return true
 					}
 				}
@@ -58,8 +58,8 @@
 			}
 		},
 		occurrences: func(s *sim) int {
-			for _, k := range []string{keyJob, keyPage, keyClaim, keyRental, keyMember} {
-				if s.faultCounts.lostRepliesByKind[k] == 0 {
+			for _, kind := range []string{keyJob, keyPage, keyClaim, keyRental, keyMember} {
+				if s.faultCounts.lostRepliesByKind[kind] == 0 {
 					return 0
 				}
 			}
@@ -76,20 +76,20 @@
 		workload: submitLongJobs(20),
 		duration: 70 * time.Second,
 		inject: func(s *sim) {
-			in := s.controllers[0] // its zone is a
+			partitioned := s.controllers[0] // its zone is a
 			until := s.now + max(s.leaseTimes(1.2), seconds((1+0.3*s.random.Float64())*s.facts.Workers.Cancel))
-			for _, k := range []string{"state", "peers", "users", "cloud"} {
-				in.unreachableUntil[k] = until
+			for _, link := range []string{"state", "peers", "users", "cloud"} {
+				partitioned.unreachableUntil[link] = until
 			}
 			for _, n := range s.controllers {
-				for _, z := range s.facts.Zones {
-					if n.zone == "a" != (z == "a") {
-						n.unreachableUntil["zone:"+z] = until
+				for _, zone := range s.facts.Zones {
+					if n.zone == "a" != (zone == "a") {
+						n.unreachableUntil["zone:"+zone] = until
 					}
 				}
 				if n.zone == "a" {
-					for _, k := range []string{"state", "peers", "users", "cloud"} {
-						n.unreachableUntil[k] = until
+					for _, link := range []string{"state", "peers", "users", "cloud"} {
+						n.unreachableUntil[link] = until
 					}
 				}
 			}
@@ -109,14 +109,14 @@
 		duration: 90 * time.Second,
 		setup:    func(s *sim) { s.faults.queryEverywhere = true },
 		inject: func(s *sim) {
-			l := s.busiestController()
+			leader := s.busiestController()
 			long := seconds(1.4 * s.facts.Workers.Cancel)
-			l.unreachableUntil["state"], l.unreachableUntil["peers"] = s.now+long, s.now+long
-			for _, o := range s.otherControllers(l) { // nor can its workers go elsewhere
+			leader.unreachableUntil["state"], leader.unreachableUntil["peers"] = s.now+long, s.now+long
+			for _, o := range s.otherControllers(leader) { // nor can its workers go elsewhere
 				o.unreachableUntil["workers"] = s.now + long
 			}
-			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return l.holds(w) })
-			s.after(3*time.Second, func() { s.cancelShare(0.5, 10*time.Second, s.otherControllers(l)[0]) })
+			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return leader.holds(w) })
+			s.after(3*time.Second, func() { s.cancelShare(0.5, 10*time.Second, s.otherControllers(leader)[0]) })
 		},
 		occurrences: func(s *sim) int { return s.faultCounts.affected },
 		defect:      func(s *sim) { s.advertised.Workers.Cancel = 10_000 },
@@ -134,8 +134,8 @@
 			for _, n := range s.controllers {
 				n.watchDelayedUntil = s.now + 20*time.Second
 			}
-			l := s.busiestController()
-			s.after(15*time.Second, func() { l.refusedUntil = s.now + 12*time.Second })
+			leader := s.busiestController()
+			s.after(15*time.Second, func() { leader.refusedUntil = s.now + 12*time.Second })
 			s.after(16*time.Second, func() { s.faultCounts.affected = s.cancelShare(0.4, 14*time.Second, nil) })
 			s.after(27*time.Second, func() { s.state.downUntil = s.now + seconds(1.2*s.facts.Workers.Cancel) })
 			s.after(40*time.Second, func() { s.cancelShare(0.3, 30*time.Second, nil) })
--- a/internal/coordination/fault_days_test.go
+++ b/internal/coordination/fault_days_test.go
@@ -10,15 +10,16 @@
 // troubles", has the whole table, by these names) is a day here: injected on 3 and 5 controllers, with several seeds; counted,
 // so that a day fails on which it did not occur; and played with a defect, so that its checkers are seen to work.
 
+// faultDay is a day on which faults coincide.
 type faultDay struct {
 	name        string
 	workload    func(s *sim)               // nil: jobs of all shapes
 	inject      func(s *sim)               // at 50 s
 	duration    time.Duration              // after that
-	occurrences func(s *sim) int           // how often the meeting took place
-	check       func(t *testing.T, s *sim) // beside the rules; may be nil
-	defect      func(s *sim)               // the defect
-	violation   string                     // what a checker says of it
+	occurrences func(s *sim) int           // how often the faults coincided; 0 fails the test
+	check       func(t *testing.T, s *sim) // beside the rules' checkers; may be nil
+	defect      func(s *sim)               // breaks something on purpose
+	violation   string                     // what a checker then reports; empty: any violation
 	setup       func(s *sim)               // before the day; may be nil
 }
 
@@ -47,19 +48,20 @@
 	allControllersDownDay(),
 }
 
-// play plays the day. Nothing is judged here but by the checkers that are always there.
-func (d *faultDay) play(t *testing.T, nodes int, seed uint64, spoil func(s *sim)) *sim {
-	s := newOutageSim(t, seed, outageScenario{controllers: nodes, workers: "well"})
+// play prepares the day. The defect may be nil.
+func (d *faultDay) play(t *testing.T, controllers int, seed uint64, defect func(s *sim)) *sim {
+	t.Helper()
+	s := newOutageSim(t, seed, outageScenario{controllers: controllers, workers: "well"})
 	if d.setup != nil {
 		d.setup(s)
 	}
 	if !s.faults.scarceCapacity {
-		for k := range s.cloud.capacity {
-			s.cloud.capacity[k] *= 2
+		for machines := range s.cloud.capacity {
+			s.cloud.capacity[machines] *= 2
 		}
 	}
-	if spoil != nil {
-		spoil(s)
+	if defect != nil {
+		defect(s)
 	}
 	s.options.unorderedLaunches = true
 	s.traceDay(t, seed)
@@ -75,12 +77,12 @@
 	return s
 }
 
-// TestMeetingDays plays each, SIM_DAYS of them with other seeds.
+// TestMeetingDays plays each fault day, on 3 and 5 controllers by turns; with SIM_DAYS, as many days with other seeds.
 func TestMeetingDays(t *testing.T) {
-	k := len(faultDays)
-	runSeeds(t, 0, 4*k, func(t *testing.T, i uint64) {
-		d, nodes := &faultDays[int(i)%k], 3+2*int(i/uint64(k)%2)
-		s := d.play(t, nodes, 46_000+i, nil)
+	days := len(faultDays)
+	runSeeds(t, 0, 4*days, func(t *testing.T, i uint64) {
+		d, controllers := &faultDays[int(i)%days], 3+2*int(i/uint64(days)%2)
+		s := d.play(t, controllers, 46_000+i, nil)
 		s.finish(t, 60*time.Second+d.duration)
 		s.judgeServed()
 		s.reportViolations(t)
@@ -88,7 +90,7 @@
 			d.check(t, s)
 		}
 		if d.occurrences(s) == 0 {
-			t.Errorf("it did not take place: %+v", s.faultCounts)
+			t.Errorf("the faults did not coincide: %+v", s.faultCounts)
 		}
 		if s.faultCounts.lateStarts > 0 {
 			t.Logf("%d tasks began after their job's cancellation was confirmed", s.faultCounts.lateStarts)
@@ -99,23 +101,23 @@
 	})
 }
 
-// TestMeetingDaysAreJudged breaks each day on purpose and has a checker say so.
+// TestMeetingDaysAreJudged plays each day with its defect and has a checker find it.
 func TestMeetingDaysAreJudged(t *testing.T) {
 	for i := range faultDays {
 		d := &faultDays[i]
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
-			said := ""
+			found := ""
 			for seed := uint64(47_000); seed < 47_008; seed++ {
 				s := d.play(t, 3, seed, d.defect)
 				s.run(3*time.Minute + d.duration)
 				if all := strings.Join(s.violations, "\n"); strings.Contains(all, d.violation) && all != "" {
 					return
-				} else if said == "" {
-					said = all
+				} else if found == "" {
+					found = all
 				}
 			}
-			t.Errorf("no checker said %q, but %q", d.violation, said)
+			t.Errorf("no checker found %q, but %q", d.violation, found)
 		})
 	}
 }
--- a/internal/coordination/fault_days_users_test.go
+++ b/internal/coordination/fault_days_users_test.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/job"
 )
 
-// Fault days on which users are what is special: many requests, requests at the moment of a change, and more jobs than room.
+// Fault days of users: many requests, requests at the moment of a change, and more jobs than capacity.
 
 func smallJobsInQuickSuccessionDay() faultDay {
 	return faultDay{
@@ -84,11 +84,11 @@
 		name: "every team is at its limit, jobs are cancelled whose machines hang, and the leader changes",
 		workload: func(s *sim) {
 			for i := range 24 {
-				sp := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "arr", Team: []string{"red", "blue"}[i%2], Shape: job.Array, Priority: job.Normal, Tasks: 4, CPUs: 2, GPUs: 0.5, MemoryGB: 8}
+				spec := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "arr", Team: []string{"red", "blue"}[i%2], Shape: job.Array, Priority: job.Normal, Tasks: 4, CPUs: 2, GPUs: 0.5, MemoryGB: 8}
 				if i%4 < 2 {
-					sp.Shape, sp.Class, sp.Tasks = job.Gang, "gng", 2
+					spec.Shape, spec.Class, spec.Tasks = job.Gang, "gng", 2
 				}
-				s.submit(sp, 50, 0)
+				s.submit(spec, 50, 0)
 			}
 		},
 		duration: 70 * time.Second,
@@ -97,7 +97,7 @@
 			s.advertised = s.facts
 		},
 		inject: func(s *sim) {
-			l := s.busiestController()
+			leader := s.busiestController()
 			for i, w := range s.cloud.sortedMachines() {
 				if !w.up || len(w.tasks) == 0 {
 					continue
@@ -110,12 +110,12 @@
 					w.unresponsiveUntil = s.now + s.leaseTimes(0.3+1.2*s.random.Float64())
 				}
 			}
-			z := s.facts.Zones[s.random.IntN(2)]
+			zone := s.facts.Zones[s.random.IntN(2)]
 			for _, n := range s.controllers {
-				n.unreachableUntil["zone:"+z] = s.now + s.leaseTimes(1.3)
+				n.unreachableUntil["zone:"+zone] = s.now + s.leaseTimes(1.3)
 			}
 			s.cancelShare(0.5, 2*time.Second, nil)
-			s.after(s.randomMillis(0, 3000), func() { l.crash(s.randomMillis(500, 20_000)) })
+			s.after(s.randomMillis(0, 3000), func() { leader.crash(s.randomMillis(500, 20_000)) })
 			s.after(s.randomMillis(15_000, 30_000), func() { s.busiestController().crash(time.Second) })
 		},
 		occurrences: func(s *sim) int { return s.faultCounts.affected },
@@ -152,8 +152,8 @@
 		name: "there is more work than room, urgent and not, over slow links",
 		workload: func(s *sim) {
 			for i := range 30 {
-				sp := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Priority(i % 4), Tasks: 6, CPUs: 4, GPUs: 1, MemoryGB: 8}
-				s.submit(sp, 18, 0)
+				spec := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Priority(i % 4), Tasks: 6, CPUs: 4, GPUs: 1, MemoryGB: 8}
+				s.submit(spec, 18, 0)
 			}
 		},
 		duration: 70 * time.Second,
--- a/internal/coordination/fault_days_workers_test.go
+++ b/internal/coordination/fault_days_workers_test.go
@@ -23,8 +23,8 @@
 						s.submit(&job.Spec{ID: fmt.Sprintf("wk-71%02d%02d", i, j), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 6, CPUs: 4, GPUs: 1, MemoryGB: 8, Spot: j%2 == 0}, 12, 0)
 					}
 					s.after(s.randomMillis(0, 4000), func() {
-						if l := s.leading(); l != nil {
-							l.crash(s.randomMillis(200, 5000))
+						if leader := s.leading(); leader != nil {
+							leader.crash(s.randomMillis(200, 5000))
 						}
 					})
 				})
@@ -54,16 +54,16 @@
 		inject: func(s *sim) {
 			for _, at := range []time.Duration{0, 25, 50} {
 				s.after(at*time.Second, func() {
-					l := s.busiestController()
-					for _, w := range s.cloud.sortedMachines() { // some are in their next session by then
-						if w.up && l.holds(w) && s.random.IntN(3) == 0 {
+					leader := s.busiestController()
+					for _, w := range s.cloud.sortedMachines() { // some are in their next agent epoch by then
+						if w.up && leader.holds(w) && s.random.IntN(3) == 0 {
 							w.unresponsiveUntil = s.now + s.leaseTimes(1.2)
 						}
 					}
 					down := s.randomMillis(300, 8000)
-					l.crash(down)
+					leader.crash(down)
 					s.deliverCopies(6 * time.Second)
-					s.after(down, func() { s.deliverCopies(500 * time.Millisecond) }) // before it has read the records, too
+					s.after(down, func() { s.deliverCopies(500 * time.Millisecond) }) // also before it has read the records
 				})
 			}
 			s.after(75*time.Second, func() { s.faults.copiedShare = 0 })
@@ -148,12 +148,12 @@
 		name: "jobs bound to one zone, arrays too, lose machines",
 		workload: func(s *sim) {
 			for i := range 16 {
-				sp := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "arr", Team: "blue", Shape: []job.Shape{job.Array, job.Array, job.Gang, job.Service}[i%4], Priority: job.Normal,
+				spec := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "arr", Team: "blue", Shape: []job.Shape{job.Array, job.Array, job.Gang, job.Service}[i%4], Priority: job.Normal,
 					Tasks: 2 + i%4, CPUs: 2, GPUs: 0.5, MemoryGB: 8, OneZone: i%3 > 0, Spot: i%2 == 0}
 				if i%3 == 0 {
-					sp.Zone = []string{"a", "b"}[i%2]
+					spec.Zone = []string{"a", "b"}[i%2]
 				}
-				s.submit(sp, 25+40*s.random.Float64(), 0)
+				s.submit(spec, 25+40*s.random.Float64(), 0)
 			}
 		},
 		duration: 70 * time.Second,
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -14,164 +14,165 @@
 // faultKind is something that goes wrong for a time, at a controller or around it.
 type faultKind struct {
 	name   string
-	inject func(s *sim, n *simController, long time.Duration)
+	inject func(s *sim, n *simController, duration time.Duration)
 }
 
+// faultKinds are in a fixed order: a day's pair is chosen by their indexes.
 var faultKinds = []faultKind{
-	{"a leader cut from state and peers", func(s *sim, n *simController, long time.Duration) {
-		n.unreachableUntil["state"], n.unreachableUntil["peers"] = s.now+long, s.now+long
+	{"a leader cut from state and peers", func(s *sim, n *simController, duration time.Duration) {
+		n.unreachableUntil["state"], n.unreachableUntil["peers"] = s.now+duration, s.now+duration
 	}},
-	{"the same, reset", func(s *sim, n *simController, long time.Duration) {
-		n.unreachableUntil["state"], n.unreachableUntil["peers"], n.resetLinks = s.now+long, s.now+long, map[string]bool{"state": true, "peers": true}
-		s.after(long, func() { n.resetLinks = nil })
+	{"the same, reset", func(s *sim, n *simController, duration time.Duration) {
+		n.unreachableUntil["state"], n.unreachableUntil["peers"], n.resetLinks = s.now+duration, s.now+duration, map[string]bool{"state": true, "peers": true}
+		s.after(duration, func() { n.resetLinks = nil })
 	}},
-	{"refused, then down for all", func(s *sim, n *simController, long time.Duration) {
-		n.refusedUntil = s.now + long/3
-		s.after(long/3, func() { s.state.downUntil = s.now + seconds(1.2*s.facts.Workers.Cancel) })
+	{"refused, then down for all", func(s *sim, n *simController, duration time.Duration) {
+		n.refusedUntil = s.now + duration/3
+		s.after(duration/3, func() { s.state.downUntil = s.now + seconds(1.2*s.facts.Workers.Cancel) })
 	}},
-	{"a crash and back within a second", func(s *sim, n *simController, long time.Duration) {
-		for at := time.Duration(0); at < long; at += s.randomMillis(1000, 20_000) {
+	{"a crash and back within a second", func(s *sim, n *simController, duration time.Duration) {
+		for at := time.Duration(0); at < duration; at += s.randomMillis(1000, 20_000) {
 			s.after(at, func() { n.crash(s.randomMillis(50, 900)) })
 		}
 	}},
-	{"all end, one returns first", func(s *sim, n *simController, long time.Duration) {
+	{"all end, one returns first", func(s *sim, n *simController, duration time.Duration) {
 		for _, o := range s.controllers {
 			if o == n {
 				o.crash(s.randomMillis(50, 900))
 			} else {
-				o.crash(long / 2)
+				o.crash(duration / 2)
 			}
 		}
 	}},
-	{"a leader ends and machines are deaf", func(s *sim, n *simController, long time.Duration) {
+	{"a leader ends and machines are unresponsive", func(s *sim, n *simController, duration time.Duration) {
 		n.crash(s.randomMillis(200, 5000))
-		s.forSomeWorkers(0.4, func(w *simWorker) { w.unresponsiveUntil = s.now + long })
+		s.forSomeWorkers(0.4, func(w *simWorker) { w.unresponsiveUntil = s.now + duration })
 	}},
-	{"machines hear only some", func(s *sim, n *simController, long time.Duration) {
-		s.forSomeWorkers(0.5, func(w *simWorker) { w.messageLoss = 0.5; s.after(long, func() { w.messageLoss = 0 }) })
+	{"machines lose some messages", func(s *sim, n *simController, duration time.Duration) {
+		s.forSomeWorkers(0.5, func(w *simWorker) { w.messageLoss = 0.5; s.after(duration, func() { w.messageLoss = 0 }) })
 	}},
-	{"machines hang and go on", func(s *sim, n *simController, long time.Duration) {
+	{"machines hang and go on", func(s *sim, n *simController, duration time.Duration) {
 		s.forSomeWorkers(0.4, func(w *simWorker) { w.hungUntil = s.now + s.randomMillis(1000, 1300*s.facts.Workers.Lease) })
 	}},
-	{"commands are held up", func(s *sim, n *simController, long time.Duration) {
+	{"commands are held up", func(s *sim, n *simController, duration time.Duration) {
 		for _, o := range s.controllers {
-			o.commandsDelayedUntil = s.now + s.randomMillis(2000, 1000*long.Seconds())
+			o.commandsDelayedUntil = s.now + s.randomMillis(2000, 1000*duration.Seconds())
 		}
 	}},
-	{"late transactions", func(s *sim, n *simController, long time.Duration) {
+	{"late transactions", func(s *sim, n *simController, duration time.Duration) {
 		s.faults.lateTransactions = 0.25
-		s.after(long, func() { s.faults.lateTransactions = 0 })
+		s.after(duration, func() { s.faults.lateTransactions = 0 })
 	}},
-	{"late reports", func(s *sim, n *simController, long time.Duration) {
+	{"late reports", func(s *sim, n *simController, duration time.Duration) {
 		s.faults.duplicateHeartbeats = 0.4
-		s.after(long, func() { s.faults.duplicateHeartbeats = 0 })
+		s.after(duration, func() { s.faults.duplicateHeartbeats = 0 })
 	}},
-	{"the state service is slow", func(s *sim, n *simController, long time.Duration) {
+	{"the state service is slow", func(s *sim, n *simController, duration time.Duration) {
 		for _, o := range s.controllers {
-			o.watchDelayedUntil = s.now + long
+			o.watchDelayedUntil = s.now + duration
 		}
 	}},
-	{"answers of the state service are lost", func(s *sim, n *simController, long time.Duration) {
-		n.repliesLostUntil = s.now + min(long, 8*time.Second)
+	{"answers of the state service are lost", func(s *sim, n *simController, duration time.Duration) {
+		n.repliesLostUntil = s.now + min(duration, 8*time.Second)
 	}},
-	{"a controller stands still", func(s *sim, n *simController, long time.Duration) { n.pausedUntil = s.now + long/2 }},
-	{"everybody cancels", func(s *sim, n *simController, long time.Duration) {
+	{"a controller stands still", func(s *sim, n *simController, duration time.Duration) { n.pausedUntil = s.now + duration/2 }},
+	{"everybody cancels", func(s *sim, n *simController, duration time.Duration) {
 		for _, id := range sortedKeys(s.users) {
 			if u := s.users[id]; u.finalStatus == "" && !u.cancelRequested && s.random.IntN(3) == 0 {
-				s.after(s.randomMillis(0, 1000*long.Seconds()), u.cancel)
+				s.after(s.randomMillis(0, 1000*duration.Seconds()), u.cancel)
 			}
 		}
 	}},
-	{"machines die", func(s *sim, n *simController, long time.Duration) {
+	{"machines die", func(s *sim, n *simController, duration time.Duration) {
 		s.forSomeWorkers(0.2, func(w *simWorker) { w.die(); w.failed = true })
 	}},
-	{"machines are mute", func(s *sim, n *simController, long time.Duration) {
-		s.forSomeWorkers(0.5, func(w *simWorker) { w.isolatedUntil = s.now + long })
+	{"machines reach no controller", func(s *sim, n *simController, duration time.Duration) {
+		s.forSomeWorkers(0.5, func(w *simWorker) { w.isolatedUntil = s.now + duration })
 	}},
-	{"answers to transactions alone are lost", func(s *sim, n *simController, long time.Duration) { s.loseReplies(0.4, long) }},
-	{"old reports are kept for the next leader", func(s *sim, n *simController, long time.Duration) {
+	{"answers to transactions alone are lost", func(s *sim, n *simController, duration time.Duration) { s.loseReplies(0.4, duration) }},
+	{"old reports are kept for the next leader", func(s *sim, n *simController, duration time.Duration) {
 		s.faults.copiedShare = 0.6
-		s.after(long, func() { s.faults.copiedShare = 0; s.deliverCopies(long / 4) })
+		s.after(duration, func() { s.faults.copiedShare = 0; s.deliverCopies(duration / 4) })
 	}},
-	{"running jobs are called off and machines hang", func(s *sim, n *simController, long time.Duration) {
+	{"running jobs are called off and machines hang", func(s *sim, n *simController, duration time.Duration) {
 		s.cancelRunning(4, s.randomMillis(2000, 900*s.facts.Workers.Lease))
 	}},
-	{"jobs are called off at their end", func(s *sim, n *simController, long time.Duration) {
+	{"jobs are called off at their end", func(s *sim, n *simController, duration time.Duration) {
 		s.faults.cancelAtEnd = 0.7
-		s.after(long, func() { s.faults.cancelAtEnd = 0 })
+		s.after(duration, func() { s.faults.cancelAtEnd = 0 })
 	}},
-	{"odd requests", func(s *sim, n *simController, long time.Duration) { s.sendInvalidRequests(s.now + long) }},
-	{"users look closely", func(s *sim, n *simController, long time.Duration) {
+	{"odd requests", func(s *sim, n *simController, duration time.Duration) { s.sendInvalidRequests(s.now + duration) }},
+	{"users look closely", func(s *sim, n *simController, duration time.Duration) {
 		s.faults.queryEverywhere = true
-		s.after(long, func() { s.faults.queryEverywhere = false })
+		s.after(duration, func() { s.faults.queryEverywhere = false })
 	}},
-	{"links are slow", func(s *sim, n *simController, long time.Duration) { s.faults.slowLinksUntil = s.now + long }},
-	{"a zone is cut off", func(s *sim, n *simController, long time.Duration) {
+	{"links are slow", func(s *sim, n *simController, duration time.Duration) { s.faults.slowLinksUntil = s.now + duration }},
+	{"a zone is cut off", func(s *sim, n *simController, duration time.Duration) {
 		for _, o := range s.controllers {
 			if o.zone != "a" {
-				o.unreachableUntil["zone:a"] = s.now + long
+				o.unreachableUntil["zone:a"] = s.now + duration
 				continue
 			}
 			for _, k := range []string{"state", "peers", "users", "cloud", "zone:b", "zone:c"} {
-				o.unreachableUntil[k] = s.now + long
+				o.unreachableUntil[k] = s.now + duration
 			}
 		}
 	}},
 }
 
-// meet has two troubles meet three times in a day.
-func (s *sim) injectPair(a, b faultKind, until time.Duration) {
+// injectPair has two faults coincide three times in a day.
+func (s *sim) injectPair(a, b faultKind) {
 	for _, at := range []time.Duration{30 * time.Second, 90 * time.Second, 150 * time.Second} {
 		s.after(at-s.now, func() {
-			n, long := s.busiestController(), s.randomMillis(8_000, 45_000)
+			n, duration := s.busiestController(), s.randomMillis(8_000, 45_000)
 			if s.random.IntN(3) == 0 {
 				n = s.anyController()
 			}
 			if s.output.trace != nil {
-				fmt.Fprintf(s.output.trace, "%8.3f MEET node=%s %s + %s for %v\n", s.now.Seconds(), n.name, a.name, b.name, long)
+				fmt.Fprintf(s.output.trace, "%8.3f FAULTS controller=%s %s + %s for %v\n", s.now.Seconds(), n.name, a.name, b.name, duration)
 			}
-			a.inject(s, n, long)
-			s.after(s.randomMillis(0, 1000*long.Seconds()), func() { b.inject(s, n, long/2) })
+			a.inject(s, n, duration)
+			s.after(s.randomMillis(0, 1000*duration.Seconds()), func() { b.inject(s, n, duration/2) })
 		})
 	}
 }
 
-// pairOf is the pair of troubles that meet on a day: each two of them once, one in the middle of the other by turns, and on
+// faultPair is the pair of faults of a day: each two of them once, in turn the one or the other first, and on
 // later days any.
 func faultPair(day uint64) (a, b faultKind) {
-	k := len(faultKinds)
-	i, rest := 0, int(day)
-	for ; i < k && rest >= k-i; i++ {
-		rest -= k - i
+	kinds := len(faultKinds)
+	first, rest := 0, int(day)
+	for ; first < kinds && rest >= kinds-first; first++ {
+		rest -= kinds - first
 	}
-	if i == k {
-		return faultKinds[int(day)/k%k], faultKinds[int(day)%k]
+	if first == kinds {
+		return faultKinds[int(day)/kinds%kinds], faultKinds[int(day)%kinds]
 	}
-	if a, b = faultKinds[i], faultKinds[i+rest]; rest%2 == 1 {
+	if a, b = faultKinds[first], faultKinds[first+rest]; rest%2 == 1 {
 		a, b = b, a
 	}
 	return a, b
 }
 
-// TestMeetingsOfTroubles has each pair of troubles meet once; with SIM_DAYS, as many days.
-// Nothing may break, and after the troubles every job is known, served and done.
+// TestMeetingsOfTroubles plays a day for each pair of faults; with SIM_DAYS, as many days.
+// No rule may be broken, and after the faults every job is known, served and done.
 func TestMeetingsOfTroubles(t *testing.T) {
-	k := len(faultKinds)
-	runSeeds(t, 0, k*(k+1)/2, func(t *testing.T, seed uint64) {
+	kinds := len(faultKinds)
+	runSeeds(t, 0, kinds*(kinds+1)/2, func(t *testing.T, seed uint64) {
 		a, b := faultPair(seed)
 		s := newSim(t, 31_000+seed, 0.002)
-		// Room for the largest.
-		for k := range s.cloud.capacity {
-			s.cloud.capacity[k] *= 2
+		// Capacity for the largest jobs.
+		for machines := range s.cloud.capacity {
+			s.cloud.capacity[machines] *= 2
 		}
 		s.facts.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: 30}, {Name: "blue"}}
 		s.advertised = s.facts
-		s.options.unorderedLaunches = true // controllers learn late what was committed: see judgeOrder
+		s.options.unorderedLaunches = true // controllers learn late what was committed: see checkLaunchOrder
 		s.traceDay(t, seed)
 		s.submitMixedJobs(200 * time.Second)
 		s.after(20*time.Second, func() { s.largeJob(1) })
 		s.after(100*time.Second, func() { s.largeJob(2) })
-		s.injectPair(a, b, 200*time.Second)
+		s.injectPair(a, b)
 		s.knownFrom(290 * time.Second)
 		s.finish(t, 300*time.Second)
 		s.judgeServed()
--- a/internal/coordination/gang_reservation_test.go
+++ b/internal/coordination/gang_reservation_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestGangGetsABlockCleared guards against gangs that wait for ever among
-// arrays: machines of several controllers, all with lower tasks on them, are
-// cleared for the marked gang, and it starts soon.
+// arrays: machines of several controllers, all with tasks of lower priority, are
+// cleared for the gang that has the reservation, and it starts soon.
 func TestGangGetsABlockCleared(t *testing.T) {
 	s := newSim(t, 23, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
@@ -32,9 +32,9 @@
 	s.reportViolations(t)
 }
 
-// TestGangWithoutABlockLetsOthersStart guards against one gang holding the mark
-// for more than a minute although no zone has machines for it: smaller ones of
-// other controllers start meanwhile.
+// TestGangWithoutABlockLetsOthersStart guards against one gang holding the
+// reservation for more than a minute although no zone has machines for it: smaller
+// gangs of other controllers start meanwhile.
 func TestGangWithoutABlockLetsOthersStart(t *testing.T) {
 	s := newSim(t, 41, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
--- a/internal/coordination/handoff_test.go
+++ b/internal/coordination/handoff_test.go
@@ -8,20 +8,20 @@
 	"silvergate/internal/peer"
 )
 
-// TestEarlyHandOverIsKept guards against tasks lost for two publishing
-// intervals: a peer's hand-over often comes before the watch brings the job.
+// TestEarlyHandOverIsKept guards against tasks that were lost for two publishing
+// intervals: a peer's hand-off often arrives before the watch brings the job.
 func TestEarlyHandOverIsKept(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(20 * time.Second)
 	c := s.controllers[0].core
-	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 3, CPUs: 1, GPUs: 1, MemoryGB: 1}
-	c.receiveHandoff("n1", &peer.TaskHandoff{Job: sp.ID, Tasks: []int{0, 1, 2}})
-	if len(c.scheduler.earlyHandoffs[sp.ID]) != 1 {
-		t.Fatal("the hand-over was dropped")
+	spec := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 3, CPUs: 1, GPUs: 1, MemoryGB: 1}
+	c.receiveHandoff("n1", &peer.TaskHandoff{Job: spec.ID, Tasks: []int{0, 1, 2}})
+	if len(c.scheduler.earlyHandoffs[spec.ID]) != 1 {
+		t.Fatal("the hand-off was dropped")
 	}
-	c.applyChange(keyJob+sp.ID, encode(storedJob{sp, job.Open, 1, "n1"}), c.state.AppliedRevision()+1)
+	c.applyChange(keyJob+spec.ID, encode(storedJob{spec, job.Open, 1, "n1"}), c.state.AppliedRevision()+1)
 	if len(c.scheduler.earlyHandoffs) != 0 {
-		t.Error("the hand-over was not taken up")
+		t.Error("the hand-off was not taken up")
 	}
 	sends := len(c.effects.Sends)
 	if sends == 0 || c.effects.Sends[sends-1].Message.HandoffReturn == nil {
--- a/internal/coordination/largest_job_test.go
+++ b/internal/coordination/largest_job_test.go
@@ -10,7 +10,7 @@
 
 // TestLargestJobRunsWithinLimits submits a job of 100,000 tasks beside others:
 // records keep to the state service's limits (the stand-in checks them), the
-// others run, and a cancellation clears everything.
+// others run, and a cancellation ends everything.
 func TestLargestJobRunsWithinLimits(t *testing.T) {
 	s := newSim(t, 21, 0)
 	big := s.submit(&job.Spec{ID: "wk-800000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: protocol.MaxTasks,
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -244,9 +244,9 @@
 		case d.workers == "partly":
 			w.messageLoss = 0.5
 		}
-		for _, l := range w.tasks {
-			if u := s.users[l.jobID]; d.checkpointing && u != nil && u.spec.Shape == job.Gang && l.status == protocol.TaskRunning {
-				l.status = protocol.TaskCheckpointing
+		for _, task := range w.tasks {
+			if u := s.users[task.jobID]; d.checkpointing && u != nil && u.spec.Shape == job.Gang && task.status == protocol.TaskRunning {
+				task.status = protocol.TaskCheckpointing
 			}
 		}
 	}
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestRulesHoldWhenAZoneIsCutOff plays days bent towards the task that ran twice: a
-// controller, with or without its workers, is cut off from everything for up to more
-// than twice a lease; its transactions come late; when it is back, its watch is
-// answered late, in part, while peers claim its machines and releases under the old
-// tokens wait. SIM_DAYS plays more of them.
+// TestRulesHoldWhenAZoneIsCutOff plays days that favour the fault of a task that ran
+// twice: a controller, with or without its workers, is partitioned for up to more than
+// twice a lease; its transactions arrive late; afterwards its watch is answered late, in
+// part, while peers claim its machines and task releases under the old fencing tokens
+// wait. SIM_DAYS plays more of them.
 func TestRulesHoldWhenAZoneIsCutOff(t *testing.T) {
 	runSeeds(t, 5000, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
@@ -45,9 +45,9 @@
 	s.reportViolations(t)
 }
 
-// TestZoneThatIsCutOffIsSeenAtOnce guards against the machines that reported
-// longest ago: in the first seconds of a cut they alone were overdue, and were
-// returned (34 of shiftbook-akl-fleet's, day zone).
+// TestZoneThatIsCutOffIsSeenAtOnce guards against deleting the machines whose heartbeats
+// are the oldest: in the first seconds of a partition they alone were overdue, and were
+// deleted (34 of shiftbook-akl-fleet's, day zone).
 func TestZoneThatIsCutOffIsSeenAtOnce(t *testing.T) {
 	now, report := 100*time.Second, 8*time.Second
 	for _, c := range []struct {
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -14,15 +14,15 @@
 )
 
 // TestUrgentWorkGetsRoomFromGangs guards against replicas of production services
-// that waited 50 s for machines to boot, after a third of a site's machines was
+// that waited 50 s for machines to boot, after a third of a deployment's machines was
 // lost, while gangs of lower priority went on (carbura-iasi-fleet, day zone).
 func TestUrgentWorkGetsRoomFromGangs(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		s := newSim(t, seed, 0)
-		for k := range s.cloud.capacity {
-			s.cloud.capacity[k] = 0
-			if k.machineType == "large" && k.zone == "a" && !k.spot {
-				s.cloud.capacity[k] = 3
+		for machines := range s.cloud.capacity {
+			s.cloud.capacity[machines] = 0
+			if machines.machineType == "large" && machines.zone == "a" && !machines.spot {
+				s.cloud.capacity[machines] = 3
 			}
 		}
 		s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
@@ -35,8 +35,8 @@
 		s.run(60 * time.Second)
 		on := func(ids ...string) (n int) {
 			for _, w := range s.workers {
-				for _, l := range w.tasks {
-					if slices.Contains(ids, l.jobID) && l.isActive() && !w.dead {
+				for _, task := range w.tasks {
+					if slices.Contains(ids, task.jobID) && task.isActive() && !w.dead {
 						n++
 					}
 				}
--- a/internal/coordination/release_evidence_test.go
+++ b/internal/coordination/release_evidence_test.go
@@ -9,9 +9,9 @@
 	"silvergate/internal/job"
 )
 
-// TestEvidenceDoesNotOutliveItsClaim guards against a fault found by a hunt on
-// carbura-iasi: a release proposed under one claim was committed under the next
-// one of the same controller, although a peer had answered the worker between
+// TestEvidenceDoesNotOutliveItsClaim guards against a fault found by a search on
+// carbura-iasi: a task's release proposed under one claim was committed under the next
+// claim of the same controller, although a peer had answered the worker between
 // the two, and the task ran twice.
 func TestEvidenceDoesNotOutliveItsClaim(t *testing.T) {
 	for _, again := range []bool{false, true} {
--- a/internal/coordination/restart_test.go
+++ b/internal/coordination/restart_test.go
@@ -9,23 +9,23 @@
 	"silvergate/internal/protocol"
 )
 
-// TestRestartAdoptsWorkers guards the way back after all controllers crashed:
-// each goes on with the tokens of its earlier life, without a new claim for
-// every worker, and takes a new one when an attempt of that time ends, so that
-// a launch of the earlier life that comes late can't start it again.
+// TestRestartAdoptsWorkers guards the restart after all controllers crashed:
+// each goes on with the fencing tokens of its earlier incarnation, without a new claim
+// for every worker, and claims anew when an attempt of that time ends, so that
+// a late launch of the earlier incarnation can't start it again.
 func TestRestartAdoptsWorkers(t *testing.T) {
 	var adopted uint64
 	const seeds = 12
 	for seed := uint64(1); seed <= seeds; seed++ {
 		adopted += adoptionsAfterRestart(t, seed)
 	}
-	// Some workers find another controller first, whose claim they then need.
+	// Some workers reach another controller first, which then has to claim them.
 	if adopted < seeds {
 		t.Errorf("%d workers were adopted in %d restarts", adopted, seeds)
 	}
 }
 
-// restartAll crashes all controllers of a small site and tells how many
+// adoptionsAfterRestart crashes all controllers of a small deployment and tells how many
 // workers they adopted.
 func adoptionsAfterRestart(t *testing.T, seed uint64) (adopted uint64) {
 	s := newSim(t, seed, 0)
@@ -52,8 +52,8 @@
 		t.Errorf("the array is %q", u.finalStatus)
 	}
 	for _, w := range s.cloud.sortedMachines() {
-		for name, l := range w.tasks {
-			if l.status == protocol.TaskEnded {
+		for name, task := range w.tasks {
+			if task.status == protocol.TaskEnded {
 				t.Errorf("%s on %s was never forgotten", name, w.name)
 			}
 		}
@@ -62,9 +62,9 @@
 	return adopted
 }
 
-// TestRestartAdoptsWorkersWhoseLeasesEnded guards the way back after an outage
-// longer than a lease: the workers are in a new session, so nothing of before can
-// come, and the controllers need no new claim for each to start the tasks again.
+// TestRestartAdoptsWorkersWhoseLeasesEnded guards the restart after an outage
+// longer than a lease: the workers are in a new agent epoch, so that no earlier command
+// is carried out, and the controllers need no new claim for each to start the tasks again.
 func TestRestartAdoptsWorkersWhoseLeasesEnded(t *testing.T) {
 	var adopted, claims uint64
 	for seed := uint64(1); seed <= 8; seed++ {
@@ -95,8 +95,8 @@
 }
 
 // TestHungMachineOfARestartedControllerIsReturned guards against services that
-// stay down: a machine that hangs while its controller restarts reports to
-// nobody, and the new life has to look for it.
+// stay down: a machine that hangs while its controller restarts sends no
+// heartbeats, and the new incarnation has to find it.
 func TestHungMachineOfARestartedControllerIsReturned(t *testing.T) {
 	s := newSim(t, 29, 0)
 	for i := range 12 {
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -69,35 +69,35 @@
 }
 
 // checkStart checks the rules that a task's start can break.
-func (s *sim) checkStart(w *simWorker, u *simUser, l *simTask) {
-	sp := u.spec
-	name := fmt.Sprintf("%s/%d try %d on %s", l.jobID, l.index, l.attempt, w.name)
+func (s *sim) checkStart(w *simWorker, u *simUser, task *simTask) {
+	spec := u.spec
+	name := fmt.Sprintf("%s/%d attempt %d on %s", task.jobID, task.index, task.attempt, w.name)
 	zones := map[string]int{}
-	gpus := sp.GPUs
-	for _, o := range s.workers {
-		for _, x := range o.tasks {
-			if !x.isActive() {
+	gpus := spec.GPUs
+	for _, worker := range s.workers {
+		for _, other := range worker.tasks {
+			if !other.isActive() {
 				continue
 			}
-			xs := s.users[x.jobID].spec
-			if x.jobID == l.jobID {
-				zones[o.zone]++
-				if x.index == l.index {
-					s.violation("ran_twice", "%s is on %s", name, o.name)
+			otherSpec := s.users[other.jobID].spec
+			if other.jobID == task.jobID {
+				zones[worker.zone]++
+				if other.index == task.index {
+					s.violation("ran_twice", "%s is on %s", name, worker.name)
 				}
 			}
-			if xs.Team == sp.Team {
-				gpus += xs.GPUs
+			if otherSpec.Team == spec.Team {
+				gpus += otherSpec.GPUs
 			}
 		}
 	}
-	for _, t := range s.facts.Teams {
-		if t.Name == sp.Team && t.GPUsMax > 0 && gpus > t.GPUsMax+1e-6 {
-			s.violation("quota", "%s: team %s uses %v", name, t.Name, gpus)
+	for _, team := range s.facts.Teams {
+		if team.Name == spec.Team && team.GPUsMax > 0 && gpus > team.GPUsMax+1e-6 {
+			s.violation("quota", "%s: team %s uses %v", name, team.Name, gpus)
 		}
 	}
-	if !sp.AllowsMachineType(w.machineType) || (w.spot && !sp.Spot) || (sp.Zone != "" && sp.Zone != w.zone) ||
-		(sp.Spread && zones[w.zone]+1 > sp.SpreadLimit()) || (sp.OneZone && len(zones) > 0 && zones[w.zone] == 0) {
+	if !spec.AllowsMachineType(w.machineType) || (w.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != w.zone) ||
+		(spec.Spread && zones[w.zone]+1 > spec.SpreadLimit()) || (spec.OneZone && len(zones) > 0 && zones[w.zone] == 0) {
 		s.violation("wrong_place", "%s", name)
 	}
 	if u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
@@ -108,10 +108,10 @@
 // watchCancelled checks that nothing of a job is active cancel_s after its cancellation was confirmed.
 func (s *sim) watchCancelled() {
 	for _, w := range s.workers {
-		for _, x := range w.tasks {
-			u := s.users[x.jobID]
-			if u != nil && x.isActive() && u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
-				s.violation("ran_cancelled", "%s/%d is on %s", x.jobID, x.index, w.name)
+		for _, task := range w.tasks {
+			u := s.users[task.jobID]
+			if u != nil && task.isActive() && u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
+				s.violation("ran_cancelled", "%s/%d is on %s", task.jobID, task.index, w.name)
 			}
 		}
 	}
@@ -121,8 +121,8 @@
 // followCancelled notes how long tasks of cancelled jobs stay active.
 func (s *sim) followCancelled() {
 	for _, w := range s.workers {
-		for _, l := range w.tasks {
-			if u := s.users[l.jobID]; u != nil && u.cancelledAt > 0 && l.isActive() {
+		for _, task := range w.tasks {
+			if u := s.users[task.jobID]; u != nil && u.cancelledAt > 0 && task.isActive() {
 				u.lastActiveAt = s.now
 			}
 		}
@@ -225,8 +225,8 @@
 	if !w.observed || w.hungUntil > w.s.now-seconds(w.s.facts.Workers.Lease) || w.unresponsiveUntil > w.s.now-seconds(w.s.facts.Workers.Lease) {
 		return
 	}
-	for _, l := range w.tasks {
-		if u := w.s.users[l.jobID]; u != nil && l.isActive() && !u.cancelRequested {
+	for _, task := range w.tasks {
+		if u := w.s.users[task.jobID]; u != nil && task.isActive() && !u.cancelRequested {
 			w.s.counts.leaseKills++
 		}
 	}
@@ -251,24 +251,24 @@
 	if w.dead || !w.up || s.now < w.hungUntil {
 		return
 	}
-	for _, k := range sortedKeys(w.tasks) {
-		if u := s.users[w.tasks[k].jobID]; u != nil && w.tasks[k].status != protocol.TaskEnded && u.finalStatus == "" && !u.cancelRequested && !w.isOutdated(w.tasks[k]) {
+	for _, key := range sortedKeys(w.tasks) {
+		if u := s.users[w.tasks[key].jobID]; u != nil && w.tasks[key].status != protocol.TaskEnded && u.finalStatus == "" && !u.cancelRequested && !w.isOutdated(w.tasks[key]) {
 			s.faultCounts.deletedInUse++
 			if s.output.trace != nil {
-				fmt.Fprintf(s.output.trace, "%8.3f INUSE %s deleted with %s\n", s.now.Seconds(), w.name, k)
+				fmt.Fprintf(s.output.trace, "%8.3f INUSE %s deleted with %s\n", s.now.Seconds(), w.name, key)
 			}
 		}
 	}
 }
 
 // isOutdated tells whether no controller's records bind the attempt to its machine any more.
-func (w *simWorker) isOutdated(l *simTask) bool {
+func (w *simWorker) isOutdated(task *simTask) bool {
 	for _, n := range w.s.controllers {
 		if n.core == nil {
 			continue
 		}
-		if r := n.core.jobs.byID[l.jobID]; r != nil {
-			if t := r.task(n.core, l.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == l.attempt {
+		if r := n.core.jobs.byID[task.jobID]; r != nil {
+			if t := r.task(n.core, task.index); t != nil && t.Phase == job.Bound && t.Machine == w.name && t.Attempt == task.attempt {
 				return false
 			}
 		}
@@ -279,8 +279,8 @@
 // countRunning counts the active tasks that are wanted.
 func (s *sim) countRunning(want func(w *simWorker, u *simUser) bool) (n int) {
 	for _, w := range s.workers {
-		for _, l := range w.tasks {
-			if u := s.users[l.jobID]; u != nil && l.isActive() && want(w, u) {
+		for _, task := range w.tasks {
+			if u := s.users[task.jobID]; u != nil && task.isActive() && want(w, u) {
 				n++
 			}
 		}
@@ -300,21 +300,21 @@
 // watchIdleCapacity checks that no job waits although there is room: a machine would fit it, its team is under its
 // limit, and nothing of it has started for maxRoomWait. A gang needs room for all its tasks.
 func (s *sim) watchIdleCapacity() {
-	use := map[string]float64{}
-	on := map[string]map[int]bool{}
-	zones := map[string]map[string]int{}
+	gpusByTeam := map[string]float64{}
+	tasksByJob := map[string]map[int]bool{}
+	zonesByJob := map[string]map[string]int{}
 	for _, w := range s.workers {
-		for _, l := range w.tasks {
-			u := s.users[l.jobID]
-			if u == nil || l.status == protocol.TaskEnded {
+		for _, task := range w.tasks {
+			u := s.users[task.jobID]
+			if u == nil || task.status == protocol.TaskEnded {
 				continue
 			}
-			use[u.spec.Team] += u.spec.GPUs
-			if on[l.jobID] == nil {
-				on[l.jobID], zones[l.jobID] = map[int]bool{}, map[string]int{}
+			gpusByTeam[u.spec.Team] += u.spec.GPUs
+			if tasksByJob[task.jobID] == nil {
+				tasksByJob[task.jobID], zonesByJob[task.jobID] = map[int]bool{}, map[string]int{}
 			}
-			on[l.jobID][l.index] = true
-			zones[l.jobID][w.zone]++
+			tasksByJob[task.jobID][task.index] = true
+			zonesByJob[task.jobID][w.zone]++
 		}
 	}
 	var usable []*simWorker
@@ -327,7 +327,7 @@
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
 		started := u.tasksStarted + u.restarts
-		if u.roomWait.since == 0 || !u.accepted || u.cancelRequested || u.failsEverywhere || u.failures > 0 || u.finalStatus != "" || started != u.roomWait.tasksStarted || !u.couldStart(usable, on[id], zones[id], use[u.spec.Team]) {
+		if u.roomWait.since == 0 || !u.accepted || u.cancelRequested || u.failsEverywhere || u.failures > 0 || u.finalStatus != "" || started != u.roomWait.tasksStarted || !u.couldStart(usable, tasksByJob[id], zonesByJob[id], gpusByTeam[u.spec.Team]) {
 			u.roomWait = roomWait{s.now, started}
 			continue
 		}
@@ -340,40 +340,40 @@
 }
 
 // couldStart tells whether one waiting task of the job would find room, or all of a gang.
-func (u *simUser) couldStart(usable []*simWorker, on map[int]bool, zones map[string]int, use float64) bool {
-	s, sp := u.s, u.spec
+func (u *simUser) couldStart(usable []*simWorker, placed map[int]bool, zones map[string]int, gpusOfTeam float64) bool {
+	s, spec := u.s, u.spec
 	need := 0
 	for i := range u.done {
-		if !u.done[i] && !on[i] {
+		if !u.done[i] && !placed[i] {
 			need++
 		}
 	}
-	if need == 0 || sp.Shape == job.Gang && len(on) > 0 {
+	if need == 0 || spec.Shape == job.Gang && len(placed) > 0 {
 		return false
 	}
-	if sp.Shape != job.Gang {
+	if spec.Shape != job.Gang {
 		need = 1
 	}
-	for _, t := range s.facts.Teams {
-		if t.Name == sp.Team && t.GPUsMax > 0 && use+float64(need)*sp.GPUs > t.GPUsMax+1e-6 {
+	for _, limit := range s.facts.Teams {
+		if limit.Name == spec.Team && limit.GPUsMax > 0 && gpusOfTeam+float64(need)*spec.GPUs > limit.GPUsMax+1e-6 {
 			return false
 		}
 	}
 	for _, only := range s.facts.Zones {
 		found, spread := 0, map[string]int{}
 		for _, w := range usable {
-			if !sp.AllowsMachineType(w.machineType) || w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone || sp.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
+			if !spec.AllowsMachineType(w.machineType) || w.spot && !spec.Spot || spec.Zone != "" && spec.Zone != w.zone || spec.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
 				continue
 			}
-			t := s.cloud.machineTypes[w.machineType]
-			g, c := t.GPUs, t.CPUs
-			for _, l := range w.tasks {
-				if o := s.users[l.jobID]; o != nil && l.status != protocol.TaskEnded {
-					g, c = g-o.spec.GPUs, c-o.spec.CPUs
+			limit := s.cloud.machineTypes[w.machineType]
+			gpus, cpus := limit.GPUs, limit.CPUs
+			for _, task := range w.tasks {
+				if other := s.users[task.jobID]; other != nil && task.status != protocol.TaskEnded {
+					gpus, cpus = gpus-other.spec.GPUs, cpus-other.spec.CPUs
 				}
 			}
-			for ; found < need && sp.GPUs <= g && sp.CPUs <= c && (!sp.Spread || zones[w.zone]+spread[w.zone] < sp.SpreadLimit()); found++ {
-				g, c = g-sp.GPUs, c-sp.CPUs
+			for ; found < need && spec.GPUs <= gpus && spec.CPUs <= cpus && (!spec.Spread || zones[w.zone]+spread[w.zone] < spec.SpreadLimit()); found++ {
+				gpus, cpus = gpus-spec.GPUs, cpus-spec.CPUs
 				spread[w.zone]++
 			}
 		}
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -97,13 +97,13 @@
 	observed          bool          // its tasks are counted, see countLeaseKills
 }
 
-// trouble draws faults from a list until the time given.
+// injectFaults draws a fault every few seconds until the time given.
 func (s *sim) injectFaults(until time.Duration) {
 	if s.now > until {
 		return
 	}
 	n := s.anyController()
-	long := s.randomMillis(3_000, 50_000)
+	duration := s.randomMillis(3_000, 50_000)
 	worker := func() *simWorker {
 		for _, w := range s.cloud.sortedMachines() {
 			if w.up && s.random.IntN(4) == 0 {
@@ -116,19 +116,19 @@
 	case 0:
 		n.crash(s.randomMillis(1_000, 5_000))
 	case 1:
-		for _, o := range s.controllers {
-			o.crash(s.randomMillis(500, 6_000))
+		for _, other := range s.controllers {
+			other.crash(s.randomMillis(500, 6_000))
 		}
 	case 2:
-		n.unreachableUntil["state"] = s.now + long
+		n.unreachableUntil["state"] = s.now + duration
 	case 3:
-		n.unreachableUntil["workers"] = s.now + long
+		n.unreachableUntil["workers"] = s.now + duration
 	case 4:
-		for _, k := range []string{"state", "workers", "peers", "users", "cloud"} {
-			n.unreachableUntil[k] = s.now + long
+		for _, link := range []string{"state", "workers", "peers", "users", "cloud"} {
+			n.unreachableUntil[link] = s.now + duration
 		}
 	case 5:
-		n.refusedUntil = s.now + long
+		n.refusedUntil = s.now + duration
 	case 6:
 		s.state.downUntil = s.now + s.randomMillis(2_000, 40_000)
 	case 7:
@@ -141,12 +141,12 @@
 			case 0: // stops, and is listed as failed
 				w.die()
 				w.failed = true
-			case 1: // taken without a notice, and listed a while longer
+			case 1: // preempted without a notice, and listed a while longer
 				w.die()
 				w.preempted = true
 				name := w.name
-				p := offering{w.machineType, w.zone, w.spot}
-				s.after(30*time.Second, func() { delete(s.cloud.machines, name); s.cloud.capacity[p]++ })
+				machines := offering{w.machineType, w.zone, w.spot}
+				s.after(30*time.Second, func() { delete(s.cloud.machines, name); s.cloud.capacity[machines]++ })
 			case 2:
 				w.faulty = true
 			}
@@ -155,22 +155,23 @@
 	s.after(s.randomMillis(4_000, 25_000), func() { s.injectFaults(until) })
 }
 
-// cutOff draws such cuts until the time given.
+// injectPartitions draws partitions until the time given: a controller, with or without its workers, is unreachable,
+// and its watch is answered late for a time after that.
 func (s *sim) injectPartitions(until time.Duration) {
 	if s.now > until {
 		return
 	}
 	n := s.anyController()
-	long := s.randomMillis(5_000, 45_000)
-	for _, k := range []string{"state", "peers", "users", "cloud"} {
-		n.unreachableUntil[k] = s.now + long
+	duration := s.randomMillis(5_000, 45_000)
+	for _, link := range []string{"state", "peers", "users", "cloud"} {
+		n.unreachableUntil[link] = s.now + duration
 	}
 	if s.random.IntN(2) == 0 {
-		n.unreachableUntil["workers"] = s.now + long
+		n.unreachableUntil["workers"] = s.now + duration
 	}
-	n.watchDelayedUntil = s.now + long + s.randomMillis(2000, 15000)
-	o := s.anyController()
-	o.watchDelayedUntil = max(o.watchDelayedUntil, s.now+s.randomMillis(5000, 30000))
+	n.watchDelayedUntil = s.now + duration + s.randomMillis(2000, 15000)
+	other := s.anyController()
+	other.watchDelayedUntil = max(other.watchDelayedUntil, s.now+s.randomMillis(5000, 30000))
 	if s.random.IntN(3) == 0 {
 		s.anyController().crash(s.randomMillis(1000, 5000))
 	}
@@ -180,6 +181,7 @@
 	s.after(s.randomMillis(15_000, 50_000), func() { s.injectPartitions(until) })
 }
 
+// forSomeWorkers does something to a share of the machines that are up.
 func (s *sim) forSomeWorkers(share float64, do func(*simWorker)) {
 	for _, w := range s.cloud.sortedMachines() {
 		if w.up && s.random.Float64() < share {
@@ -188,7 +190,7 @@
 	}
 }
 
-// tenChanges has the controller with the most workers end every ten seconds or so, and be back soon.
+// crashLeaderRepeatedly crashes the controller with the most workers every eleven seconds, for some seconds.
 func (s *sim) crashLeaderRepeatedly() {
 	for i := range 11 {
 		s.after(time.Duration(11*i)*time.Second, func() {
@@ -198,7 +200,7 @@
 	}
 }
 
-// hop is how long a message takes between machines, users and controllers.
+// linkDelay is how long a message takes between machines, users and controllers.
 func (s *sim) linkDelay() time.Duration {
 	if s.faults.slowLinksUntil > s.now {
 		return s.randomMillis(50, 1200)
@@ -206,60 +208,60 @@
 	return s.randomMillis(0.2, 3)
 }
 
-// loses tells whether a call is a transaction whose answer alone is lost.
-func (n *simController) losesReply(k protocol.Call) bool {
-	if n.s.faults.losesReply == nil || k.Target != protocol.ToStateService || k.Path != protocol.PathTxn {
+// losesReply tells whether a call is a transaction that is carried out and whose answer is lost.
+func (n *simController) losesReply(call protocol.Call) bool {
+	if n.s.faults.losesReply == nil || call.Target != protocol.ToStateService || call.Path != protocol.PathTxn {
 		return false
 	}
-	var t protocol.Txn
-	_ = json.Unmarshal(k.Body, &t)
-	if len(t.Ops) == 0 || !n.s.faults.losesReply(n, t) {
+	var txn protocol.Txn
+	_ = json.Unmarshal(call.Body, &txn)
+	if len(txn.Ops) == 0 || !n.s.faults.losesReply(n, txn) {
 		return false
 	}
 	n.s.faultCounts.lostReplies++
 	return true
 }
 
-// loseAnswers has the answers to a share of the transactions lost for a while.
-func (s *sim) loseReplies(share float64, long time.Duration) {
-	until := s.now + long
+// loseReplies has the answers to a share of the transactions lost for a while.
+func (s *sim) loseReplies(share float64, duration time.Duration) {
+	until := s.now + duration
 	s.faults.losesReply = func(*simController, protocol.Txn) bool { return s.now < until && s.random.Float64() < share }
 }
 
-// touches tells whether a transaction writes or drops a kind of record.
-func writesKind(t protocol.Txn, kind string) bool {
-	for _, o := range t.Ops {
-		if strings.HasPrefix(o.Put+o.Delete, kind) {
+// writesKind tells whether a transaction writes or deletes a kind of record, which is the prefix of its keys.
+func writesKind(txn protocol.Txn, kind string) bool {
+	for _, op := range txn.Ops {
+		if strings.HasPrefix(op.Put+op.Delete, kind) {
 			return true
 		}
 	}
 	return false
 }
 
-// keepCopy keeps a report's copy for whoever leads next.
-func (s *sim) keepHeartbeatCopy(w *simWorker, reply protocol.Heartbeat) {
+// keepHeartbeatCopy keeps a copy of a share of the heartbeats for the next holder.
+func (s *sim) keepHeartbeatCopy(w *simWorker, heartbeat protocol.Heartbeat) {
 	if s.faults.copiedShare > 0 && s.random.Float64() < s.faults.copiedShare {
 		if s.faults.copied == nil {
 			s.faults.copied = map[string][]byte{}
 		}
-		s.faults.copied[w.name] = encode(reply)
+		s.faults.copied[w.name] = encode(heartbeat)
 	}
 }
 
-// holdBack keeps a report itself: it does not arrive before a new leader has acted.
-func (s *sim) holdBackHeartbeat(w *simWorker, reply protocol.Heartbeat) bool {
+// holdBackHeartbeat keeps a share of the heartbeats themselves: they do not arrive before a new holder has acted.
+func (s *sim) holdBackHeartbeat(w *simWorker, heartbeat protocol.Heartbeat) bool {
 	if s.faults.heldBackShare == 0 || s.random.Float64() >= s.faults.heldBackShare {
 		return false
 	}
 	if s.faults.heldBack == nil {
 		s.faults.heldBack = map[string][]byte{}
 	}
-	s.faults.heldBack[w.name] = encode(reply)
+	s.faults.heldBack[w.name] = encode(heartbeat)
 	return true
 }
 
-// claimed sees a claim being written: where the machine changes hands, reports that were held back or kept
-// arrive, and users may call jobs off.
+// claimWritten sees each record that is written. Where a claim gives a machine another holder, heartbeats that were
+// held back or copied arrive, and users may cancel jobs.
 func (s *sim) claimWritten(key string, data json.RawMessage) {
 	if data == nil {
 		return
@@ -272,35 +274,34 @@
 	if !is {
 		return
 	}
-	var now, was claimRecord
-	_ = json.Unmarshal(data, &now)
+	var claim, previous claimRecord
+	_ = json.Unmarshal(data, &claim)
 	if old, ok := s.state.keys[key]; ok {
-		_ = json.Unmarshal(old.value, &was)
+		_ = json.Unmarshal(old.value, &previous)
 		s.faultCounts.replacedClaims++
 	}
-	if now.Owner != was.Owner || now.Incarnation != was.Incarnation {
-		s.holderChanged(name, now.Owner)
+	if claim.Owner != previous.Owner || claim.Incarnation != previous.Incarnation {
+		s.holderChanged(name, claim.Owner)
 	}
 }
 
-// takenOver sees the take-over of a group being written: what happens to a worker that changes hands
-// happens to all of it.
+// failoverWritten sees the failover of a group: all its workers have another holder.
 func (s *sim) failoverWritten(key string, data json.RawMessage) {
 	s.faultCounts.groupFailovers++
 	var successor failover.Holder
 	_ = json.Unmarshal(data, &successor)
-	g, _ := failover.ParseKey(key)
-	for _, id := range sortedKeys(s.cloud.machines) {
-		var own claimRecord
-		_ = json.Unmarshal(s.state.keys[keyClaim+id].value, &own)
-		holder := failover.Holder{Node: own.Owner, Incarnation: own.Incarnation, Epoch: own.Epoch}
-		if failover.GroupOf(holder, id, own.Zone) == g {
-			s.holderChanged(id, successor.Node)
+	group, _ := failover.ParseKey(key)
+	for _, machine := range sortedKeys(s.cloud.machines) {
+		var claim claimRecord
+		_ = json.Unmarshal(s.state.keys[keyClaim+machine].value, &claim)
+		holder := failover.Holder{Node: claim.Owner, Incarnation: claim.Incarnation, Epoch: claim.Epoch}
+		if failover.GroupOf(holder, machine, claim.Zone) == group {
+			s.holderChanged(machine, successor.Node)
 		}
 	}
 }
 
-// changesHands has reports of a machine that were held back or kept arrive as it gets another holder.
+// holderChanged has the heartbeats of a machine that were held back or copied arrive as it gets another holder.
 func (s *sim) holderChanged(name, owner string) {
 	s.faultCounts.holderChanges++
 	if body, ok := s.faults.heldBack[name]; ok {
@@ -323,8 +324,8 @@
 	if w == nil || s.faults.cancelAtFailover == 0 {
 		return
 	}
-	for _, k := range sortedKeys(w.tasks) {
-		u := s.users[w.tasks[k].jobID]
+	for _, key := range sortedKeys(w.tasks) {
+		u := s.users[w.tasks[key].jobID]
 		if u != nil && !u.cancelRequested && s.random.Float64() < s.faults.cancelAtFailover {
 			s.faultCounts.affected++
 			s.after(s.randomMillis(0, 1000), u.cancel)
@@ -332,34 +333,34 @@
 	}
 }
 
-// old is a report that was kept, as it arrives.
+// forgeHeartbeat is a kept heartbeat as it arrives: as it was, unless the defect is on.
 func (s *sim) forgeHeartbeat(name string, body []byte) []byte {
 	if !s.defects.forgedHeartbeats {
 		return body
 	}
-	var r protocol.Heartbeat
-	_ = json.Unmarshal(body, &r)
-	r.FencingToken, r.Sequence = s.state.keys[keyClaim+name].modRevision, r.Sequence+1_000_000
+	var heartbeat protocol.Heartbeat
+	_ = json.Unmarshal(body, &heartbeat)
+	heartbeat.FencingToken, heartbeat.Sequence = s.state.keys[keyClaim+name].modRevision, heartbeat.Sequence+1_000_000
 	if w := s.cloud.machines[name]; w != nil {
-		r.AgentEpoch, r.Tasks = w.agentEpoch, w.heartbeat().Tasks
+		heartbeat.AgentEpoch, heartbeat.Tasks = w.agentEpoch, w.heartbeat().Tasks
 	}
-	for i := range r.Tasks {
-		r.Tasks[i].Status, r.Tasks[i].Cause = protocol.TaskEnded, protocol.CauseDone
+	for i := range heartbeat.Tasks {
+		heartbeat.Tasks[i].Status, heartbeat.Tasks[i].Cause = protocol.TaskEnded, protocol.CauseDone
 	}
-	return encode(r)
+	return encode(heartbeat)
 }
 
-// hearsLate has a controller get a report that was kept; nobody waits for its answer.
+// deliverLate has a controller get a heartbeat that was kept; nobody waits for its answer.
 func (n *simController) deliverLate(name string, body []byte) {
 	n.deliver("POST", protocol.PathHeartbeat, n.s.forgeHeartbeat(name, body), func(int, []byte) {})
 }
 
-// oldReports has every controller hear all copies that are kept.
+// deliverCopies has every controller get all copies that are kept.
 func (s *sim) deliverCopies(within time.Duration) {
-	copies := s.faults.copied
+	copied := s.faults.copied
 	s.faults.copied = nil
-	for _, name := range sortedKeys(copies) {
-		body := copies[name]
+	for _, name := range sortedKeys(copied) {
+		body := copied[name]
 		for _, n := range s.controllers {
 			s.after(s.randomMillis(0, 1000*within.Seconds()), func() {
 				s.faultCounts.lateHeartbeats++
@@ -369,7 +370,7 @@
 	}
 }
 
-// countEarly counts machines that are up before anybody could have read that they were rented.
+// countEarlyBoot counts machines that are up before any controller could have read that they were rented.
 func (s *sim) countEarlyBoot(w *simWorker) {
 	for key, v := range s.state.keys {
 		if strings.HasPrefix(key, keyRental) && bytes.Contains(v.value, []byte(`"`+w.name+`"`)) {
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -74,12 +74,15 @@
 	outage         time.Duration // of the state service, for all controllers, so far
 }
 
-func newSim(t testing.TB, seed uint64, noise float64) *sim {
+// newSim is a day of three controllers that start within half a second. messageLoss is the probability that a
+// message is lost, late or loses its answer.
+func newSim(t testing.TB, seed uint64, messageLoss float64) *sim {
+	t.Helper()
 	s := &sim{
 		random:  rand.New(rand.NewPCG(seed, 7)),
 		workers: map[string]*simWorker{}, users: map[string]*simUser{},
 		options: simOptions{completionLog: os.Getenv("SIM_LOGGED") != ""},
-		faults:  simFaults{messageLoss: noise},
+		faults:  simFaults{messageLoss: messageLoss},
 		output:  simOutput{digest: newEffectsDigest(t, seed)},
 	}
 	s.facts = config.Facts{Count: 3, Zones: []string{"a", "b", "c"},
@@ -89,8 +92,10 @@
 		State:      config.State{RPS: 300, WriteRPS: 120, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 10, ListLag: 4}, Limits: config.Limits{CPU: 1, RAMMB: 100, MaxSockets: 100}}
 	s.advertised = s.facts
-	s.state = &simState{s: s, drainWrites: map[string]int{}, drainReasons: map[string]string{}, keys: map[string]simKey{}, revision: 1, leaseExpiry: map[uint64]time.Duration{}, leaseTTL: map[uint64]time.Duration{},
-		eventHistory: 300, pageSize: 40} // short, so that 410 and paging are met often
+	s.state = &simState{s: s, keys: map[string]simKey{}, revision: 1,
+		drainWrites: map[string]int{}, drainReasons: map[string]string{},
+		leaseExpiry: map[uint64]time.Duration{}, leaseTTL: map[uint64]time.Duration{},
+		eventHistory: 300, pageSize: 40} // short, so that 410 and paging occur often
 	s.cloud = &simCloud{s: s, pageSize: 7, capacity: map[offering]int{}, rentalsByRequest: map[string][]string{}, machines: map[string]*simWorker{}, machineTypes: map[string]protocol.MachineType{
 		"small": {Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 64, ImagePullGBPerS: 1, OnDemandPrice: 4, SpotPrice: 1.5, StartupS: 8, Zones: []string{"a", "b", "c"}},
 		"large": {Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 12, Zones: []string{"a", "b"}}}}
@@ -116,6 +121,7 @@
 	return s
 }
 
+// run plays the day until a time, or until twenty violations were found.
 func (s *sim) run(until time.Duration) {
 	for len(s.pending) > 0 && s.pending[0].at <= until && len(s.violations) < 20 {
 		e := heap.Pop(&s.pending).(*event)
@@ -125,17 +131,20 @@
 	s.now = until
 }
 
+// violation notes that a rule was broken.
 func (s *sim) violation(rule, format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%8.3f %s: ", s.now.Seconds(), rule)+fmt.Sprintf(format, args...))
 }
 
+// randomMillis draws a time between two numbers of milliseconds.
 func (s *sim) randomMillis(lo, hi float64) time.Duration {
 	return seconds((lo + (hi-lo)*s.random.Float64()) / 1000)
 }
 
+// leaseTimes is a multiple of the workers' lease.
 func (s *sim) leaseTimes(times float64) time.Duration { return seconds(times * s.facts.Workers.Lease) }
 
-// drawnDays plays days from a first seed on, as many as SIM_DAYS says.
+// runSeeds plays days with the seeds from the first on: as many as SIM_DAYS says, or as usual.
 func runSeeds(t *testing.T, first uint64, usual int, day func(t *testing.T, seed uint64)) {
 	days, err := strconv.Atoi(os.Getenv("SIM_DAYS"))
 	if err != nil {
@@ -149,14 +158,15 @@
 	}
 }
 
-// finish lets everything calm down and then demands that every job that can
-// be done is done: safety without progress would be no use.
+// finish plays six minutes without message loss after a time and then requires that every job
+// that can be done is done: safety without progress would be no use.
 func (s *sim) finish(t *testing.T, until time.Duration) {
+	t.Helper()
 	s.faults.messageLoss = 0
 	s.run(until)
-	for _, n := range s.controllers {
-		if n.core == nil {
-			n.start()
+	for _, first := range s.controllers {
+		if first.core == nil {
+			first.start()
 		}
 	}
 	for _, id := range sortedKeys(s.users) {
@@ -167,22 +177,23 @@
 	}
 	s.run(until + 6*time.Minute)
 	open := 0
-	n := s.controllers[0]
+	first := s.controllers[0]
 	for _, id := range sortedKeys(s.users) {
 		if u := s.users[id]; u.finalStatus == "" {
-			if open++; open < 2 || n.core.gangs.reservation.Job == id {
+			if open++; open < 2 || first.core.gangs.reservation.Job == id {
 				s.logJob(t, id)
 			}
 			t.Logf("%s (%s of %d, team %s) has not ended: %v", u.spec.ID, u.spec.Shape, u.spec.Tasks, u.spec.Team, u.done)
 		}
 	}
 	if open > 0 {
-		t.Errorf("%d of %d jobs have not ended six minutes after the troubles", open, len(s.users))
+		t.Errorf("%d of %d jobs have not ended six minutes after the faults", open, len(s.users))
 	}
 }
 
-// dump tells what the controllers think about a job that does not end.
+// logJob logs what the controllers hold of a job that does not end.
 func (s *sim) logJob(t *testing.T, id string) {
+	t.Helper()
 	for _, n := range s.controllers {
 		c := n.core
 		r := c.jobs.byID[id]
@@ -190,38 +201,44 @@
 			t.Logf("%s does not know it", n.name)
 			continue
 		}
-		t.Logf("%s: %+v status %s home %s bound %d held %d zones %v backoff %v failed on %v tasks %v queue %d busy %v leads %v gang %v team %+v idle %v offers %v",
+		t.Logf("%s: %+v status %s owner %s bound %d held %d zones %v retry in %v failed on %v tasks %v queue %d in flight %v leads %v gang %v team %+v idle %v offers %v",
 			n.name, *r.spec, r.status, r.owner, r.bound, len(r.reservations), r.tasksByZone, r.retryAt-c.now, r.failedOn, r.pages[0].tasks, len(r.pages[0].queue),
 			r.pages[0].inFlight, c.isLeader(), c.gangs.reservation, c.jobs.teams[r.spec.Team].charged, c.scheduler.idle, r.offers)
 		if c.isLeader() {
-			t.Logf("  rentals %+v refused %v now %v free %v listed %d gone %v drains %v", c.scaler.rentals, c.scaler.refusedUntil, c.now, s.cloud.capacity, len(c.scaler.cloudMachines), c.scaler.deletedAt, c.machines.drains)
+			t.Logf("  rentals %+v refused %v now %v free %v listed %d deleted at %v drains %v", c.scaler.rentals, c.scaler.refusedUntil, c.now, s.cloud.capacity, len(c.scaler.cloudMachines), c.scaler.deletedAt, c.machines.drains)
 		}
-		for _, mid := range sortedKeys(c.machines.byID) {
-			if m := c.machines.byID[mid]; c.isOwn(m) || m.token == 0 {
-				t.Logf("    %s %v barred %v shown %v drain %v use %v %v bound %v held for %q", mid, m.claim, c.unschedulable(m), m.tokenSeen, c.machines.drains[mid], m.cpus, m.gpus, m.tasks(), m.holdFor)
+		for _, machine := range sortedKeys(c.machines.byID) {
+			if m := c.machines.byID[machine]; c.isOwn(m) || m.token == 0 {
+				t.Logf("    %s %v unschedulable %v token seen %v drain %v use %v %v bound %v held for %q", machine, m.claim, c.unschedulable(m), m.tokenSeen, c.machines.drains[machine], m.cpus, m.gpus, m.tasks(), m.holdFor)
 			}
 		}
 	}
 }
 
-// simClock marks the controllers' log lines with the simulated time.
+// traceWriter writes the controllers' log lines with the simulated time in front.
 type traceWriter struct{ s *sim }
 
+// Write writes a line to the trace.
 func (w traceWriter) Write(b []byte) (int, error) {
 	fmt.Fprintf(w.s.output.trace, "%8.3f %s", w.s.now.Seconds(), b)
 	return len(b), nil
 }
 
-// traceTo writes the day's logs where SIM_TRACE says, for looking into a failure.
+// traceDay writes the day's logs to the file that SIM_TRACE and the seed name, for looking into a failure.
 func (s *sim) traceDay(t *testing.T, seed uint64) {
+	t.Helper()
 	path := os.Getenv("SIM_TRACE")
 	if path == "" {
 		return
 	}
-	f, err := os.Create(path + "." + fmt.Sprint(seed))
+	file, err := os.Create(path + "." + fmt.Sprint(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { f.Close() })
-	s.output.trace = f
+	t.Cleanup(func() {
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	s.output.trace = file
 }
--- a/internal/coordination/sim_user_test.go
+++ b/internal/coordination/sim_user_test.go
@@ -50,28 +50,30 @@
 	lastActiveAt    time.Duration  // when a task was seen on a machine after that
 }
 
-func (s *sim) submit(sp *job.Spec, runs float64, cancelAfter time.Duration) *simUser {
-	u := &simUser{s: s, spec: sp, runtimeS: runs, submittedAt: s.now, done: make([]bool, sp.Tasks), jobStarts: jobStarts{outageAtSubmission: s.counts.outage}}
-	names := map[job.Shape]string{job.Array: "batch", job.Gang: "ensemble", job.Service: "standing"}
-	prio := []string{"idle", "standard", "urgent", "prod"}
-	var depot any
-	if sp.Zone != "" {
-		depot = sp.Zone
+// submit has a user submit a job whose tasks run for so many seconds, and cancel it after a time if one is given.
+func (s *sim) submit(spec *job.Spec, runtimeS float64, cancelAfter time.Duration) *simUser {
+	u := &simUser{s: s, spec: spec, runtimeS: runtimeS, submittedAt: s.now, done: make([]bool, spec.Tasks),
+		jobStarts: jobStarts{outageAtSubmission: s.counts.outage}}
+	shapes := map[job.Shape]string{job.Array: "batch", job.Gang: "ensemble", job.Service: "standing"}
+	urgencies := []string{"idle", "standard", "urgent", "prod"}
+	var zone any
+	if spec.Zone != "" {
+		zone = spec.Zone
 	}
-	urgency := prio[sp.Priority]
-	if s.defects.productionAsLow && sp.Priority == job.Production {
-		urgency = prio[job.Low]
+	urgency := urgencies[spec.Priority]
+	if s.defects.productionAsLow && spec.Priority == job.Production {
+		urgency = urgencies[job.Low]
 	}
-	body := map[string]any{"ref": sp.ID, "jobclass": sp.Class, "crew": sp.Team, "shape": names[sp.Shape], "urgency": urgency,
-		"loads": sp.Tasks, "cpus": sp.CPUs, "accelerators": sp.GPUs, "ramGb": sp.MemoryGB, "kit": "img", "sizeGb": 1.0, "rigs": sp.MachineTypes, "depot": depot,
-		"oneZone": sp.OneZone, "apart": sp.Spread, "casual": sp.Spot, "etaS": runs, "waypointS": 0.0, "stowS": 0.0, "dueS": nil}
+	body := map[string]any{"ref": spec.ID, "jobclass": spec.Class, "crew": spec.Team, "shape": shapes[spec.Shape], "urgency": urgency,
+		"loads": spec.Tasks, "cpus": spec.CPUs, "accelerators": spec.GPUs, "ramGb": spec.MemoryGB, "kit": "img", "sizeGb": 1.0, "rigs": spec.MachineTypes, "depot": zone,
+		"oneZone": spec.OneZone, "apart": spec.Spread, "casual": spec.Spot, "etaS": runtimeS, "waypointS": 0.0, "stowS": 0.0, "dueS": nil}
 	if s.options.dataSets != nil && s.now > 15*time.Second { // registered by then
-		v := s.options.dataSets[s.random.IntN(len(s.options.dataSets))]
-		u.dataSetCopy = v.CopyID()
-		body["inputs"] = []map[string]string{{"set": v.Set, "version": v.Version, "place": "in"}}
+		set := s.options.dataSets[s.random.IntN(len(s.options.dataSets))]
+		u.dataSetCopy = set.CopyID()
+		body["inputs"] = []map[string]string{{"set": set.Set, "version": set.Version, "place": "in"}}
 	}
 	u.body, _ = json.Marshal(body)
-	s.users[sp.ID] = u
+	s.users[spec.ID] = u
 	u.sendSubmission()
 	if cancelAfter > 0 {
 		s.after(cancelAfter, u.cancel)
@@ -79,8 +81,8 @@
 	return u
 }
 
-// told is the most that any answer has told of a job: nothing, that it is accepted, or its final state.
-// No answer to a question that is asked later may be older.
+// knownStatus is the most that any answer has told of a job: nothing, that it is accepted, or its final status.
+// No answer to a query that is sent later may be older.
 type knownStatus struct {
 	known bool
 	final string
@@ -88,6 +90,7 @@
 
 func (u *simUser) knownStatus() knownStatus { return knownStatus{u.known, u.finalStatus} }
 
+// sendSubmission submits the job until an answer comes, then polls.
 func (u *simUser) sendSubmission() {
 	s, before := u.s, u.knownStatus()
 	s.anyController().request("users", "POST", protocol.PathJobs, u.body, func(st int, body []byte) {
@@ -114,29 +117,29 @@
 	})
 }
 
-// hear judges an answer to a request that was sent when so much had been told before.
+// checkAnswer checks an answer to a request that was sent when so much was known.
 func (u *simUser) checkAnswer(body []byte, before knownStatus) {
-	was := u.knownStatus()
+	previous := u.knownStatus()
 	defer func() {
-		if u.known = true; was != u.knownStatus() {
+		if u.known = true; previous != u.knownStatus() {
 			u.queryEverywhere()
 		}
 	}()
-	var r protocol.JobState
-	if json.Unmarshal(body, &r) != nil || r.ID != u.spec.ID {
+	var state protocol.JobState
+	if json.Unmarshal(body, &state) != nil || state.ID != u.spec.ID {
 		u.s.violation("format", "%s: %q", u.spec.ID, body)
 		return
 	}
-	all := true
-	for _, d := range u.done {
-		all = all && d
+	allDone := true
+	for _, done := range u.done {
+		allDone = allDone && done
 	}
-	if before.final != "" && r.Status != before.final || u.finalStatus != "" && r.Status != u.finalStatus && (r.Status == "done" || r.Status == "cancelled") {
-		u.s.violation("went_back", "%s was %s, is %s", u.spec.ID, cmp.Or(before.final, u.finalStatus), r.Status)
+	if before.final != "" && state.Status != before.final || u.finalStatus != "" && state.Status != u.finalStatus && (state.Status == "done" || state.Status == "cancelled") {
+		u.s.violation("went_back", "%s was %s, is %s", u.spec.ID, cmp.Or(before.final, u.finalStatus), state.Status)
 	}
-	switch r.Status {
+	switch state.Status {
 	case "done":
-		if !all {
+		if !allDone {
 			u.s.violation("not_done", "%s", u.spec.ID)
 		}
 		u.finalStatus = "done"
@@ -151,6 +154,7 @@
 	}
 }
 
+// poll queries the job until it has ended, and now and then after that.
 func (u *simUser) poll() {
 	s, before := u.s, u.knownStatus()
 	s.anyController().request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) {
@@ -161,6 +165,7 @@
 	})
 }
 
+// cancel cancels the job, until an answer comes.
 func (u *simUser) cancel() {
 	s := u.s
 	u.cancelRequested = true
@@ -176,13 +181,13 @@
 	})
 }
 
-// cancelAgain asks once for a cancellation of what is over or was cancelled before.
+// cancelAgain cancels once a job that has ended or was cancelled before.
 func (u *simUser) cancelAgain() {
 	before := u.knownStatus()
 	u.s.anyController().request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.cancelAnswered(st, b, before) })
 }
 
-// aborted judges the answer to a cancellation, and tells whether it is one.
+// cancelAnswered checks the answer to a cancellation, and tells whether it is accepted.
 func (u *simUser) cancelAnswered(st int, body []byte, before knownStatus) bool {
 	if st == 404 && before.known {
 		u.s.violation("forgotten", "%s can't be cancelled", u.spec.ID)
@@ -193,7 +198,7 @@
 	return st == 200
 }
 
-// repeat submits the job once more at a node: once known, it is never refused.
+// resubmit submits the job once more at a controller: once known, it is never refused.
 func (u *simUser) resubmit(n *simController, body []byte) {
 	before := u.knownStatus()
 	n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
@@ -207,7 +212,7 @@
 	})
 }
 
-// lookClosely has the user ask at all nodes, and some submit again or cancel again, within milliseconds.
+// queryEverywhere has the user query all controllers, and some submit or cancel again, within milliseconds.
 func (u *simUser) queryEverywhere() {
 	s := u.s
 	if !s.faults.queryEverywhere {
@@ -229,11 +234,11 @@
 	}
 }
 
-// ends is the moment of a task's end: at a job's last one some users call it off, ask, or submit it again.
+// taskEnded is the moment of a task's end: at a job's last one some users cancel, query or submit it again.
 func (u *simUser) taskEnded() {
 	s := u.s
-	for _, d := range u.done {
-		if !d {
+	for _, done := range u.done {
+		if !done {
 			return
 		}
 	}
@@ -254,7 +259,7 @@
 	}
 }
 
-// stranger asks about jobs that nobody has submitted.
+// queryUnknownJobs queries jobs that nobody has submitted.
 func (s *sim) queryUnknownJobs() {
 	id := fmt.Sprintf("wk-%06d", 900000+s.random.IntN(1000))
 	s.anyController().request("users", "GET", protocol.PathJobs+"/"+id, nil, func(st int, _ []byte) {
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -24,8 +24,8 @@
 }
 
 // isActive tells whether the task has begun and not ended.
-func (l *simTask) isActive() bool {
-	return l.status == protocol.TaskRunning || l.status == protocol.TaskWaiting || l.status == protocol.TaskCheckpointing
+func (task *simTask) isActive() bool {
+	return task.status == protocol.TaskRunning || task.status == protocol.TaskWaiting || task.status == protocol.TaskCheckpointing
 }
 
 // simWorker is a rented machine with its agent.
@@ -56,8 +56,8 @@
 func (w *simWorker) die() {
 	w.dead = true
 	w.up = false
-	for _, l := range w.tasks {
-		l.status, l.generation = protocol.TaskEnded, l.generation+1
+	for _, task := range w.tasks {
+		task.status, task.generation = protocol.TaskEnded, task.generation+1
 	}
 	w.tasks = map[string]*simTask{}
 }
@@ -79,59 +79,59 @@
 	if w.dead {
 		return
 	}
-	over := max(w.lastAnsweredAt, w.epochStartedAt) + seconds(w.s.facts.Workers.Lease)
-	if w.s.now > over {
+	expiresAt := max(w.lastAnsweredAt, w.epochStartedAt) + seconds(w.s.facts.Workers.Lease)
+	if w.s.now > expiresAt {
 		w.judgeLoss()
 		w.countLeaseKills()
 		if len(w.tasks) > 0 {
 			w.s.faultCounts.expiredLeases++
 		}
 		if !w.s.defects.ignoreLeaseExpiry {
-			for _, l := range w.tasks {
-				l.status, l.generation = protocol.TaskEnded, l.generation+1
+			for _, task := range w.tasks {
+				task.status, task.generation = protocol.TaskEnded, task.generation+1
 			}
 			w.tasks = map[string]*simTask{}
 		}
 		w.agentEpoch++
 		w.epochStartedAt = w.s.now
-		over = w.epochStartedAt + seconds(w.s.facts.Workers.Lease)
+		expiresAt = w.epochStartedAt + seconds(w.s.facts.Workers.Lease)
 	}
-	w.s.after(over-w.s.now+time.Millisecond, w.watchLease)
+	w.s.after(expiresAt-w.s.now+time.Millisecond, w.watchLease)
 }
 
 // heartbeat is what the worker would send now.
 func (w *simWorker) heartbeat() protocol.Heartbeat {
 	w.sequence++
-	r := protocol.Heartbeat{Worker: w.name, Address: w.address, MachineType: w.machineType, Zone: w.reportedZone(), Spot: w.spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
+	heartbeat := protocol.Heartbeat{Worker: w.name, Address: w.address, MachineType: w.machineType, Zone: w.reportedZone(), Spot: w.spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
 	if w.unshippedUntil > w.s.now {
-		r.Unshipped = 1
+		heartbeat.Unshipped = 1
 	}
 	if w.s.defects.emptyTaskLists {
-		return r
+		return heartbeat
 	}
 	var names []string
-	for n := range w.tasks {
-		names = append(names, n)
+	for name := range w.tasks {
+		names = append(names, name)
 	}
 	sort.Strings(names)
-	for _, n := range names {
-		l := w.tasks[n]
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.jobID + "/" + strconv.Itoa(l.index), Attempt: l.attempt, Status: l.status, Cause: l.cause})
+	for _, name := range names {
+		task := w.tasks[name]
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: task.jobID + "/" + strconv.Itoa(task.index), Attempt: task.attempt, Status: task.status, Cause: task.cause})
 	}
 	if w.s.options.dataSets != nil {
-		r.DataStore = &protocol.StoreReport{Listed: w.s.random.IntN(2) == 0} // complete lists are rare
+		heartbeat.DataStore = &protocol.StoreReport{Listed: w.s.random.IntN(2) == 0} // complete lists are rare
 		var held []dataset.ID
 		for _, id := range sortedKeys(w.dataSetCopies) {
 			if w.dataSetCopies[id] {
 				held = append(held, dataset.ID(id))
-				if r.DataStore.Listed {
-					r.DataStore.Copies = append(r.DataStore.Copies, id)
+				if heartbeat.DataStore.Listed {
+					heartbeat.DataStore.Copies = append(heartbeat.DataStore.Copies, id)
 				}
 			}
 		}
-		r.DataStore.Digest = datastore.DigestOf(held)
+		heartbeat.DataStore.Digest = datastore.DigestOf(held)
 	}
-	return r
+	return heartbeat
 }
 
 // sendHeartbeat sends a heartbeat and takes in its answer; then, or when none has come, the next one follows.
@@ -349,8 +349,8 @@
 
 // runsTask tells whether any attempt of the task is here.
 func (w *simWorker) runsTask(id string, index int) bool {
-	for _, l := range w.tasks {
-		if l.jobID == id && l.index == index && l.status != protocol.TaskEnded {
+	for _, task := range w.tasks {
+		if task.jobID == id && task.index == index && task.status != protocol.TaskEnded {
 			return true
 		}
 	}
@@ -359,8 +359,8 @@
 
 // runsJob tells whether any task of the job is here.
 func (w *simWorker) runsJob(id string) bool {
-	for _, l := range w.tasks {
-		if l.jobID == id && l.status != protocol.TaskEnded {
+	for _, task := range w.tasks {
+		if task.jobID == id && task.status != protocol.TaskEnded {
 			return true
 		}
 	}
@@ -368,71 +368,71 @@
 }
 
 // hasRoom tells whether one more task fits.
-func (w *simWorker) hasRoom(sp *job.Spec) bool {
-	t := w.s.cloud.machineTypes[w.machineType]
-	g, c := sp.GPUs, sp.CPUs
-	for _, l := range w.tasks {
-		if l.status != protocol.TaskEnded {
-			g, c = g+w.s.users[l.jobID].spec.GPUs, c+w.s.users[l.jobID].spec.CPUs
+func (w *simWorker) hasRoom(spec *job.Spec) bool {
+	machine := w.s.cloud.machineTypes[w.machineType]
+	gpus, cpus := spec.GPUs, spec.CPUs
+	for _, task := range w.tasks {
+		if task.status != protocol.TaskEnded {
+			gpus, cpus = gpus+w.s.users[task.jobID].spec.GPUs, cpus+w.s.users[task.jobID].spec.CPUs
 		}
 	}
-	return g <= t.GPUs && c <= t.CPUs
+	return gpus <= machine.GPUs && cpus <= machine.CPUs
 }
 
 // beginTask is the moment from which a task is on its machine.
-func (w *simWorker) beginTask(u *simUser, l *simTask, generation int) {
+func (w *simWorker) beginTask(u *simUser, task *simTask, generation int) {
 	s := w.s
-	if w.dead || l.generation != generation || l.status != protocol.TaskPulling {
+	if w.dead || task.generation != generation || task.status != protocol.TaskPulling {
 		return
 	}
 	if s.now < w.hungUntil {
-		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.beginTask(u, l, generation) })
+		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.beginTask(u, task, generation) })
 		return
 	}
 	if u.dataSetCopy != "" && !w.dataSetCopies[u.dataSetCopy] { // only complete copies are read
 		w.fetchCopy(u.dataSetCopy)
-		s.after(time.Second, func() { w.beginTask(u, l, generation) })
+		s.after(time.Second, func() { w.beginTask(u, task, generation) })
 		return
 	}
 	s.counts.taskStarts++
 	if s.output.trace != nil {
-		fmt.Fprintf(s.output.trace, "%8.3f START task=%s/%d attempt=%d worker=%s epoch=%d token=%d\n", s.now.Seconds(), l.jobID, l.index, l.attempt, w.name, w.agentEpoch, w.fencingToken)
+		fmt.Fprintf(s.output.trace, "%8.3f START task=%s/%d attempt=%d worker=%s epoch=%d token=%d\n", s.now.Seconds(), task.jobID, task.index, task.attempt, w.name, w.agentEpoch, w.fencingToken)
 	}
-	s.checkStart(w, u, l)
+	s.checkStart(w, u, task)
 	s.countLateStart(u)
-	u.start(l.index, w)
-	l.status = protocol.TaskRunning
-	if u.done[l.index] {
-		l.status, l.cause = protocol.TaskEnded, protocol.CauseDone
+	u.start(task.index, w)
+	task.status = protocol.TaskRunning
+	if u.done[task.index] {
+		task.status, task.cause = protocol.TaskEnded, protocol.CauseDone
 		return
 	}
 	if w.faulty || u.failsEverywhere {
 		u.failures++
-		l.status, l.cause = protocol.TaskEnded, protocol.CauseError
+		task.status, task.cause = protocol.TaskEnded, protocol.CauseError
 		return
 	}
 	if u.spec.Shape == job.Service {
 		return
 	}
-	s.after(seconds(u.runtimeS+u.runtimeStepS*float64(l.index)), func() { w.finishTask(u, l, l.generation) })
+	s.after(seconds(u.runtimeS+u.runtimeStepS*float64(task.index)), func() { w.finishTask(u, task, task.generation) })
 }
 
 // finishTask is the moment at which a task completes.
-func (w *simWorker) finishTask(u *simUser, l *simTask, generation int) {
-	if w.dead || l.generation != generation || l.status != protocol.TaskRunning {
+func (w *simWorker) finishTask(u *simUser, task *simTask, generation int) {
+	if w.dead || task.generation != generation || task.status != protocol.TaskRunning {
 		return
 	}
 	if w.s.now < w.hungUntil {
-		w.s.after(w.hungUntil-w.s.now+time.Millisecond, func() { w.finishTask(u, l, generation) })
+		w.s.after(w.hungUntil-w.s.now+time.Millisecond, func() { w.finishTask(u, task, generation) })
 		return
 	}
-	l.status, l.cause = protocol.TaskEnded, protocol.CauseDone
+	task.status, task.cause = protocol.TaskEnded, protocol.CauseDone
 	if u.spec.Shape == job.Gang { // the tasks of a gang complete together
 		for i := range u.done {
 			u.done[i] = true
 		}
 	}
-	u.done[l.index] = true
+	u.done[task.index] = true
 	u.taskEnded()
 }
 
--- a/internal/coordination/sim_workload_test.go
+++ b/internal/coordination/sim_workload_test.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/protocol"
 )
 
-// load lets users submit jobs of all shapes until the time given.
+// submitMixedJobs has users submit jobs of all shapes until the time given.
 func (s *sim) submitMixedJobs(until time.Duration) {
 	n := 0
 	var next func()
@@ -18,56 +18,56 @@
 		if s.now > until {
 			return
 		}
-		sp := &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: []string{"red", "blue"}[s.random.IntN(2)], Shape: job.Array,
+		spec := &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: []string{"red", "blue"}[s.random.IntN(2)], Shape: job.Array,
 			Priority: job.Priority(s.random.IntN(3)), Tasks: 1 + s.random.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 8, Spot: s.random.IntN(2) == 0}
 		n++
-		runs, cancel := 3+12*s.random.Float64(), time.Duration(0)
+		runtimeS, cancelAfter := 3+12*s.random.Float64(), time.Duration(0)
 		switch s.random.IntN(5) {
 		case 0:
-			sp.Shape, sp.Class, sp.Priority, sp.Tasks = job.Service, "svc", job.Production, 1+s.random.IntN(2)
-			cancel = s.randomMillis(5_000, 60_000)
+			spec.Shape, spec.Class, spec.Priority, spec.Tasks = job.Service, "svc", job.Production, 1+s.random.IntN(2)
+			cancelAfter = s.randomMillis(5_000, 60_000)
 		case 1:
-			sp.Shape, sp.Class, sp.Tasks = job.Gang, "gng", 1+s.random.IntN(3)
-			sp.GPUs = 2
+			spec.Shape, spec.Class, spec.Tasks = job.Gang, "gng", 1+s.random.IntN(3)
+			spec.GPUs = 2
 		}
 		switch s.random.IntN(6) {
 		case 0:
-			sp.OneZone = true
+			spec.OneZone = true
 		case 1:
-			sp.Spread = true
+			spec.Spread = true
 		case 2:
-			sp.Zone = []string{"a", "b"}[s.random.IntN(2)]
+			spec.Zone = []string{"a", "b"}[s.random.IntN(2)]
 		case 3:
-			sp.MachineTypes = []string{"small", "large"}
+			spec.MachineTypes = []string{"small", "large"}
 		}
-		if cancel == 0 && s.random.IntN(6) == 0 {
-			cancel = s.randomMillis(100, 20_000)
+		if cancelAfter == 0 && s.random.IntN(6) == 0 {
+			cancelAfter = s.randomMillis(100, 20_000)
 		}
-		s.submit(sp, runs, cancel)
+		s.submit(spec, runtimeS, cancelAfter)
 		s.after(s.randomMillis(300, 3500), next)
 	}
 	next()
 }
 
-// longTasks submits jobs of all shapes whose tasks run for minutes.
+// submitLongJobs submits jobs of all shapes whose tasks run for minutes.
 func submitLongJobs(n int) func(s *sim) {
 	return func(s *sim) {
 		for i := range n {
-			sp := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Shape: job.Array, Priority: job.Normal, Tasks: 1 + i%3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}
+			spec := &job.Spec{ID: fmt.Sprintf("wk-3%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Shape: job.Array, Priority: job.Normal, Tasks: 1 + i%3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}
 			switch i % 4 {
 			case 1:
-				sp.Shape, sp.Class, sp.Priority = job.Service, "svc", job.Production
+				spec.Shape, spec.Class, spec.Priority = job.Service, "svc", job.Production
 			case 2:
-				sp.Shape, sp.Class, sp.OneZone = job.Gang, "gng", i%8 == 2
+				spec.Shape, spec.Class, spec.OneZone = job.Gang, "gng", i%8 == 2
 			case 3:
-				sp.OneZone, sp.Spread = i%8 == 3, i%8 == 7
+				spec.OneZone, spec.Spread = i%8 == 3, i%8 == 7
 			}
-			s.submit(sp, 60+60*s.random.Float64(), 0)
+			s.submit(spec, 60+60*s.random.Float64(), 0)
 		}
 	}
 }
 
-// fourASecond submits one-task jobs, a quarter of which are cancelled.
+// submitSmallJobs submits some four one-task jobs a second, a quarter of which are cancelled.
 func (s *sim) submitSmallJobs(until time.Duration) {
 	n := 0
 	var next func()
@@ -75,19 +75,19 @@
 		if s.now > until {
 			return
 		}
-		cancel := time.Duration(0)
+		cancelAfter := time.Duration(0)
 		if s.random.IntN(4) == 0 {
-			cancel = s.randomMillis(20, 5000)
+			cancelAfter = s.randomMillis(20, 5000)
 		}
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-3%05d", n), Class: "arr", Team: []string{"red", "blue"}[n%2], Shape: job.Array, Priority: job.Priority(n % 3), Tasks: 1, CPUs: 1, GPUs: 0.25, MemoryGB: 2, Spot: true},
-			2+4*s.random.Float64(), cancel)
+			2+4*s.random.Float64(), cancelAfter)
 		n++
 		s.after(s.randomMillis(150, 350), next)
 	}
 	next()
 }
 
-// everybodyCancels has a share of the users call their jobs off within a time, by way of a node if one is given.
+// cancelShare has a share of the users cancel their jobs within a time, at a controller if one is given.
 func (s *sim) cancelShare(share float64, within time.Duration, via *simController) (n int) {
 	for _, id := range sortedKeys(s.users) {
 		if u := s.users[id]; u.accepted && !u.cancelRequested && u.finalStatus == "" && s.random.Float64() < share {
@@ -99,7 +99,7 @@
 	return n
 }
 
-// cancelNow has users call off so many jobs that run and have long to go, within a fifth of a second; some of
+// cancelRunning has users cancel so many jobs that run and have long to go, within a fifth of a second; some of
 // their machines, eight at the most, hang for a time.
 func (s *sim) cancelRunning(count int, hang time.Duration) {
 	hung := 0
@@ -120,8 +120,8 @@
 	}
 }
 
-// oddRequests has users repeat submissions, also with other content, cancel what is done, and send what fits
-// no machine or lacks a field.
+// sendInvalidRequests has users repeat submissions, also with other content, cancel jobs that are done, and submit
+// what fits no machine or lacks a field.
 func (s *sim) sendInvalidRequests(until time.Duration) {
 	if s.now > until {
 		return
@@ -153,23 +153,23 @@
 	s.after(s.randomMillis(100, 900), func() { s.sendInvalidRequests(until) })
 }
 
-// oddBody is a submission that can't be accepted: a field is missing, or it fits no machine.
+// invalidBody is a submission that can't be accepted: a field is missing, or it fits no machine.
 func invalidBody(s *sim, body []byte, id string) []byte {
-	var m map[string]any
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.UseNumber()
-	_ = d.Decode(&m)
-	m["ref"] = id
+	var submission map[string]any
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.UseNumber()
+	_ = decoder.Decode(&submission)
+	submission["ref"] = id
 	fields := []string{"jobclass", "crew", "shape", "urgency", "loads", "cpus", "accelerators", "ramGb", "kit", "sizeGb", "oneZone", "apart", "casual", "etaS", "waypointS", "stowS"}
 	switch s.random.IntN(4) {
 	case 0:
-		m["cpus"] = 10_000
+		submission["cpus"] = 10_000
 	case 1:
-		m["rigs"] = []string{"none"}
+		submission["rigs"] = []string{"none"}
 	case 2:
-		m["crew"] = "nobody"
+		submission["crew"] = "nobody"
 	default:
-		delete(m, fields[s.random.IntN(len(fields))])
+		delete(submission, fields[s.random.IntN(len(fields))])
 	}
-	return encode(m)
+	return encode(submission)
 }
--- a/internal/coordination/stand_ins_test.go
+++ b/internal/coordination/stand_ins_test.go
@@ -9,12 +9,13 @@
 	"silvergate/internal/protocol"
 )
 
-// standIn is a stand-in as the conformance tables see it, in simulated time.
+// standIn is a stand-in as the conformance tables use it, in simulated time.
 type standIn struct {
 	s     *sim
 	serve func(k protocol.Call, reply func(int, []byte))
 }
 
+// Begin sends a request, and returns what waits for its answer.
 func (x standIn) Begin(method, path, body string) func() (int, string) {
 	status, answer, there := 0, "", false
 	x.serve(protocol.Call{Method: method, Path: path, Body: []byte(body)}, func(st int, b []byte) {
@@ -28,9 +29,10 @@
 	}
 }
 
+// Sleep lets simulated time pass.
 func (x standIn) Sleep(d time.Duration) { x.s.run(x.s.now + d) }
 
-// TestStandInsConformToProtocol holds the stand-ins to the same sentences as the
+// TestStandInsConformToProtocol holds the stand-ins to the same statements as the
 // product's own state service, cloud and agents.
 func TestStandInsConformToProtocol(t *testing.T) {
 	quietSim := func() *sim {
--- a/internal/coordination/state_outage_test.go
+++ b/internal/coordination/state_outage_test.go
@@ -10,9 +10,9 @@
 	"silvergate/internal/protocol"
 )
 
-// TestLongOutageKeepsTasksRunning guards the vouching between controllers: in
-// an outage of the state service that all of them see, no cancellation can be
-// acknowledged, so workers are answered however long it lasts.
+// TestLongOutageKeepsTasksRunning guards the cancellation replies between controllers: in
+// an outage of the state service for all of them, no cancellation can be
+// confirmed, so workers are answered however long it lasts.
 func TestLongOutageKeepsTasksRunning(t *testing.T) {
 	s := newSim(t, 11, 0)
 	for i := range 6 {
@@ -22,8 +22,8 @@
 	s.run(60 * time.Second)
 	on := func() (n int) {
 		for _, w := range s.cloud.sortedMachines() {
-			for _, l := range w.tasks {
-				if l.isActive() {
+			for _, task := range w.tasks {
+				if task.isActive() {
 					n++
 				}
 			}
@@ -39,7 +39,7 @@
 	if on() != 6 || s.counts.taskStarts != starts {
 		t.Errorf("%d of 6 run two minutes into the outage, %d were started again", on(), s.counts.taskStarts-starts)
 	}
-	// With one controller gone nobody can vouch for it.
+	// With one controller down it is not known what that one has confirmed.
 	s.controllers[2].crash(time.Hour)
 	s.run(s.now + 55*time.Second)
 	if on() != 0 {
@@ -49,8 +49,8 @@
 }
 
 // TestUsersAreToldAtOnceThatTheStateServiceIsAway guards against users who give
-// up before their refusal comes: in an outage whoever asks gets 503 at once,
-// except about jobs that are over.
+// up before they are refused: in an outage every query gets 503 at once,
+// except for jobs that have ended.
 func TestUsersAreToldAtOnceThatTheStateServiceIsAway(t *testing.T) {
 	s := newSim(t, 43, 0)
 	u := s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 2, 0)
--- a/internal/coordination/stored_records_test.go
+++ b/internal/coordination/stored_records_test.go
@@ -24,8 +24,7 @@
 	check  func(t *testing.T, data []byte) // reads it to the same meaning and writes the same bytes
 }
 
-// wholeRecord is a record with every field set. partialRecord lacks those that are left out
-// when they have no value.
+// wholeRecord is a record with every field set.
 func wholeRecord[T any](name, file, key, built string, want T) storedRecord {
 	r := partialRecord(name, file, key, built, want)
 	check := r.check
@@ -36,6 +35,7 @@
 	return r
 }
 
+// partialRecord is a record that lacks the fields without a value.
 func partialRecord[T any](name, file, key, built string, want T) storedRecord {
 	check := func(t *testing.T, data []byte) {
 		var got T
@@ -74,6 +74,7 @@
 	return storedRecord{name, file, key, built, func() []byte { return write(want) }, check}
 }
 
+// requireSameBytes fails if a record is not written as it was read.
 func requireSameBytes(t *testing.T, got, want []byte) {
 	t.Helper()
 	if !bytes.Equal(got, want) {
@@ -101,10 +102,11 @@
 	}
 }
 
+// storedRecords has a record of each kind.
 func storedRecords() []storedRecord {
-	depot := "z-b"
+	zone := "z-b"
 	announced := announcement{AtMS: 1767225600001}
-	announced.Staging = protocol.Staging{ID: "night", Set: "maps", Version: "v1", Team: "red", Priority: "high", ByS: 90.5, Machines: 4, Zone: &depot}
+	announced.Staging = protocol.Staging{ID: "night", Set: "maps", Version: "v1", Team: "red", Priority: "high", ByS: 90.5, Machines: 4, Zone: &zone}
 	holder := failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}
 	passed := failover.Group{Holder: holder, Zone: "z a/1", Number: 3}
 	ended := []string{
@@ -114,7 +116,7 @@
 	whole := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
 		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Path: "in/maps"}}}
 	set := protocol.DataSet{Set: "maps", Version: "v1", Digest: strings.Repeat("0123456789abcdef", 4), Bytes: 1 << 40, Sources: []string{"127.0.0.1:7000"}, AtMS: 1767225600002}
-	rigs := protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g4", CPUs: 8.5, GPUs: 4, MemoryGB: 64.5, LocalGB: 100, ImagePullGBPerS: 0.25, OnDemandPrice: 2.5,
+	machineTypes := protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g4", CPUs: 8.5, GPUs: 4, MemoryGB: 64.5, LocalGB: 100, ImagePullGBPerS: 0.25, OnDemandPrice: 2.5,
 		SpotPrice: 0.75, StartupS: 30, Zones: []string{"z-a", "z-b"}}}}
 	return []storedRecord{
 		wholeRecord("job, open", "j-open.json", "sg/j/wk-000042", keyJob+"wk-000042",
@@ -149,7 +151,7 @@
 		wholeRecord("data set", "d.json", "sg/d/maps/v1", keyData+"maps/v1", set),
 		wholeRecord("announced work", "s.json", "sg/s/night", keyStaging+"night", announced),
 		wholeRecord("gang", "gang.json", "sg/gang", keyGang, gangReservation{Job: "wk-000042", Owner: "n1", Incarnation: 7}),
-		wholeRecord("flavors", "flavors.json", "sg/flavors", keyFlavors, rigs),
+		wholeRecord("flavors", "flavors.json", "sg/flavors", keyFlavors, machineTypes),
 	}
 }
 
