--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -141,7 +141,9 @@
 	}
 	s.server.Sweep(time.Now())
 	s.advance()
-	s.answerWatchers(s.admission.takeExpiredWatchers())
+	for _, w := range s.admission.takeExpiredWatchers() {
+		s.answerWatchers([]*watcher{w}) // each with the latest revision
+	}
 	s.nextTickAt = 0
 	s.scheduleTick()
 }
