--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -45,7 +45,7 @@
 )
 
 // wire is how each phase is reported. One that is ending still takes its room.
-var wire = [...]string{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
+var wire = [...]protocol.TaskState{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
 	running: protocol.TaskRunning, finished: protocol.TaskRunning, saving: protocol.TaskCheckpointing, saved: protocol.TaskCheckpointing,
 	ending: protocol.TaskRunning, ended: protocol.TaskEnded}
 
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -758,7 +758,7 @@
 	id     string
 	index  int
 	try    int
-	status string
+	status protocol.TaskState
 	cause  string
 	gen    int
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -53,18 +53,21 @@
 
 // RentedMachine is a machine in the cloud's list.
 type RentedMachine struct {
-	Name        string  `json:"ref"`
-	Address     string  `json:"address"`
-	MachineType string  `json:"rig"`
-	Zone        string  `json:"depot"`
-	Spot        bool    `json:"casual"`
-	Status      string  `json:"status"` // StatusBooting, StatusRunning or StatusFailed
-	AgeS        float64 `json:"ageS"`
+	Name        string        `json:"ref"`
+	Address     string        `json:"address"`
+	MachineType string        `json:"rig"`
+	Zone        string        `json:"depot"`
+	Spot        bool          `json:"casual"`
+	Status      MachineStatus `json:"status"` // StatusBooting, StatusRunning or StatusFailed
+	AgeS        float64       `json:"ageS"`
 }
 
-// Statuses of machines in the cloud's list.
+// MachineStatus is the state of a machine in the cloud's list.
+type MachineStatus string
+
+// Statuses of machines.
 const (
-	StatusBooting = "booting"
-	StatusRunning = "running"
-	StatusFailed  = "failed"
+	StatusBooting MachineStatus = "booting"
+	StatusRunning MachineStatus = "running"
+	StatusFailed  MachineStatus = "failed"
 )
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -35,24 +35,26 @@
 
 // TaskStatus is an attempt of a task as a worker reports it.
 type TaskStatus struct {
-	Task         string `json:"load"` // see job.TaskName
-	Attempt      int    `json:"try"`
-	Status       string `json:"status"`          // TaskPulling and so on
-	Cause        string `json:"cause,omitempty"` // CauseDone and so on; of ended ones only
-	Checkpointed bool   `json:"saved,omitempty"`
+	Task         string    `json:"load"` // see job.TaskName
+	Attempt      int       `json:"try"`
+	Status       TaskState `json:"status"`          // TaskPulling and so on
+	Cause        string    `json:"cause,omitempty"` // CauseDone and so on; of ended ones only
+	Checkpointed bool      `json:"saved,omitempty"`
 }
 
-// Statuses of attempts in heartbeats. They, causes and verbs are plain strings: decoders
-// put the names of Go types into their errors, which workers and operators see.
+// TaskState is the state of an attempt in heartbeats.
+type TaskState string
+
+// States of attempts.
 const (
-	TaskPulling       = "pulling"
-	TaskWaiting       = "waiting"
-	TaskRunning       = "running"
-	TaskCheckpointing = "saving"
-	TaskEnded         = "ended"
+	TaskPulling       TaskState = "pulling"
+	TaskWaiting       TaskState = "waiting"
+	TaskRunning       TaskState = "running"
+	TaskCheckpointing TaskState = "saving"
+	TaskEnded         TaskState = "ended"
 )
 
-// Causes of an attempt's end.
+// Causes of an attempt's end. They are plain strings, as in the records of the archive.
 const (
 	CauseDone           = "done"
 	CauseStopped        = "stopped"
@@ -111,7 +113,8 @@
 	Grant string `json:"seal,omitempty"`
 }
 
-// Verbs of commands.
+// Verbs of commands. They are plain strings because agents read commands with
+// encoding/json, too, which puts the names of other types into its errors.
 const (
 	VerbLaunch = "launch"
 	VerbKill   = "kill"
--- a/internal/protocol/json_test.go
+++ b/internal/protocol/json_test.go
@@ -19,7 +19,7 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "loads") {
 		heartbeat.Tasks = append(heartbeat.Tasks, TaskStatus{Task: rapid.StringMatching(`wk-[0-9]{6}/[0-9]`).Draw(t, "load"), Attempt: rapid.Int().Draw(t, "try"),
-			Status: rapid.String().Draw(t, "status"), Checkpointed: rapid.Bool().Draw(t, "saved")})
+			Status: TaskState(rapid.String().Draw(t, "status")), Checkpointed: rapid.Bool().Draw(t, "saved")})
 	}
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -750,7 +750,7 @@
 	s := p.stats
 	s.Machines = map[string]int{}
 	for _, l := range p.m.List(now, "", 1<<30).Machines {
-		s.Machines[l.Status]++
+		s.Machines[string(l.Status)]++
 	}
 	s.Paid = p.m.Paid(now)
 	return s
