--- a/internal/protocol/datastore.go
+++ b/internal/protocol/datastore.go
@@ -3,7 +3,8 @@
 // StoreReport is what a heartbeat says of the machine's store of data sets.
 type StoreReport struct {
 	Digest string `json:"digest"` // of the list of copies
-	// Listed tells whether Copies is the whole list; most heartbeats have the digest alone.
+	// Listed tells that Copies is the list, cut off at what the agent lists at the most;
+	// most heartbeats have the digest alone.
 	Listed bool        `json:"listed,omitempty"`
 	Copies []string    `json:"copies,omitempty"` // by their copy ids, as Failed
 	Pulls  []StorePull `json:"pulls,omitempty"`
