--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -13,7 +13,7 @@
 )
 
 // wire is how each phase is reported. One that is ending still takes its room.
-var wire = [...]string{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
+var wire = [...]protocol.TaskState{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
 	running: protocol.TaskRunning, finished: protocol.TaskRunning, checkpointing: protocol.TaskCheckpointing, checkpointed: protocol.TaskCheckpointing,
 	ending: protocol.TaskRunning, ended: protocol.TaskEnded}
 
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -18,12 +18,12 @@
 }
 
 // firstAttemptStatus is the status of the first attempt of wk-700000/0 on a worker's list.
-func firstAttemptStatus(status string) protocol.TaskStatus {
+func firstAttemptStatus(status protocol.TaskState) protocol.TaskStatus {
 	return protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: status}
 }
 
 // launchReply is the reply to the direct launch of newScriptWithLaunch.
-func launchReply(sequence uint64, status string) protocol.Heartbeat {
+func launchReply(sequence uint64, status protocol.TaskState) protocol.Heartbeat {
 	return protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: sequence, FencingToken: 120, Tasks: []protocol.TaskStatus{firstAttemptStatus(status)}}
 }
 
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -18,7 +18,7 @@
 	jobID      string
 	index      int
 	attempt    int
-	status     string
+	status     protocol.TaskState
 	cause      string
 	generation int // grows when the task is ended from outside; what was to happen to it then does not
 }
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -232,7 +232,7 @@
 	s := p.stats
 	s.Machines = map[string]int{}
 	for _, l := range p.market.List(now, "", 1<<30).Machines {
-		s.Machines[l.Status]++
+		s.Machines[string(l.Status)]++
 	}
 	s.Paid = p.market.Paid(now)
 	return s
