--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -177,7 +177,7 @@
 // outgrown its controllers' sockets.
 func (n *node) watchConnections(now time.Duration) {
 	s := n.server.ConnLimiter.Stats()
-	if (s.Refused == n.refused && !n.server.ConnLimiter.Tight()) || n.warnedAt > 0 && now-n.warnedAt < time.Minute {
+	if (s.Refused == n.refused && !n.server.ConnLimiter.WorkersNearLimit()) || n.warnedAt > 0 && now-n.warnedAt < time.Minute {
 		return
 	}
 	n.log.Warn("more workers than sockets to keep for them: they connect anew for each report; give the controllers more sockets or add one",
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -111,7 +111,7 @@
 		s.open[k] = true
 		if c.AddrIndex() == 1 {
 			k.peer = newInLink()
-		} else if k.entered = s.ConnLimiter.Enter(); !k.entered {
+		} else if k.entered = s.ConnLimiter.Open(); !k.entered {
 			return AppendResponse(nil, http.StatusServiceUnavailable, []byte(`{"error":"too many connections"}`), 1, true), evio.Options{}, evio.Close
 		}
 		return nil, evio.Options{ReuseInputBuffer: true}, evio.None
@@ -121,7 +121,7 @@
 		defer s.mu.Unlock()
 		if k, ok := c.Context().(*conn); ok {
 			if k.entered {
-				s.ConnLimiter.Leave(k.class)
+				s.ConnLimiter.Close(k.class)
 			}
 			delete(s.conns, k.id)
 			delete(s.open, k)
@@ -221,7 +221,7 @@
 		s.conns[k.id] = k
 		k.last = r.Close
 		if is := s.Classify(r); is != k.class {
-			s.ConnLimiter.Ask(k.class, is)
+			s.ConnLimiter.Use(k.class, is)
 			k.class = is
 		}
 		s.handler.Serve(k.id, r)
@@ -270,7 +270,7 @@
 	}
 	delete(s.conns, id)
 	k.busy = false
-	k.last = k.last || !s.ConnLimiter.Stay(k.class, served, urgent)
+	k.last = k.last || !s.ConnLimiter.KeepAlive(k.class, served, urgent)
 	k.out = write(k.out, k.last)
 	k.closing = k.closing || k.last
 	if !k.inside {
