--- a/internal/connectivity/routing_test.go
+++ b/internal/connectivity/routing_test.go
@@ -157,3 +157,13 @@
 		}
 	})
 }
+
+func TestWorkloadNames(t *testing.T) {
+	for w, want := range map[Workload]string{UrgentWorkload: "urgent", OtherWorkload: "other", NoWorkload: "none", NoWorkload + 1: "unknown", -1: "unknown"} {
+		t.Run(want, func(t *testing.T) {
+			if got := w.String(); got != want {
+				t.Errorf("workload %d is %q", int(w), got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/losses/step_test.go
@@ -0,0 +1,14 @@
+package losses
+
+import "testing"
+
+// TestStepNames: the names are columns of the command's report.
+func TestStepNames(t *testing.T) {
+	for step, want := range map[Step]string{Detect: "evidence", Commit: "commit ending", Room: "room", Bind: "commit start", Tell: "tell", Image: "image", Steps: "unknown", -1: "unknown"} {
+		t.Run(want, func(t *testing.T) {
+			if got := step.String(); got != want {
+				t.Errorf("step %d is %q", int(step), got)
+			}
+		})
+	}
+}
