--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -9,17 +9,20 @@
 
 // This file detects machines that have failed by their missing heartbeats.
 
-// Silence of a machine, in heartbeat periods of its worker.
+// Times without a heartbeat, in heartbeat periods of the workers.
 const (
-	overduePeriods       = 1.25 // its heartbeat is overdue
-	probePeriods         = 1.35 // it is probed
-	unansweredPeriods    = 1.75 // with two probes without a reply, it has failed
-	silentPeriods        = 3    // with the wait for an answer, it is silent
-	inheritedPeriods     = 2.5  // with two probes without a reply, a machine of an earlier incarnation has failed
-	unresponsivePeriods  = 2    // its heartbeats have not shown our token for so long: it is unresponsive
+	overduePeriods       = 1.25 // the heartbeat is overdue
+	probePeriods         = 1.35 // the machine is probed
+	unansweredPeriods    = 1.75 // the machine has failed if two probes had no reply
+	silentPeriods        = 3    // with answerTimeout added, the machine is silent
+	inheritedPeriods     = 2.5  // a machine of an earlier incarnation has failed if two probes had no reply
 	inheritedLostPeriods = 3    // beyond the cancel horizon, a machine of an earlier incarnation has failed
 )
 
+// unresponsivePeriods is how many heartbeat periods a machine may take to show our fencing
+// token before it is unresponsive.
+const unresponsivePeriods = 2
+
 const (
 	// answerTimeout is how long a worker waits for the answer to a heartbeat, in seconds.
 	answerTimeout = 4
