--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -110,7 +110,7 @@
 func (c *Core) checkUnattended(id string) {
 	f := &c.scaler
 	m := c.machines.byID[id]
-	if c.recentlyDeleted(id) && (m.token != 0 || len(m.bound) > 0) {
+	if f.deletedSince(id, c.now-c.deletionRetryAfter()) && (m.token != 0 || len(m.bound) > 0) {
 		// Releases that failed are proposed again, and the records go once
 		// nothing is bound any more.
 		c.releaseMachineTasks(id)
@@ -141,11 +141,11 @@
 	}
 }
 
-// recentlyDeleted tells whether a machine's deletion was requested a short while ago and has
-// been confirmed.
-func (c *Core) recentlyDeleted(id string) bool {
-	at, deleted := c.scaler.deletedAt[id]
-	return deleted && c.scaler.deletionConfirmed[id] && c.now-at < c.deletionRetryAfter()
+// deletedSince tells whether a machine's deletion was requested after a time and has been
+// confirmed.
+func (d *deletionState) deletedSince(id string, since time.Duration) bool {
+	at, deleted := d.deletedAt[id]
+	return deleted && d.deletionConfirmed[id] && at > since
 }
 
 // deletionRetryAfter is how long after a deletion was requested it may be requested again:
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -219,12 +219,15 @@
 // heartbeat periods.
 const maxRefusalBackoff = 5
 
-// backOffOffering leaves an offering alone for a while, longer with each refusal in a row.
-func (c *Core) backOffOffering(where offering) {
-	f := &c.scaler
+// backOff leaves an offering alone from now on for as many periods as it was refused in a row.
+func (f *rentalState) backOff(where offering, now, period time.Duration) {
 	f.refusals[where]++
-	period := seconds(2 * c.cfg.Facts.Workers.Report)
-	f.refusedUntil[where] = c.now + period*time.Duration(min(f.refusals[where], maxRefusalBackoff))
+	f.refusedUntil[where] = now + period*time.Duration(min(f.refusals[where], maxRefusalBackoff))
+}
+
+// backOffOffering leaves an offering alone that the cloud has refused.
+func (c *Core) backOffOffering(where offering) {
+	c.scaler.backOff(where, c.now, seconds(2*c.cfg.Facts.Workers.Report))
 }
 
 // dropRental deletes a rental's record.
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -58,12 +58,17 @@
 		c.scheduler.removeFromIdleList(m)
 		return
 	}
-	m.listedAt = c.now
+	c.scheduler.addToIdleList(m, c.now)
+	c.offerHeldRoom(m)
+}
+
+// addToIdleList adds a machine to the idle list, or renews its entry there.
+func (s *scheduler) addToIdleList(m *machine, now time.Duration) {
+	m.listedAt = now
 	if m.idleListIndex == 0 {
-		c.scheduler.idle = append(c.scheduler.idle, m)
-		m.idleListIndex = len(c.scheduler.idle)
+		s.idle = append(s.idle, m)
+		m.idleListIndex = len(s.idle)
 	}
-	c.offerHeldRoom(m)
 }
 
 // removeFromIdleList removes a machine from the idle list, if it is there; the last one takes
