--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -40,8 +40,7 @@
 	b.filledAt = now
 }
 
-// Each controller may use a tenth of the cloud's rate until it knows the machine types, and
-// the fleet's leader seven tenths, so that all together keep to it.
+// A controller uses a tenth of the cloud's rate, and the fleet's leader seven tenths.
 const (
 	cloudRateDivisor  = 10
 	leaderRateFactor  = 7
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -149,7 +149,7 @@
 }
 
 // deletionRetryAfter is how long after a deletion was requested it may be requested again:
-// by then the cloud's list shows whether it was carried out.
+// twice the time by which the cloud's list may lag.
 func (c *Core) deletionRetryAfter() time.Duration { return seconds(2 * c.cfg.Facts.Cloud.ListLag) }
 
 // maxDeletionCount bounds the machines of one request.
@@ -231,8 +231,8 @@
 	})
 }
 
-// maxComparesPerOp is how many conditions a transaction may have for each change that it may
-// have (PROTOCOL).
+// maxComparesPerOp bounds the conditions of a transaction, as a multiple of the changes that it
+// may have.
 const maxComparesPerOp = 4
 
 // dropObsoleteDrains forgets drains that are on record by now, or whose reason holds no more.
