--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -110,7 +110,7 @@
 func (c *Core) checkUnattended(id string) {
 	f := &c.scaler
 	m := c.machines.byID[id]
-	if c.recentlyDeleted(id) && (m.token != 0 || len(m.bound) > 0) {
+	if f.deletedSince(id, c.now-c.deletionRetryAfter()) && (m.token != 0 || len(m.bound) > 0) {
 		// Releases that failed are proposed again, and the records go once
 		// nothing is bound any more.
 		c.releaseMachineTasks(id)
@@ -141,15 +141,15 @@
 	}
 }
 
-// recentlyDeleted tells whether a machine's deletion was requested a short while ago and has
-// been confirmed.
-func (c *Core) recentlyDeleted(id string) bool {
-	at, deleted := c.scaler.deletedAt[id]
-	return deleted && c.scaler.deletionConfirmed[id] && c.now-at < c.deletionRetryAfter()
+// deletedSince tells whether a machine's deletion was requested after a time and has been
+// confirmed.
+func (d *deletionState) deletedSince(id string, since time.Duration) bool {
+	at, deleted := d.deletedAt[id]
+	return deleted && d.deletionConfirmed[id] && at > since
 }
 
 // deletionRetryAfter is how long after a deletion was requested it may be requested again:
-// by then the cloud's list shows whether it was carried out.
+// twice the time by which the cloud's list may lag.
 func (c *Core) deletionRetryAfter() time.Duration { return seconds(2 * c.cfg.Facts.Cloud.ListLag) }
 
 // maxDeletionCount bounds the machines of one request.
@@ -231,8 +231,8 @@
 	})
 }
 
-// maxComparesPerOp is how many conditions a transaction may have for each change that it may
-// have (PROTOCOL).
+// maxComparesPerOp bounds the conditions of a transaction, as a multiple of the changes that it
+// may have.
 const maxComparesPerOp = 4
 
 // dropObsoleteDrains forgets drains that are on record by now, or whose reason holds no more.
