--- a/internal/coordination/job_description_test.go
+++ b/internal/coordination/job_description_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestDescriptionsReachWorkers submits a job with extension fields and one
-// without: the former's are told by every controller, also after a restart, and
-// the latter's record is what it always was.
+// without: every controller describes the former with them, also after a restart,
+// and the latter's record has no trace of them.
 func TestDescriptionsReachWorkers(t *testing.T) {
 	s := newSim(t, 61, 0)
 	s.run(10 * time.Second)
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -106,6 +106,8 @@
 // production work waits that fits; when the controllers take production for idle work, they do just that, and the
 // checker says so.
 func TestUrgentWorkGoesFirst(t *testing.T) {
+	// The days belong to the whole test, not to its subtests: digests name them by it.
+	day := func(seed uint64, productionAsLow bool) *sim { return playScarceDay(t, seed, productionAsLow) }
 	days := uint64(8)
 	if v, err := strconv.Atoi(os.Getenv("SIM_DAYS")); err == nil {
 		days = uint64(v)
@@ -115,7 +117,7 @@
 		for seed := range days {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				s := playScarceDay(t, 200+seed, false)
+				s := day(200+seed, false)
 				s.reportViolations(t)
 				judged <- s.counts.launchesJudged
 			})
@@ -131,7 +133,7 @@
 		t.Error("no launch was checked")
 	}
 	for seed := uint64(0); ; seed++ {
-		s := playScarceDay(t, 200+seed, true)
+		s := day(200+seed, true)
 		if slices.ContainsFunc(s.violations, func(b string) bool { return strings.Contains(b, "lesser first") }) {
 			break
 		}
--- a/internal/coordination/stored_keys_test.go
+++ b/internal/coordination/stored_keys_test.go
@@ -23,19 +23,22 @@
 	return New(cfg, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 2)), 1)
 }
 
-// TestStoredRecordsAreTakenUnderTheirKeys gives each golden record under its key to a core of its own,
-// and looks for what the core knows then.
-func TestStoredRecordsAreTakenUnderTheirKeys(t *testing.T) {
-	const revision = 99
+// storedKeyCase is a golden record under its key, and how a core shows that it knows it.
+type storedKeyCase struct {
+	key, file string
+	known     func(c *Core) bool
+}
+
+// storedKeyRevision is the mod revision of the records.
+const storedKeyRevision = 99
+
+func storedKeyCases() []storedKeyCase {
 	ending := completionlog.Completion{Task: completionlog.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}
 	passed := failover.Group{Holder: failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
-	tests := []struct {
-		key, file string
-		known     func(c *Core) bool
-	}{
+	return []storedKeyCase{
 		{"sg/j/wk-000042", "j-open.json", func(c *Core) bool {
 			r := c.jobs.byID["wk-000042"]
-			return r != nil && r.status == job.Open && r.owner == "n1" && r.revision == revision && reflect.DeepEqual(r.spec, goldenSpec("wk-000042", job.Gang, job.Production))
+			return r != nil && r.status == job.Open && r.owner == "n1" && r.revision == storedKeyRevision && reflect.DeepEqual(r.spec, goldenSpec("wk-000042", job.Gang, job.Production))
 		}},
 		{"sg/j/wk-000044", "j-cancelled.json", func(c *Core) bool {
 			return c.jobs.byID["wk-000044"] != nil && c.jobs.byID["wk-000044"].status == job.Cancelled
@@ -43,11 +46,11 @@
 		{"sg/p/wk-000042/0", "p-words.json", pageIsKnown},
 		{"sg/p/wk-000042/0", "p-list.json", pageIsKnown},
 		{"sg/q/red", "q.json", func(c *Core) bool {
-			return c.jobs.teams["red"].charged == usage{12.5, 3} && c.jobs.teams["red"].revision == revision
+			return c.jobs.teams["red"].charged == usage{12.5, 3} && c.jobs.teams["red"].revision == storedKeyRevision
 		}},
 		{"sg/c/i-000231", "c.json", func(c *Core) bool {
 			m := c.machines.byID["i-000231"]
-			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.ownClaim.Token == revision && m.ownClaim.Epoch == 2
+			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.ownClaim.Token == storedKeyRevision && m.ownClaim.Epoch == 2
 		}},
 		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.machines.ownership.failovers.Pending(passed) }},
 		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writer.completions.Has(ending) && c.writer.completions.Len() == 1 }},
@@ -56,7 +59,7 @@
 			return reflect.DeepEqual(c.membership.members["n1"], &member{7, 5, 6, 3}) && c.membership.formats["n1"] == 3
 		}},
 		{"sg/fleet", "fleet.json", func(c *Core) bool {
-			return c.scaler.leader == "n1" && c.scaler.leaderIncarnation == 7 && c.scaler.leaderRevision == revision
+			return c.scaler.leader == "n1" && c.scaler.leaderIncarnation == 7 && c.scaler.leaderRevision == storedKeyRevision
 		}},
 		{"sg/h/n1-7-1", "h.json", func(c *Core) bool {
 			r := c.scaler.rentals["n1-7-1"]
@@ -67,12 +70,17 @@
 		}},
 		{"sg/s/night", "s.json", func(c *Core) bool {
 			a := c.staging.announced["night"]
-			return a != nil && a.Machines == 4 && a.AtMS == 1767225600001 && a.revision == revision
+			return a != nil && a.Machines == 4 && a.AtMS == 1767225600001 && a.revision == storedKeyRevision
 		}},
 		{"sg/gang", "gang.json", func(c *Core) bool { return c.gangs.reservation == gangReservation{"wk-000042", "n1", 7} }},
 		{"sg/flavors", "flavors.json", func(c *Core) bool { return c.catalogue.types["g4"] != nil && c.catalogue.types["g4"].GPUs == 4 }},
 	}
-	for _, test := range tests {
+}
+
+// TestStoredRecordsAreTakenUnderTheirKeys gives each golden record under its key to a core of its own,
+// and looks for what the core knows then.
+func TestStoredRecordsAreTakenUnderTheirKeys(t *testing.T) {
+	for _, test := range storedKeyCases() {
 		t.Run(test.file, func(t *testing.T) {
 			data, err := os.ReadFile(filepath.Join(goldenFolder, "records", test.file))
 			if err != nil {
@@ -82,7 +90,7 @@
 			if test.known(c) {
 				t.Fatal("known without the record")
 			}
-			c.applyChange(test.key, data, revision)
+			c.applyChange(test.key, data, storedKeyRevision)
 			if !test.known(c) {
 				t.Errorf("%s is not taken for what it is: %s", test.key, data)
 			}
--- a/internal/coordination/stored_records_test.go
+++ b/internal/coordination/stored_records_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestKeysOfGroupsAreReadAsWritten checks the key of a take-over and the words of an ending,
+// TestKeysOfGroupsAreReadAsWritten checks the key of a group's failover and the text of a completion,
 // which have their own encoders.
 func TestKeysOfGroupsAreReadAsWritten(t *testing.T) {
 	want := failover.Group{Holder: failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
