--- /dev/null
+++ b/internal/coordination/cancellation.go
@@ -0,0 +1,86 @@
+package coordination
+
+import (
+	"net/http"
+	"time"
+
+	"silvergate/internal/fencing"
+	"silvergate/internal/job"
+	"silvergate/internal/peer"
+	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
+	"silvergate/internal/stateclient"
+)
+
+// maxCancelRetries is how often a cancellation is tried again after a conflict.
+const maxCancelRetries = 4
+
+// cancel handles a job's cancellation; retries counts the conflicts so far.
+func (c *Core) cancel(id uint64, jobID string, retries int) {
+	if !c.state.Loaded() || retries > maxCancelRetries {
+		c.refuse(id, http.StatusServiceUnavailable, "can't cancel now")
+		return
+	}
+	r := c.jobs.byID[jobID]
+	switch {
+	case r == nil:
+		c.rereadAndCancel(id, jobID, retries+1)
+	case r.final():
+		c.respond(id, http.StatusOK, protocol.JobState{ID: jobID, Status: string(r.status)}, 0)
+	default:
+		c.commitCancellation(id, jobID, r, retries)
+	}
+}
+
+// rereadAndCancel reads the job's record from the state service and tries again.
+func (c *Core) rereadAndCancel(id uint64, jobID string, retries int) {
+	c.state.Refresh(ratelimit.Safety, keyJob+jobID, func(ok bool) {
+		switch {
+		case !ok:
+			c.refuse(id, http.StatusServiceUnavailable, "can't cancel now")
+		case c.jobs.byID[jobID] == nil:
+			c.respondUnknownJob(id, jobID, http.StatusNotFound, "no such job")
+		default:
+			c.cancel(id, jobID, retries)
+		}
+	})
+}
+
+// commitCancellation writes the job's record as cancelled, provided that nobody has
+// changed it since the mirror's revision.
+func (c *Core) commitCancellation(id uint64, jobID string, r *jobRecord, retries int) {
+	key := keyJob + jobID
+	compares := []protocol.Compare{{Key: key, ModRevision: r.revision}}
+	ops := []protocol.Op{{Put: key, Value: encode(r.storedWith(job.Cancelled))}}
+	c.state.Txn(ratelimit.Safety, compares, ops, func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
+		switch outcome {
+		case stateclient.Committed:
+			c.Stats.Cancelled++
+			c.respond(id, http.StatusOK, protocol.JobState{ID: jobID, Status: string(job.Cancelled)}, 0)
+			c.broadcastCancellation(jobID)
+		case stateclient.Conflict, stateclient.Unknown:
+			c.rereadAndCancel(id, jobID, retries+1)
+		default:
+			c.refuse(id, http.StatusServiceUnavailable, "can't cancel now")
+		}
+	})
+}
+
+// broadcastCancellation tells the peers of a cancellation that is committed, ahead of
+// the watch: PROTOCOL wants no task of the job started after the response, and a watch
+// that is late or throttled lets the owner start some. The message proves nothing about
+// other cancellations; it carries the incarnation of no asker, so that nobody takes it
+// for the reply to a cancellation query.
+func (c *Core) broadcastCancellation(jobID string) {
+	for _, p := range c.cfg.Peers {
+		reply := &peer.CancellationReply{Cancelled: []string{jobID}, Incarnation: noIncarnation}
+		c.send(p.Node, peer.Message{CancellationReply: reply})
+	}
+}
+
+// cancelHorizon is how old the last proof about cancellations may be for workers to be
+// answered.
+func (c *Core) cancelHorizon() time.Duration {
+	w := &c.cfg.Facts.Workers
+	return fencing.CancelHorizon(seconds(w.Cancel), seconds(w.Lease))
+}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -1,17 +1,17 @@
-// Package coordination is silvergate's core: one state machine per controller.
-// Inputs go in with the time; answers, calls and peer messages come out.
-// There is no I/O, clock or goroutine in it.
+// Package coordination is silvergate's core: one deterministic state machine per
+// controller. Inputs go in with the time; responses, calls and peer messages come
+// out. There is no I/O, clock or goroutine in it.
 //
-// The state service is the truth. The core mirrors its records, decides from
-// the mirror, and changes records only by conditional transactions, so a stale
-// mirror costs a retry and never a rule.
+// The state service is the source of truth. The core mirrors its records, decides
+// from the mirror, and changes records only by conditional transactions: a stale
+// mirror costs a retry and never breaks an invariant.
 package coordination
 
 import (
 	"context"
-	"encoding/json"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"strings"
 	"time"
 
@@ -19,8 +19,6 @@
 
 	"silvergate/internal/config"
 	"silvergate/internal/connectivity"
-	"silvergate/internal/connlimit"
-	"silvergate/internal/fencing"
 	"silvergate/internal/peer"
 	"silvergate/internal/protocol"
 	"silvergate/internal/stateclient"
@@ -28,11 +26,11 @@
 
 // Response is the response to a request from outside.
 type Response struct {
-	ID         uint64
-	Status     int
-	Body       []byte
-	RetryAfter int
-	Urgent     bool // to a worker with urgent work: its connection is kept before others
+	ID         uint64 // of the request
+	Status     int    // HTTP
+	Body       []byte // JSON
+	RetryAfter int    // seconds; 0: none
+	Urgent     bool   // to a worker with urgent work: its connection is kept before others
 }
 
 // Outgoing is a message for a peer.
@@ -41,7 +39,7 @@
 	Message peer.Message
 }
 
-// Effects are what a step wants done.
+// Effects are what a step wants done, each list in its order. They belong to the caller.
 type Effects struct {
 	Responses []Response
 	Calls     []protocol.Call
@@ -56,7 +54,7 @@
 }
 
 // Core is one controller. It routes inputs to the parts that own the state they
-// concern, and collects the effects of a step.
+// concern, and collects the effects of a step. It is not safe for concurrent use.
 type Core struct {
 	cfg         *config.Settings
 	log         *slog.Logger
@@ -100,40 +98,21 @@
 	}
 }
 
-// sweepTimes are the times of the periodic look at all state.
+// sweepTimes are the times of the periodic sweep over all state.
 type sweepTimes struct {
 	nextAt   time.Duration
 	loadedAt time.Duration // of the first sweep after the records had been read
 }
 
-// Stats counts what an operator wants to know.
-type Stats struct {
-	Submitted       uint64 `json:"submitted"`
-	Cancelled       uint64 `json:"cancelled"`
-	Heartbeats      uint64 `json:"checkins"`
-	Claims          uint64 `json:"claims"`
-	Failovers       uint64 `json:"takeovers"` // groups of workers
-	Adopted         uint64 `json:"adopted"`
-	Placements      uint64 `json:"placements"`
-	Completions     uint64 `json:"endings"`
-	Conflicts       uint64 `json:"conflicts"`
-	Handoffs        uint64 `json:"forwards"`
-	Preemptions     uint64 `json:"preemptions"`
-	MachinesRented  uint64 `json:"rented"`
-	MachinesDeleted uint64 `json:"deleted"`
-	Unavailable     uint64 `json:"unavailable"`
-
-	Connections connlimit.Stats `json:"doors"` // connections, as the program tells
-
-	LongestStepMS float64 `json:"longestStepMs"` // how long an answer had to wait for another step, at the most
-}
-
+// taskKey names a task: the job's id and the task's index in it.
 type taskKey struct {
 	job   string
 	index int
 }
 
-// New makes a core. life must differ between two lives of the same controller.
+// New makes a core. Two processes of the same controller must have different
+// incarnations. All choices at random are drawn from rnd, so that a recording
+// with the same seed replays to the same effects.
 func New(cfg *config.Settings, log *slog.Logger, rnd *rand.Rand, incarnation int64) *Core {
 	c := &Core{
 		cfg:         cfg,
@@ -164,48 +143,57 @@
 	return c
 }
 
+// seconds converts a setting in seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// call sends a request to another system; done gets its reply in a later step.
 func (c *Core) call(k protocol.Call, done func(protocol.Reply)) {
 	c.calls.nextID++
 	k.ID = c.calls.nextID
 	c.calls.pending[k.ID] = done
 	c.effects.Calls = append(c.effects.Calls, k)
-	if name := [...]string{"state", "cloud", "worker"}[k.Target]; !strings.HasPrefix(k.Path, protocol.PathWatch) {
-		at := c.now
-		c.calls.pending[k.ID] = func(r protocol.Reply) {
-			c.recordLatency(name, c.now-at)
-			done(r)
-		}
+	if strings.HasPrefix(k.Path, protocol.PathWatch) {
+		return // a watch takes as long as nothing changes: its latency says nothing
+	}
+	target := callTargets[k.Target]
+	sentAt := c.now
+	c.calls.pending[k.ID] = func(r protocol.Reply) {
+		c.recordLatency(target, c.now-sentAt)
+		done(r)
 	}
 }
 
-// beginStep and end bracket every step.
+// callTargets are the names of the systems called, as the statistics show them, by protocol.Call.Target.
+var callTargets = [...]string{"state", "cloud", "worker"}
+
+// beginStep sets the time of a step. Every step begins with it and ends with endStep.
 func (c *Core) beginStep(t Timestamp) {
 	c.now, c.wallTime = t.Steady, t.Wall
 	c.state.Advance(c.now)
 	c.links.Advance(c.now)
 }
 
+// endStep sends what waited for the end of the step and returns the effects.
 func (c *Core) endStep() Effects {
 	c.advanceFailovers()
 	c.flush()
 	c.state.Tick(c.now)
 	c.sendStatusQueries()
 	c.sendLaunches()
-	e := c.effects
+	effects := c.effects
 	c.effects = Effects{}
-	return e
+	return effects
 }
 
-// Request takes a request from a user, a worker or a health check.
+// Request handles an HTTP request from a user, an operator, a worker or a health check.
+// The response carries id; it comes with these effects or with later ones.
 func (c *Core) Request(t Timestamp, id uint64, method, path string, body []byte) Effects {
 	c.beginStep(t)
-	c.route(id, method, path, body)
+	c.route(httpRequest{id: id, method: method, path: path, body: body})
 	return c.endStep()
 }
 
-// Reply takes what came of a call.
+// Reply handles the reply to a call, or its failure.
 func (c *Core) Reply(t Timestamp, r protocol.Reply) Effects {
 	c.beginStep(t)
 	if done := c.calls.pending[r.ID]; done != nil {
@@ -215,258 +203,108 @@
 	return c.endStep()
 }
 
-// Peer takes a message from another controller.
+// Peer handles a message from another controller.
 func (c *Core) Peer(t Timestamp, from string, m peer.Message) Effects {
 	c.beginStep(t)
 	c.handlePeerMessage(from, m)
 	return c.endStep()
 }
 
-// sweepPeriod is the time between two looks at everything, a fraction of the
-// workers' report period.
+// sweepPeriod is the time between two sweeps over all state, a fraction of the
+// workers' heartbeat period.
 func (c *Core) sweepPeriod() time.Duration { return seconds(c.cfg.Facts.Workers.Report / 12) }
 
-// Pace is the time between two ticks while something waits for the clock.
+// Pace is the time between two ticks while something waits for time to pass.
 const Pace = 50 * time.Millisecond
 
 // Due tells how long the core can do without a tick: until its next sweep, or
-// for Pace while a request, a page or a question waits for the clock. An idle
-// controller is thus woken as seldom as its sweeps need, since each waking
+// for Pace while a request, a page or a status query waits for time to pass. An
+// idle controller is thus woken as seldom as its sweeps need, since each waking
 // costs more than what it does.
 func (c *Core) Due() time.Duration {
-	if !c.state.Loaded() || c.state.NeedsTick() || c.writer.needsTick || (len(c.queries.statusQueries) > 0 && !c.queries.statusQueryInFlight) {
+	if c.waitsForTime() {
 		return Pace
 	}
 	return max(Pace, c.sweep.nextAt-c.now)
 }
 
-// Tick lets time pass.
+// waitsForTime tells whether something is to be done before the next sweep.
+func (c *Core) waitsForTime() bool {
+	statusQueriesWait := len(c.queries.statusQueries) > 0 && !c.queries.statusQueryInFlight
+	return !c.state.Loaded() || c.state.NeedsTick() || c.writer.needsTick || statusQueriesWait
+}
+
+// Tick lets time pass: it does what is due, and sweeps over all state once in each sweep period.
 func (c *Core) Tick(t Timestamp) Effects {
 	c.beginStep(t)
 	c.checkLinks()
 	c.keepMembership()
 	c.catalogueTick()
 	if c.state.Loaded() && c.now >= c.sweep.nextAt {
-		c.sweep.nextAt = c.now + c.sweepPeriod()
-		if c.sweep.loadedAt == 0 {
-			c.sweep.loadedAt = c.now
-		}
-		c.expirePendingFailovers()
-		c.foldCompletions()
-		c.checkSilentMachines()
-		for id, e := range c.scheduler.earlyHandoffs {
-			if c.now-e[0].at > c.cfg.Operator.PublishInterval {
-				delete(c.scheduler.earlyHandoffs, id)
-			}
-		}
-		c.updateJobOrder()
-		c.schedule()
-		c.preempt()
-		c.consolidate()
-		c.moveService()
-		c.fleetTick()
-		c.staging.tick()
+		c.sweepAll()
 	}
 	return c.endStep()
 }
 
+// sweepAll looks at all jobs and machines, and does what time alone makes due. The order
+// of its parts is part of the core's behaviour: each sees what the earlier ones did.
+func (c *Core) sweepAll() {
+	c.sweep.nextAt = c.now + c.sweepPeriod()
+	if c.sweep.loadedAt == 0 {
+		c.sweep.loadedAt = c.now
+	}
+	c.expirePendingFailovers()
+	c.foldCompletions()
+	c.checkSilentMachines()
+	c.expireEarlyHandoffs()
+	c.updateJobOrder()
+	c.schedule()
+	c.preempt()
+	c.consolidate()
+	c.moveService()
+	c.fleetTick()
+	c.staging.tick()
+}
+
+// expireEarlyHandoffs forgets handoffs of jobs whose records have not arrived in time.
+func (c *Core) expireEarlyHandoffs() {
+	for id, handoffs := range c.scheduler.earlyHandoffs {
+		if c.now-handoffs[0].at > c.cfg.Operator.PublishInterval {
+			delete(c.scheduler.earlyHandoffs, id)
+		}
+	}
+}
+
+// respond answers request id with v as JSON; retryAfter is in seconds, 0: none.
 func (c *Core) respond(id uint64, status int, v any, retryAfter int) {
-	c.effects.Responses = append(c.effects.Responses, Response{ID: id, Status: status, Body: encode(v), RetryAfter: retryAfter})
+	response := Response{ID: id, Status: status, Body: encode(v), RetryAfter: retryAfter}
+	c.effects.Responses = append(c.effects.Responses, response)
 }
 
-// retryAfter is when a request that is refused has a chance: when what waits for
-// the state service will have gone, and a second at least. Of a service that can't
-// be reached nobody knows.
+// retryAfter is after how many seconds a refused request has a chance: when the queue
+// of requests to the state service will have been sent, and a second at least. When a
+// service that can't be reached will be back, nobody knows.
 func (c *Core) retryAfter() int {
 	return min(maxRetryAfter, 1+int(c.state.QueueDelay().Seconds()))
 }
 
-// maxRetryAfter is the longest wait that users heed (PROTOCOL).
+// maxRetryAfter is the longest wait that users heed, in seconds (PROTOCOL).
 const maxRetryAfter = 30
 
+// refuse answers request id with an error; clients may retry a 503 after a while.
 func (c *Core) refuse(id uint64, status int, why string) {
 	retry := 0
-	if status == 503 {
+	if status == http.StatusServiceUnavailable {
 		retry = c.retryAfter()
 		c.Stats.Unavailable++
 	}
 	c.respond(id, status, protocol.ErrorResponse{Error: why}, retry)
 }
 
-func (c *Core) route(id uint64, method, path string, body []byte) {
-	switch {
-	case path == protocol.PathHeartbeat:
-		if method != "POST" {
-			c.refuse(id, 405, "use POST")
-			return
-		}
-		c.handleHeartbeat(id, body)
-	case path == protocol.PathHealth:
-		if method != "GET" {
-			c.refuse(id, 405, "use GET")
-			return
-		}
-		c.healthCheck(id)
-	case path == PathStats:
-		if method != "GET" {
-			c.refuse(id, 405, "use GET")
-			return
-		}
-		c.respond(id, 200, c.stats(), 0)
-	case path == protocol.PathJobs:
-		if method != "POST" {
-			c.refuse(id, 405, "use POST")
-			return
-		}
-		c.submit(id, body)
-	case strings.HasPrefix(path, protocol.PathJobs+"/"):
-		ref, verb, hasVerb := strings.Cut(path[len(protocol.PathJobs)+1:], "/")
-		switch {
-		case hasVerb && method == "GET" && c.queries.job(id, ref, verb):
-		case hasVerb && verb != protocol.PathCancel:
-			c.refuse(id, 404, "no such path")
-		case hasVerb && method != "POST", !hasVerb && method != "GET":
-			c.refuse(id, 405, "method not allowed")
-		case !protocol.ValidJobID(ref):
-			c.refuse(id, 404, "no such job")
-		case hasVerb:
-			c.cancel(id, ref, 0)
-		default:
-			c.queryJob(id, ref)
-		}
-	case method == "GET" && c.queries.list(id, path):
-	case c.staging.route(id, method, path, body):
-	default:
-		c.refuse(id, 404, "no such path")
-	}
-}
-
-// PathStats is where operators read the counters.
-const PathStats = "/stats"
-
-// stats is what operators see of a controller.
-func (c *Core) stats() any {
-	type latency struct {
-		Count int64   `json:"count"`
-		P50   float64 `json:"p50Ms"`
-		P95   float64 `json:"p95Ms"`
-		P99   float64 `json:"p99Ms"`
-	}
-	lat := map[string]latency{}
-	for name, h := range c.calls.latency {
-		lat[name] = latency{h.TotalCount(), float64(h.ValueAtQuantile(50)) / 1000, float64(h.ValueAtQuantile(95)) / 1000, float64(h.ValueAtQuantile(99)) / 1000}
-	}
-	return struct {
-		Node       string             `json:"node"`
-		UptimeS    float64            `json:"uptimeS"`
-		StateAgeS  float64            `json:"stateAgeS"`
-		Leading    bool               `json:"leading"`
-		Machines   int                `json:"machines"`
-		Idle       int                `json:"idleList"`
-		Waiting    int                `json:"waitingTasks"`
-		OpenJobs   int                `json:"openJobs"`
-		StateQueue int                `json:"stateQueue"`
-		Counters   Stats              `json:"counters"`
-		Latency    map[string]latency `json:"latency"`
-		Reach      linkStats          `json:"reach"`
-	}{c.cfg.Node, c.now.Seconds(), (c.now - c.state.FreshAt()).Seconds(), c.isLeader(), len(c.machines.own), len(c.scheduler.idle), c.scheduler.queuedTasks, len(c.jobs.open), c.state.Backlog(), c.Stats, lat, c.linkStats()}
-}
-
-// recordLatency records how long a call took, in a histogram that covers a minute
-// to two digits.
-func (c *Core) recordLatency(name string, d time.Duration) {
-	h := c.calls.latency[name]
-	if h == nil {
-		h = hdrhistogram.New(1, time.Minute.Microseconds(), 2)
-		c.calls.latency[name] = h
-	}
-	_ = h.RecordValue(min(max(1, d.Microseconds()), time.Minute.Microseconds()))
-}
-
-// Keys of the records.
-const (
-	keyJob      = stateclient.MirroredPrefix + "j/"
-	keyPage     = stateclient.MirroredPrefix + "p/"
-	keyClaim    = stateclient.MirroredPrefix + "c/"
-	keyTeam     = stateclient.MirroredPrefix + "q/"
-	keyMember   = stateclient.MirroredPrefix + "m/"
-	keyDrain    = stateclient.MirroredPrefix + "x/"
-	keyRental   = stateclient.MirroredPrefix + "h/"
-	keyTakeover = stateclient.MirroredPrefix + "t/"
-	keyEndings  = stateclient.MirroredPrefix + "e/"
-	keyFleet    = stateclient.MirroredPrefix + "fleet"
-	keyGang     = stateclient.MirroredPrefix + "gang"
-	keyFlavors  = stateclient.MirroredPrefix + "flavors"
-	keyExtra    = stateclient.UnmirroredPrefix + "d/"
-)
-
-// applyChange takes a change of the mirror.
-func (c *Core) applyChange(key string, data json.RawMessage, revision uint64) {
-	kind := key
-	if i := strings.IndexByte(key[len(stateclient.MirroredPrefix):], '/'); i >= 0 {
-		kind = key[:len(stateclient.MirroredPrefix)+i+1]
-	}
-	name := key[len(kind):]
-	switch kind {
-	case keyJob:
-		c.applyJob(name, data, revision)
-	case keyPage:
-		c.applyPage(name, data, revision)
-	case keyClaim:
-		c.applyClaim(name, data, revision)
-	case keyTakeover:
-		c.applyFailover(name, data, revision)
-	case keyEndings:
-		c.applyCompletionRecord(name, data)
-	case keyTeam:
-		c.applyTeam(name, data, revision)
-	case keyMember:
-		c.applyMember(name, data)
-	case keyDrain:
-		c.applyDrain(name, data)
-	case keyData:
-		c.staging.applySet(name, data)
-	case keyStaging:
-		c.staging.applyStaging(name, data, revision)
-	case keyRental:
-		c.scaler.applyRental(name, data)
-	case keyFleet:
-		c.scaler.applyLeadership(data, revision)
-	case keyGang:
-		c.applyGang(data)
-	case keyFlavors:
-		if len(c.catalogue.types) == 0 && data != nil {
-			var f protocol.MachineTypes
-			if protocol.Decode(data, &f) == nil {
-				c.setCatalogue(&f)
-			}
-		}
-	}
-}
-
-func decode(log *slog.Logger, key string, data json.RawMessage, v any) bool {
-	if err := protocol.DecodeState(data, v); err != nil {
-		log.Error("unreadable record", "key", key, "error", err)
-		return false
-	}
-	return true
-}
-
-func encode(v any) json.RawMessage { return protocol.Encode(v) }
-
-// cancelHorizon is how old the last proof about cancellations may be for workers to be answered.
-func (c *Core) cancelHorizon() time.Duration {
-	w := &c.cfg.Facts.Workers
-	return fencing.CancelHorizon(seconds(w.Cancel), seconds(w.Lease))
-}
-
-// leaseExpiry is how long after an answered report's arrival its worker has
-// certainly killed everything: lease_s and the most two clocks can drift.
+// leaseExpiry is how long after the arrival of an answered heartbeat its worker has
+// certainly killed all its tasks: lease_s and the most that two clocks can drift.
 func (c *Core) leaseExpiry() time.Duration { return seconds(c.cfg.Facts.Workers.Lease * 1.01) }
 
 // tasksPerPage is how many tasks a page holds: a bound task takes less than 64
 // bytes with the usual names, and four times that never passes value_kb.
 func (c *Core) tasksPerPage() int { return max(1, int(c.cfg.Facts.State.ValueKB*1024/128)) }
-
-// hasQuota tells whether the team has any limit at all.
-func hasQuota(t *team) bool { return t.cfg.CPUsMax > 0 || t.cfg.GPUsMax > 0 }
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -7,11 +7,13 @@
 	"silvergate/internal/job"
 )
 
-// AppliedRevision is the revision up to which the core's records are complete.
+// AppliedRevision is the revision of the state service up to which the core's mirror is
+// complete.
 func (c *Core) AppliedRevision() uint64 { return c.state.AppliedRevision() }
 
-// Known says in a line what this controller knows of a task ("wk-000412/3"), a job or a
-// machine, "" if nothing. It is for the stories that replays tell.
+// Known says in one line of text what this controller knows of a task ("wk-000412/3"), a
+// job or a machine, "" if nothing. Replays explain with it what was decided; their output
+// holds these texts, so that their words stay.
 func (c *Core) Known(name string) string {
 	if id, index, err := job.ParseTaskName(name); err == nil {
 		return c.knownTask(id, index)
@@ -35,39 +37,60 @@
 	if t == nil {
 		return out
 	}
-	p := r.pages[index/c.tasksPerPage()]
+	out += c.knownPhase(taskKey{id, index}, t)
+	out += c.knownProposals(r, index)
+	if r.queuedByIndex[index] != nil {
+		out += "; in a line here"
+	}
+	return out
+}
+
+// knownPhase says what the task's record shows, and what is known of its machine.
+func (c *Core) knownPhase(key taskKey, t *job.Task) string {
 	switch t.Phase {
 	case job.Pending:
-		out += fmt.Sprintf("; pending after %d attempts, %d failed", t.Attempt, t.Failures)
+		return fmt.Sprintf("; pending after %d attempts, %d failed", t.Attempt, t.Failures)
 	case job.Finished:
-		out += fmt.Sprintf("; finished by attempt %d", t.Attempt)
+		return fmt.Sprintf("; finished by attempt %d", t.Attempt)
 	case job.Bound:
-		out += fmt.Sprintf("; attempt %d bound to %s in session %d", t.Attempt, t.Machine, t.Epoch)
+		out := fmt.Sprintf("; attempt %d bound to %s in session %d", t.Attempt, t.Machine, t.Epoch)
 		if m := c.machines.byID[t.Machine]; m != nil {
-			a := taskAttempt{taskKey{id, index}, t.Attempt}
-			out += fmt.Sprintf(" since %d", m.boundAt[a.taskKey].revision)
-			if m.inFlight[a] {
-				out += ", a direct launch unanswered"
-			}
-			if s, ok := m.stops[a.taskKey]; ok {
-				out += ", to be stopped: " + s.reason
-			}
-			out += "; " + c.knownMachine(m)
+			out += c.knownBinding(m, taskAttempt{key, t.Attempt})
 		}
+		return out
 	}
+	return ""
+}
+
+// knownBinding says what is known of an attempt on the machine that it is bound to.
+func (c *Core) knownBinding(m *machine, attempt taskAttempt) string {
+	out := fmt.Sprintf(" since %d", m.boundAt[attempt.taskKey].revision)
+	if m.inFlight[attempt] {
+		out += ", a direct launch unanswered"
+	}
+	if stop, ok := m.stops[attempt.taskKey]; ok {
+		out += ", to be stopped: " + stop.reason
+	}
+	return out + "; " + c.knownMachine(m)
+}
+
+// knownProposals says which changes of a task this controller has yet to commit.
+func (c *Core) knownProposals(r *jobRecord, index int) string {
+	p := r.pages[index/c.tasksPerPage()]
+	out := ""
 	for i := range p.queue {
-		if ch := &p.queue[i]; ch.index == index%c.tasksPerPage() && ch.placement {
-			out += "; proposed: a place on " + ch.machine
-		} else if ch.index == index%c.tasksPerPage() {
-			out += fmt.Sprintf("; proposed: release of attempt %d on %s, %v under token %d", ch.attempt, ch.machine, ch.proof, ch.token)
+		change := &p.queue[i]
+		switch {
+		case change.index != index%c.tasksPerPage():
+		case change.placement:
+			out += "; proposed: a place on " + change.machine
+		default:
+			out += fmt.Sprintf("; proposed: release of attempt %d on %s, %v under token %d", change.attempt, change.machine, change.proof, change.token)
 		}
 	}
 	if p.inFlight {
 		out += "; its page is being written"
 	}
-	if r.queuedByIndex[index] != nil {
-		out += "; in a line here"
-	}
 	return out
 }
 
@@ -79,13 +102,20 @@
 		return fmt.Sprintf("%s is claimed by %s, token %d", m.id, m.claim.Owner, m.token)
 	}
 	out := []string{fmt.Sprintf("%s is ours, token %d, session %d", m.id, m.token, m.epoch)}
-	for _, f := range []struct {
-		on   bool
-		text string
-	}{{m.adopted, "adopted"}, {!m.tokenSeen, "token not shown"}, {m.tokenSeen && !c.mirrorComplete(m), "records not proved since it was shown"}, {m.launchInDoubt, "tainted"},
-		{m.leaseExpired, "lease over"}, {m.preempted, "recalled"}, {c.now-m.heardAt > seconds(2*c.cfg.Facts.Workers.Report), "not heard"}} {
-		if f.on {
-			out = append(out, f.text)
+	for _, condition := range []struct {
+		holds bool
+		text  string
+	}{
+		{m.adopted, "adopted"},
+		{!m.tokenSeen, "token not shown"},
+		{m.tokenSeen && !c.mirrorComplete(m), "records not proved since it was shown"},
+		{m.launchInDoubt, "tainted"},
+		{m.leaseExpired, "lease over"},
+		{m.preempted, "recalled"},
+		{c.now-m.heardAt > seconds(2*c.cfg.Facts.Workers.Report), "not heard"},
+	} {
+		if condition.holds {
+			out = append(out, condition.text)
 		}
 	}
 	if d, ok := c.machines.drains[m.id]; ok {
--- /dev/null
+++ b/internal/coordination/keys.go
@@ -0,0 +1,100 @@
+package coordination
+
+import (
+	"encoding/json"
+	"log/slog"
+	"strings"
+
+	"silvergate/internal/protocol"
+	"silvergate/internal/stateclient"
+)
+
+// Keys of the records in the state service. All but those under keyExtra are mirrored.
+const (
+	keyJob      = stateclient.MirroredPrefix + "j/"
+	keyPage     = stateclient.MirroredPrefix + "p/"
+	keyClaim    = stateclient.MirroredPrefix + "c/"
+	keyTeam     = stateclient.MirroredPrefix + "q/"
+	keyMember   = stateclient.MirroredPrefix + "m/"
+	keyDrain    = stateclient.MirroredPrefix + "x/"
+	keyData     = stateclient.MirroredPrefix + "d/"
+	keyStaging  = stateclient.MirroredPrefix + "s/"
+	keyRental   = stateclient.MirroredPrefix + "h/"
+	keyTakeover = stateclient.MirroredPrefix + "t/"
+	keyEndings  = stateclient.MirroredPrefix + "e/"
+	keyFleet    = stateclient.MirroredPrefix + "fleet"
+	keyGang     = stateclient.MirroredPrefix + "gang"
+	keyFlavors  = stateclient.MirroredPrefix + "flavors"
+	keyExtra    = stateclient.UnmirroredPrefix + "d/"
+)
+
+// splitKey splits a mirrored record's key into the prefix of its kind and its name,
+// which is "" for kinds with only one record.
+func splitKey(key string) (kind, name string) {
+	const prefixLength = len(stateclient.MirroredPrefix)
+	slash := strings.IndexByte(key[prefixLength:], '/')
+	if slash < 0 {
+		return key, ""
+	}
+	kind = key[:prefixLength+slash+1]
+	return kind, key[len(kind):]
+}
+
+// applyChange takes a change of a mirrored record; data is nil if it was deleted.
+func (c *Core) applyChange(key string, data json.RawMessage, revision uint64) {
+	kind, name := splitKey(key)
+	switch kind {
+	case keyJob:
+		c.applyJob(name, data, revision)
+	case keyPage:
+		c.applyPage(name, data, revision)
+	case keyClaim:
+		c.applyClaim(name, data, revision)
+	case keyTakeover:
+		c.applyFailover(name, data, revision)
+	case keyEndings:
+		c.applyCompletionRecord(name, data)
+	case keyTeam:
+		c.applyTeam(name, data, revision)
+	case keyMember:
+		c.applyMember(name, data)
+	case keyDrain:
+		c.applyDrain(name, data)
+	case keyData:
+		c.staging.applySet(name, data)
+	case keyStaging:
+		c.staging.applyStaging(name, data, revision)
+	case keyRental:
+		c.scaler.applyRental(name, data)
+	case keyFleet:
+		c.scaler.applyLeadership(data, revision)
+	case keyGang:
+		c.applyGang(data)
+	case keyFlavors:
+		c.applyMachineTypes(data)
+	}
+}
+
+// applyMachineTypes takes the machine types that another controller published, until
+// this one has read them from the cloud.
+func (c *Core) applyMachineTypes(data json.RawMessage) {
+	if len(c.catalogue.types) > 0 || data == nil {
+		return
+	}
+	var types protocol.MachineTypes
+	if protocol.Decode(data, &types) == nil {
+		c.setCatalogue(&types)
+	}
+}
+
+// decode reads a record, and logs one that is unreadable: a later version may have written it.
+func decode(log *slog.Logger, key string, data json.RawMessage, v any) bool {
+	if err := protocol.DecodeState(data, v); err != nil {
+		log.Error("unreadable record", "key", key, "error", err)
+		return false
+	}
+	return true
+}
+
+// encode writes a record or a response as JSON.
+func encode(v any) json.RawMessage { return protocol.Encode(v) }
--- /dev/null
+++ b/internal/coordination/operator_queries.go
@@ -0,0 +1,377 @@
+package coordination
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"sort"
+	"strconv"
+	"strings"
+
+	"silvergate/internal/archive"
+	"silvergate/internal/job"
+	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
+)
+
+// queryHandler answers queries: the status of jobs for users, and for workers and
+// operators a job's description, the members of a gang, and lists. It reads the records
+// and changes none; it owns the status queries that wait, and a small cache of jobs'
+// extension fields, which never change.
+type queryHandler struct {
+	core        *Core
+	grantKey    archive.GrantKey           // nil: no archive
+	extras      map[string]json.RawMessage // records of extension fields, by job
+	extrasByAge []string                   // the jobs in extras, the oldest entry first
+	extrasBytes int
+
+	statusQueries       []statusQuery // the oldest first
+	statusQueryInFlight bool
+}
+
+func newQueryHandler(c *Core) *queryHandler {
+	v := &queryHandler{core: c, extras: map[string]json.RawMessage{}}
+	if a := c.cfg.Operator.Archive; a != nil {
+		v.grantKey = a.Key
+	}
+	return v
+}
+
+// cacheBytes is what the cache may take: a hundredth of the process's memory.
+func (v *queryHandler) cacheBytes() int { return int(v.core.cfg.Facts.Limits.RAMMB * (1 << 20) / 100) }
+
+// cacheExtra keeps a job's extension fields, and drops the oldest while all are too large.
+func (v *queryHandler) cacheExtra(jobID string, data json.RawMessage) {
+	if _, ok := v.extras[jobID]; ok {
+		return
+	}
+	v.extras[jobID] = data
+	v.extrasByAge = append(v.extrasByAge, jobID)
+	v.extrasBytes += len(data)
+	for v.extrasBytes > v.cacheBytes() && len(v.extrasByAge) > 1 {
+		oldest := v.extrasByAge[0]
+		v.extrasByAge = v.extrasByAge[1:]
+		v.extrasBytes -= len(v.extras[oldest])
+		delete(v.extras, oldest)
+	}
+}
+
+// parseExtra reads a submission's extension fields and returns their record, nil when
+// there are none. It adds the inputs' versions to spec.
+func (v *queryHandler) parseExtra(spec *job.Spec, body []byte) (json.RawMessage, error) {
+	extra, err := protocol.ParseExtra(body)
+	if err != nil || extra == nil {
+		return nil, err
+	}
+	if missing := v.core.staging.resolve(spec, extra); missing != "" {
+		if v.core.staging == nil {
+			return nil, fmt.Errorf("inputs: this site has no data sets (staging is off)")
+		}
+		return nil, fmt.Errorf("inputs: no data set %s is registered", missing)
+	}
+	data := encode(extra)
+	if float64(len(data)) > v.core.cfg.Facts.State.ValueKB*1024 {
+		return nil, fmt.Errorf("command, env and inputs: together larger than %g KiB", v.core.cfg.Facts.State.ValueKB)
+	}
+	spec.Extended = true
+	return data, nil
+}
+
+// routeJobQuery answers a query of a job's description or of a gang's members; false if
+// verb is neither.
+func (v *queryHandler) routeJobQuery(id uint64, jobID, verb string) bool {
+	attemptText, isGang := strings.CutPrefix(verb, protocol.PathGang+"/")
+	if verb != protocol.PathDescription && !isGang || !protocol.ValidJobID(jobID) {
+		return false
+	}
+	c := v.core
+	if !c.state.Loaded() {
+		c.refuse(id, http.StatusServiceUnavailable, "starting")
+		return true
+	}
+	v.withJob(id, jobID, func(r *jobRecord) {
+		if attempt, err := strconv.Atoi(attemptText); isGang && err == nil {
+			c.respond(id, http.StatusOK, v.gangMembers(r, attempt), 0)
+			return
+		}
+		v.describe(id, r)
+	})
+	return true
+}
+
+// withJob calls do with a job's record; request id is refused when there is none. A
+// launch can reach a worker before the job's record reaches this controller's mirror: a
+// record that the mirror lacks is read.
+func (v *queryHandler) withJob(id uint64, jobID string, do func(*jobRecord)) {
+	c := v.core
+	if r := c.jobs.byID[jobID]; r != nil {
+		do(r)
+		return
+	}
+	c.state.Refresh(ratelimit.OtherWork, keyJob+jobID, func(ok bool) {
+		switch r := c.jobs.byID[jobID]; {
+		case !ok:
+			c.refuse(id, http.StatusServiceUnavailable, "the job can't be read now")
+		case r == nil:
+			c.refuse(id, http.StatusNotFound, "no such job")
+		default:
+			do(r)
+		}
+	})
+}
+
+// describe answers with all that a worker needs to run the job's tasks.
+func (v *queryHandler) describe(id uint64, r *jobRecord) {
+	description := descriptionOf(r)
+	v.withExtra(id, r, func(extra *job.Extra) {
+		description.Extra = extra
+		if extra != nil && !v.addInputs(&description) {
+			v.core.refuse(id, http.StatusServiceUnavailable, "an input's record is not known yet")
+			return
+		}
+		v.grantTerms(&description)
+		v.core.respond(id, http.StatusOK, description, 0)
+	})
+}
+
+// descriptionOf is a job's description without its extension fields.
+func descriptionOf(r *jobRecord) protocol.JobDescription {
+	s := r.spec
+	return protocol.JobDescription{
+		ID:                  s.ID,
+		Class:               s.Class,
+		Team:                s.Team,
+		Shape:               s.Shape,
+		Priority:            protocol.PriorityName(s.Priority),
+		Tasks:               s.Tasks,
+		CPUs:                s.CPUs,
+		GPUs:                s.GPUs,
+		MemoryGB:            s.MemoryGB,
+		Image:               s.Image,
+		ImageGB:             s.ImageGB,
+		CheckpointIntervalS: s.CheckpointIntervalS,
+		CheckpointSaveS:     s.CheckpointSaveS,
+		Complete:            s.Shape == job.Gang && (r.finished > 0 || r.status == job.Done),
+	}
+}
+
+// addInputs adds the copies of a job's inputs to its description; false if the record of
+// one is not known yet.
+func (v *queryHandler) addInputs(d *protocol.JobDescription) bool {
+	for _, input := range d.Extra.Inputs {
+		if v.core.staging == nil {
+			return false
+		}
+		set := v.core.staging.sets[dataSetName(input.Set, input.Version)]
+		if set == nil {
+			return false
+		}
+		d.Inputs = append(d.Inputs, protocol.InputCopy{DataSet: *set, Path: input.Path})
+	}
+	return true
+}
+
+// withExtra calls do with a job's extension fields, nil if it has none; request id is
+// refused when they can't be read.
+func (v *queryHandler) withExtra(id uint64, r *jobRecord, do func(*job.Extra)) {
+	c, s := v.core, r.spec
+	if !s.Extended {
+		do(nil)
+		return
+	}
+	decoded := func(data json.RawMessage) {
+		extra := &job.Extra{}
+		if protocol.Decode(data, extra) != nil {
+			c.log.Error("unreadable record", "key", keyExtra+s.ID)
+			c.refuse(id, http.StatusServiceUnavailable, "the job's description is unreadable")
+			return
+		}
+		do(extra)
+	}
+	if data, ok := v.extras[s.ID]; ok {
+		decoded(data)
+		return
+	}
+	c.state.ReadUnmirrored(ratelimit.OtherWork, keyExtra+s.ID, func(data json.RawMessage, ok bool) {
+		if !ok || data == nil {
+			c.refuse(id, http.StatusServiceUnavailable, "the job's description can't be read now")
+			return
+		}
+		v.cacheExtra(s.ID, data)
+		decoded(data)
+	})
+}
+
+// grantTerms adds to a description the half of the archive's grant that is the job's.
+func (v *queryHandler) grantTerms(d *protocol.JobDescription) {
+	if v.grantKey != nil {
+		d.Grant = v.grantKey.SealTerms(d.ID, archive.TermsOf(d))
+	}
+}
+
+// grantLaunch is the half of the archive's grant that is an attempt's, for its launch; ""
+// without an archive. It is called where launches are made: by the machine's owner, for
+// tasks that the records show bound to it.
+func (v *queryHandler) grantLaunch(m *machine, k taskKey, attempt int) string {
+	if v.grantKey == nil {
+		return ""
+	}
+	return v.grantKey.SealLaunch(archive.Attempt{Job: k.job, Task: k.index, Try: attempt, Machine: m.id})
+}
+
+// gangMembers tells where the tasks of an attempt run, as far as the mirror shows.
+func (v *queryHandler) gangMembers(r *jobRecord, attempt int) protocol.GangMembers {
+	out := protocol.GangMembers{Members: []protocol.GangMember{}}
+	for _, p := range r.pages {
+		for i := range p.tasks {
+			t := &p.tasks[i]
+			if t.Phase != job.Bound || t.Attempt != attempt {
+				continue
+			}
+			out.Members = append(out.Members, protocol.GangMember{
+				Index:   p.number*v.core.tasksPerPage() + i,
+				Machine: t.Machine,
+				Address: v.core.machine(t.Machine).claim.Address,
+			})
+		}
+	}
+	return out
+}
+
+// maxListed is how many entries a page of a list has at the most: with the longest names
+// it stays below the maximum length of a response.
+const maxListed = 100
+
+// routeList answers an operator's list; false if path is none.
+func (v *queryHandler) routeList(id uint64, path string) bool {
+	path, query, _ := strings.Cut(path, "?")
+	if path != protocol.PathJobList && path != protocol.PathMachineList {
+		return false
+	}
+	c := v.core
+	parameters, err := url.ParseQuery(query)
+	if err != nil {
+		c.refuse(id, http.StatusBadRequest, "the query is malformed")
+		return true
+	}
+	if !c.state.Loaded() {
+		c.refuse(id, http.StatusServiceUnavailable, "starting")
+		return true
+	}
+	from := parameters.Get("from")
+	if path == protocol.PathMachineList {
+		c.respond(id, http.StatusOK, v.machinePage(from), 0)
+	} else {
+		c.respond(id, http.StatusOK, v.jobPage(from, parameters.Get("all") == "true"), 0)
+	}
+	return true
+}
+
+// namesAfter lists the first wanted names of m that come after from, and whether there
+// are more.
+func namesAfter[T any](m map[string]T, from string, wanted func(T) bool) (names []string, more bool) {
+	for name, value := range m {
+		if name > from && wanted(value) {
+			names = append(names, name)
+		}
+	}
+	sort.Strings(names)
+	if len(names) > maxListed {
+		return names[:maxListed], true
+	}
+	return names, false
+}
+
+// jobPage lists the open jobs, or all, from the one after from.
+func (v *queryHandler) jobPage(from string, all bool) protocol.JobPage {
+	c := v.core
+	listed := c.jobs.open
+	if all {
+		listed = c.jobs.byID
+	}
+	names, more := namesAfter(listed, from, func(*jobRecord) bool { return true })
+	out := protocol.JobPage{Jobs: []protocol.JobSummary{}, Truncated: more}
+	for _, name := range names {
+		out.Jobs = append(out.Jobs, v.jobSummary(name, c.jobs.byID[name]))
+	}
+	return out
+}
+
+func (v *queryHandler) jobSummary(jobID string, r *jobRecord) protocol.JobSummary {
+	c := v.core
+	state := c.jobState(r)
+	return protocol.JobSummary{
+		ID:         jobID,
+		Status:     state.Status,
+		Class:      r.spec.Class,
+		Team:       r.spec.Team,
+		Shape:      protocol.ShapeName(r.spec.Shape),
+		Priority:   protocol.PriorityName(r.spec.Priority),
+		Tasks:      r.spec.Tasks,
+		Done:       *state.Done,
+		Running:    *state.Running,
+		AgeS:       float64(c.wallTime.UnixMilli()-r.submittedAtMS) / 1000,
+		WaitingFor: v.waitReason(r),
+	}
+}
+
+// waitReason says what an open job's pending tasks wait for, as far as this controller
+// knows; "" if none is pending.
+func (v *queryHandler) waitReason(r *jobRecord) string {
+	c := v.core
+	t := c.jobs.teams[r.spec.Team]
+	switch {
+	case r.final() || r.bound+r.finished >= r.spec.Tasks:
+		return ""
+	case c.paused(r):
+		return "a pause after failures, or the one task that is tried again"
+	case t != nil && hasQuota(t) && !t.withinLimit(t.running.plus(r.spec, 1)):
+		return "the limit of team " + r.spec.Team
+	case r.owner != c.cfg.Node && len(r.queue) == 0:
+		return "a place, by way of " + r.owner
+	case r.spec.Shape == job.Gang && r.spec.Tasks > 1:
+		return "room for all tasks at once"
+	}
+	return "room"
+}
+
+// machinePage lists the machines with a claim, from the one after from.
+func (v *queryHandler) machinePage(from string) protocol.MachinePage {
+	c := v.core
+	names, more := namesAfter(c.machines.byID, from, func(m *machine) bool { return m.token != 0 })
+	out := protocol.MachinePage{Machines: []protocol.MachineSummary{}, Truncated: more}
+	for _, name := range names {
+		out.Machines = append(out.Machines, v.machineSummary(c.machines.byID[name]))
+	}
+	return out
+}
+
+func (v *queryHandler) machineSummary(m *machine) protocol.MachineSummary {
+	c := v.core
+	status := "ready"
+	if drain, ok := c.machines.drains[m.id]; ok {
+		status = "draining: " + drain.Reason
+	}
+	capacity := c.machineTypeOf(m)
+	summary := protocol.MachineSummary{
+		Machine:          m.id,
+		MachineType:      m.claim.MachineType,
+		Zone:             m.claim.Zone,
+		Spot:             m.claim.Spot,
+		Address:          m.claim.Address,
+		Owner:            m.claim.Owner,
+		Status:           status,
+		Tasks:            len(m.bound),
+		CPUCapacity:      capacity.CPUs,
+		GPUCapacity:      capacity.GPUs,
+		MemoryCapacityGB: capacity.MemoryGB,
+	}
+	for _, key := range m.tasks() { // in order, so that equal inputs give equal sums
+		s := m.bound[key].spec
+		summary.CPUs += s.CPUs
+		summary.GPUs += s.GPUs
+		summary.MemoryGB += s.MemoryGB
+	}
+	return summary
+}
--- a/internal/coordination/recorded.go
+++ b/internal/coordination/recording.go
@@ -18,27 +18,43 @@
 	"silvergate/internal/recorder"
 )
 
-// RecordedCore is a core whose inputs are recorded. It takes what a core takes.
+// RecordedCore is a core whose inputs are recorded. It takes the inputs that a Core takes.
+// It is not safe for concurrent use.
 type RecordedCore struct {
 	core   *Core
 	writer *recorder.Writer
 }
 
-// NewRecordedCore records what goes into a core from now on, which must be from its beginning.
-func NewRecordedCore(c *Core, w *recorder.Writer) *RecordedCore { return &RecordedCore{c, w} }
+// NewRecordedCore records the inputs of c with w, which must be new: a recording can only
+// be replayed from the first input of an incarnation. The caller closes w after the last.
+func NewRecordedCore(c *Core, w *recorder.Writer) *RecordedCore {
+	return &RecordedCore{core: c, writer: w}
+}
 
-// RecordingHeader is what a recording of such a core begins with. Secrets are not in
-// it: the archive's key is named, not kept.
+// RecordingHeader is the header of a recording, from which NewFromHeader makes the core
+// that New makes of the same settings, incarnation and seed. Secrets are not in it: the
+// file of the archive's key is named, but its content is not kept.
 func RecordingHeader(cfg *config.Settings, build string, incarnation int64, seed [2]uint64) (recorder.Header, error) {
 	settings, err := json.Marshal(cfg)
 	if err != nil {
-		return recorder.Header{}, err
+		return recorder.Header{}, fmt.Errorf("encoding the settings: %w", err)
 	}
 	operator, err := yaml.Marshal(&cfg.Operator)
-	return recorder.Header{Build: build, Node: cfg.Node, Life: incarnation, Seed: seed, Settings: settings, Operator: operator}, err
+	if err != nil {
+		return recorder.Header{}, fmt.Errorf("encoding the operator settings: %w", err)
+	}
+	return recorder.Header{
+		Build:    build,
+		Node:     cfg.Node,
+		Life:     incarnation,
+		Seed:     seed,
+		Settings: settings,
+		Operator: operator,
+	}, nil
 }
 
-// NewFromHeader makes the core that a recording began with.
+// NewFromHeader makes the core that was recorded, as it was before its first input. The
+// keys that the settings name are read from their files.
 func NewFromHeader(h *recorder.Header, log *slog.Logger) (*Core, error) {
 	cfg := &config.Settings{}
 	if err := json.Unmarshal(h.Settings, cfg); err != nil {
@@ -77,26 +93,27 @@
 	return t.step(&recorder.Input{Kind: recorder.Tick}, at, func() Effects { return t.core.Tick(at) })
 }
 
+// step records an input with the digest of the effects that do has.
 func (t *RecordedCore) step(in *recorder.Input, at Timestamp, do func() Effects) Effects {
 	in.Steady, in.Wall = at.Steady, at.Wall.UnixNano()
-	whole := false
+	returned := false
 	defer func() {
-		if !whole { // a panic: the input that led to it matters most
+		if !returned { // a panic: the input that led to it matters most
 			t.writer.Put(in)
 			_ = t.writer.Close()
 		}
 	}()
-	e := do()
-	whole = true
-	if in.Path != PathStats { // which tells of the process too, not of the core alone
-		in.Effects = e.digest()
+	effects := do()
+	returned = true
+	if in.Path != PathStats { // its response depends on the process, not on the core alone
+		in.Effects = effects.digest()
 	}
 	t.writer.Put(in)
-	return e
+	return effects
 }
 
-// Replay puts a recorded input through a core. same tells whether the core did what
-// it did when the input was recorded.
+// Replay puts a recorded input through a core. same tells whether the effects are those
+// that were recorded. An input that can't be read is an error.
 func (c *Core) Replay(in *recorder.Input) (e Effects, same bool, err error) {
 	at := Timestamp{in.Steady, time.Unix(0, in.Wall)}
 	switch in.Kind {
@@ -118,13 +135,14 @@
 	return e, in.Effects == 0 || in.Effects == e.digest(), nil
 }
 
-// digest is the same for the same effects in the same order, and never 0.
+// digest is a hash of the effects in their order, and never 0, which stands for none. It
+// is stored in recordings: what it covers must not change.
 func (e *Effects) digest() uint64 {
 	h := xxhash.New()
-	var n [8]byte
+	var buffer [8]byte
 	number := func(v uint64) {
-		binary.LittleEndian.PutUint64(n[:], v)
-		_, _ = h.Write(n[:])
+		binary.LittleEndian.PutUint64(buffer[:], v)
+		_, _ = h.Write(buffer[:])
 	}
 	bytes := func(b []byte) {
 		number(uint64(len(b)))
@@ -135,26 +153,32 @@
 		_, _ = h.WriteString(s)
 	}
 	for i := range e.Responses {
-		a := &e.Responses[i]
-		number(a.ID)
-		number(uint64(a.Status)<<32 | uint64(a.RetryAfter)<<1)
-		bytes(a.Body)
+		response := &e.Responses[i]
+		number(response.ID)
+		number(uint64(response.Status)<<32 | uint64(response.RetryAfter)<<1)
+		bytes(response.Body)
 	}
-	number(1)
+	number(digestCalls)
 	for i := range e.Calls {
-		k := &e.Calls[i]
-		number(k.ID)
-		number(uint64(k.Timeout))
-		text(k.Address)
-		text(k.Method)
-		text(k.Path)
-		bytes(k.Body)
+		call := &e.Calls[i]
+		number(call.ID)
+		number(uint64(call.Timeout))
+		text(call.Address)
+		text(call.Method)
+		text(call.Path)
+		bytes(call.Body)
 	}
-	number(2)
+	number(digestSends)
 	for i := range e.Sends {
 		text(e.Sends[i].To)
-		b, _ := cbor.Marshal(&e.Sends[i].Message)
-		bytes(b)
+		body, _ := cbor.Marshal(&e.Sends[i].Message) // a message of values: it always can be
+		bytes(body)
 	}
 	return max(h.Sum64(), 1)
 }
+
+// Numbers that separate the lists of effects in a digest.
+const (
+	digestCalls = 1
+	digestSends = 2
+)
--- /dev/null
+++ b/internal/coordination/staging_announcements.go
@@ -0,0 +1,176 @@
+package coordination
+
+import (
+	"encoding/json"
+	"net/http"
+	"slices"
+	"time"
+
+	"silvergate/internal/protocol"
+	"silvergate/internal/ratelimit"
+	"silvergate/internal/staging"
+	"silvergate/internal/stateclient"
+)
+
+// announcement is the record of work that will come and the data that it will read.
+type announcement struct {
+	protocol.Staging
+	AtMS     int64 `json:"atMs"` // when the copies should be there, in Unix milliseconds
+	revision uint64
+	ending   bool // the record's deletion is under way
+}
+
+// applyStaging takes an announcement's record, or its deletion.
+func (d *stagingCoordinator) applyStaging(name string, raw json.RawMessage, revision uint64) {
+	if d == nil {
+		return
+	}
+	if raw == nil {
+		delete(d.announced, name)
+		return
+	}
+	a := &announcement{revision: revision}
+	if decode(d.core.log, keyStaging+name, raw, a) {
+		d.announced[name] = a
+	}
+}
+
+// announceWork handles an announcement of work: copies of a version are to be there at a
+// time. Its id is the user's, so that it can be repeated.
+func (d *stagingCoordinator) announceWork(id uint64, body []byte) {
+	c := d.core
+	a := &announcement{}
+	err := json.Unmarshal(body, &a.Staging)
+	if err == nil {
+		err = a.Check()
+	}
+	if err != nil {
+		c.refuse(id, http.StatusBadRequest, err.Error())
+		return
+	}
+	v := d.lookup(a.Set, a.Version)
+	switch {
+	case c.jobs.teams[a.Team] == nil:
+		c.refuse(id, http.StatusUnprocessableEntity, "crew: unknown team")
+		return
+	case v == nil:
+		c.refuse(id, http.StatusUnprocessableEntity, "version: no such version is registered")
+		return
+	}
+	a.Version, a.AtMS = v.Version, c.wallTime.UnixMilli()+int64(a.ByS*1000)
+	key := keyStaging + a.ID
+	c.state.Txn(ratelimit.UserRequests, []protocol.Compare{{Key: key}}, []protocol.Op{{Put: key, Value: encode(a)}},
+		func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
+			switch outcome {
+			case stateclient.Committed:
+				c.respond(id, http.StatusCreated, a.Staging, 0)
+			case stateclient.Conflict: // known already
+				c.respond(id, http.StatusOK, a.Staging, 0)
+			default:
+				c.refuse(id, http.StatusServiceUnavailable, "the state service can't be written now")
+			}
+		})
+}
+
+// announcementMet tells whether announced work has come: as many tasks of the team that
+// read the version and are at least as urgent have been placed as machines were asked for.
+func (d *stagingCoordinator) announcementMet(a *announcement) bool {
+	placed, name := 0, dataSetName(a.Set, a.Version)
+	for _, r := range d.core.jobs.byID {
+		if r.spec.Team == a.Team && r.spec.Priority >= protocol.PriorityOf(a.Priority) && slices.Contains(r.spec.Inputs, name) {
+			placed += r.bound + r.finished
+		}
+	}
+	return placed >= a.Machines
+}
+
+// stageAnnounced has copies fetched for announced work. Each controller takes its share,
+// by the number of its machines; a record is kept until the work has come or its time is
+// over by the workers' lease.
+func (d *stagingCoordinator) stageAnnounced() {
+	c := d.core
+	wallMS := c.wallTime.UnixMilli()
+	for _, name := range sortedKeys(d.announced) {
+		a := d.announced[name]
+		v := d.sets[dataSetName(a.Set, a.Version)]
+		if v == nil {
+			continue
+		}
+		by := c.now + time.Duration(a.AtMS-wallMS)*time.Millisecond
+		overdue := c.now - by
+		if overdue > seconds(c.cfg.Facts.Workers.Lease) || d.announcementMet(a) {
+			d.endAnnouncement(name, a)
+			continue
+		}
+		d.stageShare(a, v, by)
+	}
+}
+
+// endAnnouncement deletes an announcement's record, if that is up to this controller.
+func (d *stagingCoordinator) endAnnouncement(name string, a *announcement) {
+	c := d.core
+	if a.ending || c.responsibleController(c.cfg.Node) != c.cfg.Node || !c.isLeader() {
+		return
+	}
+	a.ending = true
+	key := keyStaging + name
+	compares := []protocol.Compare{{Key: key, ModRevision: a.revision}}
+	ops := []protocol.Op{{Delete: key}}
+	c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) { a.ending = false })
+}
+
+// stageShare has this controller's share of an announcement's copies fetched, once it is
+// time to begin.
+func (d *stagingCoordinator) stageShare(a *announcement, v *protocol.DataSet, by time.Duration) {
+	c := d.core
+	id := staging.ID(v.CopyID())
+	share := d.shareOf(a.Machines)
+	plan := staging.Announcement{Copy: id, By: by, Machines: share}
+	operator := c.cfg.Operator.Staging
+	if c.now < plan.Begin(v.Bytes, operator.RateMBPerS*bytesPerMB, operator.PeerStreams) {
+		return
+	}
+	holders, candidates := d.announcementCandidates(a, id)
+	held, coming := d.planner.Holders(id)
+	missing := share - holders - coming
+	if missing <= 0 || held >= a.Machines {
+		return
+	}
+	wait := func(machine string) time.Duration { return d.planner.Expect(c.now, machine, []staging.ID{id}) }
+	holds := func(string) bool { return false } // those are no candidates
+	class := stagingClass(protocol.PriorityOf(a.Priority))
+	for _, machine := range staging.Place(candidates, missing+coming, wait, holds) {
+		d.planner.Promise(c.now, machine, id, class, a.Team, by)
+	}
+}
+
+// shareOf is this controller's share of so many machines, rounded up.
+func (d *stagingCoordinator) shareOf(machines int) int {
+	c := d.core
+	all := 0
+	for _, n := range c.machines.ownership.machinesByOwner {
+		all += n
+	}
+	if all == 0 {
+		return machines
+	}
+	return (machines*len(c.machines.own) + all - 1) / all
+}
+
+// announcementCandidates counts the machines of this controller that hold the copy, and
+// lists others that could fetch it; those with few tasks are taken for free sooner.
+func (d *stagingCoordinator) announcementCandidates(a *announcement, id staging.ID) (holders int, candidates []staging.Candidate) {
+	c := d.core
+	for _, m := range c.machines.own {
+		if c.unschedulable(m) || a.Zone != nil && m.claim.Zone != *a.Zone {
+			continue
+		}
+		if d.planner.Holds(m.id, []staging.ID{id}) {
+			holders++
+		} else if len(candidates) < maxCandidates {
+			free := time.Duration(len(m.bound)) * time.Second
+			candidates = append(candidates, staging.Candidate{Machine: m.id, Free: free})
+		}
+	}
+	return holders, candidates
+}
--- /dev/null
+++ b/internal/coordination/staging_wait.go
@@ -0,0 +1,133 @@
+package coordination
+
+import (
+	"time"
+
+	"silvergate/internal/job"
+	"silvergate/internal/staging"
+)
+
+// freeIn is when a machine will have room for a task, as far as the users' estimates
+// tell; staging.Never if they don't.
+func (c *Core) freeIn(r *jobRecord, m *machine) time.Duration {
+	if c.fits(r, m) {
+		return 0
+	}
+	soonest := staging.Never
+	for _, k := range m.tasks() {
+		s := m.bound[k].spec
+		if s.Shape == job.Service || s.CPUs < r.spec.CPUs || s.GPUs < r.spec.GPUs {
+			continue
+		}
+		left := seconds(s.EstimateS)
+		if startedAt, ok := m.runningSince[k]; ok {
+			left = max(0, left-(c.now-startedAt))
+		}
+		soonest = min(soonest, left)
+	}
+	return soonest
+}
+
+// waitsForWarmMachine tells whether a task should not take room on a machine that lacks
+// its inputs, since one that holds them will start it sooner: when that is free, or when
+// tasks of lower priority on it are preempted, which is then done. This departs from the
+// thesis (docs/design.md), in which all servers are alike: where data is, they are not.
+// The candidates are still compared among those that a placement would look at, and the
+// wait is bounded by the time of the fetch.
+func (d *stagingCoordinator) waitsForWarmMachine(r *jobRecord, index int, m *machine) bool {
+	if d == nil || len(r.spec.Inputs) == 0 || isGang(r) {
+		return false
+	}
+	c, key := d.core, taskKey{r.spec.ID, index}
+	copies := d.copies(r.spec)
+	fetch := d.planner.Expect(c.now, m.id, copies)
+	if fetch < c.sweepPeriod() {
+		delete(d.waitingSince, key)
+		return false
+	}
+	free, holder := d.soonestFreeHolder(r, copies)
+	queued := r.queuedByIndex[index]
+	if queued != nil && c.now < queued.nextPreemptionAt {
+		return true // tasks are being stopped for it
+	}
+	preemption := d.cheapestPreemption(r)
+	switch staging.Choose(fetch, free, preemption.duration, d.waited(key)) {
+	case staging.WaitThere:
+		if _, ok := d.waitingSince[key]; !ok {
+			d.waitingSince[key] = c.now
+		}
+		if queued == nil {
+			c.enqueueTask(r, &queuedTask{key: key, machine: holder})
+		}
+		return true
+	case staging.ClearThere:
+		if queued == nil {
+			queued = &queuedTask{key: key, machine: preemption.machine.id}
+			c.enqueueTask(r, queued)
+		}
+		c.preemptOn(r, queued, preemption.machine, preemption.victims)
+		return true
+	}
+	delete(d.waitingSince, key)
+	return false
+}
+
+// waited is how long a task has waited for a machine that holds its inputs.
+func (d *stagingCoordinator) waited(key taskKey) time.Duration {
+	if since, ok := d.waitingSince[key]; ok {
+		return d.core.now - since
+	}
+	return 0
+}
+
+// soonestFreeHolder is the machine that holds the copies and has room for a task of the
+// job soonest, and when; staging.Never if there is none. It looks at a few holders only.
+func (d *stagingCoordinator) soonestFreeHolder(r *jobRecord, copies []staging.ID) (free time.Duration, holder string) {
+	free = staging.Never
+	if len(copies) == 0 {
+		return free, holder
+	}
+	d.planner.Some(copies[0], func(id string) bool {
+		if m := d.core.machines.byID[id]; m != nil && d.couldServe(r, m) && d.planner.Holds(id, copies) {
+			if at := d.core.freeIn(r, m); at < free {
+				free, holder = at, id
+			}
+		}
+		return free > 0
+	})
+	return free, holder
+}
+
+// couldServe tells whether this controller may place a task of the job on the machine
+// when there is room.
+func (d *stagingCoordinator) couldServe(r *jobRecord, m *machine) bool {
+	c := d.core
+	return c.isOwn(m) && !c.unschedulable(m) && c.couldHold(r, m) && c.zoneAllowed(r, m.claim.Zone)
+}
+
+// warmPreemption is what it takes to clear a machine that holds a job's inputs.
+type warmPreemption struct {
+	duration time.Duration // staging.Never: there is no such machine
+	machine  *machine
+	victims  []taskKey
+}
+
+// cheapestPreemption finds a machine that holds the job's inputs and on which tasks of
+// lower priority can be stopped for it. Their worker learns of it with a response to a
+// heartbeat, and they may save a checkpoint.
+func (d *stagingCoordinator) cheapestPreemption(r *jobRecord) warmPreemption {
+	c := d.core
+	none := warmPreemption{duration: staging.Never}
+	if r.spec.Priority <= job.Low {
+		return none
+	}
+	m, victims := c.cheapestVictims(r, true)
+	if m == nil {
+		return none
+	}
+	duration := seconds(c.cfg.Facts.Workers.Report / 4)
+	for _, victim := range victims {
+		duration = max(duration, seconds(2*m.bound[victim].spec.CheckpointSaveS))
+	}
+	return warmPreemption{duration: duration, machine: m, victims: victims}
+}
