--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -56,14 +56,9 @@
 // Core is one controller. It routes inputs to the parts that own the state they
 // concern, and collects the effects of a step. It is not safe for concurrent use.
 type Core struct {
-	cfg         *config.Settings
-	log         *slog.Logger
-	verbose     bool // debug lines are wanted; saves building them
-	random      *rand.Rand
-	now         time.Duration
-	wallTime    time.Time
-	incarnation int64 // tells this process of the controller from earlier ones
-	effects     Effects
+	environment
+	stepTime
+	effects Effects
 
 	state      *stateclient.Client
 	links      *connectivity.Tracker
@@ -84,6 +79,21 @@
 	Stats Stats
 }
 
+// environment is what a core is made with; it does not change.
+type environment struct {
+	cfg         *config.Settings
+	log         *slog.Logger
+	verbose     bool // debug lines are wanted; saves building them
+	random      *rand.Rand
+	incarnation int64 // tells this process of the controller from earlier ones
+}
+
+// stepTime is the time of the step under way.
+type stepTime struct {
+	now      time.Duration // since the process began
+	wallTime time.Time
+}
+
 // callTable holds the calls that were sent and not answered yet.
 type callTable struct {
 	nextID  uint64
@@ -115,23 +125,25 @@
 // with the same seed replays to the same effects.
 func New(cfg *config.Settings, log *slog.Logger, rnd *rand.Rand, incarnation int64) *Core {
 	c := &Core{
-		cfg:         cfg,
-		log:         log,
-		random:      rnd,
-		incarnation: incarnation,
-		calls:       newCallTable(),
-		membership:  newMembership(cfg),
-		catalogue:   newCatalogue(),
-		jobs:        newJobTable(),
-		writer:      newPageWriter(),
-		machines:    newMachineTable(),
-		scheduler:   newScheduler(),
+		environment: environment{
+			cfg:         cfg,
+			log:         log,
+			verbose:     log.Enabled(context.Background(), slog.LevelDebug),
+			random:      rnd,
+			incarnation: incarnation,
+		},
+		calls:      newCallTable(),
+		membership: newMembership(cfg),
+		catalogue:  newCatalogue(),
+		jobs:       newJobTable(),
+		writer:     newPageWriter(),
+		machines:   newMachineTable(),
+		scheduler:  newScheduler(),
 	}
 	for i := range cfg.Facts.Teams {
 		t := &cfg.Facts.Teams[i]
 		c.jobs.teams[t.Name] = &team{cfg: t}
 	}
-	c.verbose = log.Enabled(context.Background(), slog.LevelDebug)
 	c.scaler.init()
 	c.scaler.unshipped = newUnshipped(c)
 	c.queries = newQueryHandler(c)
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -233,7 +233,7 @@
 	for _, b := range s.broken {
 		t.Error(b)
 	}
-	s.saveTapes(t)
+	s.saveRecordings(t)
 	// Guards against judgements that take turns on a machine: inc-41e3 spent
 	// the state service's whole rate on them.
 	grades := map[int]bool{} // each replaces the ones before once
--- a/internal/coordination/recording_golden_test.go
+++ b/internal/coordination/recording_golden_test.go
@@ -36,11 +36,11 @@
 	s.after(5*time.Second, func() { s.trouble(day * 2 / 3) })
 	s.run(day)
 	recordings := map[string][]byte{}
-	for _, tape := range s.tapes {
-		if err := tape.w.Close(); err != nil {
+	for _, recording := range s.recordings {
+		if err := recording.writer.Close(); err != nil {
 			t.Fatal(err)
 		}
-		recordings[tape.name] = tape.out.Bytes()
+		recordings[recording.name] = recording.buffer.Bytes()
 	}
 	return recordings
 }
@@ -56,7 +56,7 @@
 	messages := map[string]bool{}
 	for _, name := range goldenRecordings {
 		data := golden(t, "recordings/"+name, func() []byte { return day[name] })
-		inputs, different := replayTape(t, data)
+		inputs, different := replayRecording(t, data)
 		if inputs < 50 || different != "" {
 			t.Errorf("%s: %d inputs, %s", name, inputs, different)
 		}
@@ -117,7 +117,7 @@
 // TestGoldenRecordingsKeepTheirHeaders makes each golden recording's core, and from its
 // settings the header anew: the same bytes.
 func TestGoldenRecordingsKeepTheirHeaders(t *testing.T) {
-	lives := map[string]int64{goldenRecordings[0]: 1208, goldenRecordings[1]: 10133, goldenRecordings[2]: 1139, goldenRecordings[3]: 1227}
+	incarnations := map[string]int64{goldenRecordings[0]: 1208, goldenRecordings[1]: 10133, goldenRecordings[2]: 1139, goldenRecordings[3]: 1227}
 	for _, name := range goldenRecordings {
 		data, err := os.ReadFile(filepath.Join(goldenFolder, "recordings", name))
 		if err != nil {
@@ -128,7 +128,7 @@
 			t.Fatal(err)
 		}
 		h := r.Header
-		if h.Version != 1 || h.Build != "simulation" || h.Node != name[:2] || h.Life != lives[name] || h.Seed[0] == 0 || h.Seed[1] != 1 || h.Segment != 0 {
+		if h.Version != 1 || h.Build != "simulation" || h.Node != name[:2] || h.Life != incarnations[name] || h.Seed[0] == 0 || h.Seed[1] != 1 || h.Segment != 0 {
 			t.Errorf("%s: header %+v", name, h)
 		}
 		c, err := NewFromHeader(&h, slog.New(slog.DiscardHandler))
--- a/internal/coordination/recording_test.go
+++ b/internal/coordination/recording_test.go
@@ -20,31 +20,31 @@
 	"silvergate/internal/recorder"
 )
 
-// simTape is the recording of one controller's life, in memory.
-type simTape struct {
-	name string
-	out  bytes.Buffer
-	w    *recorder.Writer
+// simRecording is the recording of one incarnation of a controller, in memory.
+type simRecording struct {
+	name   string
+	buffer bytes.Buffer
+	writer *recorder.Writer
 }
 
 // record begins a recording. A controller with an archive is not recorded whole: the
 // archive's key is in no recording.
 func (s *sim) record(cfg *config.Settings, incarnation int64, seed uint64) *recorder.Writer {
-	t := &simTape{name: fmt.Sprintf("%s-%020d-000000.rec", cfg.Node, incarnation)}
+	recording := &simRecording{name: fmt.Sprintf("%s-%020d-000000.rec", cfg.Node, incarnation)}
 	h, err := RecordingHeader(cfg, "simulation", incarnation, [2]uint64{seed, 1})
 	if err != nil {
 		panic(err)
 	}
-	t.w = recorder.NewMemory(&t.out, h)
-	s.tapes = append(s.tapes, t)
-	return t.w
+	recording.writer = recorder.NewMemory(&recording.buffer, h)
+	s.recordings = append(s.recordings, recording)
+	return recording.writer
 }
 
-// saveTapes writes the recordings of a day that failed: silvergate replay reads them.
-func (s *sim) saveTapes(t *testing.T) {
+// saveRecordings writes the recordings of a day that failed: silvergate replay reads them.
+func (s *sim) saveRecordings(t *testing.T) {
 	t.Helper()
-	for _, x := range s.tapes {
-		if err := x.w.Close(); err != nil {
+	for _, x := range s.recordings {
+		if err := x.writer.Close(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -56,17 +56,17 @@
 		t.Error(err)
 		return
 	}
-	for _, x := range s.tapes {
-		if err := os.WriteFile(filepath.Join(dir, x.name), x.out.Bytes(), 0o600); err != nil {
+	for _, x := range s.recordings {
+		if err := os.WriteFile(filepath.Join(dir, x.name), x.buffer.Bytes(), 0o600); err != nil {
 			t.Error(err)
 		}
 	}
 	t.Logf("the day's recordings are in %s", dir)
 }
 
-// replayTape puts a recording through a core and tells how many inputs it had, and the
+// replayRecording puts a recording through a core and tells how many inputs it had, and the
 // first whose effects differ.
-func replayTape(t *testing.T, raw []byte) (inputs int, different string) {
+func replayRecording(t *testing.T, raw []byte) (inputs int, different string) {
 	t.Helper()
 	r, err := recorder.NewReader(bytes.NewReader(raw))
 	if err != nil {
@@ -94,8 +94,8 @@
 }
 
 // TestRecordedDaysReplay plays drawn days with every fault and puts what each
-// controller's life was given through a core again: not one effect may differ. With
-// SIM_DAYS it plays more; 60 are a million inputs.
+// incarnation of a controller was given through a core again: not one effect may differ.
+// With SIM_DAYS it plays more; 60 are a million inputs.
 func TestRecordedDaysReplay(t *testing.T) {
 	days, err := strconv.Atoi(os.Getenv("SIM_DAYS"))
 	if err != nil {
@@ -110,30 +110,30 @@
 				s.load(3 * time.Minute)
 				s.after(20*time.Second, func() { s.trouble(3 * time.Minute) })
 				s.run(4 * time.Minute)
-				inputs, lives := 0, 0
-				for _, x := range s.tapes {
-					if err := x.w.Close(); err != nil {
+				inputs, incarnations := 0, 0
+				for _, x := range s.recordings {
+					if err := x.writer.Close(); err != nil {
 						t.Fatal(err)
 					}
-					if x.out.Len() == 0 {
+					if x.buffer.Len() == 0 {
 						continue
 					}
-					n, different := replayTape(t, x.out.Bytes())
+					n, different := replayRecording(t, x.buffer.Bytes())
 					if different != "" {
 						t.Errorf("%s: %s", x.name, different)
 					}
-					inputs, lives = inputs+n, lives+1
+					inputs, incarnations = inputs+n, incarnations+1
 				}
-				counts <- [2]int{inputs, lives}
+				counts <- [2]int{inputs, incarnations}
 			})
 		}
 	})
 	close(counts)
-	inputs, lives := 0, 0
+	inputs, incarnations := 0, 0
 	for n := range counts {
-		inputs, lives = inputs+n[0], lives+n[1]
+		inputs, incarnations = inputs+n[0], incarnations+n[1]
 	}
-	t.Logf("%d inputs of %d lives on %d days", inputs, lives, days)
+	t.Logf("%d inputs of %d incarnations on %d days", inputs, incarnations, days)
 	if inputs < days*1000 {
 		t.Errorf("%d inputs are too few", inputs)
 	}
@@ -144,12 +144,12 @@
 	s := newSim(t, 3, 0)
 	s.load(30 * time.Second)
 	s.run(time.Minute)
-	x := s.tapes[0]
-	if err := x.w.Close(); err != nil {
+	x := s.recordings[0]
+	if err := x.writer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	raw := x.out.Bytes()
-	if n, different := replayTape(t, raw); n < 100 || different != "" {
+	raw := x.buffer.Bytes()
+	if n, different := replayRecording(t, raw); n < 100 || different != "" {
 		t.Fatalf("%d inputs, %q", n, different)
 	}
 	r, err := recorder.NewReader(bytes.NewReader(raw))
@@ -172,20 +172,20 @@
 	}
 }
 
-// BenchmarkRecorded puts a day of a site with some hundred machines through a core, as
-// it is and with a recorder in front, and tells what an input takes and how many bytes
-// it leaves.
+// BenchmarkRecorded puts a day of a site with some hundred machines through a core, with
+// and without a recorder, and reports the time that an input takes and the bytes that it
+// adds to the recording.
 func BenchmarkRecorded(b *testing.B) {
 	s := grownSim(b, 41)
 	s.loadGrown(100 * time.Second)
 	s.run(120 * time.Second)
 	var raw []byte
-	for _, x := range s.tapes {
-		if err := x.w.Close(); err != nil {
+	for _, x := range s.recordings {
+		if err := x.writer.Close(); err != nil {
 			b.Fatal(err)
 		}
-		if x.out.Len() > len(raw) {
-			raw = x.out.Bytes()
+		if x.buffer.Len() > len(raw) {
+			raw = x.buffer.Bytes()
 		}
 	}
 	r, err := recorder.NewReader(bytes.NewReader(raw))
@@ -205,7 +205,7 @@
 					b.Fatal(err)
 				}
 				w := recorder.NewMemory(io.Discard, r.Header)
-				tape := NewRecordedCore(c, w)
+				core := NewRecordedCore(c, w)
 				for i := range inputs {
 					in := &inputs[i]
 					if !recorded {
@@ -218,17 +218,17 @@
 					at := Timestamp{in.Steady, time.Unix(0, in.Wall)}
 					switch in.Kind {
 					case recorder.Tick:
-						tape.Tick(at)
+						core.Tick(at)
 					case recorder.Request:
-						tape.Request(at, in.ID, in.Method, in.Path, in.Body)
+						core.Request(at, in.ID, in.Method, in.Path, in.Body)
 					case recorder.Reply:
-						tape.Reply(at, protocol.Reply{ID: in.ID, Status: in.Status, Sent: in.Sent, RetryAfter: in.Retry, Body: in.Body})
+						core.Reply(at, protocol.Reply{ID: in.ID, Status: in.Status, Sent: in.Sent, RetryAfter: in.Retry, Body: in.Body})
 					case recorder.Peer:
 						var m peer.Message
 						if err := cbor.Unmarshal(in.Body, &m); err != nil {
 							b.Fatal(err)
 						}
-						tape.Peer(at, in.From, m)
+						core.Peer(at, in.From, m)
 					}
 				}
 				if err := w.Close(); err != nil {
--- a/internal/coordination/startup_test.go
+++ b/internal/coordination/startup_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"net/url"
 	"sort"
 	"strconv"
@@ -52,7 +53,7 @@
 
 // startCore starts a controller against records and tells how many requests its
 // reading took, and the time of its steps until it answers a health check, a user
-// and a worker of its earlier life.
+// and a worker of its earlier incarnation.
 func startCore(tb testing.TB, keys []string, data map[string][]byte) (requests int, whole, longest time.Duration) {
 	facts := newSim(tb, 1, 0).facts
 	facts.Teams = []config.Team{{Name: "blue"}}
@@ -87,7 +88,7 @@
 		for len(todo) > 0 {
 			k := todo[0]
 			todo = todo[1:]
-			r := protocol.Reply{ID: k.ID, Sent: true, Status: 200, Body: []byte(`{"ledger":7,"permit":1,"news":[]}`)}
+			r := protocol.Reply{ID: k.ID, Sent: true, Status: http.StatusOK, Body: []byte(`{"ledger":7,"permit":1,"news":[]}`)}
 			if u, _ := url.Parse(k.Path); k.Target == protocol.ToStateService && u.Path == protocol.PathKeys {
 				requests++
 				p := protocol.KeyValuePage{Revision: 7}
@@ -107,22 +108,22 @@
 				if k.Path != protocol.PathMachineTypes {
 					continue
 				}
-				r.Status = 503
+				r.Status = http.StatusServiceUnavailable
 			}
 			todo = append(todo, step(func() Effects { return c.Reply(clock(), r) }).Calls...)
 		}
 		if !up {
-			up = ask("GET", protocol.PathHealth, nil) == 200
+			up = ask(http.MethodGet, protocol.PathHealth, nil) == http.StatusOK
 		}
 		if !served {
-			served = ask("GET", protocol.PathJobs+"/wk-000001", nil) == 200 // over
+			served = ask(http.MethodGet, protocol.PathJobs+"/wk-000001", nil) == http.StatusOK // over
 		}
 		if up && !answered {
 			reply := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
 			for i := range 8 {
 				reply.Tasks = append(reply.Tasks, protocol.TaskStatus{Task: job.TaskName("wk-000000", i), Attempt: 1, Status: protocol.TaskRunning})
 			}
-			answered = ask("POST", protocol.PathHeartbeat, encode(reply)) == 200
+			answered = ask(http.MethodPost, protocol.PathHeartbeat, encode(reply)) == http.StatusOK
 		}
 		if up && served && answered {
 			return requests, whole, longest
@@ -134,7 +135,7 @@
 
 // TestStartReadsInPages guards against a start whose work grows faster than the
 // records do: it takes the requests that the protocol's pages need, and adopts
-// the workers of its earlier life.
+// the workers of its earlier incarnation.
 func TestStartReadsInPages(t *testing.T) {
 	keys, data := fleetRecords(1000, "n0")
 	requests, _, _ := startCore(t, keys, data)
--- a/internal/coordination/step_benchmark_test.go
+++ b/internal/coordination/step_benchmark_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"time"
 
@@ -15,8 +16,8 @@
 //
 //	go test -run XXX -bench Slope -count 5 ./internal/coordination
 
-// reportOf is a report as the holder of a machine expects it, with so many running tasks.
-func reportOf(c *Core, m *machine, extra int) protocol.Heartbeat {
+// heartbeatOf is a heartbeat as the owner of a machine expects it, with so many running tasks.
+func heartbeatOf(c *Core, m *machine, extra int) protocol.Heartbeat {
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
 	for _, k := range m.tasks() {
@@ -28,28 +29,28 @@
 	return r
 }
 
-// benchReports has a machine report again and again, with extra attempts that have ended and are
-// not bound there: each is forgotten with every answer.
-func benchReports(b *testing.B, extra int) {
+// benchmarkHeartbeats handles a machine's heartbeats with extra attempts that have ended and
+// are not bound there: every response tells it to forget each.
+func benchmarkHeartbeats(b *testing.B, extra int) {
 	s, c, m := grownCore(b)
-	r := reportOf(c, m, extra)
+	r := heartbeatOf(c, m, extra)
 	clock, id := s.nodes[0].clock(), uint64(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Sequence++
 		id++
-		if e := c.Request(clock, id, "POST", protocol.PathHeartbeat, encode(r)); len(e.Responses) != 1 || e.Responses[0].Status != 200 {
+		if e := c.Request(clock, id, http.MethodPost, protocol.PathHeartbeat, encode(r)); len(e.Responses) != 1 || e.Responses[0].Status != http.StatusOK {
 			b.Fatalf("%+v", e.Responses)
 		}
 	}
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 }
 
-// BenchmarkSlopeReport is a report in which nothing has changed.
-func BenchmarkSlopeReport(b *testing.B) { benchReports(b, 0) }
+// BenchmarkSlopeReport is a heartbeat in which nothing has changed.
+func BenchmarkSlopeReport(b *testing.B) { benchmarkHeartbeats(b, 0) }
 
-// BenchmarkSlopeReportOfTwelve is a report with twelve tasks more, to be forgotten.
-func BenchmarkSlopeReportOfTwelve(b *testing.B) { benchReports(b, 12) }
+// BenchmarkSlopeReportOfTwelve is a heartbeat with twelve tasks more, to be forgotten.
+func BenchmarkSlopeReportOfTwelve(b *testing.B) { benchmarkHeartbeats(b, 12) }
 
 // BenchmarkSlopeWatchedPage is a page of 128 tasks in which one has changed.
 func BenchmarkSlopeWatchedPage(b *testing.B) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// BenchmarkSlopePoll is a question about a job that is over, BenchmarkSlopeSubmission a job's
+// BenchmarkSlopePoll is a status query of a job that is over, BenchmarkSlopeSubmission a job's
 // acceptance up to its transaction.
 func BenchmarkSlopePoll(b *testing.B) {
 	s, c, _ := grownCore(b)
@@ -103,13 +104,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		if e := c.Request(clock, id, "GET", protocol.PathJobs+"/"+over, nil); len(e.Responses) != 1 {
+		if e := c.Request(clock, id, http.MethodGet, protocol.PathJobs+"/"+over, nil); len(e.Responses) != 1 {
 			b.Fatalf("%+v", e.Responses)
 		}
 	}
 }
 
-// BenchmarkSlopeSubmission reads and checks a submission and hands its transaction to the budget.
+// BenchmarkSlopeSubmission reads and checks a submission and hands its transaction to the rate limiter.
 func BenchmarkSlopeSubmission(b *testing.B) {
 	s, c, _ := grownCore(b)
 	clock, id := s.nodes[0].clock(), uint64(1e9)
@@ -117,16 +118,16 @@
 	for b.Loop() {
 		id++
 		body := fmt.Sprintf(`{"ref":"wk-%09d","jobclass":"arr","crew":"blue","shape":"batch","urgency":"standard","loads":100,"cpus":1,"accelerators":0,"ramGb":1,"kit":"img","sizeGb":1,"rigs":null,"depot":null,"oneZone":false,"apart":false,"casual":true,"etaS":10,"waypointS":0,"stowS":0,"dueS":null}`, id)
-		c.Request(clock, id, "POST", protocol.PathJobs, []byte(body))
-		clock.Steady += time.Second // the budget fills up, and what waits is given up on
+		c.Request(clock, id, http.MethodPost, protocol.PathJobs, []byte(body))
+		clock.Steady += time.Second // the queue fills up, and what waits is refused in time
 	}
 }
 
-// BenchmarkSlopeTakeover is a group's passing to another controller, as every controller sees it,
+// BenchmarkSlopeTakeover is the failover of a group of machines to another controller, as every controller sees it,
 // for each machine of the group.
 func BenchmarkSlopeTakeover(b *testing.B) {
 	const workers = 1000
-	newBook := func() (*Core, failover.Group) {
+	newCore := func() (*Core, failover.Group) {
 		_, c, m := grownCore(b)
 		k := m.claim
 		k.Owner, k.Incarnation, k.Epoch = "n9", 1, 1
@@ -140,7 +141,7 @@
 		}
 		return c, g
 	}
-	c, g := newBook()
+	c, g := newCore()
 	revision := uint64(1 << 40)
 	c.machines.ownership.failovers.Advance(1 << 50)
 	b.ReportAllocs()
--- a/internal/coordination/step_cost_test.go
+++ b/internal/coordination/step_cost_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"testing"
 	"time"
@@ -11,8 +12,8 @@
 	"silvergate/internal/protocol"
 )
 
-// grownCore is a controller of a deployment of hundreds of machines, with work
-// on them, and a machine of its own that holds some.
+// grownCore is a controller of a deployment of hundreds of machines with tasks on
+// them, and a machine of its own with some.
 func grownCore(t testing.TB) (*sim, *Core, *machine) {
 	s := grownSim(t, 31)
 	s.loadGrown(80 * time.Second)
@@ -30,9 +31,9 @@
 	return nil, nil, nil
 }
 
-// TestCostOfAReport bounds the allocations for a report in which nothing has
+// TestCostOfAHeartbeat bounds the allocations for a heartbeat in which nothing has
 // changed, at a size at which a sweep over machines or jobs would show.
-func TestCostOfAReport(t *testing.T) {
+func TestCostOfAHeartbeat(t *testing.T) {
 	s, c, m := grownCore(t)
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
@@ -47,17 +48,17 @@
 	n := 0
 	answered := 0
 	allocs := testing.AllocsPerRun(200, func() {
-		e := c.Request(s.nodes[0].clock(), uint64(1e9)+uint64(n), "POST", protocol.PathHeartbeat, bodies[n])
+		e := c.Request(s.nodes[0].clock(), uint64(1e9)+uint64(n), http.MethodPost, protocol.PathHeartbeat, bodies[n])
 		for _, a := range e.Responses {
-			if a.Status == 200 {
+			if a.Status == http.StatusOK {
 				answered++
 			}
 		}
 		n++
 	})
-	t.Logf("%.1f allocations for a report with %d tasks", allocs, len(r.Tasks))
+	t.Logf("%.1f allocations for a heartbeat with %d tasks", allocs, len(r.Tasks))
 	if answered < 200 {
-		t.Fatalf("%d reports answered", answered)
+		t.Fatalf("%d heartbeats answered", answered)
 	}
 	if limit := 15 + 3*float64(len(r.Tasks)); allocs > limit {
 		t.Errorf("%.1f allocations, at most %.0f", allocs, limit)
@@ -116,9 +117,9 @@
 	}
 }
 
-// TestTurnsAgreeWithPlainSort checks the kept order of jobs against one made
-// anew, after jobs have come and gone.
-func TestTurnsAgreeWithPlainSort(t *testing.T) {
+// TestJobOrderAgreesWithPlainSort compares the maintained order of jobs with one made
+// anew, after jobs have been submitted and finished.
+func TestJobOrderAgreesWithPlainSort(t *testing.T) {
 	s, c, _ := grownCore(t)
 	for at := 100 * time.Second; at < 130*time.Second; at += 3 * time.Second {
 		s.run(at)
@@ -131,7 +132,7 @@
 		}
 		slices.SortFunc(plain, compareUrgency)
 		if !slices.Equal(plain, c.jobs.openByUrgency) {
-			t.Fatalf("%v: %d jobs in turns, %d are open", at, len(c.jobs.openByUrgency), len(plain))
+			t.Fatalf("%v: %d jobs by urgency, %d are open", at, len(c.jobs.openByUrgency), len(plain))
 		}
 		if !slices.IsSortedFunc(c.jobs.openByAge, older) || len(c.jobs.openByAge) != len(c.jobs.open) {
 			t.Fatalf("%v: %d jobs by age, %d are open", at, len(c.jobs.openByAge), len(c.jobs.open))
@@ -139,9 +140,9 @@
 	}
 }
 
-// TestMemoryOfJobsThatAreOver guards against memory that grows with all the
-// tasks there ever were: of a job that is over only the counts are kept, and a
-// placement that comes after its end in the mirror is known all the same.
+// TestMemoryOfJobsThatAreOver guards against memory that grows with all the tasks there
+// ever were: of a job that is over only the counts are kept, and a placement that reaches
+// the mirror after the job's end is known all the same.
 func TestMemoryOfJobsThatAreOver(t *testing.T) {
 	s, c, _ := grownCore(t)
 	s.run(130 * time.Second)
