--- a/internal/coordination/recording_golden_test.go
+++ b/internal/coordination/recording_golden_test.go
@@ -36,7 +36,7 @@
 	s.after(5*time.Second, func() { s.trouble(day * 2 / 3) })
 	s.run(day)
 	recordings := map[string][]byte{}
-	for _, recording := range s.recordings {
+	for _, recording := range s.recorded {
 		if err := recording.writer.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coordination/recording_test.go
+++ b/internal/coordination/recording_test.go
@@ -36,14 +36,14 @@
 		panic(err)
 	}
 	recording.writer = recorder.NewMemory(&recording.buffer, h)
-	s.recordings = append(s.recordings, recording)
+	s.recorded = append(s.recorded, recording)
 	return recording.writer
 }
 
 // saveRecordings writes the recordings of a day that failed: silvergate replay reads them.
 func (s *sim) saveRecordings(t *testing.T) {
 	t.Helper()
-	for _, x := range s.recordings {
+	for _, x := range s.recorded {
 		if err := x.writer.Close(); err != nil {
 			t.Error(err)
 		}
@@ -56,7 +56,7 @@
 		t.Error(err)
 		return
 	}
-	for _, x := range s.recordings {
+	for _, x := range s.recorded {
 		if err := os.WriteFile(filepath.Join(dir, x.name), x.buffer.Bytes(), 0o600); err != nil {
 			t.Error(err)
 		}
@@ -111,7 +111,7 @@
 				s.after(20*time.Second, func() { s.trouble(3 * time.Minute) })
 				s.run(4 * time.Minute)
 				inputs, incarnations := 0, 0
-				for _, x := range s.recordings {
+				for _, x := range s.recorded {
 					if err := x.writer.Close(); err != nil {
 						t.Fatal(err)
 					}
@@ -144,7 +144,7 @@
 	s := newSim(t, 3, 0)
 	s.load(30 * time.Second)
 	s.run(time.Minute)
-	x := s.recordings[0]
+	x := s.recorded[0]
 	if err := x.writer.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 	s.loadGrown(100 * time.Second)
 	s.run(120 * time.Second)
 	var raw []byte
-	for _, x := range s.recordings {
+	for _, x := range s.recorded {
 		if err := x.writer.Close(); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -41,42 +41,42 @@
 func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
 type sim struct {
-	launched   func(*simWorker, protocol.Command) // sees launches; may be nil
-	digest     *effectsDigest                     // of what the controllers do; nil: not wanted
-	rnd        *rand.Rand
-	now        time.Duration
-	seq        int
-	q          events
-	facts      config.Facts // what is true
-	told       config.Facts // what the controllers are told
-	nodes      []*simNode
-	kv         *simState
-	cloud      *simCloud
-	work       map[string]*simWorker
-	users      map[string]*simUser
-	broken     []string
-	starts     int
-	trace      io.Writer          // of the controllers' logs, if wanted
-	noise      float64            // probability that a message is lost, late or loses its answer
-	sets       []protocol.DataSet // data sets that jobs read; nil: staging is off
-	unordered  bool               // the order of launches is not judged: controllers learn late when what they launch was committed
-	misled     bool               // broken on purpose: production jobs are submitted as idle ones
-	mute       bool               // broken on purpose: peers name no cancellations
-	noCarrier  bool               // broken on purpose: nobody carries calls of the state service
-	lies       bool               // rows of beats are drawn, not true
-	saved      wayLosses          // tasks killed by leases, judged by the ways that were up
-	judged     int                // launches of lesser work while production work waited
-	lateTxns   float64            // share of transactions without an answer that are carried out later, after newer ones
-	copies     float64            // share of reports of which a copy comes again, up to more than a lease later
-	served     served
-	outages    time.Duration // of the state service, for all, so far
-	cautious   int           // tasks of jobs that nobody cancelled, killed by leases on machines that were well
-	warm       int           // starts on machines that held the inputs when the launch came
-	cold       int
-	recordings []*simRecording
-	met        meetings
-	logged     bool // the log of endings is on
-	alone      bool // workers are taken over one by one, not by the group
+	launched  func(*simWorker, protocol.Command) // sees launches; may be nil
+	digest    *effectsDigest                     // of what the controllers do; nil: not wanted
+	rnd       *rand.Rand
+	now       time.Duration
+	seq       int
+	q         events
+	facts     config.Facts // what is true
+	told      config.Facts // what the controllers are told
+	nodes     []*simNode
+	kv        *simState
+	cloud     *simCloud
+	work      map[string]*simWorker
+	users     map[string]*simUser
+	broken    []string
+	starts    int
+	trace     io.Writer          // of the controllers' logs, if wanted
+	noise     float64            // probability that a message is lost, late or loses its answer
+	sets      []protocol.DataSet // data sets that jobs read; nil: staging is off
+	unordered bool               // the order of launches is not judged: controllers learn late when what they launch was committed
+	misled    bool               // broken on purpose: production jobs are submitted as idle ones
+	mute      bool               // broken on purpose: peers name no cancellations
+	noCarrier bool               // broken on purpose: nobody carries calls of the state service
+	lies      bool               // rows of beats are drawn, not true
+	saved     wayLosses          // tasks killed by leases, judged by the ways that were up
+	judged    int                // launches of lesser work while production work waited
+	lateTxns  float64            // share of transactions without an answer that are carried out later, after newer ones
+	copies    float64            // share of reports of which a copy comes again, up to more than a lease later
+	served    served
+	outages   time.Duration // of the state service, for all, so far
+	cautious  int           // tasks of jobs that nobody cancelled, killed by leases on machines that were well
+	warm      int           // starts on machines that held the inputs when the launch came
+	cold      int
+	recorded  []*simRecording
+	met       meetings
+	logged    bool // the log of endings is on
+	alone     bool // workers are taken over one by one, not by the group
 }
 
 func (s *sim) after(d time.Duration, do func()) {
