--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -12,7 +12,7 @@
 	"silvergate/internal/replay"
 )
 
-// replayCommand puts recordings through cores again.
+// replayCommand is the command that puts recordings through cores again.
 func replayCommand() *cobra.Command {
 	var at, until, output string
 	var names []string
@@ -37,7 +37,7 @@
 			if output != "text" && output != "json" {
 				return fmt.Errorf("--output: %q is neither text nor json", output)
 			}
-			lives, err := replay.Open(paths)
+			incarnations, err := replay.Open(paths)
 			if err != nil {
 				return err
 			}
@@ -45,8 +45,8 @@
 			if logs {
 				o.Log = slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelDebug}))
 			}
-			first := lives[0].Begin
-			for _, l := range lives {
+			first := incarnations[0].Begin
+			for _, l := range incarnations {
 				if l.Begin.Before(first) {
 					first = l.Begin
 				}
@@ -60,9 +60,9 @@
 			if !o.At.IsZero() && len(names) == 0 {
 				return errors.New("--at: says what is known of something; name it with --explain")
 			}
-			results, stories := []replay.Result{}, [][]replay.Line{}
-			for i := range lives {
-				r, err := lives[i].Play(o)
+			results, stories := []replay.Result{}, [][]replay.Event{}
+			for i := range incarnations {
+				r, err := incarnations[i].Play(o)
 				if err != nil {
 					return err
 				}
@@ -79,18 +79,18 @@
 	return cmd
 }
 
-func tellReplay(out io.Writer, output string, results []replay.Result, story []replay.Line) error {
+func tellReplay(out io.Writer, output string, results []replay.Result, story []replay.Event) error {
 	different := 0
 	for _, r := range results {
 		different += r.Different
 	}
 	if output == "json" {
 		if story == nil {
-			story = []replay.Line{}
+			story = []replay.Event{}
 		}
 		err := json.NewEncoder(out).Encode(struct {
 			Lives []replay.Result `json:"lives"`
-			Story []replay.Line   `json:"story"`
+			Story []replay.Event  `json:"story"`
 		}{results, story})
 		if err != nil {
 			return err
@@ -103,7 +103,7 @@
 			for _, k := range r.Known {
 				fmt.Fprintln(out, k)
 			}
-			fmt.Fprintf(out, "%s, life %d, build %q: %d inputs, %d with other effects", r.Node, r.Life, r.Build, r.Inputs, r.Different)
+			fmt.Fprintf(out, "%s, life %d, build %q: %d inputs, %d with other effects", r.Node, r.Incarnation, r.Build, r.Inputs, r.Different)
 			if r.First != "" {
 				fmt.Fprintf(out, ", first %s", r.First)
 			}
--- /dev/null
+++ b/internal/replay/merge.go
@@ -0,0 +1,72 @@
+package replay
+
+// Merge makes one story of several, each of one incarnation and in its order. Events go
+// by the wall clocks, which may differ; where a node knows of a revision that another
+// node's transaction made, its event comes after that transaction's.
+func Merge(stories ...[]Event) []Event {
+	m := merger{stories: stories, next: make([]int, len(stories))}
+	var merged []Event
+	for {
+		story := m.choose()
+		if story < 0 {
+			return merged
+		}
+		merged = append(merged, *m.head(story))
+		m.next[story]++
+	}
+}
+
+// merger is a merge under way.
+type merger struct {
+	stories [][]Event
+	next    []int // each story's first event that is not merged yet
+}
+
+// head is a story's next event.
+func (m *merger) head(story int) *Event { return &m.stories[story][m.next[story]] }
+
+// choose is the story whose next event comes first, -1 if all have ended. Among those
+// that do not come too early it is the one with the earliest wall clock. If the clocks or
+// lost recordings leave only events that do, their wall clocks decide.
+func (m *merger) choose() int {
+	best, bestTooEarly := -1, false
+	for i := range m.stories {
+		if m.next[i] == len(m.stories[i]) {
+			continue
+		}
+		tooEarly := m.tooEarly(i)
+		switch {
+		case best < 0, bestTooEarly && !tooEarly:
+		case bestTooEarly == tooEarly && m.head(i).Wall.Before(m.head(best).Wall):
+		default:
+			continue
+		}
+		best, bestTooEarly = i, tooEarly
+	}
+	return best
+}
+
+// tooEarly tells whether a story's next event knows of a revision whose transaction is
+// still to come in another story.
+func (m *merger) tooEarly(story int) bool {
+	known := m.head(story).AppliedRevision
+	for other := range m.stories {
+		if other == story {
+			continue
+		}
+		if revision := m.pendingRevision(other); revision > 0 && known >= revision {
+			return true
+		}
+	}
+	return false
+}
+
+// pendingRevision is the next revision that a story's transactions make, 0 if none.
+func (m *merger) pendingRevision(story int) uint64 {
+	for _, event := range m.stories[story][m.next[story]:] {
+		if event.CommittedRevision > 0 {
+			return event.CommittedRevision
+		}
+	}
+	return 0
+}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -18,28 +19,28 @@
 	"silvergate/internal/recorder"
 )
 
-// TestMergedStoriesGoByRevisions draws what happened at several nodes with clocks that
-// are apart: the merged story keeps each node's order, and none knows of a revision
-// before it is made.
+// TestMergedStoriesGoByRevisions draws the events of several nodes whose clocks differ:
+// the merged story keeps each node's order, and none knows of a revision before it is
+// made.
 func TestMergedStoriesGoByRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 4).Draw(t, "nodes")
-		stories := make([][]Line, nodes)
-		ledger, off := make([]uint64, nodes), make([]time.Duration, nodes)
+		stories := make([][]Event, nodes)
+		applied, off := make([]uint64, nodes), make([]time.Duration, nodes)
 		for i := range off {
 			off[i] = time.Duration(rapid.IntRange(-20, 20).Draw(t, "off")) * time.Millisecond
 		}
 		rev := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "lines") {
 			n := rapid.IntRange(0, nodes-1).Draw(t, "node")
-			l := Line{Wall: time.Unix(0, 0).Add(time.Duration(i)*time.Millisecond + off[n]), Node: fmt.Sprint(n), Text: fmt.Sprint(i)}
+			l := Event{Wall: time.Unix(0, 0).Add(time.Duration(i)*time.Millisecond + off[n]), Node: fmt.Sprint(n), Text: fmt.Sprint(i)}
 			if rapid.Bool().Draw(t, "commits") {
 				rev++
-				l.Commits = rev
+				l.CommittedRevision = rev
 			}
-			ledger[n] = max(ledger[n], uint64(rapid.IntRange(0, int(rev)).Draw(t, "ledger")))
-			if l.Ledger = ledger[n]; l.Commits > 0 && l.Ledger >= l.Commits {
-				l.Ledger, ledger[n] = l.Commits-1, l.Commits-1
+			applied[n] = max(applied[n], uint64(rapid.IntRange(0, int(rev)).Draw(t, "applied")))
+			if l.AppliedRevision = applied[n]; l.CommittedRevision > 0 && l.AppliedRevision >= l.CommittedRevision {
+				l.AppliedRevision, applied[n] = l.CommittedRevision-1, l.CommittedRevision-1
 			}
 			stories[n] = append(stories[n], l)
 		}
@@ -49,24 +50,24 @@
 		for _, l := range out {
 			n := int(l.Node[0] - '0')
 			if stories[n][at[n]] != l {
-				t.Fatalf("node %d's line %d is %v", n, at[n], l)
+				t.Fatalf("node %d's event %d is %v", n, at[n], l)
 			}
 			at[n]++
-			if l.Ledger > made {
+			if l.AppliedRevision > made {
 				t.Fatalf("%v comes before revision %d is made", l, made+1)
 			}
-			made = max(made, l.Commits)
+			made = max(made, l.CommittedRevision)
 		}
 		for n := range stories {
 			if at[n] != len(stories[n]) {
-				t.Fatalf("%d of node %d's %d lines are told", at[n], n, len(stories[n]))
+				t.Fatalf("%d of node %d's %d events are merged", at[n], n, len(stories[n]))
 			}
 		}
 	})
 }
 
-// recorded makes a recording of a controller that claims a machine and commits an
-// ending there, against answers written here.
+// recorded makes a recording of a controller that claims a machine and tells it to kill a
+// task that no record knows, against replies written here.
 func recorded(t *testing.T, o recorder.Options) {
 	t.Helper()
 	cfg := &config.Settings{Node: "n0", Zone: "a", Operator: config.DefaultOperator()}
@@ -86,27 +87,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tape := coordination.NewRecordedCore(core, w)
+	recordedCore := coordination.NewRecordedCore(core, w)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	at, rev := time.Duration(0), uint64(100)
 	clock := func() coordination.Timestamp {
 		return coordination.Timestamp{Steady: at, Wall: time.Unix(1000, 0).Add(at)}
 	}
 	var todo []protocol.Call
-	var tally, baton uint64
+	var sequence, token uint64
 	for i := range 600 {
 		at += 50 * time.Millisecond
-		todo = append(todo, tape.Tick(clock()).Calls...)
+		todo = append(todo, recordedCore.Tick(clock()).Calls...)
 		if i%20 == 10 {
-			tally++
-			r := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: baton,
+			sequence++
+			r := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: token,
 				Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}}}
-			todo = append(todo, tape.Request(clock(), tally, "POST", protocol.PathHeartbeat, protocol.Encode(r)).Calls...)
+			todo = append(todo, recordedCore.Request(clock(), sequence, http.MethodPost, protocol.PathHeartbeat, protocol.Encode(r)).Calls...)
 		}
 		for len(todo) > 0 && rnd.IntN(3) > 0 {
 			k := todo[0]
 			todo = todo[1:]
-			reply := protocol.Reply{ID: k.ID, Status: 200, Sent: true, Body: []byte(`{}`)}
+			reply := protocol.Reply{ID: k.ID, Status: http.StatusOK, Sent: true, Body: []byte(`{}`)}
 			switch {
 			case strings.HasPrefix(k.Path, protocol.PathKeys+"?"):
 				reply.Body = protocol.Encode(protocol.KeyValuePage{Revision: rev})
@@ -116,14 +117,14 @@
 				rev++
 				reply.Body = protocol.Encode(protocol.TxnResult{Revision: rev})
 				if strings.Contains(string(k.Body), "i-000001") {
-					baton = rev
+					token = rev
 				}
 			case k.Path == protocol.PathLeases:
 				reply.Body = protocol.Encode(protocol.LeaseResponse{Lease: 1})
 			default:
-				reply.Status = 503
+				reply.Status = http.StatusServiceUnavailable
 			}
-			todo = append(todo, tape.Reply(clock(), reply).Calls...)
+			todo = append(todo, recordedCore.Reply(clock(), reply).Calls...)
 		}
 	}
 	if err := w.Close(); err != nil {
@@ -131,20 +132,20 @@
 	}
 }
 
-// TestAStoryIsTold replays a recording of several segments and looks for what must be
-// told of a machine and of a task that no record knows.
-func TestAStoryIsTold(t *testing.T) {
+// TestStoryOfAMachineAndATask replays a recording of several segments and looks for what
+// the story must say of a machine and of a task that no record knows.
+func TestStoryOfAMachineAndATask(t *testing.T) {
 	dir := t.TempDir()
 	recorded(t, recorder.Options{Dir: dir, Max: 1 << 20, Segment: 2 << 10, Flush: 2 * time.Second})
-	lives, err := Open([]string{dir})
-	if err != nil || len(lives) != 1 || len(lives[0].Files) < 2 {
-		t.Fatalf("%v: %v", lives, err)
+	incarnations, err := Open([]string{dir})
+	if err != nil || len(incarnations) != 1 || len(incarnations[0].Files) < 2 {
+		t.Fatalf("%v: %v", incarnations, err)
 	}
-	at, err := ParseTime("1s", lives[0].Begin)
+	at, err := ParseTime("1s", incarnations[0].Begin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := lives[0].Play(Options{Names: []string{"i-000001", "wk-700000/0"}, At: at})
+	r, err := incarnations[0].Play(Options{Names: []string{"i-000001", "wk-700000/0"}, At: at})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +167,7 @@
 	}
 
 	// The process was killed while it wrote the last frame; then the beginning is lost.
-	last := lives[0].Files[len(lives[0].Files)-1]
+	last := incarnations[0].Files[len(incarnations[0].Files)-1]
 	raw, err := os.ReadFile(last)
 	if err != nil {
 		t.Fatal(err)
@@ -174,11 +175,11 @@
 	if err := os.WriteFile(last, raw[:len(raw)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	torn, err := lives[0].Play(Options{})
+	torn, err := incarnations[0].Play(Options{})
 	if err != nil || !torn.Torn || torn.Inputs >= r.Inputs || torn.Different > 0 {
 		t.Errorf("after a kill: %+v, %v", torn, err)
 	}
-	if err := os.Remove(lives[0].Files[0]); err != nil {
+	if err := os.Remove(incarnations[0].Files[0]); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open([]string{dir}); err == nil || !strings.Contains(err.Error(), "from its beginning") {
@@ -186,8 +187,8 @@
 	}
 }
 
-// TestTimes reads what operators may write.
-func TestTimes(t *testing.T) {
+// TestParseTime reads what operators may write.
+func TestParseTime(t *testing.T) {
 	first := time.Unix(1000, 0)
 	for in, want := range map[string]time.Time{"": {}, "90.5s": first.Add(90500 * time.Millisecond), "2026-12-01T06:00:00Z": time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)} {
 		if got, err := ParseTime(in, first); err != nil || !got.Equal(want) {
@@ -199,6 +200,7 @@
 	}
 }
 
+// TestOtherFilesAreNamed opens a file that is no recording.
 func TestOtherFilesAreNamed(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "x.rec")
 	if err := os.WriteFile(f, []byte("something else, and long enough for a header"), 0o600); err != nil {
