--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"io"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -13,9 +14,10 @@
 	"pgregory.net/rapid"
 )
 
+// drawn draws an input.
 func drawn(t *rapid.T) Input {
 	return Input{Kind: Kind(rapid.IntRange(1, 4).Draw(t, "kind")), Steady: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "steady")),
-		Wall: rapid.Int64().Draw(t, "wall"), ID: rapid.Uint64().Draw(t, "id"), Method: rapid.SampledFrom([]string{"", "GET", "POST"}).Draw(t, "method"),
+		Wall: rapid.Int64().Draw(t, "wall"), ID: rapid.Uint64().Draw(t, "id"), Method: rapid.SampledFrom([]string{"", http.MethodGet, http.MethodPost}).Draw(t, "method"),
 		Path: rapid.String().Draw(t, "path"), Status: rapid.IntRange(0, 599).Draw(t, "status"), Sent: rapid.Bool().Draw(t, "sent"),
 		From: rapid.StringN(0, 8, 16).Draw(t, "from"), Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body"), Effects: rapid.Uint64().Draw(t, "effects")}
 }
@@ -27,7 +29,7 @@
 		x.Path == y.Path && x.Status == y.Status && x.Sent == y.Sent && x.From == y.From && x.Effects == y.Effects
 }
 
-// read reads what a recording holds, until its end or a fault.
+// read reads a recording up to its end or an error.
 func read(raw []byte) (out []Input, err error) {
 	r, err := NewReader(bytes.NewReader(raw))
 	if err != nil {
@@ -53,7 +55,7 @@
 		for i := range inputs {
 			w.Put(&inputs[i])
 			if rapid.Bool().Draw(t, "cut") {
-				w.cut()
+				w.endFrame()
 			}
 		}
 		if err := w.Close(); err != nil {
@@ -92,12 +94,12 @@
 func TestRecordingsKeepToTheirBound(t *testing.T) {
 	dir := t.TempDir()
 	o := Options{Dir: dir, Max: 40 << 10, Segment: 8 << 10, Flush: time.Nanosecond}
-	for life := int64(1); life <= 2; life++ {
-		w, err := NewWriter(o, Header{Node: "north-0", Life: life})
+	for incarnation := int64(1); incarnation <= 2; incarnation++ {
+		w, err := NewWriter(o, Header{Node: "north-0", Life: incarnation})
 		if err != nil {
 			t.Fatal(err)
 		}
-		x := uint64(life)
+		x := uint64(incarnation)
 		for i := range 3000 {
 			body := make([]byte, 64)
 			for j := range body { // what can't be compressed
@@ -105,7 +107,7 @@
 				body[j] = byte(x >> 56)
 			}
 			w.Put(&Input{Kind: Tick, Steady: time.Duration(i), Body: body})
-			for len(w.frames) > waiting/2 {
+			for len(w.frames) > maxWaitingFrames/2 {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -129,18 +131,18 @@
 		t.Errorf("the segments take %d bytes, with a bound of %d", total, o.Max)
 	}
 	if !strings.Contains(filepath.Base(files[0]), "-00000000000000000002-") {
-		t.Errorf("the oldest that is kept is %s, of the earlier life", files[0])
+		t.Errorf("the oldest that is kept is %s, of the earlier incarnation", files[0])
 	}
 }
 
 // TestASlowDiskEndsTheRecording guards against a core that waits for its recorder, and
-// against a recording with a hole in it.
+// against a recording with a hole.
 func TestASlowDiskEndsTheRecording(t *testing.T) {
 	in, out := io.Pipe()
 	w := NewMemory(out, Header{Node: "n0"})
-	for i := range waiting + 4 {
+	for i := range maxWaitingFrames + 4 {
 		w.Put(&Input{Kind: Tick, Steady: time.Duration(i), ID: uint64(i)})
-		w.cut()
+		w.endFrame()
 	}
 	if err := w.Err(); err == nil || !strings.Contains(err.Error(), "too slow") {
 		t.Errorf("the recording goes on: %v", err)
@@ -161,11 +163,11 @@
 	}
 }
 
-// FuzzReader reads what anybody may have put into the folder.
+// FuzzReader reads arbitrary files.
 func FuzzReader(f *testing.F) {
 	var out bytes.Buffer
 	w := NewMemory(&out, Header{Node: "n0", Life: 7})
-	w.Put(&Input{Kind: Request, Method: "GET", Path: "/up"})
+	w.Put(&Input{Kind: Request, Method: http.MethodGet, Path: "/up"})
 	_ = w.Close()
 	f.Add(out.Bytes())
 	f.Add([]byte(Magic))
--- /dev/null
+++ b/internal/recorder/segments.go
@@ -0,0 +1,73 @@
+package recorder
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"sort"
+	"strconv"
+	"strings"
+)
+
+// extension ends the names of segments.
+const extension = ".rec"
+
+// segmentName is a segment's file name; the names of a node's segments sort by time.
+func segmentName(node string, incarnation int64, segment int) string {
+	return fmt.Sprintf("%s-%020d-%06d%s", node, incarnation, segment, extension)
+}
+
+// Segments lists the files of a node's recordings in a folder, oldest first; of all
+// nodes if node is "".
+func Segments(dir, node string) ([]string, error) {
+	files, err := filepath.Glob(filepath.Join(dir, "*"+extension))
+	if err != nil {
+		return nil, err
+	}
+	var segments []string
+	for _, file := range files {
+		if name, ok := nodeOf(file); ok && (node == "" || name == node) {
+			segments = append(segments, file)
+		}
+	}
+	sort.Strings(segments)
+	return segments, nil
+}
+
+// nodeOf is the node in a segment's file name; false if it is the name of no segment.
+func nodeOf(file string) (string, bool) {
+	parts := strings.Split(strings.TrimSuffix(filepath.Base(file), extension), "-")
+	if len(parts) < 3 {
+		return "", false
+	}
+	for _, number := range parts[len(parts)-2:] {
+		if _, err := strconv.ParseUint(number, 10, 64); err != nil {
+			return "", false
+		}
+	}
+	return strings.Join(parts[:len(parts)-2], "-"), true
+}
+
+// removeOldest removes a node's oldest segments until the rest takes no more than limit
+// bytes. It keeps the last one, which is being written.
+func removeOldest(dir, node string, limit int64) error {
+	files, err := Segments(dir, node)
+	if err != nil {
+		return err
+	}
+	total := int64(0)
+	sizes := make([]int64, len(files))
+	for i, file := range files {
+		if info, err := os.Stat(file); err == nil {
+			sizes[i] = info.Size()
+			total += sizes[i]
+		}
+	}
+	for i := 0; i < len(files)-1 && total > limit; i++ {
+		if err := os.Remove(files[i]); err != nil {
+			return err
+		}
+		total -= sizes[i]
+	}
+	return nil
+}
