--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -21,74 +21,50 @@
 	"silvergate/internal/transport"
 )
 
-// node wires the core to the transport. One lock orders everything that goes
-// into the core.
-type node struct {
-	mu        sync.Mutex
-	cfg       *config.Settings
-	log       *slog.Logger
-	core      *coordination.Core
-	in        inputs           // the core, or a recorder in front of it
-	recording *recorder.Writer // nil: off
-	start     time.Time
-	server    *transport.Server
-	page      *metrics.Page // nil: off
-	state     *transport.Pool
-	cloud     *transport.Pool
-	work      *transport.Pool
-	peers     map[string]*transport.OutLink
+// controller connects the core with the transport. One lock orders the core's inputs.
+type controller struct {
+	mu          sync.Mutex
+	cfg         *config.Settings
+	log         *slog.Logger
+	core        *coordination.Core
+	inputs      inputTaker       // the core, or a recorder in front of it
+	recording   *recorder.Writer // nil: off
+	start       time.Time        // of the process, and its incarnation
+	server      *transport.Server
+	metricsPage *metrics.Page // nil: off
+	stateCalls  *transport.Pool
+	cloudCalls  *transport.Pool
+	workerCalls *transport.Pool
+	peers       map[string]*transport.OutLink
+	ticks       tickTimer
+	connections connectionWarnings
 
-	now     time.Duration // when the step under way began
-	longest time.Duration
-	tick    *time.Timer
-	tickAt  time.Duration // when the next tick comes, by the steady clock
-	sweptAt time.Duration
+	stepBegan   time.Duration // when the step under way began, by the steady clock
+	longestStep time.Duration
+}
+
+// tickTimer has the core tick when it wants to.
+type tickTimer struct {
+	timer   *time.Timer
+	nextAt  time.Duration // by the steady clock; 0: not set
+	sweptAt time.Duration // the last sweep over connections
+}
 
-	refused  uint64 // connections, when operators were last told
+// connectionWarnings are the last warnings of refused connections.
+type connectionWarnings struct {
+	refused  uint64 // in all, at the last warning
 	warnedAt time.Duration
 }
 
-// inputs is what a core takes.
-type inputs interface {
+// inputTaker takes the inputs of a core.
+type inputTaker interface {
 	Request(coordination.Timestamp, uint64, string, string, []byte) coordination.Effects
 	Reply(coordination.Timestamp, protocol.Reply) coordination.Effects
 	Peer(coordination.Timestamp, string, peer.Message) coordination.Effects
 	Tick(coordination.Timestamp) coordination.Effects
 }
 
-// record puts a recorder in front of the core, if the operators want one.
-func (n *node) record(seed [2]uint64) error {
-	r := n.cfg.Operator.Recorder
-	if r == nil {
-		return nil
-	}
-	h, err := coordination.RecordingHeader(n.cfg, build(), n.start.UnixNano(), seed)
-	if err != nil {
-		return fmt.Errorf("recorder: %w", err)
-	}
-	const mb = 1 << 20
-	n.recording, err = recorder.NewWriter(recorder.Options{Dir: r.Dir, Max: int64(r.MaxMB * mb), Segment: int64(r.SegmentMB * mb), Flush: r.Flush}, h)
-	if err != nil {
-		return err
-	}
-	n.in = coordination.NewRecordedCore(n.core, n.recording)
-	n.log.Info("recording", "dir", r.Dir, "max_mb", r.MaxMB)
-	return nil
-}
-
-// build names this build, for recordings.
-func build() string {
-	out := version
-	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" || s.Key == "vcs.modified" && s.Value == "true" {
-				out += " " + s.Key[len("vcs."):] + " " + s.Value
-			}
-		}
-	}
-	return out
-}
-
+// newLogger writes lines of a level and above to standard error.
 func newLogger(level string) *slog.Logger {
 	l := slog.LevelInfo
 	switch level {
@@ -100,70 +76,105 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l}))
 }
 
+// memoryShare is which part of the memory the garbage collector keeps to: well below the
+// limit at which the process would be killed. The rest is for stacks, the runtime and
+// bursts.
+const memoryShare = 0.6
+
+// senderPatience is how long a request may take to arrive.
+const senderPatience = 10 * time.Second
+
+// serve runs a controller until its server fails.
 func serve(cfg *config.Settings) error {
 	level := os.Getenv("LOG_LEVEL")
 	if level == "" {
 		level = cfg.Operator.LogLevel
 	}
-	// The collector keeps well below the limit at which the process would be
-	// killed; the rest is for stacks, the runtime and bursts.
-	debug.SetMemoryLimit(int64(cfg.Facts.Limits.RAMMB * 0.6 * (1 << 20)))
-	n := &node{cfg: cfg, log: newLogger(level).With("node", cfg.Node), start: time.Now(), peers: map[string]*transport.OutLink{}}
-	// Requests from outside may use eight tenths of the sockets, calls to
-	// workers one; the rest is for the state service, the cloud and peers.
-	tenth := cfg.Facts.Limits.MaxSockets / 10
-	n.state, n.cloud, n.work = transport.NewPool(max(8, tenth/2)), transport.NewPool(tenth/4), transport.NewPool(tenth)
-	for _, p := range cfg.Peers {
-		n.peers[p.Node] = transport.NewOutLink(cfg.Node, p.Addr)
+	debug.SetMemoryLimit(int64(cfg.Facts.Limits.RAMMB * memoryShare * (1 << 20)))
+	n := &controller{
+		cfg:   cfg,
+		log:   newLogger(level).With("node", cfg.Node),
+		start: time.Now(),
+		peers: map[string]*transport.OutLink{},
 	}
-	seed := [2]uint64{rand.Uint64(), uint64(n.start.UnixNano())}
-	n.core = coordination.New(cfg, n.log, rand.New(rand.NewPCG(seed[0], seed[1])), n.start.UnixNano())
-	n.in = n.core
-	if err := n.record(seed); err != nil {
+	n.connect()
+	if err := n.startCore(); err != nil {
 		return err
 	}
-	if cfg.Operator.Metrics {
-		n.page = metrics.New(cfg.Node, n.figures)
-	}
-	n.server = transport.NewServer(&n.mu, n, 10*time.Second, 8*tenth)
-	n.server.ConnLimiter, n.server.Classify = connlimit.New(connlimit.Share(8*tenth)), class
-	// After its lease a worker has no use for a connection it says nothing on;
-	// it may be gone without a word.
-	n.server.Idle[connlimit.Worker] = time.Duration(cfg.Facts.Workers.Lease * float64(time.Second))
-	n.mu.Lock()
-	n.tick = time.AfterFunc(0, n.onTick)
-	n.mu.Unlock()
+	n.listen()
 	n.log.Info("serving", "bind", cfg.Listen, "back", cfg.Back)
 	return fmt.Errorf("serve: %w", n.server.Run(cfg.Listen, cfg.Back))
 }
 
-func (n *node) clock() coordination.Timestamp {
+// socketTenth is a tenth of the sockets that the process may open. Requests from outside
+// may use eight tenths, calls to workers one; the rest is for the state service, the
+// cloud and peers.
+func (n *controller) socketTenth() int { return n.cfg.Facts.Limits.MaxSockets / 10 }
+
+// connect makes the pools for calls and the links to the peers.
+func (n *controller) connect() {
+	tenth := n.socketTenth()
+	n.stateCalls = transport.NewPool(max(8, tenth/2))
+	n.cloudCalls = transport.NewPool(tenth / 4)
+	n.workerCalls = transport.NewPool(tenth)
+	for _, p := range n.cfg.Peers {
+		n.peers[p.Node] = transport.NewOutLink(n.cfg.Node, p.Addr)
+	}
+}
+
+// startCore makes the core, with a recorder in front if the operators want one.
+func (n *controller) startCore() error {
+	incarnation := n.start.UnixNano()
+	seed := [2]uint64{rand.Uint64(), uint64(incarnation)}
+	n.core = coordination.New(n.cfg, n.log, rand.New(rand.NewPCG(seed[0], seed[1])), incarnation)
+	n.inputs = n.core
+	return n.startRecording(seed)
+}
+
+// listen makes the server and begins to tick.
+func (n *controller) listen() {
+	if n.cfg.Operator.Metrics {
+		n.metricsPage = metrics.New(n.cfg.Node, n.figures)
+	}
+	maxConns := 8 * n.socketTenth()
+	n.server = transport.NewServer(&n.mu, n, senderPatience, maxConns)
+	n.server.ConnLimiter = connlimit.New(connlimit.Share(maxConns))
+	n.server.Classify = connectionClass
+	// After its lease a worker has no use for a connection without requests; it may have
+	// been deleted without closing it.
+	n.server.Idle[connlimit.Worker] = time.Duration(n.cfg.Facts.Workers.Lease * float64(time.Second))
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.ticks.timer = time.AfterFunc(0, n.onTick)
+}
+
+// clock begins a step: it reads the clocks. The lock must be held.
+func (n *controller) clock() coordination.Timestamp {
 	now := time.Now()
-	n.now = now.Sub(n.start)
-	return coordination.Timestamp{Steady: n.now, Wall: now}
+	n.stepBegan = now.Sub(n.start)
+	return coordination.Timestamp{Steady: n.stepBegan, Wall: now}
 }
 
 // Serve takes a request from the server, which holds the lock.
-func (n *node) Serve(id uint64, r *transport.Request) {
+func (n *controller) Serve(id uint64, r *transport.Request) {
 	path := r.Path
-	switch {
-	case n.page != nil && path == metrics.Path:
-		kind, body, err := n.page.Render()
-		if err == nil {
-			n.server.AnswerAs(id, kind, body)
+	switch path {
+	case metrics.Path:
+		if n.serveMetrics(id) {
 			return
 		}
-		n.log.Error("metrics can't be shown", "error", err)
-	case path == coordination.PathStats:
+	case coordination.PathStats:
 		n.core.Stats.Connections = n.server.ConnLimiter.Stats()
-	case r.Query != "" && (path == protocol.PathJobList || path == protocol.PathMachineList || path == protocol.PathDataSets):
-		path += "?" + r.Query
+	case protocol.PathJobList, protocol.PathMachineList, protocol.PathDataSets:
+		if r.Query != "" {
+			path += "?" + r.Query
+		}
 	}
-	n.do(n.in.Request(n.clock(), id, r.Method, path, r.Body))
+	n.apply(n.inputs.Request(n.clock(), id, r.Method, path, r.Body))
 }
 
-// class tells what a request's connection is used for.
-func class(r *transport.Request) connlimit.Class {
+// connectionClass tells what a request's connection is used for.
+func connectionClass(r *transport.Request) connlimit.Class {
 	switch {
 	case r.Path == protocol.PathHeartbeat:
 		return connlimit.Worker
@@ -173,139 +184,126 @@
 	return connlimit.Operator
 }
 
-// watchConnections tells operators, once a minute at the most, that the site has
+// warnOfConnections tells operators, once a minute at the most, that the site has
 // outgrown its controllers' sockets.
-func (n *node) watchConnections(now time.Duration) {
+func (n *controller) warnOfConnections(now time.Duration) {
 	s := n.server.ConnLimiter.Stats()
-	if (s.Refused == n.refused && !n.server.ConnLimiter.Tight()) || n.warnedAt > 0 && now-n.warnedAt < time.Minute {
+	if (s.Refused == n.connections.refused && !n.server.ConnLimiter.Tight()) || n.connections.warnedAt > 0 && now-n.connections.warnedAt < time.Minute {
 		return
 	}
 	n.log.Warn("more workers than sockets to keep for them: they connect anew for each report; give the controllers more sockets or add one",
-		"workers", s.Workers, "open", s.Open, "limit", s.Limit, "refused", s.Refused-n.refused, "released", s.Released)
-	n.refused, n.warnedAt = s.Refused, now
-}
-
-// watchRecording tells operators once that their recording has ended.
-func (n *node) watchRecording() {
-	if n.recording == nil || n.in == inputs(n.core) {
-		return
-	}
-	if err := n.recording.Err(); err != nil {
-		n.in = n.core
-		n.log.Error("the recording has ended; it can be replayed up to here", "error", err)
-	}
-}
-
-// figures are the core's counters for GET /metrics.
-func (n *node) figures() []metrics.Figure {
-	s := &n.core.Stats
-	counts := map[string]struct {
-		help string
-		v    uint64
-	}{
-		"submitted": {"Jobs accepted.", s.Submitted}, "cancelled": {"Jobs cancelled.", s.Cancelled},
-		"checkins": {"Reports taken.", s.Heartbeats}, "claims": {"Claims written.", s.Claims}, "adopted": {"Workers gone on with.", s.Adopted},
-		"placements": {"Tasks placed.", s.Placements}, "endings": {"Endings committed.", s.Completions},
-		"conflicts": {"Transactions that others were ahead of.", s.Conflicts}, "forwards": {"Tasks handed to peers.", s.Handoffs},
-		"preemptions": {"Tasks stopped for others.", s.Preemptions}, "rented": {"Machines rented.", s.MachinesRented}, "deleted": {"Machines returned.", s.MachinesDeleted},
-		"unavailable": {"Requests answered with 503.", s.Unavailable},
-	}
-	out := []metrics.Figure{{Name: "controller_longest_step_seconds", Help: "The longest step so far.", Value: s.LongestStepMS / 1000},
-		{Name: "controller_uptime_seconds", Help: "Time since the start.", Value: time.Since(n.start).Seconds()}}
-	d := n.server.ConnLimiter.Stats()
-	out = append(out, metrics.Figure{Name: "controller_connections", Help: "Connections open for requests.", Value: float64(d.Open)},
-		metrics.Figure{Name: "controller_connections_workers", Help: "Those of workers.", Value: float64(d.Workers)},
-		metrics.Figure{Name: "controller_connections_limit", Help: "How many may be open.", Value: float64(d.Limit)},
-		metrics.Figure{Name: "controller_connections_refused", Help: "Connections refused as the limit was reached.", Value: float64(d.Refused), Count: true},
-		metrics.Figure{Name: "controller_connections_released", Help: "Connections closed with an answer to make room.", Value: float64(d.Released), Count: true})
-	for name, c := range counts {
-		out = append(out, metrics.Figure{Name: "controller_" + name, Help: c.help, Value: float64(c.v), Count: true})
-	}
-	return out
+		"workers", s.Workers, "open", s.Open, "limit", s.Limit, "refused", s.Refused-n.connections.refused, "released", s.Released)
+	n.connections.refused, n.connections.warnedAt = s.Refused, now
 }
 
 // Decode reads a peer's message.
-func (n *node) Decode(dec *gob.Decoder) (any, error) {
+func (n *controller) Decode(dec *gob.Decoder) (any, error) {
 	var w peer.WireMessage
 	err := dec.Decode(&w)
 	return w.Message(), err
 }
 
 // Message takes a peer's message; the server holds the lock.
-func (n *node) Message(from string, m any) {
-	n.do(n.in.Peer(n.clock(), from, m.(peer.Message)))
+func (n *controller) Message(from string, m any) {
+	n.apply(n.inputs.Peer(n.clock(), from, m.(peer.Message)))
 }
 
-// onTick lets time pass. The timer is the node's own: evio's would wake two
-// threads for each tick.
-func (n *node) onTick() {
+// onTick lets time pass. The timer is the controller's own: evio's would wake two threads
+// for each tick.
+func (n *controller) onTick() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tickAt = 0
+	n.ticks.nextAt = 0
 	t := n.clock()
-	if t.Steady-n.sweptAt > time.Second {
-		n.sweptAt = t.Steady
+	if t.Steady-n.ticks.sweptAt > time.Second {
+		n.ticks.sweptAt = t.Steady
 		n.server.Sweep(t.Wall)
-		n.watchConnections(t.Steady)
-		n.watchRecording()
+		n.warnOfConnections(t.Steady)
+		n.checkRecording()
 	}
-	var late time.Time
-	for _, p := range []*transport.Pool{n.state, n.cloud, n.work} {
-		if at := p.Expire(t.Wall); !at.IsZero() && (late.IsZero() || at.Before(late)) {
-			late = at
-		}
+	nextExpiry := n.expireCalls(t.Wall)
+	n.apply(n.inputs.Tick(t))
+	if !nextExpiry.IsZero() {
+		n.tickWithin(nextExpiry.Sub(t.Wall))
 	}
-	n.do(n.in.Tick(t))
-	if !late.IsZero() {
-		n.tickWithin(late.Sub(t.Wall))
+}
+
+// expireCalls ends the calls whose time is over, and returns when the next one's will be;
+// the zero time if there is none.
+func (n *controller) expireCalls(now time.Time) (next time.Time) {
+	for _, pool := range []*transport.Pool{n.stateCalls, n.cloudCalls, n.workerCalls} {
+		if at := pool.Expire(now); !at.IsZero() && (next.IsZero() || at.Before(next)) {
+			next = at
+		}
 	}
+	return next
 }
 
-// tickWithin has the next tick come no later than that.
-func (n *node) tickWithin(d time.Duration) {
+// tickWithin has the next tick come no later than d after the step began.
+func (n *controller) tickWithin(d time.Duration) {
 	d = max(d, time.Millisecond)
-	if n.tickAt == 0 || n.now+d < n.tickAt {
-		n.tickAt = n.now + d
-		n.tick.Reset(d)
+	if n.ticks.nextAt == 0 || n.stepBegan+d < n.ticks.nextAt {
+		n.ticks.nextAt = n.stepBegan + d
+		n.ticks.timer.Reset(d)
 	}
 }
 
-func (n *node) do(e coordination.Effects) {
-	for _, a := range e.Responses {
-		n.server.AnswerFor(a.ID, a.Status, a.Body, a.RetryAfter, a.Urgent)
+// apply does what a step wants done. The lock must be held.
+func (n *controller) apply(effects coordination.Effects) {
+	for _, response := range effects.Responses {
+		n.server.AnswerFor(response.ID, response.Status, response.Body, response.RetryAfter, response.Urgent)
 	}
-	for _, s := range e.Sends {
-		if l := n.peers[s.To]; l != nil {
-			l.Send(s.Message.Wire())
+	for _, send := range effects.Sends {
+		if link := n.peers[send.To]; link != nil {
+			link.Send(send.Message.Wire())
 		}
 	}
-	for _, k := range e.Calls {
-		n.fetch(k)
+	for _, call := range effects.Calls {
+		n.startCall(call)
 	}
 	n.tickWithin(n.core.Due())
-	if d := time.Since(n.start) - n.now; d > n.longest {
-		n.longest = d
-		n.core.Stats.LongestStepMS = float64(d.Microseconds()) / 1000
-		n.log.Debug("longest step so far", "ms", n.core.Stats.LongestStepMS)
+	n.measureStep()
+}
+
+// measureStep notes how long the step under way has taken, if it is the longest so far.
+func (n *controller) measureStep() {
+	duration := time.Since(n.start) - n.stepBegan
+	if duration <= n.longestStep {
+		return
 	}
+	n.longestStep = duration
+	n.core.Stats.LongestStepMS = float64(duration.Microseconds()) / 1000
+	n.log.Debug("longest step so far", "ms", n.core.Stats.LongestStepMS)
 }
 
-func (n *node) fetch(k protocol.Call) {
-	pool, addr := n.work, k.Address
-	switch k.Target {
+// startCall sends a call; what comes of it is an input of the core.
+func (n *controller) startCall(call protocol.Call) {
+	pool, addr := n.workerCalls, call.Address
+	switch call.Target {
 	case protocol.ToStateService:
-		pool, addr = n.state, n.cfg.Services.State
+		pool, addr = n.stateCalls, n.cfg.Services.State
 	case protocol.ToCloud:
-		pool, addr = n.cloud, n.cfg.Services.Cloud
+		pool, addr = n.cloudCalls, n.cfg.Services.Cloud
 	}
-	pool.Start(transport.Call{Addr: addr, Method: k.Method, Target: k.Path, Body: k.Body, Timeout: k.Timeout,
+	pool.Start(transport.Call{
+		Addr:    addr,
+		Method:  call.Method,
+		Target:  call.Path,
+		Body:    call.Body,
+		Timeout: call.Timeout,
 		Done: func(r *transport.Response, sent bool, err error) {
-			rep := protocol.Reply{ID: k.ID, Sent: sent}
-			if err == nil {
-				rep.Status, rep.Body, rep.RetryAfter = r.Status, r.Body, r.RetryAfter
-			}
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			n.do(n.in.Reply(n.clock(), rep))
-		}})
+			n.finishCall(call.ID, r, sent, err)
+		},
+	})
+}
+
+// finishCall hands the core the reply to a call, or its failure.
+func (n *controller) finishCall(id uint64, r *transport.Response, sent bool, err error) {
+	reply := protocol.Reply{ID: id, Sent: sent}
+	if err == nil {
+		reply.Status, reply.Body, reply.RetryAfter = r.Status, r.Body, r.RetryAfter
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.apply(n.inputs.Reply(n.clock(), reply))
 }
