--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -53,6 +53,7 @@
 	Ready func(addrs []net.Addr)
 }
 
+// conn is an open connection.
 type conn struct {
 	ev      evio.Conn
 	id      uint64 // the id of the request being served, or 0
@@ -90,62 +91,18 @@
 	if peerAddr != "" && s.peers == nil {
 		return errors.New("the handler takes no peer links")
 	}
-	ev := evio.Events{NumLoops: 1}
-	ev.Serving = func(e evio.Server) evio.Action {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.addrs, s.began = e.Addrs, time.Now()
-		if s.Ready != nil {
-			s.Ready(e.Addrs)
-		}
-		return evio.None
-	}
-	ev.Opened = func(c evio.Conn) ([]byte, evio.Options, evio.Action) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.stopping {
-			return nil, evio.Options{}, evio.Shutdown
-		}
-		k := &conn{ev: c, started: time.Now()}
-		c.SetContext(k)
-		s.open[k] = true
-		if c.AddrIndex() == 1 {
-			k.peer = newInLink()
-		} else if k.entered = s.ConnLimiter.Enter(); !k.entered {
-			return AppendResponse(nil, http.StatusServiceUnavailable, []byte(`{"error":"too many connections"}`), 1, true), evio.Options{}, evio.Close
-		}
-		return nil, evio.Options{ReuseInputBuffer: true}, evio.None
-	}
-	ev.Closed = func(c evio.Conn, _ error) evio.Action {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if k, ok := c.Context().(*conn); ok {
-			if k.entered {
-				s.ConnLimiter.Leave(k.class)
-			}
-			delete(s.conns, k.id)
-			delete(s.open, k)
-			k.closing = true
-		}
-		return evio.None
-	}
-	ev.Data = func(c evio.Conn, in []byte) ([]byte, evio.Action) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		k := c.Context().(*conn)
-		if k.peer != nil {
-			if err := k.peer.feed(in, s.peers); err != nil {
-				return nil, evio.Close
-			}
-			return nil, evio.None
-		}
-		return s.data(k, in)
-	}
 	addrs := []string{"tcp4://" + httpAddr}
 	if peerAddr != "" {
 		addrs = append(addrs, "tcp4://"+peerAddr)
 	}
-	err := evio.Serve(ev, addrs...)
+	events := evio.Events{
+		NumLoops: 1,
+		Serving:  s.onServing,
+		Opened:   s.onOpened,
+		Closed:   s.onClosed,
+		Data:     s.onData,
+	}
+	err := evio.Serve(events, addrs...)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -157,27 +114,91 @@
 	return errors.New("event loop ended")
 }
 
-// Stop ends Run. evio's loop looks up only when something arrives, so a
-// connection of our own is what tells it.
+// peerAddrIndex is the index of the address for peer links among those of Run.
+const peerAddrIndex = 1
+
+// onServing is called by the loop when it listens.
+func (s *Server) onServing(e evio.Server) evio.Action {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addrs, s.began = e.Addrs, time.Now()
+	if s.Ready != nil {
+		s.Ready(e.Addrs)
+	}
+	return evio.None
+}
+
+// onOpened is called by the loop for each new connection.
+func (s *Server) onOpened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopping {
+		return nil, evio.Options{}, evio.Shutdown
+	}
+	k := &conn{ev: c, started: time.Now()}
+	c.SetContext(k)
+	s.open[k] = true
+	if c.AddrIndex() == peerAddrIndex {
+		k.peer = newInLink()
+	} else if k.entered = s.ConnLimiter.Enter(); !k.entered {
+		refusal := AppendResponse(nil, http.StatusServiceUnavailable, []byte(`{"error":"too many connections"}`), 1, true)
+		return refusal, evio.Options{}, evio.Close
+	}
+	return nil, evio.Options{ReuseInputBuffer: true}, evio.None
+}
+
+// onClosed is called by the loop when a connection has been closed.
+func (s *Server) onClosed(c evio.Conn, _ error) evio.Action {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	k, ok := c.Context().(*conn)
+	if !ok {
+		return evio.None
+	}
+	if k.entered {
+		s.ConnLimiter.Leave(k.class)
+	}
+	delete(s.conns, k.id)
+	delete(s.open, k)
+	k.closing = true
+	return evio.None
+}
+
+// onData is called by the loop when a connection has data, or was woken.
+func (s *Server) onData(c evio.Conn, in []byte) ([]byte, evio.Action) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	k := c.Context().(*conn)
+	if k.peer == nil {
+		return s.data(k, in)
+	}
+	if err := k.peer.feed(in, s.peers); err != nil {
+		return nil, evio.Close
+	}
+	return nil, evio.None
+}
+
+// Stop ends Run. evio's loop wakes only when something arrives, so Stop opens a connection
+// to it.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	s.stopping = true
 	addrs, began := s.addrs, s.began
 	s.mu.Unlock()
 	if len(addrs) > 0 {
-		time.Sleep(leastLife - time.Since(began))
+		time.Sleep(minServeTime - time.Since(began))
 		if c, err := net.DialTimeout("tcp4", addrs[0].String(), time.Second); err == nil {
 			c.Close()
 		}
 	}
 }
 
-// leastLife is how long a server has served when it is stopped.
+// minServeTime is how long a server has served at least when it is stopped.
 //
-// Guards against a Run that never returns: evio v1.0.8 starts its loop and then waits for the loop's
-// signal that it has ended; a loop that ends before that, on a machine so busy that the wait has not begun, is
-// waited for for ever. (A test run of ten minutes, docs/incidents.)
-const leastLife = 100 * time.Millisecond
+// Guards against a Run that never returns: evio v1.0.8 starts its loop and then waits for
+// the loop's signal that it has ended. A loop that ends before the wait has begun, on a
+// very busy machine, is waited for for ever. (A test run of ten minutes, docs/incidents.)
+const minServeTime = 100 * time.Millisecond
 
 // Sweep cuts off slow senders and connections that nobody uses. It is to be
 // called about once a second, with the lock held.
@@ -190,14 +211,16 @@
 			k.closing = true
 			k.ev.Wake()
 		case now.Sub(k.started) > s.Idle[k.class]:
-			// Guards against connections whose other end is gone without a
-			// word: they would fill the limit in time.
+			// Guards against connections whose other end failed without closing
+			// them: they would fill the limit in time.
 			k.closing = true
 			k.ev.Wake()
 		}
 	}
 }
 
+// data takes what arrived on an HTTP connection and serves the requests in it. It returns
+// the responses that are ready. The loop calls it without data after a Wake.
 func (s *Server) data(k *conn, in []byte) ([]byte, evio.Action) {
 	k.inside = true
 	if len(in) > 0 && !k.closing {
