--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -11,12 +11,20 @@
 )
 
 // A peer link carries gob values one way, each in a frame with its length in
-// front. One encoder and one decoder serve a link for its whole life, so that
-// type descriptions cross once. The first frame is a greeting with the
+// front. One encoder and one decoder serve a link as long as it is open, so that
+// type descriptions are sent once. The first frame is a greeting with the
 // sender's name.
 
-const maxFrame = 1 << 20
+const (
+	frameHead      = 4        // bytes of a frame's length
+	maxFrame       = 1 << 20  // bytes
+	maxQueued      = 256      // messages that wait to be sent on a link
+	maxFrameBuffer = 64 << 10 // bytes of the largest buffer that a link keeps
+	writeTimeout   = 2 * time.Second
+	dialTimeout    = time.Second
+)
 
+// inLink is the receiving side of a peer link.
 type inLink struct {
 	buf  []byte
 	data bytes.Buffer
@@ -30,19 +38,20 @@
 	return l
 }
 
+// feed takes what arrived on the link and hands the handler each whole message.
 func (l *inLink) feed(in []byte, h PeerHandler) error {
 	l.buf = append(l.buf, in...)
-	for len(l.buf) >= 4 {
+	for len(l.buf) >= frameHead {
 		n := int(binary.BigEndian.Uint32(l.buf))
 		if n > maxFrame {
 			return errors.New("frame too large")
 		}
-		if len(l.buf) < 4+n {
+		if len(l.buf) < frameHead+n {
 			return nil
 		}
 		l.data.Reset()
-		l.data.Write(l.buf[4 : 4+n])
-		l.buf = append(l.buf[:0], l.buf[4+n:]...)
+		l.data.Write(l.buf[frameHead : frameHead+n])
+		l.buf = append(l.buf[:0], l.buf[frameHead+n:]...)
 		if l.from == "" {
 			if err := l.dec.Decode(&l.from); err != nil || l.from == "" {
 				return errors.New("bad greeting")
@@ -58,8 +67,8 @@
 	return nil
 }
 
-// OutLink is the sending side of a peer link. It connects by itself and drops
-// what it can't send: peer messages only save time.
+// OutLink is the sending side of a peer link. It connects when there is something to send,
+// and drops what it can't send: peer messages only save time.
 type OutLink struct {
 	self, addr string
 	mu         sync.Mutex
@@ -74,10 +83,10 @@
 	return l
 }
 
-// Send queues a message, unless too many wait already.
+// Send queues a message, unless too many wait already. It does not block.
 func (l *OutLink) Send(m any) {
 	l.mu.Lock()
-	if len(l.queue) < 256 {
+	if len(l.queue) < maxQueued {
 		l.queue = append(l.queue, m)
 	}
 	l.mu.Unlock()
@@ -87,6 +96,7 @@
 	}
 }
 
+// run sends what is queued, as long as the process runs.
 func (l *OutLink) run() {
 	var c net.Conn
 	var enc *gob.Encoder
@@ -94,19 +104,19 @@
 	// Each value gets a frame of its own; all that waits is written at once, so
 	// that the peer is woken once.
 	put := func(m any) error {
-		at := buf.Len()
-		buf.Write([]byte{0, 0, 0, 0})
+		head := buf.Len()
+		buf.Write(make([]byte, frameHead))
 		if err := enc.Encode(m); err != nil {
 			return err
 		}
-		binary.BigEndian.PutUint32(buf.Bytes()[at:], uint32(buf.Len()-at-4))
+		binary.BigEndian.PutUint32(buf.Bytes()[head:], uint32(buf.Len()-head-frameHead))
 		return nil
 	}
 	send := func(q []any) error {
 		buf.Reset()
 		if c == nil {
 			var err error
-			if c, err = net.DialTimeout("tcp4", l.addr, time.Second); err != nil {
+			if c, err = net.DialTimeout("tcp4", l.addr, dialTimeout); err != nil {
 				return err
 			}
 			enc = gob.NewEncoder(&buf)
@@ -119,9 +129,9 @@
 		}
 		rest, err := writeNow(c, buf.Bytes())
 		if err == nil && len(rest) > 0 {
-			_ = c.SetWriteDeadline(time.Now().Add(2 * time.Second))
+			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			_, err = c.Write(rest)
-			_ = c.SetWriteDeadline(time.Time{}) // a timer less
+			_ = c.SetWriteDeadline(time.Time{}) // one timer less to wake for
 		}
 		return err
 	}
@@ -134,7 +144,7 @@
 			c.Close()
 			c = nil
 		}
-		if buf.Cap() > 64<<10 {
+		if buf.Cap() > maxFrameBuffer {
 			buf = bytes.Buffer{}
 		}
 	}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -23,17 +23,17 @@
 // A pool has no clock: its owner calls Expire now and then. A timer for each
 // request would wake the process for requests that were answered long before.
 type Pool struct {
-	mu    sync.Mutex
-	limit int
-	conns map[*outConn]bool          // all that are open or being opened
-	idle  map[string][]*list.Element // by address, the latest used last
-	order *list.List                 // of idle *outConn, the latest used first
+	mu        sync.Mutex
+	limit     int
+	conns     map[*outConn]bool          // all that are open or being opened
+	idle      map[string][]*list.Element // by address, the latest used last
+	idleByUse *list.List                 // of idle *outConn, the latest used first
 }
 
-// Call is a request, and who takes its outcome: a response or an error. sent is
-// false when the request certainly never left, true when it may have been
-// executed. A request is never sent twice: what was given up on may still be
-// executed much later, and whoever asked has to know that.
+// Call is a request. Done is called once with its outcome, a response or an error, by
+// another goroutine. sent is false when the request certainly was not sent, true when it
+// may have been executed. A request is never sent twice: one that timed out may still be
+// executed much later, and the caller has to know that.
 type Call struct {
 	Addr, Method, Target string
 	Body                 []byte
@@ -41,36 +41,38 @@
 	Done                 func(r *Response, sent bool, err error)
 }
 
+// outConn is a connection that is open or being opened.
 type outConn struct {
-	addr   string
-	c      net.Conn           // nil while it is being opened
-	cancel context.CancelFunc // ends that
-	br     *bufio.Reader
-	buf    []byte
-	used   time.Time
-	call   *Call       // under way
-	until  time.Time   // when that is given up
-	late   bool        // it was
-	rest   atomic.Bool // of its request is still being written
-	place  *list.Element
+	addr          string
+	conn          net.Conn           // nil while it is being opened
+	cancel        context.CancelFunc // ends that
+	reader        *bufio.Reader
+	requestBuffer []byte
+	usedAt        time.Time
+	call          *Call       // under way
+	deadline      time.Time   // when that is given up
+	timedOut      bool        // it was
+	writing       atomic.Bool // of its request is still being written
+	idleElement   *list.Element
 }
 
-const keepIdle = 30 * time.Second
+// maxIdle is how long a connection without requests is kept.
+const maxIdle = 30 * time.Second
 
 // NewPool makes a pool of at most limit connections.
 func NewPool(limit int) *Pool {
-	return &Pool{limit: max(1, limit), conns: map[*outConn]bool{}, idle: map[string][]*list.Element{}, order: list.New()}
+	return &Pool{limit: max(1, limit), conns: map[*outConn]bool{}, idle: map[string][]*list.Element{}, idleByUse: list.New()}
 }
 
 var (
-	errFull = errors.New("too many connections are open")
-	errLate = errors.New("no answer in time")
+	errFull    = errors.New("too many connections are open")
+	errTimeout = errors.New("no answer in time")
 )
 
 // Connections are checked by using them, so keep-alive probes would be in vain.
 var dialer = net.Dialer{KeepAlive: -1}
 
-// Start sends a request. Its outcome is taken by another goroutine.
+// Start sends a request. It does not block.
 func (p *Pool) Start(call Call) {
 	now := time.Now()
 	p.mu.Lock()
@@ -80,12 +82,12 @@
 		p.mu.Unlock()
 		go call.Done(nil, false, errFull)
 	case k != nil:
-		k.call, k.until = &call, now.Add(call.Timeout)
+		k.call, k.deadline = &call, now.Add(call.Timeout)
 		p.mu.Unlock()
 		k.send(&call)
 	default:
 		ctx, cancel := context.WithCancel(context.Background())
-		k = &outConn{addr: call.Addr, cancel: cancel, call: &call, until: now.Add(call.Timeout)}
+		k = &outConn{addr: call.Addr, cancel: cancel, call: &call, deadline: now.Add(call.Timeout)}
 		p.conns[k] = true
 		p.mu.Unlock()
 		go p.open(ctx, k)
@@ -110,33 +112,33 @@
 	k.cancel()
 	p.mu.Lock()
 	call := k.call
-	if err == nil && !p.conns[k] { // given up at the last moment
+	if err == nil && !p.conns[k] { // expired at the last moment
 		c.Close()
 		err = context.Canceled
 	}
 	if err != nil {
-		if k.late {
-			err = errLate
+		if k.timedOut {
+			err = errTimeout
 		}
 		delete(p.conns, k)
 		p.mu.Unlock()
 		call.Done(nil, false, err)
 		return
 	}
-	k.c, k.br = c, bufio.NewReaderSize(c, 4096)
+	k.conn, k.reader = c, bufio.NewReaderSize(c, 4096)
 	p.mu.Unlock()
 	k.send(call)
 	for {
-		r, err := ReadResponse(k.br)
+		r, err := ReadResponse(k.reader)
 		p.mu.Lock()
 		call := k.call
 		k.call = nil
 		open := p.conns[k]
 		// A response that comes before the whole request was written leaves
 		// the connection in no state to be used again.
-		if err != nil || r.Close || call == nil || !open || k.rest.Load() {
-			if err != nil && k.late {
-				err = errLate
+		if err != nil || r.Close || call == nil || !open || k.writing.Load() {
+			if err != nil && k.timedOut {
+				err = errTimeout
 			}
 			p.drop(k)
 			p.mu.Unlock()
@@ -151,27 +153,30 @@
 	}
 }
 
+// maxKeptBuffer is the size of the largest request buffer that a connection keeps.
+const maxKeptBuffer = 16 << 10
+
 // send writes a request. Should the socket not take it at once, another
 // goroutine writes the rest; an error ends the connection, which its reader
 // notices.
 func (k *outConn) send(call *Call) {
-	k.buf = AppendRequest(k.buf[:0], call.Method, call.Target, call.Addr, call.Body)
-	rest, err := writeNow(k.c, k.buf)
+	k.requestBuffer = AppendRequest(k.requestBuffer[:0], call.Method, call.Target, call.Addr, call.Body)
+	rest, err := writeNow(k.conn, k.requestBuffer)
 	switch {
 	case err != nil:
-		k.c.Close()
+		k.conn.Close()
 	case len(rest) > 0:
 		rest = append([]byte(nil), rest...)
-		k.rest.Store(true)
+		k.writing.Store(true)
 		go func() {
-			defer k.rest.Store(false)
-			if _, err := k.c.Write(rest); err != nil {
-				k.c.Close()
+			defer k.writing.Store(false)
+			if _, err := k.conn.Write(rest); err != nil {
+				k.conn.Close()
 			}
 		}()
 	}
-	if cap(k.buf) > 16<<10 {
-		k.buf = nil
+	if cap(k.requestBuffer) > maxKeptBuffer {
+		k.requestBuffer = nil
 	}
 }
 
@@ -203,19 +208,19 @@
 	return b[n:], nil
 }
 
-// Expire gives up on requests whose time is over. It returns when the next
-// one's will be, or the zero time.
+// Expire ends the calls whose time is over. It returns when the next one's will be, or
+// the zero time.
 func (p *Pool) Expire(now time.Time) (next time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for k := range p.conns {
 		switch {
 		case k.call == nil:
-		case now.After(k.until):
-			k.late = true
-			p.drop(k) // its goroutine tells who asked
-		case next.IsZero() || k.until.Before(next):
-			next = k.until
+		case now.After(k.deadline):
+			k.timedOut = true
+			p.drop(k) // its goroutine ends the call
+		case next.IsZero() || k.deadline.Before(next):
+			next = k.deadline
 		}
 	}
 	return next
@@ -225,25 +230,25 @@
 func (p *Pool) drop(k *outConn) {
 	p.unlist(k)
 	delete(p.conns, k)
-	if k.c != nil {
-		k.c.Close()
+	if k.conn != nil {
+		k.conn.Close()
 	} else {
 		k.cancel()
 	}
 }
 
-// take gives a kept connection, or room for a new one (nil, true); when the
+// take returns an idle connection, or room for a new one (nil, true); when the
 // limit is reached, the one that has been idle longest makes room.
 func (p *Pool) take(addr string, now time.Time) (k *outConn, ok bool) {
 	for q := p.idle[addr]; len(q) > 0; q = p.idle[addr] {
 		k := q[len(q)-1].Value.(*outConn)
-		if now.Sub(k.used) < keepIdle {
+		if now.Sub(k.usedAt) < maxIdle {
 			p.unlist(k)
 			return k, true
 		}
 		p.drop(k)
 	}
-	if e := p.order.Back(); e != nil && len(p.conns) >= p.limit {
+	if e := p.idleByUse.Back(); e != nil && len(p.conns) >= p.limit {
 		p.drop(e.Value.(*outConn))
 	}
 	return nil, len(p.conns) < p.limit
@@ -251,13 +256,13 @@
 
 // unlist takes a connection out of the idle lists.
 func (p *Pool) unlist(k *outConn) {
-	if k.place == nil {
+	if k.idleElement == nil {
 		return
 	}
-	p.order.Remove(k.place)
+	p.idleByUse.Remove(k.idleElement)
 	q := p.idle[k.addr]
 	for i := range q {
-		if q[i] == k.place {
+		if q[i] == k.idleElement {
 			q = append(q[:i], q[i+1:]...)
 			break
 		}
@@ -267,16 +272,16 @@
 	} else {
 		p.idle[k.addr] = q
 	}
-	k.place = nil
+	k.idleElement = nil
 }
 
 // put keeps a connection for later, and closes those that were of no use for
 // long.
 func (p *Pool) put(k *outConn) {
-	k.used = time.Now()
-	k.place = p.order.PushFront(k)
-	p.idle[k.addr] = append(p.idle[k.addr], k.place)
-	for e := p.order.Back(); k.used.Sub(e.Value.(*outConn).used) > keepIdle; e = p.order.Back() {
+	k.usedAt = time.Now()
+	k.idleElement = p.idleByUse.PushFront(k)
+	p.idle[k.addr] = append(p.idle[k.addr], k.idleElement)
+	for e := p.idleByUse.Back(); k.usedAt.Sub(e.Value.(*outConn).usedAt) > maxIdle; e = p.idleByUse.Back() {
 		p.drop(e.Value.(*outConn))
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -32,22 +32,25 @@
 // Server is one evio loop with two addresses: HTTP and peer links. Everything
 // it calls runs under one lock, shared with whoever steps the core.
 type Server struct {
-	mu       *sync.Mutex
-	handler  Handler
-	peers    PeerHandler // the handler, if it takes peer links
-	patience time.Duration
-	open     map[*conn]bool
-	conns    map[uint64]*conn
-	next     uint64
-	stopping bool
-	addrs    []net.Addr
-	began    time.Time // when the loop was started
-	// ConnLimiter decides which HTTP connections may be open. It may be replaced before
-	// Run, as may what tells it the use of a connection from a request, and how
-	// long one of a class may stay open without any.
+	mu             *sync.Mutex
+	handler        Handler
+	peers          PeerHandler // the handler, if it takes peer links
+	requestTimeout time.Duration
+	open           map[*conn]bool
+	conns          map[uint64]*conn
+	lastID         uint64
+	stopping       bool
+	addrs          []net.Addr
+	startedAt      time.Time // when the loop was started
+	// ConnLimiter decides which HTTP connections may be open. It may be replaced
+	// before Run.
 	ConnLimiter *connlimit.Limiter
-	Classify    func(*Request) connlimit.Class
-	Idle        [connlimit.Classes]time.Duration
+	// Classify tells the class of a connection from a request on it. It may be
+	// replaced before Run.
+	Classify func(*Request) connlimit.Class
+	// Idle is how long a connection of each class may stay open without requests. It
+	// may be changed before Run.
+	Idle [connlimit.Classes]time.Duration
 	// Ready, if set before Run, is called once with the addresses that the
 	// server listens at; a port of 0 in them was chosen by the system.
 	Ready func(addrs []net.Addr)
@@ -55,32 +58,32 @@
 
 // conn is an open connection.
 type conn struct {
-	ev      evio.Conn
-	id      uint64 // the id of the request being served, or 0
-	in      []byte
-	out     []byte
-	peer    *inLink
-	inside  bool // the loop is in this connection's Data call
-	busy    bool
-	last    bool // close after the answer
-	closing bool
-	entered bool // the limiter counts it
-	class   connlimit.Class
-	started time.Time // when the pending or the last request began to arrive
+	ev         evio.Conn
+	id         uint64 // the id of the request being served, or 0
+	in         []byte
+	out        []byte
+	peer       *inLink
+	inData     bool // the loop is in this connection's Data call
+	busy       bool
+	closeAfter bool // close after the answer
+	closing    bool
+	counted    bool // the limiter counts it
+	class      connlimit.Class
+	since      time.Time // when the pending or the last request began to arrive
 }
 
-// idlePatience is how many times longer than a slow request a connection may
+// idleFactor is how many times longer than a slow request a connection may
 // stay open without any, if Server.Idle does not say otherwise.
-const idlePatience = 60
+const idleFactor = 60
 
-// NewServer makes a server. Slow senders are cut off after patience, and HTTP
-// connections beyond maxConns are closed on arrival.
-func NewServer(mu *sync.Mutex, h Handler, patience time.Duration, maxConns int) *Server {
+// NewServer makes a server. Requests that have not arrived whole after
+// requestTimeout are refused, and HTTP connections beyond maxConns are closed on arrival.
+func NewServer(mu *sync.Mutex, h Handler, requestTimeout time.Duration, maxConns int) *Server {
 	peers, _ := h.(PeerHandler)
-	s := &Server{mu: mu, handler: h, peers: peers, patience: patience, ConnLimiter: connlimit.New(connlimit.Limits{Total: maxConns}),
+	s := &Server{mu: mu, handler: h, peers: peers, requestTimeout: requestTimeout, ConnLimiter: connlimit.New(connlimit.Limits{Total: maxConns}),
 		Classify: func(*Request) connlimit.Class { return connlimit.User }, open: map[*conn]bool{}, conns: map[uint64]*conn{}}
 	for c := range s.Idle {
-		s.Idle[c] = idlePatience * patience
+		s.Idle[c] = idleFactor * requestTimeout
 	}
 	return s
 }
@@ -121,7 +124,7 @@
 func (s *Server) onServing(e evio.Server) evio.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addrs, s.began = e.Addrs, time.Now()
+	s.addrs, s.startedAt = e.Addrs, time.Now()
 	if s.Ready != nil {
 		s.Ready(e.Addrs)
 	}
@@ -135,12 +138,12 @@
 	if s.stopping {
 		return nil, evio.Options{}, evio.Shutdown
 	}
-	k := &conn{ev: c, started: time.Now()}
+	k := &conn{ev: c, since: time.Now()}
 	c.SetContext(k)
 	s.open[k] = true
 	if c.AddrIndex() == peerAddrIndex {
 		k.peer = newInLink()
-	} else if k.entered = s.ConnLimiter.Enter(); !k.entered {
+	} else if k.counted = s.ConnLimiter.Enter(); !k.counted {
 		refusal := AppendResponse(nil, http.StatusServiceUnavailable, []byte(`{"error":"too many connections"}`), 1, true)
 		return refusal, evio.Options{}, evio.Close
 	}
@@ -155,7 +158,7 @@
 	if !ok {
 		return evio.None
 	}
-	if k.entered {
+	if k.counted {
 		s.ConnLimiter.Leave(k.class)
 	}
 	delete(s.conns, k.id)
@@ -170,7 +173,7 @@
 	defer s.mu.Unlock()
 	k := c.Context().(*conn)
 	if k.peer == nil {
-		return s.data(k, in)
+		return s.handleData(k, in)
 	}
 	if err := k.peer.feed(in, s.peers); err != nil {
 		return nil, evio.Close
@@ -183,7 +186,7 @@
 func (s *Server) Stop() {
 	s.mu.Lock()
 	s.stopping = true
-	addrs, began := s.addrs, s.began
+	addrs, began := s.addrs, s.startedAt
 	s.mu.Unlock()
 	if len(addrs) > 0 {
 		time.Sleep(minServeTime - time.Since(began))
@@ -206,11 +209,11 @@
 	for k := range s.open {
 		switch {
 		case k.peer != nil || k.busy || k.closing:
-		case len(k.in) > 0 && now.Sub(k.started) > s.patience:
+		case len(k.in) > 0 && now.Sub(k.since) > s.requestTimeout:
 			k.out = AppendResponse(k.out, http.StatusRequestTimeout, []byte(`{"error":"request too slow"}`), 0, true)
 			k.closing = true
 			k.ev.Wake()
-		case now.Sub(k.started) > s.Idle[k.class]:
+		case now.Sub(k.since) > s.Idle[k.class]:
 			// Guards against connections whose other end failed without closing
 			// them: they would fill the limit in time.
 			k.closing = true
@@ -219,13 +222,13 @@
 	}
 }
 
-// data takes what arrived on an HTTP connection and serves the requests in it. It returns
+// handleData takes what arrived on an HTTP connection and serves the requests in it. It returns
 // the responses that are ready. The loop calls it without data after a Wake.
-func (s *Server) data(k *conn, in []byte) ([]byte, evio.Action) {
-	k.inside = true
+func (s *Server) handleData(k *conn, in []byte) ([]byte, evio.Action) {
+	k.inData = true
 	if len(in) > 0 && !k.closing {
 		if len(k.in) == 0 {
-			k.started = time.Now()
+			k.since = time.Now()
 		}
 		k.in = append(k.in, in...)
 	}
@@ -239,10 +242,10 @@
 		if n == 0 {
 			break
 		}
-		s.next++
-		k.id, k.busy = s.next, true
+		s.lastID++
+		k.id, k.busy = s.lastID, true
 		s.conns[k.id] = k
-		k.last = r.Close
+		k.closeAfter = r.Close
 		if is := s.Classify(r); is != k.class {
 			s.ConnLimiter.Ask(k.class, is)
 			k.class = is
@@ -256,7 +259,7 @@
 	if k.busy && len(k.in) > maxHead+maxBody {
 		k.closing = true // floods while a request is being served
 	}
-	k.inside = false
+	k.inData = false
 	out := k.out
 	k.out = nil
 	if k.closing {
@@ -293,10 +296,10 @@
 	}
 	delete(s.conns, id)
 	k.busy = false
-	k.last = k.last || !s.ConnLimiter.Stay(k.class, served, urgent)
-	k.out = write(k.out, k.last)
-	k.closing = k.closing || k.last
-	if !k.inside {
+	k.closeAfter = k.closeAfter || !s.ConnLimiter.Stay(k.class, served, urgent)
+	k.out = write(k.out, k.closeAfter)
+	k.closing = k.closing || k.closeAfter
+	if !k.inData {
 		k.ev.Wake()
 	}
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -238,7 +238,7 @@
 	if next := p.Expire(time.Now().Add(2 * time.Hour)); !next.IsZero() {
 		t.Errorf("another request is said to end at %v", next)
 	}
-	if o := <-done; o.err != errLate || !o.sent {
+	if o := <-done; o.err != errTimeout || !o.sent {
 		t.Errorf("%+v", o)
 	}
 	// Its connection is closed and counts no more.
@@ -288,8 +288,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if served < 4 || len(p.conns) > 4 || p.order.Len() != len(p.conns) {
-		t.Errorf("%d served at once, %d connections, %d of them idle", served, len(p.conns), p.order.Len())
+	if served < 4 || len(p.conns) > 4 || p.idleByUse.Len() != len(p.conns) {
+		t.Errorf("%d served at once, %d connections, %d of them idle", served, len(p.conns), p.idleByUse.Len())
 	}
 }
 
