--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -19,7 +19,7 @@
 	logs              bool
 }
 
-// replayCommand puts recordings through cores again.
+// replayCommand is the command that puts recordings through cores again.
 func replayCommand() *cobra.Command {
 	var f replayFlags
 	cmd := &cobra.Command{
@@ -52,7 +52,7 @@
 	if f.output != "text" && f.output != "json" {
 		return fmt.Errorf("--output: %q is neither text nor json", f.output)
 	}
-	lives, err := replay.Open(paths)
+	incarnations, err := replay.Open(paths)
 	if err != nil {
 		return err
 	}
@@ -60,8 +60,8 @@
 	if f.logs {
 		o.Log = slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
-	first := lives[0].Begin
-	for _, l := range lives {
+	first := incarnations[0].Begin
+	for _, l := range incarnations {
 		if l.Begin.Before(first) {
 			first = l.Begin
 		}
@@ -75,9 +75,9 @@
 	if !o.At.IsZero() && len(f.names) == 0 {
 		return errors.New("--at: says what is known of something; name it with --explain")
 	}
-	results, stories := []replay.Result{}, [][]replay.Line{}
-	for i := range lives {
-		r, err := lives[i].Play(o)
+	results, stories := []replay.Result{}, [][]replay.Event{}
+	for i := range incarnations {
+		r, err := incarnations[i].Play(o)
 		if err != nil {
 			return err
 		}
@@ -86,18 +86,18 @@
 	return tellReplay(c.OutOrStdout(), f.output, results, replay.Merge(stories...))
 }
 
-func tellReplay(out io.Writer, output string, results []replay.Result, story []replay.Line) error {
+func tellReplay(out io.Writer, output string, results []replay.Result, story []replay.Event) error {
 	different := 0
 	for _, r := range results {
 		different += r.Different
 	}
 	if output == "json" {
 		if story == nil {
-			story = []replay.Line{}
+			story = []replay.Event{}
 		}
 		err := json.NewEncoder(out).Encode(struct {
-			Lives []replay.Result `json:"lives"`
-			Story []replay.Line   `json:"story"`
+			Lives []replay.Result `json:"incarnations"`
+			Story []replay.Event  `json:"story"`
 		}{results, story})
 		if err != nil {
 			return err
@@ -110,7 +110,7 @@
 			for _, k := range r.Known {
 				fmt.Fprintln(out, k)
 			}
-			fmt.Fprintf(out, "%s, life %d, build %q: %d inputs, %d with other effects", r.Node, r.Life, r.Build, r.Inputs, r.Different)
+			fmt.Fprintf(out, "%s, life %d, build %q: %d inputs, %d with other effects", r.Node, r.Incarnation, r.Build, r.Inputs, r.Different)
 			if r.First != "" {
 				fmt.Fprintf(out, ", first %s", r.First)
 			}
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -17,7 +17,7 @@
 	for _, violation := range s.violations {
 		t.Error(violation)
 	}
-	s.saveTapes(t)
+	s.saveRecordings(t)
 	// Guards against reasons that alternate in a machine's drain: inc-41e3 spent the state service's whole
 	// rate on them. A drain is replaced by those of higher severity only, so once for each severity.
 	severities := map[int]bool{}
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -59,9 +59,9 @@
 
 // simOutput is what a day leaves behind, where it is wanted.
 type simOutput struct {
-	trace      io.Writer      // the controllers' logs, and what workers do; nil: off
-	digest     *effectsDigest // of what the controllers do; nil: off
-	recordings []*simTape     // the controllers' recordings, one for each incarnation
+	trace      io.Writer       // the controllers' logs, and what workers do; nil: off
+	digest     *effectsDigest  // of what the controllers do; nil: off
+	recordings []*simRecording // the controllers' recordings, one for each incarnation
 }
 
 // simCounts count what happened on a day.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -32,54 +32,58 @@
 // Server is one evio loop with two addresses: HTTP and peer links. Everything
 // it calls runs under one lock, shared with whoever steps the core.
 type Server struct {
-	mu       *sync.Mutex
-	handler  Handler
-	peers    PeerHandler // the handler, if it takes peer links
-	patience time.Duration
-	open     map[*conn]bool
-	conns    map[uint64]*conn
-	next     uint64
-	stopping bool
-	addrs    []net.Addr
-	began    time.Time // when the loop was started
-	// ConnLimiter decides which HTTP connections may be open. It may be replaced before
-	// Run, as may what tells it the use of a connection from a request, and how
-	// long one of a class may stay open without any.
+	mu             *sync.Mutex
+	handler        Handler
+	peers          PeerHandler // the handler, if it takes peer links
+	requestTimeout time.Duration
+	open           map[*conn]bool
+	conns          map[uint64]*conn
+	lastID         uint64
+	stopping       bool
+	addrs          []net.Addr
+	startedAt      time.Time // when the loop was started
+	// ConnLimiter decides which HTTP connections may be open. It may be replaced
+	// before Run.
 	ConnLimiter *connlimit.Limiter
-	Classify    func(*Request) connlimit.Class
-	Idle        [connlimit.Classes]time.Duration
+	// Classify tells the class of a connection from a request on it. It may be
+	// replaced before Run.
+	Classify func(*Request) connlimit.Class
+	// Idle is how long a connection of each class may stay open without requests. It
+	// may be changed before Run.
+	Idle [connlimit.Classes]time.Duration
 	// Ready, if set before Run, is called once with the addresses that the
 	// server listens at; a port of 0 in them was chosen by the system.
 	Ready func(addrs []net.Addr)
 }
 
+// conn is an open connection.
 type conn struct {
-	ev      evio.Conn
-	id      uint64 // the id of the request being served, or 0
-	in      []byte
-	out     []byte
-	peer    *inLink
-	inside  bool // the loop is in this connection's Data call
-	busy    bool
-	last    bool // close after the answer
-	closing bool
-	entered bool // the limiter counts it
-	class   connlimit.Class
-	started time.Time // when the pending or the last request began to arrive
+	ev         evio.Conn
+	id         uint64 // the id of the request being served, or 0
+	in         []byte
+	out        []byte
+	peer       *inLink
+	inData     bool // the loop is in this connection's Data call
+	busy       bool
+	closeAfter bool // close after the answer
+	closing    bool
+	counted    bool // the limiter counts it
+	class      connlimit.Class
+	since      time.Time // when the pending or the last request began to arrive
 }
 
-// idlePatience is how many times longer than a slow request a connection may
+// idleFactor is how many times longer than a slow request a connection may
 // stay open without any, if Server.Idle does not say otherwise.
-const idlePatience = 60
+const idleFactor = 60
 
-// NewServer makes a server. Slow senders are cut off after patience, and HTTP
-// connections beyond maxConns are closed on arrival.
-func NewServer(mu *sync.Mutex, h Handler, patience time.Duration, maxConns int) *Server {
+// NewServer makes a server. Requests that have not arrived whole after
+// requestTimeout are refused, and HTTP connections beyond maxConns are closed on arrival.
+func NewServer(mu *sync.Mutex, h Handler, requestTimeout time.Duration, maxConns int) *Server {
 	peers, _ := h.(PeerHandler)
-	s := &Server{mu: mu, handler: h, peers: peers, patience: patience, ConnLimiter: connlimit.New(connlimit.Limits{Total: maxConns}),
+	s := &Server{mu: mu, handler: h, peers: peers, requestTimeout: requestTimeout, ConnLimiter: connlimit.New(connlimit.Limits{Total: maxConns}),
 		Classify: func(*Request) connlimit.Class { return connlimit.User }, open: map[*conn]bool{}, conns: map[uint64]*conn{}}
 	for c := range s.Idle {
-		s.Idle[c] = idlePatience * patience
+		s.Idle[c] = idleFactor * requestTimeout
 	}
 	return s
 }
@@ -90,62 +94,18 @@
 	if peerAddr != "" && s.peers == nil {
 		return errors.New("the handler takes no peer links")
 	}
-	ev := evio.Events{NumLoops: 1}
-	ev.Serving = func(e evio.Server) evio.Action {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.addrs, s.began = e.Addrs, time.Now()
-		if s.Ready != nil {
-			s.Ready(e.Addrs)
-		}
-		return evio.None
-	}
-	ev.Opened = func(c evio.Conn) ([]byte, evio.Options, evio.Action) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.stopping {
-			return nil, evio.Options{}, evio.Shutdown
-		}
-		k := &conn{ev: c, started: time.Now()}
-		c.SetContext(k)
-		s.open[k] = true
-		if c.AddrIndex() == 1 {
-			k.peer = newInLink()
-		} else if k.entered = s.ConnLimiter.Open(); !k.entered {
-			return AppendResponse(nil, http.StatusServiceUnavailable, []byte(`{"error":"too many connections"}`), 1, true), evio.Options{}, evio.Close
-		}
-		return nil, evio.Options{ReuseInputBuffer: true}, evio.None
-	}
-	ev.Closed = func(c evio.Conn, _ error) evio.Action {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if k, ok := c.Context().(*conn); ok {
-			if k.entered {
-				s.ConnLimiter.Close(k.class)
-			}
-			delete(s.conns, k.id)
-			delete(s.open, k)
-			k.closing = true
-		}
-		return evio.None
-	}
-	ev.Data = func(c evio.Conn, in []byte) ([]byte, evio.Action) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		k := c.Context().(*conn)
-		if k.peer != nil {
-			if err := k.peer.feed(in, s.peers); err != nil {
-				return nil, evio.Close
-			}
-			return nil, evio.None
-		}
-		return s.data(k, in)
-	}
 	addrs := []string{"tcp4://" + httpAddr}
 	if peerAddr != "" {
 		addrs = append(addrs, "tcp4://"+peerAddr)
 	}
-	err := evio.Serve(ev, addrs...)
+	events := evio.Events{
+		NumLoops: 1,
+		Serving:  s.onServing,
+		Opened:   s.onOpened,
+		Closed:   s.onClosed,
+		Data:     s.onData,
+	}
+	err := evio.Serve(events, addrs...)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -157,27 +117,91 @@
 	return errors.New("event loop ended")
 }
 
-// Stop ends Run. evio's loop looks up only when something arrives, so a
-// connection of our own is what tells it.
+// peerAddrIndex is the index of the address for peer links among those of Run.
+const peerAddrIndex = 1
+
+// onServing is called by the loop when it listens.
+func (s *Server) onServing(e evio.Server) evio.Action {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addrs, s.startedAt = e.Addrs, time.Now()
+	if s.Ready != nil {
+		s.Ready(e.Addrs)
+	}
+	return evio.None
+}
+
+// onOpened is called by the loop for each new connection.
+func (s *Server) onOpened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopping {
+		return nil, evio.Options{}, evio.Shutdown
+	}
+	k := &conn{ev: c, since: time.Now()}
+	c.SetContext(k)
+	s.open[k] = true
+	if c.AddrIndex() == peerAddrIndex {
+		k.peer = newInLink()
+	} else if k.counted = s.ConnLimiter.Open(); !k.counted {
+		refusal := AppendResponse(nil, http.StatusServiceUnavailable, []byte(`{"error":"too many connections"}`), 1, true)
+		return refusal, evio.Options{}, evio.Close
+	}
+	return nil, evio.Options{ReuseInputBuffer: true}, evio.None
+}
+
+// onClosed is called by the loop when a connection has been closed.
+func (s *Server) onClosed(c evio.Conn, _ error) evio.Action {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	k, ok := c.Context().(*conn)
+	if !ok {
+		return evio.None
+	}
+	if k.counted {
+		s.ConnLimiter.Close(k.class)
+	}
+	delete(s.conns, k.id)
+	delete(s.open, k)
+	k.closing = true
+	return evio.None
+}
+
+// onData is called by the loop when a connection has data, or was woken.
+func (s *Server) onData(c evio.Conn, in []byte) ([]byte, evio.Action) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	k := c.Context().(*conn)
+	if k.peer == nil {
+		return s.handleData(k, in)
+	}
+	if err := k.peer.feed(in, s.peers); err != nil {
+		return nil, evio.Close
+	}
+	return nil, evio.None
+}
+
+// Stop ends Run. evio's loop wakes only when something arrives, so Stop opens a connection
+// to it.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	s.stopping = true
-	addrs, began := s.addrs, s.began
+	addrs, began := s.addrs, s.startedAt
 	s.mu.Unlock()
 	if len(addrs) > 0 {
-		time.Sleep(leastLife - time.Since(began))
+		time.Sleep(minServeTime - time.Since(began))
 		if c, err := net.DialTimeout("tcp4", addrs[0].String(), time.Second); err == nil {
 			c.Close()
 		}
 	}
 }
 
-// leastLife is how long a server has served when it is stopped.
+// minServeTime is how long a server has served at least when it is stopped.
 //
-// Guards against a Run that never returns: evio v1.0.8 starts its loop and then waits for the loop's
-// signal that it has ended; a loop that ends before that, on a machine so busy that the wait has not begun, is
-// waited for for ever. (A test run of ten minutes, docs/incidents.)
-const leastLife = 100 * time.Millisecond
+// Guards against a Run that never returns: evio v1.0.8 starts its loop and then waits for
+// the loop's signal that it has ended. A loop that ends before the wait has begun, on a
+// very busy machine, is waited for for ever. (A test run of ten minutes, docs/incidents.)
+const minServeTime = 100 * time.Millisecond
 
 // Sweep cuts off slow senders and connections that nobody uses. It is to be
 // called about once a second, with the lock held.
@@ -185,24 +209,26 @@
 	for k := range s.open {
 		switch {
 		case k.peer != nil || k.busy || k.closing:
-		case len(k.in) > 0 && now.Sub(k.started) > s.patience:
+		case len(k.in) > 0 && now.Sub(k.since) > s.requestTimeout:
 			k.out = AppendResponse(k.out, http.StatusRequestTimeout, []byte(`{"error":"request too slow"}`), 0, true)
 			k.closing = true
 			k.ev.Wake()
-		case now.Sub(k.started) > s.Idle[k.class]:
-			// Guards against connections whose other end is gone without a
-			// word: they would fill the limit in time.
+		case now.Sub(k.since) > s.Idle[k.class]:
+			// Guards against connections whose other end failed without closing
+			// them: they would fill the limit in time.
 			k.closing = true
 			k.ev.Wake()
 		}
 	}
 }
 
-func (s *Server) data(k *conn, in []byte) ([]byte, evio.Action) {
-	k.inside = true
+// handleData takes what arrived on an HTTP connection and serves the requests in it. It returns
+// the responses that are ready. The loop calls it without data after a Wake.
+func (s *Server) handleData(k *conn, in []byte) ([]byte, evio.Action) {
+	k.inData = true
 	if len(in) > 0 && !k.closing {
 		if len(k.in) == 0 {
-			k.started = time.Now()
+			k.since = time.Now()
 		}
 		k.in = append(k.in, in...)
 	}
@@ -216,10 +242,10 @@
 		if n == 0 {
 			break
 		}
-		s.next++
-		k.id, k.busy = s.next, true
+		s.lastID++
+		k.id, k.busy = s.lastID, true
 		s.conns[k.id] = k
-		k.last = r.Close
+		k.closeAfter = r.Close
 		if is := s.Classify(r); is != k.class {
 			s.ConnLimiter.Use(k.class, is)
 			k.class = is
@@ -233,7 +259,7 @@
 	if k.busy && len(k.in) > maxHead+maxBody {
 		k.closing = true // floods while a request is being served
 	}
-	k.inside = false
+	k.inData = false
 	out := k.out
 	k.out = nil
 	if k.closing {
@@ -270,10 +296,10 @@
 	}
 	delete(s.conns, id)
 	k.busy = false
-	k.last = k.last || !s.ConnLimiter.KeepAlive(k.class, served, urgent)
-	k.out = write(k.out, k.last)
-	k.closing = k.closing || k.last
-	if !k.inside {
+	k.closeAfter = k.closeAfter || !s.ConnLimiter.KeepAlive(k.class, served, urgent)
+	k.out = write(k.out, k.closeAfter)
+	k.closing = k.closing || k.closeAfter
+	if !k.inData {
 		k.ev.Wake()
 	}
 }
