--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -20,10 +20,11 @@
 type KeyValue struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"data"`
-	// ModRevision is the revision of the key's last change, 0 if the key does not exist.
+	// ModRevision is the revision of the key's last change.
 	ModRevision uint64 `json:"stamp"`
 	Lease       uint64 `json:"permit"` // the key goes with it; 0: none
-	// Revision is the store's, as of the read.
+	// Revision is the store's, as of the read of a single key, also of one that does not
+	// exist; a page has its own.
 	Revision uint64 `json:"ledger"`
 }
 
