--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -169,4 +169,3 @@
 func typeHolds(t *protocol.MachineType, s *job.Spec) bool {
 	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.MemoryGB <= t.MemoryGB
 }
-
