--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is silvergate's worker on a real machine: it reports to the
-// controllers, runs tasks as process groups and ends them whole.
+// Package agent is silvergate's worker on a real machine: it sends heartbeats to
+// the controllers, runs tasks as process groups and ends them whole.
 //
 // Worker is the protocol, a state machine without I/O that owns the attempts;
 // runner owns processes; images owns the cache of images; outside is what
@@ -7,8 +7,8 @@
 //
 // Nothing runs longer than the machine's lease: when the agent hangs or is
 // gone, a watchdog process of its own ends all tasks. A restarted agent ends
-// what an earlier one left and begins a new session after that, so the new
-// session is evidence that the old one's tasks are gone.
+// what an earlier one left and begins a new agent epoch after that, so the new
+// epoch is evidence that the old one's tasks are gone.
 package agent
 
 import (
@@ -37,6 +37,15 @@
 	"silvergate/internal/transport"
 )
 
+// maxConnections bounds the connections that an agent opens at a time.
+const maxConnections = 32
+
+// Bounds of the agent's own server.
+const (
+	requestTimeout       = 10 * time.Second
+	maxServedConnections = 256
+)
+
 // Stats counts what an agent did.
 type Stats struct {
 	Heartbeats, Answered, Launched, Epochs uint64
@@ -48,37 +57,58 @@
 
 // Agent is a running worker.
 type Agent struct {
-	cfg             Config
-	log             *slog.Logger
-	taskCommand     []string // starts this program for a task; see ExecTask
-	watchdogCommand []string // starts it as a watchdog; see Watchdog
-	server          *transport.Server
-	pool            *transport.Pool
-	runner          *runner
-	images          *imageStore
-	outsideStore    outsideStore
-	startedAt       time.Duration // boot clock
+	cfg          Config
+	log          *slog.Logger
+	taskCommand  []string // starts this program for a task; see ExecTask
+	server       *transport.Server
+	pool         *transport.Pool
+	runner       *runner
+	images       *imageStore
+	outsideStore outsideStore
 
-	mu               sync.Mutex
-	worker           *Worker
-	persisted        persistedState
-	timer            *time.Timer
-	lastSweepAt      time.Time
-	answeredAt       time.Duration // when a report was last answered
-	inputs           *inputStore   // nil: no data sets
-	keeper           *outputKeeper // nil: no archive
-	gangMembers      map[TaskAttempt][]protocol.GangMember
-	lastCheckpoints  map[TaskAttempt]int // a task's newest checkpoint when it was told to stop
-	watchdog         *os.File            // to the watchdog
-	watchdogLeaseEnd time.Duration       // the end of the lease, as the watchdog knows it
-	stats            Stats
-	stopped          bool
-	fatalErr         error
+	mu        sync.Mutex // guards what follows; the server's lock too
+	worker    *Worker
+	persisted persistedState
+	schedule  schedule
+	inputs    *inputStore   // nil: no data sets
+	keeper    *outputKeeper // nil: no archive
+	attempts  attemptRecords
+	watchdog  watchdogProcess
+	stats     Stats
+	shutdown  shutdownState
 	// Extra answers paths that are not the protocol's, such as /metrics.
 	Extra func(id uint64, method, path string) bool
 }
 
-// New makes an agent. self is this program; it is started again for each task.
+// schedule holds the agent's times and the timer of its next step.
+type schedule struct {
+	startedAt   time.Duration // boot clock; zero of the worker's clock
+	answeredAt  time.Duration // when a heartbeat was last answered
+	lastSweepAt time.Time
+	timer       *time.Timer
+}
+
+// attemptRecords is what the agent remembers of attempts until they are forgotten.
+type attemptRecords struct {
+	gangMembers     map[TaskAttempt][]protocol.GangMember
+	lastCheckpoints map[TaskAttempt]int // the newest checkpoint when the task was asked to stop
+}
+
+// watchdogProcess is the process that ends all tasks when the agent can't.
+type watchdogProcess struct {
+	command  []string      // starts this program as a watchdog; see Watchdog
+	pipe     *os.File      // carries the deadlines to it
+	leaseEnd time.Duration // the end of the lease, as the watchdog knows it
+}
+
+// shutdownState is whether the agent has stopped, and the error that stopped it.
+type shutdownState struct {
+	begun bool
+	err   error
+}
+
+// New makes an agent that Run starts. It fails if the configuration or what an
+// earlier agent left in the machine's folder is unusable. self is this program; it is started again for each task.
 func New(cfg Config, self string, log *slog.Logger) (*Agent, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -86,9 +116,13 @@
 	if err := os.MkdirAll(filepath.Join(cfg.Dir, tasksDir), 0o700); err != nil {
 		return nil, err
 	}
-	a := &Agent{cfg: cfg, log: log, pool: transport.NewPool(32), outsideStore: outsideStore{cfg.OutsideDir}, startedAt: bootClock(),
-		taskCommand: []string{self, "task-exec"}, watchdogCommand: []string{self, "agent-watchdog", cfg.Dir},
-		gangMembers: map[TaskAttempt][]protocol.GangMember{}, lastCheckpoints: map[TaskAttempt]int{}}
+	a := &Agent{
+		cfg: cfg, log: log, pool: transport.NewPool(maxConnections), outsideStore: outsideStore{cfg.OutsideDir},
+		taskCommand: []string{self, "task-exec"},
+		watchdog:    watchdogProcess{command: []string{self, "agent-watchdog", cfg.Dir}},
+		schedule:    schedule{startedAt: bootClock()},
+		attempts:    attemptRecords{gangMembers: map[TaskAttempt][]protocol.GangMember{}, lastCheckpoints: map[TaskAttempt]int{}},
+	}
 	a.stats.TaskEnds = map[string]uint64{}
 	raw, err := os.ReadFile(filepath.Join(cfg.Dir, stateFile))
 	switch {
@@ -125,13 +159,13 @@
 		}
 		a.runner.holds = a.keeper.holds
 	}
-	a.server = transport.NewServer(&a.mu, a, 10*time.Second, 256)
+	a.server = transport.NewServer(&a.mu, a, requestTimeout, maxServedConnections)
 	return a, nil
 }
 
-func (a *Agent) clock() time.Duration { return bootClock() - a.startedAt }
+func (a *Agent) clock() time.Duration { return bootClock() - a.schedule.startedAt }
 
-// persist makes the session's number, the token and the port durable.
+// persist makes the agent epoch, the fencing token and the port durable.
 func (a *Agent) persist() {
 	raw, err := json.Marshal(a.persisted)
 	if err == nil {
@@ -143,10 +177,10 @@
 }
 
 // fail ends the agent, and with it, by the watchdog, its tasks: a machine that
-// can't keep its session's number must not go on under it.
+// can't keep its agent epoch must not go on under it.
 func (a *Agent) fail(err error) {
-	if a.fatalErr == nil {
-		a.fatalErr = err
+	if a.shutdown.err == nil {
+		a.shutdown.err = err
 		a.log.Error("stopping", "error", err)
 		go a.server.Stop()
 	}
@@ -166,23 +200,23 @@
 	a.server.Ready = func(addrs []net.Addr) { a.begin(addrs[0].String()) }
 	err := a.server.Run(listen, "")
 	a.mu.Lock()
-	a.stopped = true
-	if a.timer != nil {
-		a.timer.Stop()
+	a.shutdown.begun = true
+	if a.schedule.timer != nil {
+		a.schedule.timer.Stop()
 	}
-	failed := a.fatalErr
+	failed := a.shutdown.err
 	a.mu.Unlock()
 	a.inputs.close()
 	a.runner.clear()
 	a.keeper.close()
-	a.watchdog.Close()
+	a.watchdog.pipe.Close()
 	return errors.Join(failed, err)
 }
 
 // Stop ends the agent and its tasks, as a machine that is switched off.
 func (a *Agent) Stop() { a.server.Stop() }
 
-// begin starts the session; the server holds the lock.
+// begin starts the agent epoch; the server holds the lock.
 func (a *Agent) begin(address string) {
 	a.persisted.Epoch++
 	if ap, err := netip.ParseAddrPort(address); err == nil {
@@ -193,12 +227,12 @@
 		a.fail(err)
 	}
 	me := protocol.Heartbeat{Worker: a.cfg.Worker, Address: address, MachineType: a.cfg.MachineType, Zone: a.cfg.Zone, Spot: a.cfg.Spot}
-	a.startedAt = bootClock()
+	a.schedule.startedAt = bootClock()
 	a.worker = NewWorker(me, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.persisted.Epoch, a.persisted.FencingToken, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	a.runner.open(a.persisted.Epoch)
 	a.stats.Epochs++
 	a.log.Info("serving", "listen", address, "epoch", a.persisted.Epoch)
-	a.timer = time.AfterFunc(0, a.tick)
+	a.schedule.timer = time.AfterFunc(0, a.tick)
 }
 
 func (a *Agent) startWatchdog() error {
@@ -206,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(a.watchdogCommand[0], a.watchdogCommand[1:]...)
+	cmd := exec.Command(a.watchdog.command[0], a.watchdog.command[1:]...)
 	cmd.Stdin, cmd.Stderr = r, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	err = cmd.Start()
@@ -216,12 +250,12 @@
 		return err
 	}
 	a.mu.Lock()
-	a.watchdog, a.watchdogLeaseEnd = w, 0
+	a.watchdog.pipe, a.watchdog.leaseEnd = w, 0
 	a.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
 		a.mu.Lock()
-		stopped := a.stopped
+		stopped := a.shutdown.begun
 		a.mu.Unlock()
 		if !stopped {
 			// Guards against tasks that nobody would end if the agent hung.
@@ -240,13 +274,13 @@
 func (a *Agent) tick() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.stopped {
+	if a.shutdown.begun {
 		return
 	}
 	now := time.Now()
 	a.pool.Expire(now)
-	if now.Sub(a.lastSweepAt) > seconds(a.cfg.Workers.Heartbeat/6) {
-		a.lastSweepAt = now
+	if now.Sub(a.schedule.lastSweepAt) > a.sweepPeriod() {
+		a.schedule.lastSweepAt = now
 		a.server.Sweep(now)
 		a.stats.Usage = a.runner.watch()
 		a.inputs.refresh(false)
@@ -256,7 +290,7 @@
 		}
 		// Guards against machines that go on for ever when the site that they
 		// belong to was killed and never started again.
-		if g := seconds(a.cfg.GiveUpS); g > 0 && a.clock() > a.answeredAt+g {
+		if g := seconds(a.cfg.GiveUpS); g > 0 && a.clock() > a.schedule.answeredAt+g {
 			a.log.Info("no controller answers; switching off", "seconds", a.cfg.GiveUpS)
 			a.cfg.GiveUpS = 0
 			go a.server.Stop()
@@ -278,92 +312,10 @@
 	return a.clock() + time.Until(time.UnixMilli(ms)), true
 }
 
-// perform carries out effects; the lock is held.
-func (a *Agent) perform(e Effects) {
-	if e.Token > a.persisted.FencingToken {
-		a.persisted.FencingToken = e.Token
-		a.persist()
-	}
-	if a.watchdog != nil && e.Lease != a.watchdogLeaseEnd {
-		// The worker itself ends tasks at this moment; the watchdog is for
-		// when it can't, a little later. It must not hold the agent up: one
-		// that hears nothing ends the tasks too early, not too late.
-		a.watchdogLeaseEnd = e.Lease
-		late := a.startedAt + e.Lease + seconds(a.cfg.Workers.Lease/100)
-		_ = a.watchdog.SetWriteDeadline(time.Now().Add(soonest))
-		_, _ = fmt.Fprintf(a.watchdog, "%d\n", int64(late))
-	}
-	if e.EndAll {
-		a.log.Info("lease expired", "epoch", a.worker.Epoch())
-		go a.endAllTasks()
-	}
-	for _, k := range e.Kill {
-		a.runner.kill(k)
-	}
-	for _, k := range e.Stop {
-		a.lastCheckpoints[k] = a.outsideStore.last(k.Job, k.Index)
-		a.runner.signal(k, syscall.SIGTERM)
-	}
-	for _, k := range e.Checkpoint {
-		a.runner.signal(k, syscall.SIGUSR1)
-	}
-	for _, name := range e.Leave {
-		a.images.leave(name)
-	}
-	for _, id := range e.Describe {
-		a.fetchDescription(id, 0)
-	}
-	for _, name := range e.Fetch {
-		a.log.Debug("fetching", "image", name)
-		a.images.fetch(name, func(err error) {
-			if err != nil {
-				a.log.Error("image can't be had", "image", name, "error", err)
-			}
-			a.step(func() Effects { return a.worker.Fetched(a.clock(), name, err) })
-		})
-	}
-	if a.inputs == nil {
-		for _, k := range e.Inputs { // of a site that has data sets
-			go a.step(func() Effects { return a.worker.Brought(a.clock(), k, errNoStore, false) })
-		}
-	}
-	a.inputs.do(e)
-	for _, k := range e.Start {
-		a.stats.Launched++
-		d := a.worker.Description(k.Job)
-		go a.startTask(a.worker.Epoch(), k, d)
-	}
-	for _, k := range e.AskGang {
-		go a.askGangMembers(k, a.worker.Description(k.Job))
-	}
-	for _, k := range e.Forget {
-		delete(a.gangMembers, k)
-		delete(a.lastCheckpoints, k)
-	}
-	if len(e.Forget) > 0 {
-		go a.runner.prune()
-	}
-	if e.Heartbeat != nil {
-		a.sendHeartbeat(e.Heartbeat)
-	}
-	if a.timer != nil && !a.stopped {
-		next := min(a.worker.Due()-a.clock(), seconds(a.cfg.Workers.Heartbeat/6), time.Second)
-		a.timer.Reset(max(next, time.Millisecond))
-	}
-}
-
-// step feeds an event to the worker and carries out what follows.
-func (a *Agent) step(event func() Effects) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.stopped {
-		a.perform(event())
-	}
-}
-
+// sendHeartbeat sends a heartbeat; the lock is held.
 func (a *Agent) sendHeartbeat(s *HeartbeatSend) {
 	a.stats.Heartbeats++
-	a.inputs.told()
+	a.inputs.heartbeatSent()
 	a.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: patience,
 		Done: func(r *transport.Response, _ bool, err error) {
 			a.step(func() Effects {
@@ -373,24 +325,24 @@
 				}
 				if r.Status == http.StatusOK {
 					a.stats.Answered++
-					a.answeredAt = a.clock()
+					a.schedule.answeredAt = a.clock()
 				}
 				return a.worker.Answered(a.clock(), s, r.Status, r.Body)
 			})
 		}})
 }
 
-// endAllTasks ends the session's tasks and begins the next session.
+// endAllTasks ends the epoch's tasks and begins the next agent epoch.
 func (a *Agent) endAllTasks() {
 	a.runner.clear()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.stopped {
+	if a.shutdown.begun {
 		return
 	}
 	a.persisted.Epoch = a.worker.Epoch() + 1
 	a.persist()
-	if a.fatalErr == nil {
+	if a.shutdown.err == nil {
 		a.stats.Epochs++
 		a.runner.open(a.persisted.Epoch)
 		a.perform(a.worker.EpochEnded(a.clock()))
@@ -420,13 +372,13 @@
 		}
 		a.server.Answer(id, http.StatusOK, body, 0)
 	case strings.HasPrefix(r.Path, pathGang) && r.Method == http.MethodGet:
-		ref, try, _ := strings.Cut(r.Path[len(pathGang):], "/")
-		n, err := strconv.Atoi(try)
-		if err != nil || !protocol.ValidJobID(ref) {
+		jobID, attempt, _ := strings.Cut(r.Path[len(pathGang):], "/")
+		n, err := strconv.Atoi(attempt)
+		if err != nil || !protocol.ValidJobID(jobID) {
 			problem(http.StatusBadRequest, "the path must name a job and an attempt")
 			return
 		}
-		a.server.Answer(id, http.StatusOK, protocol.Encode(a.worker.Gang(ref, n)), 0)
+		a.server.Answer(id, http.StatusOK, protocol.Encode(a.worker.Gang(jobID, n)), 0)
 	case a.inputs.serve(id, r.Method, r.Path):
 	case a.Extra != nil && a.Extra(id, r.Method, r.Path):
 	case r.Path == protocol.PathCommands || r.Path == protocol.PathStatus:
--- /dev/null
+++ b/internal/agent/agent_effects.go
@@ -0,0 +1,135 @@
+package agent
+
+import (
+	"fmt"
+	"syscall"
+	"time"
+)
+
+// perform carries out effects; the lock is held.
+func (a *Agent) perform(e Effects) {
+	if e.Token > a.persisted.FencingToken {
+		a.persisted.FencingToken = e.Token
+		a.persist()
+	}
+	a.extendWatchdog(e.Lease)
+	if e.EndAll {
+		a.log.Info("lease expired", "epoch", a.worker.Epoch())
+		go a.endAllTasks()
+	}
+	a.signalTasks(e)
+	a.fetchWanted(e)
+	a.bringInputs(e)
+	a.startTasks(e)
+	a.forget(e.Forget)
+	if e.Heartbeat != nil {
+		a.sendHeartbeat(e.Heartbeat)
+	}
+	a.rescheduleTick()
+}
+
+// extendWatchdog tells the watchdog a new end of the lease; the lock is held.
+func (a *Agent) extendWatchdog(leaseEnd time.Duration) {
+	if a.watchdog.pipe == nil || leaseEnd == a.watchdog.leaseEnd {
+		return
+	}
+	// The worker itself ends tasks at this moment; the watchdog is for
+	// when it can't, a little later. It must not hold the agent up: one
+	// that hears nothing ends the tasks too early, not too late.
+	a.watchdog.leaseEnd = leaseEnd
+	late := a.schedule.startedAt + leaseEnd + seconds(a.cfg.Workers.Lease/100)
+	_ = a.watchdog.pipe.SetWriteDeadline(time.Now().Add(soonest))
+	_, _ = fmt.Fprintf(a.watchdog.pipe, "%d\n", int64(late))
+}
+
+// signalTasks kills, stops and checkpoints attempts; the lock is held.
+func (a *Agent) signalTasks(e Effects) {
+	for _, k := range e.Kill {
+		a.runner.kill(k)
+	}
+	for _, k := range e.Stop {
+		a.attempts.lastCheckpoints[k] = a.outsideStore.last(k.Job, k.Index)
+		a.runner.signal(k, syscall.SIGTERM)
+	}
+	for _, k := range e.Checkpoint {
+		a.runner.signal(k, syscall.SIGUSR1)
+	}
+}
+
+// fetchWanted asks for descriptions and images, and gives up the fetches that no
+// task waits for any more; the lock is held.
+func (a *Agent) fetchWanted(e Effects) {
+	for _, name := range e.Leave {
+		a.images.leave(name)
+	}
+	for _, id := range e.Describe {
+		a.fetchDescription(id, 0)
+	}
+	for _, name := range e.Fetch {
+		a.log.Debug("fetching", "image", name)
+		a.images.fetch(name, func(err error) {
+			if err != nil {
+				a.log.Error("image can't be had", "image", name, "error", err)
+			}
+			a.step(func() Effects { return a.worker.Fetched(a.clock(), name, err) })
+		})
+	}
+}
+
+// bringInputs has the store of data sets carry out what concerns it, or refuses
+// inputs on a machine without one; the lock is held.
+func (a *Agent) bringInputs(e Effects) {
+	if a.inputs == nil {
+		for _, k := range e.Inputs { // of a site that has data sets
+			go a.step(func() Effects { return a.worker.Brought(a.clock(), k, errNoStore, false) })
+		}
+	}
+	a.inputs.do(e)
+}
+
+// startTasks starts attempts, and asks how the other tasks of gangs are; the lock
+// is held.
+func (a *Agent) startTasks(e Effects) {
+	for _, k := range e.Start {
+		a.stats.Launched++
+		d := a.worker.Description(k.Job)
+		go a.startTask(a.worker.Epoch(), k, d)
+	}
+	for _, k := range e.AskGang {
+		go a.askGangMembers(k, a.worker.Description(k.Job))
+	}
+}
+
+// forget drops the records of attempts that the controllers know to be over; the
+// lock is held.
+func (a *Agent) forget(attempts []TaskAttempt) {
+	for _, k := range attempts {
+		delete(a.attempts.gangMembers, k)
+		delete(a.attempts.lastCheckpoints, k)
+	}
+	if len(attempts) > 0 {
+		go a.runner.prune()
+	}
+}
+
+// rescheduleTick sets the timer to when the worker must look at the clock again;
+// the lock is held.
+func (a *Agent) rescheduleTick() {
+	if a.schedule.timer == nil || a.shutdown.begun {
+		return
+	}
+	next := min(a.worker.Due()-a.clock(), a.sweepPeriod(), time.Second)
+	a.schedule.timer.Reset(max(next, time.Millisecond))
+}
+
+// sweepPeriod is the time between two looks at memory, inputs and connections.
+func (a *Agent) sweepPeriod() time.Duration { return seconds(a.cfg.Workers.Heartbeat / 6) }
+
+// step feeds an event to the worker and carries out what follows.
+func (a *Agent) step(event func() Effects) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.shutdown.begun {
+		a.perform(event())
+	}
+}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -59,18 +59,18 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// controller is a stand-in: it answers reports with whatever orders are due and
-// keeps the last report.
+// controller is a stand-in: it answers heartbeats with whatever commands are due and
+// keeps the last heartbeat.
 type controller struct {
-	t      *testing.T
-	srv    *httptest.Server
-	mu     sync.Mutex
-	orders []protocol.Command
-	jobs   map[string]protocol.JobDescription
-	last   protocol.Heartbeat
-	causes map[string]string // by "load#try"
-	silent bool
-	each   func(r protocol.Heartbeat)
+	t        *testing.T
+	srv      *httptest.Server
+	mu       sync.Mutex
+	commands []protocol.Command
+	jobs     map[string]protocol.JobDescription
+	last     protocol.Heartbeat
+	causes   map[string]string // by "load#try"
+	silent   bool
+	each     func(r protocol.Heartbeat)
 }
 
 func newController(t *testing.T) *controller {
@@ -110,14 +110,14 @@
 		w.WriteHeader(503)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(protocol.HeartbeatResponse{FencingToken: 1, Commands: append([]protocol.Command{}, c.orders...)})
-	c.orders = nil
+	_ = json.NewEncoder(w).Encode(protocol.HeartbeatResponse{FencingToken: 1, Commands: append([]protocol.Command{}, c.commands...)})
+	c.commands = nil
 }
 
 func (c *controller) order(o ...protocol.Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.orders = append(c.orders, o...)
+	c.commands = append(c.commands, o...)
 }
 
 // await waits until a condition holds, and names it when it never does.
@@ -274,7 +274,7 @@
 				}
 				return err == nil && len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning
 			})
-			// From now on a report of another session is evidence.
+			// From now on a heartbeat of another agent epoch is evidence.
 			early := false
 			c.mu.Lock()
 			epoch := c.last.AgentEpoch
@@ -370,7 +370,7 @@
 func TestConformsToProtocol(t *testing.T) {
 	conformance.Run(t, conformance.Worker, true, func(t *testing.T) conformance.Target {
 		c := newController(t)
-		c.silent = true // the table gives the orders
+		c.silent = true // the table gives the commands
 		c.job("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
 		cfg := testConfig(t, c)
 		cfg.Workers.Lease = 60
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -10,14 +10,14 @@
 	"silvergate/internal/protocol"
 )
 
-// Config is what an agent is told, in YAML.
+// Config is an agent's configuration, in YAML.
 type Config struct {
 	Worker      string `yaml:"stoker"`
 	MachineType string `yaml:"rig"`
 	Zone        string `yaml:"depot"`
 	Spot        bool   `yaml:"casual"`
 	// Listen is the address for direct commands; with port 0 the system
-	// chooses one, which is kept for the machine's life.
+	// chooses one, which is kept as long as the machine exists.
 	Listen string `yaml:"listen"`
 	// Dir is the machine's folder. It must be absolute.
 	Dir         string       `yaml:"dir"`
@@ -35,7 +35,7 @@
 	Staging *Staging `yaml:"staging,omitempty"`
 	// Archive has what tasks write kept; nil: off.
 	Archive *ship.Config `yaml:"archive,omitempty"`
-	// GiveUpS is how long after its last answered report the agent ends, in
+	// GiveUpS is how long after its last answered heartbeat the agent ends, in
 	// seconds; 0: never.
 	GiveUpS float64 `yaml:"give_up_s"`
 }
--- a/internal/agent/images.go
+++ b/internal/agent/images.go
@@ -303,6 +303,7 @@
 	})
 }
 
+// unpack writes the contents of an archive file.
 func (u *unpacker) unpack(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -328,7 +329,11 @@
 	case !strings.HasSuffix(path, ".tar"):
 		return errors.New("not a folder and not a .tar, .tar.gz, .tgz or .tar.zst")
 	}
-	t := tar.NewReader(r)
+	return u.untar(tar.NewReader(r))
+}
+
+// untar writes the entries of a tar stream.
+func (u *unpacker) untar(t *tar.Reader) error {
 	for files := 0; ; files++ {
 		h, err := t.Next()
 		if errors.Is(err, io.EOF) {
@@ -340,29 +345,33 @@
 		if files > maxFiles {
 			return errTooLarge
 		}
-		name := filepath.Clean(strings.TrimSuffix(h.Name, "/"))
-		if name == "." {
-			continue
-		}
-		if !filepath.IsLocal(name) {
-			return fmt.Errorf("%q leads out of the image", h.Name)
-		}
-		switch h.Typeflag {
-		case tar.TypeReg:
-			err = u.file(name, fs.FileMode(h.Mode), t)
-		case tar.TypeDir:
-			err = u.root.MkdirAll(name, 0o755)
-		case tar.TypeSymlink:
-			if err = u.root.MkdirAll(filepath.Dir(name), 0o755); err == nil {
-				err = u.root.Symlink(h.Linkname, name)
-			}
-		default:
-			err = fmt.Errorf("%q is neither a file, a folder nor a link", h.Name)
+		if err := u.entry(h, t); err != nil {
+			return err
 		}
-		if err != nil {
+	}
+}
+
+// entry writes one entry of a tar stream, whose contents r has.
+func (u *unpacker) entry(h *tar.Header, r io.Reader) error {
+	name := filepath.Clean(strings.TrimSuffix(h.Name, "/"))
+	if name == "." {
+		return nil
+	}
+	if !filepath.IsLocal(name) {
+		return fmt.Errorf("%q leads out of the image", h.Name)
+	}
+	switch h.Typeflag {
+	case tar.TypeReg:
+		return u.file(name, fs.FileMode(h.Mode), r)
+	case tar.TypeDir:
+		return u.root.MkdirAll(name, 0o755)
+	case tar.TypeSymlink:
+		if err := u.root.MkdirAll(filepath.Dir(name), 0o755); err != nil {
 			return err
 		}
+		return u.root.Symlink(h.Linkname, name)
 	}
+	return fmt.Errorf("%q is neither a file, a folder nor a link", h.Name)
 }
 
 type ctxReader struct {
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/protocol"
 )
 
-// Staging is what an agent is told of its store of data sets.
+// Staging configures an agent's store of data sets.
 type Staging struct {
 	CapacityGB float64 `yaml:"capacity_gb"`
 	// FetchMBPerS and ServeMBPerS bound what is fetched, and served to other
@@ -45,7 +45,7 @@
 }
 
 // inputStore is the seam between the agent and its store: it has the inputs of
-// attempts brought here and pinned, carries out stage orders, and tells what the
+// attempts brought here and pinned, carries out staging commands, and tells what the
 // store holds. A nil one is a machine without a store. The agent's lock guards
 // it.
 type inputStore struct {
@@ -53,16 +53,16 @@
 	store  *datastore.Store
 	pinned map[TaskAttempt][]dataset.ID
 	staged map[dataset.ID]bool
-	failed map[dataset.ID]bool // since the last report
-	digest string              // as last told
-	list   bool                // the next report lists all
+	failed map[dataset.ID]bool // since the last heartbeat
+	digest string              // as in the last heartbeat
+	list   bool                // the next heartbeat lists all
 	trace  *tracer             // nil: off
 }
 
 var errNoStore = errors.New("this machine has no store of data sets (staging is off)")
 
-// A report's list of copies and of fetches: with the tasks they must fit into a
-// request. Copies beyond are told by the digest alone, and only cost a hint.
+// A heartbeat's list of copies and of fetches: with the tasks they must fit into a
+// request. Copies beyond are covered by the digest alone, and only cost a hint.
 const (
 	listed  = 500
 	pulling = 32
@@ -151,11 +151,11 @@
 		d.trace.write(Event{At: time.Now(), Kind: "needed", Load: k.String(), Copy: string(w.ID), Urgent: urgent})
 	}
 	for _, w := range wants {
-		var try func(pause time.Duration)
-		try = func(pause time.Duration) {
+		var fetch func(pause time.Duration)
+		fetch = func(pause time.Duration) {
 			d.store.Fetch(w, func(err error) {
 				d.a.mu.Lock()
-				live := d.a.worker.Live(k) && !d.a.stopped
+				live := d.a.worker.Live(k) && !d.a.shutdown.begun
 				if err == nil {
 					left--
 				}
@@ -167,11 +167,11 @@
 					d.brought(k, err)
 				case err != nil:
 					// Sources come back; the task waits as long as it is wanted.
-					time.AfterFunc(pause, func() { try(min(2*pause, seconds(d.a.cfg.Workers.Lease))) })
+					time.AfterFunc(pause, func() { fetch(min(2*pause, seconds(d.a.cfg.Workers.Lease))) })
 				}
 			})
 		}
-		try(seconds(d.a.cfg.Workers.Heartbeat / 4))
+		fetch(seconds(d.a.cfg.Workers.Heartbeat / 4))
 	}
 }
 
@@ -223,15 +223,15 @@
 	}
 }
 
-// refresh has the reports say what the store holds; the lock is held.
-func (d *inputStore) refresh(told bool) {
-	if d == nil || d.a.worker == nil || d.a.stopped {
+// refresh has the heartbeats say what the store holds; the lock is held.
+func (d *inputStore) refresh(soon bool) {
+	if d == nil || d.a.worker == nil || d.a.shutdown.begun {
 		return
 	}
 	digest := d.store.Digest()
 	r := &protocol.StoreReport{Digest: digest}
 	if d.list || digest != d.digest {
-		told = told || digest != d.digest
+		soon = soon || digest != d.digest
 		r.Listed = true
 		for i, id := range d.store.Held() {
 			if i == listed {
@@ -252,11 +252,11 @@
 		}
 		r.Failed = append(r.Failed, string(id))
 	}
-	d.a.worker.Stored(r, told)
+	d.a.worker.Stored(r, soon)
 }
 
-// told takes that a report has left.
-func (d *inputStore) told() {
+// heartbeatSent takes that a heartbeat has left.
+func (d *inputStore) heartbeatSent() {
 	if d != nil {
 		d.list = false
 		d.digest = d.store.Digest()
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -64,19 +64,19 @@
 }
 
 // begin follows an attempt whose folder is there, before its program starts. Without
-// the archive's word that it can be, the program starts all the same.
+// the archive's grant, the program starts all the same.
 func (k *outputKeeper) begin(key TaskAttempt, d *protocol.JobDescription) {
 	if k == nil {
 		return
 	}
 	k.a.mu.Lock()
-	seal := k.a.worker.Grant(key)
+	grant := k.a.worker.Grant(key)
 	k.a.mu.Unlock()
-	if seal == "" || d.Grant == "" {
+	if grant == "" || d.Grant == "" {
 		k.a.log.Warn("what a task writes can't be kept: its controller has no archive.grant_key", "task", key.TaskName(), "attempt", key.Attempt)
 		return
 	}
-	g := archive.Grant{Attempt: k.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: seal, TermsSeal: d.Grant}
+	g := archive.Grant{Attempt: k.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: grant, TermsSeal: d.Grant}
 	if err := k.ship.Begin(g, k.a.runner.folder(key)); err != nil {
 		k.a.log.Error("what a task writes can't be kept", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 	}
--- a/internal/agent/outside.go
+++ b/internal/agent/outside.go
@@ -53,12 +53,12 @@
 }
 
 // resume is the number that a task goes on with, 0 for the beginning.
-func (o outsideStore) resume(id string, index, loads int, gang bool) (n int) {
+func (o outsideStore) resume(id string, index, tasks int, gang bool) (n int) {
 	if !gang {
 		return o.last(id, index)
 	}
 	common := o.completed(id, 0)
-	for i := 1; i < loads && len(common) > 0; i++ {
+	for i := 1; i < tasks && len(common) > 0; i++ {
 		has := o.completed(id, i)
 		for k := range common {
 			if !has[k] {
@@ -79,12 +79,12 @@
 }
 
 // done tells whether the task has completed before. The result is kept: a task
-// that is started again for want of a report does not run again.
+// that is started again for want of a heartbeat does not run again.
 func (o outsideStore) done(id string, index int) bool {
 	return o.dir != "" && exists(filepath.Join(o.folder(id, index), doneFile))
 }
 
-// complete keeps that a task is done. It must be durable before that is told.
+// complete keeps that a task is done. It must be durable before that is reported.
 func (o outsideStore) complete(id string, index int) error {
 	dir, err := o.prepare(id, index)
 	if err != nil {
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -101,20 +101,20 @@
 
 func (r *runner) folder(k TaskAttempt) string { return filepath.Join(r.dir, tasksDir, k.String()) }
 
-func (r *runner) mark(k TaskAttempt) string { return r.dir + "/" + k.String() }
+func (r *runner) processMarker(k TaskAttempt) string { return r.dir + "/" + k.String() }
 
-// open allows the tasks of a session to be started, and of no other.
-func (r *runner) open(session uint64) {
+// open allows the tasks of an agent epoch to be started, and of no other.
+func (r *runner) open(epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.epoch = session
+	r.epoch = epoch
 }
 
 // start starts a program. Its output goes to files, so that what it wrote
 // outlives it and the agent.
-func (r *runner) start(session uint64, k TaskAttempt, p program, ramGB float64) error {
+func (r *runner) start(epoch uint64, k TaskAttempt, p program, ramGB float64) error {
 	r.mu.Lock()
-	if r.epoch != session {
+	if r.epoch != epoch {
 		r.mu.Unlock()
 		return errWrongEpoch
 	}
@@ -155,7 +155,7 @@
 		return nil, nil, err
 	}
 	cmd := exec.Command(r.exec[0], append(r.exec[1:len(r.exec):len(r.exec)], path)...)
-	cmd.Env = append(os.Environ(), proc.MarkEnv+"="+r.mark(k))
+	cmd.Env = append(os.Environ(), proc.MarkEnv+"="+r.processMarker(k))
 	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, errs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	t := &task{ram: uint64(ramGB * (1 << 30))}
@@ -192,7 +192,7 @@
 // sweep ends what a program left behind outside its group, and returns when that is gone.
 func (r *runner) sweep(k TaskAttempt) {
 	for {
-		left := proc.KillMarked(r.mark(k), 5*time.Second)
+		left := proc.KillMarked(r.processMarker(k), 5*time.Second)
 		if left == 0 {
 			return
 		}
@@ -212,7 +212,7 @@
 	}
 }
 
-// kill ends an attempt whole. Its end is told by exited.
+// kill ends an attempt whole. Its end is announced by exited.
 func (r *runner) kill(k TaskAttempt) { r.signal(k, syscall.SIGKILL) }
 
 // watch ends the attempts that hold more memory than they asked for, and
@@ -291,15 +291,15 @@
 	}
 }
 
-// parseKey undoes Key.String.
+// parseKey undoes TaskAttempt.String.
 func parseKey(s string) (TaskAttempt, bool) {
 	f := strings.Split(s, ".")
 	if len(f) != 3 {
 		return TaskAttempt{}, false
 	}
 	index, err1 := strconv.Atoi(f[1])
-	try, err2 := strconv.Atoi(f[2])
-	return TaskAttempt{f[0], index, try}, err1 == nil && err2 == nil
+	attempt, err2 := strconv.Atoi(f[2])
+	return TaskAttempt{f[0], index, attempt}, err1 == nil && err2 == nil
 }
 
 // Watchdog ends all tasks of a machine when its agent's lease is over or the
--- a/internal/agent/task_program.go
+++ b/internal/agent/task_program.go
@@ -22,10 +22,10 @@
 )
 
 // fetchDescription asks one controller after the other for a job's description. The
-// first asked is the one that the worker reports to.
+// first asked is the one that the worker sends heartbeats to.
 func (a *Agent) fetchDescription(id string, asked int) {
 	n := len(a.cfg.Controllers)
-	node := a.cfg.Controllers[(a.worker.controller+asked)%n]
+	node := a.cfg.Controllers[(a.worker.heartbeats.controller+asked)%n]
 	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: patience,
 		Done: func(r *transport.Response, _ bool, err error) {
 			var d protocol.JobDescription
@@ -37,7 +37,7 @@
 			case asked+1 < n:
 				a.mu.Lock()
 				defer a.mu.Unlock()
-				if !a.stopped {
+				if !a.shutdown.begun {
 					a.fetchDescription(id, asked+1)
 				}
 			default:
@@ -50,7 +50,7 @@
 }
 
 // startTask starts an attempt's program.
-func (a *Agent) startTask(session uint64, k TaskAttempt, d *protocol.JobDescription) {
+func (a *Agent) startTask(epoch uint64, k TaskAttempt, d *protocol.JobDescription) {
 	if d == nil {
 		return
 	}
@@ -62,7 +62,7 @@
 	p, err := a.taskProgram(k, d)
 	if err == nil {
 		a.keeper.begin(k, d)
-		err = a.runner.start(session, k, p, d.MemoryGB)
+		err = a.runner.start(epoch, k, p, d.MemoryGB)
 	}
 	if errors.Is(err, errWrongEpoch) {
 		a.keeper.ended(k, "its session was over", -1)
@@ -136,7 +136,7 @@
 	for name, value := range own {
 		env[protocol.ReservedEnv+name] = value
 	}
-	env[proc.MarkEnv] = a.runner.mark(k)
+	env[proc.MarkEnv] = a.runner.processMarker(k)
 	for _, name := range slices.Sorted(maps.Keys(env)) {
 		p.Env = append(p.Env, name+"="+env[name])
 	}
@@ -164,14 +164,14 @@
 // taskExited takes that an attempt's processes are gone.
 func (a *Agent) taskExited(k TaskAttempt, code int, memory bool) {
 	a.mu.Lock()
-	d, before := a.worker.Description(k.Job), a.lastCheckpoints[k]
+	d, before := a.worker.Description(k.Job), a.attempts.lastCheckpoints[k]
 	a.mu.Unlock()
 	x := Exit{Code: code, Saved: a.outsideStore.dir != "" && a.outsideStore.last(k.Job, k.Index) > before}
 	if memory {
 		x.Code = -1
 	}
 	if d != nil && d.Shape == job.Array && x.Code == 0 && a.outsideStore.dir != "" {
-		// Durable before it is told: otherwise a lost report would have the
+		// Durable before it is reported: otherwise a lost heartbeat would have the
 		// task run again.
 		if l := a.running(k); l {
 			if err := a.outsideStore.complete(k.Job, k.Index); err != nil {
@@ -210,8 +210,8 @@
 		return
 	}
 	a.mu.Lock()
-	places := a.gangMembers[k]
-	node := a.cfg.Controllers[a.worker.controller]
+	places := a.attempts.gangMembers[k]
+	node := a.cfg.Controllers[a.worker.heartbeats.controller]
 	states := a.worker.Gang(k.Job, k.Attempt)
 	a.mu.Unlock()
 	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Attempt)
@@ -253,7 +253,7 @@
 	}
 	wait.Wait()
 	a.step(func() Effects {
-		a.gangMembers[k] = places
+		a.attempts.gangMembers[k] = places
 		return a.worker.Peers(a.clock(), k, states)
 	})
 }
--- a/internal/agent/task_state.go
+++ b/internal/agent/task_state.go
@@ -19,7 +19,7 @@
 // TaskName is the wire name of the task.
 func (k TaskAttempt) TaskName() string { return job.TaskName(k.Job, k.Index) }
 
-// String is the key as job.index.try, which also names the attempt's folder.
+// String is the key as job.index.attempt, which also names the attempt's folder.
 func (k TaskAttempt) String() string { return fmt.Sprintf("%s.%d.%d", k.Job, k.Index, k.Attempt) }
 
 // phase is where an attempt stands. The first ones are reported as they are
@@ -32,9 +32,9 @@
 	waiting                 // for the other tasks of its gang
 	running
 	finished      // gang: its program completed, those of others did not yet
-	checkpointing // told to stop, and may save
+	checkpointing // asked to stop, and may save a checkpoint
 	checkpointed  // gang: it has saved, others have not yet
-	ending        // told to end; its processes are not gone yet
+	ending        // asked to end; its processes are not gone yet
 	ended
 )
 
@@ -45,8 +45,8 @@
 	cause            string
 	checkpointed     bool
 	phaseSince       time.Duration // of the phase
-	stopRequestedAt  time.Duration // first told to stop
-	killAt           time.Duration // saving: when it is ended all the same
+	stopRequestedAt  time.Duration // first asked to stop
+	killAt           time.Duration // checkpointing: when it is ended all the same
 	finalCause       string        // ending: the cause to report when it is gone
 	gangCompleteAt   time.Duration // gang: when all of it was last seen as it should be
 	nextGangCheckAt  time.Duration // gang: when the others are asked next
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"math/rand/v2"
-	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -24,20 +23,21 @@
 // gangDone is shown for a task of a gang that is complete.
 const gangDone = "done"
 
-// Controller is a controller.
+// Controller names a controller and where it listens for workers.
 type Controller struct {
 	Name    string `yaml:"node_name"`
 	Address string `yaml:"address"`
 }
 
-// Room is what a machine has.
+// Room is what a machine has: processors, accelerators and memory in GB.
 type Room struct {
 	CPUs float64 `yaml:"cpus"`
 	GPUs float64 `yaml:"accelerators"`
 	RAM  float64 `yaml:"ramGb"`
 }
 
-// Periods are the workers' periods, as the controllers' settings give them.
+// Periods are the workers' periods in seconds, as the controllers' settings give
+// them.
 type Periods struct {
 	Heartbeat float64 `yaml:"report_s"`
 	Lease     float64 `yaml:"lease_s"`
@@ -49,14 +49,14 @@
 
 // Intervals of the protocol that no setting changes.
 const (
-	soonest           = 500 * time.Millisecond // between two reports
-	patience          = 4 * time.Second        // for the answer to a report
+	soonest           = 500 * time.Millisecond // between two heartbeats
+	patience          = 4 * time.Second        // for the answer to a heartbeat
 	nextController    = time.Second            // before the next controller is tried
-	maxHeartbeatBytes = 40 << 10               // of a report's tasks, in bytes; a request may have 64 KiB, the store's part too
-	taskLineBytes     = 120                    // of a task in a report, at the most
+	maxHeartbeatBytes = 40 << 10               // of a heartbeat's tasks, in bytes; a request may have 64 KiB, the store's part too
+	taskStatusBytes   = 120                    // of a task in a heartbeat, at the most
 )
 
-// HeartbeatSend is a report to be sent.
+// HeartbeatSend is a heartbeat to be sent.
 type HeartbeatSend struct {
 	Controller Controller
 	Body       []byte
@@ -72,13 +72,13 @@
 	Leave      []string      // images that no task waits for any more
 	Inputs     []TaskAttempt // attempts whose inputs are to be brought here
 	Start      []TaskAttempt
-	Checkpoint []TaskAttempt // told to save and go on
-	Stop       []TaskAttempt // told to save and end
+	Checkpoint []TaskAttempt // to save a checkpoint and go on
+	Stop       []TaskAttempt // to save a checkpoint and end
 	Kill       []TaskAttempt // to be ended at once, whole
 	AskGang    []TaskAttempt // gang tasks whose others are to be asked
 	Forget     []TaskAttempt
-	EndAll     bool   // all tasks are to be ended; Cleared is called when they are gone
-	Token      uint64 // a higher token than ever before, to be kept
+	EndAll     bool   // all tasks are to be ended; EpochEnded is called when they are gone
+	Token      uint64 // a higher fencing token than ever before, to be kept
 	Store      *protocol.StoreOrders
 	Lease      time.Duration
 }
@@ -92,49 +92,81 @@
 	controllers []Controller
 	random      *rand.Rand
 
-	now          time.Duration
-	effects      Effects
-	epoch        uint64
-	sequence     uint64
-	fencingToken uint64
-	epochBegan   time.Duration
-	answeredAt   time.Duration // sending time of the last answered report of this session
-	endingEpoch  bool          // the session is over; its tasks are being ended
-	preemptionAt time.Duration
-	preempted    bool
-
-	controller      int
-	inflight        bool
-	nextHeartbeatAt time.Duration
-	lastHeartbeatAt time.Duration
-	heartbeatSent   bool
-	changed         bool
-	tokenChangedAt  time.Duration // when a higher token last counted as a change
+	now            time.Duration
+	effects        Effects
+	epoch          agentEpoch
+	sequence       uint64 // of the last heartbeat written
+	fencingToken   uint64
+	tokenChangedAt time.Duration // when a higher token last counted as a change
+	preemption     preemptionNotice
+	heartbeats     heartbeatSchedule
 
 	store     *protocol.StoreReport
 	unshipped int
 
-	tasks          map[TaskAttempt]*taskState
-	descriptions   map[string]*protocol.JobDescription
-	describing     map[string]bool // jobs being described
-	imagesHere     map[string]bool // images that are here
-	imagesFetching map[string]bool // images being fetched
-	doneAt         map[TaskAttempt]time.Duration
+	tasks  map[TaskAttempt]*taskState
+	jobs   jobDescriptions
+	images imageStates
+	doneAt map[TaskAttempt]time.Duration
 }
 
-// NewWorker makes a worker that begins a session. baton is the highest token
+// agentEpoch is the present agent epoch: the time in which tasks run under one
+// unbroken lease.
+type agentEpoch struct {
+	number     uint64
+	began      time.Duration
+	answeredAt time.Duration // sending time of the last answered heartbeat of this epoch
+	ending     bool          // the epoch is over; its tasks are being ended
+}
+
+// preemptionNotice is the cloud's notice that it takes the machine back.
+type preemptionNotice struct {
+	at       time.Duration
+	received bool
+}
+
+// heartbeatSchedule says when the next heartbeat leaves, and to whom.
+type heartbeatSchedule struct {
+	controller int // index of the controller that is tried next
+	inflight   bool
+	nextAt     time.Duration
+	lastAt     time.Duration
+	sent       bool // there was a heartbeat before
+	changed    bool // something changed since the last one
+}
+
+// jobDescriptions are the descriptions of jobs of which attempts are here.
+type jobDescriptions struct {
+	descriptions map[string]*protocol.JobDescription
+	describing   map[string]bool // being asked for
+}
+
+// imageStates are the images on the machine, by name.
+type imageStates struct {
+	here     map[string]bool
+	fetching map[string]bool
+}
+
+// NewWorker makes a worker that begins the given agent epoch. fencingToken is the
+// highest one
 // that an earlier process on this machine has kept.
 func NewWorker(me protocol.Heartbeat, room Room, p Periods, nodes []Controller, epoch, fencingToken uint64, rnd *rand.Rand) *Worker {
 	me.Tasks = nil
-	return &Worker{identity: me, room: room, periods: p, controllers: nodes, random: rnd, epoch: epoch, fencingToken: fencingToken, controller: rnd.IntN(len(nodes)),
-		tasks: map[TaskAttempt]*taskState{}, descriptions: map[string]*protocol.JobDescription{}, describing: map[string]bool{}, imagesHere: map[string]bool{},
-		imagesFetching: map[string]bool{}, doneAt: map[TaskAttempt]time.Duration{}}
+	return &Worker{
+		identity: me, room: room, periods: p, controllers: nodes, random: rnd,
+		epoch: agentEpoch{number: epoch}, fencingToken: fencingToken,
+		heartbeats: heartbeatSchedule{controller: rnd.IntN(len(nodes))},
+		tasks:      map[TaskAttempt]*taskState{},
+		jobs:       jobDescriptions{descriptions: map[string]*protocol.JobDescription{}, describing: map[string]bool{}},
+		images:     imageStates{here: map[string]bool{}, fetching: map[string]bool{}},
+		doneAt:     map[TaskAttempt]time.Duration{},
+	}
 }
 
 func (w *Worker) lease() time.Duration { return seconds(w.periods.Lease) }
 
-// leaseEnds is when the session ends unless a report is answered.
-func (w *Worker) leaseEnds() time.Duration { return max(w.epochBegan, w.answeredAt) + w.lease() }
+// leaseEnds is when the agent epoch ends unless a heartbeat is answered.
+func (w *Worker) leaseEnds() time.Duration { return max(w.epoch.began, w.epoch.answeredAt) + w.lease() }
 
 func (w *Worker) takeEffects() Effects {
 	e := w.effects
@@ -163,10 +195,10 @@
 // Due is when the worker must look at the clock again.
 func (w *Worker) Due() time.Duration {
 	next := w.leaseEnds() + 1
-	if w.endingEpoch {
+	if w.epoch.ending {
 		return w.now + soonest
 	}
-	if !w.inflight {
+	if !w.heartbeats.inflight {
 		next = min(next, w.heartbeatTime())
 	}
 	for _, l := range w.tasks {
@@ -189,12 +221,12 @@
 	return max(next, w.now+time.Millisecond)
 }
 
-// heartbeatTime is when the next report is to be sent.
+// heartbeatTime is when the next heartbeat is to be sent.
 func (w *Worker) heartbeatTime() time.Duration {
-	if w.changed && w.heartbeatSent {
-		return min(w.nextHeartbeatAt, max(w.lastHeartbeatAt+soonest, w.now))
+	if w.heartbeats.changed && w.heartbeats.sent {
+		return min(w.heartbeats.nextAt, max(w.heartbeats.lastAt+soonest, w.now))
 	}
-	return w.nextHeartbeatAt
+	return w.heartbeats.nextAt
 }
 
 // Tick lets time pass.
@@ -205,14 +237,14 @@
 
 func (w *Worker) advance(now time.Duration) {
 	w.now = max(w.now, now)
-	if w.endingEpoch {
+	if w.epoch.ending {
 		return
 	}
 	if w.now > w.leaseEnds() {
-		// Nobody may count on what is here from now on. The new session
-		// begins when all of it is gone, and not before: its first report is
+		// Nobody may count on what is here from now on. The new epoch
+		// begins when all of it is gone, and not before: its first heartbeat is
 		// the evidence of that.
-		w.endingEpoch = true
+		w.epoch.ending = true
 		w.effects.EndAll = true
 		return
 	}
@@ -224,12 +256,12 @@
 			delete(w.doneAt, k)
 		}
 	}
-	if !w.inflight && w.now >= w.heartbeatTime() {
+	if !w.heartbeats.inflight && w.now >= w.heartbeatTime() {
 		w.heartbeat()
 	}
 }
 
-// pass lets time pass for one attempt.
+// advanceTask lets time pass for one attempt.
 func (w *Worker) advanceTask(l *taskState) {
 	if l.phase == checkpointing && w.now >= l.killAt {
 		w.end(l, protocol.CauseStopped)
@@ -250,10 +282,10 @@
 
 func (w *Worker) set(l *taskState, p phase) {
 	l.phase, l.phaseSince = p, w.now
-	w.changed = true
+	w.heartbeats.changed = true
 }
 
-// over ends an attempt that has no process.
+// endWithoutProcess ends an attempt that has no process.
 func (w *Worker) endWithoutProcess(l *taskState, cause string) {
 	l.cause = cause
 	w.set(l, ended)
@@ -266,7 +298,7 @@
 
 // idleImage gives a fetch up that no task waits for any more.
 func (w *Worker) idleImage(l *taskState) {
-	if l.description == nil || !w.imagesFetching[l.description.Image] {
+	if l.description == nil || !w.images.fetching[l.description.Image] {
 		return
 	}
 	for _, o := range w.tasks {
@@ -274,7 +306,7 @@
 			return
 		}
 	}
-	delete(w.imagesFetching, l.description.Image)
+	delete(w.images.fetching, l.description.Image)
 	// What one step begins and gives up again is not begun at all: effects of
 	// a step have no order among kinds.
 	if i := slices.Index(w.effects.Fetch, l.description.Image); i >= 0 {
@@ -300,78 +332,6 @@
 	w.effects.Start = append(w.effects.Start, l.id)
 }
 
-// current writes the report as things stand.
-func (w *Worker) current() protocol.Heartbeat {
-	w.sequence++
-	r := w.identity
-	r.DataStore, r.Unshipped = w.store, w.unshipped
-	r.AgentEpoch, r.Sequence, r.FencingToken = w.epoch, w.sequence, w.fencingToken
-	if w.preempted {
-		left := max(0, (w.preemptionAt - w.now).Seconds())
-		r.PreemptionNoticeS = &left
-	}
-	r.Tasks = make([]protocol.TaskStatus, 0, len(w.tasks))
-	for _, l := range w.sorted() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.id.TaskName(), Attempt: l.id.Attempt, Status: wire[l.phase], Cause: l.cause, Checkpointed: l.checkpointed})
-	}
-	return r
-}
-
-func (w *Worker) heartbeat() {
-	w.inflight, w.heartbeatSent, w.changed = true, true, false
-	w.lastHeartbeatAt = w.now
-	w.effects.Heartbeat = &HeartbeatSend{Controller: w.controllers[w.controller], Body: protocol.Encode(w.current()), Epoch: w.epoch, SentAt: w.now}
-}
-
-// Answered takes what came of a report: status 0 when no answer came in time.
-func (w *Worker) Answered(now time.Duration, s *HeartbeatSend, status int, body []byte) Effects {
-	w.advance(now)
-	w.inflight = false
-	switch status {
-	case http.StatusOK:
-		w.nextHeartbeatAt = w.now + seconds(w.periods.Heartbeat*(0.75+0.5*w.random.Float64()))
-		var a protocol.HeartbeatResponse
-		if s.Epoch != w.epoch || w.endingEpoch || w.now-s.SentAt > patience || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.fencingToken {
-			break // dropped: neither obeyed nor renewing
-		}
-		w.answeredAt = max(w.answeredAt, s.SentAt)
-		w.seeToken(a.FencingToken)
-		w.carryOut(a.Commands)
-		w.effects.Store = a.DataStore
-	case http.StatusMisdirectedRequest:
-		var r protocol.Redirect
-		_ = protocol.Decode(body, &r)
-		to := slices.IndexFunc(w.controllers, func(n Controller) bool { return n.Name == r.Controller })
-		if to >= 0 && to != w.controller {
-			w.controller = to
-			w.nextHeartbeatAt = w.now + time.Duration(w.random.Float64()*float64(soonest))
-			break
-		}
-		w.tryNextController()
-	default:
-		w.tryNextController()
-	}
-	return w.takeEffects()
-}
-
-func (w *Worker) tryNextController() {
-	w.controller = (w.controller + 1) % len(w.controllers)
-	w.nextHeartbeatAt = w.now + nextController
-}
-
-// seeToken takes a token that is no lower than any before.
-func (w *Worker) seeToken(t uint64) {
-	if t == w.fencingToken {
-		return
-	}
-	w.fencingToken = t
-	w.effects.Token = t
-	if w.tokenChangedAt == 0 || w.now-w.tokenChangedAt >= w.lease()/2 {
-		w.tokenChangedAt = w.now
-		w.changed = true
-	}
-}
-
 // describe goes on with an attempt whose job is known now.
 func (w *Worker) describe(l *taskState, d *protocol.JobDescription) {
 	if l.id.Index >= d.Tasks {
@@ -394,10 +354,10 @@
 	if l.needsInputs = len(d.Inputs) > 0; l.needsInputs {
 		w.effects.Inputs = append(w.effects.Inputs, l.id)
 	}
-	if w.imagesHere[d.Image] {
+	if w.images.here[d.Image] {
 		w.ready(l)
-	} else if !w.imagesFetching[d.Image] {
-		w.imagesFetching[d.Image] = true
+	} else if !w.images.fetching[d.Image] {
+		w.images.fetching[d.Image] = true
 		if i := slices.Index(w.effects.Leave, d.Image); i >= 0 {
 			w.effects.Leave = slices.Delete(w.effects.Leave, i, i+1) // it goes on
 			return
@@ -409,7 +369,7 @@
 // Live tells whether an attempt is here and not over.
 func (w *Worker) Live(k TaskAttempt) bool {
 	l := w.tasks[k]
-	return l != nil && l.phase != ended && !w.endingEpoch
+	return l != nil && l.phase != ended && !w.epoch.ending
 }
 
 // ready goes on with an attempt whose image is here.
@@ -427,24 +387,24 @@
 }
 
 // Wanted tells whether a task that is not over needs an image.
-func (w *Worker) Wanted(kit string) bool {
+func (w *Worker) Wanted(image string) bool {
 	for _, l := range w.tasks {
-		if l.description != nil && l.description.Image == kit && l.phase != ended {
+		if l.description != nil && l.description.Image == image && l.phase != ended {
 			return true
 		}
 	}
 	return false
 }
 
-// Epoch is the number of the present session.
-func (w *Worker) Epoch() uint64 { return w.epoch }
+// Epoch is the number of the present agent epoch.
+func (w *Worker) Epoch() uint64 { return w.epoch.number }
 
 // Description is the job's, nil if no attempt of it is here.
-func (w *Worker) Description(id string) *protocol.JobDescription { return w.descriptions[id] }
+func (w *Worker) Description(id string) *protocol.JobDescription { return w.jobs.descriptions[id] }
 
 // Descriptions lists the jobs of which attempts are here, in no order.
 func (w *Worker) Descriptions() []*protocol.JobDescription {
-	return slices.Collect(maps.Values(w.descriptions))
+	return slices.Collect(maps.Values(w.jobs.descriptions))
 }
 
 // Attempts lists the attempts of a job that are here, in no order.
--- a/internal/agent/worker_commands.go
+++ b/internal/agent/worker_commands.go
@@ -10,26 +10,26 @@
 	"silvergate/internal/protocol"
 )
 
-// ErrEndingEpoch is returned while the tasks of a session that is over are being
-// ended: any report would say too much or too little.
+// ErrEndingEpoch is returned while the tasks of an agent epoch that is over are
+// being ended: any answer would say too much or too little.
 var ErrEndingEpoch = errors.New("the session has ended; its tasks are being stopped")
 
 // Status answers GET /status.
 func (w *Worker) Status(now time.Duration) ([]byte, Effects, error) {
 	w.advance(now)
-	if w.endingEpoch {
+	if w.epoch.ending {
 		return nil, w.takeEffects(), ErrEndingEpoch
 	}
 	return protocol.Encode(w.current()), w.takeEffects(), nil
 }
 
-// Direct answers POST /orders.
+// Direct answers POST /orders: commands that come from a controller directly.
 func (w *Worker) Direct(now time.Duration, body []byte) (status int, answer []byte, e Effects) {
 	w.advance(now)
 	var d struct {
-		Baton  *uint64            `json:"baton"`
-		Shift  *uint64            `json:"shift"`
-		Orders []protocol.Command `json:"orders"`
+		FencingToken *uint64            `json:"baton"`
+		AgentEpoch   *uint64            `json:"shift"`
+		Commands     []protocol.Command `json:"orders"`
 	}
 	refuse := func(status int, why string) (int, []byte, Effects) {
 		return status, protocol.Encode(protocol.ErrorResponse{Error: why}), w.takeEffects()
@@ -38,43 +38,43 @@
 		return refuse(http.StatusBadRequest, "the body is malformed: "+err.Error())
 	}
 	switch {
-	case d.Baton == nil:
+	case d.FencingToken == nil:
 		return refuse(http.StatusBadRequest, "baton: missing")
-	case d.Shift == nil:
+	case d.AgentEpoch == nil:
 		return refuse(http.StatusBadRequest, "shift: missing")
-	case w.endingEpoch:
+	case w.epoch.ending:
 		return refuse(http.StatusServiceUnavailable, ErrEndingEpoch.Error())
-	case *d.Baton < w.fencingToken || *d.Shift != w.epoch:
+	case *d.FencingToken < w.fencingToken || *d.AgentEpoch != w.epoch.number:
 		return http.StatusConflict, protocol.Encode(w.current()), w.takeEffects()
 	}
-	w.seeToken(*d.Baton)
-	w.carryOut(d.Orders)
+	w.seeToken(*d.FencingToken)
+	w.carryOut(d.Commands)
 	return http.StatusOK, protocol.Encode(w.current()), w.takeEffects()
 }
 
-// carryOut executes orders one after the other.
-func (w *Worker) carryOut(orders []protocol.Command) {
-	for _, o := range orders {
-		id, index, err := job.ParseTaskName(o.Task)
+// carryOut executes commands one after the other.
+func (w *Worker) carryOut(commands []protocol.Command) {
+	for _, command := range commands {
+		id, index, err := job.ParseTaskName(command.Task)
 		if err != nil || !protocol.ValidJobID(id) {
 			continue
 		}
-		k := TaskAttempt{id, index, o.Attempt}
+		k := TaskAttempt{id, index, command.Attempt}
 		l := w.tasks[k]
 		switch {
-		case o.Verb == protocol.VerbLaunch && l == nil:
-			w.launch(k, o.Grant)
-		case o.Verb == protocol.VerbKill && l != nil:
+		case command.Verb == protocol.VerbLaunch && l == nil:
+			w.launch(k, command.Grant)
+		case command.Verb == protocol.VerbKill && l != nil:
 			grace := 0.0
-			if o.GracePeriodS != nil {
-				grace = *o.GracePeriodS
+			if command.GracePeriodS != nil {
+				grace = *command.GracePeriodS
 			}
 			w.kill(l, grace)
-		case o.Verb == protocol.VerbForget && l != nil && l.phase == ended:
+		case command.Verb == protocol.VerbForget && l != nil && l.phase == ended:
 			delete(w.tasks, k)
 			w.drop(id)
 			w.effects.Forget = append(w.effects.Forget, k)
-			w.changed = true
+			w.heartbeats.changed = true
 		}
 	}
 }
@@ -86,17 +86,17 @@
 			return
 		}
 	}
-	delete(w.descriptions, id)
+	delete(w.jobs.descriptions, id)
 }
 
-func (w *Worker) launch(k TaskAttempt, seal string) {
-	if (len(w.tasks)+1)*taskLineBytes > maxHeartbeatBytes {
-		// Guards against a report that no request could carry: refusals are
+func (w *Worker) launch(k TaskAttempt, grant string) {
+	if (len(w.tasks)+1)*taskStatusBytes > maxHeartbeatBytes {
+		// Guards against a heartbeat that no request could carry: refusals are
 		// listed too. What is not listed is launched again with a later
 		// answer, when others were forgotten.
 		return
 	}
-	l := &taskState{id: k, phaseSince: w.now, grant: seal}
+	l := &taskState{id: k, phaseSince: w.now, grant: grant}
 	refuse := ""
 	for _, o := range w.tasks {
 		if o.id.Job == k.Job && o.id.Index == k.Index && o.phase != ended {
@@ -104,15 +104,15 @@
 		}
 	}
 	w.tasks[k] = l
-	w.changed = true
+	w.heartbeats.changed = true
 	if refuse != "" {
 		w.endWithoutProcess(l, refuse)
 		return
 	}
-	if d := w.descriptions[k.Job]; d != nil {
+	if d := w.jobs.descriptions[k.Job]; d != nil {
 		w.describe(l, d)
-	} else if !w.describing[k.Job] {
-		w.describing[k.Job] = true
+	} else if !w.jobs.describing[k.Job] {
+		w.jobs.describing[k.Job] = true
 		w.effects.Describe = append(w.effects.Describe, k.Job)
 	}
 }
--- a/internal/agent/worker_events.go
+++ b/internal/agent/worker_events.go
@@ -12,7 +12,7 @@
 func (w *Worker) Brought(now time.Duration, k TaskAttempt, err error, full bool) Effects {
 	w.advance(now)
 	l := w.tasks[k]
-	if w.endingEpoch || l == nil || l.phase != fetching || !l.needsInputs {
+	if w.epoch.ending || l == nil || l.phase != fetching || !l.needsInputs {
 		return w.takeEffects()
 	}
 	l.needsInputs = false
@@ -21,16 +21,17 @@
 		w.endWithoutProcess(l, protocol.CauseNoRoom)
 	case err != nil:
 		w.endWithoutProcess(l, protocol.CauseError)
-	case w.imagesHere[l.description.Image]:
+	case w.images.here[l.description.Image]:
 		w.ready(l)
 	}
 	return w.takeEffects()
 }
 
-// Stored takes what the reports are to say of the store; told has it said soon.
-func (w *Worker) Stored(r *protocol.StoreReport, told bool) {
+// Stored takes what the heartbeats are to say of the store; soon has the next one
+// sent early.
+func (w *Worker) Stored(r *protocol.StoreReport, soon bool) {
 	w.store = r
-	w.changed = w.changed || told
+	w.heartbeats.changed = w.heartbeats.changed || soon
 }
 
 // Grant is what came with an attempt's launch for the archive.
@@ -48,12 +49,12 @@
 // controller knows the job. A nil one without it is asked for again.
 func (w *Worker) Described(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
 	w.advance(now)
-	delete(w.describing, id)
-	if w.endingEpoch {
+	delete(w.jobs.describing, id)
+	if w.epoch.ending {
 		return w.takeEffects()
 	}
 	if d != nil {
-		w.descriptions[id] = d
+		w.jobs.descriptions[id] = d
 	}
 	for _, l := range w.sorted() {
 		switch {
@@ -62,8 +63,8 @@
 			w.describe(l, d)
 		case unknown:
 			w.endWithoutProcess(l, protocol.CauseUnknown)
-		case !w.describing[id]:
-			w.describing[id] = true
+		case !w.jobs.describing[id]:
+			w.jobs.describing[id] = true
 			w.effects.Describe = append(w.effects.Describe, id)
 		}
 	}
@@ -72,21 +73,21 @@
 }
 
 // Fetched takes that an image is here, or can't be had.
-func (w *Worker) Fetched(now time.Duration, kit string, err error) Effects {
+func (w *Worker) Fetched(now time.Duration, image string, err error) Effects {
 	w.advance(now)
-	delete(w.imagesFetching, kit)
-	if w.endingEpoch {
+	delete(w.images.fetching, image)
+	if w.epoch.ending {
 		if err == nil {
-			w.imagesHere[kit] = true
+			w.images.here[image] = true
 		}
 		return w.takeEffects()
 	}
 	if err == nil {
-		w.imagesHere[kit] = true
+		w.images.here[image] = true
 	}
 	for _, l := range w.sorted() {
 		switch {
-		case l.phase != fetching || l.description.Image != kit:
+		case l.phase != fetching || l.description.Image != image:
 		case err != nil:
 			w.endWithoutProcess(l, protocol.CauseError)
 		default:
@@ -97,19 +98,19 @@
 }
 
 // Evicted takes that an image is not here any more.
-func (w *Worker) Evicted(kit string) { delete(w.imagesHere, kit) }
+func (w *Worker) Evicted(image string) { delete(w.images.here, image) }
 
 // Exit is how an attempt's program ended.
 type Exit struct {
 	Code  int  // 0: success
-	Saved bool // a checkpoint was completed after it was told to stop
+	Saved bool // a checkpoint was completed after it was asked to stop
 }
 
 // Exited takes that all processes of an attempt are gone.
 func (w *Worker) Exited(now time.Duration, k TaskAttempt, x Exit) Effects {
 	w.advance(now)
 	l := w.tasks[k]
-	if w.endingEpoch || l == nil || !l.process() {
+	if w.epoch.ending || l == nil || !l.process() {
 		return w.takeEffects()
 	}
 	switch {
@@ -135,35 +136,35 @@
 // Preempt takes the cloud's notice: the machine is taken at that time.
 func (w *Worker) Preempt(now, at time.Duration) Effects {
 	w.now = max(w.now, now)
-	if !w.preempted {
-		w.changed = true
+	if !w.preemption.received {
+		w.heartbeats.changed = true
 	}
-	w.preemptionAt, w.preempted = at, true
+	w.preemption.at, w.preemption.received = at, true
 	w.advance(now)
 	return w.takeEffects()
 }
 
-// EpochEnded takes that nothing of the last session runs any more. The caller has
-// made the new session's number durable.
+// EpochEnded takes that nothing of the last agent epoch runs any more. The
+// caller has made the new epoch's number durable.
 func (w *Worker) EpochEnded(now time.Duration) Effects {
 	w.now = max(w.now, now)
-	if w.endingEpoch {
-		w.endingEpoch = false
+	if w.epoch.ending {
+		w.epoch.ending = false
 		for _, l := range w.sorted() {
 			w.effects.Forget = append(w.effects.Forget, l.id)
 		}
-		w.tasks, w.descriptions = map[TaskAttempt]*taskState{}, map[string]*protocol.JobDescription{}
-		w.describing, w.doneAt = map[string]bool{}, map[TaskAttempt]time.Duration{}
-		w.epoch++
-		w.epochBegan = w.now
-		w.changed = true
+		w.tasks, w.jobs.descriptions = map[TaskAttempt]*taskState{}, map[string]*protocol.JobDescription{}
+		w.jobs.describing, w.doneAt = map[string]bool{}, map[TaskAttempt]time.Duration{}
+		w.epoch.number++
+		w.epoch.began = w.now
+		w.heartbeats.changed = true
 	}
 	w.advance(now)
 	return w.takeEffects()
 }
 
-// Restarted begins the next session as a restarted agent does: all that ran is gone.
+// Restarted begins the next agent epoch as a restarted agent does: all that ran is gone.
 func (w *Worker) Restarted(now time.Duration) Effects {
-	w.endingEpoch = true
+	w.epoch.ending = true
 	return w.EpochEnded(now)
 }
--- a/internal/agent/worker_gang.go
+++ b/internal/agent/worker_gang.go
@@ -53,7 +53,7 @@
 // Peers takes what the agents of a gang's other tasks say.
 func (w *Worker) Peers(now time.Duration, k TaskAttempt, states map[int]string) Effects {
 	w.now = max(w.now, now)
-	if l := w.tasks[k]; l != nil && l.phase != ended && !w.endingEpoch {
+	if l := w.tasks[k]; l != nil && l.phase != ended && !w.epoch.ending {
 		l.peers = states
 	}
 	w.advance(now)
@@ -61,15 +61,15 @@
 }
 
 // Gang lists the attempts of a gang on this machine, for the others' agents.
-func (w *Worker) Gang(id string, try int) map[int]string {
+func (w *Worker) Gang(id string, attempt int) map[int]string {
 	out := map[int]string{}
 	for k := range w.doneAt {
-		if k.Job == id && k.Attempt == try {
+		if k.Job == id && k.Attempt == attempt {
 			out[k.Index] = gangDone
 		}
 	}
 	for k, l := range w.tasks {
-		if k.Job != id || k.Attempt != try || w.endingEpoch {
+		if k.Job != id || k.Attempt != attempt || w.epoch.ending {
 			continue
 		}
 		switch {
--- /dev/null
+++ b/internal/agent/worker_heartbeat.go
@@ -0,0 +1,81 @@
+package agent
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	"silvergate/internal/protocol"
+)
+
+// current writes the heartbeat as things stand.
+func (w *Worker) current() protocol.Heartbeat {
+	w.sequence++
+	r := w.identity
+	r.DataStore, r.Unshipped = w.store, w.unshipped
+	r.AgentEpoch, r.Sequence, r.FencingToken = w.epoch.number, w.sequence, w.fencingToken
+	if w.preemption.received {
+		left := max(0, (w.preemption.at - w.now).Seconds())
+		r.PreemptionNoticeS = &left
+	}
+	r.Tasks = make([]protocol.TaskStatus, 0, len(w.tasks))
+	for _, l := range w.sorted() {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.id.TaskName(), Attempt: l.id.Attempt, Status: wire[l.phase], Cause: l.cause, Checkpointed: l.checkpointed})
+	}
+	return r
+}
+
+func (w *Worker) heartbeat() {
+	w.heartbeats.inflight, w.heartbeats.sent, w.heartbeats.changed = true, true, false
+	w.heartbeats.lastAt = w.now
+	w.effects.Heartbeat = &HeartbeatSend{Controller: w.controllers[w.heartbeats.controller], Body: protocol.Encode(w.current()), Epoch: w.epoch.number, SentAt: w.now}
+}
+
+// Answered takes what came of a heartbeat: status 0 when no answer came in time.
+func (w *Worker) Answered(now time.Duration, s *HeartbeatSend, status int, body []byte) Effects {
+	w.advance(now)
+	w.heartbeats.inflight = false
+	switch status {
+	case http.StatusOK:
+		w.heartbeats.nextAt = w.now + seconds(w.periods.Heartbeat*(0.75+0.5*w.random.Float64()))
+		var a protocol.HeartbeatResponse
+		if s.Epoch != w.epoch.number || w.epoch.ending || w.now-s.SentAt > patience || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.fencingToken {
+			break // dropped: neither obeyed nor renewing
+		}
+		w.epoch.answeredAt = max(w.epoch.answeredAt, s.SentAt)
+		w.seeToken(a.FencingToken)
+		w.carryOut(a.Commands)
+		w.effects.Store = a.DataStore
+	case http.StatusMisdirectedRequest:
+		var r protocol.Redirect
+		_ = protocol.Decode(body, &r)
+		to := slices.IndexFunc(w.controllers, func(n Controller) bool { return n.Name == r.Controller })
+		if to >= 0 && to != w.heartbeats.controller {
+			w.heartbeats.controller = to
+			w.heartbeats.nextAt = w.now + time.Duration(w.random.Float64()*float64(soonest))
+			break
+		}
+		w.tryNextController()
+	default:
+		w.tryNextController()
+	}
+	return w.takeEffects()
+}
+
+func (w *Worker) tryNextController() {
+	w.heartbeats.controller = (w.heartbeats.controller + 1) % len(w.controllers)
+	w.heartbeats.nextAt = w.now + nextController
+}
+
+// seeToken takes a fencing token that is no lower than any before.
+func (w *Worker) seeToken(token uint64) {
+	if token == w.fencingToken {
+		return
+	}
+	w.fencingToken = token
+	w.effects.Token = token
+	if w.tokenChangedAt == 0 || w.now-w.tokenChangedAt >= w.lease()/2 {
+		w.tokenChangedAt = w.now
+		w.heartbeats.changed = true
+	}
+}
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -23,15 +23,15 @@
 
 // bench drives a worker as an agent would, with a world that draws what happens.
 type bench struct {
-	w       *Worker
-	now     time.Duration
-	report  *HeartbeatSend
-	alive   map[TaskAttempt]bool // attempts whose processes run
-	pulls   map[string]bool
-	asked   []string
-	clear   bool
-	started map[TaskAttempt]int // in this session
-	fail    func(format string, args ...any)
+	w         *Worker
+	now       time.Duration
+	heartbeat *HeartbeatSend
+	alive     map[TaskAttempt]bool // attempts whose processes run
+	pulls     map[string]bool
+	asked     []string
+	clear     bool
+	started   map[TaskAttempt]int // in this agent epoch
+	fail      func(format string, args ...any)
 }
 
 func newBench(fail func(string, ...any)) *bench {
@@ -43,13 +43,13 @@
 // take does what a step wants done.
 func (b *bench) take(e Effects) {
 	if e.Heartbeat != nil {
-		if b.report != nil {
+		if b.heartbeat != nil {
 			b.fail("two reports in flight")
 		}
 		if b.clear {
 			b.fail("a report while the last session's tasks are being ended")
 		}
-		b.report = e.Heartbeat
+		b.heartbeat = e.Heartbeat
 	}
 	if e.EndAll {
 		b.clear = true
@@ -103,8 +103,8 @@
 }
 
 func (b *bench) answer(status int, v any) {
-	r := b.report
-	b.report = nil
+	r := b.heartbeat
+	b.heartbeat = nil
 	b.take(b.w.Answered(b.now, r, status, protocol.Encode(v)))
 }
 
@@ -112,16 +112,16 @@
 	return &protocol.JobDescription{ID: id, Shape: shape, Tasks: loads, CPUs: 1, MemoryGB: 1, Image: "img", Priority: "standard"}
 }
 
-// TestWorkerKeepsTheProtocolsRules draws orders, answers, ends, pauses and lost
+// TestWorkerKeepsTheProtocolsRules draws commands, answers, ends, pauses and lost
 // messages, and checks after each step what must always hold.
 func TestWorkerKeepsTheProtocolsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench(t.Fatalf)
 		jobs := map[string]*protocol.JobDescription{"wk-000001": describe("wk-000001", job.Array, 3), "wk-000002": describe("wk-000002", job.Service, 2)}
 		jobs["wk-000001"].CheckpointIntervalS, jobs["wk-000001"].CheckpointSaveS = 5, 1
-		highest, session := uint64(0), uint64(1)
+		highest, currentEpoch := uint64(0), uint64(1)
 		answeredAt := time.Duration(0)
-		orders := func() []protocol.Command {
+		commands := func() []protocol.Command {
 			var out []protocol.Command
 			for range rapid.IntRange(0, 3).Draw(t, "orders") {
 				grace := rapid.SampledFrom([]float64{0, 2, 10}).Draw(t, "grace")
@@ -140,31 +140,31 @@
 			case 1:
 				b.tick(time.Duration(rapid.IntRange(1, 25).Draw(t, "s")) * time.Second)
 			case 2, 3:
-				if b.report == nil {
+				if b.heartbeat == nil {
 					b.tick(time.Second)
 					continue
 				}
 				token := rapid.SampledFrom([]uint64{0, highest, highest, highest + 1, highest / 2}).Draw(t, "token")
-				r, epoch := b.report, b.w.Epoch()
-				o := orders()
+				r, epoch := b.heartbeat, b.w.Epoch()
+				o := commands()
 				b.answer(200, protocol.HeartbeatResponse{FencingToken: token, Commands: o})
-				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= patience && !b.w.endingEpoch; {
+				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= patience && !b.w.epoch.ending; {
 				case taken:
 					highest, answeredAt = token, max(answeredAt, r.SentAt)
 				case fmt.Sprint(b.w.Count()) != before && !b.clear:
 					t.Fatalf("an answer under token %d of %d was obeyed", token, highest)
 				}
 			case 4:
-				if b.report != nil {
+				if b.heartbeat != nil {
 					b.answer(rapid.SampledFrom([]int{0, 421, 503}).Draw(t, "status"), protocol.Redirect{Controller: "b"})
 				}
 			case 5:
 				token := rapid.SampledFrom([]uint64{highest, highest + 1, highest / 2}).Draw(t, "token")
-				epoch := rapid.SampledFrom([]uint64{session, session, session + 1}).Draw(t, "shift")
-				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: orders()}))
+				epoch := rapid.SampledFrom([]uint64{currentEpoch, currentEpoch, currentEpoch + 1}).Draw(t, "shift")
+				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
 				b.take(e)
-				if want := token >= highest && epoch == session && !b.w.endingEpoch; (st == 200) != want {
-					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, epoch, session)
+				if want := token >= highest && epoch == currentEpoch && !b.w.epoch.ending; (st == 200) != want {
+					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, epoch, currentEpoch)
 				}
 				if st == 200 {
 					highest = token
@@ -204,22 +204,22 @@
 					clear(b.alive)
 					clear(b.started)
 					b.clear = false
-					session++
+					currentEpoch++
 					b.take(b.w.EpochEnded(b.now))
 					answeredAt = b.now
 				}
 			}
-			if over := b.now - answeredAt; over > b.w.lease() != b.w.endingEpoch && over > b.w.lease() {
+			if over := b.now - answeredAt; over > b.w.lease() != b.w.epoch.ending && over > b.w.lease() {
 				t.Fatalf("the lease is over since %v and the session goes on", over-b.w.lease())
 			}
-			if b.w.Epoch() != session {
-				t.Fatalf("session %d, expected %d", b.w.Epoch(), session)
+			if b.w.Epoch() != currentEpoch {
+				t.Fatalf("session %d, expected %d", b.w.Epoch(), currentEpoch)
 			}
 		}
 	})
 }
 
-// TestNewSessionIsEvidence demands that no report of a new session leaves before
+// TestNewSessionIsEvidence demands that no heartbeat of a new agent epoch leaves before
 // the old one's processes are gone.
 func TestNewSessionIsEvidence(t *testing.T) {
 	b := newBench(t.Fatalf)
@@ -240,14 +240,14 @@
 	if st, _, _ := b.w.Direct(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
 		t.Fatalf("orders were taken while tasks were being ended: %d", st)
 	}
-	b.report = nil
-	b.tick(time.Minute) // bench fails on a report
+	b.heartbeat = nil
+	b.tick(time.Minute) // bench fails on a heartbeat
 	clear(b.alive)
 	b.clear = false
 	b.take(b.w.EpochEnded(b.now))
 	b.tick(0)
 	var r protocol.Heartbeat
-	if b.report == nil || json.Unmarshal(b.report.Body, &r) != nil || r.AgentEpoch != 2 || len(r.Tasks) != 0 || r.FencingToken != 7 {
+	if b.heartbeat == nil || json.Unmarshal(b.heartbeat.Body, &r) != nil || r.AgentEpoch != 2 || len(r.Tasks) != 0 || r.FencingToken != 7 {
 		t.Fatalf("first report of the new session: %+v", r)
 	}
 }
@@ -258,7 +258,7 @@
 	b.tick(0)
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 5})
 	b.tick(17 * time.Second)
-	late := b.report
+	late := b.heartbeat
 	b.tick(1100 * time.Millisecond)
 	if late == nil || !b.clear {
 		t.Fatal("no report under way at the end of the lease")
@@ -347,7 +347,7 @@
 					}
 					b.take(b.w.Peers(b.now, k, states))
 				}
-				if b.report != nil {
+				if b.heartbeat != nil {
 					b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{}})
 				}
 				b.tick(250 * time.Millisecond)
@@ -386,15 +386,15 @@
 }
 
 // TestLargestReportFitsIntoARequest fills a machine with as many attempts as it
-// takes, and its store's part with the most that is told.
+// takes, and its store's part with the most that is reported.
 func TestLargestReportFitsIntoARequest(t *testing.T) {
 	b := newBench(t.Fatalf)
 	b.tick(0)
-	var orders []protocol.Command
+	var commands []protocol.Command
 	for i := range 5000 {
-		orders = append(orders, protocol.Command{Verb: "launch", Task: fmt.Sprintf("wk-%021d/%d", 1, 99_000+i), Attempt: 1 << 30})
+		commands = append(commands, protocol.Command{Verb: "launch", Task: fmt.Sprintf("wk-%021d/%d", 1, 99_000+i), Attempt: 1 << 30})
 	}
-	b.answer(200, protocol.HeartbeatResponse{FencingToken: 1 << 60, Commands: orders})
+	b.answer(200, protocol.HeartbeatResponse{FencingToken: 1 << 60, Commands: commands})
 	s := &protocol.StoreReport{Digest: "0123456789abcdef", Listed: true}
 	for range listed {
 		s.Copies = append(s.Copies, "0123456789abcdef0123456789abcdef")
@@ -405,11 +405,11 @@
 	}
 	b.w.Stored(s, true)
 	b.tick(time.Second)
-	if b.report == nil || len(b.report.Body) > protocol.MaxBody {
-		t.Fatalf("%d bytes", len(b.report.Body))
+	if b.heartbeat == nil || len(b.heartbeat.Body) > protocol.MaxBody {
+		t.Fatalf("%d bytes", len(b.heartbeat.Body))
 	}
 	var r protocol.Heartbeat
-	if json.Unmarshal(b.report.Body, &r) != nil || len(r.Tasks) < 300 {
+	if json.Unmarshal(b.heartbeat.Body, &r) != nil || len(r.Tasks) < 300 {
 		t.Fatalf("%d attempts are told", len(r.Tasks))
 	}
 }
