--- a/internal/provider/agents.go
+++ b/internal/provider/agents.go
@@ -64,7 +64,7 @@
 	p.timer.Reset(lookPeriod)
 }
 
-// agent is what a machine's agent is told.
+// agent is the configuration of a machine's agent.
 func (c *Config) agent(x *Machine, t *MachineType) agent.Config {
 	a := c.Agent
 	a.Worker, a.MachineType, a.Zone, a.Spot = x.Name, x.MachineType, x.Zone, x.Spot
@@ -189,7 +189,7 @@
 		p.log.Error("processes of a machine can't be ended", "machine", name, "left", left)
 	}
 	if exists(dir) {
-		p.bury(name, dir)
+		p.keepFolder(name, dir)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,7 +197,7 @@
 		return
 	}
 	delete(p.agents, name)
-	p.market.Gone(time.Now(), name)
+	p.market.Ended(time.Now(), name)
 	if err := p.store(Effects{}, name); err != nil {
 		p.fail(err)
 		return
@@ -215,9 +215,9 @@
 	return err == nil
 }
 
-// bury keeps the folders of the machines that ended last, for whoever asks why
+// keepFolder keeps the folders of the machines that ended last, for whoever asks why
 // a task failed.
-func (p *Provider) bury(name, dir string) {
+func (p *Provider) keepFolder(name, dir string) {
 	for _, large := range []string{"images", "data/copies", "data/partial"} {
 		_ = os.RemoveAll(filepath.Join(dir, large))
 	}
--- a/internal/provider/database.go
+++ b/internal/provider/database.go
@@ -86,7 +86,7 @@
 
 // load reads the records.
 func (p *Provider) load(path string) error {
-	var hires []*RentalRecord
+	var rentals []*RentalRecord
 	var machines []*Machine
 	var next uint64
 	err := p.db.Update(func(tx *bolt.Tx) error {
@@ -115,7 +115,7 @@
 			}),
 			read(bucketRentals, func(raw []byte) error {
 				h := &RentalRecord{}
-				hires = append(hires, h)
+				rentals = append(rentals, h)
 				return json.Unmarshal(raw, h)
 			}),
 			read(bucketNext, func(raw []byte) error { return json.Unmarshal(raw, &next) }))
@@ -123,13 +123,14 @@
 	if err != nil {
 		return err
 	}
-	p.market = NewMarket(p.cfg.Types, p.cfg.Spot, p.cfg.RPS, hires, machines, next, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	p.market = NewMarket(p.cfg.Types, p.cfg.Spot, p.cfg.RPS, rentals, machines, next, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return nil
 }
 
-// store makes what a step changed durable.
-func (p *Provider) store(e Effects, gone ...string) error {
-	if len(e.Store) == 0 && e.Rental == nil && len(gone) == 0 {
+// store makes what a step changed durable, and deletes the records of machines
+// that have ended.
+func (p *Provider) store(e Effects, ended ...string) error {
+	if len(e.Store) == 0 && e.Rental == nil && len(ended) == 0 {
 		return nil
 	}
 	return p.db.Update(func(tx *bolt.Tx) error {
@@ -145,7 +146,7 @@
 				return err
 			}
 		}
-		for _, n := range gone {
+		for _, n := range ended {
 			if err := tx.Bucket(bucketMachines).Delete([]byte(n)); err != nil {
 				return err
 			}
--- a/internal/provider/http.go
+++ b/internal/provider/http.go
@@ -20,64 +20,76 @@
 	}
 	now := time.Now()
 	p.stats.Requests++
-	refuse := func(status int, format string, args ...any) {
-		retry := 0
-		if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-			retry = 1
-			p.stats.Refused++
-		}
-		p.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)}), retry)
-	}
 	if !p.market.Admit(now) {
-		refuse(http.StatusTooManyRequests, "more than %g requests a second", p.cfg.RPS)
+		p.refuse(id, http.StatusTooManyRequests, "more than %g requests a second", p.cfg.RPS)
 		return
 	}
 	switch {
 	case r.Path == protocol.PathMachineTypes && r.Method == http.MethodGet:
 		p.server.Answer(id, http.StatusOK, protocol.Encode(p.market.MachineTypes()), 0)
 	case r.Path == protocol.PathRentals && r.Method == http.MethodPost:
-		q, err := readRental(r.Body)
-		if err != nil {
-			refuse(http.StatusBadRequest, "%v", err)
-			return
-		}
-		names, e, err := p.market.Rent(now, q)
-		switch {
-		case errors.Is(err, ErrNoCapacity):
-			refuse(http.StatusServiceUnavailable, "%v", err)
-		case err != nil:
-			refuse(http.StatusBadRequest, "%v", err)
-		case p.perform(e):
-			p.stats.Rented += uint64(len(e.Store))
-			p.server.Answer(id, http.StatusOK, protocol.Encode(protocol.MachineNames{Machines: names}), 0)
-		}
+		p.rent(id, now, r.Body)
 	case r.Path == protocol.PathRentalsDelete && r.Method == http.MethodPost:
 		names, err := readNames(r.Body)
 		if err != nil {
-			refuse(http.StatusBadRequest, "%v", err)
+			p.refuse(id, http.StatusBadRequest, "%v", err)
 			return
 		}
 		p.delete(id, names.Machines)
 	case r.Path == PathPreemptions && r.Method == http.MethodPost:
-		names, err := readNames(r.Body)
-		if err != nil {
-			refuse(http.StatusBadRequest, "%v", err)
-			return
-		}
-		if p.perform(p.market.Preempt(now, names.Machines, time.Duration(names.NoticeS*float64(time.Second)))) {
-			p.server.Answer(id, http.StatusOK, []byte("{}"), 0)
-		}
+		p.preempt(id, now, r.Body)
 	case r.Path == protocol.PathRentals && r.Method == http.MethodGet:
 		from, page, err := readPage(r.Query)
 		if err != nil {
-			refuse(http.StatusBadRequest, "%v", err)
+			p.refuse(id, http.StatusBadRequest, "%v", err)
 			return
 		}
 		p.server.Answer(id, http.StatusOK, protocol.Encode(p.market.List(now, from, page)), 0)
 	case slices.Contains([]string{protocol.PathMachineTypes, protocol.PathRentals, protocol.PathRentalsDelete, PathPreemptions}, r.Path):
-		refuse(http.StatusMethodNotAllowed, "method not allowed")
+		p.refuse(id, http.StatusMethodNotAllowed, "method not allowed")
 	default:
-		refuse(http.StatusNotFound, "no such path")
+		p.refuse(id, http.StatusNotFound, "no such path")
+	}
+}
+
+// refuse answers with an error; the lock is held.
+func (p *Provider) refuse(id uint64, status int, format string, args ...any) {
+	retryAfterS := 0
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
+		retryAfterS = 1
+		p.stats.Refused++
+	}
+	p.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: fmt.Sprintf(format, args...)}), retryAfterS)
+}
+
+// rent answers a request for machines; the lock is held.
+func (p *Provider) rent(id uint64, now time.Time, body []byte) {
+	request, err := readRental(body)
+	if err != nil {
+		p.refuse(id, http.StatusBadRequest, "%v", err)
+		return
+	}
+	names, e, err := p.market.Rent(now, request)
+	switch {
+	case errors.Is(err, ErrNoCapacity):
+		p.refuse(id, http.StatusServiceUnavailable, "%v", err)
+	case err != nil:
+		p.refuse(id, http.StatusBadRequest, "%v", err)
+	case p.perform(e):
+		p.stats.Rented += uint64(len(e.Store))
+		p.server.Answer(id, http.StatusOK, protocol.Encode(protocol.MachineNames{Machines: names}), 0)
+	}
+}
+
+// preempt has the machines that an operator names taken back; the lock is held.
+func (p *Provider) preempt(id uint64, now time.Time, body []byte) {
+	names, err := readNames(body)
+	if err != nil {
+		p.refuse(id, http.StatusBadRequest, "%v", err)
+		return
+	}
+	if p.perform(p.market.Preempt(now, names.Machines, time.Duration(names.NoticeS*float64(time.Second)))) {
+		p.server.Answer(id, http.StatusOK, []byte("{}"), 0)
 	}
 }
 
@@ -100,28 +112,28 @@
 
 func readRental(body []byte) (r protocol.RentalRequest, err error) {
 	var v struct {
-		Hire   *string  `json:"hire"`
-		Rig    *string  `json:"rig"`
-		Depot  *string  `json:"depot"`
-		Casual *bool    `json:"casual"`
-		Number *float64 `json:"number"`
+		RequestID   *string  `json:"hire"`
+		MachineType *string  `json:"rig"`
+		Zone        *string  `json:"depot"`
+		Spot        *bool    `json:"casual"`
+		Count       *float64 `json:"number"`
 	}
 	if err := protocol.DecodeObject(body, &v); err != nil {
 		return r, err
 	}
 	switch {
-	case v.Hire == nil || *v.Hire == "" || len(*v.Hire) > 200:
+	case v.RequestID == nil || *v.RequestID == "" || len(*v.RequestID) > 200:
 		return r, errors.New("hire: missing or too long")
-	case v.Rig == nil:
+	case v.MachineType == nil:
 		return r, errors.New("rig: missing")
-	case v.Depot == nil:
+	case v.Zone == nil:
 		return r, errors.New("depot: missing")
-	case v.Casual == nil:
+	case v.Spot == nil:
 		return r, errors.New("casual: missing")
-	case v.Number == nil || *v.Number != float64(int(*v.Number)) || *v.Number < 1 || *v.Number > maxRental:
+	case v.Count == nil || *v.Count != float64(int(*v.Count)) || *v.Count < 1 || *v.Count > maxRental:
 		return r, fmt.Errorf("number: missing or not between 1 and %d", maxRental)
 	}
-	return protocol.RentalRequest{RequestID: *v.Hire, MachineType: *v.Rig, Zone: *v.Depot, Spot: *v.Casual, Count: int(*v.Number)}, nil
+	return protocol.RentalRequest{RequestID: *v.RequestID, MachineType: *v.MachineType, Zone: *v.Zone, Spot: *v.Spot, Count: int(*v.Count)}, nil
 }
 
 type machineNames struct {
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -28,9 +28,9 @@
 
 // Spot says how spot machines are taken back.
 type Spot struct {
-	// MeanLifeS is how long one is left, on average; 0: for ever.
-	MeanLifeS float64 `yaml:"mean_life_s"`
-	// NoticeS is how long before it is told.
+	// MeanLifetimeS is how many seconds one is left, on average; 0: for ever.
+	MeanLifetimeS float64 `yaml:"mean_life_s"`
+	// NoticeS is how many seconds before that its agent gets notice.
 	NoticeS float64 `yaml:"notice_s"`
 }
 
@@ -82,8 +82,8 @@
 	Store  []*Machine
 	Rental *RentalRecord
 	Start  []string // machines whose agent is to be started
-	Notice []string // machines to be told of their end
-	End    []string // machines to be ended whole; Gone is called then
+	Notice []string // machines that get notice of their end
+	End    []string // machines to be ended whole; Ended is called then
 }
 
 // Market decides on rentals. It owns the machines' records and does no I/O; the
@@ -101,13 +101,13 @@
 	paid     float64 // for machines that are gone
 }
 
-// NewMarket makes a market of what is stored.
-func NewMarket(types []MachineType, spot Spot, rps float64, hires []*RentalRecord, machines []*Machine, next uint64, rnd *rand.Rand) *Market {
+// NewMarket makes a market of what is stored. It owns the records from then on.
+func NewMarket(types []MachineType, spot Spot, rps float64, rentals []*RentalRecord, machines []*Machine, next uint64, rnd *rand.Rand) *Market {
 	m := &Market{types: map[string]*MachineType{}, spot: spot, rps: rps, random: rnd, machines: map[string]*Machine{}, rentals: map[string]*RentalRecord{}, next: next, level: 2 * rps}
 	for i := range types {
 		m.types[types[i].Name] = &types[i]
 	}
-	for _, h := range hires {
+	for _, h := range rentals {
 		m.rentals[h.Name] = h
 	}
 	for _, x := range machines {
@@ -158,17 +158,17 @@
 	return true
 }
 
-// MachineTypes is the catalogue.
+// MachineTypes is the catalogue, in the order of names.
 func (m *Market) MachineTypes() protocol.MachineTypes {
 	f := protocol.MachineTypes{MachineTypes: []protocol.MachineType{}}
 	for _, t := range m.types {
-		depots := []string{}
+		zones := []string{}
 		for z := range t.Zones {
-			depots = append(depots, z)
+			zones = append(zones, z)
 		}
-		slices.Sort(depots)
+		slices.Sort(zones)
 		f.MachineTypes = append(f.MachineTypes, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, LocalGB: t.LocalGB, ImagePullGBPerS: t.ImagePullGBPerS,
-			OnDemandPrice: t.OnDemandPrice, SpotPrice: t.SpotPrice, StartupS: t.StartupS, Zones: depots})
+			OnDemandPrice: t.OnDemandPrice, SpotPrice: t.SpotPrice, StartupS: t.StartupS, Zones: zones})
 	}
 	slices.SortFunc(f.MachineTypes, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
 	return f
@@ -178,16 +178,17 @@
 var ErrNoCapacity = errors.New("no capacity")
 
 // taken counts the machines of a type and zone that are there.
-func (m *Market) taken(rig, depot string) (n int) {
+func (m *Market) taken(machineType, zone string) (n int) {
 	for _, x := range m.machines {
-		if x.MachineType == rig && x.Zone == depot && !x.Failed {
+		if x.MachineType == machineType && x.Zone == zone && !x.Failed {
 			n++
 		}
 	}
 	return n
 }
 
-// Rent grants a request, or repeats what it answered before.
+// Rent grants a request, or repeats what it answered before. The error is
+// ErrNoCapacity when the same request may succeed later.
 func (m *Market) Rent(now time.Time, r protocol.RentalRequest) ([]string, Effects, error) {
 	var e Effects
 	if h := m.rentals[r.RequestID]; h != nil {
@@ -213,8 +214,8 @@
 	for range n {
 		m.next++
 		x := &Machine{Name: fmt.Sprintf("i-%08d", m.next), MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedMS: now.UnixMilli(), Hourly: price}
-		if r.Spot && m.spot.MeanLifeS > 0 {
-			x.PreemptionMS = now.UnixMilli() + int64(m.random.ExpFloat64()*m.spot.MeanLifeS*1000)
+		if r.Spot && m.spot.MeanLifetimeS > 0 {
+			x.PreemptionMS = now.UnixMilli() + int64(m.random.ExpFloat64()*m.spot.MeanLifetimeS*1000)
 		}
 		m.machines[x.Name] = x
 		h.Machines = append(h.Machines, x.Name)
@@ -243,8 +244,8 @@
 	return wait, e
 }
 
-// Gone takes that nothing of a machine is left.
-func (m *Market) Gone(now time.Time, name string) {
+// Ended takes that nothing of a machine is left.
+func (m *Market) Ended(now time.Time, name string) {
 	if x := m.machines[name]; x != nil {
 		m.paid += m.cost(x, now)
 		delete(m.machines, name)
@@ -258,7 +259,7 @@
 	return x.Hourly / 3600 * max(minPaidS, float64(now.UnixMilli()-x.RentedMS)/1000)
 }
 
-// Paid is what all machines have cost so far.
+// Paid is what all machines have cost so far, in the currency of the hourly prices.
 func (m *Market) Paid(now time.Time) float64 {
 	sum := m.paid
 	for _, x := range m.machines {
@@ -280,7 +281,7 @@
 }
 
 // Tick lets time pass: machines come up, agents that died are started again,
-// spot machines are told of their end and taken.
+// spot machines get notice of their end and are taken.
 func (m *Market) Tick(now time.Time) (e Effects) {
 	ms := now.UnixMilli()
 	for _, n := range m.names() {
@@ -326,7 +327,7 @@
 	}
 }
 
-// Died takes that a machine's agent is gone without having been told to.
+// Died takes that a machine's agent is gone without having been stopped by the provider.
 func (m *Market) Died(now time.Time, name string) (e Effects) {
 	x := m.machines[name]
 	if x == nil || x.Leaving || x.Failed || !x.started {
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -30,18 +30,18 @@
 	"silvergate/internal/transport"
 )
 
-// Config is what a provider is told, in YAML.
+// Config is a provider's configuration, in YAML.
 type Config struct {
 	Listen string        `yaml:"listen"`
 	Dir    string        `yaml:"dir"` // absolute
 	RPS    float64       `yaml:"rps"`
 	Types  []MachineType `yaml:"types"`
 	Spot   Spot          `yaml:"spot"`
-	// Agent is what every machine's agent is told, but for what differs.
+	// Agent is every machine's agent configuration, but for what differs.
 	Agent   agent.Config `yaml:"agent"`
 	Metrics bool         `yaml:"metrics"`
-	// SwitchOff has the machines switched off when the provider is told to
-	// end. They are rented still, and come up again with it.
+	// SwitchOff has the machines switched off when the provider is
+	// stopped. They are rented still, and come up again with it.
 	SwitchOff bool `yaml:"switch_off"`
 	// Authority is the folder of the site's authority, which issues each machine's
 	// certificate; "": machines have none.
@@ -81,6 +81,12 @@
 	bucketNext     = []byte("next")
 )
 
+// Bounds of the provider's server.
+const (
+	requestTimeout = 10 * time.Second
+	maxConnections = 256
+)
+
 // Provider is a running cloud.
 type Provider struct {
 	cfg    Config
@@ -133,7 +139,7 @@
 	if err := p.load(path); err != nil {
 		return nil, errors.Join(err, db.Close())
 	}
-	p.server = transport.NewServer(&p.mu, p, 10*time.Second, 256)
+	p.server = transport.NewServer(&p.mu, p, requestTimeout, maxConnections)
 	return p, nil
 }
 
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -78,7 +78,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1e12)
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		spot := Spot{MeanLifeS: 20, NoticeS: 5}
+		spot := Spot{MeanLifetimeS: 20, NoticeS: 5}
 		hires, machines := map[string]RentalRecord{}, map[string]Machine{} // as stored
 		next := uint64(0)
 		m := NewMarket(types, spot, 5, nil, nil, 0, rnd)
@@ -143,7 +143,7 @@
 			case 3:
 				for _, n := range all {
 					if ending[n] && rapid.Bool().Draw(t, "gone") {
-						m.Gone(now, n)
+						m.Ended(now, n)
 						delete(machines, n)
 						delete(started, n)
 						delete(ending, n)
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -156,7 +156,7 @@
 	_, effects := c.market.Delete(names.Machines)
 	c.remove(effects.End)
 	for _, name := range effects.End {
-		c.market.Gone(now, name)
+		c.market.Ended(now, name)
 	}
 	return http.StatusOK, struct{}{}
 }
@@ -166,6 +166,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		c.market.Gone(time.Now(), name)
+		c.market.Ended(time.Now(), name)
 	}
 }
