--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -91,32 +91,52 @@
 	RecordMB float64 `yaml:"record_mb"`
 }
 
+// maxNodes bounds the controllers and the archive nodes of a site.
+const maxNodes = 9
+
 // Parse reads a site and names the first field that can't be.
 func Parse(raw []byte) (*Config, error) {
 	c := &Config{}
 	if err := config.DecodeYAML(raw, c); err != nil {
 		return nil, err
 	}
-	if c.Controllers < 1 || c.Controllers > 9 {
-		return nil, errors.New("controllers: must be from 1 to 9")
+	if err := c.check(); err != nil {
+		return nil, err
+	}
+	// Each part's own check names what is wrong with its share.
+	if err := c.checkParts(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// check judges the fields that are the site's own.
+func (c *Config) check() error {
+	if c.Controllers < 1 || c.Controllers > maxNodes {
+		return fmt.Errorf("controllers: must be from 1 to %d", maxNodes)
 	}
 	if c.OutsideKeepS != 0 && !(c.OutsideKeepS >= leastKeep.Seconds()) {
-		return nil, fmt.Errorf("outside_keep_s: must be 0 or at least %v", leastKeep.Seconds())
+		return fmt.Errorf("outside_keep_s: must be 0 or at least %v", leastKeep.Seconds())
 	}
 	if len(c.Zones) == 0 {
-		return nil, errors.New("zones: missing")
+		return errors.New("zones: missing")
 	}
-	if c.Archive != nil && (c.Archive.Nodes < 1 || c.Archive.Nodes > 9) {
-		return nil, errors.New("archive.nodes: must be from 1 to 9")
+	if c.Archive != nil && (c.Archive.Nodes < 1 || c.Archive.Nodes > maxNodes) {
+		return fmt.Errorf("archive.nodes: must be from 1 to %d", maxNodes)
 	}
 	for i, t := range c.Types {
 		for z := range t.Zones {
 			if !slices.Contains(c.Zones, z) {
-				return nil, fmt.Errorf("types[%d].depots.%s: not one of zones", i, z)
+				return fmt.Errorf("types[%d].depots.%s: not one of zones", i, z)
 			}
 		}
 	}
-	// Each part's own check names what is wrong with its share.
+	return nil
+}
+
+// checkParts has each part's own check judge its configuration, with ports that
+// stand for those chosen later.
+func (c *Config) checkParts() error {
 	l := layout{dir: "/", ports: &Ports{State: 1, Provider: 1, Controllers: make([]int, c.Controllers), Back: make([]int, c.Controllers)}}
 	if c.Archive != nil {
 		for i := range c.Archive.Nodes {
@@ -124,24 +144,24 @@
 		}
 		n := l.archiveNode(c, 0)
 		if err := n.Check(); err != nil {
-			return nil, fmt.Errorf("archive: %w", err)
+			return fmt.Errorf("archive: %w", err)
 		}
 	}
 	st := l.state(c)
 	if err := st.Check(); err != nil {
-		return nil, fmt.Errorf("state: %w", err)
+		return fmt.Errorf("state: %w", err)
 	}
 	pr := l.provider(c)
 	if err := pr.Check(); err != nil {
-		return nil, err
+		return err
 	}
 	for i := range c.Controllers {
 		raw, err := json.Marshal(l.controller(c, i))
 		if err != nil {
-			return nil, err
+			return err
 		}
 		if _, err := config.Parse(raw); err != nil {
-			return nil, err
+			return err
 		}
 	}
 	op, err := yaml.Marshal(l.operator(c))
@@ -149,12 +169,12 @@
 		_, err = config.ParseOperator(op)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("controller.%w", err)
+		return fmt.Errorf("controller.%w", err)
 	}
-	return c, nil
+	return nil
 }
 
-// Ports are the ports of a site's parts, kept for its life.
+// Ports are the ports of a site's parts, kept as long as it exists.
 type Ports struct {
 	State       int   `json:"state"`
 	Provider    int   `json:"provider"`
@@ -264,7 +284,7 @@
 	return p, nil
 }
 
-// layout says what each part of a site is told.
+// layout makes the configuration of each part of a site.
 type layout struct {
 	dir   string // absolute
 	ports *Ports
@@ -310,7 +330,7 @@
 
 func archiveName(i int) string { return fmt.Sprintf("archive-%d", i) }
 
-// archiveNode is what an archive node is told.
+// archiveNode is the configuration of an archive node.
 func (l layout) archiveNode(c *Config, i int) node.Config {
 	x, n := c.Archive, node.DefaultConfig()
 	n.Name, n.Listen, n.Members, n.Replicas = archiveName(i), address(l.ports.Archive[i]), l.ports.ArchiveNodes(x.Nodes), x.Replicas
--- a/internal/site/outside.go
+++ b/internal/site/outside.go
@@ -22,9 +22,9 @@
 
 const (
 	outsideDir = "outside"
-	// gonePrefix marks a folder that is being removed, so that a removal that was
+	// removalPrefix marks a folder that is being removed, so that a removal that was
 	// cut short is gone on with.
-	gonePrefix = ".gone-"
+	removalPrefix = ".gone-"
 	// leastKeep is the least time to keep them: commands come minutes late.
 	leastKeep = 10 * time.Minute
 	// sweepAtMost bounds the jobs that one sweep asks about.
@@ -32,22 +32,22 @@
 )
 
 // sweepOutside removes the folders of jobs that are over and in which nothing has
-// changed for keep. over tells whether a job is; what it can't tell stays. It
+// changed for keep. over tells whether a job is; what it does not know to be over stays. It
 // returns the jobs whose folders it has removed.
-func sweepOutside(dir string, keep time.Duration, now time.Time, over func(ref string) bool) ([]string, error) {
+func sweepOutside(dir string, keep time.Duration, now time.Time, over func(jobID string) bool) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
 	type folder struct {
-		ref string
-		at  time.Time
+		jobID string
+		at    time.Time
 	}
 	var old []folder
 	var errs []error
 	for _, e := range entries {
 		switch {
-		case strings.HasPrefix(e.Name(), gonePrefix):
+		case strings.HasPrefix(e.Name(), removalPrefix):
 			errs = append(errs, os.RemoveAll(filepath.Join(dir, e.Name())))
 		case e.IsDir() && protocol.ValidJobID(e.Name()):
 			at, err := newest(filepath.Join(dir, e.Name()))
@@ -59,16 +59,16 @@
 	sort.Slice(old, func(i, j int) bool { return old[i].at.Before(old[j].at) })
 	var removed []string
 	for _, f := range old[:min(len(old), sweepAtMost)] {
-		if !over(f.ref) {
+		if !over(f.jobID) {
 			continue
 		}
-		gone := filepath.Join(dir, gonePrefix+f.ref)
-		if err := os.Rename(filepath.Join(dir, f.ref), gone); err != nil {
+		removal := filepath.Join(dir, removalPrefix+f.jobID)
+		if err := os.Rename(filepath.Join(dir, f.jobID), removal); err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		errs = append(errs, os.RemoveAll(gone))
-		removed = append(removed, f.ref)
+		errs = append(errs, os.RemoveAll(removal))
+		removed = append(removed, f.jobID)
 	}
 	return removed, errors.Join(errs...)
 }
@@ -104,8 +104,8 @@
 			return
 		case <-time.After(max(time.Minute, keep/20)):
 		}
-		removed, err := sweepOutside(filepath.Join(s.Dir, outsideDir), keep, time.Now(), func(ref string) bool {
-			return ctx.Err() == nil && s.over(pool, ref)
+		removed, err := sweepOutside(filepath.Join(s.Dir, outsideDir), keep, time.Now(), func(jobID string) bool {
+			return ctx.Err() == nil && s.over(pool, jobID)
 		})
 		if len(removed) > 0 {
 			s.log.Info("results of jobs that are over were removed", "jobs", len(removed))
@@ -118,11 +118,11 @@
 
 // over asks the controllers whether a job is done or cancelled, which never
 // changes. No answer, and a job that they don't know, are no.
-func (s *Site) over(pool *transport.Pool, ref string) bool {
+func (s *Site) over(pool *transport.Pool, jobID string) bool {
 	for _, a := range s.Ports.Addresses() {
-		r := ask(pool, a, protocol.PathJobs+"/"+ref)
+		r := ask(pool, a, protocol.PathJobs+"/"+jobID)
 		var st protocol.JobState
-		if r != nil && json.Unmarshal(r.Body, &st) == nil && st.ID == ref {
+		if r != nil && json.Unmarshal(r.Body, &st) == nil && st.ID == jobID {
 			return st.Status == string(job.Done) || st.Status == string(job.Cancelled)
 		}
 	}
--- a/internal/site/up.go
+++ b/internal/site/up.go
@@ -28,7 +28,7 @@
 	"silvergate/internal/transport"
 )
 
-// Site is a site that runs on this machine.
+// Site is a site that runs on this machine. Open takes it, Start and Stop run it.
 type Site struct {
 	Dir   string
 	Ports *Ports
@@ -50,7 +50,7 @@
 	log  io.WriteCloser
 }
 
-// patience is how long a part that was told to end may take.
+// patience is how long a part that was asked to end may take.
 const patience = 10 * time.Second
 
 // Open takes the site in a folder, or makes one of settings; nil settings are
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// write writes what each part is told.
+// write writes each part's configuration.
 func (s *Site) write() error {
 	l := layout{s.Dir, s.Ports}
 	yamlFile := func(name string, v any) (string, error) {
@@ -359,10 +359,10 @@
 
 // Outputs lists what the tasks of a job have written, on machines that are there
 // and on those that ended last: one file for each attempt.
-func (s *Site) Outputs(ref string) ([]string, error) {
+func (s *Site) Outputs(jobID string) ([]string, error) {
 	var out []string
 	for _, where := range []string{"machines", "ended"} {
-		found, err := filepath.Glob(filepath.Join(s.Dir, "cloud", where, "*", "tasks", ref+".*", "stdout"))
+		found, err := filepath.Glob(filepath.Join(s.Dir, "cloud", where, "*", "tasks", jobID+".*", "stdout"))
 		if err != nil {
 			return nil, err
 		}
