--- a/cmd/silvergate/certs.go
+++ b/cmd/silvergate/certs.go
@@ -31,7 +31,7 @@
 }
 
 func (k *certsClient) issueFlags(c *cobra.Command, life *time.Duration) {
-	c.Flags().DurationVar(life, "life", identity.DefaultLife, "how long the certificate holds")
+	c.Flags().DurationVar(life, "life", identity.DefaultLifetime, "how long the certificate holds")
 	k.output(c)
 }
 
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -14,6 +14,7 @@
 	"fmt"
 	"io/fs"
 	"math/big"
+	"net/url"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -37,11 +38,11 @@
 // party's.
 const RevokedFile = "revoked.crl"
 
-// Lives of what is issued.
+// Lifetimes of what is issued.
 const (
-	authorityLife = 10 * 365 * 24 * time.Hour
-	// DefaultLife is a certificate's unless another is asked for.
-	DefaultLife = 30 * 24 * time.Hour
+	authorityLifetime = 10 * 365 * 24 * time.Hour
+	// DefaultLifetime is a certificate's lifetime unless another is asked for.
+	DefaultLifetime = 30 * 24 * time.Hour
 	// Skew is how much earlier than issued a certificate holds: clocks differ.
 	Skew = 5 * time.Minute
 )
@@ -65,7 +66,8 @@
 	Revoked   bool      `json:"revoked,omitempty"`
 }
 
-// Init makes a site's authority in a folder that has none.
+// Init makes a site's authority in a folder that has none; the error is
+// fs.ErrExist if it has one.
 func Init(dir, site string, now time.Time) (*Authority, error) {
 	if !ValidName(site) {
 		return nil, fmt.Errorf("site %.40q: not a name of letters, digits, '-', '_' and '.'", site)
@@ -90,7 +92,7 @@
 		return nil, err
 	}
 	t := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "silvergate authority of " + site, Organization: []string{site}},
-		NotBefore: now.Add(-Skew), NotAfter: now.Add(authorityLife), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+		NotBefore: now.Add(-Skew), NotAfter: now.Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, pub, key)
 	if err != nil {
@@ -133,14 +135,14 @@
 	return &Authority{dir: dir, cert: cert, key: key, Now: time.Now}, nil
 }
 
-// Site is whose authority it is.
+// Site is the name of the site whose authority it is.
 func (a *Authority) Site() string { return a.cert.Subject.Organization[0] }
 
 // Issue writes a new certificate and key for a party into a folder, beside the
 // site's own certificate and its revocations. What was there is replaced: the
 // party goes on with the new one without a restart. It says nothing of addresses:
-// who serves is judged by identity.
-func (a *Authority) Issue(who Identity, to string, life time.Duration) (Issued, error) {
+// who serves is judged by identity. A lifetime of 0 is DefaultLifetime.
+func (a *Authority) Issue(who Identity, to string, lifetime time.Duration) (Issued, error) {
 	if who.Site == "" {
 		who.Site = a.Site()
 	}
@@ -150,48 +152,72 @@
 	if who.Site != a.Site() {
 		return Issued{}, fmt.Errorf("this is the authority of %s, not of %s", a.Site(), who.Site)
 	}
-	if life <= 0 {
-		life = DefaultLife
+	if lifetime <= 0 {
+		lifetime = DefaultLifetime
 	}
 	unlock, err := lock(a.dir)
 	if err != nil {
 		return Issued{}, err
 	}
 	defer unlock()
-	pub, key, err := ed25519.GenerateKey(rand.Reader)
+	issued, der, key, err := a.sign(who, lifetime)
 	if err != nil {
 		return Issued{}, err
 	}
+	// On record before it can be used: what is not on record can't be revoked.
+	if err := a.note(issued); err != nil {
+		return Issued{}, err
+	}
+	if err := a.writeParty(to, der, key); err != nil {
+		return Issued{}, err
+	}
+	return issued, nil
+}
+
+// sign makes a key and a certificate for a party, in DER.
+func (a *Authority) sign(who Identity, lifetime time.Duration) (issued Issued, der []byte, key ed25519.PrivateKey, err error) {
+	pub, key, err := ed25519.GenerateKey(rand.Reader)
+	if err != nil {
+		return Issued{}, nil, nil, err
+	}
 	serial, err := newSerial()
 	if err != nil {
-		return Issued{}, err
+		return Issued{}, nil, nil, err
 	}
 	now := a.Now()
-	t := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: who.String(), Organization: []string{who.Site}},
-		NotBefore: now.Add(-Skew), NotAfter: minTime(now.Add(life), a.cert.NotAfter), KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}, BasicConstraintsValid: true}
-	t.URIs = append(t.URIs, who.URI())
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, pub, a.key)
+	template := &x509.Certificate{
+		SerialNumber:          serial,
+		Subject:               pkix.Name{CommonName: who.String(), Organization: []string{who.Site}},
+		NotBefore:             now.Add(-Skew),
+		NotAfter:              minTime(now.Add(lifetime), a.cert.NotAfter),
+		KeyUsage:              x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+		BasicConstraintsValid: true,
+		URIs:                  []*url.URL{who.URI()},
+	}
+	der, err = x509.CreateCertificate(rand.Reader, template, a.cert, pub, a.key)
 	if err != nil {
-		return Issued{}, err
-	}
-	rec := Issued{Serial: serial.Text(16), Identity: who.String(), NotBefore: t.NotBefore.UTC(), NotAfter: t.NotAfter.UTC()}
-	// On record before it can be used: what is not on record can't be revoked.
-	if err := a.note(rec); err != nil {
-		return Issued{}, err
+		return Issued{}, nil, nil, err
 	}
+	issued = Issued{Serial: serial.Text(16), Identity: who.String(), NotBefore: template.NotBefore.UTC(), NotAfter: template.NotAfter.UTC()}
+	return issued, der, key, nil
+}
+
+// writeParty writes a party's files: the site's certificate, the revocations, and
+// the party's own certificate with its key.
+func (a *Authority) writeParty(to string, der []byte, key ed25519.PrivateKey) error {
 	if err := os.MkdirAll(to, 0o700); err != nil {
-		return Issued{}, err
+		return err
 	}
 	crl, err := os.ReadFile(filepath.Join(a.dir, revokedFile))
 	if err != nil {
-		return Issued{}, err
+		return err
 	}
 	// Key and certificate are one file's contents, so that no reader ever sees
 	// the one without the other.
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Issued{}, err
+		return err
 	}
 	both := append(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw})...)
 	for _, f := range []struct {
@@ -200,14 +226,14 @@
 		mode fs.FileMode
 	}{{authorityFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), 0o644}, {revokedFile, crl, 0o644}, {certFile, both, 0o600}} {
 		if err := renameio.WriteFile(filepath.Join(to, f.name), f.data, f.mode); err != nil {
-			return Issued{}, err
+			return err
 		}
 	}
-	return rec, nil
+	return nil
 }
 
 // Ensure issues a certificate into a folder unless one is there that has more than
-// a third of its life left.
+// a third of its lifetime left.
 func (a *Authority) Ensure(who Identity, to string) error {
 	who.Site = a.Site()
 	if c, err := readCert(filepath.Join(to, certFile)); err == nil {
@@ -254,22 +280,22 @@
 	if err != nil {
 		return nil, err
 	}
-	gone := map[string]bool{}
+	revoked := map[string]bool{}
 	for _, e := range l.RevokedCertificateEntries {
-		gone[e.SerialNumber.Text(16)] = true
+		revoked[e.SerialNumber.Text(16)] = true
 	}
 	out := []Issued{}
 	for sc := bufio.NewScanner(bytes.NewReader(raw)); sc.Scan(); {
 		var i Issued
 		if json.Unmarshal(sc.Bytes(), &i) == nil { // a cut line was never used
-			i.Revoked = gone[i.Serial]
+			i.Revoked = revoked[i.Serial]
 			out = append(out, i)
 		}
 	}
 	return out, nil
 }
 
-// ErrUnknown is a certificate that was never issued here.
+// ErrUnknown is returned for a certificate that was never issued here.
 var ErrUnknown = errors.New("no such certificate was issued here")
 
 // Revoke puts certificates on the list of revocations: the one with that serial
@@ -309,7 +335,7 @@
 	return added, a.writeRevoked(list, old.Number.Int64()+1)
 }
 
-// RevokedList is the newest signed list of revocations.
+// RevokedList returns the newest signed list of revocations.
 func (a *Authority) RevokedList() ([]byte, error) {
 	return os.ReadFile(filepath.Join(a.dir, revokedFile))
 }
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -6,8 +6,7 @@
 // what was issued and the revocations. A Keeper owns one party's certificate: it
 // reads it again when it changes on disk, keeps the newest revocations it hears
 // of, and makes TLS configurations that accept nobody without a certificate of
-// the site. What is refused is told in the log with its reason, and in the answer
-// without.
+// the site. A refusal is logged with its reason, and answered without.
 package identity
 
 import (
@@ -20,7 +19,7 @@
 // Kind is what somebody is to a site.
 type Kind string
 
-// Kinds.
+// Kinds of parties.
 const (
 	Node     Kind = "node"     // an archive node
 	Agent    Kind = "agent"    // a machine's agent, by the machine's name
@@ -29,7 +28,7 @@
 	Customer Kind = "customer" // a customer of a team
 )
 
-// Scheme is that of identities' URIs.
+// Scheme is the scheme of identities' URIs.
 const Scheme = "silvergate"
 
 // Identity is who a certificate was issued to.
--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -38,8 +38,8 @@
 	// Now is the day's clock.
 	Now func() time.Time
 
-	own  atomic.Pointer[tls.Certificate]
-	gone atomic.Pointer[revocations]
+	own     atomic.Pointer[tls.Certificate]
+	revoked atomic.Pointer[revocations]
 
 	mu     sync.Mutex // of reading again
 	looked time.Time
@@ -130,11 +130,11 @@
 		r.serial[e.SerialNumber.Text(16)] = true
 	}
 	for {
-		old := k.gone.Load()
+		old := k.revoked.Load()
 		if old != nil && old.number >= r.number {
 			return false, nil
 		}
-		if k.gone.CompareAndSwap(old, r) {
+		if k.revoked.CompareAndSwap(old, r) {
 			return true, nil
 		}
 	}
@@ -144,7 +144,7 @@
 // does not matter from whom one has it.
 func (k *Keeper) Revocations() []byte {
 	k.look()
-	return k.gone.Load().raw
+	return k.revoked.Load().raw
 }
 
 // MaxRevocations bounds a list of revocations, in bytes.
@@ -160,7 +160,7 @@
 	if !newer || err != nil {
 		return newer, err
 	}
-	k.log.Info("newer list of revocations", "number", k.gone.Load().number, "revoked", len(k.gone.Load().serial))
+	k.log.Info("newer list of revocations", "number", k.revoked.Load().number, "revoked", len(k.revoked.Load().serial))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return true, renameio.WriteFile(filepath.Join(k.dir, revokedFile), raw, 0o644)
@@ -223,7 +223,7 @@
 		return Identity{}, fmt.Errorf("%w: %w", ErrForeign, err)
 	}
 	k.look()
-	if k.gone.Load().serial[c.SerialNumber.Text(16)] {
+	if k.revoked.Load().serial[c.SerialNumber.Text(16)] {
 		return Identity{}, ErrRevoked
 	}
 	who, err := identityOf(c)
--- a/internal/site/outside_test.go
+++ b/internal/site/outside_test.go
@@ -26,12 +26,12 @@
 			}
 		}
 	}
-	make("wk-000001", 2*time.Hour)   // over
-	make("wk-000002", 2*time.Hour)   // runs
-	make("wk-000003", 5*time.Minute) // over, but not for long
-	make("wk-000004", 2*time.Hour)   // nobody can tell
-	make(removalPrefix+"wk-000005", 0)  // a removal was cut short
-	make("notes", 2*time.Hour)       // no job's
+	make("wk-000001", 2*time.Hour)     // over
+	make("wk-000002", 2*time.Hour)     // runs
+	make("wk-000003", 5*time.Minute)   // over, but not for long
+	make("wk-000004", 2*time.Hour)     // nobody can tell
+	make(removalPrefix+"wk-000005", 0) // a removal was cut short
+	make("notes", 2*time.Hour)         // no job's
 	asked := map[string]bool{}
 	removed, err := sweepOutside(dir, time.Hour, now, func(ref string) bool {
 		asked[ref] = true
