--- a/cmd/silvergate/staging_test.go
+++ b/cmd/silvergate/staging_test.go
@@ -131,12 +131,12 @@
 	if err := k.post(protocol.PathStagings, a, &a); err != nil {
 		t.Fatal(err)
 	}
-	slow.Dark(true)
+	slow.SetUnresponsive(true)
 	time.Sleep(time.Second)
 	if s := (&site.Site{Dir: dir}); s.PID("stoker-1") != 0 {
 		syscall.Kill(s.PID("stoker-1"), syscall.SIGKILL)
 	}
-	slow.Dark(false)
+	slow.SetUnresponsive(false)
 	for i := range 6 {
 		submit(100+i, "urgent", "set0", []string{"2", "1"}[i%2])
 	}
--- a/internal/datastore/store_test.go
+++ b/internal/datastore/store_test.go
@@ -99,7 +99,7 @@
 	bad := server(t, root, fakeserver.Faults{Damage: 0.1, Short: 0.15, Lie: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
 	slow := server(t, root, fakeserver.Faults{BytesPerS: 60e6})
 	dark := server(t, root, fakeserver.Faults{})
-	dark.Dark(true)
+	dark.SetUnresponsive(true)
 	for i := range 4 {
 		m, w := publish(t, root, "set", fmt.Sprint(i), map[string][]byte{"a/one": random(uint64(i), 3<<20+17), "empty": nil, "two": random(uint64(i)+100, 5<<20)})
 		s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
--- a/internal/fakeserver/fileserver.go
+++ b/internal/fakeserver/fileserver.go
@@ -20,7 +20,7 @@
 	"silvergate/internal/dataset"
 )
 
-// Faults say how a file server misbehaves. Each is a probability for a response.
+// Faults describes how a file server misbehaves. Each is a probability for a response.
 type Faults struct {
 	Damage float64 // some bytes are changed
 	Short  float64 // it ends in the middle and closes the connection
@@ -33,18 +33,19 @@
 	BytesPerS float64
 }
 
-// FileServer serves the data sets below a root.
+// FileServer serves the data sets below a root. It is safe for concurrent use;
+// Close must be called.
 type FileServer struct {
 	root string
 	srv  *http.Server
 	addr string
 
-	mu     sync.Mutex
-	faults Faults
-	rnd    *rand.Rand
-	dark   bool // accepts connections and answers nothing
-	free   time.Time
-	done   chan struct{}
+	mu           sync.Mutex
+	faults       Faults
+	random       *rand.Rand
+	unresponsive bool // accepts connections and answers nothing
+	free         time.Time
+	done         chan struct{}
 
 	// Sent is how many bytes of files were sent.
 	Sent atomic.Int64
@@ -52,33 +53,34 @@
 	Requests atomic.Int64
 }
 
-// Serve starts a file server on an address.
+// Serve starts a file server on an address; the seed determines its faults.
 func Serve(listen, root string, seed uint64) (*FileServer, error) {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return nil, err
 	}
-	f := &FileServer{root: root, addr: l.Addr().String(), rnd: rand.New(rand.NewPCG(seed, 1)), done: make(chan struct{})}
+	f := &FileServer{root: root, addr: l.Addr().String(), random: rand.New(rand.NewPCG(seed, 1)), done: make(chan struct{})}
 	f.srv = &http.Server{Handler: f, ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
 	go f.srv.Serve(l)
 	return f, nil
 }
 
-// Address is where it listens.
+// Address returns the host and port at which it listens.
 func (f *FileServer) Address() string { return f.addr }
 
-// Set changes how it misbehaves.
+// Set replaces the faults.
 func (f *FileServer) Set(x Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = x
 }
 
-// Dark has it accept connections and say nothing, as behind a cut.
-func (f *FileServer) Dark(on bool) {
+// SetUnresponsive has it accept connections and answer nothing, as behind a
+// network partition, or ends that.
+func (f *FileServer) SetUnresponsive(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dark = on
+	f.unresponsive = on
 }
 
 // Close ends it and its connections.
@@ -99,14 +101,14 @@
 	}
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request, well or as the faults have it.
 func (f *FileServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.Requests.Add(1)
 	f.mu.Lock()
-	x, dark := f.faults, f.dark
-	luck := f.rnd.Float64()
+	faults, unresponsive := f.faults, f.unresponsive
+	luck := f.random.Float64()
 	f.mu.Unlock()
-	if dark {
+	if unresponsive {
 		f.sleep(r, time.Minute)
 		panic(http.ErrAbortHandler)
 	}
@@ -115,7 +117,7 @@
 		http.Error(w, "no such file", http.StatusNotFound)
 		return
 	}
-	if luck -= x.Error; luck < 0 {
+	if luck -= faults.Error; luck < 0 {
 		http.Error(w, "trouble", http.StatusInternalServerError)
 		return
 	}
@@ -130,58 +132,78 @@
 		http.Error(w, "no such file", http.StatusNotFound)
 		return
 	}
-	var rec recorder
-	rec.header = http.Header{}
-	if luck >= x.Damage+x.Short+x.Lie+x.Stall && x.BytesPerS == 0 {
-		n := &counter{ResponseWriter: w, sent: &f.Sent}
-		http.ServeContent(n, r, "", info.ModTime(), file)
+	if luck >= faults.Damage+faults.Short+faults.Lie+faults.Stall && faults.BytesPerS == 0 {
+		http.ServeContent(&counter{ResponseWriter: w, sent: &f.Sent}, r, "", info.ModTime(), file)
 		return
 	}
-	http.ServeContent(&rec, r, "", info.ModTime(), file)
-	body := rec.body.Bytes()
-	stallAt, cutAt := -1, -1
+	recorded := recorder{header: http.Header{}}
+	http.ServeContent(&recorded, r, "", info.ModTime(), file)
+	f.send(w, r, &recorded, f.misbehave(&recorded, faults, luck), faults)
+}
+
+// never is a position that no response reaches.
+const never = -1
+
+// disruption is where a response stalls or is cut off; never if it isn't.
+type disruption struct {
+	stallAt, cutAt int
+}
+
+// misbehave chooses a fault by luck, from 0 to 1, and makes it in a response or
+// says where the response is to be disrupted.
+func (f *FileServer) misbehave(recorded *recorder, faults Faults, luck float64) disruption {
+	body := recorded.body.Bytes()
+	d := disruption{stallAt: never, cutAt: never}
 	switch {
-	case luck < x.Damage && len(body) > 0:
+	case luck < faults.Damage && len(body) > 0:
 		f.mu.Lock()
-		for range 1 + f.rnd.IntN(3) {
-			body[f.rnd.IntN(len(body))] ^= byte(1 + f.rnd.IntN(255))
+		for range 1 + f.random.IntN(3) {
+			body[f.random.IntN(len(body))] ^= byte(1 + f.random.IntN(255))
 		}
 		f.mu.Unlock()
-	case luck < x.Damage+x.Short:
-		cutAt = len(body) / 2
-	case luck < x.Damage+x.Short+x.Lie:
-		rec.header.Set("Content-Length", fmt.Sprint(len(body)+1+len(body)/3))
-	case luck < x.Damage+x.Short+x.Lie+x.Stall:
-		stallAt = len(body) / 2
+	case luck < faults.Damage+faults.Short:
+		d.cutAt = len(body) / 2
+	case luck < faults.Damage+faults.Short+faults.Lie:
+		recorded.header.Set("Content-Length", fmt.Sprint(len(body)+1+len(body)/3))
+	case luck < faults.Damage+faults.Short+faults.Lie+faults.Stall:
+		d.stallAt = len(body) / 2
 	}
-	for k, v := range rec.header {
+	return d
+}
+
+// pieceBytes is how much of a disturbed response is written at a time.
+const pieceBytes = 64 << 10
+
+// send writes a recorded response piece by piece.
+func (f *FileServer) send(w http.ResponseWriter, r *http.Request, recorded *recorder, d disruption, faults Faults) {
+	for k, v := range recorded.header {
 		w.Header()[k] = v
 	}
-	w.WriteHeader(max(rec.status, http.StatusOK))
-	const piece = 64 << 10
-	for at := 0; at < len(body); at += piece {
-		if cutAt >= 0 && at >= cutAt {
+	w.WriteHeader(max(recorded.status, http.StatusOK))
+	body := recorded.body.Bytes()
+	for at := 0; at < len(body); at += pieceBytes {
+		if d.cutAt >= 0 && at >= d.cutAt {
 			panic(http.ErrAbortHandler)
 		}
-		if stallAt >= 0 && at >= stallAt {
-			stallAt = -1
-			f.sleep(r, x.StallFor)
+		if d.stallAt >= 0 && at >= d.stallAt {
+			d.stallAt = never
+			f.sleep(r, faults.StallFor)
 		}
-		n := min(piece, len(body)-at)
-		if x.BytesPerS > 0 {
-			f.sleep(r, f.share(n, x.BytesPerS))
+		n := min(pieceBytes, len(body)-at)
+		if faults.BytesPerS > 0 {
+			f.sleep(r, f.share(n, faults.BytesPerS))
 		}
 		if _, err := w.Write(body[at : at+n]); err != nil {
 			return
 		}
 		f.Sent.Add(int64(n))
 	}
-	if cutAt >= 0 {
+	if d.cutAt >= 0 {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// share is how long a piece waits for its turn of the server's rate.
+// share is how long a piece of n bytes waits so that the server keeps its rate.
 func (f *FileServer) share(n int, rate float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -193,6 +215,7 @@
 	return f.free.Sub(now)
 }
 
+// recorder holds a response back, to be changed before it is sent.
 type recorder struct {
 	header http.Header
 	status int
@@ -203,6 +226,7 @@
 func (r *recorder) WriteHeader(s int)           { r.status = s }
 func (r *recorder) Write(b []byte) (int, error) { return r.body.Write(b) }
 
+// counter counts the bytes of a response that are sent as they are.
 type counter struct {
 	http.ResponseWriter
 	sent *atomic.Int64
