--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -21,7 +21,7 @@
 	"silvergate/internal/provider"
 )
 
-// CellSettings is what a cell process is told.
+// CellSettings are the settings of a cell process, in YAML.
 type CellSettings struct {
 	Scenario *Scenario `yaml:"scenario"`
 	Number   int       `yaml:"number"`
@@ -34,13 +34,13 @@
 
 // agentProcess is a real agent, with what it was last seen to have used.
 type agentProcess struct {
-	cmd   *exec.Cmd
-	began time.Time
-	life  time.Duration
-	used  time.Duration
+	cmd    *exec.Cmd
+	began  time.Time
+	uptime time.Duration
+	cpu    time.Duration
 }
 
-// cell is what a cell process holds.
+// cell is what a cell process holds. It is the observer of its fleet.
 type cell struct {
 	scenario *Scenario
 	layout   *cellLayout
@@ -53,18 +53,28 @@
 	cloud    *cloud
 	users    *users
 
-	mu        sync.Mutex
-	samples   []Sample
-	starts    int
-	killed    int
-	submit    *hdrhistogram.Histogram
-	first     map[string]*hdrhistogram.Histogram
-	tasks     map[string]*hdrhistogram.Histogram
-	startedBy map[string]map[int]bool // tasks that have started, by job
-	agents    map[string]*agentProcess
-	agentsUse AgentsResult
-	agentsAll []*agentProcess // also those that were ended
-	workerS   float64         // seconds of workers that were up
+	mu       sync.Mutex
+	measured measurements
+	agents   agentProcesses
+}
+
+// measurements are what a cell has measured so far.
+type measurements struct {
+	samples      []Sample
+	starts       int
+	leaseKilled  int                                // tasks
+	acceptance   *hdrhistogram.Histogram            // from submissions to their acceptance
+	firstStart   map[string]*hdrhistogram.Histogram // from submissions to first tasks, by urgency
+	taskStart    map[string]*hdrhistogram.Histogram // from submissions to each task's first start, by urgency
+	started      map[string]map[int]bool            // tasks that have started, by job
+	workerUptime float64                            // seconds of workers that were up
+}
+
+// agentProcesses are a cell's real agents.
+type agentProcesses struct {
+	running map[string]*agentProcess // by machine
+	all     []*agentProcess          // also those that were ended
+	result  AgentsResult
 }
 
 // Intervals of a cell process.
@@ -83,11 +93,12 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	c := &cell{scenario: s, dir: settings.Dir, self: self, log: log, begun: time.Now(), submit: histogram(),
-		layout: &cellLayout{scenario: s, number: settings.Number, state: settings.State, cloud: settings.Cloud, controllers: settings.Controllers},
-		first:  map[string]*hdrhistogram.Histogram{}, tasks: map[string]*hdrhistogram.Histogram{}, startedBy: map[string]map[int]bool{}, agents: map[string]*agentProcess{}}
+	c := &cell{scenario: s, dir: settings.Dir, self: self, log: log, begun: time.Now(),
+		layout:   &cellLayout{scenario: s, number: settings.Number, state: settings.State, cloud: settings.Cloud, controllers: settings.Controllers},
+		measured: measurements{acceptance: histogram(), firstStart: map[string]*hdrhistogram.Histogram{}, taskStart: map[string]*hdrhistogram.Histogram{}, started: map[string]map[int]bool{}},
+		agents:   agentProcesses{running: map[string]*agentProcess{}}}
 	c.checker = newChecker(s, c.now)
-	c.fleet = hollow.NewFleet(c.layout.nodes(), c.layout.periods(), c.layout.workerIP(), reportConnections(s), c)
+	c.fleet = hollow.NewFleet(c.layout.nodes(), c.layout.periods(), c.layout.workerIP(), heartbeatConnections(s), c)
 	defer c.fleet.Close()
 	c.cloud = newCloud(s, s.Seed+uint64(settings.Number), log)
 	c.cloud.boot, c.cloud.remove = c.boot, c.remove
@@ -117,8 +128,8 @@
 	return nil
 }
 
-// reportConnections is how many connections the hollow workers of a cell share.
-func reportConnections(s *Scenario) int {
+// heartbeatConnections is how many connections the hollow workers of a cell share.
+func heartbeatConnections(s *Scenario) int {
 	return s.Controllers * max(16, s.Controller.MaxSockets/4)
 }
 
@@ -192,9 +203,9 @@
 			tasks, answered := c.fleet.Running()
 			workers := len(c.fleet.Names(""))
 			c.mu.Lock()
-			c.samples = append(c.samples, Sample{AtS: c.now().Seconds(), Starts: c.starts, Running: tasks, Workers: workers, Answered: answered,
-				Reports: c.fleet.Stats.Heartbeats.Load(), LeaseKill: c.killed})
-			c.workerS += float64(workers) * samplePeriod.Seconds()
+			c.measured.samples = append(c.measured.samples, Sample{AtS: c.now().Seconds(), Starts: c.measured.starts, Running: tasks, Workers: workers, Answered: answered,
+				Reports: c.fleet.Stats.Heartbeats.Load(), LeaseKill: c.measured.leaseKilled})
+			c.measured.workerUptime += float64(workers) * samplePeriod.Seconds()
 			c.measureAgents()
 			c.mu.Unlock()
 		case <-over:
@@ -205,24 +216,24 @@
 
 // measureAgents notes what the real agents have used so far; the lock is held.
 func (c *cell) measureAgents() {
-	for _, a := range c.agents {
+	for _, a := range c.agents.running {
 		if u, ok := readUsage(a.cmd.Process.Pid); ok {
-			c.agentsUse.PeakMB = max(c.agentsUse.PeakMB, float64(u.rss)/(1<<20))
-			a.life, a.used = time.Since(a.began), u.cpu
+			c.agents.result.PeakMB = max(c.agents.result.PeakMB, float64(u.rss)/(1<<20))
+			a.uptime, a.cpu = time.Since(a.began), u.cpu
 		}
 	}
 }
 
 // agentsResult sums up what the real agents have used; the lock is held.
 func (c *cell) agentsResult() AgentsResult {
-	var life, used time.Duration
-	for _, a := range c.agentsAll {
-		life, used = life+a.life, used+a.used
+	var uptime, cpu time.Duration
+	for _, a := range c.agents.all {
+		uptime, cpu = uptime+a.uptime, cpu+a.cpu
 	}
-	if life > 0 {
-		c.agentsUse.CoreMs = 1000 * used.Seconds() / life.Seconds()
+	if uptime > 0 {
+		c.agents.result.CoreMs = 1000 * cpu.Seconds() / uptime.Seconds()
 	}
-	return c.agentsUse
+	return c.agents.result
 }
 
 // faults plays those of the workers; the caller of the run plays those of the controllers.
@@ -247,7 +258,7 @@
 	slices.Sort(names)
 	names = names[:int(float64(len(names))*f.Share)]
 	c.log.Info("fault", "kind", f.Kind, "workers", len(names))
-	if f.Kind == FaultWorkersGone {
+	if f.Kind == FaultWorkersLost {
 		c.fleet.Remove(names...)
 		c.cloud.died(names)
 		return
@@ -318,8 +329,8 @@
 	log.Close()
 	c.mu.Lock()
 	a := &agentProcess{cmd: cmd, began: time.Now()}
-	c.agents[m.Name], c.agentsAll = a, append(c.agentsAll, a)
-	c.agentsUse.Count++
+	c.agents.running[m.Name], c.agents.all = a, append(c.agents.all, a)
+	c.agents.result.Count++
 	c.mu.Unlock()
 	return cfg.Listen, nil
 }
@@ -339,8 +350,8 @@
 	c.fleet.Remove(names...)
 	for _, name := range names {
 		c.mu.Lock()
-		a := c.agents[name]
-		delete(c.agents, name)
+		a := c.agents.running[name]
+		delete(c.agents.running, name)
 		c.mu.Unlock()
 		if a != nil {
 			endProcess(a.cmd)
@@ -351,15 +362,13 @@
 func (c *cell) endAgents() {
 	c.mu.Lock()
 	var names []string
-	for name := range c.agents {
+	for name := range c.agents.running {
 		names = append(names, name)
 	}
 	c.mu.Unlock()
 	c.remove(names)
 }
 
-// Describe, RunTime, Started, Stopped and LeaseEnded make the cell the fleet's observer.
-
 // Describe returns a job's description.
 func (c *cell) Describe(id string) (*protocol.JobDescription, bool) { return c.checker.describe(id) }
 
@@ -373,19 +382,19 @@
 	if s == nil {
 		return
 	}
-	wait := c.now() - s.at
+	wait := c.now() - s.progress.submittedAt
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.starts++
+	c.measured.starts++
 	if nth == 1 {
-		record(c.first, s.Priority, wait)
+		record(c.measured.firstStart, s.Priority, wait)
 	}
-	if c.startedBy[k.Job] == nil {
-		c.startedBy[k.Job] = map[int]bool{}
+	if c.measured.started[k.Job] == nil {
+		c.measured.started[k.Job] = map[int]bool{}
 	}
-	if !c.startedBy[k.Job][k.Index] {
-		c.startedBy[k.Job][k.Index] = true
-		record(c.tasks, s.Priority, wait)
+	if !c.measured.started[k.Job][k.Index] {
+		c.measured.started[k.Job][k.Index] = true
+		record(c.measured.taskStart, s.Priority, wait)
 	}
 }
 
@@ -398,12 +407,12 @@
 func (c *cell) LeaseEnded(_ *hollow.Machine, tasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.killed += tasks
+	c.measured.leaseKilled += tasks
 }
 
 // submitted takes how long a submission took to be accepted.
 func (c *cell) submitted(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.submit.RecordValue(bounded(took))
+	_ = c.measured.acceptance.RecordValue(bounded(took))
 }
--- a/internal/scale/cell_result.go
+++ b/internal/scale/cell_result.go
@@ -14,7 +14,7 @@
 	Starts    int     `json:"starts"`    // so far
 	Running   int     `json:"running"`   // tasks
 	Workers   int     `json:"workers"`   // that are up
-	Answered  int     `json:"answered"`  // of them, within two report periods
+	Answered  int     `json:"answered"`  // of them, within two heartbeat periods
 	Reports   int64   `json:"reports"`   // so far
 	LeaseKill int     `json:"leaseKill"` // tasks killed by leases, so far
 }
@@ -44,8 +44,8 @@
 	FirstStart  map[string]Latency `json:"firstStart"` // submission to a job's first task, by urgency
 	TaskStart   map[string]Latency `json:"taskStart"`  // submission to each task's first start, by urgency
 	Reports     int64              `json:"reports"`
-	Answers     map[string]int64   `json:"answers"`       // to reports, by kind
-	AnswerMs    float64            `json:"answerMs"`      // mean time until a report's answer
+	Answers     map[string]int64   `json:"answers"`       // to heartbeats, by kind
+	AnswerMs    float64            `json:"answerMs"`      // mean time until a heartbeat's answer
 	BytesPerS   float64            `json:"bytesPerS"`     // of a worker, both ways, mean
 	CloudCalls  int                `json:"cloudRequests"` // and how many of them were refused
 	CloudRefuse int                `json:"cloudRefused"`
@@ -56,7 +56,7 @@
 // AgentsResult is what a cell's real agents have used, themselves and without their tasks.
 type AgentsResult struct {
 	Count  int     `json:"count"`
-	CoreMs float64 `json:"coreMs"` // processor time for each second of their lives, in ms, of all together
+	CoreMs float64 `json:"coreMs"` // processor time for each second that they were up, in ms, of all together
 	PeakMB float64 `json:"peakMb"` // of the largest
 }
 
@@ -91,20 +91,20 @@
 
 // result sums a cell up.
 func (c *cell) result() *CellResult {
-	accepted, given, finished := c.users.counts()
+	accepted, givenUp, finished := c.users.counts()
 	broken, first := c.checker.verdict()
 	stats := &c.fleet.Stats
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &CellResult{Number: c.layout.number, Samples: c.samples, Broken: broken, FirstBroken: first, Accepted: accepted, GivenUp: given, Finished: finished,
-		Starts: c.starts, LeaseKilled: c.killed, Sessions: stats.Epochs.Load(), Submit: latency(c.submit), FirstStart: latencies(c.first), TaskStart: latencies(c.tasks),
+	r := &CellResult{Number: c.layout.number, Samples: c.measured.samples, Broken: broken, FirstBroken: first, Accepted: accepted, GivenUp: givenUp, Finished: finished,
+		Starts: c.measured.starts, LeaseKilled: c.measured.leaseKilled, Sessions: stats.Epochs.Load(), Submit: latency(c.measured.acceptance), FirstStart: latencies(c.measured.firstStart), TaskStart: latencies(c.measured.taskStart),
 		Reports: stats.Heartbeats.Load(), CloudCalls: c.cloud.requests, CloudRefuse: c.cloud.refused, Agents: c.agentsResult(),
 		Answers: map[string]int64{"answered": stats.Answered.Load(), "redirected": stats.Redirected.Load(), "refused": stats.Refused.Load(), "unanswered": stats.Unanswered.Load()}}
 	if n := stats.Answered.Load(); n > 0 {
 		r.AnswerMs = float64(stats.AnswerNanos.Load()) / float64(n) / 1e6
 	}
-	if c.workerS > 0 {
-		r.BytesPerS = float64(stats.BytesOut.Load()+stats.BytesIn.Load()) / c.workerS
+	if c.measured.workerUptime > 0 {
+		r.BytesPerS = float64(stats.BytesOut.Load()+stats.BytesIn.Load()) / c.measured.workerUptime
 	}
 	return r
 }
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -41,14 +41,14 @@
 
 // judged is what the checker knows of a job.
 type judged struct {
-	spec      *submission
-	accepted  bool
-	final     string // what a user was told last of a job that is over
-	cancelled bool   // its user was told so
-	toldAt    time.Duration
-	on        map[int]string // where each task runs
-	done      map[int]bool   // tasks that completed
-	starts    int
+	spec        *submission
+	accepted    bool
+	final       string         // the last status that a user saw of a job that is over
+	cancelled   bool           // its user saw that
+	cancelledAt time.Duration  // when a user first heard so
+	on          map[int]string // where each task runs
+	done        map[int]bool   // tasks that completed
+	starts      int
 }
 
 func newChecker(s *Scenario, now func() time.Duration) *checker {
@@ -87,8 +87,8 @@
 	if other, on := j.on[k.Index]; on {
 		c.breaks(ruleRanTwice, "%s starts on %s while it is on %s", k, m.Name, other)
 	}
-	if j.cancelled && c.now() > j.toldAt+c.cancelWithin {
-		c.breaks(ruleRanCancelled, "%s starts on %s, %s after its user was told", k, m.Name, c.now()-j.toldAt)
+	if j.cancelled && c.now() > j.cancelledAt+c.cancelWithin {
+		c.breaks(ruleRanCancelled, "%s starts on %s, %s after its user was told", k, m.Name, c.now()-j.cancelledAt)
 	}
 	j.on[k.Index] = m.Name
 	j.starts++
@@ -103,21 +103,21 @@
 
 // judgePlace judges a start by the job's own demands; the lock is held.
 func (c *checker) judgePlace(j *judged, m *hollow.Machine, k agent.TaskAttempt) {
-	if j.spec.zones == nil {
-		j.spec.zones = map[int]string{}
+	if j.spec.progress.zones == nil {
+		j.spec.progress.zones = map[int]string{}
 	}
 	if m.Type != j.spec.MachineTypes[0] || m.Spot && !j.spec.Spot {
 		c.breaks(ruleWrongPlace, "%s starts on %s of type %s", k, m.Name, m.Type)
 	}
 	if j.spec.OneZone {
 		for index := range j.on {
-			if zone, known := j.spec.zones[index]; known && index != k.Index && zone != m.Zone {
+			if zone, known := j.spec.progress.zones[index]; known && index != k.Index && zone != m.Zone {
 				c.breaks(ruleWrongPlace, "%s starts in %s while task %d is in %s", k, m.Zone, index, zone)
 				break
 			}
 		}
 	}
-	j.spec.zones[k.Index] = m.Zone
+	j.spec.progress.zones[k.Index] = m.Zone
 }
 
 // stopped takes that a task is gone from its machine.
@@ -135,7 +135,7 @@
 	}
 }
 
-// answered takes what a user was told of a job: the status of a 200, or "" for a 404.
+// answered takes what a user sees of a job: the status of a 200, or "" for a 404.
 func (c *checker) answered(id, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,16 +159,16 @@
 	switch status {
 	case statusDone:
 		// A task on a real agent is not seen; its completion can't be judged.
-		if missing := j.spec.Tasks - len(j.done); missing > 0 && !j.spec.real {
+		if missing := j.spec.Tasks - len(j.done); missing > 0 && !j.spec.plan.real {
 			c.breaks(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
 		}
 		j.final = status
 	case statusCancelled:
-		if !j.spec.calledOff {
+		if !j.spec.progress.cancelRequested {
 			c.breaks(ruleWentBack, "%s is called cancelled, and its user did not cancel it", id)
 		}
 		if !j.cancelled {
-			j.cancelled, j.toldAt = true, c.now()
+			j.cancelled, j.cancelledAt = true, c.now()
 		}
 		j.final = status
 	}
@@ -179,9 +179,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, j := range c.jobs {
-		if j.cancelled && len(j.on) > 0 && c.now() > j.toldAt+c.cancelWithin && !j.spec.overdue {
-			j.spec.overdue = true
-			c.breaks(ruleRanCancelled, "%s has %d tasks, %s after its user was told", id, len(j.on), c.now()-j.toldAt)
+		if j.cancelled && len(j.on) > 0 && c.now() > j.cancelledAt+c.cancelWithin && !j.spec.progress.overdue {
+			j.spec.progress.overdue = true
+			c.breaks(ruleRanCancelled, "%s has %d tasks, %s after its user was told", id, len(j.on), c.now()-j.cancelledAt)
 		}
 	}
 }
@@ -206,12 +206,12 @@
 	return 0
 }
 
-// callOff notes that a job's user asks to cancel it.
-func (c *checker) callOff(id string) {
+// cancelRequested notes that a job's user asks to cancel it.
+func (c *checker) cancelRequested(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if j := c.jobs[id]; j != nil {
-		j.spec.calledOff = true
+		j.spec.progress.cancelRequested = true
 	}
 }
 
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -105,7 +105,7 @@
 	return agent.Periods{Heartbeat: p.Report, Lease: p.Lease, GangWait: p.GangWait, GangPeer: p.GangPeer}
 }
 
-// controllerSettings is what a controller of the cell is told, checked as it will check it.
+// controllerSettings are the settings of a controller of the cell, checked as it will check it.
 func (c *cellLayout) controllerSettings(i int) ([]byte, error) {
 	s := c.scenario
 	settings := &config.Settings{Node: nodeName(i), Zone: c.zone(i), Listen: loopback(c.controllers[i]), Back: loopback(c.back[i]),
@@ -125,7 +125,7 @@
 	return raw, err
 }
 
-// operatorSettings is what operators tell the controllers, checked as they will check it.
+// operatorSettings are the operators' settings of the controllers, checked as they will check it.
 func (s *Scenario) operatorSettings() ([]byte, error) {
 	raw, err := yaml.Marshal(s.Operator)
 	if err != nil {
@@ -147,7 +147,7 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
 
-// stateSettings is what a cell's state service is told.
+// stateSettings are the settings of a cell's state service.
 func (c *cellLayout) stateSettings(dir string) statestore.Config {
 	s := statestore.DefaultConfig()
 	s.Listen, s.Dir, s.Metrics = loopback(c.state), dir, true
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// endPatience is how long a process that was told to end may take.
+// endPatience is how long a process that was asked to end may take.
 const endPatience = 3 * time.Second
 
 // endProcess ends a process and its group: by SIGTERM, then by SIGKILL.
@@ -68,8 +68,8 @@
 	if err != nil {
 		return 0
 	}
-	for line := range strings.Lines(string(raw)) {
-		if rest, found := strings.CutPrefix(line, "MemTotal:"); found {
+	for entry := range strings.Lines(string(raw)) {
+		if rest, found := strings.CutPrefix(entry, "MemTotal:"); found {
 			kb, _ := strconv.ParseUint(strings.Fields(rest)[0], 10, 64)
 			return kb << 10
 		}
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -13,13 +13,13 @@
 
 // ProcessResult is what one process of a run has used.
 type ProcessResult struct {
-	Name   string  `json:"name"`
-	CPUS   float64 `json:"cpuS"`
-	CoreMs float64 `json:"coreMs"` // processor time for each second of its life, in ms
-	PeakMB float64 `json:"peakMb"`
-	Ended  int     `json:"ended"` // by itself
-	Killed int     `json:"killed"`
-	lifeS  float64
+	Name    string  `json:"name"`
+	CPUS    float64 `json:"cpuS"`
+	CoreMs  float64 `json:"coreMs"` // processor time for each second that it was up, in ms
+	PeakMB  float64 `json:"peakMb"`
+	Ended   int     `json:"ended"` // by itself
+	Killed  int     `json:"killed"`
+	uptimeS float64
 }
 
 // process is a part of a run.
@@ -30,7 +30,7 @@
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	result  ProcessResult
-	before  time.Duration // processor time of its earlier lives
+	before  time.Duration // processor time before it was last started
 	last    usage
 	began   time.Time
 	wanted  bool
@@ -100,12 +100,12 @@
 	return u.rss
 }
 
-// close sums up a life that has ended.
+// close adds up what an ended process has used.
 func (p *process) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.before += p.last.cpu
-	p.result.lifeS += time.Since(p.began).Seconds()
+	p.result.uptimeS += time.Since(p.began).Seconds()
 	p.last = usage{}
 	p.cmd = nil
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -83,8 +83,8 @@
 	if c.Agents.Count > 0 {
 		fmt.Fprintf(b, "  %d real agents: %.1f ms of a core each second on average, %.0f MB at the most\n", c.Agents.Count, c.Agents.CoreMs, c.Agents.PeakMB)
 	}
-	for _, line := range c.FirstBroken {
-		fmt.Fprintf(b, "  BROKEN %s\n", line)
+	for _, violation := range c.FirstBroken {
+		fmt.Fprintf(b, "  BROKEN %s\n", violation)
 	}
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -24,7 +24,7 @@
 	"silvergate/internal/transport"
 )
 
-// Options are what a run is told.
+// Options say which scenario is run, where and by which program.
 type Options struct {
 	Scenario *Scenario
 	Dir      string // an empty folder, or one that is not there
@@ -33,7 +33,7 @@
 	Log      *slog.Logger
 }
 
-// StateResult is what a state service was asked.
+// StateResult counts the requests to a state service.
 type StateResult struct {
 	Cell     int     `json:"cell"`
 	Requests float64 `json:"requests"`
@@ -70,7 +70,7 @@
 	scrapePatience = 2 * time.Second
 )
 
-// files that a run needs beside its workers' sockets.
+// spareFiles is how many open files a run needs beside its workers' sockets.
 const spareFiles = 512
 
 // run is a run under way.
@@ -122,7 +122,7 @@
 	r.mostBytes = uint64(most * (1 << 30))
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
-		if need := uint64(s.Workers + reportConnections(s) + userConnections + spareFiles); files.Cur < need {
+		if need := uint64(s.Workers + heartbeatConnections(s) + userConnections + spareFiles); files.Cur < need {
 			return fmt.Errorf("workers: a cell of %d takes %d open files, and this machine's limit is %d", s.Workers, need, files.Cur)
 		}
 	}
@@ -149,7 +149,7 @@
 
 func cellName(number int) string { return fmt.Sprintf("cell-%d", number) }
 
-// start writes what the parts are told and starts them: state services and
+// start writes the settings of the parts and starts them: state services and
 // controllers first, then what talks to them.
 func (r *run) start(ctx context.Context) error {
 	for _, c := range r.layout.cells {
@@ -268,7 +268,7 @@
 	limit := time.Duration((s.DurationS+s.DrainS)*float64(time.Second)) + endMargin
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
-	told := time.Now()
+	lastProgressAt := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -283,14 +283,14 @@
 		if r.cellsDone() {
 			return nil
 		}
-		if err := r.revive(); err != nil {
+		if err := r.restartControllers(); err != nil {
 			return err
 		}
 		if took > limit {
 			return fmt.Errorf("the run is not over after %s", limit)
 		}
-		if time.Since(told) > progressPeriod {
-			told = time.Now()
+		if time.Since(lastProgressAt) > progressPeriod {
+			lastProgressAt = time.Now()
 			fmt.Fprintf(r.Out, "%s: %.0f s, at most %.0f s left; %.1f GB of memory\n", s.Name, took.Seconds(), (limit - endMargin - took).Seconds(), float64(r.peak)/(1<<30))
 		}
 	}
@@ -319,9 +319,9 @@
 	return true
 }
 
-// revive starts controllers again that have ended by themselves; anything else that
+// restartControllers starts controllers again that have ended by themselves; anything else that
 // ends early ends the run.
-func (r *run) revive() error {
+func (r *run) restartControllers() error {
 	for _, p := range r.processes {
 		p.mu.Lock()
 		wanted := p.wanted
@@ -430,8 +430,8 @@
 	for _, p := range r.processes {
 		p.mu.Lock()
 		p.result.CPUS = (p.before + p.last.cpu).Seconds()
-		if p.result.lifeS > 0 {
-			p.result.CoreMs = 1000 * p.result.CPUS / p.result.lifeS
+		if p.result.uptimeS > 0 {
+			p.result.CoreMs = 1000 * p.result.CPUS / p.result.uptimeS
 		}
 		out.Processes = append(out.Processes, p.result)
 		p.mu.Unlock()
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -127,7 +127,7 @@
 			c.started(there, key(1))
 		},
 		ruleRanCancelled: func(c *checker, s *submission) {
-			s.calledOff = true
+			s.progress.cancelRequested = true
 			c.started(here, key(0))
 			c.answered(s.ID, statusCancelled)
 			c.now = func() time.Duration { return time.Hour }
@@ -139,7 +139,7 @@
 			c.answered(s.ID, statusDone)
 		},
 		ruleWentBack: func(c *checker, s *submission) {
-			s.calledOff = true
+			s.progress.cancelRequested = true
 			c.answered(s.ID, statusCancelled)
 			c.answered(s.ID, "queued")
 		},
@@ -149,9 +149,9 @@
 		},
 		ruleInvented: func(c *checker, _ *submission) { c.answered("wk-000009", "queued") },
 	} {
-		c := newChecker(&Scenario{TeamLimit: 5}, func() time.Duration { return 0 })
+		c := newChecker(&Scenario{CellSize: CellSize{TeamLimit: 5}}, func() time.Duration { return 0 })
 		c.cancelWithin = time.Minute
-		s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, GPUs: 1}
+		s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, resources: resources{GPUs: 1}}
 		c.submitted(s)
 		seed(c, s)
 		if broken, first := c.verdict(); broken[rule] == 0 || len(broken) != 1 {
@@ -162,17 +162,17 @@
 
 // A day without a break is not called one.
 func TestCheckerPassesAGoodDay(t *testing.T) {
-	c := newChecker(&Scenario{TeamLimit: 5}, func() time.Duration { return 0 })
+	c := newChecker(&Scenario{CellSize: CellSize{TeamLimit: 5}}, func() time.Duration { return 0 })
 	m := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}
-	s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, GPUs: 2, OneZone: true}
+	s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, resources: resources{GPUs: 2}, OneZone: true}
 	c.submitted(s)
 	c.answered(s.ID, "")
 	c.answered(s.ID, "queued")
-	for try := 1; try <= 2; try++ { // the first attempt fails, the second one completes
+	for attempt := 1; attempt <= 2; attempt++ { // the first attempt fails, the second one completes
 		for index := range 2 {
-			k := agent.TaskAttempt{Job: s.ID, Index: index, Attempt: try}
+			k := agent.TaskAttempt{Job: s.ID, Index: index, Attempt: attempt}
 			c.started(m, k)
-			c.stopped(m, k, try == 2)
+			c.stopped(m, k, attempt == 2)
 		}
 	}
 	c.answered(s.ID, statusDone)
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -28,17 +28,10 @@
 	Seed uint64 `yaml:"seed"`
 	// DurationS is how long users submit, in seconds; DrainS how long what they
 	// submitted may take after that.
-	DurationS float64 `yaml:"duration_s"`
-	DrainS    float64 `yaml:"drain_s"`
-	Cells     int     `yaml:"cells"`
-	// The counts that follow are those of one cell.
-	Controllers int      `yaml:"controllers"`
-	Zones       []string `yaml:"zones"`
-	Workers     int      `yaml:"workers"`
-	RealAgents  int      `yaml:"real_agents"`
-	Teams       int      `yaml:"teams"`
-	// TeamLimit is each team's most accelerators; 0: none.
-	TeamLimit  float64        `yaml:"team_limit"`
+	DurationS  float64 `yaml:"duration_s"`
+	DrainS     float64 `yaml:"drain_s"`
+	Cells      int     `yaml:"cells"`
+	CellSize   `yaml:",inline"`
 	Periods    config.Workers `yaml:"periods"`
 	State      config.State   `yaml:"state"`
 	Cloud      config.Cloud   `yaml:"cloud"`
@@ -57,6 +50,17 @@
 	BasePort int `yaml:"base_port"`
 }
 
+// CellSize is what one cell of a scenario has.
+type CellSize struct {
+	Controllers int      `yaml:"controllers"`
+	Zones       []string `yaml:"zones"`
+	Workers     int      `yaml:"workers"`
+	RealAgents  int      `yaml:"real_agents"`
+	Teams       int      `yaml:"teams"`
+	// TeamLimit is each team's most accelerators; 0: none.
+	TeamLimit float64 `yaml:"team_limit"`
+}
+
 // Machine is the one type of the hollow workers.
 type Machine struct {
 	CPUs       float64 `yaml:"cpus"`
@@ -90,7 +94,7 @@
 // Kinds of faults.
 const (
 	FaultControllerKill = "controller_kill" // count controllers of each cell
-	FaultWorkersGone    = "workers_gone"    // a share of a zone's hollow workers, or of all
+	FaultWorkersLost    = "workers_gone"    // a share of a zone's hollow workers, or of all
 	FaultWorkersRestart = "workers_restart" // the same, one after the other over for_s
 )
 
@@ -243,7 +247,7 @@
 	return nil
 }
 
-// checkSettings has the controllers' own check judge what they will be told.
+// checkSettings has the controllers' own check judge their settings.
 func (s *Scenario) checkSettings() error {
 	l, err := newLayout(s, func(int) (int, error) { return 1, nil })
 	if err != nil {
@@ -302,7 +306,7 @@
 		if f.Count < 1 || f.Count > s.Controllers {
 			return fmt.Errorf("count: must be from 1 to %d", s.Controllers)
 		}
-	case FaultWorkersGone, FaultWorkersRestart:
+	case FaultWorkersLost, FaultWorkersRestart:
 		if !(f.Share > 0 && f.Share <= 1) {
 			return errors.New("share: must be above 0 and at most 1")
 		}
@@ -310,7 +314,7 @@
 			return errors.New("zone: not one of zones")
 		}
 	default:
-		return fmt.Errorf("kind: must be %s, %s or %s", FaultControllerKill, FaultWorkersGone, FaultWorkersRestart)
+		return fmt.Errorf("kind: must be %s, %s or %s", FaultControllerKill, FaultWorkersLost, FaultWorkersRestart)
 	}
 	return nil
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -13,7 +13,7 @@
 	"silvergate/internal/transport"
 )
 
-// Statuses that users are told.
+// Statuses of jobs that are over.
 const (
 	statusDone      = "done"
 	statusCancelled = "cancelled"
@@ -30,15 +30,13 @@
 
 // submission is a job as its user sends it, and what the run knows of it.
 type submission struct {
-	ID                  string   `json:"ref"`
-	Class               string   `json:"jobclass"`
-	Team                string   `json:"crew"`
-	Shape               string   `json:"shape"`
-	Priority            string   `json:"urgency"`
-	Tasks               int      `json:"loads"`
-	CPUs                float64  `json:"cpus"`
-	GPUs                float64  `json:"accelerators"`
-	MemoryGB            float64  `json:"ramGb"`
+	ID       string `json:"ref"`
+	Class    string `json:"jobclass"`
+	Team     string `json:"crew"`
+	Shape    string `json:"shape"`
+	Priority string `json:"urgency"`
+	Tasks    int    `json:"loads"`
+	resources
 	Image               string   `json:"kit"`
 	ImageGB             float64  `json:"sizeGb"`
 	MachineTypes        []string `json:"rigs"`
@@ -49,14 +47,32 @@
 	CheckpointIntervalS float64  `json:"waypointS"`
 	CheckpointSaveS     float64  `json:"stowS"`
 
-	runS      float64
-	seed      uint64
-	real      bool           // its tasks run on real agents
-	calledOff bool           // its user has asked to cancel it
-	overdue   bool           // the checker has complained already
-	zones     map[int]string // where the tasks started last, for the checker
-	at        time.Duration  // of the first attempt
-	endsAt    time.Duration  // when its user calls it off; 0: never
+	plan     jobPlan
+	progress jobProgress
+}
+
+// resources are what each task of a job takes. They are embedded: on the wire they
+// stand among the job's other fields.
+type resources struct {
+	CPUs     float64 `json:"cpus"`
+	GPUs     float64 `json:"accelerators"`
+	MemoryGB float64 `json:"ramGb"`
+}
+
+// jobPlan is what becomes of a job, as drawn before it is submitted.
+type jobPlan struct {
+	runS   float64 // mean run time of a task
+	seed   uint64
+	real   bool          // its tasks run on real agents
+	endsAt time.Duration // when its user cancels it; 0: never
+}
+
+// jobProgress is what the run knows of a job that was submitted.
+type jobProgress struct {
+	submittedAt     time.Duration  // the first attempt to submit it
+	cancelRequested bool           // its user has asked to cancel it
+	overdue         bool           // the checker has complained already
+	zones           map[int]string // where the tasks started last, for the checker
 }
 
 // shapes maps wire names to the model's.
@@ -77,8 +93,8 @@
 	if s.Shape == "ensemble" {
 		index = 0
 	}
-	draw := rand.New(rand.NewPCG(s.seed, uint64(index))).Float64()
-	return time.Duration(s.runS * (0.5 + draw) * float64(time.Second))
+	share := rand.New(rand.NewPCG(s.plan.seed, uint64(index))).Float64()
+	return time.Duration(s.plan.runS * (0.5 + share) * float64(time.Second))
 }
 
 // users submit a cell's jobs, ask about them and cancel some.
@@ -86,23 +102,23 @@
 	cell    *cell
 	pool    *transport.Pool
 	targets []string // the controllers' addresses
-	rnd     *rand.Rand
+	random  *rand.Rand
 
-	mu       sync.Mutex
-	next     int // job number
-	turn     int // controller
-	open     map[string]*submission
-	accepted int
-	given    int // up on
-	finished int
-	wait     sync.WaitGroup
+	mu         sync.Mutex
+	jobs       int // made so far
+	nextTarget int // counts the requests to controllers
+	open       map[string]*submission
+	accepted   int
+	givenUp    int
+	finished   int
+	wait       sync.WaitGroup
 }
 
 // idDigits is how many digits a job's number has.
 const idDigits = 9
 
 func newUsers(c *cell) *users {
-	u := &users{cell: c, pool: transport.NewPool(userConnections), rnd: rand.New(rand.NewPCG(c.scenario.Seed, uint64(100+c.layout.number))), open: map[string]*submission{}}
+	u := &users{cell: c, pool: transport.NewPool(userConnections), random: rand.New(rand.NewPCG(c.scenario.Seed, uint64(100+c.layout.number))), open: map[string]*submission{}}
 	for _, n := range c.layout.nodes() {
 		u.targets = append(u.targets, n.Address)
 	}
@@ -112,19 +128,20 @@
 // userConnections bounds the users' connections of a cell.
 const userConnections = 256
 
-// draw makes the next job of a class.
-func (u *users) draw(l *Load) *submission {
+// newSubmission makes the next job of a class, by chance.
+func (u *users) newSubmission(l *Load) *submission {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.next++
-	s := &submission{ID: fmt.Sprintf("wk-%0*d", idDigits, u.cell.layout.number*10_000_000+u.next), Class: l.Class, Team: teamName(u.rnd.IntN(u.cell.scenario.Teams)),
-		Shape: l.Shape, Priority: l.Urgency, Tasks: l.Tasks, CPUs: l.CPUs, GPUs: l.GPUs, MemoryGB: l.RAM, Image: fmt.Sprintf("%s-%d", l.Class, u.rnd.IntN(l.Images)),
-		ImageGB: l.ImageGB, MachineTypes: []string{hollowType}, OneZone: l.OneZone, EstimateS: l.RunS, runS: l.RunS, seed: u.rnd.Uint64(), real: l.Real}
+	u.jobs++
+	s := &submission{ID: fmt.Sprintf("wk-%0*d", idDigits, u.cell.layout.number*10_000_000+u.jobs), Class: l.Class, Team: teamName(u.random.IntN(u.cell.scenario.Teams)),
+		Shape: l.Shape, Priority: l.Urgency, Tasks: l.Tasks, resources: resources{CPUs: l.CPUs, GPUs: l.GPUs, MemoryGB: l.RAM}, Image: fmt.Sprintf("%s-%d", l.Class, u.random.IntN(l.Images)),
+		ImageGB: l.ImageGB, MachineTypes: []string{hollowType}, OneZone: l.OneZone, EstimateS: l.RunS,
+		plan: jobPlan{runS: l.RunS, seed: u.random.Uint64(), real: l.Real}}
 	if l.Real {
 		s.MachineTypes, s.Image = []string{realType}, realImage
 	}
-	if l.Cancelled > 0 && u.rnd.Float64() < l.Cancelled {
-		s.endsAt = u.cell.now() + time.Duration(u.rnd.Float64()*(l.RunS+10)*float64(time.Second))
+	if l.Cancelled > 0 && u.random.Float64() < l.Cancelled {
+		s.plan.endsAt = u.cell.now() + time.Duration(u.random.Float64()*(l.RunS+10)*float64(time.Second))
 	}
 	return s
 }
@@ -155,7 +172,7 @@
 	end := time.Duration(u.cell.scenario.DurationS * float64(time.Second))
 	for {
 		u.mu.Lock()
-		wait := time.Duration(u.rnd.ExpFloat64() / l.PerS * float64(time.Second))
+		wait := time.Duration(u.random.ExpFloat64() / l.PerS * float64(time.Second))
 		u.mu.Unlock()
 		if u.cell.now()+wait > end {
 			return
@@ -171,7 +188,7 @@
 
 // begin has a user submit a job and follow it.
 func (u *users) begin(l *Load, stop <-chan struct{}) {
-	s := u.draw(l)
+	s := u.newSubmission(l)
 	u.cell.checker.submitted(s)
 	u.wait.Add(1)
 	go func() {
@@ -180,9 +197,9 @@
 	}()
 }
 
-// follow is a user's life with a job.
+// follow submits a job and asks about it until it is over.
 func (u *users) follow(s *submission, stop <-chan struct{}) {
-	s.at = u.cell.now()
+	s.progress.submittedAt = u.cell.now()
 	if !u.submit(s, stop) {
 		return
 	}
@@ -191,8 +208,8 @@
 	u.mu.Unlock()
 	for {
 		wait := pollPeriod
-		if s.endsAt > 0 {
-			wait = min(wait, max(s.endsAt-u.cell.now(), 10*time.Millisecond))
+		if s.plan.endsAt > 0 {
+			wait = min(wait, max(s.plan.endsAt-u.cell.now(), 10*time.Millisecond))
 		}
 		select {
 		case <-time.After(wait):
@@ -200,7 +217,7 @@
 			return
 		}
 		var over bool
-		if s.endsAt > 0 && u.cell.now() >= s.endsAt {
+		if s.plan.endsAt > 0 && u.cell.now() >= s.plan.endsAt {
 			over = u.cancel(s)
 		} else {
 			over = u.poll(s)
@@ -215,12 +232,12 @@
 	}
 }
 
-// target is the next controller's address, in turn.
+// target is the next controller's address, round robin.
 func (u *users) target() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.turn++
-	return u.targets[u.turn%len(u.targets)]
+	u.nextTarget++
+	return u.targets[u.nextTarget%len(u.targets)]
 }
 
 // ask sends a request and reads the answer's status.
@@ -241,14 +258,14 @@
 		switch {
 		case code == http.StatusCreated || code == http.StatusOK:
 			u.cell.checker.answered(s.ID, status)
-			u.cell.submitted(u.cell.now() - s.at)
+			u.cell.submitted(u.cell.now() - s.progress.submittedAt)
 			u.mu.Lock()
 			u.accepted++
 			u.mu.Unlock()
 			return true
-		case code == http.StatusBadRequest || code == http.StatusUnprocessableEntity || u.cell.now()-s.at > retryFor:
+		case code == http.StatusBadRequest || code == http.StatusUnprocessableEntity || u.cell.now()-s.progress.submittedAt > retryFor:
 			u.mu.Lock()
-			u.given++
+			u.givenUp++
 			u.mu.Unlock()
 			return false
 		}
@@ -273,7 +290,7 @@
 }
 
 func (u *users) cancel(s *submission) bool {
-	u.cell.checker.callOff(s.ID)
+	u.cell.checker.cancelRequested(s.ID)
 	code, status, _ := u.ask(http.MethodPost, protocol.PathJobs+"/"+s.ID+"/"+protocol.PathCancel, nil, answerPatience)
 	if code != http.StatusOK {
 		return false
@@ -283,8 +300,8 @@
 }
 
 // counts tells how many jobs were accepted, given up on and seen to be over.
-func (u *users) counts() (accepted, given, finished int) {
+func (u *users) counts() (accepted, givenUp, finished int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.accepted, u.given, u.finished
+	return u.accepted, u.givenUp, u.finished
 }
