--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,9 +1,9 @@
 // Package hollow runs thousands of workers in one process: each speaks the
-// worker's protocol in full (reports, sessions, tallies, tokens, leases, direct
-// commands), by the same state machine as the real agent, and runs no programs.
+// worker's protocol in full (heartbeats, agent epochs, sequence numbers, fencing tokens,
+// leases, direct commands), by the same state machine as the real agent, and runs no programs.
 // Images and tasks take time and nothing else.
 //
-// Gang tasks learn of one another inside the process. Reports share a pool of
+// Gang tasks learn of one another inside the process. Heartbeats share a pool of
 // connections, so a fleet opens fewer of them than as many real machines would.
 package hollow
 
@@ -31,7 +31,7 @@
 	PullGBPerS float64
 }
 
-// Observer is told what happens on the fleet's machines. Calls come from many
+// Observer learns what happens on the fleet's machines. Calls come from many
 // goroutines.
 type Observer interface {
 	// Describe returns a job's description; false: nobody has submitted it.
@@ -49,23 +49,24 @@
 // Stats counts what the fleet did.
 type Stats struct {
 	Heartbeats, Answered, Redirected, Refused, Unanswered atomic.Int64
-	// BytesOut and BytesIn are the bodies and about the heads of reports and their answers.
+	// BytesOut and BytesIn are the bodies and about the heads of heartbeats and their answers.
 	BytesOut, BytesIn atomic.Int64
 	Commands          atomic.Int64
 	Epochs            atomic.Int64 // that ended by their lease
-	AnswerNanos       atomic.Int64 // time until answers, of answered reports
+	AnswerNanos       atomic.Int64 // time until answers, of answered heartbeats
 }
 
 // headBytes is about what the head of a request or a response takes.
 const headBytes = 110
 
-// heartbeatTimeout is how long a worker waits for the answer to a report (PROTOCOL).
+// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-// statusPeriod is the time between two looks at calls that are late.
-const statusPeriod = 250 * time.Millisecond
+// expirePeriod is the time between two looks at calls that are late.
+const expirePeriod = 250 * time.Millisecond
 
-// Fleet is a set of hollow workers.
+// Fleet is a set of hollow workers. It is safe for concurrent use; Close must be
+// called.
 type Fleet struct {
 	Stats Stats
 
@@ -83,15 +84,16 @@
 	closed  bool
 }
 
+// gangAttempt names an attempt of a gang.
 type gangAttempt struct {
 	job     string
 	attempt int
 }
 
-// NewFleet makes an empty fleet that reports to the controllers. Workers listen at
-// ports of listenIP, a loopback address; connections bounds how many are open for reports.
-func NewFleet(nodes []agent.Controller, periods agent.Periods, listenIP string, connections int, observer Observer) *Fleet {
-	f := &Fleet{controllers: nodes, periods: periods, observer: observer, listenIP: listenIP, startedAt: time.Now(), pool: transport.NewPool(connections),
+// NewFleet makes an empty fleet that sends heartbeats to the controllers. Workers listen at
+// ports of listenIP, a loopback address; connections bounds how many are open for heartbeats.
+func NewFleet(controllers []agent.Controller, periods agent.Periods, listenIP string, connections int, observer Observer) *Fleet {
+	f := &Fleet{controllers: controllers, periods: periods, observer: observer, listenIP: listenIP, startedAt: time.Now(), pool: transport.NewPool(connections),
 		done: make(chan struct{}), workers: map[string]*worker{}, gangs: map[gangAttempt]map[*worker]bool{}}
 	go f.expire()
 	return f
@@ -99,7 +101,7 @@
 
 // expire gives calls up that are late.
 func (f *Fleet) expire() {
-	ticker := time.NewTicker(statusPeriod)
+	ticker := time.NewTicker(expirePeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -113,7 +115,8 @@
 
 func (f *Fleet) clock() time.Duration { return time.Since(f.startedAt) }
 
-// Add starts a worker. seed draws its chances.
+// Add starts a worker. seed determines the worker's random numbers. It fails if no
+// port is free or the fleet is closed.
 func (f *Fleet) Add(m Machine, seed uint64) error {
 	listener, err := net.Listen("tcp4", f.listenIP+":0")
 	if err != nil {
@@ -136,7 +139,7 @@
 	return nil
 }
 
-// Remove ends workers without a word, as machines that are deleted or die.
+// Remove ends workers without notice, as machines that are deleted or die.
 func (f *Fleet) Remove(names ...string) {
 	for _, name := range names {
 		f.mu.Lock()
@@ -149,7 +152,7 @@
 	}
 }
 
-// Restart ends what runs on a worker and begins its next session, as a machine
+// Restart ends what runs on a worker and begins its next agent epoch, as a machine
 // whose agent is restarted.
 func (f *Fleet) Restart(name string) {
 	f.mu.Lock()
@@ -160,7 +163,7 @@
 	}
 }
 
-// Names lists the workers, in no order.
+// Names lists the workers of a zone, or all if zone is empty, in no order.
 func (f *Fleet) Names(zone string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +187,7 @@
 }
 
 // Running counts the tasks that run now, and the workers that a controller has answered
-// within the last lease.
+// within the last two heartbeat periods.
 func (f *Fleet) Running() (tasks, answered int) {
 	f.mu.Lock()
 	list := make([]*worker, 0, len(f.workers))
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,31 +15,31 @@
 	"silvergate/internal/protocol"
 )
 
-// scripted is a controller that answers with a token and the launches it is told, and an
+// scripted is a controller that answers with a fencing token and the launches it is given, and an
 // observer that counts.
 type scripted struct {
-	mu      sync.Mutex
-	silent  bool
-	token   uint64
-	launch  []protocol.Command
-	reports []protocol.Heartbeat
-	started int
-	done    int
-	stopped int
-	killed  int
+	mu         sync.Mutex
+	silent     bool
+	token      uint64
+	launch     []protocol.Command
+	heartbeats []protocol.Heartbeat
+	started    int
+	done       int
+	stopped    int
+	killed     int
 }
 
 func (s *scripted) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	var report protocol.Heartbeat
-	_ = json.Unmarshal(body, &report)
+	var heartbeat protocol.Heartbeat
+	_ = json.Unmarshal(body, &heartbeat)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent {
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.reports = append(s.reports, report)
+	s.heartbeats = append(s.heartbeats, heartbeat)
 	_ = json.NewEncoder(out).Encode(protocol.HeartbeatResponse{FencingToken: s.token, Commands: s.launch})
 }
 
@@ -89,7 +89,7 @@
 	t.Fatalf("%s: not within 20 s", what)
 }
 
-// A hollow worker starts what it is told, reports its end, drops orders under a lower token, and
+// A hollow worker starts what it is commanded, reports its end, drops commands under a lower fencing token, and
 // kills everything when its lease ends.
 func TestHollowWorker(t *testing.T) {
 	s := &scripted{token: 7, launch: []protocol.Command{{Verb: protocol.VerbLaunch, Task: "wk-000001/0", Attempt: 1}, {Verb: protocol.VerbLaunch, Task: "wk-000001/1", Attempt: 1}}}
@@ -102,7 +102,7 @@
 	}
 	s.eventually(t, "two started, one done", func() bool { return s.started == 2 && s.done == 1 })
 	s.eventually(t, "the ending is reported", func() bool {
-		last := s.reports[len(s.reports)-1]
+		last := s.heartbeats[len(s.heartbeats)-1]
 		return last.FencingToken == 7 && len(last.Tasks) == 2 && last.Tasks[0].Status == protocol.TaskEnded && last.Tasks[1].Status == protocol.TaskRunning
 	})
 	if tasks, answered := f.Running(); tasks != 1 || answered != 1 {
@@ -121,11 +121,11 @@
 	s.silent, s.launch = false, nil
 	s.mu.Unlock()
 	s.eventually(t, "the next session", func() bool {
-		last := s.reports[len(s.reports)-1]
+		last := s.heartbeats[len(s.heartbeats)-1]
 		return last.AgentEpoch == 2 && len(last.Tasks) == 0
 	})
 	f.Restart("i-1")
-	s.eventually(t, "the session after a restart", func() bool { return s.reports[len(s.reports)-1].AgentEpoch == 3 })
+	s.eventually(t, "the session after a restart", func() bool { return s.heartbeats[len(s.heartbeats)-1].AgentEpoch == 3 })
 	f.Remove("i-1")
 	if len(f.Names("")) != 0 || f.Address("i-1") != "" {
 		t.Error("the worker is still there")
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -24,7 +24,7 @@
 	timer    *time.Timer
 	running  map[agent.TaskAttempt]*time.Timer
 	images   map[string]bool // being fetched
-	answered time.Duration   // when a report was last answered with 200
+	answered time.Duration   // when a heartbeat was last answered with 200
 	stopped  bool
 }
 
@@ -69,7 +69,7 @@
 	w.arm()
 }
 
-// stopTime is how long a task takes to end that is told to save.
+// stopTime is how long a task takes to end that is asked to save a checkpoint.
 const stopTime = 100 * time.Millisecond
 
 func (w *worker) arm() {
@@ -135,7 +135,7 @@
 	w.fleet.observer.Started(&w.machine, k)
 }
 
-// end ends a task that was told to.
+// end ends a task that was asked to, after a while.
 func (w *worker) end(k agent.TaskAttempt, wait time.Duration) {
 	if t := w.running[k]; t != nil {
 		t.Stop()
@@ -192,7 +192,7 @@
 	clear(w.images)
 }
 
-// restart begins the next session at once.
+// restart begins the next agent epoch at once.
 func (w *worker) restart() {
 	w.step(func(now time.Duration) agent.Effects {
 		w.dropAll()
