--- a/cmd/silvergate/soak.go
+++ b/cmd/silvergate/soak.go
@@ -28,7 +28,7 @@
 				return err
 			}
 			text := fmt.Sprintf("%d jobs with %d tasks through %d kills in %s: %d effects, %d tasks ran more than once, %d submissions were tried again, revision %d",
-				r.Accepted, r.Tasks, r.Kills, r.Took.Round(time.Second), r.Effects, r.Repeated, r.Refused, r.Ledger)
+				r.Accepted, r.Tasks, r.Kills, r.Took.Round(time.Second), r.Effects, r.Repeated, r.Refused, r.Revision)
 			if err := k.show(c, r, text); err != nil {
 				return err
 			}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -22,18 +22,18 @@
 	"silvergate/internal/stateclient"
 )
 
-// readLedger demands that the state service's revision has not gone back.
-func (s *soak) readLedger() {
+// readRevision reads the state service's revision and demands that it has not gone back.
+func (s *soak) readRevision() {
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?page=1", nil)
 		var p protocol.KeyValuePage
 		if st != 200 || json.Unmarshal(body, &p) != nil {
 			continue
 		}
-		if p.Revision < s.ledger {
-			s.broke("the ledger went back from %d to %d", s.ledger, p.Revision)
+		if p.Revision < s.revision {
+			s.broke("the ledger went back from %d to %d", s.revision, p.Revision)
 		}
-		s.ledger = p.Revision
+		s.revision = p.Revision
 		return
 	}
 	s.broke("the state service did not come back")
@@ -53,23 +53,23 @@
 		task, _, _ := strings.Cut(sc.Text(), " ")
 		ran[task]++
 		wrote = append(wrote, sc.Text())
-		s.r.Effects++
+		s.result.Effects++
 	}
 	if err := s.judgeOutput(wrote); err != nil {
 		s.broke("the archive can't be read: %v", err)
 	}
 	finished := s.finished()
-	for id, loads := range s.loads {
-		s.r.Tasks += loads
-		if finished[id] != loads {
-			s.broke("%s: the records hold %d finished tasks of %d", id, finished[id], loads)
+	for id, tasks := range s.tasks {
+		s.result.Tasks += tasks
+		if finished[id] != tasks {
+			s.broke("%s: the records hold %d finished tasks of %d", id, finished[id], tasks)
 		}
-		for i := range loads {
+		for i := range tasks {
 			switch n := ran[fmt.Sprintf("%s/%d", id, i)]; {
 			case n == 0:
 				s.broke("%s/%d is reported done and never ran", id, i)
 			case n > 1:
-				s.r.Repeated++
+				s.result.Repeated++
 			}
 		}
 	}
@@ -81,18 +81,18 @@
 // customer reads, and has another customer try. An attempt that was killed half-way
 // must have the beginning of its lines, or nothing.
 func (s *soak) judgeOutput(ran []string) error {
-	members, _, err := site.ReadArchive(s.o.Dir)
+	members, _, err := site.ReadArchive(s.options.Dir)
 	if err != nil {
 		return err
 	}
-	auth, err := identity.Open(filepath.Join(s.o.Dir, site.AuthorityDir))
+	auth, err := identity.Open(filepath.Join(s.options.Dir, site.AuthorityDir))
 	if err != nil {
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	readers := map[string]*reader.Client{}
 	for n := range 3 {
-		dir := filepath.Join(s.o.Dir, "readers", customer(n))
+		dir := filepath.Join(s.options.Dir, "readers", customer(n))
 		if err := auth.Ensure(identity.Identity{Kind: identity.Customer, Name: "office", Customer: customer(n)}, dir); err != nil {
 			return err
 		}
@@ -103,15 +103,15 @@
 		readers[customer(n)] = reader.New(k, members, 5*time.Second)
 	}
 	whole := map[string]bool{} // attempts that wrote all their lines
-	for _, line := range ran {
-		whole[line] = true
+	for _, record := range ran {
+		whole[record] = true
 	}
 	ctx := context.Background()
 	// What ended last is shipped within the bound, and a file after that.
 	until := time.Now().Add(30 * time.Second)
-	for n := range s.o.Jobs {
-		id := ref(n)
-		if s.loads[id] == 0 {
+	for n := range s.options.Jobs {
+		id := jobID(n)
+		if s.tasks[id] == 0 {
 			continue
 		}
 		for {
@@ -172,7 +172,7 @@
 			return name + " came to its end, and nothing of it is kept"
 		}
 	}
-	s.r.Kept, s.r.Lines = s.r.Kept+len(attempts), s.r.Lines+lines
+	s.result.Kept, s.result.Lines = s.result.Kept+len(attempts), s.result.Lines+lines
 	return ""
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,5 +1,5 @@
 // Package soak runs a whole site, submits jobs that leave a trace outside, kills
-// every process of the site at drawn moments and starts it again. At the end it
+// every process of the site at random moments and starts it again. At the end it
 // compares what was accepted, what ran and what was reported.
 package soak
 
@@ -22,7 +22,7 @@
 	"silvergate/internal/transport"
 )
 
-// Options say how much is to happen.
+// Options say where a run happens, and how much of it.
 type Options struct {
 	Self  string   // the program; started with Args... up --dir Dir
 	Env   []string // added to its environment
@@ -37,67 +37,74 @@
 	Out   io.Writer // progress; may be nil
 }
 
-// Result is what happened. Broken is empty if all is well.
+// Result is what happened in a run. Broken is empty if all is well.
 type Result struct {
 	Accepted, Tasks, Effects, Repeated, Kills int
 	// Kept is how many attempts' output was read back and compared, Lost how many
 	// machines were taken away without notice, with their disks.
 	Kept, Lines, Lost int
 	Refused           int // submissions tried again
-	Ledger            uint64
-	Took              time.Duration
-	Broken            []string
+	// Revision is the state service's at the end.
+	Revision uint64 `json:"Ledger"`
+	Took     time.Duration
+	Broken   []string
 }
 
+// maxBroken bounds the broken promises that are described.
+const maxBroken = 20
+
+// soak is a run under way.
 type soak struct {
-	o      Options
-	rnd    *rand.Rand
-	cmd    *exec.Cmd
-	pool   *transport.Pool
-	ports  *site.Ports
-	trace  string
-	loads  map[string]int    // of accepted jobs
-	state  map[string]string // as last told
-	ledger uint64
-	lost   map[string]bool // machines
-	r      Result
+	options  Options
+	random   *rand.Rand
+	cmd      *exec.Cmd
+	pool     *transport.Pool
+	ports    *site.Ports
+	trace    string
+	tasks    map[string]int    // of accepted jobs, by job
+	state    map[string]string // of jobs, as last seen
+	revision uint64            // the state service's, as last read
+	lost     map[string]bool   // machines taken away without notice
+	result   Result
 }
 
+// broke notes a promise that the site has broken.
 func (s *soak) broke(format string, args ...any) {
-	if len(s.r.Broken) < 20 {
-		s.r.Broken = append(s.r.Broken, fmt.Sprintf(format, args...))
+	if len(s.result.Broken) < maxBroken {
+		s.result.Broken = append(s.result.Broken, fmt.Sprintf(format, args...))
 	}
 }
 
+// say prints progress.
 func (s *soak) say(format string, args ...any) {
-	if s.o.Out != nil {
-		fmt.Fprintf(s.o.Out, format+"\n", args...)
+	if s.options.Out != nil {
+		fmt.Fprintf(s.options.Out, format+"\n", args...)
 	}
 }
 
-// Run runs it. The error is of the machinery; what the site did wrong is in the
-// result.
+// Run runs a site and kills it as the options say. The error says that the run
+// itself failed; what the site did wrong is in Result.Broken.
 func Run(o Options) (Result, error) {
-	s := &soak{o: o, rnd: rand.New(rand.NewPCG(o.Seed, 1)), pool: transport.NewPool(8), loads: map[string]int{}, state: map[string]string{}, lost: map[string]bool{}}
+	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), pool: transport.NewPool(8), tasks: map[string]int{}, state: map[string]string{}, lost: map[string]bool{}}
 	begun := time.Now()
 	dir, err := filepath.Abs(o.Dir)
 	if err != nil {
-		return s.r, err
+		return s.result, err
 	}
-	s.o.Dir, s.trace = dir, filepath.Join(dir, "trace")
+	s.options.Dir, s.trace = dir, filepath.Join(dir, "trace")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return s.r, err
+		return s.result, err
 	}
 	if err := os.WriteFile(s.trace, nil, 0o600); err != nil {
-		return s.r, err
+		return s.result, err
 	}
 	defer s.kill()
 	if err := s.start(); err != nil {
-		return s.r, err
+		return s.result, err
 	}
 	submitted := 0
 	for kill := range o.Kills {
-		until := time.Now().Add(time.Duration((0.3 + 1.4*s.rnd.Float64()) * float64(o.Between)))
+		until := time.Now().Add(time.Duration((0.3 + 1.4*s.random.Float64()) * float64(o.Between)))
 		quota := (kill + 1) * o.Jobs / o.Kills
 		for time.Now().Before(until) {
 			if submitted < quota && s.submit(submitted) {
@@ -106,17 +113,17 @@
 			s.poll()
 			time.Sleep(20 * time.Millisecond)
 		}
-		s.readLedger()
-		if s.rnd.IntN(2) == 0 {
+		s.readRevision()
+		if s.random.IntN(2) == 0 {
 			s.loseMachine()
 		}
 		s.kill()
-		s.r.Kills++
-		s.say("kill %d of %d: %d jobs accepted, revision %d", kill+1, o.Kills, len(s.loads), s.ledger)
+		s.result.Kills++
+		s.say("kill %d of %d: %d jobs accepted, revision %d", kill+1, o.Kills, len(s.tasks), s.revision)
 		if err := s.start(); err != nil {
-			return s.r, err
+			return s.result, err
 		}
-		s.readLedger()
+		s.readRevision()
 	}
 	for limit := time.Now().Add(o.Limit); ; time.Sleep(50 * time.Millisecond) {
 		if submitted < o.Jobs && s.submit(submitted) {
@@ -130,27 +137,27 @@
 			break
 		}
 	}
-	s.readLedger()
+	s.readRevision()
 	s.judge()
-	s.r.Accepted, s.r.Ledger, s.r.Took = len(s.loads), s.ledger, time.Since(begun)
-	return s.r, nil
+	s.result.Accepted, s.result.Revision, s.result.Took = len(s.tasks), s.revision, time.Since(begun)
+	return s.result, nil
 }
 
 // start starts the site and waits until its ports are known.
 func (s *soak) start() error {
-	log, err := os.OpenFile(filepath.Join(s.o.Dir, "up.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(s.options.Dir, "up.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	s.cmd = exec.Command(s.o.Self, "up", "--dir", s.o.Dir)
-	s.cmd.Env = append(os.Environ(), s.o.Env...)
+	s.cmd = exec.Command(s.options.Self, "up", "--dir", s.options.Dir)
+	s.cmd.Env = append(os.Environ(), s.options.Env...)
 	s.cmd.Stdout, s.cmd.Stderr = log, log
 	if err := s.cmd.Start(); err != nil {
 		return err
 	}
 	for until := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if s.ports, err = site.ReadPorts(s.o.Dir); err == nil {
+		if s.ports, err = site.ReadPorts(s.options.Dir); err == nil {
 			return nil
 		}
 		if time.Now().After(until) {
@@ -167,7 +174,7 @@
 	}
 	var ids []proc.ID
 	for _, pattern := range []string{"run/*.json", "cloud/machines/*/agent.json"} {
-		files, _ := filepath.Glob(filepath.Join(s.o.Dir, pattern))
+		files, _ := filepath.Glob(filepath.Join(s.options.Dir, pattern))
 		for _, f := range files {
 			var id proc.ID
 			if raw, err := os.ReadFile(f); err == nil && json.Unmarshal(raw, &id) == nil {
@@ -182,7 +189,7 @@
 	_ = s.cmd.Wait()
 	s.cmd = nil
 	// A machine that was being started is written down by now, or ends itself.
-	machines, _ := filepath.Glob(filepath.Join(s.o.Dir, "cloud/machines/*"))
+	machines, _ := filepath.Glob(filepath.Join(s.options.Dir, "cloud/machines/*"))
 	for _, m := range machines {
 		var id proc.ID
 		if raw, err := os.ReadFile(filepath.Join(m, "agent.json")); err == nil && json.Unmarshal(raw, &id) == nil {
@@ -192,10 +199,10 @@
 	}
 }
 
-// do asks one controller, a drawn one.
+// do asks one controller, chosen at random.
 func (s *soak) do(method, path string, body []byte) (int, []byte) {
 	all := s.ports.Addresses()
-	return s.ask(all[s.rnd.IntN(len(all))], method, path, body)
+	return s.ask(all[s.random.IntN(len(all))], method, path, body)
 }
 
 func (s *soak) ask(addr, method, path string, body []byte) (int, []byte) {
@@ -209,14 +216,14 @@
 	return r.Status, r.Body
 }
 
-func ref(n int) string { return fmt.Sprintf("wk-%06d", n) }
+func jobID(n int) string { return fmt.Sprintf("wk-%06d", n) }
 
 // submit submits job n; false if it is not known to be accepted.
 func (s *soak) submit(n int) bool {
-	loads := 1 + n%4
+	tasks := 1 + n%4
 	body, err := json.Marshal(map[string]any{
-		"ref": ref(n), "jobclass": "soak", "crew": "office", "shape": "batch", "urgency": []string{"urgent", "standard", "idle"}[n%3],
-		"loads": loads, "cpus": 1, "accelerators": 0, "ramGb": 0.1, "kit": "base", "sizeGb": 0,
+		"ref": jobID(n), "jobclass": "soak", "crew": "office", "shape": "batch", "urgency": []string{"urgent", "standard", "idle"}[n%3],
+		"loads": tasks, "cpus": 1, "accelerators": 0, "ramGb": 0.1, "kit": "base", "sizeGb": 0,
 		"oneZone": false, "apart": false, "casual": n%2 == 0, "etaS": 1, "waypointS": 0, "stowS": 0,
 		"command": []string{"/bin/sh", "-c", fmt.Sprintf(`mkdir -p out; for i in 1 2 3 4 5; do echo "line $i of $SILVERGATE_JOB/$SILVERGATE_TASK $SILVERGATE_TRY"; sleep 0.0%d; done
 echo "result of $SILVERGATE_TASK" > out/result
@@ -231,13 +238,13 @@
 	st, answer := s.do("POST", protocol.PathJobs, body)
 	switch st {
 	case 200, 201:
-		s.loads[ref(n)] = loads
+		s.tasks[jobID(n)] = tasks
 		return true
 	case 400, 422:
-		s.broke("%s was refused: %d %s", ref(n), st, answer)
+		s.broke("%s was refused: %d %s", jobID(n), st, answer)
 		return true
 	}
-	s.r.Refused++
+	s.result.Refused++
 	return false
 }
 
@@ -245,8 +252,8 @@
 // are left.
 func (s *soak) poll() (left int) {
 	asked := 0
-	for id := range s.loads {
-		if s.state[id] == "done" && s.rnd.IntN(20) > 0 {
+	for id := range s.tasks {
+		if s.state[id] == "done" && s.random.IntN(20) > 0 {
 			continue
 		}
 		if s.state[id] != "done" {
@@ -263,8 +270,8 @@
 		case st != 200 || json.Unmarshal(body, &r) != nil:
 		case s.state[id] == "done" && r.Status != "done":
 			s.broke("%s went back from done to %s", id, r.Status)
-		case r.Status == "done" && *r.Done != s.loads[id]:
-			s.broke("%s is done with %d of %d tasks", id, *r.Done, s.loads[id])
+		case r.Status == "done" && *r.Done != s.tasks[id]:
+			s.broke("%s is done with %d of %d tasks", id, *r.Done, s.tasks[id])
 		default:
 			s.state[id] = r.Status
 		}
@@ -272,18 +279,18 @@
 	return left
 }
 
-// loseMachine has the cloud take a drawn machine back, without notice.
+// loseMachine has the cloud take a random machine back, without notice.
 func (s *soak) loseMachine() {
-	there, _ := filepath.Glob(filepath.Join(s.o.Dir, "cloud/machines/*"))
+	there, _ := filepath.Glob(filepath.Join(s.options.Dir, "cloud/machines/*"))
 	if len(there) == 0 {
 		return
 	}
-	name := filepath.Base(there[s.rnd.IntN(len(there))])
+	name := filepath.Base(there[s.random.IntN(len(there))])
 	body, _ := json.Marshal(map[string]any{"stokers": []string{name}, "noticeS": 0})
 	// It counts as lost whether or not the answer came.
 	s.lost[name] = true
 	if st, _ := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.Provider), "POST", provider.PathPreemptions, body); st == 200 {
-		s.r.Lost++
+		s.result.Lost++
 		time.Sleep(200 * time.Millisecond)
 	}
 }
