--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -16,15 +16,25 @@
 	"github.com/google/renameio/v2"
 )
 
-// Reasons for which somebody is refused. They are for the log.
+// Reasons for which Judge, and with it every connection and request, refuses
+// somebody. They are logged and not sent to the other end.
 var (
-	ErrNone      = errors.New("no certificate")
-	ErrForeign   = errors.New("its certificate is not of this site's authority")
-	ErrExpired   = errors.New("its certificate is expired")
-	ErrNotYet    = errors.New("its certificate does not hold yet")
-	ErrRevoked   = errors.New("its certificate is revoked")
+	// ErrNone is returned when the other end has shown no certificate.
+	ErrNone = errors.New("no certificate")
+	// ErrForeign is returned for a certificate that another authority has signed,
+	// or that names another site.
+	ErrForeign = errors.New("its certificate is not of this site's authority")
+	// ErrExpired is returned for a certificate after its time.
+	ErrExpired = errors.New("its certificate is expired")
+	// ErrNotYet is returned for a certificate before its time.
+	ErrNotYet = errors.New("its certificate does not hold yet")
+	// ErrRevoked is returned for a certificate on the list of revocations.
+	ErrRevoked = errors.New("its certificate is revoked")
+	// ErrMalformed is returned for a certificate without exactly one identity.
 	ErrMalformed = errors.New("its certificate names nobody")
-	ErrRole      = errors.New("it is not what is expected here")
+	// ErrRole is returned by a connection to a party of another kind or name than
+	// was dialled.
+	ErrRole = errors.New("it is not what is expected here")
 )
 
 // Keeper holds one party's certificate and what it must know to judge others'.
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -191,8 +191,9 @@
 	lockFile  = "lock"
 	logsDir   = "logs"
 	runDir    = "run"
-	// AuthorityDir is the site's authority, CertsDir the parts' certificates.
+	// AuthorityDir is the folder of the site's authority.
 	AuthorityDir = "authority"
+	// CertsDir is the folder of the parts' certificates, a folder for each part.
 	CertsDir     = "certs"
 	grantKeyFile = "grant.key"
 )
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -78,7 +78,7 @@
 func customer(n int) string { return fmt.Sprint("customer-", n%3) }
 
 // judgeOutput compares what each attempt that came to its end wrote with what its
-// customer reads, and has another customer try. An attempt that was killed half-way
+// customer reads, and has another customer read it in vain. An attempt that was killed half-way
 // must have the beginning of its lines, or nothing.
 func (s *soak) judgeOutput(ran []string) error {
 	members, _, err := site.ReadArchive(s.options.Dir)
@@ -203,7 +203,7 @@
 	}
 }
 
-// countFinished counts the finished tasks of a page's record: a word for each
+// countFinished counts the finished tasks of a page's record: a field for each
 // task, d for finished, *n for n alike.
 func countFinished(data []byte) (n int, err error) {
 	var words string
