--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -16,15 +16,25 @@
 	"github.com/google/renameio/v2"
 )
 
-// Reasons for which somebody is refused. They are for the log.
+// Reasons for which Judge, and with it every connection and request, refuses
+// somebody. They are logged and not sent to the other end.
 var (
-	ErrNone      = errors.New("no certificate")
-	ErrForeign   = errors.New("its certificate is not of this site's authority")
-	ErrExpired   = errors.New("its certificate is expired")
-	ErrNotYet    = errors.New("its certificate does not hold yet")
-	ErrRevoked   = errors.New("its certificate is revoked")
+	// ErrNone is returned when the other end has shown no certificate.
+	ErrNone = errors.New("no certificate")
+	// ErrForeign is returned for a certificate that another authority has signed,
+	// or that names another site.
+	ErrForeign = errors.New("its certificate is not of this site's authority")
+	// ErrExpired is returned for a certificate after its time.
+	ErrExpired = errors.New("its certificate is expired")
+	// ErrNotYet is returned for a certificate before its time.
+	ErrNotYet = errors.New("its certificate does not hold yet")
+	// ErrRevoked is returned for a certificate on the list of revocations.
+	ErrRevoked = errors.New("its certificate is revoked")
+	// ErrMalformed is returned for a certificate without exactly one identity.
 	ErrMalformed = errors.New("its certificate names nobody")
-	ErrRole      = errors.New("it is not what is expected here")
+	// ErrRole is returned by a connection to a party of another kind or name than
+	// was dialled.
+	ErrRole = errors.New("it is not what is expected here")
 )
 
 // Keeper holds one party's certificate and what it must know to judge others'.
@@ -38,8 +48,8 @@
 	// Now is the day's clock.
 	Now func() time.Time
 
-	own  atomic.Pointer[tls.Certificate]
-	gone atomic.Pointer[revocations]
+	own     atomic.Pointer[tls.Certificate]
+	revoked atomic.Pointer[revocations]
 
 	mu     sync.Mutex // of reading again
 	looked time.Time
@@ -130,11 +140,11 @@
 		r.serial[e.SerialNumber.Text(16)] = true
 	}
 	for {
-		old := k.gone.Load()
+		old := k.revoked.Load()
 		if old != nil && old.number >= r.number {
 			return false, nil
 		}
-		if k.gone.CompareAndSwap(old, r) {
+		if k.revoked.CompareAndSwap(old, r) {
 			return true, nil
 		}
 	}
@@ -144,7 +154,7 @@
 // does not matter from whom one has it.
 func (k *Keeper) Revocations() []byte {
 	k.look()
-	return k.gone.Load().raw
+	return k.revoked.Load().raw
 }
 
 // MaxRevocations bounds a list of revocations, in bytes.
@@ -160,7 +170,7 @@
 	if !newer || err != nil {
 		return newer, err
 	}
-	k.log.Info("newer list of revocations", "number", k.gone.Load().number, "revoked", len(k.gone.Load().serial))
+	k.log.Info("newer list of revocations", "number", k.revoked.Load().number, "revoked", len(k.revoked.Load().serial))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return true, renameio.WriteFile(filepath.Join(k.dir, revokedFile), raw, 0o644)
@@ -223,7 +233,7 @@
 		return Identity{}, fmt.Errorf("%w: %w", ErrForeign, err)
 	}
 	k.look()
-	if k.gone.Load().serial[c.SerialNumber.Text(16)] {
+	if k.revoked.Load().serial[c.SerialNumber.Text(16)] {
 		return Identity{}, ErrRevoked
 	}
 	who, err := identityOf(c)
