--- a/internal/archive/vault/commit.go
+++ b/internal/archive/vault/commit.go
@@ -12,35 +12,45 @@
 	"silvergate/internal/archive"
 )
 
-type put struct {
-	recs []archive.Record
-	drop []string
-	move map[string]loc // records to be written anew, from where they lay
-	done chan error
+// change is what one caller wants kept, dropped or moved. The writer commits it
+// whole and sends the result on done, which has room for it.
+type change struct {
+	records []archive.Record
+	drop    []string
+	move    map[string]recordLocation // records to be written anew, from where they lay
+	done    chan error
 }
 
-// commitBytes bounds what one sync writes.
+// commitBytes is the size in bytes from which a commit takes no more changes.
 const commitBytes = 16 << 20
 
-// Put keeps records: when it returns nil, all are on disk, whatever is killed. Ones
-// that are here already are kept once. The caller has checked them.
-func (v *Vault) Put(ctx context.Context, recs []archive.Record) error {
-	for i := range recs {
+// Put stores records. When it returns nil, all of them are synced to disk. Records
+// whose keys are stored already are not written again. The caller has checked the
+// records and does not change them until Put returns.
+//
+// It returns ErrFull if the disk has no room, ErrClosed if the vault was closed
+// first, and ctx's error if ctx ended before the records were queued; once they are
+// queued, ctx is not looked at.
+func (v *Vault) Put(ctx context.Context, records []archive.Record) error {
+	for i := range records {
 		// Guards against an index that can't be read again: each entry must be one
 		// that the next start takes for whole.
-		if _, err := archive.ParseKey(recs[i].Key.String()); err != nil {
+		if _, err := archive.ParseKey(records[i].Key.String()); err != nil {
 			return err
 		}
 	}
-	return v.submit(ctx, &put{recs: recs, done: make(chan error, 1)})
+	return v.submit(ctx, &change{records: records, done: make(chan error, 1)})
 }
 
-// Drop takes records out for good. Their room comes back as volumes are emptied.
+// Drop removes the records with these keys; keys that are not stored are passed
+// over. The disk space comes back as volumes are compacted. Its errors are those of
+// Put, and that of a key that can't be parsed.
 func (v *Vault) Drop(ctx context.Context, keys []string) error {
-	return v.submit(ctx, &put{drop: keys, done: make(chan error, 1)})
+	return v.submit(ctx, &change{drop: keys, done: make(chan error, 1)})
 }
 
-func (v *Vault) submit(ctx context.Context, p *put) error {
+// submit queues a change and waits for its commit.
+func (v *Vault) submit(ctx context.Context, p *change) error {
 	select {
 	case v.queue <- p:
 	case <-v.stop:
@@ -61,17 +71,18 @@
 	}
 }
 
-// commitAll is the one writer.
+// commitAll is the one writer: it commits changes until the vault is closed. Those
+// that wait in the queue share a commit, up to commitBytes.
 func (v *Vault) commitAll() {
 	defer close(v.done)
 	for {
-		var first *put
+		var first *change
 		select {
 		case first = <-v.queue:
 		case <-v.stop:
 			return
 		}
-		group, size := []*put{first}, sizeOf(first)
+		group, size := []*change{first}, sizeOf(first)
 		for more := true; more && size < commitBytes; {
 			select {
 			case p := <-v.queue:
@@ -90,129 +101,187 @@
 	}
 }
 
-func sizeOf(p *put) (n int) {
-	for i := range p.recs {
-		n += archive.FrameSize(&p.recs[i])
+// sizeOf returns the bytes that a change writes.
+func sizeOf(p *change) (n int) {
+	for i := range p.records {
+		n += archive.FrameSize(&p.records[i])
 	}
 	return n
 }
 
+// written is a record that a commit appends to a volume.
 type written struct {
-	rec *archive.Record
-	loc loc
-	was *loc // moved from there
+	record    *archive.Record
+	location  recordLocation
+	movedFrom *recordLocation // moved from there
+}
+
+// removal is a record that a commit took out of the index.
+type removal struct {
+	key      archive.Key
+	location recordLocation
+}
+
+// dropping is a record that is to be taken out of the index. record holds its
+// payload if its labels must go too, and has none otherwise.
+type dropping struct {
+	key    string
+	record archive.Record
 }
 
 // commit writes a group's records, syncs them and then the index.
-func (v *Vault) commit(group []*put) (err error) {
+func (v *Vault) commit(group []*change) error {
 	begun := time.Now()
-	var add []written
-	var drop []string
+	added := v.selectNew(group)
+	if err := v.write(added); err != nil {
+		return err
+	}
+	drops, err := v.readDropped(group)
+	if err != nil {
+		return err
+	}
+	removed, err := v.updateIndex(added, drops)
+	if err != nil {
+		// No index entry refers to the volume's tail now.
+		return errors.Join(wrapDiskFull(err), v.rewind())
+	}
+	v.countCommit(added, removed, begun)
+	v.notify(added, removed)
+	return nil
+}
+
+// selectNew returns the records of a group that must be written: each key once,
+// without those that are stored already, and of the moved ones those that still
+// lie where the move found them.
+func (v *Vault) selectNew(group []*change) (added []written) {
 	seen := map[string]bool{}
-	for _, p := range group {
-		for i := range p.recs {
-			key := p.recs[i].Key.String()
+	for _, c := range group {
+		for i := range c.records {
+			key := c.records[i].Key.String()
 			if seen[key] {
 				continue
 			}
 			seen[key] = true
-			if old, ok := p.move[key]; ok {
+			if old, ok := c.move[key]; ok {
 				if now, err := v.find(key); err != nil || now != old {
 					continue // dropped, or moved, meanwhile
 				}
-				add = append(add, written{rec: &p.recs[i], was: &old})
+				added = append(added, written{record: &c.records[i], movedFrom: &old})
 				continue
 			}
 			if _, err := v.find(key); err == nil {
 				continue
 			}
-			add = append(add, written{rec: &p.recs[i]})
+			added = append(added, written{record: &c.records[i]})
 		}
-		drop = append(drop, p.drop...)
-	}
-	if err := v.write(add); err != nil {
-		return err
-	}
-	type gone struct {
-		key archive.Key
-		loc loc
 	}
-	var removed []gone
-	var records []archive.Record // of what is dropped, for its labels
-	for _, key := range drop {
-		k, err := archive.ParseKey(key)
-		if err != nil {
-			return err
-		}
-		var r archive.Record
-		if k.Kind == archive.KindGrant {
-			if r, err = v.Get(k); err != nil {
-				r = archive.Record{Key: k}
+	return added
+}
+
+// readDropped returns what a group drops. Grants are read, since their labels come
+// from their payload; one that can't be read leaves its labels behind.
+func (v *Vault) readDropped(group []*change) (drops []dropping, err error) {
+	for _, c := range group {
+		for _, key := range c.drop {
+			parsed, err := archive.ParseKey(key)
+			if err != nil {
+				return nil, err
 			}
+			var record archive.Record
+			if parsed.Kind == archive.KindGrant {
+				if record, err = v.Get(parsed); err != nil {
+					record = archive.Record{Key: parsed}
+				}
+			}
+			drops = append(drops, dropping{key, record})
 		}
-		records = append(records, r)
 	}
+	return drops, nil
+}
+
+// updateIndex enters and removes records in one transaction. It returns the
+// removed ones that the index had.
+func (v *Vault) updateIndex(added []written, drops []dropping) (removed []removal, err error) {
 	err = v.db.Update(func(tx *bolt.Tx) error {
-		removed = removed[:0]
-		for i := range add {
-			if err := v.list(tx, add[i].rec, add[i].loc); err != nil {
+		for i := range added {
+			if err := v.addEntry(tx, added[i].record, added[i].location); err != nil {
 				return err
 			}
 		}
-		for i, key := range drop {
-			raw := tx.Bucket(bucketRec).Get([]byte(key))
-			if raw == nil {
-				continue
-			}
-			l, err := readLoc([]byte(key), raw)
+		for i := range drops {
+			entry, found, err := v.dropEntry(tx, &drops[i])
 			if err != nil {
 				return err
 			}
-			k, err := archive.ParseKey(key)
-			if err != nil {
-				return err
-			}
-			var r *archive.Record
-			if records[i].Payload != nil {
-				r = &records[i]
+			if found {
+				removed = append(removed, entry)
 			}
-			if err := v.unlist(tx, key, r); err != nil {
-				return err
-			}
-			removed = append(removed, gone{k, l})
 		}
 		return nil
 	})
+	return removed, err
+}
+
+// dropEntry removes a record from the index; found tells whether it was there.
+func (v *Vault) dropEntry(tx *bolt.Tx, d *dropping) (removed removal, found bool, err error) {
+	raw := tx.Bucket(bucketRecords).Get([]byte(d.key))
+	if raw == nil {
+		return removal{}, false, nil
+	}
+	location, err := decodeLocation([]byte(d.key), raw)
+	if err != nil {
+		return removal{}, false, err
+	}
+	key, err := archive.ParseKey(d.key)
 	if err != nil {
-		// The volume's tail is nobody's now.
-		return errors.Join(full(err), v.rewind())
+		return removal{}, false, err
+	}
+	var labelled *archive.Record
+	if d.record.Payload != nil {
+		labelled = &d.record
+	}
+	if err := v.removeEntry(tx, d.key, labelled); err != nil {
+		return removal{}, false, err
 	}
+	return removal{key, location}, true, nil
+}
+
+// countCommit adds a commit to the counters and to the volumes' live bytes.
+func (v *Vault) countCommit(added []written, removed []removal, begun time.Time) {
 	v.mu.Lock()
-	for _, w := range add {
-		vol := v.vols[w.loc.vol]
-		vol.size, vol.live = max(vol.size, w.loc.pos+w.loc.size), vol.live+w.loc.size
-		if w.was != nil {
-			v.vols[w.was.vol].live -= w.was.size
+	defer v.mu.Unlock()
+	for _, w := range added {
+		volume := v.volumes[w.location.volumeID]
+		volume.size = max(volume.size, w.location.offset+w.location.size)
+		volume.live += w.location.size
+		if w.movedFrom != nil {
+			v.volumes[w.movedFrom.volumeID].live -= w.movedFrom.size
 			continue
 		}
-		v.stats.Records, v.stats.Bytes, v.stats.Written = v.stats.Records+1, v.stats.Bytes+w.loc.size, v.stats.Written+w.loc.size
+		v.stats.Records++
+		v.stats.Bytes += w.location.size
+		v.stats.Written += w.location.size
 	}
-	for _, g := range removed {
-		v.vols[g.loc.vol].live -= g.loc.size
-		v.stats.Records, v.stats.Bytes = v.stats.Records-1, v.stats.Bytes-g.loc.size
+	for _, r := range removed {
+		v.volumes[r.location.volumeID].live -= r.location.size
+		v.stats.Records--
+		v.stats.Bytes -= r.location.size
 	}
 	v.stats.Commits++
 	v.stats.LastCommitMic = time.Since(begun).Microseconds()
-	v.mu.Unlock()
-	for _, w := range add {
-		if w.was == nil {
-			v.cfg.Added(w.loc.info(w.rec.Key))
+}
+
+// notify calls Config.Added and Config.Removed for what a commit changed. A moved
+// record is neither.
+func (v *Vault) notify(added []written, removed []removal) {
+	for _, w := range added {
+		if w.movedFrom == nil {
+			v.cfg.Added(w.location.info(w.record.Key))
 		}
 	}
-	for _, g := range removed {
-		v.cfg.Removed(g.loc.info(g.key))
+	for _, r := range removed {
+		v.cfg.Removed(r.location.info(r.key))
 	}
-	return nil
 }
 
 // write appends records to the volumes and syncs those.
@@ -222,15 +291,15 @@
 	}
 	now := time.Now().UnixMilli()
 	var buf []byte
-	vol := v.vols[v.cur] // only this goroutine changes which volumes there are
-	pos := vol.size
+	volume := v.volumes[v.current] // only this goroutine changes which volumes there are
+	pos := volume.size
 	flush := func() error {
 		if len(buf) == 0 {
 			return nil
 		}
-		err := v.disk.WriteAt(vol.f, buf, pos-int64(len(buf)))
+		err := v.disk.WriteAt(volume.file, buf, pos-int64(len(buf)))
 		if err == nil {
-			err = v.disk.Sync(vol.f)
+			err = v.disk.Sync(volume.file)
 		}
 		buf = buf[:0]
 		return err
@@ -240,39 +309,40 @@
 		if pos >= v.cfg.VolumeBytes {
 			err := flush()
 			if err == nil {
-				err = v.begin()
+				err = v.beginVolume()
 			}
 			if err != nil {
-				return errors.Join(full(err), v.rewind())
+				return errors.Join(wrapDiskFull(err), v.rewind())
 			}
-			vol, pos = v.vols[v.cur], 0
+			volume, pos = v.volumes[v.current], 0
 		}
 		n := len(buf)
-		buf = archive.AppendFrame(buf, w.rec)
+		buf = archive.AppendFrame(buf, w.record)
 		size := int64(len(buf) - n)
-		w.loc = loc{v.cur, pos, size, now}
-		if w.was != nil {
-			w.loc.at = w.was.at
+		w.location = recordLocation{v.current, pos, size, now}
+		if w.movedFrom != nil {
+			w.location.storedAt = w.movedFrom.storedAt
 		}
 		pos += size
 	}
 	if err := flush(); err != nil {
-		return errors.Join(full(err), v.rewind())
+		return errors.Join(wrapDiskFull(err), v.rewind())
 	}
 	return nil
 }
 
-// rewind gives up what was written and not acknowledged. If it
-// can't be cut off, another volume is begun at the next chance.
+// rewind cuts off what was written and not acknowledged. If that fails, it begins
+// another volume.
 func (v *Vault) rewind() error {
-	vol := v.vols[v.cur]
-	if err := vol.f.Truncate(vol.size); err != nil {
-		return v.begin()
+	volume := v.volumes[v.current]
+	if err := volume.file.Truncate(volume.size); err != nil {
+		return v.beginVolume()
 	}
 	return nil
 }
 
-func full(err error) error {
+// wrapDiskFull adds ErrFull to an error of a full disk or an exhausted quota.
+func wrapDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
 	}
--- a/internal/archive/vault/maintenance.go
+++ b/internal/archive/vault/maintenance.go
@@ -17,21 +17,21 @@
 // tidy removes volumes that hold nothing, and chooses the one to append to: one
 // with a tail that the index does not know is left as it is.
 func (v *Vault) tidy() error {
-	for id, vol := range v.vols {
-		if vol.live == 0 && !vol.bad {
-			vol.f.Close()
+	for id, volume := range v.volumes {
+		if volume.live == 0 && !volume.damaged {
+			volume.file.Close()
 			if err := os.Remove(v.path(id)); err != nil {
 				return err
 			}
-			delete(v.vols, id)
+			delete(v.volumes, id)
 		}
 	}
-	if vol := v.vols[v.cur]; vol != nil {
-		if info, err := vol.f.Stat(); err == nil && info.Size() == vol.size && vol.size < v.cfg.VolumeBytes {
+	if volume := v.volumes[v.current]; volume != nil {
+		if info, err := volume.file.Stat(); err == nil && info.Size() == volume.size && volume.size < v.cfg.VolumeBytes {
 			return nil
 		}
 	}
-	return v.begin()
+	return v.beginVolume()
 }
 
 // compact empties one volume of which little is left, and removes those that hold
@@ -39,21 +39,21 @@
 func (v *Vault) compact() {
 	v.mu.Lock()
 	var thin uint32
-	for _, id := range sortedIDs(v.vols) {
-		vol := v.vols[id]
-		if id == v.cur || vol.bad {
+	for _, id := range sortedIDs(v.volumes) {
+		volume := v.volumes[id]
+		if id == v.current || volume.damaged {
 			continue
 		}
-		if vol.live == 0 {
-			vol.f.Close()
+		if volume.live == 0 {
+			volume.file.Close()
 			if err := os.Remove(v.path(id)); err != nil {
 				v.log.Error("an empty volume can't be removed", "volume", v.path(id), "err", err)
 				continue
 			}
-			delete(v.vols, id)
+			delete(v.volumes, id)
 			continue
 		}
-		if thin == 0 && vol.live*4 < vol.size {
+		if thin == 0 && volume.live*4 < volume.size {
 			thin = id
 		}
 	}
@@ -62,29 +62,29 @@
 		return
 	}
 	var keys []string
-	var locs []loc
+	var locations []recordLocation
 	_ = v.view(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucketRec).ForEach(func(k, raw []byte) error {
-			if l, err := readLoc(k, raw); err == nil && l.vol == thin {
-				keys, locs = append(keys, string(k)), append(locs, l)
+		return tx.Bucket(bucketRecords).ForEach(func(k, raw []byte) error {
+			if location, err := decodeLocation(k, raw); err == nil && location.volumeID == thin {
+				keys, locations = append(keys, string(k)), append(locations, location)
 			}
 			return nil
 		})
 	})
-	p := &put{move: map[string]loc{}}
+	p := &change{move: map[string]recordLocation{}}
 	for i, key := range keys {
 		k, err := archive.ParseKey(key)
 		if err != nil {
 			continue
 		}
-		r, err := v.read(key, locs[i])
+		r, err := v.read(key, locations[i])
 		if err != nil {
-			v.bad(k, locs[i], err)
+			v.removeDamaged(k, locations[i], err)
 			continue
 		}
-		p.recs, p.move[key] = append(p.recs, r), locs[i]
+		p.records, p.move[key] = append(p.records, r), locations[i]
 	}
-	if err := v.commit([]*put{p}); err != nil {
+	if err := v.commit([]*change{p}); err != nil {
 		v.log.Error("a volume can't be emptied now", "volume", v.path(thin), "err", err)
 		return
 	}
@@ -93,7 +93,7 @@
 	v.mu.Unlock()
 }
 
-func sortedIDs(m map[uint32]*volume) []uint32 {
+func sortedIDs(m map[uint32]*volumeFile) []uint32 {
 	out := make([]uint32, 0, len(m))
 	for id := range m {
 		out = append(out, id)
@@ -106,7 +106,7 @@
 // acknowledged, or was dropped, comes back with it; the one does no harm, and the
 // other goes again as the records that say so are there too.
 func (v *Vault) rebuild() error {
-	for _, id := range sortedIDs(v.vols) {
+	for _, id := range sortedIDs(v.volumes) {
 		raw, err := os.ReadFile(v.path(id))
 		if err != nil {
 			return err
@@ -114,7 +114,7 @@
 		now := time.Now().UnixMilli()
 		type found struct {
 			r archive.Record
-			l loc
+			l recordLocation
 		}
 		var all []found
 		damaged := 0
@@ -129,23 +129,23 @@
 				pos += 1 + next
 				continue
 			}
-			l := loc{id, int64(pos), int64(archive.FrameSize(&r)), now}
+			location := recordLocation{id, int64(pos), int64(archive.FrameSize(&r)), now}
 			r.Payload = bytes.Clone(r.Payload)
-			all = append(all, found{r, l})
-			pos += int(l.size)
+			all = append(all, found{r, location})
+			pos += int(location.size)
 		}
 		if damaged > 0 {
 			v.log.Error("a volume has damaged places, or a tail that was never acknowledged; it is kept as it is", "volume", v.path(id), "places", damaged)
-			v.vols[id].bad = true
+			v.volumes[id].damaged = true
 		}
 		var fresh []found
 		if err := v.db.Update(func(tx *bolt.Tx) error {
 			fresh = fresh[:0]
 			for i := range all {
-				if tx.Bucket(bucketRec).Get([]byte(all[i].r.Key.String())) != nil {
+				if tx.Bucket(bucketRecords).Get([]byte(all[i].r.Key.String())) != nil {
 					continue
 				}
-				if err := v.list(tx, &all[i].r, all[i].l); err != nil {
+				if err := v.addEntry(tx, &all[i].r, all[i].l); err != nil {
 					return err
 				}
 				fresh = append(fresh, all[i])
@@ -155,14 +155,17 @@
 			return err
 		}
 		for _, f := range fresh {
-			v.enter(f.r.Key, f.l)
+			v.countStored(f.r.Key, f.l)
 		}
 	}
 	return nil
 }
 
-// Scrub reads records after a key and checks them, until about so many bytes are
-// read; it returns the last key, "" at the end.
+// Scrub reads and checks the records after the key from, "" being the start, until
+// about size bytes are read. It returns the last key it read, from which the next
+// call goes on, or "" if it reached the end, and how many records it checked and
+// found damaged. Damaged ones are taken out of the index. An error is one of
+// reading the index.
 func (v *Vault) Scrub(from string, size int64) (last string, checked, damaged int, err error) {
 	for size > 0 {
 		infos, more, err := v.Keys("", from, 100)
@@ -172,9 +175,9 @@
 		for _, i := range infos {
 			r, err := v.Get(i.Key)
 			if err == nil && r.Check() != nil {
-				l, _ := v.find(i.Key.String())
+				location, _ := v.find(i.Key.String())
 				err = fmt.Errorf("%w: %w", r.Check(), checksum.ErrDamaged)
-				v.bad(i.Key, l, err)
+				v.removeDamaged(i.Key, location, err)
 			}
 			if errors.Is(err, checksum.ErrDamaged) {
 				damaged++
--- a/internal/archive/vault/read.go
+++ b/internal/archive/vault/read.go
@@ -13,56 +13,61 @@
 	"silvergate/internal/checksum"
 )
 
-func (v *Vault) find(key string) (l loc, err error) {
+// find looks up a record's location, or returns ErrNotHere.
+func (v *Vault) find(key string) (location recordLocation, err error) {
 	err = v.view(func(tx *bolt.Tx) error {
-		raw := tx.Bucket(bucketRec).Get([]byte(key))
+		raw := tx.Bucket(bucketRecords).Get([]byte(key))
 		if raw == nil {
 			return ErrNotHere
 		}
-		l, err = readLoc([]byte(key), raw)
+		location, err = decodeLocation([]byte(key), raw)
 		return err
 	})
-	return l, err
+	return location, err
 }
 
-// Has tells whether a record is here.
+// Has tells whether the index lists a record. It is false also if the index can't be
+// read.
 func (v *Vault) Has(k archive.Key) bool {
 	_, err := v.find(k.String())
 	return err == nil
 }
 
-// Get reads a record and checks it. A damaged one is taken out of the index.
+// Get reads a record and checks its frame's checksum. It returns ErrNotHere if the
+// vault does not have the record, and checksum.ErrDamaged if the record is damaged;
+// such a record is taken out of the index. The caller owns the result.
 func (v *Vault) Get(k archive.Key) (archive.Record, error) {
 	key := k.String()
 	for {
-		l, err := v.find(key)
+		location, err := v.find(key)
 		if err != nil {
 			return archive.Record{}, err
 		}
-		r, err := v.read(key, l)
+		r, err := v.read(key, location)
 		if err == nil {
 			return r, nil
 		}
-		if again, err2 := v.find(key); err2 == nil && again != l {
+		if again, err2 := v.find(key); err2 == nil && again != location {
 			continue // moved while it was read
 		}
 		if !errors.Is(err, checksum.ErrDamaged) {
 			return archive.Record{}, err
 		}
-		v.bad(k, l, err)
+		v.removeDamaged(k, location, err)
 		return archive.Record{}, err
 	}
 }
 
-func (v *Vault) read(key string, l loc) (archive.Record, error) {
-	buf := make([]byte, l.size)
+// read reads the record with a key from its location.
+func (v *Vault) read(key string, location recordLocation) (archive.Record, error) {
+	buf := make([]byte, location.size)
 	v.mu.RLock()
-	vol := v.vols[l.vol]
-	if vol == nil {
+	volume := v.volumes[location.volumeID]
+	if volume == nil {
 		v.mu.RUnlock()
-		return archive.Record{}, fmt.Errorf("%s: no volume %d: %w", key, l.vol, checksum.ErrDamaged)
+		return archive.Record{}, fmt.Errorf("%s: no volume %d: %w", key, location.volumeID, checksum.ErrDamaged)
 	}
-	_, err := vol.f.ReadAt(buf, l.pos)
+	_, err := volume.file.ReadAt(buf, location.offset)
 	v.mu.RUnlock()
 	if err != nil {
 		return archive.Record{}, fmt.Errorf("%s: %w: %w", key, err, checksum.ErrDamaged)
@@ -72,51 +77,52 @@
 		err = errors.New("another record lies there")
 	}
 	if err != nil {
-		return archive.Record{}, fmt.Errorf("%s at %d of %s is %w: %w", key, l.pos, v.path(l.vol), checksum.ErrDamaged, err)
+		return archive.Record{}, fmt.Errorf("%s at %d of %s is %w: %w", key, location.offset, v.path(location.volumeID), checksum.ErrDamaged, err)
 	}
 	return r, nil
 }
 
-// bad takes a damaged record out of the index and keeps its volume.
-func (v *Vault) bad(k archive.Key, l loc, why error) {
-	v.log.Error("a record is damaged; it counts as missing and its volume is kept as it is", "key", k.String(), "volume", v.path(l.vol), "pos", l.pos, "err", why)
+// removeDamaged takes a damaged record out of the index and keeps its volume.
+func (v *Vault) removeDamaged(k archive.Key, location recordLocation, why error) {
+	v.log.Error("a record is damaged; it counts as missing and its volume is kept as it is", "key", k.String(), "volume", v.path(location.volumeID), "pos", location.offset, "err", why)
 	out := false
 	err := v.db.Update(func(tx *bolt.Tx) error {
 		key := []byte(k.String())
-		raw := tx.Bucket(bucketRec).Get(key)
-		if now, err := readLoc(key, raw); err != nil || now != l {
+		raw := tx.Bucket(bucketRecords).Get(key)
+		if now, err := decodeLocation(key, raw); err != nil || now != location {
 			return nil
 		}
 		out = true
-		if err := tx.Bucket(bucketBad).Put(key, l.bytes()); err != nil {
+		if err := tx.Bucket(bucketDamaged).Put(key, location.encode()); err != nil {
 			return err
 		}
-		return v.unlist(tx, k.String(), nil)
+		return v.removeEntry(tx, k.String(), nil)
 	})
 	if err != nil || !out {
 		return
 	}
 	v.mu.Lock()
-	if vol := v.vols[l.vol]; vol != nil {
-		vol.live, vol.bad = vol.live-l.size, true
+	if volume := v.volumes[location.volumeID]; volume != nil {
+		volume.live, volume.damaged = volume.live-location.size, true
 	}
-	v.stats.Records, v.stats.Bytes, v.stats.Damaged = v.stats.Records-1, v.stats.Bytes-l.size, v.stats.Damaged+1
+	v.stats.Records, v.stats.Bytes, v.stats.Damaged = v.stats.Records-1, v.stats.Bytes-location.size, v.stats.Damaged+1
 	v.mu.Unlock()
-	v.cfg.Removed(l.info(k))
+	v.cfg.Removed(location.info(k))
 }
 
 // Info is a record as the index has it.
 type Info struct {
 	Key   archive.Key
-	Bytes int64
-	At    time.Time
+	Bytes int64     // of its frame
+	At    time.Time // when it was stored
 }
 
-// Keys lists the records whose keys begin with prefix and come after from, in
-// order, no more than limit.
+// Keys lists the records whose keys begin with prefix and come after from, in the
+// order of their keys, at most limit; more tells whether there are others. An error
+// is one of reading the index.
 func (v *Vault) Keys(prefix, from string, limit int) (out []Info, more bool, err error) {
 	err = v.view(func(tx *bolt.Tx) error {
-		c := tx.Bucket(bucketRec).Cursor()
+		c := tx.Bucket(bucketRecords).Cursor()
 		begin := prefix
 		if from > begin {
 			begin = from
@@ -129,7 +135,7 @@
 				more = true
 				return nil
 			}
-			l, err := readLoc(k, raw)
+			location, err := decodeLocation(k, raw)
 			if err != nil {
 				return err
 			}
@@ -137,19 +143,20 @@
 			if err != nil {
 				return err
 			}
-			out = append(out, l.info(key))
+			out = append(out, location.info(key))
 		}
 		return nil
 	})
 	return out, more, err
 }
 
-// Find lists the attempts that have a label, of those whose names begin with
-// prefix, after one of them, no more than limit.
+// Find lists the attempts that have a label, whose names begin with prefix and come
+// after from, in order, at most limit; more tells whether there are others. An
+// error is one of reading the index.
 func (v *Vault) Find(label, prefix, from string, limit int) (out []string, more bool, err error) {
 	head := label + "\x00"
 	err = v.view(func(tx *bolt.Tx) error {
-		c := tx.Bucket(bucketBy).Cursor()
+		c := tx.Bucket(bucketLabels).Cursor()
 		for k, _ := c.Seek([]byte(head + max(prefix, from))); k != nil && strings.HasPrefix(string(k), head+prefix); k, _ = c.Next() {
 			a := string(k[len(head):])
 			if a == from {
@@ -166,11 +173,12 @@
 	return out, more, err
 }
 
-// Labelled tells whether an attempt has a label.
+// Labelled tells whether an attempt has a label. It is false also if the index can't
+// be read.
 func (v *Vault) Labelled(label, attempt string) (ok bool) {
 	_ = v.view(func(tx *bolt.Tx) error {
-		key := []byte(label + "\x00" + attempt)
-		k, _ := tx.Bucket(bucketBy).Cursor().Seek(key)
+		key := labelKey(label, attempt)
+		k, _ := tx.Bucket(bucketLabels).Cursor().Seek(key)
 		ok = bytes.Equal(k, key)
 		return nil
 	})
--- a/internal/archive/vault/vault.go
+++ b/internal/archive/vault/vault.go
@@ -28,39 +28,45 @@
 	"silvergate/internal/checksum"
 )
 
-// Config is what a vault is told.
+// Config holds the settings of a vault.
 type Config struct {
+	// Dir is the vault's folder; it is made if it does not exist.
 	Dir string
-	// VolumeBytes is how large a volume grows; 0: 64 MiB.
+	// VolumeBytes is the size in bytes from which a volume is no longer appended to;
+	// 0 means 64 MiB.
 	VolumeBytes int64
-	// Labels are the names under which a record's attempt is found again.
+	// Labels returns the names under which a record's attempt is found again. nil
+	// means none.
 	Labels func(*archive.Record) []string
-	// Added and Removed are told of keys, after the index has them or has them no
-	// more.
+	// Added and Removed are called for each record after the index has it, or has it
+	// no more; nil means that nobody is called. Open calls Added for every record.
+	// Later calls come from the writer, and Removed also from a reader that finds a
+	// damaged record, so both must be safe for concurrent use.
 	Added, Removed func(Info)
 }
 
-// Errors.
+// Errors that callers decide by.
 var (
-	// ErrNotHere is a record that is not here.
+	// ErrNotHere says that the vault does not have the record.
 	ErrNotHere = errors.New("no such record here")
-	// ErrFull is a disk without room for what was to be written. Nothing of it
-	// was kept, and what was there before is.
+	// ErrFull says that the disk has no room for what was to be written. Nothing of
+	// it was kept; what was stored before is not affected.
 	ErrFull = errors.New("the disk is full")
-	// ErrClosed is a vault that was closed.
+	// ErrClosed says that the vault was closed.
 	ErrClosed = errors.New("the vault is closed")
 )
 
-// Stats counts what a vault holds and did.
+// Stats counts what a vault holds and did since it was opened. Its fields' names are
+// those of the JSON that a node serves.
 type Stats struct {
 	Records, Bytes, Volumes  int64
-	Commits, Written         int64 // syncs, bytes
-	Damaged                  int64 // records found damaged in this life
-	Rebuilt                  bool  // the index was made again at the start
-	Compacted, LastCommitMic int64
+	Commits, Written         int64 // commits, and the bytes of records that they added
+	Damaged                  int64 // records found damaged since Open
+	Rebuilt                  bool  // Open made the index again out of the volumes
+	Compacted, LastCommitMic int64 // volumes compacted; the last commit's time in microseconds
 }
 
-// Vault is an open vault. It is safe for concurrent use.
+// Vault is an open vault. It is safe for concurrent use. Whoever opens it closes it.
 type Vault struct {
 	cfg  Config
 	log  *slog.Logger
@@ -68,32 +74,34 @@
 	disk disk
 	lock *os.File
 
-	queue chan *put
-	done  chan struct{}
-	stop  chan struct{}
+	queue chan *change
+	done  chan struct{} // closed when the writer has ended
+	stop  chan struct{} // closed by Close
 
-	mu    sync.RWMutex // guards the below; files are opened and removed under it
-	vols  map[uint32]*volume
-	cur   uint32 // the volume that is appended to
-	stats Stats
+	mu      sync.RWMutex // guards the below; files are opened and removed under it
+	volumes map[uint32]*volumeFile
+	current uint32 // the volume that is appended to
+	stats   Stats
 }
 
-type volume struct {
-	f    *os.File
-	size int64 // up to where the index knows it
-	live int64 // of it, what is not dropped
-	bad  bool  // damage was found in it: it is kept
+// volumeFile is an open volume.
+type volumeFile struct {
+	file    *os.File
+	size    int64 // bytes from the start that the index lists
+	live    int64 // bytes of the records that are not dropped
+	damaged bool  // damage was found in it, so it is never removed
 }
 
-// loc is where a record's frame lies.
-type loc struct {
-	vol  uint32
-	pos  int64
-	size int64
-	at   int64 // when it came, in milliseconds
+// recordLocation is where a record's frame lies: its volume, the offset and size
+// in it in bytes, and when it was stored.
+type recordLocation struct {
+	volumeID uint32
+	offset   int64
+	size     int64
+	storedAt int64 // Unix time in milliseconds
 }
 
-// disk is the file system as far as it can fail in tests.
+// disk is the part of the file system that tests let fail.
 type disk interface {
 	WriteAt(f *os.File, b []byte, off int64) error
 	Sync(f *os.File) error
@@ -108,22 +116,31 @@
 
 func (osDisk) Sync(f *os.File) error { return unix.Fdatasync(int(f.Fd())) }
 
-// Names in the folder.
+// Names in the vault's folder.
 const (
 	indexFile  = "index.db"
 	volumesDir = "volumes"
 	lockName   = "lock"
 )
 
-// Open opens the vault in cfg.Dir, or makes one. Added is called for all that is
-// there.
+const (
+	// defaultVolumeBytes is Config.VolumeBytes if it is not set.
+	defaultVolumeBytes = 64 << 20
+	// queuedChanges is how many changes wait for the writer before Put blocks.
+	queuedChanges = 64
+)
+
+// Open opens the vault in cfg.Dir, or makes one, and calls cfg.Added for every record
+// in it. A damaged index is put aside and made again out of the volumes. Open fails
+// if another process has the vault open. The caller closes the vault.
 func Open(cfg Config, log *slog.Logger) (*Vault, error) {
 	return open(cfg, log, osDisk{})
 }
 
+// open is Open on a given disk.
 func open(cfg Config, log *slog.Logger, d disk) (*Vault, error) {
 	if cfg.VolumeBytes <= 0 {
-		cfg.VolumeBytes = 64 << 20
+		cfg.VolumeBytes = defaultVolumeBytes
 	}
 	if cfg.Labels == nil {
 		cfg.Labels = func(*archive.Record) []string { return nil }
@@ -137,7 +154,15 @@
 	if err := os.MkdirAll(filepath.Join(cfg.Dir, volumesDir), 0o700); err != nil {
 		return nil, err
 	}
-	v := &Vault{cfg: cfg, log: log, disk: d, queue: make(chan *put, 64), done: make(chan struct{}), stop: make(chan struct{}), vols: map[uint32]*volume{}}
+	v := &Vault{
+		cfg:     cfg,
+		log:     log,
+		disk:    d,
+		queue:   make(chan *change, queuedChanges),
+		done:    make(chan struct{}),
+		stop:    make(chan struct{}),
+		volumes: map[uint32]*volumeFile{},
+	}
 	var err error
 	if v.lock, err = os.OpenFile(filepath.Join(cfg.Dir, lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
@@ -154,17 +179,38 @@
 	return v, nil
 }
 
+// closeFiles closes the index, the volumes and the lock.
 func (v *Vault) closeFiles() {
 	if v.db != nil {
 		_ = v.db.Close()
 	}
-	for _, vol := range v.vols {
-		vol.f.Close()
+	for _, volume := range v.volumes {
+		volume.file.Close()
 	}
 	v.lock.Close()
 }
 
+// openAll opens the volumes and the index, and removes or begins volumes as needed.
 func (v *Vault) openAll() error {
+	if err := v.openVolumes(); err != nil {
+		return err
+	}
+	fresh, err := v.openOrReplaceIndex()
+	if err != nil {
+		return err
+	}
+	if fresh && len(v.volumes) > 0 {
+		if err := v.rebuild(); err != nil {
+			return fmt.Errorf("making the index again: %w", err)
+		}
+		v.stats.Rebuilt = true
+	}
+	return v.tidy()
+}
+
+// openVolumes opens all volumes in the folder; the one with the highest number is
+// the current one.
+func (v *Vault) openVolumes() error {
 	names, err := os.ReadDir(filepath.Join(v.cfg.Dir, volumesDir))
 	if err != nil {
 		return err
@@ -178,44 +224,41 @@
 		if err != nil {
 			return err
 		}
-		v.vols[id] = &volume{f: f}
-		v.cur = max(v.cur, id)
+		v.volumes[id] = &volumeFile{file: f}
+		v.current = max(v.current, id)
 	}
+	return nil
+}
+
+// openOrReplaceIndex opens the index. A damaged one is put aside, and an empty one
+// made in its place. fresh tells that the index is new.
+func (v *Vault) openOrReplaceIndex() (fresh bool, err error) {
 	path := filepath.Join(v.cfg.Dir, indexFile)
-	fresh := false
-	if err = verify(path); err == nil {
+	if err = verifyIndex(path); err == nil {
 		fresh, err = v.openIndex(path)
 	}
-	if errors.Is(err, checksum.ErrDamaged) {
-		aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-		v.log.Error("the index is damaged; it is put aside and made again out of the volumes", "file", path, "aside", aside, "err", err)
-		if err := os.Rename(path, aside); err != nil {
-			return err
-		}
-		if fresh, err = v.openIndex(path); err != nil {
-			return err
-		}
-	} else if err != nil {
-		return err
+	if !errors.Is(err, checksum.ErrDamaged) {
+		return fresh, err
 	}
-	if fresh && len(v.vols) > 0 {
-		if err := v.rebuild(); err != nil {
-			return fmt.Errorf("making the index again: %w", err)
-		}
-		v.stats.Rebuilt = true
+	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
+	v.log.Error("the index is damaged; it is put aside and made again out of the volumes", "file", path, "aside", aside, "err", err)
+	if err := os.Rename(path, aside); err != nil {
+		return false, err
 	}
-	return v.tidy()
+	return v.openIndex(path)
 }
 
+// volumeName is the name of a volume's file.
 func volumeName(id uint32) string { return fmt.Sprintf("%08d.vol", id) }
 
+// path is the path of a volume's file.
 func (v *Vault) path(id uint32) string {
 	return filepath.Join(v.cfg.Dir, volumesDir, volumeName(id))
 }
 
-// begin begins a new volume.
-func (v *Vault) begin() error {
-	id := v.cur + 1
+// beginVolume makes a new volume and appends to it from then on.
+func (v *Vault) beginVolume() error {
+	id := v.current + 1
 	f, err := os.OpenFile(v.path(id), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -232,20 +275,22 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.vols[id], v.cur = &volume{f: f}, id
+	v.volumes[id], v.current = &volumeFile{file: f}, id
 	return nil
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (v *Vault) Stats() Stats {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	s := v.stats
-	s.Volumes = int64(len(v.vols))
+	s.Volumes = int64(len(v.volumes))
 	return s
 }
 
-// Close ends the vault. What was not answered may be kept or not.
+// Close waits for the commit under way, closes the files and releases the folder.
+// Changes that were not answered may be kept or not; their callers get ErrClosed.
+// Another Close after it does nothing. It always returns nil.
 func (v *Vault) Close() error {
 	select {
 	case <-v.stop:
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -156,25 +156,25 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) { check() },
 			"put": func(*rapid.T) {
-				recs := draw()
-				if err := v.Put(ctx, recs); err != nil {
+				records := draw()
+				if err := v.Put(ctx, records); err != nil {
 					t.Fatal(err)
 				}
-				for _, r := range recs {
+				for _, r := range records {
 					kept[r.Key.String()] = r
 				}
 			},
 			"put on a full disk": func(t *rapid.T) {
-				recs := draw()
+				records := draw()
 				which := rapid.SampledFrom([]*atomic.Bool{&d.write, &d.sync}).Draw(t, "which")
-				fresh := slices.ContainsFunc(recs, func(r archive.Record) bool { return !v.Has(r.Key) })
+				fresh := slices.ContainsFunc(records, func(r archive.Record) bool { return !v.Has(r.Key) })
 				which.Store(true)
-				err := v.Put(ctx, recs)
+				err := v.Put(ctx, records)
 				which.Store(false)
 				if fresh && !errors.Is(err, ErrFull) {
 					t.Fatalf("a full disk is told as %v", err)
 				}
-				for _, r := range recs { // not acknowledged: it may come out of the volumes again
+				for _, r := range records { // not acknowledged: it may come out of the volumes again
 					if _, ok := kept[r.Key.String()]; !ok {
 						maybe[r.Key.String()] = true
 					}
@@ -200,7 +200,7 @@
 				raw := archive.AppendFrame(nil, &r)
 				cut := rapid.IntRange(1, len(raw)).Draw(t, "cut")
 				maybe[r.Key.String()] = true
-				path := v.path(v.cur)
+				path := v.path(v.current)
 				reopen(func() {
 					f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 					if err != nil {
@@ -250,22 +250,22 @@
 		t.Fatal(err)
 	}
 	defer func() { v.Close() }()
-	var recs []archive.Record
+	var records []archive.Record
 	for i := range 6 {
-		recs = append(recs, segment(1, i, 900))
+		records = append(records, segment(1, i, 900))
 	}
-	if err := v.Put(context.Background(), recs); err != nil {
+	if err := v.Put(context.Background(), records); err != nil {
 		t.Fatal(err)
 	}
-	l, err := v.find(recs[2].Key.String())
+	location, err := v.find(records[2].Key.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := os.OpenFile(v.path(l.vol), os.O_RDWR, 0)
+	f, err := os.OpenFile(v.path(location.volumeID), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.WriteAt([]byte{0xff, 0xfe}, l.pos+l.size/2); err != nil {
+	if _, err := f.WriteAt([]byte{0xff, 0xfe}, location.offset+location.size/2); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
@@ -273,14 +273,14 @@
 	if last != "" || checked != 6 || damaged != 1 || err != nil {
 		t.Fatal(last, checked, damaged, err)
 	}
-	if _, err := v.Get(recs[2].Key); !errors.Is(err, ErrNotHere) || h.keys[recs[2].Key.String()] {
+	if _, err := v.Get(records[2].Key); !errors.Is(err, ErrNotHere) || h.keys[records[2].Key.String()] {
 		t.Errorf("a damaged record: %v", err)
 	}
-	if err := v.Put(context.Background(), recs[2:3]); err != nil {
+	if err := v.Put(context.Background(), records[2:3]); err != nil {
 		t.Fatal(err)
 	}
 	var keys []string
-	for _, r := range recs {
+	for _, r := range records {
 		if _, err := v.Get(r.Key); err != nil {
 			t.Error(err)
 		}
@@ -289,15 +289,15 @@
 	if err := v.Drop(context.Background(), keys); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(v.path(l.vol)); err != nil {
+	if _, err := os.Stat(v.path(location.volumeID)); err != nil {
 		t.Error("the damaged volume is gone", err)
 	}
 	// A volume that is gone is found at the start.
-	if err := v.Put(context.Background(), recs); err != nil {
+	if err := v.Put(context.Background(), records); err != nil {
 		t.Fatal(err)
 	}
-	l, _ = v.find(recs[0].Key.String())
-	gone := v.path(l.vol)
+	location, _ = v.find(records[0].Key.String())
+	gone := v.path(location.volumeID)
 	v.Close()
 	if err := os.Remove(gone); err != nil {
 		t.Fatal(err)
@@ -305,10 +305,10 @@
 	if v, err = Open(h.config(dir), quiet); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Get(recs[0].Key); !errors.Is(err, ErrNotHere) || v.Stats().Damaged == 0 {
+	if _, err := v.Get(records[0].Key); !errors.Is(err, ErrNotHere) || v.Stats().Damaged == 0 {
 		t.Errorf("a record of a lost volume: %v", err)
 	}
-	if _, err := v.read(recs[0].Key.String(), l); !errors.Is(err, checksum.ErrDamaged) {
+	if _, err := v.read(records[0].Key.String(), location); !errors.Is(err, checksum.ErrDamaged) {
 		t.Error(err)
 	}
 }
@@ -346,12 +346,12 @@
 	ctx := context.Background()
 	var keys []string
 	for i := range 40 {
-		recs := []archive.Record{segment(i, i, 1500), grant(i)}
-		if err := v.Put(ctx, recs); err != nil {
+		records := []archive.Record{segment(i, i, 1500), grant(i)}
+		if err := v.Put(ctx, records); err != nil {
 			t.Fatal(err)
 		}
 		if i%8 > 0 {
-			keys = append(keys, recs[0].Key.String(), recs[1].Key.String())
+			keys = append(keys, records[0].Key.String(), records[1].Key.String())
 		}
 	}
 	before := v.Stats()
@@ -392,13 +392,13 @@
 	n := 0
 	size := 0
 	for b.Loop() {
-		var recs []archive.Record
+		var records []archive.Record
 		for range 64 {
 			n++
-			recs = append(recs, raw(n))
-			size += archive.FrameSize(&recs[len(recs)-1])
+			records = append(records, raw(n))
+			size += archive.FrameSize(&records[len(records)-1])
 		}
-		if err := v.Put(context.Background(), recs); err != nil {
+		if err := v.Put(context.Background(), records); err != nil {
 			b.Fatal(err)
 		}
 	}
