--- a/internal/archive/node/attempts.go
+++ b/internal/archive/node/attempts.go
@@ -14,38 +14,40 @@
 	"silvergate/internal/identity"
 )
 
-// Attempt is what a reader is told of an attempt.
+// Attempt is what a reader learns about an attempt. Its JSON is what PathAttempts
+// answers with.
 type Attempt struct {
 	archive.Attempt
 	archive.Owner
 	Class   string                     `json:"class"`
 	Urgency string                     `json:"urgency"`
-	At      int64                      `json:"atMs"` // when it was granted
+	At      int64                      `json:"atMs"` // when it was granted, Unix time in milliseconds
 	End     *archive.End               `json:"end,omitempty"`
 	Expired *archive.Expired           `json:"expired,omitempty"`
 	Cover   map[string][]archive.Range `json:"cover,omitempty"`
 	Files   []archive.File             `json:"files,omitempty"`
 }
 
-// Attempts is a page of them.
+// Attempts is a page of attempts in the order of their names. The next
+// page is asked for from Next on, which is not in it; "" if this is the last.
 type Attempts struct {
 	Answered
 	Attempts []Attempt `json:"attempts"`
 	Next     string    `json:"next,omitempty"`
 }
 
-// state is what all nodes together know of an attempt.
-type state struct {
-	grant *archive.Grant
-	end   *archive.End
-	gone  archive.Expired
-	gaps  map[string][]archive.Gap
-	cover map[string][]archive.Range
-	files map[string]archive.File // by key
+// attemptState is what all nodes together know of an attempt.
+type attemptState struct {
+	grant   *archive.Grant
+	end     *archive.End
+	expired archive.Expired
+	gaps    map[string][]archive.Gap
+	cover   map[string][]archive.Range
+	files   map[string]archive.File // by key
 }
 
-// enter takes a record in.
-func (s *state) enter(n *Node, key string, payload []byte) {
+// add adds a record. One that is not valid is passed over.
+func (s *attemptState) add(n *Node, key string, payload []byte) {
 	r := archive.Record{Payload: payload}
 	var err error
 	if r.Key, err = archive.ParseKey(key); err != nil || r.Check() != nil {
@@ -53,7 +55,7 @@
 	}
 	switch r.Key.Kind {
 	case archive.KindGrant:
-		if g, err := n.key.Open(payload); err == nil {
+		if g, err := n.grantKey.Open(payload); err == nil {
 			s.grant = &g
 		}
 	case archive.KindEnd:
@@ -65,7 +67,7 @@
 	case archive.KindExpired:
 		var e archive.Expired
 		if json.Unmarshal(payload, &e) == nil {
-			s.gone = archive.MergeExpired(s.gone, e)
+			s.expired = archive.MergeExpired(s.expired, e)
 		}
 	case archive.KindGap:
 		var g archive.Gap
@@ -80,14 +82,16 @@
 	}
 }
 
-func newState() *state {
-	return &state{gaps: map[string][]archive.Gap{}, cover: map[string][]archive.Range{}, files: map[string]archive.File{}}
+// newAttemptState returns the state of an attempt that nothing is known of.
+func newAttemptState() *attemptState {
+	return &attemptState{gaps: map[string][]archive.Gap{}, cover: map[string][]archive.Range{}, files: map[string]archive.File{}}
 }
 
-func (s *state) view(a archive.Attempt) Attempt {
+// view is what a reader learns about the attempt, whose grant must be known.
+func (s *attemptState) view(a archive.Attempt) Attempt {
 	v := Attempt{Attempt: a, Owner: s.grant.Owner, Class: s.grant.Class, Urgency: s.grant.Urgency, At: s.grant.At, End: s.end, Cover: s.cover}
-	if s.gone.Reason != "" {
-		v.Expired = &s.gone
+	if s.expired.Reason != "" {
+		v.Expired = &s.expired
 	}
 	for _, f := range s.files {
 		v.Files = append(v.Files, f)
@@ -97,9 +101,9 @@
 }
 
 // page reads a page of attempts from all nodes, before anything is judged.
-func (n *Node) page(ctx context.Context, job, label, from string, files bool) (states map[string]*state, last string, a Answered) {
+func (n *Node) page(ctx context.Context, job, label, from string, files bool) (states map[string]*attemptState, last string, a Answered) {
 	q := url.Values{"job": {job}, "label": {label}, "from": {from}, "files": {strconv.FormatBool(files)}}
-	states = map[string]*state{}
+	states = map[string]*attemptState{}
 	a = gather(ctx, n, PathRows+"?"+q.Encode(), func() (Rows, error) { return n.rows(job, label, from, files) }, func(_ string, page Rows) {
 		if page.Last != "" && (last == "" || page.Last < last) {
 			last = page.Last
@@ -108,11 +112,11 @@
 			row := &page.Rows[i]
 			s := states[row.Attempt]
 			if s == nil {
-				s = newState()
+				s = newAttemptState()
 				states[row.Attempt] = s
 			}
 			for _, r := range append(row.Records, row.Files...) {
-				s.enter(n, r.Key, r.Payload)
+				s.add(n, r.Key, r.Payload)
 			}
 			for stream, ranges := range row.Cover {
 				for _, r := range ranges {
@@ -134,7 +138,7 @@
 func (n *Node) attempts(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	q := r.URL.Query()
 	job, from := q.Get("job"), q.Get("from")
-	label, ok := narrow(who, q)
+	label, ok := searchLabel(who, q)
 	if from != "" {
 		if _, err := archive.ParseAttempt(from); err != nil {
 			ok = false
@@ -154,7 +158,7 @@
 			continue
 		}
 		at, err := archive.ParseAttempt(name)
-		if err != nil || !fits(s.grant, q) {
+		if err != nil || !matchesQuery(s.grant, q) {
 			continue
 		}
 		out.Attempts = append(out.Attempts, s.view(at))
@@ -169,9 +173,9 @@
 	answer(w, out)
 }
 
-// narrow chooses the label under which to look. A customer's and a team's own
+// searchLabel chooses the label under which to look. A customer's and a team's own
 // narrows the most; nothing of others is looked at for them.
-func narrow(who identity.Identity, q url.Values) (label string, ok bool) {
+func searchLabel(who identity.Identity, q url.Values) (label string, ok bool) {
 	for _, f := range []string{"job", "team", "customer", "class", "machine", "day"} {
 		if v := q.Get(f); len(v) > 200 || strings.ContainsAny(v, "\x00/") {
 			return "", false
@@ -179,7 +183,7 @@
 	}
 	switch {
 	case who.Kind == identity.Customer:
-		return own(who), true
+		return readableLabel(who), true
 	case q.Get("customer") != "" && (q.Get("team") != "" || who.Kind == identity.Team):
 		team := q.Get("team")
 		if who.Kind == identity.Team {
@@ -189,7 +193,7 @@
 	case who.Kind == identity.Team:
 		return labelTeam(who.Name), true
 	case who.Kind != identity.Operator && who.Kind != identity.Node:
-		return own(who), true
+		return readableLabel(who), true
 	case q.Get("machine") != "":
 		return "machine\x00" + q.Get("machine"), true
 	case q.Get("day") != "":
@@ -202,8 +206,8 @@
 	return "all", true
 }
 
-// own is the label of all that somebody may read.
-func own(who identity.Identity) string {
+// readableLabel is the label of all that somebody may read.
+func readableLabel(who identity.Identity) string {
 	switch who.Kind {
 	case identity.Customer:
 		return labelCustomer(who.Name, who.Customer)
@@ -215,8 +219,8 @@
 	return "nothing"
 }
 
-// fits tells whether an attempt is what was asked for.
-func fits(g *archive.Grant, q url.Values) bool {
+// matchesQuery tells whether an attempt is among those that a query asks for.
+func matchesQuery(g *archive.Grant, q url.Values) bool {
 	for f, v := range map[string]string{"team": g.Team, "customer": g.Customer, "class": g.Class, "machine": g.Machine, "day": time.UnixMilli(g.At).UTC().Format("2006-01-02")} {
 		if want := q.Get(f); want != "" && want != v {
 			return false
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/archive"
 )
 
-// learnExpiry takes a mark of expiry in and drops what it covers.
+// learnExpiry applies an expiry record: it drops the records that it covers.
 func (n *Node) learnExpiry(k archive.Key) {
 	r, err := n.vault.Get(k)
 	var e archive.Expired
@@ -18,14 +18,15 @@
 	}
 	name := k.Attempt.String()
 	n.mu.Lock()
-	e = archive.MergeExpired(n.expired[name], e)
-	n.expired[name] = e
+	e = archive.MergeExpired(n.derived.expired[name], e)
+	n.derived.expired[name] = e
 	n.mu.Unlock()
 	if err := n.dropCovered(n.ctx, name, e); err != nil {
 		n.log.Error("what expired can't be dropped", "attempt", name, "err", err)
 	}
 }
 
+// dropCovered drops the records of an attempt that have expired.
 func (n *Node) dropCovered(ctx context.Context, name string, e archive.Expired) error {
 	var keys []string
 	for from := ""; ; {
@@ -50,9 +51,10 @@
 	return n.vault.Drop(ctx, keys)
 }
 
-// expireEvery is how often a node looks for what is to go.
+// expireEvery is how often a node looks for what is to expire.
 const expireEvery = 10 * time.Second
 
+// expireAll applies the retention rules again and again.
 func (n *Node) expireAll() {
 	n.every(expireEvery, func() {
 		if err := n.Expire(n.ctx); err != nil {
@@ -61,14 +63,16 @@
 	})
 }
 
-// Expire lets go what the settings say. The first node of a task's decides for it;
-// the others learn of it from the mark that it leaves, which is a record like any
-// other. So two nodes never drop what each takes the other to have.
+// Expire drops what the retention rules say, and the last records of what expired
+// longer ago than Config.TombstoneS. The first of an attempt's nodes decides for it;
+// the others learn of it from the expiry record that it stores, which is a record
+// like any other. So two nodes never drop what each takes the other to have. An error
+// is one of reading or writing the vault.
 func (n *Node) Expire(ctx context.Context) error {
-	if err := n.forget(ctx); err != nil || len(n.cfg.Retention.Rules) == 0 {
+	if err := n.dropTombstones(ctx); err != nil || len(n.cfg.Retention.Rules) == 0 {
 		return err
 	}
-	uses, err := n.account()
+	uses, err := n.decidableUsage()
 	if err != nil {
 		return err
 	}
@@ -79,29 +83,29 @@
 	}
 	now := n.Now()
 	for _, d := range r.Decide(now, uses) {
-		e, err := n.mark(d, now)
+		e, err := n.expiryFor(d, now)
 		if err != nil {
 			return err
 		}
-		rec := archive.NewRecord(d.Attempt, archive.KindExpired, "", archive.Encode(e))
+		record := archive.NewRecord(d.Attempt, archive.KindExpired, "", archive.Encode(e))
 		n.log.Info("expired", "attempt", d.Attempt.String(), "all", e.All, "reason", d.Reason)
-		if err := n.store(ctx, []archive.Record{rec}); err != nil {
+		if err := n.store(ctx, []archive.Record{record}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// account lists what each attempt that this node decides about takes.
-func (n *Node) account() (out []archive.Use, err error) {
+// decidableUsage lists the usage of each attempt that this node decides about.
+func (n *Node) decidableUsage() (out []archive.Use, err error) {
 	type entry struct {
 		name string
-		u    use
+		u    attemptUsage
 	}
 	var all []entry
 	n.mu.Lock()
-	for name, u := range n.uses {
-		if !n.expired[name].All {
+	for name, u := range n.derived.usage {
+		if !n.derived.expired[name].All {
 			all = append(all, entry{name, *u})
 		}
 	}
@@ -116,16 +120,17 @@
 				continue // its grant has not come yet
 			}
 			n.mu.Lock()
-			if u := n.uses[e.name]; u != nil {
+			if u := n.derived.usage[e.name]; u != nil {
 				u.owner = e.u.owner
 			}
 			n.mu.Unlock()
 		}
-		out = append(out, archive.Use{Attempt: a, Owner: e.u.owner.Owner, Class: e.u.owner.Class, Bytes: e.u.bytes, Last: e.u.last, Over: e.u.over})
+		out = append(out, archive.Use{Attempt: a, Owner: e.u.owner.Owner, Class: e.u.owner.Class, Bytes: e.u.bytes, Last: e.u.lastStored, Over: e.u.ended})
 	}
 	return out, nil
 }
 
+// grantOf reads an attempt's grant; nil if it is not here or not valid.
 func (n *Node) grantOf(name string) *archive.Grant {
 	infos, _, err := n.vault.Keys(name+"/a/", "", 1)
 	if err != nil || len(infos) == 0 {
@@ -135,15 +140,16 @@
 	if err != nil {
 		return nil
 	}
-	g, err := n.key.Open(r.Payload)
+	g, err := n.grantKey.Open(r.Payload)
 	if err != nil {
 		return nil
 	}
 	return &g
 }
 
-// mark says what goes with a drop: all, or the streams up to where enough is freed.
-func (n *Node) mark(d archive.Drop, now time.Time) (archive.Expired, error) {
+// expiryFor returns the expiry record for a drop: all of the attempt, or its streams
+// up to where enough is freed.
+func (n *Node) expiryFor(d archive.Drop, now time.Time) (archive.Expired, error) {
 	e := archive.Expired{At: now.UnixMilli(), Reason: d.Reason, All: d.Head == 0}
 	if e.All {
 		return e, nil
@@ -171,12 +177,12 @@
 	return e, nil
 }
 
-// forget drops the last records of what expired long ago.
-func (n *Node) forget(ctx context.Context) error {
+// dropTombstones drops the last records of what expired long ago.
+func (n *Node) dropTombstones(ctx context.Context) error {
 	limit := n.Now().Add(-time.Duration(n.cfg.TombstoneS * float64(time.Second))).UnixMilli()
 	var names []string
 	n.mu.Lock()
-	for name, e := range n.expired {
+	for name, e := range n.derived.expired {
 		if e.All && e.At < limit {
 			names = append(names, name)
 		}
@@ -195,7 +201,7 @@
 			return err
 		}
 		n.mu.Lock()
-		delete(n.expired, name)
+		delete(n.derived.expired, name)
 		n.mu.Unlock()
 	}
 	return nil
--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -128,9 +128,9 @@
 		archive.NewRecord(a, archive.KindEnd, "", archive.Encode(archive.End{Cause: "done", Sizes: map[string]int64{archive.Stdout: int64(len(text))}, Files: 1}))}
 }
 
-func frames(recs []archive.Record) (b []byte) {
-	for i := range recs {
-		b = archive.AppendFrame(b, &recs[i])
+func frames(records []archive.Record) (b []byte) {
+	for i := range records {
+		b = archive.AppendFrame(b, &records[i])
 	}
 	return b
 }
@@ -192,8 +192,8 @@
 					all = append(all, thing{a, o, false})
 				case k == 1 && rapid.IntRange(0, 3).Draw(t, "expire") == 0:
 					x := &all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
-					rec := archive.NewRecord(x.a, archive.KindExpired, "", archive.Encode(archive.Expired{All: true, At: 5, Reason: archive.ExpiredAge}))
-					if err := n.store(context.Background(), []archive.Record{rec}); err != nil {
+					record := archive.NewRecord(x.a, archive.KindExpired, "", archive.Encode(archive.Expired{All: true, At: 5, Reason: archive.ExpiredAge}))
+					if err := n.store(context.Background(), []archive.Record{record}); err != nil {
 						t.Fatal(err)
 					}
 					x.gone = true
@@ -300,7 +300,7 @@
 			t.Errorf("%s: %d %s", c.name, st, body)
 		}
 	}
-	n.pending = int64(n.cfg.PendingMB * (1 << 20))
+	n.pendingBytes = int64(n.cfg.PendingMB * (1 << 20))
 	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, frames(good)); st != 503 {
 		t.Errorf("beyond what may be written at a time: %d", st)
 	}
@@ -317,8 +317,8 @@
 	})
 	h := n.handler()
 	a := archive.Attempt{Job: "wk-000001", Task: 0, Try: 1, Machine: "m-0"}
-	recs := output(a, grantOf(a, "office", "baker", 1), "hello")
-	if st, body := s.call(h, "agent/m-0", "POST", PathRecords, frames(recs)); st != 200 {
+	records := output(a, grantOf(a, "office", "baker", 1), "hello")
+	if st, body := s.call(h, "agent/m-0", "POST", PathRecords, frames(records)); st != 200 {
 		t.Fatal(st, body)
 	}
 	read := func() Attempts {
@@ -343,10 +343,10 @@
 		if len(p.Attempts) != 1 || p.Attempts[0].Expired == nil || p.Attempts[0].Expired.Reason != archive.ExpiredAge || len(p.Attempts[0].Cover) > 0 || len(p.Attempts[0].Files) > 0 {
 			t.Fatalf("%+v", p)
 		}
-		if n.vault.Has(recs[2].Key) || n.vault.Has(recs[3].Key) {
+		if n.vault.Has(records[2].Key) || n.vault.Has(records[3].Key) {
 			t.Fatal("output or a chunk is still here")
 		}
-		if st, body := s.call(h, "agent/m-0", "POST", PathRecords, frames(recs)); st != 200 {
+		if st, body := s.call(h, "agent/m-0", "POST", PathRecords, frames(records)); st != 200 {
 			t.Fatal(st, body)
 		}
 	}
@@ -358,7 +358,7 @@
 	n.Stop()
 	n = s.node("one", n.cfg.Members, func(c *Config) { c.Retention, c.TombstoneS = n.cfg.Retention, 3600 })
 	h = n.handler()
-	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, frames(recs)); st != 200 || n.vault.Has(recs[2].Key) {
+	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, frames(records)); st != 200 || n.vault.Has(records[2].Key) {
 		t.Error("it came back with another life of the node")
 	}
 	n.Now = func() time.Time { return later.Add(2 * time.Hour) }
@@ -398,37 +398,37 @@
 	one, two := s.node("one", members, nil), s.node("two", members, nil)
 	go func() { _ = two.Serve(l) }()
 	a := archive.Attempt{Job: "wk-000001", Task: 0, Try: 1, Machine: "m-0"}
-	recs := output(a, grantOf(a, "office", "baker", 1), "hello")
+	records := output(a, grantOf(a, "office", "baker", 1), "hello")
 	ctx := context.Background()
-	if err := two.store(ctx, recs); err != nil {
+	if err := two.store(ctx, records); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := one.record(ctx, recs[2].Key, []string{"two"}); err != nil || r.Check() != nil {
+	if r, err := one.readRecord(ctx, records[2].Key, []string{"two"}); err != nil || r.Check() != nil {
 		t.Fatalf("%v %v", r.Key, err)
 	}
 	// What a reader finds missing at a node that should have it is brought there.
-	go one.mendAll()
-	one.mendLater(map[string][]string{recs[2].Key.String(): {"one"}})
+	go one.repairAll()
+	one.repairLater(map[string][]string{records[2].Key.String(): {"one"}})
 	for until := time.Now().Add(30 * time.Second); one.Stats().Mended == 0 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	if !one.vault.Has(recs[2].Key) {
+	if !one.vault.Has(records[2].Key) {
 		t.Error("not mended")
 	}
 	for _, n := range []*Node{one, two} {
-		if err := n.vault.Drop(ctx, []string{recs[2].Key.String()}); err != nil {
+		if err := n.vault.Drop(ctx, []string{records[2].Key.String()}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if r, err := one.record(ctx, recs[2].Key, []string{"two"}); err == nil {
+	if r, err := one.readRecord(ctx, records[2].Key, []string{"two"}); err == nil {
 		t.Fatalf("a record that nobody has: %v", r)
 	}
-	one.mendLater(map[string][]string{recs[2].Key.String(): {"one"}})
+	one.repairLater(map[string][]string{records[2].Key.String(): {"one"}})
 	if err := one.Level(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if got := one.Stats().Records; got != int64(len(recs)-1) {
-		t.Errorf("%d records of %d", got, len(recs)-1)
+	if got := one.Stats().Records; got != int64(len(records)-1) {
+		t.Errorf("%d records of %d", got, len(records)-1)
 	}
 }
 
@@ -442,10 +442,10 @@
 		if err != nil {
 			return
 		}
-		if a, stream, from, ok := place(q); ok && (a.Check() != nil || stream == "" || from < 0) {
+		if a, stream, from, ok := parseStreamQuery(q); ok && (a.Check() != nil || stream == "" || from < 0) {
 			t.Errorf("%q names a place that can't be", query)
 		}
-		if label, ok := narrow(identity.Identity{Kind: identity.Customer, Name: "office", Customer: "baker"}, q); ok && label != labelCustomer("office", "baker") {
+		if label, ok := searchLabel(identity.Identity{Kind: identity.Customer, Name: "office", Customer: "baker"}, q); ok && label != labelCustomer("office", "baker") {
 			t.Errorf("%q has a customer look under %q", query, label)
 		}
 	})
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -18,23 +18,25 @@
 // MaxPut is how large a request with records may be, in bytes.
 const MaxPut = 8 << 20
 
+// readAll reads a request's body of at most limit bytes.
 func readAll(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 }
 
-// reserve takes a share of what may be written at a time.
+// reserve reserves size bytes of what may be written at a time; false if there are
+// too many already.
 func (n *Node) reserve(size int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.pending+size > int64(n.cfg.PendingMB*(1<<20)) {
+	if n.pendingBytes+size > int64(n.cfg.PendingMB*(1<<20)) {
 		n.stats.Busy++
 		return false
 	}
-	n.pending += size
+	n.pendingBytes += size
 	return true
 }
 
-// put keeps records. It is answered when they are on disk.
+// put stores the records in a request's body and answers when they are on disk.
 func (n *Node) put(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	if r.ContentLength < 0 || r.ContentLength > MaxPut {
 		refuse(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("the length must be given and be at most %d bytes", MaxPut))
@@ -46,7 +48,7 @@
 	}
 	defer func() {
 		n.mu.Lock()
-		n.pending -= r.ContentLength
+		n.pendingBytes -= r.ContentLength
 		n.mu.Unlock()
 	}()
 	raw, err := readAll(w, r, MaxPut)
@@ -54,22 +56,22 @@
 		refuse(w, http.StatusBadRequest, "the body was cut off")
 		return
 	}
-	recs, err := parse(raw)
+	records, err := parseRecords(raw)
 	if err != nil {
 		n.count(func(s *Stats) { s.Refused++ })
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if err := n.mayWrite(who, recs); err != nil {
+	if err := n.mayWrite(who, records); err != nil {
 		n.count(func(s *Stats) { s.Refused++ })
-		n.log.Warn("records refused", "from", who.String(), "records", len(recs), "reason", err)
-		n.audit(who, archive.Write, recs[0].Key.Attempt.String(), false)
+		n.log.Warn("records refused", "from", who.String(), "records", len(records), "reason", err)
+		n.audit(who, archive.Write, records[0].Key.Attempt.String(), false)
 		refuse(w, http.StatusForbidden, "refused")
 		return
 	}
-	switch err := n.store(r.Context(), recs); {
+	switch err := n.store(r.Context(), records); {
 	case err == nil:
-		answer(w, map[string]int{"kept": len(recs)})
+		answer(w, map[string]int{"kept": len(records)})
 	case errors.Is(err, vault.ErrFull):
 		refuse(w, http.StatusInsufficientStorage, "the disk is full")
 	default:
@@ -78,8 +80,8 @@
 	}
 }
 
-// parse reads and checks the records of a body.
-func parse(raw []byte) (recs []archive.Record, err error) {
+// parseRecords reads and checks the records of a body.
+func parseRecords(raw []byte) (records []archive.Record, err error) {
 	for in := bytes.NewReader(raw); ; {
 		r, err := archive.ReadFrame(in)
 		if err == io.EOF {
@@ -89,14 +91,14 @@
 			err = r.Check()
 		}
 		if err != nil {
-			return nil, fmt.Errorf("record %d: %w", len(recs), err)
+			return nil, fmt.Errorf("record %d: %w", len(records), err)
 		}
-		recs = append(recs, r)
+		records = append(records, r)
 	}
-	if len(recs) == 0 {
+	if len(records) == 0 {
 		return nil, errors.New("no records")
 	}
-	return recs, nil
+	return records, nil
 }
 
 var (
@@ -106,14 +108,14 @@
 
 // mayWrite decides whether somebody may have records kept: a node any, an agent
 // those of attempts for which it brings a grant.
-func (n *Node) mayWrite(who identity.Identity, recs []archive.Record) error {
+func (n *Node) mayWrite(who identity.Identity, records []archive.Record) error {
 	node := archive.Access(who, archive.Sync, archive.Owner{}, "")
 	granted, jobs := map[archive.Attempt]bool{}, map[string]bool{}
-	for i := range recs {
-		if recs[i].Key.Kind != archive.KindGrant {
+	for i := range records {
+		if records[i].Key.Kind != archive.KindGrant {
 			continue
 		}
-		g, err := n.key.Open(recs[i].Payload)
+		g, err := n.grantKey.Open(records[i].Payload)
 		if err != nil {
 			return err
 		}
@@ -125,8 +127,8 @@
 	if node {
 		return nil
 	}
-	for i := range recs {
-		k := recs[i].Key
+	for i := range records {
+		k := records[i].Key
 		switch {
 		case k.Kind == archive.KindExpired:
 			return errKind
@@ -141,12 +143,13 @@
 	return nil
 }
 
-// store keeps what has not expired, and what is new of expiry.
-func (n *Node) store(ctx context.Context, recs []archive.Record) error {
+// store puts the records that have not expired into the vault, and applies those that
+// tell of expiry.
+func (n *Node) store(ctx context.Context, records []archive.Record) error {
 	n.mu.Lock()
-	fresh := make([]archive.Record, 0, len(recs))
-	for _, r := range recs {
-		if !n.expired[r.Key.Attempt.String()].Covers(r.Key) {
+	fresh := make([]archive.Record, 0, len(records))
+	for _, r := range records {
+		if !n.derived.expired[r.Key.Attempt.String()].Covers(r.Key) {
 			fresh = append(fresh, r)
 		}
 	}
@@ -179,12 +182,15 @@
 	readPatience = 2 * time.Second
 )
 
+// newPeer returns a client of a node.
 func newPeer(k *identity.Keeper, m Member) *peer {
 	t := &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 4, MaxConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
 		TLSHandshakeTimeout: 5 * time.Second, DisableCompression: true}
 	return &peer{m.Name, m.Address, &http.Client{Transport: t, Timeout: peerPatience}}
 }
 
+// do sends a request and returns the body of its answer, of at most limit bytes. A
+// status other than 200 is an error.
 func (p *peer) do(ctx context.Context, method, target string, body []byte, limit int64) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "https://"+p.address+target, bytes.NewReader(body))
 	if err != nil {
@@ -208,19 +214,25 @@
 	return raw, nil
 }
 
+// get reads a path.
 func (p *peer) get(ctx context.Context, target string, limit int64) ([]byte, error) {
 	return p.do(ctx, http.MethodGet, target, nil, limit)
 }
 
+// maxAnswer bounds a peer's answer in JSON, in bytes.
+const maxAnswer = 32 << 20
+
+// ask reads a path and decodes its JSON into v.
 func (p *peer) ask(ctx context.Context, target string, v any) error {
-	raw, err := p.get(ctx, target, 32<<20)
+	raw, err := p.get(ctx, target, maxAnswer)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(raw, v)
 }
 
-// fetch reads records from another node and checks them.
+// fetch reads records from another node and checks them. Those that the node does not
+// have, or that did not fit into its answer, are not among them.
 func (p *peer) fetch(ctx context.Context, keys []string) ([]archive.Record, error) {
 	body, err := json.Marshal(keys)
 	if err != nil {
@@ -230,7 +242,7 @@
 	if err != nil || len(raw) == 0 {
 		return nil, err
 	}
-	return parse(raw)
+	return parseRecords(raw)
 }
 
 // getRecords answers with those of the keys that are here, as far as they fit.
@@ -251,14 +263,14 @@
 			refuse(w, http.StatusBadRequest, err.Error())
 			return
 		}
-		rec, err := n.vault.Get(k)
+		record, err := n.vault.Get(k)
 		if err != nil {
 			continue
 		}
-		if len(out) > 0 && len(out)+archive.FrameSize(&rec) > MaxPut {
+		if len(out) > 0 && len(out)+archive.FrameSize(&record) > MaxPut {
 			break
 		}
-		out = archive.AppendFrame(out, &rec)
+		out = archive.AppendFrame(out, &record)
 	}
 	_, _ = w.Write(out)
 }
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -9,8 +9,8 @@
 	"silvergate/internal/archive"
 )
 
-// Row is what a node has of an attempt: its small records, and which parts of its
-// streams.
+// Row is what a node has of an attempt: its small records, and which ranges of its
+// streams. Its JSON is that of PathRows.
 type Row struct {
 	Attempt string                     `json:"attempt"`
 	Records []RawRecord                `json:"records,omitempty"`
@@ -18,13 +18,13 @@
 	Files   []RawRecord                `json:"files,omitempty"`
 }
 
-// RawRecord is a record in JSON.
+// RawRecord is a record's key and payload as JSON carries them.
 type RawRecord struct {
 	Key     string `json:"key"`
 	Payload []byte `json:"payload"`
 }
 
-// Rows is a page of them.
+// Rows is a page of rows in the order of their attempts' names.
 type Rows struct {
 	Rows []Row  `json:"rows"`
 	Last string `json:"last,omitempty"` // the page ends after it; "": the last page
@@ -92,6 +92,7 @@
 	}
 }
 
+// localRows answers another node with a page of rows.
 func (n *Node) localRows(w http.ResponseWriter, r *http.Request, _ string) {
 	q := r.URL.Query()
 	rows, err := n.rows(q.Get("job"), q.Get("label"), q.Get("from"), q.Get("files") == "true")
@@ -102,7 +103,7 @@
 	answer(w, rows)
 }
 
-// Answered tells how far an answer can be trusted.
+// Answered tells how complete an answer is.
 type Answered struct {
 	// Whole is false when so many nodes are silent that what they acknowledged may
 	// be missing here.
--- /dev/null
+++ b/internal/archive/node/server.go
@@ -0,0 +1,152 @@
+package node
+
+import (
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"time"
+
+	"silvergate/internal/archive"
+	"silvergate/internal/identity"
+)
+
+// Serve takes requests at a listener, and compares, expires and scrubs in the
+// background, until Stop. It closes the listener, and returns nil after Stop and the
+// listener's error otherwise. It is called once.
+func (n *Node) Serve(l net.Listener) error {
+	server := &http.Server{Handler: n.handler(), TLSConfig: n.certificates.Serve(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 60 * time.Second,
+		WriteTimeout: 120 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10,
+		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
+	server.TLSConfig.NextProtos = []string{"http/1.1"}
+	n.mu.Lock()
+	if n.ctx.Err() != nil {
+		// Guards against a listener that stays when the node was stopped just before.
+		n.mu.Unlock()
+		return l.Close()
+	}
+	n.server = server
+	n.wait.Add(len(n.tasks()))
+	n.mu.Unlock()
+	for _, run := range n.tasks() {
+		go func() {
+			defer n.wait.Done()
+			run()
+		}()
+	}
+	n.log.Info("serving", "listen", l.Addr().String(), "members", len(n.members.Names), "replicas", n.cfg.Replicas)
+	if err := server.ServeTLS(l, "", ""); !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
+}
+
+// tasks are what a node does in the background while it serves.
+func (n *Node) tasks() []func() {
+	return []func(){n.syncAll, n.repairAll, n.scrub, n.expireAll, n.revocations}
+}
+
+// Paths of the requests that a node answers. Those from PathGet to PathCuts are for
+// other nodes.
+const (
+	PathRecords     = "/v1/records" // POST: records to be kept
+	PathGet         = "/v1/get"     // POST: keys; nodes only
+	PathTree        = "/v1/tree"    // nodes only
+	PathLeaf        = "/v1/leaf"
+	PathRows        = "/v1/rows"
+	PathCuts        = "/v1/cuts"
+	PathAttempts    = "/v1/attempts" // for readers
+	PathStream      = "/v1/stream"
+	PathFile        = "/v1/file"
+	PathRevocations = "/v1/revocations"
+	PathStats       = "/v1/stats"
+)
+
+// handler routes requests. Each is refused if its certificate does not hold any more.
+func (n *Node) handler() http.Handler {
+	mux := http.NewServeMux()
+	with := func(pattern string, do func(w http.ResponseWriter, r *http.Request, who identity.Identity)) {
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
+			who, ok := n.certificates.Who(r)
+			if !ok {
+				w.Header().Set("Connection", "close")
+				refuse(w, http.StatusForbidden, "refused")
+				return
+			}
+			do(w, r, who)
+		})
+	}
+	sync := func(pattern string, do func(w http.ResponseWriter, r *http.Request, peer string)) {
+		with(pattern, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
+			if !archive.Access(who, archive.Sync, archive.Owner{}, "") {
+				n.audit(who, archive.Sync, r.URL.Path, false)
+				notFound(w)
+				return
+			}
+			do(w, r, who.Name)
+		})
+	}
+	with("POST "+PathRecords, n.put)
+	with("GET "+PathAttempts, n.attempts)
+	with("GET "+PathStream, n.stream)
+	with("GET "+PathFile, n.file)
+	with("GET "+PathRevocations, func(w http.ResponseWriter, _ *http.Request, _ identity.Identity) {
+		_, _ = w.Write(n.certificates.Revocations())
+	})
+	with("POST "+PathRevocations, func(w http.ResponseWriter, r *http.Request, _ identity.Identity) {
+		// Signed by the authority: it does not matter who brings it.
+		raw, err := readAll(w, r, identity.MaxRevocations)
+		if err == nil {
+			_, err = n.certificates.Learn(raw)
+		}
+		if err != nil {
+			refuse(w, http.StatusBadRequest, "not a list of revocations of this site's authority")
+			return
+		}
+		answer(w, struct{}{})
+	})
+	with("GET "+PathStats, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
+		if !archive.Access(who, archive.Admin, archive.Owner{}, "") {
+			n.audit(who, archive.Admin, r.URL.Path, false)
+			notFound(w)
+			return
+		}
+		answer(w, n.Stats())
+	})
+	sync("POST "+PathGet, n.getRecords)
+	sync("GET "+PathTree, n.tree)
+	sync("GET "+PathLeaf, n.leaf)
+	sync("GET "+PathRows, n.localRows)
+	sync("GET "+PathCuts, n.localCuts)
+	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { notFound(w) })
+	return mux
+}
+
+// audit records a decision on access.
+func (n *Node) audit(who identity.Identity, verb archive.Verb, what string, allowed bool) {
+	if !allowed {
+		n.count(func(s *Stats) { s.Denied++ })
+	}
+	n.log.Info("access", "who", who.String(), "verb", string(verb), "what", what, "allowed", allowed)
+}
+
+// answer writes v as JSON.
+func answer(w http.ResponseWriter, v any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(v)
+}
+
+// refuse answers with a status and its reason. Callers may try again after a second
+// where waiting helps.
+func refuse(w http.ResponseWriter, status int, why string) {
+	w.Header().Set("Content-Type", "application/json")
+	if status == http.StatusServiceUnavailable || status == http.StatusInsufficientStorage {
+		w.Header().Set("Retry-After", "1")
+	}
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(map[string]string{"error": why})
+}
+
+// notFound is the answer for what is not there, and for what somebody may not see.
+func notFound(w http.ResponseWriter) { refuse(w, http.StatusNotFound, "no such thing") }
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -13,7 +13,8 @@
 	"silvergate/internal/identity"
 )
 
-// Cuts is what a node has of a stream from an offset on.
+// Cuts is what a node has of a stream from an offset on: the keys of its segments, in
+// order. More tells that there are others after them.
 type Cuts struct {
 	Keys    []string    `json:"keys"`
 	Records []RawRecord `json:"records"` // the attempt's small ones
@@ -26,6 +27,7 @@
 	pageBytes = 1 << 20
 )
 
+// cuts lists what this node has of a stream from an offset on.
 func (n *Node) cuts(a archive.Attempt, label, stream string, from int64) (Cuts, error) {
 	out := Cuts{Keys: []string{}}
 	name := a.String()
@@ -59,8 +61,9 @@
 	return out, nil
 }
 
+// localCuts answers another node with what this one has of a stream.
 func (n *Node) localCuts(w http.ResponseWriter, r *http.Request, _ string) {
-	a, stream, from, ok := place(r.URL.Query())
+	a, stream, from, ok := parseStreamQuery(r.URL.Query())
 	if !ok {
 		refuse(w, http.StatusBadRequest, "not a place in a stream")
 		return
@@ -73,8 +76,8 @@
 	answer(w, cuts)
 }
 
-// place reads what a request for a stream names.
-func place(q url.Values) (a archive.Attempt, stream string, from int64, ok bool) {
+// parseStreamQuery reads what a request for a stream names.
+func parseStreamQuery(q url.Values) (a archive.Attempt, stream string, from int64, ok bool) {
 	a, err := archive.ParseAttempt(q.Get("attempt"))
 	stream = q.Get("stream")
 	if q.Get("from") != "" {
@@ -86,63 +89,67 @@
 	return a, stream, from, err == nil && from >= 0 && slices.Contains(archive.Streams, stream)
 }
 
-// Piece is a piece of a stream as a reader gets it.
+// Piece is a piece of a stream as a reader gets it. At is when its bytes were
+// written, Unix time in milliseconds.
 type Piece struct {
 	archive.Piece
 	At   int64  `json:"atMs,omitempty"`
 	Data []byte `json:"data,omitempty"`
 }
 
-// Stream is a page of a stream.
+// Stream is a page of a stream, as PathStream answers with it.
 type Stream struct {
 	Answered
 	Pieces []Piece `json:"pieces"`
-	Next   int64   `json:"next"` // where to go on
+	Next   int64   `json:"next"` // the offset in bytes from which to go on
 	More   bool    `json:"more"` // there is more now
 	Over   bool    `json:"over"` // the attempt has ended, and this is all
 }
 
-// stream answers with a piece of a stream.
+// gatheredStream is what the nodes that answered have of an attempt's stream.
+type gatheredStream struct {
+	state    *attemptState
+	holders  map[string][]string // nodes that have a segment, by its key
+	missing  map[string][]string // nodes that should have it and do not, by its key
+	horizon  int64               // if not -1, some node may have more from this offset on
+	answered Answered
+}
+
+// stream answers with a page of a stream. What a reader may not see is answered as
+// what is not there.
 func (n *Node) stream(w http.ResponseWriter, r *http.Request, who identity.Identity) {
-	a, stream, from, ok := place(r.URL.Query())
+	a, stream, from, ok := parseStreamQuery(r.URL.Query())
 	if !ok {
 		refuse(w, http.StatusBadRequest, "attempt, stream or from is not what it should be")
 		return
 	}
-	s, has, missing, horizon, got := n.gatherCuts(r.Context(), a, own(who), stream, from)
-	if s.grant == nil || !archive.Access(who, archive.Read, s.grant.Owner, "") {
-		n.audit(who, archive.Read, a.String(), s.grant == nil)
+	g := n.gatherCuts(r.Context(), a, readableLabel(who), stream, from)
+	grant := g.state.grant
+	if grant == nil || !archive.Access(who, archive.Read, grant.Owner, "") {
+		n.audit(who, archive.Read, a.String(), grant == nil)
 		notFound(w)
 		return
 	}
 	n.audit(who, archive.Read, a.String(), true)
 	n.count(func(s *Stats) { s.Reads++ })
-	n.mendLater(missing)
-	out := Stream{Answered: got, Pieces: []Piece{}, Next: from}
-	var parts []archive.Part
-	var keys []archive.Key
-	for key := range has {
-		k, err := archive.ParseKey(key)
-		if err != nil {
-			continue
-		}
-		_, at, size, err := k.Place()
-		if err != nil || horizon >= 0 && at >= horizon {
-			out.More = true
-			continue
-		}
-		parts, keys = append(parts, archive.Part{From: at, To: at + int64(size), Ref: len(keys)}), append(keys, k)
-	}
-	size := int64(-1)
-	if s.end != nil && horizon < 0 {
-		size = s.end.Sizes[stream]
-	}
-	upto, why := s.gone.Upto[stream], s.gone.Reason
-	if s.gone.All && s.end != nil {
-		upto = s.end.Sizes[stream]
+	n.repairLater(g.missing)
+	out, err := n.streamPage(r.Context(), g, stream, from)
+	if err != nil {
+		refuse(w, http.StatusServiceUnavailable, "a part of it can't be read now")
+		return
 	}
+	answer(w, out)
+}
+
+// streamPage reads a page of a gathered stream from an offset on: about pageBytes of
+// data. It fails if the page's first segment can't be read; one that can't be read
+// later ends the page before it.
+func (n *Node) streamPage(ctx context.Context, g *gatheredStream, stream string, from int64) (Stream, error) {
+	out := Stream{Answered: g.answered, Pieces: []Piece{}, Next: from}
+	parts, keys, more := g.parts()
+	out.More = more
 	total := 0
-	for _, p := range archive.Assemble(parts, s.gaps[stream], upto, why, size) {
+	for _, p := range g.assemble(parts, stream) {
 		if p.To >= 0 && p.To <= from && p.To > p.From || p.From < from && p.From == p.To {
 			continue
 		}
@@ -152,68 +159,121 @@
 			break
 		}
 		if p.What != archive.PieceData {
-			if p.What == archive.PieceMissing && s.end == nil && !slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To }) {
+			if g.maybeOnItsWay(p, parts) {
 				break
 			}
 			out.Pieces = append(out.Pieces, Piece{Piece: p})
 			out.Next = max(out.Next, p.To)
 			continue
 		}
-		pieces, err := n.body(r.Context(), keys[p.Ref], has[keys[p.Ref].String()], p)
+		key := keys[p.Ref]
+		pieces, err := n.segmentPieces(ctx, key, g.holders[key.String()], p)
 		if err != nil {
-			n.log.Error("a segment can't be read", "key", keys[p.Ref].String(), "err", err)
+			n.log.Error("a segment can't be read", "key", key.String(), "err", err)
 			if len(out.Pieces) > 0 {
 				out.More = true
 				break
 			}
-			refuse(w, http.StatusServiceUnavailable, "a part of it can't be read now")
-			return
+			return Stream{}, err
 		}
-		out.Pieces, out.Next, total = append(out.Pieces, pieces...), p.To, total+int(p.To-p.From)
+		out.Pieces = append(out.Pieces, pieces...)
+		out.Next = p.To
+		total += int(p.To - p.From)
 	}
-	out.Over = s.end != nil && !out.More
-	answer(w, out)
+	out.Over = g.state.end != nil && !out.More
+	return out, nil
+}
+
+// parts lists the gathered segments before the horizon, and their keys, to which
+// each part's Ref points. more tells that others were left out.
+func (g *gatheredStream) parts() (parts []archive.Part, keys []archive.Key, more bool) {
+	for name := range g.holders {
+		key, err := archive.ParseKey(name)
+		if err != nil {
+			continue
+		}
+		_, at, size, err := key.Place()
+		if err != nil || g.horizon >= 0 && at >= g.horizon {
+			more = true
+			continue
+		}
+		parts = append(parts, archive.Part{From: at, To: at + int64(size), Ref: len(keys)})
+		keys = append(keys, key)
+	}
+	return parts, keys, more
+}
+
+// assemble puts the stream together out of its parts and what is known of the rest.
+// The stream's length is known if the attempt has ended and nothing was left out.
+func (g *gatheredStream) assemble(parts []archive.Part, stream string) []archive.Piece {
+	s := g.state
+	size := int64(-1)
+	if s.end != nil && g.horizon < 0 {
+		size = s.end.Sizes[stream]
+	}
+	upto := s.expired.Upto[stream]
+	if s.expired.All && s.end != nil {
+		upto = s.end.Sizes[stream]
+	}
+	return archive.Assemble(parts, s.gaps[stream], upto, s.expired.Reason, size)
+}
+
+// maybeOnItsWay tells whether a piece is the missing tail of an attempt that still
+// runs: it may only not have come yet.
+func (g *gatheredStream) maybeOnItsWay(p archive.Piece, parts []archive.Part) bool {
+	return p.What == archive.PieceMissing && g.state.end == nil &&
+		!slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To })
 }
 
-// gatherCuts asks all nodes for an attempt's stream. has tells who has which
-// segment, missing who of its nodes lacks which; beyond horizon, if it is not -1,
-// some node may have more.
-func (n *Node) gatherCuts(ctx context.Context, a archive.Attempt, label, stream string, from int64) (s *state, has map[string][]string, missing map[string][]string, horizon int64, got Answered) {
-	s, has, horizon = newState(), map[string][]string{}, -1
+// gatherCuts asks all nodes for an attempt's stream from an offset on.
+func (n *Node) gatherCuts(ctx context.Context, a archive.Attempt, label, stream string, from int64) *gatheredStream {
+	g := &gatheredStream{state: newAttemptState(), holders: map[string][]string{}, horizon: -1}
 	q := url.Values{"attempt": {a.String()}, "label": {label}, "stream": {stream}, "from": {strconv.FormatInt(from, 10)}}
 	var answered []string
-	got = gather(ctx, n, PathCuts+"?"+q.Encode(), func() (Cuts, error) { return n.cuts(a, label, stream, from) }, func(name string, c Cuts) {
+	local := func() (Cuts, error) { return n.cuts(a, label, stream, from) }
+	g.answered = gather(ctx, n, PathCuts+"?"+q.Encode(), local, func(name string, c Cuts) {
 		answered = append(answered, name)
-		for _, r := range c.Records {
-			s.enter(n, r.Key, r.Payload)
-		}
-		last := int64(-1)
-		for _, key := range c.Keys {
-			has[key] = append(has[key], name)
-			if k, err := archive.ParseKey(key); err == nil {
-				_, last, _, _ = k.Place()
-			}
-		}
-		if c.More && last >= 0 && (horizon < 0 || last < horizon) {
-			horizon = last
-		}
+		g.add(n, name, c)
 	})
-	missing = map[string][]string{}
-	for _, owner := range n.members.Of(archive.Unit(a)) {
+	g.missing = g.missingAt(answered, n.members.Of(archive.Unit(a)))
+	return g
+}
+
+// add adds what a node has of the stream.
+func (g *gatheredStream) add(n *Node, name string, c Cuts) {
+	for _, r := range c.Records {
+		g.state.add(n, r.Key, r.Payload)
+	}
+	last := int64(-1)
+	for _, key := range c.Keys {
+		g.holders[key] = append(g.holders[key], name)
+		if k, err := archive.ParseKey(key); err == nil {
+			_, last, _, _ = k.Place()
+		}
+	}
+	if c.More && last >= 0 && (g.horizon < 0 || last < g.horizon) {
+		g.horizon = last
+	}
+}
+
+// missingAt lists, by segment, which of the owners answered and lack it.
+func (g *gatheredStream) missingAt(answered, owners []string) map[string][]string {
+	missing := map[string][]string{}
+	for _, owner := range owners {
 		if !slices.Contains(answered, owner) {
 			continue
 		}
-		for key, names := range has {
+		for key, names := range g.holders {
 			if !slices.Contains(names, owner) {
 				missing[key] = append(missing[key], owner)
 			}
 		}
 	}
-	return s, has, missing, horizon, got
+	return missing
 }
 
-// record reads a record from here, or from one of those that have it.
-func (n *Node) record(ctx context.Context, k archive.Key, has []string) (archive.Record, error) {
+// readRecord reads a record from here, or from one of those that have it.
+func (n *Node) readRecord(ctx context.Context, k archive.Key, has []string) (archive.Record, error) {
 	r, err := n.vault.Get(k)
 	for _, name := range has {
 		if err == nil {
@@ -223,9 +283,9 @@
 		if p == nil {
 			continue
 		}
-		var recs []archive.Record
-		if recs, err = p.fetch(ctx, []string{k.String()}); err == nil && len(recs) == 1 && recs[0].Key == k {
-			return recs[0], nil
+		var records []archive.Record
+		if records, err = p.fetch(ctx, []string{k.String()}); err == nil && len(records) == 1 && records[0].Key == k {
+			return records[0], nil
 		}
 		if err == nil {
 			// Guards against a record made of nothing: a node that has lost it since
@@ -236,9 +296,9 @@
 	return r, err
 }
 
-// body reads a segment's part, cut at its marks.
-func (n *Node) body(ctx context.Context, k archive.Key, has []string, p archive.Piece) (out []Piece, err error) {
-	r, err := n.record(ctx, k, has)
+// segmentPieces reads the part p of a segment, cut at its marks.
+func (n *Node) segmentPieces(ctx context.Context, k archive.Key, has []string, p archive.Piece) (out []Piece, err error) {
+	r, err := n.readRecord(ctx, k, has)
 	if err != nil {
 		return nil, err
 	}
@@ -271,7 +331,7 @@
 		refuse(w, http.StatusBadRequest, "attempt, path or chunk is not what it should be")
 		return
 	}
-	states, _, _ := n.page(r.Context(), a.Job, own(who), "", true)
+	states, _, _ := n.page(r.Context(), a.Job, readableLabel(who), "", true)
 	s := states[a.String()]
 	if s == nil || s.grant == nil || !archive.Access(who, archive.Read, s.grant.Owner, "") {
 		n.audit(who, archive.Read, a.String(), s == nil || s.grant == nil)
@@ -287,13 +347,13 @@
 		var out []byte
 		for _, digest := range f.Chunks[from:min(len(f.Chunks), from+8)] {
 			k := archive.Key{Attempt: archive.Files(a.Job), Kind: archive.KindChunk, Digest: digest}
-			rec, err := n.record(r.Context(), k, n.members.Of(archive.Unit(k.Attempt)))
+			record, err := n.readRecord(r.Context(), k, n.members.Of(archive.Unit(k.Attempt)))
 			if err != nil {
 				n.log.Error("a chunk can't be read", "key", k.String(), "err", err)
 				refuse(w, http.StatusServiceUnavailable, "a part of it can't be read now")
 				return
 			}
-			out = append(out, rec.Payload...)
+			out = append(out, record.Payload...)
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
 		_, _ = w.Write(out)
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -19,7 +19,7 @@
 // the branches, or the leaves of one.
 func (n *Node) tree(w http.ResponseWriter, r *http.Request, who string) {
 	n.mu.Lock()
-	t := n.trees[who]
+	t := n.derived.trees[who]
 	var row []uint64
 	if t != nil {
 		if b := r.URL.Query().Get("branch"); b == "" {
@@ -51,7 +51,7 @@
 		}
 		leaves[i] = true
 	}
-	if len(leaves) == 0 || n.trees[who] == nil {
+	if len(leaves) == 0 || n.derived.trees[who] == nil {
 		notFound(w)
 		return
 	}
@@ -72,7 +72,7 @@
 func (n *Node) leafKeys(peer string, leaves map[int]bool) ([]string, error) {
 	n.mu.Lock()
 	var names []string
-	for name := range n.uses {
+	for name := range n.derived.usage {
 		a, err := archive.ParseAttempt(name)
 		if err != nil {
 			continue
@@ -112,17 +112,18 @@
 				n.log.Info("not level with a node", "node", p.name, "err", err)
 			}
 		}
-		n.handOn()
+		n.handOverStrays()
 	})
 }
 
-// Level brings this node level with the others once, for tests and tools.
+// Level fetches what other nodes have and this one lacks, once, and hands over
+// strays: for tests and tools. Its error joins those of the nodes that failed.
 func (n *Node) Level(ctx context.Context) error {
 	var all error
 	for _, p := range n.peers {
 		all = errors.Join(all, n.level(ctx, p))
 	}
-	n.handOn()
+	n.handOverStrays()
 	return all
 }
 
@@ -134,7 +135,7 @@
 		return err
 	}
 	n.mu.Lock()
-	branches := archive.Differ(n.trees[p.name].Branches(), theirs)
+	branches := archive.Differ(n.derived.trees[p.name].Branches(), theirs)
 	n.mu.Unlock()
 	for _, b := range branches {
 		var leaves []uint64
@@ -142,7 +143,7 @@
 			return err
 		}
 		n.mu.Lock()
-		differ := archive.Differ(n.trees[p.name].Branch(b), leaves)
+		differ := archive.Differ(n.derived.trees[p.name].Branch(b), leaves)
 		n.mu.Unlock()
 		var names []string
 		for _, l := range differ {
@@ -176,11 +177,11 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", p.name, err)
 			}
-			if !n.gone(k) && !n.vault.Has(k) {
+			if !n.hasExpired(k) && !n.vault.Has(k) {
 				want = append(want, s)
 			}
 		}
-		if err := n.bring(ctx, p, want); err != nil {
+		if err := n.fetchMissing(ctx, p, want); err != nil {
 			return err
 		}
 		if len(keys) < leafPage {
@@ -189,46 +190,46 @@
 	}
 }
 
-// gone tells whether a record has expired here.
-func (n *Node) gone(k archive.Key) bool {
+// hasExpired tells whether a record has expired here.
+func (n *Node) hasExpired(k archive.Key) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.expired[k.Attempt.String()].Covers(k)
+	return n.derived.expired[k.Attempt.String()].Covers(k)
 }
 
-// bring fetches records from another node, at the budgeted rate. Marks of expiry
-// come first: what they cover is not fetched.
-func (n *Node) bring(ctx context.Context, p *peer, keys []string) error {
-	slices.SortStableFunc(keys, func(a, b string) int { return order(a) - order(b) })
+// fetchMissing fetches records from another node, at the budgeted rate, and stores
+// them. Expiry records come first: what they cover is not stored.
+func (n *Node) fetchMissing(ctx context.Context, p *peer, keys []string) error {
+	slices.SortStableFunc(keys, func(a, b string) int { return expiryFirst(a) - expiryFirst(b) })
 	for len(keys) > 0 {
 		batch := keys[:min(len(keys), 256)]
-		recs, err := p.fetch(ctx, batch)
+		records, err := p.fetch(ctx, batch)
 		if err != nil {
 			return err
 		}
-		if len(recs) == 0 {
-			keys = keys[len(batch):] // gone there meanwhile
+		if len(records) == 0 {
+			keys = keys[len(batch):] // no longer there
 			continue
 		}
 		size := 0
-		for i := range recs {
-			size += archive.FrameSize(&recs[i])
-			if recs[i].Key.Kind == archive.KindGrant {
-				if _, err := n.key.Open(recs[i].Payload); err != nil {
-					return fmt.Errorf("%s: %s: %w", p.name, recs[i].Key, err)
+		for i := range records {
+			size += archive.FrameSize(&records[i])
+			if records[i].Key.Kind == archive.KindGrant {
+				if _, err := n.grantKey.Open(records[i].Payload); err != nil {
+					return fmt.Errorf("%s: %s: %w", p.name, records[i].Key, err)
 				}
 			}
 		}
 		if err := n.pace(ctx, size); err != nil {
 			return err
 		}
-		if err := n.store(ctx, recs); err != nil {
+		if err := n.store(ctx, records); err != nil {
 			return err
 		}
-		n.count(func(s *Stats) { s.Pulled += int64(len(recs)); s.PulledBytes += int64(size) })
+		n.count(func(s *Stats) { s.Pulled += int64(len(records)); s.PulledBytes += int64(size) })
 		got := map[string]bool{}
-		for i := range recs {
-			got[recs[i].Key.String()] = true
+		for i := range records {
+			got[records[i].Key.String()] = true
 		}
 		// What did not fit into the answer is asked for again.
 		rest := slices.DeleteFunc(slices.Clone(batch), func(k string) bool { return got[k] })
@@ -240,7 +241,8 @@
 	return nil
 }
 
-func order(key string) int {
+// expiryFirst sorts the keys of expiry records before others.
+func expiryFirst(key string) int {
 	if k, err := archive.ParseKey(key); err == nil && k.Kind == archive.KindExpired {
 		return 0
 	}
@@ -251,7 +253,7 @@
 func (n *Node) pace(ctx context.Context, size int) error {
 	for size > 0 {
 		part := min(size, 2*archive.MaxPayload)
-		if err := n.pull.WaitN(ctx, part); err != nil {
+		if err := n.fetchLimit.WaitN(ctx, part); err != nil {
 			return err
 		}
 		size -= part
@@ -259,12 +261,12 @@
 	return nil
 }
 
-// handOn gives records that are here, and that other nodes keep, to all of those,
+// handOverStrays sends records that are here, and that other nodes keep, to all of those,
 // and drops them when each has them: after the members have changed.
-func (n *Node) handOn() {
+func (n *Node) handOverStrays() {
 	n.mu.Lock()
 	var keys []archive.Key
-	for s := range n.strays {
+	for s := range n.derived.strays {
 		if k, err := archive.ParseKey(s); err == nil {
 			keys = append(keys, k)
 		}
@@ -276,14 +278,14 @@
 	if len(keys) == 0 {
 		return
 	}
-	left := map[string]int{}
+	outstanding := map[string]int{}
 	for _, owner := range n.members.Names {
 		var batch []archive.Record
 		size := 0
 		flush := func() {
-			if len(batch) > 0 && n.give(n.ctx, owner, batch) == nil {
+			if len(batch) > 0 && n.send(n.ctx, owner, batch) == nil {
 				for i := range batch {
-					left[batch[i].Key.String()]--
+					outstanding[batch[i].Key.String()]--
 				}
 			}
 			batch, size = nil, 0
@@ -292,7 +294,7 @@
 			if !n.members.Keeps(owner, archive.Unit(k.Attempt)) {
 				continue
 			}
-			left[k.String()]++
+			outstanding[k.String()]++
 			r, err := n.vault.Get(k)
 			if err != nil {
 				continue
@@ -306,7 +308,7 @@
 		flush()
 	}
 	var done []string
-	for s, n := range left {
+	for s, n := range outstanding {
 		if n == 0 {
 			done = append(done, s)
 		}
@@ -318,15 +320,15 @@
 	}
 }
 
-// give has another node keep records.
-func (n *Node) give(ctx context.Context, to string, recs []archive.Record) error {
+// send has another node store records, at the budgeted rate.
+func (n *Node) send(ctx context.Context, to string, records []archive.Record) error {
 	p := n.peers[to]
 	if p == nil {
 		return errors.New("no such node")
 	}
 	var body []byte
-	for i := range recs {
-		body = archive.AppendFrame(body, &recs[i])
+	for i := range records {
+		body = archive.AppendFrame(body, &records[i])
 	}
 	if err := n.pace(ctx, len(body)); err != nil {
 		return err
@@ -335,19 +337,19 @@
 	return err
 }
 
-// mend is what a reader found missing at a node.
-type mend struct {
-	key string
-	at  string
+// repair is a record that a reader found missing at a node.
+type repair struct {
+	key  string
+	node string
 }
 
-// mendLater has what a reader found missing brought there; beyond what can wait it
-// is left to the comparisons.
-func (n *Node) mendLater(missing map[string][]string) {
+// repairLater queues what a reader found missing at nodes to be restored there; what
+// exceeds the queue is left to the comparisons.
+func (n *Node) repairLater(missing map[string][]string) {
 	for key, nodes := range missing {
 		for _, at := range nodes {
 			select {
-			case n.mending <- mend{key, at}:
+			case n.repairs <- repair{key, at}:
 			default:
 				return
 			}
@@ -355,26 +357,27 @@
 	}
 }
 
-func (n *Node) mendAll() {
+// repairAll restores missing records until the node stops.
+func (n *Node) repairAll() {
 	for {
-		var m mend
+		var m repair
 		select {
 		case <-n.ctx.Done():
 			return
-		case m = <-n.mending:
+		case m = <-n.repairs:
 		}
 		k, err := archive.ParseKey(m.key)
-		if err != nil || n.gone(k) {
+		if err != nil || n.hasExpired(k) {
 			continue
 		}
-		r, err := n.record(n.ctx, k, n.members.Of(archive.Unit(k.Attempt)))
-		if err == nil && m.at == n.cfg.Name {
+		r, err := n.readRecord(n.ctx, k, n.members.Of(archive.Unit(k.Attempt)))
+		if err == nil && m.node == n.cfg.Name {
 			err = n.store(n.ctx, []archive.Record{r})
 		} else if err == nil {
-			err = n.give(n.ctx, m.at, []archive.Record{r})
+			err = n.send(n.ctx, m.node, []archive.Record{r})
 		}
 		if err != nil {
-			n.log.Debug("not mended", "key", m.key, "at", m.at, "err", err)
+			n.log.Debug("not mended", "key", m.key, "at", m.node, "err", err)
 			continue
 		}
 		n.count(func(s *Stats) { s.Mended++ })
