--- a/internal/archive/access.go
+++ b/internal/archive/access.go
@@ -2,14 +2,14 @@
 
 import "silvergate/internal/identity"
 
-// Verb is what somebody asks of the archive.
+// Verb is what somebody asks of the archive. Verbs are part of the access log.
 type Verb string
 
-// Verbs.
+// Verbs that Access decides about.
 const (
-	Read  Verb = "read"  // a job's output, files, index and story
+	Read  Verb = "read"  // a job's output, files, index and history
 	Write Verb = "write" // an attempt's records
-	Sync  Verb = "sync"  // what nodes say to each other
+	Sync  Verb = "sync"  // what nodes exchange with each other
 	Admin Verb = "admin" // a node's figures, scrubs, revocations
 )
 
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -30,7 +30,7 @@
 	case 0:
 		return NewRecord(a, KindGrant, "", Encode(Grant{Attempt: a, Terms: Terms{Owner: Owner{Team: "office"}}}))
 	case 1:
-		s := Segment{Marks: []Mark{{len(data), rapid.Int64Range(0, 1<<45).Draw(t, "at")}}, Data: data}
+		s := Segment{WriteTimes: []WriteTime{{len(data), rapid.Int64Range(0, 1<<45).Draw(t, "at")}}, Data: data}
 		return NewRecord(a, KindSegment, At(Stdout, rapid.Int64Range(0, 1<<40).Draw(t, "from"), len(data)), s.Encode())
 	case 2:
 		from := rapid.Int64Range(0, 1<<40).Draw(t, "from")
@@ -85,12 +85,12 @@
 
 // TestSegmentsAreBounded guards against segments that unpack to more than they say.
 func TestSegmentsAreBounded(t *testing.T) {
-	s := Segment{Marks: []Mark{{1 << 10, 5}, {MaxSegment, 9}}, Data: make([]byte, MaxSegment)}
+	s := Segment{WriteTimes: []WriteTime{{1 << 10, 5}, {MaxSegment, 9}}, Data: make([]byte, MaxSegment)}
 	got, err := DecodeSegment(s.Encode())
-	if err != nil || !bytes.Equal(got.Data, s.Data) || !slices.Equal(got.Marks, s.Marks) {
+	if err != nil || !bytes.Equal(got.Data, s.Data) || !slices.Equal(got.WriteTimes, s.WriteTimes) {
 		t.Fatal(err)
 	}
-	bomb := Segment{Marks: []Mark{{10, 1}}, Data: make([]byte, 64<<20)}
+	bomb := Segment{WriteTimes: []WriteTime{{10, 1}}, Data: make([]byte, 64<<20)}
 	raw := bomb.Encode()
 	if _, err := DecodeSegment(raw); err == nil {
 		t.Error("a segment of 64 MiB is taken")
@@ -396,7 +396,7 @@
 // FuzzFrame has frames read from anything: what is taken must be written the same
 // way, and its payload be readable within bounds.
 func FuzzFrame(f *testing.F) {
-	s := Segment{Marks: []Mark{{5, 1}}, Data: []byte("hello")}
+	s := Segment{WriteTimes: []WriteTime{{5, 1}}, Data: []byte("hello")}
 	for _, r := range []Record{NewRecord(one, KindSegment, At(Stdout, 0, 5), s.Encode()), NewRecord(one, KindGrant, "", Encode(Grant{Attempt: one})), NewRecord(Files(one.Job), KindChunk, "", []byte("x")),
 		NewRecord(one, KindGap, At(Stderr, 7, 0), Encode(Gap{From: 7, To: 9, Reason: GapCut})), NewRecord(one, KindFile, "", Encode(File{Path: "a"}))} {
 		f.Add(AppendFrame(nil, &r))
@@ -419,10 +419,10 @@
 
 // FuzzSegment has segments read from anything.
 func FuzzSegment(f *testing.F) {
-	s := Segment{Marks: []Mark{{2, 1}, {5, 9}}, Data: []byte("hello")}
+	s := Segment{WriteTimes: []WriteTime{{2, 1}, {5, 9}}, Data: []byte("hello")}
 	f.Add(s.Encode())
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if s, err := DecodeSegment(raw); err == nil && (len(s.Data) > MaxSegment || len(s.Data) != s.Marks[len(s.Marks)-1].To) {
+		if s, err := DecodeSegment(raw); err == nil && (len(s.Data) > MaxSegment || len(s.Data) != s.WriteTimes[len(s.WriteTimes)-1].To) {
 			t.Error("a segment beyond its bounds is taken")
 		}
 	})
--- a/internal/archive/grant.go
+++ b/internal/archive/grant.go
@@ -12,29 +12,30 @@
 	"silvergate/internal/protocol"
 )
 
-// Owner is whose a job is: fixed when it is accepted.
+// Owner is the team and the customer that a job belongs to; fixed when the job is
+// accepted.
 type Owner struct {
 	Team string `json:"team"`
 	// Customer is the customer within the team; "" is the team's own work.
 	Customer string `json:"customer,omitempty"`
 }
 
-// Grant is a controller's word that an attempt was bound to a machine, and whose
-// its job is. An agent can't make one: both halves are sealed with a key that
+// Grant is a controller's sealed statement that an attempt was bound to a machine, and
+// whose its job is. An agent can't make one: both halves are sealed with a key that
 // controllers and archive nodes share. The one half comes with the launch, which
 // only the claim's holder sends and only after the commit; the other with the job's
 // description. A grant holds for as long as the attempt's output is worth shipping,
-// also for sessions that are over.
+// also after the agent epoch in which it was launched has ended.
 type Grant struct {
 	Attempt
 	Terms
-	At int64 `json:"atMs"` // when the machine began with it, by its own clock: not sealed
+	At int64 `json:"atMs"` // when the machine began with it, Unix time in milliseconds by its own clock: not sealed
 	// LaunchSeal is over the attempt, TermsSeal over the job and the terms.
 	LaunchSeal string `json:"launchSeal"`
 	TermsSeal  string `json:"termsSeal"`
 }
 
-// Terms are a job's, for all of its attempts.
+// Terms are what a job's description says of all its attempts that the archive needs.
 type Terms struct {
 	Owner
 	Class   string `json:"class"`
@@ -44,7 +45,7 @@
 	Keep []string `json:"keep,omitempty"`
 }
 
-// TermsOf are the terms of the job that a description describes.
+// TermsOf returns the terms of the job that a description describes.
 func TermsOf(d *protocol.JobDescription) Terms {
 	t := Terms{Owner: Owner{Team: d.Team}, Class: d.Class, Urgency: d.Priority, Shape: protocol.ShapeName(d.Shape)}
 	if x := d.Extra; x != nil {
@@ -53,14 +54,15 @@
 	return t
 }
 
-// GrantKey seals grants.
+// GrantKey is the key that controllers and archive nodes share to seal grants and to
+// check them.
 type GrantKey []byte
 
-// KeySize is the least that a key may have, in bytes.
+// KeySize is the least length of a grant key, in bytes.
 const KeySize = 32
 
-// LoadGrantKey reads a key: 64 or more hexadecimal digits in a file that is its
-// owner's alone.
+// LoadGrantKey reads a key: 64 or more hexadecimal digits in a file that only its
+// owner may read. Anything else is an error.
 func LoadGrantKey(path string) (GrantKey, error) {
 	raw, err := identity.ReadPrivate(path)
 	if err != nil {
@@ -87,13 +89,13 @@
 // sealSize is how much of a sum a seal is, in bytes: it travels with each launch.
 const sealSize = 16
 
-// SealLaunch seals that an attempt is launched.
+// SealLaunch returns the seal of an attempt's launch, in hexadecimal.
 func (k GrantKey) SealLaunch(a Attempt) string { return k.seal("launch", a) }
 
-// SealTerms seals a job's terms.
+// SealTerms returns the seal of a job's terms, in hexadecimal.
 func (k GrantKey) SealTerms(job string, t Terms) string { return k.seal("terms", job, t) }
 
-// Sign makes a whole grant.
+// Sign returns the grant with both of its seals.
 func (k GrantKey) Sign(g Grant) Grant {
 	g.LaunchSeal, g.TermsSeal = k.SealLaunch(g.Attempt), k.SealTerms(g.Job, g.Terms)
 	return g
@@ -101,7 +103,7 @@
 
 var errGrant = errors.New("not a grant of this site's controllers")
 
-// Open reads a grant and checks its seal.
+// Open reads a grant and checks its seals. A grant that is not valid is an error.
 func (k GrantKey) Open(raw []byte) (Grant, error) {
 	var g Grant
 	if err := decode(raw, &g); err != nil {
--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -119,7 +119,7 @@
 
 // output is an attempt's records: its grant, some output, a file and its end.
 func output(a archive.Attempt, g archive.Grant, text string) []archive.Record {
-	seg := archive.Segment{Marks: []archive.Mark{{To: len(text), At: 1000}}, Data: []byte(text)}
+	seg := archive.Segment{WriteTimes: []archive.WriteTime{{To: len(text), At: 1000}}, Data: []byte(text)}
 	chunk := archive.NewRecord(archive.Files(a.Job), archive.KindChunk, "", []byte("file of "+text))
 	f := archive.File{Path: "out/result", Size: int64(len("file of " + text)), Digest: chunk.Key.Digest, Chunks: []string{chunk.Key.Digest}}
 	return []archive.Record{archive.NewRecord(a, archive.KindGrant, "", archive.Encode(g)), archive.NewRecord(archive.Files(a.Job), archive.KindGrant, "", archive.Encode(g)),
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -296,7 +296,7 @@
 	return r, err
 }
 
-// segmentPieces reads the part p of a segment, cut at its marks.
+// segmentPieces reads the part p of a segment, cut at its write times.
 func (n *Node) segmentPieces(ctx context.Context, k archive.Key, has []string, p archive.Piece) (out []Piece, err error) {
 	r, err := n.readRecord(ctx, k, has)
 	if err != nil {
@@ -311,7 +311,7 @@
 		return nil, err
 	}
 	pos := p.From
-	for _, m := range seg.Marks {
+	for _, m := range seg.WriteTimes {
 		to := min(begin+int64(m.To), p.To)
 		if to <= pos {
 			continue
--- a/internal/archive/place.go
+++ b/internal/archive/place.go
@@ -14,14 +14,15 @@
 	Replicas int // how many nodes keep a record
 }
 
-// Quorum is how many nodes must have a record on disk before it is acknowledged:
+// Quorum returns how many nodes must have a record on disk before it is acknowledged:
 // more than half of those that keep it, so that whoever reads from so many meets
 // one that has it.
 func (m Members) Quorum() int { return m.copies()/2 + 1 }
 
+// copies is how many nodes keep a record: no more than there are.
 func (m Members) copies() int { return max(1, min(m.Replicas, len(m.Names))) }
 
-// Unit is what is placed as a whole: a task's attempts are together, the tasks of
+// Unit returns the name of what is placed as a whole: a task's attempts are together, the tasks of
 // a large job are not.
 func Unit(a Attempt) string { return a.Job + "/" + strconv.Itoa(a.Task) }
 
@@ -52,7 +53,7 @@
 	return out
 }
 
-// Keeps tells whether a node is one of a unit's.
+// Keeps tells whether a node is one of those that keep a unit's records.
 func (m Members) Keeps(node, unit string) bool { return slices.Contains(m.Of(unit), node) }
 
 // Whole tells whether what the nodes that answered have is all that was ever
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -2,12 +2,13 @@
 // whom and how long. It is decisions and formats alone, without I/O or a clock:
 //
 //   - record.go: records, their keys and their frames on the wire and on disk;
-//   - grant.go: a controller's word that an attempt runs on a machine, and whose it is;
+//   - grant.go: a controller's sealed statement that an attempt runs on a machine, and
+//     whose it is;
 //   - access.go: who may do what, in one function;
 //   - place.go: which nodes keep a task's records, and when a record counts as kept;
 //   - tree.go: digests by which two nodes find what the other lacks;
 //   - stream.go: a stream's segments, gaps and end put together again;
-//   - retain.go: what is to go when.
+//   - retain.go: what is dropped when.
 //
 // All records are immutable and named by what they are of and a digest of what
 // they hold. So the archive is a set that only grows until something expires: two
@@ -44,24 +45,26 @@
 	maxNumber = 99_999_999
 	// MaxSegment is how much output a segment holds at the most, in bytes.
 	MaxSegment = 256 << 10
-	// ChunkSize is how files are cut.
+	// ChunkSize is the length in bytes of the chunks that files are cut into; the
+	// last is shorter.
 	ChunkSize = 1 << 20
-	// MaxPayload is a record's, in bytes: a chunk that does not compress.
+	// MaxPayload is the length in bytes of a record's largest payload: a chunk that
+	// does not compress.
 	MaxPayload = ChunkSize + 64<<10
 	maxKey     = 400
 )
 
-// Files is where the chunks of a job's files are kept: not with an attempt, so
+// Files returns the attempt under which the chunks of a job's files are kept: not with an attempt, so
 // that equal ones are stored once for all tasks of the job. They are not shared
 // between jobs: whether a file had to be sent would tell who else has it.
 func Files(job string) Attempt { return Attempt{job, maxNumber, 0, "files"} }
 
-// String is the attempt's key; keys order as attempts do.
+// String returns the attempt's name; names order as attempts do.
 func (a Attempt) String() string {
 	return fmt.Sprintf("%s/%08d/%08d/%s", a.Job, a.Task, a.Try, a.Machine)
 }
 
-// Check tells whether the attempt can be.
+// Check returns an error if a field of the attempt is invalid.
 func (a Attempt) Check() error {
 	if !protocol.ValidJobID(a.Job) || a.Task < 0 || a.Task > maxNumber || a.Try < 0 || a.Try > maxNumber || !identity.ValidName(a.Machine) {
 		return fmt.Errorf("no attempt: %.100q", a.String())
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// ParseAttempt reads what String wrote.
+// ParseAttempt reads a name that Attempt.String made. It accepts no other form.
 func ParseAttempt(s string) (Attempt, error) {
 	f := strings.Split(s, "/")
 	if len(f) != 4 {
@@ -87,7 +90,7 @@
 // Kind is what a record holds.
 type Kind byte
 
-// Kinds.
+// Kinds of records. They are part of stored keys.
 const (
 	KindGrant    Kind = 'a' // whose attempt it is: a Grant
 	KindSegment  Kind = 's' // output: a Segment
@@ -103,10 +106,10 @@
 type Key struct {
 	Attempt Attempt
 	Kind    Kind
-	// Name is for what the kind needs: a segment's and a gap's stream and
-	// offset, or nothing.
+	// Name is a segment's or a gap's place in its stream, as At writes it; other
+	// kinds have none.
 	Name string
-	// Digest is of the payload: a record is what its key says.
+	// Digest is the payload's, as DigestOf returns it.
 	Digest string
 }
 
@@ -114,7 +117,7 @@
 // A chunk's key has all of it.
 const digestLen = 32
 
-// DigestOf is the digest that a record of that kind has in its key.
+// DigestOf returns the digest that a record of a kind has in its key.
 func DigestOf(kind Kind, payload []byte) string {
 	sum := blake3.Sum256(payload)
 	d := hex.EncodeToString(sum[:])
@@ -124,12 +127,12 @@
 	return d[:digestLen]
 }
 
-// String is the key as it is stored: all of an attempt's are together.
+// String returns the key as it is stored: all keys of an attempt are together.
 func (k Key) String() string {
 	return k.Attempt.String() + "/" + string(rune(k.Kind)) + "/" + k.Name + "/" + k.Digest
 }
 
-// ParseKey reads what String wrote.
+// ParseKey reads a key that Key.String made. It accepts no other form.
 func ParseKey(s string) (Key, error) {
 	bad := func() (Key, error) { return Key{}, fmt.Errorf("no record's key: %.100q", s) }
 	f := strings.Split(s, "/")
@@ -171,17 +174,17 @@
 	Stderr = "stderr"
 )
 
-// Streams lists them.
+// Streams lists the streams; it is not to be changed.
 var Streams = []string{Stdout, Stderr}
 
-// At is the name of a segment of a stream from an offset on, with its length; a
-// gap's length stands in its payload, and is 0 here.
+// At returns the name of a segment of a stream from an offset on, with its length n,
+// both in bytes; a gap's length stands in its payload, and is 0 here.
 func At(stream string, offset int64, n int) string {
 	return fmt.Sprintf("%s.%016x.%05x", stream, offset, n)
 }
 
-// Place reads the stream, the offset and the length out of a segment's or a gap's
-// key.
+// Place reads the stream, the offset and the length, in bytes, out of a segment's or
+// a gap's key. Other keys are an error.
 func (k Key) Place() (stream string, from int64, n int, err error) {
 	f := strings.Split(k.Name, ".")
 	if len(f) == 3 && (f[0] == Stdout || f[0] == Stderr) {
@@ -194,18 +197,19 @@
 	return "", 0, 0, fmt.Errorf("no place in a stream: %.40q", k.Name)
 }
 
-// Record is what is kept under a key.
+// Record is a payload with its key. Records are immutable.
 type Record struct {
 	Key     Key
 	Payload []byte
 }
 
-// NewRecord names a payload.
+// NewRecord returns the record of a payload, which it does not copy.
 func NewRecord(a Attempt, kind Kind, name string, payload []byte) Record {
 	return Record{Key{a, kind, name, DigestOf(kind, payload)}, payload}
 }
 
-// Check tells whether the payload is what the key says, and can be read.
+// Check returns an error unless the key is valid, the payload has the key's digest,
+// and it can be read as what the kind says.
 func (r *Record) Check() error {
 	if _, err := ParseKey(r.Key.String()); err != nil {
 		return err
@@ -266,10 +270,10 @@
 	frameExtra = headerSize + 8
 )
 
-// FrameSize is how long a record's frame is.
+// FrameSize returns the length of a record's frame in bytes.
 func FrameSize(r *Record) int { return frameExtra + len(r.Key.String()) + len(r.Payload) }
 
-// AppendFrame appends a record's frame.
+// AppendFrame appends a record's frame to b and returns the result.
 func AppendFrame(b []byte, r *Record) []byte {
 	from, key := len(b), r.Key.String()
 	b = binary.BigEndian.AppendUint32(b, magic)
@@ -281,14 +285,15 @@
 
 // Errors of frames.
 var (
-	// ErrCut is a frame that ends before it is whole.
+	// ErrCut says that a frame ends before it is whole.
 	ErrCut = errors.New("a frame is cut off")
-	// ErrFrame is one that is damaged, or none at all.
+	// ErrFrame says that a frame is damaged, or is none at all.
 	ErrFrame = errors.New("not a frame, or a damaged one")
 )
 
-// ReadFrame reads the next record. At the end of r it returns io.EOF. It never
-// holds more than one frame, whatever a length claims. The payload's digest is
+// ReadFrame reads the next record. At the end of r it returns io.EOF; otherwise its
+// errors wrap ErrCut or ErrFrame, or are those of r. It never holds more than one
+// frame, whatever a length claims. The caller owns the result. The payload's digest is
 // not compared: see Check.
 func ReadFrame(r io.Reader) (Record, error) {
 	var h [headerSize]byte
@@ -326,32 +331,35 @@
 	return err
 }
 
-// Segment is a piece of a stream.
+// Segment is a piece of a stream: its bytes and when they were written.
 type Segment struct {
-	// Marks tell when what was written: up to which byte of the segment, and
+	// WriteTimes tell when what was written: up to which byte of the segment, and
 	// when the agent saw it.
-	Marks []Mark
+	WriteTimes []WriteTime
 	Data  []byte
 }
 
-// Mark is a time in a segment.
-type Mark struct {
+// WriteTime is when the bytes of a segment up to an offset were written; they begin
+// where those of the write time before it end.
+type WriteTime struct {
 	To int   // bytes of the segment, from its start
-	At int64 // milliseconds of the machine's day clock
+	At int64 // Unix time in milliseconds, by the machine's clock
 }
 
-const maxMarks = 256
+// maxWriteTimes bounds the write times of a segment.
+const maxWriteTimes = 256
 
 var (
 	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxSegment+1<<16))
 )
 
-// Encode makes a segment's payload: the marks and the compressed data.
+// Encode returns the segment's payload: the write times and the compressed
+// data.
 func (s *Segment) Encode() []byte {
-	b := binary.AppendUvarint(nil, uint64(len(s.Marks)))
+	b := binary.AppendUvarint(nil, uint64(len(s.WriteTimes)))
 	to, at := 0, int64(0)
-	for _, m := range s.Marks {
+	for _, m := range s.WriteTimes {
 		b = binary.AppendUvarint(b, uint64(m.To-to))
 		b = binary.AppendVarint(b, m.At-at)
 		to, at = m.To, m.At
@@ -362,15 +370,16 @@
 
 var errSegment = errors.New("not a segment")
 
-// DecodeSegment reads a segment's payload. Memory is bounded whatever it claims.
+// DecodeSegment reads a payload that Segment.Encode made, or returns an error. The
+// memory it takes is bounded, whatever the payload claims.
 func DecodeSegment(b []byte) (*Segment, error) {
-	n, b, err := uvarint(b, maxMarks)
+	n, b, err := uvarint(b, maxWriteTimes)
 	if err != nil || n == 0 {
 		return nil, errSegment
 	}
-	s := &Segment{Marks: make([]Mark, n)}
+	s := &Segment{WriteTimes: make([]WriteTime, n)}
 	to, at := uint64(0), int64(0)
-	for i := range s.Marks {
+	for i := range s.WriteTimes {
 		var d uint64
 		if d, b, err = uvarint(b, MaxSegment); err != nil {
 			return nil, err
@@ -380,7 +389,7 @@
 			return nil, errSegment
 		}
 		b, to, at = b[k:], to+d, at+v
-		s.Marks[i] = Mark{int(min(to, MaxSegment+1)), at}
+		s.WriteTimes[i] = WriteTime{int(min(to, MaxSegment+1)), at}
 	}
 	size, b, err := uvarint(b, MaxSegment)
 	if err != nil || size == 0 || to != size {
@@ -403,7 +412,7 @@
 	return v, b[k:], nil
 }
 
-// Gap is a part of a stream that is lost.
+// Gap is a part of a stream that is lost. Offsets are in bytes.
 type Gap struct {
 	From   int64  `json:"from"`
 	To     int64  `json:"to"` // From: nobody knows how much; -1: what else there was, if anything
@@ -426,7 +435,8 @@
 	return nil
 }
 
-// End is how an attempt ended, and how much it wrote.
+// End is how an attempt ended, and how much it wrote. Times are Unix times in
+// milliseconds, by the machine's clock.
 type End struct {
 	Cause string           `json:"cause"`
 	Code  int              `json:"code"`
@@ -450,5 +460,5 @@
 
 func decode(raw []byte, v any) error { return protocol.Decode(raw, v) }
 
-// Encode writes what is stored as JSON.
+// Encode returns v as the JSON that is stored.
 func Encode(v any) []byte { return protocol.Encode(v) }
--- a/internal/archive/retain.go
+++ b/internal/archive/retain.go
@@ -6,13 +6,16 @@
 	"time"
 )
 
-// Retention is how long what is kept, and how much. The first rule that fits an
-// attempt holds; its zero fields are unbounded.
+// bytesPerMB is a megabyte as the settings mean it.
+const bytesPerMB = 1e6
+
+// Retention says how long attempts are kept, and how much of them. The first rule
+// that fits an attempt holds; a rule's zero fields are unbounded.
 type Retention struct {
 	Rules []Rule `yaml:"rules"`
 }
 
-// Rule is for a team, a class, or both; an empty field fits all.
+// Rule bounds what is kept of a team, a class, or both; an empty name fits all.
 type Rule struct {
 	Team  string `yaml:"team"`
 	Class string `yaml:"class"`
@@ -23,24 +26,26 @@
 	MaxMB float64 `yaml:"max_mb"`
 }
 
-// Use is what an attempt takes.
+// Use is what an attempt takes on a node.
 type Use struct {
 	Attempt Attempt
 	Owner   Owner
 	Class   string
 	Bytes   int64
-	Last    time.Time // when its newest record came
-	// Over is an attempt whose end is on record. Of others only the output so far
-	// goes: a service that was quiet for long can speak again.
+	Last    time.Time // when its newest record was stored
+	// Over tells that the attempt's end is on record. Of others only the output so
+	// far is dropped: a service that was quiet for long can write again.
 	Over bool
 }
 
-// Expired says what was dropped, so that it differs from what never was.
+// Expired says what was dropped, so that it differs from what never was. Its JSON is
+// the payload of a record of KindExpired.
 type Expired struct {
-	// All of the attempt, or each stream up to an offset.
+	// All tells that the whole attempt was dropped. Otherwise Upto is the offset in
+	// bytes up to which each stream was.
 	All    bool             `json:"all,omitempty"`
 	Upto   map[string]int64 `json:"upto,omitempty"`
-	At     int64            `json:"atMs"`
+	At     int64            `json:"atMs"` // Unix time in milliseconds
 	Reason string           `json:"reason"`
 }
 
@@ -50,15 +55,15 @@
 	ExpiredQuota = "its owner's quota was full"
 )
 
-// Drop is an attempt that is to go, or the start of its streams.
+// Drop is an attempt that is to be dropped, or the start of its streams.
 type Drop struct {
 	Attempt Attempt
-	// Head is how many bytes are to go from its streams' start; 0: all of it.
+	// Head is how many bytes are to be dropped from its streams' start; 0: all of it.
 	Head   int64
 	Reason string
 }
 
-// drop drops all that there is of an attempt.
+// drop returns the drop of all that there is of an attempt.
 func (u *Use) drop(reason string) Drop {
 	d := Drop{Attempt: u.Attempt, Reason: reason}
 	if !u.Over {
@@ -67,6 +72,8 @@
 	return d
 }
 
+// rule returns the first rule that fits an attempt, or with quota the first of those
+// that have one; nil if there is none.
 func (r *Retention) rule(u *Use, quota bool) *Rule {
 	for i := range r.Rules {
 		x := &r.Rules[i]
@@ -77,78 +84,96 @@
 	return nil
 }
 
-// Decide says what is to go now. Age goes first. Of a team that has more than its
-// quota, those customers lose who have more than an equal share of it, their
-// oldest attempts first: what one customer writes never costs another's output. An
-// attempt that is alone above the share loses its start.
-func (r *Retention) Decide(now time.Time, all []Use) (out []Drop) {
-	type team struct {
-		quota  int64
-		owners map[Owner][]Use
-	}
-	teams := map[string]*team{}
+// teamUsage is what a team with a quota has on a node.
+type teamUsage struct {
+	quota  int64 // bytes
+	owners map[Owner][]Use
+}
+
+// Decide returns what is to be dropped at a time. Age goes first. Of a team that has
+// more than its quota, those customers lose who have more than an equal share of it,
+// their oldest attempts first: what one customer writes never costs another's
+// output. An attempt that is alone above the share loses its start. The caller keeps
+// all, which is not changed.
+func (r *Retention) Decide(now time.Time, all []Use) (drops []Drop) {
+	teams := map[string]*teamUsage{}
 	var names []string
 	for i := range all {
 		u := &all[i]
-		if x := r.rule(u, false); x != nil && x.KeepS > 0 && now.Sub(u.Last).Seconds() > x.KeepS {
+		if r.tooOld(u, now) {
 			if u.Bytes > 0 || u.Over {
-				out = append(out, u.drop(ExpiredAge))
+				drops = append(drops, u.drop(ExpiredAge))
 			}
 			continue
 		}
-		x := r.rule(u, true)
-		if x == nil {
+		rule := r.rule(u, true)
+		if rule == nil {
 			continue
 		}
-		t := teams[u.Owner.Team]
-		if t == nil {
-			t = &team{quota: int64(x.MaxMB * 1e6), owners: map[Owner][]Use{}}
-			teams[u.Owner.Team] = t
+		team := teams[u.Owner.Team]
+		if team == nil {
+			team = &teamUsage{quota: int64(rule.MaxMB * bytesPerMB), owners: map[Owner][]Use{}}
+			teams[u.Owner.Team] = team
 			names = append(names, u.Owner.Team)
 		}
-		t.owners[u.Owner] = append(t.owners[u.Owner], *u)
+		team.owners[u.Owner] = append(team.owners[u.Owner], *u)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		t := teams[name]
-		sums := map[Owner]int64{}
-		var list []int64
-		for o, uses := range t.owners {
-			for i := range uses {
-				sums[o] += uses[i].Bytes
-			}
-			list = append(list, sums[o])
+		drops = append(drops, teams[name].overQuota()...)
+	}
+	return drops
+}
+
+// tooOld tells whether the rule for an attempt does not keep it any longer.
+func (r *Retention) tooOld(u *Use, now time.Time) bool {
+	rule := r.rule(u, false)
+	return rule != nil && rule.KeepS > 0 && now.Sub(u.Last).Seconds() > rule.KeepS
+}
+
+// overQuota returns what the team's customers lose to its quota, customer by
+// customer in the order of their names.
+func (t *teamUsage) overQuota() (drops []Drop) {
+	sums := map[Owner]int64{}
+	owners := make([]Owner, 0, len(t.owners))
+	var amounts []int64
+	for owner, uses := range t.owners {
+		for i := range uses {
+			sums[owner] += uses[i].Bytes
+		}
+		owners = append(owners, owner)
+		amounts = append(amounts, sums[owner])
+	}
+	level := share(t.quota, amounts)
+	slices.SortFunc(owners, func(a, b Owner) int { return cmp.Compare(a.Customer, b.Customer) })
+	for _, owner := range owners {
+		drops = append(drops, dropOldest(t.owners[owner], sums[owner]-level)...)
+	}
+	return drops
+}
+
+// dropOldest drops attempts, the oldest first, until excess bytes are freed. Of the
+// last one only the start goes if that is enough. It sorts uses.
+func dropOldest(uses []Use, excess int64) (drops []Drop) {
+	slices.SortFunc(uses, func(a, b Use) int {
+		if c := a.Last.Compare(b.Last); c != 0 {
+			return c
 		}
-		level := share(t.quota, list)
-		owners := make([]Owner, 0, len(t.owners))
-		for o := range t.owners {
-			owners = append(owners, o)
+		return cmp.Compare(a.Attempt.String(), b.Attempt.String())
+	})
+	for i := range uses {
+		if excess <= 0 {
+			break
 		}
-		slices.SortFunc(owners, func(a, b Owner) int { return cmp.Compare(a.Customer, b.Customer) })
-		for _, o := range owners {
-			over := sums[o] - level
-			uses := t.owners[o]
-			slices.SortFunc(uses, func(a, b Use) int {
-				if c := a.Last.Compare(b.Last); c != 0 {
-					return c
-				}
-				return cmp.Compare(a.Attempt.String(), b.Attempt.String())
-			})
-			for i := range uses {
-				if over <= 0 {
-					break
-				}
-				u := &uses[i]
-				if i == len(uses)-1 && over < u.Bytes {
-					out = append(out, Drop{Attempt: u.Attempt, Head: over, Reason: ExpiredQuota})
-				} else if u.Bytes > 0 {
-					out = append(out, u.drop(ExpiredQuota))
-				}
-				over -= u.Bytes
-			}
+		u := &uses[i]
+		if i == len(uses)-1 && excess < u.Bytes {
+			drops = append(drops, Drop{Attempt: u.Attempt, Head: excess, Reason: ExpiredQuota})
+		} else if u.Bytes > 0 {
+			drops = append(drops, u.drop(ExpiredQuota))
 		}
+		excess -= u.Bytes
 	}
-	return out
+	return drops
 }
 
 // share is the level at which amounts are cut so that together they fit: whoever
@@ -170,7 +195,7 @@
 	return a[len(a)-1]
 }
 
-// Check names the first field that can't be.
+// Check says what is wrong with the first invalid rule; "" if all are valid.
 func (r *Retention) Check() (field string) {
 	for i := range r.Rules {
 		x := &r.Rules[i]
--- a/internal/archive/ship/plan.go
+++ b/internal/archive/ship/plan.go
@@ -86,11 +86,11 @@
 }
 
 // cut says what the next segment is: so much of the file from File on, with marks.
-func (f *follower) cut() (n int64, marks []archive.Mark) {
+func (f *follower) cut() (n int64, marks []archive.WriteTime) {
 	n = min(f.left(), archive.MaxSegment)
 	for _, s := range f.sizes {
 		to := min(s.size-f.File, n)
-		marks = append(marks, archive.Mark{To: int(to), At: s.at})
+		marks = append(marks, archive.WriteTime{To: int(to), At: s.at})
 		if to == n {
 			break
 		}
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -125,7 +125,7 @@
 		file   int64
 		at     int64
 		n      int64
-		marks  []archive.Mark
+		marks  []archive.WriteTime
 		gaps   []archive.Gap
 	}
 	var cuts []cut
@@ -182,7 +182,7 @@
 			s.mu.Unlock()
 			continue
 		}
-		seg := archive.Segment{Marks: c.marks, Data: data}
+		seg := archive.Segment{WriteTimes: c.marks, Data: data}
 		recs = append(recs, archive.NewRecord(c.f.a, archive.KindSegment, archive.At(c.stream, c.at, int(c.n)), seg.Encode()))
 		what = append(what, sent{f: c.f, stream: c.stream, n: c.n})
 	}
--- a/internal/archive/stream.go
+++ b/internal/archive/stream.go
@@ -10,11 +10,11 @@
 	"silvergate/internal/protocol"
 )
 
-// Part is a segment as its key tells it, with its length.
+// Part is a segment's range of its stream, in bytes, as its key tells it.
 type Part struct {
 	From int64
 	To   int64
-	// Ref is the caller's own.
+	// Ref is what the caller knows the segment by.
 	Ref int
 }
 
@@ -26,20 +26,59 @@
 	PieceMissing = "missing" // not here, and nobody said why: on its way, or lost with its machine
 )
 
-// Piece is a range of a stream and what became of it.
+// Piece is a range of a stream in bytes and what became of it.
 type Piece struct {
 	From   int64  `json:"from"`
 	To     int64  `json:"to"` // -1: nobody knows
 	What   string `json:"what,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	Ref    int    `json:"-"` // data: the part
+	Ref    int    `json:"-"` // of data: the part's Ref
 }
 
 // Assemble puts a stream together: each byte once, in order, and each that is not
 // there with what is known of it. Parts may overlap, as an agent that was killed
-// cuts anew, and may come in any order. upto is what expired at the stream's
-// start; size is the stream's length, or -1 if the attempt's end is not known.
-func Assemble(parts []Part, gaps []Gap, upto int64, expired string, size int64) (out []Piece) {
+// cuts anew, and may come in any order. upto is the offset up to which the stream's
+// start expired, and expired the reason; size is the stream's length, or -1 if the
+// attempt's end is not known. Offsets and lengths are in bytes. parts and gaps are
+// not changed.
+func Assemble(parts []Part, gaps []Gap, upto int64, expired string, size int64) []Piece {
+	a := assembly{gaps: sortedGaps(gaps)}
+	if expired != "" && upto > 0 {
+		a.add(upto, PieceExpired, expired)
+	}
+	for _, p := range sortedParts(parts) {
+		if p.To <= a.offset {
+			continue
+		}
+		a.addPointGaps()
+		if p.From > a.offset {
+			a.addHole(p.From)
+			a.addPointGaps()
+		}
+		a.pieces = append(a.pieces, Piece{From: a.offset, To: p.To, Ref: p.Ref})
+		a.offset = p.To
+	}
+	a.addPointGaps()
+	if size > a.offset {
+		a.addHole(size)
+	}
+	if size < 0 {
+		a.addOpenGap()
+	}
+	return a.pieces
+}
+
+// assembly is a stream that is being put together: its pieces up to an offset.
+type assembly struct {
+	gaps      []Gap // by their start
+	pieces    []Piece
+	offset    int64 // up to which the stream is put together
+	pointGaps int   // how many of the gaps addPointGaps has dealt with
+}
+
+// sortedParts returns a copy of parts in order; of those that begin at the same
+// offset the longest is first.
+func sortedParts(parts []Part) []Part {
 	parts = slices.Clone(parts)
 	slices.SortFunc(parts, func(a, b Part) int {
 		switch {
@@ -50,61 +89,59 @@
 		}
 		return a.Ref - b.Ref
 	})
+	return parts
+}
+
+// sortedGaps returns a copy of gaps in the order of their start.
+func sortedGaps(gaps []Gap) []Gap {
 	gaps = slices.Clone(gaps)
 	slices.SortFunc(gaps, func(a, b Gap) int { return cmp.Compare(a.From, b.From) })
-	pos := int64(0)
-	if expired != "" && upto > 0 {
-		out, pos = append(out, Piece{From: 0, To: upto, What: PieceExpired, Reason: expired}), upto
-	}
-	// hole tells what is known of a range without data.
-	hole := func(to int64) {
-		for _, g := range gaps {
-			if g.To >= 0 && g.To <= pos || g.From >= to || pos >= to {
-				continue
-			}
-			if g.From > pos {
-				out, pos = append(out, Piece{From: pos, To: g.From, What: PieceMissing}), g.From
-			}
-			end := to
-			if g.To >= 0 {
-				end = min(to, g.To)
-			}
-			out, pos = append(out, Piece{From: pos, To: end, What: PieceGap, Reason: g.Reason}), end
+	return gaps
+}
+
+// add adds a piece without data up to an offset.
+func (a *assembly) add(to int64, what, reason string) {
+	a.pieces = append(a.pieces, Piece{From: a.offset, To: to, What: what, Reason: reason})
+	a.offset = to
+}
+
+// addHole adds what is known of the range up to an offset, which has no data.
+func (a *assembly) addHole(to int64) {
+	for _, g := range a.gaps {
+		if g.To >= 0 && g.To <= a.offset || g.From >= to || a.offset >= to {
+			continue
 		}
-		if pos < to {
-			out, pos = append(out, Piece{From: pos, To: to, What: PieceMissing}), to
+		if g.From > a.offset {
+			a.add(g.From, PieceMissing, "")
 		}
-	}
-	told := 0 // gaps of unknown length that were told
-	marks := func() {
-		for ; told < len(gaps) && gaps[told].From <= pos; told++ {
-			if g := gaps[told]; g.To == g.From && g.From == pos {
-				out = append(out, Piece{From: pos, To: pos, What: PieceGap, Reason: g.Reason})
-			}
+		end := to
+		if g.To >= 0 {
+			end = min(to, g.To)
 		}
+		a.add(end, PieceGap, g.Reason)
 	}
-	for _, p := range parts {
-		if p.To <= pos {
-			continue
-		}
-		marks()
-		if p.From > pos {
-			hole(p.From)
-			marks()
-		}
-		out, pos = append(out, Piece{From: pos, To: p.To, Ref: p.Ref}), p.To
+	if a.offset < to {
+		a.add(to, PieceMissing, "")
 	}
-	marks()
-	if size > pos {
-		hole(size)
+}
+
+// addPointGaps adds the gaps of unknown length that lie at the offset.
+func (a *assembly) addPointGaps() {
+	for ; a.pointGaps < len(a.gaps) && a.gaps[a.pointGaps].From <= a.offset; a.pointGaps++ {
+		if g := a.gaps[a.pointGaps]; g.To == g.From && g.From == a.offset {
+			a.add(a.offset, PieceGap, g.Reason)
+		}
 	}
-	for _, g := range gaps { // open ones: all after them that is not there
-		if g.To < 0 && g.From >= pos && size < 0 {
-			out = append(out, Piece{From: pos, To: -1, What: PieceGap, Reason: g.Reason})
-			break
+}
+
+// addOpenGap adds the first gap that says that all after it is lost.
+func (a *assembly) addOpenGap() {
+	for _, g := range a.gaps {
+		if g.To < 0 && g.From >= a.offset {
+			a.pieces = append(a.pieces, Piece{From: a.offset, To: -1, What: PieceGap, Reason: g.Reason})
+			return
 		}
 	}
-	return out
 }
 
 // File is a file that an attempt left behind. It is there whole or not at all: its
@@ -117,14 +154,14 @@
 	Digest string   `json:"digest"` // BLAKE3 of the whole, in hexadecimal
 	Chunks []string `json:"chunks"` // digests of its chunks, in order
 	Mode   uint32   `json:"mode"`
-	At     int64    `json:"atMs"` // when it was last changed
+	At     int64    `json:"atMs"` // when it was last changed, Unix time in milliseconds
 }
 
 // MaxFile is how large a file may be that is kept, in bytes: its list of chunks
 // must fit into a record.
 const MaxFile = 8 << 30
 
-// Check names what can't be.
+// Check returns an error that says what is wrong with the file, or nil.
 func (f *File) Check() error {
 	if !SafePath(f.Path) {
 		return errors.New("path: not a path inside the working directory")
@@ -149,32 +186,32 @@
 // Visible makes output safe to print on a terminal: control characters but the
 // line's end and the tab are written out, so that no line moves a cursor, sets a
 // title or hides another.
-func Visible(line string) string {
+func Visible(text string) string {
 	ok := true
-	for i := 0; i < len(line); i++ {
-		if c := line[i]; c < 0x20 && c != '\t' && c != '\n' || c >= 0x7f {
+	for i := 0; i < len(text); i++ {
+		if c := text[i]; c < 0x20 && c != '\t' && c != '\n' || c >= 0x7f {
 			ok = false
 			break
 		}
 	}
 	if ok {
-		return line
+		return text
 	}
 	const hex = "0123456789abcdef"
 	var b strings.Builder
-	for i := 0; i < len(line); {
-		r, n := utf8.DecodeRuneInString(line[i:])
+	for i := 0; i < len(text); {
+		r, n := utf8.DecodeRuneInString(text[i:])
 		switch {
 		case r == '\t' || r == '\n':
 			b.WriteRune(r)
 		case r == utf8.RuneError && n == 1, r < 0x20, r >= 0x7f && r < 0xa0, hidden(r):
-			for _, c := range []byte(line[i : i+n]) {
+			for _, c := range []byte(text[i : i+n]) {
 				b.WriteString(`\x`)
 				b.WriteByte(hex[c>>4])
 				b.WriteByte(hex[c&15])
 			}
 		default:
-			b.WriteString(line[i : i+n])
+			b.WriteString(text[i : i+n])
 		}
 		i += n
 	}
@@ -187,13 +224,14 @@
 	return r >= 0x200b && r <= 0x200f || r >= 0x202a && r <= 0x202e || r >= 0x2060 && r <= 0x206f || r == 0xfeff || r >= 0xe0000 && r <= 0xe0fff
 }
 
-// Range is a part of a stream.
+// Range is a part of a stream from an offset up to another, in bytes.
 type Range struct {
 	From int64 `json:"from"`
 	To   int64 `json:"to"`
 }
 
-// Join adds a range to ranges that are in order and apart, and keeps them so.
+// Join adds a range to ranges that are in order and apart, and keeps them so. It may
+// change all in place; only the result is to be used.
 func Join(all []Range, r Range) []Range {
 	i, _ := slices.BinarySearchFunc(all, r.From, func(x Range, from int64) int { return cmp.Compare(x.To, from) })
 	k := i
@@ -204,7 +242,8 @@
 	return slices.Replace(all, i, k, r)
 }
 
-// MergeExpired says what expired when two records say so.
+// MergeExpired returns what expired according to two records together, with the time
+// and the reason of the later.
 func MergeExpired(a, b Expired) Expired {
 	if b.At > a.At || a.Reason == "" {
 		a.At, a.Reason = b.At, b.Reason
@@ -220,8 +259,8 @@
 	return a
 }
 
-// Covers tells whether a record is among what expired. Grants and the marks of
-// expiry themselves stay: they tell whose it was.
+// Covers tells whether a record is among what expired. Grants and the
+// expiry records themselves stay: they tell whose it was.
 func (e Expired) Covers(k Key) bool {
 	if e.Reason == "" || k.Kind == KindExpired || k.Kind == KindGrant {
 		return false
--- a/internal/archive/tree.go
+++ b/internal/archive/tree.go
@@ -6,36 +6,38 @@
 
 // Tree is a digest of a set of records in ranges of their units: two nodes compare
 // the root, then the branches that differ, and list only the leaves that do. It
-// is a sum, so that a record is added and taken away in one step.
+// is a sum, so that a record is added and taken away in one step. The zero value is
+// the tree of no records. It is not safe for concurrent use.
 type Tree struct {
 	leaves [Leaves]uint64
 	counts [Leaves]uint32
 }
 
-// Shape of a tree.
+// The shape of a tree.
 const (
-	Leaves = 4096
-	Fan    = 64 // branches of the root, and leaves of each branch
+	Leaves = 4096 // of the whole tree
+	Fan    = 64   // branches of the root, and leaves of each branch
 )
 
-// Leaf is the range that a unit's records fall into.
+// Leaf returns the leaf that a unit's records fall into, from 0 to Leaves-1.
 func Leaf(unit string) int { return int(xxhash.Sum64String("leaf\x00"+unit) % Leaves) }
 
+// weight is what a record adds to its leaf's digest.
 func weight(key string) uint64 { return xxhash.Sum64String(key) | 1 }
 
-// Add takes a record in.
+// Add adds the record with a key to a leaf.
 func (t *Tree) Add(leaf int, key string) {
 	t.leaves[leaf] += weight(key)
 	t.counts[leaf]++
 }
 
-// Remove takes one out that is in.
+// Remove removes a record that was added to a leaf.
 func (t *Tree) Remove(leaf int, key string) {
 	t.leaves[leaf] -= weight(key)
 	t.counts[leaf]--
 }
 
-// Count is how many records are in.
+// Count returns how many records the tree has.
 func (t *Tree) Count() (n int) {
 	for _, c := range t.counts {
 		n += int(c)
@@ -43,7 +45,7 @@
 	return n
 }
 
-// Branches are the digests of the root's branches.
+// Branches returns the digests of the root's branches, a new slice.
 func (t *Tree) Branches() []uint64 {
 	out := make([]uint64, Leaves/Fan)
 	for i, v := range t.leaves {
@@ -53,7 +55,8 @@
 	return out
 }
 
-// Branch are the digests of a branch's leaves; nil if there is no such branch.
+// Branch returns the digests of a branch's leaves, a new slice; nil if there is no
+// such branch.
 func (t *Tree) Branch(i int) []uint64 {
 	if i < 0 || i >= Leaves/Fan {
 		return nil
@@ -63,7 +66,8 @@
 	return out
 }
 
-// Differ lists where two rows of digests differ.
+// Differ returns the indices at which two lists of digests differ, as far as both
+// go.
 func Differ(a, b []uint64) (out []int) {
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -30,7 +30,7 @@
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func segment(job, n int, size int) archive.Record {
-	s := archive.Segment{Marks: []archive.Mark{{To: size, At: int64(n)}}, Data: make([]byte, size)}
+	s := archive.Segment{WriteTimes: []archive.WriteTime{{To: size, At: int64(n)}}, Data: make([]byte, size)}
 	for i := range s.Data {
 		s.Data[i] = byte(i*31 + n*7 + i*i*n)
 	}
