--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -336,7 +336,7 @@
 	// WriteTimes tell when what was written: up to which byte of the segment, and
 	// when the agent saw it.
 	WriteTimes []WriteTime
-	Data  []byte
+	Data       []byte
 }
 
 // WriteTime is when the bytes of a segment up to an offset were written; they begin
