--- a/internal/archive/ship/files.go
+++ b/internal/archive/ship/files.go
@@ -17,12 +17,13 @@
 	"silvergate/internal/archive"
 )
 
-// keepAll has records kept that belong together, or fails.
-func (s *Shipper) keepAll(recs []archive.Record) error {
-	if err := s.pace(sizeOf(recs)); err != nil {
+// storeTogether has a quorum store records that belong together. It returns
+// errRefused if one of them is refused, and another error if too few nodes store one.
+func (s *Shipper) storeTogether(records []archive.Record) error {
+	if err := s.pace(sizeOf(records)); err != nil {
 		return err
 	}
-	kept, refused := s.w.Put(s.ctx, recs)
+	kept, refused := s.writer.Put(s.ctx, records)
 	if slices.Contains(refused, true) {
 		return errRefused
 	}
@@ -33,43 +34,43 @@
 }
 
 // finish ships an ended attempt's files and then its end: with the end on record,
-// all before it is kept.
-func (s *Shipper) finish(f *follow) {
+// all before it is stored.
+func (s *Shipper) finish(f *followedAttempt) {
 	s.mu.Lock()
-	done := slices.Clone(f.acc.Files)
+	done := slices.Clone(f.progress.Files)
 	s.mu.Unlock()
 	files, err := s.keepFiles(f, done)
 	if err == nil {
 		s.mu.Lock()
-		end := *f.acc.End
+		end := *f.progress.End
 		end.Sizes = map[string]int64{}
-		for name, fl := range f.streams {
-			end.Sizes[name] = fl.Shipped
+		for name, follower := range f.streams {
+			end.Sizes[name] = follower.Shipped
 		}
 		end.Files = len(files)
 		s.mu.Unlock()
-		err = s.keepAll([]archive.Record{f.proof, archive.NewRecord(f.a, archive.KindEnd, "", archive.Encode(end))})
+		err = s.storeTogether([]archive.Record{f.grantRecord, archive.NewRecord(f.attempt, archive.KindEnd, "", archive.Encode(end))})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.busy = false
+	f.finishing = false
 	switch {
 	case err == nil:
-		f.acc.Whole, f.dirty = true, true
+		f.progress.Complete, f.unsaved = true, true
 	case errors.Is(err, errRefused):
-		s.log.Error("nodes refuse an attempt's end; it is given up", "attempt", f.a.String(), "err", err)
-		f.acc.Gone, f.dirty = "refused by the archive", true
+		s.log.Error("nodes refuse an attempt's end; it is given up", "attempt", f.attempt.String(), "err", err)
+		f.progress.GivenUp, f.unsaved = "refused by the archive", true
 	default:
-		s.log.Debug("an attempt's end is not kept yet", "attempt", f.a.String(), "err", err)
+		s.log.Debug("an attempt's end is not kept yet", "attempt", f.attempt.String(), "err", err)
 		return
 	}
 	s.save(f)
-	delete(s.all, f.a)
+	delete(s.attempts, f.attempt)
 }
 
 // keepFiles ships the files that match the job's patterns. What the program left
 // is data: links are not followed, and only regular files are read.
-func (s *Shipper) keepFiles(f *follow, done []archive.File) ([]archive.File, error) {
+func (s *Shipper) keepFiles(f *followedAttempt, done []archive.File) ([]archive.File, error) {
 	if len(f.grant.Keep) == 0 {
 		return nil, nil
 	}
@@ -96,7 +97,7 @@
 	}
 	slices.Sort(names)
 	if len(names) > s.cfg.FilesMax {
-		s.log.Warn("more files than are kept", "attempt", f.a.String(), "files", len(names), "kept", s.cfg.FilesMax)
+		s.log.Warn("more files than are kept", "attempt", f.attempt.String(), "files", len(names), "kept", s.cfg.FilesMax)
 		names = names[:s.cfg.FilesMax]
 	}
 	for _, name := range names {
@@ -113,7 +114,7 @@
 		done = append(done, *file)
 		s.mu.Lock()
 		s.stats.Files++
-		f.acc.Files, f.dirty = slices.Clone(done), true
+		f.progress.Files, f.unsaved = slices.Clone(done), true
 		s.save(f)
 		s.mu.Unlock()
 	}
@@ -139,7 +140,7 @@
 
 // keepFile ships a file's chunks and then its record; nil is a file that is not
 // kept.
-func (s *Shipper) keepFile(f *follow, root *os.Root, name string) (*archive.File, error) {
+func (s *Shipper) keepFile(f *followedAttempt, root *os.Root, name string) (*archive.File, error) {
 	in, err := root.Open(name)
 	if err != nil {
 		return nil, nil
@@ -150,12 +151,12 @@
 		return nil, nil
 	}
 	if info.Size() > int64(s.cfg.FileMB*1e6) {
-		s.log.Warn("a file is too large to be kept", "attempt", f.a.String(), "file", name, "bytes", info.Size())
+		s.log.Warn("a file is too large to be kept", "attempt", f.attempt.String(), "file", name, "bytes", info.Size())
 		return nil, nil
 	}
 	out := &archive.File{Path: name, Size: info.Size(), Mode: uint32(info.Mode().Perm()), At: info.ModTime().UnixMilli()}
 	sum := blake3.New()
-	shared := archive.NewRecord(archive.Files(f.a.Job), archive.KindGrant, "", f.proof.Payload)
+	shared := archive.NewRecord(archive.Files(f.attempt.Job), archive.KindGrant, "", f.grantRecord.Payload)
 	buf := make([]byte, archive.ChunkSize)
 	for left := out.Size; left > 0; {
 		n := min(left, archive.ChunkSize)
@@ -163,13 +164,13 @@
 			return nil, fmt.Errorf("%s: it has changed: %w", name, err)
 		}
 		_, _ = sum.Write(buf[:n])
-		chunk := archive.NewRecord(archive.Files(f.a.Job), archive.KindChunk, "", buf[:n])
-		if err := s.keepAll([]archive.Record{f.proof, shared, chunk}); err != nil {
+		chunk := archive.NewRecord(archive.Files(f.attempt.Job), archive.KindChunk, "", buf[:n])
+		if err := s.storeTogether([]archive.Record{f.grantRecord, shared, chunk}); err != nil {
 			return nil, err
 		}
 		out.Chunks = append(out.Chunks, chunk.Key.Digest)
 		left -= n
 	}
 	out.Digest = hex.EncodeToString(sum.Sum(nil))
-	return out, s.keepAll([]archive.Record{f.proof, archive.NewRecord(f.a, archive.KindFile, "", archive.Encode(out))})
+	return out, s.storeTogether([]archive.Record{f.grantRecord, archive.NewRecord(f.attempt, archive.KindFile, "", archive.Encode(out))})
 }
--- a/internal/archive/ship/plan.go
+++ b/internal/archive/ship/plan.go
@@ -1,12 +1,13 @@
 // Package ship is a machine's side of the archive: it follows what the machine's
-// tasks write into files, cuts it into segments and has archive nodes keep them,
+// tasks write into files, cuts it into segments and has archive nodes store them,
 // and does the same with the files that a job wants kept.
 //
 // plan.go decides, without I/O: where a stream is cut, what is shipped next, what
-// a full spool gives up. ship.go owns the attempts' accounts on disk and a loop
-// that carries the decisions out; put.go has records kept by a quorum.
+// a full spool gives up. ship.go follows attempts; rounds.go has the loop that
+// carries the decisions out; files.go ships files and the end; account.go saves the
+// progress on disk; put.go has records stored by a quorum.
 //
-// What a task wrote is in its files before anything here sees it. An account that
+// What a task wrote is in its files before anything here sees it. Progress that
 // is lost or old costs nothing but shipping some of it again: segments say what
 // they are, and overlaps are put together when they are read.
 package ship
@@ -18,34 +19,34 @@
 	"silvergate/internal/archive"
 )
 
-// Cursor is how far a stream was shipped. A program can shorten its own file; then
+// Cursor is how far a stream was shipped, in bytes. A program can shorten its own file; then
 // what follows goes on behind what was there before.
 type Cursor struct {
 	// Shipped is how much of the stream nodes acknowledged; File is where in the
 	// file that is.
 	Shipped int64 `json:"shipped"`
 	File    int64 `json:"file"`
-	// Gaps are losses that are not told yet.
+	// Gaps are losses that are not stored yet.
 	Gaps []archive.Gap `json:"gaps,omitempty"`
 }
 
-// seen is a size of a file and when it was met.
-type seen struct {
+// observedSize is a size of a file and when it was observed.
+type observedSize struct {
 	size int64 // of the file
-	at   int64 // milliseconds
+	at   int64 // Unix time in milliseconds
 }
 
-// follower decides where a stream is cut.
-type follower struct {
+// streamFollower decides where a stream is cut.
+type streamFollower struct {
 	Cursor
-	sizes []seen // rising, all above File
+	sizes []observedSize // rising, all above File
 }
 
-// maxSeen bounds the times that are kept of a stream that is not shipped.
-const maxSeen = 200
+// maxObservedSizes bounds the times that are kept of a stream that is not shipped.
+const maxObservedSizes = 200
 
-// saw takes the file's size as it is now.
-func (f *follower) saw(size, now int64) {
+// observe notes the file's size as it is now.
+func (f *streamFollower) observe(size, now int64) {
 	last := f.File
 	if n := len(f.sizes); n > 0 {
 		last = f.sizes[n-1].size
@@ -58,36 +59,37 @@
 		f.sizes = nil
 		f.File = 0
 		if size > 0 {
-			f.sizes = append(f.sizes, seen{size, now})
+			f.sizes = append(f.sizes, observedSize{size, now})
 		}
 	case size > last:
-		if len(f.sizes) == maxSeen { // coarser times rather than more memory
-			f.sizes[maxSeen-1] = seen{size, now}
+		if len(f.sizes) == maxObservedSizes { // coarser times rather than more memory
+			f.sizes[maxObservedSizes-1] = observedSize{size, now}
 		} else {
-			f.sizes = append(f.sizes, seen{size, now})
+			f.sizes = append(f.sizes, observedSize{size, now})
 		}
 	}
 }
 
-// left is how much is to be shipped.
-func (f *follower) left() int64 {
+// unshipped is how many bytes are to be shipped.
+func (f *streamFollower) unshipped() int64 {
 	if n := len(f.sizes); n > 0 {
 		return f.sizes[n-1].size - f.File
 	}
 	return 0
 }
 
-// since is when the oldest of it was met; 0 if there is none.
-func (f *follower) since() int64 {
+// oldestUnshipped is when the oldest of them was observed; 0 if there are none.
+func (f *streamFollower) oldestUnshipped() int64 {
 	if len(f.sizes) == 0 {
 		return 0
 	}
 	return f.sizes[0].at
 }
 
-// cut says what the next segment is: so much of the file from File on, with marks.
-func (f *follower) cut() (n int64, marks []archive.WriteTime) {
-	n = min(f.left(), archive.MaxSegment)
+// nextSegment says what the next segment is: n bytes of the file from File on, with
+// their write times.
+func (f *streamFollower) nextSegment() (n int64, marks []archive.WriteTime) {
+	n = min(f.unshipped(), archive.MaxSegment)
 	for _, s := range f.sizes {
 		to := min(s.size-f.File, n)
 		marks = append(marks, archive.WriteTime{To: int(to), At: s.at})
@@ -98,40 +100,40 @@
 	return n, marks
 }
 
-// acked takes that the next n bytes are kept, or given up.
-func (f *follower) acked(n int64) {
+// advance notes that the next n bytes are stored, or given up.
+func (f *streamFollower) advance(n int64) {
 	f.Shipped += n
 	f.File += n
-	f.sizes = slices.DeleteFunc(f.sizes, func(s seen) bool { return s.size <= f.File })
+	f.sizes = slices.DeleteFunc(f.sizes, func(s observedSize) bool { return s.size <= f.File })
 }
 
 // giveUp drops the next n bytes, and notes it.
-func (f *follower) giveUp(n, now int64, reason string) {
+func (f *streamFollower) giveUp(n, now int64, reason string) {
 	if n > 0 {
 		f.Gaps = append(f.Gaps, archive.Gap{From: f.Shipped, To: f.Shipped + n, At: now, Reason: reason})
-		f.acked(n)
+		f.advance(n)
 	}
 }
 
-// want is an attempt's need to ship, as the plan sees it.
-type want struct {
-	attempt archive.Attempt
-	urgent  bool
-	over    bool
-	since   int64 // when the oldest unshipped byte was met, 0: none
-	left    int64
+// shipNeed is what an attempt has to ship, as the plan sees it.
+type shipNeed struct {
+	attempt   archive.Attempt
+	urgent    bool
+	ended     bool
+	since     int64 // when the oldest unshipped byte was observed, 0: none
+	unshipped int64
 }
 
 // due decides which attempts are shipped now: those with enough for a whole
 // segment, with something older than the bound, or that are over; urgent ones
 // first, then the oldest.
-func due(all []want, now, bound int64) (out []want) {
+func due(all []shipNeed, now, bound int64) (out []shipNeed) {
 	for _, w := range all {
-		if w.left >= archive.MaxSegment || w.since > 0 && now-w.since >= bound || w.over {
+		if w.unshipped >= archive.MaxSegment || w.since > 0 && now-w.since >= bound || w.ended {
 			out = append(out, w)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b want) int {
+	slices.SortStableFunc(out, func(a, b shipNeed) int {
 		if a.urgent != b.urgent {
 			if a.urgent {
 				return -1
@@ -149,19 +151,19 @@
 // spill decides what a full spool gives up: of attempts that are over first, those
 // that are not urgent before those that are, the oldest first; then of running
 // ones. It returns how many bytes of each, in the order of all.
-func spill(all []want, quota int64) []int64 {
+func spill(all []shipNeed, quota int64) []int64 {
 	out := make([]int64, len(all))
 	over := -quota
 	for _, w := range all {
-		over += w.left
+		over += w.unshipped
 	}
 	order := make([]int, len(all))
 	for i := range order {
 		order[i] = i
 	}
-	rank := func(w want) int {
+	rank := func(w shipNeed) int {
 		r := 0
-		if !w.over {
+		if !w.ended {
 			r += 2
 		}
 		if w.urgent {
@@ -179,7 +181,7 @@
 		if over <= 0 {
 			break
 		}
-		out[i] = min(all[i].left, over)
+		out[i] = min(all[i].unshipped, over)
 		over -= out[i]
 	}
 	return out
--- a/internal/archive/ship/plan_test.go
+++ b/internal/archive/ship/plan_test.go
@@ -19,7 +19,7 @@
 // stream must be cut or given up, in order, and every loss must be told.
 func TestStreamsAreCutOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &follower{}
+		f := &streamFollower{}
 		var file []byte
 		wrote, now := 0, int64(1)
 		var stream []byte // what was acknowledged, with 0 for what was given up
@@ -39,7 +39,7 @@
 				if int64(len(file)) < seenSize {
 					lost++
 				}
-				f.saw(int64(len(file)), now)
+				f.observe(int64(len(file)), now)
 				seenSize = int64(len(file))
 			},
 			"shorten": func(t *rapid.T) {
@@ -49,11 +49,11 @@
 				if seenSize > 0 {
 					lost++
 				}
-				f.saw(0, now)
+				f.observe(0, now)
 				seenSize = 0
 			},
 			"ship": func(t *rapid.T) {
-				n, marks := f.cut()
+				n, marks := f.nextSegment()
 				if n == 0 {
 					return
 				}
@@ -73,16 +73,16 @@
 				part := file[f.File : f.File+n]
 				if rapid.Bool().Draw(t, "acknowledged") {
 					stream = append(stream, part...)
-					f.acked(n)
+					f.advance(n)
 				}
 			},
 			"spool full": func(t *rapid.T) {
-				n := rapid.Int64Range(0, f.left()).Draw(t, "n")
+				n := rapid.Int64Range(0, f.unshipped()).Draw(t, "n")
 				stream = append(stream, make([]byte, n)...)
 				f.giveUp(n, now, archive.GapQuota)
 			},
 			"start again": func(*rapid.T) {
-				f = &follower{Cursor: Cursor{f.Shipped, f.File, f.Gaps}}
+				f = &streamFollower{Cursor: Cursor{f.Shipped, f.File, f.Gaps}}
 				seenSize = f.File
 			},
 			"": func(t *rapid.T) {
@@ -110,11 +110,11 @@
 // it must, of finished tasks before running ones, of others before urgent ones.
 func TestWhatGoesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []want
+		var all []shipNeed
 		for i := range rapid.IntRange(0, 12).Draw(t, "attempts") {
-			w := want{attempt: archive.Attempt{Job: fmt.Sprintf("wk-%06d", i)}, urgent: rapid.Bool().Draw(t, "urgent"), over: rapid.Bool().Draw(t, "over"),
-				left: rapid.SampledFrom([]int64{0, 0, 10, 5000, archive.MaxSegment, 3 * archive.MaxSegment}).Draw(t, "left")}
-			if w.left > 0 {
+			w := shipNeed{attempt: archive.Attempt{Job: fmt.Sprintf("wk-%06d", i)}, urgent: rapid.Bool().Draw(t, "urgent"), ended: rapid.Bool().Draw(t, "over"),
+				unshipped: rapid.SampledFrom([]int64{0, 0, 10, 5000, archive.MaxSegment, 3 * archive.MaxSegment}).Draw(t, "left")}
+			if w.unshipped > 0 {
 				w.since = rapid.Int64Range(1, 1000).Draw(t, "since")
 			}
 			all = append(all, w)
@@ -132,7 +132,7 @@
 			}
 		}
 		for _, w := range all {
-			must := w.over || w.left >= archive.MaxSegment || w.left > 0 && now-w.since >= bound
+			must := w.ended || w.unshipped >= archive.MaxSegment || w.unshipped > 0 && now-w.since >= bound
 			if must != in[w.attempt] {
 				t.Fatalf("%+v is due: %v", w, in[w.attempt])
 			}
@@ -141,18 +141,18 @@
 		drops := spill(all, quota)
 		total, left := int64(0), int64(0)
 		for i, w := range all {
-			if drops[i] < 0 || drops[i] > w.left {
-				t.Fatalf("%d of %d bytes", drops[i], w.left)
+			if drops[i] < 0 || drops[i] > w.unshipped {
+				t.Fatalf("%d of %d bytes", drops[i], w.unshipped)
 			}
-			total += w.left
-			left += w.left - drops[i]
+			total += w.unshipped
+			left += w.unshipped - drops[i]
 			if drops[i] == 0 {
 				continue
 			}
 			for k, o := range all { // nobody less important keeps anything
-				worse := o.over && !w.over || o.over == w.over && !o.urgent && w.urgent
-				if worse && drops[k] < o.left {
-					t.Fatalf("%+v loses %d, and %+v keeps %d", w, drops[i], o, o.left-drops[k])
+				worse := o.ended && !w.ended || o.ended == w.ended && !o.urgent && w.urgent
+				if worse && drops[k] < o.unshipped {
+					t.Fatalf("%+v loses %d, and %+v keeps %d", w, drops[i], o, o.unshipped-drops[k])
 				}
 			}
 		}
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -19,7 +19,8 @@
 	"silvergate/internal/identity"
 )
 
-// Writer has records kept by a quorum of their nodes.
+// Writer has records stored by a quorum of their nodes. It is safe for concurrent
+// use.
 type Writer struct {
 	log     *slog.Logger
 	members archive.Members
@@ -31,24 +32,25 @@
 	name, address string
 	http          *http.Client
 
-	mu    sync.Mutex
-	back  *backoff.ExponentialBackOff
-	until time.Time // not asked before
-	under int       // requests under way
+	mu        sync.Mutex
+	backOff   *backoff.ExponentialBackOff
+	notBefore time.Time // not asked before, after it failed
+	inFlight  int       // requests on their way
 }
 
-// underWay bounds what is on its way to one node: a slow one must not gather what
-// the others have long kept. It comes level with them by itself.
-const underWay = 3
+// maxInFlight bounds the requests on their way to one node: a slow one must not
+// gather what the others have long stored. It fetches that from them by itself.
+const maxInFlight = 3
 
-// NewWriter makes a writer for a party's certificate.
+// NewWriter makes a writer that connects with the certificate of k, which stays the
+// caller's.
 func NewWriter(k *identity.Keeper, members []node.Member, replicas int, log *slog.Logger) *Writer {
 	w := &Writer{log: log, members: archive.Members{Replicas: replicas}}
 	for _, m := range members {
 		b := backoff.NewExponentialBackOff()
 		b.InitialInterval, b.MaxInterval = 100*time.Millisecond, 5*time.Second
 		w.members.Names = append(w.members.Names, m.Name)
-		w.nodes = append(w.nodes, &remote{name: m.Name, address: m.Address, back: b, http: &http.Client{Timeout: putPatience,
+		w.nodes = append(w.nodes, &remote{name: m.Name, address: m.Address, backOff: b, http: &http.Client{Timeout: putPatience,
 			Transport: &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute,
 				TLSHandshakeTimeout: 3 * time.Second, DisableCompression: true}}})
 	}
@@ -59,33 +61,36 @@
 // hold up what the others have kept.
 const putPatience = 5 * time.Second
 
-// errAway is a node that is not asked now, after it did not answer.
-var errAway = errors.New("it did not answer just now")
+// errBackingOff says that a node is not asked now: it failed just before, or has
+// maxInFlight requests.
+var errBackingOff = errors.New("it did not answer just now")
 
-// errRefused is a record that nodes do not take, now or later.
+// errRefused says that nodes do not take a record, now or later.
 var errRefused = errors.New("refused")
 
+// post has the node store records, unless it is not to be asked now.
 func (r *remote) post(ctx context.Context, body []byte) error {
 	r.mu.Lock()
-	if time.Until(r.until) > 0 || r.under == underWay {
+	if time.Until(r.notBefore) > 0 || r.inFlight == maxInFlight {
 		r.mu.Unlock()
-		return errAway
+		return errBackingOff
 	}
-	r.under++
+	r.inFlight++
 	r.mu.Unlock()
 	err := r.try(ctx, body)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.under--
+	r.inFlight--
 	switch {
 	case err == nil || errors.Is(err, errRefused):
-		r.back.Reset()
+		r.backOff.Reset()
 	case ctx.Err() == nil:
-		r.until = time.Now().Add(r.back.NextBackOff())
+		r.notBefore = time.Now().Add(r.backOff.NextBackOff())
 	}
 	return err
 }
 
+// try sends one request with records.
 func (r *remote) try(ctx context.Context, body []byte) error {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+r.address+node.PathRecords, bytes.NewReader(body))
 	if err != nil {
@@ -106,15 +111,17 @@
 	return fmt.Errorf("%s: %s", a.Status, bytes.TrimSpace(text))
 }
 
-// Put has records kept. kept tells, for each, whether a quorum of its nodes has it
-// on disk; refused whether a quorum says that it never will. A node that is slow
-// is not waited for once all have their quorum.
-func (w *Writer) Put(ctx context.Context, recs []archive.Record) (kept, refused []bool) {
-	kept, refused = make([]bool, len(recs)), make([]bool, len(recs))
-	yes, no := make([]int, len(recs)), make([]int, len(recs))
-	owners := make([][]string, len(recs))
-	for i := range recs {
-		owners[i] = w.members.Of(archive.Unit(recs[i].Key.Attempt))
+// Put has records stored. kept tells, for each, whether a quorum of its nodes has it
+// on disk; refused whether a quorum says that it never will. A node that is slow is
+// not waited for once each record has its quorum of either. Failures are logged: a
+// record that is neither kept nor refused may be put again. The records are not
+// changed, and may be used again when Put returns.
+func (w *Writer) Put(ctx context.Context, records []archive.Record) (kept, refused []bool) {
+	kept, refused = make([]bool, len(records)), make([]bool, len(records))
+	yes, no := make([]int, len(records)), make([]int, len(records))
+	owners := make([][]string, len(records))
+	for i := range records {
+		owners[i] = w.members.Of(archive.Unit(records[i].Key.Attempt))
 	}
 	type result struct {
 		mine []int
@@ -125,9 +132,9 @@
 	for _, r := range w.nodes {
 		var mine []int
 		var body []byte
-		for i := range recs {
+		for i := range records {
 			if slices.Contains(owners[i], r.name) {
-				mine, body = append(mine, i), archive.AppendFrame(body, &recs[i])
+				mine, body = append(mine, i), archive.AppendFrame(body, &records[i])
 			}
 		}
 		if len(mine) == 0 {
@@ -136,7 +143,7 @@
 		asked++
 		go func() {
 			err := r.post(ctx, body)
-			if err != nil && !errors.Is(err, errAway) {
+			if err != nil && !errors.Is(err, errBackingOff) {
 				w.log.Debug("records not kept", "node", r.name, "records", len(mine), "err", err)
 			}
 			results <- result{mine, err}
@@ -154,7 +161,7 @@
 				no[i]++
 			}
 		}
-		for i := range recs {
+		for i := range records {
 			kept[i], refused[i] = yes[i] >= q, no[i] >= q
 			all = all && (kept[i] || refused[i])
 		}
@@ -165,6 +172,7 @@
 	return kept, refused
 }
 
+// get reads a path, at most identity.MaxRevocations bytes.
 func (r *remote) get(ctx context.Context, path string) ([]byte, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+r.address+path, nil)
 	if err != nil {
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -13,9 +13,10 @@
 	"silvergate/internal/archive"
 )
 
-// batchBytes bounds what goes out at a time.
+// batchBytes is the size in bytes from which a batch takes no more segments.
 const batchBytes = 4 << 20
 
+// loop observes the files and ships what is due until Stop.
 func (s *Shipper) loop() {
 	bound := time.Duration(s.cfg.BoundS * float64(time.Second))
 	t := time.NewTicker(bound / 4)
@@ -27,171 +28,205 @@
 		case <-t.C:
 		case <-s.wakeup:
 		}
-		s.look()
-		for s.ctx.Err() == nil && s.round() {
+		s.observeFiles()
+		for s.ctx.Err() == nil && s.shipBatch() {
 		}
 	}
 }
 
-// look meets the files as they are.
-func (s *Shipper) look() {
+// observeFiles notes how long the files are now, gives up what the spool has no room
+// for, and saves the progress of attempts for which that is due.
+func (s *Shipper) observeFiles() {
 	s.mu.Lock()
-	all := make([]*follow, 0, len(s.all))
-	for _, f := range s.all {
+	all := make([]*followedAttempt, 0, len(s.attempts))
+	for _, f := range s.attempts {
 		all = append(all, f)
 	}
 	s.mu.Unlock()
 	now := nowMS()
-	var wants []want
+	var needs []shipNeed
 	for _, f := range all {
 		s.mu.Lock()
-		over := f.acc.End != nil
+		ended := f.progress.End != nil
 		s.mu.Unlock()
 		for _, name := range archive.Streams {
 			info, err := os.Stat(filepath.Join(f.dir, name))
 			s.mu.Lock()
-			fl := f.streams[name]
+			follower := f.streams[name]
 			switch {
 			case err == nil:
-				fl.saw(info.Size(), now)
+				follower.observe(info.Size(), now)
 			case !errors.Is(err, fs.ErrNotExist):
-				s.log.Error("output can't be read", "attempt", f.a.String(), "stream", name, "err", err)
+				s.log.Error("output can't be read", "attempt", f.attempt.String(), "stream", name, "err", err)
 			}
 			s.mu.Unlock()
 		}
 		s.mu.Lock()
-		f.final = over
+		f.outputFinal = ended
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range all {
-		wants = append(wants, f.want())
+		needs = append(needs, f.need())
 	}
-	for i, n := range spill(wants, int64(s.cfg.SpoolMB*1e6)) {
+	for i, n := range spill(needs, int64(s.cfg.SpoolMB*1e6)) {
 		for _, name := range archive.Streams {
-			fl := all[i].streams[name]
-			k := min(n, fl.left())
+			follower := all[i].streams[name]
+			k := min(n, follower.unshipped())
 			if k <= 0 {
 				continue
 			}
-			fl.giveUp(k, now, archive.GapQuota)
+			follower.giveUp(k, now, archive.GapQuota)
 			n -= k
 			s.stats.GivenUp += k
-			all[i].dirty = true
-			s.log.Warn("the spool is full; output is given up", "attempt", all[i].a.String(), "stream", name, "bytes", k)
+			all[i].unsaved = true
+			s.log.Warn("the spool is full; output is given up", "attempt", all[i].attempt.String(), "stream", name, "bytes", k)
 		}
 	}
 	for _, f := range all {
-		if time.Since(f.saved) > saveEvery {
+		if time.Since(f.lastSaved) > saveInterval {
 			s.save(f)
 		}
 	}
 }
 
-// want is the attempt's need; the lock is held.
-func (f *follow) want() want {
-	w := want{attempt: f.a, urgent: f.urgent, over: f.acc.End != nil}
-	for _, fl := range f.streams {
-		w.left += fl.left()
-		if at := fl.since(); at > 0 && (w.since == 0 || at < w.since) {
+// need is what the attempt has to ship; the lock is held.
+func (f *followedAttempt) need() shipNeed {
+	w := shipNeed{attempt: f.attempt, urgent: f.urgent, ended: f.progress.End != nil}
+	for _, follower := range f.streams {
+		w.unshipped += follower.unshipped()
+		if at := follower.oldestUnshipped(); at > 0 && (w.since == 0 || at < w.since) {
 			w.since = at
 		}
 	}
 	return w
 }
 
-// endEvery is how long after an attempt's end could not be kept it is tried again.
-const endEvery = time.Second
+// finishRetryInterval is how long after an attempt's end could not be stored it is tried again.
+const finishRetryInterval = time.Second
 
-// sent is a record on its way, and what follows when it is kept.
-type sent struct {
-	f      *follow
-	stream string
-	n      int64 // bytes of the stream
-	gap    bool
+// sentRecord is what follows for its attempt when a record is stored. The zero value
+// is a record from which nothing follows.
+type sentRecord struct {
+	attempt *followedAttempt
+	stream  string
+	bytes   int64 // of the stream
+	isGap   bool
 }
 
-// round ships a batch of what is due; false if nothing was, or nothing was kept.
-func (s *Shipper) round() bool {
-	s.mu.Lock()
-	var wants []want
-	for _, f := range s.all {
-		wants = append(wants, f.want())
+// streamCut is what is to be shipped of a stream: its gaps and its next segment.
+type streamCut struct {
+	attempt    *followedAttempt
+	stream     string
+	fileOffset int64
+	offset     int64 // in the stream
+	bytes      int64
+	writeTimes []archive.WriteTime
+	gaps       []archive.Gap
+}
+
+// shipBatch ships a batch of what is due; false if nothing was, or nothing was
+// stored.
+func (s *Shipper) shipBatch() bool {
+	cuts, ended := s.selectDue()
+	for _, f := range ended {
+		s.wait.Add(1)
+		go func() {
+			defer s.wait.Done()
+			s.finish(f)
+		}()
 	}
-	type cut struct {
-		f      *follow
-		stream string
-		file   int64
-		at     int64
-		n      int64
-		marks  []archive.WriteTime
-		gaps   []archive.Gap
+	records, sent := s.readCuts(cuts)
+	if len(records) == 0 {
+		return false
+	}
+	return s.send(records, sent)
+}
+
+// selectDue returns what is to be shipped now, up to about batchBytes, and the ended
+// attempts whose output is shipped: those are marked as finishing.
+func (s *Shipper) selectDue() (cuts []streamCut, ended []*followedAttempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var needs []shipNeed
+	for _, f := range s.attempts {
+		needs = append(needs, f.need())
 	}
-	var cuts []cut
-	var ends []*follow
 	size := int64(0)
 	bound := int64(s.cfg.BoundS * 1000)
-	for _, w := range due(wants, nowMS(), bound/2) {
-		f := s.all[w.attempt]
+	for _, need := range due(needs, nowMS(), bound/2) {
+		f := s.attempts[need.attempt]
 		open := false
 		for _, name := range archive.Streams {
-			fl := f.streams[name]
-			if n, marks := fl.cut(); (n > 0 || len(fl.Gaps) > 0) && size < batchBytes {
-				cuts = append(cuts, cut{f, name, fl.File, fl.Shipped, n, marks, slices.Clone(fl.Gaps)})
+			follower := f.streams[name]
+			if n, times := follower.nextSegment(); (n > 0 || len(follower.Gaps) > 0) && size < batchBytes {
+				cuts = append(cuts, streamCut{
+					attempt:    f,
+					stream:     name,
+					fileOffset: follower.File,
+					offset:     follower.Shipped,
+					bytes:      n,
+					writeTimes: times,
+					gaps:       slices.Clone(follower.Gaps),
+				})
 				size += n
 			}
-			open = open || fl.left() > 0 || len(fl.Gaps) > 0
+			open = open || follower.unshipped() > 0 || len(follower.Gaps) > 0
 		}
-		if f.final && !open && !f.busy && time.Since(f.tried) > endEvery {
-			f.busy, f.tried = true, time.Now()
-			ends = append(ends, f)
+		if f.outputFinal && !open && !f.finishing && time.Since(f.lastFinish) > finishRetryInterval {
+			f.finishing, f.lastFinish = true, time.Now()
+			ended = append(ended, f)
 		}
 	}
-	s.mu.Unlock()
-	for _, f := range ends {
-		s.wait.Add(1)
-		go func() {
-			defer s.wait.Done()
-			s.finish(f)
-		}()
-	}
-	var recs []archive.Record
-	var what []sent
-	granted := map[*follow]bool{}
-	for _, c := range cuts {
-		if !granted[c.f] {
-			granted[c.f] = true
-			recs, what = append(recs, c.f.proof), append(what, sent{})
+	return cuts, ended
+}
+
+// readCuts makes the records of a batch and says what follows from each: the grant
+// of each attempt before its first record, and each stream's gaps before its segment.
+func (s *Shipper) readCuts(cuts []streamCut) (records []archive.Record, sent []sentRecord) {
+	granted := map[*followedAttempt]bool{}
+	for i := range cuts {
+		c := &cuts[i]
+		if !granted[c.attempt] {
+			granted[c.attempt] = true
+			records = append(records, c.attempt.grantRecord)
+			sent = append(sent, sentRecord{})
 		}
 		for _, g := range c.gaps {
-			recs = append(recs, archive.NewRecord(c.f.a, archive.KindGap, archive.At(c.stream, g.From, 0), archive.Encode(g)))
-			what = append(what, sent{f: c.f, stream: c.stream, gap: true})
+			name := archive.At(c.stream, g.From, 0)
+			records = append(records, archive.NewRecord(c.attempt.attempt, archive.KindGap, name, archive.Encode(g)))
+			sent = append(sent, sentRecord{attempt: c.attempt, stream: c.stream, isGap: true})
 		}
-		if c.n == 0 {
+		if c.bytes == 0 {
 			continue
 		}
-		data, err := readPart(filepath.Join(c.f.dir, c.stream), c.file, c.n)
+		data, err := readPart(filepath.Join(c.attempt.dir, c.stream), c.fileOffset, c.bytes)
 		if err != nil {
-			s.log.Error("output can't be read", "attempt", c.f.a.String(), "stream", c.stream, "err", err)
-			s.mu.Lock()
-			if over := c.f.acc.End != nil; over {
-				c.f.streams[c.stream].giveUp(c.n, nowMS(), archive.GapUnread)
-				c.f.dirty = true
-			}
-			s.mu.Unlock()
+			s.log.Error("output can't be read", "attempt", c.attempt.attempt.String(), "stream", c.stream, "err", err)
+			s.giveUpUnread(c)
 			continue
 		}
-		seg := archive.Segment{WriteTimes: c.marks, Data: data}
-		recs = append(recs, archive.NewRecord(c.f.a, archive.KindSegment, archive.At(c.stream, c.at, int(c.n)), seg.Encode()))
-		what = append(what, sent{f: c.f, stream: c.stream, n: c.n})
+		segment := archive.Segment{WriteTimes: c.writeTimes, Data: data}
+		name := archive.At(c.stream, c.offset, int(c.bytes))
+		records = append(records, archive.NewRecord(c.attempt.attempt, archive.KindSegment, name, segment.Encode()))
+		sent = append(sent, sentRecord{attempt: c.attempt, stream: c.stream, bytes: c.bytes})
 	}
-	if len(recs) == 0 {
-		return false
+	return records, sent
+}
+
+// giveUpUnread gives up output of an ended attempt that can't be read. Of one that
+// runs it is read again.
+func (s *Shipper) giveUpUnread(c *streamCut) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if ended := c.attempt.progress.End != nil; ended {
+		c.attempt.streams[c.stream].giveUp(c.bytes, nowMS(), archive.GapUnread)
+		c.attempt.unsaved = true
 	}
-	return s.send(recs, what)
 }
 
+// readPart reads n bytes of a file from an offset on.
 func readPart(path string, from, n int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -226,47 +261,49 @@
 	return nil
 }
 
-func sizeOf(recs []archive.Record) (n int) {
-	for i := range recs {
-		n += archive.FrameSize(&recs[i])
+// sizeOf returns the length of records' frames in bytes.
+func sizeOf(records []archive.Record) (n int) {
+	for i := range records {
+		n += archive.FrameSize(&records[i])
 	}
 	return n
 }
 
-// send has records kept and takes note of those that are.
-func (s *Shipper) send(recs []archive.Record, what []sent) (progress bool) {
-	size := sizeOf(recs)
+// send has records stored by a quorum and notes those that are, or that are refused;
+// anyStored tells whether something was.
+func (s *Shipper) send(records []archive.Record, sent []sentRecord) (anyStored bool) {
+	size := sizeOf(records)
 	if s.pace(size) != nil {
 		return false
 	}
-	kept, refused := s.w.Put(s.ctx, recs)
+	kept, refused := s.writer.Put(s.ctx, records)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Packed += int64(size)
-	for i, w := range what {
-		if w.f == nil {
+	for i, w := range sent {
+		if w.attempt == nil {
 			continue
 		}
-		fl := w.f.streams[w.stream]
+		follower := w.attempt.streams[w.stream]
 		if refused[i] {
 			s.stats.Refused++
-			s.log.Error("nodes refuse an attempt's output; it is given up", "attempt", w.f.a.String())
-			w.f.acc.Gone, w.f.dirty = "refused by the archive", true
-			s.save(w.f)
-			delete(s.all, w.f.a)
+			s.log.Error("nodes refuse an attempt's output; it is given up", "attempt", w.attempt.attempt.String())
+			w.attempt.progress.GivenUp, w.attempt.unsaved = "refused by the archive", true
+			s.save(w.attempt)
+			delete(s.attempts, w.attempt.attempt)
 			continue
 		}
 		if !kept[i] {
 			continue
 		}
-		progress = true
-		w.f.dirty = true
-		if w.gap {
-			fl.Gaps = fl.Gaps[1:] // in the order in which they went out
+		anyStored = true
+		w.attempt.unsaved = true
+		if w.isGap {
+			follower.Gaps = follower.Gaps[1:] // in the order in which they went out
 			continue
 		}
-		fl.acked(w.n)
-		s.stats.Shipped += w.n
+		follower.advance(w.bytes)
+		s.stats.Shipped += w.bytes
 	}
-	return progress
+	return anyStored
 }
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -21,34 +21,34 @@
 	"silvergate/internal/protocol"
 )
 
-// Config is what a machine is told of the archive, in YAML.
+// Config holds a machine's settings of the archive, as the YAML file has them.
 type Config struct {
-	Members  []node.Member `yaml:"members"`
-	Replicas int           `yaml:"replicas"`
+	Members  []node.Member `yaml:"members"`  // all nodes
+	Replicas int           `yaml:"replicas"` // nodes that keep each record
 	// Certs is the folder with the agent's certificate.
 	Certs string `yaml:"certs"`
 	// BoundS is how old output may be before it is shipped, in seconds: a machine
 	// that is lost with its disk costs what came after.
 	BoundS float64 `yaml:"bound_s"`
-	// RateMBPerS bounds what is shipped, and UrgentMBPerS does while inputs of an
-	// urgent task are being fetched; 0: unbounded.
+	// RateMBPerS bounds what is shipped, in megabytes a second, and UrgentMBPerS
+	// does while inputs of an urgent task are being fetched; 0: unbounded.
 	RateMBPerS   float64 `yaml:"rate_mb_per_s"`
 	UrgentMBPerS float64 `yaml:"urgent_mb_per_s"`
-	// SpoolMB is how much may wait to be shipped; what is beyond is given up, and
-	// told as a gap.
+	// SpoolMB is how much may wait to be shipped, in megabytes; what is beyond is
+	// given up, and recorded as a gap.
 	SpoolMB float64 `yaml:"spool_mb"`
-	// FileMB is how large a file may be that is kept.
+	// FileMB is how large a file may be that is kept, in megabytes.
 	FileMB float64 `yaml:"file_mb"`
 	// FilesMax is how many files of an attempt are kept.
 	FilesMax int `yaml:"files_max"`
 }
 
-// DefaultConfig returns what holds for fields that a file does not name.
+// DefaultConfig returns the values of the settings that a file does not name.
 func DefaultConfig() Config {
 	return Config{Replicas: 3, BoundS: 1, RateMBPerS: 50, UrgentMBPerS: 1, SpoolMB: 1000, FileMB: 1000, FilesMax: 1000}
 }
 
-// Check names the first field that can't be.
+// Check returns an error that names the first invalid field, or nil.
 func (c *Config) Check() error {
 	if err := node.CheckMembers(c.Members); err != nil {
 		return err
@@ -72,54 +72,58 @@
 	return nil
 }
 
-// follow is an attempt whose output is followed.
-type follow struct {
-	a       archive.Attempt
-	dir     string
-	grant   archive.Grant
-	proof   archive.Record // the grant, as nodes keep it: it goes with every batch
-	acc     account
-	urgent  bool
-	streams map[string]*follower
-	dirty   bool
-	final   bool // its files were looked at after its end
-	busy    bool // its files are being shipped
-	tried   time.Time
-	saved   time.Time
+// followedAttempt is an attempt whose output is followed. Shipper.mu guards it, but
+// for its first four fields, which do not change.
+type followedAttempt struct {
+	attempt     archive.Attempt
+	dir         string
+	grant       archive.Grant
+	grantRecord archive.Record // the grant, as nodes keep it: it goes with every batch
+	progress    progress
+	urgent      bool
+	streams     map[string]*streamFollower
+	unsaved     bool
+	outputFinal bool // its files were looked at after its end
+	finishing   bool // its files are being shipped
+	lastFinish  time.Time
+	lastSaved   time.Time
 }
 
-// Stats counts what was shipped.
+// Stats counts what a shipper follows and what it shipped since New.
 type Stats struct {
 	Attempts int
-	Left     int64 // bytes that wait
+	Left     int64 // bytes that wait to be shipped
 	Shipped  int64 // bytes of output that a quorum has
 	Packed   int64 // bytes that went out for them, to each node
 	Files    int64
 	GivenUp  int64 // bytes
 	Refused  int64 // records
-	OldestMS int64 // age of the oldest output that waits
+	OldestMS int64 // age of the oldest output that waits, in milliseconds
 }
 
-// Shipper follows the attempts of a machine.
+// Shipper follows the attempts of a machine. It is safe for concurrent use. Where a
+// method says nothing else, a nil Shipper does nothing. Whoever starts it stops it.
 type Shipper struct {
-	cfg    Config
-	log    *slog.Logger
-	keep   *identity.Keeper
-	w      *Writer
-	limit  *rate.Limiter
-	ctx    context.Context
-	stop   context.CancelFunc
-	wait   sync.WaitGroup
-	wakeup chan struct{}
-	// Urgent tells whether inputs of an urgent task are being fetched.
+	cfg          Config
+	log          *slog.Logger
+	certificates *identity.Keeper
+	writer       *Writer
+	limit        *rate.Limiter
+	ctx          context.Context
+	stop         context.CancelFunc
+	wait         sync.WaitGroup
+	wakeup       chan struct{}
+	// Urgent tells whether inputs of an urgent task are being fetched. It may be
+	// replaced before Start.
 	Urgent func() bool
 
-	mu    sync.Mutex
-	all   map[archive.Attempt]*follow
-	stats Stats
+	mu       sync.Mutex
+	attempts map[archive.Attempt]*followedAttempt
+	stats    Stats
 }
 
-// New makes a shipper; Start starts it.
+// New makes a shipper. It returns an error if the settings are invalid or the
+// certificate can't be read. Start starts it.
 func New(cfg Config, log *slog.Logger) (*Shipper, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -128,13 +132,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Shipper{cfg: cfg, log: log, keep: k, w: NewWriter(k, cfg.Members, cfg.Replicas, log), limit: rate.NewLimiter(rate.Inf, batchBytes),
-		wakeup: make(chan struct{}, 1), all: map[archive.Attempt]*follow{}, Urgent: func() bool { return false }}
+	s := &Shipper{
+		cfg:          cfg,
+		log:          log,
+		certificates: k,
+		writer:       NewWriter(k, cfg.Members, cfg.Replicas, log),
+		limit:        rate.NewLimiter(rate.Inf, batchBytes),
+		wakeup:       make(chan struct{}, 1),
+		attempts:     map[archive.Attempt]*followedAttempt{},
+		Urgent:       func() bool { return false },
+	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s, nil
 }
 
-// Start begins to ship.
+// Start begins to ship in the background. The shipper must not be nil; Start is
+// called once.
 func (s *Shipper) Start() {
 	s.wait.Add(2)
 	go func() {
@@ -147,7 +160,8 @@
 	}()
 }
 
-// Stop ends shipping; what waits stays on disk.
+// Stop waits for what is under way and saves the progress of all attempts; what was
+// not shipped stays on disk.
 func (s *Shipper) Stop() {
 	if s == nil {
 		return
@@ -156,16 +170,18 @@
 	s.wait.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range s.all {
+	for _, f := range s.attempts {
 		s.save(f)
 	}
 }
 
+// nowMS is the time now, Unix time in milliseconds.
 func nowMS() int64 { return time.Now().UnixMilli() }
 
-// Begin follows an attempt whose folder is there. The grant is on disk when it
+// Begin follows an attempt whose folder exists. The grant is on disk when it
 // returns: it is called before the program starts, so that whatever that writes can
-// be shipped, also when everything is killed at once.
+// be shipped, also when everything is killed at once. Its errors are those of an
+// invalid attempt and of writing the grant.
 func (s *Shipper) Begin(g archive.Grant, dir string) error {
 	if s == nil {
 		return nil
@@ -179,14 +195,15 @@
 	return s.Resume(g.Attempt, dir)
 }
 
-// Resume follows an attempt that an earlier life of the agent began with; without a
-// grant in its folder there is nothing to follow.
+// Resume follows an attempt that the agent began with before it was restarted.
+// Without a grant in its folder, or if all is shipped, there is nothing to follow and
+// no error; a grant that can't be read is an error.
 func (s *Shipper) Resume(a archive.Attempt, dir string) error {
 	raw, err := os.ReadFile(filepath.Join(dir, grantFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
-	f := &follow{a: a, dir: dir, streams: map[string]*follower{}}
+	f := &followedAttempt{attempt: a, dir: dir, streams: map[string]*streamFollower{}}
 	if err == nil {
 		err = json.Unmarshal(raw, &f.grant)
 	}
@@ -196,97 +213,97 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", filepath.Join(dir, grantFile), err)
 	}
-	f.proof = archive.NewRecord(a, archive.KindGrant, "", archive.Encode(f.grant))
+	f.grantRecord = archive.NewRecord(a, archive.KindGrant, "", archive.Encode(f.grant))
 	f.urgent = protocol.IsUrgent(f.grant.Urgency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all[a] != nil {
+	if s.attempts[a] != nil {
 		return nil
 	}
 	if raw, err = os.ReadFile(filepath.Join(dir, AccountFile)); err == nil {
-		if err := json.Unmarshal(raw, &f.acc); err != nil {
+		if err := json.Unmarshal(raw, &f.progress); err != nil {
 			// Damaged: everything is shipped again, and put together by readers.
 			s.log.Error("an account is damaged; the attempt is shipped anew", "attempt", a.String(), "err", err)
-			f.acc = account{}
+			f.progress = progress{}
 		}
 	}
-	if f.acc.Whole || f.acc.Gone != "" {
+	if f.progress.Complete || f.progress.GivenUp != "" {
 		return nil
 	}
-	if f.acc.Began == 0 {
-		f.acc.Began = nowMS()
+	if f.progress.Began == 0 {
+		f.progress.Began = nowMS()
 	}
-	if f.acc.Streams == nil {
-		f.acc.Streams = map[string]*Cursor{}
+	if f.progress.Streams == nil {
+		f.progress.Streams = map[string]*Cursor{}
 	}
 	for _, name := range archive.Streams {
-		fl := &follower{}
-		if c := f.acc.Streams[name]; c != nil {
-			fl.Cursor = *c
+		follower := &streamFollower{}
+		if c := f.progress.Streams[name]; c != nil {
+			follower.Cursor = *c
 		}
-		f.streams[name] = fl
+		f.streams[name] = follower
 	}
-	f.dirty = true
+	f.unsaved = true
 	s.save(f)
-	s.all[a] = f
+	s.attempts[a] = f
 	s.wake()
 	return nil
 }
 
-// Ended says that an attempt's processes are gone and what became of it; nothing
-// is written any more. The attempt is followed until all is kept.
+// Ended says that an attempt's processes have ended and what became of it; nothing
+// is written any more. The attempt is followed until all is stored.
 func (s *Shipper) Ended(a archive.Attempt, cause string, code int) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := s.all[a]
-	if f == nil || f.acc.End != nil {
+	f := s.attempts[a]
+	if f == nil || f.progress.End != nil {
 		return
 	}
-	f.acc.End = &archive.End{Cause: cause, Code: code, Began: f.acc.Began, At: nowMS()}
-	f.dirty = true
+	f.progress.End = &archive.End{Cause: cause, Code: code, Began: f.progress.Began, At: nowMS()}
+	f.unsaved = true
 	s.save(f)
 	s.wake()
 }
 
-// Holds tells whether an attempt's folder is still needed.
+// Holds tells whether an attempt is still followed, so that its folder is needed.
 func (s *Shipper) Holds(a archive.Attempt) bool {
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.all[a] != nil
+	return s.attempts[a] != nil
 }
 
-// Left is how many attempts that are over have something to ship.
+// Left returns how many ended attempts have something to ship.
 func (s *Shipper) Left() (n int) {
 	if s == nil {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range s.all {
-		if f.acc.End != nil {
+	for _, f := range s.attempts {
+		if f.progress.End != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters. The shipper must not be nil.
 func (s *Shipper) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.stats
-	t.Attempts = len(s.all)
+	t.Attempts = len(s.attempts)
 	now := nowMS()
-	for _, f := range s.all {
-		for _, fl := range f.streams {
-			t.Left += fl.left()
-			if at := fl.since(); at > 0 {
+	for _, f := range s.attempts {
+		for _, follower := range f.streams {
+			t.Left += follower.unshipped()
+			if at := follower.oldestUnshipped(); at > 0 {
 				t.OldestMS = max(t.OldestMS, now-at)
 			}
 		}
@@ -294,6 +311,7 @@
 	return t
 }
 
+// wake lets the loop ship without waiting for its next turn.
 func (s *Shipper) wake() {
 	select {
 	case s.wakeup <- struct{}{}:
@@ -301,7 +319,7 @@
 	}
 }
 
-// revocations asks the nodes for the newest list.
+// revocations asks one node after the other for the newest list of revocations.
 func (s *Shipper) revocations() {
 	for i := 0; ; i++ {
 		select {
@@ -309,9 +327,9 @@
 			return
 		case <-time.After(node.RevocationsEvery):
 		}
-		r := s.w.nodes[i%len(s.w.nodes)]
+		r := s.writer.nodes[i%len(s.writer.nodes)]
 		if raw, err := r.get(s.ctx, node.PathRevocations); err == nil {
-			if _, err := s.keep.Learn(raw); err != nil {
+			if _, err := s.certificates.Learn(raw); err != nil {
 				s.log.Error("a node's list of revocations can't be used", "node", r.name, "err", err)
 			}
 		}
