--- a/internal/datastore/disk.go
+++ b/internal/datastore/disk.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk is what can find the disk full: every write of a store goes through it.
+// disk is what tests let fail as on a full disk: every write of a store goes through
+// it.
 type disk interface {
 	// WriteAt writes a part of a copy.
 	WriteAt(f *os.File, b []byte, off int64) error
@@ -31,7 +32,7 @@
 
 func (osDisk) Sync(dir *os.File) error { return unix.Syncfs(int(dir.Fd())) }
 
-// full tells whether an error means that the disk is full.
-func full(err error) bool {
+// isDiskFull tells whether an error means that the disk is full.
+func isDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
--- a/internal/datastore/evict.go
+++ b/internal/datastore/evict.go
@@ -29,23 +29,24 @@
 	return os.RemoveAll(to)
 }
 
-// used is what copies and fetches take; the lock is held.
+// used returns how many bytes copies and fetches take; the lock is held.
 func (s *Store) used() (n int64) {
 	for _, h := range s.copies {
 		n += h.bytes
 	}
-	for _, f := range s.pulls {
-		n += f.reserved
+	for _, f := range s.fetches {
+		n += f.reservedBytes
 	}
 	return n
 }
 
-// room makes room for more bytes; the lock is held.
-func (s *Store) room(more int64) error {
+// makeRoom evicts copies until there is room for more bytes, or returns an error that
+// wraps ErrFull; the lock is held.
+func (s *Store) makeRoom(more int64) error {
 	for s.used()+more > s.cfg.Capacity {
 		var oldest dataset.ID
 		for id, h := range s.copies {
-			if s.pins[id] == 0 && (oldest == "" || h.used < s.copies[oldest].used) {
+			if s.pins[id] == 0 && (oldest == "" || h.lastUse < s.copies[oldest].lastUse) {
 				oldest = id
 			}
 		}
@@ -60,21 +61,23 @@
 	return nil
 }
 
+// evict removes a copy; the lock is held.
 func (s *Store) evict(id dataset.ID) error {
-	s.leave(id)
+	s.removeCopy(id)
 	s.stats.Evicted++
-	s.tell(Event{Kind: "evict", ID: id})
+	s.emit(Event{Kind: "evict", ID: id})
 	return s.trash(copiesDir, id)
 }
 
-// Here tells whether a copy is whole here.
+// Here tells whether the store has the whole copy.
 func (s *Store) Here(id dataset.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.copies[id] != nil
 }
 
-// Pin keeps a copy, and what is fetched of it, until as many Unpin calls.
+// Pin keeps a copy, and a fetch of it, from being removed until Unpin was called as
+// often as Pin. The copy need not be there yet.
 func (s *Store) Pin(id dataset.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,11 +101,11 @@
 	if s.pins[id] > 0 {
 		return false
 	}
-	if f := s.pulls[id]; f != nil {
+	if f := s.fetches[id]; f != nil {
 		f.end(ErrDropped)
 	}
 	if s.copies[id] != nil {
-		s.tell(Event{Kind: "drop", ID: id})
+		s.emit(Event{Kind: "drop", ID: id})
 		if err := s.evict(id); err != nil {
 			s.log.Error("a copy can't be removed", "copy", id, "err", err)
 		}
--- a/internal/datastore/fetch.go
+++ b/internal/datastore/fetch.go
@@ -14,27 +14,28 @@
 	"silvergate/internal/dataset"
 )
 
-// fetching is a copy that is being fetched.
+// fetching is a copy that is being fetched. The store's lock guards what changes of it.
 type fetching struct {
-	want     Want
-	waiters  []func(error)
-	reserved int64
-	total    int64
-	done     int64 // bytes verified, those found here included
-	got      int64 // bytes that came from sources
-	began    time.Time
-	plan     *pull
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	// pause ends what is under way of a fetch that must stand still.
-	pause  context.CancelFunc
-	wakeup chan struct{}
-	over   chan struct{}
+	want          Want
+	waiters       []func(error) // called when the fetch has finished
+	reservedBytes int64
+	totalBytes    int64
+	verifiedBytes int64 // those found here included
+	fetchedBytes  int64 // from sources
+	began         time.Time
+	plan          *fetchPlan
+	ctx           context.Context
+	cancel        context.CancelCauseFunc
+	// pause ends the requests of a fetch that must wait for an urgent one.
+	pause    context.CancelFunc
+	wakeup   chan struct{}
+	finished chan struct{}
 }
 
 // end ends a fetch for a reason; the store's lock may be held.
 func (f *fetching) end(why error) { f.cancel(why) }
 
+// wake lets the fetch look again at what it may do.
 func (f *fetching) wake() {
 	select {
 	case f.wakeup <- struct{}{}:
@@ -42,9 +43,13 @@
 	}
 }
 
-// Fetch has a copy fetched, unless it is here, and then calls done. Wanted again
-// it is fetched once; sources are added, and it becomes urgent if any wish is.
-// done may be nil: what is staged has nobody who waits.
+// Fetch has a copy fetched in the background, unless the store has it, and then calls
+// done from a goroutine of the store, once. A copy that is wanted again meanwhile is
+// fetched once; sources are added, and it becomes urgent if any Want is. done may be
+// nil: what is staged has nobody who waits. It gets nil if the store has the copy, an
+// error that wraps ErrFull if there is no room, ErrDropped if the fetch was given up
+// or the store is closed, and another error if no source has the copy or this
+// machine's disk fails.
 func (s *Store) Fetch(w Want, done func(error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,21 +64,21 @@
 		go done(ErrDropped)
 		return
 	}
-	f := s.pulls[w.ID]
+	f := s.fetches[w.ID]
 	if f != nil && f.ctx.Err() != nil {
 		// Guards against joining a fetch that was just given up: whoever wants
 		// the copy now would be told that nobody does.
 		go func() {
-			<-f.over
+			<-f.finished
 			s.Fetch(w, done)
 		}()
 		return
 	}
 	if f == nil {
-		f = &fetching{want: w, began: time.Now(), wakeup: make(chan struct{}, 1), over: make(chan struct{})}
+		f = &fetching{want: w, began: time.Now(), wakeup: make(chan struct{}, 1), finished: make(chan struct{})}
 		f.ctx, f.cancel = context.WithCancelCause(context.Background())
-		s.pulls[w.ID] = f
-		s.tell(Event{Kind: "begin", ID: w.ID, Urgent: w.Urgent})
+		s.fetches[w.ID] = f
+		s.emit(Event{Kind: "begin", ID: w.ID, Urgent: w.Urgent})
 		if w.Urgent {
 			s.setUrgent(1)
 		}
@@ -85,7 +90,7 @@
 		}
 		if w.Urgent && !f.want.Urgent {
 			f.want.Urgent = true
-			s.tell(Event{Kind: "begin", ID: w.ID, Urgent: true})
+			s.emit(Event{Kind: "begin", ID: w.ID, Urgent: true})
 			s.setUrgent(1)
 		}
 		f.wake()
@@ -93,71 +98,71 @@
 	f.waiters = append(f.waiters, done)
 }
 
-// setUrgent counts the urgent fetches. The first one has all others stand still
-// at once, and the last one lets them go on; the lock is held.
+// setUrgent counts the urgent fetches. The first one pauses all others at once, and the last one lets them go on; the lock is held.
 func (s *Store) setUrgent(d int) {
 	was := s.urgent > 0
 	s.urgent += d
 	if is := s.urgent > 0; is == was {
 		return
 	}
-	for id, f := range s.pulls {
+	for id, f := range s.fetches {
 		if f.want.Urgent {
 			continue
 		}
 		if s.urgent > 0 {
-			s.tell(Event{Kind: "pause", ID: id})
+			s.emit(Event{Kind: "pause", ID: id})
 			if f.pause != nil {
 				f.pause()
 			}
 		} else {
-			s.tell(Event{Kind: "resume", ID: id})
+			s.emit(Event{Kind: "resume", ID: id})
 			f.wake()
 		}
 	}
 }
 
-// run fetches a copy.
+// run fetches a copy and calls those who wait for it.
 func (s *Store) run(f *fetching) {
-	err := s.get(f)
+	err := s.fetchCopy(f)
 	s.mu.Lock()
-	delete(s.pulls, f.want.ID)
+	delete(s.fetches, f.want.ID)
 	if f.want.Urgent {
 		s.setUrgent(-1)
 	}
 	waiters := f.waiters
 	switch {
 	case errors.Is(err, ErrDropped):
-		s.tell(Event{Kind: "quit", ID: f.want.ID})
+		s.emit(Event{Kind: "quit", ID: f.want.ID})
 	case err != nil:
 		s.log.Error("a copy can't be fetched", "copy", f.want.ID, "set", f.want.Set, "version", f.want.Version, "err", err)
-		s.tell(Event{Kind: "fail", ID: f.want.ID})
+		s.emit(Event{Kind: "fail", ID: f.want.ID})
 	}
 	s.mu.Unlock()
-	close(f.over)
+	close(f.finished)
 	for _, done := range waiters {
 		done(err)
 	}
 }
 
-func (s *Store) get(f *fetching) error {
-	m, raw, err := s.manifest(f)
+// fetchCopy makes room for a copy, fetches what is missing of it and publishes it.
+func (s *Store) fetchCopy(f *fetching) error {
+	m, raw, err := s.fetchManifest(f)
 	if err != nil {
 		return err
 	}
 	id := f.want.ID
 	size := m.Bytes()
 	s.mu.Lock()
-	f.total = size
-	err = s.room(size)
+	f.totalBytes = size
+	err = s.makeRoom(size)
 	if err == nil {
-		f.reserved = size
+		f.reservedBytes = size
 	}
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	t := &target{s: s, f: f, m: m}
+	t := &target{store: s, fetch: f, manifest: m}
 	if err := s.disk.Replace(s.manifestPath(id), raw); err != nil {
 		return t.failed(err)
 	}
@@ -166,30 +171,31 @@
 		return err
 	}
 	s.mu.Lock()
-	f.plan = newPull(missing, f.want.Sources)
+	f.plan = newFetchPlan(missing, f.want.Sources)
 	for i := range missing {
 		_, _, n := t.at(missing[i])
-		f.done -= int64(n)
+		f.verifiedBytes -= int64(n)
 	}
-	f.done += size
+	f.verifiedBytes += size
 	s.mu.Unlock()
 	if len(missing) > 0 {
-		if err := s.pull(f, t); err != nil {
+		if err := s.fetchChunks(f, t); err != nil {
 			return err
 		}
 	}
 	return t.publish()
 }
 
-// manifest reads the copy's manifest from this disk or a source. The digest says
+// fetchManifest reads the copy's manifest from this disk or a source, and asks the
+// sources again until one has it, all lack it, or the fetch ends. The digest says
 // whether it is the right one, so any source will do.
-func (s *Store) manifest(f *fetching) (*dataset.Manifest, []byte, error) {
+func (s *Store) fetchManifest(f *fetching) (*dataset.Manifest, []byte, error) {
 	if raw, err := os.ReadFile(s.manifestPath(f.want.ID)); err == nil {
 		if m, err := dataset.Decode(raw, f.want.Digest); err == nil {
 			return m, raw, nil
 		}
 	}
-	for round := 0; ; round++ {
+	for {
 		s.mu.Lock()
 		from := append([]Source(nil), f.want.Sources...)
 		s.mu.Unlock()
@@ -198,38 +204,16 @@
 		}
 		absent := 0
 		wait := longestPause
-		for _, src := range from {
-			s.mu.Lock()
-			x := s.src.of(src.Address)
-			hold := x.until - s.now()
-			if hold <= 0 {
-				s.src.begin(src.Address)
-			}
-			s.mu.Unlock()
-			if hold > 0 {
-				wait = min(wait, hold)
+		for _, source := range from {
+			reply := s.askManifest(f, source)
+			wait = min(wait, reply.wait)
+			if !reply.asked {
 				continue
 			}
-			path := dataset.SetsPath + url.PathEscape(f.want.Set) + "/" + url.PathEscape(f.want.Version) + "/" + dataset.ManifestName
-			if src.Peer {
-				path = dataset.ChunkPath + "manifest/" + string(f.want.ID)
-			}
-			raw, o := s.ask(f.ctx, src, path, "", dataset.MaxManifest)
-			var m *dataset.Manifest
-			if o == Good {
-				var err error
-				if m, err = dataset.Decode(raw, f.want.Digest); err != nil {
-					o = Damaged
-				}
+			if reply.outcome == Good {
+				return reply.manifest, reply.raw, nil
 			}
-			s.mu.Lock()
-			s.src.end(s.now(), src.Address, o, 0, 0)
-			wait = min(wait, max(0, s.src.of(src.Address).until-s.now()))
-			s.mu.Unlock()
-			if o == Good {
-				return m, raw, nil
-			}
-			if o == Missing {
+			if reply.outcome == Missing {
 				absent++
 			}
 			if err := context.Cause(f.ctx); err != nil {
@@ -245,6 +229,45 @@
 	}
 }
 
+// manifestReply is what came of asking a source for a manifest.
+type manifestReply struct {
+	asked    bool // false: the source must not be asked yet
+	outcome  Outcome
+	wait     time.Duration // until the source may be asked again
+	manifest *dataset.Manifest
+	raw      []byte
+}
+
+// askManifest asks a source for the copy's manifest, unless it backs off.
+func (s *Store) askManifest(f *fetching, source Source) manifestReply {
+	s.mu.Lock()
+	backOff := s.sources.of(source.Address).notBefore - s.now()
+	if backOff <= 0 {
+		s.sources.begin(source.Address)
+	}
+	s.mu.Unlock()
+	if backOff > 0 {
+		return manifestReply{wait: backOff}
+	}
+	path := dataset.SetsPath + url.PathEscape(f.want.Set) + "/" + url.PathEscape(f.want.Version) + "/" + dataset.ManifestName
+	if source.Peer {
+		path = dataset.ChunkPath + "manifest/" + string(f.want.ID)
+	}
+	reply := manifestReply{asked: true}
+	reply.raw, reply.outcome = s.ask(f.ctx, source, path, "", dataset.MaxManifest)
+	if reply.outcome == Good {
+		var err error
+		if reply.manifest, err = dataset.Decode(reply.raw, f.want.Digest); err != nil {
+			reply.outcome = Damaged
+		}
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sources.end(s.now(), source.Address, reply.outcome, 0, 0)
+	reply.wait = max(0, s.sources.of(source.Address).notBefore-s.now())
+	return reply
+}
+
 // sleep waits, until something about the fetch changes or it is ended.
 func (s *Store) sleep(f *fetching, d time.Duration) error {
 	t := time.NewTimer(d)
@@ -294,7 +317,7 @@
 			if data = append(data, buf[:n]...); len(data) > limit {
 				return nil, Failed // it lies about its length
 			}
-			if s.fetch.WaitN(ctx, n) != nil {
+			if s.fetchLimit.WaitN(ctx, n) != nil {
 				return nil, Failed
 			}
 		}
@@ -309,14 +332,14 @@
 
 // result is what came of asking for a chunk. err is a failure of this machine.
 type result struct {
-	chunk int
-	from  Source
-	o     Outcome
-	err   error
+	chunk   int
+	from    Source
+	outcome Outcome
+	err     error
 }
 
-// pull fetches the missing chunks, a few at a time.
-func (s *Store) pull(f *fetching, t *target) error {
+// fetchChunks fetches the missing chunks, a few at a time.
+func (s *Store) fetchChunks(f *fetching, t *target) error {
 	results := make(chan result, s.cfg.Streams)
 	flying := 0
 	defer func() {
@@ -334,7 +357,7 @@
 				ctx, f.pause = context.WithCancel(f.ctx)
 			}
 			for flying < s.cfg.Streams {
-				chunk, from, w, ok := f.plan.next(s.now(), s.src)
+				chunk, from, w, ok := f.plan.next(s.now(), s.sources)
 				if !ok {
 					if w > 0 {
 						wait = w
@@ -342,7 +365,7 @@
 					break
 				}
 				flying++
-				go s.one(ctx, t, chunk, from, results)
+				go s.fetchChunk(ctx, t, chunk, from, results)
 			}
 		}
 		hopeless := f.plan.hopeless()
@@ -362,7 +385,7 @@
 				return r.err
 			}
 			s.mu.Lock()
-			whole := f.plan.ended(r.chunk, r.from, r.o)
+			whole := f.plan.finishRequest(r.chunk, r.from, r.outcome)
 			s.mu.Unlock()
 			if whole {
 				timer.Stop()
@@ -375,10 +398,11 @@
 	}
 }
 
-// one asks for a chunk, verifies it and writes it.
-func (s *Store) one(ctx context.Context, t *target, n int, from Source, results chan<- result) {
+// fetchChunk asks a source for the chunk with number n over all files, verifies it
+// and writes it.
+func (s *Store) fetchChunk(ctx context.Context, t *target, n int, from Source, results chan<- result) {
 	file, chunk, size := t.at(n)
-	f := &t.m.Files[file]
+	f := &t.manifest.Files[file]
 	want := f.Chunks[chunk]
 	began := time.Now()
 	var data []byte
@@ -386,7 +410,7 @@
 	if from.Peer {
 		data, o = s.ask(ctx, from, dataset.ChunkPath+want.String(), "", size)
 	} else {
-		path := dataset.SetsPath + url.PathEscape(t.m.Set) + "/" + url.PathEscape(t.m.Version) + "/" + dataset.FilesDir
+		path := dataset.SetsPath + url.PathEscape(t.manifest.Set) + "/" + url.PathEscape(t.manifest.Version) + "/" + dataset.FilesDir
 		for _, part := range strings.Split(f.Path, "/") {
 			path += "/" + url.PathEscape(part)
 		}
@@ -412,13 +436,13 @@
 		// still is kept to the letter, and the chunk is asked for again.
 		o = Stopped
 	}
-	s.src.end(s.now(), from.Address, o, len(data), time.Since(began))
+	s.sources.end(s.now(), from.Address, o, len(data), time.Since(began))
 	switch o {
 	case Good:
-		t.f.done += int64(size)
-		t.f.got += int64(size)
+		t.fetch.verifiedBytes += int64(size)
+		t.fetch.fetchedBytes += int64(size)
 		s.stats.Fetched += int64(size)
-		s.tell(Event{Kind: "chunk", ID: t.f.want.ID, Source: from.Address, Urgent: t.f.want.Urgent})
+		s.emit(Event{Kind: "chunk", ID: t.fetch.want.ID, Source: from.Address, Urgent: t.fetch.want.Urgent})
 	case Damaged:
 		s.stats.Damaged++
 	case Failed, Missing, Busy:
--- a/internal/datastore/held.go
+++ b/internal/datastore/held.go
@@ -15,21 +15,24 @@
 	"silvergate/internal/dataset"
 )
 
-type held struct {
-	m     *dataset.Manifest
-	bytes int64
-	used  uint64
-	times []time.Time // of the files, when they were verified
+// heldCopy is a copy that the store has.
+type heldCopy struct {
+	manifest *dataset.Manifest
+	bytes    int64
+	lastUse  uint64
+	modTimes []time.Time // of the files, when they were verified
 }
 
-// place is where a chunk lies.
-type place struct {
+// chunkPlace is where a chunk lies: in which file of which copy, and the number of
+// the chunk in the file.
+type chunkPlace struct {
 	id    dataset.ID
 	file  int
 	chunk int
 }
 
-// load takes up what is on disk: copies were whole when they got their names.
+// load reads what is on disk: copies were whole when they got their names. Copies that
+// can't be used are removed.
 func (s *Store) load() error {
 	names, err := os.ReadDir(filepath.Join(s.cfg.Dir, copiesDir))
 	if err != nil {
@@ -37,7 +40,7 @@
 	}
 	type old struct {
 		id dataset.ID
-		h  *held
+		h  *heldCopy
 		at time.Time
 	}
 	var found []old
@@ -59,14 +62,15 @@
 	}
 	slices.SortFunc(found, func(a, b old) int { return a.at.Compare(b.at) })
 	for _, f := range found {
-		s.uses++
-		f.h.used = s.uses
-		s.enter(f.id, f.h)
+		s.useCount++
+		f.h.lastUse = s.useCount
+		s.addCopy(f.id, f.h)
 	}
 	return nil
 }
 
-func (s *Store) readHeld(id dataset.ID) (*held, error) {
+// readHeld reads a copy's manifest and checks that its files are there.
+func (s *Store) readHeld(id dataset.ID) (*heldCopy, error) {
 	if !dataset.ValidID(string(id)) {
 		return nil, errors.New("not a copy's name")
 	}
@@ -81,14 +85,14 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &held{m: m, bytes: m.Bytes()}
-	h.times, err = s.times(copiesDir, id, m)
+	h := &heldCopy{manifest: m, bytes: m.Bytes()}
+	h.modTimes, err = s.modTimes(copiesDir, id, m)
 	return h, err
 }
 
-// times are the files' times of change, and proves that all are there with
+// modTimes returns the files' times of change, or an error unless all are there with
 // their sizes.
-func (s *Store) times(where string, id dataset.ID, m *dataset.Manifest) ([]time.Time, error) {
+func (s *Store) modTimes(where string, id dataset.ID, m *dataset.Manifest) ([]time.Time, error) {
 	var out []time.Time
 	for i := range m.Files {
 		info, err := os.Stat(s.file(where, id, &m.Files[i]))
@@ -103,8 +107,7 @@
 	return out, nil
 }
 
-// Held lists the copies that are here, in the order of their use, the latest
-// first.
+// Held lists the copies that the store has, the most recently used first.
 func (s *Store) Held() []dataset.ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +116,7 @@
 		out = append(out, id)
 	}
 	slices.SortFunc(out, func(a, b dataset.ID) int {
-		if x, y := s.copies[a].used, s.copies[b].used; x != y {
+		if x, y := s.copies[a].lastUse, s.copies[b].lastUse; x != y {
 			return int(int64(y) - int64(x))
 		}
 		return strings.Compare(string(a), string(b))
@@ -121,14 +124,15 @@
 	return out
 }
 
-// Digest is the same for two stores that hold the same copies.
+// Digest returns a digest of which copies the store has: two stores with the same
+// copies have the same.
 func (s *Store) Digest() string {
 	ids := s.Held()
 	slices.Sort(ids)
 	return DigestOf(ids)
 }
 
-// DigestOf is the digest of a sorted list of copies.
+// DigestOf returns the digest of a sorted list of copies, 16 hexadecimal digits.
 func DigestOf(ids []dataset.ID) string {
 	h := xxhash.New()
 	for _, id := range ids {
@@ -137,23 +141,23 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Progress is how far a fetch is.
+// Progress is how far a fetch is, in bytes.
 type Progress struct {
 	ID    dataset.ID
 	Done  int64
-	Total int64 // 0 while the manifest is not here
-	Rate  float64
+	Total int64   // 0 while the manifest is not here
+	Rate  float64 // bytes a second from sources, since the fetch began
 }
 
-// Pulls lists the fetches that are under way.
+// Pulls lists the fetches that are under way, in the order of their copies' names.
 func (s *Store) Pulls() []Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Progress
-	for id, f := range s.pulls {
-		p := Progress{ID: id, Done: f.done, Total: f.total}
+	for id, f := range s.fetches {
+		p := Progress{ID: id, Done: f.verifiedBytes, Total: f.totalBytes}
 		if d := time.Since(f.began).Seconds(); d > 0 {
-			p.Rate = float64(f.got) / d
+			p.Rate = float64(f.fetchedBytes) / d
 		}
 		out = append(out, p)
 	}
@@ -161,10 +165,12 @@
 	return out
 }
 
-// Place puts a copy's files into a folder, which must not exist. Files are
+// Place puts a copy's files into a folder, which it makes and which must not exist. Files are
 // cloned where the file system can, so that a task that writes to its inputs
 // changes its own; elsewhere they are linked, and a copy whose files were written
-// to is noticed before its next use and thrown away.
+// to is noticed before its next use and removed: then, and if
+// the store does not have the copy, the error wraps ErrNotHere. The folder is the
+// caller's, also what is in it after an error.
 func (s *Store) Place(id dataset.ID, dir string) error {
 	s.mu.Lock()
 	h := s.copies[id]
@@ -172,15 +178,15 @@
 		s.mu.Unlock()
 		return ErrNotHere
 	}
-	s.uses++
-	h.used = s.uses
+	s.useCount++
+	h.lastUse = s.useCount
 	s.pins[id]++
 	s.mu.Unlock()
 	defer s.Unpin(id)
 	now := time.Now()
 	_ = os.Chtimes(filepath.Join(s.cfg.Dir, copiesDir, string(id)), now, now)
-	times, err := s.times(copiesDir, id, h.m)
-	if err == nil && !slices.EqualFunc(times, h.times, time.Time.Equal) {
+	times, err := s.modTimes(copiesDir, id, h.manifest)
+	if err == nil && !slices.EqualFunc(times, h.modTimes, time.Time.Equal) {
 		err = errors.New("its files were written to")
 	}
 	if err != nil {
@@ -195,8 +201,8 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	for i := range h.m.Files {
-		f := &h.m.Files[i]
+	for i := range h.manifest.Files {
+		f := &h.manifest.Files[i]
 		to := filepath.Join(dir, filepath.FromSlash(f.Path))
 		if err := os.MkdirAll(filepath.Dir(to), 0o700); err != nil {
 			return err
@@ -208,6 +214,7 @@
 	return nil
 }
 
+// cloneOrLink clones a file, or links it where the file system can't clone.
 func cloneOrLink(from, to string) error {
 	src, err := os.Open(from)
 	if err != nil {
--- a/internal/datastore/plan.go
+++ b/internal/datastore/plan.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Source is where chunks can be had: a file server, or another machine.
+// Source is where chunks can be fetched from: a file server, or with Peer another
+// machine. Address is a host with a port.
 type Source struct {
 	Address string
 	Peer    bool
@@ -16,14 +17,14 @@
 // Outcome is what came of asking a source for a chunk.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a request.
 const (
 	Good    Outcome = iota
 	Missing         // the source does not have it: another machine may have dropped it
-	Busy            // it is asked too much, and said so
+	Busy            // it has too many requests, and said so
 	Failed          // an error, a stall, a wrong length
 	Damaged         // the bytes are not the chunk's
-	Stopped         // we gave it up ourselves
+	Stopped         // this store gave the request up
 )
 
 // Back-off of a source after a failure: from the first pause on, twice as long
@@ -38,25 +39,28 @@
 	perSource = 2
 )
 
-// sources is what is known of all sources, over all pulls of a machine. It does
+// sources is what is known of all sources, over all fetches of a machine. It does
 // no I/O; time and chance come with the calls.
 type sources struct {
-	rnd  *rand.Rand
-	all  map[string]*source
-	told func(address string) // a source is put aside
+	random     *rand.Rand
+	all        map[string]*source
+	onSetAside func(address string) // called when a source is put aside
 }
 
+// source is what is known of a source.
 type source struct {
-	busy  int
-	fails int
-	until time.Duration // not before
-	rate  float64       // bytes a second, of one chunk, smoothed
+	busy      int
+	failures  int
+	notBefore time.Duration // not before
+	rate      float64       // bytes a second, of one chunk, smoothed
 }
 
-func newSources(rnd *rand.Rand, told func(string)) *sources {
-	return &sources{rnd: rnd, all: map[string]*source{}, told: told}
+// newSources returns that nothing is known of any source yet.
+func newSources(rnd *rand.Rand, onSetAside func(string)) *sources {
+	return &sources{random: rnd, all: map[string]*source{}, onSetAside: onSetAside}
 }
 
+// of returns what is known of a source.
 func (s *sources) of(address string) *source {
 	x := s.all[address]
 	if x == nil {
@@ -66,15 +70,16 @@
 	return x
 }
 
-// begin and end account for one request.
+// begin notes that a request to a source begins.
 func (s *sources) begin(address string) { s.of(address).busy++ }
 
+// end notes what came of a request: so many bytes, and how long it took.
 func (s *sources) end(now time.Duration, address string, o Outcome, bytes int, took time.Duration) {
 	x := s.of(address)
 	x.busy--
 	switch o {
 	case Good:
-		x.fails = 0
+		x.failures = 0
 		if took > 0 {
 			rate := float64(bytes) / took.Seconds()
 			if x.rate == 0 {
@@ -83,43 +88,44 @@
 			x.rate += (rate - x.rate) / 8
 		}
 	case Damaged:
-		x.until = now + asideFor
-		s.told(address)
+		x.notBefore = now + asideFor
+		s.onSetAside(address)
 	case Failed, Busy:
-		pause := min(firstPause<<min(x.fails, 10), longestPause)
-		x.fails++
-		x.until = max(x.until, now+pause+time.Duration(s.rnd.Float64()*float64(pause)))
+		pause := min(firstPause<<min(x.failures, 10), longestPause)
+		x.failures++
+		x.notBefore = max(x.notBefore, now+pause+time.Duration(s.random.Float64()*float64(pause)))
 	}
 	// What is not asked any more need not be remembered.
 	if len(s.all) > 1000 {
 		for a, x := range s.all {
-			if x.busy == 0 && now > x.until+asideFor {
+			if x.busy == 0 && now > x.notBefore+asideFor {
 				delete(s.all, a)
 			}
 		}
 	}
 }
 
-// pull is the plan of one copy's fetch: which chunks are missing, and where each
-// was looked for.
-type pull struct {
-	sources []Source
-	missing []int // chunks not under way, the next last
-	flight  map[int]string
-	absent  map[string]bool        // peers that lack the copy
-	tried   map[int]map[string]int // failures of a chunk by source
-	left    int                    // chunks not here yet
+// fetchPlan is the plan of one copy's fetch: which chunks are missing, and where each
+// was asked for.
+type fetchPlan struct {
+	sources   []Source
+	missing   []int                  // chunks that are not being asked for, the next last
+	inFlight  map[int]string         // source of each chunk that is being asked for
+	absent    map[string]bool        // peers that lack the copy
+	failures  map[int]map[string]int // failures of a chunk by source
+	remaining int                    // chunks not here yet
 }
 
-func newPull(chunks []int, from []Source) *pull {
-	p := &pull{sources: from, flight: map[int]string{}, absent: map[string]bool{}, tried: map[int]map[string]int{}, left: len(chunks)}
+// newFetchPlan plans the fetch of chunks; it keeps from.
+func newFetchPlan(chunks []int, from []Source) *fetchPlan {
+	p := &fetchPlan{sources: from, inFlight: map[int]string{}, absent: map[string]bool{}, failures: map[int]map[string]int{}, remaining: len(chunks)}
 	p.missing = append(p.missing, chunks...)
 	sort.Sort(sort.Reverse(sort.IntSlice(p.missing)))
 	return p
 }
 
 // add adds sources that are not known yet.
-func (p *pull) add(from []Source) {
+func (p *fetchPlan) add(from []Source) {
 	p.sources = merge(p.sources, from)
 }
 
@@ -133,9 +139,9 @@
 	return a
 }
 
-// next says which chunk to ask of whom; or, with ok false, when to look again:
+// next says which chunk to ask of which source; or, with ok false, when to look again:
 // 0 when nothing can be done before a request ends.
-func (p *pull) next(now time.Duration, all *sources) (chunk int, from Source, wait time.Duration, ok bool) {
+func (p *fetchPlan) next(now time.Duration, all *sources) (chunk int, from Source, wait time.Duration, ok bool) {
 	if len(p.missing) == 0 {
 		return 0, from, 0, false
 	}
@@ -144,7 +150,7 @@
 	// they are left to those that have none.
 	machine := false
 	for _, s := range p.sources {
-		machine = machine || s.Peer && !p.absent[s.Address] && now >= all.of(s.Address).until && p.tried[chunk][s.Address] == 0
+		machine = machine || s.Peer && !p.absent[s.Address] && now >= all.of(s.Address).notBefore && p.failures[chunk][s.Address] == 0
 	}
 	var best *source
 	for _, s := range p.sources {
@@ -152,9 +158,9 @@
 		if p.absent[s.Address] || machine && !s.Peer {
 			continue
 		}
-		if now < x.until {
-			if wait == 0 || x.until-now < wait {
-				wait = x.until - now
+		if now < x.notBefore {
+			if wait == 0 || x.notBefore-now < wait {
+				wait = x.notBefore - now
 			}
 			continue
 		}
@@ -164,7 +170,7 @@
 		// Machines before file servers, as there are many of them; then the
 		// one that failed least for this chunk, is asked least, and is
 		// fastest.
-		if best == nil || better(p.tried[chunk][s.Address], s, x, p.tried[chunk][from.Address], from, best) {
+		if best == nil || better(p.failures[chunk][s.Address], s, x, p.failures[chunk][from.Address], from, best) {
 			best, from = x, s
 		}
 	}
@@ -172,11 +178,12 @@
 		return 0, from, wait, false
 	}
 	p.missing = p.missing[:len(p.missing)-1]
-	p.flight[chunk] = from.Address
+	p.inFlight[chunk] = from.Address
 	all.begin(from.Address)
 	return chunk, from, 0, true
 }
 
+// better tells whether the first source is to be asked rather than the second.
 func better(tried int, s Source, x *source, tried2 int, s2 Source, x2 *source) bool {
 	switch {
 	case tried != tried2:
@@ -189,12 +196,13 @@
 	return x.rate > x2.rate
 }
 
-// ended takes what came of a request. It returns true when the pull is complete.
-func (p *pull) ended(chunk int, from Source, o Outcome) bool {
-	delete(p.flight, chunk)
+// finishRequest notes what came of a request. It returns true when the fetch is
+// complete.
+func (p *fetchPlan) finishRequest(chunk int, from Source, o Outcome) bool {
+	delete(p.inFlight, chunk)
 	if o == Good {
-		p.left--
-		return p.left == 0
+		p.remaining--
+		return p.remaining == 0
 	}
 	p.missing = append(p.missing, chunk)
 	switch o {
@@ -204,17 +212,17 @@
 		}
 		fallthrough
 	case Failed, Damaged:
-		if p.tried[chunk] == nil {
-			p.tried[chunk] = map[string]int{}
+		if p.failures[chunk] == nil {
+			p.failures[chunk] = map[string]int{}
 		}
-		p.tried[chunk][from.Address]++
+		p.failures[chunk][from.Address]++
 	}
 	return false
 }
 
 // hopeless tells whether a chunk was refused by every source as not there.
-func (p *pull) hopeless() bool {
-	if len(p.flight) > 0 || len(p.missing) == 0 {
+func (p *fetchPlan) hopeless() bool {
+	if len(p.inFlight) > 0 || len(p.missing) == 0 {
 		return false
 	}
 	for _, s := range p.sources {
--- a/internal/datastore/target.go
+++ b/internal/datastore/target.go
@@ -11,14 +11,17 @@
 
 // target is the folder into which a copy is fetched.
 type target struct {
-	s *Store
-	f *fetching
-	m *dataset.Manifest
+	store    *Store
+	fetch    *fetching
+	manifest *dataset.Manifest
 	// starts is the number of each file's first chunk, over all files.
 	starts []int
 }
 
-func (t *target) path(i int) string { return t.s.file(partialDir, t.f.want.ID, &t.m.Files[i]) }
+// path is the path of the file with number i.
+func (t *target) path(i int) string {
+	return t.store.file(partialDir, t.fetch.want.ID, &t.manifest.Files[i])
+}
 
 // at finds a chunk by its number over all files.
 func (t *target) at(n int) (file, chunk, size int) {
@@ -31,24 +34,24 @@
 		}
 	}
 	// Empty files have no chunks and share their start with the next one.
-	for len(t.m.Files[lo].Chunks) <= n-t.starts[lo] {
+	for len(t.manifest.Files[lo].Chunks) <= n-t.starts[lo] {
 		lo++
 	}
-	return lo, n - t.starts[lo], chunkLen(&t.m.Files[lo], n-t.starts[lo])
+	return lo, n - t.starts[lo], chunkLen(&t.manifest.Files[lo], n-t.starts[lo])
 }
 
 // prepare makes the files, keeps what an earlier fetch left that is right, takes
 // what other copies hold, and returns the chunks that must be fetched.
 func (t *target) prepare() (missing []int, err error) {
 	n := 0
-	for i := range t.m.Files {
-		f := &t.m.Files[i]
+	for i := range t.manifest.Files {
+		f := &t.manifest.Files[i]
 		t.starts = append(t.starts, n)
 		path := t.path(i)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			return nil, t.failed(err)
 		}
-		if t.share(i) {
+		if t.linkShared(i) {
 			n += len(f.Chunks)
 			continue
 		}
@@ -78,8 +81,8 @@
 					continue
 				}
 			}
-			if data := t.local(want); data != nil {
-				if err := t.s.disk.WriteAt(file, data, at); err != nil {
+			if data := t.localChunk(want); data != nil {
+				if err := t.store.disk.WriteAt(file, data, at); err != nil {
 					file.Close()
 					return nil, t.failed(err)
 				}
@@ -95,32 +98,32 @@
 	return missing, nil
 }
 
-// share links a file that another copy holds whole.
-func (t *target) share(i int) bool {
-	f := &t.m.Files[i]
+// linkShared clones or links a file that another copy holds whole.
+func (t *target) linkShared(i int) bool {
+	f := &t.manifest.Files[i]
 	if len(f.Chunks) == 0 || exists(t.path(i)) {
 		return false
 	}
-	t.s.mu.Lock()
-	p, h := t.s.find(f.Chunks[0])
+	t.store.mu.Lock()
+	p, h := t.store.findChunk(f.Chunks[0])
 	ok := h != nil && p.chunk == 0
 	if ok {
-		o := &h.m.Files[p.file]
+		o := &h.manifest.Files[p.file]
 		ok = o.Size == f.Size && o.Exec == f.Exec && len(o.Chunks) == len(f.Chunks)
 		for k := range f.Chunks {
 			ok = ok && o.Chunks[k] == f.Chunks[k]
 		}
 	}
 	if ok {
-		t.s.pins[p.id]++
-		t.s.stats.Shared += f.Size
+		t.store.pins[p.id]++
+		t.store.stats.Shared += f.Size
 	}
-	t.s.mu.Unlock()
+	t.store.mu.Unlock()
 	if !ok {
 		return false
 	}
-	defer t.s.Unpin(p.id)
-	from := t.s.file(copiesDir, p.id, &h.m.Files[p.file])
+	defer t.store.Unpin(p.id)
+	from := t.store.file(copiesDir, p.id, &h.manifest.Files[p.file])
 	for k, want := range f.Chunks {
 		if readChunk(from, f, k, want) == nil {
 			return false
@@ -129,38 +132,39 @@
 	return cloneOrLink(from, t.path(i)) == nil
 }
 
+// exists tells whether there is anything at a path.
 func exists(path string) bool {
 	_, err := os.Lstat(path)
 	return err == nil
 }
 
-// local reads a chunk from another copy.
-func (t *target) local(h dataset.Hash) []byte {
-	t.s.mu.Lock()
-	p, c := t.s.find(h)
-	t.s.mu.Unlock()
+// localChunk reads a chunk from another copy.
+func (t *target) localChunk(h dataset.Hash) []byte {
+	t.store.mu.Lock()
+	p, c := t.store.findChunk(h)
+	t.store.mu.Unlock()
 	if c == nil {
 		return nil
 	}
-	data := readChunk(t.s.file(copiesDir, p.id, &c.m.Files[p.file]), &c.m.Files[p.file], p.chunk, h)
+	data := readChunk(t.store.file(copiesDir, p.id, &c.manifest.Files[p.file]), &c.manifest.Files[p.file], p.chunk, h)
 	if data == nil {
 		return nil
 	}
-	t.s.mu.Lock()
-	t.s.stats.Shared += int64(len(data))
-	t.s.mu.Unlock()
+	t.store.mu.Lock()
+	t.store.stats.Shared += int64(len(data))
+	t.store.mu.Unlock()
 	return data
 }
 
-// failed makes room when the disk is full, though the account says otherwise,
-// and says what to do.
+// failed adds ErrFull to an error of a full disk, and counts it: others can fill the
+// disk although the store is within its capacity.
 func (t *target) failed(err error) error {
-	if !full(err) {
+	if !isDiskFull(err) {
 		return err
 	}
-	t.s.mu.Lock()
-	defer t.s.mu.Unlock()
-	t.s.stats.Refused++
+	t.store.mu.Lock()
+	defer t.store.mu.Unlock()
+	t.store.stats.Refused++
 	return fmt.Errorf("%w: %w", ErrFull, err)
 }
 
@@ -172,18 +176,18 @@
 		if err != nil {
 			return err
 		}
-		err = t.s.disk.WriteAt(f, data, int64(chunk)*dataset.ChunkSize)
+		err = t.store.disk.WriteAt(f, data, int64(chunk)*dataset.ChunkSize)
 		if err = errors.Join(err, f.Close()); err == nil {
 			return nil
 		}
-		if !full(err) || try > 0 {
+		if !isDiskFull(err) || try > 0 {
 			return t.failed(err)
 		}
 		// Somebody else fills the disk: one copy that is not in use makes
 		// room, once.
-		t.s.mu.Lock()
-		err = t.s.room(t.s.cfg.Capacity - t.s.used() + 1)
-		t.s.mu.Unlock()
+		t.store.mu.Lock()
+		err = t.store.makeRoom(t.store.cfg.Capacity - t.store.used() + 1)
+		t.store.mu.Unlock()
 		if err != nil {
 			return err
 		}
@@ -192,28 +196,28 @@
 
 // publish makes the copy durable and then visible.
 func (t *target) publish() error {
-	id := t.f.want.ID
-	from := filepath.Join(t.s.cfg.Dir, partialDir, string(id))
+	id := t.fetch.want.ID
+	from := filepath.Join(t.store.cfg.Dir, partialDir, string(id))
 	d, err := os.Open(from)
 	if err != nil {
 		return err
 	}
-	err = errors.Join(t.s.disk.Sync(d), d.Close())
+	err = errors.Join(t.store.disk.Sync(d), d.Close())
 	if err != nil {
 		return t.failed(err)
 	}
-	times, err := t.s.times(partialDir, id, t.m)
+	times, err := t.store.modTimes(partialDir, id, t.manifest)
 	if err != nil {
 		return err
 	}
-	t.s.mu.Lock()
-	defer t.s.mu.Unlock()
-	if err := os.Rename(from, filepath.Join(t.s.cfg.Dir, copiesDir, string(id))); err != nil {
+	t.store.mu.Lock()
+	defer t.store.mu.Unlock()
+	if err := os.Rename(from, filepath.Join(t.store.cfg.Dir, copiesDir, string(id))); err != nil {
 		return err
 	}
-	t.f.reserved = 0
-	t.s.uses++
-	t.s.enter(id, &held{m: t.m, bytes: t.m.Bytes(), used: t.s.uses, times: times})
-	t.s.tell(Event{Kind: "visible", ID: id, Urgent: t.f.want.Urgent})
+	t.fetch.reservedBytes = 0
+	t.store.useCount++
+	t.store.addCopy(id, &heldCopy{manifest: t.manifest, bytes: t.manifest.Bytes(), lastUse: t.store.useCount, modTimes: times})
+	t.store.emit(Event{Kind: "visible", ID: id, Urgent: t.fetch.want.Urgent})
 	return nil
 }
