--- /dev/null
+++ b/internal/archive/load/process.go
@@ -0,0 +1,62 @@
+package load
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"silvergate/internal/proc"
+)
+
+// process is a process that a bench started.
+type process struct {
+	cmd *exec.Cmd
+	id  proc.ID
+}
+
+// start starts the program with arguments; its output goes into a file by its name.
+func start(o Options, name string, args ...string) (*process, error) {
+	log, err := os.Create(filepath.Join(o.Dir, name+".log"))
+	if err != nil {
+		return nil, err
+	}
+	defer log.Close()
+	p := &process{cmd: exec.Command(o.Self, args...)}
+	p.cmd.Stdout, p.cmd.Stderr = log, log
+	p.cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
+	p.id, err = proc.Start(p.cmd, func(proc.ID) error { return nil })
+	return p, err
+}
+
+// kill sends a signal and waits for the process to end. It does nothing the second
+// time, or if p is nil.
+func (p *process) kill(sig syscall.Signal) {
+	if p != nil && p.cmd != nil {
+		_ = p.id.Signal(sig)
+		_ = p.cmd.Wait()
+		p.cmd = nil
+	}
+}
+
+// usage returns the process's processor time and its resident memory in bytes; zeros
+// if they can't be read.
+func (p *process) usage() (cpu time.Duration, rss int64) {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.id.PID))
+	if err != nil {
+		return 0, 0
+	}
+	_, rest, _ := strings.Cut(string(raw), ") ")
+	f := strings.Fields(rest)
+	if len(f) < 22 {
+		return 0, 0
+	}
+	u, _ := strconv.ParseInt(f[11], 10, 64)
+	s, _ := strconv.ParseInt(f[12], 10, 64)
+	pages, _ := strconv.ParseInt(f[21], 10, 64)
+	return time.Duration(u+s) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
+}
