--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -97,13 +97,13 @@
 	if c.each != nil {
 		c.each(rep)
 	}
-	for _, l := range rep.Tasks {
-		if l.Status == protocol.TaskEnded {
-			cause := l.Cause
-			if l.Checkpointed {
+	for _, task := range rep.Tasks {
+		if task.Status == protocol.TaskEnded {
+			cause := task.Cause
+			if task.Checkpointed {
 				cause += "+saved"
 			}
-			c.causes[fmt.Sprintf("%s#%d", l.Task, l.Attempt)] = cause
+			c.causes[fmt.Sprintf("%s#%d", task.Task, task.Attempt)] = cause
 		}
 	}
 	if c.silent {
--- a/internal/agent/task_program.go
+++ b/internal/agent/task_program.go
@@ -77,8 +77,8 @@
 	a.log.Info("started", "task", k.TaskName(), "attempt", k.Attempt, "command", p.Argv[0])
 	// A command that came while the process was being made found nobody.
 	a.mu.Lock()
-	l := a.worker.tasks[k]
-	late := l == nil || l.phase != running
+	task := a.worker.tasks[k]
+	late := task == nil || task.phase != running
 	a.mu.Unlock()
 	if late {
 		a.runner.kill(k)
@@ -173,7 +173,7 @@
 	if d != nil && d.Shape == job.Array && x.Code == 0 && a.outsideStore.dir != "" {
 		// Durable before it is reported: otherwise a lost heartbeat would have the
 		// task run again.
-		if l := a.running(k); l {
+		if a.running(k) {
 			if err := a.outsideStore.complete(k.Job, k.Index); err != nil {
 				a.log.Error("a result can't be kept", "task", k.TaskName(), "error", err)
 			}
@@ -186,8 +186,8 @@
 func (a *Agent) running(k TaskAttempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.worker.tasks[k]
-	return l != nil && l.phase == running
+	task := a.worker.tasks[k]
+	return task != nil && task.phase == running
 }
 
 func (a *Agent) programEnded(k TaskAttempt, x Exit) {
@@ -195,10 +195,10 @@
 	defer func() { a.keeper.ended(k, cause, x.Code) }()
 	a.step(func() Effects {
 		e := a.worker.Exited(a.clock(), k, x)
-		if l := a.worker.tasks[k]; l != nil && l.phase == ended {
-			a.stats.TaskEnds[l.cause]++
-			cause = l.cause
-			a.log.Info("ended", "task", k.TaskName(), "attempt", k.Attempt, "cause", l.cause, "code", x.Code, "saved", l.checkpointed)
+		if task := a.worker.tasks[k]; task != nil && task.phase == ended {
+			a.stats.TaskEnds[task.cause]++
+			cause = task.cause
+			a.log.Info("ended", "task", k.TaskName(), "attempt", k.Attempt, "cause", task.cause, "code", x.Code, "saved", task.checkpointed)
 		}
 		return e
 	})
--- a/internal/agent/task_state.go
+++ b/internal/agent/task_state.go
@@ -57,14 +57,14 @@
 }
 
 // process tells whether the attempt has a program that runs.
-func (l *taskState) process() bool {
-	return l.phase == running || l.phase == checkpointing || l.phase == ending
+func (task *taskState) process() bool {
+	return task.phase == running || task.phase == checkpointing || task.phase == ending
 }
 
 // all tells whether every other task of the gang is in one of the states.
-func (l *taskState) all(states ...string) bool {
-	for i := range l.description.Tasks {
-		if i != l.id.Index && !slices.Contains(states, l.peers[i]) {
+func (task *taskState) all(states ...string) bool {
+	for i := range task.description.Tasks {
+		if i != task.id.Index && !slices.Contains(states, task.peers[i]) {
 			return false
 		}
 	}
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -177,8 +177,8 @@
 
 func (w *Worker) sorted() []*taskState {
 	out := make([]*taskState, 0, len(w.tasks))
-	for _, l := range w.tasks {
-		out = append(out, l)
+	for _, task := range w.tasks {
+		out = append(out, task)
 	}
 	slices.SortFunc(out, func(a, b *taskState) int {
 		switch {
@@ -201,21 +201,21 @@
 	if !w.heartbeats.inflight {
 		next = min(next, w.heartbeatTime())
 	}
-	for _, l := range w.tasks {
-		switch l.phase {
+	for _, task := range w.tasks {
+		switch task.phase {
 		case waiting:
-			next = min(next, l.phaseSince+seconds(w.periods.GangWait), l.nextGangCheckAt)
+			next = min(next, task.phaseSince+seconds(w.periods.GangWait), task.nextGangCheckAt)
 		case running:
-			if l.description.Shape == job.Gang && l.description.Tasks > 1 {
-				next = min(next, l.nextGangCheckAt)
+			if task.description.Shape == job.Gang && task.description.Tasks > 1 {
+				next = min(next, task.nextGangCheckAt)
 			}
-			if l.nextCheckpointAt > 0 {
-				next = min(next, l.nextCheckpointAt)
+			if task.nextCheckpointAt > 0 {
+				next = min(next, task.nextCheckpointAt)
 			}
 		case finished, checkpointed:
-			next = min(next, l.nextGangCheckAt)
+			next = min(next, task.nextGangCheckAt)
 		case checkpointing:
-			next = min(next, l.killAt)
+			next = min(next, task.killAt)
 		}
 	}
 	return max(next, w.now+time.Millisecond)
@@ -248,8 +248,8 @@
 		w.effects.EndAll = true
 		return
 	}
-	for _, l := range w.sorted() {
-		w.advanceTask(l)
+	for _, task := range w.sorted() {
+		w.advanceTask(task)
 	}
 	for k, at := range w.doneAt {
 		if w.now-at > 2*w.lease() {
@@ -262,80 +262,80 @@
 }
 
 // advanceTask lets time pass for one attempt.
-func (w *Worker) advanceTask(l *taskState) {
-	if l.phase == checkpointing && w.now >= l.killAt {
-		w.end(l, protocol.CauseStopped)
+func (w *Worker) advanceTask(task *taskState) {
+	if task.phase == checkpointing && w.now >= task.killAt {
+		w.end(task, protocol.CauseStopped)
 	}
-	if l.phase == running && l.nextCheckpointAt > 0 && w.now >= l.nextCheckpointAt {
-		l.nextCheckpointAt = w.now + seconds(l.description.CheckpointIntervalS)
-		w.effects.Checkpoint = append(w.effects.Checkpoint, l.id)
+	if task.phase == running && task.nextCheckpointAt > 0 && w.now >= task.nextCheckpointAt {
+		task.nextCheckpointAt = w.now + seconds(task.description.CheckpointIntervalS)
+		w.effects.Checkpoint = append(w.effects.Checkpoint, task.id)
 	}
-	if !w.gang(l) {
+	if !w.gang(task) {
 		return
 	}
-	w.judge(l)
-	if asks := l.phase == waiting || l.phase == running || l.phase == finished || l.phase == checkpointed; asks && w.now >= l.nextGangCheckAt {
-		l.nextGangCheckAt = w.now + seconds(w.periods.GangPeer/4)
-		w.effects.AskGang = append(w.effects.AskGang, l.id)
+	w.judge(task)
+	if asks := task.phase == waiting || task.phase == running || task.phase == finished || task.phase == checkpointed; asks && w.now >= task.nextGangCheckAt {
+		task.nextGangCheckAt = w.now + seconds(w.periods.GangPeer/4)
+		w.effects.AskGang = append(w.effects.AskGang, task.id)
 	}
 }
 
-func (w *Worker) set(l *taskState, p phase) {
-	l.phase, l.phaseSince = p, w.now
+func (w *Worker) set(task *taskState, p phase) {
+	task.phase, task.phaseSince = p, w.now
 	w.heartbeats.changed = true
 }
 
 // endWithoutProcess ends an attempt that has no process.
-func (w *Worker) endWithoutProcess(l *taskState, cause string) {
-	l.cause = cause
-	w.set(l, ended)
-	l.peers = nil
-	if cause == protocol.CauseDone && w.gang(l) {
-		w.doneAt[l.id] = w.now
+func (w *Worker) endWithoutProcess(task *taskState, cause string) {
+	task.cause = cause
+	w.set(task, ended)
+	task.peers = nil
+	if cause == protocol.CauseDone && w.gang(task) {
+		w.doneAt[task.id] = w.now
 	}
-	w.idleImage(l)
+	w.idleImage(task)
 }
 
 // idleImage gives a fetch up that no task waits for any more.
-func (w *Worker) idleImage(l *taskState) {
-	if l.description == nil || !w.images.fetching[l.description.Image] {
+func (w *Worker) idleImage(task *taskState) {
+	if task.description == nil || !w.images.fetching[task.description.Image] {
 		return
 	}
 	for _, o := range w.tasks {
-		if o.phase == fetching && o.description.Image == l.description.Image {
+		if o.phase == fetching && o.description.Image == task.description.Image {
 			return
 		}
 	}
-	delete(w.images.fetching, l.description.Image)
+	delete(w.images.fetching, task.description.Image)
 	// What one step begins and gives up again is not begun at all: effects of
 	// a step have no order among kinds.
-	if i := slices.Index(w.effects.Fetch, l.description.Image); i >= 0 {
+	if i := slices.Index(w.effects.Fetch, task.description.Image); i >= 0 {
 		w.effects.Fetch = slices.Delete(w.effects.Fetch, i, i+1)
 		return
 	}
-	w.effects.Leave = append(w.effects.Leave, l.description.Image)
+	w.effects.Leave = append(w.effects.Leave, task.description.Image)
 }
 
 // end ends an attempt that has a process; it is over when that is gone.
-func (w *Worker) end(l *taskState, cause string) {
-	l.finalCause = cause
-	w.set(l, ending)
-	w.effects.Kill = append(w.effects.Kill, l.id)
+func (w *Worker) end(task *taskState, cause string) {
+	task.finalCause = cause
+	w.set(task, ending)
+	w.effects.Kill = append(w.effects.Kill, task.id)
 }
 
-func (w *Worker) start(l *taskState) {
-	w.set(l, running)
-	l.gangCompleteAt = w.now
-	if l.description.CheckpointIntervalS > 0 {
-		l.nextCheckpointAt = w.now + seconds(l.description.CheckpointIntervalS)
+func (w *Worker) start(task *taskState) {
+	w.set(task, running)
+	task.gangCompleteAt = w.now
+	if task.description.CheckpointIntervalS > 0 {
+		task.nextCheckpointAt = w.now + seconds(task.description.CheckpointIntervalS)
 	}
-	w.effects.Start = append(w.effects.Start, l.id)
+	w.effects.Start = append(w.effects.Start, task.id)
 }
 
 // describe goes on with an attempt whose job is known now.
-func (w *Worker) describe(l *taskState, d *protocol.JobDescription) {
-	if l.id.Index >= d.Tasks {
-		w.endWithoutProcess(l, protocol.CauseUnknown)
+func (w *Worker) describe(task *taskState, d *protocol.JobDescription) {
+	if task.id.Index >= d.Tasks {
+		w.endWithoutProcess(task, protocol.CauseUnknown)
 		return
 	}
 	used := Room{}
@@ -346,16 +346,16 @@
 	}
 	const eps = 1e-6 // sums of decimal amounts
 	if used.CPUs+d.CPUs > w.room.CPUs+eps || used.GPUs+d.GPUs > w.room.GPUs+eps || used.RAM+d.MemoryGB > w.room.RAM+eps {
-		w.endWithoutProcess(l, protocol.CauseNoRoom)
+		w.endWithoutProcess(task, protocol.CauseNoRoom)
 		return
 	}
-	l.description = d
-	l.phase = fetching
-	if l.needsInputs = len(d.Inputs) > 0; l.needsInputs {
-		w.effects.Inputs = append(w.effects.Inputs, l.id)
+	task.description = d
+	task.phase = fetching
+	if task.needsInputs = len(d.Inputs) > 0; task.needsInputs {
+		w.effects.Inputs = append(w.effects.Inputs, task.id)
 	}
 	if w.images.here[d.Image] {
-		w.ready(l)
+		w.ready(task)
 	} else if !w.images.fetching[d.Image] {
 		w.images.fetching[d.Image] = true
 		if i := slices.Index(w.effects.Leave, d.Image); i >= 0 {
@@ -368,28 +368,28 @@
 
 // Live tells whether an attempt is here and not over.
 func (w *Worker) Live(k TaskAttempt) bool {
-	l := w.tasks[k]
-	return l != nil && l.phase != ended && !w.epoch.ending
+	task := w.tasks[k]
+	return task != nil && task.phase != ended && !w.epoch.ending
 }
 
 // ready goes on with an attempt whose image is here.
-func (w *Worker) ready(l *taskState) {
+func (w *Worker) ready(task *taskState) {
 	switch {
-	case l.needsInputs:
-	case l.description.Complete:
-		w.endWithoutProcess(l, protocol.CauseDone)
-	case w.gang(l):
-		w.set(l, waiting)
-		l.nextGangCheckAt = w.now
+	case task.needsInputs:
+	case task.description.Complete:
+		w.endWithoutProcess(task, protocol.CauseDone)
+	case w.gang(task):
+		w.set(task, waiting)
+		task.nextGangCheckAt = w.now
 	default:
-		w.start(l)
+		w.start(task)
 	}
 }
 
 // Wanted tells whether a task that is not over needs an image.
 func (w *Worker) Wanted(image string) bool {
-	for _, l := range w.tasks {
-		if l.description != nil && l.description.Image == image && l.phase != ended {
+	for _, task := range w.tasks {
+		if task.description != nil && task.description.Image == image && task.phase != ended {
 			return true
 		}
 	}
@@ -419,8 +419,8 @@
 
 // Count tells how many attempts are here and how many of them are not over.
 func (w *Worker) Count() (all, live int) {
-	for _, l := range w.tasks {
-		if l.phase != ended {
+	for _, task := range w.tasks {
+		if task.phase != ended {
 			live++
 		}
 	}
--- a/internal/agent/worker_commands.go
+++ b/internal/agent/worker_commands.go
@@ -60,17 +60,17 @@
 			continue
 		}
 		k := TaskAttempt{id, index, command.Attempt}
-		l := w.tasks[k]
+		task := w.tasks[k]
 		switch {
-		case command.Verb == protocol.VerbLaunch && l == nil:
+		case command.Verb == protocol.VerbLaunch && task == nil:
 			w.launch(k, command.Grant)
-		case command.Verb == protocol.VerbKill && l != nil:
+		case command.Verb == protocol.VerbKill && task != nil:
 			grace := 0.0
 			if command.GracePeriodS != nil {
 				grace = *command.GracePeriodS
 			}
-			w.kill(l, grace)
-		case command.Verb == protocol.VerbForget && l != nil && l.phase == ended:
+			w.kill(task, grace)
+		case command.Verb == protocol.VerbForget && task != nil && task.phase == ended:
 			delete(w.tasks, k)
 			w.drop(id)
 			w.effects.Forget = append(w.effects.Forget, k)
@@ -96,51 +96,51 @@
 		// answer, when others were forgotten.
 		return
 	}
-	l := &taskState{id: k, phaseSince: w.now, grant: grant}
+	task := &taskState{id: k, phaseSince: w.now, grant: grant}
 	refuse := ""
 	for _, o := range w.tasks {
 		if o.id.Job == k.Job && o.id.Index == k.Index && o.phase != ended {
 			refuse = protocol.CauseBusy
 		}
 	}
-	w.tasks[k] = l
+	w.tasks[k] = task
 	w.heartbeats.changed = true
 	if refuse != "" {
-		w.endWithoutProcess(l, refuse)
+		w.endWithoutProcess(task, refuse)
 		return
 	}
 	if d := w.jobs.descriptions[k.Job]; d != nil {
-		w.describe(l, d)
+		w.describe(task, d)
 	} else if !w.jobs.describing[k.Job] {
 		w.jobs.describing[k.Job] = true
 		w.effects.Describe = append(w.effects.Describe, k.Job)
 	}
 }
 
-func (w *Worker) kill(l *taskState, grace float64) {
-	switch l.phase {
+func (w *Worker) kill(task *taskState, grace float64) {
+	switch task.phase {
 	case describing, fetching, waiting:
-		w.endWithoutProcess(l, protocol.CauseStopped)
+		w.endWithoutProcess(task, protocol.CauseStopped)
 	case finished:
 		// Guards against a gang of which some tasks are done and one was
 		// stopped: its program has completed, and the others may have seen so.
 		// What becomes of it shows within gang_peer_s.
 	case checkpointed:
 		if grace == 0 {
-			w.endWithoutProcess(l, protocol.CauseStopped)
+			w.endWithoutProcess(task, protocol.CauseStopped)
 		}
 	case checkpointing:
 		if grace == 0 {
-			w.end(l, protocol.CauseStopped)
+			w.end(task, protocol.CauseStopped)
 		}
 	case running:
-		l.stopRequestedAt = w.now
-		if l.description.CheckpointIntervalS > 0 && grace >= l.description.CheckpointSaveS && grace > 0 {
-			l.killAt = w.now + seconds(grace)
-			w.set(l, checkpointing)
-			w.effects.Stop = append(w.effects.Stop, l.id)
+		task.stopRequestedAt = w.now
+		if task.description.CheckpointIntervalS > 0 && grace >= task.description.CheckpointSaveS && grace > 0 {
+			task.killAt = w.now + seconds(grace)
+			w.set(task, checkpointing)
+			w.effects.Stop = append(w.effects.Stop, task.id)
 			return
 		}
-		w.end(l, protocol.CauseStopped)
+		w.end(task, protocol.CauseStopped)
 	}
 }
--- a/internal/agent/worker_events.go
+++ b/internal/agent/worker_events.go
@@ -11,18 +11,18 @@
 // full says that there is no room for them.
 func (w *Worker) Brought(now time.Duration, k TaskAttempt, err error, full bool) Effects {
 	w.advance(now)
-	l := w.tasks[k]
-	if w.epoch.ending || l == nil || l.phase != fetching || !l.needsInputs {
+	task := w.tasks[k]
+	if w.epoch.ending || task == nil || task.phase != fetching || !task.needsInputs {
 		return w.takeEffects()
 	}
-	l.needsInputs = false
+	task.needsInputs = false
 	switch {
 	case full:
-		w.endWithoutProcess(l, protocol.CauseNoRoom)
+		w.endWithoutProcess(task, protocol.CauseNoRoom)
 	case err != nil:
-		w.endWithoutProcess(l, protocol.CauseError)
-	case w.images.here[l.description.Image]:
-		w.ready(l)
+		w.endWithoutProcess(task, protocol.CauseError)
+	case w.images.here[task.description.Image]:
+		w.ready(task)
 	}
 	return w.takeEffects()
 }
@@ -36,8 +36,8 @@
 
 // Grant is what came with an attempt's launch for the archive.
 func (w *Worker) Grant(k TaskAttempt) string {
-	if l := w.tasks[k]; l != nil {
-		return l.grant
+	if task := w.tasks[k]; task != nil {
+		return task.grant
 	}
 	return ""
 }
@@ -56,13 +56,13 @@
 	if d != nil {
 		w.jobs.descriptions[id] = d
 	}
-	for _, l := range w.sorted() {
+	for _, task := range w.sorted() {
 		switch {
-		case l.id.Job != id || l.phase != describing:
+		case task.id.Job != id || task.phase != describing:
 		case d != nil:
-			w.describe(l, d)
+			w.describe(task, d)
 		case unknown:
-			w.endWithoutProcess(l, protocol.CauseUnknown)
+			w.endWithoutProcess(task, protocol.CauseUnknown)
 		case !w.jobs.describing[id]:
 			w.jobs.describing[id] = true
 			w.effects.Describe = append(w.effects.Describe, id)
@@ -85,13 +85,13 @@
 	if err == nil {
 		w.images.here[image] = true
 	}
-	for _, l := range w.sorted() {
+	for _, task := range w.sorted() {
 		switch {
-		case l.phase != fetching || l.description.Image != image:
+		case task.phase != fetching || task.description.Image != image:
 		case err != nil:
-			w.endWithoutProcess(l, protocol.CauseError)
+			w.endWithoutProcess(task, protocol.CauseError)
 		default:
-			w.ready(l)
+			w.ready(task)
 		}
 	}
 	return w.takeEffects()
@@ -109,26 +109,26 @@
 // Exited takes that all processes of an attempt are gone.
 func (w *Worker) Exited(now time.Duration, k TaskAttempt, x Exit) Effects {
 	w.advance(now)
-	l := w.tasks[k]
-	if w.epoch.ending || l == nil || !l.process() {
+	task := w.tasks[k]
+	if w.epoch.ending || task == nil || !task.process() {
 		return w.takeEffects()
 	}
 	switch {
-	case l.phase == ending:
-		w.endWithoutProcess(l, l.finalCause)
-	case l.phase == checkpointing && x.Saved && w.gang(l):
-		w.set(l, checkpointed)
-		l.nextGangCheckAt = w.now
-	case l.phase == checkpointing:
-		l.checkpointed = x.Saved
-		w.endWithoutProcess(l, protocol.CauseStopped)
-	case l.description.Shape == job.Service || x.Code != 0:
-		w.endWithoutProcess(l, protocol.CauseError) // replicas have no end of their own
-	case w.gang(l):
-		w.set(l, finished)
-		l.gangCompleteAt, l.nextGangCheckAt = w.now, w.now
+	case task.phase == ending:
+		w.endWithoutProcess(task, task.finalCause)
+	case task.phase == checkpointing && x.Saved && w.gang(task):
+		w.set(task, checkpointed)
+		task.nextGangCheckAt = w.now
+	case task.phase == checkpointing:
+		task.checkpointed = x.Saved
+		w.endWithoutProcess(task, protocol.CauseStopped)
+	case task.description.Shape == job.Service || x.Code != 0:
+		w.endWithoutProcess(task, protocol.CauseError) // replicas have no end of their own
+	case w.gang(task):
+		w.set(task, finished)
+		task.gangCompleteAt, task.nextGangCheckAt = w.now, w.now
 	default:
-		w.endWithoutProcess(l, protocol.CauseDone)
+		w.endWithoutProcess(task, protocol.CauseDone)
 	}
 	return w.takeEffects()
 }
@@ -150,8 +150,8 @@
 	w.now = max(w.now, now)
 	if w.epoch.ending {
 		w.epoch.ending = false
-		for _, l := range w.sorted() {
-			w.effects.Forget = append(w.effects.Forget, l.id)
+		for _, task := range w.sorted() {
+			w.effects.Forget = append(w.effects.Forget, task.id)
 		}
 		w.tasks, w.jobs.descriptions = map[TaskAttempt]*taskState{}, map[string]*protocol.JobDescription{}
 		w.jobs.describing, w.doneAt = map[string]bool{}, map[TaskAttempt]time.Duration{}
--- a/internal/agent/worker_gang.go
+++ b/internal/agent/worker_gang.go
@@ -8,44 +8,44 @@
 )
 
 // gang tells whether the attempt has others that it depends on.
-func (w *Worker) gang(l *taskState) bool {
-	return l.description != nil && l.description.Shape == job.Gang && l.description.Tasks > 1
+func (w *Worker) gang(task *taskState) bool {
+	return task.description != nil && task.description.Shape == job.Gang && task.description.Tasks > 1
 }
 
 // judge decides what a gang's task does next, from what is known of the others.
-func (w *Worker) judge(l *taskState) {
+func (w *Worker) judge(task *taskState) {
 	peer := seconds(w.periods.GangPeer)
-	switch l.phase {
+	switch task.phase {
 	case waiting:
 		switch {
-		case l.all("waiting", "running", "finished", gangDone):
-			w.start(l)
-		case w.now-l.phaseSince >= seconds(w.periods.GangWait):
-			w.endWithoutProcess(l, protocol.CauseGangTimeout)
+		case task.all("waiting", "running", "finished", gangDone):
+			w.start(task)
+		case w.now-task.phaseSince >= seconds(w.periods.GangWait):
+			w.endWithoutProcess(task, protocol.CauseGangTimeout)
 		}
 	case running:
-		if l.all("waiting", "running", "finished", "saving", "saved", gangDone) {
-			l.gangCompleteAt = w.now
-		} else if w.now-l.gangCompleteAt > peer {
-			w.end(l, protocol.CauseGangMemberLost)
+		if task.all("waiting", "running", "finished", "saving", "saved", gangDone) {
+			task.gangCompleteAt = w.now
+		} else if w.now-task.gangCompleteAt > peer {
+			w.end(task, protocol.CauseGangMemberLost)
 		}
 	case finished:
 		switch {
-		case l.all("finished", gangDone):
-			w.endWithoutProcess(l, protocol.CauseDone)
-		case l.all("running", "finished", gangDone):
-			l.gangCompleteAt = w.now
-		case w.now-l.gangCompleteAt > peer:
-			w.endWithoutProcess(l, protocol.CauseGangMemberLost)
+		case task.all("finished", gangDone):
+			w.endWithoutProcess(task, protocol.CauseDone)
+		case task.all("running", "finished", gangDone):
+			task.gangCompleteAt = w.now
+		case w.now-task.gangCompleteAt > peer:
+			w.endWithoutProcess(task, protocol.CauseGangMemberLost)
 		}
 	case checkpointed:
 		switch {
-		case l.all("saved", "ended"):
-			l.checkpointed = true
-			w.endWithoutProcess(l, protocol.CauseStopped)
-		case l.all("saving", "saved", "ended") && w.now < l.killAt:
-		case w.now-l.stopRequestedAt > peer:
-			w.endWithoutProcess(l, protocol.CauseGangMemberLost)
+		case task.all("saved", "ended"):
+			task.checkpointed = true
+			w.endWithoutProcess(task, protocol.CauseStopped)
+		case task.all("saving", "saved", "ended") && w.now < task.killAt:
+		case w.now-task.stopRequestedAt > peer:
+			w.endWithoutProcess(task, protocol.CauseGangMemberLost)
 		}
 	}
 }
@@ -53,8 +53,8 @@
 // Peers takes what the agents of a gang's other tasks say.
 func (w *Worker) Peers(now time.Duration, k TaskAttempt, states map[int]string) Effects {
 	w.now = max(w.now, now)
-	if l := w.tasks[k]; l != nil && l.phase != ended && !w.epoch.ending {
-		l.peers = states
+	if task := w.tasks[k]; task != nil && task.phase != ended && !w.epoch.ending {
+		task.peers = states
 	}
 	w.advance(now)
 	return w.takeEffects()
@@ -68,16 +68,16 @@
 			out[k.Index] = gangDone
 		}
 	}
-	for k, l := range w.tasks {
+	for k, task := range w.tasks {
 		if k.Job != id || k.Attempt != attempt || w.epoch.ending {
 			continue
 		}
 		switch {
-		case l.phase != ended:
-			out[k.Index] = gangNames[l.phase]
-		case l.cause == protocol.CauseDone:
+		case task.phase != ended:
+			out[k.Index] = gangNames[task.phase]
+		case task.cause == protocol.CauseDone:
 			out[k.Index] = gangDone
-		case l.checkpointed:
+		case task.checkpointed:
 			out[k.Index] = "ended"
 		}
 	}
--- a/internal/agent/worker_heartbeat.go
+++ b/internal/agent/worker_heartbeat.go
@@ -19,8 +19,8 @@
 		r.PreemptionNoticeS = &left
 	}
 	r.Tasks = make([]protocol.TaskStatus, 0, len(w.tasks))
-	for _, l := range w.sorted() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: l.id.TaskName(), Attempt: l.id.Attempt, Status: wire[l.phase], Cause: l.cause, Checkpointed: l.checkpointed})
+	for _, task := range w.sorted() {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.id.TaskName(), Attempt: task.id.Attempt, Status: wire[task.phase], Cause: task.cause, Checkpointed: task.checkpointed})
 	}
 	return r
 }
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -83,13 +83,13 @@
 	}
 	b.asked = append(b.asked, e.Describe...)
 	used := Room{}
-	for k, l := range b.w.tasks {
-		if l.phase == ended && b.alive[k] {
-			b.fail("%v reported over (%s) while its processes run", k, l.cause)
+	for k, task := range b.w.tasks {
+		if task.phase == ended && b.alive[k] {
+			b.fail("%v reported over (%s) while its processes run", k, task.cause)
 		}
-		if l.description != nil && l.phase != ended {
-			used.CPUs += l.description.CPUs
-			used.RAM += l.description.MemoryGB
+		if task.description != nil && task.phase != ended {
+			used.CPUs += task.description.CPUs
+			used.RAM += task.description.MemoryGB
 		}
 	}
 	if used.CPUs > testRoom.CPUs || used.RAM > testRoom.RAM {
@@ -314,7 +314,7 @@
 				if i == lost && q >= lostAt && lostAt < 100 {
 					continue
 				}
-				l := b.w.tasks[k]
+				task := b.w.tasks[k]
 				if b.alive[k] && startedAt < 0 {
 					startedAt = q
 					for j, at := range imageAt {
@@ -324,13 +324,13 @@
 					}
 				}
 				switch {
-				case b.alive[k] && l.phase == ending:
+				case b.alive[k] && task.phase == ending:
 					delete(b.alive, k)
 					b.take(b.w.Exited(b.now, k, Exit{Code: -1}))
-				case b.alive[k] && l.phase == checkpointing && q >= stopAt+4:
+				case b.alive[k] && task.phase == checkpointing && q >= stopAt+4:
 					delete(b.alive, k)
 					b.take(b.w.Exited(b.now, k, Exit{Saved: true}))
-				case b.alive[k] && l.phase == running && startedAt >= 0 && q >= startedAt+runs[i]:
+				case b.alive[k] && task.phase == running && startedAt >= 0 && q >= startedAt+runs[i]:
 					delete(b.alive, k)
 					ran++
 					b.take(b.w.Exited(b.now, k, Exit{}))
@@ -358,12 +358,12 @@
 			if i == lost && lostAt < 100 {
 				continue
 			}
-			l := b.w.tasks[TaskAttempt{id, i, 4}]
-			if l == nil || l.phase != ended {
-				t.Fatalf("task %d is not over: %+v", i, l)
+			task := b.w.tasks[TaskAttempt{id, i, 4}]
+			if task == nil || task.phase != ended {
+				t.Fatalf("task %d is not over: %+v", i, task)
 			}
-			c := l.cause
-			if l.checkpointed {
+			c := task.cause
+			if task.checkpointed {
 				c += "+saved"
 			}
 			causes[c]++
