--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -6,7 +6,6 @@
 
 	"silvergate/internal/protocol"
 	"silvergate/internal/ratelimit"
-	"silvergate/internal/stateclient"
 )
 
 // catalogue holds the cloud's machine types. Submissions can't be judged without them.
@@ -59,7 +58,7 @@
 			c.state.Txn(ratelimit.Background,
 				[]protocol.Compare{{Key: keyFlavors}},
 				[]protocol.Op{{Put: keyFlavors, Value: encode(types)}},
-				func(stateclient.TxnOutcome, []string, uint64) {})
+				ignoreOutcome)
 		}
 	})
 }
--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -352,6 +352,6 @@
 		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
-		c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) {})
+		c.state.Txn(ratelimit.Background, compares, ops, ignoreOutcome)
 	}
 }
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -301,6 +301,16 @@
 	c.respond(id, status, protocol.ErrorResponse{Error: why}, retry)
 }
 
+// refuseWhileLoading refuses request id if the records have not been read since the start,
+// and tells whether it did.
+func (c *Core) refuseWhileLoading(id uint64) bool {
+	if c.state.Loaded() {
+		return false
+	}
+	c.refuse(id, http.StatusServiceUnavailable, "starting")
+	return true
+}
+
 // leaseExpiry is how long after the arrival of an answered heartbeat its worker has
 // certainly killed all its tasks: lease_s and the most that two clocks can drift.
 func (c *Core) leaseExpiry() time.Duration { return seconds(c.cfg.Facts.Workers.Lease * 1.01) }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -29,13 +29,12 @@
 	// at a time is plenty, and 100,000 would fill queues and messages.
 	pending, noneFits := 0, false
 	for _, p := range r.pages {
-		base := p.number * c.tasksPerPage()
 		for j := 0; j < len(p.tasks) && p.pending > 0 && pending < maxPagesInFlight*c.tasksPerPage(); j++ {
 			if p.tasks[j].Phase != job.Pending {
 				continue
 			}
 			pending++
-			i := base + j
+			i := p.firstTask + j
 			if r.queuedByIndex[i] != nil || c.now < r.dispatchAfter[i] || !c.placeable(r, i) {
 				continue
 			}
@@ -96,7 +95,7 @@
 	for len(tasks) > 0 {
 		n := min(len(tasks), maxHandoffTasks)
 		handoff := &peer.TaskHandoff{Job: r.spec.ID, Tasks: tasks[:n]}
-		c.effects.Sends = append(c.effects.Sends, Outgoing{target, peer.Message{Handoff: handoff}})
+		c.send(target, peer.Message{Handoff: handoff})
 		tasks = tasks[n:]
 	}
 }
@@ -164,7 +163,7 @@
 	}
 	if len(unplaced) > 0 && c.machineThatCouldHold(r) == nil {
 		returned := &peer.TaskHandoff{Job: handoff.Job, Tasks: unplaced}
-		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{HandoffReturn: returned}})
+		c.send(from, peer.Message{HandoffReturn: returned})
 		return
 	}
 	c.enqueue(r, unplaced, c.now+3*c.cfg.Operator.PublishInterval)
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -1,11 +1,8 @@
 package coordination
 
 import (
-	"fmt"
 	"testing"
 	"time"
-
-	"silvergate/internal/job"
 )
 
 // TestMostOfAControllersMachinesHang guards against a controller that took itself
@@ -52,10 +49,7 @@
 // one another in its drain at every sweep until its records were deleted.
 func TestDrainsDoNotTakeTurns(t *testing.T) {
 	s := newSim(t, 47, 0)
-	for i := range 8 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
-			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
-	}
+	s.submitServices(8, 2)
 	s.run(60 * time.Second)
 	for _, n := range s.controllers {
 		n.unreachableUntil["cloud"] = s.now + time.Hour // nothing is deleted
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -76,12 +76,12 @@
 
 // knownProposals says which changes of a task this controller has yet to commit.
 func (c *Core) knownProposals(r *jobRecord, index int) string {
-	p := r.pages[index/c.tasksPerPage()]
+	p := c.pageOf(r, index)
 	out := ""
 	for i := range p.queue {
 		change := &p.queue[i]
 		switch {
-		case change.index != index%c.tasksPerPage():
+		case change.index != index-p.firstTask:
 		case change.placement:
 			out += "; proposed: a place on " + change.machine
 		default:
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"net/http"
 	"time"
 
 	"silvergate/internal/fencing"
@@ -285,7 +286,7 @@
 	m.probing = true
 	m.nextProbeAt = c.now + timeout
 	heardBefore := m.heardAt
-	call := protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: "GET", Path: protocol.PathStatus, Timeout: timeout}
+	call := protocol.Call{Target: protocol.ToWorker, Address: m.claim.Address, Method: http.MethodGet, Path: protocol.PathStatus, Timeout: timeout}
 	c.call(call, func(reply protocol.Reply) {
 		m.probing = false
 		c.machines.probesInFlight--
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -146,7 +146,7 @@
 // what the teams use with what has been packed already.
 func (p *fleetPlan) tasksToPack(r *jobRecord, uses map[string]usage) (n int) {
 	c := p.core
-	tm := c.jobs.teams[r.spec.Team]
+	tm := c.jobs.teamOf(r)
 	if tm == nil || c.paused(r) { // nothing is rented for a job that is not retried now
 		return 0
 	}
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -46,7 +46,7 @@
 	if r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt {
 		return
 	}
-	tm := c.jobs.teams[r.spec.Team]
+	tm := c.jobs.teamOf(r)
 	need := r.spec.Tasks - r.finished
 	if tm == nil || !tm.withinLimit(tm.charged.plus(r.spec, float64(need))) {
 		return
@@ -110,7 +110,7 @@
 	c.gangs.nextRoomRequestAt = c.now + c.cfg.Operator.PublishInterval
 	for _, p := range c.cfg.Peers {
 		request := &peer.RoomRequest{Job: r.spec.ID}
-		c.effects.Sends = append(c.effects.Sends, Outgoing{p.Node, peer.Message{RoomRequest: request}})
+		c.send(p.Node, peer.Message{RoomRequest: request})
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 	for _, owner := range sortedKeys(byOwner) {
 		request := &peer.RoomRequest{Job: r.spec.ID, Machines: byOwner[owner]}
-		c.effects.Sends = append(c.effects.Sends, Outgoing{owner, peer.Message{RoomRequest: request}})
+		c.send(owner, peer.Message{RoomRequest: request})
 	}
 	c.log.Debug("requesting machines for a gang", "job", r.spec.ID, "machines", r.blockMachines)
 }
@@ -349,7 +349,7 @@
 		c.startGang(r)
 	default:
 		offer := &peer.RoomOffer{Job: m.reservedFor, Machines: []peer.OfferedMachine{{Machine: m.id, Epoch: m.epoch}}}
-		c.effects.Sends = append(c.effects.Sends, Outgoing{m.reservedBy, peer.Message{RoomOffer: offer}})
+		c.send(m.reservedBy, peer.Message{RoomOffer: offer})
 	}
 }
 
@@ -367,7 +367,7 @@
 		offer.Machines = c.offerIdleMachines(r)
 	}
 	if len(offer.Machines) > 0 {
-		c.effects.Sends = append(c.effects.Sends, Outgoing{from, peer.Message{RoomOffer: offer}})
+		c.send(from, peer.Message{RoomOffer: offer})
 	}
 }
 
--- a/internal/coordination/gang_reservation.go
+++ b/internal/coordination/gang_reservation.go
@@ -132,7 +132,7 @@
 		if !isGang(r) || !wanted(r) || r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt || c.now < r.nextReservationAt {
 			continue
 		}
-		tm := c.jobs.teams[r.spec.Team]
+		tm := c.jobs.teamOf(r)
 		if tm != nil && tm.withinLimit(tm.charged.plus(r.spec, float64(r.spec.Tasks))) {
 			return r
 		}
--- a/internal/coordination/gang_reservation_test.go
+++ b/internal/coordination/gang_reservation_test.go
@@ -16,10 +16,7 @@
 	s := newSim(t, 23, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 	s.advertised = s.facts
-	for i := range 4 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 40,
-			Priority: job.Low, CPUs: 2, GPUs: 1, MemoryGB: 1, Spot: true}, 300, 0)
-	}
+	s.submitLowArrays(4)
 	s.run(90 * time.Second)
 	gang := s.submit(&job.Spec{ID: "wk-700000", Class: "gng", Team: "red", Shape: job.Gang, Tasks: 3, Priority: job.High,
 		CPUs: 2, GPUs: 2, MemoryGB: 1, Spot: true, OneZone: true, MachineTypes: []string{"small", "large"}}, 5, 0)
@@ -43,10 +40,7 @@
 		return s.submit(&job.Spec{ID: id, Class: "gng", Team: "red", Shape: job.Gang, Tasks: tasks, Priority: job.High,
 			CPUs: 16, GPUs: 2, MemoryGB: 1, Spot: true, OneZone: true, MachineTypes: []string{"small"}}, 5, 0)
 	}
-	for i := range 4 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 40,
-			Priority: job.Low, CPUs: 2, GPUs: 1, MemoryGB: 1, Spot: true}, 300, 0)
-	}
+	s.submitLowArrays(4)
 	s.run(60 * time.Second)
 	gang("wk-700000", 6) // four small machines a zone
 	s.run(63 * time.Second)
--- a/internal/coordination/group_failover.go
+++ b/internal/coordination/group_failover.go
@@ -255,7 +255,7 @@
 		ops = append(ops, protocol.Op{Delete: key})
 	}
 	if len(ops) > 0 {
-		c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) {})
+		c.state.Txn(ratelimit.Background, compares, ops, ignoreOutcome)
 	}
 }
 
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -19,8 +19,7 @@
 		c.refuse(id, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !c.state.Loaded() {
-		c.refuse(id, http.StatusServiceUnavailable, "starting")
+	if c.refuseWhileLoading(id) {
 		return
 	}
 	c.links.WorkerHeard(heartbeat.Zone)
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -47,7 +47,7 @@
 		}
 		// What a team asks for within its guarantee goes before what others
 		// borrow, at the same priority.
-		if tm := c.jobs.teams[r.spec.Team]; tm != nil {
+		if tm := c.jobs.teamOf(r); tm != nil {
 			tm.demand = tm.demand.plus(r.spec, float64(r.spec.Tasks-r.finished))
 			r.withinGuarantee = tm.withinGuarantee(tm.demand)
 		}
@@ -147,7 +147,7 @@
 	byServices := c.usageByServices()
 	now := float64(c.wallTime.UnixMilli()) / 1000
 	for _, r := range c.jobs.openByUrgency {
-		tm := c.jobs.teams[r.spec.Team]
+		tm := c.jobs.teamOf(r)
 		if tm == nil || tm.savingFor != nil || !tm.hasLimit() {
 			continue
 		}
@@ -171,7 +171,7 @@
 func (c *Core) usageByServices() map[*team]usage {
 	used := map[*team]usage{}
 	for _, r := range c.jobs.openByUrgency {
-		if tm := c.jobs.teams[r.spec.Team]; tm != nil && r.spec.Shape == job.Service {
+		if tm := c.jobs.teamOf(r); tm != nil && r.spec.Shape == job.Service {
 			used[tm] = used[tm].plus(r.spec, float64(r.bound))
 		}
 	}
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -142,7 +142,7 @@
 	if index < 0 || index >= r.spec.Tasks {
 		return nil
 	}
-	p := r.pages[index/c.tasksPerPage()]
+	p := c.pageOf(r, index)
 	if p.tasks == nil {
 		return nil
 	}
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -80,7 +80,7 @@
 	call := protocol.Call{
 		Target:  protocol.ToWorker,
 		Address: m.claim.Address,
-		Method:  "POST",
+		Method:  http.MethodPost,
 		Path:    protocol.PathCommands,
 		Body:    encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: commands}),
 		Timeout: seconds(c.cfg.Facts.Workers.Report / 2),
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"net/http"
 	"time"
 
 	"silvergate/internal/config"
@@ -67,7 +68,7 @@
 
 // probeStateService reads a small record on our own link.
 func (c *Core) probeStateService() {
-	call := protocol.Call{Target: protocol.ToStateService, Method: "GET", Path: protocol.PathKeys + "/" + keyFleet, Timeout: stateProbeTimeout}
+	call := protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Path: protocol.PathKeys + "/" + keyFleet, Timeout: stateProbeTimeout}
 	c.call(call, func(reply protocol.Reply) { c.links.Probed(reply.Status) })
 }
 
--- a/internal/coordination/operator_queries.go
+++ b/internal/coordination/operator_queries.go
@@ -86,8 +86,7 @@
 		return false
 	}
 	c := v.core
-	if !c.state.Loaded() {
-		c.refuse(id, http.StatusServiceUnavailable, "starting")
+	if c.refuseWhileLoading(id) {
 		return true
 	}
 	v.withJob(id, jobID, func(r *jobRecord) {
@@ -230,7 +229,7 @@
 				continue
 			}
 			out.Members = append(out.Members, protocol.GangMember{
-				Index:   p.number*v.core.tasksPerPage() + i,
+				Index:   p.firstTask + i,
 				Machine: t.Machine,
 				Address: v.core.machine(t.Machine).claim.Address,
 			})
@@ -255,8 +254,7 @@
 		c.refuse(id, http.StatusBadRequest, "the query is malformed")
 		return true
 	}
-	if !c.state.Loaded() {
-		c.refuse(id, http.StatusServiceUnavailable, "starting")
+	if c.refuseWhileLoading(id) {
 		return true
 	}
 	from := parameters.Get("from")
@@ -320,7 +318,7 @@
 // knows; "" if none is pending.
 func (v *queryHandler) waitReason(r *jobRecord) string {
 	c := v.core
-	t := c.jobs.teams[r.spec.Team]
+	t := c.jobs.teamOf(r)
 	switch {
 	case r.final() || r.bound+r.finished >= r.spec.Tasks:
 		return ""
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -158,7 +158,7 @@
 	if t == nil || t.Phase != job.Pending || r.reservations[index] != nil {
 		return false
 	}
-	tm := c.jobs.teams[r.spec.Team]
+	tm := c.jobs.teamOf(r)
 	return tm != nil && tm.leavesQuotaFor(r, tm.charged.plus(r.spec, 1))
 }
 
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"silvergate/internal/config"
-	"silvergate/internal/job"
 )
 
 func TestQuietDayEndsEverything(t *testing.T) {
@@ -61,10 +60,7 @@
 			for seed := uint64(1); seed <= v.seeds; seed++ {
 				s := newSim(t, seed, 0.002)
 				v.defect(s)
-				for i := range 8 {
-					s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
-						Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
-				}
+				s.submitServices(8, 1)
 				s.submitMixedJobs(2 * time.Minute)
 				if v.during != nil {
 					s.after(40*time.Second, func() { v.during(s) })
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -130,10 +130,9 @@
 	if c.writer.completions.queued[taskKey{record.spec.ID, index}] {
 		return true
 	}
-	perPage := c.tasksPerPage()
-	page := record.pages[index/perPage]
+	page := c.pageOf(record, index)
 	for i := range page.queue {
-		if page.queue[i].index == index%perPage && !page.queue[i].placement {
+		if page.queue[i].index == index-page.firstTask && !page.queue[i].placement {
 			return true
 		}
 	}
--- a/internal/coordination/restart_test.go
+++ b/internal/coordination/restart_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -29,10 +28,7 @@
 // workers they adopted.
 func adoptionsAfterRestart(t *testing.T, seed uint64) (adopted uint64) {
 	s := newSim(t, seed, 0)
-	for i := range 8 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
-			Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: []string{"a", "b"}[i%2]}, 0, 0)
-	}
+	s.submitServices(8, 1, "a", "b")
 	s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal,
 		CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: "a"}, 40, 0)
 	s.run(50 * time.Second)
@@ -69,10 +65,7 @@
 	var adopted, claims uint64
 	for seed := uint64(1); seed <= 8; seed++ {
 		s := newSim(t, seed, 0)
-		for i := range 8 {
-			s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
-				Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1, Zone: []string{"a", "b"}[i%2]}, 0, 0)
-		}
+		s.submitServices(8, 1, "a", "b")
 		s.run(50 * time.Second)
 		starts := s.counts.taskStarts
 		for _, n := range s.controllers {
@@ -99,10 +92,7 @@
 // heartbeats, and the new incarnation has to find it.
 func TestHungMachineOfARestartedControllerIsReturned(t *testing.T) {
 	s := newSim(t, 29, 0)
-	for i := range 12 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
-			Priority: job.Production, CPUs: 1, GPUs: 2, MemoryGB: 1}, 0, 0)
-	}
+	s.submitServices(12, 2)
 	s.run(60 * time.Second)
 	for _, n := range s.controllers {
 		n.crash(2 * time.Second)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -311,6 +311,6 @@
 		}
 	}
 	if len(ops) > 0 {
-		c.state.Txn(ratelimit.OtherWork, compares, ops, func(stateclient.TxnOutcome, []string, uint64) {})
+		c.state.Txn(ratelimit.OtherWork, compares, ops, ignoreOutcome)
 	}
 }
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -10,7 +10,6 @@
 
 	"silvergate/internal/protocol"
 	"silvergate/internal/ratelimit"
-	"silvergate/internal/stateclient"
 )
 
 // offering is what the cloud rents: machines of a type in a zone, spot or on demand.
@@ -149,7 +148,7 @@
 	c.state.Txn(class,
 		[]protocol.Compare{{Key: keyRental + name}, {Key: keyFleet, ModRevision: f.leaderRevision}},
 		[]protocol.Op{{Put: keyRental + name, Value: record}},
-		func(stateclient.TxnOutcome, []string, uint64) {})
+		ignoreOutcome)
 }
 
 // sendRentals sends recorded requests until each has got an answer.
@@ -205,7 +204,7 @@
 	c.state.Txn(ratelimit.OtherWork,
 		[]protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
 		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}},
-		func(stateclient.TxnOutcome, []string, uint64) {})
+		ignoreOutcome)
 }
 
 // isTransientCloudError tells whether the cloud refused a request for another reason than a
@@ -235,7 +234,7 @@
 	c.state.Txn(ratelimit.OtherWork,
 		[]protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
 		[]protocol.Op{{Delete: keyRental + name}},
-		func(stateclient.TxnOutcome, []string, uint64) {})
+		ignoreOutcome)
 }
 
 // settleRental drops a rental's record once its machines have all sent a heartbeat, been
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -203,7 +203,7 @@
 		}
 		t.Logf("%s: %+v status %s owner %s bound %d held %d zones %v retry in %v failed on %v tasks %v queue %d in flight %v leads %v gang %v team %+v idle %v offers %v",
 			n.name, *r.spec, r.status, r.owner, r.bound, len(r.reservations), r.tasksByZone, r.retryAt-c.now, r.failedOn, r.pages[0].tasks, len(r.pages[0].queue),
-			r.pages[0].inFlight, c.isLeader(), c.gangs.reservation, c.jobs.teams[r.spec.Team].charged, c.scheduler.idle, r.offers)
+			r.pages[0].inFlight, c.isLeader(), c.gangs.reservation, c.jobs.teamOf(r).charged, c.scheduler.idle, r.offers)
 		if c.isLeader() {
 			t.Logf("  rentals %+v refused %v now %v free %v listed %d deleted at %v drains %v", c.scaler.rentals, c.scaler.refusedUntil, c.now, s.cloud.capacity, len(c.scaler.cloudMachines), c.scaler.deletedAt, c.machines.drains)
 		}
--- a/internal/coordination/sim_workload_test.go
+++ b/internal/coordination/sim_workload_test.go
@@ -173,3 +173,25 @@
 	}
 	return encode(submission)
 }
+
+// submitServices submits n services of team blue with one task each, in turn in the zones,
+// or in any zone if none is named.
+func (s *sim) submitServices(n int, gpus float64, zones ...string) {
+	for i := range n {
+		spec := &job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
+			Priority: job.Production, CPUs: 1, GPUs: gpus, MemoryGB: 1}
+		if len(zones) > 0 {
+			spec.Zone = zones[i%len(zones)]
+		}
+		s.submit(spec, 0, 0)
+	}
+}
+
+// submitLowArrays submits n arrays of team blue, of low priority and on spot machines, that
+// run for longer than a test.
+func (s *sim) submitLowArrays(n int) {
+	for i := range n {
+		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 40,
+			Priority: job.Low, CPUs: 2, GPUs: 1, MemoryGB: 1, Spot: true}, 300, 0)
+	}
+}
--- a/internal/coordination/state_outage_test.go
+++ b/internal/coordination/state_outage_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -15,10 +14,7 @@
 // confirmed, so workers are answered however long it lasts.
 func TestLongOutageKeepsTasksRunning(t *testing.T) {
 	s := newSim(t, 11, 0)
-	for i := range 6 {
-		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
-			Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
-	}
+	s.submitServices(6, 1)
 	s.run(60 * time.Second)
 	on := func() (n int) {
 		for _, w := range s.cloud.sortedMachines() {
--- a/internal/coordination/stop_commands.go
+++ b/internal/coordination/stop_commands.go
@@ -57,7 +57,7 @@
 			if t.Phase != job.Bound {
 				continue
 			}
-			k := taskKey{p.jobID, p.number*c.tasksPerPage() + i}
+			k := p.taskKey(i)
 			m := c.machines.byID[t.Machine]
 			if m != nil && c.isOwn(m) && t.Epoch == m.epoch && m.runningSince[k] == 0 {
 				commands[m.id] = append(commands[m.id], killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, 0))
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -19,8 +19,7 @@
 		c.refuse(id, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !c.state.Loaded() {
-		c.refuse(id, http.StatusServiceUnavailable, "starting")
+	if c.refuseWhileLoading(id) {
 		return
 	}
 	if c.jobs.byID[jobID] != nil {
@@ -169,4 +168,3 @@
 func typeHolds(t *protocol.MachineType, s *job.Spec) bool {
 	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.MemoryGB <= t.MemoryGB
 }
-
--- a/internal/coordination/txn_batch.go
+++ b/internal/coordination/txn_batch.go
@@ -201,3 +201,7 @@
 		c.writer.addDirty(p)
 	}
 }
+
+// ignoreOutcome is for transactions whose outcome changes nothing here: the mirror shows what
+// was committed, and what was not is proposed again when it is next due.
+func ignoreOutcome(stateclient.TxnOutcome, []string, uint64) {}
