--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -18,7 +18,6 @@
 	anode "silvergate/internal/archive/node"
 	"silvergate/internal/archive/reader"
 	"silvergate/internal/archive/ship"
-	"silvergate/internal/proc"
 )
 
 // archiveCommands are the commands of those who run the archive.
@@ -34,11 +33,8 @@
 	serve := &cobra.Command{
 		Use: "serve --settings FILE", Short: "Serve an archive node", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := proc.Hold(); err != nil {
-				return err
-			}
 			cfg := anode.DefaultConfig()
-			if err := readSettings(settings, &cfg); err != nil {
+			if err := startPart(settings, &cfg); err != nil {
 				return err
 			}
 			n, err := anode.Open(cfg, partLogger("archive").With("node", cfg.Name))
@@ -242,11 +238,8 @@
 	benchShip := &cobra.Command{
 		Use: "bench-ship --settings FILE", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := proc.Hold(); err != nil {
-				return err
-			}
 			s := load.Settings{Ship: ship.DefaultConfig()}
-			if err := readSettings(shipping, &s); err != nil {
+			if err := startPart(shipping, &s); err != nil {
 				return err
 			}
 			done := make(chan struct{})
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"math/big"
+	"net/http"
 	"net/url"
 	"os"
 	"strings"
@@ -76,14 +77,12 @@
 	}
 	var last error
 	for _, a := range all {
-		stop := time.AfterFunc(k.timeout, func() { k.pool.Expire(time.Now().Add(k.timeout)) })
-		r, _, err := k.pool.Do(a, method, path, body, k.timeout)
-		stop.Stop()
+		r, err := k.request(a, method, path, body)
 		if err != nil {
 			last = fmt.Errorf("%s: %w: %w", a, errAway, err)
 			continue
 		}
-		if r.Status == 200 || r.Status == 201 {
+		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
 			return r, nil
 		}
 		var p protocol.ErrorResponse
@@ -94,7 +93,7 @@
 			p.Error += fmt.Sprintf(" (try again in %d s)", r.RetryAfter)
 		}
 		last = fmt.Errorf("%s: status %d: %s", a, r.Status, p.Error)
-		if r.Status == 429 || r.Status >= 500 {
+		if r.Status == http.StatusTooManyRequests || r.Status >= http.StatusInternalServerError {
 			last = fmt.Errorf("%w: %w", errAway, last)
 			continue
 		}
@@ -103,8 +102,17 @@
 	return nil, last
 }
 
+// request sends one request to an address and waits for its response. The pool has no clock,
+// so the request is expired here when its time is up.
+func (k *client) request(address, method, path string, body []byte) (*transport.Response, error) {
+	timer := time.AfterFunc(k.timeout, func() { k.pool.Expire(time.Now().Add(k.timeout)) })
+	defer timer.Stop()
+	r, _, err := k.pool.Do(address, method, path, body, k.timeout)
+	return r, err
+}
+
 func (k *client) get(path string, v any) error {
-	r, err := k.do("GET", path, nil)
+	r, err := k.do(http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
@@ -112,7 +120,7 @@
 }
 
 func (k *client) post(path string, body, v any) error {
-	r, err := k.do("POST", path, protocol.Encode(body))
+	r, err := k.do(http.MethodPost, path, protocol.Encode(body))
 	if err != nil {
 		return err
 	}
@@ -215,7 +223,7 @@
 	var s protocol.JobState
 	until := time.Now().Add(time.Minute)
 	for {
-		r, err := k.do("POST", protocol.PathJobs, body)
+		r, err := k.do(http.MethodPost, protocol.PathJobs, body)
 		if err == nil {
 			return s, json.Unmarshal(r.Body, &s)
 		}
@@ -350,21 +358,26 @@
 // maxPages bounds how long a list is followed.
 const maxPages = 10_000
 
-// pages follows a list from page to page. path ends with the parameter that
-// names the last entry seen; take takes a page and tells its last entry, "" if
-// it is the last page.
-func pages[P any](k *client, path string, take func(p *P) (last string)) error {
+// readList reads a list page by page. path ends with the parameter that names the last entry
+// seen; content tells what a page holds and whether more follow it, name an entry's name.
+func readList[Page, Entry any](k *client, path string, content func(*Page) (entries []Entry, truncated bool), name func(*Entry) string) ([]Entry, error) {
+	all := []Entry{}
 	from := ""
 	for range maxPages {
-		var p P
-		if err := k.get(path+url.QueryEscape(from), &p); err != nil {
-			return err
+		var page Page
+		if err := k.get(path+url.QueryEscape(from), &page); err != nil {
+			return all, err
+		}
+		entries, truncated := content(&page)
+		all = append(all, entries...)
+		if !truncated || len(entries) == 0 {
+			break
 		}
-		if from = take(&p); from == "" {
+		if from = name(&entries[len(entries)-1]); from == "" {
 			break
 		}
 	}
-	return nil
+	return all, nil
 }
 
 func (k *client) jobsCommand() *cobra.Command {
@@ -372,14 +385,10 @@
 	c := &cobra.Command{
 		Use: "jobs", Short: "List the jobs that are not over, and what they wait for", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			jobs := []protocol.JobSummary{}
-			if err := pages(k, fmt.Sprintf("%s?all=%t&from=", protocol.PathJobList, all), func(p *protocol.JobPage) string {
-				jobs = append(jobs, p.Jobs...)
-				if !p.Truncated || len(p.Jobs) == 0 {
-					return ""
-				}
-				return p.Jobs[len(p.Jobs)-1].ID
-			}); err != nil {
+			jobs, err := readList(k, fmt.Sprintf("%s?all=%t&from=", protocol.PathJobList, all),
+				func(p *protocol.JobPage) ([]protocol.JobSummary, bool) { return p.Jobs, p.Truncated },
+				func(j *protocol.JobSummary) string { return j.ID })
+			if err != nil {
 				return err
 			}
 			var rows [][]string
@@ -410,14 +419,10 @@
 	c := &cobra.Command{
 		Use: "nodes", Short: "List the machines, what they hold and who leads them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			nodes := []protocol.MachineSummary{}
-			if err := pages(k, protocol.PathMachineList+"?from=", func(p *protocol.MachinePage) string {
-				nodes = append(nodes, p.Machines...)
-				if !p.Truncated || len(p.Machines) == 0 {
-					return ""
-				}
-				return p.Machines[len(p.Machines)-1].Machine
-			}); err != nil {
+			nodes, err := readList(k, protocol.PathMachineList+"?from=",
+				func(p *protocol.MachinePage) ([]protocol.MachineSummary, bool) { return p.Machines, p.Truncated },
+				func(m *protocol.MachineSummary) string { return m.Machine })
+			if err != nil {
 				return err
 			}
 			var rows [][]string
@@ -442,7 +447,7 @@
 	st := &cobra.Command{
 		Use: "stats", Short: "Show a controller's counters and latencies", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, err := stats.do("GET", "/stats", nil)
+			r, err := stats.do(http.MethodGet, "/stats", nil)
 			if err != nil {
 				return err
 			}
@@ -453,8 +458,8 @@
 	stats.users(st)
 	return []*cobra.Command{
 		newClient().submitCommand(),
-		newClient().byRef("show JOB", "Show a job's state", "GET", ""),
-		newClient().byRef("cancel JOB", "Cancel a job", "POST", "/"+protocol.PathCancel),
+		newClient().byRef("show JOB", "Show a job's state", http.MethodGet, ""),
+		newClient().byRef("cancel JOB", "Cancel a job", http.MethodPost, "/"+protocol.PathCancel),
 		newClient().jobsCommand(),
 		newClient().nodesCommand(),
 		reachCommand(),
--- a/cmd/silvergate/data.go
+++ b/cmd/silvergate/data.go
@@ -78,16 +78,9 @@
 
 // versions reads all registered versions.
 func (k *client) versions() ([]protocol.DataSet, error) {
-	out := []protocol.DataSet{}
-	err := pages(k, protocol.PathDataSets+"?from=", func(p *protocol.DataSetPage) string {
-		out = append(out, p.DataSets...)
-		if !p.Truncated || len(p.DataSets) == 0 {
-			return ""
-		}
-		last := &p.DataSets[len(p.DataSets)-1]
-		return last.Set + "/" + last.Version
-	})
-	return out, err
+	return readList(k, protocol.PathDataSets+"?from=",
+		func(p *protocol.DataSetPage) ([]protocol.DataSet, bool) { return p.DataSets, p.Truncated },
+		func(d *protocol.DataSet) string { return d.Set + "/" + d.Version })
 }
 
 func dataList() *cobra.Command {
@@ -127,10 +120,8 @@
 		}
 		var last error
 		for _, s := range v.Sources {
-			stop := time.AfterFunc(k.timeout, func() { k.pool.Expire(time.Now().Add(k.timeout)) })
-			r, _, err := k.pool.Do(s, "GET", dataset.SetsPath+v.Set+"/"+v.Version+"/"+dataset.ManifestName, nil, k.timeout)
-			stop.Stop()
-			if err == nil && r.Status != 200 {
+			r, err := k.request(s, http.MethodGet, dataset.SetsPath+v.Set+"/"+v.Version+"/"+dataset.ManifestName, nil)
+			if err == nil && r.Status != http.StatusOK {
 				err = fmt.Errorf("status %d", r.Status)
 			}
 			var m *dataset.Manifest
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"os"
 	"os/signal"
 	"syscall"
@@ -36,6 +37,15 @@
 	return nil
 }
 
+// startPart starts a part of the platform that a command serves until it is told to end: it
+// prepares the process and reads the part's YAML over its defaults.
+func startPart(settings string, cfg any) error {
+	if err := proc.Hold(); err != nil {
+		return err
+	}
+	return readSettings(settings, cfg)
+}
+
 // untilTold calls stop at the first SIGTERM or SIGINT.
 func untilTold(stop func()) {
 	told := make(chan os.Signal, 1)
@@ -53,7 +63,7 @@
 // scrape answers GET /metrics of a part that serves by itself.
 func scrape(page *metrics.Page, log *slog.Logger, answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
 	return func(id uint64, method, path string) bool {
-		if path != metrics.Path || method != "GET" {
+		if path != metrics.Path || method != http.MethodGet {
 			return false
 		}
 		kind, body, err := page.Render()
@@ -72,11 +82,8 @@
 	cmd := &cobra.Command{
 		Use: "provider --settings FILE", Short: "Serve a cloud whose machines are agents on this machine", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := proc.Hold(); err != nil {
-				return err
-			}
 			cfg := provider.DefaultConfig()
-			if err := readSettings(settings, &cfg); err != nil {
+			if err := startPart(settings, &cfg); err != nil {
 				return err
 			}
 			self, err := os.Executable()
@@ -120,11 +127,8 @@
 	run := &cobra.Command{
 		Use: "agent --settings FILE", Short: "Run this machine's tasks for the controllers", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := proc.Hold(); err != nil {
-				return err
-			}
 			cfg := agent.DefaultConfig()
-			if err := readSettings(settings, &cfg); err != nil {
+			if err := startPart(settings, &cfg); err != nil {
 				return err
 			}
 			self, err := os.Executable()
--- a/cmd/silvergate/state.go
+++ b/cmd/silvergate/state.go
@@ -9,7 +9,6 @@
 	"github.com/spf13/cobra"
 
 	"silvergate/internal/metrics"
-	"silvergate/internal/proc"
 	"silvergate/internal/statestore"
 )
 
@@ -26,11 +25,8 @@
 	serve := &cobra.Command{
 		Use: "serve --settings FILE", Short: "Serve the state service", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := proc.Hold(); err != nil {
-				return err
-			}
 			cfg := statestore.DefaultConfig()
-			if err := readSettings(settings, &cfg); err != nil {
+			if err := startPart(settings, &cfg); err != nil {
 				return err
 			}
 			log := partLogger("state")
