--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"iter"
+
 	"silvergate/internal/job"
 	"silvergate/internal/losses"
 	"silvergate/internal/protocol"
@@ -59,15 +61,28 @@
 	return machineType != &unknownMachineType && allowsMachine(r.spec, m) && typeHolds(machineType, r.spec)
 }
 
+// fromRandomStart yields each of the machines once, in their order from a random one on, so
+// that bounded searches do not always look at the same ones. It draws once, also if there
+// are no machines.
+func (c *Core) fromRandomStart(machines []*machine) iter.Seq[*machine] {
+	return func(yield func(*machine) bool) {
+		start := c.random.IntN(max(1, len(machines)))
+		for i := range machines {
+			if !yield(machines[(start+i)%len(machines)]) {
+				return
+			}
+		}
+	}
+}
+
 // machineThatCouldHold is a random machine of ours that could hold a job's task: the first
 // such from a random one on.
 func (c *Core) machineThatCouldHold(r *jobRecord) *machine {
 	if len(c.machines.own) == 0 {
 		return nil
 	}
-	start := c.random.IntN(len(c.machines.own))
-	for i := range c.machines.own {
-		if m := c.machines.own[(start+i)%len(c.machines.own)]; !c.unschedulable(m) && c.couldHold(r, m) {
+	for m := range c.fromRandomStart(c.machines.own) {
+		if !c.unschedulable(m) && c.couldHold(r, m) {
 			return m
 		}
 	}
@@ -84,9 +99,10 @@
 	if len(c.scheduler.idle) == 0 {
 		return nil
 	}
-	start := c.random.IntN(len(c.scheduler.idle))
-	for i := 0; i < len(c.scheduler.idle) && seen < maxCandidates; i++ {
-		m := c.scheduler.idle[(start+i)%len(c.scheduler.idle)]
+	for m := range c.fromRandomStart(c.scheduler.idle) {
+		if seen == maxCandidates {
+			break
+		}
 		if c.unschedulable(m) || !c.fits(r, m) {
 			continue
 		}
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -55,9 +55,10 @@
 	var best *machine
 	var victim taskKey
 	bestLoss, seen := 0.0, 0
-	start := c.random.IntN(max(1, len(c.machines.own)))
-	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
-		m := c.machines.own[(start+i)%len(c.machines.own)]
+	for m := range c.fromRandomStart(c.machines.own) {
+		if seen == maxCandidates {
+			break
+		}
 		if preemptsForQuotaOf(m, r.spec.Team) {
 			return
 		}
@@ -140,9 +141,10 @@
 	bestCost := 0.0
 	var bestRank placementRank
 	seen := 0
-	start := c.random.IntN(max(1, len(c.machines.own)))
-	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
-		m := c.machines.own[(start+i)%len(c.machines.own)]
+	for m := range c.fromRandomStart(c.machines.own) {
+		if seen == maxCandidates {
+			break
+		}
 		if !m.holdsBelow(r.spec.Priority) || !c.mayPreemptOn(r, m) {
 			continue
 		}
@@ -199,9 +201,10 @@
 	var bestVictims []taskKey
 	bestCost := 0.0
 	seen := 0
-	start := c.random.IntN(max(1, len(c.machines.own)))
-	for i := 0; i < len(c.machines.own) && seen < maxCandidates; i++ {
-		m := c.machines.own[(start+i)%len(c.machines.own)]
+	for m := range c.fromRandomStart(c.machines.own) {
+		if seen == maxCandidates {
+			break
+		}
 		if len(m.bound) == m.services || !c.mayPreemptOn(r, m) {
 			continue
 		}
--- a/internal/coordination/staging.go
+++ b/internal/coordination/staging.go
@@ -341,9 +341,10 @@
 	c := d.core
 	own := c.machines.own
 	var candidates []staging.Candidate
-	start := c.random.IntN(max(1, len(own)))
-	for i := 0; i < len(own) && len(candidates) < maxCandidates; i++ {
-		m := own[(start+i)%len(own)]
+	for m := range c.fromRandomStart(own) {
+		if len(candidates) == maxCandidates {
+			break
+		}
 		if c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -38,6 +38,7 @@
 func (e *echo) Message(from string, m any) { e.got <- fmt.Sprint(from, ":", m) }
 
 func freeAddr(t *testing.T) string {
+	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,6 +47,17 @@
 	return l.Addr().String()
 }
 
+// dial opens a connection that is closed when the test ends.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
 // startEcho serves until the test process ends: evio has no stop from outside.
 func startEcho(t *testing.T, patience time.Duration, conns int) (e *echo, httpAddr, peerAddr string) {
 	e = &echo{got: make(chan string, 64), later: make(chan uint64, 1)}
@@ -99,11 +111,7 @@
 		t.Fatal(got)
 	}
 	// Two requests at once are served one after the other.
-	c, err := net.Dial("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := dial(t, addr)
 	fmt.Fprintf(c, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\nConnection: close\r\n\r\n")
 	all, _ := io.ReadAll(c)
 	if i, j := bytes.Index(all, []byte("GET/1")), bytes.Index(all, []byte("GET/2")); i < 0 || j < i {
@@ -113,32 +121,21 @@
 
 func TestServerCutsOffSlowAndExcessConnections(t *testing.T) {
 	_, addr, _ := startEcho(t, 50*time.Millisecond, 3)
-	slow, err := net.Dial("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
+	slow := dial(t, addr)
 	fmt.Fprint(slow, "GET /x HT")
 	all, _ := io.ReadAll(slow)
 	if !bytes.HasPrefix(all, []byte("HTTP/1.1 408 ")) {
 		t.Fatalf("a slow sender got %q", all)
 	}
-	var conns []net.Conn
 	refused := 0
 	for i := 0; i < 6; i++ {
-		c, err := net.Dial("tcp4", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		conns = append(conns, c)
+		c := dial(t, addr)
 		fmt.Fprint(c, "GET /x HTTP/1.1\r\n\r\n")
 		line := make([]byte, 12)
 		if _, err := io.ReadFull(c, line); err != nil || string(line) == "HTTP/1.1 503" {
 			refused++
 		}
 	}
-	for _, c := range conns {
-		c.Close()
-	}
 	if refused != 3 {
 		t.Fatalf("%d of 6 connections refused with a limit of 3", refused)
 	}
@@ -146,10 +143,7 @@
 
 func TestServerClosesIdleConnections(t *testing.T) {
 	_, addr, _ := startEcho(t, 2*time.Millisecond, 10)
-	c, err := net.Dial("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := dial(t, addr)
 	if all, err := io.ReadAll(c); err != nil || len(all) != 0 {
 		t.Fatalf("%q %v", all, err)
 	}
