--- a/internal/coordination/bin_packing.go
+++ b/internal/coordination/bin_packing.go
@@ -16,7 +16,7 @@
 	memoryGB float64
 	bound    bool // tasks are bound to it
 	used     bool // the packing has put tasks onto it
-	planned  bool // it is to be rented
+	planned  bool // it is yet to be provisioned
 }
 
 // fits tells whether a task may and can be put into the slot.
@@ -44,7 +44,7 @@
 }
 
 // binPacking packs tasks onto slots: first fit, in the order of the slots. For what fits none
-// it chooses the cheapest machines to rent. It knows nothing of the controller.
+// it chooses the cheapest machines to provision. It knows nothing of the controller.
 type binPacking struct {
 	types          map[string]*protocol.MachineType
 	refused        func(offering) bool // the cloud has refused it a short while ago
@@ -53,7 +53,7 @@
 	machinesByZone map[string]int
 	toRent         map[offering]int
 	urgent         map[offering]bool // production work waits for these
-	unplaceable    int               // tasks for which nothing can be rented
+	unplaceable    int               // tasks for which no machine can be provisioned
 	firstOpenSlot  int               // slots before this one have nothing left for any open job
 }
 
@@ -97,15 +97,15 @@
 // spread, and is nil otherwise.
 func (p *binPacking) packTasks(spec *job.Spec, n int, tasksByZone map[string]int) {
 	p.skipFullSlots()
-	at := p.firstOpenSlot // a job's tasks are alike: what can't take one takes none
+	slotIndex := p.firstOpenSlot // a job's tasks are alike: what can't take one takes none
 	for ; n > 0; n-- {
-		for at < len(p.slots) && !(p.slots[at].fits(spec) && spreadAllows(spec, tasksByZone, p.slots[at].offering.zone)) {
-			at++
+		for slotIndex < len(p.slots) && !(p.slots[slotIndex].fits(spec) && spreadAllows(spec, tasksByZone, p.slots[slotIndex].offering.zone)) {
+			slotIndex++
 		}
-		if at < len(p.slots) {
-			p.slots[at].add(spec)
+		if slotIndex < len(p.slots) {
+			p.slots[slotIndex].add(spec)
 			if tasksByZone != nil {
-				tasksByZone[p.slots[at].offering.zone]++
+				tasksByZone[p.slots[slotIndex].offering.zone]++
 			}
 			continue
 		}
@@ -138,7 +138,7 @@
 	}
 }
 
-// planMachine adds a machine that is to be rented, with a task of a job on it.
+// planMachine adds a machine that is to be provisioned, with a task of a job on it.
 func (p *binPacking) planMachine(where offering, spec *job.Spec) {
 	machineType := p.types[where.machineType]
 	s := &slot{offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB, planned: true}
@@ -148,7 +148,7 @@
 	p.urgent[where] = p.urgent[where] || spec.Priority == job.Production
 }
 
-// cheapestOffering picks where to rent for a task: the offering that costs least for each
+// cheapestOffering picks what to provision for a task: the offering that costs least for each
 // task on it and was not refused a short while ago, in the zone with the fewest machines.
 // Costs that differ by less than priceTolerance count as equal.
 func (p *binPacking) cheapestOffering(spec *job.Spec, tasksByZone map[string]int) (offering, bool) {
@@ -196,7 +196,7 @@
 
 // tasksPerMachine is how many tasks of a job a machine of a type holds, one at least.
 func tasksPerMachine(t *protocol.MachineType, s *job.Spec) float64 {
-	fit := 1e9 // for a job that asks for nothing
+	fit := 1e9 // for a job that requests no resources
 	for _, d := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
 		if d[1] > 0 {
 			fit = min(fit, float64(int(d[0]/d[1]+tolerance)))
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// rereadAndCancel reads the job's record from the state service and tries again.
+// rereadAndCancel reads the job's record from the state service and retries the cancellation.
 func (c *Core) rereadAndCancel(id uint64, jobID string, retries int) {
 	c.state.Refresh(ratelimit.Safety, keyJob+jobID, func(ok bool) {
 		switch {
@@ -69,7 +69,7 @@
 // broadcastCancellation tells the peers of a cancellation that is committed, ahead of
 // the watch: PROTOCOL wants no task of the job started after the response, and a watch
 // that is late or throttled lets the owner start some. The message proves nothing about
-// other cancellations; it carries the incarnation of no asker, so that nobody takes it
+// other cancellations; it carries the incarnation of no querying controller, so that nobody takes it
 // for the reply to a cancellation query.
 func (c *Core) broadcastCancellation(jobID string) {
 	for _, p := range c.cfg.Peers {
--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -122,13 +122,13 @@
 			f.toDelete[id] = true
 		case m != nil && m.token != 0:
 		case known && c.mirrorFresh() && listed.AgeS > c.startupDeadlineS(machineType):
-			// Never came up, or came up and nobody hears it.
+			// It never started, or no controller receives its heartbeats.
 			f.toDrain[id] = drainStray
 		}
 	}
 }
 
-// startupDeadlineS is how many seconds after it was rented a machine must have sent a
+// startupDeadlineS is how many seconds after it was provisioned a machine must have sent a
 // heartbeat.
 func (c *Core) startupDeadlineS(machineType *protocol.MachineType) float64 {
 	return 4*machineType.StartupS + c.cfg.Facts.Workers.Lease
--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -252,7 +252,7 @@
 }
 
 // completeBoundTasks is completeTask for all that a page binds of a job that was called done.
-// A record of the log may have come and gone while the records were read anew.
+// A record of the log may have been added and removed while the records were reread.
 func (c *Core) completeBoundTasks(p *page) {
 	for i := range p.tasks {
 		if p.tasks[i].Phase == job.Bound {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -194,7 +194,7 @@
 }
 
 // Request handles an HTTP request from a user, an operator, a worker or a health check.
-// The response carries id; it comes with these effects or with later ones.
+// The response has the same id; it is part of these effects or of later ones.
 func (c *Core) Request(t Timestamp, id uint64, method, path string, body []byte) Effects {
 	c.beginStep(t)
 	c.route(httpRequest{id: id, method: method, path: path, body: body})
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -19,11 +19,11 @@
 	drainPreempted = "recall"
 	drainFaulty    = "faulty"
 	drainFailed    = "failed"
-	drainStray     = "stray" // nobody owns it: it never sent a heartbeat, or its claim is gone
+	drainStray     = "stray" // nobody owns it: it never sent a heartbeat, or its claim was deleted
 	drainLost      = "lost"  // it was lost with its controller
 )
 
-// drainSeverity orders the reasons: machines drained for the more severe ones are returned
+// drainSeverity orders the reasons: machines drained for the more severe ones are deleted
 // without waiting until nothing is bound to them.
 var drainSeverity = map[string]int{
 	drainIdle:      0,
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -49,13 +49,13 @@
 // came in a time in which eight should have.
 //
 // Guards against a zone that is cut off, has no controller in it, and has all
-// its machines returned. Their tasks run on for the lease, and may outlast the
+// its machines deleted. Their tasks run on for the lease, and may outlast the
 // cut; after that they are free without a deletion, and the machines go on when
-// the zone is back, while rented ones would have to boot first, in the same zone
+// the zone is back, while new ones would have to boot first, in the same zone
 // where the others are full. The second condition is for the first seconds, in
 // which those that sent their heartbeats longest ago are overdue and the others are not.
 //
-// They are returned when they have been of no use for as long as another takes to
+// They are deleted when they have been of no use for as long as another takes to
 // boot: that at most doubles what the wrong guess costs, whichever it was.
 func (z *zoneHeartbeats) unreachable(now, period time.Duration) bool {
 	if z.overdue >= minUnreachableMachines && 4*z.overdue > 3*z.machines {
@@ -87,7 +87,7 @@
 	return seconds(silentPeriods*c.cfg.Facts.Workers.Report + answerTimeout)
 }
 
-// checkSilentMachines looks for machines of ours that have gone silent.
+// checkSilentMachines looks for machines of ours that have fallen silent.
 func (c *Core) checkSilentMachines() {
 	period := c.cfg.Facts.Workers.Report
 	mirrorStale := c.now-c.state.FreshAt() > seconds(period)
@@ -138,7 +138,7 @@
 
 // unresponsive tells whether a machine sends heartbeats and does not hear our answers.
 //
-// Guards against work that waits for room on a machine that hears nobody: its heartbeats
+// Guards against work that waits for room on a machine that hears no controller: its heartbeats
 // come, so it is not silent, and it never shows the token under which it could be given any.
 func (c *Core) unresponsive(m *machine) bool {
 	if m.tokenSeen || m.sequence == 0 {
@@ -226,10 +226,10 @@
 // heard (othersHeard), is in trouble; after the cancel horizon, when no controller can have
 // answered it any more, so is any.
 //
-// Guards against a site that is returned whole: where more than three quarters of all that
+// Guards against the deletion of all machines of a site: where more than three quarters of all that
 // the earlier incarnation owned, and at least four, are silent, it is not single machines that
 // are in trouble. They can't be reached for a while, and go on with their tasks when they can;
-// what has just come up, and is heard, proves nothing about them.
+// the heartbeats of machines that have just started tell nothing about them.
 func (c *Core) checkInheritedMachines(othersHeard bool) {
 	missing := c.countInheritedMachines()
 	c.scaler.inherited = max(c.scaler.inherited, missing)
@@ -263,7 +263,7 @@
 		c.probeWorker(m)
 	}
 	// In a zone that no controller hears, only the machines of production work are
-	// returned that soon: their tasks are known to be lost by it.
+	// deleted that early: their tasks are known to be lost by it.
 	failed := singleFailures && m.failedProbes > 1 && silence > seconds(inheritedPeriods*period) &&
 		(m.urgent() || !c.zoneUnreachable(m.claim.Zone))
 	if failed || silence > c.cancelHorizon()+seconds(inheritedLostPeriods*period) {
--- a/internal/coordination/failure_history.go
+++ b/internal/coordination/failure_history.go
@@ -12,7 +12,7 @@
 }
 
 // recordFailure takes up that a task has failed where it was bound. The records show it to
-// every controller, so that whichever owns the job, rents for it or holds the machine
+// every controller, so that whichever owns the job, provisions for it or owns the machine
 // comes to the same judgement.
 func (c *Core) recordFailure(r *jobRecord, failure taskFailure) {
 	r.maxFailures = max(r.maxFailures, failure.failures)
--- a/internal/coordination/fleet_leadership.go
+++ b/internal/coordination/fleet_leadership.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// fleetScaler rents and deletes machines, and knows what all controllers say of the zones.
+// fleetScaler provisions and deletes machines, and knows what all controllers report of the zones.
 // One controller at a time changes the fleet: the fleet's leader, under a lease in the state
 // service. A deposed leader can do no harm beyond cost, since names of rentals are never
 // reused and releases need evidence.
@@ -68,7 +68,7 @@
 // under which it was written is the one that we hold and have renewed in time.
 //
 // Guards against a controller that stood still, lost its lease, and got another: its mirror
-// still showed the record that had gone with the first one, and for a second or more two
+// still showed the record that had been deleted with the first one, and for a second or more two
 // controllers took themselves for the leader.
 func (c *Core) isLeader() bool {
 	f := &c.scaler
@@ -127,7 +127,7 @@
 }
 
 // resignLeadership deletes the leader's record if it is ours. Guards against a leader that
-// fails to reach only the cloud: nothing would be rented or deleted until that link is
+// fails to reach only the cloud: nothing would be provisioned or deleted until that link is
 // mended, with everything else well.
 func (c *Core) resignLeadership() {
 	f := &c.scaler
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -9,7 +9,7 @@
 )
 
 // planFleet packs the open work onto the machines there are and those that are booting.
-// Machines are rented for what does not fit; what is not used is drained after a while.
+// Machines are provisioned for what does not fit; what is not used is drained after a while.
 func (c *Core) planFleet() {
 	p := c.newFleetPlan()
 	p.addMachines()
@@ -59,7 +59,7 @@
 	return p
 }
 
-// unreachableZoneLoad is counted as the machines of an unreachable zone: nothing is rented
+// unreachableZoneLoad is counted as the machines of an unreachable zone: nothing is provisioned
 // there while there is another way.
 const unreachableZoneLoad = 1 << 20
 
@@ -146,20 +146,20 @@
 // what the teams use with what has been packed already.
 func (p *fleetPlan) tasksToPack(r *jobRecord, uses map[string]usage) (n int) {
 	c := p.core
-	tm := c.jobs.teamOf(r)
-	if tm == nil || c.paused(r) { // nothing is rented for a job that is not retried now
+	team := c.jobs.teamOf(r)
+	if team == nil || c.paused(r) { // nothing is provisioned for a job that is not retried now
 		return 0
 	}
 	used, ok := uses[r.spec.Team]
 	if !ok {
-		used = tm.charged
+		used = team.charged
 	}
 	// More than two pages' worth at a time need not be planned for.
 	pending := min(r.spec.Tasks-r.bound-r.finished, 2*c.tasksPerPage())
 	if !isGang(r) {
 		pending = c.failureHistory(r).AtOnce(pending)
 	}
-	for ; n < pending && tm.withinLimit(used.plus(r.spec, 1)); n++ {
+	for ; n < pending && team.withinLimit(used.plus(r.spec, 1)); n++ {
 		used = used.plus(r.spec, 1)
 	}
 	uses[r.spec.Team] = used
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -46,9 +46,9 @@
 	if r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt {
 		return
 	}
-	tm := c.jobs.teamOf(r)
+	team := c.jobs.teamOf(r)
 	need := r.spec.Tasks - r.finished
-	if tm == nil || !tm.withinLimit(tm.charged.plus(r.spec, float64(need))) {
+	if team == nil || !team.withinLimit(team.charged.plus(r.spec, float64(need))) {
 		return
 	}
 	zones := []string{""}
@@ -397,7 +397,7 @@
 	return offered
 }
 
-// acceptOffer records the room that a peer offers a gang, and tries to start the gang.
+// acceptOffer records the room that a peer offers a gang, and starts the gang if it can.
 func (c *Core) acceptOffer(offer *peer.RoomOffer) {
 	r := c.jobs.byID[offer.Job]
 	if r == nil || r.final() {
--- a/internal/coordination/gang_reservation.go
+++ b/internal/coordination/gang_reservation.go
@@ -78,7 +78,7 @@
 	// others waiting that need fewer machines or another zone.
 	noBlock := r != nil && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() &&
 		c.nextWaitingGang(open, func(other *jobRecord) bool { return other != r }) != nil
-	// A gang that finds no room for long lets others try.
+	// A gang that finds no room for long lets others have the reservation.
 	timedOut := noBlock || c.now-c.gangs.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
 	waiting := r != nil && !r.final() && r.bound == 0
 	// Guards against a reservation that nobody acts on: a controller that stood in
@@ -132,8 +132,8 @@
 		if !isGang(r) || !wanted(r) || r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt || c.now < r.nextReservationAt {
 			continue
 		}
-		tm := c.jobs.teamOf(r)
-		if tm != nil && tm.withinLimit(tm.charged.plus(r.spec, float64(r.spec.Tasks))) {
+		team := c.jobs.teamOf(r)
+		if team != nil && team.withinLimit(team.charged.plus(r.spec, float64(r.spec.Tasks))) {
 			return r
 		}
 	}
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -37,8 +37,8 @@
 // sorts the unfinished jobs into jobs.openByUrgency, most urgent first.
 func (c *Core) updateJobOrder() {
 	c.updateCapacity()
-	for _, tm := range c.jobs.teams {
-		tm.demand = usage{}
+	for _, team := range c.jobs.teams {
+		team.demand = usage{}
 	}
 	now := float64(c.wallTime.UnixMilli()) / 1000
 	for _, r := range c.jobs.openByAge {
@@ -47,9 +47,9 @@
 		}
 		// What a team asks for within its guarantee goes before what others
 		// borrow, at the same priority.
-		if tm := c.jobs.teamOf(r); tm != nil {
-			tm.demand = tm.demand.plus(r.spec, float64(r.spec.Tasks-r.finished))
-			r.withinGuarantee = tm.withinGuarantee(tm.demand)
+		if team := c.jobs.teamOf(r); team != nil {
+			team.demand = team.demand.plus(r.spec, float64(r.spec.Tasks-r.finished))
+			r.withinGuarantee = team.withinGuarantee(team.demand)
 		}
 		r.latestStart = c.latestStart(r, now)
 	}
@@ -140,15 +140,15 @@
 // began.
 func (c *Core) saveQuotaForGangs() {
 	wasSavedFor := map[*jobRecord]bool{}
-	for _, tm := range c.jobs.teams {
-		wasSavedFor[tm.savingFor] = true
-		tm.savingFor = nil
+	for _, team := range c.jobs.teams {
+		wasSavedFor[team.savingFor] = true
+		team.savingFor = nil
 	}
 	byServices := c.usageByServices()
 	now := float64(c.wallTime.UnixMilli()) / 1000
 	for _, r := range c.jobs.openByUrgency {
-		tm := c.jobs.teamOf(r)
-		if tm == nil || tm.savingFor != nil || !tm.hasLimit() {
+		team := c.jobs.teamOf(r)
+		if team == nil || team.savingFor != nil || !team.hasLimit() {
 			continue
 		}
 		if !isGang(r) || r.bound > 0 || len(r.reservations) > 0 || c.paused(r) {
@@ -160,9 +160,9 @@
 		// Once the limit has been saved for a gang, it is until the gang has begun: others
 		// were placed in the moment in which it could begin.
 		n := float64(r.spec.Tasks)
-		hindered := wasSavedFor[r] || !tm.withinLimit(tm.charged.plus(r.spec, n))
-		if hindered && tm.withinLimit(byServices[tm].plus(r.spec, n)) {
-			tm.savingFor = r
+		hindered := wasSavedFor[r] || !team.withinLimit(team.charged.plus(r.spec, n))
+		if hindered && team.withinLimit(byServices[team].plus(r.spec, n)) {
+			team.savingFor = r
 		}
 	}
 }
@@ -171,8 +171,8 @@
 func (c *Core) usageByServices() map[*team]usage {
 	used := map[*team]usage{}
 	for _, r := range c.jobs.openByUrgency {
-		if tm := c.jobs.teamOf(r); tm != nil && r.spec.Shape == job.Service {
-			used[tm] = used[tm].plus(r.spec, float64(r.bound))
+		if team := c.jobs.teamOf(r); team != nil && r.spec.Shape == job.Service {
+			used[team] = used[team].plus(r.spec, float64(r.bound))
 		}
 	}
 	return used
--- a/internal/coordination/job_queries.go
+++ b/internal/coordination/job_queries.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// statusQuery is a user's query of a job's status that waits until the mirror is proved
+// statusQuery is a user's query of a job's status that waits until the mirror is known
 // to be as fresh as the query.
 type statusQuery struct {
 	requestID uint64
@@ -63,10 +63,10 @@
 	c.queries.statusQueries = append(c.queries.statusQueries, q)
 }
 
-// sendStatusQueries answers the queries for which the mirror is proved fresh. A watch
-// that was opened after a query arrived proves it when it is answered, at no cost; that
+// sendStatusQueries answers the queries for which the mirror is known to be fresh. A watch
+// that was opened after a query arrived shows it when it is answered, at no cost; that
 // is waited for when requests are short, for as long as two watches take to open.
-// Otherwise one comparing transaction proves it for a batch, and whatever does not match
+// Otherwise one comparing transaction shows it for a batch, and whatever does not match
 // is read.
 func (c *Core) sendStatusQueries() {
 	v := c.queries
@@ -87,7 +87,7 @@
 	c.state.Tick(c.now)
 }
 
-// answerFreshQueries answers the queries that arrived before the mirror was last proved
+// answerFreshQueries answers the queries that arrived before the mirror was last known
 // fresh, and keeps the others.
 func (c *Core) answerFreshQueries() {
 	waiting := c.queries.statusQueries[:0]
@@ -171,7 +171,7 @@
 }
 
 // respondUnknownJob refuses what needs a job that the mirror lacks, once the mirror has
-// been proved fresh. A job whose record can't be read, as a later version may have
+// been shown to be fresh. A job whose record can't be read, as a later version may have
 // written it, is not unknown.
 func (c *Core) respondUnknownJob(id uint64, jobID string, status int, reason string) {
 	if c.state.ModRevision(keyJob+jobID) != 0 {
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -81,7 +81,7 @@
 // unknownMirrorAge is the age that a controller gives before it has read the records.
 const unknownMirrorAge = time.Hour
 
-// mirrorAge is how old our records are, as peers and operators are told.
+// mirrorAge is how old our records are, as it is reported to peers and operators.
 func (c *Core) mirrorAge() time.Duration {
 	if !c.state.Loaded() {
 		return unknownMirrorAge
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -286,7 +286,7 @@
 	t.Helper()
 	s := grownSim(t, seed)
 	s.traceDay(t, seed)
-	s.options.unorderedLaunches = true // cuts and late watches: see judgeOrder
+	s.options.unorderedLaunches = true // cuts and late watches: see checkLaunchOrder
 	s.loadGrown(3 * time.Minute)
 	s.watchPaths()
 	kinds := s.cuts()
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -89,7 +89,7 @@
 }
 
 // responsibleController names the controller that is responsible for a job: its owner while
-// that lives, else the next living controller by name.
+// that is live, else the next live controller by name.
 func (c *Core) responsibleController(owner string) string {
 	if c.alive(owner) {
 		return owner
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -80,7 +80,7 @@
 }
 
 // releaseTasks forgets the tasks of a page of a job that is over, unless one is bound:
-// memory must not grow with all the tasks there ever were. What users are told
+// memory must not grow with all the tasks there ever were. What is reported to users
 // needs the counts alone.
 func (c *Core) releaseTasks(p *page) {
 	switch {
--- a/internal/coordination/page_draft.go
+++ b/internal/coordination/page_draft.go
@@ -261,24 +261,24 @@
 
 // write adds the page, and its job where that changes, to the batch.
 func (d *pageDraft) write() {
-	b := d.batch
+	batch := d.batch
 	p := d.page
 	r := p.job
-	b.ops = append(b.ops, protocol.Op{Put: p.key(), Value: d.core.encodePage(d.tasks)})
+	batch.ops = append(batch.ops, protocol.Op{Put: p.key(), Value: d.core.encodePage(d.tasks)})
 	spansPages := len(r.pages) > 1 && (r.spec.OneZone || r.spec.Spread)
 	switch {
 	case d.finishedOfJob() == r.spec.Tasks && r.status == job.Open:
 		// Finished tasks stay finished, so the other pages need no condition.
-		b.ops = append(b.ops, protocol.Op{Put: keyJob + p.jobID, Value: encode(r.storedWith(job.Done))})
+		batch.ops = append(batch.ops, protocol.Op{Put: keyJob + p.jobID, Value: encode(r.storedWith(job.Done))})
 	case spansPages:
 		// Zones are judged over all pages; rewriting the job record makes
 		// placements of different pages exclude one another.
-		b.ops = append(b.ops, protocol.Op{Put: keyJob + p.jobID, Value: encode(r.storedWith(r.status))})
+		batch.ops = append(batch.ops, protocol.Op{Put: keyJob + p.jobID, Value: encode(r.storedWith(r.status))})
 	}
-	b.compares = append(b.compares, d.compares...)
-	b.size += len(d.tasks)*taskBytes + jobBytes + len(d.compares)*compareBytes
-	b.usage = d.usage
-	b.pages = append(b.pages, pageChanges{page: p, taken: d.taken})
+	batch.compares = append(batch.compares, d.compares...)
+	batch.size += len(d.tasks)*taskBytes + jobBytes + len(d.compares)*compareBytes
+	batch.usage = d.usage
+	batch.pages = append(batch.pages, pageChanges{page: p, taken: d.taken})
 	p.foldRequested = false
 }
 
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -8,7 +8,7 @@
 	"silvergate/internal/protocol"
 )
 
-// tolerance is what sums of resources may be off by: far less than any task asks for.
+// tolerance is what sums of resources may be off by: far less than any task requests.
 const tolerance = 1e-6
 
 // maxCandidates is how many machines that would do a decision compares, from a
@@ -174,8 +174,8 @@
 	if t == nil || t.Phase != job.Pending || r.reservations[index] != nil {
 		return false
 	}
-	tm := c.jobs.teamOf(r)
-	return tm != nil && tm.leavesQuotaFor(r, tm.charged.plus(r.spec, 1))
+	team := c.jobs.teamOf(r)
+	return team != nil && team.leavesQuotaFor(r, team.charged.plus(r.spec, 1))
 }
 
 // placeTask reserves room for a task on a machine of ours and proposes its placement.
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -47,9 +47,9 @@
 // preemptForQuota stops a task of lower priority of the team whose limit is saved for a gang,
 // the one that loses least. Only one at a time: every controller does so, and each learns
 // from the records what the others have done.
-func (c *Core) preemptForQuota(tm *team) {
-	r := tm.savingFor
-	if r == nil || tm.withinLimit(tm.charged.plus(r.spec, float64(r.spec.Tasks))) {
+func (c *Core) preemptForQuota(team *team) {
+	r := team.savingFor
+	if r == nil || team.withinLimit(team.charged.plus(r.spec, float64(r.spec.Tasks))) {
 		return
 	}
 	var best *machine
@@ -186,13 +186,13 @@
 	return c.couldHold(r, m) && c.zoneAllowed(r, m.claim.Zone)
 }
 
-// gangVictims finds a machine where production work that ran before gets room at a
-// gang's cost: what is lost with a third of the machines is up again before training
-// is. What is new waits for room, as it did: stopping gangs for it too cost antrenare
-// more than ruteplan gained (carbura-iasi-fleet, calm).
-// Elsewhere gangs are not stopped, as one task's end ends them all. One at a time:
-// the room of a whole machine, and soon that of the gang's others, serves several
-// that wait.
+// gangVictims finds a machine where tasks of gangs are stopped to make room for production
+// work that ran before: when a third of the machines is lost, production work runs again
+// before training does. New production work waits for room, as it did before this rule:
+// stopping gangs for it too cost the class antrenare more than the class ruteplan gained
+// (carbura-iasi-fleet, calm). For other work gangs are not stopped, as the end of one of its
+// tasks ends a whole gang. One gang is stopped at a time: the room of a whole machine, and
+// a little later that of the gang's other machines, serves several waiting tasks.
 func (c *Core) gangVictims(r *jobRecord) (*machine, []taskKey) {
 	if r.spec.Priority < job.Production || c.preemptsGang() {
 		return nil, nil
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -161,7 +161,7 @@
 	return c.links.MayRebalance(pause)
 }
 
-// leastLoaded draws one of the controllers that own the fewest machines.
+// leastLoaded picks at random one of the controllers that own the fewest machines.
 func (c *Core) leastLoaded(controllers []string) string {
 	least := ""
 	leastWorkers := 0
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -58,7 +58,7 @@
 
 // deleteMachines deletes machines: drained ones once nothing is bound to them,
 // silent and lost ones at once. The cloud's 200 is the evidence that
-// whatever was on them is gone.
+// whatever ran on them has ended.
 //
 // The fence: no deletion is requested but of a machine that the cloud lists as failed, or
 // whose drain is on record. Every placement is conditional on the absence of a drain, and
@@ -279,7 +279,7 @@
 }
 
 // releaseMachineTasks proposes the release of everything on a machine of which the cloud
-// has said that it is gone.
+// has confirmed that it is deleted.
 func (c *Core) releaseMachineTasks(id string) {
 	m := c.machines.byID[id]
 	if m == nil {
@@ -294,7 +294,7 @@
 	}
 }
 
-// dropMachineRecords deletes the claim and the drain of a machine that is gone, once nothing is
+// dropMachineRecords deletes the claim and the drain of a deleted machine, once nothing is
 // bound to it.
 func (c *Core) dropMachineRecords(id string) {
 	if m := c.machines.byID[id]; m != nil && (len(m.bound) > 0 || m.dropRetryAt > c.now) {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -12,7 +12,7 @@
 	"silvergate/internal/ratelimit"
 )
 
-// offering is what the cloud rents: machines of a type in a zone, spot or on demand.
+// offering is what the cloud provides: machines of a type in a zone, spot or on demand.
 type offering struct {
 	machineType string
 	zone        string
@@ -58,7 +58,7 @@
 
 func (r *rental) offering() offering { return offering{r.MachineType, r.Zone, r.Spot} }
 
-// maxRentalCount is the most machines that a request may ask for (PROTOCOL).
+// maxRentalCount is the most machines that a request may have (PROTOCOL).
 const maxRentalCount = 50
 
 // applyRental takes a change of a rental's record; data is nil when it is deleted.
@@ -187,7 +187,7 @@
 	}
 }
 
-// recordRented adds the names of the machines that the cloud has rented to the record.
+// recordRented adds the names of the machines that the cloud has provisioned to the record.
 func (c *Core) recordRented(name string, r *rental, machines []string) {
 	c.Stats.MachinesRented += uint64(len(machines))
 	c.log.Info("rented", "rental", name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", machines)
@@ -262,7 +262,7 @@
 	}
 }
 
-// awaitsFirstHeartbeat tells whether a rented machine has yet to send a heartbeat.
+// awaitsFirstHeartbeat tells whether a provisioned machine has yet to send a heartbeat.
 func (c *Core) awaitsFirstHeartbeat(id string) bool {
 	if _, deleted := c.scaler.deletedAt[id]; deleted {
 		return false
--- a/internal/coordination/staging_announcements.go
+++ b/internal/coordination/staging_announcements.go
@@ -96,13 +96,13 @@
 		if v == nil {
 			continue
 		}
-		by := c.now + time.Duration(a.AtMS-wallMS)*time.Millisecond
-		overdue := c.now - by
+		neededBy := c.now + time.Duration(a.AtMS-wallMS)*time.Millisecond
+		overdue := c.now - neededBy
 		if overdue > seconds(c.cfg.Facts.Workers.Lease) || d.announcementMet(a) {
 			d.endAnnouncement(name, a)
 			continue
 		}
-		d.stageShare(a, v, by)
+		d.stageShare(a, v, neededBy)
 	}
 }
 
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// maxLatency is the longest latency that is told from longer ones.
+// maxLatency is the longest latency that is distinguished from longer ones.
 const maxLatency = time.Minute
 
 // recordLatency records how long a call took, in microseconds to two digits.
--- a/internal/coordination/transitions.go
+++ b/internal/coordination/transitions.go
@@ -41,7 +41,7 @@
 	return releases
 }
 
-// propose queues a transition of a task; the next transaction of its page carries it. The
+// propose queues a transition of a task; the next transaction of its page writes it. The
 // transition's index is set here. Releases of completed tasks may go to the completion log
 // instead.
 func (c *Core) propose(r *jobRecord, index int, transition taskTransition) {
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -15,12 +15,12 @@
 const announcementPeriods = 3
 
 // unshippedOutput knows of machines with output of finished tasks that the archive
-// has not acknowledged. Such a machine is not returned for want of work until its
+// has not acknowledged. Such a machine is not deleted for being idle until its
 // deadline. Room is free as soon as the records say so, and nothing else waits: the
 // machine takes new work meanwhile.
 //
 // A machine announces it to its own controller in its heartbeats; that one announces it to the
-// leader, which returns machines, in its peer heartbeats. A peer heartbeat that is lost costs at
+// leader, which deletes machines, in its peer heartbeats. A peer heartbeat that is lost costs at
 // most output that the machine's agent could not ship in the seconds that it has when it is
 // switched off.
 type unshippedOutput struct {
--- a/internal/coordination/zone_view.go
+++ b/internal/coordination/zone_view.go
@@ -36,7 +36,7 @@
 
 // zoneUnreachable tells whether a zone seems to be cut off: no controller that we
 // hear from hears a machine there, and one has lost all it held there, or the zone's
-// own controllers are down. What is rented or counted on there is of no use until
+// own controllers are down. What is provisioned or counted on there is of no use until
 // it is back. A wrong guess costs money or time and never breaks a rule.
 func (c *Core) zoneUnreachable(zone string) bool {
 	lost := false
