--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -46,7 +46,8 @@
 	return readSettings(settings, cfg)
 }
 
-// untilTold calls stop at the first SIGTERM or SIGINT.
+// untilTold calls stop at the first SIGTERM or SIGINT. Its goroutine ends with that signal,
+// else with the process.
 func untilTold(stop func()) {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/recorder/frames.go
+++ b/internal/recorder/frames.go
@@ -82,7 +82,7 @@
 	header.Segment = s.next
 	head, err := cbor.Marshal(header)
 	if err != nil {
-		return err
+		return fmt.Errorf("encoding a segment's header: %w", err)
 	}
 	out, err := s.writer.openSegment(s.next)
 	if err != nil {
--- a/internal/recorder/reader.go
+++ b/internal/recorder/reader.go
@@ -28,7 +28,7 @@
 	}
 	decompressor, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxFrame))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making the decompressor: %w", err)
 	}
 	s := &Reader{source: r, zstd: decompressor, offset: int64(len(Magic))}
 	raw, err := s.readFrame()
--- a/internal/recorder/writer.go
+++ b/internal/recorder/writer.go
@@ -51,7 +51,7 @@
 }
 
 // NewWriter records into files in o.Dir, which is made if it is missing. The caller
-// closes the writer after the last input.
+// closes the writer after the last input, which ends the goroutine that writes.
 func NewWriter(o Options, h Header) (*Writer, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recorder.dir: %w", err)
@@ -65,7 +65,8 @@
 	return w, nil
 }
 
-// NewMemory records into out as one segment without bounds, for tests.
+// NewMemory records into out as one segment without bounds, for tests. As with NewWriter,
+// Close ends the goroutine that writes.
 func NewMemory(out io.Writer, h Header) *Writer {
 	w := newWriter(Options{Segment: 1 << 40, Flush: time.Hour}, h)
 	w.openSegment = func(int) (io.WriteCloser, error) { return unclosed{out}, nil }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -76,7 +76,8 @@
 	wake       chan struct{}
 }
 
-// NewOutLink starts a link from self to the peer at addr.
+// NewOutLink starts a link from self to the peer at addr. Its goroutine runs as long as the
+// process: a link has no end.
 func NewOutLink(self, addr string) *OutLink {
 	l := &OutLink{self: self, addr: addr, wake: make(chan struct{}, 1)}
 	go l.run()
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -106,7 +106,8 @@
 }
 
 // open connects, sends the first request and then reads as long as the
-// connection lives.
+// connection lives. Its goroutine ends with the connection: after an error, after an
+// answer with which the connection can't be kept, or when the pool drops it.
 func (p *Pool) open(ctx context.Context, k *outConn) {
 	c, err := dialer.DialContext(ctx, "tcp4", k.addr)
 	k.cancel()
@@ -158,7 +159,8 @@
 
 // send writes a request. Should the socket not take it at once, another
 // goroutine writes the rest; an error ends the connection, which its reader
-// notices.
+// notices. That goroutine ends when all is written or the connection is closed, at the
+// latest by Expire.
 func (k *outConn) send(call *Call) {
 	k.requestBuffer = AppendRequest(k.requestBuffer[:0], call.Method, call.Target, call.Addr, call.Body)
 	rest, err := writeNow(k.conn, k.requestBuffer)
@@ -200,7 +202,7 @@
 	switch {
 	case err != nil:
 		return b, err
-	case failed == syscall.EAGAIN || failed == syscall.EINTR:
+	case errors.Is(failed, syscall.EAGAIN) || errors.Is(failed, syscall.EINTR):
 		return b, nil
 	case failed != nil:
 		return b, failed
