--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"net/http"
 	"time"
 
 	"silvergate/internal/config"
@@ -67,7 +68,7 @@
 
 // probeStateService reads a small record on our own link.
 func (c *Core) probeStateService() {
-	call := protocol.Call{Target: protocol.ToStateService, Method: "GET", Path: protocol.PathKeys + "/" + keyFleet, Timeout: stateProbeTimeout}
+	call := protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Path: protocol.PathKeys + "/" + keyFleet, Timeout: stateProbeTimeout}
 	c.call(call, func(reply protocol.Reply) { c.links.Probed(reply.Status) })
 }
 
@@ -80,7 +81,7 @@
 // unknownMirrorAge is the age that a controller gives before it has read the records.
 const unknownMirrorAge = time.Hour
 
-// mirrorAge is how old our records are, as peers and operators are told.
+// mirrorAge is how old our records are, as it is reported to peers and operators.
 func (c *Core) mirrorAge() time.Duration {
 	if !c.state.Loaded() {
 		return unknownMirrorAge
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -10,10 +10,9 @@
 
 	"silvergate/internal/protocol"
 	"silvergate/internal/ratelimit"
-	"silvergate/internal/stateclient"
 )
 
-// offering is what the cloud rents: machines of a type in a zone, spot or on demand.
+// offering is what the cloud provides: machines of a type in a zone, spot or on demand.
 type offering struct {
 	machineType string
 	zone        string
@@ -59,7 +58,7 @@
 
 func (r *rental) offering() offering { return offering{r.MachineType, r.Zone, r.Spot} }
 
-// maxRentalCount is the most machines that a request may ask for (PROTOCOL).
+// maxRentalCount is the most machines that a request may have (PROTOCOL).
 const maxRentalCount = 50
 
 // applyRental takes a change of a rental's record; data is nil when it is deleted.
@@ -149,7 +148,7 @@
 	c.state.Txn(class,
 		[]protocol.Compare{{Key: keyRental + name}, {Key: keyFleet, ModRevision: f.leaderRevision}},
 		[]protocol.Op{{Put: keyRental + name, Value: record}},
-		func(stateclient.TxnOutcome, []string, uint64) {})
+		ignoreOutcome)
 }
 
 // sendRentals sends recorded requests until each has got an answer.
@@ -188,7 +187,7 @@
 	}
 }
 
-// recordRented adds the names of the machines that the cloud has rented to the record.
+// recordRented adds the names of the machines that the cloud has provisioned to the record.
 func (c *Core) recordRented(name string, r *rental, machines []string) {
 	c.Stats.MachinesRented += uint64(len(machines))
 	c.log.Info("rented", "rental", name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", machines)
@@ -205,7 +204,7 @@
 	c.state.Txn(ratelimit.OtherWork,
 		[]protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
 		[]protocol.Op{{Put: keyRental + name, Value: encode(r)}},
-		func(stateclient.TxnOutcome, []string, uint64) {})
+		ignoreOutcome)
 }
 
 // isTransientCloudError tells whether the cloud refused a request for another reason than a
@@ -235,7 +234,7 @@
 	c.state.Txn(ratelimit.OtherWork,
 		[]protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
 		[]protocol.Op{{Delete: keyRental + name}},
-		func(stateclient.TxnOutcome, []string, uint64) {})
+		ignoreOutcome)
 }
 
 // settleRental drops a rental's record once its machines have all sent a heartbeat, been
@@ -263,7 +262,7 @@
 	}
 }
 
-// awaitsFirstHeartbeat tells whether a rented machine has yet to send a heartbeat.
+// awaitsFirstHeartbeat tells whether a provisioned machine has yet to send a heartbeat.
 func (c *Core) awaitsFirstHeartbeat(id string) bool {
 	if _, deleted := c.scaler.deletedAt[id]; deleted {
 		return false
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -19,8 +19,7 @@
 		c.refuse(id, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !c.state.Loaded() {
-		c.refuse(id, http.StatusServiceUnavailable, "starting")
+	if c.refuseWhileLoading(id) {
 		return
 	}
 	if c.jobs.byID[jobID] != nil {
