--- a/internal/archive/reader/reader.go
+++ b/internal/archive/reader/reader.go
@@ -1,5 +1,5 @@
 // Package reader reads the archive for people: it asks one node after the other,
-// follows pages, and tells a job's output in the order of time.
+// follows pages, and merges a job's output in the order of time.
 package reader
 
 import (
@@ -26,13 +26,14 @@
 	"silvergate/internal/identity"
 )
 
-// Client reads with a party's certificate.
+// Client reads with a party's certificate. It is safe for concurrent use.
 type Client struct {
 	members []node.Member
 	http    map[string]*http.Client
 }
 
-// New makes a client of the nodes.
+// New makes a client of the nodes that connects with the certificate of k, which
+// stays the caller's. timeout bounds each request.
 func New(k *identity.Keeper, members []node.Member, timeout time.Duration) *Client {
 	c := &Client{members: members, http: map[string]*http.Client{}}
 	for _, m := range members {
@@ -42,12 +43,14 @@
 	return c
 }
 
-// ErrNotFound is what is not there, or not for whoever asks.
+// ErrNotFound says that something does not exist, or that whoever asks may not see
+// it.
 var ErrNotFound = errors.New("no such thing, or not yours to read")
 
 // maxAnswer bounds an answer, in bytes.
 const maxAnswer = 64 << 20
 
+// get asks one node after the other until one answers.
 func (c *Client) get(ctx context.Context, path string, q url.Values) ([]byte, error) {
 	var last error
 	for _, m := range c.members {
@@ -74,6 +77,7 @@
 	return nil, last
 }
 
+// getOne asks one node and returns the body and the status of its answer.
 func (c *Client) getOne(ctx context.Context, m node.Member, method, target string, body []byte) ([]byte, int, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "https://"+m.Address+target, bytes.NewReader(body))
 	if err != nil {
@@ -88,7 +92,8 @@
 	return raw, a.StatusCode, err
 }
 
-// Each asks every node; it is for what each knows of itself.
+// Each asks every node in turn and calls take with each answer, or with an error if
+// the node did not answer with status 200; it is for what each knows of itself.
 func (c *Client) Each(ctx context.Context, method, path string, body []byte, take func(name string, raw []byte, err error)) {
 	for _, m := range c.members {
 		raw, status, err := c.getOne(ctx, m, method, path, body)
@@ -99,14 +104,16 @@
 	}
 }
 
-// Query says which attempts are wanted; empty fields fit all.
+// Query says which attempts are wanted; empty fields fit all. Day is a date in UTC such
+// as 2006-01-02. With Files the attempts come with their files.
 type Query struct {
 	Job, Team, Customer, Class, Machine, Day string
 	Files                                    bool
 }
 
-// Attempts lists attempts, in the order of jobs, tasks and tries. answered tells
-// whether all that is known was there to be read.
+// Attempts lists attempts, in the order of jobs, tasks and attempts. answered tells
+// whether all that was acknowledged could be read. An error is that of the nodes, none
+// of which answered; what was read before it is returned, too.
 func (c *Client) Attempts(ctx context.Context, q Query) (out []node.Attempt, answered node.Answered, err error) {
 	answered.Whole = true
 	v := url.Values{"job": {q.Job}, "team": {q.Team}, "customer": {q.Customer}, "class": {q.Class}, "machine": {q.Machine}, "day": {q.Day}, "files": {strconv.FormatBool(q.Files)}}
@@ -120,7 +127,7 @@
 		if err := json.Unmarshal(raw, &p); err != nil {
 			return out, answered, err
 		}
-		answered = add(answered, p.Answered)
+		answered = mergeAnswered(answered, p.Answered)
 		out = append(out, p.Attempts...)
 		if p.Next == "" || p.Next <= from {
 			return out, answered, nil
@@ -129,7 +136,8 @@
 	}
 }
 
-func add(a, b node.Answered) node.Answered {
+// mergeAnswered returns how complete two answers are together.
+func mergeAnswered(a, b node.Answered) node.Answered {
 	a.Whole = a.Whole && b.Whole
 	for _, s := range b.Silent {
 		if !slices.Contains(a.Silent, s) {
@@ -139,7 +147,8 @@
 	return a
 }
 
-// Page reads a stream's page from an offset on.
+// Page reads a stream's page from an offset in bytes on. It returns ErrNotFound if the
+// attempt does not exist or may not be read, and an error if no node answers.
 func (c *Client) Page(ctx context.Context, a archive.Attempt, stream string, from int64) (p node.Stream, err error) {
 	raw, err := c.get(ctx, node.PathStream, url.Values{"attempt": {a.String()}, "stream": {stream}, "from": {strconv.FormatInt(from, 10)}})
 	if err != nil {
@@ -148,7 +157,8 @@
 	return p, json.Unmarshal(raw, &p)
 }
 
-// File reads a kept file and compares it with its digest.
+// File reads a kept file, writes it to a writer, and compares it with its digest. After
+// an error, what was written is not to be used.
 func (c *Client) File(ctx context.Context, a archive.Attempt, f *archive.File, to io.Writer) error {
 	sum := blake3.New()
 	for chunk := 0; chunk < len(f.Chunks); {
@@ -175,53 +185,56 @@
 type Line struct {
 	archive.Attempt
 	Stream string    `json:"stream"`
-	At     time.Time `json:"at"`
-	From   int64     `json:"from"`
+	At     time.Time `json:"at"`   // when it was written
+	From   int64     `json:"from"` // its offset in the stream, in bytes
 	Text   string    `json:"text"`
 	// Note is set, and Text empty, where output is missing.
 	Note string `json:"note,omitempty"`
-	// Cut is a line without an end: the stream goes on elsewhere, or ended there.
+	// Cut tells that the line has no end: it is longer than a Line may be, or the
+	// stream is interrupted or ended there.
 	Cut bool `json:"cut,omitempty"`
 }
 
-// maxLine bounds a line; a longer one is told in parts.
+// maxLine is the length in bytes from which a line is returned in parts.
 const maxLine = 64 << 10
 
-// Cursor reads one stream line by line.
+// Cursor reads one stream line by line. It is not safe for concurrent use. It need not
+// be closed.
 type Cursor struct {
-	c       *Client
+	client  *Client
 	Attempt archive.Attempt
 	Stream  string
 	Over    bool // the attempt has ended and all was read
 	Whole   bool // all that was acknowledged was there to be read
 
-	pos   int64 // of what is asked for next
-	rest  []byte
-	at    time.Time // of rest
-	from  int64     // of rest
-	lines []Line
-	dry   bool // there is nothing more now
+	nextOffset  int64 // from which the next page is asked for
+	partial     []byte
+	partialAt   time.Time // of partial
+	partialFrom int64     // of partial
+	lines       []Line
+	exhausted   bool // the stream has no more now
 }
 
-// Open begins to read a stream.
+// Open returns a cursor at the start of a stream. It asks no node yet.
 func (c *Client) Open(a archive.Attempt, stream string) *Cursor {
-	return &Cursor{c: c, Attempt: a, Stream: stream, Whole: true}
+	return &Cursor{client: c, Attempt: a, Stream: stream, Whole: true}
 }
 
-// Peek is the next line, or nil if there is none now.
+// Peek returns the next line without taking it, or nil if there is none now. The line
+// is the cursor's and holds until Next. Its errors are those of Page.
 func (u *Cursor) Peek(ctx context.Context) (*Line, error) {
-	for len(u.lines) == 0 && !u.dry {
-		p, err := u.c.Page(ctx, u.Attempt, u.Stream, u.pos)
+	for len(u.lines) == 0 && !u.exhausted {
+		p, err := u.client.Page(ctx, u.Attempt, u.Stream, u.nextOffset)
 		if err != nil {
 			return nil, err
 		}
 		u.Whole = u.Whole && p.Whole
 		for _, x := range p.Pieces {
-			u.take(&x)
+			u.add(&x)
 		}
-		u.pos = p.Next
+		u.nextOffset = p.Next
 		if !p.More {
-			u.dry, u.Over = true, p.Over
+			u.exhausted, u.Over = true, p.Over
 			if p.Over {
 				u.flush(true)
 			}
@@ -233,20 +246,22 @@
 	return &u.lines[0], nil
 }
 
-// Next takes the line that Peek told.
+// Next takes the line that Peek returned; there must be one.
 func (u *Cursor) Next() { u.lines = u.lines[1:] }
 
-// Again has the stream asked for more, after it had none.
-func (u *Cursor) Again() { u.dry = u.Over }
+// Again lets Peek ask for more, after there was none.
+func (u *Cursor) Again() { u.exhausted = u.Over }
 
+// flush ends the line that is being read.
 func (u *Cursor) flush(cut bool) {
-	if len(u.rest) > 0 {
-		u.lines = append(u.lines, Line{Attempt: u.Attempt, Stream: u.Stream, At: u.at, From: u.from, Text: string(u.rest), Cut: cut})
-		u.rest = nil
+	if len(u.partial) > 0 {
+		u.lines = append(u.lines, Line{Attempt: u.Attempt, Stream: u.Stream, At: u.partialAt, From: u.partialFrom, Text: string(u.partial), Cut: cut})
+		u.partial = nil
 	}
 }
 
-func (u *Cursor) take(x *node.Piece) {
+// add adds the lines of a piece.
+func (u *Cursor) add(x *node.Piece) {
 	if x.What != archive.PieceData {
 		u.flush(true)
 		note := x.What
@@ -256,40 +271,40 @@
 		if n := x.To - x.From; n > 0 {
 			note = fmt.Sprintf("%d bytes %s", n, note)
 		}
-		at := u.at
-		if u.at.IsZero() && x.At > 0 {
+		at := u.partialAt
+		if u.partialAt.IsZero() && x.At > 0 {
 			at = time.UnixMilli(x.At)
 		}
 		u.lines = append(u.lines, Line{Attempt: u.Attempt, Stream: u.Stream, At: at, From: x.From, Note: note})
-		u.from = x.To
+		u.partialFrom = x.To
 		return
 	}
 	data, at := x.Data, time.UnixMilli(x.At)
 	pos := x.From
 	for len(data) > 0 {
-		if len(u.rest) == 0 {
-			u.from, u.at = pos, at
+		if len(u.partial) == 0 {
+			u.partialFrom, u.partialAt = pos, at
 		}
 		n := bytes.IndexByte(data, '\n')
 		if n < 0 {
-			u.rest = append(u.rest, data...)
-			if len(u.rest) >= maxLine {
+			u.partial = append(u.partial, data...)
+			if len(u.partial) >= maxLine {
 				u.flush(true)
 			}
 			return
 		}
-		u.rest = append(u.rest, data[:n]...)
-		u.lines = append(u.lines, Line{Attempt: u.Attempt, Stream: u.Stream, At: u.at, From: u.from, Text: string(u.rest)})
-		u.rest = nil
+		u.partial = append(u.partial, data[:n]...)
+		u.lines = append(u.lines, Line{Attempt: u.Attempt, Stream: u.Stream, At: u.partialAt, From: u.partialFrom, Text: string(u.partial)})
+		u.partial = nil
 		data, pos = data[n+1:], pos+int64(n)+1
 	}
 }
 
-// merged orders cursors by their next line.
-type merged []*Cursor
+// cursorHeap orders cursors by their next line.
+type cursorHeap []*Cursor
 
-func (m merged) Len() int { return len(m) }
-func (m merged) Less(i, j int) bool {
+func (m cursorHeap) Len() int { return len(m) }
+func (m cursorHeap) Less(i, j int) bool {
 	a, b := &m[i].lines[0], &m[j].lines[0]
 	if c := a.At.Compare(b.At); c != 0 {
 		return c < 0
@@ -299,19 +314,20 @@
 	}
 	return strings.Compare(a.Stream, b.Stream) < 0
 }
-func (m merged) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *merged) Push(x any)   { *m = append(*m, x.(*Cursor)) }
-func (m *merged) Pop() any {
+func (m cursorHeap) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m *cursorHeap) Push(x any)   { *m = append(*m, x.(*Cursor)) }
+func (m *cursorHeap) Pop() any {
 	x := (*m)[len(*m)-1]
 	*m = (*m)[:len(*m)-1]
 	return x
 }
 
-// Merge tells the lines of streams in the order of time; within a stream they stay
+// Merge calls each with the lines of streams in the order of time; within a stream they stay
 // in their own order, whatever a machine's clock did. It ends when no stream has
-// more now.
+// more now, or with the first error of a cursor or of each. The line is only to be used
+// until each returns.
 func Merge(ctx context.Context, all []*Cursor, each func(*Line) error) error {
-	var m merged
+	var m cursorHeap
 	for _, u := range all {
 		l, err := u.Peek(ctx)
 		if err != nil {
--- a/internal/archive/reader/reader_test.go
+++ b/internal/archive/reader/reader_test.go
@@ -20,10 +20,10 @@
 // before a gap, or that grow without bound.
 func TestLines(t *testing.T) {
 	u := &Cursor{Stream: archive.Stdout}
-	u.take(data(0, 1000, "one\ntw"))
-	u.take(data(6, 2000, "o\nhalf"))
-	u.take(&node.Piece{Piece: archive.Piece{From: 12, To: 20, What: archive.PieceGap, Reason: archive.GapQuota}})
-	u.take(data(20, 3000, "rest\n\nend"))
+	u.add(data(0, 1000, "one\ntw"))
+	u.add(data(6, 2000, "o\nhalf"))
+	u.add(&node.Piece{Piece: archive.Piece{From: 12, To: 20, What: archive.PieceGap, Reason: archive.GapQuota}})
+	u.add(data(20, 3000, "rest\n\nend"))
 	u.flush(true)
 	var got []string
 	for _, l := range u.lines {
@@ -36,10 +36,10 @@
 	}
 	u = &Cursor{Stream: archive.Stdout}
 	for i := range 5 {
-		u.take(data(int64(i)*40_000, 1, strings.Repeat("x", 40_000)))
+		u.add(data(int64(i)*40_000, 1, strings.Repeat("x", 40_000)))
 	}
-	if len(u.lines) == 0 || len(u.rest) > 2*maxLine {
-		t.Errorf("a line without an end: %d lines, %d bytes held", len(u.lines), len(u.rest))
+	if len(u.lines) == 0 || len(u.partial) > 2*maxLine {
+		t.Errorf("a line without an end: %d lines, %d bytes held", len(u.lines), len(u.partial))
 	}
 }
 
@@ -48,7 +48,7 @@
 func TestMergeKeepsOrder(t *testing.T) {
 	at := func(ms int64) time.Time { return time.UnixMilli(ms) }
 	stream := func(task int, times ...int64) *Cursor {
-		u := &Cursor{Attempt: archive.Attempt{Job: "wk-000001", Task: task, Try: 1, Machine: "m"}, Stream: archive.Stdout, dry: true}
+		u := &Cursor{Attempt: archive.Attempt{Job: "wk-000001", Task: task, Try: 1, Machine: "m"}, Stream: archive.Stdout, exhausted: true}
 		for i, ms := range times {
 			u.lines = append(u.lines, Line{Attempt: u.Attempt, At: at(ms), Text: fmt.Sprintf("%d.%d", task, i)})
 		}
