--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -22,7 +22,7 @@
 	n.derived.expired[name] = e
 	n.mu.Unlock()
 	if err := n.dropCovered(n.ctx, name, e); err != nil {
-		n.log.Error("what expired can't be dropped", "attempt", name, "err", err)
+		n.log.Error("what expired can't be dropped", "attempt", name, "error", err)
 	}
 }
 
@@ -58,7 +58,7 @@
 func (n *Node) expireAll() {
 	n.every(expireEvery, func() {
 		if err := n.Expire(n.ctx); err != nil {
-			n.log.Error("retention", "err", err)
+			n.log.Error("retention", "error", err)
 		}
 	})
 }
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -190,7 +190,7 @@
 		if n.cfg.Revocations != "" {
 			if raw, err := os.ReadFile(n.cfg.Revocations); err == nil {
 				if _, err := n.certificates.Learn(raw); err != nil {
-					n.log.Error("the authority's list of revocations can't be used", "file", n.cfg.Revocations, "err", err)
+					n.log.Error("the authority's list of revocations can't be used", "file", n.cfg.Revocations, "error", err)
 				}
 			}
 		}
@@ -200,7 +200,7 @@
 				_, err = n.certificates.Learn(raw)
 			}
 			if err != nil {
-				n.log.Debug("no list of revocations", "from", p.name, "err", err)
+				n.log.Debug("no list of revocations", "from", p.name, "error", err)
 			}
 		}
 	})
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -75,7 +75,7 @@
 	case errors.Is(err, vault.ErrFull):
 		refuse(w, http.StatusInsufficientStorage, "the disk is full")
 	default:
-		n.log.Error("records can't be kept", "err", err)
+		n.log.Error("records can't be kept", "error", err)
 		refuse(w, http.StatusServiceUnavailable, "records can't be kept now")
 	}
 }
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -124,7 +124,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			n.log.Debug("a node does not answer", "node", name, "err", err)
+			n.log.Debug("a node does not answer", "node", name, "error", err)
 			a.Silent = append(a.Silent, name)
 			return
 		}
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -169,7 +169,7 @@
 		key := keys[p.Ref]
 		pieces, err := n.segmentPieces(ctx, key, g.holders[key.String()], p)
 		if err != nil {
-			n.log.Error("a segment can't be read", "key", key.String(), "err", err)
+			n.log.Error("a segment can't be read", "key", key.String(), "error", err)
 			if len(out.Pieces) > 0 {
 				out.More = true
 				break
@@ -349,7 +349,7 @@
 			k := archive.Key{Attempt: archive.Files(a.Job), Kind: archive.KindChunk, Digest: digest}
 			record, err := n.readRecord(r.Context(), k, n.members.Of(archive.Unit(k.Attempt)))
 			if err != nil {
-				n.log.Error("a chunk can't be read", "key", k.String(), "err", err)
+				n.log.Error("a chunk can't be read", "key", k.String(), "error", err)
 				refuse(w, http.StatusServiceUnavailable, "a part of it can't be read now")
 				return
 			}
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -109,7 +109,7 @@
 	n.every(period/2+rand.N(period/2), func() {
 		for _, p := range n.peers {
 			if err := n.level(n.ctx, p); err != nil {
-				n.log.Info("not level with a node", "node", p.name, "err", err)
+				n.log.Info("not level with a node", "node", p.name, "error", err)
 			}
 		}
 		n.handOverStrays()
@@ -315,7 +315,7 @@
 	}
 	if len(done) > 0 {
 		if err := n.vault.Drop(n.ctx, done); err != nil {
-			n.log.Error("records that others keep can't be dropped", "err", err)
+			n.log.Error("records that others keep can't be dropped", "error", err)
 		}
 	}
 }
@@ -377,7 +377,7 @@
 			err = n.send(n.ctx, m.node, []archive.Record{r})
 		}
 		if err != nil {
-			n.log.Debug("not mended", "key", m.key, "at", m.node, "err", err)
+			n.log.Debug("not mended", "key", m.key, "at", m.node, "error", err)
 			continue
 		}
 		n.count(func(s *Stats) { s.Mended++ })
@@ -394,7 +394,7 @@
 	n.every(time.Second, func() {
 		last, checked, damaged, err := n.vault.Scrub(from, int64(n.cfg.ScrubMBPerS*1e6))
 		if err != nil {
-			n.log.Error("scrubbing stopped", "err", err)
+			n.log.Error("scrubbing stopped", "error", err)
 		}
 		if damaged > 0 {
 			n.log.Error("damaged records found", "records", damaged, "of", checked)
--- a/internal/archive/ship/account.go
+++ b/internal/archive/ship/account.go
@@ -49,7 +49,7 @@
 		}
 	}
 	if err != nil {
-		s.log.Error("an attempt's account can't be kept", "attempt", f.attempt.String(), "err", err)
+		s.log.Error("an attempt's account can't be kept", "attempt", f.attempt.String(), "error", err)
 		return
 	}
 	f.unsaved, f.lastSaved = false, time.Now()
--- a/internal/archive/ship/files.go
+++ b/internal/archive/ship/files.go
@@ -58,10 +58,10 @@
 	case err == nil:
 		f.progress.Complete, f.unsaved = true, true
 	case errors.Is(err, errRefused):
-		s.log.Error("nodes refuse an attempt's end; it is given up", "attempt", f.attempt.String(), "err", err)
+		s.log.Error("nodes refuse an attempt's end; it is given up", "attempt", f.attempt.String(), "error", err)
 		f.progress.GivenUp, f.unsaved = "refused by the archive", true
 	default:
-		s.log.Debug("an attempt's end is not kept yet", "attempt", f.attempt.String(), "err", err)
+		s.log.Debug("an attempt's end is not kept yet", "attempt", f.attempt.String(), "error", err)
 		return
 	}
 	s.save(f)
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -144,7 +144,7 @@
 		go func() {
 			err := r.post(ctx, body)
 			if err != nil && !errors.Is(err, errBackingOff) {
-				w.log.Debug("records not kept", "node", r.name, "records", len(mine), "err", err)
+				w.log.Debug("records not kept", "node", r.name, "records", len(mine), "error", err)
 			}
 			results <- result{mine, err}
 		}()
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -57,7 +57,7 @@
 			case err == nil:
 				follower.observe(info.Size(), now)
 			case !errors.Is(err, fs.ErrNotExist):
-				s.log.Error("output can't be read", "attempt", f.attempt.String(), "stream", name, "err", err)
+				s.log.Error("output can't be read", "attempt", f.attempt.String(), "stream", name, "error", err)
 			}
 			s.mu.Unlock()
 		}
@@ -203,7 +203,7 @@
 		}
 		data, err := readPart(filepath.Join(c.attempt.dir, c.stream), c.fileOffset, c.bytes)
 		if err != nil {
-			s.log.Error("output can't be read", "attempt", c.attempt.attempt.String(), "stream", c.stream, "err", err)
+			s.log.Error("output can't be read", "attempt", c.attempt.attempt.String(), "stream", c.stream, "error", err)
 			s.giveUpUnread(c)
 			continue
 		}
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -223,7 +223,7 @@
 	if raw, err = os.ReadFile(filepath.Join(dir, AccountFile)); err == nil {
 		if err := json.Unmarshal(raw, &f.progress); err != nil {
 			// Damaged: everything is shipped again, and put together by readers.
-			s.log.Error("an account is damaged; the attempt is shipped anew", "attempt", a.String(), "err", err)
+			s.log.Error("an account is damaged; the attempt is shipped anew", "attempt", a.String(), "error", err)
 			f.progress = progress{}
 		}
 	}
@@ -330,7 +330,7 @@
 		r := s.writer.nodes[i%len(s.writer.nodes)]
 		if raw, err := r.get(s.ctx, node.PathRevocations); err == nil {
 			if _, err := s.certificates.Learn(raw); err != nil {
-				s.log.Error("a node's list of revocations can't be used", "node", r.name, "err", err)
+				s.log.Error("a node's list of revocations can't be used", "node", r.name, "error", err)
 			}
 		}
 	}
--- a/internal/archive/vault/maintenance.go
+++ b/internal/archive/vault/maintenance.go
@@ -47,7 +47,7 @@
 		if volume.live == 0 {
 			volume.file.Close()
 			if err := os.Remove(v.path(id)); err != nil {
-				v.log.Error("an empty volume can't be removed", "volume", v.path(id), "err", err)
+				v.log.Error("an empty volume can't be removed", "volume", v.path(id), "error", err)
 				continue
 			}
 			delete(v.volumes, id)
@@ -85,7 +85,7 @@
 		p.records, p.move[key] = append(p.records, r), locations[i]
 	}
 	if err := v.commit([]*change{p}); err != nil {
-		v.log.Error("a volume can't be emptied now", "volume", v.path(thin), "err", err)
+		v.log.Error("a volume can't be emptied now", "volume", v.path(thin), "error", err)
 		return
 	}
 	v.mu.Lock()
--- a/internal/archive/vault/read.go
+++ b/internal/archive/vault/read.go
@@ -84,7 +84,7 @@
 
 // removeDamaged takes a damaged record out of the index and keeps its volume.
 func (v *Vault) removeDamaged(k archive.Key, location recordLocation, why error) {
-	v.log.Error("a record is damaged; it counts as missing and its volume is kept as it is", "key", k.String(), "volume", v.path(location.volumeID), "pos", location.offset, "err", why)
+	v.log.Error("a record is damaged; it counts as missing and its volume is kept as it is", "key", k.String(), "volume", v.path(location.volumeID), "pos", location.offset, "error", why)
 	out := false
 	err := v.db.Update(func(tx *bolt.Tx) error {
 		key := []byte(k.String())
--- a/internal/archive/vault/vault.go
+++ b/internal/archive/vault/vault.go
@@ -241,7 +241,7 @@
 		return fresh, err
 	}
 	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-	v.log.Error("the index is damaged; it is put aside and made again out of the volumes", "file", path, "aside", aside, "err", err)
+	v.log.Error("the index is damaged; it is put aside and made again out of the volumes", "file", path, "aside", aside, "error", err)
 	if err := os.Rename(path, aside); err != nil {
 		return false, err
 	}
--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -54,10 +54,10 @@
 		}
 		c.catalogue.dueAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
 		c.catalogue.update(&types)
-		if c.state.Loaded() && c.state.ModRevision(keyFlavors) == 0 {
+		if c.state.Loaded() && c.state.ModRevision(keyMachineTypes) == 0 {
 			c.state.Txn(ratelimit.Background,
-				[]protocol.Compare{{Key: keyFlavors}},
-				[]protocol.Op{{Put: keyFlavors, Value: encode(types)}},
+				[]protocol.Compare{{Key: keyMachineTypes}},
+				[]protocol.Op{{Put: keyMachineTypes, Value: encode(types)}},
 				ignoreOutcome)
 		}
 	})
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -59,7 +59,7 @@
 	compares := make([]protocol.Compare, 0, 2+len(m.links))
 	compares = append(compares, protocol.Compare{Key: keyClaim + m.id, ModRevision: m.ownClaim.Token})
 	for _, link := range m.links {
-		compares = append(compares, protocol.Compare{Key: keyTakeover + link.Group.Key(), ModRevision: link.Revision})
+		compares = append(compares, protocol.Compare{Key: keyFailover + link.Group.Key(), ModRevision: link.Revision})
 	}
 	return compares
 }
--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -170,7 +170,7 @@
 // completionRecordKey returns the key of a record of the log: controllers, and processes of
 // the same controller, never write the same.
 func (c *Core) completionRecordKey(sequence int) string {
-	return keyEndings + c.cfg.Node + "/" + strconv.FormatInt(c.incarnation, 10) + "-" + strconv.Itoa(sequence)
+	return keyCompletions + c.cfg.Node + "/" + strconv.FormatInt(c.incarnation, 10) + "-" + strconv.Itoa(sequence)
 }
 
 // completionsAnswered takes the outcome of writing a record. What may not have been written is
@@ -343,7 +343,7 @@
 	var compares []protocol.Compare
 	var ops []protocol.Op
 	for _, name := range c.writer.completions.log.Settled() {
-		key := keyEndings + name
+		key := keyCompletions + name
 		revision := c.state.ModRevision(key)
 		if revision == 0 || len(ops) >= c.cfg.Facts.State.TxnOps {
 			continue
--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -40,7 +40,7 @@
 		s.finish(t, 4*time.Minute)
 		s.reportViolations(t)
 		for key := range s.state.keys {
-			if strings.HasPrefix(key, keyEndings) {
+			if strings.HasPrefix(key, keyCompletions) {
 				left++
 			}
 		}
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -195,7 +195,7 @@
 			}
 			c.scheduler.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
 			target.reserveRoom(r.spec.ID, c.scheduler.nextServiceMoveAt, "")
-			c.log.Debug("task is being started again", "task", job.TaskName(k.job, k.index), "from", m.id, "to", target.id, "leftS", remaining)
+			c.log.Debug("task is being started again", "task", job.TaskName(k.job, k.index), "from", m.id, "to", target.id, "left_s", remaining)
 			c.stopTask(m, k, "slow image")
 			return
 		}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -222,18 +222,18 @@
 // workers' heartbeat period.
 func (c *Core) sweepPeriod() time.Duration { return seconds(c.cfg.Facts.Workers.Report / 12) }
 
-// Pace is the time between two ticks while something waits for time to pass.
-const Pace = 50 * time.Millisecond
+// TickInterval is the time between two ticks while something waits for time to pass.
+const TickInterval = 50 * time.Millisecond
 
 // Due tells how long the core can do without a tick: until its next sweep, or
-// for Pace while a request, a page or a status query waits for time to pass. An
+// for TickInterval while a request, a page or a status query waits for time to pass. An
 // idle controller is thus woken as seldom as its sweeps need, since each waking
 // costs more than what it does.
 func (c *Core) Due() time.Duration {
 	if c.waitsForTime() {
-		return Pace
+		return TickInterval
 	}
-	return max(Pace, c.sweep.nextAt-c.now)
+	return max(TickInterval, c.sweep.nextAt-c.now)
 }
 
 // waitsForTime tells whether something is to be done before the next sweep.
--- a/internal/coordination/group_failover.go
+++ b/internal/coordination/group_failover.go
@@ -69,7 +69,7 @@
 	failovers := c.machines.ownership.failovers
 	group, ok := failover.ParseKey(name)
 	if !ok {
-		c.log.Error("unreadable record", "key", keyTakeover+name)
+		c.log.Error("unreadable record", "key", keyFailover+name)
 		return
 	}
 	if data == nil {
@@ -200,12 +200,12 @@
 // shows its outcome. Where the owner has failed the record is conditional on that: a
 // controller that is back goes on with its workers itself.
 func (c *Core) writeFailover(group failover.Group) {
-	compares := []protocol.Compare{{Key: keyTakeover + group.Key()}}
+	compares := []protocol.Compare{{Key: keyFailover + group.Key()}}
 	if !c.alive(group.Node) {
 		compares = append(compares, protocol.Compare{Key: keyMember + group.Node})
 	}
 	successor := failover.Holder{Node: c.cfg.Node, Incarnation: c.incarnation, Epoch: c.claimEpoch()}
-	ops := []protocol.Op{{Put: keyTakeover + group.Key(), Value: encode(successor)}}
+	ops := []protocol.Op{{Put: keyFailover + group.Key(), Value: encode(successor)}}
 	c.state.Txn(ratelimit.UrgentClaims, compares, ops, func(outcome stateclient.TxnOutcome, failed []string, _ uint64) {
 		ownerIsBack := slices.Contains(failed, keyMember+group.Node)
 		switch {
@@ -250,7 +250,7 @@
 	var compares []protocol.Compare
 	var ops []protocol.Op
 	for _, group := range unused[:min(len(unused), c.cfg.Facts.State.TxnOps)] {
-		key := keyTakeover + group.Key()
+		key := keyFailover + group.Key()
 		compares = append(compares, protocol.Compare{Key: key, ModRevision: failovers.Revision(group)})
 		ops = append(ops, protocol.Op{Delete: key})
 	}
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -186,7 +186,7 @@
 // and member records know of none, and nothing is conditional on any.
 func withoutFailovers(txn protocol.Txn) protocol.Txn {
 	txn.Compares = slices.DeleteFunc(slices.Clone(txn.Compares), func(compare protocol.Compare) bool {
-		return strings.HasPrefix(compare.Key, keyTakeover)
+		return strings.HasPrefix(compare.Key, keyFailover)
 	})
 	txn.Ops = slices.Clone(txn.Ops)
 	for i, op := range txn.Ops {
@@ -222,7 +222,7 @@
 // withoutFailoverEvents is an answer of the watch without the changes of records of failovers.
 func withoutFailoverEvents(watch protocol.WatchResult) protocol.WatchResult {
 	watch.Events = slices.DeleteFunc(watch.Events, func(event protocol.WatchEvent) bool {
-		return strings.HasPrefix(event.Put+event.Delete, keyTakeover)
+		return strings.HasPrefix(event.Put+event.Delete, keyFailover)
 	})
 	for i, event := range watch.Events {
 		watch.Events[i].Value = withoutEpoch(event.Put, event.Value)
@@ -233,7 +233,7 @@
 // withoutFailoverRecords is a page of records without those of failovers.
 func withoutFailoverRecords(page protocol.KeyValuePage) protocol.KeyValuePage {
 	page.KeyValues = slices.DeleteFunc(page.KeyValues, func(record protocol.KeyValue) bool {
-		return strings.HasPrefix(record.Key, keyTakeover)
+		return strings.HasPrefix(record.Key, keyFailover)
 	})
 	if len(page.KeyValues) == 0 {
 		page.Truncated = false
@@ -324,7 +324,7 @@
 	s.reportViolations(t)
 	left := 0
 	for key := range s.state.keys {
-		if strings.HasPrefix(key, keyTakeover) {
+		if strings.HasPrefix(key, keyFailover) {
 			left++
 		}
 	}
--- a/internal/coordination/keys.go
+++ b/internal/coordination/keys.go
@@ -11,21 +11,21 @@
 
 // Keys of the records in the state service. All but those under keyExtra are mirrored.
 const (
-	keyJob      = stateclient.MirroredPrefix + "j/"
-	keyPage     = stateclient.MirroredPrefix + "p/"
-	keyClaim    = stateclient.MirroredPrefix + "c/"
-	keyTeam     = stateclient.MirroredPrefix + "q/"
-	keyMember   = stateclient.MirroredPrefix + "m/"
-	keyDrain    = stateclient.MirroredPrefix + "x/"
-	keyData     = stateclient.MirroredPrefix + "d/"
-	keyStaging  = stateclient.MirroredPrefix + "s/"
-	keyRental   = stateclient.MirroredPrefix + "h/"
-	keyTakeover = stateclient.MirroredPrefix + "t/"
-	keyEndings  = stateclient.MirroredPrefix + "e/"
-	keyFleet    = stateclient.MirroredPrefix + "fleet"
-	keyGang     = stateclient.MirroredPrefix + "gang"
-	keyFlavors  = stateclient.MirroredPrefix + "flavors"
-	keyExtra    = stateclient.UnmirroredPrefix + "d/"
+	keyJob          = stateclient.MirroredPrefix + "j/"
+	keyPage         = stateclient.MirroredPrefix + "p/"
+	keyClaim        = stateclient.MirroredPrefix + "c/"
+	keyTeam         = stateclient.MirroredPrefix + "q/"
+	keyMember       = stateclient.MirroredPrefix + "m/"
+	keyDrain        = stateclient.MirroredPrefix + "x/"
+	keyData         = stateclient.MirroredPrefix + "d/"
+	keyStaging      = stateclient.MirroredPrefix + "s/"
+	keyRental       = stateclient.MirroredPrefix + "h/"
+	keyFailover     = stateclient.MirroredPrefix + "t/"
+	keyCompletions  = stateclient.MirroredPrefix + "e/"
+	keyFleet        = stateclient.MirroredPrefix + "fleet"
+	keyGang         = stateclient.MirroredPrefix + "gang"
+	keyMachineTypes = stateclient.MirroredPrefix + "flavors"
+	keyJobExtra     = stateclient.UnmirroredPrefix + "d/"
 )
 
 // splitKey splits a mirrored record's key into the prefix of its kind and its name,
@@ -50,9 +50,9 @@
 		c.applyPage(name, data, revision)
 	case keyClaim:
 		c.applyClaim(name, data, revision)
-	case keyTakeover:
+	case keyFailover:
 		c.applyFailover(name, data, revision)
-	case keyEndings:
+	case keyCompletions:
 		c.applyCompletionRecord(name, data)
 	case keyTeam:
 		c.jobs.applyTeam(c.log, name, data, revision)
@@ -70,7 +70,7 @@
 		c.scaler.applyLeadership(data, revision)
 	case keyGang:
 		c.gangs.applyReservation(data, c.now)
-	case keyFlavors:
+	case keyMachineTypes:
 		c.applyMachineTypes(data)
 	}
 }
--- a/internal/coordination/operator_queries.go
+++ b/internal/coordination/operator_queries.go
@@ -182,7 +182,7 @@
 	decoded := func(data json.RawMessage) {
 		extra := &job.Extra{}
 		if protocol.Decode(data, extra) != nil {
-			c.log.Error("unreadable record", "key", keyExtra+s.ID)
+			c.log.Error("unreadable record", "key", keyJobExtra+s.ID)
 			c.refuse(id, http.StatusServiceUnavailable, "the job's description is unreadable")
 			return
 		}
@@ -192,7 +192,7 @@
 		decoded(data)
 		return
 	}
-	c.state.ReadUnmirrored(ratelimit.OtherWork, keyExtra+s.ID, func(data json.RawMessage, ok bool) {
+	c.state.ReadUnmirrored(ratelimit.OtherWork, keyJobExtra+s.ID, func(data json.RawMessage, ok bool) {
 		if !ok || data == nil {
 			c.refuse(id, http.StatusServiceUnavailable, "the job's description can't be read now")
 			return
--- a/internal/coordination/scripted_core_test.go
+++ b/internal/coordination/scripted_core_test.go
@@ -48,7 +48,7 @@
 // pass lets time pass.
 func (s *script) pass(d time.Duration) {
 	for end := s.at + d; s.at < end; {
-		s.at += Pace
+		s.at += TickInterval
 		s.take(s.c.Tick(s.clock()))
 	}
 }
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -266,7 +266,7 @@
 	if data == nil {
 		return
 	}
-	if group, is := strings.CutPrefix(key, keyTakeover); is {
+	if group, is := strings.CutPrefix(key, keyFailover); is {
 		s.failoverWritten(group, data)
 		return
 	}
--- a/internal/coordination/sim_state_test.go
+++ b/internal/coordination/sim_state_test.go
@@ -92,7 +92,7 @@
 // the record of what a job runs is written with the job's own, which is compared.
 func (k *simState) checkCompares(txn protocol.Txn, op protocol.Op) {
 	key := op.Put + op.Delete
-	if strings.HasPrefix(key, keyMember) || strings.HasPrefix(key, keyExtra) {
+	if strings.HasPrefix(key, keyMember) || strings.HasPrefix(key, keyJobExtra) {
 		return
 	}
 	for _, compare := range txn.Compares {
--- a/internal/coordination/startup_test.go
+++ b/internal/coordination/startup_test.go
@@ -22,7 +22,7 @@
 // tasks of jobs of twenty-five, a fifth of them services, and as many jobs again
 // that are over.
 func fleetRecords(machines int, owner string) (keys []string, data map[string][]byte) {
-	data = map[string][]byte{keyFlavors: encode(protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 40, Zones: []string{"a", "b"}}}})}
+	data = map[string][]byte{keyMachineTypes: encode(protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 40, Zones: []string{"a", "b"}}}})}
 	for i := range machines {
 		data[fmt.Sprintf("%si-%06d", keyClaim, i)] = encode(claimRecord{owner, 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), "large", []string{"a", "b"}[i%2], i%2 == 0, 1})
 	}
--- a/internal/coordination/stored_records_test.go
+++ b/internal/coordination/stored_records_test.go
@@ -136,9 +136,9 @@
 			claimRecord{Owner: "n1", Incarnation: 1767225600000000007, Address: "127.0.0.1:9000", MachineType: "g4", Zone: "z-a", Spot: true, Epoch: 2}),
 		partialRecord("claim, without an epoch", "c-least.json", "sg/c/i-000232", keyClaim+"i-000232",
 			claimRecord{Owner: "n1", Incarnation: 7, Address: "127.0.0.1:9001", MachineType: "c8", Zone: "z-b"}),
-		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyTakeover+passed.Key(),
+		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyFailover+passed.Key(),
 			failover.Holder{Node: "n2", Incarnation: 8, Epoch: 1}),
-		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyEndings+"n1/7-1", completionlog.Record{Completions: ended}),
+		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyCompletions+"n1/7-1", completionlog.Record{Completions: ended}),
 		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drainRecord{Reason: drainIdle}),
 		wholeRecord("drains of all reasons", "x-reasons.json", "sg/x/", keyDrain,
 			[]drainRecord{{drainIdle}, {drainSilent}, {drainPreempted}, {drainFaulty}, {drainFailed}, {drainStray}, {drainLost}}),
@@ -148,11 +148,11 @@
 		wholeRecord("rental", "h.json", "sg/h/n1-7-1", keyRental+"n1-7-1",
 			rental{MachineType: "g4", Zone: "z-a", Spot: true, Count: 3, RequestedAtMS: 1767225600005, Machines: []string{"i-000233", "i-000234"}}),
 		partialRecord("rental, not answered yet", "h-least.json", "sg/h/n1-7-2", keyRental+"n1-7-2", rental{MachineType: "c8", Zone: "z-b", Count: 1, RequestedAtMS: 6}),
-		wholeRecord("what to run", "sgx-d.json", "sgx/d/wk-000042", keyExtra+"wk-000042", *whole),
+		wholeRecord("what to run", "sgx-d.json", "sgx/d/wk-000042", keyJobExtra+"wk-000042", *whole),
 		wholeRecord("data set", "d.json", "sg/d/maps/v1", keyData+"maps/v1", set),
 		wholeRecord("announced work", "s.json", "sg/s/night", keyStaging+"night", announced),
 		wholeRecord("gang", "gang.json", "sg/gang", keyGang, gangReservation{Job: "wk-000042", Owner: "n1", Incarnation: 7}),
-		wholeRecord("flavors", "flavors.json", "sg/flavors", keyFlavors, machineTypes),
+		wholeRecord("flavors", "flavors.json", "sg/flavors", keyMachineTypes, machineTypes),
 	}
 }
 
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -90,7 +90,7 @@
 	record := storedJob{spec, job.Open, c.wallTime.UnixMilli(), c.cfg.Node}
 	ops := []protocol.Op{{Put: key, Value: encode(record)}}
 	if extra != nil {
-		ops = append(ops, protocol.Op{Put: keyExtra + jobID, Value: extra})
+		ops = append(ops, protocol.Op{Put: keyJobExtra + jobID, Value: extra})
 	}
 	notExists := []protocol.Compare{{Key: key}}
 	c.state.Txn(ratelimit.UserRequests, notExists, ops, func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
--- a/internal/datastore/evict.go
+++ b/internal/datastore/evict.go
@@ -107,7 +107,7 @@
 	if s.copies[id] != nil {
 		s.emit(Event{Kind: "drop", ID: id})
 		if err := s.evict(id); err != nil {
-			s.log.Error("a copy can't be removed", "copy", id, "err", err)
+			s.log.Error("a copy can't be removed", "copy", id, "error", err)
 		}
 	}
 	return true
--- a/internal/datastore/fetch.go
+++ b/internal/datastore/fetch.go
@@ -134,7 +134,7 @@
 	case errors.Is(err, ErrDropped):
 		s.emit(Event{Kind: "quit", ID: f.want.ID})
 	case err != nil:
-		s.log.Error("a copy can't be fetched", "copy", f.want.ID, "set", f.want.Set, "version", f.want.Version, "err", err)
+		s.log.Error("a copy can't be fetched", "copy", f.want.ID, "set", f.want.Set, "version", f.want.Version, "error", err)
 		s.emit(Event{Kind: "fail", ID: f.want.ID})
 	}
 	s.mu.Unlock()
--- a/internal/datastore/held.go
+++ b/internal/datastore/held.go
@@ -48,7 +48,7 @@
 		id := dataset.ID(e.Name())
 		h, err := s.readHeld(id)
 		if err != nil {
-			s.log.Error("a copy can't be used and is thrown away", "copy", id, "err", err)
+			s.log.Error("a copy can't be used and is thrown away", "copy", id, "error", err)
 			if err := s.trash(copiesDir, id); err != nil {
 				return err
 			}
@@ -192,7 +192,7 @@
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.log.Error("a copy is not what it was and is thrown away", "copy", id, "err", err)
+		s.log.Error("a copy is not what it was and is thrown away", "copy", id, "error", err)
 		return errors.Join(ErrNotHere, s.evict(id))
 	}
 	if err := os.MkdirAll(filepath.Dir(dir), 0o700); err != nil {
--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -198,7 +198,7 @@
 		}
 		k.seen[f.name] = info.ModTime()
 		if err := f.read(); err != nil {
-			k.log.Error("a certificate's file can't be used; the earlier one holds", "file", f.name, "err", err)
+			k.log.Error("a certificate's file can't be used; the earlier one holds", "file", f.name, "error", err)
 		}
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -381,7 +381,7 @@
 	}
 	for _, p := range killed {
 		if err := r.launch(p, r.dirOf(p)); err != nil {
-			r.Log.Error("a controller can't be started again", "name", p.name, "err", err)
+			r.Log.Error("a controller can't be started again", "name", p.name, "error", err)
 		}
 	}
 }
--- a/internal/site/certs.go
+++ b/internal/site/certs.go
@@ -63,7 +63,7 @@
 		case <-time.After(time.Hour):
 		}
 		if err := s.certify(); err != nil {
-			s.log.Error("certificates can't be renewed", "err", err)
+			s.log.Error("certificates can't be renewed", "error", err)
 		}
 	}
 }
--- a/internal/site/outside.go
+++ b/internal/site/outside.go
@@ -111,7 +111,7 @@
 			s.log.Info("results of jobs that are over were removed", "jobs", len(removed))
 		}
 		if err != nil {
-			s.log.Error("results of jobs that are over can't be removed", "err", err)
+			s.log.Error("results of jobs that are over can't be removed", "error", err)
 		}
 	}
 }
--- a/internal/site/up.go
+++ b/internal/site/up.go
@@ -244,7 +244,7 @@
 			b.Reset()
 		}
 		pause := b.NextBackOff()
-		s.log.Error("a part ended; it is started again", "part", p.name, "err", err, "after", pause.Round(time.Millisecond), "log", s.LogFile(p.name))
+		s.log.Error("a part ended; it is started again", "part", p.name, "error", err, "after", pause.Round(time.Millisecond), "log", s.LogFile(p.name))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
