--- a/internal/archive/history/draw.go
+++ b/internal/archive/history/draw.go
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// killAgent kills an agent, which starts again, sometimes with an old account; its programs
-// are gone.
+// killAgent kills an agent, which starts again, sometimes with old progress; its programs
+// have ended.
 func (d *drawing) killAgent() error {
 	list := d.live()
 	name := list[d.random.IntN(len(list))]
@@ -312,7 +312,7 @@
 		promised[i] = len(a.written.Out)
 	}
 	// What was written a bound ago is kept; how long this takes on a busy
-	// machine is not the promise, so it is waited for by the account.
+	// machine is not the promise, so what was shipped is waited for.
 	if err := settle(m, false); err != nil {
 		return err
 	}
--- a/internal/archive/ship/plan.go
+++ b/internal/archive/ship/plan.go
@@ -4,7 +4,7 @@
 //
 // plan.go decides, without I/O: where a stream is cut, what is shipped next, what
 // a full spool gives up. ship.go follows attempts; rounds.go has the loop that
-// carries the decisions out; files.go ships files and the end; account.go saves the
+// carries the decisions out; files.go ships files and the end; progress.go saves the
 // progress on disk; put.go has records stored by a quorum.
 //
 // What a task wrote is in its files before anything here sees it. Progress that
