--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -229,7 +229,7 @@
 		total.RSS, total.CPU, total.Members = total.RSS+u.RSS, total.CPU+u.CPU, total.Members+u.Members
 		if t.ram > 0 && u.RSS > t.ram && !t.memory {
 			t.memory = true
-			r.log.Info("task ended for its memory", "task", k.String(), "residentBytes", u.RSS, "limitBytes", t.ram)
+			r.log.Info("task ended for its memory", "task", k.String(), "resident_bytes", u.RSS, "limit_bytes", t.ram)
 			_ = proc.KillGroup(t.id, syscall.SIGKILL)
 		}
 	}
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -142,7 +142,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.log.Error("a machine does not come up", "stoker", m.Name, "error", err)
+		c.log.Error("a machine does not come up", "machine", m.Name, "error", err)
 		return
 	}
 	c.market.Up(m.Name, address)
