--- /dev/null
+++ b/internal/archive/ship/golden_test.go
@@ -0,0 +1,198 @@
+package ship
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"silvergate/internal/archive"
+	"silvergate/internal/archive/node"
+	"silvergate/internal/goldentest"
+	"silvergate/internal/identity"
+)
+
+// The golden folders are those of attempts that an earlier build followed. Of the one
+// that is in "shipping", 11 bytes of the standard output were acknowledged, which end
+// at byte 6 of the file since the program shortened it, and 4 of the standard error;
+// there are gaps to be told, one of two files is kept, and the attempt has ended. The
+// other two need nothing any more.
+const (
+	shippingFolder = "testdata/golden/shipping"
+	wholeFolder    = "testdata/golden/whole"
+	goneFolder     = "testdata/golden/gone"
+)
+
+var goldenAttempt = archive.Attempt{Job: "wk-000042", Task: 7, Try: 2, Machine: "machine-9"}
+
+// goldenShipper returns a shipper of a machine of a new site, and the folder with the
+// site's certificate for a node.
+func goldenShipper(t *testing.T, address string) (s *Shipper, nodeCerts string) {
+	t.Helper()
+	dir := t.TempDir()
+	authority, err := identity.Init(filepath.Join(dir, "authority"), "site", time.Now())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, who := range []string{"agent/machine-9", "node/one"} {
+		party, err := identity.Parse("site", who)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := authority.Issue(party, filepath.Join(dir, who), time.Hour); err != nil {
+			t.Fatal(err)
+		}
+	}
+	cfg := DefaultConfig()
+	cfg.Members, cfg.Replicas = []node.Member{{Name: "one", Address: address}}, 1
+	cfg.Certs = filepath.Join(dir, "agent/machine-9")
+	s, err = New(cfg, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s, filepath.Join(dir, "node/one")
+}
+
+// copyFolder copies an attempt's folder to where it may be written to.
+func copyFolder(t *testing.T, from string) string {
+	t.Helper()
+	dir := filepath.Join(t.TempDir(), "attempt")
+	if err := os.CopyFS(dir, os.DirFS(from)); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func TestGoldenAccountsAreWrittenAlike(t *testing.T) {
+	for _, test := range []struct {
+		folder string
+		left   int
+	}{{shippingFolder, 1}, {wholeFolder, 0}, {goneFolder, 0}} {
+		t.Run(filepath.Base(test.folder), func(t *testing.T) {
+			s, _ := goldenShipper(t, "127.0.0.1:1")
+			dir := copyFolder(t, test.folder)
+			if err := s.Resume(goldenAttempt, dir); err != nil {
+				t.Fatal(err)
+			}
+			if s.Holds(goldenAttempt) != (test.left == 1) || s.Left() != test.left {
+				t.Errorf("it is held: %v; %d attempts that are over are left", s.Holds(goldenAttempt), s.Left())
+			}
+			s.Stop()
+			for _, name := range []string{"archive.json", "grant.json"} {
+				got, err := os.ReadFile(filepath.Join(dir, name))
+				if want := goldentest.Read(t, test.folder+"/"+name); err != nil || !bytes.Equal(got, want) {
+					t.Errorf("%s is written as\n%s, not\n%s: %v", name, got, want, err)
+				}
+			}
+		})
+	}
+}
+
+// storingNode is an archive node that keeps records in memory.
+type storingNode struct {
+	mu      sync.Mutex
+	records map[string]archive.Record
+}
+
+func (n *storingNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for in := bytes.NewReader(body); err == nil; {
+		var record archive.Record
+		if record, err = archive.ReadFrame(in); err == nil {
+			err = record.Check()
+		}
+		if err == nil {
+			n.records[record.Key.String()] = record
+		}
+	}
+	if !errors.Is(err, io.EOF) {
+		w.WriteHeader(http.StatusBadRequest)
+	}
+}
+
+// serveNode serves a node at the listener with the certificate in a folder.
+func serveNode(t *testing.T, listener net.Listener, certs string) *storingNode {
+	t.Helper()
+	keeper, err := identity.NewKeeper(certs, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := &storingNode{records: map[string]archive.Record{}}
+	server := &http.Server{Handler: n, TLSConfig: keeper.Serve()}
+	go func() { _ = server.ServeTLS(listener, "", "") }()
+	t.Cleanup(func() { _ = server.Close() })
+	return n
+}
+
+// summary lists the records by what they are, without their digests and with what a
+// segment, a gap, a file or an end says.
+func (n *storingNode) summary(t *testing.T) []string {
+	t.Helper()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var lines []string
+	for _, record := range n.records {
+		text := string(record.Payload)
+		switch record.Key.Kind {
+		case 's':
+			segment, err := archive.DecodeSegment(record.Payload)
+			if err != nil {
+				t.Fatal(err)
+			}
+			text = string(segment.Data)
+		case 'm': // its time of change is the copy's
+			text = ""
+		}
+		lines = append(lines, fmt.Sprintf("%s %c %s %s", record.Key.Attempt, record.Key.Kind, record.Key.Name, text))
+	}
+	slices.Sort(lines)
+	return lines
+}
+
+func TestGoldenAttemptIsShippedToItsEnd(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, certs := goldenShipper(t, listener.Addr().String())
+	kept := serveNode(t, listener, certs)
+	dir := copyFolder(t, shippingFolder)
+	if err := s.Resume(goldenAttempt, dir); err != nil {
+		t.Fatal(err)
+	}
+	s.Start()
+	t.Cleanup(s.Stop)
+	for deadline := time.Now().Add(20 * time.Second); s.Holds(goldenAttempt); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not shipped in time; kept so far: %q", kept.summary(t))
+		}
+	}
+	grant := string(goldentest.Read(t, shippingFolder+"/grant.json"))
+	attempt, files := "wk-000042/00000007/00000002/machine-9", "wk-000042/99999999/00000000/files"
+	want := []string{
+		attempt + " a  " + grant,
+		attempt + ` e  {"cause":"failed","code":3,"sizes":{"stderr":7,"stdout":21},"beganMs":1700000000002,"atMs":1700000000400,"files":2}`,
+		attempt + ` g stderr.0000000000000001.00000 {"from":1,"to":3,"atMs":1700000000301,"reason":"the machine's spool was full"}`,
+		attempt + ` g stdout.0000000000000005.00000 {"from":5,"to":5,"atMs":1700000000300,"reason":"the program shortened its own output"}`,
+		attempt + " m  ",
+		attempt + " s stderr.0000000000000004.00003 s\nx",
+		attempt + " s stdout.000000000000000b.0000a second one",
+		files + " a  " + grant,
+		files + " c  b,2\n",
+	}
+	if got := kept.summary(t); !reflect.DeepEqual(got, want) {
+		t.Errorf("kept\n%q, not\n%q", got, want)
+	}
+}
