--- /dev/null
+++ b/internal/datastore/golden_test.go
@@ -0,0 +1,142 @@
+package datastore
+
+import (
+	"io/fs"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"silvergate/internal/dataset"
+	"silvergate/internal/goldentest"
+)
+
+// The golden folder is a store that an earlier build left behind: it holds one version
+// whole, and of another its manifest and one of two files. Both were published on the
+// file server whose folder is beside it.
+const (
+	goldenStore  = "testdata/golden/store"
+	goldenServer = "testdata/golden/server"
+)
+
+// goldenWant returns a version on the golden server.
+func goldenWant(t *testing.T, version string) (Want, *dataset.Manifest) {
+	t.Helper()
+	raw := goldentest.Read(t, goldenServer+"/sets/prices/"+version+"/manifest.json")
+	digest := dataset.Sum(raw)
+	manifest, err := dataset.Decode(raw, digest)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return Want{ID: dataset.IDOf(digest), Digest: digest, Set: "prices", Version: version}, manifest
+}
+
+// copyGoldenStore copies the store to where it may be written to.
+func copyGoldenStore(t *testing.T) string {
+	t.Helper()
+	dir := filepath.Join(t.TempDir(), "store")
+	if err := os.CopyFS(dir, os.DirFS(goldenStore)); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// openStore opens the store in a folder.
+func openStore(t *testing.T, dir string) *Store {
+	t.Helper()
+	s, err := Open(Config{Dir: dir, Capacity: 1 << 20, Patience: 5 * time.Second}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s
+}
+
+// fetchFromGoldenServer serves the golden file server's folder and has a version
+// fetched from there.
+func fetchFromGoldenServer(t *testing.T, s *Store, want Want) {
+	t.Helper()
+	source := httptest.NewServer(http.FileServer(http.Dir(goldenServer)))
+	t.Cleanup(source.Close)
+	want.Sources = []Source{{source.Listener.Addr().String(), false}}
+	fetched := make(chan error, 1)
+	s.Fetch(want, func(err error) { fetched <- err })
+	select {
+	case err := <-fetched:
+		if err != nil {
+			t.Fatal(err)
+		}
+	case <-time.After(30 * time.Second):
+		t.Fatal("not fetched in time")
+	}
+}
+
+// requirePlaced places a copy in a task's folder and compares it with its manifest.
+func requirePlaced(t *testing.T, s *Store, want Want, manifest *dataset.Manifest) {
+	t.Helper()
+	dir := filepath.Join(t.TempDir(), "task", "in")
+	if err := s.Place(want.ID, dir); err != nil {
+		t.Fatal(err)
+	}
+	if err := dataset.VerifyTree(dir, manifest); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestGoldenStore(t *testing.T) {
+	whole, wholeManifest := goldenWant(t, "1")
+	partial, partialManifest := goldenWant(t, "2")
+	dir := copyGoldenStore(t)
+	s := openStore(t, dir)
+	if held := s.Held(); !reflect.DeepEqual(held, []dataset.ID{whole.ID}) {
+		t.Fatalf("held: %v, not %v", held, whole.ID)
+	}
+	if raw, ok := s.Manifest(whole.ID); !ok || dataset.Sum(raw) != whole.Digest {
+		t.Errorf("the copy's manifest is %s", raw)
+	}
+	if digest, want := s.Digest(), strings.TrimSpace(string(goldentest.Read(t, "testdata/golden/digest.txt"))); digest != want {
+		t.Errorf("the store's digest is %s, not %s", digest, want)
+	}
+	requirePlaced(t, s, whole, wholeManifest)
+
+	// The file that is there is not fetched again.
+	fetchFromGoldenServer(t, s, partial)
+	if missing := int64(len("of the second version")); s.Stats().Fetched != missing {
+		t.Errorf("%d bytes were fetched, and %d were missing", s.Stats().Fetched, missing)
+	}
+	requirePlaced(t, s, partial, partialManifest)
+	if left, err := os.ReadDir(filepath.Join(dir, "partial")); err != nil || len(left) > 0 {
+		t.Errorf("left of the fetch: %v, %v", left, err)
+	}
+}
+
+// TestGoldenStoreIsWrittenAlike fetches the whole version anew and compares the
+// store's files with those of the golden one.
+func TestGoldenStoreIsWrittenAlike(t *testing.T) {
+	whole, _ := goldenWant(t, "1")
+	dir := t.TempDir()
+	fetchFromGoldenServer(t, openStore(t, dir), whole)
+	of := func(root string) map[string]string {
+		files := map[string]string{}
+		err := fs.WalkDir(os.DirFS(root), ".", func(path string, d fs.DirEntry, err error) error {
+			if err != nil || d.IsDir() || !strings.Contains(path, string(whole.ID)) {
+				return err
+			}
+			raw, err := os.ReadFile(filepath.Join(root, path))
+			files[path] = string(raw)
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return files
+	}
+	if got, want := of(dir), of(goldenStore); !reflect.DeepEqual(got, want) || len(want) != 3 {
+		t.Errorf("written\n%q, not\n%q", got, want)
+	}
+}
