--- a/internal/archive/golden_test.go
+++ b/internal/archive/golden_test.go
@@ -26,7 +26,7 @@
 var (
 	goldenAttempt = Attempt{"wk-000042", 7, 2, "machine-9"}
 	goldenKey     = bytes.Repeat([]byte{0x5a}, 32)
-	goldenSegment = Segment{[]Mark{{6, 1_700_000_000_100}, {17, 1_700_000_000_250}}, []byte("first\nsecond line")}
+	goldenSegment = Segment{[]WriteTime{{6, 1_700_000_000_100}, {17, 1_700_000_000_250}}, []byte("first\nsecond line")}
 )
 
 // goldenPayload is a payload that is stored as JSON, and what it says.
