--- a/internal/archive/vault/index.go
+++ b/internal/archive/vault/index.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"path/filepath"
 	"syscall"
 	"time"
 
@@ -248,8 +249,12 @@
 
 // view reads the index. Guards against a page that is damaged while it is open,
 // which makes bbolt panic.
+//
+// The path is the vault's own and not bbolt's, which clears its as it closes: a node that
+// stops may still be answering a reader.
 func (v *Vault) view(do func(tx *bolt.Tx) error) error {
-	return checksum.Guard(v.db.Path(), func() error { return v.db.View(do) })
+	path := filepath.Join(v.cfg.Dir, indexFile)
+	return checksum.Guard(path, func() error { return v.db.View(do) })
 }
 
 // labelKey is the key under which the index lists an attempt by a label.
