--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -53,7 +53,9 @@
 	if m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
-	candidates := c.redirectCandidates(m, zone)
+	var zoneBuffer, buffer [usualPeers]string
+	candidates := redirectCandidates{sameZone: zoneBuffer[:0], all: buffer[:0]}
+	candidates = c.addRedirectCandidates(candidates, m, zone)
 	sameZone := c.cfg.Zone == zone
 	group := candidates.sameZone
 	workers := candidates.sameZoneWorkers
@@ -84,9 +86,13 @@
 	return c.leastLoaded(group)
 }
 
-// redirectCandidates finds the peers that can serve a worker of a zone.
-func (c *Core) redirectCandidates(m *machine, zone string) redirectCandidates {
-	candidates := redirectCandidates{allWorkers: c.ownWorkers()}
+// usualPeers is how many peers fit the buffers of candidates, which save every heartbeat
+// two allocations; with more peers append allocates.
+const usualPeers = 8
+
+// addRedirectCandidates adds the peers that can serve a worker of a zone.
+func (c *Core) addRedirectCandidates(candidates redirectCandidates, m *machine, zone string) redirectCandidates {
+	candidates.allWorkers = c.ownWorkers()
 	if c.cfg.Zone == zone {
 		candidates.sameZoneWorkers = c.ownWorkers()
 	}
