--- a/internal/coordination/fault_days_test.go
+++ b/internal/coordination/fault_days_test.go
@@ -48,8 +48,8 @@
 	allControllersDownDay(),
 }
 
-// play prepares the day. The defect may be nil.
-func (d *faultDay) play(t *testing.T, controllers int, seed uint64, defect func(s *sim)) *sim {
+// prepare prepares the day. The defect may be nil.
+func (d *faultDay) prepare(t *testing.T, controllers int, seed uint64, defect func(s *sim)) *sim {
 	t.Helper()
 	s := newOutageSim(t, seed, outageScenario{controllers: controllers, workers: "well"})
 	if d.setup != nil {
@@ -82,7 +82,7 @@
 	days := len(faultDays)
 	runSeeds(t, 0, 4*days, func(t *testing.T, i uint64) {
 		d, controllers := &faultDays[int(i)%days], 3+2*int(i/uint64(days)%2)
-		s := d.play(t, controllers, 46_000+i, nil)
+		s := d.prepare(t, controllers, 46_000+i, nil)
 		s.finish(t, 60*time.Second+d.duration)
 		s.judgeServed()
 		s.reportViolations(t)
@@ -109,7 +109,7 @@
 			t.Parallel()
 			found := ""
 			for seed := uint64(47_000); seed < 47_008; seed++ {
-				s := d.play(t, 3, seed, d.defect)
+				s := d.prepare(t, 3, seed, d.defect)
 				s.run(3*time.Minute + d.duration)
 				if all := strings.Join(s.violations, "\n"); strings.Contains(all, d.violation) && all != "" {
 					return
--- a/internal/coordination/fault_days_users_test.go
+++ b/internal/coordination/fault_days_users_test.go
@@ -33,15 +33,15 @@
 			}
 			for _, n := range s.controllers {
 				c := n.core
-				left := len(c.jobs.open) + len(c.scheduler.queuedJobs) + len(c.queries.statusQueries) + len(c.scheduler.earlyHandoffs) + len(c.jobs.orphanPages) + c.state.Backlog() + len(c.calls.pending)/20
+				remaining := len(c.jobs.open) + len(c.scheduler.queuedJobs) + len(c.queries.statusQueries) + len(c.scheduler.earlyHandoffs) + len(c.jobs.orphanPages) + c.state.Backlog() + len(c.calls.pending)/20
 				tasks := 0
 				for _, r := range c.jobs.byID {
 					for _, p := range r.pages {
 						tasks += len(p.tasks)
 					}
 				}
-				if left > 0 || tasks > 0 {
-					t.Errorf("%s keeps %d open things and %d tasks of jobs that are over", n.name, left, tasks)
+				if remaining > 0 || tasks > 0 {
+					t.Errorf("%s keeps %d open things and %d tasks of jobs that are over", n.name, remaining, tasks)
 				}
 			}
 		},
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -113,8 +113,8 @@
 				o.unreachableUntil["zone:a"] = s.now + duration
 				continue
 			}
-			for _, k := range []string{"state", "peers", "users", "cloud", "zone:b", "zone:c"} {
-				o.unreachableUntil[k] = s.now + duration
+			for _, link := range []string{"state", "peers", "users", "cloud", "zone:b", "zone:c"} {
+				o.unreachableUntil[link] = s.now + duration
 			}
 		}
 	}},
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -34,14 +34,14 @@
 	}
 	for _, n := range s.controllers {
 		if n.core != nil {
-			n.core.checkRoom(t, n.name)
+			n.core.checkUsageCounts(t, n.name)
 		}
 	}
 }
 
-// checkRoom compares the usage that is counted for each machine with what is bound
+// checkUsageCounts compares the usage that is counted for each machine with what is bound
 // and reserved there, without tasks that are known to have left.
-func (c *Core) checkRoom(t *testing.T, name string) {
+func (c *Core) checkUsageCounts(t *testing.T, name string) {
 	t.Helper()
 	sums := map[string]usage{}
 	for id, m := range c.machines.byID {
@@ -62,8 +62,8 @@
 		}
 	}
 	for id, m := range c.machines.byID {
-		if d := sums[id]; math.Abs(d.CPUs-m.cpus) > 1e-3 || math.Abs(d.GPUs-m.gpus) > 1e-3 {
-			t.Errorf("%s: %s counts %v processors and %v accelerators as taken, %+v are", name, id, m.cpus, m.gpus, d)
+		if sum := sums[id]; math.Abs(sum.CPUs-m.cpus) > 1e-3 || math.Abs(sum.GPUs-m.gpus) > 1e-3 {
+			t.Errorf("%s: %s counts %v processors and %v accelerators as taken, %+v are", name, id, m.cpus, m.gpus, sum)
 		}
 	}
 }
@@ -105,8 +105,8 @@
 	}
 }
 
-// watchCancelled checks that nothing of a job is active cancel_s after its cancellation was confirmed.
-func (s *sim) watchCancelled() {
+// checkCancelledJobs checks that nothing of a job is active cancel_s after its cancellation was confirmed.
+func (s *sim) checkCancelledJobs() {
 	for _, w := range s.workers {
 		for _, task := range w.tasks {
 			u := s.users[task.jobID]
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	s.after(500*time.Millisecond, s.watchCancelled)
+	s.after(500*time.Millisecond, s.checkCancelledJobs)
 }
 
 // followCancelled notes how long tasks of cancelled jobs stay active.
@@ -288,17 +288,17 @@
 	return n
 }
 
-// roomWait is since when a job has waited although there was room, without a break.
-type roomWait struct {
+// idleCapacityWait is since when a job has waited although there was room, without a break.
+type idleCapacityWait struct {
 	since        time.Duration
 	tasksStarted int
 }
 
-// maxRoomWait is how long a job may wait although there is room.
-const maxRoomWait = 90 * time.Second
+// maxCapacityWait is how long a job may wait although there is room.
+const maxCapacityWait = 90 * time.Second
 
 // watchIdleCapacity checks that no job waits although there is room: a machine would fit it, its team is under its
-// limit, and nothing of it has started for maxRoomWait. A gang needs room for all its tasks.
+// limit, and nothing of it has started for maxCapacityWait. A gang needs room for all its tasks.
 func (s *sim) watchIdleCapacity() {
 	gpusByTeam := map[string]float64{}
 	tasksByJob := map[string]map[int]bool{}
@@ -327,13 +327,13 @@
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
 		started := u.tasksStarted + u.restarts
-		if u.roomWait.since == 0 || !u.accepted || u.cancelRequested || u.failsEverywhere || u.failures > 0 || u.finalStatus != "" || started != u.roomWait.tasksStarted || !u.couldStart(usable, tasksByJob[id], zonesByJob[id], gpusByTeam[u.spec.Team]) {
-			u.roomWait = roomWait{s.now, started}
+		if u.capacityWait.since == 0 || !u.accepted || u.cancelRequested || u.failsEverywhere || u.failures > 0 || u.finalStatus != "" || started != u.capacityWait.tasksStarted || !u.couldStart(usable, tasksByJob[id], zonesByJob[id], gpusByTeam[u.spec.Team]) {
+			u.capacityWait = idleCapacityWait{s.now, started}
 			continue
 		}
-		if s.now-u.roomWait.since > maxRoomWait {
+		if s.now-u.capacityWait.since > maxCapacityWait {
 			s.violation("waits beside room", "%s (%s of %d, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
-			u.roomWait.since = s.now
+			u.capacityWait.since = s.now
 		}
 	}
 	s.after(time.Second, s.watchIdleCapacity)
@@ -342,27 +342,27 @@
 // couldStart tells whether one waiting task of the job would find room, or all of a gang.
 func (u *simUser) couldStart(usable []*simWorker, placed map[int]bool, zones map[string]int, gpusOfTeam float64) bool {
 	s, spec := u.s, u.spec
-	need := 0
+	needed := 0
 	for i := range u.done {
 		if !u.done[i] && !placed[i] {
-			need++
+			needed++
 		}
 	}
-	if need == 0 || spec.Shape == job.Gang && len(placed) > 0 {
+	if needed == 0 || spec.Shape == job.Gang && len(placed) > 0 {
 		return false
 	}
 	if spec.Shape != job.Gang {
-		need = 1
+		needed = 1
 	}
 	for _, limit := range s.facts.Teams {
-		if limit.Name == spec.Team && limit.GPUsMax > 0 && gpusOfTeam+float64(need)*spec.GPUs > limit.GPUsMax+1e-6 {
+		if limit.Name == spec.Team && limit.GPUsMax > 0 && gpusOfTeam+float64(needed)*spec.GPUs > limit.GPUsMax+1e-6 {
 			return false
 		}
 	}
-	for _, only := range s.facts.Zones {
+	for _, zone := range s.facts.Zones {
 		found, spread := 0, map[string]int{}
 		for _, w := range usable {
-			if !spec.AllowsMachineType(w.machineType) || w.spot && !spec.Spot || spec.Zone != "" && spec.Zone != w.zone || spec.OneZone && (w.zone != only || len(zones) > 0 && zones[w.zone] == 0) {
+			if !spec.AllowsMachineType(w.machineType) || w.spot && !spec.Spot || spec.Zone != "" && spec.Zone != w.zone || spec.OneZone && (w.zone != zone || len(zones) > 0 && zones[w.zone] == 0) {
 				continue
 			}
 			limit := s.cloud.machineTypes[w.machineType]
@@ -372,12 +372,12 @@
 					gpus, cpus = gpus-other.spec.GPUs, cpus-other.spec.CPUs
 				}
 			}
-			for ; found < need && spec.GPUs <= gpus && spec.CPUs <= cpus && (!spec.Spread || zones[w.zone]+spread[w.zone] < spec.SpreadLimit()); found++ {
+			for ; found < needed && spec.GPUs <= gpus && spec.CPUs <= cpus && (!spec.Spread || zones[w.zone]+spread[w.zone] < spec.SpreadLimit()); found++ {
 				gpus, cpus = gpus-spec.GPUs, cpus-spec.CPUs
 				spread[w.zone]++
 			}
 		}
-		if found >= need {
+		if found >= needed {
 			return true
 		}
 	}
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -240,8 +240,8 @@
 		return
 	}
 	watch := strings.HasPrefix(call.Path, protocol.PathWatch)
-	switch luck := s.random.Float64(); {
-	case n.unreachableUntil[link] > s.now || luck < s.faults.messageLoss:
+	switch chance := s.random.Float64(); {
+	case n.unreachableUntil[link] > s.now || chance < s.faults.messageLoss:
 		n.loseCall(call)
 	case watch && n.watchDelayedUntil > s.now:
 		replyDelay := s.randomMillis(200, 3900)
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -238,8 +238,8 @@
 	return false
 }
 
-// keepHeartbeatCopy keeps a copy of a share of the heartbeats for the next holder.
-func (s *sim) keepHeartbeatCopy(w *simWorker, heartbeat protocol.Heartbeat) {
+// storeHeartbeatCopy keeps a copy of a share of the heartbeats for the next holder.
+func (s *sim) storeHeartbeatCopy(w *simWorker, heartbeat protocol.Heartbeat) {
 	if s.faults.copiedShare > 0 && s.random.Float64() < s.faults.copiedShare {
 		if s.faults.copied == nil {
 			s.faults.copied = map[string][]byte{}
@@ -266,12 +266,12 @@
 	if data == nil {
 		return
 	}
-	if group, is := strings.CutPrefix(key, keyFailover); is {
+	if group, found := strings.CutPrefix(key, keyFailover); found {
 		s.failoverWritten(group, data)
 		return
 	}
-	name, is := strings.CutPrefix(key, keyClaim)
-	if !is {
+	name, found := strings.CutPrefix(key, keyClaim)
+	if !found {
 		return
 	}
 	var claim, previous claimRecord
--- a/internal/coordination/sim_state_test.go
+++ b/internal/coordination/sim_state_test.go
@@ -189,11 +189,11 @@
 	case strings.HasPrefix(u.Path, protocol.PathKeys+"/"):
 		k.serveKey(u.Path[len(protocol.PathKeys)+1:], reply)
 	case call.Method == "DELETE":
-		k.serveRevocation(leaseOfPath(u.Path), reply)
+		k.serveRevocation(leaseFromPath(u.Path), reply)
 	case u.Path == protocol.PathLeases:
 		k.serveLease(call.Body, reply)
 	case strings.HasSuffix(u.Path, "/"+protocol.PathKeepAlive):
-		k.serveKeepAlive(leaseOfPath(u.Path), reply)
+		k.serveKeepAlive(leaseFromPath(u.Path), reply)
 	default:
 		k.s.violation("state limits", "unknown request %s %s", call.Method, call.Path)
 	}
@@ -294,8 +294,8 @@
 	reply(200, encode(protocol.KeyValue{Key: key, Value: v.value, ModRevision: v.modRevision, Lease: v.lease}))
 }
 
-// leaseOfPath is the lease that a path names, 0 if it names none.
-func leaseOfPath(path string) uint64 {
+// leaseFromPath is the lease that a path names, 0 if it names none.
+func leaseFromPath(path string) uint64 {
 	lease, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	return lease
 }
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -115,7 +115,7 @@
 	for _, n := range s.controllers {
 		s.after(s.randomMillis(0, 500), n.start)
 	}
-	s.watchCancelled()
+	s.checkCancelledJobs()
 	s.countOutages()
 	s.queryUnknownJobs()
 	return s
@@ -164,9 +164,9 @@
 	t.Helper()
 	s.faults.messageLoss = 0
 	s.run(until)
-	for _, first := range s.controllers {
-		if first.core == nil {
-			first.start()
+	for _, n := range s.controllers {
+		if n.core == nil {
+			n.start()
 		}
 	}
 	for _, id := range sortedKeys(s.users) {
--- a/internal/coordination/sim_user_test.go
+++ b/internal/coordination/sim_user_test.go
@@ -29,7 +29,7 @@
 	known           bool          // an answer has said that the job is accepted
 	lastAnsweredAt  time.Duration // the last answer to a query
 	finalStatus     string        // as an answer has told it; empty: none yet
-	roomWait        roomWait
+	capacityWait    idleCapacityWait
 }
 
 // jobStarts is what is known of the starts of a job's tasks.
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -162,7 +162,7 @@
 			n.deliver("POST", protocol.PathHeartbeat, encode(heartbeat), func(int, []byte) {})
 		})
 	}
-	s.keepHeartbeatCopy(w, heartbeat)
+	s.storeHeartbeatCopy(w, heartbeat)
 	answered := func(status int, body []byte) {
 		w.traceHeartbeat(n, heartbeat, sent, status, body)
 		if !w.dead {
@@ -195,7 +195,7 @@
 	case status == 200:
 		var response protocol.HeartbeatResponse
 		_ = json.Unmarshal(body, &response)
-		if w.accept(response, heartbeat.AgentEpoch, sent) {
+		if w.applyResponse(response, heartbeat.AgentEpoch, sent) {
 			return 500 * time.Millisecond
 		}
 		return next
@@ -220,9 +220,9 @@
 	w.controller = (w.controller + 1) % len(w.s.controllers)
 }
 
-// accept carries out an answer that is not outdated, and tells whether it has shown a new fencing token. A
+// applyResponse carries out an answer that is not outdated, and tells whether it has shown a new fencing token. A
 // hung machine takes nothing in, and drops what is over 4 s old when it goes on.
-func (w *simWorker) accept(response protocol.HeartbeatResponse, epoch uint64, sent time.Duration) bool {
+func (w *simWorker) applyResponse(response protocol.HeartbeatResponse, epoch uint64, sent time.Duration) bool {
 	now := w.s.now
 	if now < w.hungUntil || response.FencingToken < w.fencingToken || response.FencingToken == 0 || epoch != w.agentEpoch || now-sent > 4*time.Second {
 		return false
@@ -244,31 +244,31 @@
 }
 
 // serveDirect carries out a direct request of a controller and answers it.
-func (w *simWorker) serveDirect(k protocol.Call, reply func(int, []byte)) {
+func (w *simWorker) serveDirect(call protocol.Call, reply func(int, []byte)) {
 	s := w.s
 	if w.dead || !w.up || w.missesMessage() {
 		return
 	}
 	if s.now < w.hungUntil { // taken in when the machine goes on
 		s.faultCounts.delayedCommands++
-		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.serveDirect(k, reply) })
+		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.serveDirect(call, reply) })
 		return
 	}
 	if w.isolatedUntil > s.now {
 		s.faultCounts.directWhileIsolated++
 	}
-	if k.Path == protocol.PathStatus {
+	if call.Path == protocol.PathStatus {
 		reply(200, encode(w.heartbeat()))
 		return
 	}
-	var d protocol.DirectCommands
-	_ = json.Unmarshal(k.Body, &d)
-	if d.FencingToken < w.fencingToken || d.AgentEpoch != w.agentEpoch {
+	var direct protocol.DirectCommands
+	_ = json.Unmarshal(call.Body, &direct)
+	if direct.FencingToken < w.fencingToken || direct.AgentEpoch != w.agentEpoch {
 		reply(409, encode(w.heartbeat()))
 		return
 	}
-	w.fencingToken = d.FencingToken
-	w.execute(d.Commands)
+	w.fencingToken = direct.FencingToken
+	w.execute(direct.Commands)
 	reply(200, encode(w.heartbeat()))
 }
 
