--- a/internal/coordination/fault_days_controllers_test.go
+++ b/internal/coordination/fault_days_controllers_test.go
@@ -6,7 +6,7 @@
 	"silvergate/internal/protocol"
 )
 
-// Fault days on which controllers or the state service fail, or can't be reached.
+// Fault days on which controllers or the state service fail or can't be reached.
 
 func leaderCrashWithHungMachinesDay() faultDay {
 	return faultDay{
@@ -39,12 +39,12 @@
 			s.faultCounts.lostRepliesByKind = map[string]int{}
 			kinds := []string{keyJob, keyPage, keyTeam, keyClaim, keyDrain, keyRental, keyFleet, keyGang, keyMember}
 			until := s.now + 90*time.Second
-			// Up to twelve of each kind; crashes have others act on what was written.
+			// Loses at most twelve replies of each kind. The crashes make other controllers act on what was written.
 			s.faults.losesReply = func(n *simController, txn protocol.Txn) bool {
 				for _, kind := range kinds {
 					probability := 0.4
 					if kind == keyRental || kind == keyClaim || kind == keyDrain {
-						probability = 0.9 // these are rare
+						probability = 0.9 // these records are rarely written
 					}
 					if s.now < until && writesKind(txn, kind) && s.faultCounts.lostRepliesByKind[kind] < 12 && s.random.Float64() < probability {
 						s.faultCounts.lostRepliesByKind[kind]++
@@ -76,7 +76,7 @@
 		workload: submitLongJobs(20),
 		duration: 70 * time.Second,
 		inject: func(s *sim) {
-			partitioned := s.controllers[0] // its zone is a
+			partitioned := s.controllers[0] // in zone a
 			until := s.now + max(s.leaseTimes(1.2), seconds((1+0.3*s.random.Float64())*s.facts.Workers.Cancel))
 			for _, link := range []string{"state", "peers", "users", "cloud"} {
 				partitioned.unreachableUntil[link] = until
@@ -112,7 +112,7 @@
 			leader := s.busiestController()
 			long := seconds(1.4 * s.facts.Workers.Cancel)
 			leader.unreachableUntil["state"], leader.unreachableUntil["peers"] = s.now+long, s.now+long
-			for _, o := range s.otherControllers(leader) { // nor can its workers go elsewhere
+			for _, o := range s.otherControllers(leader) { // so that the leader's workers can't switch to another controller
 				o.unreachableUntil["workers"] = s.now + long
 			}
 			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return leader.holds(w) })
--- a/internal/coordination/fault_days_test.go
+++ b/internal/coordination/fault_days_test.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Each coincidence of faults on the operators' page that has no test of its own elsewhere (docs/design.md, "Meetings of
-// troubles", has the whole table, by these names) is a day here: injected on 3 and 5 controllers, with several seeds; counted,
-// so that a day fails on which it did not occur; and played with a defect, so that its checkers are seen to work.
+// Each fault day covers a coincidence of faults from the operators' page that has no test of its own elsewhere.
+// docs/design.md ("Meetings of troubles") has the whole table, with the days' names. The faults are injected with 3 and 5
+// controllers and several seeds. Each day counts how often they coincided and fails if they did not. Each day is also
+// run with a defect, to show that its checkers work.
 
-// faultDay is a day on which faults coincide.
+// faultDay is a simulated day on which faults coincide.
 type faultDay struct {
 	name        string
 	workload    func(s *sim)               // nil: jobs of all shapes
 	inject      func(s *sim)               // at 50 s
-	duration    time.Duration              // after that
+	duration    time.Duration              // of the faults, from 50 s on
 	occurrences func(s *sim) int           // how often the faults coincided; 0 fails the test
-	check       func(t *testing.T, s *sim) // beside the rules' checkers; may be nil
+	check       func(t *testing.T, s *sim) // further checks at the end of the day; may be nil
 	defect      func(s *sim)               // breaks something on purpose
-	violation   string                     // what a checker then reports; empty: any violation
-	setup       func(s *sim)               // before the day; may be nil
+	violation   string                     // rule that the defect breaks; empty: any
+	setup       func(s *sim)               // called before the day; may be nil
 }
 
-// faultDays are in a fixed order: a day's index is part of its seed.
+// faultDays lists the fault days. Their order is fixed, because a day's index is part of its seed.
 var faultDays = []faultDay{
 	leaderCrashWithHungMachinesDay(),
 	smallJobsInQuickSuccessionDay(),
@@ -48,7 +49,7 @@
 	allControllersDownDay(),
 }
 
-// prepare prepares the day. The defect may be nil.
+// prepare returns the simulation of the day, ready to run. The defect may be nil.
 func (d *faultDay) prepare(t *testing.T, controllers int, seed uint64, defect func(s *sim)) *sim {
 	t.Helper()
 	s := newOutageSim(t, seed, outageScenario{controllers: controllers, workers: "well"})
@@ -77,7 +78,8 @@
 	return s
 }
 
-// TestMeetingDays plays each fault day, on 3 and 5 controllers by turns; with SIM_DAYS, as many days with other seeds.
+// TestMeetingDays runs each fault day with 3 and 5 controllers in turn. SIM_DAYS sets the number of days; a larger number
+// adds further seeds.
 func TestMeetingDays(t *testing.T) {
 	days := len(faultDays)
 	runSeeds(t, 0, 4*days, func(t *testing.T, i uint64) {
@@ -101,7 +103,8 @@
 	})
 }
 
-// TestMeetingDaysAreJudged plays each day with its defect and has a checker find it.
+// TestMeetingDaysAreJudged runs each fault day with its defect and requires that a checker detect it with one of eight
+// seeds.
 func TestMeetingDaysAreJudged(t *testing.T) {
 	for i := range faultDays {
 		d := &faultDays[i]
@@ -117,7 +120,7 @@
 					found = all
 				}
 			}
-			t.Errorf("no checker found %q, but %q", d.violation, found)
+			t.Errorf("no checker reported the rule %q; reported instead: %q", d.violation, found)
 		})
 	}
 }
--- a/internal/coordination/fault_days_users_test.go
+++ b/internal/coordination/fault_days_users_test.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/job"
 )
 
-// Fault days of users: many requests, requests at the moment of a change, and more jobs than capacity.
+// Fault days that users cause: many requests, requests at the moment of a change, and more jobs than capacity.
 
 func smallJobsInQuickSuccessionDay() faultDay {
 	return faultDay{
@@ -29,7 +29,7 @@
 				t.Errorf("%d of %d submissions took more than 5 s to be accepted", late, len(s.users))
 			}
 			if s.state.throttled > 60 {
-				t.Errorf("the state service refused %d requests over its limits", s.state.throttled)
+				t.Errorf("the state service refused %d requests that exceeded its rate limits", s.state.throttled)
 			}
 			for _, n := range s.controllers {
 				c := n.core
@@ -41,7 +41,7 @@
 					}
 				}
 				if remaining > 0 || tasks > 0 {
-					t.Errorf("%s keeps %d open things and %d tasks of jobs that are over", n.name, remaining, tasks)
+					t.Errorf("%s still has %d open entries and %d tasks of jobs that have ended", n.name, remaining, tasks)
 				}
 			}
 		},
--- a/internal/coordination/fault_days_workers_test.go
+++ b/internal/coordination/fault_days_workers_test.go
@@ -8,7 +8,7 @@
 	"silvergate/internal/job"
 )
 
-// Fault days on which machines fail, or their messages are lost or late.
+// Fault days on which machines fail or their messages are lost or late.
 
 func quickBootsWithSlowWritesDay() faultDay {
 	return faultDay{
@@ -33,11 +33,11 @@
 		occurrences: func(s *sim) int { return s.faultCounts.earlyBoots },
 		check: func(t *testing.T, s *sim) {
 			if s.faultCounts.deletedInUse > 0 {
-				t.Errorf("%d tasks ran on machines that were returned", s.faultCounts.deletedInUse)
+				t.Errorf("%d tasks ran on machines when these were deleted", s.faultCounts.deletedInUse)
 			}
 			s.run(s.now + 3*time.Minute)
 			for _, w := range s.cloud.sortedMachines() {
-				t.Errorf("%s is still paid for, up %v, nine minutes after the day", w.name, w.up)
+				t.Errorf("%s is still rented (up: %v) nine minutes after the day", w.name, w.up)
 			}
 		},
 		defect:    func(s *sim) { s.state.ignoresCompares = true },
@@ -55,7 +55,7 @@
 			for _, at := range []time.Duration{0, 25, 50} {
 				s.after(at*time.Second, func() {
 					leader := s.busiestController()
-					for _, w := range s.cloud.sortedMachines() { // some are in their next agent epoch by then
+					for _, w := range s.cloud.sortedMachines() { // some lose their lease and begin a new agent epoch
 						if w.up && leader.holds(w) && s.random.IntN(3) == 0 {
 							w.unresponsiveUntil = s.now + s.leaseTimes(1.2)
 						}
@@ -63,7 +63,7 @@
 					down := s.randomMillis(300, 8000)
 					leader.crash(down)
 					s.deliverCopies(6 * time.Second)
-					s.after(down, func() { s.deliverCopies(500 * time.Millisecond) }) // also before it has read the records
+					s.after(down, func() { s.deliverCopies(500 * time.Millisecond) }) // the restarted controller may not have read its records yet
 				})
 			}
 			s.after(75*time.Second, func() { s.faults.copiedShare = 0 })
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -8,16 +8,16 @@
 	"silvergate/internal/config"
 )
 
-// Pairs of faults that users have named: each of the faults below coincides with each of the others, begun at
-// the same time or one during the other. docs/design.md ("Meetings of troubles") refers to them by their names.
+// Pairs of faults that users have named. Each of the faults below coincides with each of the others: they begin at the
+// same time, or one begins during the other. docs/design.md ("Meetings of troubles") refers to them by their names.
 
-// faultKind is something that goes wrong for a time, at a controller or around it.
+// faultKind is a fault of a controller, or of the system around it, that lasts for a time.
 type faultKind struct {
 	name   string
 	inject func(s *sim, n *simController, duration time.Duration)
 }
 
-// faultKinds are in a fixed order: a day's pair is chosen by their indexes.
+// faultKinds lists the faults. Their order is fixed, because a day's pair is chosen by index.
 var faultKinds = []faultKind{
 	{"a leader cut from state and peers", func(s *sim, n *simController, duration time.Duration) {
 		n.unreachableUntil["state"], n.unreachableUntil["peers"] = s.now+duration, s.now+duration
@@ -120,7 +120,7 @@
 	}},
 }
 
-// injectPair has two faults coincide three times in a day.
+// injectPair makes two faults coincide three times in a day.
 func (s *sim) injectPair(a, b faultKind) {
 	for _, at := range []time.Duration{30 * time.Second, 90 * time.Second, 150 * time.Second} {
 		s.after(at-s.now, func() {
@@ -137,8 +137,8 @@
 	}
 }
 
-// faultPair is the pair of faults of a day: each two of them once, in turn the one or the other first, and on
-// later days any.
+// faultPair returns the pair of faults of a day. The first days cover each pair once, including each fault with itself,
+// and alternate which of the two begins first. Later days go through all ordered pairs.
 func faultPair(day uint64) (a, b faultKind) {
 	kinds := len(faultKinds)
 	first, rest := 0, int(day)
@@ -154,20 +154,20 @@
 	return a, b
 }
 
-// TestMeetingsOfTroubles plays a day for each pair of faults; with SIM_DAYS, as many days.
-// No rule may be broken, and after the faults every job is known, served and done.
+// TestMeetingsOfTroubles runs a day for each pair of faults; SIM_DAYS sets another number of days.
+// No rule may be broken, and after the faults every job must be known, served and done.
 func TestMeetingsOfTroubles(t *testing.T) {
 	kinds := len(faultKinds)
 	runSeeds(t, 0, kinds*(kinds+1)/2, func(t *testing.T, seed uint64) {
 		a, b := faultPair(seed)
 		s := newSim(t, 31_000+seed, 0.002)
-		// Capacity for the largest jobs.
+		// The largest jobs need twice the capacity.
 		for machines := range s.cloud.capacity {
 			s.cloud.capacity[machines] *= 2
 		}
 		s.facts.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: 30}, {Name: "blue"}}
 		s.advertised = s.facts
-		s.options.unorderedLaunches = true // controllers learn late what was committed: see checkLaunchOrder
+		s.options.unorderedLaunches = true // controllers learn late what was committed, see checkLaunchOrder
 		s.traceDay(t, seed)
 		s.submitMixedJobs(200 * time.Second)
 		s.after(20*time.Second, func() { s.largeJob(1) })
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -11,15 +11,16 @@
 	"silvergate/internal/protocol"
 )
 
-// reportViolations fails the test for each rule that was broken on the day, and for what is wrong at its end.
+// reportViolations fails the test for each rule that was broken on the day, and checks the state at its end.
 func (s *sim) reportViolations(t *testing.T) {
 	t.Helper()
 	for _, violation := range s.violations {
 		t.Error(violation)
 	}
 	s.saveRecordings(t)
-	// Guards against reasons that alternate in a machine's drain: inc-41e3 spent the state service's whole
-	// rate on them. A drain is replaced by those of higher severity only, so once for each severity.
+	// Guards against a drain record whose reason alternates: in inc-41e3 these writes used up the whole rate limit
+	// of the state service. A drain is only replaced by one of higher severity, so it is written at most once for
+	// each severity.
 	severities := map[int]bool{}
 	for _, severity := range drainSeverity {
 		severities[severity] = true
@@ -30,7 +31,7 @@
 		}
 	}
 	if s.counts.taskStarts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task started")
 	}
 	for _, n := range s.controllers {
 		if n.core != nil {
@@ -39,8 +40,8 @@
 	}
 }
 
-// checkUsageCounts compares the usage that is counted for each machine with what is bound
-// and reserved there, without tasks that are known to have left.
+// checkUsageCounts compares the usage that the core counts for each machine with the sum of the tasks bound and the
+// reservations made there, without tasks that are known to have left the machine.
 func (c *Core) checkUsageCounts(t *testing.T, name string) {
 	t.Helper()
 	sums := map[string]usage{}
@@ -52,7 +53,7 @@
 		}
 		for k := range m.vacated {
 			if m.bound[k] == nil {
-				t.Errorf("%s: %v has left %s, where it is not bound", name, k, id)
+				t.Errorf("%s: task %v is recorded as having left %s, but it is not bound there", name, k, id)
 			}
 		}
 	}
@@ -63,12 +64,12 @@
 	}
 	for id, m := range c.machines.byID {
 		if sum := sums[id]; math.Abs(sum.CPUs-m.cpus) > 1e-3 || math.Abs(sum.GPUs-m.gpus) > 1e-3 {
-			t.Errorf("%s: %s counts %v processors and %v accelerators as taken, %+v are", name, id, m.cpus, m.gpus, sum)
+			t.Errorf("%s: machine %s counts %v CPUs and %v GPUs as used, but its tasks and reservations add up to %+v", name, id, m.cpus, m.gpus, sum)
 		}
 	}
 }
 
-// checkStart checks the rules that a task's start can break.
+// checkStart checks the rules that the start of a task can break.
 func (s *sim) checkStart(w *simWorker, u *simUser, task *simTask) {
 	spec := u.spec
 	name := fmt.Sprintf("%s/%d attempt %d on %s", task.jobID, task.index, task.attempt, w.name)
@@ -83,7 +84,7 @@
 			if other.jobID == task.jobID {
 				zones[worker.zone]++
 				if other.index == task.index {
-					s.violation("ran_twice", "%s is on %s", name, worker.name)
+					s.violation("ran_twice", "%s also runs on %s", name, worker.name)
 				}
 			}
 			if otherSpec.Team == spec.Team {
@@ -93,7 +94,7 @@
 	}
 	for _, team := range s.facts.Teams {
 		if team.Name == spec.Team && team.GPUsMax > 0 && gpus > team.GPUsMax+1e-6 {
-			s.violation("quota", "%s: team %s uses %v", name, team.Name, gpus)
+			s.violation("quota", "%s: team %s uses %v GPUs", name, team.Name, gpus)
 		}
 	}
 	if !spec.AllowsMachineType(w.machineType) || (w.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != w.zone) ||
@@ -101,24 +102,25 @@
 		s.violation("wrong_place", "%s", name)
 	}
 	if u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
-		s.violation("ran_cancelled", "%s starts", name)
+		s.violation("ran_cancelled", "%s starts more than cancel_s after the cancellation of its job", name)
 	}
 }
 
-// checkCancelledJobs checks that nothing of a job is active cancel_s after its cancellation was confirmed.
+// checkCancelledJobs checks, twice a second, that no task of a job is active more than cancel_s after the job's
+// cancellation was confirmed.
 func (s *sim) checkCancelledJobs() {
 	for _, w := range s.workers {
 		for _, task := range w.tasks {
 			u := s.users[task.jobID]
 			if u != nil && task.isActive() && u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
-				s.violation("ran_cancelled", "%s/%d is on %s", task.jobID, task.index, w.name)
+				s.violation("ran_cancelled", "%s/%d still runs on %s", task.jobID, task.index, w.name)
 			}
 		}
 	}
 	s.after(500*time.Millisecond, s.checkCancelledJobs)
 }
 
-// followCancelled notes how long tasks of cancelled jobs stay active.
+// followCancelled records until when tasks of cancelled jobs stay active.
 func (s *sim) followCancelled() {
 	for _, w := range s.workers {
 		for _, task := range w.tasks {
@@ -130,17 +132,18 @@
 	s.after(100*time.Millisecond, s.followCancelled)
 }
 
-// zoneWait is a task that waits, and a zone in which its job's limits let it start.
+// zoneWait identifies a waiting task and a zone in which its job may be placed.
 type zoneWait struct {
 	taskKey
 	zone string
 }
 
-// checkLaunchOrder checks the launches among a step's effects: work of lower priority must not be launched on a
-// machine to which it was bound while a production task that fits there had waited in this controller's queues,
-// free to be placed in that zone, for longer than a heartbeat's period. (What was bound before is launched even if
-// that is sent late, with the worker's next heartbeat, as after a restart.) It is the order as an outsider sees it,
-// whatever decided it: queues, hand-offs, changes that waited for the state service's rate.
+// checkLaunchOrder checks the launches among the effects of a step. Work of lower priority must not be launched on a
+// machine if, when it was bound there, a production task that fits the machine had waited in this controller's queues
+// for longer than a heartbeat period and could be placed in that zone. Work that was bound earlier may be launched,
+// even if the launch is sent late, with the worker's next heartbeat, as after a restart. The check sees the order as
+// an outside observer does, whatever decided it: queues, hand-offs, or changes that waited for the state service's
+// rate limit.
 func (n *simController) checkLaunchOrder(e Effects) {
 	n.updateWaits()
 	if len(n.waitingSince) == 0 || n.s.options.unorderedLaunches {
@@ -165,7 +168,7 @@
 	}
 }
 
-// updateWaits notes since when each production task has waited in each zone without a break.
+// updateWaits records since when each production task has waited without interruption in each zone.
 func (n *simController) updateWaits() {
 	c, s := n.core, n.s
 	waits := map[zoneWait]time.Duration{}
@@ -194,7 +197,7 @@
 	n.waitingSince = waits
 }
 
-// checkLaunches checks the launches that are sent to a machine against what waits.
+// checkLaunches checks the launches that are sent to a machine against the waiting production tasks.
 func (n *simController) checkLaunches(m *machine, commands []protocol.Command) {
 	c, s := n.core, n.s
 	for _, command := range commands {
@@ -214,13 +217,14 @@
 			fits := c.fits(c.jobs.byID[wait.job], m) && !c.unschedulable(m)
 			m.addUsage(launched, 1)
 			if fits {
-				s.violation("lesser first", "%s is launched on %s, where %s/%d would fit that had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
+				s.violation("lesser first", "%s is launched on %s, although %s/%d fits there and had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
 			}
 		}
 	}
 }
 
-// countLeaseKills counts tasks that a lease ends although their job goes on and the machine is healthy.
+// countLeaseKills counts, on observed workers, the active tasks that lease expiry ends although nobody cancelled their
+// job and the machine is healthy.
 func (w *simWorker) countLeaseKills() {
 	if !w.observed || w.hungUntil > w.s.now-seconds(w.s.facts.Workers.Lease) || w.unresponsiveUntil > w.s.now-seconds(w.s.facts.Workers.Lease) {
 		return
@@ -232,16 +236,17 @@
 	}
 }
 
-// countLateStart counts tasks that begin after their user was told that the job is cancelled. Within cancel_s
-// that breaks no rule.
+// countLateStart counts a task that starts after the cancellation of its job was confirmed to the user. Within
+// cancel_s of the confirmation this breaks no rule.
 func (s *sim) countLateStart(u *simUser) {
 	if u.cancelledAt > 0 {
 		s.faultCounts.lateStarts++
 	}
 }
 
-// countDeletionInUse counts machines that are deleted while tasks run there that were not given up: no controller
-// drains the machine as silent, failed, faulty or recalled, and the job is not over.
+// countDeletionInUse counts the tasks that are on a machine at its deletion and were not given up: the machine was not
+// drained as silent, failed, faulty or preempted, the job is not over, and a controller still binds the attempt to
+// the machine.
 func (s *sim) countDeletionInUse(w *simWorker) {
 	switch s.state.drainReasons[keyDrain+w.name] {
 	case "", drainIdle, drainStray, drainLost:
@@ -261,7 +266,7 @@
 	}
 }
 
-// isOutdated tells whether no controller's records bind the attempt to its machine any more.
+// isOutdated reports whether no controller's records still bind the attempt to this machine.
 func (w *simWorker) isOutdated(task *simTask) bool {
 	for _, n := range w.s.controllers {
 		if n.core == nil {
@@ -276,7 +281,7 @@
 	return true
 }
 
-// countRunning counts the active tasks that are wanted.
+// countRunning returns the number of active tasks for which want is true.
 func (s *sim) countRunning(want func(w *simWorker, u *simUser) bool) (n int) {
 	for _, w := range s.workers {
 		for _, task := range w.tasks {
@@ -288,17 +293,19 @@
 	return n
 }
 
-// idleCapacityWait is since when a job has waited although there was room, without a break.
+// idleCapacityWait records since when a job has waited without interruption although there was capacity for it, and
+// the number of its task starts at that time.
 type idleCapacityWait struct {
 	since        time.Duration
 	tasksStarted int
 }
 
-// maxCapacityWait is how long a job may wait although there is room.
+// maxCapacityWait is how long a job may wait although there is capacity for it.
 const maxCapacityWait = 90 * time.Second
 
-// watchIdleCapacity checks that no job waits although there is room: a machine would fit it, its team is under its
-// limit, and nothing of it has started for maxCapacityWait. A gang needs room for all its tasks.
+// watchIdleCapacity checks every second that no job waits for longer than maxCapacityWait although there is capacity
+// for it: a machine has room for one of its tasks, its team is below its limit, and none of its tasks has started in
+// that time. A gang needs room for all its tasks.
 func (s *sim) watchIdleCapacity() {
 	gpusByTeam := map[string]float64{}
 	tasksByJob := map[string]map[int]bool{}
@@ -332,14 +339,15 @@
 			continue
 		}
 		if s.now-u.capacityWait.since > maxCapacityWait {
-			s.violation("waits beside room", "%s (%s of %d, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
+			s.violation("waits despite capacity", "%s (%s of %d tasks, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
 			u.capacityWait.since = s.now
 		}
 	}
 	s.after(time.Second, s.watchIdleCapacity)
 }
 
-// couldStart tells whether one waiting task of the job would find room, or all of a gang.
+// couldStart reports whether the usable machines have room for one waiting task of the job, or for all tasks of a
+// gang, within the team's limit.
 func (u *simUser) couldStart(usable []*simWorker, placed map[int]bool, zones map[string]int, gpusOfTeam float64) bool {
 	s, spec := u.s, u.spec
 	needed := 0
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -12,31 +12,31 @@
 	"silvergate/internal/protocol"
 )
 
-// simController is one controller's process. Its name, zone and faults last; its core is made anew at
-// every start.
+// simController is the process of one controller. It keeps its name, zone and faults across restarts; every start
+// creates a new core.
 type simController struct {
 	controllerFaults
 	s           *sim
 	name        string
 	zone        string
 	core        *Core         // nil while the process is down
-	recorded    *RecordedCore // the core with its recorder in front: all inputs pass through it
+	recorded    *RecordedCore // records the inputs of core, which all pass through it
 	startedAt   time.Duration
-	incarnation int64 // number of starts and crashes; what belongs to an earlier one is dropped
+	incarnation int64 // number of starts and crashes; events and answers for an earlier incarnation are dropped
 	nextTickAt  time.Duration
-	tickCount   int // in all its incarnations
+	tickCount   int // over all incarnations
 
 	beforeRelays        bool // runs the version before link reports and relayed calls
-	beforeGroupFailover bool // runs the version before failover by the group
+	beforeGroupFailover bool // runs the version before group failover
 
 	pendingRequests  map[uint64]func(status int, body []byte)
 	lastRequestID    uint64
-	heartbeatSenders map[uint64]string // workers whose heartbeats are being answered, by request
+	heartbeatSenders map[uint64]string // worker of each unanswered heartbeat, by request ID
 	waitingSince     map[zoneWait]time.Duration
 	archive          *config.Archive // nil: off
 }
 
-// newSimController is the controller of that number, which is not started.
+// newSimController returns the controller with the given number, not yet started.
 func newSimController(s *sim, number int) *simController {
 	return &simController{s: s, name: fmt.Sprintf("n%d", number), zone: s.facts.Zones[number%2],
 		controllerFaults: controllerFaults{unreachableUntil: map[string]time.Duration{}}}
@@ -69,7 +69,7 @@
 	n.tick(n.incarnation)
 }
 
-// tick lets the core do what is due, unless the incarnation is over.
+// tick has the core do the work that is due, unless the incarnation is over.
 func (n *simController) tick(incarnation int64) {
 	if n.core == nil || n.incarnation != incarnation {
 		return
@@ -84,7 +84,7 @@
 	n.scheduleTick()
 }
 
-// scheduleTick has the next tick come when the core is due, as the program does.
+// scheduleTick schedules the next tick for the time at which the core is due, as the program does.
 func (n *simController) scheduleTick() {
 	s, incarnation := n.s, n.incarnation
 	if at := s.now + n.core.Due(); n.nextTickAt == 0 || at < n.nextTickAt {
@@ -97,7 +97,7 @@
 	}
 }
 
-// whenRunning does something now, or once a paused process goes on.
+// whenRunning calls do now or, if the process is paused, when it resumes.
 func (n *simController) whenRunning(do func()) {
 	if n.pausedUntil > n.s.now {
 		n.s.after(n.pausedUntil-n.s.now, do)
@@ -106,12 +106,12 @@
 	do()
 }
 
-// clock is the controller's monotonic and wall-clock time.
+// clock returns the controller's monotonic and wall-clock time.
 func (n *simController) clock() Timestamp {
 	return Timestamp{time.Duration(float64(n.s.now-n.startedAt) * (1 + n.clockDrift)), time.UnixMilli(1_700_000_000_000 + n.s.now.Milliseconds())}
 }
 
-// crash ends the process, which starts again later.
+// crash ends the process and starts it again after the given downtime.
 func (n *simController) crash(down time.Duration) {
 	n.core = nil
 	n.incarnation++
@@ -122,8 +122,8 @@
 	})
 }
 
-// request sends a request by a link, with the faults that requests are subject to. done is called once, with
-// status 0 when no answer comes within 4 s.
+// request sends a request to the controller over a link and injects the faults of requests. done is called once,
+// with status 0 if no answer arrives within 4 s.
 func (n *simController) request(link, method, path string, body []byte, done func(int, []byte)) {
 	s := n.s
 	answered := false
@@ -139,7 +139,7 @@
 		return
 	}
 	if n.unreachableUntil[link] > s.now || s.random.Float64() < s.faults.messageLoss/4 {
-		if link != "users" && s.random.IntN(2) == 0 { // delivered late, and unanswered
+		if link != "users" && s.random.IntN(2) == 0 { // delivered late, and not answered
 			s.after(s.randomMillis(1000, 60_000), func() { n.deliver(method, path, body, func(int, []byte) {}) })
 		}
 		return
@@ -147,7 +147,7 @@
 	s.after(s.linkDelay(), func() { n.deliver(method, path, body, once) })
 }
 
-// deliver gives the core a request that has arrived. done is called when it is answered.
+// deliver passes a request that has arrived to the core. done is called when the core answers the request.
 func (n *simController) deliver(method, path string, body []byte, done func(int, []byte)) {
 	if n.core == nil {
 		return
@@ -179,7 +179,7 @@
 	n.applyEffects(n.recorded.Request(n.clock(), id, method, path, body))
 }
 
-// applyEffects carries out what the core wants done: it answers requests, sends messages and makes calls.
+// applyEffects carries out the effects of a step of the core: it answers requests, sends messages and makes calls.
 func (n *simController) applyEffects(e Effects) {
 	n.scheduleTick()
 	n.s.output.digest.add(n.name, n.s.now, e)
@@ -199,7 +199,7 @@
 	}
 }
 
-// send delivers a message to a peer, unless their link loses it.
+// send sends a message to a peer, unless the link between them loses the message.
 func (n *simController) send(outgoing Outgoing) {
 	s := n.s
 	for _, peer := range s.controllers {
@@ -221,8 +221,8 @@
 	}
 }
 
-// call makes a call to a stand-in, with the faults that calls are subject to. The core gets one reply, which
-// has status 0 if none comes within the call's time-out.
+// call makes a call to a stand-in and injects the faults of calls. The core gets one reply, with status 0 if none
+// arrives within the call's timeout.
 func (n *simController) call(call protocol.Call) {
 	s := n.s
 	reply := n.replyOnce(call.ID)
@@ -257,7 +257,8 @@
 	}
 }
 
-// replyOnce gives the core the first reply to a call, if it is still the core that made the call.
+// replyOnce returns a function that passes the first reply to a call to the core. Replies are dropped if the core
+// that made the call is no longer running.
 func (n *simController) replyOnce(id uint64) func(status int, body []byte) {
 	incarnation := n.incarnation
 	answered := false
@@ -272,7 +273,7 @@
 	}
 }
 
-// linkOf is the link that a call takes, as unreachableUntil names it.
+// linkOf returns the link that a call takes, named as in unreachableUntil.
 func (n *simController) linkOf(call protocol.Call) string {
 	if w := n.s.workers[call.Address]; call.Target == protocol.ToWorker && w != nil && n.unreachableUntil["zone:"+w.zone] > n.s.now {
 		return "zone:" + w.zone
@@ -280,7 +281,7 @@
 	return [...]string{"state", "cloud", "workers"}[call.Target]
 }
 
-// serve has the stand-in carry out a call.
+// serve passes a call to the stand-in that carries it out.
 func (n *simController) serve(call protocol.Call, reply func(status int, body []byte)) {
 	switch call.Target {
 	case protocol.ToStateService:
@@ -294,20 +295,20 @@
 	}
 }
 
-// serveAndReply has the reply take as long as a request.
+// serveAndReply has a call carried out and delivers the reply after the same delay as that of a request.
 func (n *simController) serveAndReply(call protocol.Call, reply func(status int, body []byte)) {
 	n.serve(call, func(status int, body []byte) {
 		n.s.after(n.s.randomMillis(1, 5), func() { reply(status, body) })
 	})
 }
 
-// serveUnanswered has a call carried out whose answer is lost.
+// serveUnanswered has a call carried out and drops the reply.
 func (n *simController) serveUnanswered(call protocol.Call) {
 	n.serve(call, func(int, []byte) {})
 }
 
-// callFails injects the faults of calls other than random loss, and tells whether one struck the call: it is
-// carried out then, late for some, and not answered.
+// callFails injects the faults of calls other than random loss and reports whether one of them hits the call. If
+// so, the call is carried out, late for some faults, and not answered.
 func (n *simController) callFails(call protocol.Call) bool {
 	s := n.s
 	var delay time.Duration
@@ -326,7 +327,7 @@
 	return true
 }
 
-// loseCall loses a call, or only its answer; some are carried out long after.
+// loseCall loses a call or only its answer. A call whose answer is lost may be carried out up to a minute late.
 func (n *simController) loseCall(call protocol.Call) {
 	s := n.s
 	switch s.random.IntN(3) {
@@ -338,7 +339,7 @@
 	}
 }
 
-// holds tells whether a controller holds a worker, by its own records.
+// holds reports whether the controller owns a worker according to its own records.
 func (n *simController) holds(w *simWorker) bool {
 	if n.core == nil {
 		return false
@@ -347,10 +348,10 @@
 	return m != nil && n.core.isOwn(m)
 }
 
-// anyController draws one.
+// anyController returns a random controller.
 func (s *sim) anyController() *simController { return s.controllers[s.random.IntN(len(s.controllers))] }
 
-// busiest is the controller that holds the most workers, by its own records.
+// busiestController returns the controller that owns the most workers according to its own records.
 func (s *sim) busiestController() *simController {
 	best := s.controllers[0]
 	for _, n := range s.controllers {
@@ -361,6 +362,7 @@
 	return best
 }
 
+// otherControllers returns all controllers except n.
 func (s *sim) otherControllers(n *simController) (out []*simController) {
 	for _, o := range s.controllers {
 		if o != n {
--- a/internal/coordination/sim_events_test.go
+++ b/internal/coordination/sim_events_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something that happens at a simulated time.
+// event is a function that runs at a simulated time.
 type event struct {
 	at       time.Duration
-	sequence int // of its creation: events of the same time run in this order
+	sequence int // order of creation, in which events of the same time run
 	run      func()
 }
 
-// eventHeap is a heap of events for container/heap, the earliest first.
+// eventHeap implements heap.Interface, with the earliest event first.
 type eventHeap []*event
 
 func (e eventHeap) Len() int { return len(e) }
@@ -27,14 +27,14 @@
 
 func (e *eventHeap) Pop() any { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
-// eventQueue is the simulated clock and what is to happen later.
+// eventQueue is the simulated clock and the queue of future events.
 type eventQueue struct {
 	now          time.Duration // since the start of the day
 	nextSequence int
 	pending      eventHeap
 }
 
-// after runs do when that much time has passed.
+// after schedules do to run after a duration.
 func (q *eventQueue) after(d time.Duration, do func()) {
 	q.nextSequence++
 	heap.Push(&q.pending, &event{q.now + d, q.nextSequence, do})
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -10,94 +10,94 @@
 	"silvergate/internal/protocol"
 )
 
-// Fault injection, with the meaning that the operators' page gives the faults. The stand-ins call in here
+// Fault injection. The operators' page defines what each fault means. The stand-ins call the functions in this file
 // where a fault takes effect.
 
-// simFaults are the faults that messages, machines and users are subject to now. Those of one controller
+// simFaults are the faults that currently affect all messages, machines and users. The faults of a single controller
 // or worker are in controllerFaults and workerFaults.
 type simFaults struct {
-	messageLoss         float64       // probability that a message is lost, late or loses its answer
-	lateTransactions    float64       // share of transactions without an answer that are carried out later, after newer ones
-	duplicateHeartbeats float64       // share of heartbeats of which a copy arrives later, up to more than a lease
-	randomLinkReports   bool          // the link reports in peers' heartbeats are drawn, not true
-	slowLinksUntil      time.Duration // links between machines, users and controllers
-	slowWritesUntil     time.Duration // transactions are carried out late, though within their time-out
-	quickBoots          bool          // machines are up within two seconds
+	messageLoss         float64       // probability that a message is lost, is late or loses its answer
+	lateTransactions    float64       // share of transactions that are not answered and are carried out late, after newer ones
+	duplicateHeartbeats float64       // share of heartbeats of which a copy arrives late, up to 1.3 leases after the original was sent
+	randomLinkReports   bool          // the link reports in peers' heartbeats are random instead of true
+	slowLinksUntil      time.Duration // links between machines, users and controllers are slow
+	slowWritesUntil     time.Duration // transactions are carried out late, but within their timeout
+	quickBoots          bool          // machines boot within two seconds
 	scarceCapacity      bool          // the cloud has less capacity than there is work
 
-	losesReply     func(n *simController, t protocol.Txn) bool // picks transactions that are carried out at once and whose answer is lost
-	delaysDeletion func(names []string) bool                   // picks deletions that are carried out late
+	losesReply     func(n *simController, t protocol.Txn) bool // selects transactions that are carried out at once and whose answer is lost
+	delaysDeletion func(names []string) bool                   // selects deletions that are carried out late
 
-	heldBackShare float64           // share of heartbeats that are held back until a new leader has acted
-	heldBack      map[string][]byte // by machine
-	copiedShare   float64           // share of heartbeats of which a copy is kept for the next leader
-	copied        map[string][]byte // by machine
+	heldBackShare float64           // share of heartbeats that are held back until the machine has a new holder
+	heldBack      map[string][]byte // last heartbeat held back, by machine
+	copiedShare   float64           // share of heartbeats of which a copy is stored for the next holder
+	copied        map[string][]byte // last heartbeat copied, by machine
 
-	queryEverywhere  bool    // users query all controllers, within milliseconds
-	cancelAtEnd      float64 // share of jobs that are cancelled at the moment of their end
-	cancelAtFailover float64 // share of jobs that are cancelled as their machine changes its holder
+	queryEverywhere  bool    // users query all controllers within milliseconds
+	cancelAtEnd      float64 // share of jobs whose users send requests at the moment of their end
+	cancelAtFailover float64 // probability that a job is cancelled when a machine that runs it gets another holder
 }
 
-// simDefects break the stand-ins or the controllers on purpose, so that the checkers are seen to find it.
+// simDefects break the stand-ins or the controllers on purpose, to show that the checkers detect each defect.
 type simDefects struct {
-	productionAsLow       bool // production jobs are submitted as idle ones
-	noCancellationReplies bool // peers name no cancellations
-	noRelays              bool // no controller relays calls of the state service
-	readOnlyComparesHold  bool // the state service confirms every comparison of a transaction without operations
+	productionAsLow       bool // production jobs are submitted with low priority
+	noCancellationReplies bool // peers' cancellation replies list no cancelled jobs
+	noRelays              bool // no controller relays calls to the state service
+	readOnlyComparesHold  bool // every comparison of a transaction without operations succeeds
 	emptyTaskLists        bool // heartbeats list no tasks
-	ignoreKills           bool // workers kill no task
-	ignoreLeaseExpiry     bool // workers go on with their tasks when their lease has expired
+	ignoreKills           bool // workers ignore kill commands
+	ignoreLeaseExpiry     bool // workers keep running their tasks when their lease has expired
 	wrongZones            bool // some workers report a wrong zone
-	forgedHeartbeats      bool // copies of heartbeats show the newest fencing token, and that everything is done
+	forgedHeartbeats      bool // stored heartbeats are delivered with the newest fencing token and with all tasks done
 }
 
-// faultCounts count how often a fault had an effect, so that a test fails on which it had none.
+// faultCounts counts the effects of faults, so that a test can fail if a fault had none.
 type faultCounts struct {
-	affected            int // tasks, machines or jobs that the day's fault concerned; see each faultDay
+	affected            int // tasks, machines or jobs that the day's fault affected; see each faultDay
 	leaderCrashes       int
-	hungAtCancel        int            // machines that hang as their jobs are cancelled
-	directWhileIsolated int            // direct commands and queries that reached a machine which reaches no controller
-	delayedCommands     int            // commands delayed by a link or a machine that hangs
-	expiredLeases       int            // of workers with tasks
-	earlyBoots          int            // machines up before the rental's record named them
-	unsentHeartbeats    int            // of machines that reach no controller
-	lostReplies         int            // of transactions
-	lostRepliesByKind   map[string]int // the same, by the kind of record
-	groupFailovers      int            // written
-	replacedClaims      int            // claims written of machines that had one
-	holderChanges       int            // of machines
-	lateHeartbeats      int            // held back or copied, and delivered to a new leader
-	concurrentQueries   int            // within milliseconds
-	requestsAtEnd       int            // at the moment of a job's end
+	hungAtCancel        int            // machines that hang when their jobs are cancelled
+	directWhileIsolated int            // direct commands and queries to machines that reach no controller
+	delayedCommands     int            // direct requests delayed by a link or a hung machine
+	expiredLeases       int            // leases of workers with tasks
+	earlyBoots          int            // machines that are up before a rental record names them
+	unsentHeartbeats    int            // by machines that reach no controller
+	lostReplies         int            // to transactions
+	lostRepliesByKind   map[string]int // the same, by kind of record (key prefix)
+	groupFailovers      int            // failover records written
+	replacedClaims      int            // claims written for machines that had one
+	holderChanges       int            // machines that got another holder
+	lateHeartbeats      int            // heartbeats that were held back or copied, and delivered late
+	concurrentQueries   int            // queries sent to all controllers within milliseconds
+	requestsAtEnd       int            // jobs whose users sent requests at the moment of their end
 	invalidRequests     int
-	lateStarts          int // of tasks after the user was told that the job is cancelled
-	deletedInUse        int // machines deleted with tasks on them that nobody had given up
+	lateStarts          int // starts of tasks after the cancellation of their job was confirmed to the user
+	deletedInUse        int // tasks on machines at their deletion that nobody had given up; see countDeletionInUse
 }
 
 // controllerFaults are the faults of one controller and its links.
 type controllerFaults struct {
 	unreachableUntil     map[string]time.Duration // by link: "state", "workers", "peers", "users", "cloud", "zone:Z" (the workers of a zone), "to:N" (messages to a peer)
-	resetLinks           map[string]bool          // unreachable links that fail at once, instead of at the time-out
-	refusedUntil         time.Duration            // by the state service, this controller alone
-	pausedUntil          time.Duration            // the process stands still, and its clock does not
-	clockDrift           float64                  // of its monotonic clock, as a fraction
-	repliesLostUntil     time.Duration            // the answers to its transactions
-	commandsDelayedUntil time.Duration            // direct commands of now arrive after that
-	watchDelayedUntil    time.Duration            // watches are answered late, transactions are not
+	resetLinks           map[string]bool          // links that fail at once while unreachable, not at the timeout
+	refusedUntil         time.Duration            // the state service refuses this controller alone
+	pausedUntil          time.Duration            // the process is paused while its clock runs on
+	clockDrift           float64                  // relative rate error of its monotonic clock
+	repliesLostUntil     time.Duration            // answers to its transactions are lost
+	commandsDelayedUntil time.Duration            // direct commands sent before this time arrive after it
+	watchDelayedUntil    time.Duration            // watches are answered late; transactions are not
 }
 
 // workerFaults are the faults of one machine.
 type workerFaults struct {
-	faulty            bool          // every task fails there
-	hungUntil         time.Duration // it stands still, and takes in late what came meanwhile
-	unresponsiveUntil time.Duration // answers and direct commands to it are lost
-	isolatedUntil     time.Duration // it reaches no controller, while direct commands reach it
-	messageLoss       float64       // share of answers and direct commands that is lost at any time
-	unshippedUntil    time.Duration // output waits to be shipped
-	observed          bool          // its tasks are counted, see countLeaseKills
+	faulty            bool          // every task fails on it
+	hungUntil         time.Duration // the machine hangs, and handles direct requests that arrive meanwhile after it resumes
+	unresponsiveUntil time.Duration // answers and direct requests to it are lost
+	isolatedUntil     time.Duration // it reaches no controller, while direct requests reach it
+	messageLoss       float64       // share of answers and direct requests to it that are lost at any time
+	unshippedUntil    time.Duration // heartbeats report output that is not yet shipped
+	observed          bool          // its tasks are counted by countLeaseKills
 }
 
-// injectFaults draws a fault every few seconds until the time given.
+// injectFaults injects a random fault every few seconds until the given time.
 func (s *sim) injectFaults(until time.Duration) {
 	if s.now > until {
 		return
@@ -138,10 +138,10 @@
 	case 8:
 		if w := worker(); w != nil {
 			switch s.random.IntN(3) {
-			case 0: // stops, and is listed as failed
+			case 0: // dies and is listed as failed
 				w.die()
 				w.failed = true
-			case 1: // preempted without a notice, and listed a while longer
+			case 1: // preempted without notice, and listed for 30 s more
 				w.die()
 				w.preempted = true
 				name := w.name
@@ -155,8 +155,9 @@
 	s.after(s.randomMillis(4_000, 25_000), func() { s.injectFaults(until) })
 }
 
-// injectPartitions draws partitions until the time given: a controller, with or without its workers, is unreachable,
-// and its watch is answered late for a time after that.
+// injectPartitions injects random partitions until the given time. Each makes a controller unreachable, with or
+// without its workers, and delays the answers to its watches until some time after the partition. Another
+// controller's watches may be late too, a controller may crash and a machine may hang.
 func (s *sim) injectPartitions(until time.Duration) {
 	if s.now > until {
 		return
@@ -181,7 +182,7 @@
 	s.after(s.randomMillis(15_000, 50_000), func() { s.injectPartitions(until) })
 }
 
-// forSomeWorkers does something to a share of the machines that are up.
+// forSomeWorkers calls do for a random share of the machines that are up.
 func (s *sim) forSomeWorkers(share float64, do func(*simWorker)) {
 	for _, w := range s.cloud.sortedMachines() {
 		if w.up && s.random.Float64() < share {
@@ -190,7 +191,8 @@
 	}
 }
 
-// crashLeaderRepeatedly crashes the controller with the most workers every eleven seconds, for some seconds.
+// crashLeaderRepeatedly crashes the busiest controller eleven times, every eleven seconds. Each time the
+// controller is down for up to nine seconds.
 func (s *sim) crashLeaderRepeatedly() {
 	for i := range 11 {
 		s.after(time.Duration(11*i)*time.Second, func() {
@@ -200,7 +202,7 @@
 	}
 }
 
-// linkDelay is how long a message takes between machines, users and controllers.
+// linkDelay returns a random delay for a message between machines, users and controllers.
 func (s *sim) linkDelay() time.Duration {
 	if s.faults.slowLinksUntil > s.now {
 		return s.randomMillis(50, 1200)
@@ -208,7 +210,7 @@
 	return s.randomMillis(0.2, 3)
 }
 
-// losesReply tells whether a call is a transaction that is carried out and whose answer is lost.
+// losesReply reports whether a call is a transaction that is carried out and whose answer is lost.
 func (n *simController) losesReply(call protocol.Call) bool {
 	if n.s.faults.losesReply == nil || call.Target != protocol.ToStateService || call.Path != protocol.PathTxn {
 		return false
@@ -222,13 +224,13 @@
 	return true
 }
 
-// loseReplies has the answers to a share of the transactions lost for a while.
+// loseReplies loses the answers to a random share of the transactions for a time.
 func (s *sim) loseReplies(share float64, duration time.Duration) {
 	until := s.now + duration
 	s.faults.losesReply = func(*simController, protocol.Txn) bool { return s.now < until && s.random.Float64() < share }
 }
 
-// writesKind tells whether a transaction writes or deletes a kind of record, which is the prefix of its keys.
+// writesKind reports whether a transaction writes or deletes a record of a kind, which is the prefix of its key.
 func writesKind(txn protocol.Txn, kind string) bool {
 	for _, op := range txn.Ops {
 		if strings.HasPrefix(op.Put+op.Delete, kind) {
@@ -238,7 +240,7 @@
 	return false
 }
 
-// storeHeartbeatCopy keeps a copy of a share of the heartbeats for the next holder.
+// storeHeartbeatCopy stores copies of a random share of the heartbeats for the machine's next holder.
 func (s *sim) storeHeartbeatCopy(w *simWorker, heartbeat protocol.Heartbeat) {
 	if s.faults.copiedShare > 0 && s.random.Float64() < s.faults.copiedShare {
 		if s.faults.copied == nil {
@@ -248,7 +250,8 @@
 	}
 }
 
-// holdBackHeartbeat keeps a share of the heartbeats themselves: they do not arrive before a new holder has acted.
+// holdBackHeartbeat holds back a random share of the heartbeats until their machine has a new holder, and reports
+// whether it held back this one.
 func (s *sim) holdBackHeartbeat(w *simWorker, heartbeat protocol.Heartbeat) bool {
 	if s.faults.heldBackShare == 0 || s.random.Float64() >= s.faults.heldBackShare {
 		return false
@@ -260,8 +263,8 @@
 	return true
 }
 
-// claimWritten sees each record that is written. Where a claim gives a machine another holder, heartbeats that were
-// held back or copied arrive, and users may cancel jobs.
+// claimWritten is called for each record that is written. If a claim gives a machine another holder, its heartbeats
+// that were held back or copied are delivered, and users may cancel jobs.
 func (s *sim) claimWritten(key string, data json.RawMessage) {
 	if data == nil {
 		return
@@ -285,7 +288,7 @@
 	}
 }
 
-// failoverWritten sees the failover of a group: all its workers have another holder.
+// failoverWritten is called for each failover record that is written: all workers of the group get another holder.
 func (s *sim) failoverWritten(key string, data json.RawMessage) {
 	s.faultCounts.groupFailovers++
 	var successor failover.Holder
@@ -301,7 +304,8 @@
 	}
 }
 
-// holderChanged has the heartbeats of a machine that were held back or copied arrive as it gets another holder.
+// holderChanged is called when a machine gets another holder. It delivers the machine's heartbeats that were held
+// back or copied, and cancels some of the jobs on the machine.
 func (s *sim) holderChanged(name, owner string) {
 	s.faultCounts.holderChanges++
 	if body, ok := s.faults.heldBack[name]; ok {
@@ -333,7 +337,7 @@
 	}
 }
 
-// forgeHeartbeat is a kept heartbeat as it arrives: as it was, unless the defect is on.
+// forgeHeartbeat returns a stored heartbeat unchanged, unless the forgedHeartbeats defect is on.
 func (s *sim) forgeHeartbeat(name string, body []byte) []byte {
 	if !s.defects.forgedHeartbeats {
 		return body
@@ -350,12 +354,12 @@
 	return encode(heartbeat)
 }
 
-// deliverLate has a controller get a heartbeat that was kept; nobody waits for its answer.
+// deliverLate delivers a stored heartbeat to the controller and ignores the answer.
 func (n *simController) deliverLate(name string, body []byte) {
 	n.deliver("POST", protocol.PathHeartbeat, n.s.forgeHeartbeat(name, body), func(int, []byte) {})
 }
 
-// deliverCopies has every controller get all copies that are kept.
+// deliverCopies delivers all stored heartbeat copies to every controller within a time.
 func (s *sim) deliverCopies(within time.Duration) {
 	copied := s.faults.copied
 	s.faults.copied = nil
@@ -370,7 +374,8 @@
 	}
 }
 
-// countEarlyBoot counts machines that are up before any controller could have read that they were rented.
+// countEarlyBoot counts a machine that is up before any rental record names it, and so before any controller could
+// have read that it was rented.
 func (s *sim) countEarlyBoot(w *simWorker) {
 	for key, v := range s.state.keys {
 		if strings.HasPrefix(key, keyRental) && bytes.Contains(v.value, []byte(`"`+w.name+`"`)) {
--- a/internal/coordination/sim_state_test.go
+++ b/internal/coordination/sim_state_test.go
@@ -11,11 +11,11 @@
 	"silvergate/internal/protocol"
 )
 
-// simKey is a key's value and when it was written.
+// simKey is the value of a key, the revision at which it was written, and its lease.
 type simKey struct {
 	value       json.RawMessage
 	modRevision uint64
-	lease       uint64 // that the key goes with; 0: none
+	lease       uint64 // that the key is attached to; 0: none
 }
 
 // simState stands in for the state service: a key-value store with revisions, transactions, watches and leases.
@@ -27,21 +27,21 @@
 	leaseExpiry        map[uint64]time.Duration // when each lease expires
 	leaseTTL           map[uint64]time.Duration
 	lastLease          uint64
-	downUntil          time.Duration // for all controllers
+	downUntil          time.Duration // out of service for all controllers
 	watches            []*simWatch
-	drainWrites        map[string]int    // how often each drain was written
-	drainReasons       map[string]string // and why, the last time
-	ignoresCompares    bool              // a defect: transactions are carried out whatever they compare
-	eventHistory       int               // events that a watch can go back
+	drainWrites        map[string]int    // number of writes of each drain record
+	drainReasons       map[string]string // reason in the last write of each drain record
+	ignoresCompares    bool              // a defect: transactions are carried out even if a comparison fails
+	eventHistory       int               // number of events that a watch can go back
 	pageSize           int               // in keys
-	readTokens         float64           // of the rate limits
-	writeTokens        float64
+	readTokens         float64           // left in the token bucket of the rate limit on requests
+	writeTokens        float64           // the same, of the limit on writes
 	refilledAt         time.Duration
-	throttled          int // requests above the rate limits
-	failedTransactions int // whose comparisons did not hold
+	throttled          int // requests that exceeded the rate limits
+	failedTransactions int // transactions with a failed comparison
 }
 
-// exceedsLimits tells whether a request is above the rate limits, which allow bursts of a second.
+// exceedsLimits reports whether a request exceeds the rate limits, which allow bursts of one second.
 func (k *simState) exceedsLimits(ops int) bool {
 	elapsed := (k.s.now - k.refilledAt).Seconds()
 	k.refilledAt = k.s.now
@@ -56,7 +56,7 @@
 	return false
 }
 
-// simWatch is a watch that waits for events of keys with a prefix.
+// simWatch is a pending watch for events on keys with a prefix.
 type simWatch struct {
 	prefix       string
 	fromRevision uint64
@@ -65,7 +65,7 @@
 	reply        func(int, []byte)
 }
 
-// expireLeases deletes the keys of leases that have expired. An outage renews all leases.
+// expireLeases deletes the keys of expired leases. An outage renews all leases.
 func (k *simState) expireLeases() {
 	if k.downUntil > k.s.now {
 		for lease := range k.leaseExpiry {
@@ -87,9 +87,10 @@
 	k.notifyWatches()
 }
 
-// checkCompares checks that a transaction which is carried out late, after newer ones, fails: it compares every
-// key that it writes or deletes. Member records are the one exception, as nothing but liveness depends on them;
-// the record of what a job runs is written with the job's own, which is compared.
+// checkCompares checks that a transaction compares the key of each of its operations, so that it fails if it is
+// carried out late, after newer ones. Member records are exempt, because only liveness depends on them. A job's
+// second record, which holds what the job runs, is exempt because it is written with the job's own record, which is
+// compared.
 func (k *simState) checkCompares(txn protocol.Txn, op protocol.Op) {
 	key := op.Put + op.Delete
 	if strings.HasPrefix(key, keyMember) || strings.HasPrefix(key, keyJobExtra) {
@@ -103,7 +104,7 @@
 	k.s.violation("unconditional", "%s", key)
 }
 
-// keysAfter are the keys above one, in order.
+// keysAfter returns the keys that sort after the given one, in order.
 func (k *simState) keysAfter(after string) []string {
 	var out []string
 	for key := range k.keys {
@@ -133,7 +134,7 @@
 	}
 }
 
-// notifyWatches answers the watches that have events, or whose time is over.
+// notifyWatches answers the watches that have events or have reached their deadline.
 func (k *simState) notifyWatches() {
 	if k.downUntil > k.s.now {
 		return
@@ -161,7 +162,8 @@
 	k.watches = waiting
 }
 
-// serve carries out a call of a controller and answers it, a watch when there is something to tell.
+// serve carries out a call of a controller and answers it. A watch is answered when it has events or has reached its
+// deadline.
 func (k *simState) serve(n *simController, call protocol.Call, reply func(int, []byte)) {
 	if k.downUntil > k.s.now || n.refusedUntil > k.s.now {
 		reply(503, nil)
@@ -199,8 +201,8 @@
 	}
 }
 
-// serveWatch answers when a key changes, or when the watch's time is over. A watch from a revision that the
-// history does not reach back to is refused.
+// serveWatch adds a watch, which is answered when a key under its prefix changes or at its deadline. A watch from a
+// revision that is no longer in the event history is refused with status 410.
 func (k *simState) serveWatch(n *simController, query url.Values, reply func(int, []byte)) {
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	blockMs, _ := strconv.Atoi(query.Get("blockMs"))
@@ -217,11 +219,11 @@
 	k.notifyWatches()
 }
 
-// serveTxn carries out a transaction if all that it compares holds.
+// serveTxn carries out a transaction if all its comparisons hold.
 func (k *simState) serveTxn(txn protocol.Txn, size int, reply func(int, []byte)) {
 	limits := k.s.facts.State
 	if len(txn.Ops) > limits.TxnOps || len(txn.Compares) > 4*limits.TxnOps || size > 64<<10 {
-		k.s.violation("state limits", "%d ops, %d conditions, %d bytes", len(txn.Ops), len(txn.Compares), size)
+		k.s.violation("state limits", "transaction of %d operations, %d comparisons, %d bytes", len(txn.Ops), len(txn.Compares), size)
 	}
 	failed := k.failedCompares(txn)
 	for _, op := range txn.Ops {
@@ -253,7 +255,7 @@
 	k.notifyWatches()
 }
 
-// failedCompares are the keys that were changed since the revision that the transaction expects.
+// failedCompares returns the compared keys that are not at the revision that the transaction expects.
 func (k *simState) failedCompares(txn protocol.Txn) []string {
 	if k.ignoresCompares || k.s.defects.readOnlyComparesHold && len(txn.Ops) == 0 {
 		return nil
@@ -267,7 +269,7 @@
 	return failed
 }
 
-// servePage reads keys in their order, as many as fit on a page.
+// servePage answers with a page of the keys under a prefix, in order.
 func (k *simState) servePage(query url.Values, reply func(int, []byte)) {
 	size, _ := strconv.Atoi(query.Get("page"))
 	page := protocol.KeyValuePage{Revision: k.revision}
@@ -284,7 +286,7 @@
 	reply(200, encode(page))
 }
 
-// serveKey reads one key.
+// serveKey answers with one key's value.
 func (k *simState) serveKey(key string, reply func(int, []byte)) {
 	v, ok := k.keys[key]
 	if !ok {
@@ -294,7 +296,7 @@
 	reply(200, encode(protocol.KeyValue{Key: key, Value: v.value, ModRevision: v.modRevision, Lease: v.lease}))
 }
 
-// leaseFromPath is the lease that a path names, 0 if it names none.
+// leaseFromPath returns the lease that a path names, or 0 if it names none.
 func leaseFromPath(path string) uint64 {
 	lease, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	return lease
@@ -320,7 +322,7 @@
 	reply(200, nil)
 }
 
-// serveRevocation ends a lease.
+// serveRevocation ends a lease and deletes its keys.
 func (k *simState) serveRevocation(lease uint64, reply func(int, []byte)) {
 	if _, ok := k.leaseExpiry[lease]; !ok {
 		reply(404, nil)
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -15,67 +15,68 @@
 	"silvergate/internal/protocol"
 )
 
-// The simulation runs whole controllers' cores against stand-ins for the state service, the cloud, workers
-// and users, written from the protocol, in simulated time and with generated faults. The rules' checkers
-// (rules_checker_test.go) watch every day. Two runs of a day with one seed are the same, event by event.
+// The simulation runs complete controller cores against stand-ins for the state service, the cloud, the workers
+// and the users. The stand-ins are written from the protocol, time is simulated, and faults are generated. The
+// rule checkers (rules_checker_test.go) watch every day. Two runs of a day with the same seed are identical, event
+// by event.
 
 // sim is one simulated day of a deployment: the controllers' cores and the stand-ins around them.
 type sim struct {
 	eventQueue
 	random      *rand.Rand
-	facts       config.Facts // what is true
-	advertised  config.Facts // what the controllers' configuration says; differs from facts in tests of defects
+	facts       config.Facts // the real settings of the deployment, which the stand-ins follow
+	advertised  config.Facts // the settings that the controllers are configured with; they differ from facts in tests of defects
 	controllers []*simController
 	state       *simState
 	cloud       *simCloud
 	workers     map[string]*simWorker // by address
-	users       map[string]*simUser   // by job
+	users       map[string]*simUser   // by job ID
 	options     simOptions
 	faults      simFaults
 	defects     simDefects
 	hooks       simHooks
 	output      simOutput
 
-	violations  []string // of the rules, as they were found
+	violations  []string // broken rules, in the order of detection
 	counts      simCounts
 	faultCounts faultCounts
-	leaseLosses pathLosses // tasks killed by leases, judged by the ways that were up
+	leaseLosses pathLosses // tasks killed by lease expiry, by whether their worker had a path to the state service
 	service     served
 }
 
-// simOptions are the settings of a deployment that vary from day to day.
+// simOptions are the settings that differ between simulated days.
 type simOptions struct {
-	dataSets          []protocol.DataSet // that jobs read; nil: staging is off
-	unorderedLaunches bool               // the order of launches is not checked: controllers learn late when what they launch was committed
-	completionLog     bool               // the controllers write the completion log
-	perWorkerFailover bool               // workers fail over one by one, not by the group
+	dataSets          []protocol.DataSet // read by the jobs; nil: staging is off
+	unorderedLaunches bool               // checkLaunchOrder is off, because faults delay when controllers learn that a placement was committed
+	completionLog     bool               // controllers write the completion log
+	perWorkerFailover bool               // workers fail over one by one, not as a group
 }
 
-// simHooks let a test see what reaches the workers. Each may be nil.
+// simHooks are called with the commands that reach workers. Each may be nil.
 type simHooks struct {
 	onLaunch func(*simWorker, protocol.Command)
 	onKill   func(*simWorker, protocol.Command)
 }
 
-// simOutput is what a day leaves behind, where it is wanted.
+// simOutput holds the optional outputs of a day.
 type simOutput struct {
-	trace      io.Writer       // the controllers' logs, and what workers do; nil: off
-	digest     *effectsDigest  // of what the controllers do; nil: off
-	recordings []*simRecording // the controllers' recordings, one for each incarnation
+	trace      io.Writer       // receives the controllers' logs and the workers' events; nil: off
+	digest     *effectsDigest  // of the controllers' effects; nil: off
+	recordings []*simRecording // one for each controller incarnation
 }
 
-// simCounts count what happened on a day.
+// simCounts counts what happened on a day.
 type simCounts struct {
 	taskStarts     int
-	warmStarts     int           // launches of tasks on machines that held their inputs when the launch came
-	coldStarts     int           // launches of tasks on machines that did not
-	launchesJudged int           // of work of lower priority while production work waited
-	leaseKills     int           // tasks of jobs that nobody cancelled, killed by leases on healthy machines
-	outage         time.Duration // of the state service, for all controllers, so far
+	warmStarts     int           // launches on machines that held the task's input when the launch arrived
+	coldStarts     int           // launches on machines that did not
+	launchesJudged int           // launches of lower-priority work that were checked while production work waited
+	leaseKills     int           // tasks killed by lease expiry on healthy machines although nobody cancelled their job
+	outage         time.Duration // total time so far that the state service was down for all controllers
 }
 
-// newSim is a day of three controllers that start within half a second. messageLoss is the probability that a
-// message is lost, late or loses its answer.
+// newSim returns a simulated day with three controllers that start within half a second. messageLoss is the
+// probability that a message is lost, is late or loses its answer.
 func newSim(t testing.TB, seed uint64, messageLoss float64) *sim {
 	t.Helper()
 	s := &sim{
@@ -95,7 +96,7 @@
 	s.state = &simState{s: s, keys: map[string]simKey{}, revision: 1,
 		drainWrites: map[string]int{}, drainReasons: map[string]string{},
 		leaseExpiry: map[uint64]time.Duration{}, leaseTTL: map[uint64]time.Duration{},
-		eventHistory: 300, pageSize: 40} // short, so that 410 and paging occur often
+		eventHistory: 300, pageSize: 40} // small, so that status 410 and paging occur often
 	s.cloud = &simCloud{s: s, pageSize: 7, capacity: map[offering]int{}, rentalsByRequest: map[string][]string{}, machines: map[string]*simWorker{}, machineTypes: map[string]protocol.MachineType{
 		"small": {Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 64, ImagePullGBPerS: 1, OnDemandPrice: 4, SpotPrice: 1.5, StartupS: 8, Zones: []string{"a", "b", "c"}},
 		"large": {Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 12, Zones: []string{"a", "b"}}}}
@@ -121,7 +122,7 @@
 	return s
 }
 
-// run plays the day until a time, or until twenty violations were found.
+// run runs the day until the given time, or until twenty violations were found.
 func (s *sim) run(until time.Duration) {
 	for len(s.pending) > 0 && s.pending[0].at <= until && len(s.violations) < 20 {
 		e := heap.Pop(&s.pending).(*event)
@@ -131,20 +132,21 @@
 	s.now = until
 }
 
-// violation notes that a rule was broken.
+// violation records that a rule was broken.
 func (s *sim) violation(rule, format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%8.3f %s: ", s.now.Seconds(), rule)+fmt.Sprintf(format, args...))
 }
 
-// randomMillis draws a time between two numbers of milliseconds.
+// randomMillis returns a random duration between lo and hi milliseconds.
 func (s *sim) randomMillis(lo, hi float64) time.Duration {
 	return seconds((lo + (hi-lo)*s.random.Float64()) / 1000)
 }
 
-// leaseTimes is a multiple of the workers' lease.
+// leaseTimes returns a multiple of the workers' lease.
 func (s *sim) leaseTimes(times float64) time.Duration { return seconds(times * s.facts.Workers.Lease) }
 
-// runSeeds plays days with the seeds from the first on: as many as SIM_DAYS says, or as usual.
+// runSeeds runs a day for each of several consecutive seeds, from first on. SIM_DAYS sets their number; without it,
+// there are usual seeds.
 func runSeeds(t *testing.T, first uint64, usual int, day func(t *testing.T, seed uint64)) {
 	days, err := strconv.Atoi(os.Getenv("SIM_DAYS"))
 	if err != nil {
@@ -158,8 +160,9 @@
 	}
 }
 
-// finish plays six minutes without message loss after a time and then requires that every job
-// that can be done is done: safety without progress would be no use.
+// finish runs the day until the given time, starts the controllers that are down, cancels all services and runs
+// six more minutes without message loss. It fails the test if a job has not ended by then: safety without progress
+// is not enough.
 func (s *sim) finish(t *testing.T, until time.Duration) {
 	t.Helper()
 	s.faults.messageLoss = 0
@@ -183,7 +186,7 @@
 			if open++; open < 2 || first.core.gangs.reservation.Job == id {
 				s.logJob(t, id)
 			}
-			t.Logf("%s (%s of %d, team %s) has not ended: %v", u.spec.ID, u.spec.Shape, u.spec.Tasks, u.spec.Team, u.done)
+			t.Logf("job %s (%s of %d tasks, team %s) has not ended, tasks done: %v", u.spec.ID, u.spec.Shape, u.spec.Tasks, u.spec.Team, u.done)
 		}
 	}
 	if open > 0 {
@@ -191,14 +194,14 @@
 	}
 }
 
-// logJob logs what the controllers hold of a job that does not end.
+// logJob logs what each controller knows about a job that has not ended.
 func (s *sim) logJob(t *testing.T, id string) {
 	t.Helper()
 	for _, n := range s.controllers {
 		c := n.core
 		r := c.jobs.byID[id]
 		if r == nil {
-			t.Logf("%s does not know it", n.name)
+			t.Logf("%s does not know the job", n.name)
 			continue
 		}
 		t.Logf("%s: %+v status %s owner %s bound %d held %d zones %v retry in %v failed on %v tasks %v queue %d in flight %v leads %v gang %v team %+v idle %v offers %v",
@@ -215,16 +218,17 @@
 	}
 }
 
-// traceWriter writes the controllers' log lines with the simulated time in front.
+// traceWriter writes the controllers' log lines to the trace, prefixed with the simulated time.
 type traceWriter struct{ s *sim }
 
-// Write writes a line to the trace.
+// Write writes one log line to the trace.
 func (w traceWriter) Write(b []byte) (int, error) {
 	fmt.Fprintf(w.s.output.trace, "%8.3f %s", w.s.now.Seconds(), b)
 	return len(b), nil
 }
 
-// traceDay writes the day's logs to the file that SIM_TRACE and the seed name, for looking into a failure.
+// traceDay writes the day's trace to the file that SIM_TRACE names, with the seed appended, for debugging a failure.
+// Without SIM_TRACE there is no trace.
 func (s *sim) traceDay(t *testing.T, seed uint64) {
 	t.Helper()
 	path := os.Getenv("SIM_TRACE")
--- a/internal/coordination/sim_user_test.go
+++ b/internal/coordination/sim_user_test.go
@@ -16,41 +16,42 @@
 	cancellation
 	s               *sim
 	spec            *job.Spec
-	body            []byte  // of the submission
-	runtimeS        float64 // of each task, in seconds
-	runtimeStepS    float64 // each task runs so much longer than the one before
-	dataSetCopy     string  // of the data set that the job reads; empty: none
-	done            []bool  // by task
-	failsEverywhere bool    // on every machine
-	failures        int
-	submittedAt     time.Duration // first
+	body            []byte        // submission
+	runtimeS        float64       // of the first task, in seconds
+	runtimeStepS    float64       // by which each task runs longer than the one before, in seconds
+	dataSetCopy     string        // ID of the copy that the job reads; empty: none
+	done            []bool        // by task index
+	failsEverywhere bool          // its tasks fail on every machine
+	failures        int           // tasks that failed
+	submittedAt     time.Duration // of the first submission
 	accepted        bool
-	acceptedAfter   time.Duration // the first submission
-	known           bool          // an answer has said that the job is accepted
-	lastAnsweredAt  time.Duration // the last answer to a query
-	finalStatus     string        // as an answer has told it; empty: none yet
+	acceptedAfter   time.Duration // time from the first submission to its acceptance
+	known           bool          // an answer has shown that the job is accepted
+	lastAnsweredAt  time.Duration // time of the last answer to a query
+	finalStatus     string        // as shown by an answer; empty: none yet
 	capacityWait    idleCapacityWait
 }
 
-// jobStarts is what is known of the starts of a job's tasks.
+// jobStarts records the starts of a job's tasks.
 type jobStarts struct {
 	firstStartAt       time.Duration // of any task; 0: none
-	startDelay         time.Duration // from the submission to the first start, without outages
-	outageAtSubmission time.Duration // simCounts.outage at that time
-	tasksStarted       int
-	lastStarts         []startedOn // by task
-	restarts           int         // starts of tasks that were on machines that are still there
+	startDelay         time.Duration // from the submission to the first start, not counting outages
+	outageAtSubmission time.Duration // simCounts.outage at the submission
+	tasksStarted       int           // tasks that have started at least once
+	lastStarts         []startedOn   // by task index
+	restarts           int           // starts of tasks that had started on a machine that is still up in the same agent epoch
 }
 
-// cancellation is what is known of a job's cancellation.
+// cancellation records the cancellation of a job.
 type cancellation struct {
 	cancelRequested bool
-	cancelVia       *simController // takes the request; nil: any
-	cancelledAt     time.Duration  // when the user was told; 0: not yet
-	lastActiveAt    time.Duration  // when a task was seen on a machine after that
+	cancelVia       *simController // controller that gets the request; nil: any
+	cancelledAt     time.Duration  // when the cancellation was confirmed to the user; 0: not yet
+	lastActiveAt    time.Duration  // when a task was last seen active after cancelledAt
 }
 
-// submit has a user submit a job whose tasks run for so many seconds, and cancel it after a time if one is given.
+// submit has a user submit a job whose tasks run for runtimeS seconds, and cancel it after cancelAfter unless that
+// is 0.
 func (s *sim) submit(spec *job.Spec, runtimeS float64, cancelAfter time.Duration) *simUser {
 	u := &simUser{s: s, spec: spec, runtimeS: runtimeS, submittedAt: s.now, done: make([]bool, spec.Tasks),
 		jobStarts: jobStarts{outageAtSubmission: s.counts.outage}}
@@ -67,7 +68,7 @@
 	body := map[string]any{"ref": spec.ID, "jobclass": spec.Class, "crew": spec.Team, "shape": shapes[spec.Shape], "urgency": urgency,
 		"loads": spec.Tasks, "cpus": spec.CPUs, "accelerators": spec.GPUs, "ramGb": spec.MemoryGB, "kit": "img", "sizeGb": 1.0, "rigs": spec.MachineTypes, "depot": zone,
 		"oneZone": spec.OneZone, "apart": spec.Spread, "casual": spec.Spot, "etaS": runtimeS, "waypointS": 0.0, "stowS": 0.0, "dueS": nil}
-	if s.options.dataSets != nil && s.now > 15*time.Second { // registered by then
+	if s.options.dataSets != nil && s.now > 15*time.Second { // the data sets are registered by then
 		set := s.options.dataSets[s.random.IntN(len(s.options.dataSets))]
 		u.dataSetCopy = set.CopyID()
 		body["inputs"] = []map[string]string{{"set": set.Set, "version": set.Version, "place": "in"}}
@@ -81,8 +82,8 @@
 	return u
 }
 
-// knownStatus is the most that any answer has told of a job: nothing, that it is accepted, or its final status.
-// No answer to a query that is sent later may be older.
+// knownStatus is the furthest status of a job that any answer has shown: none, accepted, or its final status.
+// Answers to queries that are sent later must not fall behind it.
 type knownStatus struct {
 	known bool
 	final string
@@ -90,7 +91,7 @@
 
 func (u *simUser) knownStatus() knownStatus { return knownStatus{u.known, u.finalStatus} }
 
-// sendSubmission submits the job until an answer comes, then polls.
+// sendSubmission submits the job, retries until it is answered, and then polls the job.
 func (u *simUser) sendSubmission() {
 	s, before := u.s, u.knownStatus()
 	s.anyController().request("users", "POST", protocol.PathJobs, u.body, func(st int, body []byte) {
@@ -107,7 +108,7 @@
 			}
 		case 400, 422:
 			if u.accepted {
-				s.violation("forgotten", "%s repeated: %d %s", u.spec.ID, st, body)
+				s.violation("forgotten", "repeated submission of %s: %d %s", u.spec.ID, st, body)
 			} else {
 				s.violation("refused", "%s: %d %s", u.spec.ID, st, body)
 			}
@@ -117,7 +118,8 @@
 	})
 }
 
-// checkAnswer checks an answer to a request that was sent when so much was known.
+// checkAnswer checks an answer against the user's knowledge of the job and updates it. before is what was known when
+// the request was sent.
 func (u *simUser) checkAnswer(body []byte, before knownStatus) {
 	previous := u.knownStatus()
 	defer func() {
@@ -145,7 +147,7 @@
 		u.finalStatus = "done"
 	case "cancelled":
 		if !u.cancelRequested {
-			u.s.violation("went_back", "%s cancelled by nobody", u.spec.ID)
+			u.s.violation("went_back", "%s is cancelled, which nobody requested", u.spec.ID)
 		}
 		u.finalStatus = "cancelled"
 		if u.cancelledAt == 0 {
@@ -154,7 +156,7 @@
 	}
 }
 
-// poll queries the job until it has ended, and now and then after that.
+// poll queries the job every few seconds until it has ended, and sometimes after that.
 func (u *simUser) poll() {
 	s, before := u.s, u.knownStatus()
 	s.anyController().request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) {
@@ -165,7 +167,7 @@
 	})
 }
 
-// cancel cancels the job, until an answer comes.
+// cancel cancels the job, and retries until the cancellation is accepted.
 func (u *simUser) cancel() {
 	s := u.s
 	u.cancelRequested = true
@@ -181,16 +183,16 @@
 	})
 }
 
-// cancelAgain cancels once a job that has ended or was cancelled before.
+// cancelAgain sends one more cancellation for a job that has ended or was cancelled before.
 func (u *simUser) cancelAgain() {
 	before := u.knownStatus()
 	u.s.anyController().request("users", "POST", protocol.PathJobs+"/"+u.spec.ID+"/abort", nil, func(st int, b []byte) { u.cancelAnswered(st, b, before) })
 }
 
-// cancelAnswered checks the answer to a cancellation, and tells whether it is accepted.
+// cancelAnswered checks the answer to a cancellation and reports whether the cancellation was accepted.
 func (u *simUser) cancelAnswered(st int, body []byte, before knownStatus) bool {
 	if st == 404 && before.known {
-		u.s.violation("forgotten", "%s can't be cancelled", u.spec.ID)
+		u.s.violation("forgotten", "cancellation of %s answered with 404", u.spec.ID)
 	}
 	if st == 200 {
 		u.checkAnswer(body, before)
@@ -198,7 +200,8 @@
 	return st == 200
 }
 
-// resubmit submits the job once more at a controller: once known, it is never refused.
+// resubmit submits the job once more to a controller. Once an answer has shown that the job is accepted, no
+// controller may refuse it or accept it as a new job.
 func (u *simUser) resubmit(n *simController, body []byte) {
 	before := u.knownStatus()
 	n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
@@ -207,12 +210,12 @@
 			u.accepted = true
 			u.checkAnswer(b, before)
 		case before.known && (st == 201 || st == 400 || st == 422 || st == 404):
-			u.s.violation("forgotten", "%s repeated: %d %s", u.spec.ID, st, b)
+			u.s.violation("forgotten", "repeated submission of %s: %d %s", u.spec.ID, st, b)
 		}
 	})
 }
 
-// queryEverywhere has the user query all controllers, and some submit or cancel again, within milliseconds.
+// queryEverywhere has the user query all controllers within milliseconds. Some users also submit or cancel again.
 func (u *simUser) queryEverywhere() {
 	s := u.s
 	if !s.faults.queryEverywhere {
@@ -234,7 +237,8 @@
 	}
 }
 
-// taskEnded is the moment of a task's end: at a job's last one some users cancel, query or submit it again.
+// taskEnded is called when a task completes. When the last task of a job completes, some users cancel, query or
+// resubmit the job.
 func (u *simUser) taskEnded() {
 	s := u.s
 	for _, done := range u.done {
@@ -259,7 +263,7 @@
 	}
 }
 
-// queryUnknownJobs queries jobs that nobody has submitted.
+// queryUnknownJobs queries a job that nobody has submitted, every few seconds.
 func (s *sim) queryUnknownJobs() {
 	id := fmt.Sprintf("wk-%06d", 900000+s.random.IntN(1000))
 	s.anyController().request("users", "GET", protocol.PathJobs+"/"+id, nil, func(st int, _ []byte) {
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -13,22 +13,22 @@
 	"silvergate/internal/protocol"
 )
 
-// simTask is an attempt of a task, on its machine.
+// simTask is one attempt of a task on a worker.
 type simTask struct {
 	jobID      string
 	index      int
 	attempt    int
 	status     protocol.TaskState
 	cause      string
-	generation int // grows when the task is ended from outside; what was to happen to it then does not
+	generation int // incremented when the task is ended from outside, which voids its scheduled events
 }
 
-// isActive tells whether the task has begun and not ended.
+// isActive reports whether the task has begun and has not ended.
 func (task *simTask) isActive() bool {
 	return task.status == protocol.TaskRunning || task.status == protocol.TaskWaiting || task.status == protocol.TaskCheckpointing
 }
 
-// simWorker is a rented machine with its agent.
+// simWorker is a rented machine and the agent on it.
 type simWorker struct {
 	workerFaults
 	s              *sim
@@ -41,18 +41,18 @@
 	up             bool
 	dead           bool
 	failed         bool // the cloud lists it as failed
-	preempted      bool // taken by the cloud, without notice
+	preempted      bool // taken back by the cloud without notice
 	agentEpoch     uint64
 	epochStartedAt time.Duration
-	sequence       uint64        // of its heartbeats
+	sequence       uint64        // of the last heartbeat
 	fencingToken   uint64        // highest seen
-	lastAnsweredAt time.Duration // sending time of the last answered heartbeat
-	controller     int           // index of the one that it reports to
+	lastAnsweredAt time.Duration // when the last answered heartbeat was sent
+	controller     int           // index of the controller that it sends heartbeats to
 	tasks          map[string]*simTask
-	dataSetCopies  map[string]bool // complete, or (false) being fetched
+	dataSetCopies  map[string]bool // by copy ID: true if complete, false while being fetched
 }
 
-// die ends the machine with all that runs there.
+// die ends the machine and all tasks on it.
 func (w *simWorker) die() {
 	w.dead = true
 	w.up = false
@@ -74,7 +74,8 @@
 	w.watchLease()
 }
 
-// watchLease ends everything, and begins a new agent epoch, when no heartbeat was answered for a lease.
+// watchLease ends all tasks and begins a new agent epoch when no heartbeat sent within the last lease period was
+// answered.
 func (w *simWorker) watchLease() {
 	if w.dead {
 		return
@@ -99,7 +100,7 @@
 	w.s.after(expiresAt-w.s.now+time.Millisecond, w.watchLease)
 }
 
-// heartbeat is what the worker would send now.
+// heartbeat returns the worker's next heartbeat.
 func (w *simWorker) heartbeat() protocol.Heartbeat {
 	w.sequence++
 	heartbeat := protocol.Heartbeat{Worker: w.name, Address: w.address, MachineType: w.machineType, Zone: w.reportedZone(), Spot: w.spot, AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
@@ -119,7 +120,7 @@
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: task.jobID + "/" + strconv.Itoa(task.index), Attempt: task.attempt, Status: task.status, Cause: task.cause})
 	}
 	if w.s.options.dataSets != nil {
-		heartbeat.DataStore = &protocol.StoreReport{Listed: w.s.random.IntN(2) == 0} // complete lists are rare
+		heartbeat.DataStore = &protocol.StoreReport{Listed: w.s.random.IntN(2) == 0} // only some reports list all copies
 		var held []dataset.ID
 		for _, id := range sortedKeys(w.dataSetCopies) {
 			if w.dataSetCopies[id] {
@@ -134,7 +135,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat and takes in its answer; then, or when none has come, the next one follows.
+// sendHeartbeat sends a heartbeat and handles its answer. The next heartbeat is scheduled after the answer, or after
+// the wait for an answer has timed out.
 func (w *simWorker) sendHeartbeat() {
 	s := w.s
 	if w.dead {
@@ -176,6 +178,7 @@
 	n.request(link, "POST", protocol.PathHeartbeat, encode(heartbeat), answered)
 }
 
+// traceHeartbeat writes an answered or timed-out heartbeat to the trace.
 func (w *simWorker) traceHeartbeat(n *simController, heartbeat protocol.Heartbeat, sent time.Duration, status int, body []byte) {
 	if trace := w.s.output.trace; trace != nil {
 		fmt.Fprintf(trace, "%8.3f HEARTBEAT worker=%s controller=%s epoch=%d sequence=%d token=%d sent=%.3f status=%d %s\n",
@@ -183,8 +186,8 @@
 	}
 }
 
-// heartbeatAnswered takes in the answer to a heartbeat, status 0 if there is none, and tells after how long the
-// next heartbeat is sent.
+// heartbeatAnswered handles the answer to a heartbeat, with status 0 if there is none, and returns the delay until
+// the next heartbeat.
 func (w *simWorker) heartbeatAnswered(heartbeat protocol.Heartbeat, sent time.Duration, status int, body []byte) time.Duration {
 	s := w.s
 	next := seconds(s.facts.Workers.Report * (0.75 + 0.5*s.random.Float64()))
@@ -215,13 +218,14 @@
 	}
 }
 
-// nextController has the worker turn to another controller.
+// nextController switches the worker to the next controller.
 func (w *simWorker) nextController() {
 	w.controller = (w.controller + 1) % len(w.s.controllers)
 }
 
-// applyResponse carries out an answer that is not outdated, and tells whether it has shown a new fencing token. A
-// hung machine takes nothing in, and drops what is over 4 s old when it goes on.
+// applyResponse carries out a heartbeat response unless it is outdated, and reports whether the response raised the
+// fencing token. A hung machine ignores responses, and after it resumes it drops those to heartbeats that were sent
+// over 4 s ago.
 func (w *simWorker) applyResponse(response protocol.HeartbeatResponse, epoch uint64, sent time.Duration) bool {
 	now := w.s.now
 	if now < w.hungUntil || response.FencingToken < w.fencingToken || response.FencingToken == 0 || epoch != w.agentEpoch || now-sent > 4*time.Second {
@@ -238,18 +242,18 @@
 	return newToken
 }
 
-// missesMessage tells whether a message to the worker is lost now.
+// missesMessage reports whether a message that reaches the worker now is lost.
 func (w *simWorker) missesMessage() bool {
 	return w.unresponsiveUntil > w.s.now || w.messageLoss > 0 && w.s.random.Float64() < w.messageLoss
 }
 
-// serveDirect carries out a direct request of a controller and answers it.
+// serveDirect handles a direct request from a controller: a status query or commands.
 func (w *simWorker) serveDirect(call protocol.Call, reply func(int, []byte)) {
 	s := w.s
 	if w.dead || !w.up || w.missesMessage() {
 		return
 	}
-	if s.now < w.hungUntil { // taken in when the machine goes on
+	if s.now < w.hungUntil { // handled when the machine resumes
 		s.faultCounts.delayedCommands++
 		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.serveDirect(call, reply) })
 		return
@@ -272,7 +276,7 @@
 	reply(200, encode(w.heartbeat()))
 }
 
-// execute carries out commands, in their order.
+// execute carries out commands in order.
 func (w *simWorker) execute(commands []protocol.Command) {
 	for _, command := range commands {
 		key := command.Task + "#" + strconv.Itoa(command.Attempt)
@@ -304,7 +308,8 @@
 	}
 }
 
-// launch has a task begin after a while. One that can't run here has ended at once, with the cause.
+// launch adds a task, which begins some seconds later. A task that can't run on this worker ends at once, and its
+// cause says why.
 func (w *simWorker) launch(key string, task *simTask) {
 	s := w.s
 	u := s.users[task.jobID]
@@ -329,7 +334,7 @@
 	s.after(s.randomMillis(200, 4000), func() { w.beginTask(u, task, generation) })
 }
 
-// fetchCopy fetches a copy of a data set, which takes a while; some are lost on the way.
+// fetchCopy fetches a copy of a data set, which takes several seconds. Some fetches fail.
 func (w *simWorker) fetchCopy(id string) {
 	if _, known := w.dataSetCopies[id]; known {
 		return
@@ -347,7 +352,7 @@
 	})
 }
 
-// runsTask tells whether any attempt of the task is here.
+// runsTask reports whether an attempt of the task is on this worker and has not ended.
 func (w *simWorker) runsTask(id string, index int) bool {
 	for _, task := range w.tasks {
 		if task.jobID == id && task.index == index && task.status != protocol.TaskEnded {
@@ -357,7 +362,7 @@
 	return false
 }
 
-// runsJob tells whether any task of the job is here.
+// runsJob reports whether a task of the job is on this worker and has not ended.
 func (w *simWorker) runsJob(id string) bool {
 	for _, task := range w.tasks {
 		if task.jobID == id && task.status != protocol.TaskEnded {
@@ -367,7 +372,7 @@
 	return false
 }
 
-// hasRoom tells whether one more task fits.
+// hasRoom reports whether one more task of the job fits on the machine.
 func (w *simWorker) hasRoom(spec *job.Spec) bool {
 	machine := w.s.cloud.machineTypes[w.machineType]
 	gpus, cpus := spec.GPUs, spec.CPUs
@@ -379,7 +384,8 @@
 	return gpus <= machine.GPUs && cpus <= machine.CPUs
 }
 
-// beginTask is the moment from which a task is on its machine.
+// beginTask starts a task after its image was pulled, once its input is complete: from now on the task runs on the
+// machine.
 func (w *simWorker) beginTask(u *simUser, task *simTask, generation int) {
 	s := w.s
 	if w.dead || task.generation != generation || task.status != protocol.TaskPulling {
@@ -389,7 +395,7 @@
 		s.after(w.hungUntil-s.now+time.Millisecond, func() { w.beginTask(u, task, generation) })
 		return
 	}
-	if u.dataSetCopy != "" && !w.dataSetCopies[u.dataSetCopy] { // only complete copies are read
+	if u.dataSetCopy != "" && !w.dataSetCopies[u.dataSetCopy] { // tasks read complete copies only
 		w.fetchCopy(u.dataSetCopy)
 		s.after(time.Second, func() { w.beginTask(u, task, generation) })
 		return
@@ -417,7 +423,7 @@
 	s.after(seconds(u.runtimeS+u.runtimeStepS*float64(task.index)), func() { w.finishTask(u, task, task.generation) })
 }
 
-// finishTask is the moment at which a task completes.
+// finishTask completes a task.
 func (w *simWorker) finishTask(u *simUser, task *simTask, generation int) {
 	if w.dead || task.generation != generation || task.status != protocol.TaskRunning {
 		return
@@ -436,7 +442,7 @@
 	u.taskEnded()
 }
 
-// reportedZone is the zone that a worker reports.
+// reportedZone returns the zone that the worker reports, which the wrongZones defect makes wrong for some workers.
 func (w *simWorker) reportedZone() string {
 	if !w.s.defects.wrongZones || len(w.name) == 0 || w.name[len(w.name)-1]%3 > 0 {
 		return w.zone
--- a/internal/coordination/sim_workload_test.go
+++ b/internal/coordination/sim_workload_test.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/protocol"
 )
 
-// submitMixedJobs has users submit jobs of all shapes until the time given.
+// submitMixedJobs has users submit jobs of all shapes until the given time.
 func (s *sim) submitMixedJobs(until time.Duration) {
 	n := 0
 	var next func()
@@ -49,7 +49,7 @@
 	next()
 }
 
-// submitLongJobs submits jobs of all shapes whose tasks run for minutes.
+// submitLongJobs returns a workload of n jobs of all shapes whose tasks run for one to two minutes.
 func submitLongJobs(n int) func(s *sim) {
 	return func(s *sim) {
 		for i := range n {
@@ -67,7 +67,7 @@
 	}
 }
 
-// submitSmallJobs submits some four one-task jobs a second, a quarter of which are cancelled.
+// submitSmallJobs submits about four one-task jobs a second until the given time. A quarter of them are cancelled.
 func (s *sim) submitSmallJobs(until time.Duration) {
 	n := 0
 	var next func()
@@ -87,7 +87,8 @@
 	next()
 }
 
-// cancelShare has a share of the users cancel their jobs within a time, at a controller if one is given.
+// cancelShare has a random share of the users with open jobs cancel them within a time, through one controller
+// unless via is nil. It returns the number of these users.
 func (s *sim) cancelShare(share float64, within time.Duration, via *simController) (n int) {
 	for _, id := range sortedKeys(s.users) {
 		if u := s.users[id]; u.accepted && !u.cancelRequested && u.finalStatus == "" && s.random.Float64() < share {
@@ -99,8 +100,8 @@
 	return n
 }
 
-// cancelRunning has users cancel so many jobs that run and have long to go, within a fifth of a second; some of
-// their machines, eight at the most, hang for a time.
+// cancelRunning has users cancel up to count started jobs with long tasks, within a fifth of a second. Up to eight
+// of the machines that run these jobs hang for a time, unless hang is 0.
 func (s *sim) cancelRunning(count int, hang time.Duration) {
 	hung := 0
 	for _, id := range sortedKeys(s.users) {
@@ -120,8 +121,8 @@
 	}
 }
 
-// sendInvalidRequests has users repeat submissions, also with other content, cancel jobs that are done, and submit
-// what fits no machine or lacks a field.
+// sendInvalidRequests has users send odd requests until the given time: they repeat submissions, some with other
+// content, cancel jobs that are done, and submit jobs that must be refused.
 func (s *sim) sendInvalidRequests(until time.Duration) {
 	if s.now > until {
 		return
@@ -153,7 +154,8 @@
 	s.after(s.randomMillis(100, 900), func() { s.sendInvalidRequests(until) })
 }
 
-// invalidBody is a submission that can't be accepted: a field is missing, or it fits no machine.
+// invalidBody returns a submission that must be refused: a field is missing, the team is unknown, or the job fits no
+// machine.
 func invalidBody(s *sim, body []byte, id string) []byte {
 	var submission map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(body))
@@ -174,8 +176,8 @@
 	return encode(submission)
 }
 
-// submitServices submits n services of team blue with one task each, in turn in the zones,
-// or in any zone if none is named.
+// submitServices submits n services of team blue with one task each. They are assigned to the given zones in turn,
+// or to no zone if none is given.
 func (s *sim) submitServices(n int, gpus float64, zones ...string) {
 	for i := range n {
 		spec := &job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1,
@@ -187,8 +189,8 @@
 	}
 }
 
-// submitLowArrays submits n arrays of team blue, of low priority and on spot machines, that
-// run for longer than a test.
+// submitLowArrays submits n arrays of team blue, of low priority and allowed on spot machines, which run for longer
+// than a test.
 func (s *sim) submitLowArrays(n int) {
 	for i := range n {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-8%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Tasks: 40,
