--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -145,12 +145,12 @@
 // leaseTimes returns a multiple of the workers' lease.
 func (s *sim) leaseTimes(times float64) time.Duration { return seconds(times * s.facts.Workers.Lease) }
 
-// runSeeds runs a day for each of several consecutive seeds, from first on. SIM_DAYS sets their number; without it,
-// there are usual seeds.
-func runSeeds(t *testing.T, first uint64, usual int, day func(t *testing.T, seed uint64)) {
+// runSeeds runs one day for each of several consecutive seeds, from first on. SIM_DAYS sets the number of days; the
+// default is defaultDays.
+func runSeeds(t *testing.T, first uint64, defaultDays int, day func(t *testing.T, seed uint64)) {
 	days, err := strconv.Atoi(os.Getenv("SIM_DAYS"))
 	if err != nil {
-		days = usual
+		days = defaultDays
 	}
 	for seed := first; seed < first+uint64(days); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
