--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -34,7 +34,7 @@
 // can't be judged without them.
 func (c *Core) refreshCatalogue() {
 	c.refillCloudCalls()
-	if c.catalogue.requestInFlight || c.scaler.cloudCalls.level < 1 {
+	if c.catalogue.requestInFlight || c.scaler.cloudCalls.tokens < 1 {
 		return
 	}
 	if len(c.catalogue.types) > 0 && !c.isLeader() {
--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -29,14 +29,14 @@
 // tokenBucket limits a rate of calls: each takes one of the tokens that level counts.
 type tokenBucket struct {
 	rate     float64 // tokens a second of a controller that does not lead; 0: not set yet
-	level    float64
+	tokens   float64
 	filledAt time.Duration
 }
 
 // refill adds the tokens of the time since the last refill, at a rate a second. The bucket
 // holds a second's worth, and one at least.
 func (b *tokenBucket) refill(now time.Duration, rate float64) {
-	b.level = min(max(1, rate), b.level+rate*(now-b.filledAt).Seconds())
+	b.tokens = min(max(1, rate), b.tokens+rate*(now-b.filledAt).Seconds())
 	b.filledAt = now
 }
 
@@ -53,7 +53,7 @@
 	calls := &c.scaler.cloudCalls
 	if calls.rate == 0 {
 		calls.rate = c.cfg.Facts.Cloud.RPS / cloudRateDivisor
-		calls.level = 1
+		calls.tokens = 1
 	}
 	rate := calls.rate
 	if c.isLeader() {
@@ -64,7 +64,7 @@
 
 // callCloud sends a call to the cloud and takes a token for it. Callers see that there is one.
 func (c *Core) callCloud(method, path string, body any, done func(protocol.Reply)) {
-	c.scaler.cloudCalls.level--
+	c.scaler.cloudCalls.tokens--
 	var raw []byte
 	if body != nil {
 		raw = encode(body)
@@ -78,7 +78,7 @@
 // scanCloud reads the cloud's list, page by page.
 func (c *Core) scanCloud() {
 	f := &c.scaler
-	if f.cloudScanInFlight || f.cloudCalls.level < 1 || (f.cloudScanFrom == "" && c.now < f.nextCloudScanAt) {
+	if f.cloudScanInFlight || f.cloudCalls.tokens < 1 || (f.cloudScanFrom == "" && c.now < f.nextCloudScanAt) {
 		return
 	}
 	f.cloudScanInFlight = true
--- a/internal/coordination/data_sets_test.go
+++ b/internal/coordination/data_sets_test.go
@@ -51,7 +51,7 @@
 		warm, cold = warm+s.counts.warmStarts, cold+s.counts.coldStarts
 		for _, n := range s.controllers {
 			withdrawn += int(n.core.staging.planner.Stats.Withdrawn)
-			if copies := len(n.core.staging.warmedFor); copies > 0 {
+			if copies := len(n.core.staging.prefetchJobs); copies > 0 {
 				t.Errorf("seed %d: %s still brings %d copies for jobs that are over", seed, n.name, copies)
 			}
 		}
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -37,7 +37,7 @@
 }
 
 func (c *Core) newFleetPlan() *fleetPlan {
-	refused := func(where offering) bool { return c.now < c.scaler.refusedUntil[where] }
+	refused := func(offer offering) bool { return c.now < c.scaler.refusedUntil[offer] }
 	p := &fleetPlan{
 		binPacking:       newBinPacking(c.catalogue.types, refused, c.jobs.openCPUOnly > 0),
 		core:             c,
--- a/internal/coordination/image_fetch.go
+++ b/internal/coordination/image_fetch.go
@@ -7,7 +7,7 @@
 // fetchTime is how long a task would wait for its image and its inputs on a
 // machine, in seconds. Fetches of images under way share the machine's rate.
 func (c *Core) fetchTime(s *job.Spec, m *machine) float64 {
-	return max(c.imageTime(s, m), c.staging.wait(s, m))
+	return max(c.imageTime(s, m), c.staging.expectedWait(s, m))
 }
 
 // imageTime is how long a task would wait for its image on a machine, in seconds.
--- a/internal/coordination/pagecodec/pagecodec_test.go
+++ b/internal/coordination/pagecodec/pagecodec_test.go
@@ -11,8 +11,8 @@
 	"silvergate/internal/job"
 )
 
-// drawTasks draws count tasks of all phases, some of them equal to the one before.
-func drawTasks(t *rapid.T, count int) []job.Task {
+// randomTasks draws count tasks of all phases, some of them equal to the one before.
+func randomTasks(t *rapid.T, count int) []job.Task {
 	tasks := make([]job.Task, count)
 	for i := range tasks {
 		switch task := &tasks[i]; rapid.IntRange(0, 5).Draw(t, "kind") {
@@ -33,8 +33,8 @@
 	return tasks
 }
 
-// applied is old with the changes.
-func applied(old []job.Task, changes []Change) []job.Task {
+// applyChanges is old with the changes.
+func applyChanges(old []job.Task, changes []Change) []job.Task {
 	out := slices.Clone(old)
 	for _, change := range changes {
 		out[change.Index] = change.Task
@@ -48,8 +48,8 @@
 func TestPagesAgreeWithLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 20).Draw(t, "tasks")
-		old := drawTasks(t, count)
-		tasks := drawTasks(t, count)
+		old := randomTasks(t, count)
+		tasks := randomTasks(t, count)
 		for i := range tasks {
 			if rapid.Bool().Draw(t, "same") {
 				tasks[i] = old[i]
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Equal(compact, list) || !slices.Equal(applied(old, compact), tasks) {
+		if !slices.Equal(compact, list) || !slices.Equal(applyChanges(old, compact), tasks) {
 			t.Fatalf("%s: %v, the list says %v", page, compact, list)
 		}
 		for _, change := range compact {
@@ -140,7 +140,7 @@
 		})
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		page := []byte(EncodeCompact(drawTasks(t, 4)))
+		page := []byte(EncodeCompact(randomTasks(t, 4)))
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
 			at := rapid.IntRange(0, len(page)-1).Draw(t, "at")
 			page[at] = rapid.SampledFrom([]byte(`pbd/!*09 "[`)).Draw(t, "byte")
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -71,7 +71,7 @@
 		c.checkUnattended(id)
 	}
 	c.drainUnheldMachines()
-	if len(c.scaler.toDelete) == 0 || c.scaler.cloudCalls.level < 1 {
+	if len(c.scaler.toDelete) == 0 || c.scaler.cloudCalls.tokens < 1 {
 		return
 	}
 	c.requestDeletions()
--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -148,7 +148,7 @@
 	}{{"machines that came up too late", false}, {"machines of a controller that is gone", true}} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
-			held := 0
+			delayed := 0
 			for seed := uint64(45_200); seed < 45_206; seed++ {
 				s := newSim(t, seed, 0)
 				submitJobs := func(from, n int) {
@@ -158,20 +158,20 @@
 				}
 				s.after(time.Second, func() { submitJobs(0, 8) })
 				s.faults.delaysDeletion = func(names []string) bool {
-					holdUp := false
+					delay := false
 					for _, name := range names {
 						w := s.cloud.machines[name]
 						if w == nil || w.dead || s.state.drainReasons[keyDrain+name] == drainIdle {
 							continue
 						}
-						holdUp = true
+						delay = true
 						if !w.up { // it comes up just now
 							s.after(s.randomMillis(0, 500), w.boot)
 						}
 						w.hungUntil = s.now
-						held++
+						delayed++
 					}
-					if holdUp { // who asked for it stands still, or ends, and there is work
+					if delay { // who asked for it stands still, or ends, and there is work
 						l := s.leading()
 						if l != nil && s.random.IntN(2) == 0 {
 							l.crash(s.randomMillis(1000, 20_000))
@@ -180,7 +180,7 @@
 						}
 						submitJobs(700_000+int(s.now/time.Millisecond), 3)
 					}
-					return holdUp
+					return delay
 				}
 				if v.lost {
 					s.run(40 * time.Second)
@@ -201,7 +201,7 @@
 				}
 				s.reportViolations(t)
 			}
-			if held == 0 {
+			if delayed == 0 {
 				t.Error("no deletion was held up: the day is none")
 			}
 		})
@@ -215,10 +215,10 @@
 // nothing is paid for.
 func TestWhoRentsIsReplaced(t *testing.T) {
 	for _, v := range []struct {
-		name  string
-		do    func(s *sim, l *simController)
-		keeps bool // others relay its calls, and it goes on
-		late  bool // a renewal that is held up is carried out later: the record lives for another term, and nobody knows
+		name             string
+		fault            func(s *sim, l *simController)
+		keepsLeadership  bool // others relay its calls, and it goes on
+		renewalMayBeLate bool // a renewal that is held up is carried out later: the record lives for another term, and nobody knows
 	}{
 		{"it stands still", func(s *sim, l *simController) { l.pausedUntil = s.now + s.randomMillis(8000, 20_000) }, false, false},
 		{"it ends in the middle of a call", func(s *sim, l *simController) {
@@ -253,7 +253,7 @@
 					s.after(time.Duration(30+28*i)*time.Second, func() {
 						if l := s.leading(); l != nil {
 							incidents++
-							v.do(s, l)
+							v.fault(s, l)
 						}
 					})
 				}
@@ -282,7 +282,7 @@
 				watch()
 				s.finish(t, 180*time.Second)
 				bound := s.leaseTimes(1.0/3) + seconds(2*s.facts.Workers.Report)
-				if v.late {
+				if v.renewalMayBeLate {
 					bound += s.leaseTimes(1.0 / 3)
 				}
 				if longestGap > bound {
@@ -298,7 +298,7 @@
 				}
 				s.reportViolations(t)
 			}
-			if incidents < 12 || replaced < 8 && !v.keeps {
+			if incidents < 12 || replaced < 8 && !v.keepsLeadership {
 				t.Errorf("it took place %d times, and who rents changed %d times", incidents, replaced)
 			}
 			t.Logf("nobody rents for %v at the longest, %d changes", longest, replaced)
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -85,18 +85,18 @@
 	// over the offerings; what it refuses costs a call and two changes each.
 	calls := max(len(offerings), int(f.cloudCalls.rate*leaderRateFactor*1.5))
 	unanswered := f.unansweredOfferings()
-	offerings = slices.DeleteFunc(offerings, func(where offering) bool { return unanswered[where] || f.leadershipInFlight })
+	offerings = slices.DeleteFunc(offerings, func(offer offering) bool { return unanswered[offer] || f.leadershipInFlight })
 	for len(offerings) > 0 && calls > 0 {
 		remaining := offerings[:0]
-		for _, where := range offerings {
+		for _, offer := range offerings {
 			if calls--; calls < 0 {
 				break
 			}
-			c.recordRental(where, min(toRent[where], maxRentalCount), urgent[where])
-			if toRent[where] -= maxRentalCount; toRent[where] > 0 {
-				remaining = append(remaining, where)
+			c.recordRental(offer, min(toRent[offer], maxRentalCount), urgent[offer])
+			if toRent[offer] -= maxRentalCount; toRent[offer] > 0 {
+				remaining = append(remaining, offer)
 			}
-			f.refusedUntil[where] = max(f.refusedUntil[where], c.now+time.Second) // until the record shows
+			f.refusedUntil[offer] = max(f.refusedUntil[offer], c.now+time.Second) // until the record shows
 		}
 		offerings = remaining
 	}
@@ -104,8 +104,8 @@
 
 // sortedOfferings lists offerings by machine type and zone, on demand before spot.
 func sortedOfferings(toRent map[offering]int) (offerings []offering) {
-	for where := range toRent {
-		offerings = append(offerings, where)
+	for offer := range toRent {
+		offerings = append(offerings, offer)
 	}
 	sort.Slice(offerings, func(i, j int) bool {
 		a, b := offerings[i], offerings[j]
@@ -129,15 +129,15 @@
 }
 
 // recordRental writes the record of a rental, on the condition that we still lead.
-func (c *Core) recordRental(where offering, count int, urgent bool) {
+func (c *Core) recordRental(offer offering, count int, urgent bool) {
 	f := &c.scaler
 	f.rentalSequence++
 	// The revision of the leader's record never comes again, so neither does the name.
 	name := "r-" + strconv.FormatUint(f.leaderRevision, 10) + "-" + strconv.Itoa(f.rentalSequence)
 	record := encode(rental{
-		MachineType:   where.machineType,
-		Zone:          where.zone,
-		Spot:          where.spot,
+		MachineType:   offer.machineType,
+		Zone:          offer.zone,
+		Spot:          offer.spot,
 		Count:         count,
 		RequestedAtMS: c.wallTime.UnixMilli(),
 	})
@@ -160,7 +160,7 @@
 			c.settleRental(name, r)
 			continue
 		}
-		if r.inFlight || c.now < r.retryAt || f.cloudCalls.level < 1 {
+		if r.inFlight || c.now < r.retryAt || f.cloudCalls.tokens < 1 {
 			continue
 		}
 		r.inFlight = true
@@ -219,14 +219,14 @@
 const maxRefusalBackoff = 5
 
 // backOff leaves an offering alone from now on for as many periods as it was refused in a row.
-func (f *rentalState) backOff(where offering, now, period time.Duration) {
-	f.refusals[where]++
-	f.refusedUntil[where] = now + period*time.Duration(min(f.refusals[where], maxRefusalBackoff))
+func (f *rentalState) backOff(offer offering, now, period time.Duration) {
+	f.refusals[offer]++
+	f.refusedUntil[offer] = now + period*time.Duration(min(f.refusals[offer], maxRefusalBackoff))
 }
 
 // backOffOffering leaves an offering alone that the cloud has refused.
-func (c *Core) backOffOffering(where offering) {
-	c.scaler.backOff(where, c.now, seconds(2*c.cfg.Facts.Workers.Report))
+func (c *Core) backOffOffering(offer offering) {
+	c.scaler.backOff(offer, c.now, seconds(2*c.cfg.Facts.Workers.Report))
 }
 
 // dropRental deletes a rental's record.
--- a/internal/coordination/sim_cloud_test.go
+++ b/internal/coordination/sim_cloud_test.go
@@ -161,9 +161,9 @@
 }
 
 // addMachine rents a machine, which boots after a while; one in twenty never does.
-func (c *simCloud) addMachine(of offering) *simWorker {
+func (c *simCloud) addMachine(offer offering) *simWorker {
 	s := c.s
-	w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.nextMachine), machineType: of.machineType, zone: of.zone, spot: of.spot,
+	w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.nextMachine), machineType: offer.machineType, zone: offer.zone, spot: offer.spot,
 		rentedAt: s.now, tasks: map[string]*simTask{}}
 	c.nextMachine++
 	w.address = "w:" + w.name
@@ -172,7 +172,7 @@
 	if s.faults.quickBoots {
 		s.after(s.randomMillis(50, 2000), w.boot)
 	} else if s.random.IntN(20) > 0 {
-		s.after(seconds(c.machineTypes[of.machineType].StartupS*(0.6+0.9*s.random.Float64())), w.boot)
+		s.after(seconds(c.machineTypes[offer.machineType].StartupS*(0.6+0.9*s.random.Float64())), w.boot)
 	}
 	return w
 }
--- a/internal/coordination/staging.go
+++ b/internal/coordination/staging.go
@@ -25,12 +25,12 @@
 	byCopy       map[staging.ID]*protocol.DataSet
 	announced    map[string]*announcement
 	waitingSince map[taskKey]time.Duration // tasks that wait for a machine that holds their inputs
-	warmedFor    map[warmMachine]string    // the job for which a copy is fetched before a task is bound
+	prefetchJobs map[prefetch]string       // the job for which a copy is fetched before a task is bound
 	tickAt       time.Duration
 }
 
-// warmMachine is a copy that a machine fetches.
-type warmMachine struct {
+// prefetch is a copy that a machine fetches.
+type prefetch struct {
 	machine string
 	copy    staging.ID
 }
@@ -56,7 +56,7 @@
 		byCopy:       map[staging.ID]*protocol.DataSet{},
 		announced:    map[string]*announcement{},
 		waitingSince: map[taskKey]time.Duration{},
-		warmedFor:    map[warmMachine]string{},
+		prefetchJobs: map[prefetch]string{},
 	}
 }
 
@@ -138,8 +138,8 @@
 	return out
 }
 
-// wait is how long a task would wait for its inputs on a machine, in seconds.
-func (d *stagingCoordinator) wait(s *job.Spec, m *machine) float64 {
+// expectedWait is how long a task would expectedWait for its inputs on a machine, in seconds.
+func (d *stagingCoordinator) expectedWait(s *job.Spec, m *machine) float64 {
 	if d == nil || len(s.Inputs) == 0 {
 		return 0
 	}
@@ -225,7 +225,7 @@
 	d.tickAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
 	d.forgetWaits()
 	d.stageQueuedJobs()
-	d.withdrawWarming()
+	d.cancelUnneededPrefetches()
 	d.stageAnnounced()
 	d.planner.Tick(c.now)
 }
@@ -270,49 +270,49 @@
 	}
 }
 
-// withdrawWarming withdraws the fetches for tasks that were placed elsewhere: copies
+// cancelUnneededPrefetches withdraws the fetches for tasks that were placed elsewhere: copies
 // that nobody waits for must not take the file servers' rate from others.
-func (d *stagingCoordinator) withdrawWarming() {
+func (d *stagingCoordinator) cancelUnneededPrefetches() {
 	c := d.core
-	for _, warm := range d.sortedWarming() {
-		if d.planner.Holds(warm.machine, []staging.ID{warm.copy}) {
-			delete(d.warmedFor, warm) // the fetch is complete
+	for _, fetch := range d.sortedPrefetches() {
+		if d.planner.Holds(fetch.machine, []staging.ID{fetch.copy}) {
+			delete(d.prefetchJobs, fetch) // the fetch is complete
 			continue
 		}
-		r := c.jobs.byID[d.warmedFor[warm]]
+		r := c.jobs.byID[d.prefetchJobs[fetch]]
 		if r != nil && !r.final() && r.bound+r.finished < r.spec.Tasks {
 			continue
 		}
-		delete(d.warmedFor, warm)
-		if !d.needed(warm) {
-			d.planner.Unwant(c.now, warm.machine, warm.copy)
+		delete(d.prefetchJobs, fetch)
+		if !d.copyNeeded(fetch) {
+			d.planner.Unwant(c.now, fetch.machine, fetch.copy)
 		}
 	}
 }
 
-// sortedWarming are the fetches under way for tasks that are not bound, in a fixed order.
-func (d *stagingCoordinator) sortedWarming() []warmMachine {
-	out := make([]warmMachine, 0, len(d.warmedFor))
-	for warm := range d.warmedFor {
-		out = append(out, warm)
+// sortedPrefetches are the fetches under way for tasks that are not bound, in a fixed order.
+func (d *stagingCoordinator) sortedPrefetches() []prefetch {
+	out := make([]prefetch, 0, len(d.prefetchJobs))
+	for fetch := range d.prefetchJobs {
+		out = append(out, fetch)
 	}
-	slices.SortFunc(out, func(a, b warmMachine) int {
+	slices.SortFunc(out, func(a, b prefetch) int {
 		return cmp.Or(cmp.Compare(a.machine, b.machine), cmp.Compare(a.copy, b.copy))
 	})
 	return out
 }
 
-// needed tells whether a task on the machine reads the copy, or announced work will.
-func (d *stagingCoordinator) needed(warm warmMachine) bool {
-	if m := d.core.machines.byID[warm.machine]; m != nil {
+// copyNeeded tells whether a task on the machine reads the copy, or announced work will.
+func (d *stagingCoordinator) copyNeeded(fetch prefetch) bool {
+	if m := d.core.machines.byID[fetch.machine]; m != nil {
 		for _, r := range m.bound {
-			if slices.Contains(d.copies(r.spec), warm.copy) {
+			if slices.Contains(d.copies(r.spec), fetch.copy) {
 				return true
 			}
 		}
 	}
 	for _, a := range d.announced {
-		if v := d.sets[dataSetName(a.Set, a.Version)]; v != nil && staging.ID(v.CopyID()) == warm.copy {
+		if v := d.sets[dataSetName(a.Set, a.Version)]; v != nil && staging.ID(v.CopyID()) == fetch.copy {
 			return true
 		}
 	}
@@ -329,7 +329,7 @@
 	chosen := staging.Place(d.queueCandidates(r), min(len(r.queue), maxStagedMachines), wait, holds)
 	for _, machine := range chosen {
 		for _, id := range copies {
-			d.warmedFor[warmMachine{machine, id}] = r.spec.ID
+			d.prefetchJobs[prefetch{machine, id}] = r.spec.ID
 			d.planner.Want(c.now, machine, id, stagingClass(r.spec.Priority), r.spec.Team, 0)
 		}
 	}
@@ -348,7 +348,7 @@
 		if c.unschedulable(m) || !c.couldHold(r, m) || !c.zoneAllowed(r, m.claim.Zone) {
 			continue
 		}
-		if free := c.freeIn(r, m); free < staging.Never {
+		if free := c.timeUntilRoom(r, m); free < staging.Never {
 			candidates = append(candidates, staging.Candidate{Machine: m.id, Free: free})
 		}
 	}
--- a/internal/coordination/staging_announcements.go
+++ b/internal/coordination/staging_announcements.go
@@ -15,9 +15,9 @@
 // announcement is the record of work that will come and the data that it will read.
 type announcement struct {
 	protocol.Staging
-	AtMS     int64 `json:"atMs"` // when the copies should be there, in Unix milliseconds
-	revision uint64
-	ending   bool // the record's deletion is under way
+	AtMS             int64 `json:"atMs"` // when the copies should be there, in Unix milliseconds
+	revision         uint64
+	deletionInFlight bool // the record's deletion is under way
 }
 
 // applyStaging takes an announcement's record, or its deletion.
@@ -109,23 +109,23 @@
 // endAnnouncement deletes an announcement's record, if that is up to this controller.
 func (d *stagingCoordinator) endAnnouncement(name string, a *announcement) {
 	c := d.core
-	if a.ending || c.responsibleController(c.cfg.Node) != c.cfg.Node || !c.isLeader() {
+	if a.deletionInFlight || c.responsibleController(c.cfg.Node) != c.cfg.Node || !c.isLeader() {
 		return
 	}
-	a.ending = true
+	a.deletionInFlight = true
 	key := keyStaging + name
 	compares := []protocol.Compare{{Key: key, ModRevision: a.revision}}
 	ops := []protocol.Op{{Delete: key}}
-	c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) { a.ending = false })
+	c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) { a.deletionInFlight = false })
 }
 
 // stageShare has this controller's share of an announcement's copies fetched, once it is
 // time to begin.
-func (d *stagingCoordinator) stageShare(a *announcement, v *protocol.DataSet, by time.Duration) {
+func (d *stagingCoordinator) stageShare(a *announcement, v *protocol.DataSet, neededBy time.Duration) {
 	c := d.core
 	id := staging.ID(v.CopyID())
-	share := d.shareOf(a.Machines)
-	plan := staging.Announcement{Copy: id, By: by, Machines: share}
+	share := d.ownShare(a.Machines)
+	plan := staging.Announcement{Copy: id, By: neededBy, Machines: share}
 	operator := c.cfg.Operator.Staging
 	if c.now < plan.Begin(v.Bytes, operator.RateMBPerS*bytesPerMB, operator.PeerStreams) {
 		return
@@ -140,12 +140,12 @@
 	holds := func(string) bool { return false } // those are no candidates
 	class := stagingClass(protocol.PriorityOf(a.Priority))
 	for _, machine := range staging.Place(candidates, missing+coming, wait, holds) {
-		d.planner.Promise(c.now, machine, id, class, a.Team, by)
+		d.planner.Promise(c.now, machine, id, class, a.Team, neededBy)
 	}
 }
 
-// shareOf is this controller's share of so many machines, rounded up.
-func (d *stagingCoordinator) shareOf(machines int) int {
+// ownShare is this controller's share of so many machines, rounded up.
+func (d *stagingCoordinator) ownShare(machines int) int {
 	c := d.core
 	all := 0
 	for _, n := range c.machines.ownership.machinesByOwner {
--- a/internal/coordination/staging_wait.go
+++ b/internal/coordination/staging_wait.go
@@ -7,9 +7,9 @@
 	"silvergate/internal/staging"
 )
 
-// freeIn is when a machine will have room for a task, as far as the users' estimates
+// timeUntilRoom is when a machine will have room for a task, as far as the users' estimates
 // tell; staging.Never if they don't.
-func (c *Core) freeIn(r *jobRecord, m *machine) time.Duration {
+func (c *Core) timeUntilRoom(r *jobRecord, m *machine) time.Duration {
 	if c.fits(r, m) {
 		return 0
 	}
@@ -88,8 +88,8 @@
 		return free, holder
 	}
 	d.planner.Some(copies[0], func(id string) bool {
-		if m := d.core.machines.byID[id]; m != nil && d.couldServe(r, m) && d.planner.Holds(id, copies) {
-			if at := d.core.freeIn(r, m); at < free {
+		if m := d.core.machines.byID[id]; m != nil && d.mayPlaceOn(r, m) && d.planner.Holds(id, copies) {
+			if at := d.core.timeUntilRoom(r, m); at < free {
 				free, holder = at, id
 			}
 		}
@@ -98,9 +98,9 @@
 	return free, holder
 }
 
-// couldServe tells whether this controller may place a task of the job on the machine
+// mayPlaceOn tells whether this controller may place a task of the job on the machine
 // when there is room.
-func (d *stagingCoordinator) couldServe(r *jobRecord, m *machine) bool {
+func (d *stagingCoordinator) mayPlaceOn(r *jobRecord, m *machine) bool {
 	c := d.core
 	return c.isOwn(m) && !c.unschedulable(m) && c.couldHold(r, m) && c.zoneAllowed(r, m.claim.Zone)
 }
--- a/internal/coordination/step_benchmark_test.go
+++ b/internal/coordination/step_benchmark_test.go
@@ -16,8 +16,8 @@
 //
 //	go test -run XXX -bench Slope -count 5 ./internal/coordination
 
-// heartbeatOf is a heartbeat as the owner of a machine expects it, with so many running tasks.
-func heartbeatOf(c *Core, m *machine, extra int) protocol.Heartbeat {
+// machineHeartbeat is a heartbeat as the owner of a machine expects it, with so many running tasks.
+func machineHeartbeat(c *Core, m *machine, extra int) protocol.Heartbeat {
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
 	for _, k := range m.tasks() {
@@ -32,8 +32,8 @@
 // benchmarkHeartbeats handles a machine's heartbeats with extra attempts that have ended and
 // are not bound there: every response tells it to forget each.
 func benchmarkHeartbeats(b *testing.B, extra int) {
-	s, c, m := grownCore(b)
-	r := heartbeatOf(c, m, extra)
+	s, c, m := largeDeploymentCore(b)
+	r := machineHeartbeat(c, m, extra)
 	clock, id := s.controllers[0].clock(), uint64(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -54,7 +54,7 @@
 
 // BenchmarkSlopeWatchedPage is a page of 128 tasks in which one has changed.
 func BenchmarkSlopeWatchedPage(b *testing.B) {
-	_, c, _ := grownCore(b)
+	_, c, _ := largeDeploymentCore(b)
 	spec := &job.Spec{ID: "wk-888888", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Low, Tasks: 128, CPUs: 1}
 	c.applyJob(spec.ID, encode(storedJob{spec, job.Open, 1, "n0"}), 1)
 	tasks := make([]job.Task, 128)
@@ -76,7 +76,7 @@
 
 // BenchmarkSlopeWatchedClaim is the claim of a machine by another controller, and back.
 func BenchmarkSlopeWatchedClaim(b *testing.B) {
-	_, c, m := grownCore(b)
+	_, c, m := largeDeploymentCore(b)
 	k := m.claim
 	revision := uint64(1 << 40)
 	b.ReportAllocs()
@@ -90,7 +90,7 @@
 // BenchmarkSlopePoll is a status query of a job that is over, BenchmarkSlopeSubmission a job's
 // acceptance up to its transaction.
 func BenchmarkSlopePoll(b *testing.B) {
-	s, c, _ := grownCore(b)
+	s, c, _ := largeDeploymentCore(b)
 	over := ""
 	for _, id := range sortedKeys(c.jobs.byID) {
 		if c.jobs.byID[id].final() {
@@ -112,7 +112,7 @@
 
 // BenchmarkSlopeSubmission reads and checks a submission and hands its transaction to the rate limiter.
 func BenchmarkSlopeSubmission(b *testing.B) {
-	s, c, _ := grownCore(b)
+	s, c, _ := largeDeploymentCore(b)
 	clock, id := s.controllers[0].clock(), uint64(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -128,7 +128,7 @@
 func BenchmarkSlopeTakeover(b *testing.B) {
 	const workers = 1000
 	newCore := func() (*Core, failover.Group) {
-		_, c, m := grownCore(b)
+		_, c, m := largeDeploymentCore(b)
 		k := m.claim
 		k.Owner, k.Incarnation, k.Epoch = "n9", 1, 1
 		var g failover.Group
--- a/internal/coordination/step_cost_test.go
+++ b/internal/coordination/step_cost_test.go
@@ -12,9 +12,9 @@
 	"silvergate/internal/protocol"
 )
 
-// grownCore is a controller of a deployment of hundreds of machines with tasks on
+// largeDeploymentCore is a controller of a deployment of hundreds of machines with tasks on
 // them, and a machine of its own with some.
-func grownCore(t testing.TB) (*sim, *Core, *machine) {
+func largeDeploymentCore(t testing.TB) (*sim, *Core, *machine) {
 	s := grownSim(t, 31)
 	s.loadGrown(80 * time.Second)
 	s.run(60 * time.Second)
@@ -34,7 +34,7 @@
 // TestCostOfAHeartbeat bounds the allocations for a heartbeat in which nothing has
 // changed, at a size at which a sweep over machines or jobs would show.
 func TestCostOfAHeartbeat(t *testing.T) {
-	s, c, m := grownCore(t)
+	s, c, m := largeDeploymentCore(t)
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
 	for _, k := range m.tasks() {
@@ -68,7 +68,7 @@
 // TestCostOfAWatchedChange bounds the allocations for a page in which one task
 // has changed, as every controller reads some twenty of them a second.
 func TestCostOfAWatchedChange(t *testing.T) {
-	_, c, _ := grownCore(t)
+	_, c, _ := largeDeploymentCore(t)
 	var p *page
 	for _, id := range sortedKeys(c.jobs.open) {
 		for _, q := range c.jobs.open[id].pages {
@@ -104,7 +104,7 @@
 // TestCostOfAnIdleTick bounds the allocations for a tick at which nothing is
 // due.
 func TestCostOfAnIdleTick(t *testing.T) {
-	s, c, _ := grownCore(t)
+	s, c, _ := largeDeploymentCore(t)
 	clock := s.controllers[0].clock()
 	c.Tick(clock)
 	if c.sweep.nextAt <= clock.Steady {
@@ -120,7 +120,7 @@
 // TestJobOrderAgreesWithPlainSort compares the maintained order of jobs with one made
 // anew, after jobs have been submitted and finished.
 func TestJobOrderAgreesWithPlainSort(t *testing.T) {
-	s, c, _ := grownCore(t)
+	s, c, _ := largeDeploymentCore(t)
 	for at := 100 * time.Second; at < 130*time.Second; at += 3 * time.Second {
 		s.run(at)
 		c.updateJobOrder()
@@ -144,7 +144,7 @@
 // ever were: of a job that is over only the counts are kept, and a placement that reaches
 // the mirror after the job's end is known all the same.
 func TestMemoryOfJobsThatAreOver(t *testing.T) {
-	s, c, _ := grownCore(t)
+	s, c, _ := largeDeploymentCore(t)
 	s.run(130 * time.Second)
 	over, kept := 0, 0
 	for _, id := range sortedKeys(c.jobs.byID) {
@@ -166,7 +166,7 @@
 	if over < 10 || kept > 0 {
 		t.Errorf("%d jobs are over, %d of their pages kept", over, kept)
 	}
-	_, c, m := grownCore(t)
+	_, c, m := largeDeploymentCore(t)
 	var open *jobRecord
 	for _, id := range sortedKeys(c.jobs.open) {
 		if r := c.jobs.open[id]; r.bound > 1 && len(r.pages) == 1 && r.spec.Shape == job.Array {
