--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -8,10 +8,10 @@
 	"silvergate/internal/ratelimit"
 )
 
-// catalogue holds the cloud's machine types. Submissions can't be judged without them.
+// catalogue holds the cloud's machine types, which are needed to validate submissions.
 type catalogue struct {
 	types           map[string]*protocol.MachineType
-	dueAt           time.Duration
+	dueAt           time.Duration // when to request the machine types again
 	requestInFlight bool
 }
 
@@ -19,19 +19,20 @@
 	return catalogue{types: map[string]*protocol.MachineType{}}
 }
 
-// update takes the machine types that the cloud or the record tells of.
+// update adds or replaces machine types read from the cloud or from the stored record.
 func (g *catalogue) update(types *protocol.MachineTypes) {
 	for _, t := range types.MachineTypes {
 		if known := g.types[t.Name]; known != nil {
-			*known = t // machines point to it
+			*known = t // in place, because machines hold pointers to it
 		} else {
 			g.types[t.Name] = &t
 		}
 	}
 }
 
-// refreshCatalogue reads the machine types from the cloud, on every controller: submissions
-// can't be judged without them.
+// refreshCatalogue reads the machine types from the cloud. Every controller does so, because it
+// can't validate submissions without them; afterwards only the leader and controllers that probe
+// the cloud link repeat it.
 func (c *Core) refreshCatalogue() {
 	c.refillCloudCalls()
 	if c.catalogue.requestInFlight || c.scaler.cloudCalls.tokens < 1 {
--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -9,14 +9,14 @@
 	"silvergate/internal/protocol"
 )
 
-// cloudScanner reads the cloud's list of machines and paces all calls of the cloud.
+// cloudScanner reads the cloud's list of machines and limits the rate of all calls to the cloud.
 type cloudScanner struct {
 	cloudCalls        tokenBucket
-	cloudMachines     map[string]protocol.RentedMachine // by the last whole list
-	cloudScan         map[string]protocol.RentedMachine // the list that is being read
-	cloudScanFrom     string                            // the last machine read of it
+	cloudMachines     map[string]protocol.RentedMachine // the last complete list, by name
+	cloudScan         map[string]protocol.RentedMachine // the list being read, by name
+	cloudScanFrom     string                            // the last machine read of that list; "" at its start
 	cloudScanInFlight bool
-	nextCloudScanAt   time.Duration // when the next whole list is due
+	nextCloudScanAt   time.Duration // when to start reading the next list
 }
 
 func newCloudScanner() cloudScanner {
@@ -26,21 +26,21 @@
 	}
 }
 
-// tokenBucket limits a rate of calls: each takes one of the tokens that level counts.
+// tokenBucket limits a rate of calls: each call takes one token.
 type tokenBucket struct {
-	rate     float64 // tokens a second of a controller that does not lead; 0: not set yet
+	rate     float64 // tokens per second while not the leader; 0 if not set yet
 	tokens   float64
 	filledAt time.Duration
 }
 
-// refill adds the tokens of the time since the last refill, at a rate a second. The bucket
-// holds a second's worth, and one at least.
+// refill adds the tokens for the time since the last refill, at rate tokens per second. The bucket
+// holds the tokens of one second, and at least one.
 func (b *tokenBucket) refill(now time.Duration, rate float64) {
 	b.tokens = min(max(1, rate), b.tokens+rate*(now-b.filledAt).Seconds())
 	b.filledAt = now
 }
 
-// A controller uses a tenth of the cloud's rate, and the fleet's leader seven tenths.
+// A controller uses a tenth of the cloud's request rate, and the fleet leader seven tenths.
 const (
 	cloudRateDivisor  = 10
 	leaderRateFactor  = 7
@@ -48,7 +48,7 @@
 	cloudListPageSize = 500
 )
 
-// refillCloudCalls adds the tokens of the time that has passed.
+// refillCloudCalls refills the token bucket for cloud calls at this controller's share of the rate.
 func (c *Core) refillCloudCalls() {
 	calls := &c.scaler.cloudCalls
 	if calls.rate == 0 {
@@ -57,12 +57,12 @@
 	}
 	rate := calls.rate
 	if c.isLeader() {
-		rate *= leaderRateFactor // the others call only until they know the machine types
+		rate *= leaderRateFactor // other controllers call mainly to learn the machine types
 	}
 	calls.refill(c.now, rate)
 }
 
-// callCloud sends a call to the cloud and takes a token for it. Callers see that there is one.
+// callCloud calls the cloud and takes a token for the call. The caller checks that one is available.
 func (c *Core) callCloud(method, path string, body any, done func(protocol.Reply)) {
 	c.scaler.cloudCalls.tokens--
 	var raw []byte
@@ -75,7 +75,8 @@
 	})
 }
 
-// scanCloud reads the cloud's list, page by page.
+// scanCloud requests the next page of the cloud's list of machines, or starts a new list when one is
+// due. A failed request abandons the list.
 func (c *Core) scanCloud() {
 	f := &c.scaler
 	if f.cloudScanInFlight || f.cloudCalls.tokens < 1 || (f.cloudScanFrom == "" && c.now < f.nextCloudScanAt) {
@@ -105,8 +106,9 @@
 	})
 }
 
-// reconcileCloudList compares a whole list with the records: a failed machine is evidence
-// that its tasks are over, and a machine that nobody uses is a stray.
+// reconcileCloudList compares a complete list with the records. A machine listed as failed is
+// evidence that its tasks have ended; a machine that no controller has claimed by its startup
+// deadline is a stray.
 func (c *Core) reconcileCloudList() {
 	f := &c.scaler
 	for _, id := range sortedKeys(f.cloudMachines) {
@@ -122,21 +124,21 @@
 			f.toDelete[id] = true
 		case m != nil && m.token != 0:
 		case known && c.mirrorFresh() && listed.AgeS > c.startupDeadlineS(machineType):
-			// It never started, or no controller receives its heartbeats.
+			// The machine never started, or no controller receives its heartbeats.
 			f.toDrain[id] = drainStray
 		}
 	}
 }
 
-// startupDeadlineS is how many seconds after it was provisioned a machine must have sent a
-// heartbeat.
+// startupDeadlineS returns the time within which a provisioned machine must send its first
+// heartbeat, in seconds.
 func (c *Core) startupDeadlineS(machineType *protocol.MachineType) float64 {
 	return 4*machineType.StartupS + c.cfg.Facts.Workers.Lease
 }
 
-// mirrorFresh tells whether the mirror can be judged by: it is complete and recent. A machine
-// that nobody seems to hold may have been claimed since, and one whose claim has not been
-// read may be anybody's.
+// mirrorFresh reports whether the mirror is complete and recent enough to base decisions on. In an
+// old mirror a machine that seems unclaimed may have been claimed since, and in an incomplete one
+// its claim may not have been read yet.
 func (c *Core) mirrorFresh() bool {
 	return c.state.Consistent() && c.now-c.state.FreshAt() < seconds(c.cfg.Facts.Workers.Report)
 }
--- a/internal/coordination/fleet_leadership.go
+++ b/internal/coordination/fleet_leadership.go
@@ -10,18 +10,18 @@
 	"silvergate/internal/stateclient"
 )
 
-// fleetScaler provisions and deletes machines, and knows what all controllers report of the zones.
-// One controller at a time changes the fleet: the fleet's leader, under a lease in the state
-// service. A deposed leader can do no harm beyond cost, since names of rentals are never
-// reused and releases need evidence.
+// fleetScaler provisions and deletes machines, and holds what each controller reports about the zones.
+// Only one controller at a time changes the fleet: the fleet leader, which holds a lease in the
+// state service. A former leader that still acts can only cause cost, because rental names are
+// never reused and a task is released only with evidence that it has ended.
 type fleetScaler struct {
 	fleetLeadership
 	cloudScanner
 	rentalState
 	deletionState
 
-	// inherited is how many machines an earlier incarnation of this controller held, at the
-	// most, since we have started.
+	// inherited is the largest number of machines held by an earlier incarnation of this
+	// controller that this incarnation has counted since it started.
 	inherited  int
 	nextPlanAt time.Duration
 	zoneViews  map[string]zoneView // by controller
@@ -38,22 +38,22 @@
 	}
 }
 
-// fleetLeadership is what the record says of the leader, and our own writes of it.
+// fleetLeadership mirrors the leader record and tracks this controller's own writes to it.
 type fleetLeadership struct {
 	leader             string
 	leaderIncarnation  int64
-	leaderRevision     uint64 // of the record; 0: there is none
-	leaderLease        uint64 // under which we last wrote the record
-	leadershipInFlight bool   // the record is being written or deleted by us
+	leaderRevision     uint64 // of the record; 0 if there is no record
+	leaderLease        uint64 // lease under which this controller last wrote the record
+	leadershipInFlight bool   // this controller is writing or deleting the record
 }
 
-// leadership is the record of the fleet's leader.
+// leadership is the stored record that names the fleet leader.
 type leadership struct {
 	Leader      string `json:"o"`
 	Incarnation int64  `json:"l"`
 }
 
-// applyLeadership takes a change of the leader's record; data is nil when it is deleted.
+// applyLeadership applies a change of the leader record; data is nil if the record was deleted.
 func (f *fleetLeadership) applyLeadership(data json.RawMessage, revision uint64) {
 	f.leader, f.leaderIncarnation, f.leaderRevision = "", 0, 0
 	if data != nil {
@@ -64,12 +64,13 @@
 	}
 }
 
-// isLeader tells whether we lead the fleet: the record names this incarnation, and the lease
-// under which it was written is the one that we hold and have renewed in time.
+// isLeader reports whether this controller leads the fleet: the leader record names this
+// incarnation, and this controller still holds the lease under which it wrote the record and
+// has renewed it in time.
 //
-// Guards against a controller that stood still, lost its lease, and got another: its mirror
-// still showed the record that had been deleted with the first one, and for a second or more two
-// controllers took themselves for the leader.
+// The lease check guards against a controller that was paused, lost its lease and got a new one:
+// its mirror still showed the record, which had been deleted with the first lease, and for a
+// second or more two controllers considered themselves the leader.
 func (c *Core) isLeader() bool {
 	f := &c.scaler
 	if f.leaderRevision == 0 || f.leader != c.cfg.Node || f.leaderIncarnation != c.incarnation {
@@ -81,7 +82,8 @@
 	return c.now-c.membership.leaseRenewedAt < c.membership.leaseTTL*9/10
 }
 
-// runFleetScaler takes the lead if nobody has it, and acts while leading.
+// runFleetScaler acquires the leadership if no controller holds it, and scales the fleet while
+// this controller leads. A leader that can't reach the cloud resigns if a peer can.
 func (c *Core) runFleetScaler() {
 	f := &c.scaler
 	if c.links.CloudUnreachable() {
@@ -105,8 +107,8 @@
 	}
 }
 
-// acquireLeadership writes the leader's record, under the lease of our membership, if there
-// is none.
+// acquireLeadership writes the leader record under this controller's membership lease if there
+// is no leader record.
 func (c *Core) acquireLeadership() {
 	f := &c.scaler
 	if f.leaderRevision != 0 || c.membership.lease == 0 || f.leadershipInFlight {
@@ -126,9 +128,9 @@
 		})
 }
 
-// resignLeadership deletes the leader's record if it is ours. Guards against a leader that
-// fails to reach only the cloud: nothing would be provisioned or deleted until that link is
-// mended, with everything else well.
+// resignLeadership deletes the leader record if it names this controller. It guards against a
+// leader that can reach everything except the cloud: no machine would be provisioned or deleted
+// until that link works again.
 func (c *Core) resignLeadership() {
 	f := &c.scaler
 	if f.leaderRevision == 0 || f.leader != c.cfg.Node || f.leadershipInFlight {
@@ -141,7 +143,7 @@
 		func(o stateclient.TxnOutcome, _ []string, _ uint64) {
 			f.leadershipInFlight = false
 			if o == stateclient.Committed {
-				c.log.Info("resigning fleet leadership: the cloud does not answer")
+				c.log.Info("resigned fleet leadership: the cloud does not answer")
 			}
 		})
 }
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -8,8 +8,9 @@
 	"silvergate/internal/protocol"
 )
 
-// planFleet packs the open work onto the machines there are and those that are booting.
-// Machines are provisioned for what does not fit; what is not used is drained after a while.
+// planFleet packs the tasks of open jobs onto the existing machines and those that are booting.
+// It provisions machines for tasks that do not fit, and drains machines that have been unused
+// for a while.
 func (c *Core) planFleet() {
 	p := c.newFleetPlan()
 	p.addMachines()
@@ -25,14 +26,14 @@
 	}
 }
 
-// fleetPlan is one plan of the fleet: it fills a packing with the machines that there are and
-// that boot, and packs the open jobs.
+// fleetPlan is one run of the fleet planner: it adds the existing and the booting machines to a
+// bin packing and packs the open jobs onto them.
 type fleetPlan struct {
 	*binPacking
 	core             *Core
-	known            map[string]bool // machines that have a slot, or a claim
-	unreachableZones map[string]bool // see zoneUnreachable
-	unresponsive     map[string]bool // machines to which no work can be given
+	known            map[string]bool // machines that are claimed or have a slot
+	unreachableZones map[string]bool // zones for which zoneUnreachable holds
+	unresponsive     map[string]bool // machines that a controller reports as unresponsive: they get no work
 	booting          int
 }
 
@@ -59,11 +60,11 @@
 	return p
 }
 
-// unreachableZoneLoad is counted as the machines of an unreachable zone: nothing is provisioned
-// there while there is another way.
+// unreachableZoneLoad is the number of machines that the plan assumes in an unreachable zone, so
+// that it provisions machines there only if no other zone will do.
 const unreachableZoneLoad = 1 << 20
 
-// addMachines adds the machines that are claimed and can be used.
+// addMachines adds the claimed machines that can be used.
 func (p *fleetPlan) addMachines() {
 	c := p.core
 	for id, m := range c.machines.byID {
@@ -75,7 +76,7 @@
 			continue
 		}
 		if p.unreachableZones[m.claim.Zone] || p.unresponsive[id] || c.isOwn(m) && m.leaseExpired {
-			m.unboundSince = c.now // nobody can use it now; it is not idle by choice
+			m.unboundSince = c.now // the machine can't be used now, so this time doesn't count as idle
 			continue
 		}
 		s := p.addSlot(id, offering{m.claim.MachineType, m.claim.Zone, m.claim.Spot})
@@ -88,7 +89,7 @@
 	}
 }
 
-// addCloudMachines adds the machines that the cloud lists and nobody has claimed yet.
+// addCloudMachines adds the machines that the cloud lists and that no controller has claimed yet.
 func (p *fleetPlan) addCloudMachines() {
 	f := &p.core.scaler
 	for id, listed := range f.cloudMachines {
@@ -101,7 +102,8 @@
 	}
 }
 
-// addRentals adds the machines of rentals that are recorded, or answered and not listed yet.
+// addRentals adds the machines of recorded rentals: those that the cloud has not answered yet, and
+// the machines of answered ones that the cloud does not list yet.
 func (p *fleetPlan) addRentals() {
 	for name, r := range p.core.scaler.rentals {
 		for i := 0; i < r.Count; i++ {
@@ -122,7 +124,7 @@
 	}
 }
 
-// packJobs packs the open jobs, most urgent first.
+// packJobs packs the tasks of the open jobs, most urgent job first.
 func (p *fleetPlan) packJobs() {
 	c := p.core
 	uses := map[string]usage{}
@@ -142,19 +144,19 @@
 	}
 }
 
-// tasksToPack is how many tasks of a job are to be packed within its team's limit; uses is
-// what the teams use with what has been packed already.
+// tasksToPack returns how many tasks of a job to pack without exceeding its team's limit. uses
+// holds each team's usage including the tasks packed so far in this plan.
 func (p *fleetPlan) tasksToPack(r *jobRecord, uses map[string]usage) (n int) {
 	c := p.core
 	team := c.jobs.teamOf(r)
-	if team == nil || c.paused(r) { // nothing is provisioned for a job that is not retried now
+	if team == nil || c.paused(r) { // a paused job is not retried now and needs no machines
 		return 0
 	}
 	used, ok := uses[r.spec.Team]
 	if !ok {
 		used = team.charged
 	}
-	// More than two pages' worth at a time need not be planned for.
+	// There is no need to plan for more than two pages of tasks at a time.
 	pending := min(r.spec.Tasks-r.bound-r.finished, 2*c.tasksPerPage())
 	if !isGang(r) {
 		pending = c.failureHistory(r).AtOnce(pending)
@@ -166,7 +168,8 @@
 	return n
 }
 
-// tasksByZone counts the bound tasks in each zone of a job that must be spread, nil for any other.
+// tasksByZone returns the number of bound tasks in each zone for a job that must be spread over
+// zones, and nil for any other job.
 func tasksByZone(r *jobRecord) map[string]int {
 	if !r.spec.Spread {
 		return nil
@@ -176,12 +179,12 @@
 	return counts
 }
 
-// machineSummary tells, for the log, how many machines of each type there are, how many of
-// their GPUs are taken, and how many of those by services.
+// machineSummary returns, for the log, the number of machines of each type, their GPUs in use
+// and in total, and the GPUs in use by services.
 func (c *Core) machineSummary() string {
 	type summary struct {
-		machines                 int
-		gpus, taken, forServices float64
+		machines                int
+		gpus, used, forServices float64
 	}
 	byKind := map[string]*summary{}
 	for id, m := range c.machines.byID {
@@ -201,13 +204,13 @@
 		s := byKind[kind]
 		s.machines++
 		s.gpus += c.machineTypeOf(m).GPUs
-		s.taken += m.gpus
+		s.used += m.gpus
 		s.forServices += m.serviceShare
 	}
 	out := ""
 	for _, kind := range sortedKeys(byKind) {
 		s := byKind[kind]
-		out += fmt.Sprintf("%s:%d %g/%g steady %g; ", kind, s.machines, s.taken, s.gpus, s.forServices)
+		out += fmt.Sprintf("%s:%d %g/%g services %g; ", kind, s.machines, s.used, s.gpus, s.forServices)
 	}
 	return out
 }
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -13,14 +13,14 @@
 	"silvergate/internal/stateclient"
 )
 
-// deletionState is what is known of machines that are to be drained or deleted.
+// deletionState holds the machines to be drained or deleted, and the state of their deletion.
 type deletionState struct {
 	toDelete          map[string]bool
-	deletedAt         map[string]time.Duration // when the deletion was requested
-	deletionConfirmed map[string]bool          // and whether the cloud has confirmed it
-	toDrain           map[string]string        // machines that nobody looks after, with the reason of the drain
+	deletedAt         map[string]time.Duration // when the deletion was last requested
+	deletionConfirmed map[string]bool          // whether the cloud has confirmed that deletion
+	toDrain           map[string]string        // drain reasons of machines without a controller that is up
 	drainInFlight     bool
-	orphanedSince     map[string]time.Duration // since when a machine's owner is down
+	orphanedSince     map[string]time.Duration // since when the machine's owner has been down
 }
 
 func newDeletionState() deletionState {
@@ -33,11 +33,10 @@
 	}
 }
 
-// idleTimeShare is how long a machine may be idle, as a share of the time it
-// took to boot.
+// idleTimeShare is how long a machine may be idle, as a share of the startup time of its type.
 const idleTimeShare = 0.75
 
-// scaleIn drains the machines that have been idle for long enough.
+// scaleIn drains the machines that have been idle beyond their limit and hold no unshipped output.
 func (c *Core) scaleIn(slots []*slot) {
 	for _, s := range slots {
 		m := c.machines.byID[s.id]
@@ -50,21 +49,20 @@
 		}
 		idleLimit := seconds(idleTimeShare * c.machineTypeOf(m).StartupS)
 		if c.now-m.unboundSince > idleLimit && !c.scaler.unshipped.holds(m.id) {
-			// A leader that was replaced drains nothing.
+			// The condition on the leader record keeps a replaced leader from draining machines.
 			c.drainMachine(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.scaler.leaderRevision})
 		}
 	}
 }
 
-// deleteMachines deletes machines: drained ones once nothing is bound to them,
-// silent and lost ones at once. The cloud's 200 is the evidence that
-// whatever ran on them has ended.
+// deleteMachines deletes drained machines: those drained as silent, stray, lost or failed at once, the
+// others once nothing is bound to them. The cloud's 200 response is the evidence that whatever ran
+// on them has ended.
 //
-// The fence: no deletion is requested but of a machine that the cloud lists as failed, or
-// whose drain is on record. Every placement is conditional on the absence of a drain, and
-// only a confirmed deletion lets the record go. So a deletion that is carried out late,
-// after its sender was replaced and forgotten, hits a machine on which nothing was placed
-// since it was requested.
+// Deletions are fenced: the leader requests the deletion only of machines that the cloud lists as
+// failed or that have a drain record. Every placement is conditional on the absence of a drain
+// record, and only a confirmed deletion removes that record. So if the cloud carries out a deletion
+// late, after its sender was replaced, nothing has been placed on the machine since the request.
 func (c *Core) deleteMachines() {
 	c.collectDrained()
 	for _, id := range c.unattendedMachines() {
@@ -77,7 +75,8 @@
 	c.requestDeletions()
 }
 
-// collectDrained has drained machines deleted that hold nothing, or that are beyond use.
+// collectDrained marks for deletion the drained machines that have no bound tasks, that are not
+// claimed, or whose drain reason means that they can't be used any more.
 func (c *Core) collectDrained() {
 	for id, drain := range c.machines.drains {
 		m := c.machines.byID[id]
@@ -89,8 +88,8 @@
 	}
 }
 
-// unattendedMachines lists, by name, the machines that no controller which is up looks after
-// and those whose deletion was requested: few, as a rule.
+// unattendedMachines returns, sorted by name, the machines without an owner that is up and those
+// whose deletion was requested. There are usually few.
 func (c *Core) unattendedMachines() (ids []string) {
 	f := &c.scaler
 	for id, m := range c.machines.byID {
@@ -105,14 +104,13 @@
 	return ids
 }
 
-// checkUnattended drops the records of a machine that is deleted, and has one drained that
-// nobody looks after.
+// checkUnattended deletes the records of a deleted machine, and marks for draining a machine that
+// has no owner but bound tasks, or whose owner has been down for too long.
 func (c *Core) checkUnattended(id string) {
 	f := &c.scaler
 	m := c.machines.byID[id]
 	if f.deletedSince(id, c.now-c.deletionRetryAfter()) && (m.token != 0 || len(m.bound) > 0) {
-		// Releases that failed are proposed again, and the records go once
-		// nothing is bound any more.
+		// Propose releases that failed again, and delete the records once nothing is bound.
 		c.releaseMachineTasks(id)
 		c.dropMachineRecords(id)
 		return
@@ -120,13 +118,13 @@
 	if !c.mirrorFresh() {
 		return
 	}
-	// Guards against tasks bound for ever: whoever deleted the machine
-	// may have died before their release was committed.
+	// Guards against tasks that stay bound forever: the controller that deleted the machine may
+	// have crashed before it committed their release.
 	if m.token == 0 && len(m.bound) > 0 {
 		f.toDrain[id] = drainStray
 		return
 	}
-	if m.token == 0 || c.alive(m.claim.Owner) { // an owner that is up looks after them itself
+	if m.token == 0 || c.alive(m.claim.Owner) { // an owner that is up handles its own machines
 		delete(f.orphanedSince, id)
 		return
 	}
@@ -134,28 +132,29 @@
 		f.orphanedSince[id] = c.now
 		return
 	}
-	// A controller that is only cut off redirects its workers when its cancellation
-	// horizon is reached; what has not moved by then is lost.
+	// A controller that is only cut off redirects its workers once its cancellation horizon is
+	// reached. A machine that no other controller has claimed by then is lost.
 	if c.now-f.orphanedSince[id] > c.cancelHorizon()+seconds(3*c.cfg.Facts.Workers.Report) {
 		f.toDrain[id] = drainLost
 	}
 }
 
-// deletedSince tells whether a machine's deletion was requested after a time and has been
-// confirmed.
+// deletedSince reports whether the machine's deletion was requested after the time since and the
+// cloud has confirmed it.
 func (d *deletionState) deletedSince(id string, since time.Duration) bool {
 	at, deleted := d.deletedAt[id]
 	return deleted && d.deletionConfirmed[id] && at > since
 }
 
-// deletionRetryAfter is how long after a deletion was requested it may be requested again:
-// twice the time by which the cloud's list may lag.
+// deletionRetryAfter returns the time after which a deletion may be requested again: twice the
+// lag of the cloud's list.
 func (c *Core) deletionRetryAfter() time.Duration { return seconds(2 * c.cfg.Facts.Cloud.ListLag) }
 
-// maxDeletionCount bounds the machines of one request.
+// maxDeletionCount is the maximum number of machines in one deletion request.
 const maxDeletionCount = 100
 
-// requestDeletions has the cloud delete the machines that are to be deleted.
+// requestDeletions asks the cloud to delete the machines in toDelete, except those whose deletion
+// was requested only recently.
 func (c *Core) requestDeletions() {
 	f := &c.scaler
 	var names []string
@@ -173,7 +172,7 @@
 		return
 	}
 	for _, id := range names {
-		f.deletedAt[id] = c.now // not again while this is under way
+		f.deletedAt[id] = c.now // prevents another request while this one is in flight
 		delete(f.deletionConfirmed, id)
 	}
 	c.callCloud(http.MethodPost, protocol.PathRentalsDelete, protocol.MachineNames{Machines: names}, func(r protocol.Reply) {
@@ -181,7 +180,8 @@
 	})
 }
 
-// handleDeletionReply takes the cloud's answer to a request for deletions.
+// handleDeletionReply handles the cloud's reply to a deletion request. A failed request is repeated;
+// a confirmed one releases the tasks of the machines and deletes their records.
 func (c *Core) handleDeletionReply(names []string, r protocol.Reply) {
 	f := &c.scaler
 	if r.Status != http.StatusOK {
@@ -192,7 +192,7 @@
 		return
 	}
 	c.Stats.MachinesDeleted += uint64(len(names))
-	c.log.Info("machines returned", "machines", names)
+	c.log.Info("deleted machines", "machines", names)
 	for _, id := range names {
 		f.deletionConfirmed[id] = true
 		c.releaseMachineTasks(id)
@@ -200,10 +200,10 @@
 	}
 }
 
-// drainUnheldMachines writes the drains of machines that are to be deleted and that nobody
-// looks after, as many in a transaction as it takes: conditional on our leadership, so that a
-// leader that was replaced drains nothing, and on their claims, so that what has been
-// claimed since is left alone.
+// drainUnheldMachines writes drain records for the machines in toDrain, which no controller that is
+// up owns, as many as fit in one transaction. The transaction is conditional on the leader record,
+// so that a replaced leader drains nothing, and on the machines' claims, so that a machine that has
+// been claimed in the meantime is not drained.
 func (c *Core) drainUnheldMachines() {
 	f := &c.scaler
 	c.dropObsoleteDrains()
@@ -231,14 +231,14 @@
 	})
 }
 
-// maxComparesPerOp bounds the conditions of a transaction, as a multiple of the changes that it
-// may have.
+// maxComparesPerOp is the maximum number of conditions in a transaction per change that it may hold.
 const maxComparesPerOp = 4
 
-// dropObsoleteDrains forgets drains that are on record by now, or whose reason holds no more.
+// dropObsoleteDrains removes from toDrain the machines that already have a drain record, or whose
+// reason for the drain no longer holds.
 //
-// Guards against a judgement that waits for the rate limit while the machine sends a
-// heartbeat and is claimed: conditional on that claim, the drain would be written all the same.
+// It guards against a drain that waits for the rate limit while the machine sends a heartbeat and
+// is claimed: the drain would then be conditional on the new claim and would be written anyway.
 func (c *Core) dropObsoleteDrains() {
 	toDrain := c.scaler.toDrain
 	for id, reason := range toDrain {
@@ -251,15 +251,15 @@
 	}
 }
 
-// handleDrainOutcome takes what came of a transaction that writes drains. What is not on
-// record then is tried again, unless a condition on it failed.
+// handleDrainOutcome handles the outcome of a transaction that writes drain records. Drains that
+// were not written are retried, except those for which a condition failed.
 func (c *Core) handleDrainOutcome(ops []protocol.Op, outcome stateclient.TxnOutcome, failed []string) {
 	c.scaler.drainInFlight = false
 	switch outcome {
 	case stateclient.Committed:
 		for _, op := range ops {
 			id := strings.TrimPrefix(op.Put, keyDrain)
-			c.log.Info("draining a machine that nobody holds", "machine", id, "reason", c.machines.drains[id].Reason)
+			c.log.Info("draining a machine that no live controller holds", "machine", id, "reason", c.machines.drains[id].Reason)
 		}
 	case stateclient.Conflict:
 		for _, key := range failed {
@@ -268,18 +268,18 @@
 	}
 }
 
-// drainSettled tells whether the mirror shows everything that is placed on a drained machine.
-// Placements are conditional on the absence of the drain, so what there is was committed
-// before it, and the mirror has reached the drain's revision.
+// drainSettled reports whether the mirror shows every task placed on a drained machine. Placements
+// are conditional on the absence of a drain record, so all of them were committed before the drain,
+// and the mirror shows them once it has applied all changes up to the drain's revision.
 //
-// Guards against a deletion that overtakes the records: our own drain is in the mirror with its answer, ahead of
-// what others had placed there before it.
+// It guards against deleting a machine too early: the mirror shows this controller's own drain as
+// soon as the transaction is answered, before the watch has delivered earlier placements by others.
 func (c *Core) drainSettled(id string) bool {
 	return c.state.AppliedRevision() >= c.state.ModRevision(keyDrain+id)
 }
 
-// releaseMachineTasks proposes the release of everything on a machine of which the cloud
-// has confirmed that it is deleted.
+// releaseMachineTasks proposes the release of every task on a machine that the cloud has confirmed
+// as deleted or lists as failed.
 func (c *Core) releaseMachineTasks(id string) {
 	m := c.machines.byID[id]
 	if m == nil {
@@ -294,7 +294,7 @@
 	}
 }
 
-// dropMachineRecords deletes the claim and the drain of a deleted machine, once nothing is
+// dropMachineRecords deletes the claim and the drain record of a deleted machine once no task is
 // bound to it.
 func (c *Core) dropMachineRecords(id string) {
 	if m := c.machines.byID[id]; m != nil && (len(m.bound) > 0 || m.dropRetryAt > c.now) {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -12,14 +12,14 @@
 	"silvergate/internal/ratelimit"
 )
 
-// offering is what the cloud provides: machines of a type in a zone, spot or on demand.
+// offering is a kind of machine that the cloud offers: a machine type in a zone, spot or on demand.
 type offering struct {
 	machineType string
 	zone        string
 	spot        bool
 }
 
-// price is what a machine of the offering costs.
+// price returns the price of one machine of the offering; t is its machine type.
 func (o offering) price(t *protocol.MachineType) float64 {
 	if o.spot {
 		return t.SpotPrice
@@ -27,12 +27,12 @@
 	return t.OnDemandPrice
 }
 
-// rentalState is what is known of rentals and of the cloud's refusals.
+// rentalState mirrors the rental records and tracks the cloud's refusals.
 type rentalState struct {
-	rentals        map[string]*rental         // by the name of the request
-	rentalSequence int                        // of the last request that we have named
-	refusedUntil   map[offering]time.Duration // no capacity: not to be requested before
-	refusals       map[offering]int           // in a row
+	rentals        map[string]*rental         // by request name
+	rentalSequence int                        // number in the name of this controller's last request
+	refusedUntil   map[offering]time.Duration // offerings without capacity: not to be requested before
+	refusals       map[offering]int           // consecutive refusals
 }
 
 func newRentalState() rentalState {
@@ -43,8 +43,8 @@
 	}
 }
 
-// rental is the record of a request for machines. It is written before the request is sent,
-// so that whoever leads next sends the same request again instead of a new one.
+// rental is the stored record of a request for machines. The leader writes it before it sends the
+// request, so that the next leader repeats the same request instead of sending a new one.
 type rental struct {
 	MachineType   string        `json:"t"`
 	Zone          string        `json:"z"`
@@ -52,16 +52,16 @@
 	Count         int           `json:"n"`
 	RequestedAtMS int64         `json:"at"`
 	Machines      []string      `json:"names,omitempty"`
-	inFlight      bool          // the request is being sent, or the record deleted
-	retryAt       time.Duration // the request is not to be sent before
+	inFlight      bool          // the request is being sent, or the record is being deleted
+	retryAt       time.Duration // earliest time to send the request again
 }
 
 func (r *rental) offering() offering { return offering{r.MachineType, r.Zone, r.Spot} }
 
-// maxRentalCount is the most machines that a request may have (PROTOCOL).
+// maxRentalCount is the maximum number of machines in a request (PROTOCOL).
 const maxRentalCount = 50
 
-// applyRental takes a change of a rental's record; data is nil when it is deleted.
+// applyRental applies a change of a rental record; data is nil if the record was deleted.
 func (f *rentalState) applyRental(name string, data json.RawMessage) {
 	if data == nil {
 		delete(f.rentals, name)
@@ -76,13 +76,13 @@
 	_ = protocol.Decode(data, r)
 }
 
-// scaleOut records new rentals, those that production work waits for ahead of other
-// changes; sendRentals sends them once recorded.
+// scaleOut records new rentals; sendRentals sends them once they are recorded. Records of rentals
+// that production work waits for take precedence over other changes.
 func (c *Core) scaleOut(toRent map[offering]int, urgent map[offering]bool) {
 	f := &c.scaler
 	offerings := sortedOfferings(toRent)
-	// As many requests as the cloud takes until about the next plan, in rounds
-	// over the offerings; what it refuses costs a call and two changes each.
+	// As many requests as the cloud accepts until about the next plan, in rounds over the
+	// offerings. Each refused request costs a call and two changes of records.
 	calls := max(len(offerings), int(f.cloudCalls.rate*leaderRateFactor*1.5))
 	unanswered := f.unansweredOfferings()
 	offerings = slices.DeleteFunc(offerings, func(offer offering) bool { return unanswered[offer] || f.leadershipInFlight })
@@ -96,13 +96,13 @@
 			if toRent[offer] -= maxRentalCount; toRent[offer] > 0 {
 				remaining = append(remaining, offer)
 			}
-			f.refusedUntil[offer] = max(f.refusedUntil[offer], c.now+time.Second) // until the record shows
+			f.refusedUntil[offer] = max(f.refusedUntil[offer], c.now+time.Second) // until the mirror shows the record
 		}
 		offerings = remaining
 	}
 }
 
-// sortedOfferings lists offerings by machine type and zone, on demand before spot.
+// sortedOfferings returns the offerings sorted by machine type and zone, on demand before spot.
 func sortedOfferings(toRent map[offering]int) (offerings []offering) {
 	for offer := range toRent {
 		offerings = append(offerings, offer)
@@ -117,7 +117,7 @@
 	return offerings
 }
 
-// unansweredOfferings are those of rentals that the cloud has not answered yet.
+// unansweredOfferings returns the offerings of the rentals that the cloud has not answered yet.
 func (f *rentalState) unansweredOfferings() map[offering]bool {
 	unanswered := map[offering]bool{}
 	for _, r := range f.rentals {
@@ -128,11 +128,11 @@
 	return unanswered
 }
 
-// recordRental writes the record of a rental, on the condition that we still lead.
+// recordRental writes the record of a rental, on the condition that this controller still leads.
 func (c *Core) recordRental(offer offering, count int, urgent bool) {
 	f := &c.scaler
 	f.rentalSequence++
-	// The revision of the leader's record never comes again, so neither does the name.
+	// A revision of the leader record is never reused, so the name is unique too.
 	name := "r-" + strconv.FormatUint(f.leaderRevision, 10) + "-" + strconv.Itoa(f.rentalSequence)
 	record := encode(rental{
 		MachineType:   offer.machineType,
@@ -151,7 +151,8 @@
 		ignoreOutcome)
 }
 
-// sendRentals sends recorded requests until each has got an answer.
+// sendRentals sends each recorded request, repeatedly until the cloud has answered it, and settles
+// the answered ones.
 func (c *Core) sendRentals() {
 	f := &c.scaler
 	for _, name := range sortedKeys(f.rentals) {
@@ -169,7 +170,8 @@
 	}
 }
 
-// handleRentalReply takes the cloud's answer to a request for machines.
+// handleRentalReply handles the cloud's reply to a request for machines. Requests that fail for a
+// reason other than a lack of capacity or a malformed request are retried.
 func (c *Core) handleRentalReply(name string, r *rental, reply protocol.Reply) {
 	r.inFlight = false
 	var rented protocol.MachineNames
@@ -180,14 +182,14 @@
 		c.backOffOffering(r.offering())
 		c.dropRental(name)
 	case reply.Status == http.StatusBadRequest:
-		c.log.Error("the cloud refused a rental as malformed", "rental", name)
+		c.log.Error("the cloud rejected a rental request as malformed", "rental", name)
 		c.dropRental(name)
 	default:
 		r.retryAt = c.now + time.Second
 	}
 }
 
-// recordRented adds the names of the machines that the cloud has provisioned to the record.
+// recordRented adds the names of the machines that the cloud has provisioned to the rental record.
 func (c *Core) recordRented(name string, r *rental, machines []string) {
 	c.Stats.MachinesRented += uint64(len(machines))
 	c.log.Info("rented", "rental", name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", machines)
@@ -207,29 +209,30 @@
 		ignoreOutcome)
 }
 
-// isTransientCloudError tells whether the cloud refused a request for another reason than a
-// lack of capacity.
+// isTransientCloudError reports whether the cloud refused a request for a reason other than a lack
+// of capacity.
 func isTransientCloudError(body []byte) bool {
 	var p protocol.ErrorResponse
 	return protocol.Decode(body, &p) != nil || p.Error != "no capacity"
 }
 
-// maxRefusalBackoff bounds how long an offering is left alone, as a multiple of two
-// heartbeat periods.
+// maxRefusalBackoff is the maximum backoff for a refused offering, in units of two heartbeat periods.
 const maxRefusalBackoff = 5
 
-// backOff leaves an offering alone from now on for as many periods as it was refused in a row.
+// backOff bars requests for an offering for as many periods as it was refused consecutively, up to
+// maxRefusalBackoff.
 func (f *rentalState) backOff(offer offering, now, period time.Duration) {
 	f.refusals[offer]++
 	f.refusedUntil[offer] = now + period*time.Duration(min(f.refusals[offer], maxRefusalBackoff))
 }
 
-// backOffOffering leaves an offering alone that the cloud has refused.
+// backOffOffering bars requests for an offering for a while after the cloud refused it, wholly or
+// in part.
 func (c *Core) backOffOffering(offer offering) {
 	c.scaler.backOff(offer, c.now, seconds(2*c.cfg.Facts.Workers.Report))
 }
 
-// dropRental deletes a rental's record.
+// dropRental deletes a rental record.
 func (c *Core) dropRental(name string) {
 	c.state.Txn(ratelimit.OtherWork,
 		[]protocol.Compare{{Key: keyRental + name, ModRevision: c.state.ModRevision(keyRental + name)}},
@@ -237,8 +240,8 @@
 		ignoreOutcome)
 }
 
-// settleRental drops a rental's record once its machines have all sent a heartbeat, been
-// deleted, or been given up.
+// settleRental deletes an answered rental's record once each of its machines has sent a heartbeat
+// or been deleted. Machines past their startup deadline are marked for draining as strays.
 func (c *Core) settleRental(name string, r *rental) {
 	machineType := c.catalogue.types[r.MachineType]
 	if machineType == nil {
@@ -262,7 +265,8 @@
 	}
 }
 
-// awaitsFirstHeartbeat tells whether a provisioned machine has yet to send a heartbeat.
+// awaitsFirstHeartbeat reports whether a provisioned machine has not been claimed yet, which happens
+// with its first heartbeat, and its deletion has not been requested.
 func (c *Core) awaitsFirstHeartbeat(id string) bool {
 	if _, deleted := c.scaler.deletedAt[id]; deleted {
 		return false
