--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -57,7 +57,7 @@
 	}
 	rate := calls.rate
 	if c.isLeader() {
-		rate *= leaderRateFactor // other controllers call mainly to learn the machine types
+		rate *= leaderRateFactor // other controllers call only for the machine types, or to probe the cloud
 	}
 	calls.refill(c.now, rate)
 }
--- a/internal/coordination/data_sets.go
+++ b/internal/coordination/data_sets.go
@@ -12,8 +12,8 @@
 	"silvergate/internal/stateclient"
 )
 
-// route answers requests about data sets; false if path is none of them, or the site has
-// no data sets.
+// route handles requests about data sets and stagings. It returns false if the path is of another
+// kind or the site has no data sets.
 func (d *stagingCoordinator) route(id uint64, method, path string, body []byte) bool {
 	path, query, _ := strings.Cut(path, "?")
 	if d == nil || path != protocol.PathDataSets && path != protocol.PathStagings {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// list is a page of the registered versions, from the one after from.
+// list returns a page of the registered versions, sorted by name, starting after the name from.
 func (d *stagingCoordinator) list(from string) protocol.DataSetPage {
 	names, more := namesAfter(d.sets, from, func(*protocol.DataSet) bool { return true })
 	out := protocol.DataSetPage{DataSets: []protocol.DataSet{}, Truncated: more}
@@ -46,8 +46,8 @@
 	return out
 }
 
-// register handles the registration of a data set's version. Versions never change: the
-// same one again is known, another one of its name is refused.
+// register handles the registration of a data set's version. Versions never change: registering the
+// same data again returns the existing version, and other data under the same name is refused.
 func (d *stagingCoordinator) register(id uint64, body []byte) {
 	c := d.core
 	s := &protocol.DataSet{}
@@ -81,8 +81,8 @@
 	})
 }
 
-// respondRegistered answers a registration by the version's record, if that is the same
-// data as wanted.
+// respondRegistered answers a registration with the version's record if that has the wanted digest,
+// and with a conflict if it has another.
 func (d *stagingCoordinator) respondRegistered(id uint64, status int, wanted *protocol.DataSet) {
 	c := d.core
 	switch v := d.sets[dataSetName(wanted.Set, wanted.Version)]; {
--- a/internal/coordination/image_fetch.go
+++ b/internal/coordination/image_fetch.go
@@ -4,13 +4,13 @@
 	"silvergate/internal/job"
 )
 
-// fetchTime is how long a task would wait for its image and its inputs on a
-// machine, in seconds. Fetches of images under way share the machine's rate.
+// fetchTime returns how long a task would wait for its image and its inputs on a machine, in
+// seconds. Concurrent image pulls share the machine's bandwidth.
 func (c *Core) fetchTime(s *job.Spec, m *machine) float64 {
 	return max(c.imageTime(s, m), c.staging.expectedWait(s, m))
 }
 
-// imageTime is how long a task would wait for its image on a machine, in seconds.
+// imageTime returns how long a task would wait for its image on a machine, in seconds.
 func (c *Core) imageTime(s *job.Spec, m *machine) float64 {
 	machineType := c.machineTypeOf(m)
 	if at, ok := m.imageReadyAt[s.Image]; ok {
@@ -28,7 +28,7 @@
 	return pulls * s.ImageGB / machineType.ImagePullGBPerS
 }
 
-// recordImagePull records when a machine will have an image that it pulls from now on.
+// recordImagePull records when a machine will have an image that it starts to pull now.
 func (c *Core) recordImagePull(m *machine, s *job.Spec) {
 	if _, ok := m.imageReadyAt[s.Image]; !ok {
 		m.imageReadyAt[s.Image] = c.now + seconds(c.imageTime(s, m))
--- a/internal/coordination/pagecodec/pagecodec.go
+++ b/internal/coordination/pagecodec/pagecodec.go
@@ -1,18 +1,18 @@
-// Package pagecodec encodes pages: runs of a job's tasks that the state service keeps under
-// one key. It has no state and does no I/O.
+// Package pagecodec encodes and decodes pages: runs of consecutive tasks of a job that the state
+// service stores under one key. It has no state and does no I/O.
 //
 // The compact form is one JSON string with an entry for each task, separated by spaces:
 //
 //	p<attempt>                    pending; a task that was never started is p0
-//	b<attempt>/<machine>/<epoch>  bound to a machine, under an epoch of its agent
+//	b<attempt>/<machine>/<epoch>  bound to a machine, under an epoch of the machine's agent
 //	d<attempt>                    finished
 //
-// followed by !<failures> if the task has failed, and by *<count> if the next tasks are the
-// same. It takes a third of the bytes of a JSON list, and its reader need not build the
-// tasks that did not change.
+// followed by !<failures> if the task has failed, and by *<count> if that many consecutive tasks
+// are equal. The compact form takes a third of the bytes of a JSON list, and a reader need not
+// build the tasks that did not change.
 //
-// Earlier versions wrote a JSON list of objects. That form is still read, and it is written
-// as long as a controller of such a version may be running.
+// Earlier versions wrote a JSON list of objects. Decode still reads that form, and controllers
+// write it as long as a controller of such a version may be running.
 package pagecodec
 
 import (
@@ -25,33 +25,33 @@
 	"silvergate/internal/protocol"
 )
 
-// ErrMalformed is returned for data that is not a page in the compact form.
+// ErrMalformed is the error for data that is neither a JSON list nor a page in the compact form.
 var ErrMalformed = errors.New("not a page of tasks")
 
-// Kinds of entries, and the prefixes of their further parts.
+// The kinds of entries, and the prefixes of the parts that follow the attempt.
 const (
 	kindPending  = 'p'
 	kindBound    = 'b'
 	kindFinished = 'd'
 
-	prefixMachine  = '/' // also in front of the epoch
+	prefixMachine  = '/' // also precedes the epoch
 	prefixFailures = '!'
 	prefixCount    = '*'
 )
 
-// entryBytes is about what an entry takes in the compact form.
+// entryBytes is the approximate length of an entry in the compact form.
 const entryBytes = 16
 
-// maxDigits is the length up to which a number cannot overflow 64 bits.
+// maxDigits is the maximum number of digits with which a number cannot overflow 64 bits.
 const maxDigits = 19
 
-// Change is a task that differs from what it was.
+// Change is the new state of a task that differs from its old state.
 type Change struct {
 	Index int // in the page
 	Task  job.Task
 }
 
-// EncodeList encodes a page as a JSON list, the form of earlier versions.
+// EncodeList encodes a page as a JSON list, the form that earlier versions read and write.
 func EncodeList(tasks []job.Task) json.RawMessage { return protocol.Encode(tasks) }
 
 // EncodeCompact encodes a page in the compact form.
@@ -73,7 +73,7 @@
 	return append(buf, '"')
 }
 
-// countEqual returns how many tasks at the start of tasks are the same.
+// countEqual returns the number of tasks at the start of tasks that are equal to the first.
 func countEqual(tasks []job.Task) int {
 	n := 1
 	for n < len(tasks) && tasks[n] == tasks[0] {
@@ -106,9 +106,9 @@
 	return buf
 }
 
-// Decode decodes a page of either form and appends to changes what differs from old, in the
-// order of the tasks. Tasks that the page does not name were never started; tasks beyond the
-// length of old are ignored. Callers reuse the memory of changes.
+// Decode decodes a page of either form and appends to changes the tasks that differ from old, in
+// the order of the tasks. Tasks of old beyond the end of the page were never started; tasks of the
+// page beyond the length of old are ignored. Callers can reuse the memory of changes.
 func Decode(data []byte, old []job.Task, changes []Change) ([]Change, error) {
 	if len(data) > 0 && data[0] == '[' {
 		return decodeList(data, old, changes)
@@ -116,7 +116,7 @@
 	return decodeCompact(data, old, changes)
 }
 
-// decodeList decodes a page that an earlier version wrote.
+// decodeList decodes a page in the JSON form of earlier versions.
 func decodeList(data []byte, old []job.Task, changes []Change) ([]Change, error) {
 	var tasks []job.Task
 	if err := protocol.DecodeState(data, &tasks); err != nil {
@@ -156,7 +156,8 @@
 	return appendUnstarted(index, old, changes), nil
 }
 
-// isPlainString reports whether data is a JSON string without escapes, by its ends.
+// isPlainString reports whether data looks like a JSON string without escapes: it starts and ends
+// with a quote and contains no backslash.
 func isPlainString(data []byte) bool {
 	if len(data) < 2 || data[0] != '"' || data[len(data)-1] != '"' {
 		return false
@@ -164,7 +165,8 @@
 	return bytes.IndexByte(data, '\\') < 0
 }
 
-// appendUnstarted appends that the tasks from index on were never started.
+// appendUnstarted appends a change to the never-started state for each task from index on that is
+// not already in it.
 func appendUnstarted(index int, old []job.Task, changes []Change) []Change {
 	for ; index < len(old); index++ {
 		if old[index] != (job.Task{}) {
@@ -174,21 +176,21 @@
 	return changes
 }
 
-// entry is a decoded entry. The machine's name stays in the page's bytes until the task is
-// known to differ: most tasks don't, and each string would be an allocation.
+// entry is a decoded entry. The machine name remains a slice of the page's bytes until the task is
+// known to differ: most tasks don't differ, and each string would cost an allocation.
 type entry struct {
 	task    job.Task // without its machine
 	machine []byte
-	count   int // of tasks that are the same
+	count   int // number of equal tasks
 }
 
-// equals reports whether task is what the entry says.
+// equals reports whether task equals the task of the entry.
 func (e *entry) equals(task *job.Task) bool {
 	return task.Phase == e.task.Phase && task.Attempt == e.task.Attempt && task.Epoch == e.task.Epoch &&
 		task.Failures == e.task.Failures && task.Machine == string(e.machine)
 }
 
-// decode decodes one entry in place of what e held.
+// decode decodes the text of one entry into e.
 func (e *entry) decode(text []byte) error {
 	if len(text) < 2 {
 		return ErrMalformed
@@ -219,13 +221,13 @@
 	return nil
 }
 
-// scanner takes an entry apart.
+// scanner reads the parts of an entry one after the other.
 type scanner struct {
 	rest      []byte
-	malformed bool // something that had to be there was not
+	malformed bool // a required part was missing or too long
 }
 
-// number takes a decimal number.
+// number reads a decimal number.
 func (s *scanner) number() uint64 {
 	value := uint64(0)
 	digits := 0
@@ -242,7 +244,7 @@
 
 func isDigit(b byte) bool { return b >= '0' && b <= '9' }
 
-// machine takes the name of a machine with the separators around it.
+// machine reads a machine name and the separators around it.
 func (s *scanner) machine() []byte {
 	if !s.skip(prefixMachine) {
 		s.malformed = true
@@ -258,7 +260,7 @@
 	return name
 }
 
-// skip takes a prefix and reports whether it was there.
+// skip reads a prefix if it comes next, and reports whether it did.
 func (s *scanner) skip(prefix byte) bool {
 	if len(s.rest) == 0 || s.rest[0] != prefix {
 		return false
--- a/internal/coordination/pagecodec/pagecodec_test.go
+++ b/internal/coordination/pagecodec/pagecodec_test.go
@@ -11,7 +11,7 @@
 	"silvergate/internal/job"
 )
 
-// randomTasks draws count tasks of all phases, some of them equal to the one before.
+// randomTasks returns count random tasks of all phases, some of them equal to the one before.
 func randomTasks(t *rapid.T, count int) []job.Task {
 	tasks := make([]job.Task, count)
 	for i := range tasks {
@@ -33,7 +33,7 @@
 	return tasks
 }
 
-// applyChanges is old with the changes.
+// applyChanges returns a copy of old with the changes applied.
 func applyChanges(old []job.Task, changes []Change) []job.Task {
 	out := slices.Clone(old)
 	for _, change := range changes {
@@ -42,9 +42,9 @@
 	return out
 }
 
-// TestPagesAgreeWithLists checks the compact pages against the plain lists of
-// earlier versions: from any earlier state both lead to the same tasks, and
-// both are JSON.
+// TestPagesAgreeWithLists checks the compact form against the JSON lists of earlier versions:
+// decoded against the same random old tasks, both give the same changes, and applying these gives
+// the encoded tasks. A compact page is valid JSON.
 func TestPagesAgreeWithLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 20).Draw(t, "tasks")
@@ -57,7 +57,7 @@
 		}
 		page := EncodeCompact(tasks)
 		if !json.Valid(page) {
-			t.Fatalf("%s is no JSON", page)
+			t.Fatalf("%s is not valid JSON", page)
 		}
 		compact, err := Decode(page, old, nil)
 		if err != nil {
@@ -68,17 +68,17 @@
 			t.Fatal(err)
 		}
 		if !slices.Equal(compact, list) || !slices.Equal(applyChanges(old, compact), tasks) {
-			t.Fatalf("%s: %v, the list says %v", page, compact, list)
+			t.Fatalf("%s: decoded as %v, the JSON list as %v", page, compact, list)
 		}
 		for _, change := range compact {
 			if old[change.Index] == tasks[change.Index] {
-				t.Fatalf("task %d did not change", change.Index)
+				t.Fatalf("task %d is reported as changed but did not change", change.Index)
 			}
 		}
 	})
 }
 
-// TestEncodeCompact freezes the compact form of each kind of entry.
+// TestEncodeCompact pins the compact form of each kind of entry.
 func TestEncodeCompact(t *testing.T) {
 	bound := job.Task{Phase: job.Bound, Attempt: 2, Machine: "i-000231", Epoch: 7}
 	for _, test := range []struct {
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestDecodeOfOtherLengths: tasks that a page does not name were never started, and tasks
-// beyond those asked for are ignored.
+// TestDecodeOfOtherLengths decodes pages with fewer or more tasks than expected: tasks missing from
+// the page count as never started, and surplus tasks are ignored.
 func TestDecodeOfOtherLengths(t *testing.T) {
 	finished := job.Task{Phase: job.Finished, Attempt: 1}
 	old := []job.Task{finished, finished, {}}
@@ -122,20 +122,20 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, err := Decode([]byte(test.page), old, nil)
 			if err != nil || !slices.Equal(got, test.want) {
-				t.Errorf("%s: %v, want %v (%v)", test.page, got, test.want, err)
+				t.Errorf("%s: decoded as %v, want %v (error: %v)", test.page, got, test.want, err)
 			}
 		})
 	}
 }
 
-// TestBrokenPagesAreRefused checks that a page is read whole or not at all, and
-// that no bytes make its reader fail otherwise.
+// TestBrokenPagesAreRefused checks that Decode returns either all changes of a page or an error, and
+// that no input makes it panic or return an index out of range.
 func TestBrokenPagesAreRefused(t *testing.T) {
 	for _, page := range []string{``, `"`, `{}`, `"x1"`, `"b1"`, `"b1/"`, `"b1/m"`, `"b1//1"`, `"b1/m/"`, `"p"`, `"p1*"`, `"p1!"`, `"d1 "" "`, `"p0  p0"`,
 		`"p1x"`, `"p99999999999999999999"`, `"p0\n"`} {
 		t.Run(page, func(t *testing.T) {
 			if got, err := Decode([]byte(page), make([]job.Task, 3), nil); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%s was read as %v (%v)", page, got, err)
+				t.Errorf("%s: decoded as %v (error: %v), want ErrMalformed", page, got, err)
 			}
 		})
 	}
@@ -147,11 +147,11 @@
 		}
 		changes, err := Decode(page, make([]job.Task, 4), nil)
 		if err != nil && changes != nil {
-			t.Fatalf("%s: refused (%v), and read as %v", page, err, changes)
+			t.Fatalf("%s: error %v, but decoded as %v", page, err, changes)
 		}
 		for _, change := range changes {
 			if change.Index < 0 || change.Index > 3 {
-				t.Fatalf("%s: task %d", page, change.Index)
+				t.Fatalf("%s: change of task %d, which is out of range", page, change.Index)
 			}
 		}
 	})
--- a/internal/coordination/staging.go
+++ b/internal/coordination/staging.go
@@ -13,23 +13,23 @@
 	"silvergate/internal/staging"
 )
 
-// stagingCoordinator connects the core with the planner of data sets: it turns records
-// and heartbeats into what the planner knows, and the planner's answers into expected
-// times and fetch orders. It owns the planner and the mirror of the data sets. A nil one
-// is a site without data sets: its methods do nothing, and tasks start without waiting.
+// stagingCoordinator connects the core with the staging planner: it passes records and
+// heartbeats to the planner, and turns the planner's answers into expected waits and fetch
+// orders. It owns the planner and the mirror of the data sets. It is nil at a site without
+// data sets: its methods then do nothing, and tasks start without waiting.
 type stagingCoordinator struct {
 	core         *Core
 	planner      *staging.Planner
 	sets         map[string]*protocol.DataSet // by set/version
-	latest       map[string]*protocol.DataSet // by set
+	latest       map[string]*protocol.DataSet // by set name
 	byCopy       map[staging.ID]*protocol.DataSet
 	announced    map[string]*announcement
-	waitingSince map[taskKey]time.Duration // tasks that wait for a machine that holds their inputs
-	prefetchJobs map[prefetch]string       // the job for which a copy is fetched before a task is bound
+	waitingSince map[taskKey]time.Duration // since when tasks wait for a machine that holds their inputs
+	prefetchJobs map[prefetch]string       // IDs of the jobs for which copies are fetched before a task is bound
 	tickAt       time.Duration
 }
 
-// prefetch is a copy that a machine fetches.
+// prefetch is a copy that a machine fetches before a task that reads it is bound to the machine.
 type prefetch struct {
 	machine string
 	copy    staging.ID
@@ -60,10 +60,10 @@
 	}
 }
 
-// bytesPerMB converts rates in MB/s.
+// bytesPerMB converts rates from MB/s to bytes per second.
 const bytesPerMB = 1e6
 
-// digestOfCopies is the digest with which a machine sums up the copies that it holds.
+// digestOfCopies returns the digest that a machine reports when it holds these copies.
 func digestOfCopies(ids []staging.ID) string {
 	out := make([]dataset.ID, len(ids))
 	for i, id := range ids {
@@ -72,10 +72,10 @@
 	return datastore.DigestOf(out)
 }
 
-// dataSetName is a version's name in jobs' inputs and in record keys.
+// dataSetName returns the name of a version in job inputs and record keys.
 func dataSetName(set, version string) string { return set + "/" + version }
 
-// applySet takes the record of a data set's version. Versions are never deleted.
+// applySet applies the record of a data set's version from the mirror. Versions are never deleted.
 func (d *stagingCoordinator) applySet(name string, raw json.RawMessage) {
 	if d == nil || raw == nil {
 		return
@@ -92,13 +92,13 @@
 	d.planner.SetCopy(d.core.now, staging.Copy{ID: staging.ID(s.CopyID()), Bytes: s.Bytes, Servers: s.Sources})
 }
 
-// newer orders the versions of a set by the time of their registration, and equal times
-// by name: all controllers must agree.
+// newer reports whether version a of a set was registered after version b. Versions registered at
+// the same time are ordered by name, so that all controllers agree.
 func newer(a, b *protocol.DataSet) bool {
 	return a.AtMS > b.AtMS || a.AtMS == b.AtMS && a.Version > b.Version
 }
 
-// lookup finds a version, which may be "latest"; nil if it is not registered.
+// lookup returns a version of a set, which may be "latest", or nil if it is not registered.
 func (d *stagingCoordinator) lookup(set, version string) *protocol.DataSet {
 	if version == protocol.LatestVersion {
 		return d.latest[set]
@@ -106,8 +106,8 @@
 	return d.sets[dataSetName(set, version)]
 }
 
-// resolve replaces "latest" in a job's inputs by the version that it stands for now, and
-// returns the first input that is not registered, "" if all are.
+// resolve replaces "latest" in a job's inputs with the currently latest version and adds the inputs
+// to the job's spec. It returns the first input that is not registered, or "" if all are.
 func (d *stagingCoordinator) resolve(s *job.Spec, x *job.Extra) (missing string) {
 	for i := range x.Inputs {
 		in := &x.Inputs[i]
@@ -124,7 +124,7 @@
 	return ""
 }
 
-// copies are the ids of the registered versions that a job's tasks read.
+// copies returns the IDs of the registered versions that a job's tasks read.
 func (d *stagingCoordinator) copies(s *job.Spec) []staging.ID {
 	if d == nil || len(s.Inputs) == 0 {
 		return nil
@@ -138,7 +138,7 @@
 	return out
 }
 
-// expectedWait is how long a task would expectedWait for its inputs on a machine, in seconds.
+// expectedWait returns how long a task of the job would wait for its inputs on a machine, in seconds.
 func (d *stagingCoordinator) expectedWait(s *job.Spec, m *machine) float64 {
 	if d == nil || len(s.Inputs) == 0 {
 		return 0
@@ -146,7 +146,7 @@
 	return d.planner.Expect(d.core.now, m.id, d.copies(s)).Seconds()
 }
 
-// stagingClass is how urgent the data of a job with that priority is.
+// stagingClass returns the urgency class of fetches for a job of the given priority.
 func stagingClass(p job.Priority) staging.Class {
 	if p >= job.High {
 		return staging.Urgent
@@ -154,7 +154,8 @@
 	return staging.Normal
 }
 
-// taskBound has a machine of this controller fetch the inputs of a task that was bound to it.
+// taskBound plans the fetch of a task's inputs by the machine to which the task was bound, if the
+// machine belongs to this controller.
 func (d *stagingCoordinator) taskBound(m *machine, s *job.Spec) {
 	if d == nil || len(s.Inputs) == 0 || !d.core.isOwn(m) {
 		return
@@ -164,15 +165,15 @@
 	}
 }
 
-// machineLost forgets the copies of a machine that is deleted or another controller's.
+// machineLost removes from the planner a machine that was deleted or now belongs to another controller.
 func (d *stagingCoordinator) machineLost(id string) {
 	if d != nil {
 		d.planner.Lost(d.core.now, id)
 	}
 }
 
-// handleHeartbeat takes what a machine of this controller reports of its data store, and
-// returns what it is to fetch.
+// handleHeartbeat passes a machine's report on its data store to the planner, and returns the
+// machine's fetch orders.
 func (d *stagingCoordinator) handleHeartbeat(m *machine, r *protocol.StoreReport) *protocol.StoreOrders {
 	if d == nil || r == nil {
 		return nil
@@ -181,7 +182,7 @@
 	out := &protocol.StoreOrders{List: d.planner.Held(d.core.now, m.id, plannerReport(r))}
 	for _, order := range d.planner.Orders(m.id) {
 		if len(out.Fetch) == maxFetchOrders {
-			break // a response has a maximum length; the rest comes with later ones
+			break // the length of a response is limited; later responses carry the rest
 		}
 		if v := d.byCopy[order.ID]; v != nil {
 			out.Fetch = append(out.Fetch, protocol.StoreFetch{DataSet: *v, Urgent: order.Urgent, Peer: order.Peer, Server: order.Server})
@@ -190,10 +191,10 @@
 	return out
 }
 
-// maxFetchOrders bounds the fetch orders in one response.
+// maxFetchOrders is the maximum number of fetch orders in one response.
 const maxFetchOrders = 64
 
-// plannerReport translates a store's report for the planner.
+// plannerReport converts a data store's report to the planner's type.
 func plannerReport(r *protocol.StoreReport) staging.Report {
 	out := staging.Report{Digest: r.Digest, Listed: r.Listed}
 	for _, id := range r.Copies {
@@ -208,15 +209,15 @@
 	return out
 }
 
-// maxStagedJobs bounds the waiting jobs for which one tick fetches copies, and
-// maxStagedMachines the machines for each.
+// maxStagedJobs is the maximum number of waiting jobs for which one tick plans fetches, and
+// maxStagedMachines the maximum number of machines for each.
 const (
 	maxStagedJobs     = 16
 	maxStagedMachines = 16
 )
 
-// tick has copies fetched for queued jobs, for gangs whose machines are chosen, and for
-// announced work, once in each half of a heartbeat period.
+// tick plans fetches for queued jobs, for gangs whose machines are chosen and for announced work,
+// every half heartbeat period.
 func (d *stagingCoordinator) tick() {
 	if d == nil || d.core.now < d.tickAt {
 		return
@@ -230,7 +231,7 @@
 	d.planner.Tick(c.now)
 }
 
-// forgetWaits forgets the tasks that no longer wait for a place.
+// forgetWaits deletes the waiting times of tasks that are no longer pending.
 func (d *stagingCoordinator) forgetWaits() {
 	c := d.core
 	for k := range d.waitingSince {
@@ -241,7 +242,7 @@
 	}
 }
 
-// stageQueuedJobs has copies fetched for the most urgent jobs that wait.
+// stageQueuedJobs plans fetches for the most urgent jobs that have waiting tasks.
 func (d *stagingCoordinator) stageQueuedJobs() {
 	jobs := 0
 	for _, r := range d.core.jobs.openByUrgency {
@@ -260,7 +261,8 @@
 	}
 }
 
-// stageForGang has the inputs of a gang fetched by the machines that are chosen for it.
+// stageForGang plans fetches of a gang's inputs by the machines chosen for it that belong to this
+// controller.
 func (d *stagingCoordinator) stageForGang(r *jobRecord) {
 	c := d.core
 	for _, id := range r.blockMachines {
@@ -270,8 +272,8 @@
 	}
 }
 
-// cancelUnneededPrefetches withdraws the fetches for tasks that were placed elsewhere: copies
-// that nobody waits for must not take the file servers' rate from others.
+// cancelUnneededPrefetches cancels fetches for tasks that were placed elsewhere. Copies that no task
+// waits for must not take the file servers' bandwidth from other fetches.
 func (d *stagingCoordinator) cancelUnneededPrefetches() {
 	c := d.core
 	for _, fetch := range d.sortedPrefetches() {
@@ -290,7 +292,7 @@
 	}
 }
 
-// sortedPrefetches are the fetches under way for tasks that are not bound, in a fixed order.
+// sortedPrefetches returns the prefetches sorted by machine and copy.
 func (d *stagingCoordinator) sortedPrefetches() []prefetch {
 	out := make([]prefetch, 0, len(d.prefetchJobs))
 	for fetch := range d.prefetchJobs {
@@ -302,7 +304,7 @@
 	return out
 }
 
-// copyNeeded tells whether a task on the machine reads the copy, or announced work will.
+// copyNeeded reports whether a task on the machine reads the copy, or announced work will read it.
 func (d *stagingCoordinator) copyNeeded(fetch prefetch) bool {
 	if m := d.core.machines.byID[fetch.machine]; m != nil {
 		for _, r := range m.bound {
@@ -319,8 +321,8 @@
 	return false
 }
 
-// stageForQueue has the inputs of a queued job fetched by the machines on which its
-// tasks can start soonest.
+// stageForQueue plans fetches of a queued job's inputs by the machines on which its tasks can start
+// soonest.
 func (d *stagingCoordinator) stageForQueue(r *jobRecord) {
 	c := d.core
 	copies := d.copies(r.spec)
@@ -335,8 +337,8 @@
 	}
 }
 
-// queueCandidates are machines of this controller that will have room for a task of the
-// job, from a start at random.
+// queueCandidates returns machines of this controller that are expected to have room for a task of
+// the job, in order from a random machine on.
 func (d *stagingCoordinator) queueCandidates(r *jobRecord) []staging.Candidate {
 	c := d.core
 	own := c.machines.own
--- a/internal/coordination/staging_announcements.go
+++ b/internal/coordination/staging_announcements.go
@@ -12,15 +12,16 @@
 	"silvergate/internal/stateclient"
 )
 
-// announcement is the record of work that will come and the data that it will read.
+// announcement is the stored record of expected work and the data that it will read.
 type announcement struct {
 	protocol.Staging
-	AtMS             int64 `json:"atMs"` // when the copies should be there, in Unix milliseconds
+	AtMS             int64 `json:"atMs"` // when the copies should be in place, in Unix milliseconds
 	revision         uint64
-	deletionInFlight bool // the record's deletion is under way
+	deletionInFlight bool // the record is being deleted
 }
 
-// applyStaging takes an announcement's record, or its deletion.
+// applyStaging applies a change of an announcement's record from the mirror; raw is nil if the record
+// was deleted.
 func (d *stagingCoordinator) applyStaging(name string, raw json.RawMessage, revision uint64) {
 	if d == nil {
 		return
@@ -35,8 +36,8 @@
 	}
 }
 
-// announceWork handles an announcement of work: copies of a version are to be there at a
-// time. Its id is the user's, so that it can be repeated.
+// announceWork handles a request that announces work, for which copies of a version should be in
+// place by a given time. The user chooses the announcement's ID, so the request can be repeated.
 func (d *stagingCoordinator) announceWork(id uint64, body []byte) {
 	c := d.core
 	a := &announcement{}
@@ -64,7 +65,7 @@
 			switch outcome {
 			case stateclient.Committed:
 				c.respond(id, http.StatusCreated, a.Staging, 0)
-			case stateclient.Conflict: // known already
+			case stateclient.Conflict: // already announced
 				c.respond(id, http.StatusOK, a.Staging, 0)
 			default:
 				c.refuse(id, http.StatusServiceUnavailable, "the state service can't be written now")
@@ -72,8 +73,9 @@
 		})
 }
 
-// announcementMet tells whether announced work has come: as many tasks of the team that
-// read the version and are at least as urgent have been placed as machines were asked for.
+// announcementMet reports whether the announced work has arrived: the team's tasks that read the
+// version at the announced priority or above, placed or finished, are as many as the machines
+// announced.
 func (d *stagingCoordinator) announcementMet(a *announcement) bool {
 	placed, name := 0, dataSetName(a.Set, a.Version)
 	for _, r := range d.core.jobs.byID {
@@ -84,9 +86,9 @@
 	return placed >= a.Machines
 }
 
-// stageAnnounced has copies fetched for announced work. Each controller takes its share,
-// by the number of its machines; a record is kept until the work has come or its time is
-// over by the workers' lease.
+// stageAnnounced plans fetches for announced work. Each controller plans a share in proportion to the
+// number of its machines. A record is kept until the work has arrived or is overdue by more than the
+// workers' lease.
 func (d *stagingCoordinator) stageAnnounced() {
 	c := d.core
 	wallMS := c.wallTime.UnixMilli()
@@ -106,7 +108,8 @@
 	}
 }
 
-// endAnnouncement deletes an announcement's record, if that is up to this controller.
+// endAnnouncement deletes an announcement's record if this controller is a live member and leads the
+// fleet, unless a deletion is in flight.
 func (d *stagingCoordinator) endAnnouncement(name string, a *announcement) {
 	c := d.core
 	if a.deletionInFlight || c.responsibleController(c.cfg.Node) != c.cfg.Node || !c.isLeader() {
@@ -119,8 +122,8 @@
 	c.state.Txn(ratelimit.Background, compares, ops, func(stateclient.TxnOutcome, []string, uint64) { a.deletionInFlight = false })
 }
 
-// stageShare has this controller's share of an announcement's copies fetched, once it is
-// time to begin.
+// stageShare plans fetches for this controller's share of an announcement's copies once it is time
+// to begin.
 func (d *stagingCoordinator) stageShare(a *announcement, v *protocol.DataSet, neededBy time.Duration) {
 	c := d.core
 	id := staging.ID(v.CopyID())
@@ -137,14 +140,15 @@
 		return
 	}
 	wait := func(machine string) time.Duration { return d.planner.Expect(c.now, machine, []staging.ID{id}) }
-	holds := func(string) bool { return false } // those are no candidates
+	holds := func(string) bool { return false } // the candidates include no holders
 	class := stagingClass(protocol.PriorityOf(a.Priority))
 	for _, machine := range staging.Place(candidates, missing+coming, wait, holds) {
 		d.planner.Promise(c.now, machine, id, class, a.Team, neededBy)
 	}
 }
 
-// ownShare is this controller's share of so many machines, rounded up.
+// ownShare returns this controller's share of a number of machines, in proportion to the machines
+// that it owns, rounded up.
 func (d *stagingCoordinator) ownShare(machines int) int {
 	c := d.core
 	all := 0
@@ -157,8 +161,8 @@
 	return (machines*len(c.machines.own) + all - 1) / all
 }
 
-// announcementCandidates counts the machines of this controller that hold the copy, and
-// lists others that could fetch it; those with few tasks are taken for free sooner.
+// announcementCandidates returns the number of this controller's machines that hold the copy, and
+// other machines that could fetch it. It assumes that machines with fewer tasks are free sooner.
 func (d *stagingCoordinator) announcementCandidates(a *announcement, id staging.ID) (holders int, candidates []staging.Candidate) {
 	c := d.core
 	for _, m := range c.machines.own {
--- a/internal/coordination/staging_wait.go
+++ b/internal/coordination/staging_wait.go
@@ -7,8 +7,8 @@
 	"silvergate/internal/staging"
 )
 
-// timeUntilRoom is when a machine will have room for a task, as far as the users' estimates
-// tell; staging.Never if they don't.
+// timeUntilRoom returns how long until the machine has room for a task of the job, according to the
+// users' estimates for the tasks bound to it, or staging.Never if the estimates give no time.
 func (c *Core) timeUntilRoom(r *jobRecord, m *machine) time.Duration {
 	if c.fits(r, m) {
 		return 0
@@ -28,12 +28,13 @@
 	return soonest
 }
 
-// waitsForWarmMachine tells whether a task should not take room on a machine that lacks
-// its inputs, since one that holds them will start it sooner: when that is free, or when
-// tasks of lower priority on it are preempted, which is then done. This departs from the
-// thesis (docs/design.md), in which all servers are alike: where data is, they are not.
-// The candidates are still compared among those that a placement would look at, and the
-// wait is bounded by the time of the fetch.
+// waitsForWarmMachine reports whether a task should not be placed on machine m, which lacks its
+// inputs, because it will start sooner on a warm machine, one that holds them: either when that
+// machine has room, or after tasks of lower priority on it are preempted. In the second case
+// waitsForWarmMachine starts the preemption. This departs from the thesis (docs/design.md), in
+// which all servers are alike: servers that hold the data differ from the others. The candidates
+// are still compared only among the machines that a placement would look at, and the wait is
+// bounded by the time of the fetch.
 func (d *stagingCoordinator) waitsForWarmMachine(r *jobRecord, index int, m *machine) bool {
 	if d == nil || len(r.spec.Inputs) == 0 || isGang(r) {
 		return false
@@ -48,7 +49,7 @@
 	free, holder := d.soonestFreeHolder(r, copies)
 	queued := r.queuedByIndex[index]
 	if queued != nil && c.now < queued.nextPreemptionAt {
-		return true // tasks are being stopped for it
+		return true // tasks on a warm machine are already being stopped for this task
 	}
 	preemption := d.cheapestPreemption(r)
 	switch staging.Choose(fetch, free, preemption.duration, d.waited(key)) {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// waited is how long a task has waited for a machine that holds its inputs.
+// waited returns how long a task has waited for a machine that holds its inputs.
 func (d *stagingCoordinator) waited(key taskKey) time.Duration {
 	if since, ok := d.waitingSince[key]; ok {
 		return d.core.now - since
@@ -80,8 +81,9 @@
 	return 0
 }
 
-// soonestFreeHolder is the machine that holds the copies and has room for a task of the
-// job soonest, and when; staging.Never if there is none. It looks at a few holders only.
+// soonestFreeHolder returns the machine that holds the copies and will have room for a task of the
+// job soonest, and how long until then; the time is staging.Never if there is no such machine. It
+// looks at only a few holders.
 func (d *stagingCoordinator) soonestFreeHolder(r *jobRecord, copies []staging.ID) (free time.Duration, holder string) {
 	free = staging.Never
 	if len(copies) == 0 {
@@ -98,23 +100,23 @@
 	return free, holder
 }
 
-// mayPlaceOn tells whether this controller may place a task of the job on the machine
-// when there is room.
+// mayPlaceOn reports whether this controller may place a task of the job on the machine once the
+// machine has room.
 func (d *stagingCoordinator) mayPlaceOn(r *jobRecord, m *machine) bool {
 	c := d.core
 	return c.isOwn(m) && !c.unschedulable(m) && c.couldHold(r, m) && c.zoneAllowed(r, m.claim.Zone)
 }
 
-// warmPreemption is what it takes to clear a machine that holds a job's inputs.
+// warmPreemption describes the preemption that would make room on a machine that holds a job's inputs.
 type warmPreemption struct {
-	duration time.Duration // staging.Never: there is no such machine
+	duration time.Duration // until there is room; staging.Never if there is no such machine
 	machine  *machine
 	victims  []taskKey
 }
 
-// cheapestPreemption finds a machine that holds the job's inputs and on which tasks of
-// lower priority can be stopped for it. Their worker learns of it with a response to a
-// heartbeat, and they may save a checkpoint.
+// cheapestPreemption returns the cheapest preemption of lower-priority tasks on a machine that holds
+// the job's inputs. Its duration allows for the worker to receive the stops in a heartbeat response,
+// and for the tasks to save a checkpoint.
 func (d *stagingCoordinator) cheapestPreemption(r *jobRecord) warmPreemption {
 	c := d.core
 	none := warmPreemption{duration: staging.Never}
