--- a/internal/coordination/data_sets_test.go
+++ b/internal/coordination/data_sets_test.go
@@ -10,9 +10,9 @@
 	"silvergate/internal/protocol"
 )
 
-// TestRulesHoldWithDataSets plays days with faults on which jobs read data sets,
-// and requires what every day does; and that tasks mostly start on machines that hold their
-// inputs, though most machines do not.
+// TestRulesHoldWithDataSets simulates days with random faults on which jobs read data sets. Besides
+// the rules that hold on every simulated day, it requires that most tasks start on machines that hold
+// their inputs, although most machines don't hold them.
 func TestRulesHoldWithDataSets(t *testing.T) {
 	warm, cold, withdrawn := 0, 0, 0
 	for seed := uint64(300); seed < 308; seed++ {
@@ -52,22 +52,22 @@
 		for _, n := range s.controllers {
 			withdrawn += int(n.core.staging.planner.Stats.Withdrawn)
 			if copies := len(n.core.staging.prefetchJobs); copies > 0 {
-				t.Errorf("seed %d: %s still brings %d copies for jobs that are over", seed, n.name, copies)
+				t.Errorf("seed %d: %s still prefetches %d copies for jobs that are over", seed, n.name, copies)
 			}
 		}
 	}
-	t.Logf("%d launches where the inputs were, %d elsewhere, %d orders withdrawn", warm, cold, withdrawn)
-	// Guards against copies that are fetched on for tasks that were placed elsewhere.
+	t.Logf("%d launches on machines that held the inputs, %d on others, %d orders withdrawn", warm, cold, withdrawn)
+	// Guards against fetches that continue although their tasks were placed on other machines.
 	if withdrawn == 0 {
-		t.Error("no order was withdrawn")
+		t.Error("no fetch order was withdrawn")
 	}
 	if warm < cold {
-		t.Errorf("%d launches where the inputs were, %d elsewhere", warm, cold)
+		t.Errorf("%d launches on machines that held the inputs, but %d on others", warm, cold)
 	}
 }
 
-// TestAnnouncementEndsWhenMet guards against copies that are kept for an announcement
-// whose tasks are placed.
+// TestAnnouncementEndsWhenMet guards against copies that are retained for an announcement although
+// its tasks have been placed.
 func TestAnnouncementEndsWhenMet(t *testing.T) {
 	s := newSim(t, 1, 0)
 	s.options.dataSets = []protocol.DataSet{{Set: "set0", Version: "1"}}
@@ -82,10 +82,10 @@
 	put("lesser", "red", job.Normal, "set0/1", 9, 0)
 	put("first", "red", job.High, "set0/1", 1, 1)
 	if c.staging.announcementMet(a) {
-		t.Error("two of three tasks were placed, and it is called met")
+		t.Error("the announcement counts as met with two of three tasks placed")
 	}
 	put("second", "red", job.Production, "set0/1", 1, 0)
 	if !c.staging.announcementMet(a) {
-		t.Error("three of three tasks were placed, and it is not called met")
+		t.Error("the announcement does not count as met with three of three tasks placed")
 	}
 }
--- a/internal/coordination/digest_test.go
+++ b/internal/coordination/digest_test.go
@@ -17,28 +17,28 @@
 	"silvergate/internal/peer"
 )
 
-// digestVariable names the file to which each simulated day appends a line with
-// the digest of its effects.
+// digestVariable is the environment variable that names the file to which each simulated day
+// appends a line with the digest of its effects.
 const digestVariable = "SIM_DIGEST"
 
-// effectsDigest sums up every effect of every core of a simulated day, in order.
-// Two versions of the core that give the same digest for a day did the same on it.
+// effectsDigest hashes every effect of every core on a simulated day, in order. Two versions of the
+// core with the same digest for a day behaved identically on that day.
 type effectsDigest struct {
-	day     string // test and seed
+	day     string // name of the test and seed
 	hash    *xxhash.Digest
 	effects int
 	buffer  []byte
 }
 
-// digestLines serializes the lines of days that are played in parallel, and
-// numbers the days of one test that have the same seed.
+// digestLines serializes the writing of lines by days that are simulated in parallel, and counts
+// the days of one test that have the same seed.
 var digestLines = struct {
 	sync.Mutex
 	days map[string]int
 }{days: map[string]int{}}
 
-// newEffectsDigest is nil, which takes in nothing, unless SIM_DIGEST is set. The
-// line is written at the end of the test.
+// newEffectsDigest returns a digest whose line is written at the end of the test. It returns nil, a
+// digest that ignores all effects, unless SIM_DIGEST is set.
 func newEffectsDigest(t testing.TB, seed uint64) *effectsDigest {
 	file := os.Getenv(digestVariable)
 	if file == "" {
@@ -53,7 +53,7 @@
 	return d
 }
 
-// add takes in what a controller did at a time.
+// add hashes the effects of one step of a controller at a time.
 func (d *effectsDigest) add(node string, now time.Duration, e Effects) {
 	if d == nil {
 		return
@@ -72,7 +72,8 @@
 	_, _ = d.hash.Write(d.buffer)
 }
 
-// numberDay tells the days of one test that have the same seed apart.
+// numberDay appends a number to the second and further days of one test with the same seed, so that
+// their lines differ.
 func numberDay(day string) string {
 	digestLines.Lock()
 	defer digestLines.Unlock()
@@ -83,7 +84,7 @@
 	return day
 }
 
-// appendLine writes no line for a simulation that was not played.
+// appendLine appends the day's line to the file. It writes no line for a simulation without effects.
 func (d *effectsDigest) appendLine(file string) error {
 	if d.effects == 0 {
 		return nil
@@ -101,9 +102,9 @@
 	return f.Close()
 }
 
-// appendValue encodes a value by its kinds, lengths, nil-ness and contents, in the
-// order of fields. Names of types and fields are left out, so that renaming them
-// changes no digest; the entries of maps are sorted.
+// appendValue encodes a value's kinds, lengths, nilness and contents, in the order of its fields. It
+// omits names of types and fields, so that renaming them changes no digest, and sorts the entries of
+// maps.
 func appendValue(b []byte, v reflect.Value) []byte {
 	b = append(b, byte(v.Kind()))
 	switch v.Kind() {
@@ -144,7 +145,7 @@
 		}
 		return b
 	default:
-		panic(fmt.Sprintf("an effect holds a %v, which has no digest", v.Type()))
+		panic(fmt.Sprintf("an effect contains a %v, which the digest does not support", v.Type()))
 	}
 }
 
@@ -174,8 +175,8 @@
 	return b
 }
 
-// TestDigestsTellEffectsApart shows which differences a digest sees, and that
-// names and the order of maps are none.
+// TestDigestsTellEffectsApart checks that various differences between effects change the digest, and
+// that names and the order of maps don't.
 func TestDigestsTellEffectsApart(t *testing.T) {
 	encoded := func(v any) string { return string(appendValue(nil, reflect.ValueOf(v))) }
 	base := func() Effects {
@@ -197,7 +198,7 @@
 		changed := base()
 		change(&changed)
 		if encoded(changed) == encoded(base()) {
-			t.Errorf("%s: the digest does not see the difference", name)
+			t.Errorf("%s: the difference does not change the digest", name)
 		}
 	}
 	type before struct{ Lit map[string]int }
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -9,6 +9,7 @@
 	"silvergate/internal/config"
 )
 
+// TestQuietDayEndsEverything checks that all jobs end on a simulated day without faults.
 func TestQuietDayEndsEverything(t *testing.T) {
 	s := newSim(t, 1, 0)
 	s.submitMixedJobs(2 * time.Minute)
@@ -16,9 +17,8 @@
 	s.reportViolations(t)
 }
 
-// TestRulesHoldUnderTrouble plays days with drawn faults: lost, late and
-// half-executed messages, crashes, cuts, outages, hangs, faulty and dying
-// machines, alone and together.
+// TestRulesHoldUnderTrouble simulates days with random faults, alone and combined: lost, late and
+// half-executed messages, crashes, network partitions, outages, hangs, and faulty and dying machines.
 func TestRulesHoldUnderTrouble(t *testing.T) {
 	days := uint64(40)
 	if testing.Short() {
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestCheckerCatchesBrokenVariants shows that the checkers can fail: each
-// variant breaks one foundation of the design, by telling the controllers
-// something untrue or by a state service that ignores comparisons.
+// TestCheckerCatchesBrokenVariants shows that the rule checkers can fail. Each variant breaks one
+// assumption of the design, by giving the controllers wrong settings or by a state service that
+// ignores the conditions of transactions.
 func TestCheckerCatchesBrokenVariants(t *testing.T) {
 	for _, v := range []struct {
 		name, rule string
@@ -72,19 +72,20 @@
 					}
 				}
 			}
-			t.Errorf("the checker saw no broken rule %q", v.rule)
+			t.Errorf("the checker reported no violation of rule %q", v.rule)
 		})
 	}
 }
 
+// cutWorkersFromTheirControllers breaks the links from all controllers with workers to the workers for 15 s.
 func (s *sim) cutWorkersFromTheirControllers() {
 	for _, w := range s.cloud.sortedMachines() {
 		s.controllers[w.controller].unreachableUntil["workers"] = s.now + 15*time.Second
 	}
 }
 
-// cutBusiestAndCancelAll cuts the controller whose workers have the most tasks from the state service and its peers,
-// but not from its workers, and has everybody cancel.
+// cutBusiestAndCancelAll cuts off the controller whose workers have the most tasks from the state service and its
+// peers, but not from its workers, and has every user cancel after 3 s.
 func (s *sim) cutBusiestAndCancelAll() {
 	var busiest *simController
 	most := -1
--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/protocol"
 )
 
-// leading is the fleet's leader, nil if there is none.
+// leading returns the fleet leader, or nil if there is none.
 func (s *sim) leading() *simController {
 	for _, n := range s.controllers {
 		if n.core != nil && n.core.isLeader() {
@@ -20,10 +20,10 @@
 	return nil
 }
 
-// TestNoMachineIsReturnedThatIsInUse guards against a deletion that overtakes the records: the
-// leader drained a machine as idle while its mirror was behind, its own drain was in the mirror
-// at once, and it had the machine deleted before the watch showed what had been placed there
-// before the drain.
+// TestNoMachineIsReturnedThatIsInUse guards against the deletion of a machine with running tasks.
+// The leader's mirror lags while it drains a machine as idle. Its own drain shows in the mirror at
+// once, so the leader could have the machine deleted before the watch delivers placements that were
+// committed ahead of the drain.
 func TestNoMachineIsReturnedThatIsInUse(t *testing.T) {
 	drained := 0
 	for seed := uint64(45_000); seed < 45_006; seed++ {
@@ -35,7 +35,7 @@
 		})
 		s.run(50 * time.Second)
 		leader := s.leading()
-		leader.watchDelayedUntil = time.Hour // its watch is answered late
+		leader.watchDelayedUntil = time.Hour // the leader's watch responses are delayed from here on
 		s.hooks.onLaunch = func(w *simWorker, o protocol.Command) {
 			m := leader.core.machines.byID[w.name]
 			if m == nil || m.token == 0 || len(m.bound) > 0 || leader.core.isOwn(m) {
@@ -52,18 +52,18 @@
 		s.run(80 * time.Second)
 		s.hooks.onLaunch = nil
 		if s.faultCounts.deletedInUse > 0 {
-			t.Errorf("seed %d: %d tasks ran on machines that were returned as idle", seed, s.faultCounts.deletedInUse)
+			t.Errorf("seed %d: %d tasks ran on machines that were deleted as idle", seed, s.faultCounts.deletedInUse)
 		}
 		s.reportViolations(t)
 	}
 	if drained == 0 {
-		t.Error("no machine was drained behind the records: the day is none")
+		t.Error("no machine was drained while the leader's mirror lagged: the test exercised nothing")
 	}
 }
 
-// TestATornMirrorReturnsNothing guards against a deletion while the records are read anew, by
-// pages: what is bound to a machine may be read although its claim, written meanwhile, was not,
-// and a machine with tasks and no claim is one to be deleted.
+// TestATornMirrorReturnsNothing guards against deletions while the mirror is being rescanned page by
+// page. The scan may read a task that is bound to a machine but miss the machine's claim, which was
+// written meanwhile. A machine with tasks and no claim looks like one to be deleted.
 func TestATornMirrorReturnsNothing(t *testing.T) {
 	for _, v := range []struct {
 		name string
@@ -78,7 +78,7 @@
 			s.run(20 * time.Second)
 			leader := s.leading()
 			c := leader.core
-			// A job of one task that runs on a machine of which the mirror has no claim.
+			// A job with one task that runs on a machine whose claim is missing from the mirror.
 			spec := encode(storedJob{&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, job.Open, 1, leader.name})
 			page := json.RawMessage(writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-900000", Epoch: 1}}))
 			write := func(key string, data json.RawMessage) {
@@ -94,8 +94,8 @@
 				}
 				return e
 			}
-			if torn { // the watch is too old, and the page of claims has been read before the claim
-				leader.unreachableUntil["state"] = s.now + 1500*time.Millisecond // a watch is lost meanwhile
+			if torn { // the watch is too old, so the mirror is rescanned; the page of claims is read before the claim is written
+				leader.unreachableUntil["state"] = s.now + 1500*time.Millisecond // the watch is lost during this time
 				s.run(s.now + 1500*time.Millisecond)
 				for i := range 2 * s.state.eventHistory {
 					write(fmt.Sprintf("sg/s/x%d", i), json.RawMessage("0"))
@@ -108,13 +108,13 @@
 						write(keyClaim+"i-900000", encode(claimRecord{"n9", 1, "w:i-900000", "small", "a", false, 1}))
 						write(keyJob+"wk-700000", spec)
 						write(pageKey("wk-700000", 0), page)
-						s.state.apply(keyClaim+"i-900000", nil, 0, s.state.revision) // as the reader saw it
+						s.state.apply(keyClaim+"i-900000", nil, 0, s.state.revision) // the rescan does not see the claim
 					}
 				}
 				if !claimed {
-					t.Fatal("the records were not read anew")
+					t.Fatal("the mirror was not rescanned")
 				}
-			} else { // the same without a reading: the claim is gone, the task is not
+			} else { // the same without a rescan: the claim is missing, the task is bound
 				write(keyJob+"wk-700000", spec)
 				write(pageKey("wk-700000", 0), page)
 			}
@@ -131,16 +131,16 @@
 				leader.applyEffects(count(c.endStep()))
 			}
 			if torn && deletions > 0 || !torn && deletions == 0 {
-				t.Errorf("torn %v: %d deletions were asked for", torn, deletions)
+				t.Errorf("torn %v: %d deletions were requested", torn, deletions)
 			}
 		})
 	}
 }
 
-// TestALateDeletionHitsNothingInUse guards against deletions without a record: the leader has
-// machines deleted that it takes for strays or for lost with their controller, the request is
-// held up, and meanwhile they send heartbeats, are claimed and get work. The drain that goes
-// ahead of every deletion keeps them from it, whoever leads by then.
+// TestALateDeletionHitsNothingInUse guards against deletions without a drain record. The leader
+// requests the deletion of machines that it considers strays or lost with their controller, and the
+// request is delayed; meanwhile the machines send heartbeats, could be claimed and could get work.
+// The drain record that precedes every deletion prevents this, whichever controller leads by then.
 func TestALateDeletionHitsNothingInUse(t *testing.T) {
 	for _, v := range []struct {
 		name string
@@ -165,13 +165,13 @@
 							continue
 						}
 						delay = true
-						if !w.up { // it comes up just now
+						if !w.up { // the machine boots at this moment
 							s.after(s.randomMillis(0, 500), w.boot)
 						}
 						w.hungUntil = s.now
 						delayed++
 					}
-					if delay { // who asked for it stands still, or ends, and there is work
+					if delay { // the leader, which sent the request, crashes or is paused, and new jobs arrive
 						l := s.leading()
 						if l != nil && s.random.IntN(2) == 0 {
 							l.crash(s.randomMillis(1000, 20_000))
@@ -190,35 +190,35 @@
 					}
 					for _, w := range s.cloud.sortedMachines() {
 						if n.holds(w) {
-							w.hungUntil = s.now + time.Hour // until it is to be returned
+							w.hungUntil = s.now + time.Hour // until its deletion is requested
 						}
 					}
 					n.crash(time.Hour)
 				}
 				s.run(4 * time.Minute)
 				if s.faultCounts.deletedInUse > 0 {
-					t.Errorf("seed %d: %d tasks ran on machines when a deletion was carried out that was asked for before they started", seed, s.faultCounts.deletedInUse)
+					t.Errorf("seed %d: %d tasks were running on machines when a deletion requested before they started was carried out", seed, s.faultCounts.deletedInUse)
 				}
 				s.reportViolations(t)
 			}
 			if delayed == 0 {
-				t.Error("no deletion was held up: the day is none")
+				t.Error("no deletion was delayed: the test exercised nothing")
 			}
 		})
 	}
 }
 
-// TestWhoRentsIsReplaced has the fleet's leader stand still, end or lose a link, again and
-// again, while machines are rented and deleted. Two never act at a time: what one that was
-// replaced has requested is finished by its successor under the same name, or hits nothing in
-// use; nobody leads for no longer than its lease and two heartbeat periods; and in the end
-// nothing is paid for.
+// TestWhoRentsIsReplaced pauses the fleet leader, crashes it or cuts one of its links, repeatedly,
+// while machines are rented and deleted. Two controllers never lead at the same time. Requests of a
+// replaced leader are completed by its successor under the same name, or affect no machine in use.
+// The fleet is without a leader for at most the leader's lease and two heartbeat periods. In the end
+// no machine is rented.
 func TestWhoRentsIsReplaced(t *testing.T) {
 	for _, v := range []struct {
 		name             string
 		fault            func(s *sim, l *simController)
-		keepsLeadership  bool // others relay its calls, and it goes on
-		renewalMayBeLate bool // a renewal that is held up is carried out later: the record lives for another term, and nobody knows
+		keepsLeadership  bool // peers relay the leader's calls, so it may keep leading
+		renewalMayBeLate bool // a delayed lease renewal may be carried out: the record lives for another term, without the leader knowing
 	}{
 		{"it stands still", func(s *sim, l *simController) { l.pausedUntil = s.now + s.randomMillis(8000, 20_000) }, false, false},
 		{"it ends in the middle of a call", func(s *sim, l *simController) {
@@ -271,7 +271,7 @@
 						}
 					}
 					if leads > 1 {
-						t.Errorf("seed %d: %d rent at %v", seed, leads, s.now)
+						t.Errorf("seed %d: %d controllers lead the fleet at %v", seed, leads, s.now)
 					}
 					if leads > 0 || s.now < 20*time.Second {
 						since = s.now
@@ -286,28 +286,28 @@
 					bound += s.leaseTimes(1.0 / 3)
 				}
 				if longestGap > bound {
-					t.Errorf("seed %d: nobody rents for %v, the bound is %v", seed, longestGap, bound)
+					t.Errorf("seed %d: the fleet had no leader for %v, the bound is %v", seed, longestGap, bound)
 				}
 				longest = max(longest, longestGap)
 				s.run(s.now + 3*time.Minute)
 				for _, w := range s.cloud.sortedMachines() {
-					t.Errorf("seed %d: %s is still paid for, up %v", seed, w.name, w.up)
+					t.Errorf("seed %d: machine %s is still rented, up: %v", seed, w.name, w.up)
 				}
 				if s.faultCounts.deletedInUse > 0 {
-					t.Errorf("seed %d: %d tasks ran on machines that were returned", seed, s.faultCounts.deletedInUse)
+					t.Errorf("seed %d: %d tasks ran on machines that were deleted", seed, s.faultCounts.deletedInUse)
 				}
 				s.reportViolations(t)
 			}
 			if incidents < 12 || replaced < 8 && !v.keepsLeadership {
-				t.Errorf("it took place %d times, and who rents changed %d times", incidents, replaced)
+				t.Errorf("the fault was injected %d times, and the leader changed %d times", incidents, replaced)
 			}
-			t.Logf("nobody rents for %v at the longest, %d changes", longest, replaced)
+			t.Logf("longest time without a leader: %v, %d changes of the leader", longest, replaced)
 		})
 	}
 }
 
-// TestWhatWasClaimedSinceIsNotCondemned guards against a judgement that had waited for the rate
-// limit while the machine was claimed.
+// TestWhatWasClaimedSinceIsNotCondemned guards against draining a machine that was claimed while the
+// drain waited for the rate limit.
 func TestWhatWasClaimedSinceIsNotCondemned(t *testing.T) {
 	s := newSim(t, 45_400, 0)
 	s.submit(&job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
@@ -329,10 +329,10 @@
 	s.run(52 * time.Second)
 	for key := range s.state.drainWrites {
 		if key != keyDrain+"i-900000" {
-			t.Errorf("%s was written as %s", key, s.state.drainReasons[key])
+			t.Errorf("drain record %s was written with reason %s, though the machine is claimed", key, s.state.drainReasons[key])
 		}
 	}
 	if s.state.drainWrites[keyDrain+"i-900000"] != 1 {
-		t.Error("what nobody has claimed was not condemned")
+		t.Error("the machine that no controller has claimed was not drained exactly once")
 	}
 }
--- a/internal/coordination/sim_cloud_test.go
+++ b/internal/coordination/sim_cloud_test.go
@@ -11,25 +11,25 @@
 	"silvergate/internal/protocol"
 )
 
-// simCloud stands in for the cloud: it rents machines, lists them late and deletes them.
+// simCloud simulates the cloud: it rents machines, lists them with a lag and deletes them.
 type simCloud struct {
 	s                *sim
 	machineTypes     map[string]protocol.MachineType
-	capacity         map[offering]int // machines that can be rented
+	capacity         map[offering]int // machines that can still be rented
 	rentalsByRequest map[string][]string
-	nextMachine      int                   // number
+	nextMachine      int                   // number of the next machine
 	machines         map[string]*simWorker // by name
 	listHistory      []listSnapshot
-	pageSize         int // in machines
+	pageSize         int // maximum number of machines on a page of the list
 }
 
-// listSnapshot is the list of machines at a time.
+// listSnapshot is the list of machines at one point in time.
 type listSnapshot struct {
 	at       time.Duration
 	machines []protocol.RentedMachine
 }
 
-// sortedMachines are the machines that are rented now, in the order of their numbers.
+// sortedMachines returns the currently rented machines in the order of their numbers.
 func (c *simCloud) sortedMachines() []*simWorker {
 	var out []*simWorker
 	for i := 0; i < c.nextMachine; i++ {
@@ -40,7 +40,7 @@
 	return out
 }
 
-// snapshot records the list of machines, each second, for requests that see it late.
+// snapshot records the list of machines every second, so that serveList can return an old list.
 func (c *simCloud) snapshot() {
 	var machines []protocol.RentedMachine
 	for _, name := range sortedKeys(c.machines) {
@@ -61,7 +61,7 @@
 	c.s.after(time.Second, c.snapshot)
 }
 
-// serve carries out a call of a controller and answers it.
+// serve executes a controller's call and replies to it.
 func (c *simCloud) serve(call protocol.Call, reply func(int, []byte)) {
 	switch {
 	case call.Path == protocol.PathMachineTypes:
@@ -79,7 +79,7 @@
 	}
 }
 
-// serveDeletion deletes machines. A deletion that a fault delays is carried out later, and not answered.
+// serveDeletion deletes machines. A deletion that a fault delays is executed later and gets no reply.
 func (c *simCloud) serveDeletion(call protocol.Call, reply func(int, []byte)) {
 	s := c.s
 	var deletion protocol.MachineNames
@@ -107,7 +107,7 @@
 	reply(200, []byte("{}"))
 }
 
-// serveList lists the machines as they were some seconds ago, as many as fit on a page.
+// serveList returns a page of the machine list as it was one to two list lags ago.
 func (c *simCloud) serveList(path string, reply func(int, []byte)) {
 	lag := seconds(c.s.facts.Cloud.ListLag * (1 + c.s.random.Float64()))
 	list := protocol.RentalList{Machines: []protocol.RentedMachine{}}
@@ -127,7 +127,7 @@
 	reply(200, encode(list))
 }
 
-// listed is the last snapshot that was taken by then.
+// listed returns the machines of the last snapshot taken at or before the given time.
 func (c *simCloud) listed(by time.Duration) []protocol.RentedMachine {
 	for i := len(c.listHistory) - 1; i >= 0; i-- {
 		if c.listHistory[i].at <= by {
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// serveRental rents as many machines as there is capacity for. A repeated request gets the first one's answer.
+// serveRental rents the requested machines, or as many as there is capacity for. A repeated request gets
+// the reply of the first one.
 func (c *simCloud) serveRental(body []byte, reply func(int, []byte)) {
 	var request protocol.RentalRequest
 	_ = json.Unmarshal(body, &request)
@@ -160,7 +161,8 @@
 	reply(200, encode(protocol.MachineNames{Machines: names}))
 }
 
-// addMachine rents a machine, which boots after a while; one in twenty never does.
+// addMachine rents a machine, which boots after a random time. Without quickBoots one in twenty never
+// boots.
 func (c *simCloud) addMachine(offer offering) *simWorker {
 	s := c.s
 	w := &simWorker{s: s, name: fmt.Sprintf("i-%06d", c.nextMachine), machineType: offer.machineType, zone: offer.zone, spot: offer.spot,
--- a/internal/coordination/stand_ins_test.go
+++ b/internal/coordination/stand_ins_test.go
@@ -9,41 +9,41 @@
 	"silvergate/internal/protocol"
 )
 
-// standIn is a stand-in as the conformance tables use it, in simulated time.
+// standIn adapts a simulated service to the conformance tests, in simulated time.
 type standIn struct {
 	s     *sim
 	serve func(k protocol.Call, reply func(int, []byte))
 }
 
-// Begin sends a request, and returns what waits for its answer.
+// Begin sends a request and returns a function that waits for the answer, at most 30 simulated seconds.
 func (x standIn) Begin(method, path, body string) func() (int, string) {
-	status, answer, there := 0, "", false
+	status, answer, answered := 0, "", false
 	x.serve(protocol.Call{Method: method, Path: path, Body: []byte(body)}, func(st int, b []byte) {
-		status, answer, there = st, string(b), true
+		status, answer, answered = st, string(b), true
 	})
 	return func() (int, string) {
-		for until := x.s.now + 30*time.Second; !there && x.s.now < until; {
+		for until := x.s.now + 30*time.Second; !answered && x.s.now < until; {
 			x.s.run(x.s.now + time.Millisecond)
 		}
 		return status, answer
 	}
 }
 
-// Sleep lets simulated time pass.
+// Sleep advances simulated time by d.
 func (x standIn) Sleep(d time.Duration) { x.s.run(x.s.now + d) }
 
-// TestStandInsConformToProtocol holds the stand-ins to the same statements as the
-// product's own state service, cloud and agents.
+// TestStandInsConformToProtocol checks the simulated state service, cloud and worker against the same
+// conformance statements as the real state service, cloud and agents.
 func TestStandInsConformToProtocol(t *testing.T) {
 	quietSim := func() *sim {
 		s := newSim(t, 1, 0)
-		s.controllers, s.pending = nil, nil // no controllers and nothing else that happens
+		s.controllers, s.pending = nil, nil // no controllers and no other pending events
 		var expire func()
 		expire = func() { s.state.expireLeases(); s.after(100*time.Millisecond, expire) }
 		expire()
 		s.cloud.listHistory = nil
 		s.cloud.snapshot()
-		s.run(2 * time.Second) // the rates' bursts fill up
+		s.run(2 * time.Second) // the burst allowances of the rate limits fill up
 		return s
 	}
 	t.Run("state", func(t *testing.T) {
--- a/internal/coordination/step_benchmark_test.go
+++ b/internal/coordination/step_benchmark_test.go
@@ -11,12 +11,13 @@
 	"silvergate/internal/protocol"
 )
 
-// The benchmarks whose names begin with Slope are the steps of a controller that docs/CAPACITY.md
-// multiplies by their numbers a second:
+// The benchmarks whose names begin with Slope measure the steps of a controller whose cost
+// docs/CAPACITY.md multiplies by their number per second:
 //
 //	go test -run XXX -bench Slope -count 5 ./internal/coordination
 
-// machineHeartbeat is a heartbeat as the owner of a machine expects it, with so many running tasks.
+// machineHeartbeat returns a heartbeat of a machine as its owner expects it, with the running tasks that
+// are bound to the machine and extra ended tasks that are not bound to it.
 func machineHeartbeat(c *Core, m *machine, extra int) protocol.Heartbeat {
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
@@ -29,8 +30,8 @@
 	return r
 }
 
-// benchmarkHeartbeats handles a machine's heartbeats with extra attempts that have ended and
-// are not bound there: every response tells it to forget each.
+// benchmarkHeartbeats handles heartbeats of a machine that list extra ended attempts which are not
+// bound to it. Every response tells the machine to forget each of them.
 func benchmarkHeartbeats(b *testing.B, extra int) {
 	s, c, m := largeDeploymentCore(b)
 	r := machineHeartbeat(c, m, extra)
@@ -46,13 +47,13 @@
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 }
 
-// BenchmarkSlopeReport is a heartbeat in which nothing has changed.
+// BenchmarkSlopeReport measures a heartbeat that reports no changes.
 func BenchmarkSlopeReport(b *testing.B) { benchmarkHeartbeats(b, 0) }
 
-// BenchmarkSlopeReportOfTwelve is a heartbeat with twelve tasks more, to be forgotten.
+// BenchmarkSlopeReportOfTwelve measures a heartbeat with twelve additional tasks to be forgotten.
 func BenchmarkSlopeReportOfTwelve(b *testing.B) { benchmarkHeartbeats(b, 12) }
 
-// BenchmarkSlopeWatchedPage is a page of 128 tasks in which one has changed.
+// BenchmarkSlopeWatchedPage measures applying a page of 128 tasks in which one has changed.
 func BenchmarkSlopeWatchedPage(b *testing.B) {
 	_, c, _ := largeDeploymentCore(b)
 	spec := &job.Spec{ID: "wk-888888", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Low, Tasks: 128, CPUs: 1}
@@ -74,7 +75,7 @@
 	}
 }
 
-// BenchmarkSlopeWatchedClaim is the claim of a machine by another controller, and back.
+// BenchmarkSlopeWatchedClaim measures applying claims of a machine by two controllers in turn.
 func BenchmarkSlopeWatchedClaim(b *testing.B) {
 	_, c, m := largeDeploymentCore(b)
 	k := m.claim
@@ -87,8 +88,7 @@
 	}
 }
 
-// BenchmarkSlopePoll is a status query of a job that is over, BenchmarkSlopeSubmission a job's
-// acceptance up to its transaction.
+// BenchmarkSlopePoll measures a status query for a job that is over.
 func BenchmarkSlopePoll(b *testing.B) {
 	s, c, _ := largeDeploymentCore(b)
 	over := ""
@@ -110,7 +110,8 @@
 	}
 }
 
-// BenchmarkSlopeSubmission reads and checks a submission and hands its transaction to the rate limiter.
+// BenchmarkSlopeSubmission measures the handling of a submission up to its transaction: it decodes and
+// validates the submission and passes the transaction to the rate limiter.
 func BenchmarkSlopeSubmission(b *testing.B) {
 	s, c, _ := largeDeploymentCore(b)
 	clock, id := s.controllers[0].clock(), uint64(1e9)
@@ -119,12 +120,12 @@
 		id++
 		body := fmt.Sprintf(`{"ref":"wk-%09d","jobclass":"arr","crew":"blue","shape":"batch","urgency":"standard","loads":100,"cpus":1,"accelerators":0,"ramGb":1,"kit":"img","sizeGb":1,"rigs":null,"depot":null,"oneZone":false,"apart":false,"casual":true,"etaS":10,"waypointS":0,"stowS":0,"dueS":null}`, id)
 		c.Request(clock, id, http.MethodPost, protocol.PathJobs, []byte(body))
-		clock.Steady += time.Second // the queue fills up, and what waits is refused in time
+		clock.Steady += time.Second // lets submissions that wait in the full queue be refused
 	}
 }
 
-// BenchmarkSlopeTakeover is the failover of a group of machines to another controller, as every controller sees it,
-// for each machine of the group.
+// BenchmarkSlopeTakeover measures applying the failover of a group of machines to another controller, which
+// every controller does, and reports the time per machine of the group.
 func BenchmarkSlopeTakeover(b *testing.B) {
 	const workers = 1000
 	newCore := func() (*Core, failover.Group) {
@@ -134,8 +135,8 @@
 		var g failover.Group
 		for i, n := 0, 0; n < workers; i++ {
 			name := fmt.Sprintf("i-9%06d", i)
-			if of := failover.GroupOf(failover.Holder{Node: "n9", Incarnation: 1, Epoch: 1}, name, k.Zone); of.Number == 0 {
-				g, n = of, n+1
+			if group := failover.GroupOf(failover.Holder{Node: "n9", Incarnation: 1, Epoch: 1}, name, k.Zone); group.Number == 0 {
+				g, n = group, n+1
 				c.applyClaim(name, encode(k), 1<<30)
 			}
 		}
--- a/internal/coordination/step_cost_test.go
+++ b/internal/coordination/step_cost_test.go
@@ -12,27 +12,27 @@
 	"silvergate/internal/protocol"
 )
 
-// largeDeploymentCore is a controller of a deployment of hundreds of machines with tasks on
-// them, and a machine of its own with some.
+// largeDeploymentCore returns a simulated deployment of hundreds of machines that run tasks, one of
+// its controllers, and a machine of that controller with at least two tasks.
 func largeDeploymentCore(t testing.TB) (*sim, *Core, *machine) {
 	s := grownSim(t, 31)
 	s.loadGrown(80 * time.Second)
 	s.run(60 * time.Second)
 	c := s.controllers[0].core
 	if len(c.machines.byID) < 150 || len(c.machines.own) < 20 {
-		t.Fatalf("only %d machines, %d of them ours", len(c.machines.byID), len(c.machines.own))
+		t.Fatalf("only %d machines, %d of them owned by the controller", len(c.machines.byID), len(c.machines.own))
 	}
 	for _, m := range c.machines.own {
 		if len(m.bound) >= 2 && m.tokenSeen && !m.launchInDoubt && len(m.stops) == 0 {
 			return s, c, m
 		}
 	}
-	t.Fatal("no machine holds two tasks")
+	t.Fatal("no machine of the controller runs two tasks")
 	return nil, nil, nil
 }
 
-// TestCostOfAHeartbeat bounds the allocations for a heartbeat in which nothing has
-// changed, at a size at which a sweep over machines or jobs would show.
+// TestCostOfAHeartbeat bounds the allocations for handling a heartbeat that reports no changes. The
+// deployment is large enough that a loop over all machines or jobs would exceed the bound.
 func TestCostOfAHeartbeat(t *testing.T) {
 	s, c, m := largeDeploymentCore(t)
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
@@ -58,15 +58,15 @@
 	})
 	t.Logf("%.1f allocations for a heartbeat with %d tasks", allocs, len(r.Tasks))
 	if answered < 200 {
-		t.Fatalf("%d heartbeats answered", answered)
+		t.Fatalf("only %d heartbeats were answered", answered)
 	}
 	if limit := 15 + 3*float64(len(r.Tasks)); allocs > limit {
-		t.Errorf("%.1f allocations, at most %.0f", allocs, limit)
+		t.Errorf("%.1f allocations for a heartbeat, the bound is %.0f", allocs, limit)
 	}
 }
 
-// TestCostOfAWatchedChange bounds the allocations for a page in which one task
-// has changed, as every controller reads some twenty of them a second.
+// TestCostOfAWatchedChange bounds the allocations for applying a page in which one task has changed.
+// Every controller applies about twenty such pages per second.
 func TestCostOfAWatchedChange(t *testing.T) {
 	_, c, _ := largeDeploymentCore(t)
 	var p *page
@@ -94,15 +94,14 @@
 	})
 	t.Logf("%.1f allocations for a page of %d tasks", allocs, len(tasks))
 	if p.tasks[7].Attempt != 1000+200 {
-		t.Fatalf("the page was not read: %+v", p.tasks[7])
+		t.Fatalf("the page was not applied: %+v", p.tasks[7])
 	}
 	if allocs > 4 {
-		t.Errorf("%.1f allocations", allocs)
+		t.Errorf("%.1f allocations for a page, the bound is 4", allocs)
 	}
 }
 
-// TestCostOfAnIdleTick bounds the allocations for a tick at which nothing is
-// due.
+// TestCostOfAnIdleTick bounds the allocations for a tick at which no work is due.
 func TestCostOfAnIdleTick(t *testing.T) {
 	s, c, _ := largeDeploymentCore(t)
 	clock := s.controllers[0].clock()
@@ -113,12 +112,12 @@
 	allocs := testing.AllocsPerRun(200, func() { c.Tick(clock) })
 	t.Logf("%.1f allocations", allocs)
 	if allocs > 8 {
-		t.Errorf("%.1f allocations for nothing", allocs)
+		t.Errorf("%.1f allocations for an idle tick, the bound is 8", allocs)
 	}
 }
 
-// TestJobOrderAgreesWithPlainSort compares the maintained order of jobs with one made
-// anew, after jobs have been submitted and finished.
+// TestJobOrderAgreesWithPlainSort compares the incrementally maintained order of jobs with a complete
+// sort, after jobs have been submitted and finished.
 func TestJobOrderAgreesWithPlainSort(t *testing.T) {
 	s, c, _ := largeDeploymentCore(t)
 	for at := 100 * time.Second; at < 130*time.Second; at += 3 * time.Second {
@@ -132,21 +131,21 @@
 		}
 		slices.SortFunc(plain, compareUrgency)
 		if !slices.Equal(plain, c.jobs.openByUrgency) {
-			t.Fatalf("%v: %d jobs by urgency, %d are open", at, len(c.jobs.openByUrgency), len(plain))
+			t.Fatalf("%v: the order by urgency is wrong: %d jobs in it, %d are open", at, len(c.jobs.openByUrgency), len(plain))
 		}
 		if !slices.IsSortedFunc(c.jobs.openByAge, compareAge) || len(c.jobs.openByAge) != len(c.jobs.open) {
-			t.Fatalf("%v: %d jobs by age, %d are open", at, len(c.jobs.openByAge), len(c.jobs.open))
+			t.Fatalf("%v: the order by age is wrong: %d jobs in it, %d are open", at, len(c.jobs.openByAge), len(c.jobs.open))
 		}
 	}
 }
 
-// TestMemoryOfJobsThatAreOver guards against memory that grows with all the tasks there
-// ever were: of a job that is over only the counts are kept, and a placement that reaches
-// the mirror after the job's end is known all the same.
+// TestMemoryOfJobsThatAreOver guards against memory use that grows with every task ever submitted:
+// for a finished or cancelled job the controller keeps only counts. A placement that reaches the
+// mirror after the end of its job must still be recorded.
 func TestMemoryOfJobsThatAreOver(t *testing.T) {
 	s, c, _ := largeDeploymentCore(t)
 	s.run(130 * time.Second)
-	over, kept := 0, 0
+	over, retained := 0, 0
 	for _, id := range sortedKeys(c.jobs.byID) {
 		r := c.jobs.byID[id]
 		if !r.final() {
@@ -155,7 +154,7 @@
 		over++
 		for _, p := range r.pages {
 			if p.tasks != nil && !slices.ContainsFunc(p.tasks, func(t job.Task) bool { return t.Phase == job.Bound }) {
-				kept++
+				retained++
 			}
 		}
 		if st := c.jobState(r); r.status == job.Done && (*st.Done != r.spec.Tasks || r.finished != r.spec.Tasks) {
@@ -163,8 +162,8 @@
 		}
 	}
 	t.Logf("%d jobs are over", over)
-	if over < 10 || kept > 0 {
-		t.Errorf("%d jobs are over, %d of their pages kept", over, kept)
+	if over < 10 || retained > 0 {
+		t.Errorf("%d jobs are over, want at least 10; %d of their pages are still in memory", over, retained)
 	}
 	_, c, m := largeDeploymentCore(t)
 	var open *jobRecord
@@ -174,7 +173,7 @@
 		}
 	}
 	if open == nil {
-		t.Fatal("no array has two tasks bound")
+		t.Fatal("no array job has two bound tasks")
 	}
 	p := open.pages[0]
 	before := writePage(p.tasks)
@@ -186,17 +185,17 @@
 	}
 	c.applyJob(open.spec.ID, encode(storedJob{open.spec, job.Cancelled, open.submittedAtMS, open.owner}), open.revision+1)
 	if p.tasks != nil || open.bound != 0 {
-		t.Fatalf("%d tasks are bound of a job that was emptied and cancelled", open.bound)
+		t.Fatalf("a job whose page was emptied and that was cancelled still has %d bound tasks", open.bound)
 	}
 	c.propose(open, 0, taskTransition{machine: m.id, proof: fencing.Ended})
 	c.flushPages(p, nil)
 	if len(p.queue) > 0 || c.writer.dirtyPages[p] {
-		t.Error("a change of a page that is gone waits for ever")
+		t.Error("a change to a page that was dropped from memory stays queued forever")
 	}
 	finished := open.finished
 	c.applyPage(open.spec.ID+"/0", before, p.revision+1)
 	again := writePage(p.tasks)
 	if string(again) != string(before) || open.bound < 2 || open.finished < finished {
-		t.Errorf("%s was read as %s, %d bound, %d finished", before, again, open.bound, open.finished)
+		t.Errorf("page %s was applied as %s, %d tasks bound, %d finished", before, again, open.bound, open.finished)
 	}
 }
