--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -71,7 +71,7 @@
 		return false
 	case len(m.stops) > 0:
 		return true
-	case !c.hasRoomFor(m):
+	case !c.allServicesFitElsewhere(m):
 		m.consolidating = false
 		return false
 	}
@@ -97,13 +97,13 @@
 
 // startConsolidation has the sparsest machines emptied whose services have a place
 // elsewhere, until as many are being emptied as may be.
-func (c *Core) startConsolidation(sparse []*machine, emptying int, most float64) {
+func (c *Core) startConsolidation(sparse []*machine, emptying int, limit float64) {
 	sort.SliceStable(sparse, func(i, j int) bool { return sparse[i].serviceShare < sparse[j].serviceShare })
 	for _, m := range sparse {
-		if float64(emptying) >= most {
+		if float64(emptying) >= limit {
 			return
 		}
-		if !c.hasRoomFor(m) {
+		if !c.allServicesFitElsewhere(m) {
 			continue
 		}
 		m.consolidating = true
@@ -127,8 +127,10 @@
 	return true
 }
 
-// isPinned tells whether the zones of a job's tasks matter to one another.
-func isPinned(r *jobRecord) bool { return r.spec.Tasks > 1 && (r.spec.OneZone || r.spec.Spread) }
+// hasZoneConstraint tells whether the zones of a job's tasks matter to one another.
+func hasZoneConstraint(r *jobRecord) bool {
+	return r.spec.Tasks > 1 && (r.spec.OneZone || r.spec.Spread)
+}
 
 // consolidationTarget finds a better machine of ours for a service on m; reserved is what
 // services that move with it will take on each.
@@ -137,7 +139,7 @@
 		if target == m || c.unschedulable(target) || !holdsMoreServices(target, m) {
 			continue
 		}
-		if c.fetchTime(r.spec, target) > 0 || !c.couldHold(r, target) || isPinned(r) && target.claim.Zone != m.claim.Zone {
+		if c.fetchTime(r.spec, target) > 0 || !c.couldHold(r, target) || hasZoneConstraint(r) && target.claim.Zone != m.claim.Zone {
 			continue
 		}
 		machineType := c.machineTypeOf(target)
@@ -158,8 +160,8 @@
 	return target.serviceShare != m.serviceShare || target.id <= m.id
 }
 
-// hasRoomFor tells whether all services on m have a place elsewhere.
-func (c *Core) hasRoomFor(m *machine) bool {
+// allServicesFitElsewhere tells whether all services on m have a place elsewhere.
+func (c *Core) allServicesFitElsewhere(m *machine) bool {
 	reserved := map[*machine]usage{}
 	for _, k := range m.tasks() {
 		r := m.bound[k]
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -230,14 +230,14 @@
 // idle controller is thus woken as seldom as its sweeps need, since each waking
 // costs more than what it does.
 func (c *Core) Due() time.Duration {
-	if c.waitsForTime() {
+	if c.needsFrequentTicks() {
 		return TickInterval
 	}
 	return max(TickInterval, c.sweep.nextAt-c.now)
 }
 
-// waitsForTime tells whether something is to be done before the next sweep.
-func (c *Core) waitsForTime() bool {
+// needsFrequentTicks tells whether something is to be done before the next sweep.
+func (c *Core) needsFrequentTicks() bool {
 	statusQueriesWait := len(c.queries.statusQueries) > 0 && !c.queries.statusQueryInFlight
 	return !c.state.Loaded() || c.state.NeedsTick() || c.writer.needsTick || statusQueriesWait
 }
@@ -292,13 +292,13 @@
 const maxRetryAfter = 30
 
 // refuse answers request id with an error; clients may retry a 503 after a while.
-func (c *Core) refuse(id uint64, status int, why string) {
+func (c *Core) refuse(id uint64, status int, message string) {
 	retry := 0
 	if status == http.StatusServiceUnavailable {
 		retry = c.retryAfter()
 		c.Stats.Unavailable++
 	}
-	c.respond(id, status, protocol.ErrorResponse{Error: why}, retry)
+	c.respond(id, status, protocol.ErrorResponse{Error: message}, retry)
 }
 
 // refuseWhileLoading refuses request id if the records have not been read since the start,
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -71,7 +71,7 @@
 func (c *Core) probe(r *jobRecord, tasks []int) {
 	for parts := 1 + len(c.membership.members); len(tasks) > 0; parts-- {
 		n := (len(tasks) + parts - 1) / max(1, parts)
-		c.probeFor(r, tasks[:n])
+		c.handOffOrEnqueue(r, tasks[:n])
 		tasks = tasks[n:]
 	}
 }
@@ -79,9 +79,9 @@
 // maxHandoffTasks bounds the tasks of one handoff message.
 const maxHandoffTasks = 1024
 
-// probeFor hands tasks off to a peer that has room, or enqueues them here if no peer is known
+// handOffOrEnqueue hands tasks off to a peer that has room, or enqueues them here if no peer is known
 // that could take them.
-func (c *Core) probeFor(r *jobRecord, tasks []int) {
+func (c *Core) handOffOrEnqueue(r *jobRecord, tasks []int) {
 	target := c.pickPeer()
 	if target == "" {
 		c.enqueue(r, tasks, 0)
@@ -169,8 +169,8 @@
 	c.enqueue(r, unplaced, c.now+3*c.cfg.Operator.PublishInterval)
 }
 
-// handoffReturned takes back tasks that a peer has no machine for.
-func (c *Core) handoffReturned(handoff *peer.TaskHandoff) {
+// handleHandoffReturn takes back tasks that a peer has no machine for.
+func (c *Core) handleHandoffReturn(handoff *peer.TaskHandoff) {
 	r := c.jobs.byID[handoff.Job]
 	if r == nil || r.final() {
 		return
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -73,7 +73,7 @@
 	if !c.holdsGangReservation(r) || c.requestBlock(r, zones, need) {
 		return
 	}
-	c.keepRoom(r, bestZone)
+	c.holdRoom(r, bestZone)
 	c.requestIdleRoom(r)
 }
 
@@ -90,8 +90,8 @@
 	c.log.Debug("starting gang", "job", r.spec.ID, "tasks", len(tasks))
 }
 
-// keepRoom has the gang with the reservation keep what room it finds in a zone.
-func (c *Core) keepRoom(r *jobRecord, zone string) {
+// holdRoom has the gang with the reservation keep what room it finds in a zone.
+func (c *Core) holdRoom(r *jobRecord, zone string) {
 	picked := c.reserveGang(r, zone)
 	for _, i := range picked {
 		m := c.machines.byID[r.reservations[i].machine]
@@ -318,15 +318,15 @@
 }
 
 // clearMachine keeps a machine's room for a gang and stops what is in the way.
-func (c *Core) clearMachine(r *jobRecord, m *machine, by string) {
+func (c *Core) clearMachine(r *jobRecord, m *machine, requester string) {
 	if c.unschedulable(m) || (m.reservedFor != r.spec.ID && c.now < m.reservedUntil) {
 		return
 	}
-	m.reserveRoom(r.spec.ID, c.now+c.holdTime(), by)
+	m.reserveRoom(r.spec.ID, c.now+c.holdTime(), requester)
 	if c.fits(r, m) || len(m.stops) > 0 {
 		return
 	}
-	victims, _, ok := c.evict(r, m, false)
+	victims, _, ok := c.pickVictims(r, m, false)
 	if !ok {
 		return
 	}
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -151,12 +151,12 @@
 	s := grownSim(t, 37)
 	s.loadGrown(120 * time.Second)
 	s.run(100 * time.Second)
-	cut := map[string]bool{}    // machines of the zone
+	cutOff := map[string]bool{} // machines of the zone
 	single := map[string]bool{} // silent machines elsewhere
 	for _, w := range s.cloud.sortedMachines() {
 		switch {
 		case w.zone == "c":
-			cut[w.name] = true
+			cutOff[w.name] = true
 			w.hungUntil = s.now + 15*time.Second
 		case len(single) < 3 && len(w.tasks) > 0:
 			single[w.name] = true
@@ -164,19 +164,19 @@
 		}
 	}
 	s.run(120 * time.Second)
-	kept := 0
-	condemned := 0 // drained as silent
-	for name := range cut {
+	remaining := 0
+	drainedAsSilent := 0 // drained as silent
+	for name := range cutOff {
 		if s.cloud.machines[name] != nil {
-			kept++
+			remaining++
 		}
 		if s.state.drainWrites[keyDrain+name] > 0 && s.controllers[0].core.machines.drains[name].Reason == drainSilent {
-			condemned++
+			drainedAsSilent++
 		}
 	}
-	t.Logf("%d machines in the zone that was cut off, %d are there", len(cut), kept)
-	if len(cut) < 20 || kept < len(cut)*3/4 || condemned > 0 {
-		t.Errorf("%d machines were cut off, %d are there, %d condemned", len(cut), kept, condemned)
+	t.Logf("%d machines in the zone that was cut off, %d are there", len(cutOff), remaining)
+	if len(cutOff) < 20 || remaining < len(cutOff)*3/4 || drainedAsSilent > 0 {
+		t.Errorf("%d machines were cut off, %d are there, %d condemned", len(cutOff), remaining, drainedAsSilent)
 	}
 	for name := range single {
 		if s.cloud.machines[name] != nil {
@@ -193,7 +193,7 @@
 // not be told then to wait for its return.
 func TestWorkersOfASilentControllerAreTakenInTime(t *testing.T) {
 	ended := 0 // leases
-	held := 0
+	owned := 0
 	for seed := uint64(51); seed < 54; seed++ {
 		s := grownSim(t, seed)
 		s.loadGrown(120 * time.Second)
@@ -203,7 +203,7 @@
 			epochs[w.name] = w.agentEpoch
 		}
 		n := s.controllers[0]
-		held += len(n.core.machines.own)
+		owned += len(n.core.machines.own)
 		for _, who := range []string{"workers", "peers", "state", "users"} {
 			n.unreachableUntil[who] = s.now + 30*time.Second
 		}
@@ -216,8 +216,8 @@
 		s.finish(t, 160*time.Second)
 		s.reportViolations(t)
 	}
-	t.Logf("%d of %d leases ended", ended, held)
-	if ended*20 > held {
-		t.Errorf("%d of %d leases ended", ended, held)
+	t.Logf("%d of %d leases ended", ended, owned)
+	if ended*20 > owned {
+		t.Errorf("%d of %d leases ended", ended, owned)
 	}
 }
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -124,9 +124,9 @@
 		s.after(0, day.delayLaunches)
 	}
 	s.after(day.refusedAt-s.now, day.refuseLeader)
-	s.after(day.drawCancellationTime()-s.now, day.cancelJobs)
+	s.after(day.randomCancellationTime()-s.now, day.cancelJobs)
 	if m.confirmerFate != "lives" {
-		day.crashConfirmerOnceTold()
+		day.crashConfirmerOnceConfirmed()
 	}
 	s.after(day.outageAt-s.now, func() { s.state.downUntil = day.outageEndsAt })
 	s.after(day.outageAt+s.randomMillis(0, 6000)-s.now, day.injectDuringOutage)
@@ -176,8 +176,8 @@
 	}
 }
 
-// drawCancellationTime draws all times, so that scenarios of one seed differ in nothing else.
-func (d *outageDay) drawCancellationTime() time.Duration {
+// randomCancellationTime draws all times, so that scenarios of one seed differ in nothing else.
+func (d *outageDay) randomCancellationTime() time.Duration {
 	at := map[string]time.Duration{
 		"before":     d.refusedAt - d.s.randomMillis(0, 60),
 		"during":     d.refusedAt + (d.outageAt-d.refusedAt)/2,
@@ -203,8 +203,8 @@
 	}
 }
 
-// crashConfirmerOnceTold crashes the confirming controller as soon as a user was told that a job is cancelled.
-func (d *outageDay) crashConfirmerOnceTold() {
+// crashConfirmerOnceConfirmed crashes the confirming controller as soon as a user was told that a job is cancelled.
+func (d *outageDay) crashConfirmerOnceConfirmed() {
 	s := d.s
 	for _, u := range s.users {
 		if u.cancelledAt == 0 {
@@ -222,7 +222,7 @@
 		})
 		return
 	}
-	s.after(10*time.Millisecond, d.crashConfirmerOnceTold)
+	s.after(10*time.Millisecond, d.crashConfirmerOnceConfirmed)
 }
 
 // injectDuringOutage injects the faults of the leader and its workers.
@@ -264,8 +264,8 @@
 	return o
 }
 
-// drawScenario draws a scenario.
-func drawScenario(s *sim) outageScenario {
+// randomScenario draws a scenario.
+func randomScenario(s *sim) outageScenario {
 	one := func(of []string) string { return of[s.random.IntN(len(of))] }
 	coin := func() bool { return s.random.IntN(2) == 0 }
 	return outageScenario{ // drawn in this order
@@ -283,8 +283,8 @@
 	}
 }
 
-// judge fails the test if a rule was broken, and logs how near the day came to cancel_s.
-func (m outageScenario) judge(t *testing.T, s *sim, o outcome) {
+// checkOutcome fails the test if a rule was broken, and logs how near the day came to cancel_s.
+func (m outageScenario) checkOutcome(t *testing.T, s *sim, o outcome) {
 	t.Helper()
 	for _, violation := range s.violations {
 		t.Error(violation)
@@ -335,7 +335,7 @@
 			t.Run(fmt.Sprintf("%d %d", i, nodes), func(t *testing.T) {
 				t.Parallel()
 				s, o := m.play(t, uint64(20_000+i))
-				m.judge(t, s, o)
+				m.checkOutcome(t, s, o)
 				if o.confirmed == 0 {
 					t.Error("no cancellation was confirmed: the scenario did not occur")
 				}
@@ -343,9 +343,9 @@
 		}
 	}
 	runSeeds(t, 21_000, 40, func(t *testing.T, seed uint64) {
-		m := drawScenario(newSim(t, seed, 0))
+		m := randomScenario(newSim(t, seed, 0))
 		s, o := m.play(t, seed)
-		m.judge(t, s, o)
+		m.checkOutcome(t, s, o)
 	})
 }
 
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -66,7 +66,7 @@
 	case message.Handoff != nil && c.state.Loaded():
 		c.receiveHandoff(from, message.Handoff)
 	case message.HandoffReturn != nil && c.state.Loaded():
-		c.handoffReturned(message.HandoffReturn)
+		c.handleHandoffReturn(message.HandoffReturn)
 	case message.RoomRequest != nil && c.state.Loaded():
 		c.offerRoom(from, message.RoomRequest)
 	case message.RoomOffer != nil && c.state.Loaded():
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -59,7 +59,7 @@
 		if seen == maxCandidates {
 			break
 		}
-		if preemptsForQuotaOf(m, r.spec.Team) {
+		if isPreemptingForQuota(m, r.spec.Team) {
 			return
 		}
 		if len(m.bound) == m.services || len(m.stops) > 0 || !m.tokenSeen || m.leaseExpired {
@@ -82,8 +82,8 @@
 	}
 }
 
-// preemptsForQuotaOf tells whether a task is being stopped on a machine for its team's limit.
-func preemptsForQuotaOf(m *machine, teamName string) bool {
+// isPreemptingForQuota tells whether a task is being stopped on a machine for its team's limit.
+func isPreemptingForQuota(m *machine, teamName string) bool {
 	for k, stop := range m.stops {
 		if v := m.bound[k]; stop.reason == preemptedForQuota && v != nil && v.spec.Team == teamName {
 			return true
@@ -145,13 +145,13 @@
 		if seen == maxCandidates {
 			break
 		}
-		if !m.holdsBelow(r.spec.Priority) || !c.mayPreemptOn(r, m) {
+		if !m.hasTasksBelow(r.spec.Priority) || !c.mayPreemptOn(r, m) {
 			continue
 		}
 		if warm && c.fetchTime(r.spec, m) > 0 {
 			continue
 		}
-		victims, cost, ok := c.evict(r, m, false)
+		victims, cost, ok := c.pickVictims(r, m, false)
 		if !ok {
 			continue
 		}
@@ -168,8 +168,8 @@
 	return best, bestVictims
 }
 
-// holdsBelow tells whether tasks of a priority below the given one are bound to a machine.
-func (m *machine) holdsBelow(priority job.Priority) bool {
+// hasTasksBelow tells whether tasks of a priority below the given one are bound to a machine.
+func (m *machine) hasTasksBelow(priority job.Priority) bool {
 	for p := job.Low; p < priority; p++ {
 		if m.boundByPriority[p] > 0 {
 			return true
@@ -194,7 +194,7 @@
 // tasks ends a whole gang. One gang is stopped at a time: the room of a whole machine, and
 // a little later that of the gang's other machines, serves several waiting tasks.
 func (c *Core) gangVictims(r *jobRecord) (*machine, []taskKey) {
-	if r.spec.Priority < job.Production || c.preemptsGang() {
+	if r.spec.Priority < job.Production || c.isPreemptingGang() {
 		return nil, nil
 	}
 	var best *machine
@@ -208,7 +208,7 @@
 		if len(m.bound) == m.services || !c.mayPreemptOn(r, m) {
 			continue
 		}
-		victims, cost, ok := c.evict(r, m, true)
+		victims, cost, ok := c.pickVictims(r, m, true)
 		if !ok {
 			continue
 		}
@@ -221,8 +221,8 @@
 	return best, bestVictims
 }
 
-// preemptsGang tells whether a gang's task is being stopped on a machine of ours to make room.
-func (c *Core) preemptsGang() bool {
+// isPreemptingGang tells whether a gang's task is being stopped on a machine of ours to make room.
+func (c *Core) isPreemptingGang() bool {
 	for _, m := range c.machines.own {
 		for _, stop := range m.stops {
 			if stop.reason == preemptedGang {
@@ -233,14 +233,14 @@
 	return false
 }
 
-// evict picks the tasks of lower priority to stop on a machine, cheapest
+// pickVictims picks the tasks of lower priority to stop on a machine, cheapest
 // first, and tells what work that loses in seconds of task time. With gangs, those
 // of several tasks may be among them. It is not ok if nothing has to be stopped, or if all
 // that may be is not enough.
-func (c *Core) evict(r *jobRecord, m *machine, gangs bool) (victims []taskKey, cost float64, ok bool) {
+func (c *Core) pickVictims(r *jobRecord, m *machine, gangs bool) (victims []taskKey, cost float64, ok bool) {
 	machineType := c.machineTypeOf(m)
 	cpus, gpus, memoryGB := m.cpus, m.gpus, m.ram
-	for _, v := range c.evictable(r, m, gangs) {
+	for _, v := range c.evictionCandidates(r, m, gangs) {
 		if hasCapacity(machineType, cpus, gpus, memoryGB, r.spec) {
 			break
 		}
@@ -261,9 +261,9 @@
 	cost float64 // seconds of task time
 }
 
-// evictable lists the tasks on a machine that a job's task may displace: those of the lowest
+// evictionCandidates lists the tasks on a machine that a job's task may displace: those of the lowest
 // priority first, and of these the cheapest.
-func (c *Core) evictable(r *jobRecord, m *machine, gangs bool) []victim {
+func (c *Core) evictionCandidates(r *jobRecord, m *machine, gangs bool) []victim {
 	var candidates []victim
 	for k, v := range m.bound {
 		if v.spec.Priority >= r.spec.Priority || isGang(v) && !gangs || v.final() || m.vacated[k] != nil {
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -33,7 +33,7 @@
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", 2+i), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, MachineTypes: []string{"large"}}, 0, 70*time.Second)
 		}
 		s.run(60 * time.Second)
-		on := func(ids ...string) (n int) {
+		countActive := func(ids ...string) (n int) {
 			for _, w := range s.workers {
 				for _, task := range w.tasks {
 					if slices.Contains(ids, task.jobID) && task.isActive() && !w.dead {
@@ -44,8 +44,8 @@
 			return n
 		}
 		replicas := []string{"wk-000002", "wk-000003", "wk-000004"}
-		if on("wk-000001") != 2 || on(replicas...) != 6 {
-			t.Fatalf("seed %d: %d of 2 tasks of the gang and %d of 6 replicas run", seed, on("wk-000001"), on(replicas...))
+		if countActive("wk-000001") != 2 || countActive(replicas...) != 6 {
+			t.Fatalf("seed %d: %d of 2 tasks of the gang and %d of 6 replicas run", seed, countActive("wk-000001"), countActive(replicas...))
 		}
 		for _, w := range s.cloud.sortedMachines() {
 			if slices.ContainsFunc(sortedKeys(w.tasks), func(key string) bool { return w.tasks[key].jobID == replicas[0] }) {
@@ -54,8 +54,8 @@
 			}
 		}
 		s.run(85 * time.Second)
-		if n := on(replicas...); n < 6 {
-			t.Errorf("seed %d: %d of 6 replicas run, and %d tasks of a gang of lower priority", seed, n, on("wk-000001"))
+		if n := countActive(replicas...); n < 6 {
+			t.Errorf("seed %d: %d of 6 replicas run, and %d tasks of a gang of lower priority", seed, n, countActive("wk-000001"))
 		}
 		s.run(360 * time.Second) // the services are over
 		if gang.finalStatus != "done" {
@@ -112,20 +112,20 @@
 	if v, err := strconv.Atoi(os.Getenv("SIM_DAYS")); err == nil {
 		days = uint64(v)
 	}
-	judged := make(chan int, days)
+	checkedLaunches := make(chan int, days)
 	t.Run("days", func(t *testing.T) {
 		for seed := range days {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				s := day(200+seed, false)
 				s.reportViolations(t)
-				judged <- s.counts.launchesJudged
+				checkedLaunches <- s.counts.launchesJudged
 			})
 		}
 	})
-	close(judged)
+	close(checkedLaunches)
 	launches := 0
-	for n := range judged {
+	for n := range checkedLaunches {
 		launches += n
 	}
 	t.Logf("%d launches of lower work while production work waited, on %d days", launches, days)
--- a/internal/coordination/recording_golden_test.go
+++ b/internal/coordination/recording_golden_test.go
@@ -60,7 +60,7 @@
 		if inputs < 50 || different != "" {
 			t.Errorf("%s: %d inputs, %s", name, inputs, different)
 		}
-		noteKinds(t, data, kinds, messages)
+		collectKinds(t, data, kinds, messages)
 	}
 	if len(kinds) != 4 {
 		t.Errorf("inputs of kinds %v only", kinds)
@@ -74,9 +74,9 @@
 	}
 }
 
-// noteKinds notes of which kinds a recording's inputs and peer messages are. Each input
+// collectKinds notes of which kinds a recording's inputs and peer messages are. Each input
 // must carry the digest of what the core did, but for questions about the process.
-func noteKinds(t *testing.T, data []byte, kinds map[recorder.Kind]bool, messages map[string]bool) {
+func collectKinds(t *testing.T, data []byte, kinds map[recorder.Kind]bool, messages map[string]bool) {
 	t.Helper()
 	r, err := recorder.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -95,12 +95,12 @@
 			t.Errorf("a %v at %v has no digest of its effects", in.Kind, in.Steady)
 		}
 		if in.Kind == recorder.Peer {
-			noteMessage(t, in.Body, messages)
+			collectMessageKind(t, in.Body, messages)
 		}
 	}
 }
 
-func noteMessage(t *testing.T, body []byte, messages map[string]bool) {
+func collectMessageKind(t *testing.T, body []byte, messages map[string]bool) {
 	t.Helper()
 	var m peer.WireMessage // its fields are held by tests of internal/peer
 	if err := cbor.Unmarshal(body, &m); err != nil {
--- a/internal/coordination/startup_test.go
+++ b/internal/coordination/startup_test.go
@@ -54,7 +54,7 @@
 // startCore starts a controller against records and tells how many requests its
 // reading took, and the time of its steps until it answers a health check, a user
 // and a worker of its earlier incarnation.
-func startCore(tb testing.TB, keys []string, data map[string][]byte) (requests int, whole, longest time.Duration) {
+func startCore(tb testing.TB, keys []string, data map[string][]byte) (requests int, total, longest time.Duration) {
 	facts := newSim(tb, 1, 0).facts
 	facts.Teams = []config.Team{{Name: "blue"}}
 	cfg := &config.Settings{Node: "n0", Zone: "a", Facts: facts, Operator: config.DefaultOperator()}
@@ -65,18 +65,18 @@
 		begin := time.Now()
 		e := do()
 		d := time.Since(begin)
-		whole, longest = whole+d, max(longest, d)
+		total, longest = total+d, max(longest, d)
 		return e
 	}
-	up, served, answered := false, false, false
-	var todo []protocol.Call
-	var asked uint64 = 1 << 40
-	ask := func(method, path string, body []byte) int {
-		asked++
-		e := step(func() Effects { return c.Request(clock(), asked, method, path, body) })
-		todo = append(todo, e.Calls...)
+	healthy, served, answered := false, false, false
+	var pending []protocol.Call
+	var lastID uint64 = 1 << 40
+	request := func(method, path string, body []byte) int {
+		lastID++
+		e := step(func() Effects { return c.Request(clock(), lastID, method, path, body) })
+		pending = append(pending, e.Calls...)
 		for _, a := range e.Responses {
-			if a.ID == asked {
+			if a.ID == lastID {
 				return a.Status
 			}
 		}
@@ -84,10 +84,10 @@
 	}
 	for range 5000 {
 		at += 10 * time.Millisecond
-		todo = append(todo, step(func() Effects { return c.Tick(clock()) }).Calls...)
-		for len(todo) > 0 {
-			k := todo[0]
-			todo = todo[1:]
+		pending = append(pending, step(func() Effects { return c.Tick(clock()) }).Calls...)
+		for len(pending) > 0 {
+			k := pending[0]
+			pending = pending[1:]
 			r := protocol.Reply{ID: k.ID, Sent: true, Status: http.StatusOK, Body: []byte(`{"ledger":7,"permit":1,"news":[]}`)}
 			if u, _ := url.Parse(k.Path); k.Target == protocol.ToStateService && u.Path == protocol.PathKeys {
 				requests++
@@ -110,26 +110,26 @@
 				}
 				r.Status = http.StatusServiceUnavailable
 			}
-			todo = append(todo, step(func() Effects { return c.Reply(clock(), r) }).Calls...)
+			pending = append(pending, step(func() Effects { return c.Reply(clock(), r) }).Calls...)
 		}
-		if !up {
-			up = ask(http.MethodGet, protocol.PathHealth, nil) == http.StatusOK
+		if !healthy {
+			healthy = request(http.MethodGet, protocol.PathHealth, nil) == http.StatusOK
 		}
 		if !served {
-			served = ask(http.MethodGet, protocol.PathJobs+"/wk-000001", nil) == http.StatusOK // over
+			served = request(http.MethodGet, protocol.PathJobs+"/wk-000001", nil) == http.StatusOK // over
 		}
-		if up && !answered {
+		if healthy && !answered {
 			reply := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
 			for i := range 8 {
 				reply.Tasks = append(reply.Tasks, protocol.TaskStatus{Task: job.TaskName("wk-000000", i), Attempt: 1, Status: protocol.TaskRunning})
 			}
-			answered = ask(http.MethodPost, protocol.PathHeartbeat, encode(reply)) == http.StatusOK
+			answered = request(http.MethodPost, protocol.PathHeartbeat, encode(reply)) == http.StatusOK
 		}
-		if up && served && answered {
-			return requests, whole, longest
+		if healthy && served && answered {
+			return requests, total, longest
 		}
 	}
-	tb.Fatalf("not started: up %v, served %v, answered %v", up, served, answered)
+	tb.Fatalf("not started: healthy %v, served %v, answered %v", healthy, served, answered)
 	return
 }
 
@@ -139,7 +139,7 @@
 func TestStartReadsInPages(t *testing.T) {
 	keys, data := fleetRecords(1000, "n0")
 	requests, _, _ := startCore(t, keys, data)
-	if least := (len(keys) + 999) / 1000; requests > least+2 {
+	if minRequests := (len(keys) + 999) / 1000; requests > minRequests+2 {
 		t.Errorf("%d requests for %d records", requests, len(keys))
 	}
 }
@@ -154,8 +154,8 @@
 			var sum, most time.Duration
 			var requests int
 			for range b.N {
-				r, whole, longest := startCore(b, keys, data)
-				requests, sum, most = r, sum+whole, max(most, longest)
+				r, total, longest := startCore(b, keys, data)
+				requests, sum, most = r, sum+total, max(most, longest)
 			}
 			b.ReportMetric(sum.Seconds()*1e3/float64(b.N), "ms/start")
 			b.ReportMetric(most.Seconds()*1e3, "ms-longest-step")
--- a/internal/coordination/state_outage_test.go
+++ b/internal/coordination/state_outage_test.go
@@ -16,7 +16,7 @@
 	s := newSim(t, 11, 0)
 	s.submitServices(6, 1)
 	s.run(60 * time.Second)
-	on := func() (n int) {
+	countActive := func() (n int) {
 		for _, w := range s.cloud.sortedMachines() {
 			for _, task := range w.tasks {
 				if task.isActive() {
@@ -26,20 +26,20 @@
 		}
 		return n
 	}
-	if on() != 6 {
-		t.Fatalf("%d of 6 run before the outage", on())
+	if countActive() != 6 {
+		t.Fatalf("%d of 6 run before the outage", countActive())
 	}
 	starts := s.counts.taskStarts
 	s.state.downUntil = s.now + 3*time.Minute
 	s.run(s.now + 2*time.Minute)
-	if on() != 6 || s.counts.taskStarts != starts {
-		t.Errorf("%d of 6 run two minutes into the outage, %d were started again", on(), s.counts.taskStarts-starts)
+	if countActive() != 6 || s.counts.taskStarts != starts {
+		t.Errorf("%d of 6 run two minutes into the outage, %d were started again", countActive(), s.counts.taskStarts-starts)
 	}
 	// With one controller down it is not known what that one has confirmed.
 	s.controllers[2].crash(time.Hour)
 	s.run(s.now + 55*time.Second)
-	if on() != 0 {
-		t.Errorf("%d tasks still run although a controller can't be asked", on())
+	if countActive() != 0 {
+		t.Errorf("%d tasks still run although a controller can't be asked", countActive())
 	}
 	s.reportViolations(t)
 }
--- a/internal/coordination/zone_view.go
+++ b/internal/coordination/zone_view.go
@@ -14,9 +14,9 @@
 	unresponsive           []string
 }
 
-// minMachinesOfLostZone is how many machines a controller must hold in a zone for their
+// minMachinesInLostZone is how many machines a controller must hold in a zone for their
 // silence to say something of the zone.
-const minMachinesOfLostZone = 4
+const minMachinesInLostZone = 4
 
 // updateZoneView takes what this controller hears. A zone is unreachable when no heartbeat
 // came from it within the timeout.
@@ -27,7 +27,7 @@
 		switch h := zones[z]; {
 		case now-h.lastHeartbeat <= timeout:
 			v.reachable = append(v.reachable, z)
-		case h.machines >= minMachinesOfLostZone:
+		case h.machines >= minMachinesInLostZone:
 			v.unreachable = append(v.unreachable, z)
 		}
 	}
