--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -1,6 +1,6 @@
-// Package coordination is silvergate's core: one deterministic state machine per
-// controller. Inputs go in with the time; responses, calls and peer messages come
-// out. There is no I/O, clock or goroutine in it.
+// Package coordination is the core of a silvergate controller: one deterministic
+// state machine per controller, without I/O, clock or goroutines. Each input comes with
+// the current time and yields responses, calls and peer messages.
 //
 // The state service is the source of truth. The core mirrors its records, decides
 // from the mirror, and changes records only by conditional transactions: a stale
@@ -24,13 +24,13 @@
 	"silvergate/internal/stateclient"
 )
 
-// Response is the response to a request from outside.
+// Response is the response to an HTTP request.
 type Response struct {
-	ID         uint64 // of the request
-	Status     int    // HTTP
+	ID         uint64 // ID of the request
+	Status     int    // HTTP status
 	Body       []byte // JSON
 	RetryAfter int    // seconds; 0: none
-	Urgent     bool   // to a worker with urgent work: its connection is kept before others
+	Urgent     bool   // goes to a worker with urgent work, whose connection is kept in preference to others
 }
 
 // Outgoing is a message for a peer.
@@ -39,22 +39,22 @@
 	Message peer.Message
 }
 
-// Effects are what a step wants done, each list in its order. They belong to the caller.
+// Effects are the outputs of a step, each list in order. The caller owns them.
 type Effects struct {
 	Responses []Response
 	Calls     []protocol.Call
 	Sends     []Outgoing
 }
 
-// Timestamp is the time that comes with an input: a steady clock that starts with
-// the process, and the time of day.
+// Timestamp is the time of an input, by a monotonic clock that starts with the process
+// and by the wall clock.
 type Timestamp struct {
 	Steady time.Duration
 	Wall   time.Time
 }
 
-// Core is one controller. It routes inputs to the parts that own the state they
-// concern, and collects the effects of a step. It is not safe for concurrent use.
+// Core is the state machine of one controller. It routes each input to the parts that own
+// the affected state, and collects the effects of a step. It is not safe for concurrent use.
 type Core struct {
 	environment
 	stepTime
@@ -74,31 +74,31 @@
 	gangs     gangScheduler
 	scaler    fleetScaler
 	queries   *queryHandler
-	staging   *stagingCoordinator // nil: no data sets
+	staging   *stagingCoordinator // nil if there are no data sets
 
 	Stats Stats
 }
 
-// environment is what a core is made with; it does not change.
+// environment holds the arguments of New; they do not change.
 type environment struct {
 	cfg         *config.Settings
 	log         *slog.Logger
-	verbose     bool // debug lines are wanted; saves building them
+	verbose     bool // debug logging is enabled; if not, debug lines are not built
 	random      *rand.Rand
-	incarnation int64 // tells this process of the controller from earlier ones
+	incarnation int64 // distinguishes this process of the controller from earlier ones
 }
 
-// stepTime is the time of the step under way.
+// stepTime is the time of the current step.
 type stepTime struct {
 	now      time.Duration // since the process began
 	wallTime time.Time
 }
 
-// callTable holds the calls that were sent and not answered yet.
+// callTable holds the calls that were sent and have no reply yet.
 type callTable struct {
 	nextID  uint64
 	pending map[uint64]func(protocol.Reply)
-	latency map[string]*hdrhistogram.Histogram // by the system called
+	latency map[string]*hdrhistogram.Histogram // by target system
 }
 
 func newCallTable() callTable {
@@ -111,7 +111,7 @@
 // sweepTimes are the times of the periodic sweep over all state.
 type sweepTimes struct {
 	nextAt   time.Duration
-	loadedAt time.Duration // of the first sweep after the records had been read
+	loadedAt time.Duration // time of the first sweep after the records were loaded
 }
 
 // taskKey names a task: the job's id and the task's index in it.
@@ -120,9 +120,9 @@
 	index int
 }
 
-// New makes a core. Two processes of the same controller must have different
-// incarnations. All choices at random are drawn from rnd, so that a recording
-// with the same seed replays to the same effects.
+// New returns a core. Two processes of the same controller must have different
+// incarnations. All random choices come from rnd, so that replaying a recording with the
+// same seed has the same effects.
 func New(cfg *config.Settings, log *slog.Logger, rnd *rand.Rand, incarnation int64) *Core {
 	c := &Core{
 		environment: environment{
@@ -154,17 +154,17 @@
 	return c
 }
 
-// seconds converts a setting in seconds.
+// seconds converts a setting in seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// call sends a request to another system; done gets its reply in a later step.
+// call sends a request to another system; done is called with the reply in a later step.
 func (c *Core) call(k protocol.Call, done func(protocol.Reply)) {
 	c.calls.nextID++
 	k.ID = c.calls.nextID
 	c.calls.pending[k.ID] = done
 	c.effects.Calls = append(c.effects.Calls, k)
 	if strings.HasPrefix(k.Path, protocol.PathWatch) {
-		return // a watch takes as long as nothing changes: its latency says nothing
+		return // a watch is answered when something changes: its latency means nothing
 	}
 	target := k.Target.String()
 	sentAt := c.now
@@ -181,7 +181,7 @@
 	c.links.Advance(c.now)
 }
 
-// endStep sends what waited for the end of the step and returns the effects.
+// endStep runs the work that is deferred to the end of a step, and returns the effects.
 func (c *Core) endStep() Effects {
 	c.advanceFailovers()
 	c.flush()
@@ -194,14 +194,14 @@
 }
 
 // Request handles an HTTP request from a user, an operator, a worker or a health check.
-// The response has the same id; it is part of these effects or of later ones.
+// The response has the same id and is part of the effects of this step or of a later one.
 func (c *Core) Request(t Timestamp, id uint64, method, path string, body []byte) Effects {
 	c.beginStep(t)
 	c.route(httpRequest{id: id, method: method, path: path, body: body})
 	return c.endStep()
 }
 
-// Reply handles the reply to a call, or its failure.
+// Reply handles the reply to a call, or the failure of the call.
 func (c *Core) Reply(t Timestamp, r protocol.Reply) Effects {
 	c.beginStep(t)
 	if done := c.calls.pending[r.ID]; done != nil {
@@ -222,13 +222,13 @@
 // workers' heartbeat period.
 func (c *Core) sweepPeriod() time.Duration { return seconds(c.cfg.Facts.Workers.Report / 12) }
 
-// TickInterval is the time between two ticks while something waits for time to pass.
+// TickInterval is the time between two ticks while work is waiting for time to pass.
 const TickInterval = 50 * time.Millisecond
 
-// Due tells how long the core can do without a tick: until its next sweep, or
-// for TickInterval while a request, a page or a status query waits for time to pass. An
-// idle controller is thus woken as seldom as its sweeps need, since each waking
-// costs more than what it does.
+// Due returns how long the core can go without a tick: until its next sweep, or
+// TickInterval while a request, a page or a status query waits for time to pass. An
+// idle controller thus wakes up only for its sweeps, since a wakeup costs more than the
+// work done in it.
 func (c *Core) Due() time.Duration {
 	if c.needsFrequentTicks() {
 		return TickInterval
@@ -236,13 +236,13 @@
 	return max(TickInterval, c.sweep.nextAt-c.now)
 }
 
-// needsFrequentTicks tells whether something is to be done before the next sweep.
+// needsFrequentTicks reports whether some work is due before the next sweep.
 func (c *Core) needsFrequentTicks() bool {
 	statusQueriesWait := len(c.queries.statusQueries) > 0 && !c.queries.statusQueryInFlight
 	return !c.state.Loaded() || c.state.NeedsTick() || c.writer.needsTick || statusQueriesWait
 }
 
-// Tick lets time pass: it does what is due, and sweeps over all state once in each sweep period.
+// Tick advances the time: it does the work that is due, and sweeps over all state once per sweep period.
 func (c *Core) Tick(t Timestamp) Effects {
 	c.beginStep(t)
 	c.checkLinks()
@@ -255,8 +255,9 @@
 	return c.endStep()
 }
 
-// sweepAll looks at all jobs and machines, and does what time alone makes due. The order
-// of its parts is part of the core's behaviour: each sees what the earlier ones did.
+// sweepAll checks all jobs and machines for work that becomes due by the passing of time
+// alone. The order of the calls is part of the core's behaviour: each call sees the results
+// of those before it.
 func (c *Core) sweepAll() {
 	c.sweep.nextAt = c.now + c.sweepPeriod()
 	if c.sweep.loadedAt == 0 {
@@ -275,23 +276,23 @@
 	c.staging.tick()
 }
 
-// respond answers request id with v as JSON; retryAfter is in seconds, 0: none.
+// respond answers request id with v as JSON. retryAfter is in seconds; 0 means none.
 func (c *Core) respond(id uint64, status int, v any, retryAfter int) {
 	response := Response{ID: id, Status: status, Body: encode(v), RetryAfter: retryAfter}
 	c.effects.Responses = append(c.effects.Responses, response)
 }
 
-// retryAfter is after how many seconds a refused request has a chance: when the queue
-// of requests to the state service will have been sent, and a second at least. When a
-// service that can't be reached will be back, nobody knows.
+// retryAfter returns after how many seconds a refused request may succeed: when the queued
+// requests to the state service will have been sent, and at least one second. It can't
+// predict when an unreachable service will be back.
 func (c *Core) retryAfter() int {
 	return min(maxRetryAfter, 1+int(c.state.QueueDelay().Seconds()))
 }
 
-// maxRetryAfter is the longest wait that users heed, in seconds (PROTOCOL).
+// maxRetryAfter is the longest Retry-After that users honour, in seconds (PROTOCOL).
 const maxRetryAfter = 30
 
-// refuse answers request id with an error; clients may retry a 503 after a while.
+// refuse answers request id with an error; a 503 comes with a time after which clients may retry.
 func (c *Core) refuse(id uint64, status int, message string) {
 	retry := 0
 	if status == http.StatusServiceUnavailable {
@@ -301,8 +302,8 @@
 	c.respond(id, status, protocol.ErrorResponse{Error: message}, retry)
 }
 
-// refuseWhileLoading refuses request id if the records have not been read since the start,
-// and tells whether it did.
+// refuseWhileLoading refuses request id if the records have not been loaded since the start,
+// and reports whether it did.
 func (c *Core) refuseWhileLoading(id uint64) bool {
 	if c.state.Loaded() {
 		return false
@@ -311,10 +312,11 @@
 	return true
 }
 
-// leaseExpiry is how long after the arrival of an answered heartbeat its worker has
-// certainly killed all its tasks: lease_s and the most that two clocks can drift.
+// leaseExpiry returns the time, counted from the arrival of an answered heartbeat, after
+// which the worker has certainly killed all its tasks: lease_s plus the largest drift
+// between two clocks.
 func (c *Core) leaseExpiry() time.Duration { return seconds(c.cfg.Facts.Workers.Lease * 1.01) }
 
-// tasksPerPage is how many tasks a page holds: a bound task takes less than 64
-// bytes with the usual names, and four times that never passes value_kb.
+// tasksPerPage returns how many tasks a page holds. A bound task takes less than 64
+// bytes with the usual names; with up to four times that a page never exceeds value_kb.
 func (c *Core) tasksPerPage() int { return max(1, int(c.cfg.Facts.State.ValueKB*1024/128)) }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -8,14 +8,14 @@
 	"silvergate/internal/peer"
 )
 
-// maxPagesInFlight is how many pages' worth of a job's tasks may be in dispatch. A page is
-// in one transaction at a time, and those of the largest jobs name so many machines that
-// one does not hold them: with one page 25,000 small tasks took 269 s on
-// shiftbook-akl-ops, with four 162 s (simulated).
+// maxPagesInFlight is how many pages' worth of a job's tasks may be in dispatch at a time. A
+// page is in only one transaction at a time, and a page of the largest jobs names more machines
+// than one transaction holds: in a simulation of shiftbook-akl-ops, 25,000 small tasks took
+// 269 s with one page in dispatch and 162 s with four.
 const maxPagesInFlight = 4
 
-// dispatchJob places a job's pending tasks here as far as there is room, and probes peers
-// for the rest.
+// dispatchJob places a job's pending tasks on this controller's idle machines as far as they
+// fit, and probes peers for the rest.
 func (c *Core) dispatchJob(r *jobRecord) {
 	if r == nil || r.final() {
 		return
@@ -25,8 +25,8 @@
 		return
 	}
 	var unplaced []int
-	// Guards against the largest jobs: some pages' worth of tasks in dispatch
-	// at a time is plenty, and 100,000 would fill queues and messages.
+	// The limit guards against the largest jobs: a few pages' worth of tasks in dispatch
+	// is enough, and 100,000 tasks would fill queues and messages.
 	pending, noneFits := 0, false
 	for _, p := range r.pages {
 		for j := 0; j < len(p.tasks) && p.pending > 0 && pending < maxPagesInFlight*c.tasksPerPage(); j++ {
@@ -38,7 +38,7 @@
 			if r.queuedByIndex[i] != nil || c.now < r.dispatchAfter[i] || !c.placeable(r, i) {
 				continue
 			}
-			if noneFits { // the job's tasks are alike: what does not fit one fits none
+			if noneFits { // a job's tasks are alike: if one does not fit, none does
 				unplaced = append(unplaced, i)
 				continue
 			}
@@ -51,8 +51,8 @@
 	c.probe(r, unplaced)
 }
 
-// placeOnIdleMachine places a task on a machine of the idle list, or has it wait for one that
-// has its image or inputs, and tells whether any machine fits it.
+// placeOnIdleMachine places a task on a machine of the idle list, or lets it wait for a machine
+// that has its image or inputs, and reports whether any idle machine fits the task.
 func (c *Core) placeOnIdleMachine(r *jobRecord, index int) bool {
 	m := c.pickIdleMachine(r)
 	if m == nil {
@@ -64,10 +64,10 @@
 	return true
 }
 
-// probe is steps 3 and 4: up to d-2 random peers are checked by the
-// published length of their idle lists; if none has entries, one more random controller
-// takes the task unchecked. Many tasks of one job are probed for in as many
-// parts as there are controllers, not one by one.
+// probe implements steps 3 and 4 of the thesis: it checks the published length of the idle
+// lists of up to d-2 random peers; if all are empty, one more random controller gets the task
+// unchecked. The tasks of a job are not probed for one by one, but split into as many parts
+// as there are controllers.
 func (c *Core) probe(r *jobRecord, tasks []int) {
 	for parts := 1 + len(c.membership.members); len(tasks) > 0; parts-- {
 		n := (len(tasks) + parts - 1) / max(1, parts)
@@ -76,11 +76,11 @@
 	}
 }
 
-// maxHandoffTasks bounds the tasks of one handoff message.
+// maxHandoffTasks is the largest number of tasks in one handoff message.
 const maxHandoffTasks = 1024
 
-// handOffOrEnqueue hands tasks off to a peer that has room, or enqueues them here if no peer is known
-// that could take them.
+// handOffOrEnqueue hands tasks off to the peer that pickPeer picks, or enqueues them here if
+// there is none.
 func (c *Core) handOffOrEnqueue(r *jobRecord, tasks []int) {
 	target := c.pickPeer()
 	if target == "" {
@@ -100,8 +100,8 @@
 	}
 }
 
-// pickPeer picks a peer to hand tasks off to: the first with idle machines of those probed,
-// or else the next one if it has any machines. It returns "" if there is none.
+// pickPeer picks a peer to hand tasks off to, in random order: the first probed peer with idle
+// machines, or else the next peer if it has any machines. It returns "" if there is none.
 func (c *Core) pickPeer() string {
 	var peers []string
 	for _, p := range c.cfg.Peers {
@@ -118,16 +118,16 @@
 		}
 		probed++
 	}
-	// A queue needs a machine to be bound to: a controller without any
-	// can't take the task.
+	// A queued task waits for a machine, so a controller without any machines
+	// can't take it.
 	if probed < len(peers) && c.membership.members[peers[probed]].Machines > 0 {
 		return peers[probed]
 	}
 	return ""
 }
 
-// deferDispatch records that a task is with another controller and not to be dispatched
-// before a time.
+// deferDispatch records that a task is not to be dispatched before a time, because another
+// controller has it.
 func (r *jobRecord) deferDispatch(i int, until time.Duration) {
 	if r.dispatchAfter == nil {
 		r.dispatchAfter = map[int]time.Duration{}
@@ -135,13 +135,13 @@
 	r.dispatchAfter[i] = until
 }
 
-// receiveHandoff takes tasks from a peer: they are placed on idle machines, or else queued.
-// What no machine here could hold goes back.
+// receiveHandoff places tasks handed off by a peer on idle machines, or else queues them. It
+// returns them to the peer if no machine here could hold them.
 func (c *Core) receiveHandoff(from string, handoff *peer.TaskHandoff) {
 	r := c.jobs.byID[handoff.Job]
 	if r == nil {
-		// Guards against a mirror that lags: a peer's message is often faster
-		// than the watch that brings a new job. Tasks that were dropped here
+		// Guards against a lagging mirror: a peer's message often arrives before
+		// the watch delivers the new job. Without this the tasks were dropped and
 		// waited until their sender tried again.
 		if len(c.scheduler.earlyHandoffs) < maxEarlyHandoffs {
 			c.scheduler.earlyHandoffs[handoff.Job] = append(c.scheduler.earlyHandoffs[handoff.Job], earlyHandoff{from, handoff, c.now})
@@ -156,7 +156,7 @@
 		if !c.placeable(r, i) {
 			continue
 		}
-		// Once a task is left, nothing here fits the job.
+		// Once one task did not fit, no idle machine fits the others.
 		if len(unplaced) > 0 || !c.placeOnIdleMachine(r, i) {
 			unplaced = append(unplaced, i)
 		}
@@ -169,7 +169,8 @@
 	c.enqueue(r, unplaced, c.now+3*c.cfg.Operator.PublishInterval)
 }
 
-// handleHandoffReturn takes back tasks that a peer has no machine for.
+// handleHandoffReturn schedules a new dispatch of tasks that a peer has returned because it has
+// no machine for them.
 func (c *Core) handleHandoffReturn(handoff *peer.TaskHandoff) {
 	r := c.jobs.byID[handoff.Job]
 	if r == nil || r.final() {
@@ -182,17 +183,17 @@
 	}
 }
 
-// earlyHandoff is a handoff of tasks of a job that the mirror does not hold yet.
+// earlyHandoff is a handoff of tasks whose job is not in the mirror yet.
 type earlyHandoff struct {
 	from    string
 	handoff *peer.TaskHandoff
 	at      time.Duration
 }
 
-// maxEarlyHandoffs bounds the jobs of which such handoffs are kept.
+// maxEarlyHandoffs is the largest number of jobs for which early handoffs are kept.
 const maxEarlyHandoffs = 256
 
-// expireEarlyHandoffs forgets the handoffs of each job whose first one is older than maxAge.
+// expireEarlyHandoffs deletes all handoffs of each job whose first handoff is older than maxAge.
 func (s *scheduler) expireEarlyHandoffs(now, maxAge time.Duration) {
 	for id, handoffs := range s.earlyHandoffs {
 		if now-handoffs[0].at > maxAge {
@@ -201,8 +202,8 @@
 	}
 }
 
-// replayEarlyHandoffs takes what was handed off before the job's record came, unless
-// the sender has given it to somebody else by now.
+// replayEarlyHandoffs handles the handoffs that arrived before the job's record, except those
+// so old that the sender has handed the tasks to another controller by now.
 func (c *Core) replayEarlyHandoffs(id string) {
 	waiting := c.scheduler.earlyHandoffs[id]
 	delete(c.scheduler.earlyHandoffs, id)
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -1,10 +1,10 @@
 package coordination
 
 // A gang is a job whose tasks start together: the controller responsible for the job binds
-// all tasks in one transaction, on machines of its own and on such as peers have offered. A
-// lease in the state service reserves room for one waiting gang at a time. Only that gang
-// keeps the room it has found and requests more from peers; others look for room and
-// release it.
+// all tasks in one transaction, on its own machines and on machines that peers have offered.
+// A record in the state service, written under a lease, holds the reservation for one waiting
+// gang at a time. Only that gang holds the room it has found and requests more from peers; other
+// gangs release the room that they find unless it is enough for all their tasks.
 
 import (
 	"sort"
@@ -14,23 +14,23 @@
 	"silvergate/internal/peer"
 )
 
-// isGang tells whether a job must start several tasks at once.
+// isGang reports whether a job must start several tasks at once.
 func isGang(r *jobRecord) bool { return r.spec.Shape == job.Gang && r.spec.Tasks > 1 }
 
-// peerOffer is a peer's promise of room for a gang on a machine that it owns, under one
-// claim and in one agent epoch.
+// peerOffer is a peer's promise of room for a gang on a machine that the peer owns. It is valid
+// for one claim and one agent epoch of the machine.
 type peerOffer struct {
 	epoch         uint64
 	claimRevision uint64
 	expiresAt     time.Duration
 }
 
-// holdTime is how long room is kept for a gang: until it must have been requested
-// again.
+// holdTime returns how long room is held for a gang after a request: long enough for the
+// request to be repeated.
 func (c *Core) holdTime() time.Duration { return 2 * c.cfg.Operator.PublishInterval }
 
-// usable tells whether the job may be bound to a machine in an agent epoch now:
-// the machine is ours, or its owner has offered it under the present claim.
+// usable reports whether a job's tasks may be bound to a machine in an agent epoch now: the
+// machine is ours, or its owner has offered it under the current claim.
 func (c *Core) usable(r *jobRecord, m *machine, epoch uint64) bool {
 	if c.isOwn(m) {
 		return m.epoch == epoch && !c.unschedulable(m)
@@ -40,8 +40,8 @@
 	return ok && !drained && o.claimRevision == m.token && o.epoch == epoch && c.now < o.expiresAt
 }
 
-// startGang starts a gang if all its tasks find room and nothing of an
-// earlier attempt is left.
+// startGang starts a gang if there is room for all its tasks and none of them is still bound
+// from an earlier attempt or being placed.
 func (c *Core) startGang(r *jobRecord) {
 	if r.bound > 0 || len(r.reservations) > 0 || c.now < r.retryAt {
 		return
@@ -77,7 +77,7 @@
 	c.requestIdleRoom(r)
 }
 
-// proposeGang proposes the placements of all tasks of a gang, for which room is reserved.
+// proposeGang proposes the placements of a gang's tasks, for all of which room is reserved.
 func (c *Core) proposeGang(r *jobRecord, tasks []int) {
 	for _, i := range tasks {
 		m := c.machines.byID[r.reservations[i].machine]
@@ -90,7 +90,7 @@
 	c.log.Debug("starting gang", "job", r.spec.ID, "tasks", len(tasks))
 }
 
-// holdRoom has the gang with the reservation keep what room it finds in a zone.
+// holdRoom holds the room that is found in a zone for the gang with the reservation.
 func (c *Core) holdRoom(r *jobRecord, zone string) {
 	picked := c.reserveGang(r, zone)
 	for _, i := range picked {
@@ -102,7 +102,7 @@
 	}
 }
 
-// requestIdleRoom asks every peer for room on its idle machines for a gang.
+// requestIdleRoom requests room for a gang on the idle machines of every peer.
 func (c *Core) requestIdleRoom(r *jobRecord) {
 	if c.now < c.gangs.nextRoomRequestAt {
 		return
@@ -114,8 +114,8 @@
 	}
 }
 
-// reserveGang reserves room for as many of a gang's tasks as it finds in a zone, or
-// anywhere if zone is empty, and returns the indexes of those tasks.
+// reserveGang reserves room for as many of a gang's tasks as fit in a zone, or in all zones
+// together if zone is empty, and returns the indexes of those tasks.
 func (c *Core) reserveGang(r *jobRecord, zone string) []int {
 	ids := make([]string, 0, len(c.scheduler.idle)+len(r.offers))
 	for _, m := range c.scheduler.idle {
@@ -156,13 +156,14 @@
 	return picked
 }
 
-// requestBlock asks for the machines that are cleared for the gang with the reservation
-// at the least loss, and tells whether there are such. Exception "whole blocks": tasks
-// that are placed one by one fragment machines, and a gang that only waits for idle ones
-// rarely finds enough at once. The mirror shows what is on every machine; its owner stops
-// what is of lower priority there, keeps the room, and offers it when it is
-// free. The choice stands until a machine of it is lost or half of gang_wait_s
-// has passed; for as long again only room on idle machines is requested.
+// requestBlock requests a block for the gang with the reservation: the machines that can be
+// cleared for it at the least loss of work. It reports whether there is a block. Exception
+// "whole blocks": tasks that are placed one by one fragment machines, and a gang that only
+// waits for idle machines rarely finds enough of them at once. The mirror shows what runs on
+// every machine; the owner of a chosen machine stops the tasks of lower priority there, holds the
+// room, and offers it once it is free. A block is kept until one of its machines is lost or
+// drained or half of gang_wait_s has passed; for as long again only room on idle machines is
+// requested.
 func (c *Core) requestBlock(r *jobRecord, zones []string, need int) bool {
 	patience := seconds(c.cfg.Facts.Workers.GangWait / 2)
 	if len(r.blockMachines) > 0 && c.now-r.blockChosenAt >= patience {
@@ -189,7 +190,8 @@
 	return true
 }
 
-// blockIntact tells whether machines were chosen for a gang and none is lost or drained.
+// blockIntact reports whether a block was chosen for a gang and none of its machines is lost or
+// drained.
 func (c *Core) blockIntact(r *jobRecord) bool {
 	for _, id := range r.blockMachines {
 		m := c.machines.byID[id]
@@ -201,8 +203,8 @@
 	return len(r.blockMachines) > 0
 }
 
-// sendBlockRequests clears our own machines of a gang's block and asks the owners of the
-// others to clear theirs.
+// sendBlockRequests clears those machines of a gang's block that are ours, and asks the owners
+// of the others to clear theirs.
 func (c *Core) sendBlockRequests(r *jobRecord) {
 	byOwner := map[string][]string{}
 	for _, id := range r.blockMachines {
@@ -224,12 +226,12 @@
 type blockCandidate struct {
 	machineID string
 	zone      string
-	tasks     int     // of the gang that it holds once cleared
+	tasks     int     // how many of the gang's tasks the machine holds once cleared
 	cost      float64 // seconds of work lost and of waiting for the image
 }
 
-// cheapestBlock picks machines for a whole gang, whoever holds them, in the
-// zone where clearing them loses the least work.
+// cheapestBlock picks machines for a whole gang, regardless of their owners, in the zone where
+// clearing them costs least.
 func (c *Core) cheapestBlock(r *jobRecord, zones []string, need int) []string {
 	anyZone := len(zones) == 1 && zones[0] == ""
 	byZone := map[string][]blockCandidate{}
@@ -259,7 +261,7 @@
 	return best
 }
 
-// mayBeCleared tells whether a machine may be part of the block of a gang.
+// mayBeCleared reports whether a machine may be part of a gang's block.
 func (c *Core) mayBeCleared(r *jobRecord, m *machine) bool {
 	if _, drained := c.machines.drains[m.id]; m.token == 0 || drained || !c.couldHold(r, m) {
 		return false
@@ -270,8 +272,8 @@
 	return m.reservedFor == r.spec.ID || c.now >= m.reservedUntil
 }
 
-// blockCandidate computes how many of a gang's tasks, need at the most, a machine holds
-// once work of lower priority is stopped there, and what that loses.
+// blockCandidate computes how many of a gang's tasks, need at most, a machine holds once the
+// work of lower priority there is stopped, and what that costs.
 func (c *Core) blockCandidate(r *jobRecord, m *machine, need int) blockCandidate {
 	machineType := c.machineTypeOf(m)
 	room := slot{cpus: machineType.CPUs - m.cpus, gpus: machineType.GPUs - m.gpus, memoryGB: machineType.MemoryGB - m.ram}
@@ -292,8 +294,8 @@
 	return blockCandidate{m.id, m.claim.Zone, tasks, cost}
 }
 
-// cheapestCandidates picks the machines of a zone with the least cost a task until they
-// hold the gang, and tells how many tasks they hold.
+// cheapestCandidates picks the candidates with the least cost per task until they hold the
+// gang, and returns their machines, their total cost and how many tasks they hold.
 func cheapestCandidates(spec *job.Spec, candidates []blockCandidate, need int) (ids []string, cost float64, found int) {
 	sort.SliceStable(candidates, func(i, j int) bool {
 		a, b := candidates[i], candidates[j]
@@ -317,7 +319,8 @@
 	return ids, cost, found
 }
 
-// clearMachine keeps a machine's room for a gang and stops what is in the way.
+// clearMachine holds a machine's room for a gang and stops the tasks that are in the way.
+// requester is the controller that is told when the room is free.
 func (c *Core) clearMachine(r *jobRecord, m *machine, requester string) {
 	if c.unschedulable(m) || (m.reservedFor != r.spec.ID && c.now < m.reservedUntil) {
 		return
@@ -336,8 +339,8 @@
 	}
 }
 
-// offerHeldRoom starts the gang that a machine's room is kept for, or tells the peer that
-// looks after the gang that the room is free.
+// offerHeldRoom starts the gang that a machine's room is held for, or offers the room to the
+// peer that requested it for the gang.
 func (c *Core) offerHeldRoom(m *machine) {
 	if m.reservedBy == "" || c.now >= m.reservedUntil {
 		return
@@ -353,8 +356,8 @@
 	}
 }
 
-// offerRoom answers a peer's request for room for its gang: with the machines named in it,
-// cleared as far as they are, or with our idle machines if none is named.
+// offerRoom answers a peer's request for room for its gang. If the request names machines, it
+// clears them and offers those that have room already; otherwise it offers our idle machines.
 func (c *Core) offerRoom(from string, request *peer.RoomRequest) {
 	r := c.jobs.byID[request.Job]
 	if r == nil || r.final() || r.bound > 0 {
@@ -371,7 +374,7 @@
 	}
 }
 
-// offerBlock clears machines for a peer's gang and returns those that have room already.
+// offerBlock clears machines for a peer's gang and returns those that already have room.
 func (c *Core) offerBlock(r *jobRecord, from string, ids []string) (offered []peer.OfferedMachine) {
 	for _, id := range ids {
 		m := c.machines.byID[id]
@@ -386,7 +389,7 @@
 	return offered
 }
 
-// offerIdleMachines keeps room on idle machines for a peer's gang and returns them.
+// offerIdleMachines holds room on idle machines for a peer's gang and returns the machines.
 func (c *Core) offerIdleMachines(r *jobRecord) (offered []peer.OfferedMachine) {
 	for _, m := range c.scheduler.idle {
 		if !c.unschedulable(m) && c.fits(r, m) && len(offered) < r.spec.Tasks {
@@ -397,7 +400,8 @@
 	return offered
 }
 
-// acceptOffer records the room that a peer offers a gang, and starts the gang if it can.
+// acceptOffer records the room that a peer offers for a gang, and starts the gang if there is
+// enough room.
 func (c *Core) acceptOffer(offer *peer.RoomOffer) {
 	r := c.jobs.byID[offer.Job]
 	if r == nil || r.final() {
--- a/internal/coordination/gang_reservation.go
+++ b/internal/coordination/gang_reservation.go
@@ -9,23 +9,23 @@
 	"silvergate/internal/stateclient"
 )
 
-// gangScheduler owns the reservation that lets one waiting gang at a time keep room.
+// gangScheduler owns the reservation that lets one waiting gang at a time hold room.
 type gangScheduler struct {
-	reservation       gangReservation // the record, whoever holds it
+	reservation       gangReservation // the mirrored record, whoever owns it
 	inFlight          bool            // the record is being written or deleted
 	reservedAt        time.Duration   // when this controller last wrote it
-	releasedAt        time.Duration   // when the record last went
-	nextRoomRequestAt time.Duration   // to the peers: not again before
+	releasedAt        time.Duration   // when the record was last deleted
+	nextRoomRequestAt time.Duration   // no room is requested from peers before this time
 }
 
-// gangReservation is the record that names the waiting gang that may keep room.
+// gangReservation is the record that names the waiting gang that may hold room.
 type gangReservation struct {
 	Job         string `json:"j"`
 	Owner       string `json:"o"`
 	Incarnation int64  `json:"l"`
 }
 
-// applyReservation takes a change of the reservation's record; data is nil when it is deleted.
+// applyReservation applies a change of the reservation's record; data is nil if it was deleted.
 func (g *gangScheduler) applyReservation(data json.RawMessage, now time.Duration) {
 	if g.reservation.Job != "" && data == nil {
 		g.releasedAt = now
@@ -36,13 +36,14 @@
 	}
 }
 
-// holdsGangReservation tells whether the reservation is held for a job by this controller.
+// holdsGangReservation reports whether this controller holds the reservation for a job.
 func (c *Core) holdsGangReservation(r *jobRecord) bool {
 	return c.gangs.reservation.Job == r.spec.ID && c.gangs.reservation.Owner == c.cfg.Node
 }
 
-// updateGangReservation takes the reservation for the first waiting gang, if that is ours
-// to look after, and gives it back once the gang no longer waits.
+// updateGangReservation acquires the reservation for the first waiting gang, if this controller
+// is responsible for it, and releases it once the gang no longer waits. open lists the open jobs,
+// most urgent first.
 func (c *Core) updateGangReservation(open []*jobRecord) {
 	if c.gangs.inFlight || c.membership.lease == 0 {
 		return
@@ -53,8 +54,8 @@
 	}
 	r := c.nextWaitingGang(open, func(*jobRecord) bool { return true })
 	if r != nil && !c.isResponsibleFor(r) && c.now-c.gangs.releasedAt > seconds(c.cfg.Facts.Workers.Report/4) {
-		// The controller that is responsible for the first one has had time to
-		// reserve and did not.
+		// The controller responsible for the first waiting gang has had time to
+		// acquire the reservation and did not.
 		r = c.nextWaitingGang(open, c.isResponsibleFor)
 	}
 	if r != nil && c.isResponsibleFor(r) {
@@ -62,27 +63,28 @@
 	}
 }
 
-// isResponsibleFor tells whether this controller looks after a job at present.
+// isResponsibleFor reports whether this controller is currently responsible for a job.
 func (c *Core) isResponsibleFor(r *jobRecord) bool {
 	return c.responsibleController(r.owner) == c.cfg.Node
 }
 
-// checkGangReservation releases the reservation if it is ours and of no use any more.
+// checkGangReservation releases the reservation if this controller holds it and it is no longer
+// of use.
 func (c *Core) checkGangReservation(open []*jobRecord) {
 	if c.gangs.reservation.Owner != c.cfg.Node {
 		return
 	}
 	r := c.jobs.byID[c.gangs.reservation.Job]
 	ofThisIncarnation := c.gangs.reservation.Incarnation == c.incarnation
-	// Guards against one gang for which there is no block at all keeping
-	// others waiting that need fewer machines or another zone.
+	// Guards against a gang for which there is no block at all keeping other
+	// gangs waiting that need fewer machines or another zone.
 	noBlock := r != nil && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() &&
 		c.nextWaitingGang(open, func(other *jobRecord) bool { return other != r }) != nil
-	// A gang that finds no room for long lets others have the reservation.
+	// A gang that has found no room for a long time leaves the reservation to others.
 	timedOut := noBlock || c.now-c.gangs.reservedAt > seconds(2*c.cfg.Facts.Workers.GangWait)
 	waiting := r != nil && !r.final() && r.bound == 0
-	// Guards against a reservation that nobody acts on: a controller that stood in
-	// for the job's owner gives it back when the owner returns.
+	// Guards against a reservation that no controller acts on: a controller that stood in
+	// for the job's owner releases it when the owner returns.
 	if ofThisIncarnation && waiting && !timedOut && c.isResponsibleFor(r) {
 		return
 	}
@@ -97,12 +99,12 @@
 	c.releaseGangReservation()
 }
 
-// maxReservationBackoff bounds how long a gang that found no room leaves the reservation to
-// others, as a multiple of gang_wait_s.
+// maxReservationBackoff is the longest time for which a gang that found no room leaves the
+// reservation to others, as a multiple of gang_wait_s.
 const maxReservationBackoff = 4
 
-// acquireGangReservation writes the reservation's record for a gang, under the lease of our
-// membership.
+// acquireGangReservation writes the reservation's record for a gang, under this controller's
+// membership lease.
 func (c *Core) acquireGangReservation(r *jobRecord) {
 	c.gangs.inFlight = true
 	c.gangs.reservedAt = c.now
@@ -113,7 +115,8 @@
 		c.gangs.finishWrite)
 }
 
-// releaseGangReservation deletes the reservation's record unless it has changed.
+// releaseGangReservation deletes the reservation's record unless it has changed since the mirror
+// read it.
 func (c *Core) releaseGangReservation() {
 	c.gangs.inFlight = true
 	c.state.Txn(ratelimit.OtherWork,
@@ -122,10 +125,10 @@
 		c.gangs.finishWrite)
 }
 
-// finishWrite takes what came of a write of the record: the mirror shows the result.
+// finishWrite ends a write of the record; the outcome is ignored, as the mirror shows the result.
 func (g *gangScheduler) finishWrite(stateclient.TxnOutcome, []string, uint64) { g.inFlight = false }
 
-// nextWaitingGang returns the first waiting gang that is wanted and whose team's limit
+// nextWaitingGang returns the first waiting gang that wanted accepts and whose team's limit
 // allows it to start, or nil.
 func (c *Core) nextWaitingGang(open []*jobRecord, wanted func(*jobRecord) bool) *jobRecord {
 	for _, r := range open {
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -8,14 +8,14 @@
 	"silvergate/internal/protocol"
 )
 
-// tolerance is what sums of resources may be off by: far less than any task requests.
+// tolerance is the rounding error allowed in sums of resources: far less than any task requests.
 const tolerance = 1e-6
 
-// maxCandidates is how many machines that would do a decision compares, from a
-// random one on, so that its cost does not grow with the fleet.
+// maxCandidates is how many suitable machines a decision compares, starting at a random
+// machine, so that its cost does not grow with the fleet.
 const maxCandidates = 64
 
-// fits tells whether a machine may and can hold a task now.
+// fits reports whether a machine is allowed for a job and has room for one of its tasks now.
 func (c *Core) fits(r *jobRecord, m *machine) bool {
 	machineType := c.machineTypeOf(m)
 	if machineType == &unknownMachineType || !allowsMachine(r.spec, m) {
@@ -27,7 +27,8 @@
 	return hasCapacity(machineType, m.cpus, m.gpus, m.ram, r.spec) && c.zoneAllowed(r, m.claim.Zone)
 }
 
-// allowsMachine tells whether a job may run on a machine of its type, zone and price.
+// allowsMachine reports whether a job may run on a machine, by its type, its zone, and whether
+// it is a spot machine.
 func allowsMachine(s *job.Spec, m *machine) bool {
 	if !s.AllowsMachineType(m.claim.MachineType) {
 		return false
@@ -35,15 +36,15 @@
 	return (s.Zone == "" || s.Zone == m.claim.Zone) && (!m.claim.Spot || s.Spot)
 }
 
-// hasCapacity tells whether a machine of a type, of which so much is taken, has room for a
-// task.
+// hasCapacity reports whether a machine of a type has room for a task besides the given
+// resources, which are in use.
 func hasCapacity(t *protocol.MachineType, cpus, gpus, memoryGB float64, s *job.Spec) bool {
 	return cpus+s.CPUs <= t.CPUs+tolerance &&
 		gpus+s.GPUs <= t.GPUs+tolerance &&
 		memoryGB+s.MemoryGB <= t.MemoryGB+tolerance
 }
 
-// zoneAllowed tells whether a task may go to a zone in view of where the job's others are.
+// zoneAllowed reports whether a task may go to a zone, given the zones of the job's other tasks.
 func (c *Core) zoneAllowed(r *jobRecord, zone string) bool {
 	if r.spec.OneZone {
 		for z, n := range r.tasksByZone {
@@ -55,15 +56,15 @@
 	return !r.spec.Spread || r.tasksByZone[zone] < r.spec.SpreadLimit()
 }
 
-// couldHold tells whether a machine could hold the task if it were empty.
+// couldHold reports whether a machine could hold a task of a job if it were empty.
 func (c *Core) couldHold(r *jobRecord, m *machine) bool {
 	machineType := c.machineTypeOf(m)
 	return machineType != &unknownMachineType && allowsMachine(r.spec, m) && typeHolds(machineType, r.spec)
 }
 
-// fromRandomStart yields each of the machines once, in their order from a random one on, so
-// that bounded searches do not always look at the same ones. It draws once, also if there
-// are no machines.
+// fromRandomStart yields each of the machines once, in order and starting at a random one, so
+// that bounded searches do not always look at the same machines. It draws one random number,
+// even if there are no machines.
 func (c *Core) fromRandomStart(machines []*machine) iter.Seq[*machine] {
 	return func(yield func(*machine) bool) {
 		start := c.random.IntN(max(1, len(machines)))
@@ -75,8 +76,8 @@
 	}
 }
 
-// machineThatCouldHold is a random machine of ours that could hold a job's task: the first
-// such from a random one on.
+// machineThatCouldHold returns the first of our machines, starting at a random one, that could
+// hold a job's task, or nil.
 func (c *Core) machineThatCouldHold(r *jobRecord) *machine {
 	if len(c.machines.own) == 0 {
 		return nil
@@ -89,9 +90,9 @@
 	return nil
 }
 
-// pickIdleMachine takes an entry of the idle list whose remaining room holds the task: a
-// random one of those with the best rank among the first that hold it, from a
-// random entry on.
+// pickIdleMachine returns a machine of the idle list that has room for a task of a job, or nil.
+// It compares the first maxCandidates such machines, starting at a random entry, and picks at
+// random among those with the best rank.
 func (c *Core) pickIdleMachine(r *jobRecord) *machine {
 	var pick *machine
 	var bestRank placementRank
@@ -124,17 +125,17 @@
 
 // placementRank orders machines for a task. The thesis picks at random among servers
 // that are all alike; ours differ, hence three exceptions:
-// "soonest start": a machine that has the image, or fetches it faster;
-// "spot first": what may use cheap machines leaves the ordinary ones;
-// "best fit": the fullest machine, so that whole blocks stay for gangs, or
-// for services the one with the least that services do not hold.
+// "soonest start": prefer a machine that has the image, or fetches it faster;
+// "spot first": jobs that may use the cheaper spot machines leave the on-demand ones free;
+// "best fit": prefer the fullest machine, so that whole machines stay free for gangs; for a
+// service, the machine with the smallest share that services do not use.
 type placementRank struct {
-	fetchPeriods   int  // until the image and the inputs are there, in heartbeat periods
-	wastesOnDemand bool // the job may use a spot machine and this is none
-	freeTenths     int  // tenths of the machine, or of a unit that services do not hold
+	fetchPeriods   int  // until the image and the inputs are on the machine, in heartbeat periods
+	wastesOnDemand bool // the job may use a spot machine, and this is an on-demand one
+	freeTenths     int  // free tenths of the machine; for a service, tenths of an accelerator not used by services
 }
 
-// before tells whether a machine of this rank is the better one.
+// before reports whether a is a better rank than b.
 func (a placementRank) before(b placementRank) bool {
 	if a.fetchPeriods != b.fetchPeriods {
 		return a.fetchPeriods < b.fetchPeriods
@@ -145,13 +146,13 @@
 	return a.freeTenths < b.freeTenths
 }
 
-// rankMachine ranks a machine for a task of a job.
+// rankMachine returns the rank of a machine for a task of a job.
 func (c *Core) rankMachine(r *jobRecord, m *machine) placementRank {
 	machineType := c.machineTypeOf(m)
 	rank := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99)}
 	if r.spec.Shape == job.Service {
-		// Services outlive everything else: they gather on the machines
-		// that services hold already, so that the others can be deleted.
+		// Services outlive everything else: they are placed on machines
+		// that already run services, so that the others can be deleted.
 		rank.freeTenths = int(10 * (machineType.GPUs - m.serviceShare))
 		return rank
 	}
@@ -164,8 +165,8 @@
 	return rank
 }
 
-// placeable tells whether a task is pending, not being placed already, and within its team's
-// limit.
+// placeable reports whether a task may be placed: it is pending and not being placed already,
+// its job is neither over nor paused, and its team's limit allows it.
 func (c *Core) placeable(r *jobRecord, index int) bool {
 	if r == nil || r.final() || c.paused(r) {
 		return false
@@ -178,7 +179,7 @@
 	return team != nil && team.leavesQuotaFor(r, team.charged.plus(r.spec, 1))
 }
 
-// placeTask reserves room for a task on a machine of ours and proposes its placement.
+// placeTask reserves room for a task on one of our machines and proposes its placement.
 func (c *Core) placeTask(r *jobRecord, index int, m *machine) {
 	c.reserve(r, index, m)
 	c.propose(r, index, taskTransition{placement: true, machine: m.id, epoch: m.epoch, attempt: c.nextAttempt(r)})
@@ -192,8 +193,8 @@
 	c.traceStart(losses.Placing, r.spec.ID, index, 0, m.id)
 }
 
-// nextAttempt is the attempt number of a gang's next start, 0 for other jobs. The tasks of
-// one attempt find one another by it, so all of them get the same.
+// nextAttempt returns the attempt number of a gang's next start, and 0 for other jobs. All tasks
+// of one attempt get the same number, by which they find one another.
 func (c *Core) nextAttempt(r *jobRecord) int {
 	if r.spec.Shape != job.Gang {
 		return 0
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -8,18 +8,18 @@
 	"silvergate/internal/job"
 )
 
-// queuedTask is a task in a machine's queue. The queues of our machines are kept by
-// job, in the order of the jobs: a job's tasks are alike, so what one of
-// them can't use none of them can. Each entry names its machine.
+// queuedTask is a task in a machine's queue. Each entry names its machine, but the queues of
+// all our machines are stored together, by job and in the order of the jobs: a job's tasks are
+// alike, so a machine that does not fit one of them fits none.
 type queuedTask struct {
 	key              taskKey
 	machine          string
-	expiresAt        time.Duration // handed off by a peer: kept until then; 0: not handed off
-	nextPreemptionAt time.Duration // stops were ordered for it: no others before
+	expiresAt        time.Duration // a task handed off by a peer is dropped after this time; 0: not handed off
+	nextPreemptionAt time.Duration // tasks were stopped to make room for it: no further preemption before this time
 }
 
-// enqueue puts tasks into the queue of a random machine of ours that could hold
-// them, those of a peer until they expire.
+// enqueue puts each task into the queue of a random machine of ours that could hold it. A task
+// from a peer stays there until expiresAt; for a task of our own jobs expiresAt is 0.
 func (c *Core) enqueue(r *jobRecord, tasks []int, expiresAt time.Duration) {
 	if len(tasks) == 0 {
 		return
@@ -33,13 +33,13 @@
 		if m := c.machineThatCouldHold(r); m != nil {
 			queued.machine = m.id
 		} else if expiresAt > 0 {
-			return // nothing here could hold it
+			return // no machine here could hold it
 		}
 		c.scheduler.enqueueTask(r, queued)
 	}
 }
 
-// enqueueTask puts a task into the queue, and its job in its place by urgency.
+// enqueueTask puts a task into its job's queue, and the job into the queued jobs by urgency.
 func (s *scheduler) enqueueTask(r *jobRecord, queued *queuedTask) {
 	i := queued.key.index
 	if r.queuedByIndex == nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// dequeueTask removes a task from the queue, if it is there.
+// dequeueTask removes a task from the queue, if it is queued.
 func (s *scheduler) dequeueTask(r *jobRecord, index int) {
 	if r.queuedByIndex[index] == nil {
 		return
@@ -73,8 +73,8 @@
 	}
 }
 
-// placeQueuedTasks is step 5: a joining machine takes the oldest tasks it can hold,
-// from its own queue or another's.
+// placeQueuedTasks implements step 5 of the thesis: it places on a machine with room the most
+// urgent tasks that fit, from this machine's queue or from those of others.
 func (c *Core) placeQueuedTasks(m *machine) {
 	for i := 0; i < len(c.scheduler.queuedJobs) && c.hasRoom(m); {
 		r := c.scheduler.queuedJobs[i]
@@ -83,7 +83,7 @@
 			if at < 0 || c.staging.waitsForWarmMachine(r, r.queue[at].key.index, m) {
 				break
 			}
-			c.placeTask(r, r.queue[at].key.index, m) // takes it out of the queue
+			c.placeTask(r, r.queue[at].key.index, m) // removes the task from the queue
 		}
 		if i < len(c.scheduler.queuedJobs) && c.scheduler.queuedJobs[i] == r {
 			i++
@@ -91,8 +91,8 @@
 	}
 }
 
-// pruneQueues orders the queued jobs by urgency and removes the tasks that are placed, over
-// or expired.
+// pruneQueues sorts the queued jobs by urgency and removes the tasks that are expired or no
+// longer pending, and all tasks of jobs that are over.
 func (c *Core) pruneQueues() {
 	slices.SortStableFunc(c.scheduler.queuedJobs, compareUrgency)
 	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// retryQueuedTasks sends the queued tasks of our own jobs to probe again after a while:
-// machines may have become free at other controllers.
+// retryQueuedTasks probes peers again for the queued tasks of our own jobs once
+// PublishInterval has passed: machines may have become free at other controllers.
 func (c *Core) retryQueuedTasks() {
 	for _, r := range slices.Clone(c.scheduler.queuedJobs) {
 		var retry []int
@@ -126,7 +126,7 @@
 	}
 }
 
-// runsBefore orders the queues. Exception "urgency": the thesis's queue is first-in
-// first-out; here a higher priority goes first, and within it the job with the earlier
-// latest start.
+// runsBefore reports whether x is queued before y. Exception "urgency": the thesis's queue is
+// first-in first-out; here a higher priority goes first, and among equal priorities the job
+// with the earlier latest start.
 func runsBefore(x, y *jobRecord) bool { return compareUrgency(x, y) < 0 }
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// scheduler owns the idle list, the queues of waiting tasks, and the credit for moving
+// scheduler owns the idle list, the queues of waiting tasks, and the budget for moving
 // services.
 type scheduler struct {
 	idle                []*machine   // machines with room
 	queuedJobs          []*jobRecord // jobs with queued tasks, most urgent first
 	queuedTasks         int
-	earlyHandoffs       map[string][]earlyHandoff // by job: handed off before the job's record came
+	earlyHandoffs       map[string][]earlyHandoff // by job: handoffs that arrived before the job's record
 	capacity            usage                     // of all machines
-	capacityAt          time.Duration             // when it was last summed
+	capacityAt          time.Duration             // when capacity was last summed
 	serviceMoveCredit   float64                   // services that may be moved now, see consolidate
 	serviceMoveCreditAt time.Duration
 	nextServiceMoveAt   time.Duration // see moveService
@@ -23,8 +23,8 @@
 	return scheduler{earlyHandoffs: map[string][]earlyHandoff{}}
 }
 
-// schedule removes from the queues what has been placed or is over, and dispatches every
-// pending task of the jobs that we are responsible for.
+// schedule removes tasks that are placed or over from the queues, places queued tasks on idle
+// machines, and dispatches the pending tasks of the jobs that this controller is responsible for.
 func (c *Core) schedule() {
 	c.pruneQueues()
 	if len(c.scheduler.queuedJobs) > 0 {
@@ -46,8 +46,8 @@
 	c.retryQueuedTasks()
 }
 
-// offerMachine puts a machine with room into the idle list, after it has taken the
-// oldest tasks that it can hold from any queue.
+// offerMachine first places queued tasks on a machine with room, and puts the machine into the
+// idle list if it still has room then.
 func (c *Core) offerMachine(m *machine) {
 	if c.unschedulable(m) {
 		c.scheduler.removeFromIdleList(m)
@@ -71,8 +71,8 @@
 	}
 }
 
-// removeFromIdleList removes a machine from the idle list, if it is there; the last one takes
-// its place.
+// removeFromIdleList removes a machine from the idle list, if it is listed. The last machine
+// of the list moves into its position.
 func (s *scheduler) removeFromIdleList(m *machine) {
 	if m.idleListIndex == 0 {
 		return
@@ -84,8 +84,8 @@
 	m.idleListIndex = 0
 }
 
-// machineFreed offers a machine of ours on which room has become free, if its last heartbeat
-// is recent enough for an entry of the idle list.
+// machineFreed offers one of our machines on which room has become free, if its last heartbeat
+// is recent enough for an entry in the idle list.
 func (c *Core) machineFreed(id string) {
 	m := c.machines.byID[id]
 	if m == nil || !c.isOwn(m) || !m.tokenSeen {
@@ -96,7 +96,7 @@
 	}
 }
 
-// hasRoom tells whether any task could use what is left.
+// hasRoom reports whether any task could use the free resources of a machine.
 func (c *Core) hasRoom(m *machine) bool {
 	machineType := c.machineTypeOf(m)
 	if machineType.GPUs > 0 && c.jobs.openCPUOnly == 0 && machineType.GPUs-m.gpus < tolerance {
@@ -105,8 +105,8 @@
 	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.ram > tolerance
 }
 
-// requeueTask looks for a new place for a task that was stopped or lost, at once
-// and here; failing that, the controller responsible for its job dispatches it.
+// requeueTask immediately places a task that was stopped or lost on another machine of this
+// controller. If none fits, the controller responsible for its job dispatches the task.
 func (c *Core) requeueTask(r *jobRecord, index int) {
 	if isGang(r) || !c.placeable(r, index) {
 		return
