--- a/internal/coordination/bin_packing.go
+++ b/internal/coordination/bin_packing.go
@@ -7,7 +7,7 @@
 	"silvergate/internal/protocol"
 )
 
-// slot is a machine in a packing, with what is left of it.
+// slot is a machine in a packing, with its remaining resources.
 type slot struct {
 	id       string
 	offering offering
@@ -16,10 +16,10 @@
 	memoryGB float64
 	bound    bool // tasks are bound to it
 	used     bool // the packing has put tasks onto it
-	planned  bool // it is yet to be provisioned
+	planned  bool // the machine is still to be rented
 }
 
-// fits tells whether a task may and can be put into the slot.
+// fits reports whether a task is allowed in the slot and has room there.
 func (s *slot) fits(spec *job.Spec) bool {
 	if !spec.AllowsMachineType(s.offering.machineType) || s.offering.spot && !spec.Spot {
 		return false
@@ -30,12 +30,12 @@
 	return s.hasRoomFor(spec)
 }
 
-// hasRoomFor tells whether what is left of the slot holds a task.
+// hasRoomFor reports whether the remaining resources of the slot hold a task.
 func (s *slot) hasRoomFor(spec *job.Spec) bool {
 	return spec.CPUs <= s.cpus+tolerance && spec.GPUs <= s.gpus+tolerance && spec.MemoryGB <= s.memoryGB+tolerance
 }
 
-// add takes what a task needs from the slot.
+// add subtracts a task's resources from those that remain in the slot.
 func (s *slot) add(spec *job.Spec) {
 	s.cpus -= spec.CPUs
 	s.gpus -= spec.GPUs
@@ -43,18 +43,18 @@
 	s.used = true
 }
 
-// binPacking packs tasks onto slots: first fit, in the order of the slots. For what fits none
-// it chooses the cheapest machines to provision. It knows nothing of the controller.
+// binPacking packs tasks onto slots: first fit, in the order of the slots. For tasks that fit
+// no slot it chooses the cheapest machines to rent. It does not depend on Core.
 type binPacking struct {
 	types          map[string]*protocol.MachineType
-	refused        func(offering) bool // the cloud has refused it a short while ago
-	cpuOnlyWork    bool                // there are open jobs that need no GPU
+	refused        func(offering) bool // the cloud has refused to rent out this offering a short while ago
+	cpuOnlyWork    bool                // there are open jobs that need no accelerator
 	slots          []*slot
 	machinesByZone map[string]int
 	toRent         map[offering]int
-	urgent         map[offering]bool // production work waits for these
-	unplaceable    int               // tasks for which no machine can be provisioned
-	firstOpenSlot  int               // slots before this one have nothing left for any open job
+	urgent         map[offering]bool // offerings that production work waits for
+	unplaceable    int               // tasks for which no machine can be rented
+	firstOpenSlot  int               // slots before this one have no room for any open job
 }
 
 func newBinPacking(types map[string]*protocol.MachineType, refused func(offering) bool, cpuOnlyWork bool) *binPacking {
@@ -68,7 +68,7 @@
 	}
 }
 
-// addSlot adds an empty machine and returns its slot, nil if its type is not known.
+// addSlot adds an empty machine and returns its slot, or nil if its type is unknown.
 func (p *binPacking) addSlot(id string, where offering) *slot {
 	machineType, ok := p.types[where.machineType]
 	if !ok {
@@ -79,7 +79,7 @@
 	return s
 }
 
-// sortSlots puts machines with bound tasks first, so that empty ones can be deleted.
+// sortSlots sorts machines with bound tasks first, so that empty ones can be deleted.
 func (p *binPacking) sortSlots() {
 	sort.Slice(p.slots, func(i, j int) bool {
 		a, b := p.slots[i], p.slots[j]
@@ -87,17 +87,17 @@
 			return a.bound
 		}
 		if a.offering.spot != b.offering.spot {
-			return a.offering.spot // what may use spot machines leaves the others alone
+			return a.offering.spot // jobs that may use spot machines leave on-demand ones free
 		}
 		return a.id < b.id
 	})
 }
 
-// packTasks packs n tasks of a job; tasksByZone counts its tasks in each zone if it must be
-// spread, and is nil otherwise.
+// packTasks packs n tasks of a job. tasksByZone counts the job's tasks in each zone if they must
+// be spread over zones, and is nil otherwise.
 func (p *binPacking) packTasks(spec *job.Spec, n int, tasksByZone map[string]int) {
 	p.skipFullSlots()
-	slotIndex := p.firstOpenSlot // a job's tasks are alike: what can't take one takes none
+	slotIndex := p.firstOpenSlot // a job's tasks are alike: a slot that does not fit one fits none
 	for ; n > 0; n-- {
 		for slotIndex < len(p.slots) && !(p.slots[slotIndex].fits(spec) && spreadAllows(spec, tasksByZone, p.slots[slotIndex].offering.zone)) {
 			slotIndex++
@@ -121,13 +121,13 @@
 	}
 }
 
-// spreadAllows tells whether another task of a job may go to a zone; tasksByZone is nil for a
-// job that need not be spread.
+// spreadAllows reports whether another task of a job may go to a zone; tasksByZone is nil for a
+// job that need not be spread over zones.
 func spreadAllows(spec *job.Spec, tasksByZone map[string]int, zone string) bool {
 	return tasksByZone == nil || tasksByZone[zone] < spec.SpreadLimit()
 }
 
-// skipFullSlots passes over slots that have nothing left for any open job.
+// skipFullSlots advances firstOpenSlot past slots that have no room for any open job.
 func (p *binPacking) skipFullSlots() {
 	for p.firstOpenSlot < len(p.slots) {
 		s := p.slots[p.firstOpenSlot]
@@ -138,7 +138,7 @@
 	}
 }
 
-// planMachine adds a machine that is to be provisioned, with a task of a job on it.
+// planMachine adds a machine that is to be rented, with one task of a job on it.
 func (p *binPacking) planMachine(where offering, spec *job.Spec) {
 	machineType := p.types[where.machineType]
 	s := &slot{offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB, planned: true}
@@ -148,9 +148,10 @@
 	p.urgent[where] = p.urgent[where] || spec.Priority == job.Production
 }
 
-// cheapestOffering picks what to provision for a task: the offering that costs least for each
-// task on it and was not refused a short while ago, in the zone with the fewest machines.
-// Costs that differ by less than priceTolerance count as equal.
+// cheapestOffering picks the offering to rent for a task: of those that were not refused a short
+// while ago, the one with the lowest cost per task that a machine holds. Among equal costs it
+// picks the zone with the fewest machines; costs that differ by less than priceTolerance count
+// as equal.
 func (p *binPacking) cheapestOffering(spec *job.Spec, tasksByZone map[string]int) (offering, bool) {
 	var best offering
 	bestCost, bestLoad, found := 0.0, 0, false
@@ -176,7 +177,7 @@
 	return best, found
 }
 
-// priceTolerance is the share by which costs may differ and still count as equal.
+// priceTolerance is the relative difference up to which costs count as equal.
 const priceTolerance = 0.001
 
 // offeringsFor lists the offerings of a machine type that a job may use, spot first.
@@ -194,7 +195,7 @@
 	return offerings
 }
 
-// tasksPerMachine is how many tasks of a job a machine of a type holds, one at least.
+// tasksPerMachine returns how many tasks of a job a machine of a type holds, at least one.
 func tasksPerMachine(t *protocol.MachineType, s *job.Spec) float64 {
 	fit := 1e9 // for a job that requests no resources
 	for _, d := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
@@ -205,9 +206,9 @@
 	return max(fit, 1)
 }
 
-// pinZone picks the zone in which n tasks of a one-zone job are packed: where
-// some are already, or else where most of them find room. It returns the job's
-// specification with that zone.
+// pinZone picks the zone in which n tasks of a one-zone job are packed: the zone where tasks of
+// the job already are, or else the zone where most of the n tasks have room. It returns a copy
+// of the job's specification with that zone, or spec itself if no zone will do.
 func (p *binPacking) pinZone(spec *job.Spec, n int, zones []string, tasksByZone map[string]int) *job.Spec {
 	best, bestFit := spec, -1
 	for _, zone := range zones {
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -8,19 +8,21 @@
 )
 
 // consolidationShare is the share of our services that may be moved in a heartbeat
-// period. A moved one is away for about a second.
+// period. A service that is moved is down for about a second.
 const consolidationShare = 0.025
 
+// consolidate moves services off sparse machines, so that these can be deleted.
+//
 // Exception "gathering": the thesis's tasks end by themselves, services do
-// not. Left alone, a few of them keep many machines half empty. When nothing
-// waits, the services of our sparsest machines move to machines of ours that
-// hold more of them, have their images and have room, in the same zone where
-// zones matter. A few at a time: one a heartbeat period, or consolidationShare of them
-// where there are many.
+// not, and a few of them would keep many machines half empty. While no task is
+// queued, the services of our sparsest machines move to other machines of ours that
+// run more services, have their images and have room; services with a zone constraint stay
+// in their zone. Only a few move at a time: one per heartbeat period, or consolidationShare of
+// the services if that is more.
 func (c *Core) consolidate() {
 	if c.scheduler.queuedTasks > 0 {
 		for _, m := range c.machines.own {
-			m.consolidating = false // the room is wanted
+			m.consolidating = false // queued tasks need the room
 		}
 		c.scheduler.serviceMoveCreditAt = c.now
 		return
@@ -46,11 +48,11 @@
 	c.startConsolidation(sparse, emptying, maxEmptying(movesPerPeriod))
 }
 
-// maxEmptying is how many machines may be emptied at a time, and how many moves may be saved
-// up: a quarter of those of a period, and one at least.
+// maxEmptying returns how many machines may be emptied at a time, and how many moves may be saved
+// up: a quarter of the moves of a heartbeat period, at least one.
 func maxEmptying(movesPerPeriod float64) float64 { return max(1, movesPerPeriod/4) }
 
-// addServiceMoveCredit adds the moves of services that the time since the last call allows;
+// addServiceMoveCredit adds the service moves that are allowed for the time since the last call.
 // periodS is the heartbeat period in seconds.
 func (s *scheduler) addServiceMoveCredit(now time.Duration, movesPerPeriod, periodS float64) {
 	earned := movesPerPeriod * (now - s.serviceMoveCreditAt).Seconds() / periodS
@@ -58,15 +60,15 @@
 	s.serviceMoveCreditAt = now
 }
 
-// continueConsolidation moves the next service off a machine, or drains it once it is empty,
-// and tells whether the machine is still being emptied.
+// continueConsolidation moves the next service off a machine, or drains the machine once it is
+// empty, and reports whether the machine is still being emptied.
 func (c *Core) continueConsolidation(m *machine) bool {
 	switch {
 	case len(m.bound) == 0 && c.scaler.unshipped.holds(m.id):
 		return true
 	case len(m.bound) == 0:
-		// Guards against a machine that is out of use here while the
-		// plan counts on it for a waiting gang: it is drained at once.
+		// Draining the machine at once guards against a fleet plan that counts
+		// on it for a waiting gang although nothing is placed on it any more.
 		c.drainMachine(m, drainIdle)
 		return false
 	case len(m.stops) > 0:
@@ -82,8 +84,8 @@
 	return true
 }
 
-// sparseForLong tells whether a machine has been sparse for as long as an idle one waits for
-// its deletion.
+// sparseForLong reports whether a machine has been sparse for as long as an idle machine waits
+// for its deletion.
 func (c *Core) sparseForLong(m *machine) bool {
 	if !c.isSparse(m) {
 		m.sparseSince = 0
@@ -95,8 +97,8 @@
 	return c.now-m.sparseSince > seconds(idleTimeShare*c.machineTypeOf(m).StartupS)
 }
 
-// startConsolidation has the sparsest machines emptied whose services have a place
-// elsewhere, until as many are being emptied as may be.
+// startConsolidation begins to empty the sparsest machines whose services all have room
+// elsewhere, until limit machines are being emptied.
 func (c *Core) startConsolidation(sparse []*machine, emptying int, limit float64) {
 	sort.SliceStable(sparse, func(i, j int) bool { return sparse[i].serviceShare < sparse[j].serviceShare })
 	for _, m := range sparse {
@@ -113,7 +115,8 @@
 	}
 }
 
-// isSparse tells whether a machine holds services alone, and few of them.
+// isSparse reports whether a machine runs only services, which use at most half of its
+// accelerators.
 func (c *Core) isSparse(m *machine) bool {
 	machineType := c.machineTypeOf(m)
 	if c.unschedulable(m) || len(m.bound) == 0 || len(m.stops) > 0 || m.serviceShare > machineType.GPUs/2 {
@@ -127,13 +130,14 @@
 	return true
 }
 
-// hasZoneConstraint tells whether the zones of a job's tasks matter to one another.
+// hasZoneConstraint reports whether the zones allowed for a task depend on the zones of the job's
+// other tasks.
 func hasZoneConstraint(r *jobRecord) bool {
 	return r.spec.Tasks > 1 && (r.spec.OneZone || r.spec.Spread)
 }
 
-// consolidationTarget finds a better machine of ours for a service on m; reserved is what
-// services that move with it will take on each.
+// consolidationTarget returns one of our machines to which a service on m is to move, or nil.
+// reserved is what the other services on m will use on each target.
 func (c *Core) consolidationTarget(r *jobRecord, m *machine, reserved map[*machine]usage) *machine {
 	for _, target := range c.machines.own {
 		if target == m || c.unschedulable(target) || !holdsMoreServices(target, m) {
@@ -151,8 +155,8 @@
 	return nil
 }
 
-// holdsMoreServices tells whether services move to target rather than away from it; of
-// machines that hold the same share, they gather on the one whose name comes first.
+// holdsMoreServices reports whether services move from m to target rather than the other way:
+// target has the larger share of services or, with equal shares, the name that sorts first.
 func holdsMoreServices(target, m *machine) bool {
 	if target.serviceShare < tolerance || target.serviceShare < m.serviceShare {
 		return false
@@ -160,7 +164,7 @@
 	return target.serviceShare != m.serviceShare || target.id <= m.id
 }
 
-// allServicesFitElsewhere tells whether all services on m have a place elsewhere.
+// allServicesFitElsewhere reports whether all services on m have room on other machines of ours.
 func (c *Core) allServicesFitElsewhere(m *machine) bool {
 	reserved := map[*machine]usage{}
 	for _, k := range m.tasks() {
@@ -174,9 +178,9 @@
 	return true
 }
 
-// Exception "second start": the thesis binds a task once. A service that waits
-// for its image on a slow machine moves to one of ours where it can start much
-// sooner; it has done nothing yet, so nothing is lost.
+// moveService moves a service that waits for its image on a slow machine to one of our machines
+// where it can start much sooner. Exception "second start": the thesis binds a task only once;
+// such a service has done nothing yet, so nothing is lost.
 func (c *Core) moveService() {
 	if c.scheduler.nextServiceMoveAt > c.now {
 		return
@@ -197,15 +201,16 @@
 			}
 			c.scheduler.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
 			target.reserveRoom(r.spec.ID, c.scheduler.nextServiceMoveAt, "")
-			c.log.Debug("task is being started again", "task", job.TaskName(k.job, k.index), "from", m.id, "to", target.id, "left_s", remaining)
+			c.log.Debug("moving a service that waits for its image", "task", job.TaskName(k.job, k.index), "from", m.id, "to", target.id, "left_s", remaining)
 			c.stopTask(m, k, "slow image")
 			return
 		}
 	}
 }
 
-// remainingPull is how long a task on a machine will still wait for its image, in seconds:
-// by what the machine is known to pull, or by its rate alone if that is longer.
+// remainingPull returns how long a task on a machine will still wait for its image, in seconds:
+// estimated from the fetches known to be under way on the machine, or from its pull rate alone if
+// that is longer.
 func (c *Core) remainingPull(r *jobRecord, k taskKey, m *machine) float64 {
 	pullS := r.spec.ImageGB / c.machineTypeOf(m).ImagePullGBPerS
 	waitedS := (c.now - m.boundAt[k].boundAt).Seconds()
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -318,5 +318,5 @@
 func (c *Core) leaseExpiry() time.Duration { return seconds(c.cfg.Facts.Workers.Lease * 1.01) }
 
 // tasksPerPage returns how many tasks a page holds. A bound task takes less than 64
-// bytes with the usual names; with up to four times that a page never exceeds value_kb.
+// bytes with the usual names, and four times that never exceeds value_kb.
 func (c *Core) tasksPerPage() int { return max(1, int(c.cfg.Facts.State.ValueKB*1024/128)) }
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -11,16 +11,16 @@
 
 // This file sends and handles the messages between controllers.
 
-// noIncarnation is the incarnation of no controller.
+// noIncarnation is an incarnation that no controller has.
 const noIncarnation = -1
 
-// send sends a message to a peer at the end of the step.
+// send adds a message to a peer to the effects of the step.
 func (c *Core) send(to string, message peer.Message) {
 	c.effects.Sends = append(c.effects.Sends, Outgoing{to, message})
 }
 
 // sendPeerHeartbeats sends our heartbeat to all peers when it is due. While our mirror is
-// stale, they are asked for cancellations as well.
+// stale, it queries the peers for cancellations as well.
 func (c *Core) sendPeerHeartbeats() {
 	if !c.links.HeartbeatDue() {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// handlePeerMessage handles a message of a peer. What depends on the records is ignored before
-// they have been read.
+// handlePeerMessage handles a message from a peer. Messages whose handling depends on the
+// records are ignored until the records have been loaded.
 func (c *Core) handlePeerMessage(from string, message peer.Message) {
 	switch {
 	case message.Heartbeat != nil:
@@ -74,7 +74,7 @@
 	}
 }
 
-// handlePeerHeartbeat takes what a peer's heartbeat says of its links, zones and machines.
+// handlePeerHeartbeat records what a peer's heartbeat reports about its links, zones and machines.
 func (c *Core) handlePeerHeartbeat(from string, heartbeat *peer.Heartbeat) {
 	mirrorAge := time.Duration(heartbeat.MirrorAgeMS) * time.Millisecond
 	c.links.ReceiveHeartbeat(from, mirrorAge, heartbeat.Throttled, heartbeat.Links)
@@ -88,7 +88,7 @@
 	c.updatePeerDemand()
 }
 
-// handleRelayRequest makes a call of the state service for a peer.
+// handleRelayRequest makes a call to the state service on behalf of a peer, or refuses it.
 func (c *Core) handleRelayRequest(from string, request *connectivity.RelayRequest) {
 	call, refusal := c.links.AcceptRelay(from, request)
 	if refusal != nil {
@@ -100,15 +100,15 @@
 	})
 }
 
-// handleRelayResponse takes the reply to a call that a peer has made for us.
+// handleRelayResponse handles the reply to a call that a peer has made on our behalf.
 func (c *Core) handleRelayResponse(from string, response *connectivity.RelayResponse) {
 	if done := c.links.CompleteRelay(from, response); done != nil {
 		done()
 	}
 }
 
-// handleForwarded forwards a message between two peers, one hop and no further, or handles
-// what is for us.
+// handleForwarded handles a message that a peer forwarded to us, or forwards one to another
+// peer. It forwards a message only if it comes straight from its sender, so it makes one hop.
 func (c *Core) handleForwarded(from string, message *peer.ForwardedMessage) {
 	if message.To != c.cfg.Node {
 		if message.From == from {
@@ -125,8 +125,8 @@
 	}
 }
 
-// queryCancellations asks a peer for the cancellations that we lack, through an intermediary
-// as well if we can't hear the peer.
+// queryCancellations queries a peer for the cancellations that our records lack, and also sends
+// the query through an intermediary if we can't hear the peer.
 func (c *Core) queryCancellations(name string) {
 	query := &peer.CancellationQuery{AskedAt: c.now, AppliedRevision: c.state.AppliedRevision(), Incarnation: c.incarnation}
 	snapshot := c.links.Snapshot()
@@ -141,9 +141,9 @@
 	c.send(from, peer.Message{CancellationReply: c.knownCancellations(query)})
 }
 
-// knownCancellations names the cancellations that the querying peer's records lack. It must not
-// be called before our own records are read: an earlier incarnation of ours may have
-// acknowledged cancellations to users that this one does not know yet.
+// knownCancellations returns the cancellations that the querying peer's records lack. It must not
+// be called before our own records are loaded: an earlier incarnation of this controller may have
+// acknowledged cancellations to users that the current one does not know yet.
 func (c *Core) knownCancellations(query *peer.CancellationQuery) *peer.CancellationReply {
 	reply := &peer.CancellationReply{AskedAt: query.AskedAt, Incarnation: query.Incarnation}
 	for _, id := range sortedKeys(c.jobs.byID) {
@@ -155,8 +155,9 @@
 	return reply
 }
 
-// handleCancellationReply takes a peer's reply on cancellations: as of the query, it has
-// acknowledged none to users beside those that we have seen and those it names.
+// handleCancellationReply handles a peer's reply to a cancellation query. The reply proves that,
+// as of the query, the peer has acknowledged no cancellations to users except those in our
+// records and those that the reply names.
 func (c *Core) handleCancellationReply(from string, reply *peer.CancellationReply) {
 	for _, id := range reply.Cancelled {
 		c.noteCancellation(id)
@@ -166,7 +167,7 @@
 	}
 }
 
-// noteCancellation takes that a peer has named a job as cancelled.
+// noteCancellation records that a peer has named a job as cancelled, and stops the job's tasks.
 func (c *Core) noteCancellation(id string) {
 	record := c.jobs.byID[id]
 	if record == nil {
@@ -176,10 +177,10 @@
 	if record.final() {
 		return
 	}
-	record.status = job.Cancelled // committed, as the peer knows of it
+	record.status = job.Cancelled // the cancellation is committed, since the peer knows of it
 	c.stopTasksOf(record)
 }
 
-// cancellationProof is the time of the last proof that no cancellation was acknowledged
-// which we don't know of.
+// cancellationProof returns the latest time as of which it is proven that no cancellation was
+// acknowledged to a user without this controller knowing of it.
 func (c *Core) cancellationProof() time.Duration { return c.links.CancellationProof(c.state.FreshAt()) }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -8,10 +8,11 @@
 )
 
 // Exception "preemption": the thesis's tasks never leave a server before they
-// are done. Here a waiting task of higher priority stops lower ones on one
-// machine of ours, chosen so that the least work is lost.
+// are done. Here a waiting task of higher priority has tasks of lower priority stopped on one
+// of our machines, which is chosen so that the least work is lost.
 
-// preempt looks for room for the queued tasks that nothing free can hold.
+// preempt stops tasks to make room for queued tasks that no free room can hold, and for gangs
+// whose teams' limits are used up.
 func (c *Core) preempt() {
 	for _, r := range c.scheduler.queuedJobs {
 		if r.spec.Priority > job.Low && !isGang(r) {
@@ -23,7 +24,7 @@
 	}
 }
 
-// preemptForJob looks for room for a job's queued tasks.
+// preemptForJob stops tasks to make room for a job's queued tasks.
 func (c *Core) preemptForJob(r *jobRecord) {
 	for _, queued := range r.queue {
 		if c.now < queued.nextPreemptionAt || !c.placeable(r, queued.key.index) {
@@ -35,18 +36,19 @@
 			m, victims = c.gangVictims(r)
 		}
 		if m == nil {
-			return // the job's tasks are alike
+			return // a job's tasks are alike: there is no room for the others either
 		}
 		c.preemptOn(r, queued, m, victims)
 	}
 }
 
-// preemptedForQuota is why a task is stopped whose team's limit is saved for a gang.
+// preemptedForQuota is the reason for stopping a task whose team's limit is saved for a gang.
 const preemptedForQuota = "preempted for its team's limit"
 
-// preemptForQuota stops a task of lower priority of the team whose limit is saved for a gang,
-// the one that loses least. Only one at a time: every controller does so, and each learns
-// from the records what the others have done.
+// preemptForQuota stops one task of a team whose limit is saved for a gang: of the tasks of
+// lower priority than the gang, the one that loses least work. It stops only one at a time,
+// because every controller does so and learns only from the records what the others have
+// stopped.
 func (c *Core) preemptForQuota(team *team) {
 	r := team.savingFor
 	if r == nil || team.withinLimit(team.charged.plus(r.spec, float64(r.spec.Tasks))) {
@@ -82,7 +84,8 @@
 	}
 }
 
-// isPreemptingForQuota tells whether a task is being stopped on a machine for its team's limit.
+// isPreemptingForQuota reports whether a task of a team is being stopped on a machine because of
+// the team's limit.
 func isPreemptingForQuota(m *machine, teamName string) bool {
 	for k, stop := range m.stops {
 		if v := m.bound[k]; stop.reason == preemptedForQuota && v != nil && v.spec.Team == teamName {
@@ -92,11 +95,11 @@
 	return false
 }
 
-// preemptedGang is why a task is stopped that takes its gang with it.
+// preemptedGang is the reason for stopping a task of a gang, which ends the whole gang.
 const preemptedGang = "preempted with its gang"
 
-// preemptOn stops tasks on a machine for a queued one. Their ends are reported at
-// once; should that fail, another machine is tried after a heartbeat period.
+// preemptOn stops tasks on a machine to make room for a queued task. Their ends are reported at
+// once; if that fails, another machine is tried after a heartbeat period.
 func (c *Core) preemptOn(r *jobRecord, queued *queuedTask, m *machine, victims []taskKey) {
 	queued.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Report)
 	m.reserveRoom(r.spec.ID, queued.nextPreemptionAt, "")
@@ -111,10 +114,11 @@
 	c.log.Debug("preempting tasks", "for", r.spec.ID, "machine", m.id, "victims", len(victims))
 }
 
-// preemptOnWarmMachine has a service wait a moment for room where its image is, in place
-// of the machine picked for it, where the image would first have to be fetched.
-// Exception "warm room for services": what must never be down is worth more
-// than the few seconds of lower work that this loses.
+// preemptOnWarmMachine stops tasks on a machine that has a service's image, and queues the
+// service's task for that machine. It does so if the image would first have to be fetched on
+// picked, the idle machine picked for the task, and reports whether it did.
+// Exception "warm room for services": a service, which must never be down, is worth more
+// than the few seconds of work of lower priority that this loses.
 func (c *Core) preemptOnWarmMachine(r *jobRecord, index int, picked *machine) bool {
 	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.queuedByIndex[index] != nil {
 		return false
@@ -132,9 +136,9 @@
 	return true
 }
 
-// cheapestVictims finds the machine where room for the task costs least, among the
-// first that will do from a random one on, and what to stop there. With warm,
-// only machines that have the image will do.
+// cheapestVictims returns the machine where making room for a task of a job costs least, and the
+// tasks to stop there. It compares the first maxCandidates suitable machines, starting at a
+// random one. If warm is set, only machines that have the image are suitable.
 func (c *Core) cheapestVictims(r *jobRecord, warm bool) (*machine, []taskKey) {
 	var best *machine
 	var bestVictims []taskKey
@@ -168,7 +172,7 @@
 	return best, bestVictims
 }
 
-// hasTasksBelow tells whether tasks of a priority below the given one are bound to a machine.
+// hasTasksBelow reports whether tasks with a priority below the given one are bound to a machine.
 func (m *machine) hasTasksBelow(priority job.Priority) bool {
 	for p := job.Low; p < priority; p++ {
 		if m.boundByPriority[p] > 0 {
@@ -178,7 +182,7 @@
 	return false
 }
 
-// mayPreemptOn tells whether tasks may be stopped on a machine to make room for a job's.
+// mayPreemptOn reports whether tasks may be stopped on a machine to make room for a job's tasks.
 func (c *Core) mayPreemptOn(r *jobRecord, m *machine) bool {
 	if len(m.stops) > 0 || c.now < m.reservedUntil || c.unschedulable(m) {
 		return false
@@ -186,13 +190,14 @@
 	return c.couldHold(r, m) && c.zoneAllowed(r, m.claim.Zone)
 }
 
-// gangVictims finds a machine where tasks of gangs are stopped to make room for production
-// work that ran before: when a third of the machines is lost, production work runs again
-// before training does. New production work waits for room, as it did before this rule:
-// stopping gangs for it too cost the class antrenare more than the class ruteplan gained
-// (carbura-iasi-fleet, calm). For other work gangs are not stopped, as the end of one of its
-// tasks ends a whole gang. One gang is stopped at a time: the room of a whole machine, and
-// a little later that of the gang's other machines, serves several waiting tasks.
+// gangVictims returns a machine and the tasks to stop there, including tasks of gangs, to make
+// room for production work that has run before: after the loss of a third of the machines,
+// production work must run again before training does. Gangs are not stopped for new production
+// work, which waits for room: stopping them for it too cost the class antrenare more than the
+// class ruteplan gained (carbura-iasi-fleet, calm). They are not stopped for work of other
+// priorities, because the end of one task ends its whole gang. Only one gang is stopped at a
+// time: the room on this machine, and a little later on the gang's other machines, is enough
+// for several waiting tasks.
 func (c *Core) gangVictims(r *jobRecord) (*machine, []taskKey) {
 	if r.spec.Priority < job.Production || c.isPreemptingGang() {
 		return nil, nil
@@ -221,7 +226,8 @@
 	return best, bestVictims
 }
 
-// isPreemptingGang tells whether a gang's task is being stopped on a machine of ours to make room.
+// isPreemptingGang reports whether a gang's task is being stopped on one of our machines to make
+// room.
 func (c *Core) isPreemptingGang() bool {
 	for _, m := range c.machines.own {
 		for _, stop := range m.stops {
@@ -233,10 +239,10 @@
 	return false
 }
 
-// pickVictims picks the tasks of lower priority to stop on a machine, cheapest
-// first, and tells what work that loses in seconds of task time. With gangs, those
-// of several tasks may be among them. It is not ok if nothing has to be stopped, or if all
-// that may be is not enough.
+// pickVictims picks the tasks to stop on a machine to make room for a task of a job, and returns
+// them with the work lost, in seconds of task time. If gangs is set, tasks of gangs may be among
+// them. ok is false if nothing has to be stopped, or if stopping every evictable task would not
+// make enough room.
 func (c *Core) pickVictims(r *jobRecord, m *machine, gangs bool) (victims []taskKey, cost float64, ok bool) {
 	machineType := c.machineTypeOf(m)
 	cpus, gpus, memoryGB := m.cpus, m.gpus, m.ram
@@ -254,15 +260,15 @@
 	return victims, cost, ok
 }
 
-// victim is a task that may be stopped, and what work that loses.
+// victim is a task that may be stopped, and the work that is lost with it.
 type victim struct {
 	key  taskKey
 	job  *jobRecord
 	cost float64 // seconds of task time
 }
 
-// evictionCandidates lists the tasks on a machine that a job's task may displace: those of the lowest
-// priority first, and of these the cheapest.
+// evictionCandidates lists the tasks on a machine that may be stopped for a job's task, by
+// ascending priority, and those of equal priority by ascending cost.
 func (c *Core) evictionCandidates(r *jobRecord, m *machine, gangs bool) []victim {
 	var candidates []victim
 	for k, v := range m.bound {
@@ -281,8 +287,8 @@
 	return candidates
 }
 
-// lostWork is the work that stopping a task loses, in seconds: what it has done since its
-// start or its last checkpoint.
+// lostWork returns the work that is lost by stopping a task, in seconds: the time since its
+// start, but no more than its checkpoint interval if it saves checkpoints.
 func (c *Core) lostWork(m *machine, k taskKey, r *jobRecord) float64 {
 	at, ok := m.runningSince[k]
 	if !ok {
--- a/internal/coordination/recording.go
+++ b/internal/coordination/recording.go
@@ -18,22 +18,23 @@
 	"silvergate/internal/recorder"
 )
 
-// RecordedCore is a core whose inputs are recorded. It takes the inputs that a Core takes.
+// RecordedCore is a core whose inputs are recorded. It has the input methods of Core.
 // It is not safe for concurrent use.
 type RecordedCore struct {
 	core   *Core
 	writer *recorder.Writer
 }
 
-// NewRecordedCore records the inputs of c with w, which must be new: a recording can only
-// be replayed from the first input of an incarnation. The caller closes w after the last.
+// NewRecordedCore returns a core that records the inputs of c with w. Both c and w must be new: a
+// recording can only be replayed from the first input of an incarnation. The caller closes w after
+// the last input.
 func NewRecordedCore(c *Core, w *recorder.Writer) *RecordedCore {
 	return &RecordedCore{core: c, writer: w}
 }
 
-// RecordingHeader is the header of a recording, from which NewFromHeader makes the core
-// that New makes of the same settings, incarnation and seed. Secrets are not in it: the
-// file of the archive's key is named, but its content is not kept.
+// RecordingHeader returns the header of a recording. From it, NewFromHeader makes the same core
+// as New does from these settings, incarnation and seed. The header holds no secrets: it names
+// the file with the archive's key, but does not contain the key.
 func RecordingHeader(cfg *config.Settings, build string, incarnation int64, seed [2]uint64) (recorder.Header, error) {
 	settings, err := json.Marshal(cfg)
 	if err != nil {
@@ -53,67 +54,68 @@
 	}, nil
 }
 
-// NewFromHeader makes the core that was recorded, as it was before its first input. The
-// keys that the settings name are read from their files.
+// NewFromHeader returns the core of a recording, as it was before its first input. It reads the
+// keys that the settings name from their files.
 func NewFromHeader(h *recorder.Header, log *slog.Logger) (*Core, error) {
 	cfg := &config.Settings{}
 	if err := json.Unmarshal(h.Settings, cfg); err != nil {
-		return nil, fmt.Errorf("the recording's settings: %w", err)
+		return nil, fmt.Errorf("decoding the recording's settings: %w", err)
 	}
 	var err error
 	if cfg.Operator, err = config.ParseOperator(h.Operator); err != nil {
-		return nil, fmt.Errorf("the recording's operator settings: %w", err)
+		return nil, fmt.Errorf("parsing the recording's operator settings: %w", err)
 	}
 	if err := cfg.LoadKeys(); err != nil {
-		return nil, fmt.Errorf("the recording's operator settings: %w", err)
+		return nil, fmt.Errorf("loading the keys of the recording's operator settings: %w", err)
 	}
 	return New(cfg, log, rand.New(rand.NewPCG(h.Seed[0], h.Seed[1])), h.Life), nil
 }
 
-// Request is Core.Request, recorded.
+// Request calls Core.Request and records the input.
 func (t *RecordedCore) Request(at Timestamp, id uint64, method, path string, body []byte) Effects {
 	return t.step(&recorder.Input{Kind: recorder.Request, ID: id, Method: method, Path: path, Body: body}, at,
 		func() Effects { return t.core.Request(at, id, method, path, body) })
 }
 
-// Reply is Core.Reply, recorded.
+// Reply calls Core.Reply and records the input.
 func (t *RecordedCore) Reply(at Timestamp, r protocol.Reply) Effects {
 	return t.step(&recorder.Input{Kind: recorder.Reply, ID: r.ID, Status: r.Status, Sent: r.Sent, Retry: r.RetryAfter, Body: r.Body}, at,
 		func() Effects { return t.core.Reply(at, r) })
 }
 
-// Peer is Core.Peer, recorded.
+// Peer calls Core.Peer and records the input.
 func (t *RecordedCore) Peer(at Timestamp, from string, m peer.Message) Effects {
-	body, _ := cbor.Marshal(&m) // a message of values: it always can be
+	body, _ := cbor.Marshal(&m) // never fails: a message holds plain values only
 	return t.step(&recorder.Input{Kind: recorder.Peer, From: from, Body: body}, at, func() Effects { return t.core.Peer(at, from, m) })
 }
 
-// Tick is Core.Tick, recorded.
+// Tick calls Core.Tick and records the input.
 func (t *RecordedCore) Tick(at Timestamp) Effects {
 	return t.step(&recorder.Input{Kind: recorder.Tick}, at, func() Effects { return t.core.Tick(at) })
 }
 
-// step records an input with the digest of the effects that do has.
+// step calls do, which passes an input to the core, and records the input with the digest of its
+// effects.
 func (t *RecordedCore) step(in *recorder.Input, at Timestamp, do func() Effects) Effects {
 	in.Steady, in.Wall = at.Steady, at.Wall.UnixNano()
 	returned := false
 	defer func() {
-		if !returned { // a panic: the input that led to it matters most
+		if !returned { // do panicked: the input that caused it matters most
 			t.writer.Put(in)
 			_ = t.writer.Close()
 		}
 	}()
 	effects := do()
 	returned = true
-	if in.Path != PathStats { // its response depends on the process, not on the core alone
+	if in.Path != PathStats { // this response depends on the process as well as on the core
 		in.Effects = effects.digest()
 	}
 	t.writer.Put(in)
 	return effects
 }
 
-// Replay puts a recorded input through a core. same tells whether the effects are those
-// that were recorded. An input that can't be read is an error.
+// Replay passes a recorded input to a core. same reports whether the effects match the recorded
+// digest, or the input has none. An input that can't be decoded is an error.
 func (c *Core) Replay(in *recorder.Input) (e Effects, same bool, err error) {
 	at := Timestamp{in.Steady, time.Unix(0, in.Wall)}
 	switch in.Kind {
@@ -126,17 +128,17 @@
 	case recorder.Peer:
 		var m peer.Message
 		if err := cbor.Unmarshal(in.Body, &m); err != nil {
-			return e, false, fmt.Errorf("a peer's message: %w", err)
+			return e, false, fmt.Errorf("decoding a peer's message: %w", err)
 		}
 		e = c.Peer(at, in.From, m)
 	default:
-		return e, false, fmt.Errorf("an input of unknown kind %d", in.Kind)
+		return e, false, fmt.Errorf("recorded input has unknown kind %d", in.Kind)
 	}
 	return e, in.Effects == 0 || in.Effects == e.digest(), nil
 }
 
-// digest is a hash of the effects in their order, and never 0, which stands for none. It
-// is stored in recordings: what it covers must not change.
+// digest returns a hash of the effects in order. It is never 0, which stands for no digest.
+// Digests are stored in recordings, so the data that they cover must not change.
 func (e *Effects) digest() uint64 {
 	h := xxhash.New()
 	var buffer [8]byte
@@ -171,13 +173,13 @@
 	number(digestSends)
 	for i := range e.Sends {
 		text(e.Sends[i].To)
-		body, _ := cbor.Marshal(&e.Sends[i].Message) // a message of values: it always can be
+		body, _ := cbor.Marshal(&e.Sends[i].Message) // never fails: a message holds plain values only
 		bytes(body)
 	}
 	return max(h.Sum64(), 1)
 }
 
-// Numbers that separate the lists of effects in a digest.
+// These numbers separate the lists of effects in a digest.
 const (
 	digestCalls = 1
 	digestSends = 2
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -8,16 +8,16 @@
 	"silvergate/internal/connlimit"
 )
 
-// PathStats is where operators read the counters.
+// PathStats is the path at which operators read the counters.
 const PathStats = "/stats"
 
-// Stats counts what an operator wants to know.
+// Stats holds a controller's counters for operators.
 type Stats struct {
 	Submitted       uint64 `json:"submitted"`
 	Cancelled       uint64 `json:"cancelled"`
 	Heartbeats      uint64 `json:"checkins"`
 	Claims          uint64 `json:"claims"`
-	Failovers       uint64 `json:"takeovers"` // groups of workers
+	Failovers       uint64 `json:"takeovers"` // groups of workers taken over
 	Adopted         uint64 `json:"adopted"`
 	Placements      uint64 `json:"placements"`
 	Completions     uint64 `json:"endings"`
@@ -28,12 +28,12 @@
 	MachinesDeleted uint64 `json:"deleted"`
 	Unavailable     uint64 `json:"unavailable"`
 
-	Connections connlimit.Stats `json:"doors"` // connections, as the program tells
+	Connections connlimit.Stats `json:"doors"` // filled in by the program
 
-	LongestStepMS float64 `json:"longestStepMs"` // how long an answer had to wait for another step, at the most
+	LongestStepMS float64 `json:"longestStepMs"` // longest time that an answer had to wait for another step
 }
 
-// statsResponse is what operators see of a controller at PathStats.
+// statsResponse is the response at PathStats.
 type statsResponse struct {
 	Node       string                    `json:"node"`
 	UptimeS    float64                   `json:"uptimeS"`
@@ -49,7 +49,7 @@
 	Links      linkStats                 `json:"reach"`
 }
 
-// latencySummary is the latency of the calls to one system.
+// latencySummary summarizes the latency of the calls to one system.
 type latencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50Ms"`
@@ -88,10 +88,11 @@
 	}
 }
 
-// maxLatency is the longest latency that is distinguished from longer ones.
+// maxLatency is the longest latency that is recorded; longer ones count as this.
 const maxLatency = time.Minute
 
-// recordLatency records how long a call took, in microseconds to two digits.
+// recordLatency records the duration of a call to a system, in microseconds with two significant
+// digits.
 func (c *Core) recordLatency(name string, d time.Duration) {
 	h := c.calls.latency[name]
 	if h == nil {
--- a/internal/coordination/zone_view.go
+++ b/internal/coordination/zone_view.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// zoneView is what a controller says of the zones: in which it hears machines of its own and
-// in which none of them any more; and which of its machines are unresponsive: their
-// heartbeats arrive, and they do not hear its answers.
+// zoneView is a controller's view of the zones: from which zones it still receives heartbeats of
+// its machines, from which it receives none any more, and which of its machines are unresponsive:
+// their heartbeats arrive, but its answers do not reach them.
 type zoneView struct {
 	at                     time.Duration
 	reachable, unreachable []string
 	unresponsive           []string
 }
 
-// minMachinesInLostZone is how many machines a controller must hold in a zone for their
-// silence to say something of the zone.
+// minMachinesInLostZone is how many machines a controller must own in a zone to conclude from
+// their silence that the zone is unreachable.
 const minMachinesInLostZone = 4
 
-// updateZoneView takes what this controller hears. A zone is unreachable when no heartbeat
-// came from it within the timeout.
+// updateZoneView sets the zone view of a controller, node. A zone is unreachable if none of
+// enough machines there has sent a heartbeat within the timeout.
 func (f *fleetScaler) updateZoneView(node string, now time.Duration, zones map[string]*zoneHeartbeats,
 	unresponsive []string, timeout time.Duration) {
 	v := zoneView{at: now, unresponsive: unresponsive}
@@ -34,10 +34,10 @@
 	f.zoneViews[node] = v
 }
 
-// zoneUnreachable tells whether a zone seems to be cut off: no controller that we
-// hear from hears a machine there, and one has lost all it held there, or the zone's
-// own controllers are down. What is provisioned or counted on there is of no use until
-// it is back. A wrong guess costs money or time and never breaks a rule.
+// zoneUnreachable reports whether a zone seems to be cut off: no controller with a recent view
+// hears a machine there, and either a controller has lost all its machines there, or the zone's
+// own controllers are down. Machines there, rented or still to be rented, are of no use until the
+// zone is back. A wrong guess costs money or time but never breaks an invariant.
 func (c *Core) zoneUnreachable(zone string) bool {
 	lost := false
 	for _, v := range c.scaler.zoneViews {
@@ -52,8 +52,8 @@
 	return lost || c.zoneControllersDown(zone) && c.cfg.Zone != zone
 }
 
-// zoneControllersDown tells whether there are other controllers in a zone and all of them
-// are down with machines still in their name.
+// zoneControllersDown reports whether there are other controllers in a zone and all of them
+// are down while they still own machines.
 func (c *Core) zoneControllersDown(zone string) bool {
 	inZone, down := 0, 0
 	for _, p := range c.cfg.Peers {
