--- a/internal/coordination/bin_packing_test.go
+++ b/internal/coordination/bin_packing_test.go
@@ -10,9 +10,9 @@
 	"silvergate/internal/protocol"
 )
 
-// TestNothingWaitsForRoomOnDeafMachines guards against a plan that counts on unresponsive
-// machines, whose heartbeats arrive and that hear no answer: nothing was rented for what
-// waited until they heard again.
+// TestNothingWaitsForRoomOnDeafMachines guards against a fleet plan that counts on unresponsive
+// machines, whose heartbeats arrive but which receive no answers: no machines were rented for
+// waiting tasks until the unresponsive ones received answers again.
 func TestNothingWaitsForRoomOnDeafMachines(t *testing.T) {
 	for seed := uint64(48_100); seed < 48_104; seed++ {
 		s := newSim(t, seed, 0)
@@ -29,14 +29,14 @@
 		u := s.submit(&job.Spec{ID: "wk-000002", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, 5, 0)
 		s.run(120 * time.Second)
 		if u.tasksStarted == 0 || u.firstStartAt > 110*time.Second {
-			t.Errorf("seed %d: nothing began within 45 s, %d of 4 tasks in the end", seed, u.tasksStarted)
+			t.Errorf("seed %d: no task started within 45 s; %d of 4 tasks had started by the end", seed, u.tasksStarted)
 		}
 		s.reportViolations(t)
 	}
 }
 
-// TestBinPackingRents packs tasks of one job onto given machines and checks what is to be
-// rented for the rest.
+// TestBinPackingRents packs tasks of one job onto given machines and checks which machines are to
+// be rented for the tasks that do not fit.
 func TestBinPackingRents(t *testing.T) {
 	types := map[string]*protocol.MachineType{
 		"small": {Name: "small", CPUs: 4, GPUs: 1, MemoryGB: 16, Zones: []string{"a", "b"}, OnDemandPrice: 1, SpotPrice: 0.4},
@@ -45,7 +45,7 @@
 	nothing := map[offering]int{}
 	for _, v := range []struct {
 		name        string
-		present     []offering // empty machines that there are
+		present     []offering // existing machines, all empty
 		refused     []offering
 		load        map[string]int // machines by zone
 		spec        job.Spec
@@ -113,13 +113,13 @@
 			p.sortSlots()
 			p.packTasks(&v.spec, v.tasks, v.tasksByZone)
 			if !maps.Equal(p.toRent, v.toRent) || p.unplaceable != v.unplaceable {
-				t.Errorf("to be rented are %v, and %d tasks can't be placed; want %v and %d", p.toRent, p.unplaceable, v.toRent, v.unplaceable)
+				t.Errorf("machines to rent: %v, with %d tasks that can't be placed; want %v and %d", p.toRent, p.unplaceable, v.toRent, v.unplaceable)
 			}
 		})
 	}
 }
 
-// TestPinZone checks in which zone a one-zone job is packed.
+// TestPinZone checks the zone in which a one-zone job is packed.
 func TestPinZone(t *testing.T) {
 	types := map[string]*protocol.MachineType{
 		"small": {Name: "small", CPUs: 4, GPUs: 1, MemoryGB: 16, Zones: []string{"a", "b"}, OnDemandPrice: 1},
--- a/internal/coordination/gang_reservation_test.go
+++ b/internal/coordination/gang_reservation_test.go
@@ -9,9 +9,9 @@
 	"silvergate/internal/job"
 )
 
-// TestGangGetsABlockCleared guards against gangs that wait for ever among
-// arrays: machines of several controllers, all with tasks of lower priority, are
-// cleared for the gang that has the reservation, and it starts soon.
+// TestGangGetsABlockCleared guards against gangs that wait for ever while arrays occupy the
+// machines: machines of several controllers, all with tasks of lower priority, must be
+// cleared for the gang that holds the reservation, so that it starts soon.
 func TestGangGetsABlockCleared(t *testing.T) {
 	s := newSim(t, 23, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
@@ -29,9 +29,9 @@
 	s.reportViolations(t)
 }
 
-// TestGangWithoutABlockLetsOthersStart guards against one gang holding the
-// reservation for more than a minute although no zone has machines for it: smaller
-// gangs of other controllers start meanwhile.
+// TestGangWithoutABlockLetsOthersStart guards against a gang that holds the reservation for
+// more than a minute although no zone has enough machines for it: smaller gangs of other
+// controllers must start meanwhile.
 func TestGangWithoutABlockLetsOthersStart(t *testing.T) {
 	s := newSim(t, 41, 0)
 	s.facts.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
@@ -42,7 +42,7 @@
 	}
 	s.submitLowArrays(4)
 	s.run(60 * time.Second)
-	gang("wk-700000", 6) // four small machines a zone
+	gang("wk-700000", 6) // more than fit into a zone, which has four small machines
 	s.run(63 * time.Second)
 	var small []*simUser
 	for i := range 4 {
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/job"
 )
 
-// grownSim is a deployment of five controllers and some hundred machines, with
+// grownSim returns a simulation of a deployment of five controllers and some hundred machines, with
 // the limits of a real state service.
 func grownSim(t testing.TB, seed uint64) *sim {
 	t.Helper()
@@ -34,11 +34,10 @@
 	return s
 }
 
-// loadGrown submits services at the start, and arrays and gangs until the
-// time given.
+// loadGrown submits services at once, and arrays and gangs until the given time.
 func (s *sim) loadGrown(until time.Duration) { s.loadGrownFrom(0, until) }
 
-// loadGrownFrom is loadGrown with job numbers above n.
+// loadGrownFrom does the same as loadGrown with job numbers above n.
 func (s *sim) loadGrownFrom(n int, until time.Duration) {
 	spec := func(shape job.Shape, class string, p job.Priority, tasks int) *job.Spec {
 		n++
@@ -73,9 +72,9 @@
 	next()
 }
 
-// TestGrownDeployment plays a deployment of hundreds of machines through bulk
-// failures: dozens of machines hang, a third of the spot machines is taken,
-// and all controllers crash. The rules hold and everything ends.
+// TestGrownDeployment simulates bulk failures in a deployment of hundreds of machines: dozens of
+// machines hang, the cloud takes back a third of the spot machines, and all controllers crash. No
+// rule may be broken, and all jobs must end.
 func TestGrownDeployment(t *testing.T) {
 	s := grownSim(t, 31)
 	s.loadGrown(150 * time.Second)
@@ -120,14 +119,14 @@
 	}
 	t.Logf("%d machines, %d of %d tasks done, %d starts, %d conflicts, %d claims, %d refused", up, done, tasks, s.counts.taskStarts, total.Conflicts, total.Claims, s.state.throttled)
 	if up < 200 {
-		t.Errorf("only %d machines are rented", up)
+		t.Errorf("only %d machines are rented, want 200", up)
 	}
 	s.finish(t, 160*time.Second)
 	s.reportViolations(t)
 }
 
-// TestIdleControllerSleeps guards the processor of small machines: a controller
-// with nothing to do is woken for its sweeps alone, not by a fixed clock.
+// TestIdleControllerSleeps guards against wasting the processor time of small machines: a
+// controller with nothing to do must be woken for its sweeps only, not at a fixed interval.
 func TestIdleControllerSleeps(t *testing.T) {
 	s := newSim(t, 5, 0)
 	s.run(20 * time.Second)
@@ -144,9 +143,9 @@
 	}
 }
 
-// TestZoneThatIsCutOffKeepsItsMachines guards against a zone without a controller
-// that can't be reached for less than a lease: its machines are not returned and
-// its tasks go on, while a few silent machines elsewhere are returned.
+// TestZoneThatIsCutOffKeepsItsMachines guards against returning the machines of a zone that has no
+// controller and can't be reached for less than a lease: its machines must be kept and its tasks
+// go on, while a few silent machines elsewhere are returned.
 func TestZoneThatIsCutOffKeepsItsMachines(t *testing.T) {
 	s := grownSim(t, 37)
 	s.loadGrown(120 * time.Second)
@@ -165,7 +164,7 @@
 	}
 	s.run(120 * time.Second)
 	remaining := 0
-	drainedAsSilent := 0 // drained as silent
+	drainedAsSilent := 0
 	for name := range cutOff {
 		if s.cloud.machines[name] != nil {
 			remaining++
@@ -174,25 +173,25 @@
 			drainedAsSilent++
 		}
 	}
-	t.Logf("%d machines in the zone that was cut off, %d are there", len(cutOff), remaining)
+	t.Logf("%d machines in the zone that was cut off, %d remain", len(cutOff), remaining)
 	if len(cutOff) < 20 || remaining < len(cutOff)*3/4 || drainedAsSilent > 0 {
-		t.Errorf("%d machines were cut off, %d are there, %d condemned", len(cutOff), remaining, drainedAsSilent)
+		t.Errorf("%d machines were cut off, %d remain, %d were drained as silent", len(cutOff), remaining, drainedAsSilent)
 	}
 	for name := range single {
 		if s.cloud.machines[name] != nil {
-			t.Errorf("%s is silent among machines that are heard, and was not returned", name)
+			t.Errorf("%s was not returned although it is silent while other machines of its zone are not", name)
 		}
 	}
 	s.finish(t, 160*time.Second)
 	s.reportViolations(t)
 }
 
-// TestWorkersOfASilentControllerAreTakenInTime guards against tasks killed by
-// their leases: a controller falls silent without refusing connections, so its
-// workers turn to others a heartbeat period and a response timeout later, and must
-// not be told then to wait for its return.
+// TestWorkersOfASilentControllerAreTakenInTime guards against tasks that are killed by their leases
+// when a controller falls silent without refusing connections. Its workers turn to other
+// controllers a heartbeat period and a response timeout later, and must not be told then to
+// wait for its return.
 func TestWorkersOfASilentControllerAreTakenInTime(t *testing.T) {
-	ended := 0 // leases
+	ended := 0 // leases that ended
 	owned := 0
 	for seed := uint64(51); seed < 54; seed++ {
 		s := grownSim(t, seed)
@@ -218,6 +217,6 @@
 	}
 	t.Logf("%d of %d leases ended", ended, owned)
 	if ended*20 > owned {
-		t.Errorf("%d of %d leases ended", ended, owned)
+		t.Errorf("%d of %d leases ended, want at most a twentieth", ended, owned)
 	}
 }
--- a/internal/coordination/largest_job_test.go
+++ b/internal/coordination/largest_job_test.go
@@ -8,9 +8,9 @@
 	"silvergate/internal/protocol"
 )
 
-// TestLargestJobRunsWithinLimits submits a job of 100,000 tasks beside others:
-// records keep to the state service's limits (the stand-in checks them), the
-// others run, and a cancellation ends everything.
+// TestLargestJobRunsWithinLimits submits a job of 100,000 tasks beside other jobs. The records
+// must keep to the limits of the state service, which the simulated service checks, the other
+// jobs must run, and cancelling all jobs must end all their tasks.
 func TestLargestJobRunsWithinLimits(t *testing.T) {
 	s := newSim(t, 21, 0)
 	big := s.submit(&job.Spec{ID: "wk-800000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: protocol.MaxTasks,
@@ -25,14 +25,14 @@
 		}
 	}
 	if done < 100 {
-		t.Errorf("%d tasks of the largest job are done", done)
+		t.Errorf("only %d tasks of the largest job are done", done)
 	}
 	for _, id := range sortedKeys(s.users) {
 		s.users[id].cancel()
 	}
 	s.run(s.now + seconds(s.facts.Workers.Cancel) + 10*time.Second)
 	if big.finalStatus != "cancelled" {
-		t.Errorf("the largest job is %q", big.finalStatus)
+		t.Errorf("the largest job ended as %q, want cancelled", big.finalStatus)
 	}
 	s.reportViolations(t)
 }
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -11,24 +11,25 @@
 	"silvergate/internal/protocol"
 )
 
-// outageScenario is a day on which two faults coincide at the cancel horizon: the state service refuses the
-// controller that holds most workers, alone; another one confirms cancellations to users; then
-// the state service is down for all, for longer than cancel_s, while the workers keep to the
-// old controller. The tasks run for many minutes and end by nothing else.
+// outageScenario is a simulated day on which two faults of the state service follow one another so closely that a
+// cancellation may miss its deadline, cancel_s. First the state service refuses only the leader, the controller with the most
+// workers, while another controller confirms cancellations to users. Then the state service is down for all controllers, for
+// longer than cancel_s, while the workers stay with the leader. The tasks run for an hour, so within the day they end only
+// when they are stopped.
 type outageScenario struct {
 	controllers     int
-	links           string // between controllers: "up", "refused" for the length of the day, "third" (the leader and the confirming controller reach one another by a third one only)
-	cancelWhen      string // the cancellations are confirmed: "before" the refusal, "during" it, at its very "end", or "unanswered": committed by a transaction whose answer is lost
-	confirmerFate   string // what becomes of the confirming controller: "lives", "dead" until the end, "restarted" at once and unable to read
-	leader          string // the refused controller: "well", "frozen" or "restarted" during the outage
-	workers         string // "well", "hung", "deaf" (unresponsive), "partly" so, or they send heartbeats "rarely"
-	delayedLaunches bool   // direct launches of jobs that are cancelled come after more than cancel_s
-	checkpointing   bool   // the gangs save a checkpoint, which takes long
-	stayWithHolder  bool   // no worker reaches another controller
-	shortCancel     bool   // cancel_s is little above lease_s
-	simultaneous    bool   // the cancellations come at the very moment of the refusal, and the outage a second later
+	links           string // between controllers: "up", "refused" until the outage ends, "third" (leader and confirmer reach each other only via a third)
+	cancelWhen      string // cancellations are confirmed "before" or "during" the refusal, at its "end", or "unanswered": their transaction's answer is lost
+	confirmerFate   string // of the confirming controller: "lives", "dead" until the end, "restarted" at once and unable to read the records
+	leader          string // state of the refused controller: "well", or "frozen" or "restarted" during the outage
+	workers         string // "well", "hung", "deaf" (unresponsive), "partly" unresponsive, or sending heartbeats "rarely"
+	delayedLaunches bool   // direct launches of cancelled jobs arrive after more than cancel_s
+	checkpointing   bool   // the gangs are saving a checkpoint, which takes long
+	stayWithHolder  bool   // no worker reaches a controller other than its own
+	shortCancel     bool   // cancel_s is only a little longer than lease_s
+	simultaneous    bool   // the cancellations come within 20 ms of the refusal, and the outage a second later
 
-	defect func(s *sim) // may be nil
+	defect func(s *sim) // breaks the simulation or the controllers on purpose; may be nil
 }
 
 func (m outageScenario) String() string {
@@ -36,12 +37,12 @@
 		m.controllers, m.links, m.cancelWhen, m.confirmerFate, m.leader, m.workers, m.delayedLaunches, m.checkpointing, m.stayWithHolder, m.shortCancel, m.simultaneous)
 }
 
-// usualOutage is the scenario without faults beside the refusal and the outage.
+// usualOutage is the scenario without other faults than the refusal and the outage.
 var usualOutage = outageScenario{
 	controllers: 3, links: "up", cancelWhen: "during", confirmerFate: "lives", leader: "well", workers: "well", stayWithHolder: true,
 }
 
-// scenarioValues are the values of a scenario's fields.
+// scenarioValues lists the possible values of a scenario's fields.
 var scenarioValues = struct{ links, cancelWhen, confirmerFate, leader, workers []string }{
 	links:         []string{"up", "refused", "third"},
 	cancelWhen:    []string{"before", "during", "end", "unanswered"},
@@ -50,15 +51,15 @@
 	workers:       []string{"well", "hung", "deaf", "partly", "rarely"},
 }
 
-// outcome is what such a day came to.
+// outcome is the result of a simulated scenario.
 type outcome struct {
 	confirmed     int
-	longestActive time.Duration // from a confirmation to the end of the last task
-	leaseKills    int           // of the refused controller's tasks on healthy machines, whose jobs nobody cancelled
-	survivors     int           // of the same tasks: active at the end
+	longestActive time.Duration // longest time from a confirmation to the end of the job's last task
+	leaseKills    int           // tasks killed by leases, of those on healthy machines of the refused controller whose jobs nobody cancelled
+	survivors     int           // tasks still active at the end, of those on machines of the refused controller whose jobs nobody cancelled
 }
 
-// newOutageSim is a day without drawn faults, on which the clocks of controllers drift by what the protocol allows.
+// newOutageSim returns a simulation without random faults, in which the controllers' clocks drift as far as the protocol allows.
 func newOutageSim(t testing.TB, seed uint64, m outageScenario) *sim {
 	s := newSim(t, seed, 0)
 	for i := 3; i < m.controllers; i++ {
@@ -89,20 +90,20 @@
 	return s
 }
 
-// outageDay is a scenario while it is played.
+// outageDay is a scenario while it is simulated.
 type outageDay struct {
 	outageScenario
 	s            *sim
 	jobs         int            // submitted
 	leader       *simController // the controller that is refused
 	others       []*simController
-	confirmer    *simController // takes the cancellations
+	confirmer    *simController // confirms the cancellations
 	refusedAt    time.Duration
 	outageAt     time.Duration // when the refusal ends and the outage begins
 	outageEndsAt time.Duration
 }
 
-// play plays the day.
+// play simulates the scenario.
 func (m outageScenario) play(t *testing.T, seed uint64) (*sim, outcome) {
 	s := newOutageSim(t, seed, m)
 	s.traceDay(t, seed)
@@ -147,7 +148,7 @@
 	d.confirmer = d.others[d.s.random.IntN(len(d.others))]
 }
 
-// delayLaunches has launches of new jobs arrive after more than cancel_s.
+// delayLaunches submits new jobs and delays their launches by more than cancel_s.
 func (d *outageDay) delayLaunches() {
 	d.leader.commandsDelayedUntil = d.outageAt + seconds(1.1*d.s.facts.Workers.Cancel)
 	for range 3 {
@@ -155,7 +156,7 @@
 	}
 }
 
-// refuseLeader has the state service refuse the leader, and cuts the links of the scenario.
+// refuseLeader makes the state service refuse the leader, and cuts the scenario's links.
 func (d *outageDay) refuseLeader() {
 	for _, w := range d.s.cloud.sortedMachines() {
 		w.observed = d.leader.holds(w)
@@ -176,7 +177,7 @@
 	}
 }
 
-// randomCancellationTime draws all times, so that scenarios of one seed differ in nothing else.
+// randomCancellationTime draws a time for every value of cancelWhen, so that scenarios with the same seed differ in nothing else.
 func (d *outageDay) randomCancellationTime() time.Duration {
 	at := map[string]time.Duration{
 		"before":     d.refusedAt - d.s.randomMillis(0, 60),
@@ -190,7 +191,7 @@
 	return at
 }
 
-// cancelJobs has the users of half of the jobs, and of those whose launches are delayed, cancel them.
+// cancelJobs cancels half of the jobs, and all those whose launches are delayed.
 func (d *outageDay) cancelJobs() {
 	if d.cancelWhen == "unanswered" {
 		d.confirmer.repliesLostUntil = d.s.now + 2*time.Second
@@ -203,7 +204,7 @@
 	}
 }
 
-// crashConfirmerOnceConfirmed crashes the confirming controller as soon as a user was told that a job is cancelled.
+// crashConfirmerOnceConfirmed crashes the confirming controller soon after it has confirmed a cancellation to a user.
 func (d *outageDay) crashConfirmerOnceConfirmed() {
 	s := d.s
 	for _, u := range s.users {
@@ -216,7 +217,7 @@
 		}
 		s.after(s.randomMillis(0, 300), func() {
 			if d.confirmerFate == "restarted" {
-				d.confirmer.unreachableUntil["state"] = s.now + down + 10*time.Second // it can't read when it is back
+				d.confirmer.unreachableUntil["state"] = s.now + down + 10*time.Second // it can't read the records when it is back
 			}
 			d.confirmer.crash(down)
 		})
@@ -264,11 +265,11 @@
 	return o
 }
 
-// randomScenario draws a scenario.
+// randomScenario returns a scenario with random values.
 func randomScenario(s *sim) outageScenario {
 	one := func(of []string) string { return of[s.random.IntN(len(of))] }
 	coin := func() bool { return s.random.IntN(2) == 0 }
-	return outageScenario{ // drawn in this order
+	return outageScenario{ // the order of the fields is the order of the random numbers
 		controllers:     3 + 2*s.random.IntN(2),
 		links:           one(scenarioValues.links),
 		cancelWhen:      one(scenarioValues.cancelWhen),
@@ -283,7 +284,7 @@
 	}
 }
 
-// checkOutcome fails the test if a rule was broken, and logs how near the day came to cancel_s.
+// checkOutcome fails the test if a rule was broken, and logs how close the longest active cancelled task came to cancel_s.
 func (m outageScenario) checkOutcome(t *testing.T, s *sim, o outcome) {
 	t.Helper()
 	for _, violation := range s.violations {
@@ -291,14 +292,15 @@
 	}
 	limit := seconds(s.facts.Workers.Cancel)
 	if o.longestActive > limit {
-		t.Errorf("a task is active %v after its job's cancellation was confirmed, cancel_s is %v", o.longestActive, limit)
+		t.Errorf("a task was active %v after its job's cancellation was confirmed; cancel_s is %v", o.longestActive, limit)
 	}
-	t.Logf("%s: %d confirmed, the last task ended after %.1f s of %.1f (lease_s %.1f, report_s %.1f); %d others killed by their lease, %d run on",
+	t.Logf("%s: %d confirmed, the last task ended after %.1f s of %.1f (lease_s %.1f, report_s %.1f); %d other tasks killed by leases, %d still run",
 		m, o.confirmed, o.longestActive.Seconds(), limit.Seconds(), s.facts.Workers.Lease, s.facts.Workers.Report, o.leaseKills, o.survivors)
 }
 
-// TestRefusedThenDown plays the usual scenario with each value of each field alone, and then
-// scenarios whose fields are all drawn; SIM_DAYS plays more of those.
+// TestRefusedThenDown guards against tasks that stay active for longer than cancel_s after the cancellation of their job
+// was confirmed. It simulates the usual scenario with one field changed at a time, to each of its values, and then 40
+// random scenarios, or as many as SIM_DAYS says.
 func TestRefusedThenDown(t *testing.T) {
 	usual := usualOutage
 	var all []outageScenario
@@ -349,7 +351,8 @@
 	})
 }
 
-// TestTheMeetingIsJudged breaks what the scenario depends on, one thing at a time, and has the checker find it.
+// TestTheMeetingIsJudged breaks the mechanisms that end cancelled tasks in time in this scenario, and checks that the
+// checker detects tasks that stay active for too long.
 func TestTheMeetingIsJudged(t *testing.T) {
 	base := usualOutage
 	for _, v := range []struct {
@@ -370,7 +373,7 @@
 					return
 				}
 			}
-			t.Error("the checker saw no cancelled task that lived on")
+			t.Error("the checker found no cancelled task that was active for longer than cancel_s")
 		})
 	}
 }
--- a/internal/coordination/peer_messages_test.go
+++ b/internal/coordination/peer_messages_test.go
@@ -10,7 +10,8 @@
 	"silvergate/internal/peer"
 )
 
-// Messages of the version before link reports and relayed calls, as gob knows them.
+// These types are the messages of the version before link reports and relayed calls, with the
+// field names under which gob sends them.
 type (
 	earlierHeartbeat struct {
 		FreshMS           int64
@@ -27,8 +28,8 @@
 	}
 )
 
-// TestMessagesOfOtherVersions has gob carry messages between this version and the one
-// before link reports and relayed calls.
+// TestMessagesOfOtherVersions checks that gob carries messages in both directions between this
+// version and the one before link reports and relayed calls.
 func TestMessagesOfOtherVersions(t *testing.T) {
 	var link bytes.Buffer
 	encoder := gob.NewEncoder(&link)
@@ -53,10 +54,10 @@
 			}
 			var earlier earlierMessage
 			if err := decoder.Decode(&earlier); err != nil {
-				t.Fatalf("the version before can't read %+v: %v", v.message, err)
+				t.Fatalf("the earlier version can't decode %+v: %v", v.message, err)
 			}
 			if !v.wanted(earlier) {
-				t.Errorf("%+v was read as %+v", v.message, earlier)
+				t.Errorf("the earlier version decodes %+v as %+v", v.message, earlier)
 			}
 		})
 	}
@@ -67,11 +68,12 @@
 	err := decoder.Decode(&wire)
 	message := wire.Message()
 	if err != nil || message.Heartbeat == nil || message.Heartbeat.MirrorAgeMS != 8 || message.Heartbeat.Links != nil {
-		t.Errorf("a heartbeat of the version before: %+v %v", message.Heartbeat, err)
+		t.Errorf("a heartbeat of the earlier version is decoded as %+v, error %v", message.Heartbeat, err)
 	}
 }
 
-// FuzzPeerMessages feeds a controller what a link may bring, decoded as the program does.
+// FuzzPeerMessages sends arbitrary bytes to a controller as a peer message, decoded in the same way
+// as in the program.
 func FuzzPeerMessages(f *testing.F) {
 	for _, message := range []peer.Message{
 		{Heartbeat: &peer.Heartbeat{MirrorAgeMS: 7, Links: []connectivity.LinkReport{{Node: "n1", AgeMS: -1, HearsPeers: []string{"n2"}}}}},
@@ -95,7 +97,7 @@
 		}
 		message := wire.Message()
 		s := newSim(t, 9990, 0)
-		s.run(4 * time.Second) // the records are read
+		s.run(4 * time.Second) // the controllers load the records
 		n := s.controllers[0]
 		for _, from := range []string{"n1", "nobody"} {
 			n.applyEffects(n.recorded.Peer(n.clock(), from, message))
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -13,9 +13,9 @@
 	"silvergate/internal/job"
 )
 
-// TestUrgentWorkGetsRoomFromGangs guards against replicas of production services
-// that waited 50 s for machines to boot, after a third of a deployment's machines was
-// lost, while gangs of lower priority went on (carbura-iasi-fleet, day zone).
+// TestUrgentWorkGetsRoomFromGangs guards against replicas of production services that waited
+// 50 s for machines to boot, after a deployment had lost a third of its machines, while gangs
+// of lower priority kept running (carbura-iasi-fleet, day zone).
 func TestUrgentWorkGetsRoomFromGangs(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		s := newSim(t, seed, 0)
@@ -55,9 +55,9 @@
 		}
 		s.run(85 * time.Second)
 		if n := countActive(replicas...); n < 6 {
-			t.Errorf("seed %d: %d of 6 replicas run, and %d tasks of a gang of lower priority", seed, n, countActive("wk-000001"))
+			t.Errorf("seed %d: only %d of 6 replicas run, besides %d tasks of a gang of lower priority", seed, n, countActive("wk-000001"))
 		}
-		s.run(360 * time.Second) // the services are over
+		s.run(360 * time.Second) // the services have ended
 		if gang.finalStatus != "done" {
 			t.Errorf("seed %d: the gang is not done: %q", seed, gang.finalStatus)
 		}
@@ -65,8 +65,9 @@
 	}
 }
 
-// playScarceDay has more work than fits: it loses a third of the machines, those of a zone, all controllers or a
-// tenth of the machines to hangs, by the seed, and submits as many services again.
+// playScarceDay simulates a large deployment with more work than fits. After 80 s 30 more services are submitted and,
+// depending on the seed, a third of the machines or those of a zone are lost, a tenth of the machines hang, or all
+// controllers crash.
 func playScarceDay(t *testing.T, seed uint64, productionAsLow bool) *sim {
 	t.Helper()
 	s := grownSim(t, seed)
@@ -102,11 +103,11 @@
 	}
 }
 
-// TestUrgentWorkGoesFirst plays days with more work than fits. No work of lower priority is launched where
-// production work waits that fits; when the controllers take production for idle work, they do just that, and the
-// checker says so.
+// TestUrgentWorkGoesFirst simulates days with more work than fits. No task of lower priority may be launched on a machine
+// that would fit production work that is waiting. To show that the checker can fail, the test also submits production jobs
+// to the controllers as jobs of low priority: the checker must then report a violation.
 func TestUrgentWorkGoesFirst(t *testing.T) {
-	// The days belong to the whole test, not to its subtests: digests name them by it.
+	// day plays on the t of the whole test, not that of a subtest: digest lines name days by it.
 	day := func(seed uint64, productionAsLow bool) *sim { return playScarceDay(t, seed, productionAsLow) }
 	days := uint64(8)
 	if v, err := strconv.Atoi(os.Getenv("SIM_DAYS")); err == nil {
@@ -128,7 +129,7 @@
 	for n := range checkedLaunches {
 		launches += n
 	}
-	t.Logf("%d launches of lower work while production work waited, on %d days", launches, days)
+	t.Logf("%d launches of work of lower priority were checked on %d days", launches, days)
 	if launches == 0 {
 		t.Error("no launch was checked")
 	}
@@ -138,7 +139,7 @@
 			break
 		}
 		if seed == 8 {
-			t.Fatal("the checker does not see that idle work goes first")
+			t.Fatal("the checker did not detect that work of lower priority was launched before production work")
 		}
 	}
 }
--- a/internal/coordination/recording_golden_test.go
+++ b/internal/coordination/recording_golden_test.go
@@ -17,9 +17,10 @@
 	"silvergate/internal/recorder"
 )
 
-// goldenRecordings are of a day of 40 s with every fault, of three controllers, one of
-// which starts again. Between them they hold inputs and peer messages of all kinds. A change
-// of what a core decides makes its effects differ; only then may they be written anew.
+// goldenRecordings are the recordings of three controllers, one of which restarts, in a
+// simulation of 40 s with all kinds of faults. Together they hold inputs and peer messages of all
+// kinds. A change of the core's decisions makes its effects differ; only then may the recordings
+// be rewritten.
 var goldenRecordings = []string{
 	"n0-00000000000000001208-000000.rec", // before its restart
 	"n0-00000000000000010133-000000.rec",
@@ -27,7 +28,7 @@
 	"n2-00000000000000001227-000000.rec",
 }
 
-// recordDay plays the day and returns its recordings by their files' names.
+// recordDay runs the simulation and returns its recordings by file name.
 func recordDay(t *testing.T) map[string][]byte {
 	const day = 40 * time.Second
 	s := newSim(t, 3, 0.004)
@@ -45,8 +46,8 @@
 	return recordings
 }
 
-// TestGoldenRecordingsReplay puts recordings of an earlier build through a core: not one
-// effect may differ, and no kind of input or message may be missing.
+// TestGoldenRecordingsReplay replays recordings of an earlier build: no effect may differ, and no
+// kind of input or peer message may be missing from the recordings.
 func TestGoldenRecordingsReplay(t *testing.T) {
 	var day map[string][]byte
 	if goldenUpdate() {
@@ -58,24 +59,25 @@
 		data := golden(t, "recordings/"+name, func() []byte { return day[name] })
 		inputs, different := replayRecording(t, data)
 		if inputs < 50 || different != "" {
-			t.Errorf("%s: %d inputs, %s", name, inputs, different)
+			t.Errorf("%s: %d inputs, first difference: %s", name, inputs, different)
 		}
 		collectKinds(t, data, kinds, messages)
 	}
 	if len(kinds) != 4 {
-		t.Errorf("inputs of kinds %v only", kinds)
+		t.Errorf("the recordings hold only inputs of the kinds %v", kinds)
 	}
 	if n := reflect.TypeFor[peer.Message]().NumField(); len(messages) != n {
-		t.Errorf("peer messages of %d kinds of %d: %v", len(messages), n, messages)
+		t.Errorf("the recordings hold peer messages of only %d of %d kinds: %v", len(messages), n, messages)
 	}
 	files, err := filepath.Glob(filepath.Join(goldenFolder, "recordings", "*.rec"))
 	if err != nil || len(files) != len(goldenRecordings) {
-		t.Errorf("files %v: %v", files, err)
+		t.Errorf("golden recordings %v, error %v", files, err)
 	}
 }
 
-// collectKinds notes of which kinds a recording's inputs and peer messages are. Each input
-// must carry the digest of what the core did, but for questions about the process.
+// collectKinds adds the kinds of a recording's inputs and peer messages to the two sets. Each input
+// must have a digest of its effects, except requests at PathStats, whose responses depend on the
+// process.
 func collectKinds(t *testing.T, data []byte, kinds map[recorder.Kind]bool, messages map[string]bool) {
 	t.Helper()
 	r, err := recorder.NewReader(bytes.NewReader(data))
@@ -102,7 +104,7 @@
 
 func collectMessageKind(t *testing.T, body []byte, messages map[string]bool) {
 	t.Helper()
-	var m peer.WireMessage // its fields are held by tests of internal/peer
+	var m peer.WireMessage // tests of internal/peer check that its fields do not change
 	if err := cbor.Unmarshal(body, &m); err != nil {
 		t.Fatal(err)
 	}
@@ -114,8 +116,8 @@
 	}
 }
 
-// TestGoldenRecordingsKeepTheirHeaders makes each golden recording's core, and from its
-// settings the header anew: the same bytes.
+// TestGoldenRecordingsKeepTheirHeaders makes the core of each golden recording and a new header from
+// that core's settings: it must have the same bytes as the recorded header.
 func TestGoldenRecordingsKeepTheirHeaders(t *testing.T) {
 	incarnations := map[string]int64{goldenRecordings[0]: 1208, goldenRecordings[1]: 10133, goldenRecordings[2]: 1139, goldenRecordings[3]: 1227}
 	for _, name := range goldenRecordings {
@@ -139,11 +141,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again.Version = h.Version // given by the writer
+		again.Version = h.Version // set by the writer
 		requireSameBytes(t, again.Settings, h.Settings)
 		requireSameBytes(t, again.Operator, h.Operator)
 		if !reflect.DeepEqual(again, h) {
-			t.Errorf("%s: header %+v, not %+v", name, again, h)
+			t.Errorf("%s: new header %+v, want %+v", name, again, h)
 		}
 	}
 }
--- a/internal/coordination/recording_test.go
+++ b/internal/coordination/recording_test.go
@@ -27,8 +27,8 @@
 	writer *recorder.Writer
 }
 
-// record begins a recording. A controller with an archive is not recorded whole: the
-// archive's key is in no recording.
+// record begins a recording. The recording of a controller with an archive is not complete:
+// it does not contain the archive's key.
 func (s *sim) record(cfg *config.Settings, incarnation int64, seed uint64) *recorder.Writer {
 	recording := &simRecording{name: fmt.Sprintf("%s-%020d-000000.rec", cfg.Node, incarnation)}
 	h, err := RecordingHeader(cfg, "simulation", incarnation, [2]uint64{seed, 1})
@@ -40,7 +40,7 @@
 	return recording.writer
 }
 
-// saveRecordings writes the recordings of a day that failed: silvergate replay reads them.
+// saveRecordings writes the recordings of a day to files if the test failed, for silvergate replay.
 func (s *sim) saveRecordings(t *testing.T) {
 	t.Helper()
 	for _, x := range s.output.recordings {
@@ -64,8 +64,8 @@
 	t.Logf("the day's recordings are in %s", dir)
 }
 
-// replayRecording puts a recording through a core and tells how many inputs it had, and the
-// first whose effects differ.
+// replayRecording replays a recording and returns the number of its inputs, and a description of
+// the first input whose effects differ, "" if there is none.
 func replayRecording(t *testing.T, raw []byte) (inputs int, different string) {
 	t.Helper()
 	r, err := recorder.NewReader(bytes.NewReader(raw))
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestRecordedDaysReplay plays drawn days with every fault and puts what each
-// incarnation of a controller was given through a core again: not one effect may differ.
-// With SIM_DAYS it plays more; 60 are a million inputs.
+// TestRecordedDaysReplay simulates random days with all kinds of faults, and replays the inputs of
+// each incarnation of a controller in a new core: no effect may differ. SIM_DAYS sets the number
+// of days; 60 days have a million inputs.
 func TestRecordedDaysReplay(t *testing.T) {
 	days, err := strconv.Atoi(os.Getenv("SIM_DAYS"))
 	if err != nil {
@@ -135,11 +135,12 @@
 	}
 	t.Logf("%d inputs of %d incarnations on %d days", inputs, incarnations, days)
 	if inputs < days*1000 {
-		t.Errorf("%d inputs are too few", inputs)
+		t.Errorf("%d inputs are too few, want 1000 per day", inputs)
 	}
 }
 
-// TestReplaysNoticeAnotherCore shows that the comparison can fail.
+// TestReplaysNoticeAnotherCore checks that a replay detects different effects: it replays a
+// recording with another seed.
 func TestReplaysNoticeAnotherCore(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.submitMixedJobs(30 * time.Second)
@@ -150,13 +151,13 @@
 	}
 	raw := x.buffer.Bytes()
 	if n, different := replayRecording(t, raw); n < 100 || different != "" {
-		t.Fatalf("%d inputs, %q", n, different)
+		t.Fatalf("a replay with the same seed: %d inputs, first difference %q", n, different)
 	}
 	r, err := recorder.NewReader(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Seed[0]++ // another generator: other choices
+	r.Header.Seed[0]++ // another seed leads to other random choices
 	c, err := NewFromHeader(&r.Header, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -168,13 +169,12 @@
 		}
 	}
 	if different == 0 {
-		t.Error("another generator's choices are not noticed")
+		t.Error("the replay did not detect that another seed led to other choices")
 	}
 }
 
-// BenchmarkRecorded puts a day of a site with some hundred machines through a core, with
-// and without a recorder, and reports the time that an input takes and the bytes that it
-// adds to the recording.
+// BenchmarkRecorded replays a day of a site with hundreds of machines, with and without a
+// recorder, and reports the time per input and the bytes that an input adds to the recording.
 func BenchmarkRecorded(b *testing.B) {
 	s := grownSim(b, 41)
 	s.loadGrown(100 * time.Second)
--- a/internal/coordination/scripted_core_test.go
+++ b/internal/coordination/scripted_core_test.go
@@ -13,19 +13,19 @@
 	"silvergate/internal/protocol"
 )
 
-// script drives one core by hand: every answer from outside is the test's.
+// script drives one core by hand: the test provides every reply to the core's calls.
 type script struct {
 	t    *testing.T
 	c    *Core
-	at   time.Duration   // the steady clock
-	todo []protocol.Call // sent and not answered yet
+	at   time.Duration   // the monotonic clock
+	todo []protocol.Call // open calls: sent and without a reply yet
 	ans  []Response
 	next uint64 // the ID of the last request
 
 	recall float64 // the preemption notice in heartbeats, in seconds; 0: none
 }
 
-// newScript makes a core that has a peer, n0, and has read nothing yet.
+// newScript returns a script for a core, n1, that has one peer, n0, and has not loaded any records.
 func newScript(t *testing.T) *script {
 	t.Helper()
 	facts := newSim(t, 1, 0).facts
@@ -34,18 +34,18 @@
 	return &script{t: t, c: New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 2)), 7), next: 1 << 40}
 }
 
-// clock is the time of the next input.
+// clock returns the time of the next input.
 func (s *script) clock() Timestamp {
 	return Timestamp{s.at, time.UnixMilli(1_700_000_000_000 + s.at.Milliseconds())}
 }
 
-// take collects what a step wants done.
+// take collects the calls and responses of a step.
 func (s *script) take(e Effects) {
 	s.todo = append(s.todo, e.Calls...)
 	s.ans = append(s.ans, e.Responses...)
 }
 
-// pass lets time pass.
+// pass advances the clock, with a tick every TickInterval.
 func (s *script) pass(d time.Duration) {
 	for end := s.at + d; s.at < end; {
 		s.at += TickInterval
@@ -53,7 +53,7 @@
 	}
 }
 
-// reply answers the first open call whose path begins so and whose body holds that.
+// reply answers the first open call whose path starts with path and whose body contains body.
 func (s *script) reply(path, body string, status int, v any) {
 	s.t.Helper()
 	for i, k := range s.todo {
@@ -63,7 +63,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("no call of %s with %q is open: %v", path, body, s.todo)
+	s.t.Fatalf("no open call to %s has a body with %q; open calls: %v", path, body, s.todo)
 }
 
 // launches counts the open direct calls that launch a task.
@@ -76,7 +76,7 @@
 	return n
 }
 
-// report sends a heartbeat of machine i-000001 and returns its answer.
+// report sends a heartbeat of machine i-000001 and returns the answer.
 func (s *script) report(token, sequence uint64, statuses ...protocol.TaskStatus) protocol.HeartbeatResponse {
 	s.t.Helper()
 	s.next++
@@ -90,7 +90,7 @@
 	return s.answer()
 }
 
-// answer is the answer to the last heartbeat, the zero value if there is none.
+// answer returns the answer to the last heartbeat, or the zero value if there is none.
 func (s *script) answer() protocol.HeartbeatResponse {
 	var a protocol.HeartbeatResponse
 	for _, x := range s.ans {
@@ -101,8 +101,8 @@
 	return a
 }
 
-// held drives a script to where machine i-000001 is ours and has shown its token, 120,
-// and a watch is answered with what is given.
+// held drives the core to a state in which it owns machine i-000001, which has shown its fencing
+// token, 120, and in which a watch has been answered with the given events.
 func (s *script) held(news ...protocol.WatchEvent) {
 	s.t.Helper()
 	s.pass(100 * time.Millisecond)
@@ -116,7 +116,7 @@
 	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 130, Events: news})
 }
 
-// releases counts the open transactions that end the task.
+// releases counts the open transactions that write the job's page, and so record the end of its task.
 func (s *script) releases() (n int) {
 	for _, k := range s.todo {
 		if k.Path == protocol.PathTxn && strings.Contains(string(k.Body), `"write":"`+pageKey("wk-700000", 0)) {
--- a/internal/coordination/startup_test.go
+++ b/internal/coordination/startup_test.go
@@ -18,9 +18,9 @@
 	"silvergate/internal/protocol"
 )
 
-// fleetRecords are the records of a site with so many machines: each with eight
-// tasks of jobs of twenty-five, a fifth of them services, and as many jobs again
-// that are over.
+// fleetRecords returns the records of a site with the given number of machines. Each machine runs
+// eight tasks; a job has 25 tasks, and a fifth of the jobs are services. As many further jobs
+// are over.
 func fleetRecords(machines int, owner string) (keys []string, data map[string][]byte) {
 	data = map[string][]byte{keyMachineTypes: encode(protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "large", CPUs: 64, GPUs: 8, MemoryGB: 256, ImagePullGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4, StartupS: 40, Zones: []string{"a", "b"}}}})}
 	for i := range machines {
@@ -51,9 +51,9 @@
 	return keys, data
 }
 
-// startCore starts a controller against records and tells how many requests its
-// reading took, and the time of its steps until it answers a health check, a user
-// and a worker of its earlier incarnation.
+// startCore starts a controller with the given records. It returns the number of requests in which
+// the controller read them, and the total and the longest time of its steps until it has answered
+// a health check, a user and a worker of its earlier incarnation.
 func startCore(tb testing.TB, keys []string, data map[string][]byte) (requests int, total, longest time.Duration) {
 	facts := newSim(tb, 1, 0).facts
 	facts.Teams = []config.Team{{Name: "blue"}}
@@ -116,7 +116,7 @@
 			healthy = request(http.MethodGet, protocol.PathHealth, nil) == http.StatusOK
 		}
 		if !served {
-			served = request(http.MethodGet, protocol.PathJobs+"/wk-000001", nil) == http.StatusOK // over
+			served = request(http.MethodGet, protocol.PathJobs+"/wk-000001", nil) == http.StatusOK // a job that is over
 		}
 		if healthy && !answered {
 			reply := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
@@ -129,12 +129,12 @@
 			return requests, total, longest
 		}
 	}
-	tb.Fatalf("not started: healthy %v, served %v, answered %v", healthy, served, answered)
+	tb.Fatalf("the controller did not start: health check answered %v, user answered %v, worker answered %v", healthy, served, answered)
 	return
 }
 
-// TestStartReadsInPages guards against a start whose work grows faster than the
-// records do: it takes the requests that the protocol's pages need, and adopts
+// TestStartReadsInPages guards against a start whose work grows faster than the records: a
+// controller must load the records with no more requests than the protocol's pages need, and adopt
 // the workers of its earlier incarnation.
 func TestStartReadsInPages(t *testing.T) {
 	keys, data := fleetRecords(1000, "n0")
@@ -144,8 +144,8 @@
 	}
 }
 
-// BenchmarkStart measures the processor time from a controller's start to its
-// first answers to a health check, a user and a worker.
+// BenchmarkStart measures the time of a controller's steps from its start to its first answers to
+// a health check, a user and a worker.
 func BenchmarkStart(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		keys, data := fleetRecords(n, "n0")
--- a/internal/coordination/state_outage_test.go
+++ b/internal/coordination/state_outage_test.go
@@ -9,9 +9,9 @@
 	"silvergate/internal/protocol"
 )
 
-// TestLongOutageKeepsTasksRunning guards the cancellation replies between controllers: in
-// an outage of the state service for all of them, no cancellation can be
-// confirmed, so workers are answered however long it lasts.
+// TestLongOutageKeepsTasksRunning guards against tasks that are killed in a long outage of the state
+// service for all controllers. No cancellation can be confirmed meanwhile, and the controllers'
+// cancellation replies prove it, so workers must be answered however long the outage lasts.
 func TestLongOutageKeepsTasksRunning(t *testing.T) {
 	s := newSim(t, 11, 0)
 	s.submitServices(6, 1)
@@ -27,15 +27,15 @@
 		return n
 	}
 	if countActive() != 6 {
-		t.Fatalf("%d of 6 run before the outage", countActive())
+		t.Fatalf("%d of 6 services run before the outage", countActive())
 	}
 	starts := s.counts.taskStarts
 	s.state.downUntil = s.now + 3*time.Minute
 	s.run(s.now + 2*time.Minute)
 	if countActive() != 6 || s.counts.taskStarts != starts {
-		t.Errorf("%d of 6 run two minutes into the outage, %d were started again", countActive(), s.counts.taskStarts-starts)
+		t.Errorf("%d of 6 services run two minutes into the outage, %d were restarted", countActive(), s.counts.taskStarts-starts)
 	}
-	// With one controller down it is not known what that one has confirmed.
+	// While one controller is down, the others do not know which cancellations it has confirmed.
 	s.controllers[2].crash(time.Hour)
 	s.run(s.now + 55*time.Second)
 	if countActive() != 0 {
@@ -44,16 +44,16 @@
 	s.reportViolations(t)
 }
 
-// TestUsersAreToldAtOnceThatTheStateServiceIsAway guards against users who give
-// up before they are refused: in an outage every query gets 503 at once,
-// except for jobs that have ended.
+// TestUsersAreToldAtOnceThatTheStateServiceIsAway guards against users who give up before their
+// request is refused: during an outage of the state service every request must get a 503 at
+// once, except queries about jobs that have ended.
 func TestUsersAreToldAtOnceThatTheStateServiceIsAway(t *testing.T) {
 	s := newSim(t, 43, 0)
 	u := s.submit(&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 2, 0)
 	open := s.submit(&job.Spec{ID: "wk-700001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
 	s.run(60 * time.Second)
 	if u.finalStatus != "done" {
-		t.Fatalf("the array is %q", u.finalStatus)
+		t.Fatalf("the array's final status is %q, want done", u.finalStatus)
 	}
 	s.state.downUntil = s.now + time.Minute
 	s.run(s.now + 5*time.Second)
