--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -165,9 +165,9 @@
 // drained or half of gang_wait_s has passed; for as long again only room on idle machines is
 // requested.
 func (c *Core) requestBlock(r *jobRecord, zones []string, need int) bool {
-	patience := seconds(c.cfg.Facts.Workers.GangWait / 2)
-	if len(r.blockMachines) > 0 && c.now-r.blockChosenAt >= patience {
-		if c.now-r.blockChosenAt < 2*patience {
+	blockTimeout := seconds(c.cfg.Facts.Workers.GangWait / 2)
+	if len(r.blockMachines) > 0 && c.now-r.blockChosenAt >= blockTimeout {
+		if c.now-r.blockChosenAt < 2*blockTimeout {
 			return false
 		}
 		r.blockMachines = nil
