--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -13,9 +13,9 @@
 	"silvergate/internal/job"
 )
 
-// TestUrgentWorkGetsRoomFromGangs guards against replicas of production services
-// that waited 50 s for machines to boot, after a third of a deployment's machines was
-// lost, while gangs of lower priority went on (carbura-iasi-fleet, day zone).
+// TestUrgentWorkGetsRoomFromGangs guards against replicas of production services that waited
+// 50 s for machines to boot, after a deployment had lost a third of its machines, while gangs
+// of lower priority kept running (carbura-iasi-fleet, day zone).
 func TestUrgentWorkGetsRoomFromGangs(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		s := newSim(t, seed, 0)
@@ -33,7 +33,7 @@
 			s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", 2+i), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, MachineTypes: []string{"large"}}, 0, 70*time.Second)
 		}
 		s.run(60 * time.Second)
-		on := func(ids ...string) (n int) {
+		countActive := func(ids ...string) (n int) {
 			for _, w := range s.workers {
 				for _, task := range w.tasks {
 					if slices.Contains(ids, task.jobID) && task.isActive() && !w.dead {
@@ -44,8 +44,8 @@
 			return n
 		}
 		replicas := []string{"wk-000002", "wk-000003", "wk-000004"}
-		if on("wk-000001") != 2 || on(replicas...) != 6 {
-			t.Fatalf("seed %d: %d of 2 tasks of the gang and %d of 6 replicas run", seed, on("wk-000001"), on(replicas...))
+		if countActive("wk-000001") != 2 || countActive(replicas...) != 6 {
+			t.Fatalf("seed %d: %d of 2 tasks of the gang and %d of 6 replicas run", seed, countActive("wk-000001"), countActive(replicas...))
 		}
 		for _, w := range s.cloud.sortedMachines() {
 			if slices.ContainsFunc(sortedKeys(w.tasks), func(key string) bool { return w.tasks[key].jobID == replicas[0] }) {
@@ -54,10 +54,10 @@
 			}
 		}
 		s.run(85 * time.Second)
-		if n := on(replicas...); n < 6 {
-			t.Errorf("seed %d: %d of 6 replicas run, and %d tasks of a gang of lower priority", seed, n, on("wk-000001"))
+		if n := countActive(replicas...); n < 6 {
+			t.Errorf("seed %d: only %d of 6 replicas run, besides %d tasks of a gang of lower priority", seed, n, countActive("wk-000001"))
 		}
-		s.run(360 * time.Second) // the services are over
+		s.run(360 * time.Second) // the services have ended
 		if gang.finalStatus != "done" {
 			t.Errorf("seed %d: the gang is not done: %q", seed, gang.finalStatus)
 		}
@@ -65,8 +65,9 @@
 	}
 }
 
-// playScarceDay has more work than fits: it loses a third of the machines, those of a zone, all controllers or a
-// tenth of the machines to hangs, by the seed, and submits as many services again.
+// playScarceDay simulates a large deployment with more work than fits. After 80 s 30 more services are submitted and,
+// depending on the seed, a third of the machines or those of a zone are lost, a tenth of the machines hang, or all
+// controllers crash.
 func playScarceDay(t *testing.T, seed uint64, productionAsLow bool) *sim {
 	t.Helper()
 	s := grownSim(t, seed)
@@ -102,33 +103,33 @@
 	}
 }
 
-// TestUrgentWorkGoesFirst plays days with more work than fits. No work of lower priority is launched where
-// production work waits that fits; when the controllers take production for idle work, they do just that, and the
-// checker says so.
+// TestUrgentWorkGoesFirst simulates days with more work than fits. No task of lower priority may be launched on a machine
+// that would fit production work that is waiting. To show that the checker can fail, the test also submits production jobs
+// to the controllers as jobs of low priority: the checker must then report a violation.
 func TestUrgentWorkGoesFirst(t *testing.T) {
-	// The days belong to the whole test, not to its subtests: digests name them by it.
+	// day plays on the t of the whole test, not that of a subtest: digest lines name days by it.
 	day := func(seed uint64, productionAsLow bool) *sim { return playScarceDay(t, seed, productionAsLow) }
 	days := uint64(8)
 	if v, err := strconv.Atoi(os.Getenv("SIM_DAYS")); err == nil {
 		days = uint64(v)
 	}
-	judged := make(chan int, days)
+	checkedLaunches := make(chan int, days)
 	t.Run("days", func(t *testing.T) {
 		for seed := range days {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				s := day(200+seed, false)
 				s.reportViolations(t)
-				judged <- s.counts.launchesJudged
+				checkedLaunches <- s.counts.launchesJudged
 			})
 		}
 	})
-	close(judged)
+	close(checkedLaunches)
 	launches := 0
-	for n := range judged {
+	for n := range checkedLaunches {
 		launches += n
 	}
-	t.Logf("%d launches of lower work while production work waited, on %d days", launches, days)
+	t.Logf("%d launches of work of lower priority were checked on %d days", launches, days)
 	if launches == 0 {
 		t.Error("no launch was checked")
 	}
@@ -138,7 +139,7 @@
 			break
 		}
 		if seed == 8 {
-			t.Fatal("the checker does not see that idle work goes first")
+			t.Fatal("the checker did not detect that work of lower priority was launched before production work")
 		}
 	}
 }
