--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -18,47 +18,47 @@
 // canRun tells by trying every way of laying a job's tasks into zones, however many machines
 // there are, whether it can ever run.
 func canRun(s *job.Spec, types []protocol.MachineType, teams []config.Team) bool {
-	n := 1 // tasks that must be there at the same time
+	tasks := 1 // tasks that must be there at the same time
 	if s.Shape != job.Array {
-		n = s.Tasks
+		tasks = s.Tasks
 	}
-	within := false
+	withinLimit := false
 	for _, t := range teams {
-		within = within || t.Name == s.Team && (t.CPUsMax == 0 || float64(n)*s.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || float64(n)*s.GPUs <= t.GPUsMax)
+		withinLimit = withinLimit || t.Name == s.Team && (t.CPUsMax == 0 || float64(tasks)*s.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || float64(tasks)*s.GPUs <= t.GPUsMax)
 	}
-	holds := map[string]bool{}
-	for _, f := range types {
+	feasible := map[string]bool{}
+	for _, machineType := range types {
 		allowed := s.MachineTypes == nil
 		for _, t := range s.MachineTypes {
-			allowed = allowed || t == f.Name
+			allowed = allowed || t == machineType.Name
 		}
-		if allowed && s.CPUs <= f.CPUs && s.GPUs <= f.GPUs && s.MemoryGB <= f.MemoryGB {
-			for _, z := range f.Zones {
-				holds[z] = true
+		if allowed && s.CPUs <= machineType.CPUs && s.GPUs <= machineType.GPUs && s.MemoryGB <= machineType.MemoryGB {
+			for _, zone := range machineType.Zones {
+				feasible[zone] = true
 			}
 		}
 	}
 	zones := []string{"a", "b", "c"}
-	var lay func(left int, in map[string]int) bool
-	lay = func(left int, in map[string]int) bool {
-		if left == 0 {
+	var place func(remaining int, placed map[string]int) bool
+	place = func(remaining int, placed map[string]int) bool {
+		if remaining == 0 {
 			return true
 		}
-		for _, z := range zones {
-			if !holds[z] || s.Zone != "" && s.Zone != z || s.Spread && in[z] >= (s.Tasks+1)/2 || s.OneZone && len(in) > 0 && in[z] == 0 {
+		for _, zone := range zones {
+			if !feasible[zone] || s.Zone != "" && s.Zone != zone || s.Spread && placed[zone] >= (s.Tasks+1)/2 || s.OneZone && len(placed) > 0 && placed[zone] == 0 {
 				continue
 			}
-			in[z]++
-			if lay(left-1, in) {
+			placed[zone]++
+			if place(remaining-1, placed) {
 				return true
 			}
-			if in[z]--; in[z] == 0 {
-				delete(in, z)
+			if placed[zone]--; placed[zone] == 0 {
+				delete(placed, zone)
 			}
 		}
 		return false
 	}
-	return within && lay(n, map[string]int{})
+	return withinLimit && place(tasks, map[string]int{})
 }
 
 // TestNothingThatCanRunIsRefused compares what is accepted with a brute-force answer, for every
@@ -105,10 +105,10 @@
 	}
 }
 
-// TestWhatUsersAreToldOfBadRequests is the table of bad and repeated requests, at a controller
+// TestAnswersToBadRequests is the table of bad and repeated requests, at a controller
 // that knows the job and at one whose mirror lacks it: the field is named, a known job is never
 // refused, and nothing is said of unknown ones without a look.
-func TestWhatUsersAreToldOfBadRequests(t *testing.T) {
+func TestAnswersToBadRequests(t *testing.T) {
 	s := newSim(t, 49_000, 0)
 	s.run(10 * time.Second)
 	valid := func(id string) map[string]any {
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestNothingBeginsAfterACancellation guards against tasks that wait for their image when their
+// TestNoTaskStartsAfterACancellation guards against tasks that wait for their image when their
 // job is cancelled: the stop came with the next heartbeat, and they had begun by then.
-func TestNothingBeginsAfterACancellation(t *testing.T) {
+func TestNoTaskStartsAfterACancellation(t *testing.T) {
 	for seed := uint64(49_100); seed < 49_103; seed++ {
 		s := newSim(t, seed, 0)
 		s.faults.quickBoots = true // each machine comes up
--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -81,28 +81,28 @@
 	return len(w.unlogged) > 0 && !w.writeInFlight && now-w.unloggedSince >= delay
 }
 
-// take takes as many completions as a record of at most maxBytes may hold, and at least one.
-func (w *completionWriter) take(now time.Duration, maxBytes int) ([]completionlog.Completion, completionlog.Record) {
-	var taken []completionlog.Completion
+// takeBatch takes as many completions as a record of at most maxBytes may hold, and at least one.
+func (w *completionWriter) takeBatch(now time.Duration, maxBytes int) ([]completionlog.Completion, completionlog.Record) {
+	var batch []completionlog.Completion
 	var record completionlog.Record
 	for _, completion := range w.unlogged {
 		text := completion.String()
 		maxBytes -= len(text) + completionOverhead
-		if maxBytes < 0 && len(taken) > 0 {
+		if maxBytes < 0 && len(batch) > 0 {
 			break
 		}
-		taken = append(taken, completion)
+		batch = append(batch, completion)
 		record.Completions = append(record.Completions, text)
 	}
-	w.unlogged = w.unlogged[len(taken):]
+	w.unlogged = w.unlogged[len(batch):]
 	w.unloggedSince = now
 	w.writeInFlight = true
 	w.sequence++
-	return taken, record
+	return batch, record
 }
 
-// holdsTaskOf reports whether the log holds a completion that the page has not taken in.
-func (w *completionWriter) holdsTaskOf(p *page) bool {
+// hasCompletionFor reports whether the log holds a completion that the page has not taken in.
+func (w *completionWriter) hasCompletionFor(p *page) bool {
 	for _, index := range w.log.TasksOf(p.jobID) {
 		if index >= p.firstTask && index < p.firstTask+len(p.tasks) {
 			return true
@@ -158,12 +158,12 @@
 		return
 	}
 	maxBytes := int(recordShare * c.cfg.Facts.State.ValueKB * 1024)
-	taken, record := w.take(c.now, maxBytes)
+	batch, record := w.takeBatch(c.now, maxBytes)
 	key := c.completionRecordKey(w.sequence)
 	compares := []protocol.Compare{{Key: key}}
 	ops := []protocol.Op{{Put: key, Value: encode(record)}}
 	c.state.Txn(ratelimit.OtherWork, compares, ops, func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
-		c.completionsAnswered(taken, outcome)
+		c.handleRecordOutcome(batch, outcome)
 	})
 }
 
@@ -173,16 +173,16 @@
 	return keyCompletions + c.cfg.Node + "/" + strconv.FormatInt(c.incarnation, 10) + "-" + strconv.Itoa(sequence)
 }
 
-// completionsAnswered takes the outcome of writing a record. What may not have been written is
+// handleRecordOutcome takes the outcome of writing a record. What may not have been written is
 // written again, under another key: a completion that is there twice is the same completion.
-func (c *Core) completionsAnswered(taken []completionlog.Completion, outcome stateclient.TxnOutcome) {
+func (c *Core) handleRecordOutcome(batch []completionlog.Completion, outcome stateclient.TxnOutcome) {
 	w := &c.writer.completions
 	w.writeInFlight = false
 	if outcome != stateclient.Committed {
-		w.unlogged = append(taken, w.unlogged...)
+		w.unlogged = append(batch, w.unlogged...)
 		return
 	}
-	for _, completion := range taken {
+	for _, completion := range batch {
 		delete(w.queued, taskKey{job: completion.Job, index: completion.Index})
 		c.Stats.Completions++
 	}
@@ -310,11 +310,11 @@
 	}
 	heartbeatPeriod := c.cfg.Facts.Workers.Report
 	w.nextFoldAt = c.now + seconds(heartbeatPeriod*foldPeriod)
-	before := c.now - seconds(foldAfter*heartbeatPeriod)
+	cutoff := c.now - seconds(foldAfter*heartbeatPeriod)
 	if c.hasPeerBelowFormat(completionLogFormat) {
-		before = c.now // it sees the pages alone
+		cutoff = c.now // it sees the pages alone
 	}
-	for _, task := range w.log.OpenBefore(before) {
+	for _, task := range w.log.OpenBefore(cutoff) {
 		r := c.jobs.byID[task.Job]
 		if r == nil || r.status == job.Done || c.responsibleController(r.owner) != c.cfg.Node {
 			continue
--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -24,10 +24,10 @@
 	})
 }
 
-// TestEndingLogSavesChanges compares the revisions of a day of arrays with the log and without it, and
+// TestCompletionLogSavesRevisions compares the revisions of a day of arrays with the log and without it, and
 // that nothing of it is left when all is over.
-func TestEndingLogSavesChanges(t *testing.T) {
-	play := func(logged bool) (revisions uint64, left int) {
+func TestCompletionLogSavesRevisions(t *testing.T) {
+	run := func(logged bool) (revisions uint64, remaining int) {
 		s := grownSim(t, 91)
 		s.options.completionLog = logged
 		for i := range s.facts.Teams {
@@ -41,16 +41,16 @@
 		s.reportViolations(t)
 		for key := range s.state.keys {
 			if strings.HasPrefix(key, keyCompletions) {
-				left++
+				remaining++
 			}
 		}
-		return s.state.revision, left
+		return s.state.revision, remaining
 	}
-	without, _ := play(false)
-	with, left := play(true)
-	t.Logf("%d revisions without the log, %d with it, %d of its records are left", without, with, left)
-	if with*4 > without*3 || left > 3 {
-		t.Errorf("%d revisions without the log, %d with it, %d of its records are left", without, with, left)
+	without, _ := run(false)
+	with, remaining := run(true)
+	t.Logf("%d revisions without the log, %d with it, %d of its records remain", without, with, remaining)
+	if with*4 > without*3 || remaining > 3 {
+		t.Errorf("%d revisions without the log, %d with it, %d of its records remain", without, with, remaining)
 	}
 }
 
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestEndingLogAmongEarlierVersions: nothing goes to the log while a peer does not read it.
-func TestEndingLogAmongEarlierVersions(t *testing.T) {
+// TestCompletionLogWithEarlierVersions: nothing goes to the log while a peer does not read it.
+func TestCompletionLogWithEarlierVersions(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.options.completionLog = true
 	s.run(2 * time.Second)
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestRecordsOfCompletionsKeepToTheirSize: a record takes the completions that fit, in their
+// TestCompletionRecordsRespectSizeLimit: a record takes the completions that fit, in their
 // order, and one at least; the rest waits for the next.
-func TestRecordsOfCompletionsKeepToTheirSize(t *testing.T) {
+func TestCompletionRecordsRespectSizeLimit(t *testing.T) {
 	entry := len("wk-000001/0.1 i-000001 1") + completionOverhead
 	for _, test := range []struct {
 		name     string
@@ -147,7 +147,7 @@
 			if w.due(2*time.Second, 2*time.Second) || !w.due(3*time.Second, 2*time.Second) {
 				t.Error("the delay does not count from the first completion")
 			}
-			taken, record := w.take(4*time.Second, test.maxBytes)
+			taken, record := w.takeBatch(4*time.Second, test.maxBytes)
 			if len(taken) != test.taken || len(record.Completions) != test.taken || len(w.unlogged) != 3-test.taken {
 				t.Fatalf("%d taken, %d in the record, %d left, want %d taken", len(taken), len(record.Completions), len(w.unlogged), test.taken)
 			}
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -16,18 +16,18 @@
 // holds these texts, so that their words stay.
 func (c *Core) Known(name string) string {
 	if id, index, err := job.ParseTaskName(name); err == nil {
-		return c.knownTask(id, index)
+		return c.describeTask(id, index)
 	}
 	if r := c.jobs.byID[name]; r != nil {
 		return fmt.Sprintf("job %s at revision %d, of %s, %d of %d bound, %d finished", r.status, r.revision, r.owner, r.bound, r.spec.Tasks, r.finished)
 	}
 	if m := c.machines.byID[name]; m != nil {
-		return c.knownMachine(m)
+		return c.describeMachine(m)
 	}
 	return ""
 }
 
-func (c *Core) knownTask(id string, index int) string {
+func (c *Core) describeTask(id string, index int) string {
 	r := c.jobs.byID[id]
 	if r == nil {
 		return ""
@@ -37,16 +37,16 @@
 	if t == nil {
 		return out
 	}
-	out += c.knownPhase(taskKey{id, index}, t)
-	out += c.knownProposals(r, index)
+	out += c.describePhase(taskKey{id, index}, t)
+	out += c.describeProposals(r, index)
 	if r.queuedByIndex[index] != nil {
 		out += "; in a line here"
 	}
 	return out
 }
 
-// knownPhase says what the task's record shows, and what is known of its machine.
-func (c *Core) knownPhase(key taskKey, t *job.Task) string {
+// describePhase says what the task's record shows, and what is known of its machine.
+func (c *Core) describePhase(key taskKey, t *job.Task) string {
 	switch t.Phase {
 	case job.Pending:
 		return fmt.Sprintf("; pending after %d attempts, %d failed", t.Attempt, t.Failures)
@@ -55,15 +55,15 @@
 	case job.Bound:
 		out := fmt.Sprintf("; attempt %d bound to %s in session %d", t.Attempt, t.Machine, t.Epoch)
 		if m := c.machines.byID[t.Machine]; m != nil {
-			out += c.knownBinding(m, taskAttempt{key, t.Attempt})
+			out += c.describeBinding(m, taskAttempt{key, t.Attempt})
 		}
 		return out
 	}
 	return ""
 }
 
-// knownBinding says what is known of an attempt on the machine that it is bound to.
-func (c *Core) knownBinding(m *machine, attempt taskAttempt) string {
+// describeBinding says what is known of an attempt on the machine that it is bound to.
+func (c *Core) describeBinding(m *machine, attempt taskAttempt) string {
 	out := fmt.Sprintf(" since %d", m.boundAt[attempt.taskKey].revision)
 	if m.inFlight[attempt] {
 		out += ", a direct launch unanswered"
@@ -71,11 +71,11 @@
 	if stop, ok := m.stops[attempt.taskKey]; ok {
 		out += ", to be stopped: " + stop.reason
 	}
-	return out + "; " + c.knownMachine(m)
+	return out + "; " + c.describeMachine(m)
 }
 
-// knownProposals says which changes of a task this controller has yet to commit.
-func (c *Core) knownProposals(r *jobRecord, index int) string {
+// describeProposals says which changes of a task this controller has yet to commit.
+func (c *Core) describeProposals(r *jobRecord, index int) string {
 	p := c.pageOf(r, index)
 	out := ""
 	for i := range p.queue {
@@ -94,7 +94,7 @@
 	return out
 }
 
-func (c *Core) knownMachine(m *machine) string {
+func (c *Core) describeMachine(m *machine) string {
 	if m.token == 0 {
 		return m.id + " is claimed by nobody"
 	}
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -191,8 +191,8 @@
 // leavesQuotaFor tells whether a use that comes of placing a task of a job is within the
 // team's limit, beside what is saved for a gang that goes before it.
 func (t *team) leavesQuotaFor(r *jobRecord, u usage) bool {
-	if s := t.savingFor; s != nil && s != r && compareUrgency(s, r) < 0 {
-		u = u.plus(s.spec, float64(s.spec.Tasks))
+	if gang := t.savingFor; gang != nil && gang != r && compareUrgency(gang, r) < 0 {
+		u = u.plus(gang.spec, float64(gang.spec.Tasks))
 	}
 	return t.withinLimit(u)
 }
--- a/internal/coordination/job_order_test.go
+++ b/internal/coordination/job_order_test.go
@@ -13,7 +13,7 @@
 // limit, as each task that ends leaves room for the next small one, and the largest job of a class, as smaller
 // ones go first. Each begins within four minutes, and the small ones go on.
 func TestEverythingBegins(t *testing.T) {
-	for _, v := range []struct {
+	for _, test := range []struct {
 		name string
 		runs float64 // the small ones
 		slow *job.Spec
@@ -23,7 +23,7 @@
 		{"the largest job", 10, &job.Spec{Class: "arr", Shape: job.Array, Tasks: 300, CPUs: 4, GPUs: 1, Priority: job.Normal}},
 		{"a job that is late", 10, &job.Spec{Class: "arr", Shape: job.Array, Tasks: 12, CPUs: 4, GPUs: 1, Priority: job.Normal}},
 	} {
-		t.Run(v.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(48_000); seed < 48_004; seed++ {
 				s := newSim(t, seed, 0)
@@ -32,29 +32,29 @@
 				}
 				s.facts.Teams = []config.Team{{Name: "red", GPUsMax: 8}, {Name: "blue"}}
 				s.advertised = s.facts
-				n := 0
+				submitted := 0
 				var next func()
 				next = func() {
-					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: "red", Shape: job.Array, Tasks: 3, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, v.runs, 0)
-					n++
+					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", submitted), Class: "arr", Team: "red", Shape: job.Array, Tasks: 3, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, test.runs, 0)
+					submitted++
 					s.after(s.randomMillis(2000, 3600), next)
 				}
 				s.after(time.Second, next)
-				sp := *v.slow
-				sp.ID, sp.Team, sp.MemoryGB = "wk-700000", "red", 8
-				var u *simUser
-				s.after(60*time.Second, func() { u = s.submit(&sp, 20, 0) })
-				s.run(60*time.Second + largestWithin)
-				if u.tasksStarted == 0 {
+				spec := *test.slow
+				spec.ID, spec.Team, spec.MemoryGB = "wk-700000", "red", 8
+				var user *simUser
+				s.after(60*time.Second, func() { user = s.submit(&spec, 20, 0) })
+				s.run(60*time.Second + largestJobStartLimit)
+				if user.tasksStarted == 0 {
 					t.Errorf("seed %d: it has not begun", seed)
 				}
 				begun := 0
-				for _, o := range s.users {
-					if o != u && o.tasksStarted > 0 && o.firstStartAt > 60*time.Second {
+				for _, other := range s.users {
+					if other != user && other.tasksStarted > 0 && other.firstStartAt > 60*time.Second {
 						begun++
 					}
 				}
-				if want := min(40, int(400/v.runs)); begun < want {
+				if want := min(40, int(400/test.runs)); begun < want {
 					t.Errorf("seed %d: only %d small jobs began meanwhile", seed, begun)
 				}
 				s.reportViolations(t)
--- a/internal/coordination/job_queries.go
+++ b/internal/coordination/job_queries.go
@@ -13,9 +13,9 @@
 // statusQuery is a user's query of a job's status that waits until the mirror is known
 // to be as fresh as the query.
 type statusQuery struct {
-	requestID uint64
-	job       string
-	since     time.Duration
+	requestID  uint64
+	job        string
+	receivedAt time.Duration
 }
 
 // maxStatusQueries bounds the status queries that wait.
@@ -51,7 +51,7 @@
 		c.respond(id, http.StatusOK, c.jobState(r), 0) // final states never change
 		return
 	}
-	c.queueStatusQuery(statusQuery{requestID: id, job: jobID, since: c.now})
+	c.queueStatusQuery(statusQuery{requestID: id, job: jobID, receivedAt: c.now})
 }
 
 // queueStatusQuery has a query answered once the mirror is fresh.
@@ -74,13 +74,13 @@
 	if v.statusQueryInFlight || len(v.statusQueries) == 0 {
 		return
 	}
-	oldest := v.statusQueries[0].since
+	oldest := v.statusQueries[0].receivedAt
 	if !c.state.HasSpareRequests() && c.now-oldest < 3*c.state.WatchSpacing() {
 		return
 	}
 	v.statusQueryInFlight = true
 	batch := v.takeBatch(maxQueriesPerOp * c.cfg.Facts.State.TxnOps)
-	c.state.Txn(ratelimit.UserRequests, c.comparesOf(batch), nil, func(outcome stateclient.TxnOutcome, failed []string, _ uint64) {
+	c.state.Txn(ratelimit.UserRequests, c.comparesFor(batch), nil, func(outcome stateclient.TxnOutcome, failed []string, _ uint64) {
 		v.statusQueryInFlight = false
 		c.answerBatch(batch, outcome, failed)
 	})
@@ -92,7 +92,7 @@
 func (c *Core) answerFreshQueries() {
 	waiting := c.queries.statusQueries[:0]
 	for _, q := range c.queries.statusQueries {
-		if q.since <= c.state.FreshAt() {
+		if q.receivedAt <= c.state.FreshAt() {
 			c.respondJobState(q)
 		} else {
 			waiting = append(waiting, q)
@@ -113,8 +113,8 @@
 	return batch[:limit:limit]
 }
 
-// comparesOf compares each job's record with the mirror's revision.
-func (c *Core) comparesOf(batch []statusQuery) []protocol.Compare {
+// comparesFor compares each job's record with the mirror's revision.
+func (c *Core) comparesFor(batch []statusQuery) []protocol.Compare {
 	seen := map[string]bool{}
 	var compares []protocol.Compare
 	for _, q := range batch {
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -186,7 +186,7 @@
 	}
 	if r.final() {
 		for _, p := range r.pages {
-			c.releaseTasks(p)
+			c.dropTasks(p)
 		}
 	}
 }
--- a/internal/coordination/losslines_test.go
+++ b/internal/coordination/losslines_test.go
@@ -39,7 +39,7 @@
 	c.machine("i-000001").heardAt = 5 * time.Second
 
 	r := &jobRecord{mirroredJob: mirroredJob{spec: &job.Spec{ID: "wk-000042", Class: "night run", Priority: job.Production, Tasks: 9}}}
-	endings := []taskTransition{
+	releases := []taskTransition{
 		{proof: fencing.Ended, cause: protocol.CauseDone, done: true},
 		{proof: fencing.Ended, cause: protocol.CauseError, failed: true},
 		{proof: fencing.Ended, cause: protocol.CauseStopped},
@@ -49,10 +49,10 @@
 		{proof: fencing.LeaseExpired},
 		{proof: fencing.MachineDeleted},
 	}
-	for index, ch := range endings {
-		ch.attempt, ch.machine = 1, "i-000001"
-		c.traceEnding(losses.Evidence, r, index, ch)
-		c.traceEnding(losses.Ended, r, index, ch)
+	for index, transition := range releases {
+		transition.attempt, transition.machine = 1, "i-000001"
+		c.traceEnding(losses.Evidence, r, index, transition)
+		c.traceEnding(losses.Ended, r, index, transition)
 		c.traceStart(losses.Placing, r.spec.ID, index, 0, "i-000002")
 		c.traceStart(losses.Bound, r.spec.ID, index, 2, "i-000002")
 		c.traceStart(losses.Launch, r.spec.ID, index, 2, "i-000002")
--- a/internal/coordination/operator_queries.go
+++ b/internal/coordination/operator_queries.go
@@ -38,8 +38,10 @@
 	return v
 }
 
-// cacheBytes is what the cache may take: a hundredth of the process's memory.
-func (v *queryHandler) cacheBytes() int { return int(v.core.cfg.Facts.Limits.RAMMB * (1 << 20) / 100) }
+// maxCacheBytes is what the cache may take: a hundredth of the process's memory.
+func (v *queryHandler) maxCacheBytes() int {
+	return int(v.core.cfg.Facts.Limits.RAMMB * (1 << 20) / 100)
+}
 
 // cacheExtra keeps a job's extension fields, and drops the oldest while all are too large.
 func (v *queryHandler) cacheExtra(jobID string, data json.RawMessage) {
@@ -49,7 +51,7 @@
 	v.extras[jobID] = data
 	v.extrasByAge = append(v.extrasByAge, jobID)
 	v.extrasBytes += len(data)
-	for v.extrasBytes > v.cacheBytes() && len(v.extrasByAge) > 1 {
+	for v.extrasBytes > v.maxCacheBytes() && len(v.extrasByAge) > 1 {
 		oldest := v.extrasByAge[0]
 		v.extrasByAge = v.extrasByAge[1:]
 		v.extrasBytes -= len(v.extras[oldest])
@@ -129,7 +131,7 @@
 			v.core.refuse(id, http.StatusServiceUnavailable, "an input's record is not known yet")
 			return
 		}
-		v.grantTerms(&description)
+		v.addGrantTerms(&description)
 		v.core.respond(id, http.StatusOK, description, 0)
 	})
 }
@@ -202,8 +204,8 @@
 	})
 }
 
-// grantTerms adds to a description the half of the archive's grant that is the job's.
-func (v *queryHandler) grantTerms(d *protocol.JobDescription) {
+// addGrantTerms adds to a description the half of the archive's grant that is the job's.
+func (v *queryHandler) addGrantTerms(d *protocol.JobDescription) {
 	if v.grantKey != nil {
 		d.Grant = v.grantKey.SealTerms(d.ID, archive.TermsOf(d))
 	}
@@ -238,9 +240,9 @@
 	return out
 }
 
-// maxListed is how many entries a page of a list has at the most: with the longest names
+// maxListEntries is how many entries a page of a list has at the most: with the longest names
 // it stays below the maximum length of a response.
-const maxListed = 100
+const maxListEntries = 100
 
 // routeList answers an operator's list; false if path is none.
 func (v *queryHandler) routeList(id uint64, path string) bool {
@@ -275,8 +277,8 @@
 		}
 	}
 	sort.Strings(names)
-	if len(names) > maxListed {
-		return names[:maxListed], true
+	if len(names) > maxListEntries {
+		return names[:maxListEntries], true
 	}
 	return names, false
 }
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -67,9 +67,9 @@
 // taskKey returns the key of a task of the page.
 func (p *page) taskKey(index int) taskKey { return taskKey{job: p.jobID, index: p.firstTask + index} }
 
-// restoreTasks makes a page ready to be read again. Guards against a job's end that is
+// reallocateTasks makes a page ready to be read again. Guards against a job's end that is
 // read ahead of the watch: placements of before are then still to come.
-func (p *page) restoreTasks() {
+func (p *page) reallocateTasks() {
 	if p.tasks != nil {
 		return
 	}
@@ -79,15 +79,15 @@
 	p.done = 0
 }
 
-// releaseTasks forgets the tasks of a page of a job that is over, unless one is bound:
+// dropTasks forgets the tasks of a page of a job that is over, unless one is bound:
 // memory must not grow with all the tasks there ever were. What is reported to users
 // needs the counts alone.
-func (c *Core) releaseTasks(p *page) {
+func (c *Core) dropTasks(p *page) {
 	switch {
 	case c.jobs.allTasksCompleted(p.job):
 		c.completeBoundTasks(p)
 		c.writer.completions.log.SettleJob(p.jobID)
-	case c.writer.completions.holdsTaskOf(p):
+	case c.writer.completions.hasCompletionFor(p):
 		return
 	}
 	finished := 0
@@ -120,9 +120,9 @@
 		return
 	}
 	p := r.pages[k]
-	p.restoreTasks()
+	p.reallocateTasks()
 	if r.final() {
-		defer c.releaseTasks(p)
+		defer c.dropTasks(p)
 	}
 	changes, err := pagecodec.Decode(data, p.tasks, c.writer.changeBuffer[:0])
 	if err != nil {
@@ -137,9 +137,9 @@
 
 // applyTaskChanges applies what is new in a page to the mirror and its indexes.
 func (c *Core) applyTaskChanges(p *page, changes []pagecodec.Change) {
-	since := p.revision // each change of a page comes, but while the records are read anew
+	boundRevision := p.revision // each change of a page comes, but while the records are read anew
 	if c.state.Rescanning() {
-		since = 0
+		boundRevision = 0
 	}
 	var failed []taskFailure
 	for i := range changes {
@@ -154,7 +154,7 @@
 		}
 		c.unindexTask(p.job, p.taskKey(index), &old)
 		p.tasks[index] = *task
-		c.indexTask(p.job, p.taskKey(index), task, since)
+		c.indexTask(p.job, p.taskKey(index), task, boundRevision)
 		if old.Phase == job.Pending {
 			p.pending--
 		}
--- a/internal/coordination/page_draft.go
+++ b/internal/coordination/page_draft.go
@@ -18,7 +18,7 @@
 	compares       []protocol.Compare
 	compareBudget  int      // the most compares that the page may add
 	newKeys        []string // keys that the batch did not compare before
-	taken          []taskTransition
+	included       []taskTransition
 	deferred       []taskTransition // left for another transaction
 	gangIncomplete bool             // a gang starts whole or not at all
 }
@@ -64,7 +64,7 @@
 	if len(d.deferred) == 0 {
 		c.writer.removeDirty(p)
 	}
-	if len(d.taken) == 0 && !p.foldRequested {
+	if len(d.included) == 0 && !p.foldRequested {
 		d.dropCompares()
 		return
 	}
@@ -119,7 +119,7 @@
 		attempt = max(attempt, transition.attempt)
 	}
 	*task = job.Task{Phase: job.Bound, Attempt: attempt, Machine: m.id, Epoch: transition.epoch, Failures: task.Failures}
-	d.taken = append(d.taken, transition)
+	d.included = append(d.included, transition)
 }
 
 // placementHolds reports whether a placement on m still holds. A machine that is to yield its
@@ -224,7 +224,7 @@
 	}
 	d.usage = d.usage.plus(d.page.job.spec, -1)
 	*task = releasedTask(transition, task)
-	d.taken = append(d.taken, transition)
+	d.included = append(d.included, transition)
 }
 
 // releases reports whether a release is of the attempt that the task is bound with. If not,
@@ -246,7 +246,7 @@
 
 // abandonGang leaves the page's releases for the next flush, and gives its placements up.
 func (d *pageDraft) abandonGang() {
-	all := append(d.taken, d.deferred...)
+	all := append(d.included, d.deferred...)
 	for _, transition := range all {
 		if transition.placement {
 			d.core.unreserve(d.page.job, d.page.firstTask+transition.index)
@@ -267,7 +267,7 @@
 	batch.ops = append(batch.ops, protocol.Op{Put: p.key(), Value: d.core.encodePage(d.tasks)})
 	spansPages := len(r.pages) > 1 && (r.spec.OneZone || r.spec.Spread)
 	switch {
-	case d.finishedOfJob() == r.spec.Tasks && r.status == job.Open:
+	case d.finishedTasks() == r.spec.Tasks && r.status == job.Open:
 		// Finished tasks stay finished, so the other pages need no condition.
 		batch.ops = append(batch.ops, protocol.Op{Put: keyJob + p.jobID, Value: encode(r.storedWith(job.Done))})
 	case spansPages:
@@ -278,12 +278,12 @@
 	batch.compares = append(batch.compares, d.compares...)
 	batch.size += len(d.tasks)*taskBytes + jobBytes + len(d.compares)*compareBytes
 	batch.usage = d.usage
-	batch.pages = append(batch.pages, pageChanges{page: p, taken: d.taken})
+	batch.pages = append(batch.pages, pageChanges{page: p, included: d.included})
 	p.foldRequested = false
 }
 
-// finishedOfJob returns how many tasks of the job will have finished.
-func (d *pageDraft) finishedOfJob() int {
+// finishedTasks returns how many tasks of the job will have finished.
+func (d *pageDraft) finishedTasks() int {
 	finished := d.page.job.finished
 	for i := range d.tasks {
 		if d.tasks[i].Phase == job.Finished && d.page.tasks[i].Phase != job.Finished {
--- a/internal/coordination/page_test.go
+++ b/internal/coordination/page_test.go
@@ -12,9 +12,9 @@
 // writePage is a page's record, for tests that put pages into the state service.
 func writePage(tasks []job.Task) json.RawMessage { return pagecodec.EncodeCompact(tasks) }
 
-// TestPagesAreListsAmongEarlierVersions guards a rolling upgrade: as long as a
+// TestPagesUseListFormWithEarlierVersions guards a rolling upgrade: as long as a
 // peer has not published that it reads the compact form, none is written.
-func TestPagesAreListsAmongEarlierVersions(t *testing.T) {
+func TestPagesUseListFormWithEarlierVersions(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(time.Second)
 	c := s.controllers[0].core
--- a/internal/coordination/settings_golden_test.go
+++ b/internal/coordination/settings_golden_test.go
@@ -61,14 +61,14 @@
 	var want config.Settings
 	next := 0
 	fill(reflect.ValueOf(&want).Elem(), &next)
-	h, err := RecordingHeader(&want, "v1.2.3", 7, [2]uint64{8, 9})
+	header, err := RecordingHeader(&want, "v1.2.3", 7, [2]uint64{8, 9})
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings := golden(t, "recordings/settings.json", func() []byte { return h.Settings })
-	operator := golden(t, "recordings/operator.yaml", func() []byte { return h.Operator })
-	requireSameBytes(t, h.Settings, settings)
-	requireSameBytes(t, h.Operator, operator)
+	settings := golden(t, "recordings/settings.json", func() []byte { return header.Settings })
+	operator := golden(t, "recordings/operator.yaml", func() []byte { return header.Operator })
+	requireSameBytes(t, header.Settings, settings)
+	requireSameBytes(t, header.Operator, operator)
 	var got config.Settings
 	if err := json.Unmarshal(settings, &got); err != nil {
 		t.Fatal(err)
--- a/internal/coordination/stored_keys_test.go
+++ b/internal/coordination/stored_keys_test.go
@@ -26,7 +26,7 @@
 // storedKeyCase is a golden record under its key, and how a core shows that it knows it.
 type storedKeyCase struct {
 	key, file string
-	known     func(c *Core) bool
+	applied   func(c *Core) bool
 }
 
 // storedKeyRevision is the mod revision of the records.
@@ -43,8 +43,8 @@
 		{"sg/j/wk-000044", "j-cancelled.json", func(c *Core) bool {
 			return c.jobs.byID["wk-000044"] != nil && c.jobs.byID["wk-000044"].status == job.Cancelled
 		}},
-		{"sg/p/wk-000042/0", "p-words.json", pageIsKnown},
-		{"sg/p/wk-000042/0", "p-list.json", pageIsKnown},
+		{"sg/p/wk-000042/0", "p-words.json", goldenPageApplied},
+		{"sg/p/wk-000042/0", "p-list.json", goldenPageApplied},
 		{"sg/q/red", "q.json", func(c *Core) bool {
 			return c.jobs.teams["red"].charged == usage{12.5, 3} && c.jobs.teams["red"].revision == storedKeyRevision
 		}},
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestStoredRecordsAreTakenUnderTheirKeys gives each golden record under its key to a core of its own,
+// TestStoredRecordsAreAppliedByKey gives each golden record under its key to a core of its own,
 // and looks for what the core knows then.
-func TestStoredRecordsAreTakenUnderTheirKeys(t *testing.T) {
+func TestStoredRecordsAreAppliedByKey(t *testing.T) {
 	for _, test := range storedKeyCases() {
 		t.Run(test.file, func(t *testing.T) {
 			data, err := os.ReadFile(filepath.Join(goldenFolder, "records", test.file))
@@ -87,19 +87,19 @@
 				t.Fatal(err)
 			}
 			c := mirroringCore()
-			if test.known(c) {
+			if test.applied(c) {
 				t.Fatal("known without the record")
 			}
 			c.applyChange(test.key, data, storedKeyRevision)
-			if !test.known(c) {
+			if !test.applied(c) {
 				t.Errorf("%s is not taken for what it is: %s", test.key, data)
 			}
 		})
 	}
 }
 
-// pageIsKnown tells whether the golden page is known once its job is: a page may come first.
-func pageIsKnown(c *Core) bool {
+// goldenPageApplied tells whether the golden page is known once its job is: a page may come first.
+func goldenPageApplied(c *Core) bool {
 	data, err := os.ReadFile(filepath.Join(goldenFolder, "records", "j-open.json"))
 	if err != nil {
 		return false
--- a/internal/coordination/stored_records_test.go
+++ b/internal/coordination/stored_records_test.go
@@ -110,11 +110,11 @@
 	announced.Staging = protocol.Staging{ID: "night", Set: "maps", Version: "v1", Team: "red", Priority: "high", ByS: 90.5, Machines: 4, Zone: &zone}
 	holder := failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}
 	passed := failover.Group{Holder: holder, Zone: "z a/1", Number: 3}
-	ended := []string{
+	completions := []string{
 		completionlog.Completion{Task: completionlog.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}.String(),
 		completionlog.Completion{Task: completionlog.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}.String(),
 	}
-	whole := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
+	extra := &job.Extra{Command: []string{"bin/run", "--fast", "a&b"}, Env: map[string]string{"A": "1", "B": "<2>"}, Customer: "acme",
 		Keep: []string{"out/*"}, Inputs: []job.Input{{Set: "maps", Version: "v1", Path: "in/maps"}}}
 	set := protocol.DataSet{Set: "maps", Version: "v1", Digest: strings.Repeat("0123456789abcdef", 4), Bytes: 1 << 40, Sources: []string{"127.0.0.1:7000"}, AtMS: 1767225600002}
 	machineTypes := protocol.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g4", CPUs: 8.5, GPUs: 4, MemoryGB: 64.5, LocalGB: 100, ImagePullGBPerS: 0.25, OnDemandPrice: 2.5,
@@ -138,7 +138,7 @@
 			claimRecord{Owner: "n1", Incarnation: 7, Address: "127.0.0.1:9001", MachineType: "c8", Zone: "z-b"}),
 		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyFailover+passed.Key(),
 			failover.Holder{Node: "n2", Incarnation: 8, Epoch: 1}),
-		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyCompletions+"n1/7-1", completionlog.Record{Completions: ended}),
+		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyCompletions+"n1/7-1", completionlog.Record{Completions: completions}),
 		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drainRecord{Reason: drainIdle}),
 		wholeRecord("drains of all reasons", "x-reasons.json", "sg/x/", keyDrain,
 			[]drainRecord{{drainIdle}, {drainSilent}, {drainPreempted}, {drainFaulty}, {drainFailed}, {drainStray}, {drainLost}}),
@@ -148,7 +148,7 @@
 		wholeRecord("rental", "h.json", "sg/h/n1-7-1", keyRental+"n1-7-1",
 			rental{MachineType: "g4", Zone: "z-a", Spot: true, Count: 3, RequestedAtMS: 1767225600005, Machines: []string{"i-000233", "i-000234"}}),
 		partialRecord("rental, not answered yet", "h-least.json", "sg/h/n1-7-2", keyRental+"n1-7-2", rental{MachineType: "c8", Zone: "z-b", Count: 1, RequestedAtMS: 6}),
-		wholeRecord("what to run", "sgx-d.json", "sgx/d/wk-000042", keyJobExtra+"wk-000042", *whole),
+		wholeRecord("what to run", "sgx-d.json", "sgx/d/wk-000042", keyJobExtra+"wk-000042", *extra),
 		wholeRecord("data set", "d.json", "sg/d/maps/v1", keyData+"maps/v1", set),
 		wholeRecord("announced work", "s.json", "sg/s/night", keyStaging+"night", announced),
 		wholeRecord("gang", "gang.json", "sg/gang", keyGang, gangReservation{Job: "wk-000042", Owner: "n1", Incarnation: 7}),
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestKeysOfGroupsAreReadAsWritten checks the key of a group's failover and the text of a completion,
+// TestFailoverKeysAndCompletionsRoundTrip checks the key of a group's failover and the text of a completion,
 // which have their own encoders.
-func TestKeysOfGroupsAreReadAsWritten(t *testing.T) {
+func TestFailoverKeysAndCompletionsRoundTrip(t *testing.T) {
 	want := failover.Group{Holder: failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
 	if g, ok := failover.ParseKey("n1/1767225600000000007.2/z%20a%2F1/3"); !ok || g != want {
 		t.Errorf("read as %+v", g)
@@ -182,8 +182,8 @@
 		}
 	}
 	ending := completionlog.Completion{Task: completionlog.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}
-	const words = "wk-000042/7.2 i-000231 4611686018427387904"
-	if e, err := completionlog.Parse(words); err != nil || e != ending || e.String() != words {
-		t.Errorf("%s is read as %+v: %v", words, e, err)
+	const text = "wk-000042/7.2 i-000231 4611686018427387904"
+	if e, err := completionlog.Parse(text); err != nil || e != ending || e.String() != text {
+		t.Errorf("%s is read as %+v: %v", text, e, err)
 	}
 }
--- a/internal/coordination/task_index.go
+++ b/internal/coordination/task_index.go
@@ -7,17 +7,17 @@
 
 // indexTask counts a task of the mirror for its job, its team and the machine that it is
 // bound to. The revision since is that of its binding, 0 if that is not known.
-func (c *Core) indexTask(r *jobRecord, k taskKey, t *job.Task, since uint64) {
+func (c *Core) indexTask(r *jobRecord, k taskKey, t *job.Task, boundRevision uint64) {
 	r.lastAttempt = max(r.lastAttempt, t.Attempt)
 	switch t.Phase {
 	case job.Bound:
-		c.indexBoundTask(r, k, t, since)
+		c.indexBoundTask(r, k, t, boundRevision)
 	case job.Finished:
 		r.finished++
 	}
 }
 
-func (c *Core) indexBoundTask(r *jobRecord, k taskKey, t *job.Task, since uint64) {
+func (c *Core) indexBoundTask(r *jobRecord, k taskKey, t *job.Task, boundRevision uint64) {
 	r.bound++
 	if team := c.jobs.teamOf(r); team != nil {
 		team.running = team.running.plus(r.spec, 1)
@@ -26,7 +26,7 @@
 	m.bound[k] = r
 	m.addUsage(r.spec, 1)
 	r.tasksByZone[m.claim.Zone]++
-	m.boundAt[k] = binding{c.now, since}
+	m.boundAt[k] = binding{c.now, boundRevision}
 	c.recordImagePull(m, r.spec)
 	c.staging.taskBound(m, r.spec)
 	if !isGang(r) {
--- a/internal/coordination/txn_batch.go
+++ b/internal/coordination/txn_batch.go
@@ -29,8 +29,8 @@
 
 // pageChanges is what a batch takes of a page's queue.
 type pageChanges struct {
-	page  *page
-	taken []taskTransition
+	page     *page
+	included []taskTransition
 }
 
 // Sizes of the parts of a transaction, at the most and about, and of the whole.
@@ -119,12 +119,12 @@
 		part.page.inFlight = true
 	}
 	c.state.Txn(b.class, b.compares, b.ops, func(outcome stateclient.TxnOutcome, failed []string, _ uint64) {
-		c.batchAnswered(b, outcome, failed)
+		c.handleBatchOutcome(b, outcome, failed)
 	})
 }
 
-// batchAnswered takes the outcome of a batch, with the keys whose compares failed.
-func (c *Core) batchAnswered(b *txnBatch, outcome stateclient.TxnOutcome, failed []string) {
+// handleBatchOutcome takes the outcome of a batch, with the keys whose compares failed.
+func (c *Core) handleBatchOutcome(b *txnBatch, outcome stateclient.TxnOutcome, failed []string) {
 	if b.chargesQuota {
 		b.team.inFlight = false
 	}
@@ -145,12 +145,12 @@
 func (c *Core) batchCommitted(part pageChanges) {
 	r := part.page.job
 	first := part.page.firstTask
-	for _, transition := range part.taken {
+	for _, transition := range part.included {
 		if transition.placement {
 			c.unreserve(r, first+transition.index)
 		}
 	}
-	for _, transition := range part.taken {
+	for _, transition := range part.included {
 		if transition.placement {
 			c.Stats.Placements++
 			continue
@@ -188,16 +188,16 @@
 		backoff /= quotaRetryDivisor
 	}
 	p.retryAt = c.now + max(backoff, minPageRetryBackoff)
-	var again []taskTransition
-	for _, transition := range part.taken {
+	var retried []taskTransition
+	for _, transition := range part.included {
 		if transition.placement && !onlyQuota {
 			c.unreserve(p.job, p.firstTask+transition.index)
 			continue
 		}
-		again = append(again, transition)
+		retried = append(retried, transition)
 	}
-	if len(again) > 0 {
-		p.queue = append(again, p.queue...)
+	if len(retried) > 0 {
+		p.queue = append(retried, p.queue...)
 		c.writer.addDirty(p)
 	}
 }
--- a/internal/coordination/user_expectations_test.go
+++ b/internal/coordination/user_expectations_test.go
@@ -14,8 +14,8 @@
 // as outsiders see it: by the answers that users get, and by what starts on workers.
 
 const (
-	forgottenAfter = 75 * time.Second // without any answer to a question about a job
-	largestWithin  = 4 * time.Minute
+	maxTimeWithoutAnswer = 75 * time.Second // without any answer to a question about a job
+	largestJobStartLimit = 4 * time.Minute
 )
 
 // served is what is known of how users fared.
@@ -29,18 +29,18 @@
 func (s *sim) knownFrom(now time.Duration) {
 	s.after(now-s.now, func() {
 		s.service = served{from: s.now, lost: map[string]bool{}}
-		s.askAll()
+		s.queryAllJobs()
 		s.watchIdleCapacity()
 	})
 }
 
-func (s *sim) askAll() {
+func (s *sim) queryAllJobs() {
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
 		if !u.accepted {
 			continue
 		}
-		if since := s.now - max(s.service.from, u.lastAnsweredAt, u.submittedAt); since > forgottenAfter && !s.service.lost[id] {
+		if since := s.now - max(s.service.from, u.lastAnsweredAt, u.submittedAt); since > maxTimeWithoutAnswer && !s.service.lost[id] {
 			s.service.lost[id] = true
 			s.violation("unanswered", "%s: no question is answered for %v", id, since)
 		}
@@ -49,7 +49,7 @@
 		}
 		u.ask()
 	}
-	s.after(15*time.Second, s.askAll)
+	s.after(15*time.Second, s.queryAllJobs)
 }
 
 // ask polls once more.
@@ -91,23 +91,23 @@
 			groups[name].served++
 		}
 	}
-	most := map[string]int{}
+	maxTasks := map[string]int{}
 	for _, u := range s.users {
-		most[u.spec.Class] = max(most[u.spec.Class], u.spec.Tasks)
+		maxTasks[u.spec.Class] = max(maxTasks[u.spec.Class], u.spec.Tasks)
 	}
 	for _, id := range sortedKeys(s.users) {
 		u := s.users[id]
-		if u.cancelRequested || u.failsEverywhere || s.now-u.submittedAt < largestWithin {
+		if u.cancelRequested || u.failsEverywhere || s.now-u.submittedAt < largestJobStartLimit {
 			continue
 		}
 		ok := u.accepted && u.tasksStarted == u.spec.Tasks
 		add("class "+u.spec.Class, ok)
 		add("team "+u.spec.Team, ok)
-		if u.spec.Tasks*4 < most[u.spec.Class]*3 {
+		if u.spec.Tasks*4 < maxTasks[u.spec.Class]*3 {
 			continue
 		}
 		// To be served, these have to begin in time.
-		add("largest of class "+u.spec.Class, ok && u.startDelay <= largestWithin)
+		add("largest of class "+u.spec.Class, ok && u.startDelay <= largestJobStartLimit)
 	}
 	for _, name := range sortedKeys(groups) {
 		if g := groups[name]; 2*g.served < g.all {
@@ -118,8 +118,8 @@
 
 // startedOn is where a task was started last.
 type startedOn struct {
-	w     *simWorker
-	shift uint64
+	worker     *simWorker
+	agentEpoch uint64
 }
 
 // start records a task's start, and whether it was started before on a machine that is still
@@ -128,9 +128,9 @@
 	if u.lastStarts == nil {
 		u.lastStarts = make([]startedOn, u.spec.Tasks)
 	}
-	if b := u.lastStarts[index]; b.w == nil {
+	if previous := u.lastStarts[index]; previous.worker == nil {
 		u.tasksStarted++
-	} else if !b.w.dead && b.w.agentEpoch == b.shift {
+	} else if !previous.worker.dead && previous.worker.agentEpoch == previous.agentEpoch {
 		u.restarts++
 	}
 	u.lastStarts[index] = startedOn{w, w.agentEpoch}
@@ -155,8 +155,8 @@
 		CPUs: 4, GPUs: 0.5, MemoryGB: 8, Spot: true}, 8, 0)
 }
 
-// TestServedIsJudged has each checker of this file find what it is for.
-func TestServedIsJudged(t *testing.T) {
+// TestServiceCheckersFindViolations has each checker of this file find what it is for.
+func TestServiceCheckersFindViolations(t *testing.T) {
 	for _, v := range []struct {
 		rule  string
 		spoil func(s *sim)
