--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -22,9 +22,9 @@
 	if s.Shape != job.Array {
 		tasks = s.Tasks
 	}
-	withinLimit := false
+	fits := false
 	for _, t := range teams {
-		withinLimit = withinLimit || t.Name == s.Team && (t.CPUsMax == 0 || float64(tasks)*s.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || float64(tasks)*s.GPUs <= t.GPUsMax)
+		fits = fits || t.Name == s.Team && (t.CPUsMax == 0 || float64(tasks)*s.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || float64(tasks)*s.GPUs <= t.GPUsMax)
 	}
 	feasible := map[string]bool{}
 	for _, machineType := range types {
@@ -58,7 +58,7 @@
 		}
 		return false
 	}
-	return withinLimit && place(tasks, map[string]int{})
+	return fits && place(tasks, map[string]int{})
 }
 
 // TestNothingThatCanRunIsRefused compares what is accepted with a brute-force answer, for every
--- a/internal/coordination/job_order_test.go
+++ b/internal/coordination/job_order_test.go
@@ -32,11 +32,11 @@
 				}
 				s.facts.Teams = []config.Team{{Name: "red", GPUsMax: 8}, {Name: "blue"}}
 				s.advertised = s.facts
-				submitted := 0
+				n := 0
 				var next func()
 				next = func() {
-					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", submitted), Class: "arr", Team: "red", Shape: job.Array, Tasks: 3, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, test.runs, 0)
-					submitted++
+					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: "red", Shape: job.Array, Tasks: 3, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, test.runs, 0)
+					n++
 					s.after(s.randomMillis(2000, 3600), next)
 				}
 				s.after(time.Second, next)
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -12,17 +12,17 @@
 	"silvergate/internal/stateclient"
 )
 
-// jobTable owns the mirrored jobs, their pages and the teams that they belong to.
+// jobTable holds the mirrored jobs, their pages and the teams that they belong to.
 type jobTable struct {
 	byID        map[string]*jobRecord
-	open        map[string]*jobRecord // jobs that are not over
+	open        map[string]*jobRecord // jobs that are neither done nor cancelled
 	openCPUOnly int                   // open jobs without accelerators
 	openByAge   []*jobRecord          // the open jobs, oldest first
-	// openByUrgency are the open jobs, most urgent first, as of the last sweep, and
-	// added those that were opened since then.
+	// openByUrgency holds the open jobs, most urgent first, as of the last sweep; added
+	// holds the jobs that were opened since then.
 	openByUrgency []*jobRecord
 	added         []*jobRecord
-	orphanPages   map[string]orphanPage // pages that were read before their jobs
+	orphanPages   map[string]orphanPage // pages that were read before their jobs, by name
 	teams         map[string]*team
 }
 
@@ -35,10 +35,10 @@
 	}
 }
 
-// teamOf returns a job's team, nil if the settings have none of that name.
+// teamOf returns a job's team, or nil if the settings have no team of that name.
 func (t *jobTable) teamOf(r *jobRecord) *team { return t.teams[r.spec.Team] }
 
-// addOpen takes a job into the indexes of open jobs.
+// addOpen adds a job to the indexes of open jobs.
 func (t *jobTable) addOpen(r *jobRecord) {
 	t.open[r.spec.ID] = r
 	at, _ := slices.BinarySearchFunc(t.openByAge, r, compareAge)
@@ -49,8 +49,8 @@
 	}
 }
 
-// removeOpen takes a job that is over out of the indexes of open jobs. The next sweep takes
-// it out of openByUrgency.
+// removeOpen removes a job that is done or cancelled from the indexes of open jobs, except
+// openByUrgency: the next sweep removes it there.
 func (t *jobTable) removeOpen(r *jobRecord) {
 	delete(t.open, r.spec.ID)
 	if at, found := slices.BinarySearchFunc(t.openByAge, r, compareAge); found {
@@ -62,13 +62,13 @@
 	}
 }
 
-// compareAge orders jobs by submission, the oldest first.
+// compareAge orders jobs by time of submission, the oldest first.
 func compareAge(a, b *jobRecord) int {
 	return cmp.Or(cmp.Compare(a.submittedAtMS, b.submittedAtMS), cmp.Compare(a.spec.ID, b.spec.ID))
 }
 
-// jobRecord is a job as the records have it, with what this controller derives from them
-// and decides about it.
+// jobRecord is a mirrored job, with the state that this controller derives from the records
+// and its own scheduling decisions about the job.
 type jobRecord struct {
 	mirroredJob
 	queueState
@@ -81,43 +81,43 @@
 	lastAttempt  int                  // the highest attempt number of its tasks
 	tasksByZone  map[string]int       // bound and reserved tasks by zone
 	reservations map[int]*reservation // tasks that this controller is placing, by index
-	completing   bool                 // a transaction that calls it done is in flight
+	completing   bool                 // a transaction that marks it as done is in flight
 }
 
-// mirroredJob is the stored part of a job, as of its revision.
+// mirroredJob is the stored part of a job, as of revision.
 type mirroredJob struct {
 	spec          *job.Spec
 	status        job.Status
 	submittedAtMS int64  // time of submission, milliseconds since the epoch
-	owner         string // the controller that took the job in
+	owner         string // the controller that accepted the job
 	revision      uint64 // mod revision of the record
 }
 
-// queueState is where a job and its tasks stand in the queues.
+// queueState is the position of a job and its tasks in the queues.
 type queueState struct {
 	queue           []*queuedTask         // tasks queued for machines of this controller, by index
 	queuedByIndex   map[int]*queuedTask   // the same tasks
 	dispatchAfter   map[int]time.Duration // when tasks that were sent to another controller may be dispatched again
 	latestStart     float64               // see updateJobOrder
 	targetDuration  float64               // see Core.targetDuration
-	withinGuarantee bool                  // fits into its team's guarantee along with the team's earlier jobs
+	withinGuarantee bool                  // fits into its team's guarantee together with the team's older jobs
 }
 
-// gangState is how far the search for machines for a gang has come.
+// gangState is the state of the search for machines for a gang.
 type gangState struct {
 	failedReservations int           // reservations that ended without a start
-	nextReservationAt  time.Duration // no reservation is made before
+	nextReservationAt  time.Duration // no reservation is made before this time
 	blockMachines      []string      // machines chosen to run the gang together
 	blockChosenAt      time.Duration
-	offers             map[string]peerOffer // machines that peers hold back for it
+	offers             map[string]peerOffer // machines that peers hold back for the gang
 }
 
-// failureState is what the records have shown of the failures of a job's tasks.
+// failureState is the failure history of a job's tasks, as the records show it.
 type failureState struct {
 	failedOn       map[string]bool // machines on which a task has failed
-	maxFailures    int             // the most failures of a single task
+	maxFailures    int             // the highest number of failures of a single task
 	firstFailureAt time.Duration   // when the first failure was seen
-	retryAt        time.Duration   // no task is started before
+	retryAt        time.Duration   // no task is started before this time
 }
 
 // storedJob is a job's record in the state service.
@@ -133,11 +133,11 @@
 	return storedJob{Spec: r.spec, Status: status, SubmittedAtMS: r.submittedAtMS, Owner: r.owner}
 }
 
-// final reports whether the job is over: done or cancelled.
+// final reports whether the job is done or cancelled.
 func (r *jobRecord) final() bool { return r.status != job.Open }
 
-// task returns a task of the job, nil if there is none of that index, or if the job is over
-// and its tasks were released.
+// task returns the job's task of an index. It returns nil if the job has no such task, or if
+// the job is final and its page's tasks were dropped from memory.
 func (r *jobRecord) task(c *Core, index int) *job.Task {
 	if index < 0 || index >= r.spec.Tasks {
 		return nil
@@ -155,16 +155,16 @@
 // applyJob applies a change of a job's record.
 func (c *Core) applyJob(id string, data json.RawMessage, revision uint64) {
 	if data == nil {
-		return // job records are kept for ever
+		return // job records are never deleted
 	}
 	var stored storedJob
 	if !decode(c.log, id, data, &stored) || stored.Spec == nil {
 		return
 	}
-	// Guards against reads that overtake one another: a peer names a cancelled job, and then
-	// comes an answer that the state service gave before the cancellation. The peer's reply
-	// goes on being a proof that no cancellation is unknown here, so the job must not count
-	// as open again.
+	// Guards against an older read that arrives after newer information: a peer reports a job
+	// as cancelled, and then a response arrives that the state service gave before the
+	// cancellation. The peer's reply is still used as proof that this controller knows of every
+	// cancellation, so the job must not become open again.
 	knownFinal := c.knownFinal(id)
 	r := c.jobs.byID[id]
 	if r == nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// newJobRecord returns the record of a job whose pages do not exist yet.
+// newJobRecord returns the record of a job of which no page has been read yet.
 func (c *Core) newJobRecord(spec *job.Spec) *jobRecord {
 	r := &jobRecord{tasksByZone: map[string]int{}}
 	r.spec = spec
@@ -200,8 +200,8 @@
 	return r
 }
 
-// updateOpenIndex opens or closes a job in the indexes, if its status has changed so. Tasks of
-// a job that is over are stopped.
+// updateOpenIndex adds a job to the indexes of open jobs or removes it, if its status has
+// changed accordingly. When a job has become final, it stops the job's tasks.
 func (c *Core) updateOpenIndex(r *jobRecord) {
 	_, wasOpen := c.jobs.open[r.spec.ID]
 	switch {
@@ -213,7 +213,7 @@
 	}
 }
 
-// applyOrphanPages applies the pages of a job that were read before it.
+// applyOrphanPages applies the pages of a job that were read before the job's record.
 func (c *Core) applyOrphanPages(r *jobRecord) {
 	for _, p := range r.pages {
 		name := p.name()
@@ -224,11 +224,12 @@
 	}
 }
 
-// completeJob calls a job done whose tasks have all finished, by the records.
+// completeJob marks a job as done whose tasks have all finished according to the records.
 //
-// Guards against a job that is never called done: usually the transaction with its last
-// completion says so, but when the last completions of two of its pages are committed at
-// once, by two controllers or in two transactions, each is without the other's.
+// Guards against a job that is never marked as done: usually the transaction with the job's
+// last completion marks it, but when the last completions of two of its pages are committed
+// at once, by two controllers or in two transactions, neither transaction knows of the other's
+// completion.
 func (c *Core) completeJob(r *jobRecord) {
 	if r.final() || r.completing || c.responsibleController(r.owner) != c.cfg.Node {
 		return
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -12,8 +12,8 @@
 	"silvergate/internal/job"
 )
 
-// page is a run of a job's tasks, stored under one key. A page that does not exist in the
-// state service holds pending tasks only.
+// page is a range of consecutive tasks of a job, stored under one key. If the state service
+// has no record of a page, all of its tasks are pending.
 type page struct {
 	job           *jobRecord
 	jobID         string
@@ -21,29 +21,29 @@
 	firstTask     int // index of its first task in the job
 	size          int // in tasks
 	revision      uint64
-	tasks         []job.Task // nil once released
+	tasks         []job.Task // nil once dropped, see dropTasks
 	pending       int        // pending tasks
-	done          int        // finished tasks, once released
+	done          int        // number of finished tasks, set when tasks is dropped
 	queue         []taskTransition
 	queuedSince   time.Duration // when the first transition of the queue was proposed
 	inFlight      bool          // a transaction that writes it has not been answered
-	retryAt       time.Duration // not written before
-	foldRequested bool          // to be written to take in what the completion log holds
+	retryAt       time.Duration // it is not written before this time
+	foldRequested bool          // it is to be written in order to include completions from the log
 }
 
-// orphanPage is a page that was read before its job.
+// orphanPage is the record of a page that was read before its job's record.
 type orphanPage struct {
 	data     json.RawMessage
 	revision uint64
 }
 
-// pageName returns the name of a page: its key without the prefix of pages.
+// pageName returns the name of a page: its key without the prefix keyPage.
 func pageName(jobID string, number int) string { return jobID + "/" + strconv.Itoa(number) }
 
 // pageKey returns the key of a page in the state service.
 func pageKey(jobID string, number int) string { return keyPage + pageName(jobID, number) }
 
-// newPages returns the pages of a job of which nothing is stored yet.
+// newPages returns the pages of a job, with all tasks pending.
 func newPages(r *jobRecord, tasksPerPage int) []*page {
 	var pages []*page
 	for first := 0; first < r.spec.Tasks; first += tasksPerPage {
@@ -67,8 +67,9 @@
 // taskKey returns the key of a task of the page.
 func (p *page) taskKey(index int) taskKey { return taskKey{job: p.jobID, index: p.firstTask + index} }
 
-// reallocateTasks makes a page ready to be read again. Guards against a job's end that is
-// read ahead of the watch: placements of before are then still to come.
+// reallocateTasks prepares a page whose tasks were dropped for being read again. Guards
+// against a final job status that is read before the watch reports it: the watch then still
+// has to deliver placements that were committed earlier.
 func (p *page) reallocateTasks() {
 	if p.tasks != nil {
 		return
@@ -79,9 +80,9 @@
 	p.done = 0
 }
 
-// dropTasks forgets the tasks of a page of a job that is over, unless one is bound:
-// memory must not grow with all the tasks there ever were. What is reported to users
-// needs the counts alone.
+// dropTasks frees the memory of the tasks of a page whose job is final, unless one of them is
+// bound or has an open completion in the log: memory must not grow with the number of tasks
+// ever submitted. Answers to users need only the counts.
 func (c *Core) dropTasks(p *page) {
 	switch {
 	case c.jobs.allTasksCompleted(p.job):
@@ -106,12 +107,12 @@
 	}
 }
 
-// applyPage applies a change of a page. The name is that of the key, job/number.
+// applyPage applies a change of a page's record; name is the page's name, job/number.
 func (c *Core) applyPage(name string, data json.RawMessage, revision uint64) {
 	id, number, _ := strings.Cut(name, "/")
 	r := c.jobs.byID[id]
 	if r == nil {
-		// A copy, since data is a part of the whole response.
+		// A copy, since data is a slice of the response's buffer.
 		c.jobs.orphanPages[name] = orphanPage{data: bytes.Clone(data), revision: revision}
 		return
 	}
@@ -135,9 +136,11 @@
 	c.applyTaskChanges(p, changes)
 }
 
-// applyTaskChanges applies what is new in a page to the mirror and its indexes.
+// applyTaskChanges applies the changed tasks of a page to the mirror and its indexes.
 func (c *Core) applyTaskChanges(p *page, changes []pagecodec.Change) {
-	boundRevision := p.revision // each change of a page comes, but while the records are read anew
+	// The watch delivers every change of a page, so a new binding is of this revision. A rescan
+	// reads the latest records only.
+	boundRevision := p.revision
 	if c.state.Rescanning() {
 		boundRevision = 0
 	}
@@ -146,7 +149,7 @@
 		index := changes[i].Index
 		task := &changes[i].Task
 		if task.Phase == job.Bound {
-			task.Machine = c.machine(task.Machine).id // one string for each machine
+			task.Machine = c.machine(task.Machine).id // share one string per machine
 		}
 		old := p.tasks[index]
 		if task.Failures > old.Failures {
@@ -162,13 +165,13 @@
 			p.pending++
 		}
 	}
-	// Failures are judged once all of the page is in the mirror, the last task's first.
+	// Failures are recorded once the whole page is in the mirror, the last task's first.
 	for _, failure := range slices.Backward(failed) {
 		c.recordFailure(p.job, failure)
 	}
 }
 
-// encodePage encodes a page so that every controller can read it.
+// encodePage encodes a page in the latest form that all controllers are known to read.
 func (c *Core) encodePage(tasks []job.Task) json.RawMessage {
 	if c.allPeersRead(compactPageFormat) {
 		return pagecodec.EncodeCompact(tasks)
--- a/internal/coordination/page_draft.go
+++ b/internal/coordination/page_draft.go
@@ -8,22 +8,22 @@
 	"silvergate/internal/protocol"
 )
 
-// pageDraft is what a page adds to a batch.
+// pageDraft collects the changes of one page that are to be added to a batch.
 type pageDraft struct {
 	core           *Core
 	batch          *txnBatch
 	page           *page
-	tasks          []job.Task // as they will be
-	usage          usage      // of the team
+	tasks          []job.Task // the page's tasks after the changes
+	usage          usage      // of the team, after the changes
 	compares       []protocol.Compare
-	compareBudget  int      // the most compares that the page may add
+	compareBudget  int      // the maximum number of compares that the page may have
 	newKeys        []string // keys that the batch did not compare before
 	included       []taskTransition
-	deferred       []taskTransition // left for another transaction
-	gangIncomplete bool             // a gang starts whole or not at all
+	deferred       []taskTransition // transitions left for a later transaction
+	gangIncomplete bool             // a placement of a gang failed: a gang starts all of its tasks or none
 }
 
-// compareReserve is how many compares are kept free: for the team's record, with a margin.
+// compareReserve is the number of compares kept free for the team's record, with a margin.
 const compareReserve = 4
 
 func (c *Core) newPageDraft(b *txnBatch, p *page) *pageDraft {
@@ -41,9 +41,9 @@
 	}
 }
 
-// addPage takes what can be done of a page's queue into a batch.
+// addPage adds the transitions of a page's queue to a batch, as far as they are valid and fit.
 func (c *Core) addPage(b *txnBatch, p *page) {
-	if p.tasks == nil { // nothing of it is bound or can be placed
+	if p.tasks == nil { // the job is final, and no task of the page is bound
 		c.dropQueue(p)
 		return
 	}
@@ -71,10 +71,11 @@
 	d.write()
 }
 
-// addCompares adds conditions; false: there is no room for them.
+// addCompares adds conditions on keys that the batch does not compare yet. It returns false,
+// and adds nothing, if the transaction has no room for them.
 //
-// Guards against a placement that was not conditional on the absence of a
-// drain, since a release on the same machine had named its claim before.
+// Each key is checked on its own. Guards against a placement that was not conditional on the
+// absence of a drain because a release on the same machine had compared its claim before.
 func (d *pageDraft) addCompares(conditions ...protocol.Compare) bool {
 	conditions = slices.DeleteFunc(conditions, func(condition protocol.Compare) bool {
 		return d.batch.comparedKeys[condition.Key]
@@ -90,14 +91,14 @@
 	return true
 }
 
-// dropCompares has the batch not know of the draft's conditions.
+// dropCompares removes the draft's conditions from the batch's set of compared keys.
 func (d *pageDraft) dropCompares() {
 	for _, key := range d.newKeys {
 		delete(d.batch.comparedKeys, key)
 	}
 }
 
-// applyPlacement takes a placement into the draft, if it still holds.
+// applyPlacement applies a placement to the draft, if it is still valid.
 func (d *pageDraft) applyPlacement(transition taskTransition) {
 	c := d.core
 	r := d.page.job
@@ -122,8 +123,8 @@
 	d.included = append(d.included, transition)
 }
 
-// placementHolds reports whether a placement on m still holds. A machine that is to yield its
-// room to urgent work is noted in the batch.
+// placementHolds reports whether a placement on m is still valid. If the placement yields its
+// capacity to urgent work, the machine is added to the batch's yieldedMachines.
 func (d *pageDraft) placementHolds(transition taskTransition, m *machine) bool {
 	c := d.core
 	r := d.page.job
@@ -133,9 +134,9 @@
 	if d.batch.chargesQuota && !d.batch.team.leavesQuotaFor(r, d.usage.plus(r.spec, 1)) {
 		return false
 	}
-	// Guards against a peer's placement that came into the mirror
-	// after this one was proposed: zones are judged again with what
-	// the transaction is conditional on.
+	// Guards against a peer's placement that reached the mirror after
+	// this one was proposed: zones are checked again against the
+	// revisions that the transaction is conditional on.
 	if !d.zoneStillAllowed(m.claim.Zone) {
 		return false
 	}
@@ -146,8 +147,8 @@
 	return true
 }
 
-// zoneStillAllowed reports whether one more task of the job may be in a zone. It judges by the
-// job's records alone, with the draft's page as the transaction will write it.
+// zoneStillAllowed reports whether one more task of the job may be placed in a zone. It counts
+// bound tasks only, not reservations, with the draft's page as the transaction will write it.
 func (d *pageDraft) zoneStillAllowed(zone string) bool {
 	spec := d.page.job.spec
 	if !spec.OneZone && !spec.Spread {
@@ -173,12 +174,12 @@
 	return !spec.Spread || inZone < spec.SpreadLimit()
 }
 
-// yieldsToUrgentWork reports whether a placement gives its room to production work that has
-// come to wait here since it was chosen.
+// yieldsToUrgentWork reports whether a placement has to leave its capacity to production work
+// that was queued here after the placement was chosen.
 //
-// Guards against lesser work that starts first because its place was chosen
-// before: in a storm its commit may wait for seconds, and room that is only
-// reserved is none that urgent work could have cleared.
+// Guards against less urgent work that starts first because its machine was chosen earlier:
+// under heavy load its commit may wait for seconds, and urgent work cannot preempt capacity
+// that is only reserved.
 func (c *Core) yieldsToUrgentWork(r *jobRecord, m *machine) bool {
 	if r.spec.Priority == job.Production || !c.isOwn(m) || isGang(r) {
 		return false
@@ -196,8 +197,8 @@
 	return false
 }
 
-// applyRelease takes a release into the draft, unless another change was ahead of it or its
-// evidence is void.
+// applyRelease applies a release to the draft, unless another change of the task overtook it
+// or its evidence is no longer valid.
 func (d *pageDraft) applyRelease(transition taskTransition) {
 	c := d.core
 	task := &d.tasks[transition.index]
@@ -206,8 +207,8 @@
 	}
 	m := c.machine(transition.machine)
 	// Guards against evidence that outlives its claim: a controller
-	// cut off from the state service held the end of a lease to be
-	// over, while a peer answered the worker. When the worker came
+	// that was cut off from the state service considered a lease
+	// expired while a peer answered the worker. When the worker came
 	// back, the release was committed under the new claim, and the
 	// task ran twice.
 	evidence := fencing.Evidence{Proof: transition.proof, Token: transition.token}
@@ -227,13 +228,13 @@
 	d.included = append(d.included, transition)
 }
 
-// releases reports whether a release is of the attempt that the task is bound with. If not,
+// releases reports whether a release is for the attempt that the task is bound to. If not,
 // another change has overtaken it.
 func releases(transition taskTransition, task *job.Task) bool {
 	return task.Phase == job.Bound && task.Machine == transition.machine && task.Epoch == transition.epoch && task.Attempt == transition.attempt
 }
 
-// releasedTask returns a task as it is after a release.
+// releasedTask returns the state of a task after a release.
 func releasedTask(transition taskTransition, task *job.Task) job.Task {
 	released := job.Task{Attempt: task.Attempt, Failures: task.Failures}
 	if transition.done {
@@ -244,7 +245,7 @@
 	return released
 }
 
-// abandonGang leaves the page's releases for the next flush, and gives its placements up.
+// abandonGang gives up the page's placements and leaves its releases for the next flush.
 func (d *pageDraft) abandonGang() {
 	all := append(d.included, d.deferred...)
 	for _, transition := range all {
@@ -259,7 +260,7 @@
 	d.dropCompares()
 }
 
-// write adds the page, and its job where that changes, to the batch.
+// write adds the page to the batch, and the job's record where it has to be written too.
 func (d *pageDraft) write() {
 	batch := d.batch
 	p := d.page
@@ -271,8 +272,8 @@
 		// Finished tasks stay finished, so the other pages need no condition.
 		batch.ops = append(batch.ops, protocol.Op{Put: keyJob + p.jobID, Value: encode(r.storedWith(job.Done))})
 	case spansPages:
-		// Zones are judged over all pages; rewriting the job record makes
-		// placements of different pages exclude one another.
+		// Zone constraints span all pages; rewriting the job record makes
+		// concurrent placements on different pages conflict.
 		batch.ops = append(batch.ops, protocol.Op{Put: keyJob + p.jobID, Value: encode(r.storedWith(r.status))})
 	}
 	batch.compares = append(batch.compares, d.compares...)
@@ -282,7 +283,7 @@
 	p.foldRequested = false
 }
 
-// finishedTasks returns how many tasks of the job will have finished.
+// finishedTasks returns the number of finished tasks of the job after the draft's changes.
 func (d *pageDraft) finishedTasks() int {
 	finished := d.page.job.finished
 	for i := range d.tasks {
--- a/internal/coordination/page_writer.go
+++ b/internal/coordination/page_writer.go
@@ -10,13 +10,13 @@
 	"silvergate/internal/ratelimit"
 )
 
-// pageWriter owns what is to be written of tasks: pages with queued transitions, and
-// completed tasks for the completion log.
+// pageWriter holds the pending writes of tasks: pages with queued transitions, and completed
+// tasks for the completion log.
 type pageWriter struct {
 	dirtyPages   map[*page]bool
-	nextFlushAt  time.Duration      // dirty pages are not looked at before
-	needsTick    bool               // the last flush left something to the clock
-	changeBuffer []pagecodec.Change // reused by applyPage alone
+	nextFlushAt  time.Duration      // dirty pages are not written before this time
+	needsTick    bool               // the last flush left work that has to wait
+	changeBuffer []pagecodec.Change // reused between calls of applyPage, used nowhere else
 	completions  completionWriter
 }
 
@@ -24,20 +24,20 @@
 	return pageWriter{dirtyPages: map[*page]bool{}, completions: newCompletionWriter()}
 }
 
-// addDirty has the next flush look at a page.
+// addDirty marks a page for the next flush.
 func (w *pageWriter) addDirty(p *page) { w.dirtyPages[p] = true }
 
-// removeDirty takes a page out of those that flushes look at.
+// removeDirty unmarks a page, so that flushes skip it.
 func (w *pageWriter) removeDirty(p *page) { delete(w.dirtyPages, p) }
 
-// writablePages lists the pages that could be written now: production first, then
-// those that have waited longest, so that under pressure each write carries as
-// many changes as any.
+// writablePages returns the dirty pages that may be written now: those of production jobs
+// first, then by waiting time, the longest first. A page that waits collects transitions, so
+// that under load each write carries many of them.
 func (w *pageWriter) writablePages(now time.Duration) []*page {
 	var pages []*page
 	for p := range w.dirtyPages {
 		switch {
-		case p.inFlight: // its response is awaited
+		case p.inFlight: // until its response arrives
 		case now < p.retryAt:
 			w.needsTick = true
 		default:
@@ -48,7 +48,7 @@
 	return pages
 }
 
-// compareWriteOrder orders pages by who is written first.
+// compareWriteOrder orders pages by the order in which they are written.
 func compareWriteOrder(a, b *page) int {
 	switch classA, classB := a.class(), b.class(); {
 	case classA != classB:
@@ -61,7 +61,7 @@
 	return cmp.Compare(a.number, b.number)
 }
 
-// class returns the class of requests that write the page.
+// class returns the rate limit class of requests that write the page.
 func (p *page) class() ratelimit.Class {
 	if p.job.spec.Priority == job.Production {
 		return ratelimit.UrgentWork
@@ -69,13 +69,14 @@
 	return ratelimit.OtherWork
 }
 
-// maxOpsPerPage is what a page alone may change: itself, its team and its job.
+// maxOpsPerPage is the number of records that one page may write: its own, its team's and
+// its job's.
 const maxOpsPerPage = 3
 
-// flush sends transactions for pages that have changes and none in flight, as
-// long as the rate limit allows. A transaction is built when it can be sent and not
-// before: what comes up meanwhile goes with it, and it is conditional on the
-// latest mirror. A team's record is in one transaction of ours at a time.
+// flush sends transactions for pages that have changes and no transaction in flight, as
+// long as the rate limit allows. A transaction is built only when it can be sent: it then
+// includes the changes proposed meanwhile, and is conditional on the latest mirror. This
+// controller has at most one transaction in flight that writes a team's record.
 func (c *Core) flush() {
 	c.flushCompletions()
 	w := &c.writer
@@ -92,13 +93,13 @@
 	pages := w.writablePages(c.now)
 	for i, p := range pages {
 		class := p.class()
-		if denied[class] || p.inFlight || !w.dirtyPages[p] { // it went with another
+		if denied[class] || p.inFlight || !w.dirtyPages[p] { // written with another page's transaction
 			continue
 		}
 		if !c.state.Reserve(class, maxOpsPerPage) {
 			denied[class] = true
 			w.needsTick = true
-			// About when this controller's share of the rate allows the next request.
+			// About the time at which this controller's share of the rate allows the next request.
 			w.nextFlushAt = c.now + seconds(float64(1+len(c.cfg.Peers))/c.cfg.Facts.State.RPS)
 			continue
 		}
@@ -107,7 +108,7 @@
 	}
 }
 
-// dropQueue gives up the transitions of a page of a job that is over.
+// dropQueue discards the queued transitions of a page whose job is final.
 func (c *Core) dropQueue(p *page) {
 	for _, transition := range p.queue {
 		if transition.placement {
--- a/internal/coordination/transitions.go
+++ b/internal/coordination/transitions.go
@@ -8,7 +8,7 @@
 	"silvergate/internal/losses"
 )
 
-// taskTransition is a wanted change of one task: its placement on a machine, or its release
+// taskTransition is a proposed change of one task: its placement on a machine, or its release
 // from the machine that it is bound to.
 type taskTransition struct {
 	index      int // in the page
@@ -16,16 +16,16 @@
 	machine    string
 	epoch      uint64 // of the machine's agent
 	attempt    int
-	done       bool          // released since it has completed
-	failed     bool          // released since it has failed
-	proof      fencing.Proof // what proves that it has left the machine
-	token      uint64        // fencing token of the claim under which that was found
+	done       bool          // released because it has completed
+	failed     bool          // released because it has failed
+	proof      fencing.Proof // why the attempt is known not to run on the machine any more
+	token      uint64        // fencing token of the claim under which the proof was found
 	cause      string        // why the attempt ended, as its worker reports
 	proposedAt time.Duration
 }
 
-// replaces reports whether the transition takes the place of another that was proposed for
-// the same task before.
+// replaces reports whether the transition replaces another one that was proposed earlier:
+// both are of the same task and of the same kind.
 func (t *taskTransition) replaces(other *taskTransition) bool {
 	return t.index == other.index && t.placement == other.placement
 }
@@ -41,8 +41,8 @@
 	return releases
 }
 
-// propose queues a transition of a task; the next transaction of its page writes it. The
-// transition's index is set here. Releases of completed tasks may go to the completion log
+// propose queues a transition of a task, which the next transaction on the task's page writes.
+// It sets the transition's index. Releases of completed tasks may go to the completion log
 // instead.
 func (c *Core) propose(r *jobRecord, index int, transition taskTransition) {
 	if c.goesToCompletionLog(r, transition) {
@@ -71,10 +71,10 @@
 	}
 }
 
-// traceEnding writes a step of the end of an attempt to the debug log, as internal/losses
-// reads it.
+// traceEnding logs a step of the end of an attempt at debug level, in the form that
+// internal/losses parses.
 func (c *Core) traceEnding(step string, r *jobRecord, index int, transition taskTransition) {
-	reason := transition.proof.String() // as internal/losses names them
+	reason := transition.proof.String() // the names that internal/losses knows
 	if transition.proof == fencing.Ended {
 		reason = transition.cause
 	}
@@ -82,25 +82,25 @@
 	if m := c.machines.byID[transition.machine]; m != nil && m.heardAt > 0 {
 		silent = c.now - m.heardAt
 	}
-	if transition.proof == fencing.LeaseExpired { // as far as anybody can know, it ran on until then
+	if transition.proof == fencing.LeaseExpired { // the attempt may have run until its lease expired
 		silent = max(0, silent-seconds(c.cfg.Facts.Workers.Lease))
 	}
 	c.log.Debug(step, "task", job.TaskName(r.spec.ID, index), "attempt", transition.attempt, "machine", transition.machine,
 		"class", r.spec.Class, "priority", int(r.spec.Priority), "reason", reason, "done", transition.done, "silent_ms", silent.Milliseconds())
 }
 
-// traceStart writes a step of the start of an attempt to the debug log, as internal/losses
-// reads it.
+// traceStart logs a step of the start of an attempt at debug level, in the form that
+// internal/losses parses.
 func (c *Core) traceStart(step string, jobID string, index, attempt int, machineID string) {
 	if c.verbose {
 		c.log.Debug(step, "task", job.TaskName(jobID, index), "attempt", attempt, "machine", machineID)
 	}
 }
 
-// reservation is the room on a machine that a task has until its placement is committed.
+// reservation is capacity held on a machine for a task until its placement is committed.
 type reservation struct{ machine string }
 
-// reserve holds room on a machine for a task that is to be placed there.
+// reserve reserves capacity on a machine for a task that is to be placed there.
 func (c *Core) reserve(r *jobRecord, index int, m *machine) {
 	if r.reservations == nil {
 		r.reservations = map[int]*reservation{}
@@ -111,7 +111,7 @@
 	r.tasksByZone[m.claim.Zone]++
 }
 
-// unreserve gives up a task's reservation, if it has one.
+// unreserve cancels a task's reservation, if it has one.
 func (c *Core) unreserve(r *jobRecord, index int) {
 	held := r.reservations[index]
 	if held == nil {
--- a/internal/coordination/txn_batch.go
+++ b/internal/coordination/txn_batch.go
@@ -10,42 +10,43 @@
 	"silvergate/internal/stateclient"
 )
 
-// txnBatch is one transaction on pages of tasks. Every placement and release of a
-// limited team also changes the team's record, which is in one transaction at a
-// time; so pages of one team and class go together, and a mass failure costs the
-// state service about one change for each page instead of two.
+// txnBatch is one transaction that writes pages of tasks. Every placement and release of a
+// team with a limit also changes the team's record, which only one transaction at a time may
+// write. So pages of one team and class are written together, and a mass failure costs the
+// state service about one change per page instead of two.
 type txnBatch struct {
 	team            *team
-	chargesQuota    bool // the team's record is changed too
-	usage           usage
-	comparedKeys    map[string]bool // keys that compares has already
+	chargesQuota    bool            // the transaction also writes the team's record
+	usage           usage           // of the team, after the changes
+	comparedKeys    map[string]bool // the keys in compares
 	compares        []protocol.Compare
 	ops             []protocol.Op
-	size            int // of the transaction at the most, in bytes
+	size            int // upper bound of the transaction's size, in bytes
 	pages           []pageChanges
-	yieldedMachines []string // machines whose room urgent work is to have
+	yieldedMachines []string // machines whose capacity is left to urgent work
 	class           ratelimit.Class
 }
 
-// pageChanges is what a batch takes of a page's queue.
+// pageChanges is the part of a page's queue that a batch includes.
 type pageChanges struct {
 	page     *page
 	included []taskTransition
 }
 
-// Sizes of the parts of a transaction, at the most and about, and of the whole.
+// Approximate upper bounds of the sizes of a transaction and its parts, in bytes.
 const (
 	taskBytes    = 64
 	jobBytes     = 1 << 10
 	compareBytes = 64
-	txnBytes     = 60 << 10 // of 64 KiB, the rest for the frame
+	txnBytes     = 60 << 10 // of 64 KiB; the rest is left for framing
 )
 
-// comparesPerOp is how many compares a transaction may have for each operation allowed.
+// comparesPerOp is the number of compares that a transaction may have for each operation that
+// the state service allows in it.
 const comparesPerOp = 4
 
-// flushPages sends a page's changes and, where that saves changes, those of
-// further pages of the same team and class.
+// flushPages sends a page's changes. If the team's record changes too, it sends the changes of
+// further pages of the same team and class in the same transaction.
 func (c *Core) flushPages(first *page, more []*page) {
 	b := c.newTxnBatch(first)
 	if first.tasks != nil && b.chargesQuota && b.team.inFlight {
@@ -63,7 +64,7 @@
 	}
 }
 
-// newTxnBatch returns an empty batch for pages that go with the one given.
+// newTxnBatch returns an empty batch for pages of the team and class of first.
 func (c *Core) newTxnBatch(first *page) *txnBatch {
 	b := &txnBatch{
 		team:         c.jobs.teamOf(first.job),
@@ -77,15 +78,16 @@
 	return b
 }
 
-// addFurtherPages adds pages of the same team and class to a batch, until one does not fit.
+// addFurtherPages adds pages of the same team and class as first to a batch, until one does
+// not fit.
 func (c *Core) addFurtherPages(b *txnBatch, first *page, more []*page) {
 	jobs := map[*jobRecord]bool{first.job: true}
 	for _, p := range more {
 		if p.class() != b.class || p.job.spec.Team != first.job.spec.Team || p.tasks == nil || p.inFlight {
 			continue
 		}
-		// One page of a job at a time: its zones and its end are judged
-		// with the other pages as the mirror has them.
+		// One page of a job at a time: the job's zones and its completion
+		// are checked against the mirrored state of its other pages.
 		if jobs[p.job] {
 			continue
 		}
@@ -97,17 +99,17 @@
 	}
 }
 
-// fitsBatch reports whether a page's changes fit into the transaction.
+// fitsBatch reports whether a page's changes fit into the batch's transaction.
 func (c *Core) fitsBatch(b *txnBatch, p *page) bool {
 	maxOps := c.cfg.Facts.State.TxnOps
-	compares := 2 + 2*len(p.queue) // its job and itself, a claim and a drain for each task
+	compares := 2 + 2*len(p.queue) // job and page, and a claim and a drain for each task
 	if len(b.ops)+maxOpsPerPage > maxOps || len(b.compares)+compares+1 > comparesPerOp*maxOps {
 		return false
 	}
 	return b.size+len(p.tasks)*taskBytes+jobBytes+compares*compareBytes <= txnBytes
 }
 
-// commit sends a batch.
+// commit sends a batch's transaction.
 func (c *Core) commit(b *txnBatch) {
 	if b.chargesQuota {
 		key := keyTeam + b.team.cfg.Name
@@ -123,7 +125,8 @@
 	})
 }
 
-// handleBatchOutcome takes the outcome of a batch, with the keys whose compares failed.
+// handleBatchOutcome handles the outcome of a batch; failed holds the keys whose compares
+// failed.
 func (c *Core) handleBatchOutcome(b *txnBatch, outcome stateclient.TxnOutcome, failed []string) {
 	if b.chargesQuota {
 		b.team.inFlight = false
@@ -141,7 +144,8 @@
 	}
 }
 
-// batchCommitted takes up what a transaction has changed.
+// batchCommitted handles a page's transitions that were committed: it cancels the reservations
+// of placed tasks, offers freed machines to queued tasks, and queues released tasks again.
 func (c *Core) batchCommitted(part pageChanges) {
 	r := part.page.job
 	first := part.page.firstTask
@@ -166,8 +170,8 @@
 	}
 }
 
-// The wait before a page is written again after its transaction failed: a delay with random
-// jitter, in seconds. After a conflict on the team's record alone it is divided.
+// Backoff before a page is written again after its transaction failed: a delay plus random
+// jitter, in seconds. It is divided by quotaRetryDivisor if only the team's record conflicted.
 const (
 	pageRetryDelay      = 0.05
 	pageRetryJitter     = 0.1
@@ -175,10 +179,12 @@
 	minPageRetryBackoff = time.Millisecond
 )
 
-// batchFailed has releases proposed again. Placements look for a place again, unless it
-// was only the team's record that another was ahead with: what was refused for
-// that was certainly not done, and the place is as good as before. The mirror needs
-// a moment to catch up with whoever was faster, and an unknown outcome shows in it.
+// batchFailed handles a page's transitions whose transaction failed. It queues releases again.
+// It gives up placements, so that their tasks are placed anew, unless only the team's record
+// conflicted: such a transaction was certainly not executed, and the chosen machines are as
+// good as before, so its placements are queued again. The page is written again after a
+// backoff, in which the mirror catches up with the conflicting write, or shows whether a
+// transaction with unknown outcome was executed.
 func (c *Core) batchFailed(part pageChanges, outcome stateclient.TxnOutcome, keys []string) {
 	p := part.page
 	c.log.Debug("transaction failed", "job", p.jobID, "page", p.number, "outcome", int(outcome), "failed", keys)
@@ -202,6 +208,6 @@
 	}
 }
 
-// ignoreOutcome is for transactions whose outcome changes nothing here: the mirror shows what
-// was committed, and what was not is proposed again when it is next due.
+// ignoreOutcome is the callback of transactions whose outcome needs no handling: the mirror
+// shows a committed change, and a failed one is proposed again when it is next due.
 func ignoreOutcome(stateclient.TxnOutcome, []string, uint64) {}
