--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -15,17 +15,17 @@
 )
 
 // This file connects the core to internal/completionlog: completed tasks of arrays are written
-// to a log, many in one record, and their pages take them in later.
+// to a log, many in one record, and folded into their pages later.
 
-// completionWriter owns the mirrored completion log and what is to be written to it.
+// completionWriter holds the mirrored completion log and the completions to be written to it.
 type completionWriter struct {
 	log           *completionlog.Log
-	unlogged      []completionlog.Completion // to be written
+	unlogged      []completionlog.Completion // completions to be written
 	unloggedSince time.Duration              // when the first of them was added
-	queued        map[taskKey]bool           // to be written, or being written
+	queued        map[taskKey]bool           // tasks whose completion is to be written or being written
 	writeInFlight bool
-	sequence      int           // number of the last record written
-	nextFoldAt    time.Duration // pages are not made to take in the log before
+	sequence      int           // number of the last record that was sent
+	nextFoldAt    time.Duration // completions are not folded into pages before this time
 }
 
 func newCompletionWriter() completionWriter {
@@ -34,19 +34,19 @@
 
 // Ratios of the log's periods to the workers' heartbeat period.
 const (
-	completionBatchDelay = 0.1 // how long completions wait for others
-	foldAfter            = 6   // after how long pages take in what is in the log
-	foldPeriod           = 0.5 // time between two looks at what pages have not taken in
+	completionBatchDelay = 0.1 // how long a completion waits for further ones to share its record
+	foldAfter            = 6   // age at which a completion in the log is folded into its page
+	foldPeriod           = 0.5 // time between two searches for completions to fold
 )
 
-// completionOverhead is about what a completion takes in a record beside its text, in bytes;
-// recordShare is the share of a value's limit that a record fills.
+// completionOverhead is about how many bytes a completion takes in a record in addition to its
+// text. recordShare is the share of the size limit of a value that a record may fill.
 const (
 	completionOverhead = 4
 	recordShare        = 0.9
 )
 
-// completionOf names the attempt of a task as the log does.
+// completionOf returns the completion of a task's current attempt.
 func completionOf(k taskKey, t *job.Task) completionlog.Completion {
 	return completionlog.Completion{
 		Task:    completionlog.Task{Job: k.job, Index: k.index},
@@ -56,7 +56,7 @@
 	}
 }
 
-// add has a completion written with the next record.
+// add queues a completion for the next record, unless the task's completion is queued already.
 func (w *completionWriter) add(now time.Duration, k taskKey, transition taskTransition) {
 	if w.queued[k] {
 		return
@@ -73,15 +73,17 @@
 	})
 }
 
-// pending reports whether completions are to be written, or being written.
+// pending reports whether any completions are to be written or being written.
 func (w *completionWriter) pending() bool { return len(w.queued) > 0 }
 
-// due reports whether completions have waited for delay, and none are being written.
+// due reports whether the oldest queued completion has waited for delay, and no record is being
+// written.
 func (w *completionWriter) due(now, delay time.Duration) bool {
 	return len(w.unlogged) > 0 && !w.writeInFlight && now-w.unloggedSince >= delay
 }
 
-// takeBatch takes as many completions as a record of at most maxBytes may hold, and at least one.
+// takeBatch removes as many completions from the queue as fit into a record of maxBytes, but at
+// least one, and returns them with their record.
 func (w *completionWriter) takeBatch(now time.Duration, maxBytes int) ([]completionlog.Completion, completionlog.Record) {
 	var batch []completionlog.Completion
 	var record completionlog.Record
@@ -101,7 +103,7 @@
 	return batch, record
 }
 
-// hasCompletionFor reports whether the log holds a completion that the page has not taken in.
+// hasCompletionFor reports whether the log holds a completion that the page does not include yet.
 func (w *completionWriter) hasCompletionFor(p *page) bool {
 	for _, index := range w.log.TasksOf(p.jobID) {
 		if index >= p.firstTask && index < p.firstTask+len(p.tasks) {
@@ -111,8 +113,8 @@
 	return false
 }
 
-// pageBehind reports whether a page is behind the log with a task: with the changes, it will
-// still bind the attempt that the log names, or an earlier one.
+// pageBehind reports whether a page is behind the log for a task: after the changes, it still
+// shows the attempt that the log names, or an earlier one, as not finished.
 func (w *completionWriter) pageBehind(p *page, index int, changes []pagecodec.Change) bool {
 	task := p.tasks[index]
 	for i := range changes {
@@ -126,20 +128,21 @@
 	return w.log.HasLaterAttempt(completionlog.Task{Job: p.jobID, Index: p.firstTask + index}, task.Attempt)
 }
 
-// usesCompletionLog reports whether completed tasks of a job may be in the log: of arrays of
-// teams without limits. A limited team's charge is released with the page.
+// usesCompletionLog reports whether completed tasks of a job may be in the log. That holds for
+// arrays of teams without limits: the usage charged to a team with a limit is released in the
+// transaction that writes the page.
 func (t *jobTable) usesCompletionLog(r *jobRecord) bool {
 	team := t.teamOf(r)
 	return r.spec.Shape == job.Array && team != nil && !team.hasLimit()
 }
 
-// allTasksCompleted reports whether a job's tasks have all completed, whatever its pages bind:
-// they were in the log when it was called done.
+// allTasksCompleted reports whether a job's tasks have all completed, even if its pages still
+// show some as bound: their completions were in the log when the job was marked as done.
 func (t *jobTable) allTasksCompleted(r *jobRecord) bool {
 	return r.status == job.Done && t.usesCompletionLog(r)
 }
 
-// goesToCompletionLog reports whether a transition is written to the log, not with its page.
+// goesToCompletionLog reports whether a transition is written to the log instead of its page.
 func (c *Core) goesToCompletionLog(r *jobRecord, transition taskTransition) bool {
 	if !c.cfg.Operator.EndingLog || transition.placement {
 		return false
@@ -150,7 +153,8 @@
 	return c.jobs.usesCompletionLog(r) && c.allPeersRead(completionLogFormat)
 }
 
-// flushCompletions writes a record of the log when completions have waited for long enough.
+// flushCompletions writes a record of the log if completions have waited for
+// completionBatchDelay.
 func (c *Core) flushCompletions() {
 	w := &c.writer.completions
 	delay := seconds(completionBatchDelay * c.cfg.Facts.Workers.Report)
@@ -167,14 +171,14 @@
 	})
 }
 
-// completionRecordKey returns the key of a record of the log: controllers, and processes of
-// the same controller, never write the same.
+// completionRecordKey returns the key of a record of the log. It is unique across controllers
+// and across processes of the same controller.
 func (c *Core) completionRecordKey(sequence int) string {
 	return keyCompletions + c.cfg.Node + "/" + strconv.FormatInt(c.incarnation, 10) + "-" + strconv.Itoa(sequence)
 }
 
-// handleRecordOutcome takes the outcome of writing a record. What may not have been written is
-// written again, under another key: a completion that is there twice is the same completion.
+// handleRecordOutcome handles the outcome of writing a record. Completions that may not have
+// been written are written again under another key: a duplicate completion does no harm.
 func (c *Core) handleRecordOutcome(batch []completionlog.Completion, outcome stateclient.TxnOutcome) {
 	w := &c.writer.completions
 	w.writeInFlight = false
@@ -188,7 +192,7 @@
 	}
 }
 
-// applyCompletionRecord applies a change of a record of the log.
+// applyCompletionRecord applies a change of a record of the log; data is nil if it was deleted.
 func (c *Core) applyCompletionRecord(name string, data json.RawMessage) {
 	log := c.writer.completions.log
 	if data == nil {
@@ -204,11 +208,11 @@
 	}
 }
 
-// applyCompletion has the mirror show that an attempt has completed, if its page binds it.
+// applyCompletion marks an attempt as completed in the mirror, if its page shows it as bound.
 func (c *Core) applyCompletion(completion completionlog.Completion) {
 	r := c.jobs.byID[completion.Job]
 	if r == nil {
-		return // its records come later
+		return // applied later, with the job's pages
 	}
 	log := c.writer.completions.log
 	if completion.Index >= r.spec.Tasks || r.status == job.Done || c.pageOf(r, completion.Index).tasks == nil {
@@ -226,13 +230,13 @@
 	}
 }
 
-// bindsAttempt reports whether a task is bound with the attempt that a completion names.
+// bindsAttempt reports whether a task is bound to the attempt that a completion names.
 func bindsAttempt(t *job.Task, completion completionlog.Completion) bool {
 	return t.Phase == job.Bound && t.Attempt == completion.Attempt && t.Epoch == completion.Epoch && t.Machine == completion.Machine
 }
 
-// supersedes reports whether a task shows that its page has taken a completion in, or that
-// another change was ahead of it.
+// supersedes reports whether a task's state shows that its page includes a completion already,
+// or that another change of the task overtook the completion.
 func supersedes(t *job.Task, completion completionlog.Completion) bool {
 	if t.Phase == job.Finished || t.Attempt > completion.Attempt {
 		return true
@@ -240,7 +244,7 @@
 	return t.Phase == job.Pending && t.Attempt == completion.Attempt
 }
 
-// completeTask has the mirror show that a bound task of a page has completed.
+// completeTask marks a bound task of a page as completed in the mirror.
 func (c *Core) completeTask(p *page, index int) {
 	k := p.taskKey(index)
 	task := &p.tasks[index]
@@ -251,8 +255,9 @@
 	c.machineFreed(old.Machine)
 }
 
-// completeBoundTasks is completeTask for all that a page binds of a job that was called done.
-// A record of the log may have been added and removed while the records were reread.
+// completeBoundTasks marks all bound tasks of a page as completed in the mirror, for a job that
+// is done. The log may not show their completions: a record may have been added and removed
+// while the records were reread.
 func (c *Core) completeBoundTasks(p *page) {
 	for i := range p.tasks {
 		if p.tasks[i].Phase == job.Bound {
@@ -261,14 +266,15 @@
 	}
 }
 
-// completedTask returns a bound task as it is once it has completed.
+// completedTask returns the state of a bound task after its completion.
 func completedTask(t *job.Task) job.Task {
 	return job.Task{Phase: job.Finished, Attempt: t.Attempt, Failures: t.Failures}
 }
 
-// mergeCompletions merges the log into the changes of a page: what the page binds, and the log
-// says has completed, has; and what the page shows otherwise, it has taken in. It returns
-// the changes that remain, in the same memory.
+// mergeCompletions merges the log into the changes of a page that was read. A task that the
+// page shows as bound, to an attempt that has completed according to the log, becomes finished.
+// Where the page is not behind the log, the log's completion is settled. It returns the
+// remaining changes, reusing the memory of changes.
 func (c *Core) mergeCompletions(p *page, changes []pagecodec.Change) []pagecodec.Change {
 	w := &c.writer.completions
 	logged := w.log.TasksOf(p.jobID)
@@ -276,7 +282,7 @@
 	if len(logged) == 0 && !jobCompleted {
 		return changes
 	}
-	completed := map[int]bool{} // by the log, and bound by the page
+	completed := map[int]bool{} // completed by the log, and bound by the page
 	kept := changes[:0]
 	for _, change := range changes {
 		k := p.taskKey(change.Index)
@@ -301,8 +307,9 @@
 	return kept
 }
 
-// foldCompletions has pages written that have not taken in for a while what the log holds, by
-// the owners of their jobs, and drops the records that are settled.
+// foldCompletions requests writes of pages that have not included a completion of the log for a
+// while. Each controller does so for the jobs that it is responsible for. The leader also
+// deletes settled records.
 func (c *Core) foldCompletions() {
 	w := &c.writer.completions
 	if w.log.Len() == 0 || c.now < w.nextFoldAt || !c.mirrorFresh() {
@@ -312,7 +319,7 @@
 	w.nextFoldAt = c.now + seconds(heartbeatPeriod*foldPeriod)
 	cutoff := c.now - seconds(foldAfter*heartbeatPeriod)
 	if c.hasPeerBelowFormat(completionLogFormat) {
-		cutoff = c.now // it sees the pages alone
+		cutoff = c.now // that peer reads only the pages
 	}
 	for _, task := range w.log.OpenBefore(cutoff) {
 		r := c.jobs.byID[task.Job]
@@ -326,7 +333,7 @@
 	}
 }
 
-// requestFold has a page written by the next flush, even if none of its tasks changes.
+// requestFold marks a page to be written by the next flush, even if none of its tasks changes.
 func (c *Core) requestFold(p *page) {
 	if p.foldRequested || p.tasks == nil {
 		return
@@ -338,7 +345,7 @@
 	c.writer.addDirty(p)
 }
 
-// dropSettledRecords drops records of the log that no page needs any more.
+// dropSettledRecords deletes records of the log that no page needs any more.
 func (c *Core) dropSettledRecords() {
 	var compares []protocol.Compare
 	var ops []protocol.Op
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -8,8 +8,9 @@
 	"silvergate/internal/job"
 )
 
-// compareUrgency orders jobs: by priority, within their team's guarantee before beyond it, by
-// latest start, by age. It is negative when x goes before y.
+// compareUrgency orders jobs by urgency. It is negative if x goes before y. The criteria are, in
+// this order: higher priority; within the team's guarantee before beyond it; earlier latest
+// start; older.
 func compareUrgency(x, y *jobRecord) int {
 	switch {
 	case x.spec.Priority != y.spec.Priority:
@@ -24,17 +25,17 @@
 	return compareAge(x, y)
 }
 
-// jobSizeWeight is how much longer than its share of the fleet's time a job
-// waits for smaller ones.
+// jobSizeWeight is the weight of a job's size in its latest start: the multiple of the time
+// that the whole fleet would need for the job's remaining work by which smaller jobs precede it.
 const jobSizeWeight = 8
 
-// neverBegunAdvance is how far ahead of all others a job goes that has not begun for too
-// long, in seconds: further than any latest start is from 0, that of a job for which none
-// was computed yet.
+// neverBegunAdvance is subtracted from the latest start of a job that has not begun for too
+// long, in seconds. It is larger than any latest start, so that such a job also precedes jobs
+// whose latest start is not computed yet, and thus 0.
 const neverBegunAdvance = 1e10
 
-// updateJobOrder computes each job's latest start, which orders jobs of one priority, and
-// sorts the unfinished jobs into jobs.openByUrgency, most urgent first.
+// updateJobOrder computes each open job's latest start, which orders jobs of the same priority,
+// and sorts the open jobs into jobs.openByUrgency, most urgent first.
 func (c *Core) updateJobOrder() {
 	c.updateCapacity()
 	for _, team := range c.jobs.teams {
@@ -43,18 +44,18 @@
 	now := float64(c.wallTime.UnixMilli()) / 1000
 	for _, r := range c.jobs.openByAge {
 		if r.final() {
-			continue // by a peer's cancellation reply
+			continue // cancelled according to a peer's reply
 		}
-		// What a team asks for within its guarantee goes before what others
-		// borrow, at the same priority.
+		// At the same priority, jobs within their team's guarantee go before
+		// jobs beyond it.
 		if team := c.jobs.teamOf(r); team != nil {
 			team.demand = team.demand.plus(r.spec, float64(r.spec.Tasks-r.finished))
 			r.withinGuarantee = team.withinGuarantee(team.demand)
 		}
 		r.latestStart = c.latestStart(r, now)
 	}
-	// Few jobs change places from one time to the next, which the sort makes
-	// use of.
+	// Few jobs change places between two sweeps, and the sort is faster on
+	// nearly sorted input.
 	c.jobs.openByUrgency = append(c.jobs.openByUrgency, c.jobs.added...)
 	clear(c.jobs.added)
 	c.jobs.added = c.jobs.added[:0]
@@ -63,7 +64,7 @@
 	c.saveQuotaForGangs()
 }
 
-// updateCapacity sums up the capacity of all claimed machines, once a heartbeat period.
+// updateCapacity sums up the capacity of all claimed machines, once per heartbeat period.
 func (c *Core) updateCapacity() {
 	s := &c.scheduler
 	if s.capacityAt != 0 && c.now-s.capacityAt <= seconds(c.cfg.Facts.Workers.Report) {
@@ -80,17 +81,17 @@
 	}
 }
 
-// latestStart is the latest time, in seconds of the Unix epoch, at which a job can start and
-// still meet its deadline or its class's objective, put back by a multiple of the time the
-// fleet would need for what is left of it, so that large jobs do not hold up many small
-// ones. A job that is late already lets those go first that can still be in
-// time. Time passes for all alike, so no job waits for ever.
+// latestStart returns the latest time, in seconds since the Unix epoch, at which a job can start
+// and still meet its deadline or its class's objective, plus a multiple of the time that the
+// fleet would need for the job's remaining work, so that large jobs do not hold up many small
+// ones. The latest start of a job that is late already is postponed further, behind jobs that
+// can still be in time. Jobs submitted later have later latest starts, so no job waits forever.
 func (c *Core) latestStart(r *jobRecord, now float64) float64 {
 	submittedAt := float64(r.submittedAtMS) / 1000
-	// Guards against the largest jobs, which wait for smaller ones, and jobs that are late,
-	// which let those go first that can still be in time: where work keeps coming, neither
-	// would begin. One task is what this takes ahead of its place, as a job that has begun
-	// has its usual place again.
+	// Guards against starvation of the largest jobs, which wait for smaller ones, and of late
+	// jobs, which wait for jobs that can still be in time: under a steady stream of work,
+	// neither would begin. Only one task goes ahead of its turn in this way, since a job that
+	// has begun gets its usual latest start again.
 	if r.lastAttempt == 0 && now-submittedAt > c.cfg.Operator.BeginWithin.Seconds() {
 		return submittedAt - neverBegunAdvance
 	}
@@ -110,8 +111,8 @@
 	return start
 }
 
-// targetDuration is the time a job has to finish, in seconds: its deadline, or the tightest
-// objective of its class, or the loosest of all.
+// targetDuration returns the time that a job has to finish, in seconds: its deadline, else the
+// tightest objective of its class, else the loosest objective of all classes.
 func (c *Core) targetDuration(spec *job.Spec) float64 {
 	if spec.DeadlineS != nil {
 		return *spec.DeadlineS
@@ -129,15 +130,15 @@
 	return loosest
 }
 
-// quotaSavingShare is how long the limit is saved for a gang, as a share of the time in which
-// jobs are to begin.
+// quotaSavingShare is the period for which a team's limit is saved for a gang, as a share of the
+// time within which jobs are to begin.
 const quotaSavingShare = 0.4
 
-// saveQuotaForGangs picks for each limited team the first gang that its limit keeps from
-// starting. What comes after the gang by urgency leaves what the gang needs of the limit
-// alone. Exception "saving for a gang": thesis 2.1, tasks are independent; here whatever one
-// task leaves of a limit was taken by the next small one, and a gang of the same team never
-// began.
+// saveQuotaForGangs selects for each team with a limit the most urgent gang that the limit keeps
+// from starting. Less urgent jobs of the team then may not use the part of the limit that the
+// gang needs. Exception "saving for a gang": in section 2.1 of the thesis, tasks are independent.
+// Here, the quota that one task freed was always used by the next small task, and a gang of the
+// same team never began.
 func (c *Core) saveQuotaForGangs() {
 	wasSavedFor := map[*jobRecord]bool{}
 	for _, team := range c.jobs.teams {
@@ -157,8 +158,8 @@
 		if !c.quotaSavingDue(r, now) {
 			continue
 		}
-		// Once the limit has been saved for a gang, it is until the gang has begun: others
-		// were placed in the moment in which it could begin.
+		// Once the limit is saved for a gang, it stays so also when the gang fits: otherwise,
+		// other tasks were placed at the moment at which the gang could begin.
 		n := float64(r.spec.Tasks)
 		hindered := wasSavedFor[r] || !team.withinLimit(team.charged.plus(r.spec, n))
 		if hindered && team.withinLimit(byServices[team].plus(r.spec, n)) {
@@ -167,7 +168,8 @@
 	}
 }
 
-// usageByServices sums up what the bound tasks of services use, which do not end, by team.
+// usageByServices returns the usage of the bound tasks of services by team. Services do not end,
+// so a gang can't wait for this part of a limit.
 func (c *Core) usageByServices() map[*team]usage {
 	used := map[*team]usage{}
 	for _, r := range c.jobs.openByUrgency {
@@ -178,18 +180,18 @@
 	return used
 }
 
-// quotaSavingDue tells whether the limit may be saved for a gang now. Nobody shall wait
-// beside room for long, and it may be machines that the gang lacks: so the limit is saved for
-// a share of the time in which jobs are to begin, then not for as long, and after that twice,
-// four times as long.
+// quotaSavingDue reports whether the limit may be saved for a gang now. Other jobs must not wait
+// for long while there is room, and the gang may in fact lack machines rather than quota. So the
+// limit is saved for one period, quotaSavingShare of the time within which jobs are to begin, and
+// for one period again 2, 4, 8, ... periods after each start, until the gang has begun.
 func (c *Core) quotaSavingDue(r *jobRecord, now float64) bool {
 	within := c.cfg.Operator.BeginWithin.Seconds()
-	periods := (now-float64(r.submittedAtMS)/1000-within)/(quotaSavingShare*within) + 2 // it goes first from 2 on
+	periods := (now-float64(r.submittedAtMS)/1000-within)/(quotaSavingShare*within) + 2 // from 2 on, latestStart puts the job first
 	return periods >= 2 && periods-math.Exp2(math.Floor(math.Log2(periods))) <= 1
 }
 
-// leavesQuotaFor tells whether a use that comes of placing a task of a job is within the
-// team's limit, beside what is saved for a gang that goes before it.
+// leavesQuotaFor reports whether the usage u that results from placing a task of a job is within
+// the team's limit, together with the quota that is saved for a more urgent gang.
 func (t *team) leavesQuotaFor(r *jobRecord, u usage) bool {
 	if gang := t.savingFor; gang != nil && gang != r && compareUrgency(gang, r) < 0 {
 		u = u.plus(gang.spec, float64(gang.spec.Tasks))
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -9,14 +9,15 @@
 	"silvergate/internal/protocol"
 )
 
-// This file sends committed launches straight to their workers, which saves the wait for the
-// next heartbeat.
+// This file sends launches of committed placements directly to the workers, which saves the wait
+// for the next heartbeat.
 
-// queueLaunch queues a committed launch, to be sent directly with the step's other launches.
+// queueLaunch queues the launch of a committed placement, to be sent directly at the end of the
+// step.
 func (c *Core) queueLaunch(machineID string, key taskKey, attempt int) {
 	m := c.machines.byID[machineID]
 	if m == nil || !c.isOwn(m) || !m.tokenSeen || m.launchInDoubt || m.claim.Address == "" {
-		return // the answer to its next heartbeat launches it
+		return // launched with the answer to the machine's next heartbeat
 	}
 	if len(m.queuedLaunches) == 0 {
 		c.machines.launchTargets = append(c.machines.launchTargets, m)
@@ -26,8 +27,8 @@
 
 // sendLaunches makes one direct call for every machine with queued launches.
 //
-// A launch is checked here, at the end of the step, and not when the record that
-// binds it comes: the same response of the watch may bring that it has ended since.
+// A launch is checked here, at the end of the step, and not when the record with its binding is
+// applied: the same watch response may also report that the attempt has ended since.
 func (c *Core) sendLaunches() {
 	for _, m := range c.machines.launchTargets {
 		attempts := c.takeSendableLaunches(m)
@@ -38,8 +39,8 @@
 	c.machines.launchTargets = c.machines.launchTargets[:0]
 }
 
-// takeSendableLaunches empties a machine's queue of launches, and returns those that may be
-// sent directly now.
+// takeSendableLaunches empties a machine's queue of launches and returns those that may be
+// sent directly now. Launches that have to wait for the records are deferred.
 func (c *Core) takeSendableLaunches(m *machine) []taskAttempt {
 	queued := m.queuedLaunches
 	m.queuedLaunches = nil
@@ -56,7 +57,7 @@
 			continue
 		}
 		if bound.Epoch == m.epoch {
-			c.log.Debug("launch withheld: the records are behind", "task", job.TaskName(attempt.job, attempt.index), "attempt", attempt.number, "machine", m.id,
+			c.log.Debug("launch deferred: the records may be incomplete", "task", job.TaskName(attempt.job, attempt.index), "attempt", attempt.number, "machine", m.id,
 				"revision", c.state.AppliedRevision(), "token", m.token, "since", bound.BoundAt)
 			m.deferLaunch(attempt)
 		}
@@ -66,10 +67,10 @@
 
 // sendLaunchCall sends launches to a machine's worker.
 //
-// Guards against late execution: a direct command may be executed minutes
-// after we gave up on it, as long as token and agent epoch match. Until its reply
-// the attempt is neither forgotten nor released for being absent; without a
-// reply the machine's launches are in doubt, and its next heartbeat gets a new token.
+// Guards against late execution: a worker may execute a direct command minutes after this
+// controller gave up on it, as long as token and agent epoch match. Until the reply arrives,
+// the attempt is neither forgotten nor released because a heartbeat does not list it. Without a
+// reply, the machine's launches are in doubt, and its next heartbeat gets a new token.
 func (c *Core) sendLaunchCall(m *machine, attempts []taskAttempt) {
 	var commands []protocol.Command
 	for _, attempt := range attempts {
@@ -88,10 +89,10 @@
 	c.call(call, func(reply protocol.Reply) { c.handleLaunchReply(m, token, attempts, reply) })
 }
 
-// handleLaunchReply takes the reply to launches that were sent under a fencing token.
+// handleLaunchReply handles the reply to launches that were sent under a fencing token.
 func (c *Core) handleLaunchReply(m *machine, token uint64, attempts []taskAttempt, reply protocol.Reply) {
 	if m.token != token {
-		return // a newer token was taken meanwhile
+		return // the machine has a newer token now
 	}
 	var status protocol.Heartbeat
 	executed := reply.Status == http.StatusOK && protocol.Decode(reply.Body, &status) == nil
@@ -109,22 +110,22 @@
 	}
 }
 
-// mayBeExecuted tells whether a direct command without a readable reply may have been
-// executed, or may yet be.
+// mayBeExecuted reports whether a direct command without a readable reply may have been
+// executed, or may still be.
 func mayBeExecuted(reply protocol.Reply) bool {
 	noReply := reply.Status == 0 && reply.Sent
 	return noReply || reply.Status == http.StatusOK || reply.Status >= http.StatusInternalServerError
 }
 
-// deferLaunch notes a launch that has to wait until the records are known to be complete.
+// deferLaunch stores a launch that has to wait until the mirror is known to be complete.
 func (m *machine) deferLaunch(attempt taskAttempt) {
 	if !slices.Contains(m.deferredLaunches, attempt) {
 		m.deferredLaunches = append(m.deferredLaunches, attempt)
 	}
 }
 
-// sendDeferred queues launches that had to wait, once they need not any more. Without
-// it they would wait for the worker's next heartbeat.
+// sendDeferred queues deferred launches once the mirror is complete. Otherwise they would wait
+// for the worker's next heartbeat.
 func (c *Core) sendDeferred(m *machine) {
 	if len(m.deferredLaunches) == 0 || !c.mirrorComplete(m) {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// launchStillWanted tells whether a deferred launch is still to be sent.
+// launchStillWanted reports whether a deferred launch is still to be sent.
 func (c *Core) launchStillWanted(m *machine, attempt taskAttempt) bool {
 	bound, ok := c.boundHere(m, attempt.taskKey)
 	if !ok || bound.Number != attempt.number {
@@ -151,8 +152,8 @@
 	return !c.releasePending(m.bound[attempt.taskKey], attempt.index)
 }
 
-// workerState is what this controller knows of a machine's worker, as the fencing rules take
-// it.
+// workerState returns what this controller knows of a machine's worker, as input to the fencing
+// rules.
 func (c *Core) workerState(m *machine) fencing.WorkerState {
 	return fencing.WorkerState{
 		Held:            c.isOwn(m),
@@ -168,8 +169,8 @@
 	}
 }
 
-// mirrorComplete tells whether the mirror was complete at a moment when the worker had
-// shown our token.
+// mirrorComplete reports whether the mirror was complete at some time since the worker first
+// showed our token.
 func (c *Core) mirrorComplete(m *machine) bool {
 	if !m.mirrorComplete && m.tokenSeen && c.state.FreshAt() >= m.tokenSeenAt {
 		m.mirrorComplete = true
@@ -177,8 +178,8 @@
 	return m.mirrorComplete
 }
 
-// boundHere returns the attempt of a task that the records bind to a machine; ok is false if
-// there is none.
+// boundHere returns the attempt with which the records bind a task to a machine; ok is false if
+// they bind none.
 func (c *Core) boundHere(m *machine, key taskKey) (attempt fencing.Attempt, ok bool) {
 	record := m.bound[key]
 	if record == nil {
--- a/internal/coordination/order.go
+++ b/internal/coordination/order.go
@@ -6,8 +6,8 @@
 	"sort"
 )
 
-// The order of what a step does must not depend on the order of maps: the same inputs give
-// the same outputs.
+// The actions of a step must not depend on the iteration order of maps: the same inputs give the
+// same outputs, in the same order.
 
 // sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
@@ -24,7 +24,7 @@
 	return cmp.Or(cmp.Compare(k.job, o.job), cmp.Compare(k.index, o.index))
 }
 
-// tasks returns the tasks that are bound to the machine, in order.
+// tasks returns the tasks that are bound to the machine, sorted by job and index.
 func (m *machine) tasks() []taskKey {
 	keys := make([]taskKey, 0, len(m.bound))
 	for key := range m.bound {
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -11,8 +11,8 @@
 	"silvergate/internal/stateclient"
 )
 
-// submit handles a job's submission. The user chose the job's id, so that a submission
-// can be repeated: one of a known job is answered with the job's state.
+// submit handles a job's submission. Users choose the job's id, so a submission can be
+// repeated: a submission of a known job is answered with the job's state.
 func (c *Core) submit(id uint64, body []byte) {
 	jobID, err := protocol.SubmissionID(body)
 	if err != nil {
@@ -41,15 +41,15 @@
 	}
 }
 
-// submissionRefusal is why a submission is not accepted.
+// submissionRefusal is the response to a submission that is not accepted.
 type submissionRefusal struct {
 	status int
 	reason string
 }
 
-// parseSubmission reads and checks a submission, and returns the record of its extension
-// fields, nil when there are none. A malformed one is a bad request; one that could never
-// run is unprocessable.
+// parseSubmission parses and checks a submission. It returns the job's spec and the record of
+// its extension fields, nil if there are none. A malformed submission is a bad request; a job
+// that could never run is unprocessable.
 func (c *Core) parseSubmission(body []byte) (*job.Spec, json.RawMessage, *submissionRefusal) {
 	spec, err := protocol.ParseSubmission(body)
 	if err != nil {
@@ -69,8 +69,8 @@
 }
 
 // refuseUnlessKnown refuses a submission once the state service has shown that the job
-// does not exist. A known job is never refused, whatever its repetition says: the mirror
-// may lag, so the record itself decides.
+// does not exist. A repeated submission of a known job is never refused, whatever it contains:
+// the mirror may lag, so the job's record is reread first.
 func (c *Core) refuseUnlessKnown(id uint64, jobID string, refusal *submissionRefusal) {
 	c.state.Refresh(ratelimit.UserRequests, keyJob+jobID, func(ok bool) {
 		switch r := c.jobs.byID[jobID]; {
@@ -84,7 +84,7 @@
 	})
 }
 
-// commitSubmission writes the job's record, provided that there is none yet.
+// commitSubmission writes the job's record on condition that it does not exist yet.
 func (c *Core) commitSubmission(id uint64, jobID string, spec *job.Spec, extra json.RawMessage) {
 	key := keyJob + jobID
 	record := storedJob{spec, job.Open, c.wallTime.UnixMilli(), c.cfg.Node}
@@ -112,8 +112,8 @@
 	c.dispatchJob(c.jobs.byID[jobID])
 }
 
-// rereadSubmission answers a submission whose job is known already, or whose transaction
-// has an unknown outcome: the record tells.
+// rereadSubmission answers a submission whose job exists already, or whose transaction has an
+// unknown outcome: it rereads the job's record to find out.
 func (c *Core) rereadSubmission(id uint64, jobID string) {
 	c.state.Refresh(ratelimit.UserRequests, keyJob+jobID, func(ok bool) {
 		if r := c.jobs.byID[jobID]; ok && r != nil {
@@ -124,7 +124,7 @@
 	})
 }
 
-// checkFeasible tells why a job can never run, nil if it can.
+// checkFeasible returns an error that says why a job can never run, or nil if it can.
 func (c *Core) checkFeasible(s *job.Spec) error {
 	t := c.jobs.teams[s.Team]
 	if t == nil {
@@ -134,7 +134,7 @@
 	if len(zones) == 0 {
 		return fmt.Errorf("no allowed machine type holds a task")
 	}
-	// The tasks of a gang and of a service are there at the same time; an array's may come one after another.
+	// The tasks of a gang or a service run at the same time; those of an array may run one after another.
 	if s.Spread && s.Shape != job.Array && s.Tasks > s.SpreadLimit() && (s.OneZone || len(zones) < 2) {
 		return fmt.Errorf("apart: at most %d of %d tasks may be in one zone, and only one is allowed that holds them", s.SpreadLimit(), s.Tasks)
 	}
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// feasibleZones are the zones in which a machine of an allowed type can hold a task of the job.
+// feasibleZones returns the zones in which a machine of an allowed type can hold a task of the job.
 func (c *Core) feasibleZones(s *job.Spec) map[string]bool {
 	zones := map[string]bool{}
 	for name, machineType := range c.catalogue.types {
@@ -164,7 +164,7 @@
 	return zones
 }
 
-// typeHolds tells whether an empty machine of a type has room for a task of the job.
+// typeHolds reports whether an empty machine of a type has room for a task of the job.
 func typeHolds(t *protocol.MachineType, s *job.Spec) bool {
 	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.MemoryGB <= t.MemoryGB
 }
