--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -7,13 +7,13 @@
 	"silvergate/internal/job"
 )
 
-// AppliedRevision is the revision of the state service up to which the core's mirror is
+// AppliedRevision returns the revision of the state service up to which the core's mirror is
 // complete.
 func (c *Core) AppliedRevision() uint64 { return c.state.AppliedRevision() }
 
-// Known says in one line of text what this controller knows of a task ("wk-000412/3"), a
-// job or a machine, "" if nothing. Replays explain with it what was decided; their output
-// holds these texts, so that their words stay.
+// Known returns a one-line description of what this controller knows about a task
+// ("wk-000412/3"), a job or a machine, or "" if it knows nothing. Replays use it to explain
+// decisions. Its texts are part of their output, so they must not change.
 func (c *Core) Known(name string) string {
 	if id, index, err := job.ParseTaskName(name); err == nil {
 		return c.describeTask(id, index)
@@ -45,7 +45,7 @@
 	return out
 }
 
-// describePhase says what the task's record shows, and what is known of its machine.
+// describePhase describes a task's record and, for a bound task, what is known about its machine.
 func (c *Core) describePhase(key taskKey, t *job.Task) string {
 	switch t.Phase {
 	case job.Pending:
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// describeBinding says what is known of an attempt on the machine that it is bound to.
+// describeBinding describes what is known about an attempt on the machine that it is bound to.
 func (c *Core) describeBinding(m *machine, attempt taskAttempt) string {
 	out := fmt.Sprintf(" since %d", m.boundAt[attempt.taskKey].revision)
 	if m.inFlight[attempt] {
@@ -74,7 +74,7 @@
 	return out + "; " + c.describeMachine(m)
 }
 
-// describeProposals says which changes of a task this controller has yet to commit.
+// describeProposals describes the changes of a task that this controller has yet to commit.
 func (c *Core) describeProposals(r *jobRecord, index int) string {
 	p := c.pageOf(r, index)
 	out := ""
--- a/internal/coordination/http_routes.go
+++ b/internal/coordination/http_routes.go
@@ -7,21 +7,21 @@
 	"silvergate/internal/protocol"
 )
 
-// httpRequest is a request from outside.
+// httpRequest is an HTTP request to this controller.
 type httpRequest struct {
-	id     uint64 // for its response
+	id     uint64 // identifies the request in its response
 	method string
 	path   string
 	body   []byte
 }
 
-// fixedRoute is what is done with the requests of one path.
+// fixedRoute is the handling of requests to a fixed path.
 type fixedRoute struct {
-	method string // others are refused
+	method string // requests with other methods are refused
 	handle func(*Core, httpRequest)
 }
 
-// fixedRoutes are the routes of single paths.
+// fixedRoutes holds the routes of fixed paths.
 var fixedRoutes = map[string]fixedRoute{
 	protocol.PathHeartbeat: {http.MethodPost, func(c *Core, r httpRequest) { c.handleHeartbeat(r.id, r.body) }},
 	protocol.PathHealth:    {http.MethodGet, func(c *Core, r httpRequest) { c.healthCheck(r.id) }},
@@ -29,7 +29,7 @@
 	protocol.PathJobs:      {http.MethodPost, func(c *Core, r httpRequest) { c.submit(r.id, r.body) }},
 }
 
-// route hands a request to the handler of its path.
+// route passes a request to the handler of its path.
 func (c *Core) route(r httpRequest) {
 	if route, ok := fixedRoutes[r.path]; ok {
 		c.routeFixed(r, route)
@@ -50,8 +50,8 @@
 	route.handle(c, r)
 }
 
-// routeJob routes a request about one job: rest is its id, with the name of what is
-// wanted after a slash, if it is not the job's status.
+// routeJob routes a request about one job. rest is the part of the path after the prefix: the
+// job's id for its status, or the id, a slash and a verb for other requests.
 func (c *Core) routeJob(r httpRequest, rest string) {
 	jobID, verb, hasVerb := strings.Cut(rest, "/")
 	if hasVerb && r.method == http.MethodGet && c.queries.routeJobQuery(r.id, jobID, verb) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// routeOperator routes operators' lists and requests about data sets.
+// routeOperator routes requests of operators for lists, and requests about data sets.
 func (c *Core) routeOperator(r httpRequest) {
 	switch {
 	case r.method == http.MethodGet && c.queries.routeList(r.id, r.path):
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -85,7 +85,8 @@
 // and still meet its deadline or its class's objective, plus a multiple of the time that the
 // fleet would need for the job's remaining work, so that large jobs do not hold up many small
 // ones. The latest start of a job that is late already is postponed further, behind jobs that
-// can still be in time. Jobs submitted later have later latest starts, so no job waits forever.
+// can still be in time. Latest starts are relative to the time of submission, so any job
+// eventually goes before newer ones, and none waits forever.
 func (c *Core) latestStart(r *jobRecord, now float64) float64 {
 	submittedAt := float64(r.submittedAtMS) / 1000
 	// Guards against starvation of the largest jobs, which wait for smaller ones, and of late
--- a/internal/coordination/job_queries.go
+++ b/internal/coordination/job_queries.go
@@ -10,25 +10,25 @@
 	"silvergate/internal/stateclient"
 )
 
-// statusQuery is a user's query of a job's status that waits until the mirror is known
-// to be as fresh as the query.
+// statusQuery is a user's query of a job's status. It waits until the mirror is known to be
+// complete as of the query's arrival.
 type statusQuery struct {
 	requestID  uint64
 	job        string
 	receivedAt time.Duration
 }
 
-// maxStatusQueries bounds the status queries that wait.
+// maxStatusQueries is the maximum number of waiting status queries.
 const maxStatusQueries = 512
 
-// maxQueriesPerOp is how many status queries a batch may have for each operation that the
-// state service allows in a transaction: many are about the same job.
+// maxQueriesPerOp is the number of status queries that a batch may have for each operation that
+// the state service allows in a transaction. Many queries are about the same job.
 const maxQueriesPerOp = 4
 
-// textUnreadable is the refusal when the state service does not show a job's record.
+// textUnreadable is the answer to a status query if the state service can't be read.
 const textUnreadable = "the job's state can't be read now"
 
-// jobState is a job's state as users see it.
+// jobState returns a job's state as users see it.
 func (c *Core) jobState(r *jobRecord) protocol.JobState {
 	state := protocol.JobState{ID: r.spec.ID, Status: string(r.status)}
 	done, running := r.finished, r.bound
@@ -54,7 +54,8 @@
 	c.queueStatusQuery(statusQuery{requestID: id, job: jobID, receivedAt: c.now})
 }
 
-// queueStatusQuery has a query answered once the mirror is fresh.
+// queueStatusQuery queues a query until the mirror is known to be fresh, or refuses it if the
+// state service can't be reached or too many queries wait.
 func (c *Core) queueStatusQuery(q statusQuery) {
 	if !c.state.Loaded() || c.cutOff() || len(c.queries.statusQueries) >= maxStatusQueries {
 		c.refuse(q.requestID, http.StatusServiceUnavailable, textUnreadable)
@@ -63,11 +64,11 @@
 	c.queries.statusQueries = append(c.queries.statusQueries, q)
 }
 
-// sendStatusQueries answers the queries for which the mirror is known to be fresh. A watch
-// that was opened after a query arrived shows it when it is answered, at no cost; that
-// is waited for when requests are short, for as long as two watches take to open.
-// Otherwise one comparing transaction shows it for a batch, and whatever does not match
-// is read.
+// sendStatusQueries answers the queries for which the mirror is known to be fresh. The answer to
+// a watch that was opened after a query arrived proves that at no cost. When the request budget
+// is short, queries wait for such a watch, for as long as two watches take to open. Otherwise
+// one transaction compares the records of a batch of queries with the mirror, and the records
+// that do not match are read.
 func (c *Core) sendStatusQueries() {
 	v := c.queries
 	c.answerFreshQueries()
@@ -87,8 +88,8 @@
 	c.state.Tick(c.now)
 }
 
-// answerFreshQueries answers the queries that arrived before the mirror was last known
-// fresh, and keeps the others.
+// answerFreshQueries answers the queries that arrived before the time as of which the mirror is
+// known to be fresh. The others stay queued.
 func (c *Core) answerFreshQueries() {
 	waiting := c.queries.statusQueries[:0]
 	for _, q := range c.queries.statusQueries {
@@ -101,8 +102,8 @@
 	c.queries.statusQueries = waiting
 }
 
-// takeBatch takes the oldest queries, limit at the most. The others are copied, so that
-// later queries don't overwrite the batch.
+// takeBatch removes the oldest queries, at most limit of them, from the queue and returns them.
+// The remaining queries are copied, so that later queries don't overwrite the batch.
 func (v *queryHandler) takeBatch(limit int) []statusQuery {
 	batch := v.statusQueries
 	if len(batch) <= limit {
@@ -113,7 +114,7 @@
 	return batch[:limit:limit]
 }
 
-// comparesFor compares each job's record with the mirror's revision.
+// comparesFor returns compares of the record of each job in a batch with its mirrored revision.
 func (c *Core) comparesFor(batch []statusQuery) []protocol.Compare {
 	seen := map[string]bool{}
 	var compares []protocol.Compare
@@ -128,8 +129,9 @@
 	return compares
 }
 
-// answerBatch answers a batch's queries after the transaction that compared their
-// records; failed are the keys of those that have changed.
+// answerBatch answers a batch's queries after the transaction that compared their records;
+// failed holds the keys of the records that have changed. Queries of other jobs in a batch with
+// a conflict are queued again.
 func (c *Core) answerBatch(batch []statusQuery, outcome stateclient.TxnOutcome, failed []string) {
 	stale := map[string]bool{}
 	for _, key := range failed {
@@ -149,7 +151,7 @@
 	}
 }
 
-// rereadJobState reads a job's record and answers a query from it.
+// rereadJobState rereads a job's record and answers a query from it.
 func (c *Core) rereadJobState(q statusQuery) {
 	c.state.Refresh(ratelimit.UserRequests, keyJob+q.job, func(ok bool) {
 		if !ok {
@@ -170,9 +172,9 @@
 	c.respond(q.requestID, http.StatusOK, c.jobState(r), 0)
 }
 
-// respondUnknownJob refuses what needs a job that the mirror lacks, once the mirror has
-// been shown to be fresh. A job whose record can't be read, as a later version may have
-// written it, is not unknown.
+// respondUnknownJob refuses a request about a job that the mirror lacks, once the mirror is
+// known to be fresh. A job whose record exists but can't be decoded, as a later version may have
+// written it, does not count as unknown.
 func (c *Core) respondUnknownJob(id uint64, jobID string, status int, reason string) {
 	if c.state.ModRevision(keyJob+jobID) != 0 {
 		status, reason = http.StatusServiceUnavailable, "the job's record can't be read"
--- a/internal/coordination/keys.go
+++ b/internal/coordination/keys.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// Keys of the records in the state service. All but those under keyExtra are mirrored.
+// Keys and key prefixes of the records in the state service. All but keyJobExtra are mirrored.
 const (
 	keyJob          = stateclient.MirroredPrefix + "j/"
 	keyPage         = stateclient.MirroredPrefix + "p/"
@@ -28,8 +28,8 @@
 	keyJobExtra     = stateclient.UnmirroredPrefix + "d/"
 )
 
-// splitKey splits a mirrored record's key into the prefix of its kind and its name,
-// which is "" for kinds with only one record.
+// splitKey splits a mirrored record's key into the key prefix of its kind and its name. For a
+// kind with only one record, kind is the whole key and name is "".
 func splitKey(key string) (kind, name string) {
 	const prefixLength = len(stateclient.MirroredPrefix)
 	slash := strings.IndexByte(key[prefixLength:], '/')
@@ -40,7 +40,7 @@
 	return kind, key[len(kind):]
 }
 
-// applyChange takes a change of a mirrored record; data is nil if it was deleted.
+// applyChange applies a change of a mirrored record; data is nil if the record was deleted.
 func (c *Core) applyChange(key string, data json.RawMessage, revision uint64) {
 	kind, name := splitKey(key)
 	switch kind {
@@ -75,8 +75,8 @@
 	}
 }
 
-// applyMachineTypes takes the machine types that another controller published, until
-// this one has read them from the cloud.
+// applyMachineTypes adopts the machine types that another controller published, unless this
+// controller knows machine types already.
 func (c *Core) applyMachineTypes(data json.RawMessage) {
 	if len(c.catalogue.types) > 0 || data == nil {
 		return
@@ -87,7 +87,8 @@
 	}
 }
 
-// decode reads a record, and logs one that is unreadable: a later version may have written it.
+// decode decodes a record into v. It logs a record that it can't decode, which a later version
+// may have written, and returns false.
 func decode(log *slog.Logger, key string, data json.RawMessage, v any) bool {
 	if err := protocol.DecodeState(data, v); err != nil {
 		log.Error("unreadable record", "key", key, "error", err)
@@ -96,5 +97,5 @@
 	return true
 }
 
-// encode writes a record or a response as JSON.
+// encode encodes a record or a response as JSON.
 func encode(v any) json.RawMessage { return protocol.Encode(v) }
--- a/internal/coordination/operator_queries.go
+++ b/internal/coordination/operator_queries.go
@@ -15,18 +15,17 @@
 	"silvergate/internal/ratelimit"
 )
 
-// queryHandler answers queries: the status of jobs for users, and for workers and
-// operators a job's description, the members of a gang, and lists. It reads the records
-// and changes none; it owns the status queries that wait, and a small cache of jobs'
-// extension fields, which never change.
+// queryHandler answers queries: for users the status of jobs, and for workers and operators a
+// job's description, the members of a gang, and lists. It only reads records. It holds the
+// waiting status queries, and a small cache of jobs' extension fields, which never change.
 type queryHandler struct {
 	core        *Core
-	grantKey    archive.GrantKey           // nil: no archive
-	extras      map[string]json.RawMessage // records of extension fields, by job
+	grantKey    archive.GrantKey           // nil if the site has no archive
+	extras      map[string]json.RawMessage // cached records of extension fields, by job
 	extrasByAge []string                   // the jobs in extras, the oldest entry first
-	extrasBytes int
+	extrasBytes int                        // total size of extras
 
-	statusQueries       []statusQuery // the oldest first
+	statusQueries       []statusQuery // waiting, the oldest first
 	statusQueryInFlight bool
 }
 
@@ -38,12 +37,13 @@
 	return v
 }
 
-// maxCacheBytes is what the cache may take: a hundredth of the process's memory.
+// maxCacheBytes returns the maximum size of the cache, a hundredth of the process's memory.
 func (v *queryHandler) maxCacheBytes() int {
 	return int(v.core.cfg.Facts.Limits.RAMMB * (1 << 20) / 100)
 }
 
-// cacheExtra keeps a job's extension fields, and drops the oldest while all are too large.
+// cacheExtra adds a job's extension fields to the cache, and evicts the oldest entries while the
+// cache is too large.
 func (v *queryHandler) cacheExtra(jobID string, data json.RawMessage) {
 	if _, ok := v.extras[jobID]; ok {
 		return
@@ -59,8 +59,8 @@
 	}
 }
 
-// parseExtra reads a submission's extension fields and returns their record, nil when
-// there are none. It adds the inputs' versions to spec.
+// parseExtra parses a submission's extension fields and returns their record, nil if there are
+// none. It adds the versions of the inputs to spec, and marks it as extended.
 func (v *queryHandler) parseExtra(spec *job.Spec, body []byte) (json.RawMessage, error) {
 	extra, err := protocol.ParseExtra(body)
 	if err != nil || extra == nil {
@@ -80,8 +80,8 @@
 	return data, nil
 }
 
-// routeJobQuery answers a query of a job's description or of a gang's members; false if
-// verb is neither.
+// routeJobQuery answers a query of a job's description or of a gang's members. It returns false
+// if verb is neither of these, or the job's id is invalid.
 func (v *queryHandler) routeJobQuery(id uint64, jobID, verb string) bool {
 	attemptText, isGang := strings.CutPrefix(verb, protocol.PathGang+"/")
 	if verb != protocol.PathDescription && !isGang || !protocol.ValidJobID(jobID) {
@@ -101,9 +101,9 @@
 	return true
 }
 
-// withJob calls do with a job's record; request id is refused when there is none. A
-// launch can reach a worker before the job's record reaches this controller's mirror: a
-// record that the mirror lacks is read.
+// withJob calls do with a job's record, or refuses request id if there is none. A record that the
+// mirror lacks is read from the state service, as a launch can reach a worker before the job's
+// record reaches this controller's mirror.
 func (v *queryHandler) withJob(id uint64, jobID string, do func(*jobRecord)) {
 	c := v.core
 	if r := c.jobs.byID[jobID]; r != nil {
@@ -122,7 +122,7 @@
 	})
 }
 
-// describe answers with all that a worker needs to run the job's tasks.
+// describe answers with the job's description: all that a worker needs to run the job's tasks.
 func (v *queryHandler) describe(id uint64, r *jobRecord) {
 	description := descriptionOf(r)
 	v.withExtra(id, r, func(extra *job.Extra) {
@@ -136,7 +136,7 @@
 	})
 }
 
-// descriptionOf is a job's description without its extension fields.
+// descriptionOf returns a job's description without its extension fields.
 func descriptionOf(r *jobRecord) protocol.JobDescription {
 	s := r.spec
 	return protocol.JobDescription{
@@ -157,8 +157,8 @@
 	}
 }
 
-// addInputs adds the copies of a job's inputs to its description; false if the record of
-// one is not known yet.
+// addInputs adds the data sets of a job's inputs to its description. It returns false if the
+// record of one of them is not known yet.
 func (v *queryHandler) addInputs(d *protocol.JobDescription) bool {
 	for _, input := range d.Extra.Inputs {
 		if v.core.staging == nil {
@@ -173,8 +173,8 @@
 	return true
 }
 
-// withExtra calls do with a job's extension fields, nil if it has none; request id is
-// refused when they can't be read.
+// withExtra calls do with a job's extension fields, nil if it has none. It refuses request id if
+// they can't be read.
 func (v *queryHandler) withExtra(id uint64, r *jobRecord, do func(*job.Extra)) {
 	c, s := v.core, r.spec
 	if !s.Extended {
@@ -204,16 +204,17 @@
 	})
 }
 
-// addGrantTerms adds to a description the half of the archive's grant that is the job's.
+// addGrantTerms adds the job's half of the archive grant, the seal of its terms, to a
+// description.
 func (v *queryHandler) addGrantTerms(d *protocol.JobDescription) {
 	if v.grantKey != nil {
 		d.Grant = v.grantKey.SealTerms(d.ID, archive.TermsOf(d))
 	}
 }
 
-// grantLaunch is the half of the archive's grant that is an attempt's, for its launch; ""
-// without an archive. It is called where launches are made: by the machine's owner, for
-// tasks that the records show bound to it.
+// grantLaunch returns the attempt's half of the archive grant, the seal of its launch, or "" if
+// the site has no archive. It is called where launches are issued: by the machine's owner, for
+// tasks that the records show as bound to the machine.
 func (v *queryHandler) grantLaunch(m *machine, k taskKey, attempt int) string {
 	if v.grantKey == nil {
 		return ""
@@ -221,7 +222,7 @@
 	return v.grantKey.SealLaunch(archive.Attempt{Job: k.job, Task: k.index, Try: attempt, Machine: m.id})
 }
 
-// gangMembers tells where the tasks of an attempt run, as far as the mirror shows.
+// gangMembers returns the machines that the tasks of an attempt are bound to in the mirror.
 func (v *queryHandler) gangMembers(r *jobRecord, attempt int) protocol.GangMembers {
 	out := protocol.GangMembers{Members: []protocol.GangMember{}}
 	for _, p := range r.pages {
@@ -240,11 +241,11 @@
 	return out
 }
 
-// maxListEntries is how many entries a page of a list has at the most: with the longest names
-// it stays below the maximum length of a response.
+// maxListEntries is the maximum number of entries in a page of a list: with the longest names,
+// the page stays below the maximum length of a response.
 const maxListEntries = 100
 
-// routeList answers an operator's list; false if path is none.
+// routeList answers an operator's request for a list. It returns false if path is not a list.
 func (v *queryHandler) routeList(id uint64, path string) bool {
 	path, query, _ := strings.Cut(path, "?")
 	if path != protocol.PathJobList && path != protocol.PathMachineList {
@@ -268,8 +269,8 @@
 	return true
 }
 
-// namesAfter lists the first wanted names of m that come after from, and whether there
-// are more.
+// namesAfter returns in order the first names of m that sort after from and whose values are
+// wanted, at most maxListEntries of them, and whether there are more.
 func namesAfter[T any](m map[string]T, from string, wanted func(T) bool) (names []string, more bool) {
 	for name, value := range m {
 		if name > from && wanted(value) {
@@ -283,7 +284,7 @@
 	return names, false
 }
 
-// jobPage lists the open jobs, or all, from the one after from.
+// jobPage returns a page of the list of open jobs, or of all jobs, that starts after job from.
 func (v *queryHandler) jobPage(from string, all bool) protocol.JobPage {
 	c := v.core
 	listed := c.jobs.open
@@ -316,8 +317,8 @@
 	}
 }
 
-// waitReason says what an open job's pending tasks wait for, as far as this controller
-// knows; "" if none is pending.
+// waitReason returns what an open job's pending tasks wait for, as far as this controller
+// knows, or "" if no task is pending.
 func (v *queryHandler) waitReason(r *jobRecord) string {
 	c := v.core
 	t := c.jobs.teamOf(r)
@@ -336,7 +337,7 @@
 	return "room"
 }
 
-// machinePage lists the machines with a claim, from the one after from.
+// machinePage returns a page of the list of claimed machines that starts after machine from.
 func (v *queryHandler) machinePage(from string) protocol.MachinePage {
 	c := v.core
 	names, more := namesAfter(c.machines.byID, from, func(m *machine) bool { return m.token != 0 })
@@ -367,7 +368,7 @@
 		GPUCapacity:      capacity.GPUs,
 		MemoryCapacityGB: capacity.MemoryGB,
 	}
-	for _, key := range m.tasks() { // in order, so that equal inputs give equal sums
+	for _, key := range m.tasks() { // in fixed order, so that equal inputs give equal floating-point sums
 		s := m.bound[key].spec
 		summary.CPUs += s.CPUs
 		summary.GPUs += s.GPUs
--- a/internal/coordination/quota.go
+++ b/internal/coordination/quota.go
@@ -8,36 +8,36 @@
 	"silvergate/internal/job"
 )
 
-// team is a team's limits and guarantees with its mirrored usage.
+// team holds a team's limits and guarantees, and its mirrored usage.
 type team struct {
 	cfg       *config.Team
-	demand    usage      // of its unfinished jobs so far, for updateJobOrder alone
-	savingFor *jobRecord // the gang that its limit is saved for, see saveQuotaForGangs
-	charged   usage      // as charged; only limited teams have a record
+	demand    usage      // sum over its open jobs so far, used only by updateJobOrder
+	savingFor *jobRecord // the gang for which its limit is saved, see saveQuotaForGangs
+	charged   usage      // its record in the state service; only teams with a limit have one
 	running   usage      // of its bound tasks, from the mirror
-	revision  uint64     // of its record
+	revision  uint64     // mod revision of its record
 	inFlight  bool       // a transaction that changes its record has not been answered
 }
 
-// usage is an amount of resources. It is also a team's record in the state service.
+// usage is an amount of resources, and the form of a team's record in the state service.
 type usage struct {
 	CPUs float64 `json:"c"`
 	GPUs float64 `json:"g"`
 }
 
-// plus returns u with n more tasks of a job.
+// plus returns u plus the usage of n tasks of a job.
 func (u usage) plus(s *job.Spec, n float64) usage {
 	return usage{CPUs: u.CPUs + n*s.CPUs, GPUs: u.GPUs + n*s.GPUs}
 }
 
-// quotaTolerance is what sums of decimal amounts may be off by, far below any amount that a
-// user would give.
+// quotaTolerance is the permitted rounding error of sums of decimal amounts, in CPUs or GPUs. It
+// is far below any amount that a user would specify.
 const quotaTolerance = 1e-6
 
 // hasLimit reports whether the team has any limit at all.
 func (t *team) hasLimit() bool { return t.cfg.CPUsMax > 0 || t.cfg.GPUsMax > 0 }
 
-// withinLimit reports whether u keeps to the team's limits; 0 is no limit.
+// withinLimit reports whether u is within the team's limits; a limit of 0 means none.
 func (t *team) withinLimit(u usage) bool {
 	if t.cfg.CPUsMax != 0 && u.CPUs > t.cfg.CPUsMax+quotaTolerance {
 		return false
@@ -45,8 +45,8 @@
 	return t.cfg.GPUsMax == 0 || u.GPUs <= t.cfg.GPUsMax+quotaTolerance
 }
 
-// withinGuarantee reports whether u is within the team's guarantee; what a team uses
-// of a resource that it has no guarantee for does not count against it.
+// withinGuarantee reports whether u is within the team's guarantee. A resource for which the team
+// has no guarantee does not count. A team without any guarantee is never within it.
 func (t *team) withinGuarantee(u usage) bool {
 	if t.cfg.CPUs == 0 && t.cfg.GPUs == 0 {
 		return false
--- a/internal/coordination/record_formats.go
+++ b/internal/coordination/record_formats.go
@@ -1,16 +1,16 @@
 package coordination
 
-// Formats of records, each of which includes those before it. A controller publishes the
-// latest that it reads with its member record.
+// Record formats, each of which includes the earlier ones. A controller publishes the latest
+// format that it can read in its member record.
 const (
-	compactPageFormat   = 1 // pages in the compact form
-	failoverFormat      = 2 // failover of machines by the group
+	compactPageFormat   = 1 // pages in compact form
+	failoverFormat      = 2 // failover of machines by group
 	completionLogFormat = 3 // the completion log
 	latestFormat        = completionLogFormat
 )
 
-// allPeersRead reports whether all peers are known to read a format: each has published so
-// since this process started.
+// allPeersRead reports whether all peers are known to read a format. A peer is known to once this
+// process has seen a member record of the peer that says so.
 func (c *Core) allPeersRead(format int) bool {
 	for _, p := range c.cfg.Peers {
 		if c.membership.formats[p.Node] < format {
--- a/internal/coordination/task_index.go
+++ b/internal/coordination/task_index.go
@@ -5,8 +5,8 @@
 	"silvergate/internal/losses"
 )
 
-// indexTask counts a task of the mirror for its job, its team and the machine that it is
-// bound to. The revision since is that of its binding, 0 if that is not known.
+// indexTask adds a mirrored task to the counts and indexes of its job, its team and the machine
+// that it is bound to. boundRevision is the revision of its binding, 0 if that is not known.
 func (c *Core) indexTask(r *jobRecord, k taskKey, t *job.Task, boundRevision uint64) {
 	r.lastAttempt = max(r.lastAttempt, t.Attempt)
 	switch t.Phase {
@@ -41,11 +41,11 @@
 		c.traceStart(losses.Bound, k.job, k.index, t.Attempt, m.id)
 	}
 	if t.Epoch == m.epoch {
-		c.queueLaunch(m.id, k, t.Attempt) // also when a peer's gang was bound to our machine
+		c.queueLaunch(m.id, k, t.Attempt) // also if a peer bound a task of a gang to our machine
 	}
 }
 
-// unindexTask takes back what indexTask counted for the task.
+// unindexTask reverts indexTask for a task.
 func (c *Core) unindexTask(r *jobRecord, k taskKey, t *job.Task) {
 	switch t.Phase {
 	case job.Bound:
