--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -15,10 +15,10 @@
 	"silvergate/internal/protocol"
 )
 
-// canRun tells by trying every way of laying a job's tasks into zones, however many machines
-// there are, whether it can ever run.
+// canRun reports whether a job can ever run, by trying every assignment of its tasks to zones. It
+// assumes an unlimited number of machines.
 func canRun(s *job.Spec, types []protocol.MachineType, teams []config.Team) bool {
-	tasks := 1 // tasks that must be there at the same time
+	tasks := 1 // tasks that must run at the same time
 	if s.Shape != job.Array {
 		tasks = s.Tasks
 	}
@@ -61,8 +61,8 @@
 	return fits && place(tasks, map[string]int{})
 }
 
-// TestNothingThatCanRunIsRefused compares what is accepted with a brute-force answer, for every
-// combination of what a job may ask for on small catalogues.
+// TestNothingThatCanRunIsRefused compares checkFeasible with the brute-force answer of canRun, for
+// every combination of a job's requirements with small catalogues of machine types.
 func TestNothingThatCanRunIsRefused(t *testing.T) {
 	teams := []config.Team{{Name: "red", GPUsMax: 3, CPUsMax: 20}, {Name: "blue"}}
 	accepted, refused := 0, 0
@@ -85,7 +85,7 @@
 										OneZone: flags&1 > 0, Spread: flags&2 > 0, Spot: flags&4 > 0}
 									err := c.checkFeasible(s)
 									if want := canRun(s, types, teams); want != (err == nil) {
-										t.Fatalf("%+v on %+v: can run %v, judged %v", *s, types, want, err)
+										t.Fatalf("job %+v, machine types %+v: can run %v, checkFeasible returned %v", *s, types, want, err)
 									}
 									if err == nil {
 										accepted++
@@ -101,13 +101,14 @@
 		}
 	}
 	if accepted < 1000 || refused < 1000 {
-		t.Errorf("%d accepted, %d refused: the combinations are too few", accepted, refused)
+		t.Errorf("%d accepted, %d refused: too few combinations", accepted, refused)
 	}
 }
 
-// TestAnswersToBadRequests is the table of bad and repeated requests, at a controller
-// that knows the job and at one whose mirror lacks it: the field is named, a known job is never
-// refused, and nothing is said of unknown ones without a look.
+// TestAnswersToBadRequests sends invalid and repeated requests to controllers that know the job and
+// to controllers whose mirror may lack it. The answer to an invalid submission names the field; a
+// repeated submission of a known job is never refused, whatever it contains; and no controller
+// calls a job unknown without reading its record.
 func TestAnswersToBadRequests(t *testing.T) {
 	s := newSim(t, 49_000, 0)
 	s.run(10 * time.Second)
@@ -153,50 +154,51 @@
 			t.Errorf("%s = %v: %d %s", k.field, k.v, st, answer)
 		}
 		if st, answer := request((i+1)%3, "GET", protocol.PathJobs+"/"+id, nil); st != 404 {
-			t.Errorf("%s = %v: then %d %s", k.field, k.v, st, answer)
+			t.Errorf("%s = %v: status of the refused job: %d %s", k.field, k.v, st, answer)
 		}
-		// The same as a repetition of a known job.
+		// The same invalid field in a repeated submission of a known job.
 		if st, answer := request((i+1)%3, "POST", protocol.PathJobs, with("wk-700000", k.field, k.v)); st != 200 {
-			t.Errorf("repeated with %s = %v: %d %s", k.field, k.v, st, answer)
+			t.Errorf("repeated submission with %s = %v: %d %s", k.field, k.v, st, answer)
 		}
 	}
 	if st, _ := request(1, "POST", protocol.PathJobs+"/wk-799999/abort", nil); st != 404 {
 		t.Errorf("cancelling an unknown job: %d", st)
 	}
-	// A job that is known by a record that can't be read is not unknown, and a job that is done is not cancelled.
+	// A job whose record can't be read does not count as unknown, and a job that is done is not cancelled.
 	u := s.submit(&job.Spec{ID: "wk-700001", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, 5, 0)
 	s.state.revision++
 	s.state.apply(keyJob+"wk-700002", json.RawMessage(`{"spec":7}`), 0, s.state.revision)
 	s.run(s.now + 60*time.Second)
 	if u.finalStatus != "done" {
-		t.Fatalf("the job is %q", u.finalStatus)
+		t.Fatalf("the job's final status is %q, want done", u.finalStatus)
 	}
 	for n := range s.controllers {
 		if st, answer := request(n, "POST", protocol.PathJobs+"/wk-700001/abort", nil); st != 200 || !strings.Contains(answer, `"done"`) {
-			t.Errorf("cancelling what is done, at n%d: %d %s", n, st, answer)
+			t.Errorf("cancelling a job that is done, at n%d: %d %s", n, st, answer)
 		}
 		if st, answer := request(n, "GET", protocol.PathJobs+"/wk-700002", nil); st != 503 {
-			t.Errorf("asking for what can't be read, at n%d: %d %s", n, st, answer)
+			t.Errorf("status query of a job whose record can't be read, at n%d: %d %s", n, st, answer)
 		}
 		if st, answer := request(n, "POST", protocol.PathJobs+"/wk-700002/abort", nil); st != 503 {
-			t.Errorf("cancelling what can't be read, at n%d: %d %s", n, st, answer)
+			t.Errorf("cancelling a job whose record can't be read, at n%d: %d %s", n, st, answer)
 		}
 		if st, answer := request(n, "POST", protocol.PathJobs, with("wk-700002", "loads", 0)); st != 503 {
-			t.Errorf("repeating what can't be read, at n%d: %d %s", n, st, answer)
+			t.Errorf("repeated submission of a job whose record can't be read, at n%d: %d %s", n, st, answer)
 		}
 	}
 }
 
-// TestNoTaskStartsAfterACancellation guards against tasks that wait for their image when their
-// job is cancelled: the stop came with the next heartbeat, and they had begun by then.
+// TestNoTaskStartsAfterACancellation guards against tasks that start after their job was cancelled:
+// they wait for their image at the cancellation, and have begun by the time the next heartbeat's
+// answer stops them.
 func TestNoTaskStartsAfterACancellation(t *testing.T) {
 	for seed := uint64(49_100); seed < 49_103; seed++ {
 		s := newSim(t, seed, 0)
-		s.faults.quickBoots = true // each machine comes up
+		s.faults.quickBoots = true // every rented machine boots
 		s.after(time.Second, func() {
 			s.submit(&job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 6, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
 		})
-		s.run(40 * time.Second) // there are machines
+		s.run(40 * time.Second) // until machines are up
 		for i := range 40 {
 			s.after(time.Duration(i)*500*time.Millisecond, func() {
 				s.submit(&job.Spec{ID: fmt.Sprintf("wk-7%05d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 2, CPUs: 1, GPUs: 0.25, MemoryGB: 1}, 20, s.randomMillis(100, 2500))
@@ -204,7 +206,7 @@
 		}
 		s.run(80 * time.Second)
 		if s.counts.taskStarts < 10 || s.faultCounts.lateStarts > 0 {
-			t.Errorf("seed %d: %d of %d starts came after the user had been told that the job is cancelled", seed, s.faultCounts.lateStarts, s.counts.taskStarts)
+			t.Errorf("seed %d: %d of %d task starts came after the user was told that the job is cancelled", seed, s.faultCounts.lateStarts, s.counts.taskStarts)
 		}
 		s.reportViolations(t)
 	}
--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -11,7 +11,7 @@
 	"silvergate/internal/protocol"
 )
 
-// TestRulesHoldWithTheEndingLog plays days of troubles with the completion log switched on.
+// TestRulesHoldWithTheEndingLog simulates days with random faults and the completion log enabled.
 func TestRulesHoldWithTheEndingLog(t *testing.T) {
 	runSeeds(t, 12_500, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.01)
@@ -24,8 +24,8 @@
 	})
 }
 
-// TestCompletionLogSavesRevisions compares the revisions of a day of arrays with the log and without it, and
-// that nothing of it is left when all is over.
+// TestCompletionLogSavesRevisions checks that a day of arrays takes fewer revisions with the log
+// than without it, and that at most a few records of the log remain once all jobs are done.
 func TestCompletionLogSavesRevisions(t *testing.T) {
 	run := func(logged bool) (revisions uint64, remaining int) {
 		s := grownSim(t, 91)
@@ -54,8 +54,9 @@
 	}
 }
 
-// TestALoggedEndingIsOfOneAttempt guards against a completion that ends another attempt than its
-// own: a late record of an earlier one, or of the same number in another agent epoch.
+// TestALoggedEndingIsOfOneAttempt guards against a completion in the log that completes a different
+// attempt: a late record of an earlier attempt, or of an attempt with the same number in another
+// agent epoch.
 func TestALoggedEndingIsOfOneAttempt(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -74,14 +75,15 @@
 			s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
 			s.c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{test.completion}}))
 			if ended := s.c.jobs.byID["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != test.ends {
-				t.Errorf("%s: ended %v, want %v", test.completion, ended, test.ends)
+				t.Errorf("%s: task finished %v, want %v", test.completion, ended, test.ends)
 			}
 		})
 	}
 }
 
-// TestAPageBehindTheLog: a page that is read after the log, and binds what the log says has
-// completed, shows it completed; one that shows a later attempt settles the completion.
+// TestAPageBehindTheLog checks pages that are read after the log: a task that the page shows as
+// bound, but that has completed according to the log, is finished in the mirror, and a page that
+// shows a later attempt settles the completion.
 func TestAPageBehindTheLog(t *testing.T) {
 	s := newScript(t)
 	s.held()
@@ -93,19 +95,20 @@
 	c.applyPage("wk-700000/0", page(1), 130)
 	task := &c.jobs.byID["wk-700000"].pages[0].tasks[0]
 	if task.Phase != job.Finished || c.jobs.byID["wk-700000"].bound != 0 {
-		t.Errorf("%+v", *task)
+		t.Errorf("after the page behind the log: task %+v, want it finished and not counted as bound", *task)
 	}
-	c.applyPage("wk-700000/0", page(1), 131) // written again by who has not seen the log
+	c.applyPage("wk-700000/0", page(1), 131) // written again by a controller that has not read the log
 	if task.Phase != job.Finished {
-		t.Errorf("%+v", *task)
+		t.Errorf("after the page was written again: task %+v, want it finished", *task)
 	}
 	c.applyPage("wk-700000/0", page(2), 132)
 	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writer.completions.log.Settled()) != 1 {
-		t.Errorf("%+v, %v", *task, c.writer.completions.log.Settled())
+		t.Errorf("after a page with a later attempt: task %+v, settled records %v, want attempt 2 bound and one record", *task, c.writer.completions.log.Settled())
 	}
 }
 
-// TestCompletionLogWithEarlierVersions: nothing goes to the log while a peer does not read it.
+// TestCompletionLogWithEarlierVersions checks that no completion is written to the log while any
+// peer can't read it.
 func TestCompletionLogWithEarlierVersions(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.options.completionLog = true
@@ -115,16 +118,16 @@
 	done := taskTransition{proof: 1, done: true}
 	c.membership.formats["n1"], c.membership.formats["n2"] = completionLogFormat, completionLogFormat
 	if !c.goesToCompletionLog(r, done) {
-		t.Error("all read it")
+		t.Error("the log is not used although all peers read it")
 	}
 	c.membership.formats["n2"] = failoverFormat
 	if c.goesToCompletionLog(r, done) {
-		t.Error("one does not read it")
+		t.Error("the log is used although one peer does not read it")
 	}
 }
 
-// TestCompletionRecordsRespectSizeLimit: a record takes the completions that fit, in their
-// order, and one at least; the rest waits for the next.
+// TestCompletionRecordsRespectSizeLimit checks that a record holds the completions that fit, in
+// order and at least one, and that the others remain queued for the next record.
 func TestCompletionRecordsRespectSizeLimit(t *testing.T) {
 	entry := len("wk-000001/0.1 i-000001 1") + completionOverhead
 	for _, test := range []struct {
@@ -142,10 +145,10 @@
 			for index := range 3 {
 				k := taskKey{job: "wk-000001", index: index}
 				w.add(time.Second, k, taskTransition{machine: "i-000001", epoch: 1, attempt: 1})
-				w.add(2*time.Second, k, taskTransition{machine: "i-000001", epoch: 1, attempt: 1}) // once is enough
+				w.add(2*time.Second, k, taskTransition{machine: "i-000001", epoch: 1, attempt: 1}) // a duplicate is ignored
 			}
 			if w.due(2*time.Second, 2*time.Second) || !w.due(3*time.Second, 2*time.Second) {
-				t.Error("the delay does not count from the first completion")
+				t.Error("the delay is not measured from the first completion")
 			}
 			taken, record := w.takeBatch(4*time.Second, test.maxBytes)
 			if len(taken) != test.taken || len(record.Completions) != test.taken || len(w.unlogged) != 3-test.taken {
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -8,15 +8,15 @@
 	"silvergate/internal/protocol"
 )
 
-// TestAJobWhosePagesEndAtOnceIsDone guards against a job of 25,000 tasks that all
-// completed and that was never called done (carbura-iasi-fleet, a day of our own;
-// shiftbook-akl-ops, drawn days: citysweep 0.0): the last completions of two pages were
-// committed at once, and neither transaction held the other's.
+// TestAJobWhosePagesEndAtOnceIsDone guards against a job whose tasks have all completed and that is
+// never marked as done: the last completions of two of its pages are committed at once, and
+// neither transaction includes the other's completion. Seen with a job of 25,000 tasks, on a day
+// of our own on carbura-iasi-fleet and on random days on shiftbook-akl-ops (citysweep 0.0).
 func TestAJobWhosePagesEndAtOnceIsDone(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		owner        string
-		transactions int // that call the job done
+		transactions int // that mark the job as done
 	}{
 		{"owned by this controller", "n1", 1},
 		{"owned by another controller", "n0", 0},
@@ -34,7 +34,7 @@
 			}})
 			s.pass(time.Second)
 			if got := s.transactionsOnJob(spec.ID); got != test.transactions {
-				t.Errorf("%d transactions call the job done, want %d", got, test.transactions)
+				t.Errorf("%d transactions mark the job as done, want %d", got, test.transactions)
 			}
 			if test.transactions == 0 {
 				return
@@ -44,13 +44,14 @@
 			s.take(s.c.Request(s.clock(), 1, "GET", protocol.PathJobs+"/"+spec.ID, nil))
 			var state protocol.JobState
 			if len(s.ans) != 1 || protocol.Decode(s.ans[0].Body, &state) != nil || state.Status != string(job.Done) {
-				t.Errorf("the user is told %+v", s.ans)
+				t.Errorf("the answer to the user's status query is %+v, want the job done", s.ans)
 			}
 		})
 	}
 }
 
-// loadTwoPages has the controller read a job of two pages, each but for one task finished.
+// loadTwoPages has the controller read a job of two pages, in each of which all tasks but one have
+// finished.
 func (s *script) loadTwoPages(spec *job.Spec, owner string) {
 	tasksPerPage := s.c.tasksPerPage()
 	s.pass(100 * time.Millisecond)
@@ -65,7 +66,7 @@
 	s.pass(200 * time.Millisecond)
 }
 
-// finishedPage is a change of a page of which the first tasks have finished.
+// finishedPage returns a change of a page in which the first finished tasks have finished.
 func finishedPage(jobID string, number, finished, size int, revision uint64) protocol.WatchEvent {
 	tasks := make([]job.Task, size)
 	for i := range finished {
@@ -74,7 +75,7 @@
 	return protocol.WatchEvent{Put: pageKey(jobID, number), Value: writePage(tasks), ModRevision: revision}
 }
 
-// transactionsOnJob counts the transactions sent that write a job's record alone.
+// transactionsOnJob returns the number of sent transactions that write only a job's record.
 func (s *script) transactionsOnJob(jobID string) int {
 	count := 0
 	for _, call := range s.todo {
--- a/internal/coordination/job_description_test.go
+++ b/internal/coordination/job_description_test.go
@@ -10,9 +10,9 @@
 	"silvergate/internal/protocol"
 )
 
-// TestDescriptionsReachWorkers submits a job with extension fields and one
-// without: every controller describes the former with them, also after a restart,
-// and the latter's record has no trace of them.
+// TestDescriptionsReachWorkers submits a job with extension fields and a job without any. Every
+// controller's description of the first job has its extension fields, also after a restart; the
+// second job's record and description have none. Invalid extension fields are refused.
 func TestDescriptionsReachWorkers(t *testing.T) {
 	s := newSim(t, 61, 0)
 	s.run(10 * time.Second)
@@ -43,12 +43,12 @@
 		t.Fatal(st, answer)
 	}
 	if raw := s.state.keys[keyJob+"wk-600002"].value; bytes.Contains(raw, []byte(`"x"`)) {
-		t.Errorf("the record of a job without extension fields: %s", raw)
+		t.Errorf("the record of a job without extension fields has some: %s", raw)
 	}
 	s.controllers[2].crash(time.Second)
 	s.run(s.now + 10*time.Second)
 	for n := range s.controllers {
-		for range 2 { // the second time from the cache
+		for range 2 { // the second description comes from the cache
 			st, answer := ask(n, "GET", protocol.PathJobs+"/wk-600001/description", nil)
 			var d protocol.JobDescription
 			if protocol.Decode([]byte(answer), &d) != nil || st != 200 || d.Tasks != 2 || d.Image != "k" || d.Extra == nil || len(d.Extra.Command) != 2 || d.Extra.Env["A"] != "b" {
@@ -59,13 +59,13 @@
 			t.Errorf("node %d: %d %s", n, st, answer)
 		}
 		if st, _ := ask(n, "GET", protocol.PathJobs+"/wk-600003/description", nil); st != 404 {
-			t.Errorf("node %d: %d for a job that nobody submitted", n, st)
+			t.Errorf("node %d: description of an unknown job: status %d", n, st)
 		}
 		if st, answer := ask(n, "GET", protocol.PathJobList+"?all=true&from=", nil); st != 200 || strings.Count(answer, `"ref":"wk-60000`) != 2 {
-			t.Errorf("node %d: jobs: %d %s", n, st, answer)
+			t.Errorf("node %d: list of jobs: %d %s", n, st, answer)
 		}
 		if st, answer := ask(n, "GET", protocol.PathMachineList, nil); st != 200 || !strings.Contains(answer, `"stoker":"i-`) {
-			t.Errorf("node %d: nodes: %d %s", n, st, answer)
+			t.Errorf("node %d: list of machines: %d %s", n, st, answer)
 		}
 	}
 	if len(s.violations) > 0 {
--- a/internal/coordination/job_order_test.go
+++ b/internal/coordination/job_order_test.go
@@ -9,13 +9,14 @@
 	"silvergate/internal/job"
 )
 
-// TestEverythingBegins guards against jobs that never begin beside others that keep coming: a gang whose team is at its
-// limit, as each task that ends leaves room for the next small one, and the largest job of a class, as smaller
-// ones go first. Each begins within four minutes, and the small ones go on.
+// TestEverythingBegins guards against jobs that never begin under a steady stream of small jobs: a
+// gang whose team is at its limit, because the next small task uses the quota that an ended task
+// frees, and the largest or a late job, because other jobs go before it. Each must begin within
+// four minutes, while small jobs go on beginning.
 func TestEverythingBegins(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		runs float64 // the small ones
+		runs float64 // runtime of the small jobs' tasks, in seconds
 		slow *job.Spec
 	}{
 		{"a gang of a team at its limit", 10, &job.Spec{Class: "gng", Shape: job.Gang, Tasks: 3, CPUs: 4, GPUs: 2, Priority: job.Normal}},
@@ -46,7 +47,7 @@
 				s.after(60*time.Second, func() { user = s.submit(&spec, 20, 0) })
 				s.run(60*time.Second + largestJobStartLimit)
 				if user.tasksStarted == 0 {
-					t.Errorf("seed %d: it has not begun", seed)
+					t.Errorf("seed %d: the job has not begun", seed)
 				}
 				begun := 0
 				for _, other := range s.users {
@@ -55,7 +56,7 @@
 					}
 				}
 				if want := min(40, int(400/test.runs)); begun < want {
-					t.Errorf("seed %d: only %d small jobs began meanwhile", seed, begun)
+					t.Errorf("seed %d: only %d small jobs began in the same time", seed, begun)
 				}
 				s.reportViolations(t)
 			}
--- a/internal/coordination/job_table_test.go
+++ b/internal/coordination/job_table_test.go
@@ -7,7 +7,7 @@
 	"silvergate/internal/job"
 )
 
-// tableJob is an open job for tests of the table's indexes.
+// tableJob returns an open job for tests of the job table's indexes.
 func tableJob(id string, submittedAtMS int64, gpus float64) *jobRecord {
 	r := &jobRecord{}
 	r.spec = &job.Spec{ID: id, Tasks: 5, GPUs: gpus}
@@ -16,12 +16,13 @@
 	return r
 }
 
-// TestIndexesOfOpenJobs: jobs are in order of age whatever the order they come in, and one that
-// is over leaves all indexes but openByUrgency, which the next sweep renews.
+// TestIndexesOfOpenJobs checks that open jobs are indexed by age regardless of the order in which
+// they are added, and that a removed job is in no index but openByUrgency, which the next sweep
+// updates.
 func TestIndexesOfOpenJobs(t *testing.T) {
 	oldest := tableJob("wk-000003", 1, 0)
 	middle := tableJob("wk-000001", 2, 1)
-	youngest := tableJob("wk-000002", 2, 0) // of the same time as middle: by name
+	youngest := tableJob("wk-000002", 2, 0) // submitted at the same time as middle: ordered by id
 	table := newJobTable()
 	for _, r := range []*jobRecord{youngest, oldest, middle} {
 		table.addOpen(r)
@@ -30,18 +31,19 @@
 		t.Error("open jobs are not in order of age")
 	}
 	if want := []*jobRecord{youngest, oldest, middle}; !slices.Equal(table.added, want) {
-		t.Error("added jobs are not in order of their coming")
+		t.Error("added jobs are not in the order in which they were added")
 	}
 	if len(table.open) != 3 || table.openCPUOnly != 2 {
 		t.Errorf("%d open jobs, %d of them without accelerators, want 3 and 2", len(table.open), table.openCPUOnly)
 	}
 	table.removeOpen(oldest)
 	if want := []*jobRecord{middle, youngest}; !slices.Equal(table.openByAge, want) || table.open[oldest.spec.ID] != nil || table.openCPUOnly != 1 {
-		t.Errorf("a job that is over is still open: %d by age, %d without accelerators", len(table.openByAge), table.openCPUOnly)
+		t.Errorf("a removed job is still indexed as open: %d jobs by age, %d without accelerators", len(table.openByAge), table.openCPUOnly)
 	}
 }
 
-// TestPagesOfAJob: every task is in one page, and the last page may be smaller.
+// TestPagesOfAJob checks that every task is in exactly one page, and that the last page may be
+// smaller.
 func TestPagesOfAJob(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/internal/coordination/losslines_test.go
+++ b/internal/coordination/losslines_test.go
@@ -18,8 +18,8 @@
 // goldenLossLines is the log that the golden test of internal/losses reads.
 const goldenLossLines = "../../losses/testdata/controller.log"
 
-// lossLines has a core write a debug line of each kind that internal/losses reads, a second
-// apart.
+// lossLines returns the debug log of a core that writes a line of each kind that internal/losses
+// parses, with time stamps one second apart.
 func lossLines() []byte {
 	var out bytes.Buffer
 	at := time.Date(2026, 1, 1, 6, 0, 0, 0, time.UTC)
@@ -61,13 +61,13 @@
 	return out.Bytes()
 }
 
-// TestLossLinesKeepTheirBytes compares the debug lines with those that internal/losses is
-// known to read.
+// TestLossLinesKeepTheirBytes compares the debug lines with the golden log that the test of
+// internal/losses parses.
 func TestLossLinesKeepTheirBytes(t *testing.T) {
 	want := golden(t, goldenLossLines, lossLines)
 	got := lossLines()
 	if lines := strings.Count(string(want), "\n"); lines != 48 {
-		t.Errorf("%d lines", lines)
+		t.Errorf("the golden log has %d lines, want 48", lines)
 	}
 	requireSameBytes(t, got, want)
 }
--- a/internal/coordination/quota_test.go
+++ b/internal/coordination/quota_test.go
@@ -6,8 +6,9 @@
 	"silvergate/internal/config"
 )
 
-// TestWithinLimitAndGuarantee: a limit of 0 is none; a guarantee of 0 beside another does not
-// count; and amounts that are off by less than the tolerance are within both.
+// TestWithinLimitAndGuarantee checks that a limit of 0 means no limit, that a guarantee of 0 for
+// one resource is ignored if there is one for the other, and that amounts may exceed a limit by
+// less than the tolerance.
 func TestWithinLimitAndGuarantee(t *testing.T) {
 	for _, test := range []struct {
 		name            string
--- a/internal/coordination/settings_golden_test.go
+++ b/internal/coordination/settings_golden_test.go
@@ -12,9 +12,9 @@
 	"silvergate/internal/config"
 )
 
-// fill gives every exported field below v a value of its own, in the order of the fields,
-// but those that are not encoded. The operators' settings are left out of the JSON and
-// encoded as YAML.
+// fill sets every exported field in v that is encoded to a non-zero value, derived from next where
+// the type allows, so that the values differ. The operators' settings are not part of the JSON but are encoded as
+// YAML, so they are set too.
 func fill(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
@@ -52,11 +52,12 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*next) + 0.5)
 	default:
-		panic(fmt.Sprintf("a setting of type %v", v.Type()))
+		panic(fmt.Sprintf("unsupported type of a setting: %v", v.Type()))
 	}
 }
 
-// TestSettingsInRecordingsKeepTheirBytes has every setting in a recording's header.
+// TestSettingsInRecordingsKeepTheirBytes checks that a recording's header holds every setting, in
+// the form of the golden files, and that decoding these gives the same settings.
 func TestSettingsInRecordingsKeepTheirBytes(t *testing.T) {
 	var want config.Settings
 	next := 0
@@ -77,6 +78,6 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, not %+v", got, want)
+		t.Errorf("decoded as %+v, want %+v", got, want)
 	}
 }
--- a/internal/coordination/stored_keys_test.go
+++ b/internal/coordination/stored_keys_test.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/job"
 )
 
-// mirroringCore is a core whose settings have all that records can be about.
+// mirroringCore returns a core whose settings include everything that the records refer to.
 func mirroringCore() *Core {
 	cfg := &config.Settings{Node: "n0", Zone: "z-a", Operator: config.DefaultOperator()}
 	cfg.Operator.Staging = &config.Staging{ServerStreams: 6, PeerStreams: 2, MachineStreams: 1, RateMBPerS: 100}
@@ -23,13 +23,13 @@
 	return New(cfg, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 2)), 1)
 }
 
-// storedKeyCase is a golden record under its key, and how a core shows that it knows it.
+// storedKeyCase is a golden record with its key, and a check that a core has applied it.
 type storedKeyCase struct {
 	key, file string
 	applied   func(c *Core) bool
 }
 
-// storedKeyRevision is the mod revision of the records.
+// storedKeyRevision is the mod revision of the applied records.
 const storedKeyRevision = 99
 
 func storedKeyCases() []storedKeyCase {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestStoredRecordsAreAppliedByKey gives each golden record under its key to a core of its own,
-// and looks for what the core knows then.
+// TestStoredRecordsAreAppliedByKey applies each golden record under its key to a new core, and
+// checks that the core's state then shows the record.
 func TestStoredRecordsAreAppliedByKey(t *testing.T) {
 	for _, test := range storedKeyCases() {
 		t.Run(test.file, func(t *testing.T) {
@@ -88,17 +88,18 @@
 			}
 			c := mirroringCore()
 			if test.applied(c) {
-				t.Fatal("known without the record")
+				t.Fatal("the check succeeds before the record is applied")
 			}
 			c.applyChange(test.key, data, storedKeyRevision)
 			if !test.applied(c) {
-				t.Errorf("%s is not taken for what it is: %s", test.key, data)
+				t.Errorf("%s: the record was not applied: %s", test.key, data)
 			}
 		})
 	}
 }
 
-// goldenPageApplied tells whether the golden page is known once its job is: a page may come first.
+// goldenPageApplied applies the golden page's job and reports whether the page, which was applied
+// before its job, is in the job table.
 func goldenPageApplied(c *Core) bool {
 	data, err := os.ReadFile(filepath.Join(goldenFolder, "records", "j-open.json"))
 	if err != nil {
--- a/internal/coordination/user_expectations_test.go
+++ b/internal/coordination/user_expectations_test.go
@@ -10,22 +10,23 @@
 	"silvergate/internal/protocol"
 )
 
-// Known and served: what users expect of a day beside its rules. The checkers say it
-// as outsiders see it: by the answers that users get, and by what starts on workers.
+// Checkers of what users expect in addition to the rules: answers to their status queries, and
+// jobs that are served. The checkers see only what outsiders see: the answers that users get,
+// and the tasks that start on workers.
 
 const (
-	maxTimeWithoutAnswer = 75 * time.Second // without any answer to a question about a job
-	largestJobStartLimit = 4 * time.Minute
+	maxTimeWithoutAnswer = 75 * time.Second // to the status queries of a job
+	largestJobStartLimit = 4 * time.Minute  // from the submission of a class's largest jobs to their start
 )
 
-// served is what is known of how users fared.
+// served is the state of the checkers of answers to users.
 type served struct {
-	from time.Duration // when all troubles are over; 0: not yet
-	lost map[string]bool
+	from time.Duration   // time at which all faults are over; 0: not yet
+	lost map[string]bool // jobs reported as unanswered
 }
 
-// knownFrom has the users of all accepted jobs ask about them from now on, when all troubles
-// are over, and judges that each gets an answer.
+// knownFrom makes the users of all accepted jobs query their jobs' status regularly from the time
+// now on, when all faults are over, and checks that each gets an answer.
 func (s *sim) knownFrom(now time.Duration) {
 	s.after(now-s.now, func() {
 		s.service = served{from: s.now, lost: map[string]bool{}}
@@ -42,28 +43,28 @@
 		}
 		if since := s.now - max(s.service.from, u.lastAnsweredAt, u.submittedAt); since > maxTimeWithoutAnswer && !s.service.lost[id] {
 			s.service.lost[id] = true
-			s.violation("unanswered", "%s: no question is answered for %v", id, since)
+			s.violation("unanswered", "%s: no status query has been answered for %v", id, since)
 		}
 		if u.finalStatus == "" {
-			continue // its user polls anyway
+			continue // the user of an unfinished job polls anyway
 		}
 		u.ask()
 	}
 	s.after(15*time.Second, s.queryAllJobs)
 }
 
-// ask polls once more.
+// ask sends one more status query, to any controller.
 func (u *simUser) ask() {
 	u.askAt(u.s.anyController())
 }
 
-// askAt polls once more at a node.
+// askAt sends one more status query to a controller.
 func (u *simUser) askAt(n *simController) {
 	before := u.knownStatus()
 	n.request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) { u.polled(st, body, before) })
 }
 
-// polled judges a poll's answer.
+// polled checks the answer to a status query.
 func (u *simUser) polled(st int, body []byte, before knownStatus) {
 	switch st {
 	case 200:
@@ -76,9 +77,10 @@
 	}
 }
 
-// judgeServed judges at the end of a day whether half of each class, of each team and of
-// each class's largest jobs was served, and whether those largest began in time. Jobs that their users
-// cancelled or that came too late to be judged do not count.
+// judgeServed checks at the end of a day that at least half of the jobs of each class, of each
+// team, and of each class's largest jobs were served. The largest jobs count as served only if
+// they also began in time. Jobs that their users cancelled, that fail everywhere or that were
+// submitted too late do not count.
 func (s *sim) judgeServed() {
 	type count struct{ served, all int }
 	groups := map[string]*count{}
@@ -106,7 +108,7 @@
 		if u.spec.Tasks*4 < maxTasks[u.spec.Class]*3 {
 			continue
 		}
-		// To be served, these have to begin in time.
+		// The largest jobs also have to begin in time.
 		add("largest of class "+u.spec.Class, ok && u.startDelay <= largestJobStartLimit)
 	}
 	for _, name := range sortedKeys(groups) {
@@ -116,14 +118,14 @@
 	}
 }
 
-// startedOn is where a task was started last.
+// startedOn is the worker and agent epoch in which a task was last started.
 type startedOn struct {
 	worker     *simWorker
 	agentEpoch uint64
 }
 
-// start records a task's start, and whether it was started before on a machine that is still
-// there, in the same agent epoch.
+// start records a task's start. It counts a restart if the task was started before on a machine
+// that still exists, in the same agent epoch.
 func (u *simUser) start(index int, w *simWorker) {
 	if u.lastStarts == nil {
 		u.lastStarts = make([]startedOn, u.spec.Tasks)
@@ -140,8 +142,8 @@
 	}
 }
 
-// countOutages adds up the times in which the state service was down for all: nobody can
-// begin anything in them, and they do not count for what has to begin in time.
+// countOutages adds up the time for which the state service was down for all controllers: no job
+// can begin then, so it does not count towards the time within which jobs have to begin.
 func (s *sim) countOutages() {
 	if s.state.downUntil > s.now {
 		s.counts.outage += 100 * time.Millisecond
@@ -149,33 +151,34 @@
 	s.after(100*time.Millisecond, s.countOutages)
 }
 
-// largeJob submits a job that is large for the site, so that the largest of a class are judged.
+// largeJob submits a job that is large for the site, for the check of a class's largest jobs.
 func (s *sim) largeJob(n int) {
 	s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", 500_000+n), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 40,
 		CPUs: 4, GPUs: 0.5, MemoryGB: 8, Spot: true}, 8, 0)
 }
 
-// TestServiceCheckersFindViolations has each checker of this file find what it is for.
+// TestServiceCheckersFindViolations checks that each checker in this file finds the violation that
+// it is meant to find.
 func TestServiceCheckersFindViolations(t *testing.T) {
 	for _, v := range []struct {
 		rule  string
 		spoil func(s *sim)
 	}{
 		{"", func(*sim) {}},
-		{"unanswered", func(s *sim) { // users who reach nobody after the troubles
+		{"unanswered", func(s *sim) { // users can't reach any controller after 100 s
 			s.after(100*time.Second, func() {
 				for _, n := range s.controllers {
 					n.unreachableUntil["users"] = time.Hour
 				}
 			})
 		}},
-		{"not served: class arr", func(s *sim) { // no machine ever reaches a controller
+		{"not served: class arr", func(s *sim) { // no worker can reach any controller
 			for _, n := range s.controllers {
 				n.unreachableUntil["workers"] = time.Hour
 			}
 		}},
 		{"not served: team blue", func(s *sim) { s.cloud.capacity = map[offering]int{} }},
-		{"not served: largest of class arr", func(s *sim) { // no machine of the type that the largest job wants
+		{"not served: largest of class arr", func(s *sim) { // no machine of the only type that the largest job allows
 			s.cloud.capacity = map[offering]int{{"small", "a", false}: 4}
 			s.after(2*time.Second, func() {
 				s.submit(&job.Spec{ID: "wk-600000", Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 60, CPUs: 4, GPUs: 1, MemoryGB: 8, MachineTypes: []string{"large"}}, 30, 0)
@@ -184,7 +187,7 @@
 	} {
 		name := v.rule
 		if name == "" {
-			name = "nothing is wrong"
+			name = "no violation"
 		}
 		t.Run(name, func(t *testing.T) {
 			s := newSim(t, 42_000, 0)
@@ -199,7 +202,7 @@
 			s.run(6 * time.Minute)
 			s.judgeServed()
 			if got := strings.Join(s.violations, "\n"); v.rule == "" && got != "" || v.rule != "" && !strings.Contains(got, v.rule) {
-				t.Errorf("%q: the checkers say %q", v.rule, got)
+				t.Errorf("want violation %q, the checkers reported %q", v.rule, got)
 			}
 		})
 	}
