--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -95,11 +95,11 @@
 	c.applyPage("wk-700000/0", page(1), 130)
 	task := &c.jobs.byID["wk-700000"].pages[0].tasks[0]
 	if task.Phase != job.Finished || c.jobs.byID["wk-700000"].bound != 0 {
-		t.Errorf("after the page behind the log: task %+v, want it finished and not counted as bound", *task)
+		t.Errorf("%+v", *task)
 	}
 	c.applyPage("wk-700000/0", page(1), 131) // written again by a controller that has not read the log
 	if task.Phase != job.Finished {
-		t.Errorf("after the page was written again: task %+v, want it finished", *task)
+		t.Errorf("%+v", *task)
 	}
 	c.applyPage("wk-700000/0", page(2), 132)
 	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writer.completions.log.Settled()) != 1 {
--- a/internal/coordination/stored_records_test.go
+++ b/internal/coordination/stored_records_test.go
@@ -41,7 +41,7 @@
 	check := func(t *testing.T, data []byte) {
 		var got T
 		if !decode(slog.New(slog.DiscardHandler), key, data, &got) {
-			t.Fatal("the record can't be decoded")
+			t.Fatal("unreadable")
 		}
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("decoded as %+v, want %+v", got, want)
@@ -136,9 +136,9 @@
 			claimRecord{Owner: "n1", Incarnation: 1767225600000000007, Address: "127.0.0.1:9000", MachineType: "g4", Zone: "z-a", Spot: true, Epoch: 2}),
 		partialRecord("claim, without an epoch", "c-least.json", "sg/c/i-000232", keyClaim+"i-000232",
 			claimRecord{Owner: "n1", Incarnation: 7, Address: "127.0.0.1:9001", MachineType: "c8", Zone: "z-b"}),
-		wholeRecord("failover", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyFailover+passed.Key(),
+		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyFailover+passed.Key(),
 			failover.Holder{Node: "n2", Incarnation: 8, Epoch: 1}),
-		wholeRecord("completions", "e.json", "sg/e/n1/7-1", keyCompletions+"n1/7-1", completionlog.Record{Completions: completions}),
+		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyCompletions+"n1/7-1", completionlog.Record{Completions: completions}),
 		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drainRecord{Reason: drainIdle}),
 		wholeRecord("drains with all reasons", "x-reasons.json", "sg/x/", keyDrain,
 			[]drainRecord{{drainIdle}, {drainSilent}, {drainPreempted}, {drainFaulty}, {drainFailed}, {drainStray}, {drainLost}}),
@@ -151,8 +151,8 @@
 		wholeRecord("extension fields", "sgx-d.json", "sgx/d/wk-000042", keyJobExtra+"wk-000042", *extra),
 		wholeRecord("data set", "d.json", "sg/d/maps/v1", keyData+"maps/v1", set),
 		wholeRecord("announced work", "s.json", "sg/s/night", keyStaging+"night", announced),
-		wholeRecord("gang reservation", "gang.json", "sg/gang", keyGang, gangReservation{Job: "wk-000042", Owner: "n1", Incarnation: 7}),
-		wholeRecord("machine types", "flavors.json", "sg/flavors", keyMachineTypes, machineTypes),
+		wholeRecord("gang", "gang.json", "sg/gang", keyGang, gangReservation{Job: "wk-000042", Owner: "n1", Incarnation: 7}),
+		wholeRecord("flavors", "flavors.json", "sg/flavors", keyMachineTypes, machineTypes),
 	}
 }
 
