--- a/internal/coordination/job_order_test.go
+++ b/internal/coordination/job_order_test.go
@@ -9,13 +9,14 @@
 	"silvergate/internal/job"
 )
 
-// TestEverythingBegins guards against jobs that never begin beside others that keep coming: a gang whose team is at its
-// limit, as each task that ends leaves room for the next small one, and the largest job of a class, as smaller
-// ones go first. Each begins within four minutes, and the small ones go on.
+// TestEverythingBegins guards against jobs that never begin under a steady stream of small jobs: a
+// gang whose team is at its limit, because the next small task uses the quota that an ended task
+// frees, and the largest or a late job, because other jobs go before it. Each must begin within
+// four minutes, while small jobs go on beginning.
 func TestEverythingBegins(t *testing.T) {
-	for _, v := range []struct {
+	for _, test := range []struct {
 		name string
-		runs float64 // the small ones
+		runs float64 // runtime of the small jobs' tasks, in seconds
 		slow *job.Spec
 	}{
 		{"a gang of a team at its limit", 10, &job.Spec{Class: "gng", Shape: job.Gang, Tasks: 3, CPUs: 4, GPUs: 2, Priority: job.Normal}},
@@ -23,7 +24,7 @@
 		{"the largest job", 10, &job.Spec{Class: "arr", Shape: job.Array, Tasks: 300, CPUs: 4, GPUs: 1, Priority: job.Normal}},
 		{"a job that is late", 10, &job.Spec{Class: "arr", Shape: job.Array, Tasks: 12, CPUs: 4, GPUs: 1, Priority: job.Normal}},
 	} {
-		t.Run(v.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(48_000); seed < 48_004; seed++ {
 				s := newSim(t, seed, 0)
@@ -35,27 +36,27 @@
 				n := 0
 				var next func()
 				next = func() {
-					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: "red", Shape: job.Array, Tasks: 3, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, v.runs, 0)
+					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "arr", Team: "red", Shape: job.Array, Tasks: 3, CPUs: 4, GPUs: 1, MemoryGB: 8, Priority: job.Normal}, test.runs, 0)
 					n++
 					s.after(s.randomMillis(2000, 3600), next)
 				}
 				s.after(time.Second, next)
-				sp := *v.slow
-				sp.ID, sp.Team, sp.MemoryGB = "wk-700000", "red", 8
-				var u *simUser
-				s.after(60*time.Second, func() { u = s.submit(&sp, 20, 0) })
-				s.run(60*time.Second + largestWithin)
-				if u.tasksStarted == 0 {
-					t.Errorf("seed %d: it has not begun", seed)
+				spec := *test.slow
+				spec.ID, spec.Team, spec.MemoryGB = "wk-700000", "red", 8
+				var user *simUser
+				s.after(60*time.Second, func() { user = s.submit(&spec, 20, 0) })
+				s.run(60*time.Second + largestJobStartLimit)
+				if user.tasksStarted == 0 {
+					t.Errorf("seed %d: the job has not begun", seed)
 				}
 				begun := 0
-				for _, o := range s.users {
-					if o != u && o.tasksStarted > 0 && o.firstStartAt > 60*time.Second {
+				for _, other := range s.users {
+					if other != user && other.tasksStarted > 0 && other.firstStartAt > 60*time.Second {
 						begun++
 					}
 				}
-				if want := min(40, int(400/v.runs)); begun < want {
-					t.Errorf("seed %d: only %d small jobs began meanwhile", seed, begun)
+				if want := min(40, int(400/test.runs)); begun < want {
+					t.Errorf("seed %d: only %d small jobs began in the same time", seed, begun)
 				}
 				s.reportViolations(t)
 			}
--- a/internal/coordination/losslines_test.go
+++ b/internal/coordination/losslines_test.go
@@ -18,8 +18,8 @@
 // goldenLossLines is the log that the golden test of internal/losses reads.
 const goldenLossLines = "../../losses/testdata/controller.log"
 
-// lossLines has a core write a debug line of each kind that internal/losses reads, a second
-// apart.
+// lossLines returns the debug log of a core that writes a line of each kind that internal/losses
+// parses, with time stamps one second apart.
 func lossLines() []byte {
 	var out bytes.Buffer
 	at := time.Date(2026, 1, 1, 6, 0, 0, 0, time.UTC)
@@ -39,7 +39,7 @@
 	c.machine("i-000001").heardAt = 5 * time.Second
 
 	r := &jobRecord{mirroredJob: mirroredJob{spec: &job.Spec{ID: "wk-000042", Class: "night run", Priority: job.Production, Tasks: 9}}}
-	endings := []taskTransition{
+	releases := []taskTransition{
 		{proof: fencing.Ended, cause: protocol.CauseDone, done: true},
 		{proof: fencing.Ended, cause: protocol.CauseError, failed: true},
 		{proof: fencing.Ended, cause: protocol.CauseStopped},
@@ -49,10 +49,10 @@
 		{proof: fencing.LeaseExpired},
 		{proof: fencing.MachineDeleted},
 	}
-	for index, ch := range endings {
-		ch.attempt, ch.machine = 1, "i-000001"
-		c.traceEnding(losses.Evidence, r, index, ch)
-		c.traceEnding(losses.Ended, r, index, ch)
+	for index, transition := range releases {
+		transition.attempt, transition.machine = 1, "i-000001"
+		c.traceEnding(losses.Evidence, r, index, transition)
+		c.traceEnding(losses.Ended, r, index, transition)
 		c.traceStart(losses.Placing, r.spec.ID, index, 0, "i-000002")
 		c.traceStart(losses.Bound, r.spec.ID, index, 2, "i-000002")
 		c.traceStart(losses.Launch, r.spec.ID, index, 2, "i-000002")
@@ -61,13 +61,13 @@
 	return out.Bytes()
 }
 
-// TestLossLinesKeepTheirBytes compares the debug lines with those that internal/losses is
-// known to read.
+// TestLossLinesKeepTheirBytes compares the debug lines with the golden log that the test of
+// internal/losses parses.
 func TestLossLinesKeepTheirBytes(t *testing.T) {
 	want := golden(t, goldenLossLines, lossLines)
 	got := lossLines()
 	if lines := strings.Count(string(want), "\n"); lines != 48 {
-		t.Errorf("%d lines", lines)
+		t.Errorf("the golden log has %d lines, want 48", lines)
 	}
 	requireSameBytes(t, got, want)
 }
--- a/internal/coordination/stored_keys_test.go
+++ b/internal/coordination/stored_keys_test.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/job"
 )
 
-// mirroringCore is a core whose settings have all that records can be about.
+// mirroringCore returns a core whose settings include everything that the records refer to.
 func mirroringCore() *Core {
 	cfg := &config.Settings{Node: "n0", Zone: "z-a", Operator: config.DefaultOperator()}
 	cfg.Operator.Staging = &config.Staging{ServerStreams: 6, PeerStreams: 2, MachineStreams: 1, RateMBPerS: 100}
@@ -23,13 +23,13 @@
 	return New(cfg, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 2)), 1)
 }
 
-// storedKeyCase is a golden record under its key, and how a core shows that it knows it.
+// storedKeyCase is a golden record with its key, and a check that a core has applied it.
 type storedKeyCase struct {
 	key, file string
-	known     func(c *Core) bool
+	applied   func(c *Core) bool
 }
 
-// storedKeyRevision is the mod revision of the records.
+// storedKeyRevision is the mod revision of the applied records.
 const storedKeyRevision = 99
 
 func storedKeyCases() []storedKeyCase {
@@ -43,8 +43,8 @@
 		{"sg/j/wk-000044", "j-cancelled.json", func(c *Core) bool {
 			return c.jobs.byID["wk-000044"] != nil && c.jobs.byID["wk-000044"].status == job.Cancelled
 		}},
-		{"sg/p/wk-000042/0", "p-words.json", pageIsKnown},
-		{"sg/p/wk-000042/0", "p-list.json", pageIsKnown},
+		{"sg/p/wk-000042/0", "p-words.json", goldenPageApplied},
+		{"sg/p/wk-000042/0", "p-list.json", goldenPageApplied},
 		{"sg/q/red", "q.json", func(c *Core) bool {
 			return c.jobs.teams["red"].charged == usage{12.5, 3} && c.jobs.teams["red"].revision == storedKeyRevision
 		}},
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestStoredRecordsAreTakenUnderTheirKeys gives each golden record under its key to a core of its own,
-// and looks for what the core knows then.
-func TestStoredRecordsAreTakenUnderTheirKeys(t *testing.T) {
+// TestStoredRecordsAreAppliedByKey applies each golden record under its key to a new core, and
+// checks that the core's state then shows the record.
+func TestStoredRecordsAreAppliedByKey(t *testing.T) {
 	for _, test := range storedKeyCases() {
 		t.Run(test.file, func(t *testing.T) {
 			data, err := os.ReadFile(filepath.Join(goldenFolder, "records", test.file))
@@ -87,19 +87,20 @@
 				t.Fatal(err)
 			}
 			c := mirroringCore()
-			if test.known(c) {
-				t.Fatal("known without the record")
+			if test.applied(c) {
+				t.Fatal("the check succeeds before the record is applied")
 			}
 			c.applyChange(test.key, data, storedKeyRevision)
-			if !test.known(c) {
-				t.Errorf("%s is not taken for what it is: %s", test.key, data)
+			if !test.applied(c) {
+				t.Errorf("%s: the record was not applied: %s", test.key, data)
 			}
 		})
 	}
 }
 
-// pageIsKnown tells whether the golden page is known once its job is: a page may come first.
-func pageIsKnown(c *Core) bool {
+// goldenPageApplied applies the golden page's job and reports whether the page, which was applied
+// before its job, is in the job table.
+func goldenPageApplied(c *Core) bool {
 	data, err := os.ReadFile(filepath.Join(goldenFolder, "records", "j-open.json"))
 	if err != nil {
 		return false
