--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -105,11 +105,11 @@
 	}
 }
 
-// TestAnswersToBadRequests sends invalid and repeated requests to controllers that know the job and
+// TestWhatUsersAreToldOfBadRequests sends invalid and repeated requests to controllers that know the job and
 // to controllers whose mirror may lack it. The answer to an invalid submission names the field; a
 // repeated submission of a known job is never refused, whatever it contains; and no controller
 // calls a job unknown without reading its record.
-func TestAnswersToBadRequests(t *testing.T) {
+func TestWhatUsersAreToldOfBadRequests(t *testing.T) {
 	s := newSim(t, 49_000, 0)
 	s.run(10 * time.Second)
 	valid := func(id string) map[string]any {
