--- a/internal/coordination/failover_completions_test.go
+++ b/internal/coordination/failover_completions_test.go
@@ -9,8 +9,8 @@
 	"silvergate/internal/protocol"
 )
 
-// apartDay is a calm site with jobs of two or three tasks that end far apart, and nothing else.
-func apartDay(t testing.TB, seed uint64) *sim {
+// newStaggeredCompletionsSim is a calm site with jobs of two or three tasks that end far apart, and nothing else.
+func newStaggeredCompletionsSim(t testing.TB, seed uint64) *sim {
 	s := newSim(t, seed, 0)
 	s.after(time.Second, func() {
 		for i := range 8 {
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(43_000); seed < 43_004; seed++ {
-				s := apartDay(t, seed)
+				s := newStaggeredCompletionsSim(t, seed)
 				s.after(36*time.Second, func() { change(s) })
 				s.finish(t, 150*time.Second)
 				s.reportViolations(t)
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -103,7 +103,7 @@
 		c.checkLease(m)
 		c.checkSilentMachine(m, &counts, mirrorStale)
 	}
-	if c.inheritsMachines() && !mirrorStale {
+	if c.hasUnadoptedMachines() && !mirrorStale {
 		c.checkInheritedMachines(counts.enoughRecent())
 	}
 }
@@ -148,27 +148,27 @@
 	return ownedFor > seconds(unresponsivePeriods*c.cfg.Facts.Workers.Report) && c.now-m.heardAt < c.silenceTimeout()
 }
 
-// inheritsMachines tells whether an earlier incarnation of ours has claimed machines that we
+// hasUnadoptedMachines tells whether an earlier incarnation of ours has claimed machines that we
 // have not adopted yet.
-func (c *Core) inheritsMachines() bool {
+func (c *Core) hasUnadoptedMachines() bool {
 	return c.machines.ownership.machinesByOwner[c.cfg.Node] > len(c.machines.own)
 }
 
 // updateWorkerCounts tells the link tracker how many workers should be heard in each zone.
 func (c *Core) updateWorkerCounts(zones map[string]*zoneHeartbeats) {
-	held := map[string]int{}
+	owned := map[string]int{}
 	for name, zone := range zones {
-		held[name] = zone.machines
+		owned[name] = zone.machines
 	}
-	awaited := map[string]int{}
-	if c.inheritsMachines() {
+	unadopted := map[string]int{}
+	if c.hasUnadoptedMachines() {
 		for _, m := range c.machines.byID {
 			if c.ownedByEarlierIncarnation(m) {
-				awaited[m.claim.Zone]++
+				unadopted[m.claim.Zone]++
 			}
 		}
 	}
-	c.links.SetWorkers(held, awaited)
+	c.links.SetWorkers(owned, unadopted)
 }
 
 // checkLease gives up the tasks of a machine whose lease is over.
--- a/internal/coordination/failure_history_test.go
+++ b/internal/coordination/failure_history_test.go
@@ -20,16 +20,16 @@
 // machines that were rented for such jobs: on carbura-iasi-ops with 8 of 100 jobs
 // mistaken, 642 were rented in place of 385.
 func TestJobsThatFailEverywhereCostOthersNothing(t *testing.T) {
-	day := func(mistaken bool) (rented, drains, failures int) {
+	simulate := func(broken bool) (rented, drains, failures int) {
 		s := newSim(t, 71, 0)
 		for i := range 6 {
 			s.submit(smallArray(fmt.Sprintf("wk-7%05d", i), 6), 10, 0)
 		}
-		var bad []*simUser
+		var brokenJobs []*simUser
 		for i := range 6 {
 			u := s.submit(smallArray(fmt.Sprintf("wk-8%05d", i), 4), 10, 150*time.Second)
-			u.failsEverywhere = mistaken
-			bad = append(bad, u)
+			u.failsEverywhere = broken
+			brokenJobs = append(brokenJobs, u)
 		}
 		s.run(200 * time.Second)
 		for key := range s.state.drainWrites {
@@ -37,10 +37,10 @@
 				drains++
 			}
 		}
-		for i, u := range bad {
+		for i, u := range brokenJobs {
 			failures += u.failures
-			if want := map[bool]string{true: "cancelled", false: "done"}[mistaken]; u.finalStatus != want {
-				t.Errorf("job %d, mistaken %v, is %q", i, mistaken, u.finalStatus)
+			if want := map[bool]string{true: "cancelled", false: "done"}[broken]; u.finalStatus != want {
+				t.Errorf("job %d, broken %v, is %q", i, broken, u.finalStatus)
 			}
 		}
 		for _, id := range sortedKeys(s.users) {
@@ -51,8 +51,8 @@
 		s.reportViolations(t)
 		return s.cloud.nextMachine, drains, failures
 	}
-	plain, _, _ := day(false)
-	rented, drains, failures := day(true)
+	plain, _, _ := simulate(false)
+	rented, drains, failures := simulate(true)
 	t.Logf("%d machines rented, %d without mistakes; %d called faulty; %d failures of 24 tasks", rented, plain, drains, failures)
 	if drains > 0 || 2*rented > 3*plain || failures < 24 || failures > 24*3 {
 		t.Errorf("%d machines are called faulty, %d rented in place of %d, %d failures of 24 tasks", drains, rented, plain, failures)
--- a/internal/coordination/full_restart_test.go
+++ b/internal/coordination/full_restart_test.go
@@ -13,8 +13,8 @@
 // The restart after all controllers went down, in a deployment of some hundred machines: what it costs, against what it
 // must cost, and which commands are sent that should not be.
 
-// fullRestart is what was counted of such a restart.
-type fullRestart struct {
+// restartCounts is what was counted of such a restart.
+type restartCounts struct {
 	machines          int              // that were up
 	tasks             int              // active on them when the first controller was back
 	claims            uint64           // written by the incarnations that began then
@@ -35,7 +35,7 @@
 )
 
 // observeRestart counts from now on.
-func (s *sim) observeRestart(counts *fullRestart, until time.Duration) {
+func (s *sim) observeRestart(counts *restartCounts, until time.Duration) {
 	throttled, revision, from := s.state.throttled, s.state.revision, s.now
 	var up []*simWorker
 	for _, w := range s.cloud.sortedMachines() {
@@ -67,7 +67,7 @@
 	observe()
 }
 
-func (s *sim) countRestartLaunch(counts *fullRestart, w *simWorker, command protocol.Command) {
+func (s *sim) countRestartLaunch(counts *restartCounts, w *simWorker, command protocol.Command) {
 	jobID, _, _ := job.ParseTaskName(command.Task)
 	if w.tasks[command.Task+"#"+strconv.Itoa(command.Attempt)] != nil {
 		counts.duplicateLaunches++
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *sim) countRestartKill(counts *fullRestart, w *simWorker, command protocol.Command) {
+func (s *sim) countRestartKill(counts *restartCounts, w *simWorker, command protocol.Command) {
 	jobID, index, _ := job.ParseTaskName(command.Task)
 	u := s.users[jobID]
 	if task := w.tasks[command.Task+"#"+strconv.Itoa(command.Attempt)]; task == nil || !task.isActive() || u == nil || u.cancelRequested {
@@ -182,9 +182,9 @@
 			s.run(100 * time.Second)
 			back := c.crash(s)
 			s.run(s.now + back)
-			counts := s.playRestart()
+			counts := s.simulateRestart()
 			t.Logf("%+v", counts)
-			s.judgeRestart(t, counts, c.defective)
+			s.checkRestart(t, counts, c.defective)
 			if c.defective {
 				return
 			}
@@ -194,9 +194,9 @@
 	}
 }
 
-// playRestart plays the minute from the first controller's return on.
-func (s *sim) playRestart() fullRestart {
-	var counts fullRestart
+// simulateRestart plays the minute from the first controller's return on.
+func (s *sim) simulateRestart() restartCounts {
+	var counts restartCounts
 	counts.tasks = s.countActive()
 	restarts := s.countRestarts()
 	s.observeRestart(&counts, s.now+60*time.Second)
@@ -229,7 +229,7 @@
 	return n
 }
 
-func (s *sim) judgeRestart(t *testing.T, counts fullRestart, defective bool) {
+func (s *sim) checkRestart(t *testing.T, counts restartCounts, defective bool) {
 	t.Helper()
 	for i, after := range counts.answered {
 		if within := s.leaseTimes(answeredWithin[i]); after == 0 || after > within {
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -14,8 +14,8 @@
 	"silvergate/internal/protocol"
 )
 
-// failoverDay is what came of a day on which one controller ends for good, or all end.
-type failoverDay struct {
+// failoverResult is what came of a day on which one controller ends for good, or all end.
+type failoverResult struct {
 	workers       int           // of the controllers that ended
 	changes       int           // claims and failovers written within a minute of it
 	failovers     int           // of them
@@ -25,30 +25,30 @@
 	expiredLeases int           // leases of workers with tasks that ended
 }
 
-func (d failoverDay) String() string {
+func (d failoverResult) String() string {
 	return fmt.Sprintf("%d workers, %d changes (%d failovers), answered after %.1f, %.1f, %.1f s (half, 90%%, 99%%), %d leases ended with tasks",
 		d.workers, d.changes, d.failovers, d.halfAnswered.Seconds(), d.mostAnswered.Seconds(), d.allAnswered.Seconds(), d.expiredLeases)
 }
 
 // newMultipliedSim is a grown deployment with times as many machines and as much work.
-func newMultipliedSim(t *testing.T, seed uint64, times int) *sim {
+func newMultipliedSim(t *testing.T, seed uint64, multiple int) *sim {
 	t.Helper()
 	s := grownSim(t, seed)
 	for k := range s.cloud.capacity {
-		s.cloud.capacity[k] *= times
+		s.cloud.capacity[k] *= multiple
 	}
 	for i := range s.facts.Teams {
-		s.facts.Teams[i].GPUsMax *= float64(times)
+		s.facts.Teams[i].GPUsMax *= float64(multiple)
 	}
 	s.advertised = s.facts
-	for i := range times {
+	for i := range multiple {
 		s.loadGrownFrom(10_000*i, 100*time.Second)
 	}
 	return s
 }
 
-// workersOf are the workers that are up and owned by one of the controllers.
-func (s *sim) workersOf(controllers []*simController) map[*simWorker]bool {
+// workersOwnedBy are the workers that are up and owned by one of the controllers.
+func (s *sim) workersOwnedBy(controllers []*simController) map[*simWorker]bool {
 	workers := map[*simWorker]bool{}
 	for _, n := range controllers {
 		for _, m := range n.core.machines.own {
@@ -60,9 +60,9 @@
 	return workers
 }
 
-// watchAnswers plays a minute, and returns after how long each of the workers was answered, in
+// measureAnswerTimes plays a minute, and returns after how long each of the workers was answered, in
 // order. What is left in workers has not been answered; workers that ended are taken out.
-func (s *sim) watchAnswers(workers map[*simWorker]bool) []time.Duration {
+func (s *sim) measureAnswerTimes(workers map[*simWorker]bool) []time.Duration {
 	startedAt := s.now
 	var answered []time.Duration
 	var observe func()
@@ -86,12 +86,12 @@
 	return answered
 }
 
-// playFailover plays a grown deployment with times as many machines and as much work, of which
+// simulateFailover plays a grown deployment with times as many machines and as much work, of which
 // the first controller ends for good, or all end for some seconds. With grouped, workers fail
 // over by the group.
-func playFailover(t *testing.T, seed uint64, times int, grouped, all bool) failoverDay {
+func simulateFailover(t *testing.T, seed uint64, multiple int, grouped, all bool) failoverResult {
 	t.Helper()
-	s := newMultipliedSim(t, seed, times)
+	s := newMultipliedSim(t, seed, multiple)
 	s.options.perWorkerFailover = !grouped
 	s.run(120 * time.Second)
 	ending := s.controllers[:1]
@@ -100,12 +100,12 @@
 		ending = s.controllers
 		downtime = 3 * time.Second
 	}
-	lost := s.workersOf(ending)
+	lost := s.workersOwnedBy(ending)
 	before := s.faultCounts
 	for _, n := range ending {
 		n.crash(downtime)
 	}
-	answered := s.watchAnswers(lost)
+	answered := s.measureAnswerTimes(lost)
 	workers := len(answered) + len(lost) // without those that were returned meanwhile
 	answeredAt := func(share float64) time.Duration {
 		i := int(share*float64(workers)+0.5) - 1
@@ -116,7 +116,7 @@
 	}
 	s.reportViolations(t)
 	failovers := s.faultCounts.groupFailovers - before.groupFailovers
-	return failoverDay{
+	return failoverResult{
 		workers:       workers,
 		changes:       failovers + s.faultCounts.replacedClaims - before.replacedClaims,
 		failovers:     failovers,
@@ -127,8 +127,8 @@
 	}
 }
 
-// multiples are the multiples of the machines that TestGroupTakeover plays.
-func multiples(t *testing.T) []int {
+// machineMultiples are the machineMultiples of the machines that TestGroupTakeover plays.
+func machineMultiples(t *testing.T) []int {
 	t.Helper()
 	list := os.Getenv("SIM_TIMES")
 	if list == "" {
@@ -151,9 +151,9 @@
 //
 // SIM_TIMES plays it at that many times the machines, and all controllers' end, too.
 func TestGroupTakeover(t *testing.T) {
-	for _, n := range multiples(t) {
-		grouped := playFailover(t, 71, n, true, false)
-		alone := playFailover(t, 71, n, false, false)
+	for _, n := range machineMultiples(t) {
+		grouped := simulateFailover(t, 71, n, true, false)
+		alone := simulateFailover(t, 71, n, false, false)
 		t.Logf("%d times, one ends, by the group: %s", n, grouped)
 		t.Logf("%d times, one ends, one by one:   %s", n, alone)
 		if grouped.failovers == 0 || alone.failovers > 0 || grouped.changes*3 > alone.changes {
@@ -165,8 +165,8 @@
 		if os.Getenv("SIM_TIMES") == "" {
 			continue
 		}
-		t.Logf("%d times, all end, by the group: %s", n, playFailover(t, 72, n, true, true))
-		t.Logf("%d times, all end, one by one:   %s", n, playFailover(t, 72, n, false, true))
+		t.Logf("%d times, all end, by the group: %s", n, simulateFailover(t, 72, n, true, true))
+		t.Logf("%d times, all end, one by one:   %s", n, simulateFailover(t, 72, n, false, true))
 	}
 }
 
@@ -345,7 +345,7 @@
 // it failed a group over by a heartbeat that was delayed on its way, and the others redirected the group's
 // workers to it until their leases ended, two urgent tasks among theirs.
 func TestAControllerThatHearsNoWorkersFailsNoGroupOver(t *testing.T) {
-	s := drawnCuts(t, 9698)
+	s := runRandomLinkCuts(t, 9698)
 	s.reportViolations(t)
 	if s.leaseLosses.urgent > 0 || s.leaseLosses.other > 0 {
 		t.Errorf("%d urgent tasks and %d others were killed that had a path", s.leaseLosses.urgent, s.leaseLosses.other)
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -29,7 +29,7 @@
 // answerHeartbeat answers a heartbeat, at once or after a claim or the failover of its
 // worker's group. With alone the worker is claimed alone where it needs a claim.
 func (c *Core) answerHeartbeat(id uint64, heartbeat *protocol.Heartbeat, alone bool) {
-	if peer := c.receiverWhileCutOff(heartbeat); peer != "" {
+	if peer := c.redirectTargetWhileCutOff(heartbeat); peer != "" {
 		c.redirect(id, peer)
 		return
 	}
@@ -106,7 +106,7 @@
 		c.refuse(id, http.StatusServiceUnavailable, "an older report")
 		return
 	}
-	c.noteHeartbeat(m, heartbeat)
+	c.recordHeartbeat(m, heartbeat)
 	response := protocol.HeartbeatResponse{FencingToken: m.token, Commands: []protocol.Command{}}
 	if verdict == fencing.Trust {
 		response.Commands = c.reconcile(m, heartbeat)
@@ -125,8 +125,8 @@
 	c.effects.Responses = append(c.effects.Responses, Response{ID: id, Status: http.StatusOK, Body: encode(response), Urgent: m.urgent()})
 }
 
-// noteHeartbeat takes up what a heartbeat under our claim says of the machine itself.
-func (c *Core) noteHeartbeat(m *machine, heartbeat *protocol.Heartbeat) {
+// recordHeartbeat takes up what a heartbeat under our claim says of the machine itself.
+func (c *Core) recordHeartbeat(m *machine, heartbeat *protocol.Heartbeat) {
 	m.epoch = heartbeat.AgentEpoch
 	m.sequence = heartbeat.Sequence
 	m.heardAt = c.now
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -55,8 +55,8 @@
 	for _, done := range c.links.ExpireRelays() {
 		done()
 	}
-	if how, via, changed := c.links.LinkChange(); changed {
-		c.log.Info("link to the state service changed", "now", how, "via", via, "hears_no_workers", c.links.HearsNoWorkers())
+	if linkState, via, changed := c.links.LinkChange(); changed {
+		c.log.Info("link to the state service changed", "now", linkState, "via", via, "hears_no_workers", c.links.HearsNoWorkers())
 	}
 	if c.links.ShouldProbe() {
 		c.probeStateService()
@@ -100,10 +100,10 @@
 
 // linkStats returns what operators see of the links.
 func (c *Core) linkStats() linkStats {
-	how, via := c.links.StateServiceLink()
+	linkState, via := c.links.StateServiceLink()
 	return linkStats{
 		Stats:          c.links.Stats,
-		State:          how,
+		State:          linkState,
 		Via:            via,
 		HearsNoWorkers: c.links.HearsNoWorkers(),
 		Reports:        c.links.LinkReports(c.mirrorAge(), c.state.Throttled()),
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -33,7 +33,7 @@
 		heartbeat := *message.Heartbeat
 		heartbeat.Links = nil
 		if s.faults.randomLinkReports && !n.beforeRelays && !o.beforeRelays {
-			heartbeat.Links = s.drawLinkReports()
+			heartbeat.Links = s.randomLinkReports()
 		}
 		message.Heartbeat = &heartbeat
 	}
@@ -48,8 +48,8 @@
 	return message, true
 }
 
-// drawLinkReports draws link reports that mean nothing.
-func (s *sim) drawLinkReports() []connectivity.LinkReport {
+// randomLinkReports draws link reports that mean nothing.
+func (s *sim) randomLinkReports() []connectivity.LinkReport {
 	var out []connectivity.LinkReport
 	for range 1 + s.random.IntN(5) {
 		report := connectivity.LinkReport{
@@ -82,16 +82,16 @@
 // worker to the state service was up, through one controller, for the whole of it.
 type pathLosses struct {
 	urgent, other int // there was a path
-	cut           int // there was none, or none that could be found in a lease: each attempt at a controller that hangs takes 5 s
-	// since is when the path through each controller to each zone came up, if it is up.
-	since map[string]map[string]time.Duration
+	noPath        int // there was none, or none that could be found in a lease: each attempt at a controller that hangs takes 5 s
+	// upSince is when the path through each controller to each zone came up, if it is up.
+	upSince map[string]map[string]time.Duration
 }
 
 // watchPaths notes since when each worker has had a path through each controller:
 // worker to controller to state service, or to a peer that reaches it.
 func (s *sim) watchPaths() {
-	if s.leaseLosses.since == nil {
-		s.leaseLosses.since = map[string]map[string]time.Duration{}
+	if s.leaseLosses.upSince == nil {
+		s.leaseLosses.upSince = map[string]map[string]time.Duration{}
 	}
 	reachesState := map[*simController]bool{}
 	for _, n := range s.controllers {
@@ -102,10 +102,10 @@
 		for _, o := range s.controllers {
 			served = served || n.pausedUntil <= s.now && n.core != nil && reachesState[o] && n.reachesPeer(o) && o.reachesPeer(n)
 		}
-		up := s.leaseLosses.since[n.name]
+		up := s.leaseLosses.upSince[n.name]
 		if up == nil {
 			up = map[string]time.Duration{}
-			s.leaseLosses.since[n.name] = up
+			s.leaseLosses.upSince[n.name] = up
 		}
 		for _, zone := range s.facts.Zones {
 			switch {
@@ -125,7 +125,7 @@
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
 	up := false
-	for _, since := range s.leaseLosses.since {
+	for _, since := range s.leaseLosses.upSince {
 		up = up || since[w.zone] > 0 && s.now-since[w.zone] >= lease
 	}
 	hanging := 0
@@ -147,7 +147,7 @@
 func (w *simWorker) countLeaseLosses() {
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
-	if s.leaseLosses.since == nil || w.hungUntil > s.now-lease {
+	if s.leaseLosses.upSince == nil || w.hungUntil > s.now-lease {
 		return
 	}
 	path := w.hadPath()
@@ -155,7 +155,7 @@
 		switch u := s.users[task.jobID]; {
 		case !task.isActive() || u == nil:
 		case !path:
-			s.leaseLosses.cut++
+			s.leaseLosses.noPath++
 		case u.spec.Priority == job.Production:
 			s.leaseLosses.urgent++
 		default:
@@ -167,8 +167,8 @@
 	}
 }
 
-// cuts are the ways in which a link of one controller can fail.
-func (s *sim) cuts() []string {
+// linkCutKinds are the ways in which a link of one controller can fail.
+func (s *sim) linkCutKinds() []string {
 	out := []string{"state", "state reset", "refused", "workers", "workers reset", "state flaps", "workers flap", "peers", "cloud", "users", "stands still"}
 	for _, z := range s.facts.Zones[:1+len(s.controllers)/5*2] { // on few controllers one stands for all
 		out = append(out, "zone:"+z)
@@ -204,8 +204,8 @@
 	}
 }
 
-// cutDay is a day of a calm site on which links of controllers fail together.
-func cutDay(s *sim, lostMachines int, cuts ...func()) {
+// runLinkCuts is a day of a calm site on which links of controllers fail together.
+func runLinkCuts(s *sim, lostMachines int, cuts ...func()) {
 	s.advertised.Limits.MaxSockets, s.facts.Limits.MaxSockets = 200, 200
 	for i := range 4 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+1), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 0, 0)
@@ -232,7 +232,7 @@
 // a loss of machines. Every rule is judged, and no urgent task may be killed
 // by its lease on a machine that had a path to the state service the whole time.
 func TestPairsOfCuts(t *testing.T) {
-	kinds := newSim(t, 1, 0).cuts()
+	kinds := newSim(t, 1, 0).linkCutKinds()
 	type cut struct {
 		node int
 		kind string
@@ -254,12 +254,12 @@
 			for j, b := range all[i+1:] {
 				for k, die := range []int{0, 3} {
 					s := newSim(t, seed+uint64(2*j+k), 0)
-					cutDay(s, die, func() { s.cutLink(s.controllers[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.node], b.kind, 40*time.Second) })
+					runLinkCuts(s, die, func() { s.cutLink(s.controllers[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.node], b.kind, 40*time.Second) })
 					days++
 					if len(s.violations) > 0 || s.leaseLosses.urgent > 0 {
 						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.node, b.kind, die, s.leaseLosses.urgent, s.violations)
 					}
-					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.cut
+					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.noPath
 				}
 			}
 			t.Logf("%d days: %d lesser tasks killed that had a path, %d that had none", days, other, lost)
@@ -271,25 +271,25 @@
 // machines and more, with the rates of a real state service. SIM_DAYS plays more days.
 func TestDrawnCuts(t *testing.T) {
 	runSeeds(t, 9500, 16, func(t *testing.T, seed uint64) {
-		s := drawnCuts(t, seed)
+		s := runRandomLinkCuts(t, seed)
 		s.reportViolations(t)
 		if s.leaseLosses.urgent > 0 {
 			t.Errorf("%d urgent tasks killed that had a path", s.leaseLosses.urgent)
 		}
-		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.cut)
+		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.noPath)
 	})
 }
 
-// drawnCuts plays a day on which links are cut, controllers crash and machines are lost or hang, as
+// runRandomLinkCuts plays a day on which links are cut, controllers crash and machines are lost or hang, as
 // drawn.
-func drawnCuts(t *testing.T, seed uint64) *sim {
+func runRandomLinkCuts(t *testing.T, seed uint64) *sim {
 	t.Helper()
 	s := grownSim(t, seed)
 	s.traceDay(t, seed)
 	s.options.unorderedLaunches = true // cuts and late watches: see checkLaunchOrder
 	s.loadGrown(3 * time.Minute)
 	s.watchPaths()
-	kinds := s.cuts()
+	kinds := s.linkCutKinds()
 	var next func()
 	next = func() {
 		if s.now > 150*time.Second {
@@ -326,10 +326,10 @@
 // calls, two of three controllers that lose the state service while the third loses its
 // workers lose urgent tasks that had a path.
 func TestWaysAreJudged(t *testing.T) {
-	day := func(noCarrier bool) *sim {
+	day := func(noRelays bool) *sim {
 		s := newSim(t, 9900, 0)
-		s.defects.noRelays = noCarrier
-		cutDay(s, 0, func() { s.cutLink(s.controllers[0], "state", time.Minute) }, func() { s.cutLink(s.controllers[1], "state", time.Minute) },
+		s.defects.noRelays = noRelays
+		runLinkCuts(s, 0, func() { s.cutLink(s.controllers[0], "state", time.Minute) }, func() { s.cutLink(s.controllers[1], "state", time.Minute) },
 			func() { s.cutLink(s.controllers[2], "workers", time.Minute) })
 		return s
 	}
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// leaseGranted takes a lease that was asked for at a time.
-func (s *membership) leaseGranted(lease uint64, askedAt time.Duration) {
+// recordLease takes a lease that was asked for at a time.
+func (s *membership) recordLease(lease uint64, askedAt time.Duration) {
 	s.lease = lease
 	s.leaseRenewedAt = askedAt
 	s.published = ""
@@ -134,7 +134,7 @@
 			c.membership.leaseRenewedAt = c.now
 			return
 		}
-		c.membership.leaseGranted(lease, askedAt)
+		c.membership.recordLease(lease, askedAt)
 	})
 }
 
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -64,7 +64,7 @@
 		c.proposeCompletion(m, record, key, status)
 		return commands
 	}
-	c.noteProgress(m, record, key, status)
+	c.recordProgress(m, record, key, status)
 	if record.final() {
 		return append(commands, killCommand(status, 0))
 	}
@@ -74,9 +74,9 @@
 	return commands
 }
 
-// noteProgress takes from a heartbeat how far an attempt is: running, or waiting for its
+// recordProgress takes from a heartbeat how far an attempt is: running, or waiting for its
 // image.
-func (c *Core) noteProgress(m *machine, record *jobRecord, key taskKey, status *protocol.TaskStatus) {
+func (c *Core) recordProgress(m *machine, record *jobRecord, key taskKey, status *protocol.TaskStatus) {
 	image := record.spec.Image
 	switch status.Status {
 	case protocol.TaskRunning:
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -23,9 +23,9 @@
 	// whatever its share is.
 	spareHeartbeatRate = 2
 
-	// rebalanceWriteShare is the divisor of the rate of writes that may be spent on
+	// rebalanceWriteDivisor is the divisor of the rate of writes that may be spent on
 	// rebalancing: a tenth of it.
-	rebalanceWriteShare = 10
+	rebalanceWriteDivisor = 10
 )
 
 // redirect answers a worker's request with the controller that it is to send its heartbeat to.
@@ -53,7 +53,7 @@
 	if m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
-	var zoneBuffer, buffer [usualPeers]string
+	var zoneBuffer, buffer [typicalPeerCount]string
 	candidates := redirectCandidates{sameZone: zoneBuffer[:0], all: buffer[:0]}
 	candidates = c.addRedirectCandidates(candidates, m, zone)
 	sameZone := c.cfg.Zone == zone
@@ -86,9 +86,9 @@
 	return c.leastLoaded(group)
 }
 
-// usualPeers is how many peers fit the buffers of candidates, which save every heartbeat
+// typicalPeerCount is how many peers fit the buffers of candidates, which save every heartbeat
 // two allocations; with more peers append allocates.
-const usualPeers = 8
+const typicalPeerCount = 8
 
 // addRedirectCandidates adds the peers that can serve a worker of a zone.
 func (c *Core) addRedirectCandidates(candidates redirectCandidates, m *machine, zone string) redirectCandidates {
@@ -163,7 +163,7 @@
 		return false
 	}
 	controllers := float64(1 + len(c.cfg.Peers))
-	pause := seconds(rebalanceWriteShare * controllers / c.cfg.Facts.State.WriteRPS)
+	pause := seconds(rebalanceWriteDivisor * controllers / c.cfg.Facts.State.WriteRPS)
 	return c.links.MayRebalance(pause)
 }
 
@@ -181,11 +181,11 @@
 	return least
 }
 
-// receiverWhileCutOff names a peer that a worker is redirected to while we can't reach the
+// redirectTargetWhileCutOff names a peer that a worker is redirected to while we can't reach the
 // state service by any way, "" if there is none: one that can serve it, by a recent heartbeat.
 // If none is recent, and no peer relays for us, one that could when it was last heard, and in
 // an order that has urgent work claimed there before our own time to answer is over.
-func (c *Core) receiverWhileCutOff(heartbeat *protocol.Heartbeat) string {
+func (c *Core) redirectTargetWhileCutOff(heartbeat *protocol.Heartbeat) string {
 	period := seconds(c.cfg.Facts.Workers.Report)
 	cutOffFor := c.now - c.state.FreshAt() - period
 	if cutOffFor < 0 || !c.state.Loaded() {
--- a/internal/coordination/stop_commands.go
+++ b/internal/coordination/stop_commands.go
@@ -11,14 +11,14 @@
 // stopTask tells a worker to stop a task, directly and with every answer until it
 // has. A stop that is carried out late does no harm: it names the attempt.
 func (c *Core) stopTask(m *machine, k taskKey, reason string) {
-	rec := m.bound[k]
-	if rec == nil || !c.isOwn(m) {
+	record := m.bound[k]
+	if record == nil || !c.isOwn(m) {
 		return
 	}
-	t := rec.task(c, k.index)
+	t := record.task(c, k.index)
 	grace := 0.0
-	if rec.spec.CheckpointIntervalS > 0 && !isGang(rec) { // a gang saves when all its tasks get their notice in time
-		grace = rec.spec.CheckpointSaveS * 2
+	if record.spec.CheckpointIntervalS > 0 && !isGang(record) { // a gang saves when all its tasks get their notice in time
+		grace = record.spec.CheckpointSaveS * 2
 	}
 	m.stops[k] = taskStop{grace, reason, c.now}
 	c.sendCommands(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -25,16 +25,16 @@
 // switched off.
 type unshippedOutput struct {
 	core  *Core
-	own   map[string]bool           // machines of this controller that announced it last
-	known map[string]unshippedSince // all machines that have announced it
+	own   map[string]bool               // machines of this controller that announced it last
+	known map[string]outputAnnouncement // all machines that have announced it
 }
 
-// unshippedSince is since when a machine has had output to ship, and when it last announced it.
-type unshippedSince struct{ since, announcedAt time.Duration }
+// outputAnnouncement is since when a machine has had output to ship, and when it last announced it.
+type outputAnnouncement struct{ since, announcedAt time.Duration }
 
 // newUnshippedOutput makes a table without machines.
 func newUnshippedOutput(core *Core) *unshippedOutput {
-	return &unshippedOutput{core: core, own: map[string]bool{}, known: map[string]unshippedSince{}}
+	return &unshippedOutput{core: core, own: map[string]bool{}, known: map[string]outputAnnouncement{}}
 }
 
 // handleWorkerHeartbeat takes what a machine's heartbeat says of its output.
@@ -45,18 +45,18 @@
 		return
 	}
 	u.own[m.id] = true
-	u.announce(m.id)
+	u.recordAnnouncement(m.id)
 }
 
 // handlePeerHeartbeat takes the list of machines in a peer's heartbeat.
 func (u *unshippedOutput) handlePeerHeartbeat(machines []string) {
 	for _, id := range machines {
-		u.announce(id)
+		u.recordAnnouncement(id)
 	}
 }
 
-// announce takes that a machine has output to ship.
-func (u *unshippedOutput) announce(id string) {
+// recordAnnouncement takes that a machine has output to ship.
+func (u *unshippedOutput) recordAnnouncement(id string) {
 	entry, known := u.known[id]
 	if !known || u.expired(entry) {
 		entry.since = u.core.now
@@ -67,7 +67,7 @@
 
 // expired tells whether an announcement is too old to count: a machine that has not repeated
 // it has shipped its output, or is lost.
-func (u *unshippedOutput) expired(entry unshippedSince) bool {
+func (u *unshippedOutput) expired(entry outputAnnouncement) bool {
 	lifetime := seconds(announcementPeriods * u.core.cfg.Facts.Workers.Report)
 	return u.core.now-entry.announcedAt > lifetime
 }
