--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -11,8 +11,8 @@
 	"silvergate/internal/stateclient"
 )
 
-// claimRecord is the record by which a controller owns a machine; its mod revision is the
-// machine's fencing token. It is rewritten only to take a new token.
+// claimRecord is the record by which a controller owns a machine. Its mod revision is the
+// machine's fencing token, and it is rewritten only to obtain a new token.
 type claimRecord struct {
 	Owner       string `json:"o"`
 	Incarnation int64  `json:"l"`
@@ -20,41 +20,40 @@
 	MachineType string `json:"t"`
 	Zone        string `json:"z"`
 	Spot        bool   `json:"s,omitempty"`
-	// Epoch is that of the owner's claims, see internal/failover; 0 from versions without
-	// failover of groups.
+	// Epoch is the owner's claim epoch, see internal/failover. It is 0 in claims written by
+	// versions without group failover.
 	Epoch int `json:"e,omitempty"`
 }
 
-// maxClaimRetries is how many times a claim is tried again after a conflict or an unknown
-// outcome.
+// maxClaimRetries is how many times a claim is retried after a conflict or an unknown outcome.
 const maxClaimRetries = 1
 
-// machineOwnership is who owns a machine, by its own claim and by the groups that have
-// failed over from one controller to another.
+// machineOwnership records who owns a machine, as given by its own claim and by the groups that
+// have failed over from one controller to another.
 type machineOwnership struct {
-	claim     claimRecord     // with the owner by all records, not by the claim's alone
-	token     uint64          // the fencing token by which it is owned; 0: it has no claim
-	ownClaim  failover.Claim  // by its own record alone
-	links     []failover.Link // the groups that its ownership depends on
-	claimedAt time.Duration   // when its owner came to be known
+	claim     claimRecord     // the claim, with the owner after failovers in place of the claim's own
+	token     uint64          // the owner's fencing token; 0: the machine has no claim
+	ownClaim  failover.Claim  // the owner by the claim record alone, before failovers
+	links     []failover.Link // the groups that the ownership depends on
+	claimedAt time.Duration   // when we learned of the current owner
 	claiming  bool            // a claim is being written
-	adopted   bool            // claimed by an earlier incarnation of ours, whose token we go on with
+	adopted   bool            // claimed by an earlier incarnation of ours, whose token we keep using
 }
 
-// failedOver tells whether the machine has come to its owner by a failover of its group.
+// failedOver reports whether the owner got the machine by a failover of its group.
 func (o *machineOwnership) failedOver() bool {
 	return failover.Ownership{Links: o.links}.FailedOver()
 }
 
-// nextGroup is the group by which the machine would fail over to another controller; ok is
-// false if it can't.
+// nextGroup returns the group with which the machine would fail over to another controller; ok
+// is false if the machine belongs to no group.
 func (o *machineOwnership) nextGroup() (group failover.Group, ok bool) {
 	return failover.Ownership{Links: o.links}.NextGroup()
 }
 
-// ownershipCompares is what a transaction is conditional on for a machine to be owned as it
-// is: its claim, the groups by which it has failed over, and that it has not failed over by
-// the next one.
+// ownershipCompares returns the conditions under which a transaction commits only if the
+// machine's ownership is unchanged: its claim, the records of the groups that have failed over,
+// and the absence of a failover record for its next group.
 func (m *machine) ownershipCompares() []protocol.Compare {
 	compares := make([]protocol.Compare, 0, 2+len(m.links))
 	compares = append(compares, protocol.Compare{Key: keyClaim + m.id, ModRevision: m.ownClaim.Token})
@@ -64,18 +63,18 @@
 	return compares
 }
 
-// isOwn tells whether this incarnation of this controller owns the machine.
+// isOwn reports whether this incarnation of this controller owns the machine.
 func (c *Core) isOwn(m *machine) bool {
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && (m.claim.Incarnation == c.incarnation || m.adopted)
 }
 
-// ownedByEarlierIncarnation tells whether an earlier incarnation of ours has claimed the
-// machine, and nobody since.
+// ownedByEarlierIncarnation reports whether an earlier incarnation of ours has claimed the
+// machine and no controller has claimed it since.
 func (c *Core) ownedByEarlierIncarnation(m *machine) bool {
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && !c.isOwn(m)
 }
 
-// applyClaim takes a change of a machine's claim record from the mirror.
+// applyClaim applies a change of a machine's claim record in the mirror.
 func (c *Core) applyClaim(id string, data json.RawMessage, revision uint64) {
 	m := c.machine(id)
 	if data == nil {
@@ -98,7 +97,7 @@
 	c.resolveOwner(m)
 }
 
-// removeClaim takes the deletion of a machine's claim record from the mirror.
+// removeClaim applies the deletion of a machine's claim record in the mirror.
 func (c *Core) removeClaim(m *machine) {
 	if m.token != 0 {
 		c.machines.ownership.machinesByOwner[m.claim.Owner]--
@@ -113,9 +112,10 @@
 	c.updateOwnership(m)
 }
 
-// forgetUnclaimed drops what is known of a machine without a claim. Guards against room
-// that was reserved on a machine that is forgotten meanwhile: given back to one that
-// is added anew under its name, it made more room than there is.
+// forgetUnclaimed removes a machine from the table if it has no claim, no bound tasks and no
+// reserved room. Guards against room being returned to the wrong object: if a machine is
+// forgotten while room is reserved on it and then added again under the same name, returning the
+// reservation would give the new entry more room than the machine has.
 func (c *Core) forgetUnclaimed(m *machine) {
 	if m.token == 0 && len(m.bound) == 0 && m.reserved == 0 && c.machines.byID[m.id] == m {
 		delete(c.machines.byID, m.id)
@@ -123,8 +123,8 @@
 	}
 }
 
-// updateOwnership updates the count of each controller's machines and the list of our own
-// after a claim has changed.
+// updateOwnership updates the number of machines of each controller and the list of our own
+// machines after a claim has changed.
 func (c *Core) updateOwnership(m *machine) {
 	if m.token != 0 {
 		c.machines.ownership.machinesByOwner[m.claim.Owner]++
@@ -132,8 +132,8 @@
 	c.machines.updateOwn(m, c.isOwn(m))
 }
 
-// resolveOwner finds the owner of a machine by its own claim and the failovers of groups. If
-// that has changed, what was known under the earlier owner's token is dropped.
+// resolveOwner determines the owner of a machine from its own claim and the group failovers. If
+// the owner has changed, state that was learned under the earlier owner's token is dropped.
 func (c *Core) resolveOwner(m *machine) {
 	ownership := c.machines.ownership.failovers.Resolve(m.id, m.claim.Zone, m.ownClaim)
 	m.links = ownership.Links
@@ -165,17 +165,17 @@
 	c.updateOwnership(m)
 }
 
-// resetForNewToken takes that a machine is owned under a new fencing token: whatever was
-// sent under an earlier one is void once the new one is seen, and no heartbeat is trusted
-// before that.
+// resetForNewToken resets a machine's state for a new fencing token: commands that were sent
+// under an earlier token become void once the worker has seen the new one, and no heartbeat is
+// trusted before that.
 func (m *machine) resetForNewToken(now time.Duration) {
 	m.launchInDoubt = false
 	clear(m.inFlight)
 	m.resetHeartbeats(now)
 }
 
-// resetHeartbeats forgets the earlier heartbeats of a worker as of one that has just become
-// ours: it counts as heard now, and never answered.
+// resetHeartbeats discards the heartbeat state of a worker that has just become ours: its last
+// heartbeat counts as received now, and none as answered.
 func (m *machine) resetHeartbeats(now time.Duration) {
 	m.epoch = 0
 	m.sequence = 0
@@ -183,13 +183,13 @@
 	m.answeredAt = 0
 }
 
-// claimMachine writes a claim of a machine, whose mod revision is its new fencing token, and
-// tells done whether it was committed. The machine that done gets may be another object
-// than m. retries counts the attempts that have failed before.
+// claimMachine writes a claim for a machine and calls done with whether it was committed. The
+// claim's mod revision is the machine's new fencing token. The machine passed to done may be a
+// different object from m. retries counts the earlier attempts that have failed.
 func (c *Core) claimMachine(m *machine, heartbeat *protocol.Heartbeat, retries int, done func(*machine, bool)) {
 	m.claiming = true
 	c.machines.claimsInFlight++
-	renewal := c.isOwn(m) && c.mirrorComplete(m) // nobody else can have owned it since
+	renewal := c.isOwn(m) && c.mirrorComplete(m) // nobody else can have owned the machine since
 	claim := claimRecord{
 		Owner:       c.cfg.Node,
 		Incarnation: c.incarnation,
@@ -204,7 +204,7 @@
 	c.state.Txn(class, m.ownershipCompares(), ops, func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
 		m.claiming = false
 		c.machines.claimsInFlight--
-		// The machine may have been forgotten and added anew meanwhile.
+		// The machine may have been removed from the table and added again in the meantime.
 		m = c.machine(m.id)
 		if outcome == stateclient.Committed {
 			m.resetForNewToken(c.now)
@@ -230,17 +230,17 @@
 	})
 }
 
-// adoptClaim goes on with a machine that an earlier incarnation of ours has claimed, under
-// the fencing token that its worker knows, so that a restart costs no changes: the claims
-// of a whole fleet would take the state service's rate for half a minute.
+// adoptClaim adopts a machine that an earlier incarnation of ours has claimed, and keeps using the
+// fencing token that its worker knows. A restart therefore writes no claims: claiming a whole
+// fleet would use up the state service's rate for half a minute.
 //
-// Guards against direct launches of the earlier incarnation that may be executed
-// minutes late. That incarnation forgot or released nothing while a launch of it was
-// without a reply, so what can still come are launches of attempts that are bound.
-// The worker must list those of its agent epoch, as a launch of what it has does nothing; and
-// all that it lists is treated as launches in flight: none is forgotten or
-// released for being absent before a new token is seen, which is taken when one
-// of them ends.
+// Guards against direct launches of the earlier incarnation that may be executed minutes late.
+// That incarnation neither forgot nor released an attempt while a launch of it had no reply, so
+// the only launches that can still arrive are of attempts that are bound. The worker must
+// therefore list the bound attempts of its agent epoch, because launching an attempt that it
+// already has does nothing. All attempts that it lists are treated as launches in flight: none
+// is forgotten, or released for not being listed, before a new token is seen, and a new token is
+// taken when one of these attempts ends.
 func (c *Core) adoptClaim(m *machine, heartbeat *protocol.Heartbeat) {
 	if !c.ownedByEarlierIncarnation(m) || m.claiming || m.claim.Incarnation == c.incarnation || heartbeat.FencingToken != m.token {
 		return
@@ -259,10 +259,10 @@
 	}
 	m.adopted = true
 	m.launchInDoubt = false
-	// Our records were read after that incarnation had ended, with all that it did.
+	// Our mirror was loaded after that incarnation had ended, so it contains everything it wrote.
 	m.mirrorComplete = true
 	m.resetHeartbeats(c.now)
-	m.inFlight = listed // with attempts that have ended: they may not be forgotten yet
+	m.inFlight = listed // includes attempts that have ended: they may not be forgotten yet
 	c.machines.updateOwn(m, c.isOwn(m))
 	c.Stats.Adopted++
 }
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -9,9 +9,10 @@
 	"silvergate/internal/protocol"
 )
 
-// This file answers the heartbeats of workers: at once, or after a claim.
+// This file answers the heartbeats of workers, either at once or after the worker's machine
+// has been claimed.
 
-// handleHeartbeat takes a worker's heartbeat, which came with the request id.
+// handleHeartbeat handles a worker's heartbeat, which arrived in request id.
 func (c *Core) handleHeartbeat(id uint64, body []byte) {
 	c.Stats.Heartbeats++
 	heartbeat, err := protocol.ParseHeartbeat(body)
@@ -26,15 +27,16 @@
 	c.answerHeartbeat(id, heartbeat, false)
 }
 
-// answerHeartbeat answers a heartbeat, at once or after a claim or the failover of its
-// worker's group. With alone the worker is claimed alone where it needs a claim.
+// answerHeartbeat answers a heartbeat, either at once or after a claim or the failover of its
+// worker's group. If alone is set and the worker needs a claim, it is claimed individually
+// instead of waiting for a failover of its group.
 func (c *Core) answerHeartbeat(id uint64, heartbeat *protocol.Heartbeat, alone bool) {
 	if peer := c.redirectTargetWhileCutOff(heartbeat); peer != "" {
 		c.redirect(id, peer)
 		return
 	}
 	if c.now-c.cancellationProof() > c.cancelHorizon() {
-		// A cancellation may have been acknowledged that we can't see.
+		// A peer may have acknowledged a cancellation that we have not heard of.
 		c.refuse(id, http.StatusServiceUnavailable, "cut off from the state service")
 		return
 	}
@@ -52,17 +54,18 @@
 	c.answerUnclaimed(id, m, heartbeat, alone)
 }
 
-// needsClaim tells whether a claim must be written before a heartbeat can be answered.
+// needsClaim reports whether a claim must be written before a heartbeat can be answered.
 func (c *Core) needsClaim(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if c.workerState(m).JudgeHeartbeat(heartbeatHead(heartbeat)) == fencing.NeedsClaim {
 		return true
 	}
-	// What has failed over by a group is claimed alone where a peer could not see who owns it.
+	// A machine that was taken over with its group is claimed individually while a peer runs a
+	// version that does not read failover records and so can't tell who owns the machine.
 	return m.failedOver() && c.hasPeerBelowFormat(failoverFormat)
 }
 
-// answerUnclaimed answers the heartbeat of a worker that needs a claim: it is redirected or
-// refused where another controller will serve it, and claimed otherwise.
+// answerUnclaimed answers the heartbeat of a worker that needs a claim. The worker is redirected
+// or refused if another controller is expected to serve it, and claimed otherwise.
 func (c *Core) answerUnclaimed(id uint64, m *machine, heartbeat *protocol.Heartbeat, alone bool) {
 	if m.claiming {
 		c.refuse(id, http.StatusServiceUnavailable, "being claimed")
@@ -77,8 +80,9 @@
 		return
 	}
 	if c.cutOff() && c.isolated() {
-		// Others may serve it: it must not wait here for a claim that can't be written. (In an outage
-		// that all see the wait costs nothing, and keeps workers from going round in haste.)
+		// Other controllers may be able to serve the worker, so it must not wait here for a claim
+		// that can't be written. (In an outage that affects all controllers the wait costs nothing,
+		// and it keeps workers from trying one controller after another in quick succession.)
 		c.refuse(id, http.StatusServiceUnavailable, "cut off from the state service")
 		return
 	}
@@ -94,7 +98,7 @@
 	})
 }
 
-// acceptHeartbeat answers a heartbeat under our claim.
+// acceptHeartbeat answers a heartbeat of a worker whose machine we own.
 func (c *Core) acceptHeartbeat(id uint64, m *machine, heartbeat *protocol.Heartbeat) {
 	if !c.isOwn(m) {
 		c.refuse(id, http.StatusServiceUnavailable, "the claim was lost")
@@ -102,7 +106,7 @@
 	}
 	verdict := c.workerState(m).JudgeHeartbeat(heartbeatHead(heartbeat))
 	if verdict == fencing.Stale {
-		// Its list is old, and its sender has given up on the answer.
+		// The heartbeat's task list is old, and the worker no longer waits for the answer.
 		c.refuse(id, http.StatusServiceUnavailable, "an older report")
 		return
 	}
@@ -125,7 +129,8 @@
 	c.effects.Responses = append(c.effects.Responses, Response{ID: id, Status: http.StatusOK, Body: encode(response), Urgent: m.urgent()})
 }
 
-// recordHeartbeat takes up what a heartbeat under our claim says of the machine itself.
+// recordHeartbeat updates the machine's state from a heartbeat that arrives while we own the
+// machine.
 func (c *Core) recordHeartbeat(m *machine, heartbeat *protocol.Heartbeat) {
 	m.epoch = heartbeat.AgentEpoch
 	m.sequence = heartbeat.Sequence
@@ -138,8 +143,8 @@
 	}
 }
 
-// releaseEarlierEpochs releases the tasks that a heartbeat which is not trusted shows to be
-// of an earlier agent epoch.
+// releaseEarlierEpochs releases the tasks that were bound in an earlier agent epoch than that of
+// an untrusted heartbeat.
 func (c *Core) releaseEarlierEpochs(m *machine, heartbeat *protocol.Heartbeat) {
 	for _, key := range m.tasks() {
 		record := m.bound[key]
@@ -154,17 +159,18 @@
 	}
 }
 
-// killTasksOfFinalJobs stops the tasks of jobs that are over. It is safe whatever the records
-// lack, as final states never change.
+// killTasksOfFinalJobs returns the commands that stop the tasks of jobs in a final state. This is
+// safe even if our mirror is incomplete, because final states never change.
 //
-// Guards against cancelled tasks that lived on: the answer to a heartbeat that is not
-// trusted renews the lease, and the cancel horizon relies on every cancellation that we know
-// of being sent with the answer. A controller whose watch was late answered so for
-// twenty seconds, and the next one after it.
+// Guards against cancelled tasks that kept running: the answer to an untrusted heartbeat renews
+// the worker's lease, and the cancel horizon relies on the answer carrying a stop for every
+// cancellation that we know of. A controller whose watch was late answered without stops for
+// twenty seconds, and so did the controller that owned the machine after it.
 //
-// Also what is bound to the machine and not listed: a heartbeat that a direct launch has
-// overtaken lacks what runs by now, and its answer renews the lease. (The model found it; a
-// stop of what is not there does nothing.)
+// Tasks that are bound to the machine but not listed are stopped too: a heartbeat that a direct
+// launch has overtaken does not list the launched task, which may be running by now, and its
+// answer renews the lease. (The model in internal/fencing found this. Stopping a task that is
+// not on the worker has no effect.)
 func (c *Core) killTasksOfFinalJobs(m *machine, heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	listed := map[string]bool{}
@@ -186,19 +192,20 @@
 	return commands
 }
 
-// knownFinal tells whether a job is known to be over, by its record or because a peer has
-// named it as cancelled.
+// knownFinal reports whether a job is known to be in a final state, either from its record or
+// because a peer has reported it as cancelled.
 func (c *Core) knownFinal(id string) bool {
 	record := c.jobs.byID[id]
 	return record != nil && record.final() || c.links.KnownCancelled(id)
 }
 
-// killCommand stops what a worker lists, with a grace period in seconds.
+// killCommand returns the command that stops a listed attempt, with a grace period in seconds.
 func killCommand(status *protocol.TaskStatus, gracePeriod float64) protocol.Command {
 	return protocol.Command{Verb: protocol.VerbKill, Task: status.Task, Attempt: status.Attempt, GracePeriodS: &gracePeriod}
 }
 
-// launchCommand starts an attempt whose launch the fencing rules have allowed.
+// launchCommand returns the command that starts an attempt whose launch the fencing rules have
+// allowed.
 func (c *Core) launchCommand(m *machine, attempt taskAttempt) protocol.Command {
 	c.traceStart(losses.Launch, attempt.job, attempt.index, attempt.number, m.id)
 	return protocol.Command{
@@ -209,7 +216,8 @@
 	}
 }
 
-// heartbeatHead is a heartbeat without its list of tasks.
+// heartbeatHead returns the fields of a heartbeat that the fencing rules judge: all but the task
+// list.
 func heartbeatHead(heartbeat *protocol.Heartbeat) fencing.Heartbeat {
 	return fencing.Heartbeat{Token: heartbeat.FencingToken, Epoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 }
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -11,20 +11,20 @@
 	"silvergate/internal/ratelimit"
 )
 
-// machineTable owns what is known of all machines: who owns them, their drains, and
-// which of them this controller owns itself.
+// machineTable holds the state of all known machines: their owners, their drains, and the list of
+// those that this controller owns.
 type machineTable struct {
 	byID           map[string]*machine
 	own            []*machine // the machines that this controller owns, by name
 	ownership      ownershipTable
 	drains         map[string]drainRecord
-	launchTargets  []*machine // machines with launches to be sent at the end of the step
+	launchTargets  []*machine // machines with queued launches, which are sent at the end of the step
 	claimsInFlight int
 	probesInFlight int
-	listedBuffer   map[taskKey]bool // reused by reconcile alone
+	listedBuffer   map[taskKey]bool // scratch space of reconcile
 }
 
-// newMachineTable makes an empty table.
+// newMachineTable returns an empty table.
 func newMachineTable() machineTable {
 	return machineTable{
 		byID:         map[string]*machine{},
@@ -34,8 +34,9 @@
 	}
 }
 
-// machine is what a controller knows of one machine: who owns it, what its heartbeats say,
-// the launches on their way to it, the work on it, and for whom its room is reserved.
+// machine is what a controller knows about one machine: its owner, the state reported by its
+// heartbeats, the launches sent to it, the tasks on it, and the job that its room is reserved
+// for.
 type machine struct {
 	id string
 	machineOwnership
@@ -44,95 +45,96 @@
 	machineAllocation
 	roomReservation
 
-	failedJobs    map[string]bool // jobs whose tasks failed here
-	idleListIndex int             // place in the idle list, counted from 1; 0: not listed
-	listedAt      time.Duration   // when it was put on the idle list
-	unboundSince  time.Duration   // since when nothing is bound to it, for the fleet
+	failedJobs    map[string]bool // jobs of which a task failed on this machine
+	idleListIndex int             // position in the idle list, counted from 1; 0: not listed
+	listedAt      time.Duration   // when it was added to the idle list
+	unboundSince  time.Duration   // since when no task is bound to it, for scaling in
 	draining      bool            // a drain record is being written
-	dropRetryAt   time.Duration   // its records are being dropped: not again before this time
-	consolidating bool            // its services are being consolidated elsewhere
-	sparseSince   time.Duration   // since when it runs few services and nothing else; 0: it does not
+	dropRetryAt   time.Duration   // its records are being deleted; no further attempt before this time
+	consolidating bool            // its services are being moved to other machines
+	sparseSince   time.Duration   // since when it runs only a few services; 0: it runs more, or other tasks
 }
 
-// heartbeatState is what the owner of a machine knows from its worker's heartbeats and
-// replies.
+// heartbeatState is what the owner of a machine knows from the heartbeats of its worker and the
+// worker's replies to calls.
 type heartbeatState struct {
-	epoch          uint64           // of the worker's agent
-	sequence       uint64           // of the newest heartbeat in that epoch
-	lastLaunch     fencing.Position // of the newest reply to a direct launch
+	epoch          uint64           // the agent epoch of the worker
+	sequence       uint64           // the sequence number of the newest heartbeat in that epoch
+	lastLaunch     fencing.Position // the position of the newest reply to a direct launch
 	tokenSeen      bool             // a heartbeat carried our fencing token
-	tokenSeenAt    time.Duration    // when one first did
-	mirrorComplete bool             // the mirror was complete after that
+	tokenSeenAt    time.Duration    // when a heartbeat first carried it
+	mirrorComplete bool             // the mirror was complete at some time after tokenSeenAt
 	heardAt        time.Duration    // arrival of the last heartbeat
 	answeredAt     time.Duration    // arrival of the last heartbeat that was answered with 200
 	probing        bool             // a status probe is under way
 	nextProbeAt    time.Duration    // no probe before this time
-	failedProbes   int              // probes in a row without a reply
-	leaseExpired   bool             // its lease is over and its tasks were given up
-	preempted      bool             // it has been given notice by the cloud
+	failedProbes   int              // consecutive probes without a reply
+	leaseExpired   bool             // the worker's lease has expired and its tasks were released
+	preempted      bool             // the cloud has announced the machine's preemption
 
-	redirectedToOwnerAt time.Duration // when it was last redirected to its owner, see shouldRedirectToOwner
+	redirectedToOwnerAt time.Duration // when the worker was last redirected to its owner, see shouldRedirectToOwner
 	redirectedAt        time.Duration // when a heartbeat was last redirected to another controller
-	awaitingOwnerSince  time.Duration // when it first came here while its own controller was down
+	awaitingOwnerSince  time.Duration // when the worker first came here while its own controller was down
 }
 
-// launchState is the launches that are on their way to a machine, and the tasks that are
-// known to have begun.
+// launchState holds the launches that were sent to a machine or wait to be, the progress of its
+// tasks, and the stops that are wanted.
 type launchState struct {
-	inFlight         map[taskAttempt]bool // sent directly and not replied to yet
-	launchInDoubt    bool                 // such a launch got no reply: it may be executed until a new token is seen
+	inFlight         map[taskAttempt]bool // sent directly, without a reply yet
+	launchInDoubt    bool                 // a direct launch got no reply: it may be executed until a new token is seen
 	deferredLaunches []taskAttempt        // launches that wait until the records are known to be complete
-	queuedLaunches   []taskAttempt        // for the next direct call
+	queuedLaunches   []taskAttempt        // to be sent with the next direct call
 	runningSince     map[taskKey]time.Duration
-	pulling          map[taskKey]bool // last reported as waiting for the image
+	pulling          map[taskKey]bool // tasks last reported as waiting for their image
 	stops            map[taskKey]taskStop
 }
 
-// machineAllocation is the work on a machine, by the records and by what is planned.
+// machineAllocation holds the tasks on a machine and the resources that are used or reserved
+// there.
 type machineAllocation struct {
-	machineType     *protocol.MachineType // cached by machineTypeOf, nil while it is not known
+	machineType     *protocol.MachineType // cached by machineTypeOf; nil while the type is unknown
 	bound           map[taskKey]*jobRecord
-	boundAt         map[taskKey]binding     // when each was bound
-	vacated         map[taskKey]*jobRecord  // bound by the records, but known to have left: their room is free
-	reserved        int                     // tasks for which room is reserved
-	services        int                     // bound tasks of services
-	boundByPriority [job.Production + 1]int // bound tasks that can be stopped alone, by priority
+	boundAt         map[taskKey]binding     // when each task was bound
+	vacated         map[taskKey]*jobRecord  // still bound in the records, but known to have ended: their room is free
+	reserved        int                     // number of tasks for which room is reserved
+	services        int                     // number of bound service tasks
+	boundByPriority [job.Production + 1]int // number of bound tasks that can be stopped individually, by priority
 	cpus            float64                 // processors in use or reserved
 	gpus            float64                 // accelerators in use or reserved
 	ram             float64                 // memory in use or reserved, in GB
-	serviceShare    float64                 // what services use: accelerators, or processors where they use none
-	// imageReadyAt tells when each image will be on the machine, as far as is known.
+	serviceShare    float64                 // usage by services, see addUsage
+	// imageReadyAt is when each image is expected to be on the machine.
 	imageReadyAt map[string]time.Duration
 }
 
-// roomReservation keeps a machine's room for a job for which other tasks were stopped there.
+// roomReservation reserves a machine's room for the job for which other tasks were stopped there.
 type roomReservation struct {
 	reservedFor   string        // the job
-	reservedUntil time.Duration // nothing else may use the room before this time
-	reservedBy    string        // the controller whose gang it is kept for
+	reservedUntil time.Duration // no other job may use the room before this time
+	reservedBy    string        // the controller that schedules the gang for which the room is reserved
 }
 
-// taskAttempt is one attempt of a task.
+// taskAttempt identifies one attempt of a task.
 type taskAttempt struct {
 	taskKey
 	number int
 }
 
-// binding is when a task was bound: by our clock, and by the revision, which is 0 if it is
-// not known.
+// binding is when a task was bound, by our clock and by the state service's revision. The revision
+// is 0 if it is unknown.
 type binding struct {
 	boundAt  time.Duration
 	revision uint64
 }
 
-// taskStop is a wanted stop of a bound task.
+// taskStop is a requested stop of a bound task.
 type taskStop struct {
 	gracePeriod float64 // in seconds
 	reason      string
 	at          time.Duration
 }
 
-// newMachine makes a machine of which nothing is known.
+// newMachine returns a machine about which nothing is known yet.
 func newMachine(id string, now time.Duration) *machine {
 	return &machine{
 		id:           id,
@@ -153,7 +155,7 @@
 	}
 }
 
-// findOrAdd returns the machine of a name, and adds it if it is new.
+// findOrAdd returns the machine with the given name, and adds it if it is new.
 func (t *machineTable) findOrAdd(id string, now time.Duration) *machine {
 	m := t.byID[id]
 	if m == nil {
@@ -163,7 +165,7 @@
 	return m
 }
 
-// updateOwn adds a machine to the list of own machines or removes it from there.
+// updateOwn adds a machine to the list of own machines or removes it, as own says.
 func (t *machineTable) updateOwn(m *machine, own bool) {
 	index := sort.Search(len(t.own), func(i int) bool { return t.own[i].id >= m.id })
 	listed := index < len(t.own) && t.own[index].id == m.id
@@ -175,13 +177,13 @@
 	}
 }
 
-// machine returns the machine of a name, and adds it to the table if it is new.
+// machine returns the machine with the given name, and adds it to the table if it is new.
 func (c *Core) machine(id string) *machine { return c.machines.findOrAdd(id, c.now) }
 
-// unknownMachineType stands for a type that the catalogue lacks; nothing fits on it.
+// unknownMachineType stands in for a type that the catalogue does not list; no task fits on it.
 var unknownMachineType protocol.MachineType
 
-// machineTypeOf returns a machine's type by the catalogue.
+// machineTypeOf returns the catalogue entry of a machine's type.
 func (c *Core) machineTypeOf(m *machine) *protocol.MachineType {
 	if m.machineType != nil && m.machineType.Name == m.claim.MachineType {
 		return m.machineType
@@ -193,15 +195,16 @@
 	return m.machineType
 }
 
-// reserveRoom reserves a machine's room for a job; controller is the one that is to be
-// notified when it is free.
+// reserveRoom reserves a machine's room for a job until the given time; controller is notified
+// when the room is free.
 func (m *machine) reserveRoom(jobID string, until time.Duration, controller string) {
 	m.reservedFor = jobID
 	m.reservedUntil = until
 	m.reservedBy = controller
 }
 
-// addUsage adds the resources of tasks tasks of a job, or subtracts them if tasks is negative.
+// addUsage adds the resources of a number of tasks of a job, or subtracts them if the number is
+// negative. The service share counts accelerators, or processors for services without any.
 func (m *machine) addUsage(spec *job.Spec, tasks float64) {
 	m.cpus += tasks * spec.CPUs
 	m.gpus += tasks * spec.GPUs
@@ -211,10 +214,10 @@
 	}
 }
 
-// vacate frees the room of a task that a heartbeat under our token shows to have left,
-// though its completion is not committed yet: that is a fact about the machine, whatever
-// becomes of the record, and under load the commit takes seconds that urgent work
-// would wait for. The task stays charged to its team until then.
+// vacate frees the room of a task that a heartbeat under our token shows to have ended, before
+// its completion is committed: the machine has the room whatever becomes of the record, and under
+// load the commit takes seconds for which urgent work would have to wait. Until the commit the
+// task still counts against its team's quota.
 func (m *machine) vacate(key taskKey, record *jobRecord) {
 	if m.vacated[key] == nil && m.bound[key] == record {
 		m.vacated[key] = record
@@ -222,7 +225,8 @@
 	}
 }
 
-// reoccupy undoes vacate for all tasks: what was known under a claim is lost with it.
+// reoccupy undoes vacate for all tasks, because what was learned under a claim is no longer valid
+// once the claim is lost.
 func (m *machine) reoccupy() {
 	for _, record := range m.vacated {
 		m.addUsage(record.spec, 1)
@@ -230,8 +234,8 @@
 	clear(m.vacated)
 }
 
-// unlisted returns the tasks that are bound to the machine and not in listed, in order.
-// All that is in listed must be bound.
+// unlisted returns the tasks that are bound to the machine but not in listed, in order. All tasks
+// in listed must be bound to the machine.
 func (m *machine) unlisted(listed map[taskKey]bool) []taskKey {
 	if len(listed) == len(m.bound) {
 		return nil
@@ -246,11 +250,11 @@
 	return out
 }
 
-// urgent tells whether production work is bound to the machine.
+// urgent reports whether any production task is bound to the machine.
 func (m *machine) urgent() bool { return m.boundByPriority[job.Production] > 0 }
 
-// class is the rate class of changes of a machine's records: that of the most urgent work
-// on it.
+// class returns the rate class for writes to the machine's records. It is that of the most urgent
+// task on the machine.
 func (m *machine) class() ratelimit.Class {
 	switch {
 	case m.urgent():
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -9,13 +9,13 @@
 
 // This file compares a trusted heartbeat with the records.
 
-// reconcile compares a heartbeat with the records: what should be on the machine is
-// launched, what should not be is stopped, and completions are proposed for commit
-// and forgotten once committed.
+// reconcile compares a heartbeat with the records and returns the commands for the worker.
+// Missing tasks are launched, unwanted ones are stopped, and completions are proposed for commit
+// and forgotten by the worker once committed.
 func (c *Core) reconcile(m *machine, heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	state := c.workerState(m)
-	m.deferredLaunches = nil // what the heartbeat lacks is judged again
+	m.deferredLaunches = nil // tasks that the heartbeat does not list are judged again below
 	listed := c.machines.listedBuffer
 	clear(listed)
 	for i := range heartbeat.Tasks {
@@ -33,7 +33,7 @@
 }
 
 // reconcileListed judges an attempt that a trusted heartbeat lists, and appends the command
-// for it, if any. What is bound here as it is listed is added to listed.
+// for it, if any. If the attempt is the one bound to this machine, its task is added to listed.
 func (c *Core) reconcileListed(commands []protocol.Command, m *machine, state fencing.WorkerState, heartbeat *protocol.Heartbeat, status *protocol.TaskStatus, listed map[taskKey]bool) []protocol.Command {
 	id, index, err := job.ParseTaskName(status.Task)
 	if err != nil {
@@ -53,7 +53,7 @@
 	case fencing.Kill:
 		return append(commands, killCommand(status, 0))
 	case fencing.Defer:
-		return commands // to be forgotten later
+		return commands // the worker is told to forget the attempt later
 	}
 	record := c.jobs.byID[id]
 	listed[key] = true
@@ -74,7 +74,7 @@
 	return commands
 }
 
-// recordProgress takes from a heartbeat how far an attempt is: running, or waiting for its
+// recordProgress records whether a heartbeat shows an attempt as running or as waiting for its
 // image.
 func (c *Core) recordProgress(m *machine, record *jobRecord, key taskKey, status *protocol.TaskStatus) {
 	image := record.spec.Image
@@ -87,7 +87,7 @@
 		delete(m.pulling, key)
 	case protocol.TaskPulling:
 		m.pulling[key] = true
-		// It takes longer than expected if it is still not there by the next heartbeat.
+		// The image is not expected before the next heartbeat.
 		nextHeartbeatAt := c.now + seconds(c.cfg.Facts.Workers.Report)
 		if m.imageReadyAt[image] < nextHeartbeatAt {
 			m.imageReadyAt[image] = nextHeartbeatAt
@@ -95,8 +95,8 @@
 	}
 }
 
-// reconcileMissing judges a task that is bound to the machine and not on the list of a
-// trusted heartbeat, and appends the command for it, if any.
+// reconcileMissing judges a task that is bound to the machine but not listed by a trusted
+// heartbeat, and appends the command for it, if any.
 func (c *Core) reconcileMissing(commands []protocol.Command, m *machine, state fencing.WorkerState, heartbeat *protocol.Heartbeat, key taskKey) []protocol.Command {
 	record := m.bound[key]
 	task := record.task(c, key.index)
@@ -124,7 +124,7 @@
 	return commands
 }
 
-// releasePending tells whether a release or completion of the task is queued or being
+// releasePending reports whether a release or completion of the task is queued or being
 // written.
 func (c *Core) releasePending(record *jobRecord, index int) bool {
 	if c.writer.completions.queued[taskKey{record.spec.ID, index}] {
