--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -8,32 +8,32 @@
 	"silvergate/internal/protocol"
 )
 
-// This file detects machines that have failed by their missing heartbeats.
+// This file detects failed machines by their missing heartbeats.
 
-// Times without a heartbeat, in heartbeat periods of the workers.
+// Times since a machine's last heartbeat, in heartbeat periods of the workers.
 const (
 	overduePeriods       = 1.25 // the heartbeat is overdue
 	probePeriods         = 1.35 // the machine is probed
-	unansweredPeriods    = 1.75 // the machine has failed if two probes had no reply
+	unansweredPeriods    = 1.75 // the machine has failed if two probes got no reply
 	silentPeriods        = 3    // with answerTimeout added, the machine is silent
-	inheritedPeriods     = 2.5  // a machine of an earlier incarnation has failed if two probes had no reply
-	inheritedLostPeriods = 3    // beyond the cancel horizon, a machine of an earlier incarnation has failed
+	inheritedPeriods     = 2.5  // a machine of an earlier incarnation has failed if two probes got no reply
+	inheritedLostPeriods = 3    // with the cancel horizon added, a machine of an earlier incarnation has failed
 )
 
 // unresponsivePeriods is how many heartbeat periods a machine may take to show our fencing
-// token before it is unresponsive.
+// token before it counts as unresponsive.
 const unresponsivePeriods = 2
 
 const (
 	// answerTimeout is how long a worker waits for the answer to a heartbeat, in seconds.
 	answerTimeout = 4
 
-	// maxUnresponsiveMachines is how many machines a peer heartbeat names as unresponsive at
-	// the most.
+	// maxUnresponsiveMachines is the maximum number of machines that a peer heartbeat names as
+	// unresponsive.
 	maxUnresponsiveMachines = 256
 
-	// minUnreachableMachines is how many machines must be silent together before it counts as
-	// a failure of their zone or site, and not of each.
+	// minUnreachableMachines is how many machines must be silent at the same time for this to
+	// count as a failure of their zone or site instead of the single machines.
 	minUnreachableMachines = 4
 )
 
@@ -41,22 +41,22 @@
 // overdue.
 type zoneHeartbeats struct {
 	machines, overdue int
-	lastHeartbeat     time.Duration // when the last heartbeat of any of them came
+	lastHeartbeat     time.Duration // when the last heartbeat from any of them arrived
 }
 
-// unreachable tells whether it is the zone that can't be heard, and not single machines
-// of it: several are silent, and more than three quarters of all; or no heartbeat
-// came in a time in which eight should have.
+// unreachable reports whether the zone as a whole can't be heard, as opposed to single machines
+// in it: at least minUnreachableMachines and more than three quarters of its machines are
+// overdue, or no heartbeat arrived in a time in which eight were due.
 //
-// Guards against a zone that is cut off, has no controller in it, and has all
-// its machines deleted. Their tasks run on for the lease, and may outlast the
-// cut; after that they are free without a deletion, and the machines go on when
-// the zone is back, while new ones would have to boot first, in the same zone
-// where the others are full. The second condition is for the first seconds, in
-// which those that sent their heartbeats longest ago are overdue and the others are not.
+// Guards against the deletion of all machines of a zone that is cut off and has no controller.
+// Their tasks keep running until the lease expires and may outlast the cut. After the lease the
+// tasks can be released without deleting the machines, and the machines are usable as soon as the
+// zone is back, while new ones would have to boot first, in the same zone if the others are full.
+// The second condition covers the first seconds of a cut, in which only those machines are overdue
+// that sent their last heartbeats the longest ago.
 //
-// They are deleted when they have been of no use for as long as another takes to
-// boot: that at most doubles what the wrong guess costs, whichever it was.
+// The machines are deleted once they have been unusable for as long as a new one takes to boot.
+// Whether the zone or the machines have failed, this at most doubles the cost of a wrong guess.
 func (z *zoneHeartbeats) unreachable(now, period time.Duration) bool {
 	if z.overdue >= minUnreachableMachines && 4*z.overdue > 3*z.machines {
 		return true
@@ -67,27 +67,27 @@
 // heartbeatCounts counts our machines by how long ago their last heartbeats came.
 type heartbeatCounts struct {
 	machines     int
-	heard        int                        // not silent
-	recent       int                        // not overdue
-	unresponsive []string                   // machines that send heartbeats and do not hear our answers
+	heard        int                        // machines that are not silent
+	recent       int                        // machines whose heartbeat is not overdue
+	unresponsive []string                   // machines that send heartbeats but do not receive our answers
 	zones        map[string]*zoneHeartbeats // by zone
 }
 
-// enoughRecent tells whether at least a quarter of our machines were heard within one heartbeat
-// period, so that it is not we who are cut off.
+// enoughRecent reports whether the heartbeats of at least a quarter of our machines are not
+// overdue, which shows that we are not cut off ourselves.
 func (h *heartbeatCounts) enoughRecent() bool { return h.recent*4 >= h.machines }
 
-// enoughHeard tells whether at least a quarter of our machines are not silent.
+// enoughHeard reports whether at least a quarter of our machines are not silent.
 func (h *heartbeatCounts) enoughHeard() bool { return h.heard*4 >= h.machines }
 
-// silenceTimeout is how long after its last heartbeat a machine is silent. A worker gives up
-// on an answer after answerTimeout; three heartbeat periods and one such wait without a
-// heartbeat, while others are heard, is a machine in trouble.
+// silenceTimeout is how long after its last heartbeat a machine counts as silent: three heartbeat
+// periods, plus the answerTimeout for which a worker may wait for an answer. A machine that is
+// silent for so long while others are heard has a fault.
 func (c *Core) silenceTimeout() time.Duration {
 	return seconds(silentPeriods*c.cfg.Facts.Workers.Report + answerTimeout)
 }
 
-// checkSilentMachines looks for machines of ours that have fallen silent.
+// checkSilentMachines looks for machines of ours whose heartbeats are missing.
 func (c *Core) checkSilentMachines() {
 	period := c.cfg.Facts.Workers.Report
 	mirrorStale := c.now-c.state.FreshAt() > seconds(period)
@@ -136,10 +136,10 @@
 	return counts
 }
 
-// unresponsive tells whether a machine sends heartbeats and does not hear our answers.
+// unresponsive reports whether a machine sends heartbeats but does not receive our answers.
 //
-// Guards against work that waits for room on a machine that hears no controller: its heartbeats
-// come, so it is not silent, and it never shows the token under which it could be given any.
+// Guards against work that waits for room on such a machine: its heartbeats arrive, so it is not
+// silent, but it never shows our token, without which no task may be launched there.
 func (c *Core) unresponsive(m *machine) bool {
 	if m.tokenSeen || m.sequence == 0 {
 		return false
@@ -148,13 +148,13 @@
 	return ownedFor > seconds(unresponsivePeriods*c.cfg.Facts.Workers.Report) && c.now-m.heardAt < c.silenceTimeout()
 }
 
-// hasUnadoptedMachines tells whether an earlier incarnation of ours has claimed machines that we
+// hasUnadoptedMachines reports whether an earlier incarnation of ours has claimed machines that we
 // have not adopted yet.
 func (c *Core) hasUnadoptedMachines() bool {
 	return c.machines.ownership.machinesByOwner[c.cfg.Node] > len(c.machines.own)
 }
 
-// updateWorkerCounts tells the link tracker how many workers should be heard in each zone.
+// updateWorkerCounts informs the link tracker how many workers should be heard in each zone.
 func (c *Core) updateWorkerCounts(zones map[string]*zoneHeartbeats) {
 	owned := map[string]int{}
 	for name, zone := range zones {
@@ -171,7 +171,7 @@
 	c.links.SetWorkers(owned, unadopted)
 }
 
-// checkLease gives up the tasks of a machine whose lease is over.
+// checkLease releases the tasks of a machine whose lease has expired.
 func (c *Core) checkLease(m *machine) {
 	if !c.workerState(m).LeaseExpired(c.now, m.answeredAt, c.leaseExpiry()) {
 		return
@@ -197,7 +197,7 @@
 	if mirrorStale || !c.machineFailed(m, counts) {
 		return
 	}
-	// A machine of a zone that is unreachable is kept for as long as another takes to boot.
+	// A machine in an unreachable zone is kept for as long as a new one takes to boot.
 	zoneUnreachable := counts.zones[m.claim.Zone].unreachable(c.now, seconds(period))
 	if zoneUnreachable && silence <= c.leaseExpiry()+c.silenceTimeout()+seconds(c.machineTypeOf(m).StartupS) {
 		return
@@ -205,13 +205,13 @@
 	c.drainMachine(m, drainSilent)
 }
 
-// machineFailed tells whether a machine of ours has failed, by its silence and that of others.
+// machineFailed reports whether a machine of ours has failed, judged by its own silence and that of
+// the others.
 //
-// Its heartbeat is overdue, it did not reply to two probes either, and
-// a quarter of all were heard within one heartbeat period, so it is not we
-// who are cut off: that is enough. (Cut off from all workers, none
-// would have been heard for so long.) Guards against a controller that
-// takes itself for cut off when more than half of its machines hang.
+// It is enough that the machine's heartbeat is overdue, that it did not reply to two probes, and
+// that the heartbeats of a quarter of all machines are not overdue. The last condition shows that
+// we are not cut off from all workers, as then none would have been heard for so long. Guards
+// against a controller that considers itself cut off when more than half of its machines hang.
 func (c *Core) machineFailed(m *machine, counts *heartbeatCounts) bool {
 	silence := c.now - m.heardAt
 	if silence > seconds(unansweredPeriods*c.cfg.Facts.Workers.Report) && m.failedProbes > 1 && counts.enoughRecent() {
@@ -221,15 +221,16 @@
 }
 
 // checkInheritedMachines looks for machines that an earlier incarnation of ours owned and that
-// have found no controller since: a worker that is up needs a heartbeat period and a few
-// seconds for it. One that does not reply to a probe either, while most of ours are
-// heard (othersHeard), is in trouble; after the cancel horizon, when no controller can have
-// answered it any more, so is any.
+// have found no controller since. A worker that is up finds one within a heartbeat period and a
+// few seconds. A machine that does not reply to probes either, while enough of ours are heard
+// (othersHeard), has failed. After the cancel horizon, when no controller can have answered it any
+// more, any such machine has failed.
 //
-// Guards against the deletion of all machines of a site: where more than three quarters of all that
-// the earlier incarnation owned, and at least four, are silent, it is not single machines that
-// are in trouble. They can't be reached for a while, and go on with their tasks when they can;
-// the heartbeats of machines that have just started tell nothing about them.
+// Guards against the deletion of all machines of a site. If at least minUnreachableMachines and
+// more than three quarters of the machines that the earlier incarnation owned are silent, the
+// fault is not in single machines: they are unreachable for a while, and continue with their
+// tasks when they are reachable again. Heartbeats of machines that have just started say nothing
+// about them.
 func (c *Core) checkInheritedMachines(othersHeard bool) {
 	missing := c.countInheritedMachines()
 	c.scaler.inherited = max(c.scaler.inherited, missing)
@@ -271,12 +272,12 @@
 	}
 }
 
-// maxProbes is how many workers may be probed at a time: probes of a zone that is cut off
-// hang, and must not take the connections that launches need.
+// maxProbes is how many workers may be probed at a time. Probes of a zone that is cut off hang
+// until they time out, and must not use up the connections that launches need.
 func (c *Core) maxProbes() int { return max(2, c.cfg.Facts.Limits.MaxSockets/40) }
 
-// probeWorker asks the worker of an overdue machine for its status. A reply shows that it is
-// up, none that it probably is not.
+// probeWorker asks the worker of an overdue machine for its status. A reply shows that the worker
+// is up; no reply means that it probably is not.
 func (c *Core) probeWorker(m *machine) {
 	if c.machines.probesInFlight >= c.maxProbes() {
 		return
@@ -301,12 +302,12 @@
 	})
 }
 
-// maxZoneProbes is how many probes may be under way when a zone is probed in which we own no
-// machine.
+// maxZoneProbes is the number of probes under way at which probeZone starts no further one.
 const maxZoneProbes = 2
 
-// probeZone probes a worker of a zone, a different one each time, when other controllers own
-// all machines that we had there: no heartbeat would ever show that we hear the zone again.
+// probeZone probes a worker of a zone in which other controllers have taken over all machines that
+// we had, a different worker each time. Without it, as no worker there sends us heartbeats,
+// nothing would ever show that we hear the zone again.
 func (c *Core) probeZone(zone string) {
 	if c.machines.probesInFlight >= maxZoneProbes {
 		return
@@ -316,7 +317,8 @@
 	}
 }
 
-// nextToProbe is the machine of a zone that was probed longest ago, nil if none may be probed.
+// nextToProbe returns the machine of a zone that was probed the longest ago, or nil if none may be
+// probed now.
 func (t *machineTable) nextToProbe(zone string, now time.Duration) *machine {
 	var next *machine
 	for _, m := range t.byID {
--- a/internal/coordination/group_failover.go
+++ b/internal/coordination/group_failover.go
@@ -14,43 +14,43 @@
 	"silvergate/internal/stateclient"
 )
 
-// This file applies the rules of internal/failover: workers whose controller has failed, or
-// does not hear their zone any more, fail over to another by the group, by one record for
-// all of them.
+// This file applies the rules of internal/failover: when a controller has failed or no longer hears
+// a zone, its workers there fail over to another controller in groups, with a single record per
+// group.
 
 const (
 	// pendingFailoverTimeout is how long a heartbeat waits for the failover of its worker's
-	// group: the worker gives up on the answer after answerTimeout.
+	// group. It is shorter than answerTimeout, after which the worker stops waiting.
 	pendingFailoverTimeout = 3 * time.Second
 
-	// minFailoverGroupSize is how many workers a group must have left for a failover to save
-	// changes.
+	// minFailoverGroupSize is how many workers a group must have for a failover to need fewer
+	// writes than individual claims.
 	minFailoverGroupSize = 2
 )
 
-// ownershipTable is who owns which machines: how many each controller does, by which groups
-// they have failed over from one to another, and the failovers that heartbeats wait for.
+// ownershipTable holds how many machines each controller owns, which groups have failed over from
+// one controller to another, and the failovers that heartbeats wait for.
 type ownershipTable struct {
 	machinesByOwner map[string]int
 	failovers       *failover.Table
-	// pending are the groups whose failover is under way here, with the heartbeats that wait
-	// for it.
+	// pending holds the groups whose failover to this controller or another is under way, with
+	// the heartbeats that wait for it.
 	pending map[failover.Group]*pendingFailover
 }
 
-// pendingFailover is a failover that is being written, or that the mirror has not reached yet.
+// pendingFailover is a failover whose record is being written or is not applied by the mirror yet.
 type pendingFailover struct {
 	since      time.Duration
 	heartbeats []pendingHeartbeat
 }
 
-// pendingHeartbeat is a worker's heartbeat that is not answered yet.
+// pendingHeartbeat is a worker's heartbeat that has not been answered yet.
 type pendingHeartbeat struct {
-	id        uint64 // of the request
+	id        uint64 // the ID of its request
 	heartbeat *protocol.Heartbeat
 }
 
-// newOwnershipTable makes an empty table.
+// newOwnershipTable returns an empty table.
 func newOwnershipTable() ownershipTable {
 	return ownershipTable{
 		machinesByOwner: map[string]int{},
@@ -59,12 +59,12 @@
 	}
 }
 
-// claimEpoch is the epoch of the claims that we write now.
+// claimEpoch returns the epoch of the claims that we write now.
 func (c *Core) claimEpoch() int {
 	return c.machines.ownership.failovers.NextEpoch(c.cfg.Node, c.incarnation)
 }
 
-// applyFailover takes a change of the record of a group's failover from the mirror.
+// applyFailover applies a change of a group's failover record in the mirror.
 func (c *Core) applyFailover(name string, data json.RawMessage, revision uint64) {
 	failovers := c.machines.ownership.failovers
 	group, ok := failover.ParseKey(name)
@@ -87,8 +87,8 @@
 	}
 }
 
-// advanceFailovers applies the records up to which the mirror has become complete, and answers
-// the heartbeats that have waited for them.
+// advanceFailovers applies the failover records up to the revision at which the mirror is
+// complete, and answers the heartbeats that have waited for them.
 func (c *Core) advanceFailovers() {
 	applied := c.machines.ownership.failovers.Advance(c.state.AppliedRevision())
 	sortGroups(applied)
@@ -103,7 +103,7 @@
 	sort.Slice(groups, func(i, k int) bool { return groups[i].Key() < groups[k].Key() })
 }
 
-// resolveGroup finds the owner of each machine of a group again.
+// resolveGroup determines the owner of each machine of a group anew.
 func (c *Core) resolveGroup(group failover.Group) {
 	for _, id := range sortedKeys(c.machines.byID) {
 		m := c.machines.byID[id]
@@ -113,8 +113,8 @@
 	}
 }
 
-// retryPendingHeartbeats answers the heartbeats that have waited for a group's failover; with
-// alone their workers are claimed one by one.
+// retryPendingHeartbeats answers the heartbeats that have waited for a group's failover. If alone
+// is set, their workers are claimed individually.
 func (c *Core) retryPendingHeartbeats(group failover.Group, alone bool) {
 	for _, pending := range c.machines.ownership.takePending(group) {
 		c.answerHeartbeat(pending.id, pending.heartbeat, alone)
@@ -132,8 +132,8 @@
 	return pending.heartbeats
 }
 
-// awaitGroupFailover has a heartbeat wait for the failover of its worker's whole group, and
-// tells whether it does; else the worker is to be claimed alone.
+// awaitGroupFailover queues a heartbeat until the failover of its worker's whole group is done,
+// and reports whether it has done so. If not, the worker is to be claimed individually.
 func (c *Core) awaitGroupFailover(id uint64, m *machine, heartbeat *protocol.Heartbeat) bool {
 	group, ok := m.nextGroup()
 	if !ok || !c.cfg.Operator.GroupTakeover || m.ownClaim.Token == 0 || !c.allPeersRead(failoverFormat) {
@@ -156,12 +156,12 @@
 	return true
 }
 
-// shouldFailOver tells whether we should become the owner of the whole group of a machine
+// shouldFailOver reports whether we should become the owner of the whole group of a machine
 // whose worker has sent us a heartbeat from a zone.
 //
-// Guards against a controller that can't hear the zone any more itself, and fails a group over
-// by a heartbeat that was delayed on its way: all the group's workers were redirected to where
-// they were not heard.
+// Guards against a controller that can no longer hear the zone itself and fails a group over to
+// itself because of a delayed heartbeat: all workers of the group were then redirected to a
+// controller that did not hear them.
 func (c *Core) shouldFailOver(group failover.Group, m *machine, zone string) bool {
 	if c.links.LostZone(zone) {
 		return false
@@ -169,9 +169,9 @@
 	return c.ownerCannotServe(m) && c.machines.groupSize(group) >= minFailoverGroupSize
 }
 
-// ownerCannotServe tells whether a machine's owner is a peer that can't answer its workers any
-// more: it has failed, or it says that it does not hear the machine's zone. One that has
-// restarted is neither: it goes on with its workers without a change.
+// ownerCannotServe reports whether a machine's owner is a peer that can no longer answer its
+// workers, because it has failed or reports that it does not hear the machine's zone. A peer that
+// has restarted does not count: it keeps its workers without writing any record.
 func (c *Core) ownerCannotServe(m *machine) bool {
 	owner := m.claim.Owner
 	if owner == c.cfg.Node {
@@ -185,7 +185,7 @@
 	return member.Incarnation == m.claim.Incarnation && connectivity.ZoneLost(&snapshot, owner, m.claim.Zone)
 }
 
-// groupSize counts the machines of a group.
+// groupSize returns the number of machines that are in a group now.
 func (t *machineTable) groupSize(group failover.Group) int {
 	size := 0
 	for _, m := range t.byID {
@@ -196,9 +196,10 @@
 	return size
 }
 
-// writeFailover makes us the owner of a group. Whatever happens to the transaction, the mirror
-// shows its outcome. Where the owner has failed the record is conditional on that: a
-// controller that is back goes on with its workers itself.
+// writeFailover writes the record that makes us the owner of a group. Whatever happens to the
+// transaction, the mirror shows its outcome. If the owner has failed, the transaction is
+// conditional on the absence of its member key, because a controller that is back keeps its
+// workers.
 func (c *Core) writeFailover(group failover.Group) {
 	compares := []protocol.Compare{{Key: keyFailover + group.Key()}}
 	if !c.alive(group.Node) {
@@ -213,16 +214,16 @@
 			c.Stats.Failovers++
 			c.log.Info("failing workers over", "from", group.Node, "zone", group.Zone, "workers", c.machines.groupSize(group))
 		case outcome == stateclient.Conflict && !ownerIsBack:
-			// Another controller was first: the mirror will show it.
+			// Another controller wrote the record first; the mirror will show it.
 		case outcome == stateclient.Unknown:
-			// It may have been written: the mirror will show it.
+			// The record may have been written; the mirror will show it.
 		default:
 			c.retryPendingHeartbeats(group, true)
 		}
 	})
 }
 
-// expirePendingFailovers refuses heartbeats that have waited for too long.
+// expirePendingFailovers refuses heartbeats that have waited longer than pendingFailoverTimeout.
 func (c *Core) expirePendingFailovers() {
 	ownership := &c.machines.ownership
 	var expired []failover.Group
@@ -239,7 +240,7 @@
 	}
 }
 
-// dropUnusedFailovers drops the records that no machine's ownership depends on any more.
+// dropUnusedFailovers deletes the failover records that no machine's ownership depends on any more.
 func (c *Core) dropUnusedFailovers() {
 	failovers := c.machines.ownership.failovers
 	if failovers.Len() == 0 || !c.mirrorFresh() {
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -52,7 +52,7 @@
 	draining      bool            // a drain record is being written
 	dropRetryAt   time.Duration   // its records are being deleted; no further attempt before this time
 	consolidating bool            // its services are being moved to other machines
-	sparseSince   time.Duration   // since when it runs only a few services; 0: it runs more, or other tasks
+	sparseSince   time.Duration   // since when it is sparse, see isSparse; 0: it is not
 }
 
 // heartbeatState is what the owner of a machine knows from the heartbeats of its worker and the
@@ -195,8 +195,8 @@
 	return m.machineType
 }
 
-// reserveRoom reserves a machine's room for a job until the given time; controller is notified
-// when the room is free.
+// reserveRoom reserves a machine's room for a job until the given time. When the room is free,
+// controller is notified, unless it is "".
 func (m *machine) reserveRoom(jobID string, until time.Duration, controller string) {
 	m.reservedFor = jobID
 	m.reservedUntil = until
@@ -250,7 +250,7 @@
 	return out
 }
 
-// urgent reports whether any production task is bound to the machine.
+// urgent reports whether any production task other than a gang's is bound to the machine.
 func (m *machine) urgent() bool { return m.boundByPriority[job.Production] > 0 }
 
 // class returns the rate class for writes to the machine's records. It is that of the most urgent
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -9,47 +9,48 @@
 	"silvergate/internal/protocol"
 )
 
-// This file decides which controller a worker is to send its heartbeats to.
+// This file decides which controller a worker should send its heartbeats to.
 
 const (
-	// maxFairShare is how much more than its fair share of machines a controller may own before
-	// workers that need a claim in any case are redirected.
+	// maxFairShare is how many times its fair share of machines a controller may own before it
+	// redirects workers that need a claim in any case.
 	maxFairShare = 1.125
 
-	// maxFairShareOwn is the same for workers that are already its own.
+	// maxFairShareOwn is the same limit for workers that the controller already owns.
 	maxFairShareOwn = 1.5
 
-	// spareHeartbeatRate is how many heartbeats a second a controller is left alone with,
-	// whatever its share is.
+	// spareHeartbeatRate is an allowance on top of both limits, in heartbeats per second: a
+	// controller with fewer never redirects workers to even out the shares.
 	spareHeartbeatRate = 2
 
-	// rebalanceWriteDivisor is the divisor of the rate of writes that may be spent on
-	// rebalancing: a tenth of it.
+	// rebalanceWriteDivisor divides a controller's share of the state service's write rate: a
+	// tenth of it may be spent on rebalancing.
 	rebalanceWriteDivisor = 10
 )
 
-// redirect answers a worker's request with the controller that it is to send its heartbeat to.
+// redirect answers a worker's request by naming the controller that it should send its heartbeat
+// to.
 func (c *Core) redirect(id uint64, controller string) {
 	c.respond(id, http.StatusMisdirectedRequest, protocol.Redirect{Controller: controller}, 0)
 }
 
-// redirectCandidates are the controllers among which a worker's heartbeats are shared out.
+// redirectCandidates are the controllers among which the workers are distributed.
 type redirectCandidates struct {
 	sameZone        []string // peers in the worker's zone that can serve it
-	all             []string // peers of any zone that can
-	sameZoneWorkers int      // the workers of those in the zone, with our own if we are there
-	allWorkers      int      // the workers of all, with our own
+	all             []string // peers in any zone that can serve it
+	sameZoneWorkers int      // number of workers owned by sameZone, and by us if we are in the zone
+	allWorkers      int      // number of workers owned by all, and by us
 }
 
-// lessLoadedPeer names a peer that a worker is redirected to, "" if it is to stay. A controller
-// in the worker's own zone comes first, so that a zone that is cut off keeps its
-// tasks: inside it, their heartbeats go on being answered. Among those of the zone, or among all
-// where it has none, the controllers own about as many workers each, since
-// heartbeats and failovers cost processor time. Workers that need a claim in any
-// case are redirected at once, others at a slow pace.
+// lessLoadedPeer returns the peer that a worker is redirected to, or "" if the worker should stay.
+// Controllers in the worker's own zone are preferred, so that a zone that is cut off keeps its
+// tasks: heartbeats inside the zone are still answered. The workers are distributed evenly among
+// the controllers of the zone, or among all controllers if the zone has none, because heartbeats
+// and failovers cost processor time. Workers that need a claim in any case are redirected at
+// once, others at a slow pace.
 func (c *Core) lessLoadedPeer(m *machine, zone string) string {
-	// Guards against a peer that only its peers can reach: a worker that comes
-	// back after it was redirected stays.
+	// Guards against a peer that other controllers can reach but workers can't: a worker that
+	// comes back soon after it was redirected stays.
 	if m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
@@ -73,7 +74,7 @@
 	}
 	if !c.isOwn(m) && m.token != 0 && slices.Contains(candidates.sameZone, m.claim.Owner) {
 		m.redirectedAt = c.now
-		return m.claim.Owner // may go on without a new claim
+		return m.claim.Owner // may keep the worker without a new claim
 	}
 	weShare := sameZone || len(candidates.sameZone) == 0
 	if weShare && !c.aboveFairShare(m, float64(workers)/float64(controllers)) {
@@ -86,8 +87,8 @@
 	return c.leastLoaded(group)
 }
 
-// typicalPeerCount is how many peers fit the buffers of candidates, which save every heartbeat
-// two allocations; with more peers append allocates.
+// typicalPeerCount is the capacity of the candidate buffers, which save two allocations per
+// heartbeat. With more peers, append allocates.
 const typicalPeerCount = 8
 
 // addRedirectCandidates adds the peers that can serve a worker of a zone.
@@ -114,7 +115,7 @@
 	return candidates
 }
 
-// canRedirectTo tells whether a worker may be redirected to a peer.
+// canRedirectTo reports whether a worker may be redirected to a peer.
 func (c *Core) canRedirectTo(snapshot *connectivity.Snapshot, peer *connectivity.Peer, m *machine, zone string) bool {
 	name := peer.Controller.Node
 	if c.membership.members[name] == nil || peer.HeartbeatAge > snapshot.HeartbeatInterval {
@@ -123,9 +124,9 @@
 	if !connectivity.CanServeZone(snapshot, peer, zone, snapshot.HeartbeatInterval) {
 		return false
 	}
-	// A worker that comes because its controller did not answer, or that runs urgent work, is
-	// redirected only to a peer that is known to hear its zone; or to its own controller that
-	// has restarted since.
+	// A worker that comes here because its controller did not answer, or that runs urgent work,
+	// is redirected only to a peer that is known to hear its zone, or to its own controller if
+	// that has restarted since.
 	needsProof := m.token != 0 && !c.isOwn(m) || m.urgent()
 	if !needsProof || !peer.Relays || c.isRestartedOwner(name, m) {
 		return true
@@ -133,8 +134,9 @@
 	return connectivity.ProvenToHearZone(snapshot, peer, zone)
 }
 
-// isRestartedOwner tells whether a controller owns a machine and has restarted since, so that
-// it goes on without a new claim; but not if we have had the worker look for it already.
+// isRestartedOwner reports whether a controller owns a machine and has restarted since it claimed
+// it, so that it can keep the machine without a new claim. It returns false if we have already had
+// the worker wait for that controller, see awaitsOwner.
 func (c *Core) isRestartedOwner(name string, m *machine) bool {
 	if m.token == 0 || m.claim.Owner != name || m.awaitingOwnerSince != 0 {
 		return false
@@ -142,11 +144,11 @@
 	return m.claim.Incarnation != c.membership.members[name].Incarnation
 }
 
-// ownWorkers counts the workers that we own or are claiming.
+// ownWorkers returns the number of workers that we own or are claiming.
 func (c *Core) ownWorkers() int { return len(c.machines.own) + c.machines.claimsInFlight }
 
-// aboveFairShare tells whether we own so many more workers than our fair share that a worker
-// is to be redirected.
+// aboveFairShare reports whether we own so many more workers than our fair share that a worker
+// should be redirected.
 func (c *Core) aboveFairShare(m *machine, fairShare float64) bool {
 	spare := spareHeartbeatRate * c.cfg.Facts.Workers.Report
 	limit := maxFairShare*fairShare + spare
@@ -156,8 +158,8 @@
 	return float64(c.ownWorkers()) >= limit
 }
 
-// mayRebalance tells whether a worker of ours may be redirected now to even out the shares. A
-// tenth of a controller's share of the state service's writes is spent on that.
+// mayRebalance reports whether a worker of ours may be redirected now to even out the shares. A
+// tenth of a controller's share of the state service's write rate is spent on that.
 func (c *Core) mayRebalance(m *machine) bool {
 	if len(m.inFlight) > 0 || len(m.stops) > 0 {
 		return false
@@ -167,7 +169,7 @@
 	return c.links.MayRebalance(pause)
 }
 
-// leastLoaded picks at random one of the controllers that own the fewest machines.
+// leastLoaded returns the controller that owns the fewest machines, chosen at random among equals.
 func (c *Core) leastLoaded(controllers []string) string {
 	least := ""
 	leastWorkers := 0
@@ -181,10 +183,11 @@
 	return least
 }
 
-// redirectTargetWhileCutOff names a peer that a worker is redirected to while we can't reach the
-// state service by any way, "" if there is none: one that can serve it, by a recent heartbeat.
-// If none is recent, and no peer relays for us, one that could when it was last heard, and in
-// an order that has urgent work claimed there before our own time to answer is over.
+// redirectTargetWhileCutOff returns the peer that a worker is redirected to while we can't reach
+// the state service, either directly or through a peer, or "" if there is none. It prefers a peer
+// whose recent heartbeat shows that it can serve the worker. If there is none, and no peer relays
+// for us, it returns a peer that could serve the worker when it was last heard. Workers with
+// urgent work are redirected so first, so that they are claimed there while we may still answer.
 func (c *Core) redirectTargetWhileCutOff(heartbeat *protocol.Heartbeat) string {
 	period := seconds(c.cfg.Facts.Workers.Report)
 	cutOffFor := c.now - c.state.FreshAt() - period
@@ -202,8 +205,8 @@
 		return peer
 	}
 	remaining := c.cancelHorizon() - (c.now - c.cancellationProof())
-	// Guards against a controller that takes an outage for a cut of its own and redirects
-	// its workers in circles: one that comes back stays while it can be answered.
+	// Guards against a controller that mistakes an outage for the loss of its own link and
+	// redirects its workers in circles: a worker that comes back stays while we may answer it.
 	if remaining > 0 && m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
@@ -218,7 +221,7 @@
 	return peer
 }
 
-// workload is how urgent the work on a machine is.
+// workload returns how urgent the work on a machine is.
 func (m *machine) workload() connectivity.Workload {
 	switch {
 	case m.urgent():
@@ -229,9 +232,9 @@
 	return connectivity.NoWorkload
 }
 
-// awaitsOwner tells whether a worker should look for its own controller a little
-// longer: one in its zone that was there a moment ago and, if it comes back,
-// goes on without a new claim. A quarter of the lease leaves time to claim the worker here.
+// awaitsOwner reports whether a worker should wait a little longer for its own controller: one in
+// its zone that was up a moment ago and, if it comes back, keeps the worker without a new claim.
+// Waiting for at most a quarter of the lease leaves time to claim the worker here.
 func (c *Core) awaitsOwner(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if m.token == 0 || heartbeat.FencingToken != m.token {
 		return false
@@ -242,11 +245,11 @@
 		return false
 	}
 	if owner.HeartbeatAge < snapshot.HeartbeatInterval && owner.MirrorAgeMS < unknownMirrorAge.Milliseconds() {
-		return false // it is there, and has redirected the worker
+		return false // the owner is up, and has redirected the worker
 	}
-	// Guards against workers of a controller that is cut off: they come
-	// after a heartbeat period and a wait for its answer, with little left of
-	// their lease. One that was restarted is back before that.
+	// Guards against waiting for a controller that is cut off: its workers arrive here after a
+	// heartbeat period and a timeout, with little of their lease left. A controller that was
+	// restarted is back before that.
 	if !connectivity.MayRecover(&snapshot, owner, seconds(c.cfg.Facts.Workers.Lease/3)) {
 		return false
 	}
@@ -256,10 +259,11 @@
 	return c.now-m.awaitingOwnerSince < seconds(c.cfg.Facts.Workers.Lease/4)
 }
 
-// fenceLaunchesOfFinalJobs has a worker answered only under a new token while a direct launch
-// for a job that is over may still be executed on it: until the call is given up nothing else
-// shows that it is late, and an answer under the old token would let it start what was cancelled
-// for a lease longer. What the worker lists has arrived; a launch of that does nothing.
+// fenceLaunchesOfFinalJobs requires a new token for a worker's next answer while a direct launch
+// for a job in a final state may still be executed on it. Until the call times out, nothing else
+// shows that the launch is late, and an answer under the old token would allow the worker to start
+// the cancelled task for another lease. A launch of an attempt that the worker already lists has
+// arrived, and executing it again does nothing.
 func (c *Core) fenceLaunchesOfFinalJobs(m *machine, heartbeat *protocol.Heartbeat) {
 	if !c.isOwn(m) || m.launchInDoubt {
 		return
@@ -272,7 +276,7 @@
 	}
 }
 
-// listsAttempt tells whether a heartbeat lists an attempt.
+// listsAttempt reports whether a heartbeat lists an attempt.
 func listsAttempt(heartbeat *protocol.Heartbeat, attempt taskAttempt) bool {
 	name := job.TaskName(attempt.job, attempt.index)
 	return slices.ContainsFunc(heartbeat.Tasks, func(status protocol.TaskStatus) bool {
@@ -280,18 +284,21 @@
 	})
 }
 
-// shouldRedirectToOwner tells whether a worker is better redirected to the reachable controller
-// that owns it than claimed: in an outage nobody else can answer it, and one that has just been
-// claimed and has not received that answer yet is answered there, not here.
+// shouldRedirectToOwner reports whether a worker should be redirected to its owner, which is
+// reachable, rather than be claimed here. In an outage of the state service only the owner can
+// answer the worker; and a worker that was claimed a moment ago, and has not received the answer
+// to that yet, gets it from its new owner.
 //
-// Guards against a worker whose one answer was lost in an outage and whose lease ran out
-// on its way round, 3 s for each claim that was refused in the end; and against machines that hear
-// nobody for so long that their leases end: each went round the controllers, and each of those wrote a claim.
+// Guards against two faults. A worker that lost a single answer in an outage let its lease expire
+// while it tried the other controllers, each of which refused its claim only after 3 s. And
+// machines that receive no answers for so long that their leases expire tried every controller,
+// and each controller wrote a claim.
 //
-// Once in a lease: an owner that may not answer any more refuses it at once, and what
-// waits for the claim's refusal here keeps a whole site's workers from going to and fro. One that comes back within
-// it was not answered there: redirected to its owner each time, it spent its whole lease between a controller whose
-// link to the state service flapped and one that could not hear its zone.
+// A worker is redirected so at most once per lease. An owner that may no longer answer refuses it
+// at once, and waiting here until the claim is refused keeps the workers of a whole site from
+// moving back and forth. A worker that comes back within the lease was not answered by its owner:
+// when it was redirected each time, it spent its whole lease between a controller whose link to
+// the state service flapped and one that could not hear its zone.
 func (c *Core) shouldRedirectToOwner(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if m.token == 0 || c.isOwn(m) || !c.links.HolderReachable(m.claim.Owner) {
 		return false
@@ -306,8 +313,8 @@
 	return true
 }
 
-// awaitsFirstAnswer tells whether a worker has a new owner that it has not heard of yet, and
-// should.
+// awaitsFirstAnswer reports whether a worker has a new owner whose first answer it has not
+// received yet and should wait for.
 func (c *Core) awaitsFirstAnswer(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if heartbeat.FencingToken >= m.token || c.now-m.claimedAt >= seconds(c.cfg.Facts.Workers.Lease/3) {
 		return false
@@ -315,9 +322,10 @@
 	if len(heartbeat.Tasks) == 0 {
 		return true
 	}
-	// With work on it a claim is worth trying here: its owner may be the one that can't be heard.
-	// But the workers of a whole group that has just failed over learn of it from their new owner:
-	// elsewhere each would need a claim. Unless that one says that it does not hear the zone.
+	// For a worker that runs tasks, a claim is worth trying here: its owner may be unable to
+	// hear it. But the workers of a group that has just failed over should go to their new owner,
+	// because elsewhere each of them would need a claim, unless the new owner reports that it
+	// does not hear the zone.
 	snapshot := c.links.Snapshot()
 	return m.failedOver() && !connectivity.ZoneLost(&snapshot, m.claim.Owner, m.claim.Zone)
 }
