--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -12,10 +12,10 @@
 	"silvergate/internal/stateclient"
 )
 
-// maxCancelRetries is how often a cancellation is tried again after a conflict.
+// maxCancelRetries is how many times a cancellation is retried after a conflict.
 const maxCancelRetries = 4
 
-// cancel handles a job's cancellation; retries counts the conflicts so far.
+// cancel handles a request to cancel a job; retries counts the earlier attempts.
 func (c *Core) cancel(id uint64, jobID string, retries int) {
 	if !c.state.Loaded() || retries > maxCancelRetries {
 		c.refuse(id, http.StatusServiceUnavailable, "can't cancel now")
@@ -46,8 +46,8 @@
 	})
 }
 
-// commitCancellation writes the job's record as cancelled, provided that nobody has
-// changed it since the mirror's revision.
+// commitCancellation writes the job's record as cancelled, on condition that the record has not
+// changed since the mirror's revision.
 func (c *Core) commitCancellation(id uint64, jobID string, r *jobRecord, retries int) {
 	key := keyJob + jobID
 	compares := []protocol.Compare{{Key: key, ModRevision: r.revision}}
@@ -66,11 +66,11 @@
 	})
 }
 
-// broadcastCancellation tells the peers of a cancellation that is committed, ahead of
-// the watch: PROTOCOL wants no task of the job started after the response, and a watch
-// that is late or throttled lets the owner start some. The message proves nothing about
-// other cancellations; it carries the incarnation of no querying controller, so that nobody takes it
-// for the reply to a cancellation query.
+// broadcastCancellation informs the peers of a committed cancellation before their watches do:
+// PROTOCOL allows no task of the job to start after the response, and an owner whose watch is
+// late or throttled might start some. The message proves nothing about other cancellations. It
+// carries noIncarnation instead of a querying controller's incarnation, so that no peer treats it
+// as the reply to a cancellation query.
 func (c *Core) broadcastCancellation(jobID string) {
 	for _, p := range c.cfg.Peers {
 		reply := &peer.CancellationReply{Cancelled: []string{jobID}, Incarnation: noIncarnation}
@@ -78,8 +78,8 @@
 	}
 }
 
-// cancelHorizon is how old the last proof about cancellations may be for workers to be
-// answered.
+// cancelHorizon returns how old the last proof that we know of all cancellations may be while we
+// still answer workers.
 func (c *Core) cancelHorizon() time.Duration {
 	w := &c.cfg.Facts.Workers
 	return fencing.CancelHorizon(seconds(w.Cancel), seconds(w.Lease))
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -7,7 +7,8 @@
 	"silvergate/internal/stateclient"
 )
 
-// drainRecord bars a machine from new work; placements are conditional on its absence.
+// drainRecord is the record that excludes a machine from new work: placements are conditional on
+// its absence.
 type drainRecord struct {
 	Reason string `json:"w"`
 }
@@ -19,12 +20,12 @@
 	drainPreempted = "recall"
 	drainFaulty    = "faulty"
 	drainFailed    = "failed"
-	drainStray     = "stray" // nobody owns it: it never sent a heartbeat, or its claim was deleted
-	drainLost      = "lost"  // it was lost with its controller
+	drainStray     = "stray" // no controller owns it: it never sent a heartbeat, or its claim was deleted
+	drainLost      = "lost"  // it was lost together with its controller
 )
 
-// drainSeverity orders the reasons: machines drained for the more severe ones are deleted
-// without waiting until nothing is bound to them.
+// drainSeverity orders the reasons by severity. Machines that are drained for a reason at least as
+// severe as drainSilent are deleted even while tasks are bound to them.
 var drainSeverity = map[string]int{
 	drainIdle:      0,
 	drainPreempted: 1,
@@ -35,13 +36,13 @@
 	drainFailed:    4,
 }
 
-// unschedulable tells whether new work may not be placed on the machine.
+// unschedulable reports whether the machine is excluded from new work.
 func (c *Core) unschedulable(m *machine) bool {
 	_, drained := c.machines.drains[m.id]
 	return drained || m.draining || m.preempted || m.leaseExpired || m.consolidating || m.claiming || !m.tokenSeen
 }
 
-// applyDrain takes a change of a machine's drain record from the mirror.
+// applyDrain applies a change of a machine's drain record in the mirror.
 func (c *Core) applyDrain(id string, data json.RawMessage) {
 	if data == nil {
 		delete(c.machines.drains, id)
@@ -57,7 +58,7 @@
 	}
 }
 
-// drainMachine writes a machine's drain record, under further conditions if any.
+// drainMachine writes a machine's drain record, on the additional conditions in compares.
 func (c *Core) drainMachine(m *machine, reason string, compares ...protocol.Compare) {
 	if m.draining || !c.machines.drainWanted(m, reason) {
 		return
@@ -67,8 +68,8 @@
 	c.log.Debug("draining a machine", "machine", m.id, "reason", reason)
 	key := keyDrain + m.id
 	compares = append(compares, protocol.Compare{Key: key, ModRevision: c.state.ModRevision(key)})
-	// The claim is a condition too: a controller that was cut off must not
-	// drain machines that have long sent their heartbeats to another.
+	// The write is also conditional on the claim: a controller that was cut off must not drain
+	// machines that another controller has taken over in the meantime.
 	compares = append(compares, m.ownershipCompares()...)
 	ops := []protocol.Op{{Put: key, Value: encode(drainRecord{Reason: reason})}}
 	c.state.Txn(m.class(), compares, ops, func(stateclient.TxnOutcome, []string, uint64) {
@@ -76,12 +77,11 @@
 	})
 }
 
-// drainWanted tells whether a drain for a reason adds anything to the machine's drain
-// record.
+// drainWanted reports whether a drain record with the given reason should be written.
 //
-// Guards against two reasons that replace each other in turn on one machine and use up
-// the state service's rate: only a more severe one replaces an earlier one, and
-// only while it makes a difference to what is on the machine.
+// Guards against two reasons that keep replacing each other on one machine and use up the state
+// service's rate: a reason only replaces a less severe one, and only while tasks are bound to the
+// machine, for which it makes a difference.
 func (t *machineTable) drainWanted(m *machine, reason string) bool {
 	earlier, drained := t.drains[m.id]
 	if !drained {
--- a/internal/coordination/failure_history.go
+++ b/internal/coordination/failure_history.go
@@ -5,20 +5,20 @@
 	"silvergate/internal/job"
 )
 
-// taskFailure is a failure of a task, as its page shows it.
+// taskFailure is a failure of a task, as shown by a change of its page.
 type taskFailure struct {
-	was      job.Task // before the failure
-	failures int      // of the task, with this one
+	was      job.Task // the task before the failure
+	failures int      // the task's number of failures, including this one
 }
 
-// recordFailure takes up that a task has failed where it was bound. The records show it to
-// every controller, so that whichever owns the job, provisions for it or owns the machine
-// comes to the same judgement.
+// recordFailure records that a task has failed on the machine to which it was bound. Every
+// controller sees the failure in the records, so that the owner of the job, the leader that rents
+// machines for it and the owner of the machine all reach the same verdict.
 func (c *Core) recordFailure(r *jobRecord, failure taskFailure) {
 	r.maxFailures = max(r.maxFailures, failure.failures)
 	m := c.machines.byID[failure.was.Machine]
 	if failure.was.Phase != job.Bound || m == nil {
-		return // read anew: where it failed is not known
+		return // the page was read anew: it is unknown where the task failed
 	}
 	if r.failedOn == nil {
 		r.failedOn = map[string]bool{}
@@ -37,7 +37,7 @@
 	}
 }
 
-// machineFaulty reports whether the jobs that failed on a machine show it to be faulty.
+// machineFaulty reports whether the jobs that failed on a machine show that the machine is faulty.
 func (c *Core) machineFaulty(m *machine) bool {
 	var jobs []faultattribution.Job
 	for id := range m.failedJobs {
@@ -48,7 +48,7 @@
 	return faultattribution.Faulty(jobs)
 }
 
-// failureHistory returns what is known of a job's failures.
+// failureHistory returns the history of a job's failures for the rules of faultattribution.
 func (c *Core) failureHistory(r *jobRecord) faultattribution.Job {
 	settleTime := seconds(faultattribution.Settles * c.cfg.Facts.Workers.Report)
 	return faultattribution.Job{
@@ -59,9 +59,9 @@
 	}
 }
 
-// paused reports whether no task of a job is to be started now: after a failure, or while a
-// job that seems to fail everywhere has a task running to find out. Production work is only
-// made to wait after a failure.
+// paused reports whether no task of a job may be started now. A job pauses for a time after a
+// failure; and a job that is suspected to fail everywhere pauses while one of its tasks is bound
+// or reserved to find out. Production jobs and gangs pause only after a failure.
 func (c *Core) paused(r *jobRecord) bool {
 	if c.now < r.retryAt {
 		return true
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -10,14 +10,14 @@
 	"silvergate/internal/protocol"
 )
 
-// This file connects the core with internal/connectivity: it passes observations in and
-// carries out what is decided there.
+// This file connects the core with internal/connectivity: it passes observations to it and
+// carries out its decisions.
 
 // stateProbeTimeout is how long a probe of our own link to the state service may take.
 const stateProbeTimeout = time.Second
 
-// newLinkTracker makes the tracker of this controller's links to its peers; a mirror is stale
-// when it is older than staleAfter.
+// newLinkTracker returns the tracker of this controller's links. A mirror counts as stale when it
+// is older than staleAfter.
 func newLinkTracker(cfg *config.Settings, incarnation int64, staleAfter time.Duration) *connectivity.Tracker {
 	links := connectivity.Config{
 		Self:              cfg.Node,
@@ -31,8 +31,7 @@
 	return connectivity.New(links)
 }
 
-// callState makes a call of the state service: on our own link, or through a peer while
-// that is down.
+// callState calls the state service, on our own link or, while that is down, relayed by a peer.
 func (c *Core) callState(call protocol.Call, done func(protocol.Reply)) {
 	if via := c.links.Relay(); via != "" {
 		c.send(via, peer.Message{RelayRequest: c.links.StartRelay(via, call, done)})
@@ -41,7 +40,7 @@
 	c.callStateDirectly(call, done)
 }
 
-// callStateDirectly makes a call of the state service on our own link.
+// callStateDirectly calls the state service on our own link.
 func (c *Core) callStateDirectly(call protocol.Call, done func(protocol.Reply)) {
 	c.call(call, func(reply protocol.Reply) {
 		c.links.StateAnswered(reply.Status)
@@ -49,8 +48,8 @@
 	})
 }
 
-// checkLinks gives up on relayed calls that are late, and probes our own link while a peer
-// relays for us.
+// checkLinks ends relayed calls that have timed out, probes our own link to the state service
+// while a peer relays for us, and probes workers in zones from which we hear none.
 func (c *Core) checkLinks() {
 	for _, done := range c.links.ExpireRelays() {
 		done()
@@ -72,16 +71,16 @@
 	c.call(call, func(reply protocol.Reply) { c.links.Probed(reply.Status) })
 }
 
-// updatePeerDemand tells the budget how many peers want more than their share.
+// updatePeerDemand passes to the rate budget how many peers want more than their share.
 func (c *Core) updatePeerDemand() {
 	snapshot := c.links.Snapshot()
 	c.state.SetPeerDemand(connectivity.RateDemand(&snapshot, c.alive))
 }
 
-// unknownMirrorAge is the age that a controller gives before it has read the records.
+// unknownMirrorAge is the mirror age that a controller reports before it has loaded the records.
 const unknownMirrorAge = time.Hour
 
-// mirrorAge is how old our records are, as it is reported to peers and operators.
+// mirrorAge returns the age of our mirror, as reported to peers and operators.
 func (c *Core) mirrorAge() time.Duration {
 	if !c.state.Loaded() {
 		return unknownMirrorAge
@@ -89,7 +88,7 @@
 	return c.now - c.state.FreshAt()
 }
 
-// linkStats is what operators see of the links.
+// linkStats are the link statistics for operators.
 type linkStats struct {
 	connectivity.Stats
 	State          string                    `json:"state"` // direct, relayed or lost
@@ -98,7 +97,7 @@
 	Reports        []connectivity.LinkReport `json:"rows"`
 }
 
-// linkStats returns what operators see of the links.
+// linkStats returns the link statistics for operators.
 func (c *Core) linkStats() linkStats {
 	linkState, via := c.links.StateServiceLink()
 	return linkStats{
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -11,29 +11,29 @@
 	"silvergate/internal/stateclient"
 )
 
-// member is what a controller publishes of itself under its lease. The length of its idle
-// list is what others choose a controller for a task by.
+// member is the record that a controller publishes about itself under its lease. Other controllers
+// choose the controller for a task by the length of its idle list.
 type member struct {
 	Incarnation  int64 `json:"l"`
 	IdleMachines int   `json:"i"`
 	Machines     int   `json:"m"`
-	Format       int   `json:"f,omitempty"` // the newest record format that it reads
+	Format       int   `json:"f,omitempty"` // the newest record format that the controller reads
 }
 
-// membership owns this controller's member key, its lease, and what the other
+// membership maintains this controller's member key and its lease, and holds what the other
 // controllers have published under theirs.
 type membership struct {
 	members        map[string]*member
 	formats        map[string]int // the newest record format that each controller reads, as last published
-	lease          uint64         // our lease; 0: we have none
+	lease          uint64         // ID of our lease; 0: we have none
 	leaseTTL       time.Duration
 	leaseRenewedAt time.Duration
 	leaseInFlight  bool   // a lease is being granted or renewed
-	published      string // our member record as last written; "": it must be written
+	published      string // our member record as last written; "": it must be written again
 	nextPublishAt  time.Duration
 }
 
-// newMembership makes the membership of a controller that has no lease yet.
+// newMembership returns the membership of a controller that has no lease yet.
 func newMembership(cfg *config.Settings) membership {
 	return membership{
 		members:  map[string]*member{},
@@ -42,25 +42,26 @@
 	}
 }
 
-// apply takes a member record from the mirror; own tells that it is this controller's.
+// apply applies a member record from the mirror; own is whether it is this controller's record.
 func (s *membership) apply(name string, record *member, data json.RawMessage, own bool) {
 	s.members[name] = record
 	s.formats[name] = record.Format
-	// Guards against an older publication, also of an earlier incarnation, that is executed after
-	// a newer one: it has no condition, and what is published is written again only when it changes.
+	// Guards against an older write of the record, possibly by an earlier incarnation, that is
+	// executed after a newer one: the writes are unconditional, and the record is otherwise
+	// written again only when it changes.
 	if own && string(data) != s.published {
 		s.published = ""
 	}
 }
 
-// recordLease takes a lease that was asked for at a time.
+// recordLease stores a lease that was requested at askedAt, from when its lifetime counts.
 func (s *membership) recordLease(lease uint64, askedAt time.Duration) {
 	s.lease = lease
 	s.leaseRenewedAt = askedAt
 	s.published = ""
 }
 
-// applyMember takes a change of a controller's member record from the mirror.
+// applyMember applies a change of a controller's member record in the mirror.
 func (c *Core) applyMember(name string, data json.RawMessage) {
 	if data == nil {
 		delete(c.membership.members, name)
@@ -72,12 +73,12 @@
 	}
 }
 
-// alive tells whether a controller holds its member key.
+// alive reports whether a controller's member key exists; this controller always counts as alive.
 func (c *Core) alive(name string) bool {
 	return name == c.cfg.Node || c.membership.members[name] != nil
 }
 
-// hasPeerBelowFormat tells whether a peer is there that does not read a record format.
+// hasPeerBelowFormat reports whether any live peer does not read a record format.
 func (c *Core) hasPeerBelowFormat(format int) bool {
 	for _, controller := range c.cfg.Peers {
 		record := c.membership.members[controller.Node]
@@ -88,8 +89,8 @@
 	return false
 }
 
-// responsibleController names the controller that is responsible for a job: its owner while
-// that is live, else the next live controller by name.
+// responsibleController returns the name of the controller that is responsible for a job: its
+// owner while that is alive, otherwise the next live controller after it in the order of names.
 func (c *Core) responsibleController(owner string) string {
 	if c.alive(owner) {
 		return owner
@@ -109,7 +110,7 @@
 	return names[0]
 }
 
-// maintainMembership keeps our lease and publishes our member record under it.
+// maintainMembership acquires or renews our lease and publishes our member record under it.
 func (c *Core) maintainMembership() {
 	if !c.state.Loaded() || c.membership.leaseInFlight {
 		return
@@ -138,7 +139,7 @@
 	})
 }
 
-// renewLease renews our lease, and notes if it has expired.
+// renewLease renews our lease, or drops it if it has expired.
 func (c *Core) renewLease() {
 	c.membership.leaseInFlight = true
 	askedAt := c.now
@@ -153,8 +154,8 @@
 	})
 }
 
-// publishMember writes our member record if it has changed, and not more often than the
-// operators' setting allows.
+// publishMember writes our member record if it has changed, but not more often than the operators'
+// setting PublishInterval allows.
 func (c *Core) publishMember() {
 	record := member{
 		Incarnation:  c.incarnation,
--- a/internal/coordination/stop_commands.go
+++ b/internal/coordination/stop_commands.go
@@ -8,8 +8,9 @@
 	"silvergate/internal/protocol"
 )
 
-// stopTask tells a worker to stop a task, directly and with every answer until it
-// has. A stop that is carried out late does no harm: it names the attempt.
+// stopTask commands a worker to stop a task, with a direct call and with every heartbeat answer
+// until the task has stopped. A stop that is executed late does no harm, because it names the
+// attempt.
 func (c *Core) stopTask(m *machine, k taskKey, reason string) {
 	record := m.bound[k]
 	if record == nil || !c.isOwn(m) {
@@ -17,15 +18,15 @@
 	}
 	t := record.task(c, k.index)
 	grace := 0.0
-	if record.spec.CheckpointIntervalS > 0 && !isGang(record) { // a gang saves when all its tasks get their notice in time
+	if record.spec.CheckpointIntervalS > 0 && !isGang(record) { // a gang only saves a checkpoint if all its tasks get notice in time
 		grace = record.spec.CheckpointSaveS * 2
 	}
 	m.stops[k] = taskStop{grace, reason, c.now}
 	c.sendCommands(m, killCommand(&protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: t.Attempt}, grace))
 }
 
-// sendCommands sends commands to a worker directly, ahead of its next heartbeat. Its reply
-// is taken in by handleCommandReply.
+// sendCommands sends commands to a worker in a direct call, before its next heartbeat.
+// handleCommandReply handles the reply.
 func (c *Core) sendCommands(m *machine, commands ...protocol.Command) {
 	if m.claim.Address == "" || !m.tokenSeen {
 		return
@@ -43,9 +44,9 @@
 	c.call(call, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
 }
 
-// stopTasksOf stops the tasks of a cancelled job on machines of ours that have not begun yet,
-// as far as we know: no task may start once the user is answered. What runs is stopped with
-// the answers to the next heartbeats.
+// stopTasksOf stops those tasks of a cancelled job on machines of ours that are not known to have
+// started, because no task may start once the user's request is answered. Tasks that are running
+// are stopped with the answers to the next heartbeats.
 func (c *Core) stopTasksOf(r *jobRecord) {
 	if r.status != job.Cancelled || r.bound == 0 {
 		return
@@ -69,8 +70,8 @@
 	}
 }
 
-// handleCommandReply takes the heartbeat in the reply to direct commands. Only the ends of
-// tasks are read from it: they stay true however late it comes.
+// handleCommandReply handles the heartbeat in the reply to direct commands. It only uses the tasks
+// that are listed as ended, because that stays true however late the reply arrives.
 func (c *Core) handleCommandReply(m *machine, token uint64, r protocol.Reply) {
 	var reply protocol.Heartbeat
 	if r.Status != http.StatusOK || m.token != token || protocol.Decode(r.Body, &reply) != nil {
@@ -104,8 +105,8 @@
 	}
 }
 
-// recordRunning records when a task was first seen running, and tells whether this is the
-// first time.
+// recordRunning records when a task was first seen running, and reports whether this is the first
+// time.
 func (m *machine) recordRunning(k taskKey, at time.Duration) bool {
 	if _, known := m.runningSince[k]; known {
 		return false
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -7,37 +7,38 @@
 	"silvergate/internal/protocol"
 )
 
-// maxAnnouncedMachines bounds the list of a peer heartbeat; machines beyond it are announced
-// when others have shipped their output.
+// maxAnnouncedMachines is the maximum number of machines that a peer heartbeat announces; further
+// machines are announced when others have shipped their output.
 const maxAnnouncedMachines = 100
 
 // announcementPeriods is how many heartbeat periods an announcement is valid for.
 const announcementPeriods = 3
 
-// unshippedOutput knows of machines with output of finished tasks that the archive
-// has not acknowledged. Such a machine is not deleted for being idle until its
-// deadline. Room is free as soon as the records say so, and nothing else waits: the
-// machine takes new work meanwhile.
+// unshippedOutput tracks machines with output of finished tasks that the archive has not
+// acknowledged. Until a deadline, such a machine is not deleted for being idle. Nothing else
+// waits for the output: the machine's room is free as soon as the records say so, and new work is
+// placed on it in the meantime.
 //
-// A machine announces it to its own controller in its heartbeats; that one announces it to the
-// leader, which deletes machines, in its peer heartbeats. A peer heartbeat that is lost costs at
-// most output that the machine's agent could not ship in the seconds that it has when it is
-// switched off.
+// A machine announces unshipped output in its heartbeats to its own controller. That controller
+// announces the machine in its peer heartbeats to the leader, which deletes machines. If a peer
+// heartbeat is lost, at most the output is lost that the machine's agent can't ship in the seconds
+// that it has when the machine is switched off.
 type unshippedOutput struct {
 	core  *Core
-	own   map[string]bool               // machines of this controller that announced it last
-	known map[string]outputAnnouncement // all machines that have announced it
+	own   map[string]bool               // machines of this controller whose last heartbeat announced unshipped output
+	known map[string]outputAnnouncement // all machines with an announcement, also of other controllers
 }
 
-// outputAnnouncement is since when a machine has had output to ship, and when it last announced it.
+// outputAnnouncement is since when a machine has had unshipped output, and when that was last
+// announced.
 type outputAnnouncement struct{ since, announcedAt time.Duration }
 
-// newUnshippedOutput makes a table without machines.
+// newUnshippedOutput returns an empty table.
 func newUnshippedOutput(core *Core) *unshippedOutput {
 	return &unshippedOutput{core: core, own: map[string]bool{}, known: map[string]outputAnnouncement{}}
 }
 
-// handleWorkerHeartbeat takes what a machine's heartbeat says of its output.
+// handleWorkerHeartbeat updates the table from a heartbeat of one of our machines.
 func (u *unshippedOutput) handleWorkerHeartbeat(m *machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.Unshipped == 0 {
 		delete(u.own, m.id)
@@ -48,14 +49,14 @@
 	u.recordAnnouncement(m.id)
 }
 
-// handlePeerHeartbeat takes the list of machines in a peer's heartbeat.
+// handlePeerHeartbeat handles the list of machines in a peer's heartbeat.
 func (u *unshippedOutput) handlePeerHeartbeat(machines []string) {
 	for _, id := range machines {
 		u.recordAnnouncement(id)
 	}
 }
 
-// recordAnnouncement takes that a machine has output to ship.
+// recordAnnouncement records that a machine has been announced as having unshipped output.
 func (u *unshippedOutput) recordAnnouncement(id string) {
 	entry, known := u.known[id]
 	if !known || u.expired(entry) {
@@ -65,14 +66,15 @@
 	u.known[id] = entry
 }
 
-// expired tells whether an announcement is too old to count: a machine that has not repeated
-// it has shipped its output, or is lost.
+// expired reports whether an announcement is too old to count: a machine that does not repeat it
+// has shipped its output or is lost.
 func (u *unshippedOutput) expired(entry outputAnnouncement) bool {
 	lifetime := seconds(announcementPeriods * u.core.cfg.Facts.Workers.Report)
 	return u.core.now-entry.announcedAt > lifetime
 }
 
-// toAnnounce lists this controller's own machines for a peer heartbeat, in order.
+// toAnnounce returns this controller's own machines with unshipped output for a peer heartbeat, in
+// order.
 func (u *unshippedOutput) toAnnounce() []string {
 	var machines []string
 	for id := range u.own {
@@ -87,8 +89,8 @@
 	return machines[:min(len(machines), maxAnnouncedMachines)]
 }
 
-// holds tells whether a machine without work is to be kept for its output. Output that is
-// given up at the deadline is named in the controller's log.
+// holds reports whether a machine without work must be kept because of its unshipped output. Once
+// the deadline has passed, the machine need not be kept, which the controller logs.
 func (u *unshippedOutput) holds(id string) bool {
 	archive := u.core.cfg.Operator.Archive
 	entry, known := u.known[id]
