--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -33,7 +33,7 @@
 		heartbeat := *message.Heartbeat
 		heartbeat.Links = nil
 		if s.faults.randomLinkReports && !n.beforeRelays && !o.beforeRelays {
-			heartbeat.Links = s.randomLinkReports()
+			heartbeat.Links = s.generateLinkReports()
 		}
 		message.Heartbeat = &heartbeat
 	}
@@ -48,8 +48,8 @@
 	return message, true
 }
 
-// randomLinkReports draws link reports that mean nothing.
-func (s *sim) randomLinkReports() []connectivity.LinkReport {
+// generateLinkReports draws link reports that mean nothing.
+func (s *sim) generateLinkReports() []connectivity.LinkReport {
 	var out []connectivity.LinkReport
 	for range 1 + s.random.IntN(5) {
 		report := connectivity.LinkReport{
@@ -82,7 +82,7 @@
 // worker to the state service was up, through one controller, for the whole of it.
 type pathLosses struct {
 	urgent, other int // there was a path
-	noPath        int // there was none, or none that could be found in a lease: each attempt at a controller that hangs takes 5 s
+	withoutPath   int // there was none, or none that could be found in a lease: each attempt at a controller that hangs takes 5 s
 	// upSince is when the path through each controller to each zone came up, if it is up.
 	upSince map[string]map[string]time.Duration
 }
@@ -155,7 +155,7 @@
 		switch u := s.users[task.jobID]; {
 		case !task.isActive() || u == nil:
 		case !path:
-			s.leaseLosses.noPath++
+			s.leaseLosses.withoutPath++
 		case u.spec.Priority == job.Production:
 			s.leaseLosses.urgent++
 		default:
@@ -259,7 +259,7 @@
 					if len(s.violations) > 0 || s.leaseLosses.urgent > 0 {
 						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.node, b.kind, die, s.leaseLosses.urgent, s.violations)
 					}
-					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.noPath
+					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.withoutPath
 				}
 			}
 			t.Logf("%d days: %d lesser tasks killed that had a path, %d that had none", days, other, lost)
@@ -276,7 +276,7 @@
 		if s.leaseLosses.urgent > 0 {
 			t.Errorf("%d urgent tasks killed that had a path", s.leaseLosses.urgent)
 		}
-		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.noPath)
+		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.withoutPath)
 	})
 }
 
