--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestMostOfAControllersMachinesHang guards against a controller that took itself
-// for partitioned when more than half of its machines hung: they were deleted twice
-// as late, and their free capacity was planned with meanwhile (carbura-iasi-fleet,
-// day zone: replicas without room for 45 s).
+// TestMostOfAControllersMachinesHang guards against a controller that considers itself partitioned
+// when more than half of its machines hang. The machines were deleted twice as late, and until then
+// the planner counted on their free capacity (scenario carbura-iasi-fleet, day zone: replicas had
+// no room for 45 s).
 func TestMostOfAControllersMachinesHang(t *testing.T) {
 	s := grownSim(t, 41)
 	s.advertised.Limits.MaxSockets = 2000
@@ -36,17 +36,17 @@
 	}
 	s.run(100*time.Second + seconds(3*s.facts.Workers.Report))
 	n := found()
-	t.Logf("%d of %d hung machines found, of %d", n, len(hung), len(c.machines.own))
+	t.Logf("%d of %d hung machines were drained, of %d machines in all", n, len(hung), len(c.machines.own))
 	if len(hung) < 20 || n < len(hung)*9/10 {
-		t.Errorf("%d of %d hung machines are found three report periods later", n, len(hung))
+		t.Errorf("%d of %d hung machines were drained within three heartbeat periods", n, len(hung))
 	}
 	s.finish(t, 160*time.Second)
 	s.reportViolations(t)
 }
 
-// TestDrainsDoNotTakeTurns guards against a fault found on inc-41e3: a machine that
-// was emptied by consolidation and deleted fell silent, and "idle" and "silent" replaced
-// one another in its drain at every sweep until its records were deleted.
+// TestDrainsDoNotTakeTurns guards against a fault found on inc-41e3. A machine that had been emptied
+// by consolidation and deleted fell silent, and the reasons "idle" and "silent" replaced each other
+// in its drain record at every sweep until its records were deleted.
 func TestDrainsDoNotTakeTurns(t *testing.T) {
 	s := newSim(t, 47, 0)
 	s.submitServices(8, 2)
@@ -74,6 +74,6 @@
 	s.workers[gone.claim.Address].die()
 	s.run(100 * time.Second)
 	if n := s.state.drainWrites[keyDrain+gone.id]; n == 0 || n > 2 {
-		t.Errorf("the drain of %s was written %d times", gone.id, n)
+		t.Errorf("the drain record of %s was written %d times, want 1 or 2", gone.id, n)
 	}
 }
--- a/internal/coordination/failover_completions_test.go
+++ b/internal/coordination/failover_completions_test.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/protocol"
 )
 
-// newStaggeredCompletionsSim is a calm site with jobs of two or three tasks that end far apart, and nothing else.
+// newStaggeredCompletionsSim returns a site without faults with only jobs of two or three tasks that end far apart.
 func newStaggeredCompletionsSim(t testing.TB, seed uint64) *sim {
 	s := newSim(t, seed, 0)
 	s.after(time.Second, func() {
@@ -22,10 +22,10 @@
 	return s
 }
 
-// TestEndingsFarApart has the controllers change in every way between the completions of a
-// job's tasks. No completion is forgotten before it is committed and none is counted twice:
-// every job is called done, not early (the checker of the rules says), and no task is started a
-// second time while its machine is there.
+// TestEndingsFarApart makes controllers fail in various ways between the completions of a job's
+// tasks. No completion may be forgotten before it is committed, and none may be counted twice: every
+// job becomes done, but not too early (the rules checker verifies that), and no task is started a
+// second time while its machine exists.
 func TestEndingsFarApart(t *testing.T) {
 	for name, change := range map[string]func(s *sim){
 		"the leader ends for good": func(s *sim) { s.busiestController().crash(5 * time.Minute) },
@@ -66,7 +66,7 @@
 				s.reportViolations(t)
 				for _, u := range s.users {
 					if u.restarts > 0 || u.tasksStarted != u.spec.Tasks {
-						t.Errorf("seed %d: %s: %d of %d tasks begun, %d of them again though their machines were there", seed, u.spec.ID, u.tasksStarted, u.spec.Tasks, u.restarts)
+						t.Errorf("seed %d: %s: %d of %d tasks were started, %d of them again although their machines existed", seed, u.spec.ID, u.tasksStarted, u.spec.Tasks, u.restarts)
 					}
 				}
 			}
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestMachinesThatHearNobodyWhenTheirLeaderEnds has the leader end for good while its machines
-// are unresponsive, for longer than their leases. What was bound there counts until there is
-// evidence, so that no team is over its limit and no task runs twice (the checkers say), and
-// then it is free without the cloud's help, while they are still unresponsive, and runs in the
-// end.
+// TestMachinesThatHearNobodyWhenTheirLeaderEnds crashes the leader for good while its machines are
+// unresponsive, for longer than their leases. The tasks bound there count as bound until there is
+// proof that they have ended, so that no team exceeds its limit and no task runs twice (the rules
+// checker verifies that). Then they are released without the cloud's help while the machines are
+// still unresponsive, and they run in the end.
 func TestMachinesThatHearNobodyWhenTheirLeaderEnds(t *testing.T) {
 	for seed := uint64(43_100); seed < 43_106; seed++ {
 		s := newSim(t, seed, 0)
@@ -112,9 +112,9 @@
 		}
 		before := bound()
 		leader.crash(5 * time.Minute)
-		s.run(50*time.Second + 36*time.Second) // the lease, a report period and a claim
+		s.run(50*time.Second + 36*time.Second) // the lease, a heartbeat period and a claim
 		if n := bound(); before == 0 || n > 0 {
-			t.Errorf("seed %d: %d tasks were bound to machines that became deaf, %d are after twice their lease", seed, before, n)
+			t.Errorf("seed %d: %d tasks were bound to machines that became unresponsive, %d still are after twice their lease", seed, before, n)
 		}
 		s.run(4 * time.Minute)
 		for _, id := range sortedKeys(s.users) {
@@ -127,16 +127,16 @@
 				}
 			}
 			if on != 2 {
-				t.Errorf("seed %d: %s: %d of 2 run in the end", seed, id, on)
+				t.Errorf("seed %d: %s: %d of 2 tasks run in the end", seed, id, on)
 			}
 		}
 		s.reportViolations(t)
 	}
 }
 
-// TestOldReportsChangeNothing sends copies of old heartbeats, of an earlier agent epoch,
-// attempt, owner and of after the forgetting, at every later moment of a machine's history:
-// none has anything written or launched.
+// TestOldReportsChangeNothing delivers copies of old heartbeats (of an earlier agent epoch, attempt or
+// owner, or from after an attempt was forgotten) at each later stage of a machine's history. None may
+// cause a write or a launch.
 func TestOldReportsChangeNothing(t *testing.T) {
 	running := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}
 	over := protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseDone}
@@ -146,7 +146,7 @@
 	}
 	copies := []heartbeat{
 		{0, 1, 1, nil},                              // before the claim
-		{50, 1, 1, []protocol.TaskStatus{over}},     // of an earlier owner's time
+		{50, 1, 1, []protocol.TaskStatus{over}},     // under an earlier owner
 		{120, 1, 2, nil},                            // before the launch
 		{120, 1, 4, []protocol.TaskStatus{running}}, // while it ran
 		{120, 1, 4, []protocol.TaskStatus{over}},    // a sequence number that is not newer
@@ -165,7 +165,7 @@
 					MachineType: "small", Zone: "a", AgentEpoch: 2, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}})))
 				s.pass(time.Second) // its release is under way
 			case "under a new token":
-				s.report(130, 6, running) // as if a peer had answered it: a claim is due
+				s.report(130, 6, running) // as if a peer had answered it: a claim is needed
 				s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 140})
 			}
 			callsBefore := len(s.todo)
@@ -175,27 +175,27 @@
 				MachineType: "small", Zone: "a", AgentEpoch: k.epoch, Sequence: k.sequence, FencingToken: k.token, Tasks: append([]protocol.TaskStatus{}, k.statuses...)})))
 			for _, c := range s.todo[callsBefore:] {
 				if c.Path == protocol.PathTxn || c.Path == protocol.PathCommands {
-					t.Errorf("copy %d when %s: %s %s", i, later, c.Path, c.Body)
+					t.Errorf("copy %d when %s: caused the call %s %s", i, later, c.Path, c.Body)
 				}
 			}
 			for _, o := range s.answer().Commands {
 				if o.Verb != protocol.VerbKill {
-					t.Errorf("copy %d when %s: ordered %+v", i, later, o)
+					t.Errorf("copy %d when %s: the answer commands %+v", i, later, o)
 				}
 			}
 		}
 	}
 }
 
-// TestASiteThatCantBeReachedAfterARestartIsKept guards against a site that was deleted whole:
-// all controllers ended, and their machines could not be reached for a while. None of the new
-// incarnations held any of them, so "most of ours are heard" was true of nothing, and after two
-// and a half heartbeat periods all were drained.
+// TestASiteThatCantBeReachedAfterARestartIsKept guards against the deletion of a whole site. All
+// controllers crashed, and their machines could not be reached for a while. The new incarnations
+// owned no machine yet, so the condition that most of their own machines are heard was trivially
+// true, and after two and a half heartbeat periods all machines were drained.
 func TestASiteThatCantBeReachedAfterARestartIsKept(t *testing.T) {
 	for _, v := range []struct {
 		name  string
-		share int // of four machines, so many can't be reached
-		kept  bool
+		share int  // how many of every four machines can't be reached
+		kept  bool // no machine may be drained
 	}{{"all of them", 4, true}, {"a few of them", 1, false}} {
 		s := newSim(t, 43_200, 0)
 		for k := range s.cloud.capacity {
@@ -226,7 +226,7 @@
 			}
 		}
 		if unreachable == 0 || (drained == 0) != v.kept {
-			t.Errorf("%s: %d of %d that could not be reached were drained as silent", v.name, drained, unreachable)
+			t.Errorf("%s: %d of %d unreachable machines were drained as silent", v.name, drained, unreachable)
 		}
 		s.run(2 * time.Minute)
 		s.reportViolations(t)
--- a/internal/coordination/failure_history_test.go
+++ b/internal/coordination/failure_history_test.go
@@ -9,16 +9,16 @@
 	"silvergate/internal/job"
 )
 
-// smallArray is an array whose tasks fit any machine with an accelerator.
+// smallArray returns an array job whose tasks fit any machine with an accelerator.
 func smallArray(id string, tasks int) *job.Spec {
 	return &job.Spec{ID: id, Class: "arr", Team: "blue", Shape: job.Array, Tasks: tasks, Priority: job.Normal,
 		CPUs: 4, GPUs: 1, MemoryGB: 8}
 }
 
-// TestJobsThatFailEverywhereCostOthersNothing guards against healthy machines that
-// were returned as faulty since two mistaken jobs had failed on each, and against
-// machines that were rented for such jobs: on carbura-iasi-ops with 8 of 100 jobs
-// mistaken, 642 were rented in place of 385.
+// TestJobsThatFailEverywhereCostOthersNothing guards against two effects of broken jobs, which fail
+// on every machine: healthy machines were returned as faulty because two broken jobs had failed on
+// each, and machines were rented for the broken jobs. On carbura-iasi-ops with 8 of 100 jobs
+// broken, 642 machines were rented instead of 385.
 func TestJobsThatFailEverywhereCostOthersNothing(t *testing.T) {
 	simulate := func(broken bool) (rented, drains, failures int) {
 		s := newSim(t, 71, 0)
@@ -45,7 +45,7 @@
 		}
 		for _, id := range sortedKeys(s.users) {
 			if u := s.users[id]; strings.HasPrefix(id, "wk-7") && u.finalStatus != "done" {
-				t.Errorf("%s is %q beside jobs that fail", id, u.finalStatus)
+				t.Errorf("%s is %q while other jobs fail everywhere, want done", id, u.finalStatus)
 			}
 		}
 		s.reportViolations(t)
@@ -53,14 +53,14 @@
 	}
 	plain, _, _ := simulate(false)
 	rented, drains, failures := simulate(true)
-	t.Logf("%d machines rented, %d without mistakes; %d called faulty; %d failures of 24 tasks", rented, plain, drains, failures)
+	t.Logf("%d machines rented, %d without broken jobs; %d drained as faulty; %d failures of 24 tasks", rented, plain, drains, failures)
 	if drains > 0 || 2*rented > 3*plain || failures < 24 || failures > 24*3 {
-		t.Errorf("%d machines are called faulty, %d rented in place of %d, %d failures of 24 tasks", drains, rented, plain, failures)
+		t.Errorf("%d machines were drained as faulty, %d rented instead of %d, %d failures of 24 tasks", drains, rented, plain, failures)
 	}
 }
 
-// TestAFaultyMachineIsStillFound is the other side: jobs that work elsewhere fail on
-// one machine, which is returned.
+// TestAFaultyMachineIsStillFound checks that a machine is returned as faulty if jobs that work
+// elsewhere fail on it.
 func TestAFaultyMachineIsStillFound(t *testing.T) {
 	s := newSim(t, 73, 0)
 	for i := range 8 {
@@ -79,7 +79,7 @@
 	}
 	s.run(80 * time.Second)
 	if s.state.drainReasons[keyDrain+bad.name] != drainFaulty {
-		t.Errorf("%s fails whatever runs there, and is drained as %q", bad.name, s.state.drainReasons[keyDrain+bad.name])
+		t.Errorf("every task fails on %s, which is drained as %q", bad.name, s.state.drainReasons[keyDrain+bad.name])
 	}
 	s.finish(t, 100*time.Second)
 	s.reportViolations(t)
--- a/internal/coordination/full_restart_test.go
+++ b/internal/coordination/full_restart_test.go
@@ -10,31 +10,31 @@
 	"silvergate/internal/protocol"
 )
 
-// The restart after all controllers went down, in a deployment of some hundred machines: what it costs, against what it
-// must cost, and which commands are sent that should not be.
+// This file tests the restart after all controllers went down, in a deployment of some hundred machines: whether its cost
+// is within bounds, and whether commands are sent that should not be.
 
-// restartCounts is what was counted of such a restart.
+// restartCounts are the counts of such a restart.
 type restartCounts struct {
-	machines          int              // that were up
-	tasks             int              // active on them when the first controller was back
-	claims            uint64           // written by the incarnations that began then
-	revisions         uint64           // of the state service
-	throttled         int              // requests above its limits
-	duplicateLaunches int              // of attempts that the worker had already
-	launchesAfterEnd  int              // for jobs that had ended, as their users had been told
-	restarts          int              // of tasks that ran on a machine that was still there
-	kills             int              // of attempts that the records bind to that machine in that agent epoch
-	answered          [3]time.Duration // until each of answeredShares of the workers was answered by any controller
+	machines          int              // machines that were up
+	tasks             int              // tasks active on them when the first controller was back
+	claims            uint64           // claims written by the new incarnations
+	revisions         uint64           // revisions of the state service during the restart
+	throttled         int              // requests above the state service's limits
+	duplicateLaunches int              // launches of attempts that the worker already had
+	launchesAfterEnd  int              // launches for jobs whose users had been told that they had ended
+	restarts          int              // restarts of tasks that ran on a machine that still existed
+	kills             int              // kills of attempts that the records bind to that machine in that agent epoch
+	answered          [3]time.Duration // time until each of answeredShares of the workers was answered by any controller
 }
 
-// answeredShares are shares of the workers, in percent, and answeredWithin the times in which they have to be
+// answeredShares are shares of the workers, in percent. answeredWithin are the times within which these shares must be
 // answered, in leases.
 var (
 	answeredShares = [3]int{50, 90, 99}
 	answeredWithin = [3]float64{0.4, 0.5, 0.6}
 )
 
-// observeRestart counts from now on.
+// observeRestart fills counts from now on until the given time.
 func (s *sim) observeRestart(counts *restartCounts, until time.Duration) {
 	throttled, revision, from := s.state.throttled, s.state.revision, s.now
 	var up []*simWorker
@@ -88,7 +88,7 @@
 	}
 }
 
-// taskRecord is a task as the state service has it.
+// taskRecord returns a task as stored in the state service, or nil if it can't be read.
 func (s *sim) taskRecord(id string, index int) *job.Task {
 	for _, n := range s.controllers {
 		if n.core == nil {
@@ -109,11 +109,11 @@
 	return nil
 }
 
-// restartCases are the ways in which all controllers go down.
+// restartCases are the ways in which all controllers go down and come back.
 var restartCases = []struct {
 	name      string
-	crash     func(s *sim) time.Duration // crashes the controllers, and tells when the first is back
-	defective bool                       // has a defect that must show as duplicate launches
+	crash     func(s *sim) time.Duration // crashes the controllers, and returns when the first is back
+	defective bool                       // simulates a defect that must show as duplicate launches
 }{
 	{name: "all for three seconds", crash: func(s *sim) time.Duration {
 		for _, n := range s.controllers {
@@ -171,7 +171,7 @@
 	}, defective: true},
 }
 
-// TestTheStartAfterAllWentDown has all controllers go down and come back, and counts what the restart cost.
+// TestTheStartAfterAllWentDown crashes all controllers and checks what their restart costs.
 func TestTheStartAfterAllWentDown(t *testing.T) {
 	for _, c := range restartCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -194,7 +194,7 @@
 	}
 }
 
-// simulateRestart plays the minute from the first controller's return on.
+// simulateRestart simulates the minute after the first controller is back, and returns its counts.
 func (s *sim) simulateRestart() restartCounts {
 	var counts restartCounts
 	counts.tasks = s.countActive()
@@ -209,7 +209,7 @@
 	return counts
 }
 
-// countActive counts the active tasks on machines that are rented.
+// countActive returns the number of active tasks on rented machines.
 func (s *sim) countActive() (n int) {
 	for _, w := range s.cloud.sortedMachines() {
 		for _, task := range w.tasks {
@@ -221,7 +221,7 @@
 	return n
 }
 
-// countRestarts counts the starts, on the whole day, of tasks that ran on a machine that was still there.
+// countRestarts returns how many tasks were restarted so far although they had run on a machine that still existed.
 func (s *sim) countRestarts() (n int) {
 	for _, u := range s.users {
 		n += u.restarts
@@ -237,15 +237,15 @@
 		}
 	}
 	if counts.duplicateLaunches > 0 && !defective || counts.launchesAfterEnd > 0 {
-		t.Errorf("%d launches of attempts that were there, %d for jobs that had ended", counts.duplicateLaunches, counts.launchesAfterEnd)
+		t.Errorf("%d launches of attempts that the worker already had, %d for jobs that had ended", counts.duplicateLaunches, counts.launchesAfterEnd)
 	}
-	if counts.restarts > counts.kills { // what was killed made room for other work, or moved
-		t.Errorf("%d tasks were restarted that had run on machines that were there, %d were killed", counts.restarts, counts.kills)
+	if counts.restarts > counts.kills { // a killed task made room for other work or was moved
+		t.Errorf("%d tasks were restarted although their machines still existed, but only %d were killed", counts.restarts, counts.kills)
 	}
 	if counts.throttled > counts.machines/10 {
-		t.Errorf("%d requests above the state service's limits", counts.throttled)
+		t.Errorf("%d requests were above the state service's limits", counts.throttled)
 	}
 	if defective && counts.duplicateLaunches == 0 {
-		t.Error("workers whose heartbeats list nothing get no duplicate launches: the count sees nothing")
+		t.Error("workers whose heartbeats list no tasks got no duplicate launches: the check detects nothing")
 	}
 }
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -14,15 +14,16 @@
 	"silvergate/internal/protocol"
 )
 
-// failoverResult is what came of a day on which one controller ends for good, or all end.
+// failoverResult is the outcome of a simulation in which one controller crashes for good, or all
+// crash for a few seconds.
 type failoverResult struct {
-	workers       int           // of the controllers that ended
-	changes       int           // claims and failovers written within a minute of it
-	failovers     int           // of them
-	halfAnswered  time.Duration // until half of the workers were answered
-	mostAnswered  time.Duration // until nine tenths of them were
-	allAnswered   time.Duration // until 99% of them were
-	expiredLeases int           // leases of workers with tasks that ended
+	workers       int           // workers owned by the controllers that crashed
+	changes       int           // claims and failover records written within a minute of the crash
+	failovers     int           // failover records among the changes
+	halfAnswered  time.Duration // time until half of the workers were answered
+	mostAnswered  time.Duration // time until nine tenths of them were answered
+	allAnswered   time.Duration // time until 99% of them were answered
+	expiredLeases int           // leases that expired on workers with tasks
 }
 
 func (d failoverResult) String() string {
@@ -30,7 +31,7 @@
 		d.workers, d.changes, d.failovers, d.halfAnswered.Seconds(), d.mostAnswered.Seconds(), d.allAnswered.Seconds(), d.expiredLeases)
 }
 
-// newMultipliedSim is a grown deployment with times as many machines and as much work.
+// newMultipliedSim returns a grown deployment with a multiple of its usual machines and work.
 func newMultipliedSim(t *testing.T, seed uint64, multiple int) *sim {
 	t.Helper()
 	s := grownSim(t, seed)
@@ -47,7 +48,7 @@
 	return s
 }
 
-// workersOwnedBy are the workers that are up and owned by one of the controllers.
+// workersOwnedBy returns the workers that are up and owned by one of the controllers.
 func (s *sim) workersOwnedBy(controllers []*simController) map[*simWorker]bool {
 	workers := map[*simWorker]bool{}
 	for _, n := range controllers {
@@ -60,8 +61,9 @@
 	return workers
 }
 
-// measureAnswerTimes plays a minute, and returns after how long each of the workers was answered, in
-// order. What is left in workers has not been answered; workers that ended are taken out.
+// measureAnswerTimes simulates a minute and returns the times after which the workers were answered,
+// in ascending order. Workers that were answered or are no longer up are removed from workers, so
+// that it contains those without an answer in the end.
 func (s *sim) measureAnswerTimes(workers map[*simWorker]bool) []time.Duration {
 	startedAt := s.now
 	var answered []time.Duration
@@ -86,9 +88,9 @@
 	return answered
 }
 
-// simulateFailover plays a grown deployment with times as many machines and as much work, of which
-// the first controller ends for good, or all end for some seconds. With grouped, workers fail
-// over by the group.
+// simulateFailover simulates a grown deployment with a multiple of its usual machines and work. The
+// first controller crashes for good or, if all is set, all controllers crash for some seconds. If
+// grouped is set, workers fail over in groups, otherwise one by one.
 func simulateFailover(t *testing.T, seed uint64, multiple int, grouped, all bool) failoverResult {
 	t.Helper()
 	s := newMultipliedSim(t, seed, multiple)
@@ -106,7 +108,7 @@
 		n.crash(downtime)
 	}
 	answered := s.measureAnswerTimes(lost)
-	workers := len(answered) + len(lost) // without those that were returned meanwhile
+	workers := len(answered) + len(lost) // without those whose machines were returned in the meantime
 	answeredAt := func(share float64) time.Duration {
 		i := int(share*float64(workers)+0.5) - 1
 		if i < 0 || i >= len(answered) {
@@ -145,11 +147,12 @@
 	return out
 }
 
-// TestGroupTakeover has a controller with a fifth of some 850 machines end for good: its
-// workers fail over to the others by some records, where each took a claim of its own, and are
-// answered within three quarters of a lease.
+// TestGroupTakeover crashes a controller that owns a fifth of some 850 machines for good. Its
+// workers fail over to the other controllers with a few records in place of a claim for each
+// worker, and nine tenths of them are answered within three quarters of a lease.
 //
-// SIM_TIMES plays it at that many times the machines, and all controllers' end, too.
+// SIM_TIMES lists other multiples of the machines to run with. If it is set, the crash of all
+// controllers is simulated, too.
 func TestGroupTakeover(t *testing.T) {
 	for _, n := range machineMultiples(t) {
 		grouped := simulateFailover(t, 71, n, true, false)
@@ -157,10 +160,10 @@
 		t.Logf("%d times, one ends, by the group: %s", n, grouped)
 		t.Logf("%d times, one ends, one by one:   %s", n, alone)
 		if grouped.failovers == 0 || alone.failovers > 0 || grouped.changes*3 > alone.changes {
-			t.Errorf("%d times: %d changes by the group, %d one by one", n, grouped.changes, alone.changes)
+			t.Errorf("%d times: %d changes with group failover, %d one by one", n, grouped.changes, alone.changes)
 		}
 		if lease := seconds(grownSim(t, 1).facts.Workers.Lease); grouped.mostAnswered > 3*lease/4 {
-			t.Errorf("%d times: nine tenths are answered after %s, and a lease is %s", n, grouped.mostAnswered, lease)
+			t.Errorf("%d times: nine tenths of the workers were answered after %s, a lease is %s", n, grouped.mostAnswered, lease)
 		}
 		if os.Getenv("SIM_TIMES") == "" {
 			continue
@@ -170,11 +173,11 @@
 	}
 }
 
-// TestGroupFailoverSetting has the operators' setting turn failover of groups off, which is on by
-// default.
+// TestGroupFailoverSetting checks that group failover is on by default and that the operators'
+// setting turns it off.
 func TestGroupFailoverSetting(t *testing.T) {
 	if !config.DefaultOperator().GroupTakeover {
-		t.Error("failover of groups is off by default")
+		t.Error("group failover is off by default")
 	}
 	operator, err := config.ParseOperator([]byte("group_takeover: false\n"))
 	if err != nil || operator.GroupTakeover {
@@ -182,8 +185,9 @@
 	}
 }
 
-// withoutFailovers is a transaction as the version before failover of groups writes it: its claims
-// and member records know of none, and nothing is conditional on any.
+// withoutFailovers returns a transaction as the version before group failover writes it: its claims
+// have no epoch, its member records name the earlier record format, and it has no condition on a
+// failover record.
 func withoutFailovers(txn protocol.Txn) protocol.Txn {
 	txn.Compares = slices.DeleteFunc(slices.Clone(txn.Compares), func(compare protocol.Compare) bool {
 		return strings.HasPrefix(compare.Key, keyFailover)
@@ -203,7 +207,8 @@
 	return txn
 }
 
-// hideFailovers has that version see no record of a failover, nor an epoch in a claim.
+// hideFailovers removes failover records, and the epochs in claims, from a reply of the state
+// service to that version.
 func hideFailovers(reply func(int, []byte)) func(int, []byte) {
 	return func(status int, body []byte) {
 		var watch protocol.WatchResult
@@ -219,7 +224,7 @@
 	}
 }
 
-// withoutFailoverEvents is an answer of the watch without the changes of records of failovers.
+// withoutFailoverEvents returns a watch's answer without the events of failover records.
 func withoutFailoverEvents(watch protocol.WatchResult) protocol.WatchResult {
 	watch.Events = slices.DeleteFunc(watch.Events, func(event protocol.WatchEvent) bool {
 		return strings.HasPrefix(event.Put+event.Delete, keyFailover)
@@ -230,7 +235,7 @@
 	return watch
 }
 
-// withoutFailoverRecords is a page of records without those of failovers.
+// withoutFailoverRecords returns a page of records without failover records.
 func withoutFailoverRecords(page protocol.KeyValuePage) protocol.KeyValuePage {
 	page.KeyValues = slices.DeleteFunc(page.KeyValues, func(record protocol.KeyValue) bool {
 		return strings.HasPrefix(record.Key, keyFailover)
@@ -244,7 +249,7 @@
 	return page
 }
 
-// withoutEpoch is a record's value, without the epoch if it is a claim.
+// withoutEpoch returns a record's value, without the epoch if the record is a claim.
 func withoutEpoch(key string, data json.RawMessage) json.RawMessage {
 	if !strings.HasPrefix(key, keyClaim) || data == nil {
 		return data
@@ -255,9 +260,10 @@
 	return encode(claim)
 }
 
-// TestVersionsWithAndWithoutFailovers rolls a site from the version before failover of groups to this one
-// and back, while controllers end and lose their workers. As long as a controller of the earlier
-// version is there none fails a group over, and what had failed over by groups is claimed one by one.
+// TestVersionsWithAndWithoutFailovers upgrades a site from the version before group failover to this
+// one and rolls it back, while controllers crash and lose their workers. As long as any controller
+// runs the earlier version, no controller fails a group over, and workers that had failed over in
+// groups are claimed one by one.
 func TestVersionsWithAndWithoutFailovers(t *testing.T) {
 	for _, seed := range []uint64{81, 82, 83} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -281,7 +287,7 @@
 			roll(70*time.Second, false)
 			cut(80*time.Second, 4)
 			end(95*time.Second, 1)
-			written := 0 // failovers while all run this version
+			written := 0 // failover records written while all controllers run this version
 			s.after(112*time.Second, func() { written = s.countFailovers() })
 			end(125*time.Second, 0)
 			cut(165*time.Second, 3)
@@ -293,7 +299,7 @@
 			end(270*time.Second-s.now, 3)
 			s.run(300 * time.Second)
 			if after := s.countFailovers(); after != before || written == 0 {
-				t.Errorf("%d failovers among this version; %d among the earlier one", written, after-before)
+				t.Errorf("%d failovers while all ran this version, want some; %d after the rollback, want none", written, after-before)
 			}
 			s.finish(t, 350*time.Second)
 			s.reportViolations(t)
@@ -301,12 +307,12 @@
 	}
 }
 
-// countFailovers counts the records of failovers that were ever written.
+// countFailovers returns the number of failover records that were ever written.
 func (s *sim) countFailovers() int { return s.faultCounts.groupFailovers }
 
-// TestAGroupThatFailsOverTwice has the claims of an incarnation whose workers have failed over be of a
-// new epoch, so that they fail over by the group after a second loss, too; and records that no
-// machine's ownership depends on are dropped.
+// TestAGroupThatFailsOverTwice checks that an incarnation whose workers have failed over writes its
+// next claims in a new epoch, so that the workers fail over in groups after a second loss, too. It
+// also checks that failover records are deleted when no machine's ownership depends on them.
 func TestAGroupThatFailsOverTwice(t *testing.T) {
 	s := grownSim(t, 84)
 	s.loadGrown(260 * time.Second)
@@ -337,17 +343,18 @@
 		}
 	}
 	if left != len(used) {
-		t.Errorf("%d records of failovers are left, %d are in use", left, len(used))
+		t.Errorf("%d failover records are left, %d are in use", left, len(used))
 	}
 }
 
-// TestAControllerThatHearsNoWorkersFailsNoGroupOver plays the drawn day on which one did: cut off from all workers,
-// it failed a group over by a heartbeat that was delayed on its way, and the others redirected the group's
-// workers to it until their leases ended, two urgent tasks among theirs.
+// TestAControllerThatHearsNoWorkersFailsNoGroupOver repeats the random run in which a controller that
+// was cut off from all workers received a delayed heartbeat and failed the worker's group over to
+// itself. The other controllers redirected the group's workers to it until their leases expired,
+// which killed two urgent tasks among others.
 func TestAControllerThatHearsNoWorkersFailsNoGroupOver(t *testing.T) {
 	s := runRandomLinkCuts(t, 9698)
 	s.reportViolations(t)
 	if s.leaseLosses.urgent > 0 || s.leaseLosses.other > 0 {
-		t.Errorf("%d urgent tasks and %d others were killed that had a path", s.leaseLosses.urgent, s.leaseLosses.other)
+		t.Errorf("%d urgent and %d other tasks were killed although their workers had a path", s.leaseLosses.urgent, s.leaseLosses.other)
 	}
 }
--- a/internal/coordination/handoff_test.go
+++ b/internal/coordination/handoff_test.go
@@ -8,8 +8,8 @@
 	"silvergate/internal/peer"
 )
 
-// TestEarlyHandOverIsKept guards against tasks that were lost for two publishing
-// intervals: a peer's hand-off often arrives before the watch brings the job.
+// TestEarlyHandOverIsKept guards against tasks that stayed unscheduled for two publishing intervals: a
+// peer's hand-off often arrives before the watch delivers the job's record, and was dropped.
 func TestEarlyHandOverIsKept(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(20 * time.Second)
@@ -21,10 +21,10 @@
 	}
 	c.applyChange(keyJob+spec.ID, encode(storedJob{spec, job.Open, 1, "n1"}), c.state.AppliedRevision()+1)
 	if len(c.scheduler.earlyHandoffs) != 0 {
-		t.Error("the hand-off was not taken up")
+		t.Error("the hand-off was not handled once the job was known")
 	}
 	sends := len(c.effects.Sends)
 	if sends == 0 || c.effects.Sends[sends-1].Message.HandoffReturn == nil {
-		t.Error("no machine is here, and the tasks did not go back")
+		t.Error("the controller has no machine for the tasks, but did not return them")
 	}
 }
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -11,48 +11,49 @@
 	"silvergate/internal/protocol"
 )
 
-// boundTaskChange is a change of the mirror that binds wk-700000/0 to i-000001 in agent epoch 1.
+// boundTaskChange returns a watch event that binds wk-700000/0 to i-000001 in agent epoch 1.
 func boundTaskChange() protocol.WatchEvent {
 	tasks := []job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}
 	return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage(tasks), ModRevision: 125}
 }
 
-// firstAttemptStatus is the status of the first attempt of wk-700000/0 on a worker's list.
+// firstAttemptStatus returns an entry of a heartbeat's task list for the first attempt of
+// wk-700000/0.
 func firstAttemptStatus(status protocol.TaskState) protocol.TaskStatus {
 	return protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: status}
 }
 
-// launchReply is the reply to the direct launch of newScriptWithLaunch.
+// launchReply returns a reply to the direct launch of newScriptWithLaunch.
 func launchReply(sequence uint64, status protocol.TaskState) protocol.Heartbeat {
 	return protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: sequence, FencingToken: 120, Tasks: []protocol.TaskStatus{firstAttemptStatus(status)}}
 }
 
-// cancellationReply is the message by which a peer names wk-700000 as cancelled.
+// cancellationReply returns the message with which a peer reports wk-700000 as cancelled.
 func cancellationReply() peer.Message {
 	return peer.Message{CancellationReply: &peer.CancellationReply{Cancelled: []string{"wk-700000"}}}
 }
 
-// newScriptWithLaunch is a script whose controller, n1, has claimed i-000001, with a task bound there
-// in agent epoch 1, launched directly and without a reply yet.
+// newScriptWithLaunch returns a script whose controller, n1, owns i-000001 and has directly launched
+// a task that is bound there in agent epoch 1. The launch has no reply yet.
 func newScriptWithLaunch(t *testing.T) *script {
 	t.Helper()
 	s := newScript(t)
 	s.held(boundTaskChange())
 	if s.launches() != 1 {
-		t.Fatalf("%d direct launches", s.launches())
+		t.Fatalf("%d direct launches were sent, want 1", s.launches())
 	}
 	return s
 }
 
-// TestNoAnswerWhileACancelledLaunchMayCome guards the cancel horizon: a heartbeat that came between a
-// direct launch and its time-out was answered under the old token though the job had been
-// cancelled meanwhile, which gave the launch another lease to be executed in.
+// TestNoAnswerWhileACancelledLaunchMayCome guards the cancel horizon. A heartbeat arrived between a
+// direct launch and the timeout of that call, after the job had been cancelled. It was answered
+// under the old token, so the launch could still be executed for another lease.
 func TestNoAnswerWhileACancelledLaunchMayCome(t *testing.T) {
 	for _, v := range []struct {
 		name      string
 		cancelled []string
 		tasks     []protocol.TaskStatus
-		answered  bool // under the old token
+		answered  bool // the heartbeat is answered under the old token
 	}{
 		{"not cancelled", nil, nil, true},
 		{"cancelled, and the launch has not come", []string{"wk-700000"}, nil, false},
@@ -64,23 +65,23 @@
 			s.at += 300 * time.Millisecond
 			answer := s.report(120, 3, v.tasks...)
 			if (answer.FencingToken == 120) != v.answered {
-				t.Errorf("answered with %+v", answer)
+				t.Errorf("the heartbeat was answered with %+v", answer)
 			}
 			if v.answered {
 				return
 			}
-			// A new token resolves the doubt.
+			// Under a new token the worker refuses the late launch, and is answered.
 			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 130})
 			if answer := s.answer(); answer.FencingToken != 130 {
-				t.Errorf("after the claim answered with %+v", answer)
+				t.Errorf("after the claim the heartbeat was answered with %+v", answer)
 			}
 		})
 	}
 }
 
-// TestALaterEpochReleasesTasksOfAnUnresponsiveMachine guards against tasks that stayed bound to a machine that hears
-// nobody: its heartbeats came with an old token, nothing in them was trusted, and its lease had
-// ended everything long ago.
+// TestALaterEpochReleasesTasksOfAnUnresponsiveMachine guards against tasks that stay bound to a
+// machine that receives no answers. Its heartbeats show an old token, so they are not trusted,
+// although the worker killed all its tasks when its lease expired.
 func TestALaterEpochReleasesTasksOfAnUnresponsiveMachine(t *testing.T) {
 	for _, v := range []struct {
 		name     string
@@ -93,7 +94,8 @@
 		t.Run(v.name, func(t *testing.T) {
 			s := newScriptWithLaunch(t)
 			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, launchReply(3, protocol.TaskRunning))
-			// Another controller claims it and the worker does not hear of it; it comes back here.
+			// Another controller claims the machine, the worker does not learn of that, and sends
+			// its next heartbeat here.
 			s.pass(time.Second)
 			claim := claimRecord{Owner: "n0", Incarnation: 3, Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", Epoch: 1}
 			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 140, Events: []protocol.WatchEvent{{Put: keyClaim + "i-000001", Value: encode(claim), ModRevision: 140}}})
@@ -104,7 +106,7 @@
 			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(heartbeat)))
 			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 150})
 			if answer := s.answer(); answer.FencingToken != 150 {
-				t.Fatalf("answered with %+v", answer)
+				t.Fatalf("the heartbeat was answered with %+v", answer)
 			}
 			s.pass(time.Second)
 			released := false
@@ -118,19 +120,20 @@
 	}
 }
 
-// TestReleaseNeedsALaterEpoch has each epoch judged against a task of epoch 2.
+// TestReleaseNeedsALaterEpoch judges heartbeats of several epochs against a task of epoch 2.
 func TestReleaseNeedsALaterEpoch(t *testing.T) {
 	for epoch := uint64(1); epoch <= 3; epoch++ {
 		action, proof := fencing.JudgeEarlierEpoch(fencing.Heartbeat{Epoch: epoch}, fencing.Attempt{Epoch: 2})
 		released := action == fencing.Release && proof == fencing.NewerEpoch
 		if released != (epoch == 3) {
-			t.Errorf("epoch %d: %v %v", epoch, action, proof)
+			t.Errorf("epoch %d: action %v, proof %v", epoch, action, proof)
 		}
 	}
 }
 
-// TestAnOvertakenHeartbeatIsAnsweredWithStops guards the cancel horizon: the answer to a heartbeat that a direct launch
-// had overtaken renewed the lease and stopped only what the heartbeat listed, which was before the launch.
+// TestAnOvertakenHeartbeatIsAnsweredWithStops guards the cancel horizon. A heartbeat that a direct
+// launch had overtaken did not list the launched task. Its answer renewed the lease, but stopped
+// only the tasks that the heartbeat listed.
 func TestAnOvertakenHeartbeatIsAnsweredWithStops(t *testing.T) {
 	for _, v := range []struct {
 		name      string
@@ -142,31 +145,31 @@
 			if v.cancelled {
 				s.take(s.c.Peer(s.clock(), "n0", cancellationReply()))
 			}
-			answer := s.report(120, 3) // sent before the launch came
+			answer := s.report(120, 3) // sent before the launch arrived
 			if answer.FencingToken != 120 || len(answer.Commands) > 0 != v.cancelled {
-				t.Fatalf("answered with %+v", answer)
+				t.Fatalf("the heartbeat was answered with %+v", answer)
 			}
 			if !v.cancelled {
 				return
 			}
 			stop := answer.Commands[0]
 			if stop.Verb != protocol.VerbKill || stop.Task != "wk-700000/0" || stop.Attempt != 1 {
-				t.Errorf("answered with %+v", answer)
+				t.Errorf("the heartbeat was answered with %+v", answer)
 			}
 		})
 	}
 }
 
-// TestEveryAnswerStopsWhatIsCancelled guards against cancelled tasks that lived on
-// (found on a drawn day, 5515 of TestRulesHoldWhenAZoneIsCutOff): a heartbeat that is not
-// trusted, as the mirror has not reached the claim, was answered without commands, its
-// lease renewed, for as long as the watch was late.
+// TestEveryAnswerStopsWhatIsCancelled guards against cancelled tasks that kept running (found with
+// seed 5515 of TestRulesHoldWhenAZoneIsCutOff). A heartbeat was not trusted because the mirror had
+// not reached the claim. It was answered without commands, which renewed the lease, for as long
+// as the watch was late.
 func TestEveryAnswerStopsWhatIsCancelled(t *testing.T) {
 	for _, v := range []struct {
 		name      string
-		status    job.Status // by the records; "" without a record
-		cancelled bool       // as a peer says
-		kills     int
+		status    job.Status // in the job's record; "": there is no record
+		cancelled bool       // reported as cancelled by a peer
+		kills     int        // kill commands in the answer
 	}{
 		{"cancelled by the records", job.Cancelled, false, 1},
 		{"done by the records", job.Done, false, 1},
@@ -187,7 +190,7 @@
 			}
 			running := firstAttemptStatus(protocol.TaskRunning)
 			s.report(0, 1, running)
-			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120}) // which the watch does not reach
+			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120}) // the watch does not reach this revision
 			s.at += 500 * time.Millisecond
 			answer := s.report(120, 2, running)
 			if answer.FencingToken != 120 || len(answer.Commands) != v.kills || v.kills > 0 && answer.Commands[0].Verb != protocol.VerbKill {
@@ -197,16 +200,17 @@
 	}
 }
 
-// TestACancellationOnceKnownStays guards against reads that overtake one another: a peer named a cancelled job, and
-// then an answer of the state service came that had been given before the cancellation. The job counted as open
-// again, the peer's reply went on being a proof that no cancellation is unknown, and the worker was answered without a stop.
+// TestACancellationOnceKnownStays guards against reads that arrive out of order. A peer reported a
+// job as cancelled, and afterwards an answer of the state service arrived that was older than the
+// cancellation. The job counted as open again, while the peer's reply still counted as proof that
+// no cancellation was unknown, so the worker was answered without a stop.
 func TestACancellationOnceKnownStays(t *testing.T) {
 	older := protocol.WatchEvent{Put: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 135}
 	running := firstAttemptStatus(protocol.TaskRunning)
 	for _, v := range []struct {
 		name    string
-		unknown bool // the job's record had not been read when the peer named it
-		named   bool // by the peer, as cancelled
+		unknown bool // the job's record had not been read when the peer reported the job
+		named   bool // the peer reports the job as cancelled
 	}{
 		{"known, and not cancelled", false, false},
 		{"known", false, true},
@@ -220,7 +224,7 @@
 				s.held(boundTaskChange())
 				s.reply(protocol.PathCommands, "", 200, launchReply(3, protocol.TaskRunning))
 			}
-			s.pass(1200 * time.Millisecond) // the next watch is opened, and its answer is held up
+			s.pass(1200 * time.Millisecond) // the next watch is opened, and its answer is delayed
 			if v.named {
 				message := cancellationReply()
 				message.CancellationReply.AskedAt = s.at
@@ -234,13 +238,13 @@
 				stopped = stopped || command.Verb == protocol.VerbKill && command.Task == "wk-700000/0"
 			}
 			if stopped != v.named {
-				t.Errorf("stopped %v by the next answer, want %v", stopped, v.named)
+				t.Errorf("the task was stopped by the next answer: %v, want %v", stopped, v.named)
 			}
 		})
 	}
 }
 
-// claimBeforeJob has the controller claim i-000001 with the records of before any job.
+// claimBeforeJob makes the controller claim i-000001 when its mirror contains no job yet.
 func (s *script) claimBeforeJob() {
 	s.pass(100 * time.Millisecond)
 	s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100})
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -11,14 +11,14 @@
 	"silvergate/internal/peer"
 )
 
-// reachesPeer tells whether messages from n reach o.
+// reachesPeer reports whether messages from n reach o.
 func (n *simController) reachesPeer(o *simController) bool {
 	now := n.s.now
 	return n.unreachableUntil["peers"] <= now && o.unreachableUntil["peers"] <= now && n.unreachableUntil["to:"+o.name] <= now
 }
 
-// asReadBy is a message as the other side reads it: a version before link reports and relayed
-// calls ignores what it does not know, as gob does. ok is false if the message is lost.
+// asReadBy returns a message as the receiver o decodes it: a version before link reports and relayed
+// calls ignores fields that it does not know, as gob does. ok is false if the message is lost.
 func (n *simController) asReadBy(o *simController, message peer.Message) (read peer.Message, ok bool) {
 	s := n.s
 	if s.defects.noRelays && message.RelayRequest != nil {
@@ -43,12 +43,12 @@
 		message.Forwarded = nil
 	}
 	if n.beforeRelays && (message.RelayRequest != nil || message.RelayResponse != nil || message.Forwarded != nil) {
-		s.violation("versions", "%s sends what its version does not know", n.name)
+		s.violation("versions", "%s sends message fields that its version does not have", n.name)
 	}
 	return message, true
 }
 
-// generateLinkReports draws link reports that mean nothing.
+// generateLinkReports returns link reports with random, meaningless values.
 func (s *sim) generateLinkReports() []connectivity.LinkReport {
 	var out []connectivity.LinkReport
 	for range 1 + s.random.IntN(5) {
@@ -78,17 +78,18 @@
 	return out
 }
 
-// pathLosses counts tasks that were killed by their lease, by whether a path from their
-// worker to the state service was up, through one controller, for the whole of it.
+// pathLosses counts the tasks that were killed because their worker's lease expired, by whether a
+// path from the worker through one controller to the state service was up for the whole lease.
 type pathLosses struct {
-	urgent, other int // there was a path
-	withoutPath   int // there was none, or none that could be found in a lease: each attempt at a controller that hangs takes 5 s
-	// upSince is when the path through each controller to each zone came up, if it is up.
+	urgent, other int // tasks killed although there was a path
+	withoutPath   int // tasks killed without a path, or without one that could be found within a lease
+	// upSince is since when the path through each controller to each zone has been up; paths that
+	// are down have no entry.
 	upSince map[string]map[string]time.Duration
 }
 
-// watchPaths notes since when each worker has had a path through each controller:
-// worker to controller to state service, or to a peer that reaches it.
+// watchPaths records since when each zone has had a path through each controller: from the workers
+// to the controller and on to the state service, either directly or through a peer.
 func (s *sim) watchPaths() {
 	if s.leaseLosses.upSince == nil {
 		s.leaseLosses.upSince = map[string]map[string]time.Duration{}
@@ -119,8 +120,8 @@
 	s.after(100*time.Millisecond, s.watchPaths)
 }
 
-// hadPath tells whether a worker had a path for the whole of its lease that it could find in
-// that time.
+// hadPath reports whether a worker had a path for the whole of its lease and could find it within
+// that time: each attempt at a controller that hangs takes 5 s.
 func (w *simWorker) hadPath() bool {
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
@@ -130,8 +131,8 @@
 	}
 	hanging := 0
 	for _, n := range s.controllers {
-		// One that crashes at the same time delays workers like one that can't be reached: they
-		// wait for it to go on without new claims.
+		// A controller that crashed within the lease delays workers like one that can't be
+		// reached: they wait until it is back and keeps them without new claims.
 		if n.unreachableUntil["workers"] > s.now-lease || n.unreachableUntil["zone:"+w.zone] > s.now-lease {
 			hanging++
 		}
@@ -143,7 +144,7 @@
 	return up && search < lease
 }
 
-// countLeaseLosses counts the tasks that the end of a worker's lease kills.
+// countLeaseLosses counts the tasks that are killed because the worker's lease has expired.
 func (w *simWorker) countLeaseLosses() {
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
@@ -167,10 +168,10 @@
 	}
 }
 
-// linkCutKinds are the ways in which a link of one controller can fail.
+// linkCutKinds returns the ways in which a link of one controller can fail, for cutLink.
 func (s *sim) linkCutKinds() []string {
 	out := []string{"state", "state reset", "refused", "workers", "workers reset", "state flaps", "workers flap", "peers", "cloud", "users", "stands still"}
-	for _, z := range s.facts.Zones[:1+len(s.controllers)/5*2] { // on few controllers one stands for all
+	for _, z := range s.facts.Zones[:1+len(s.controllers)/5*2] { // with few controllers one zone stands for all
 		out = append(out, "zone:"+z)
 	}
 	for _, o := range s.controllers {
@@ -179,7 +180,7 @@
 	return out
 }
 
-// cutLink makes a link of a controller fail for a time.
+// cutLink makes a link of a controller fail for a duration, in one of the ways of linkCutKinds.
 func (s *sim) cutLink(n *simController, kind string, duration time.Duration) {
 	if s.output.trace != nil {
 		fmt.Fprintf(s.output.trace, "%8.3f CUT node=%s %s for %v\n", s.now.Seconds(), n.name, kind, duration)
@@ -188,7 +189,7 @@
 	switch {
 	case kind == "refused":
 		n.refusedUntil = s.now + duration
-	case kind == "stands still": // all its links are up, and the process does nothing
+	case kind == "stands still": // all its links are up, but the process is paused
 		n.pausedUntil = s.now + duration
 	case strings.Contains(kind, " flap"):
 		link, _, _ = strings.Cut(kind, " ")
@@ -204,7 +205,8 @@
 	}
 }
 
-// runLinkCuts is a day of a calm site on which links of controllers fail together.
+// runLinkCuts simulates a site without other faults on which the given cuts happen at the same time
+// and, shortly after, lostMachines machines die.
 func runLinkCuts(s *sim, lostMachines int, cuts ...func()) {
 	s.advertised.Limits.MaxSockets, s.facts.Limits.MaxSockets = 200, 200
 	for i := range 4 {
@@ -228,9 +230,9 @@
 	s.run(130 * time.Second)
 }
 
-// TestPairsOfCuts has every pair of cuts meet, on three controllers, with and without
-// a loss of machines. Every rule is judged, and no urgent task may be killed
-// by its lease on a machine that had a path to the state service the whole time.
+// TestPairsOfCuts combines every pair of link cuts on three controllers, with and without a loss of
+// machines. All rules are checked, and no urgent task may be killed by an expired lease on a
+// machine that had a path to the state service for the whole lease.
 func TestPairsOfCuts(t *testing.T) {
 	kinds := newSim(t, 1, 0).linkCutKinds()
 	type cut struct {
@@ -267,21 +269,21 @@
 	}
 }
 
-// TestDrawnCuts draws three to six cuts at a time on five controllers and a hundred
-// machines and more, with the rates of a real state service. SIM_DAYS plays more days.
+// TestDrawnCuts makes three to six random link cuts at a time on five controllers with more than a
+// hundred machines and the rates of a real state service. SIM_DAYS sets the number of runs.
 func TestDrawnCuts(t *testing.T) {
 	runSeeds(t, 9500, 16, func(t *testing.T, seed uint64) {
 		s := runRandomLinkCuts(t, seed)
 		s.reportViolations(t)
 		if s.leaseLosses.urgent > 0 {
-			t.Errorf("%d urgent tasks killed that had a path", s.leaseLosses.urgent)
+			t.Errorf("%d urgent tasks were killed although their workers had a path", s.leaseLosses.urgent)
 		}
 		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.withoutPath)
 	})
 }
 
-// runRandomLinkCuts plays a day on which links are cut, controllers crash and machines are lost or hang, as
-// drawn.
+// runRandomLinkCuts simulates a deployment in which links are cut, controllers crash, and machines are
+// lost or hang at random.
 func runRandomLinkCuts(t *testing.T, seed uint64) *sim {
 	t.Helper()
 	s := grownSim(t, seed)
@@ -322,9 +324,9 @@
 	return s
 }
 
-// TestWaysAreJudged has the checker of paths find what it is for: when no controller relays
-// calls, two of three controllers that lose the state service while the third loses its
-// workers lose urgent tasks that had a path.
+// TestWaysAreJudged checks the checker of paths. Two of three controllers lose the state service
+// while the third loses its workers. If no controller relays calls, urgent tasks are killed although
+// there was a path, and the checker must count them.
 func TestWaysAreJudged(t *testing.T) {
 	day := func(noRelays bool) *sim {
 		s := newSim(t, 9900, 0)
@@ -334,15 +336,16 @@
 		return s
 	}
 	if s := day(false); s.leaseLosses.urgent+s.leaseLosses.other > 0 || len(s.violations) > 0 {
-		t.Errorf("%+v %v", s.leaseLosses, s.violations)
+		t.Errorf("with relays: lease losses %+v, violations %v", s.leaseLosses, s.violations)
 	}
 	if s := day(true); s.leaseLosses.urgent == 0 {
-		t.Error("no controller relays calls, and nothing was found")
+		t.Error("no controller relays calls, but no urgent task with a path was counted as killed")
 	}
 }
 
-// TestLeaderWithoutTheCloudGivesWay cuts the leader off from the cloud alone: another controller
-// leads soon, and it stays so. Where the cloud answers nobody, the leader stays the same.
+// TestLeaderWithoutTheCloudGivesWay cuts only the leader off from the cloud: another controller
+// becomes the leader soon and remains it. If the cloud answers no controller, the leader does not
+// change.
 func TestLeaderWithoutTheCloudGivesWay(t *testing.T) {
 	for _, v := range []struct {
 		name string
@@ -360,17 +363,17 @@
 			}
 			changes, rentable := s.watchLeaders(first, 150*time.Second)
 			if v.all && changes != 0 {
-				t.Errorf("leadership changed %d times", changes)
+				t.Errorf("leadership changed %d times, want none", changes)
 			}
 			if !v.all && (changes != 1 || rentable < 80*time.Second) {
-				t.Errorf("leadership changed %d times, and the leader could rent for %v of 100 s", changes, rentable)
+				t.Errorf("leadership changed %d times, want 1, and the leader could rent for %v of 100 s", changes, rentable)
 			}
 			s.reportViolations(t)
 		})
 	}
 }
 
-// leader is the last controller that takes itself for the leader, nil if none does.
+// leader returns the last controller that considers itself the leader, or nil if none does.
 func (s *sim) leader() *simController {
 	var leader *simController
 	for _, n := range s.controllers {
@@ -381,8 +384,8 @@
 	return leader
 }
 
-// watchLeaders plays on until a time, and returns how often the leadership changed and for how
-// long there was a leader that reached the cloud.
+// watchLeaders continues the simulation until the given time. It returns how often the leadership
+// changed and for how long there was a leader that could reach the cloud.
 func (s *sim) watchLeaders(first *simController, until time.Duration) (changes int, rentable time.Duration) {
 	last := first
 	for now := s.now; now < until; now += 500 * time.Millisecond {
@@ -403,8 +406,8 @@
 	return changes, rentable
 }
 
-// TestRulesDoNotDependOnLinkReports has peer heartbeats carry drawn link reports, on days with drawn
-// cuts.
+// TestRulesDoNotDependOnLinkReports checks that the rules hold when peer heartbeats carry random link
+// reports, in runs with random faults and partitions.
 func TestRulesDoNotDependOnLinkReports(t *testing.T) {
 	runSeeds(t, 9700, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
@@ -417,8 +420,8 @@
 	})
 }
 
-// TestRollingRestartFromTheVersionBefore has one and two of three controllers run the
-// version before link reports while links fail, and then all the new one.
+// TestRollingRestartFromTheVersionBefore starts with one or two of three controllers on the version
+// before link reports and upgrades them one after the other while links fail.
 func TestRollingRestartFromTheVersionBefore(t *testing.T) {
 	for old := 1; old <= 2; old++ {
 		s := newSim(t, uint64(9800+old), 0.002)
--- a/internal/coordination/membership_test.go
+++ b/internal/coordination/membership_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestAnOlderPublicationIsWrittenOver guards against a publication without an answer that is executed
-// after newer ones: it has no condition, and would stay until the list's length changes.
+// TestAnOlderPublicationIsWrittenOver guards against an unanswered write of a member record that is
+// executed after newer ones. The write is unconditional, so the older record would stay until the
+// length of the idle list changes.
 func TestAnOlderPublicationIsWrittenOver(t *testing.T) {
 	s := newSim(t, 41_000, 0)
 	s.run(30 * time.Second)
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestRulesHoldWhenAZoneIsCutOff plays days that favour the fault of a task that ran
-// twice: a controller, with or without its workers, is partitioned for up to more than
-// twice a lease; its transactions arrive late; afterwards its watch is answered late, in
-// part, while peers claim its machines and task releases under the old fencing tokens
-// wait. SIM_DAYS plays more of them.
+// TestRulesHoldWhenAZoneIsCutOff simulates conditions under which a task is likely to run twice. A
+// controller, with or without its workers, is partitioned for up to more than twice a lease, and its
+// transactions arrive late. Afterwards its watch is answered late and in part, while peers claim its
+// machines and task releases under the old fencing tokens are pending. SIM_DAYS sets the number of
+// runs.
 func TestRulesHoldWhenAZoneIsCutOff(t *testing.T) {
 	runSeeds(t, 5000, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
@@ -23,10 +23,10 @@
 	})
 }
 
-// TestCutOffControllerDoesNotCondemnMachines guards against a fault found on
-// carbura-iasi's day "troubles": a controller that could not reach the state
-// service saw its workers move to its peers, called them silent from its stale
-// mirror, and had the healthy machines deleted once it was back.
+// TestCutOffControllerDoesNotCondemnMachines guards against a fault found on carbura-iasi's day
+// "troubles". The workers of a controller that could not reach the state service moved to its peers.
+// By its stale mirror the controller considered them silent, and it had the healthy machines deleted
+// once it could reach the state service again.
 func TestCutOffControllerDoesNotCondemnMachines(t *testing.T) {
 	s := newSim(t, 5, 0)
 	s.submitMixedJobs(time.Minute)
@@ -36,7 +36,7 @@
 	s.run(95 * time.Second)
 	for key, v := range s.state.keys {
 		if strings.HasPrefix(key, keyDrain) && strings.Contains(string(v.value), drainSilent) {
-			t.Errorf("%s: %s", key, v.value)
+			t.Errorf("a healthy machine was drained as silent: %s: %s", key, v.value)
 		}
 	}
 	if up == 0 {
@@ -45,9 +45,9 @@
 	s.reportViolations(t)
 }
 
-// TestZoneThatIsCutOffIsSeenAtOnce guards against deleting the machines whose heartbeats
-// are the oldest: in the first seconds of a partition they alone were overdue, and were
-// deleted (34 of shiftbook-akl-fleet's, day zone).
+// TestZoneThatIsCutOffIsSeenAtOnce guards against deleting the machines with the oldest heartbeats
+// when a zone is cut off: in the first seconds only they were overdue, and they were deleted (34
+// machines of shiftbook-akl-fleet, day zone).
 func TestZoneThatIsCutOffIsSeenAtOnce(t *testing.T) {
 	now, report := 100*time.Second, 8*time.Second
 	for _, c := range []struct {
@@ -63,7 +63,7 @@
 		{"five machines, all quiet", zoneHeartbeats{machines: 5, overdue: 5, lastHeartbeat: now - 11*time.Second}, true},
 	} {
 		if got := c.z.unreachable(now, report); got != c.cut {
-			t.Errorf("%s: cut %v", c.name, got)
+			t.Errorf("%s: the zone counts as unreachable: %v", c.name, got)
 		}
 	}
 }
--- a/internal/coordination/redirect_test.go
+++ b/internal/coordination/redirect_test.go
@@ -11,22 +11,22 @@
 	"silvergate/internal/protocol"
 )
 
-// redirectCase is a worker whose machine is owned by n0, by a claim of revision 110, and that
-// sends its heartbeat to n1.
+// redirectCase is a case in which a worker sends its heartbeat to n1 while its machine is owned by
+// n0, under a claim of revision 110.
 type redirectCase struct {
 	name                string
-	fencingToken        uint64        // that the worker shows
-	claimAge            time.Duration // since the claim came to be known
-	ownerHeard          bool          // n1 has a heartbeat of the owner
-	ownerHearsNoWorkers bool          // which says so
-	outage              bool          // of the state service
-	redirected          bool          // wanted
-	repeats             bool          // it comes once more
-	busy                bool          // it has a task
-	pause               time.Duration // before it comes once more
+	fencingToken        uint64        // the token that the worker shows
+	claimAge            time.Duration // time since n1 learned of the claim
+	ownerHeard          bool          // n1 has received a heartbeat of the owner
+	ownerHearsNoWorkers bool          // the owner's heartbeat says that it hears no workers
+	outage              bool          // the state service does not answer
+	redirected          bool          // the worker should be redirected in the end
+	repeats             bool          // the worker sends a second heartbeat
+	busy                bool          // the worker has a task
+	pause               time.Duration // time before the second heartbeat
 }
 
-// start has n1 read the records and then lets the claim's age pass.
+// start makes n1 read the records and then lets claimAge pass.
 func (v *redirectCase) start(t *testing.T) *script {
 	t.Helper()
 	s := newScript(t)
@@ -42,7 +42,7 @@
 	return s
 }
 
-// answerWatch answers the pending request of the watch, if there is one, without a change.
+// answerWatch answers the pending watch request, if there is one, without events.
 func (s *script) answerWatch(revision uint64) {
 	for _, call := range s.todo {
 		if strings.HasPrefix(call.Path, protocol.PathWatch) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// sendOwnerHeartbeat has the owner's heartbeat come to n1.
+// sendOwnerHeartbeat delivers a heartbeat of the owner to n1.
 func (v *redirectCase) sendOwnerHeartbeat(s *script) {
 	ageMS := v.claimAge.Milliseconds()
 	report := connectivity.LinkReport{Node: "n0", HearsNoWorkers: v.ownerHearsNoWorkers, MirrorAgeMS: ageMS, StateServiceMS: ageMS, HearsPeers: []string{"n1"}}
@@ -60,8 +60,8 @@
 	s.take(s.c.Peer(s.clock(), "n0", peer.Message{Heartbeat: heartbeat}))
 }
 
-// sendWorkerHeartbeat has the worker's heartbeat come to n1, and returns the status of the
-// answer, 0 if there is none.
+// sendWorkerHeartbeat delivers a heartbeat of the worker to n1 and returns the status of the
+// answer, or 0 if there is none.
 func (v *redirectCase) sendWorkerHeartbeat(s *script) int {
 	tasks := []protocol.TaskStatus{}
 	if v.busy {
@@ -80,8 +80,9 @@
 	return status
 }
 
-// TestWorkersAreRedirectedToTheirOwner guards against workers that lost one answer in an outage and their lease on
-// the way round, and against a claim by each controller for each machine that hears nobody.
+// TestWorkersAreRedirectedToTheirOwner guards against two faults: a worker that lost one answer in
+// an outage let its lease expire while it tried the other controllers, and each controller wrote a
+// claim for each machine that received no answers.
 func TestWorkersAreRedirectedToTheirOwner(t *testing.T) {
 	for _, v := range []redirectCase{
 		{name: "an outage",
@@ -123,8 +124,9 @@
 	}
 }
 
-// TestAControllerThatIsCutOffFromAllLeavesTheBalancer judges the health check: without the state service and without the
-// others a controller is of no use to users, and an outage that all see is no such case.
+// TestAControllerThatIsCutOffFromAllLeavesTheBalancer checks the health check. A controller that
+// reaches neither the state service nor its peers can't serve users and must fail the check. In an
+// outage of the state service that affects all controllers it must pass.
 func TestAControllerThatIsCutOffFromAllLeavesTheBalancer(t *testing.T) {
 	for _, v := range []struct {
 		name   string
@@ -149,7 +151,7 @@
 			n.request("users", "GET", protocol.PathHealth, nil, func(status int, _ []byte) { got = status })
 			s.run(29 * time.Second)
 			if got != v.status {
-				t.Errorf("the health check is answered with status %d, want %d", got, v.status)
+				t.Errorf("the health check was answered with status %d, want %d", got, v.status)
 			}
 		})
 	}
--- a/internal/coordination/release_evidence_test.go
+++ b/internal/coordination/release_evidence_test.go
@@ -9,10 +9,9 @@
 	"silvergate/internal/job"
 )
 
-// TestEvidenceDoesNotOutliveItsClaim guards against a fault found by a search on
-// carbura-iasi: a task's release proposed under one claim was committed under the next
-// claim of the same controller, although a peer had answered the worker between
-// the two, and the task ran twice.
+// TestEvidenceDoesNotOutliveItsClaim guards against a task that ran twice, found by a search on
+// carbura-iasi: its release was proposed under one claim and committed under the next claim of the
+// same controller, although a peer had answered the worker between the two claims.
 func TestEvidenceDoesNotOutliveItsClaim(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		s := newSim(t, 53, 0)
@@ -40,13 +39,13 @@
 						}
 					}
 					if (sent == 0) != again {
-						t.Errorf("claim renewed: %v, releases sent: %d", again, sent)
+						t.Errorf("claim renewed: %v, %d releases were sent", again, sent)
 					}
 				}
 			}
 		}
 		if !tried {
-			t.Fatal("nothing runs")
+			t.Fatal("no task is bound to any machine")
 		}
 	}
 }
--- a/internal/coordination/restart_test.go
+++ b/internal/coordination/restart_test.go
@@ -8,24 +8,24 @@
 	"silvergate/internal/protocol"
 )
 
-// TestRestartAdoptsWorkers guards the restart after all controllers crashed:
-// each goes on with the fencing tokens of its earlier incarnation, without a new claim
-// for every worker, and claims anew when an attempt of that time ends, so that
-// a late launch of the earlier incarnation can't start it again.
+// TestRestartAdoptsWorkers guards the restart after all controllers crashed. Each controller keeps
+// using the fencing tokens of its earlier incarnation, without a new claim for every worker. It
+// writes a new claim when an attempt of the earlier incarnation ends, so that a late launch by that
+// incarnation can't start the attempt again.
 func TestRestartAdoptsWorkers(t *testing.T) {
 	var adopted uint64
 	const seeds = 12
 	for seed := uint64(1); seed <= seeds; seed++ {
 		adopted += adoptionsAfterRestart(t, seed)
 	}
-	// Some workers reach another controller first, which then has to claim them.
+	// Some workers reach another controller first, which has to claim them.
 	if adopted < seeds {
 		t.Errorf("%d workers were adopted in %d restarts", adopted, seeds)
 	}
 }
 
-// adoptionsAfterRestart crashes all controllers of a small deployment and tells how many
-// workers they adopted.
+// adoptionsAfterRestart crashes all controllers of a small deployment and returns how many workers
+// they adopt after their restart.
 func adoptionsAfterRestart(t *testing.T, seed uint64) (adopted uint64) {
 	s := newSim(t, seed, 0)
 	s.submitServices(8, 1, "a", "b")
@@ -50,7 +50,7 @@
 	for _, w := range s.cloud.sortedMachines() {
 		for name, task := range w.tasks {
 			if task.status == protocol.TaskEnded {
-				t.Errorf("%s on %s was never forgotten", name, w.name)
+				t.Errorf("%s on %s has ended but was never forgotten", name, w.name)
 			}
 		}
 	}
@@ -58,9 +58,9 @@
 	return adopted
 }
 
-// TestRestartAdoptsWorkersWhoseLeasesEnded guards the restart after an outage
-// longer than a lease: the workers are in a new agent epoch, so that no earlier command
-// is carried out, and the controllers need no new claim for each to start the tasks again.
+// TestRestartAdoptsWorkersWhoseLeasesEnded guards the restart after an outage longer than a lease. The
+// workers are in a new agent epoch, so no earlier command is executed, and the controllers can start
+// the tasks again without a new claim for each worker.
 func TestRestartAdoptsWorkersWhoseLeasesEnded(t *testing.T) {
 	var adopted, claims uint64
 	for seed := uint64(1); seed <= 8; seed++ {
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestHungMachineOfARestartedControllerIsReturned guards against services that
-// stay down: a machine that hangs while its controller restarts sends no
-// heartbeats, and the new incarnation has to find it.
+// TestHungMachineOfARestartedControllerIsReturned guards against services that stay down because
+// their machine hangs while its controller restarts: the machine sends no heartbeats, and the new
+// incarnation has to find it.
 func TestHungMachineOfARestartedControllerIsReturned(t *testing.T) {
 	s := newSim(t, 29, 0)
 	s.submitServices(12, 2)
--- a/internal/coordination/stale_launch_test.go
+++ b/internal/coordination/stale_launch_test.go
@@ -10,12 +10,12 @@
 	"silvergate/internal/protocol"
 )
 
-// TestNothingIsLaunchedFromThePast guards against the task that ran twice on a
-// drawn day of shiftbook-akl-grown. A controller whose watch was answered late had
-// claimed a worker, and the worker showed its fencing token; then the watch brought, as
-// news, that a task was bound to that machine. So it had been, before the claim: its
-// completion had been committed and forgotten since, and the task ran elsewhere. The
-// launch that was sent at once started it again.
+// TestNothingIsLaunchedFromThePast guards against a task that ran twice in a random run of
+// shiftbook-akl-grown. A controller whose watch was answered late had claimed a worker, and the
+// worker showed the fencing token. Then the watch delivered an old event that bound a task to that
+// machine. The binding was from before the claim: the attempt's end had since been committed and
+// forgotten, and the task ran elsewhere. The controller sent a launch at once, which started the
+// task again.
 func TestNothingIsLaunchedFromThePast(t *testing.T) {
 	page := func(revision uint64, tasks ...job.Task) protocol.WatchEvent {
 		return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage(tasks), ModRevision: revision}
@@ -24,9 +24,9 @@
 	there := job.Task{Phase: job.Bound, Attempt: 2, Machine: "i-000002", Epoch: 1}
 	for _, v := range []struct {
 		name     string
-		revision uint64 // that the watch reaches
+		revision uint64 // the revision that the watch reaches
 		news     []protocol.WatchEvent
-		launches int
+		launches int // launches that should be sent
 	}{
 		{"a watch answered late", 110, []protocol.WatchEvent{page(105, here)}, 0},
 		{"all since in one answer", 130, []protocol.WatchEvent{page(105, here), page(115, there)}, 0},
@@ -40,7 +40,7 @@
 			s.pass(100 * time.Millisecond)
 			s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
 				{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 90}}})
-			s.pass(200 * time.Millisecond) // the watch is opened, and hangs
+			s.pass(200 * time.Millisecond) // the watch is opened, and gets no answer yet
 			s.report(50, 1)
 			s.reply(protocol.PathTxn, keyClaim, 409, protocol.TxnResult{Failed: []string{keyClaim + "i-000001"}, Revision: 119})
 			s.reply(protocol.PathKeys+"/", "", 200, protocol.KeyValue{Key: keyClaim + "i-000001", ModRevision: 101,
@@ -51,29 +51,30 @@
 			}
 			s.at += 500 * time.Millisecond
 			if a := s.report(120, 2); a.FencingToken != 120 || len(a.Commands) > 0 {
-				t.Fatalf("the report that shows the token was answered with %+v", a)
+				t.Fatalf("the heartbeat that shows the token was answered with %+v", a)
 			}
 			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: v.revision, Events: v.news})
 			if n := s.launches(); n != v.launches {
-				t.Errorf("%d launches are sent, want %d", n, v.launches)
+				t.Errorf("%d launches were sent, want %d", n, v.launches)
 			}
 		})
 	}
 }
 
+// lateSpec returns the spec of wk-700000, a production service with one task.
 func lateSpec() *job.Spec {
 	return &job.Spec{ID: "wk-700000", Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1, Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}
 }
 
-// TestAReportThatALaunchOvertookProvesNoAbsence guards against a fault found by the
-// model in internal/fencing: a heartbeat was on its way when a direct launch was carried
-// out and answered. Its list lacks the attempt; the preemption notice that it brought made
-// the attempt unwanted, and it was released for being absent while it ran.
+// TestAReportThatALaunchOvertookProvesNoAbsence guards against a fault found by the model in
+// internal/fencing. A heartbeat was in flight while a direct launch was executed and answered, so it
+// does not list the attempt. It carried a preemption notice, which made the attempt unwanted, and
+// the attempt was released as not listed while it ran.
 func TestAReportThatALaunchOvertookProvesNoAbsence(t *testing.T) {
 	here := protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125}
 	for _, v := range []struct {
 		name     string
-		sequence uint64 // of the heartbeat that comes after the launch's answer, whose own is 4
+		sequence uint64 // of the heartbeat that arrives after the launch's reply, which has 4
 		releases int
 	}{
 		{"a heartbeat from before the launch", 3, 0},
@@ -83,25 +84,25 @@
 			s := newScript(t)
 			s.held(here)
 			if s.launches() != 1 {
-				t.Fatal("the attempt is not launched directly")
+				t.Fatal("the attempt was not launched directly")
 			}
 			s.reply(protocol.PathCommands, "", 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120,
 				Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}}})
 			s.recall = 10
 			if a := s.report(120, v.sequence); a.FencingToken != 120 {
-				t.Errorf("the report is not answered: %+v", a)
+				t.Errorf("the heartbeat was not answered under our token: %+v", a)
 			}
 			s.pass(200 * time.Millisecond)
 			if n := s.releases(); n != v.releases {
-				t.Errorf("a heartbeat with sequence number %d leads to %d releases, want %d", v.sequence, n, v.releases)
+				t.Errorf("a heartbeat with sequence number %d led to %d releases, want %d", v.sequence, n, v.releases)
 			}
 		})
 	}
 }
 
-// TestAnEndedAttemptIsNotForgottenForTheNextOnesLaunch guards against one place for
-// each task's unanswered launch: the next attempt's took it, the earlier attempt was
-// forgotten, and its launch, carried out late, started it again.
+// TestAnEndedAttemptIsNotForgottenForTheNextOnesLaunch guards against tracking only one unanswered
+// launch per task. The next attempt's launch replaced that of the earlier attempt, which was then
+// forgotten, and whose launch, executed late, started it again.
 func TestAnEndedAttemptIsNotForgottenForTheNextOnesLaunch(t *testing.T) {
 	s := newScript(t)
 	bound := func(attempt int, revision uint64) protocol.WatchEvent {
@@ -113,13 +114,13 @@
 	a := s.report(120, 3, protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseError},
 		protocol.TaskStatus{Task: "wk-700000/0", Attempt: 2, Status: protocol.TaskPulling})
 	if a.FencingToken != 120 || len(a.Commands) > 0 {
-		t.Errorf("while a launch of the first attempt is unanswered the answer is %+v", a)
+		t.Errorf("while a launch of the first attempt has no reply, the heartbeat was answered with %+v", a)
 	}
 }
 
-// TestAPlacementBesideAnEndingHeedsTheDrain guards against a placement whose
-// transaction did not name the machine's drain, since a release on the same machine
-// had named its claim before.
+// TestAPlacementBesideAnEndingHeedsTheDrain guards against a placement whose transaction was not
+// conditional on the absence of the machine's drain, because a release on the same machine in that
+// transaction had already added the machine's claim to its conditions.
 func TestAPlacementBesideAnEndingHeedsTheDrain(t *testing.T) {
 	s := newSim(t, 67, 0)
 	sp := &job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 2, Priority: job.Normal, CPUs: 1, GPUs: 1, MemoryGB: 1, MachineTypes: []string{"large"}}
--- a/internal/coordination/unshipped_test.go
+++ b/internal/coordination/unshipped_test.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/protocol"
 )
 
-// withArchive has all controllers start anew with an archive.
+// withArchive restarts all controllers with an archive.
 func (s *sim) withArchive(settings config.Archive) {
 	for _, n := range s.controllers {
 		own := settings
@@ -19,16 +19,16 @@
 	}
 }
 
-// TestMachineIsKeptForItsOutput guards against a machine that is returned for want of
-// work while output of its tasks waits to be shipped, and against one that is kept
-// for ever for it: the archive's acknowledgement, its silence and the deadline each release it.
+// TestMachineIsKeptForItsOutput guards against two faults: an idle machine is returned while output
+// of its tasks waits to be shipped, and a machine is kept for ever for its output. The machine is
+// released by the archive's acknowledgement, when it stops announcing output, or at the deadline.
 // The machine's own controller need not be the one that returns machines.
 func TestMachineIsKeptForItsOutput(t *testing.T) {
 	for _, v := range []struct {
 		name             string
 		waits            time.Duration // how long the machine announces that output waits
 		deadlineS        float64
-		earliest, latest time.Duration // when it is returned, after its work
+		earliest, latest time.Duration // bounds of when it is returned, from the end of its work
 	}{
 		{"nothing waits", 0, 200, 0, 70 * time.Second},
 		{"until the archive's acknowledgement", 120 * time.Second, 200, 115 * time.Second, 160 * time.Second},
@@ -52,16 +52,16 @@
 				s.run(s.now + time.Second)
 			}
 			if took := s.now - doneAt; took < v.earliest || took > v.latest {
-				t.Errorf("returned after %v, not within %v and %v", took, v.earliest, v.latest)
+				t.Errorf("the machines were returned after %v, want between %v and %v", took, v.earliest, v.latest)
 			}
 			s.reportViolations(t)
 		})
 	}
 }
 
-// TestLaunchesCarryGrants guards against a launch without the controller's grant for the
-// archive, or with a grant for another attempt or machine; and against one for a job
-// whose owner is not the one that was accepted.
+// TestLaunchesCarryGrants guards against launches without the controller's grant for the archive or
+// with a grant for another attempt or machine, and against a job description without its grant or
+// with another owner than the team with which the job was accepted.
 func TestLaunchesCarryGrants(t *testing.T) {
 	s := newSim(t, 6, 0)
 	key := archive.GrantKey(make([]byte, archive.KeySize))
