--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// machineMultiples are the machineMultiples of the machines that TestGroupTakeover plays.
+// machineMultiples returns the multiples of the machines with which TestGroupTakeover runs: those
+// of SIM_TIMES, or 3.
 func machineMultiples(t *testing.T) []int {
 	t.Helper()
 	list := os.Getenv("SIM_TIMES")
