--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -11,14 +11,14 @@
 	"silvergate/internal/peer"
 )
 
-// reachesPeer tells whether messages from n reach o.
+// reachesPeer reports whether messages from n reach o.
 func (n *simController) reachesPeer(o *simController) bool {
 	now := n.s.now
 	return n.unreachableUntil["peers"] <= now && o.unreachableUntil["peers"] <= now && n.unreachableUntil["to:"+o.name] <= now
 }
 
-// asReadBy is a message as the other side reads it: a version before link reports and relayed
-// calls ignores what it does not know, as gob does. ok is false if the message is lost.
+// asReadBy returns a message as the receiver o decodes it: a version before link reports and relayed
+// calls ignores fields that it does not know, as gob does. ok is false if the message is lost.
 func (n *simController) asReadBy(o *simController, message peer.Message) (read peer.Message, ok bool) {
 	s := n.s
 	if s.defects.noRelays && message.RelayRequest != nil {
@@ -33,7 +33,7 @@
 		heartbeat := *message.Heartbeat
 		heartbeat.Links = nil
 		if s.faults.randomLinkReports && !n.beforeRelays && !o.beforeRelays {
-			heartbeat.Links = s.drawLinkReports()
+			heartbeat.Links = s.generateLinkReports()
 		}
 		message.Heartbeat = &heartbeat
 	}
@@ -43,13 +43,13 @@
 		message.Forwarded = nil
 	}
 	if n.beforeRelays && (message.RelayRequest != nil || message.RelayResponse != nil || message.Forwarded != nil) {
-		s.violation("versions", "%s sends what its version does not know", n.name)
+		s.violation("versions", "%s sends message fields that its version does not have", n.name)
 	}
 	return message, true
 }
 
-// drawLinkReports draws link reports that mean nothing.
-func (s *sim) drawLinkReports() []connectivity.LinkReport {
+// generateLinkReports returns link reports with random, meaningless values.
+func (s *sim) generateLinkReports() []connectivity.LinkReport {
 	var out []connectivity.LinkReport
 	for range 1 + s.random.IntN(5) {
 		report := connectivity.LinkReport{
@@ -78,20 +78,21 @@
 	return out
 }
 
-// pathLosses counts tasks that were killed by their lease, by whether a path from their
-// worker to the state service was up, through one controller, for the whole of it.
+// pathLosses counts the tasks that were killed because their worker's lease expired, by whether a
+// path from the worker through one controller to the state service was up for the whole lease.
 type pathLosses struct {
-	urgent, other int // there was a path
-	cut           int // there was none, or none that could be found in a lease: each attempt at a controller that hangs takes 5 s
-	// since is when the path through each controller to each zone came up, if it is up.
-	since map[string]map[string]time.Duration
+	urgent, other int // tasks killed although there was a path
+	withoutPath   int // tasks killed without a path, or without one that could be found within a lease
+	// upSince is since when the path through each controller to each zone has been up; paths that
+	// are down have no entry.
+	upSince map[string]map[string]time.Duration
 }
 
-// watchPaths notes since when each worker has had a path through each controller:
-// worker to controller to state service, or to a peer that reaches it.
+// watchPaths records since when each zone has had a path through each controller: from the workers
+// to the controller and on to the state service, either directly or through a peer.
 func (s *sim) watchPaths() {
-	if s.leaseLosses.since == nil {
-		s.leaseLosses.since = map[string]map[string]time.Duration{}
+	if s.leaseLosses.upSince == nil {
+		s.leaseLosses.upSince = map[string]map[string]time.Duration{}
 	}
 	reachesState := map[*simController]bool{}
 	for _, n := range s.controllers {
@@ -102,10 +103,10 @@
 		for _, o := range s.controllers {
 			served = served || n.pausedUntil <= s.now && n.core != nil && reachesState[o] && n.reachesPeer(o) && o.reachesPeer(n)
 		}
-		up := s.leaseLosses.since[n.name]
+		up := s.leaseLosses.upSince[n.name]
 		if up == nil {
 			up = map[string]time.Duration{}
-			s.leaseLosses.since[n.name] = up
+			s.leaseLosses.upSince[n.name] = up
 		}
 		for _, zone := range s.facts.Zones {
 			switch {
@@ -119,19 +120,19 @@
 	s.after(100*time.Millisecond, s.watchPaths)
 }
 
-// hadPath tells whether a worker had a path for the whole of its lease that it could find in
-// that time.
+// hadPath reports whether a worker had a path for the whole of its lease and could find it within
+// that time: each attempt at a controller that hangs takes 5 s.
 func (w *simWorker) hadPath() bool {
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
 	up := false
-	for _, since := range s.leaseLosses.since {
+	for _, since := range s.leaseLosses.upSince {
 		up = up || since[w.zone] > 0 && s.now-since[w.zone] >= lease
 	}
 	hanging := 0
 	for _, n := range s.controllers {
-		// One that crashes at the same time delays workers like one that can't be reached: they
-		// wait for it to go on without new claims.
+		// A controller that crashed within the lease delays workers like one that can't be
+		// reached: they wait until it is back and keeps them without new claims.
 		if n.unreachableUntil["workers"] > s.now-lease || n.unreachableUntil["zone:"+w.zone] > s.now-lease {
 			hanging++
 		}
@@ -143,11 +144,11 @@
 	return up && search < lease
 }
 
-// countLeaseLosses counts the tasks that the end of a worker's lease kills.
+// countLeaseLosses counts the tasks that are killed because the worker's lease has expired.
 func (w *simWorker) countLeaseLosses() {
 	s := w.s
 	lease := seconds(s.facts.Workers.Lease)
-	if s.leaseLosses.since == nil || w.hungUntil > s.now-lease {
+	if s.leaseLosses.upSince == nil || w.hungUntil > s.now-lease {
 		return
 	}
 	path := w.hadPath()
@@ -155,7 +156,7 @@
 		switch u := s.users[task.jobID]; {
 		case !task.isActive() || u == nil:
 		case !path:
-			s.leaseLosses.cut++
+			s.leaseLosses.withoutPath++
 		case u.spec.Priority == job.Production:
 			s.leaseLosses.urgent++
 		default:
@@ -167,10 +168,10 @@
 	}
 }
 
-// cuts are the ways in which a link of one controller can fail.
-func (s *sim) cuts() []string {
+// linkCutKinds returns the ways in which a link of one controller can fail, for cutLink.
+func (s *sim) linkCutKinds() []string {
 	out := []string{"state", "state reset", "refused", "workers", "workers reset", "state flaps", "workers flap", "peers", "cloud", "users", "stands still"}
-	for _, z := range s.facts.Zones[:1+len(s.controllers)/5*2] { // on few controllers one stands for all
+	for _, z := range s.facts.Zones[:1+len(s.controllers)/5*2] { // with few controllers one zone stands for all
 		out = append(out, "zone:"+z)
 	}
 	for _, o := range s.controllers {
@@ -179,7 +180,7 @@
 	return out
 }
 
-// cutLink makes a link of a controller fail for a time.
+// cutLink makes a link of a controller fail for a duration, in one of the ways of linkCutKinds.
 func (s *sim) cutLink(n *simController, kind string, duration time.Duration) {
 	if s.output.trace != nil {
 		fmt.Fprintf(s.output.trace, "%8.3f CUT node=%s %s for %v\n", s.now.Seconds(), n.name, kind, duration)
@@ -188,7 +189,7 @@
 	switch {
 	case kind == "refused":
 		n.refusedUntil = s.now + duration
-	case kind == "stands still": // all its links are up, and the process does nothing
+	case kind == "stands still": // all its links are up, but the process is paused
 		n.pausedUntil = s.now + duration
 	case strings.Contains(kind, " flap"):
 		link, _, _ = strings.Cut(kind, " ")
@@ -204,8 +205,9 @@
 	}
 }
 
-// cutDay is a day of a calm site on which links of controllers fail together.
-func cutDay(s *sim, lostMachines int, cuts ...func()) {
+// runLinkCuts simulates a site without other faults on which the given cuts happen at the same time
+// and, shortly after, lostMachines machines die.
+func runLinkCuts(s *sim, lostMachines int, cuts ...func()) {
 	s.advertised.Limits.MaxSockets, s.facts.Limits.MaxSockets = 200, 200
 	for i := range 4 {
 		s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i+1), Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 3, CPUs: 2, GPUs: 0.5, MemoryGB: 8}, 0, 0)
@@ -228,11 +230,11 @@
 	s.run(130 * time.Second)
 }
 
-// TestPairsOfCuts has every pair of cuts meet, on three controllers, with and without
-// a loss of machines. Every rule is judged, and no urgent task may be killed
-// by its lease on a machine that had a path to the state service the whole time.
+// TestPairsOfCuts combines every pair of link cuts on three controllers, with and without a loss of
+// machines. All rules are checked, and no urgent task may be killed by an expired lease on a
+// machine that had a path to the state service for the whole lease.
 func TestPairsOfCuts(t *testing.T) {
-	kinds := newSim(t, 1, 0).cuts()
+	kinds := newSim(t, 1, 0).linkCutKinds()
 	type cut struct {
 		node int
 		kind string
@@ -254,12 +256,12 @@
 			for j, b := range all[i+1:] {
 				for k, die := range []int{0, 3} {
 					s := newSim(t, seed+uint64(2*j+k), 0)
-					cutDay(s, die, func() { s.cutLink(s.controllers[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.node], b.kind, 40*time.Second) })
+					runLinkCuts(s, die, func() { s.cutLink(s.controllers[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.node], b.kind, 40*time.Second) })
 					days++
 					if len(s.violations) > 0 || s.leaseLosses.urgent > 0 {
 						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.node, b.kind, die, s.leaseLosses.urgent, s.violations)
 					}
-					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.cut
+					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.withoutPath
 				}
 			}
 			t.Logf("%d days: %d lesser tasks killed that had a path, %d that had none", days, other, lost)
@@ -267,29 +269,29 @@
 	}
 }
 
-// TestDrawnCuts draws three to six cuts at a time on five controllers and a hundred
-// machines and more, with the rates of a real state service. SIM_DAYS plays more days.
+// TestDrawnCuts makes three to six random link cuts at a time on five controllers with more than a
+// hundred machines and the rates of a real state service. SIM_DAYS sets the number of runs.
 func TestDrawnCuts(t *testing.T) {
 	runSeeds(t, 9500, 16, func(t *testing.T, seed uint64) {
-		s := drawnCuts(t, seed)
+		s := runRandomLinkCuts(t, seed)
 		s.reportViolations(t)
 		if s.leaseLosses.urgent > 0 {
-			t.Errorf("%d urgent tasks killed that had a path", s.leaseLosses.urgent)
+			t.Errorf("%d urgent tasks were killed although their workers had a path", s.leaseLosses.urgent)
 		}
-		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.cut)
+		t.Logf("killed by their lease: %d urgent and %d others that had a path, %d that had none", s.leaseLosses.urgent, s.leaseLosses.other, s.leaseLosses.withoutPath)
 	})
 }
 
-// drawnCuts plays a day on which links are cut, controllers crash and machines are lost or hang, as
-// drawn.
-func drawnCuts(t *testing.T, seed uint64) *sim {
+// runRandomLinkCuts simulates a deployment in which links are cut, controllers crash, and machines are
+// lost or hang at random.
+func runRandomLinkCuts(t *testing.T, seed uint64) *sim {
 	t.Helper()
 	s := grownSim(t, seed)
 	s.traceDay(t, seed)
 	s.options.unorderedLaunches = true // cuts and late watches: see checkLaunchOrder
 	s.loadGrown(3 * time.Minute)
 	s.watchPaths()
-	kinds := s.cuts()
+	kinds := s.linkCutKinds()
 	var next func()
 	next = func() {
 		if s.now > 150*time.Second {
@@ -322,27 +324,28 @@
 	return s
 }
 
-// TestWaysAreJudged has the checker of paths find what it is for: when no controller relays
-// calls, two of three controllers that lose the state service while the third loses its
-// workers lose urgent tasks that had a path.
+// TestWaysAreJudged checks the checker of paths. Two of three controllers lose the state service
+// while the third loses its workers. If no controller relays calls, urgent tasks are killed although
+// there was a path, and the checker must count them.
 func TestWaysAreJudged(t *testing.T) {
-	day := func(noCarrier bool) *sim {
+	day := func(noRelays bool) *sim {
 		s := newSim(t, 9900, 0)
-		s.defects.noRelays = noCarrier
-		cutDay(s, 0, func() { s.cutLink(s.controllers[0], "state", time.Minute) }, func() { s.cutLink(s.controllers[1], "state", time.Minute) },
+		s.defects.noRelays = noRelays
+		runLinkCuts(s, 0, func() { s.cutLink(s.controllers[0], "state", time.Minute) }, func() { s.cutLink(s.controllers[1], "state", time.Minute) },
 			func() { s.cutLink(s.controllers[2], "workers", time.Minute) })
 		return s
 	}
 	if s := day(false); s.leaseLosses.urgent+s.leaseLosses.other > 0 || len(s.violations) > 0 {
-		t.Errorf("%+v %v", s.leaseLosses, s.violations)
+		t.Errorf("with relays: lease losses %+v, violations %v", s.leaseLosses, s.violations)
 	}
 	if s := day(true); s.leaseLosses.urgent == 0 {
-		t.Error("no controller relays calls, and nothing was found")
+		t.Error("no controller relays calls, but no urgent task with a path was counted as killed")
 	}
 }
 
-// TestLeaderWithoutTheCloudGivesWay cuts the leader off from the cloud alone: another controller
-// leads soon, and it stays so. Where the cloud answers nobody, the leader stays the same.
+// TestLeaderWithoutTheCloudGivesWay cuts only the leader off from the cloud: another controller
+// becomes the leader soon and remains it. If the cloud answers no controller, the leader does not
+// change.
 func TestLeaderWithoutTheCloudGivesWay(t *testing.T) {
 	for _, v := range []struct {
 		name string
@@ -360,17 +363,17 @@
 			}
 			changes, rentable := s.watchLeaders(first, 150*time.Second)
 			if v.all && changes != 0 {
-				t.Errorf("leadership changed %d times", changes)
+				t.Errorf("leadership changed %d times, want none", changes)
 			}
 			if !v.all && (changes != 1 || rentable < 80*time.Second) {
-				t.Errorf("leadership changed %d times, and the leader could rent for %v of 100 s", changes, rentable)
+				t.Errorf("leadership changed %d times, want 1, and the leader could rent for %v of 100 s", changes, rentable)
 			}
 			s.reportViolations(t)
 		})
 	}
 }
 
-// leader is the last controller that takes itself for the leader, nil if none does.
+// leader returns the last controller that considers itself the leader, or nil if none does.
 func (s *sim) leader() *simController {
 	var leader *simController
 	for _, n := range s.controllers {
@@ -381,8 +384,8 @@
 	return leader
 }
 
-// watchLeaders plays on until a time, and returns how often the leadership changed and for how
-// long there was a leader that reached the cloud.
+// watchLeaders continues the simulation until the given time. It returns how often the leadership
+// changed and for how long there was a leader that could reach the cloud.
 func (s *sim) watchLeaders(first *simController, until time.Duration) (changes int, rentable time.Duration) {
 	last := first
 	for now := s.now; now < until; now += 500 * time.Millisecond {
@@ -403,8 +406,8 @@
 	return changes, rentable
 }
 
-// TestRulesDoNotDependOnLinkReports has peer heartbeats carry drawn link reports, on days with drawn
-// cuts.
+// TestRulesDoNotDependOnLinkReports checks that the rules hold when peer heartbeats carry random link
+// reports, in runs with random faults and partitions.
 func TestRulesDoNotDependOnLinkReports(t *testing.T) {
 	runSeeds(t, 9700, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
@@ -417,8 +420,8 @@
 	})
 }
 
-// TestRollingRestartFromTheVersionBefore has one and two of three controllers run the
-// version before link reports while links fail, and then all the new one.
+// TestRollingRestartFromTheVersionBefore starts with one or two of three controllers on the version
+// before link reports and upgrades them one after the other while links fail.
 func TestRollingRestartFromTheVersionBefore(t *testing.T) {
 	for old := 1; old <= 2; old++ {
 		s := newSim(t, uint64(9800+old), 0.002)
