--- a/internal/completionlog/log.go
+++ b/internal/completionlog/log.go
@@ -22,8 +22,8 @@
 
 // record is a record of the log with the completions that no page has taken in yet.
 type record struct {
-	since time.Duration // when it came to be known
-	open  map[Task]Completion
+	addedAt time.Duration // when it came to be known
+	open    map[Task]Completion
 }
 
 // Log holds the records. The zero value is not usable; see NewLog.
@@ -44,7 +44,7 @@
 	if l.records[name] != nil {
 		return nil
 	}
-	rec := &record{since: now, open: map[Task]Completion{}}
+	rec := &record{addedAt: now, open: map[Task]Completion{}}
 	l.records[name] = rec
 	for _, entry := range r.Completions {
 		c, err := Parse(entry)
@@ -68,13 +68,13 @@
 		return
 	}
 	for task := range rec.open {
-		l.forget(task, name)
+		l.removeFromIndex(task, name)
 	}
 	delete(l.records, name)
 }
 
-// forget takes a record off the index of a task.
-func (l *Log) forget(task Task, name string) {
+// removeFromIndex takes a record off the index of a task.
+func (l *Log) removeFromIndex(task Task, name string) {
 	names := slices.DeleteFunc(l.byTask[task.Job][task.Index], func(n string) bool { return n == name })
 	if len(names) > 0 {
 		l.byTask[task.Job][task.Index] = names
@@ -114,7 +114,7 @@
 func (l *Log) Settle(task Task) {
 	for _, name := range slices.Clone(l.byTask[task.Job][task.Index]) {
 		delete(l.records[name].open, task)
-		l.forget(task, name)
+		l.removeFromIndex(task, name)
 	}
 }
 
@@ -140,7 +140,7 @@
 // order; a task is listed once for each such record.
 func (l *Log) OpenBefore(before time.Duration) (tasks []Task) {
 	for _, rec := range l.records {
-		if rec.since < before {
+		if rec.addedAt < before {
 			tasks = slices.AppendSeq(tasks, maps.Keys(rec.open))
 		}
 	}
--- a/internal/completionlog/log_test.go
+++ b/internal/completionlog/log_test.go
@@ -8,33 +8,33 @@
 	"pgregory.net/rapid"
 )
 
-// plainLog is the open completions of each record, as a list.
-type plainLog map[string][]Completion
+// referenceLog is the open completions of each record, as a list.
+type referenceLog map[string][]Completion
 
 // add takes a record, of whose completions of one task the first is meant.
-func (p plainLog) add(name string, drawn []Completion) Record {
-	var r Record
-	var kept []Completion
-	for _, c := range drawn {
-		if !slices.ContainsFunc(kept, func(k Completion) bool { return k.Task == c.Task }) {
-			kept = append(kept, c)
-			r.Completions = append(r.Completions, c.String())
+func (ref referenceLog) add(name string, completions []Completion) Record {
+	var rec Record
+	var unique []Completion
+	for _, c := range completions {
+		if !slices.ContainsFunc(unique, func(u Completion) bool { return u.Task == c.Task }) {
+			unique = append(unique, c)
+			rec.Completions = append(rec.Completions, c.String())
 		}
 	}
-	if _, known := p[name]; !known {
-		p[name] = kept
+	if _, known := ref[name]; !known {
+		ref[name] = unique
 	}
-	return r
+	return rec
 }
 
-func (p plainLog) drop(settled func(Completion) bool) {
-	for name := range p {
-		p[name] = slices.DeleteFunc(p[name], settled)
+func (ref referenceLog) drop(settled func(Completion) bool) {
+	for name := range ref {
+		ref[name] = slices.DeleteFunc(ref[name], settled)
 	}
 }
 
-func (p plainLog) settled() (names []string) {
-	for name, open := range p {
+func (ref referenceLog) settled() (names []string) {
+	for name, open := range ref {
 		if len(open) == 0 {
 			names = append(names, name)
 		}
@@ -43,8 +43,8 @@
 	return names
 }
 
-func (p plainLog) has(c Completion) bool {
-	for _, open := range p {
+func (ref referenceLog) has(c Completion) bool {
+	for _, open := range ref {
 		if slices.Contains(open, c) {
 			return true
 		}
@@ -52,40 +52,40 @@
 	return false
 }
 
-func drawCompletion(t *rapid.T) Completion {
+func randomCompletion(t *rapid.T) Completion {
 	task := Task{rapid.SampledFrom([]string{"wk-000001", "wk-000002"}).Draw(t, "job"), rapid.IntRange(0, 3).Draw(t, "index")}
 	return Completion{task, rapid.IntRange(1, 2).Draw(t, "attempt"), "m", 1}
 }
 
-// TestLogAgreesWithAPlainList takes both through drawn additions, settlements and removals.
-func TestLogAgreesWithAPlainList(t *testing.T) {
+// TestLogMatchesReference takes both through drawn additions, settlements and removals.
+func TestLogMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, plain := NewLog(), plainLog{}
-		completions := rapid.Custom(drawCompletion)
+		l, reference := NewLog(), referenceLog{}
+		completions := rapid.Custom(randomCompletion)
 		names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				name := names.Draw(t, "name")
-				l.Add(name, plain.add(name, rapid.SliceOfN(completions, 0, 4).Draw(t, "completions")), 0)
+				l.Add(name, reference.add(name, rapid.SliceOfN(completions, 0, 4).Draw(t, "completions")), 0)
 			case 1:
 				name := names.Draw(t, "name")
 				l.Remove(name)
-				delete(plain, name)
+				delete(reference, name)
 			case 2:
 				task := completions.Draw(t, "task").Task
 				l.Settle(task)
-				plain.drop(func(c Completion) bool { return c.Task == task })
+				reference.drop(func(c Completion) bool { return c.Task == task })
 			case 3:
 				job := completions.Draw(t, "task").Job
 				l.SettleJob(job)
-				plain.drop(func(c Completion) bool { return c.Job == job })
+				reference.drop(func(c Completion) bool { return c.Job == job })
 			}
-			if got, want := l.Settled(), plain.settled(); !slices.Equal(got, want) {
+			if got, want := l.Settled(), reference.settled(); !slices.Equal(got, want) {
 				t.Fatalf("settled: %v, want %v", got, want)
 			}
-			if c := completions.Draw(t, "asked"); l.Has(c) != plain.has(c) || l.Len() != len(plain) {
-				t.Fatalf("%s: %v, want %v; %d records, want %d", c, l.Has(c), plain.has(c), l.Len(), len(plain))
+			if c := completions.Draw(t, "asked"); l.Has(c) != reference.has(c) || l.Len() != len(reference) {
+				t.Fatalf("%s: %v, want %v; %d records, want %d", c, l.Has(c), reference.has(c), l.Len(), len(reference))
 			}
 		}
 	})
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -27,10 +27,10 @@
 	"strings"
 )
 
-// Groups is into how many groups a holder's workers in one zone are divided. All
+// GroupsPerZone is into how many groups a holder's workers in one zone are divided. All
 // controllers must agree on it, as it is part of the records' keys: a few, so that a
 // failover costs few changes, and more than one, so that several controllers share it.
-const Groups = 4
+const GroupsPerZone = 4
 
 // Holder is one incarnation of a controller, with the epoch of its claims: it begins a new
 // epoch whenever a group of its workers has failed over, so that those which it claims
@@ -76,14 +76,14 @@
 	if !found || errors.Join(errs[:]...) != nil {
 		return g, false
 	}
-	return g, g.Epoch > 0 && g.Number >= 0 && g.Number < Groups
+	return g, g.Epoch > 0 && g.Number >= 0 && g.Number < GroupsPerZone
 }
 
 // GroupOf is the group that a worker of a holder is in.
 func GroupOf(holder Holder, worker, zone string) Group {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(worker))
-	return Group{Holder: holder, Zone: zone, Number: int(sum.Sum32() % Groups)}
+	return Group{Holder: holder, Zone: zone, Number: int(sum.Sum32() % GroupsPerZone)}
 }
 
 // Claim is who holds a worker, and the fencing token that says so.
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -10,7 +10,7 @@
 func TestParseKeyReadsWhatKeyWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holder := Holder{rapid.String().Draw(t, "node"), rapid.Int64().Draw(t, "incarnation"), rapid.IntRange(1, 1000).Draw(t, "epoch")}
-		g := Group{holder, rapid.String().Draw(t, "zone"), rapid.IntRange(0, Groups-1).Draw(t, "number")}
+		g := Group{holder, rapid.String().Draw(t, "zone"), rapid.IntRange(0, GroupsPerZone-1).Draw(t, "number")}
 		if got, ok := ParseKey(g.Key()); !ok || got != g {
 			t.Fatalf("%q: %+v %v, want %+v", g.Key(), got, ok, g)
 		}
@@ -48,7 +48,7 @@
 	revision uint64
 }
 
-func drawHistory(t *rapid.T, steps int) (*history, *Table) {
+func randomHistory(t *rapid.T, steps int) (*history, *Table) {
 	h := &history{claims: map[string]Claim{}, owners: map[string]Claim{}, records: map[Group]record{}}
 	for i := range 6 {
 		h.workers = append(h.workers, fmt.Sprintf("i-%d", i))
@@ -88,7 +88,7 @@
 // TestResolveFollowsTheHistory: Resolve says what one step after the other comes to.
 func TestResolveFollowsTheHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, table := drawHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
+		h, table := randomHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
 		table.Advance(h.revision)
 		for _, worker := range h.workers {
 			if own := h.claims[worker]; own.Token != 0 {
@@ -105,7 +105,7 @@
 // links and claim sufficient.
 func TestChangeOfOwnerChangesALink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, table := drawHistory(t, rapid.IntRange(1, 20).Draw(t, "steps"))
+		h, table := randomHistory(t, rapid.IntRange(1, 20).Draw(t, "steps"))
 		table.Advance(h.revision)
 		worker := rapid.SampledFrom(h.workers).Draw(t, "worker")
 		own := h.claims[worker]
@@ -138,7 +138,7 @@
 // holder changing by it.
 func TestDeletingUnusedRecordsChangesNoOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, table := drawHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
+		h, table := randomHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
 		table.Advance(h.revision)
 		inUse := map[Group]bool{}
 		for _, worker := range h.workers {
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawJob(t *rapid.T) Job {
+func randomJob(t *rapid.T) Job {
 	return Job{
 		Machines: rapid.IntRange(1, 5).Draw(t, "machines"),
 		Rounds:   rapid.IntRange(1, 100).Draw(t, "rounds"),
@@ -19,7 +19,7 @@
 // TestFaultyCountsJobsThatMayWork draws jobs that failed on a machine.
 func TestFaultyCountsJobsThatMayWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		jobs := rapid.SliceOf(rapid.Custom(drawJob)).Draw(t, "jobs")
+		jobs := rapid.SliceOf(rapid.Custom(randomJob)).Draw(t, "jobs")
 		var counted []Job
 		working := 0
 		for _, j := range jobs {
@@ -37,7 +37,7 @@
 		if (working >= 2 || len(counted) >= 3) != faulty && !(working == 1 && len(counted) == 2) {
 			t.Errorf("%d jobs that work and %d that nothing is known of: faulty %v", working, len(counted)-working, faulty)
 		}
-		if faulty && !Faulty(append(jobs, drawJob(t))) {
+		if faulty && !Faulty(append(jobs, randomJob(t))) {
 			t.Error("one more failure acquits a machine")
 		}
 	})
--- a/internal/fencing/horizon.go
+++ b/internal/fencing/horizon.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Drift is the most by which two steady clocks run apart, as a fraction of the time that
+// MaxClockDrift is the most by which two steady clocks run apart, as a fraction of the time that
 // passes, with as much again for what timers add.
-const Drift = 0.001
+const MaxClockDrift = 0.001
 
-// horizonShare is how much of the room between lease_s and cancel_s the horizon takes. The
+// horizonFraction is how much of the room between lease_s and cancel_s the horizon takes. The
 // rest is kept for what a machine takes to stop.
-const horizonShare = 0.9
+const horizonFraction = 0.9
 
 // CancelHorizon is how old the last proof may be that no cancellation was confirmed which we
 // don't know of, for workers to be answered on the strength of it. cancel and lease are the
@@ -27,5 +27,5 @@
 // lease_s and cancel_s is kept, for what a machine takes to stop.
 func CancelHorizon(cancel, lease time.Duration) time.Duration {
 	room := float64(cancel - lease)
-	return max(0, time.Duration(horizonShare*room-Drift*float64(cancel)))
+	return max(0, time.Duration(horizonFraction*room-MaxClockDrift*float64(cancel)))
 }
--- a/internal/fencing/horizon_test.go
+++ b/internal/fencing/horizon_test.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// goneBy is when a task is gone at the latest, counted from its job's confirmed cancellation: the worst
+// latestTaskEnd is when a task is gone at the latest, counted from its job's confirmed cancellation: the worst
 // of everything that the inequality of CancelHorizon names. The proof was asked for just before the
 // confirmation; our clock is slow and so is the worker's; the last answer without a kill goes to a heartbeat
 // that arrives at the end of the horizon and was sent just before; the worker hears nothing more.
-func goneBy(horizon, lease time.Duration, drift float64, sent time.Duration) time.Duration {
+func latestTaskEnd(horizon, lease time.Duration, drift float64, sent time.Duration) time.Duration {
 	arrives := time.Duration(float64(horizon) * (1 + drift))
 	return arrives - sent + time.Duration(float64(lease)*(1+drift))
 }
@@ -29,7 +29,7 @@
 		sent := time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "under way"))
 		cancel := lease + room
 		horizon := CancelHorizon(cancel, lease)
-		if gone := goneBy(horizon, lease, drift, sent); horizon > 0 && gone > cancel {
+		if gone := latestTaskEnd(horizon, lease, drift, sent); horizon > 0 && gone > cancel {
 			t.Fatalf("lease %v, cancel %v: horizon %v, gone after %v", lease, cancel, horizon, gone)
 		}
 	})
@@ -42,7 +42,7 @@
 	t.Run("no term for drift", func(t *testing.T) {
 		lease, cancel := 100*time.Second, 100*time.Second+100*time.Millisecond
 		horizon := time.Duration(0.9 * float64(cancel-lease))
-		if goneBy(horizon, lease, drift, 0) <= cancel {
+		if latestTaskEnd(horizon, lease, drift, 0) <= cancel {
 			t.Error("no term for drift, and nothing breaks")
 		}
 		if horizon := CancelHorizon(cancel, lease); horizon != 0 {
@@ -51,7 +51,7 @@
 	})
 	t.Run("leases that count from the answer's arrival", func(t *testing.T) {
 		lease, cancel := 18*time.Second, 48*time.Second
-		if goneBy(CancelHorizon(cancel, lease), lease, drift, -4*time.Second) <= cancel {
+		if latestTaskEnd(CancelHorizon(cancel, lease), lease, drift, -4*time.Second) <= cancel {
 			t.Error("leases that count from the answer's arrival, and nothing breaks")
 		}
 	})
--- a/internal/fencing/model_controller_test.go
+++ b/internal/fencing/model_controller_test.go
@@ -71,7 +71,7 @@
 		return
 	}
 	view := &self.views[m]
-	view.tokenSeen, view.mirrorComplete, view.adopted, view.seenAtWatch = false, false, false, false
+	view.tokenSeen, view.mirrorComplete, view.adopted, view.tokenSeenAtWatch = false, false, false, false
 	if owner.owner == c+1 && owner.incarnation == self.incarnation && owner.token != self.known[m] {
 		*view = workerView{} // it has come to us with its group
 	}
@@ -119,7 +119,7 @@
 	head := Heartbeat{Token: uint64(hb.token), Epoch: uint64(hb.epoch), Sequence: uint64(hb.sequence)}
 	attempt, bound := md.boundAttempt(s, c, m)
 	md.adoptClaim(s, c, m, hb)
-	md.voidLaunches(self, view, hb)
+	md.fenceLaunches(self, view, hb)
 	state := md.workerState(s, c, m)
 	verdict := state.JudgeHeartbeat(head)
 	switch verdict {
@@ -141,7 +141,7 @@
 	// now is covered by it, however old this heartbeat is.
 	view.answeredSequence, view.answeredEpoch = s.workers[m].sequence, s.workers[m].epoch
 	if self.knowsCancelled && !md.has(answerWithoutKill) {
-		answer.kill = md.killCancelled(hb, attempt, bound)
+		answer.kill = md.attemptsToKill(hb, attempt, bound)
 	}
 	if verdict == Trust {
 		md.judgeAttempts(s, c, m, &answer)
@@ -171,9 +171,9 @@
 	}
 }
 
-// voidLaunches asks for a new token when a launch of a cancelled job may still come; the
+// fenceLaunches asks for a new token when a launch of a cancelled job may still come; the
 // core has a function of the same name.
-func (md *model) voidLaunches(self *controller, view *workerView, hb heartbeat) {
+func (md *model) fenceLaunches(self *controller, view *workerView, hb heartbeat) {
 	if !self.knowsCancelled || md.has(keepTokenOnCancel) {
 		return
 	}
@@ -184,8 +184,8 @@
 	}
 }
 
-// killCancelled is what every answer stops once the job is known to be cancelled.
-func (md *model) killCancelled(hb heartbeat, attempt Attempt, bound bool) (kill uint8) {
+// attemptsToKill is what every answer stops once the job is known to be cancelled.
+func (md *model) attemptsToKill(hb heartbeat, attempt Attempt, bound bool) (kill uint8) {
 	for number, listed := range hb.attempts {
 		if listed == running {
 			kill |= 1 << number
@@ -260,8 +260,8 @@
 	s.controllers[c].proposal = proposal{proof, m, uint8(attempt.Epoch), uint8(attempt.Number), md.tokenOf(s, c, m)}
 }
 
-// doubtLaunch notes that a direct launch was not answered.
-func (md *model) doubtLaunch(s *world, c uint8, launch directLaunch) {
+// markLaunchInDoubt notes that a direct launch was not answered.
+func (md *model) markLaunchInDoubt(s *world, c uint8, launch directLaunch) {
 	if md.tokenOf(s, c, launch.machine) == launch.token {
 		s.controllers[c].views[launch.machine].launchInDoubt = true
 	}
--- a/internal/fencing/model_scenarios_test.go
+++ b/internal/fencing/model_scenarios_test.go
@@ -10,7 +10,7 @@
 	for c := range s.controllers {
 		self := &s.controllers[c]
 		self.incarnation, self.known = 1, [keys]uint8{0: 1, taskKey: 2}
-		self.learnedTask(2)
+		self.setTaskMirror(2)
 	}
 	s.controllers[0].views[0] = trustedView(1)
 	for m := range s.workers {
@@ -21,20 +21,20 @@
 	return s
 }
 
-// learnedTask brings a controller's mirror to a revision of the task.
-func (c *controller) learnedTask(revision uint8) {
+// setTaskMirror brings a controller's mirror to a revision of the task.
+func (c *controller) setTaskMirror(revision uint8) {
 	c.appliedRevision, c.watchOpenedAt, c.known[taskKey], c.taskBoundAt = revision, revision, revision, revision
 }
 
-// learned brings a controller's mirror to a revision of another key.
-func (c *controller) learned(key, revision uint8) {
+// setMirror brings a controller's mirror to a revision of another key.
+func (c *controller) setMirror(key, revision uint8) {
 	c.appliedRevision, c.watchOpenedAt, c.known[key] = revision, revision, revision
 }
 
 // trustedView is a machine in its first epoch whose heartbeats are trusted, the newest
 // being of that sequence number.
 func trustedView(sequence uint8) workerView {
-	return workerView{tokenSeen: true, mirrorComplete: true, seenAtWatch: true, epoch: 1, sequence: sequence, answeredSequence: sequence, answeredEpoch: 1}
+	return workerView{tokenSeen: true, mirrorComplete: true, tokenSeenAtWatch: true, epoch: 1, sequence: sequence, answeredSequence: sequence, answeredEpoch: 1}
 }
 
 // renewLease is what an answer with that token to the heartbeat of that sequence number does.
@@ -48,7 +48,7 @@
 	s := taskRunning()
 	s.workers[0].attempts[1] = ended
 	s.commit(taskReleased(1))
-	s.controllers[0].learnedTask(3)
+	s.controllers[0].setTaskMirror(3)
 	return s
 }
 
@@ -65,12 +65,12 @@
 func releaseUnderWay() world {
 	s := taskRunning()
 	s.workers[0].attempts[1] = ended
-	s.controllers[0].startedRelease(1)
+	s.controllers[0].setReleasePending(1)
 	return s
 }
 
-// startedRelease has a controller that saw the first attempt end, under that token, write its release.
-func (c *controller) startedRelease(token uint8) {
+// setReleasePending has a controller that saw the first attempt end, under that token, write its release.
+func (c *controller) setReleasePending(token uint8) {
 	c.taskWrite = txn{kind: releaseTxn, attempt: 1, ifTask: 2, ifClaim: unconditional}
 	c.proposal = proposal{proof: Ended, machine: 0, epoch: 1, attempt: 1, token: token}
 }
@@ -107,7 +107,7 @@
 	s := taskRunning()
 	s.commit(claimBy(0, 2, 0))
 	s.controllers[0].incarnation = 2
-	s.controllers[0].learned(0, 3)
+	s.controllers[0].setMirror(0, 3)
 	s.controllers[0].views[0] = trustedView(2)
 	s.workers[0].renewLease(3, 2)
 	return s
@@ -120,21 +120,21 @@
 	s := taskRunning()
 	s.commit(failoverTo(1, 1, groupKey))
 	s.failovers = 1
-	s.controllers[1].learned(groupKey, 3)
+	s.controllers[1].setMirror(groupKey, 3)
 	s.controllers[1].views[0] = trustedView(2)
-	s.controllers[1].startedRelease(3)
+	s.controllers[1].setReleasePending(3)
 	s.controllers[0].claim = txn{kind: claimTxn, ifClaim: 1, ifLinks: [maxLinks]linkRevision{{key: groupKey}}, renewal: true}
 	w := &s.workers[0]
 	w.renewLease(3, 2)
 	w.attempts[1] = ended
 	w.sequence = 3
-	w.exchange.heartbeat = heartbeat{pending: true, to: 1, epoch: 1, sequence: 3, token: 3, attempts: w.attempts}
+	w.exchange.heartbeat = heartbeat{pending: true, receiver: 1, epoch: 1, sequence: 3, token: 3, attempts: w.attempts}
 	return s
 }
 
-// worlds are the worlds that are explored: one machine deeply, two less so, and from
+// scenarios are the scenarios that are explored: one machine deeply, two less so, and from
 // moments on where little is left to happen.
-var worlds = []struct {
+var scenarios = []struct {
 	name   string
 	start  func() world
 	bounds bounds
--- a/internal/fencing/model_steps_test.go
+++ b/internal/fencing/model_steps_test.go
@@ -10,41 +10,41 @@
 type stepFunc func(change func())
 
 func (md *model) steps(s *world, emit func(world)) {
-	var to world
+	var next world
 	step := func(change func()) {
-		to = *s
+		next = *s
 		change()
-		emit(to)
+		emit(next)
 	}
 	for c := uint8(0); c < controllers; c++ {
-		md.controllerSteps(s, &to, c, step)
+		md.controllerSteps(s, &next, c, step)
 	}
 	for m := uint8(0); m < md.bounds.machines; m++ {
 		if !s.workers[m].deleted {
-			md.workerSteps(s, &to, m, step)
+			md.workerSteps(s, &next, m, step)
 		}
 	}
 	if md.bounds.cancellation {
-		md.cancellationSteps(s, &to, step)
+		md.cancellationSteps(s, &next, step)
 	}
 }
 
 // cancellationSteps are what becomes of a cancellation. Time is not counted, but for this: a worker
 // that nobody has answered since the horizon passed has ended everything when cancel_s passes.
-func (md *model) cancellationSteps(s, to *world, step stepFunc) {
+func (md *model) cancellationSteps(s, next *world, step stepFunc) {
 	switch {
 	case !s.cancelled && s.revision < md.bounds.revisions:
 		step(func() {
-			to.cancelled = true
-			to.commit(change{})
+			next.cancelled = true
+			next.commit(change{})
 		})
 	case s.cancelled && !s.confirmed:
-		step(func() { to.confirmed = true })
+		step(func() { next.confirmed = true })
 	case s.confirmed && !s.horizonPassed:
 		step(func() {
-			to.horizonPassed = true
-			for m := range to.workers {
-				to.workers[m].renewedAfterHorizon = false
+			next.horizonPassed = true
+			for m := range next.workers {
+				next.workers[m].renewedAfterHorizon = false
 			}
 		})
 	case s.horizonPassed && !s.deadlinePassed:
@@ -53,64 +53,64 @@
 				return
 			}
 		}
-		step(func() { to.deadlinePassed = true })
+		step(func() { next.deadlinePassed = true })
 	}
 	for c := range s.controllers {
 		if s.cancelled && !s.controllers[c].knowsCancelled {
-			step(func() { to.controllers[c].knowsCancelled = true }) // a peer names it
+			step(func() { next.controllers[c].knowsCancelled = true }) // a peer names it
 		}
 	}
 }
 
-func (md *model) controllerSteps(s, to *world, c uint8, step stepFunc) {
-	md.watchSteps(s, to, c, step)
-	md.txnSteps(s, to, c, step, func(self *controller) *txn { return &self.claim })
-	md.txnSteps(s, to, c, step, func(self *controller) *txn { return &self.taskWrite })
+func (md *model) controllerSteps(s, next *world, c uint8, step stepFunc) {
+	md.watchSteps(s, next, c, step)
+	md.txnSteps(s, next, c, step, func(self *controller) *txn { return &self.claim })
+	md.txnSteps(s, next, c, step, func(self *controller) *txn { return &self.taskWrite })
 	self := &s.controllers[c]
 	if self.lateTxn.kind != noTxn && s.revision < md.bounds.revisions {
 		step(func() {
-			md.commitTxn(to, c, &to.controllers[c].lateTxn)
-			to.controllers[c].lateTxn = txn{}
+			md.commitTxn(next, c, &next.controllers[c].lateTxn)
+			next.controllers[c].lateTxn = txn{}
 		})
 	}
 	if self.taskWrite.kind == noTxn && self.proposal.proof != 0 {
-		step(func() { md.startRelease(to, c) })
+		step(func() { md.startRelease(next, c) })
 	}
 	for m := uint8(0); m < md.bounds.machines; m++ {
-		md.machineSteps(s, to, c, m, step)
+		md.machineSteps(s, next, c, m, step)
 	}
 	for slot, launch := range self.launches {
 		if launch.pending {
-			md.launchSteps(to, c, slot, launch, step)
+			md.launchSteps(next, c, slot, launch, step)
 		}
 	}
 	if s.crashes < md.bounds.crashes {
-		md.crashSteps(s, to, c, step)
+		md.crashSteps(s, next, c, step)
 	}
 }
 
 // watchSteps answer a controller's watch, with any prefix that holds what there was when it was opened.
-func (md *model) watchSteps(s, to *world, c uint8, step stepFunc) {
+func (md *model) watchSteps(s, next *world, c uint8, step stepFunc) {
 	self := &s.controllers[c]
 	for last := max(self.appliedRevision, self.watchOpenedAt); last <= s.revision; last++ {
 		if last == self.appliedRevision && !self.learnsFromEmptyWatch() {
 			continue // nothing would change
 		}
 		step(func() {
-			self := &to.controllers[c]
+			self := &next.controllers[c]
 			for revision := self.appliedRevision + 1; revision <= last; revision++ {
-				if to.history[revision].key == 0 {
+				if next.history[revision].key == 0 {
 					self.appliedRevision, self.knowsCancelled = revision, true
 					continue
 				}
-				md.applyRevision(to, c, to.history[revision].key-1, revision, true)
+				md.applyRevision(next, c, next.history[revision].key-1, revision, true)
 			}
 			for m := range self.views {
 				view := &self.views[m]
-				view.mirrorComplete = view.mirrorComplete || view.seenAtWatch && view.tokenSeen
-				view.seenAtWatch = view.tokenSeen
+				view.mirrorComplete = view.mirrorComplete || view.tokenSeenAtWatch && view.tokenSeen
+				view.tokenSeenAtWatch = view.tokenSeen
 			}
-			self.watchOpenedAt = to.revision
+			self.watchOpenedAt = next.revision
 		})
 	}
 }
@@ -120,7 +120,7 @@
 func (c *controller) learnsFromEmptyWatch() bool {
 	for m := range c.views {
 		view := &c.views[m]
-		if !view.mirrorComplete && view.seenAtWatch || view.seenAtWatch != view.tokenSeen {
+		if !view.mirrorComplete && view.tokenSeenAtWatch || view.tokenSeenAtWatch != view.tokenSeen {
 			return true
 		}
 	}
@@ -128,42 +128,42 @@
 }
 
 // startRelease puts a controller's proposal into a transaction, if it may be written still.
-func (md *model) startRelease(to *world, c uint8) {
-	self, proposed := &to.controllers[c], to.controllers[c].proposal
-	attempt, bound := md.boundAttempt(to, c, proposed.machine)
+func (md *model) startRelease(next *world, c uint8) {
+	self, proposed := &next.controllers[c], next.controllers[c].proposal
+	attempt, bound := md.boundAttempt(next, c, proposed.machine)
 	evidence := Evidence{proposed.proof, uint64(proposed.token)}
 	if md.has(evidenceWithoutToken) {
-		evidence.Token = uint64(md.tokenOf(to, c, proposed.machine))
+		evidence.Token = uint64(md.tokenOf(next, c, proposed.machine))
 	}
-	ok, onClaim := md.workerState(to, c, proposed.machine).MayRelease(evidence)
+	ok, conditionalOnClaim := md.workerState(next, c, proposed.machine).MayRelease(evidence)
 	if !bound || attempt.Epoch != uint64(proposed.epoch) || attempt.Number != int(proposed.attempt) || !ok {
 		self.proposal = proposal{}
 		return
 	}
 	self.taskWrite = txn{kind: releaseTxn, machine: proposed.machine, attempt: proposed.attempt, ifTask: self.known[taskKey], ifClaim: unconditional}
-	if onClaim && !md.has(releaseWithoutClaim) {
-		self.taskWrite.ifClaim, self.taskWrite.ifLinks = self.known[proposed.machine], md.ownershipOf(to, c, proposed.machine).links
+	if conditionalOnClaim && !md.has(releaseWithoutClaim) {
+		self.taskWrite.ifClaim, self.taskWrite.ifLinks = self.known[proposed.machine], md.ownershipOf(next, c, proposed.machine).links
 	}
 }
 
 // machineSteps are what a controller may do about a machine of its own accord.
-func (md *model) machineSteps(s, to *world, c, m uint8, step stepFunc) {
+func (md *model) machineSteps(s, next *world, c, m uint8, step stepFunc) {
 	self, view, w := &s.controllers[c], &s.controllers[c].views[m], &s.workers[m]
 	state, task := md.workerState(s, c, m), s.known(c, taskKey)
 	_, bound := md.boundAttempt(s, c, m)
 	if !task.bound && task.attempt < md.bounds.attempts && self.taskWrite.kind == noTxn && state.Held && view.tokenSeen && (self.claim.kind == noTxn || self.claim.machine != m) {
 		step(func() {
-			to.controllers[c].taskWrite = txn{kind: placementTxn, machine: m, attempt: task.attempt + 1, epoch: view.epoch,
-				ifTask: self.known[taskKey], ifClaim: self.known[m], ifLinks: md.ownershipOf(to, c, m).links}
+			next.controllers[c].taskWrite = txn{kind: placementTxn, machine: m, attempt: task.attempt + 1, epoch: view.epoch,
+				ifTask: self.known[taskKey], ifClaim: self.known[m], ifLinks: md.ownershipOf(next, c, m).links}
 		})
 	}
 	if bound && state.Held && !self.unwanted && !md.bounds.reliable {
-		step(func() { to.controllers[c].unwanted = true })
+		step(func() { next.controllers[c].unwanted = true })
 	}
 	mayPropose := bound && self.proposal.proof == 0 && self.taskWrite.kind == noTxn
 	propose := func(proof Proof) {
 		step(func() {
-			to.controllers[c].proposal = proposal{proof, m, task.epoch, task.attempt, md.tokenOf(to, c, m)}
+			next.controllers[c].proposal = proposal{proof, m, task.epoch, task.attempt, md.tokenOf(next, c, m)}
 		})
 	}
 	// The lease has ended if the worker is in a later epoch, or somebody else has
@@ -175,8 +175,8 @@
 	}
 	if owner := md.ownershipOf(s, c, m); owner.nextGroup > 0 && owner.owner != c+1 && self.claim.kind == noTxn && s.failovers < md.bounds.failovers {
 		step(func() {
-			to.controllers[c].claim = txn{kind: failoverTxn, machine: m, group: owner.nextGroup}
-			to.failovers++
+			next.controllers[c].claim = txn{kind: failoverTxn, machine: m, group: owner.nextGroup}
+			next.failovers++
 		})
 	}
 	if mayPropose && w.deleted {
@@ -185,18 +185,18 @@
 }
 
 // launchSteps are what may become of a direct launch.
-func (md *model) launchSteps(to *world, c uint8, slot int, launch directLaunch, step stepFunc) {
+func (md *model) launchSteps(next *world, c uint8, slot int, launch directLaunch, step stepFunc) {
 	deliver := func() {
-		if w := &to.workers[launch.machine]; !w.deleted && launch.token >= w.token && launch.epoch == w.epoch {
+		if w := &next.workers[launch.machine]; !w.deleted && launch.token >= w.token && launch.epoch == w.epoch {
 			w.token = launch.token
-			w.start(launch.attempt)
+			w.startAttempt(launch.attempt)
 		}
-		to.workers[launch.machine].sequence++
+		next.workers[launch.machine].sequence++
 	}
 	step(func() { // carried out, answered or not
 		deliver()
-		self, w := &to.controllers[c], &to.workers[launch.machine]
-		if view := &self.views[launch.machine]; !launch.abandoned && md.tokenOf(to, c, launch.machine) == launch.token {
+		self, w := &next.controllers[c], &next.workers[launch.machine]
+		if view := &self.views[launch.machine]; !launch.abandoned && md.tokenOf(next, c, launch.machine) == launch.token {
 			view.unanswered &^= 1 << launch.attempt
 			view.launchEpoch, view.launchSequence = w.epoch, w.sequence
 		}
@@ -207,87 +207,87 @@
 	}
 	step(func() { // carried out, and the answer is lost
 		deliver()
-		md.doubtLaunch(to, c, launch)
-		to.controllers[c].launches[slot] = directLaunch{}
+		md.markLaunchInDoubt(next, c, launch)
+		next.controllers[c].launches[slot] = directLaunch{}
 	})
 	step(func() { // given up; it may be carried out late
-		md.doubtLaunch(to, c, launch)
-		to.controllers[c].launches[slot].abandoned = true
+		md.markLaunchInDoubt(next, c, launch)
+		next.controllers[c].launches[slot].abandoned = true
 	})
 }
 
 // crashSteps end a controller's process and start the next incarnation. One of its
 // transactions may still be applied late.
-func (md *model) crashSteps(s, to *world, c uint8, step stepFunc) {
+func (md *model) crashSteps(s, next *world, c uint8, step stepFunc) {
 	self := &s.controllers[c]
 	for _, late := range []txn{self.lateTxn, self.taskWrite, self.claim} {
 		if late.outcome != underWay {
 			late = txn{}
 		}
 		step(func() {
-			launches := to.controllers[c].launches
+			launches := next.controllers[c].launches
 			for i := range launches {
 				launches[i].abandoned = launches[i].pending
 			}
-			to.controllers[c] = controller{incarnation: self.incarnation + 1, appliedRevision: to.revision, watchOpenedAt: to.revision,
-				lateTxn: late, launches: launches, knowsCancelled: to.cancelled}
+			next.controllers[c] = controller{incarnation: self.incarnation + 1, appliedRevision: next.revision, watchOpenedAt: next.revision,
+				lateTxn: late, launches: launches, knowsCancelled: next.cancelled}
 			for key := range uint8(keys) {
-				_, to.controllers[c].known[key] = to.current(key)
+				_, next.controllers[c].known[key] = next.current(key)
 			}
-			to.crashes++
+			next.crashes++
 		})
 	}
 }
 
 // txnSteps are what may become of a transaction under way.
-func (md *model) txnSteps(s, to *world, c uint8, step stepFunc, which func(*controller) *txn) {
-	x := *which(&s.controllers[c])
+func (md *model) txnSteps(s, next *world, c uint8, step stepFunc, field func(*controller) *txn) {
+	x := *field(&s.controllers[c])
 	switch {
 	case x.kind == noTxn:
 	case x.outcome == underWay:
 		if s.revision < md.bounds.revisions {
-			step(func() { which(&to.controllers[c]).outcome = md.commitTxn(to, c, &x) })
+			step(func() { field(&next.controllers[c]).outcome = md.commitTxn(next, c, &x) })
 		}
 		if md.bounds.reliable {
 			return
 		}
 		step(func() { // given up; it may be applied late
-			if to.controllers[c].lateTxn.kind == noTxn {
-				to.controllers[c].lateTxn = x
+			if next.controllers[c].lateTxn.kind == noTxn {
+				next.controllers[c].lateTxn = x
 			}
-			*which(&to.controllers[c]) = txn{}
+			*field(&next.controllers[c]) = txn{}
 		})
 	default:
 		if !md.bounds.reliable {
-			step(func() { *which(&to.controllers[c]) = txn{} }) // its answer is lost
+			step(func() { *field(&next.controllers[c]) = txn{} }) // its answer is lost
 		}
 		step(func() {
-			*which(&to.controllers[c]) = txn{}
-			md.completeTxn(to, c, x)
+			*field(&next.controllers[c]) = txn{}
+			md.completeTxn(next, c, x)
 		})
 	}
 }
 
 // completeTxn has a controller take a transaction's answer.
-func (md *model) completeTxn(to *world, c uint8, x txn) {
-	self, key := &to.controllers[c], x.key()
-	_, revision := to.current(key)
+func (md *model) completeTxn(next *world, c uint8, x txn) {
+	self, key := &next.controllers[c], x.key()
+	_, revision := next.current(key)
 	if x.outcome == refused {
 		if x.kind == claimTxn {
-			md.applyRevision(to, c, key, revision, false) // it is read
+			md.applyRevision(next, c, key, revision, false) // it is read
 		}
 		return
 	}
 	// The answer tells the revision that it made; what came later is not known.
-	for revision = to.revision; revision > 0; revision-- {
-		if ch := to.history[revision]; ch.key == key+1 && x.wrote(ch, c, self.incarnation) {
+	for revision = next.revision; revision > 0; revision-- {
+		if ch := next.history[revision]; ch.key == key+1 && x.wrote(ch, c, self.incarnation) {
 			break
 		}
 	}
 	if x.kind == releaseTxn {
 		self.proposal = proposal{}
 	}
-	md.applyRevision(to, c, key, revision, false)
+	md.applyRevision(next, c, key, revision, false)
 	if x.kind == claimTxn && self.known[key] == revision {
 		self.views[x.machine] = workerView{mirrorComplete: x.renewal}
 	}
@@ -359,71 +359,71 @@
 	return false
 }
 
-func (md *model) workerSteps(s, to *world, m uint8, step stepFunc) {
+func (md *model) workerSteps(s, next *world, m uint8, step stepFunc) {
 	w := &s.workers[m]
-	md.exchangeSteps(s, to, m, step)
+	md.exchangeSteps(s, next, m, step)
 	if w.delayed.pending {
 		step(func() {
-			md.receiveHeartbeat(to, w.delayed.to, m, w.delayed)
-			to.workers[m].delayed = heartbeat{}
+			md.receiveHeartbeat(next, w.delayed.receiver, m, w.delayed)
+			next.workers[m].delayed = heartbeat{}
 		})
 	}
 	if w.epoch < md.bounds.epochs { // its lease ends
 		step(func() {
-			to.workers[m].epoch++
-			to.workers[m].renewedAfterHorizon = true
-			to.workers[m].attempts = [attempts + 1]attemptState{}
+			next.workers[m].epoch++
+			next.workers[m].renewedAfterHorizon = true
+			next.workers[m].attempts = [attempts + 1]attemptState{}
 		})
 	}
 	for number := 1; number <= attempts; number++ {
 		if w.attempts[number] == running {
-			step(func() { to.workers[m].attempts[number] = ended })
+			step(func() { next.workers[m].attempts[number] = ended })
 		}
 	}
 	if s.deletions < md.bounds.deletions {
 		step(func() {
-			to.workers[m] = worker{deleted: true}
-			to.deletions++
+			next.workers[m] = worker{deleted: true}
+			next.deletions++
 		})
 	}
 }
 
 // exchangeSteps are what may become of a worker's heartbeat and its answer.
-func (md *model) exchangeSteps(s, to *world, m uint8, step stepFunc) {
+func (md *model) exchangeSteps(s, next *world, m uint8, step stepFunc) {
 	w := &s.workers[m]
 	switch x := w.exchange; {
 	case !x.heartbeat.pending && w.sequence < md.bounds.sequences:
 		for c := uint8(0); c < controllers; c++ {
 			step(func() {
-				w := &to.workers[m]
+				w := &next.workers[m]
 				w.sequence++
-				w.exchange = exchange{heartbeat: heartbeat{true, to.horizonPassed, c, w.epoch, w.sequence, w.token, w.attempts}}
+				w.exchange = exchange{heartbeat: heartbeat{true, next.horizonPassed, c, w.epoch, w.sequence, w.token, w.attempts}}
 			})
 		}
 	case x.heartbeat.pending && !x.answered:
-		step(func() { to.workers[m].exchange = md.receiveHeartbeat(to, x.heartbeat.to, m, x.heartbeat) })
+		step(func() { next.workers[m].exchange = md.receiveHeartbeat(next, x.heartbeat.receiver, m, x.heartbeat) })
 		if !md.bounds.reliable {
-			step(func() { to.workers[m].exchange = exchange{} }) // lost
+			step(func() { next.workers[m].exchange = exchange{} }) // lost
 		}
 		if !w.delayed.pending && s.delays < md.bounds.delays {
 			step(func() {
-				to.workers[m].exchange, to.workers[m].delayed = exchange{}, x.heartbeat
-				to.delays++
+				next.workers[m].exchange, next.workers[m].delayed = exchange{}, x.heartbeat
+				next.delays++
 			})
 		}
 	case x.answered:
 		if !md.bounds.reliable {
-			step(func() { to.workers[m].exchange = exchange{} }) // late: dropped
+			step(func() { next.workers[m].exchange = exchange{} }) // late: dropped
 		}
 		step(func() {
-			to.workers[m].exchange = exchange{}
-			to.workers[m].carryOut(x)
+			next.workers[m].exchange = exchange{}
+			next.workers[m].applyAnswer(x)
 		})
 	}
 }
 
-// carryOut has a worker carry out an answer, unless it is of a lower token or an earlier epoch.
-func (w *worker) carryOut(x exchange) {
+// applyAnswer has a worker carry out an answer, unless it is of a lower token or an earlier epoch.
+func (w *worker) applyAnswer(x exchange) {
 	if x.token < w.token || x.heartbeat.epoch != w.epoch {
 		return
 	}
@@ -438,12 +438,12 @@
 		}
 	}
 	if x.launch > 0 {
-		w.start(x.launch)
+		w.startAttempt(x.launch)
 	}
 }
 
-// start has a worker carry out a launch.
-func (w *worker) start(attempt uint8) {
+// startAttempt has a worker carry out a launch.
+func (w *worker) startAttempt(attempt uint8) {
 	if w.attempts[attempt] != absent {
 		return
 	}
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -50,11 +50,11 @@
 
 // TestNothingRunsThatIsNotBound explores the model with the code as it is.
 func TestNothingRunsThatIsNotBound(t *testing.T) {
-	for _, w := range worlds {
-		t.Run(w.name, func(t *testing.T) {
+	for _, sc := range scenarios {
+		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
-			r := (&model{bounds: w.bounds}).explore(w.start, stateLimit(200_000))
-			t.Logf("%+v: %v", w.bounds, r)
+			r := (&model{bounds: sc.bounds}).explore(sc.start, stateLimit(200_000))
+			t.Logf("%+v: %v", sc.bounds, r)
 			if r.Broken != "" {
 				t.Error("the invariant is broken")
 			}
@@ -65,8 +65,8 @@
 // defectCases are the defects that an exploration must find, and the world that shows each
 // in the fewest steps.
 var defectCases = []struct {
-	name, world string
-	defects     defect
+	name, scenario string
+	defects        defect
 }{
 	{"release without the claim's condition", "one machine", releaseWithoutClaim},
 	{"evidence that does not name its token", "one epoch", evidenceWithoutToken},
@@ -95,12 +95,12 @@
 	for _, d := range defectCases {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
-			for _, w := range worlds {
-				if w.name != d.world {
+			for _, sc := range scenarios {
+				if sc.name != d.scenario {
 					continue
 				}
-				r := (&model{bounds: w.bounds, defects: d.defects}).explore(w.start, stateLimit(600_000))
-				t.Logf("%+v: %v", w.bounds, r)
+				r := (&model{bounds: sc.bounds, defects: d.defects}).explore(sc.start, stateLimit(600_000))
+				t.Logf("%+v: %v", sc.bounds, r)
 				if r.Broken != "" {
 					return
 				}
--- a/internal/fencing/model_trace_test.go
+++ b/internal/fencing/model_trace_test.go
@@ -18,15 +18,15 @@
 				return fmt.Sprintf("attempt %d of a cancelled job runs on machine %d after cancel_s", number, m)
 			}
 			if !task.bound || task.machine != uint8(m) || task.attempt != uint8(number) || task.epoch != epoch {
-				return fmt.Sprintf("attempt %d runs on machine %d in epoch %d, the record says %s", number, m, epoch, task.task())
+				return fmt.Sprintf("attempt %d runs on machine %d in epoch %d, the record says %s", number, m, epoch, task.describeTask())
 			}
 		}
 	}
 	return ""
 }
 
-// task describes what a change makes of the task.
-func (ch change) task() string {
+// describeTask describes what a change makes of the describeTask.
+func (ch change) describeTask() string {
 	if !ch.bound {
 		return fmt.Sprintf("pending after attempt %d", ch.attempt)
 	}
@@ -38,7 +38,7 @@
 	case ch.key == 0:
 		return "the job is cancelled"
 	case ch.key == taskKey+1:
-		return "the task is " + ch.task()
+		return "the task is " + ch.describeTask()
 	case ch.key > groupKey:
 		group := ch.key - 1 - groupKey
 		return fmt.Sprintf("what controller %d, incarnation %d, owns fails over to controller %d, incarnation %d",
@@ -141,13 +141,13 @@
 	case after.delayed.pending && !before.delayed.pending:
 		tr.addf("machine %d's heartbeat is delayed", m)
 	case before.delayed.pending && !after.delayed.pending:
-		tr.addf("controller %d receives machine %d's delayed heartbeat", before.delayed.to, m)
+		tr.addf("controller %d receives machine %d's delayed heartbeat", before.delayed.receiver, m)
 	case is.answered:
 		if !was.answered {
-			tr.addf("controller %d answers machine %d with token %d, launch %d, forget %b, kill %b", is.heartbeat.to, m, is.token, is.launch, is.forget, is.kill)
+			tr.addf("controller %d answers machine %d with token %d, launch %d, forget %b, kill %b", is.heartbeat.receiver, m, is.token, is.launch, is.forget, is.kill)
 		}
 	case is.heartbeat.pending && !was.heartbeat.pending:
-		tr.addf("machine %d reports %v to controller %d, token %d", m, is.heartbeat.attempts[1:], is.heartbeat.to, after.token)
+		tr.addf("machine %d reports %v to controller %d, token %d", m, is.heartbeat.attempts[1:], is.heartbeat.receiver, after.token)
 	case was.heartbeat.pending && !is.heartbeat.pending:
 		tr.addf("machine %d is done with its heartbeat", m)
 	}
--- a/internal/fencing/model_world_test.go
+++ b/internal/fencing/model_world_test.go
@@ -106,7 +106,7 @@
 // workerView is what a controller knows of a machine.
 type workerView struct {
 	tokenSeen, mirrorComplete, launchInDoubt, adopted bool
-	seenAtWatch                                       bool // the token was seen before the open watch was opened
+	tokenSeenAtWatch                                  bool // the token was seen before the open watch was opened
 	epoch, sequence, answeredSequence, answeredEpoch  uint8
 	unanswered                                        uint8 // attempts with an unanswered direct launch, as bits
 	launchEpoch, launchSequence                       uint8 // of the newest answer to a direct launch
@@ -131,9 +131,9 @@
 }
 
 type heartbeat struct {
-	pending, afterHorizon      bool // afterHorizon: sent when the horizon had passed, as a lease counts from the sending
-	to, epoch, sequence, token uint8
-	attempts                   [attempts + 1]attemptState
+	pending, afterHorizon            bool // afterHorizon: sent when the horizon had passed, as a lease counts from the sending
+	receiver, epoch, sequence, token uint8
+	attempts                         [attempts + 1]attemptState
 }
 
 // attemptState is what an attempt is on a machine.
--- a/internal/fencing/proof.go
+++ b/internal/fencing/proof.go
@@ -44,7 +44,7 @@
 //
 // Evidence that is true under one claim alone is void under the next one, also if
 // that is ours again: a peer may have answered the worker in between.
-func (s WorkerState) MayRelease(found Evidence) (ok, onClaim bool) {
+func (s WorkerState) MayRelease(found Evidence) (ok, conditionalOnClaim bool) {
 	switch found.Proof {
 	case Ended, NewerEpoch, MachineDeleted:
 		return true, false
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -19,7 +19,7 @@
 	Start S
 	// Next calls to with each successor of a state, in an order that depends on the
 	// state alone. A state has at most 65,535 successors.
-	Next func(s *S, to func(S))
+	Next func(s *S, emit func(S))
 	// Broken says which invariant a state breaks, "" if none.
 	Broken func(s *S) string
 	// Label says in a few words what led from one state to the next, for traces.
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -11,15 +11,15 @@
 
 func puzzle(goal int) Model[jugs] {
 	return Model[jugs]{
-		Next: func(s *jugs, to func(jugs)) {
-			to(jugs{3, s.five})
-			to(jugs{s.three, 5})
-			to(jugs{0, s.five})
-			to(jugs{s.three, 0})
+		Next: func(s *jugs, emit func(jugs)) {
+			emit(jugs{3, s.five})
+			emit(jugs{s.three, 5})
+			emit(jugs{0, s.five})
+			emit(jugs{s.three, 0})
 			poured := min(s.three, 5-s.five)
-			to(jugs{s.three - poured, s.five + poured})
+			emit(jugs{s.three - poured, s.five + poured})
 			poured = min(s.five, 3-s.three)
-			to(jugs{s.three + poured, s.five - poured})
+			emit(jugs{s.three + poured, s.five - poured})
 		},
 		Broken: func(s *jugs) string {
 			if s.five == goal {
