--- a/internal/fencing/fencing_test.go
+++ b/internal/fencing/fencing_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestNames: the proofs' names are in logs and recordings, and stay as earlier versions wrote them.
+// TestNames checks the names of proofs, verdicts and actions. Logs and recordings of earlier versions hold the
+// proofs' names, so these must not change.
 func TestNames(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
@@ -27,7 +28,7 @@
 	} {
 		t.Run(fmt.Sprintf("%T %d", c.value, c.value), func(t *testing.T) {
 			if got := c.value.String(); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/internal/fencing/horizon.go
+++ b/internal/fencing/horizon.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// MaxClockDrift is the most by which two steady clocks run apart, as a fraction of the time that
-// passes, with as much again for what timers add.
+// MaxClockDrift bounds the drift between two monotonic clocks, as a fraction of the elapsed time.
+// Half of it is for the clocks themselves and half for the delay of timers.
 const MaxClockDrift = 0.001
 
-// horizonFraction is how much of the room between lease_s and cancel_s the horizon takes. The
-// rest is kept for what a machine takes to stop.
+// horizonFraction is the part of the time between lease_s and cancel_s that the horizon uses. The
+// rest is reserved for a machine to stop its tasks.
 const horizonFraction = 0.9
 
-// CancelHorizon is how old the last proof may be that no cancellation was confirmed which we
-// don't know of, for workers to be answered on the strength of it. cancel and lease are the
-// settings cancel_s and lease_s. It is 0 if the settings leave no room.
+// CancelHorizon returns the maximum age of the last proof that this controller knows of every
+// confirmed cancellation. While the proof is older, the controller answers no workers. cancel and
+// lease are the settings cancel_s and lease_s. The result is 0 if the settings leave no time.
 //
-// Let a cancellation be confirmed at C, after the proof was asked for. The last heartbeat that is
-// answered without a kill for its tasks arrives at most the horizon after the asking, by our clock.
-// It was sent before it arrived, and the worker's lease counts from its sending, by the worker's
-// clock; nothing that was told to it, and no command that was delayed or overtaken, is carried out
-// in a later epoch. So the tasks are gone by
+// Let a cancellation be confirmed at C, after the controller asked for the proof. The last heartbeat
+// that it answers without a kill for the job's tasks arrives at most the horizon after it asked, by
+// its clock. The heartbeat was sent before it arrived, and the worker's lease runs from the sending,
+// by the worker's clock. The worker executes no answer and no delayed or overtaken command in a
+// later epoch. So the tasks have ended by
 //
-//	C + horizon·(1+Drift) + lease_s·(1+Drift) <= C + cancel_s
+//	C + horizon·(1+MaxClockDrift) + lease_s·(1+MaxClockDrift) <= C + cancel_s
 //
-// An answer under way adds nothing, since the lease does not count from its arrival, and neither
-// does a machine that hangs: it goes on within its lease or not at all. A tenth of the room between
-// lease_s and cancel_s is kept, for what a machine takes to stop.
+// An answer in flight adds nothing, since the lease does not run from the answer's arrival. Neither
+// does a machine that hangs: it continues within its lease or not at all. A tenth of the time between
+// lease_s and cancel_s is reserved for a machine to stop its tasks.
 func CancelHorizon(cancel, lease time.Duration) time.Duration {
 	room := float64(cancel - lease)
 	return max(0, time.Duration(horizonFraction*room-MaxClockDrift*float64(cancel)))
--- a/internal/fencing/horizon_test.go
+++ b/internal/fencing/horizon_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// latestTaskEnd is when a task is gone at the latest, counted from its job's confirmed cancellation: the worst
-// of everything that the inequality of CancelHorizon names. The proof was asked for just before the
-// confirmation; our clock is slow and so is the worker's; the last answer without a kill goes to a heartbeat
-// that arrives at the end of the horizon and was sent just before; the worker hears nothing more.
+// latestTaskEnd returns the latest time at which a task ends, counted from its job's confirmed cancellation. It
+// assumes the worst case of every term in CancelHorizon's inequality: the controller asked for the proof just before
+// the confirmation; its clock and the worker's are slow; the last answer without a kill goes to a heartbeat that
+// was sent just before the end of the horizon and arrives at its end; and the worker gets no further answer.
 func latestTaskEnd(horizon, lease time.Duration, drift float64, sent time.Duration) time.Duration {
 	arrives := time.Duration(float64(horizon) * (1 + drift))
 	return arrives - sent + time.Duration(float64(lease)*(1+drift))
 }
 
-// TestCancelHorizonLeavesTimeForEveryTerm draws settings, the smallest allowed cancel_s included, and clocks
-// apart by what PROTOCOL allows.
+// TestCancelHorizonLeavesTimeForEveryTerm generates settings, among them the smallest allowed cancel_s, and clocks
+// that drift by up to the bound in PROTOCOL. It guards against a horizon under which a cancelled task outlives cancel_s.
 func TestCancelHorizonLeavesTimeForEveryTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lease := time.Duration(rapid.Int64Range(int64(time.Second), int64(10*time.Minute)).Draw(t, "lease"))
@@ -29,30 +29,30 @@
 		sent := time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "under way"))
 		cancel := lease + room
 		horizon := CancelHorizon(cancel, lease)
-		if gone := latestTaskEnd(horizon, lease, drift, sent); horizon > 0 && gone > cancel {
-			t.Fatalf("lease %v, cancel %v: horizon %v, gone after %v", lease, cancel, horizon, gone)
+		if end := latestTaskEnd(horizon, lease, drift, sent); horizon > 0 && end > cancel {
+			t.Fatalf("lease %v, cancel %v: with horizon %v the task ends after %v", lease, cancel, horizon, end)
 		}
 	})
 }
 
-// TestCancelHorizonNeedsItsTerms shows that the inequality can fail: without the term for drift the smallest settings
-// break it, and a horizon that counts from an answer's arrival in place of the heartbeat's sending breaks most.
+// TestCancelHorizonNeedsItsTerms shows that the inequality can be violated: without the term for drift the smallest
+// settings violate it, and if leases ran from an answer's arrival instead of the heartbeat's sending, most settings would.
 func TestCancelHorizonNeedsItsTerms(t *testing.T) {
 	const drift = 0.0005
 	t.Run("no term for drift", func(t *testing.T) {
 		lease, cancel := 100*time.Second, 100*time.Second+100*time.Millisecond
 		horizon := time.Duration(0.9 * float64(cancel-lease))
 		if latestTaskEnd(horizon, lease, drift, 0) <= cancel {
-			t.Error("no term for drift, and nothing breaks")
+			t.Error("without the term for drift the task still ends within cancel_s")
 		}
 		if horizon := CancelHorizon(cancel, lease); horizon != 0 {
-			t.Errorf("cancel_s hardly above lease_s leaves a horizon of %v", horizon)
+			t.Errorf("cancel_s slightly above lease_s gives a horizon of %v, want 0", horizon)
 		}
 	})
 	t.Run("leases that count from the answer's arrival", func(t *testing.T) {
 		lease, cancel := 18*time.Second, 48*time.Second
 		if latestTaskEnd(CancelHorizon(cancel, lease), lease, drift, -4*time.Second) <= cancel {
-			t.Error("leases that count from the answer's arrival, and nothing breaks")
+			t.Error("with leases that run from the answer's arrival the task still ends within cancel_s")
 		}
 	})
 }
--- a/internal/fencing/model_controller_test.go
+++ b/internal/fencing/model_controller_test.go
@@ -1,9 +1,9 @@
 package fencing
 
-// What a controller of the model does with what it is told. Every decision is the
-// product's own.
+// How a controller of the model handles watch results, heartbeats and answers. Every decision
+// is made by the product's own functions.
 
-// workerState is what the product's functions are given, as a controller knows a machine.
+// workerState returns the state of a machine's worker that a controller passes to the product's functions.
 func (md *model) workerState(s *world, c, m uint8) WorkerState {
 	self, view := &s.controllers[c], &s.controllers[c].views[m]
 	owner := md.ownershipOf(s, c, m)
@@ -34,14 +34,15 @@
 	return state
 }
 
-// boundAttempt is what a controller's records bind to a machine.
+// boundAttempt returns the attempt that a controller's records bind to a machine, and reports
+// whether they bind one.
 func (md *model) boundAttempt(s *world, c, m uint8) (Attempt, bool) {
 	task := s.known(c, taskKey)
 	return Attempt{Number: int(task.attempt), Epoch: uint64(task.epoch), BoundAt: uint64(s.controllers[c].taskBoundAt)}, task.bound && task.machine == m
 }
 
-// applyRevision brings a key's revision into a controller's mirror. complete is whether the
-// mirror is complete up to it with that.
+// applyRevision applies a key's revision to a controller's mirror. complete reports whether the
+// mirror is then complete up to that revision.
 func (md *model) applyRevision(s *world, c, key, revision uint8, complete bool) {
 	self := &s.controllers[c]
 	var before [machines]uint8
@@ -64,7 +65,8 @@
 	}
 }
 
-// ownerChanged handles that a machine's owner may have changed; before is its token until now.
+// ownerChanged resets a controller's view of a machine if the machine's owner has changed. before
+// is the machine's previous token.
 func (md *model) ownerChanged(s *world, c, m, before uint8) {
 	self, owner := &s.controllers[c], md.ownershipOf(s, c, m)
 	if owner.token == before {
@@ -73,16 +75,16 @@
 	view := &self.views[m]
 	view.tokenSeen, view.mirrorComplete, view.adopted, view.tokenSeenAtWatch = false, false, false, false
 	if owner.owner == c+1 && owner.incarnation == self.incarnation && owner.token != self.known[m] {
-		*view = workerView{} // it has come to us with its group
+		*view = workerView{} // the machine's group has failed over to this controller
 	}
 }
 
-// launchDirectly sends a direct launch of what is newly bound to a machine of ours.
+// launchDirectly sends a direct launch of an attempt that is newly bound to a controller's machine.
 func (md *model) launchDirectly(s *world, c uint8) {
 	self := &s.controllers[c]
 	for m := uint8(0); m < md.bounds.machines; m++ {
 		if self.knowsCancelled {
-			return // nothing of a job that is over is launched
+			return // a job that is over launches no tasks
 		}
 		attempt, bound := md.boundAttempt(s, c, m)
 		slot := 0
@@ -105,12 +107,12 @@
 	}
 }
 
-// launchUnanswered tells whether a direct launch of an attempt may still be carried out.
+// launchUnanswered reports whether a direct launch of an attempt may still be executed.
 func (md *model) launchUnanswered(view *workerView, attempt int) bool {
 	return view.unanswered>>attempt&1 == 1 && !md.has(ignoreUnanswered)
 }
 
-// receiveHeartbeat has a controller take a heartbeat; it returns what the answer carries.
+// receiveHeartbeat handles a heartbeat at a controller and returns the answer.
 func (md *model) receiveHeartbeat(s *world, c, m uint8, hb heartbeat) (answer exchange) {
 	self, view := &s.controllers[c], &s.controllers[c].views[m]
 	if s.horizonPassed && !self.knowsCancelled && !md.has(ignoreHorizon) {
@@ -137,8 +139,8 @@
 		view.tokenSeen = true
 	}
 	answer = exchange{heartbeat: hb, answered: true, token: token}
-	// Our clock starts with the heartbeat's arrival: what the worker has sent and begun by
-	// now is covered by it, however old this heartbeat is.
+	// The controller measures the lease from the heartbeat's arrival, which is after everything that
+	// the worker has sent and every epoch that it has begun by now, however old this heartbeat is.
 	view.answeredSequence, view.answeredEpoch = s.workers[m].sequence, s.workers[m].epoch
 	if self.knowsCancelled && !md.has(answerWithoutKill) {
 		answer.kill = md.attemptsToKill(hb, attempt, bound)
@@ -151,7 +153,7 @@
 	return answer
 }
 
-// adoptClaim has a controller go on with a claim of an earlier incarnation, if it may.
+// adoptClaim makes a controller adopt a claim of its earlier incarnation, if that is allowed.
 func (md *model) adoptClaim(s *world, c, m uint8, hb heartbeat) {
 	self, view := &s.controllers[c], &s.controllers[c].views[m]
 	head := Heartbeat{Token: uint64(hb.token), Epoch: uint64(hb.epoch), Sequence: uint64(hb.sequence)}
@@ -171,8 +173,8 @@
 	}
 }
 
-// fenceLaunches asks for a new token when a launch of a cancelled job may still come; the
-// core has a function of the same name.
+// fenceLaunches requires a new token when a launch of a cancelled job may still arrive at the
+// worker, as fenceLaunchesOfFinalJobs does in the core.
 func (md *model) fenceLaunches(self *controller, view *workerView, hb heartbeat) {
 	if !self.knowsCancelled || md.has(keepTokenOnCancel) {
 		return
@@ -184,7 +186,8 @@
 	}
 }
 
-// attemptsToKill is what every answer stops once the job is known to be cancelled.
+// attemptsToKill returns the attempts that every answer kills once the controller knows of the
+// job's cancellation, as a bit set.
 func (md *model) attemptsToKill(hb heartbeat, attempt Attempt, bound bool) (kill uint8) {
 	for number, listed := range hb.attempts {
 		if listed == running {
@@ -192,15 +195,15 @@
 		}
 	}
 	if bound && !md.has(killListedOnly) {
-		kill |= 1 << attempt.Number // also one that the heartbeat lacks, as a launch has overtaken it
+		kill |= 1 << attempt.Number // a heartbeat that a launch has overtaken does not list the attempt
 	}
 	return kill
 }
 
-// judgeUntrusted judges the bound attempt by a heartbeat that is answered and not trusted.
+// judgeUntrusted handles the bound attempt after a heartbeat that is answered but not trusted.
 func (md *model) judgeUntrusted(s *world, c, m uint8, hb heartbeat, attempt Attempt) {
 	if md.has(releaseOnUntrusted) {
-		if hb.attempts[attempt.Number] == absent { // what an untrusted list lacks
+		if hb.attempts[attempt.Number] == absent { // the defect: the untrusted list counts as proof
 			md.propose(s, c, m, NewerEpoch, attempt)
 		}
 		return
@@ -255,12 +258,12 @@
 	}
 }
 
-// propose has a controller propose the release of an attempt on a machine.
+// propose records a controller's proposal to release an attempt on a machine.
 func (md *model) propose(s *world, c, m uint8, proof Proof, attempt Attempt) {
 	s.controllers[c].proposal = proposal{proof, m, uint8(attempt.Epoch), uint8(attempt.Number), md.tokenOf(s, c, m)}
 }
 
-// markLaunchInDoubt notes that a direct launch was not answered.
+// markLaunchInDoubt records that a direct launch was not answered, unless the machine's token has changed since.
 func (md *model) markLaunchInDoubt(s *world, c uint8, launch directLaunch) {
 	if md.tokenOf(s, c, launch.machine) == launch.token {
 		s.controllers[c].views[launch.machine].launchInDoubt = true
--- a/internal/fencing/model_scenarios_test.go
+++ b/internal/fencing/model_scenarios_test.go
@@ -1,8 +1,8 @@
 package fencing
 
-// The worlds that are explored, and the moments from which they start.
+// The scenarios that are explored, and their initial worlds.
 
-// taskRunning is a world in which controller 0 owns machine 0 and the task runs there.
+// taskRunning returns a world in which controller 0 owns machine 0 and the task runs there.
 func taskRunning() world {
 	var s world
 	s.commit(claimBy(0, 1, 0))
@@ -21,29 +21,29 @@
 	return s
 }
 
-// setTaskMirror brings a controller's mirror to a revision of the task.
+// setTaskMirror sets a controller's mirror to a revision of the task.
 func (c *controller) setTaskMirror(revision uint8) {
 	c.appliedRevision, c.watchOpenedAt, c.known[taskKey], c.taskBoundAt = revision, revision, revision, revision
 }
 
-// setMirror brings a controller's mirror to a revision of another key.
+// setMirror sets a controller's mirror to a revision of another key.
 func (c *controller) setMirror(key, revision uint8) {
 	c.appliedRevision, c.watchOpenedAt, c.known[key] = revision, revision, revision
 }
 
-// trustedView is a machine in its first epoch whose heartbeats are trusted, the newest
-// being of that sequence number.
+// trustedView returns the view of a machine in its first epoch whose heartbeats are trusted.
+// sequence is the number of the newest one.
 func trustedView(sequence uint8) workerView {
 	return workerView{tokenSeen: true, mirrorComplete: true, tokenSeenAtWatch: true, epoch: 1, sequence: sequence, answeredSequence: sequence, answeredEpoch: 1}
 }
 
-// renewLease is what an answer with that token to the heartbeat of that sequence number does.
+// renewLease has the effect of an answer with that token to the heartbeat with that sequence number.
 func (w *worker) renewLease(token, sequence uint8) {
 	w.token, w.sequence, w.renewedSequence = token, sequence, sequence
 }
 
-// releaseCommitted is the same when the task has ended there and its release is committed,
-// which controller 1 does not know and the worker has not been told.
+// releaseCommitted returns taskRunning's world after the task has ended on machine 0 and its
+// release is committed. Controller 1 does not know of the release, and the worker has not been told.
 func releaseCommitted() world {
 	s := taskRunning()
 	s.workers[0].attempts[1] = ended
@@ -52,8 +52,8 @@
 	return s
 }
 
-// releaseCommittedMirrorFarBehind is the same when controller 1 has not even learnt that it
-// was bound.
+// releaseCommittedMirrorFarBehind returns releaseCommitted's world, except that controller 1 does
+// not even know that the task was bound.
 func releaseCommittedMirrorFarBehind() world {
 	s := releaseCommitted()
 	self := &s.controllers[1]
@@ -61,7 +61,8 @@
 	return s
 }
 
-// releaseUnderWay is the same while the release is under way.
+// releaseUnderWay returns taskRunning's world after the task has ended, while controller 0 is
+// writing its release.
 func releaseUnderWay() world {
 	s := taskRunning()
 	s.workers[0].attempts[1] = ended
@@ -69,14 +70,16 @@
 	return s
 }
 
-// setReleasePending has a controller that saw the first attempt end, under that token, write its release.
+// setReleasePending makes a controller write the release of the first attempt, which it has seen
+// end under that token.
 func (c *controller) setReleasePending(token uint8) {
 	c.taskWrite = txn{kind: releaseTxn, attempt: 1, ifTask: 2, ifClaim: unconditional}
 	c.proposal = proposal{proof: Ended, machine: 0, epoch: 1, attempt: 1, token: token}
 }
 
-// launchAbandoned is the same when controller 0 has sent a direct launch and given up on
-// it; a heartbeat's answer has launched the attempt, or nothing has.
+// launchAbandoned returns a function that makes taskRunning's world after controller 0 has sent a
+// direct launch and given up on it. state is running if the answer to a heartbeat has launched the
+// attempt, absent if nothing has.
 func launchAbandoned(state attemptState) func() world {
 	return func() world {
 		s := taskRunning()
@@ -87,22 +90,23 @@
 	}
 }
 
-// launchPending is the same while the launch may still be answered.
+// launchPending returns launchAbandoned's world with a running attempt, while the launch may still
+// be answered.
 func launchPending() world {
 	s := launchAbandoned(running)()
 	s.controllers[0].launches[0].abandoned, s.controllers[0].views[0].launchInDoubt = false, false
 	return s
 }
 
-// launchNotArrived is the same, and nothing has launched it yet.
+// launchNotArrived returns launchPending's world, except that nothing has launched the attempt yet.
 func launchNotArrived() world {
 	s := launchPending()
 	s.workers[0].attempts[1] = absent
 	return s
 }
 
-// claimedOutsideGroup is a world in which controller 0 has restarted and claimed machine 0
-// alone, out of the group of its earlier incarnation, and controller 1 does not know it yet.
+// claimedOutsideGroup returns a world in which controller 0 has restarted and claimed machine 0
+// alone, out of the group of its earlier incarnation. Controller 1 does not know of the claim yet.
 func claimedOutsideGroup() world {
 	s := taskRunning()
 	s.commit(claimBy(0, 2, 0))
@@ -113,9 +117,9 @@
 	return s
 }
 
-// groupFailedOver is a world in which controller 0's group has failed over to controller 1,
-// the task has ended, and its release is under way; controller 0 knows of none of it, and is
-// about to renew its token, as the worker has shown it a higher one.
+// groupFailedOver returns a world in which controller 0's group has failed over to controller 1,
+// the task has ended, and controller 1 is writing its release. Controller 0 knows of none of this
+// and is about to renew its token, as the worker has shown it a higher one.
 func groupFailedOver() world {
 	s := taskRunning()
 	s.commit(failoverTo(1, 1, groupKey))
@@ -132,8 +136,8 @@
 	return s
 }
 
-// scenarios are the scenarios that are explored: one machine deeply, two less so, and from
-// moments on where little is left to happen.
+// scenarios are the explorations: of one machine to a great depth, of two machines to a smaller
+// one, and from initial worlds in which only few steps remain.
 var scenarios = []struct {
 	name   string
 	start  func() world
--- a/internal/fencing/model_steps_test.go
+++ b/internal/fencing/model_steps_test.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The steps that a world allows: what the state service, the controllers, the workers
-// and the network between them may do next. s is the world as it is, to the one that a
-// step makes of it.
+// The steps that are possible in a world: what the state service, the controllers, the
+// workers and the network between them may do next. s is the current world, next the world
+// after the step.
 
-// stepFunc emits the world that a change makes of the present one.
+// stepFunc applies a change to a copy of the current world and emits the result.
 type stepFunc func(change func())
 
 func (md *model) steps(s *world, emit func(world)) {
@@ -29,8 +29,9 @@
 	}
 }
 
-// cancellationSteps are what becomes of a cancellation. Time is not counted, but for this: a worker
-// that nobody has answered since the horizon passed has ended everything when cancel_s passes.
+// cancellationSteps are the stages of a cancellation, and the ways in which controllers learn of it. The
+// model has no clock except for one rule: before cancel_s passes, every worker whose lease has not been
+// renewed since the horizon passed begins a new epoch, in which none of its earlier attempts run.
 func (md *model) cancellationSteps(s, next *world, step stepFunc) {
 	switch {
 	case !s.cancelled && s.revision < md.bounds.revisions:
@@ -57,7 +58,7 @@
 	}
 	for c := range s.controllers {
 		if s.cancelled && !s.controllers[c].knowsCancelled {
-			step(func() { next.controllers[c].knowsCancelled = true }) // a peer names it
+			step(func() { next.controllers[c].knowsCancelled = true }) // a peer reports the cancellation
 		}
 	}
 }
@@ -89,7 +90,8 @@
 	}
 }
 
-// watchSteps answer a controller's watch, with any prefix that holds what there was when it was opened.
+// watchSteps answer a controller's watch with any prefix of the history that includes every revision
+// committed before the watch was opened.
 func (md *model) watchSteps(s, next *world, c uint8, step stepFunc) {
 	self := &s.controllers[c]
 	for last := max(self.appliedRevision, self.watchOpenedAt); last <= s.revision; last++ {
@@ -115,8 +117,8 @@
 	}
 }
 
-// learnsFromEmptyWatch tells whether a watch's answer without news would change what a
-// controller knows of its mirror.
+// learnsFromEmptyWatch reports whether a watch's answer without changes would still tell a
+// controller that its mirror is complete.
 func (c *controller) learnsFromEmptyWatch() bool {
 	for m := range c.views {
 		view := &c.views[m]
@@ -127,7 +129,8 @@
 	return false
 }
 
-// startRelease puts a controller's proposal into a transaction, if it may be written still.
+// startRelease starts a transaction for a controller's proposal, or drops the proposal if it may
+// no longer be written.
 func (md *model) startRelease(next *world, c uint8) {
 	self, proposed := &next.controllers[c], next.controllers[c].proposal
 	attempt, bound := md.boundAttempt(next, c, proposed.machine)
@@ -146,7 +149,7 @@
 	}
 }
 
-// machineSteps are what a controller may do about a machine of its own accord.
+// machineSteps are what a controller may do about a machine without a message from it.
 func (md *model) machineSteps(s, next *world, c, m uint8, step stepFunc) {
 	self, view, w := &s.controllers[c], &s.controllers[c].views[m], &s.workers[m]
 	state, task := md.workerState(s, c, m), s.known(c, taskKey)
@@ -166,8 +169,8 @@
 			next.controllers[c].proposal = proposal{proof, m, task.epoch, task.attempt, md.tokenOf(next, c, m)}
 		})
 	}
-	// The lease has ended if the worker is in a later epoch, or somebody else has
-	// renewed it: then our clock may say so all the same.
+	// The controller's clock may show the lease as expired if the worker is in a later epoch, or if
+	// another controller has renewed the lease since this one last answered.
 	leaseEnded := w.deleted || w.epoch > view.answeredEpoch || w.renewedSequence > view.answeredSequence
 	if !md.bounds.reliable && mayPropose && task.epoch <= view.epoch && leaseEnded &&
 		state.LeaseExpired(time.Hour, time.Duration(view.answeredSequence), time.Minute) {
@@ -184,7 +187,7 @@
 	}
 }
 
-// launchSteps are what may become of a direct launch.
+// launchSteps are the possible outcomes of a direct launch.
 func (md *model) launchSteps(next *world, c uint8, slot int, launch directLaunch, step stepFunc) {
 	deliver := func() {
 		if w := &next.workers[launch.machine]; !w.deleted && launch.token >= w.token && launch.epoch == w.epoch {
@@ -193,7 +196,7 @@
 		}
 		next.workers[launch.machine].sequence++
 	}
-	step(func() { // carried out, answered or not
+	step(func() { // executed, and answered unless it was abandoned
 		deliver()
 		self, w := &next.controllers[c], &next.workers[launch.machine]
 		if view := &self.views[launch.machine]; !launch.abandoned && md.tokenOf(next, c, launch.machine) == launch.token {
@@ -205,19 +208,19 @@
 	if launch.abandoned {
 		return
 	}
-	step(func() { // carried out, and the answer is lost
+	step(func() { // executed, and the answer is lost
 		deliver()
 		md.markLaunchInDoubt(next, c, launch)
 		next.controllers[c].launches[slot] = directLaunch{}
 	})
-	step(func() { // given up; it may be carried out late
+	step(func() { // abandoned; it may be executed late
 		md.markLaunchInDoubt(next, c, launch)
 		next.controllers[c].launches[slot].abandoned = true
 	})
 }
 
-// crashSteps end a controller's process and start the next incarnation. One of its
-// transactions may still be applied late.
+// crashSteps end a controller's process and start the next incarnation. One transaction of the
+// process may still be applied late.
 func (md *model) crashSteps(s, next *world, c uint8, step stepFunc) {
 	self := &s.controllers[c]
 	for _, late := range []txn{self.lateTxn, self.taskWrite, self.claim} {
@@ -239,7 +242,7 @@
 	}
 }
 
-// txnSteps are what may become of a transaction under way.
+// txnSteps are the possible outcomes of a transaction under way. field selects the transaction.
 func (md *model) txnSteps(s, next *world, c uint8, step stepFunc, field func(*controller) *txn) {
 	x := *field(&s.controllers[c])
 	switch {
@@ -251,7 +254,7 @@
 		if md.bounds.reliable {
 			return
 		}
-		step(func() { // given up; it may be applied late
+		step(func() { // abandoned; it may be applied late
 			if next.controllers[c].lateTxn.kind == noTxn {
 				next.controllers[c].lateTxn = x
 			}
@@ -268,17 +271,17 @@
 	}
 }
 
-// completeTxn has a controller take a transaction's answer.
+// completeTxn handles a transaction's answer at a controller.
 func (md *model) completeTxn(next *world, c uint8, x txn) {
 	self, key := &next.controllers[c], x.key()
 	_, revision := next.current(key)
 	if x.outcome == refused {
 		if x.kind == claimTxn {
-			md.applyRevision(next, c, key, revision, false) // it is read
+			md.applyRevision(next, c, key, revision, false) // the controller reads the claim
 		}
 		return
 	}
-	// The answer tells the revision that it made; what came later is not known.
+	// The answer holds the revision that the transaction created; later revisions are not known.
 	for revision = next.revision; revision > 0; revision-- {
 		if ch := next.history[revision]; ch.key == key+1 && x.wrote(ch, c, self.incarnation) {
 			break
@@ -293,7 +296,7 @@
 	}
 }
 
-// key is what a transaction writes.
+// key returns the key that a transaction writes.
 func (x *txn) key() uint8 {
 	switch x.kind {
 	case claimTxn:
@@ -304,7 +307,7 @@
 	return taskKey
 }
 
-// wrote tells whether a change of its key is what a transaction wrote.
+// wrote reports whether a transaction wrote a given change of its key.
 func (x *txn) wrote(ch change, c, incarnation uint8) bool {
 	switch x.kind {
 	case claimTxn, failoverTxn:
@@ -315,7 +318,7 @@
 	return ch.bound && ch.attempt == x.attempt && ch.machine == x.machine
 }
 
-// commitTxn has the state service carry out a transaction, if its conditions hold.
+// commitTxn executes a transaction at the state service, if its conditions hold.
 func (md *model) commitTxn(s *world, c uint8, x *txn) outcome {
 	if x.kind == failoverTxn {
 		if _, revision := s.current(x.group); revision > 0 {
@@ -343,7 +346,8 @@
 	return committed
 }
 
-// failedOver tells whether a machine has passed on with its group since a transaction was built.
+// failedOver reports whether a transaction's machine has failed over with its group since the
+// transaction was built.
 func (md *model) failedOver(s *world, x *txn) bool {
 	if md.has(releaseWithoutLinks) && x.kind != claimTxn || md.has(claimWithoutLinks) && x.kind == claimTxn {
 		return false
@@ -388,7 +392,7 @@
 	}
 }
 
-// exchangeSteps are what may become of a worker's heartbeat and its answer.
+// exchangeSteps are the possible next events of a worker's heartbeat and its answer.
 func (md *model) exchangeSteps(s, next *world, m uint8, step stepFunc) {
 	w := &s.workers[m]
 	switch x := w.exchange; {
@@ -422,7 +426,8 @@
 	}
 }
 
-// applyAnswer has a worker carry out an answer, unless it is of a lower token or an earlier epoch.
+// applyAnswer executes an answer at a worker. The worker drops an answer with a lower token or to a
+// heartbeat of an earlier epoch.
 func (w *worker) applyAnswer(x exchange) {
 	if x.token < w.token || x.heartbeat.epoch != w.epoch {
 		return
@@ -442,7 +447,7 @@
 	}
 }
 
-// startAttempt has a worker carry out a launch.
+// startAttempt executes a launch at a worker.
 func (w *worker) startAttempt(attempt uint8) {
 	if w.attempts[attempt] != absent {
 		return
@@ -450,7 +455,7 @@
 	w.attempts[attempt] = running
 	for number, state := range w.attempts {
 		if uint8(number) != attempt && state == running {
-			w.attempts[attempt] = ended // refused: busy
+			w.attempts[attempt] = ended // refused: another attempt is running
 		}
 	}
 }
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -8,7 +8,7 @@
 	"silvergate/internal/modelcheck"
 )
 
-// defect is a set of things that are broken on purpose; none is the code as it is.
+// defect is a set of deliberate faults in the model; the zero value is the code without faults.
 type defect uint32
 
 const (
@@ -40,7 +40,8 @@
 	return modelcheck.Run(modelcheck.Model[world]{Start: start(), Next: md.steps, Broken: md.violation, Label: describeStep}, limit)
 }
 
-// stateLimit is how many states an exploration may see: SIM_STATES, for explorations outside CI.
+// stateLimit returns how many states an exploration may visit: preset, or the value of SIM_STATES, which
+// explorations outside CI set.
 func stateLimit(preset int) int {
 	if limit, err := strconv.Atoi(os.Getenv("SIM_STATES")); err == nil {
 		return limit
@@ -48,7 +49,8 @@
 	return preset
 }
 
-// TestNothingRunsThatIsNotBound explores the model with the code as it is.
+// TestNothingRunsThatIsNotBound explores the model without defects. It guards against every interleaving in
+// which an attempt runs that the records don't bind to its machine and epoch.
 func TestNothingRunsThatIsNotBound(t *testing.T) {
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
@@ -56,14 +58,14 @@
 			r := (&model{bounds: sc.bounds}).explore(sc.start, stateLimit(200_000))
 			t.Logf("%+v: %v", sc.bounds, r)
 			if r.Broken != "" {
-				t.Error("the invariant is broken")
+				t.Error("the invariant is violated")
 			}
 		})
 	}
 }
 
-// defectCases are the defects that an exploration must find, and the world that shows each
-// in the fewest steps.
+// defectCases are the defects that an exploration must find, each with the scenario in which the
+// fewest steps lead to a violation.
 var defectCases = []struct {
 	name, scenario string
 	defects        defect
@@ -90,7 +92,8 @@
 	{"claim without the condition that the group has not failed over", "claim beside a failover", claimWithoutLinks},
 }
 
-// TestExplorationFindsEachDefect breaks one condition at a time.
+// TestExplorationFindsEachDefect removes one condition of the code at a time and requires the exploration to
+// find a violation. It guards against a model that would pass without that condition.
 func TestExplorationFindsEachDefect(t *testing.T) {
 	for _, d := range defectCases {
 		t.Run(d.name, func(t *testing.T) {
@@ -105,7 +108,7 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("the exploration found no violation")
 		})
 	}
 }
--- a/internal/fencing/model_trace_test.go
+++ b/internal/fencing/model_trace_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// violation is how a world breaks the invariant, "" if it doesn't.
+// violation describes how a world violates the invariant, "" if it doesn't.
 func (md *model) violation(s *world) string {
 	task, _ := s.current(taskKey)
 	for m := range s.workers {
@@ -18,14 +18,14 @@
 				return fmt.Sprintf("attempt %d of a cancelled job runs on machine %d after cancel_s", number, m)
 			}
 			if !task.bound || task.machine != uint8(m) || task.attempt != uint8(number) || task.epoch != epoch {
-				return fmt.Sprintf("attempt %d runs on machine %d in epoch %d, the record says %s", number, m, epoch, task.describeTask())
+				return fmt.Sprintf("attempt %d runs on machine %d in epoch %d, but the record says: %s", number, m, epoch, task.describeTask())
 			}
 		}
 	}
 	return ""
 }
 
-// describeTask describes what a change makes of the describeTask.
+// describeTask describes the task's state after a change.
 func (ch change) describeTask() string {
 	if !ch.bound {
 		return fmt.Sprintf("pending after attempt %d", ch.attempt)
@@ -47,12 +47,12 @@
 	return fmt.Sprintf("machine %d is claimed by controller %d, incarnation %d", ch.key-1, ch.owner-1, ch.incarnation)
 }
 
-// trace collects what a step did.
+// trace collects descriptions of what a step did.
 type trace struct{ strings.Builder }
 
 func (tr *trace) addf(format string, args ...any) { fmt.Fprintf(tr, format+"; ", args...) }
 
-// describeStep says what a step did, from what differs.
+// describeStep describes a step by the differences between the worlds before and after it.
 func describeStep(before, after *world) string {
 	var tr trace
 	for revision := before.revision + 1; revision <= after.revision; revision++ {
@@ -90,7 +90,7 @@
 	case before.appliedRevision != after.appliedRevision:
 		tr.addf("controller %d's watch reaches %d of %d", c, after.appliedRevision, revision)
 	case before.watchOpenedAt != after.watchOpenedAt:
-		tr.addf("controller %d's watch brings nothing", c)
+		tr.addf("controller %d's watch returns no changes", c)
 	}
 	if p := after.proposal; p.proof != 0 && before.proposal != p {
 		tr.addf("controller %d finds %v of attempt %d on machine %d under token %d", c, p.proof, p.attempt, p.machine, p.token)
@@ -149,7 +149,7 @@
 	case is.heartbeat.pending && !was.heartbeat.pending:
 		tr.addf("machine %d reports %v to controller %d, token %d", m, is.heartbeat.attempts[1:], is.heartbeat.receiver, after.token)
 	case was.heartbeat.pending && !is.heartbeat.pending:
-		tr.addf("machine %d is done with its heartbeat", m)
+		tr.addf("machine %d's heartbeat exchange ends", m)
 	}
 	for number := range after.attempts {
 		if before.attempts[number] != after.attempts[number] {
--- a/internal/fencing/model_world_test.go
+++ b/internal/fencing/model_world_test.go
@@ -4,16 +4,16 @@
 	"silvergate/internal/failover"
 )
 
-// The model: two controllers, two machines and one task, a state service that keeps
-// its history, and what the environment may do. Watches bring any prefix of what
-// happened since, at any time; transactions are applied late, without an answer or not
-// at all; heartbeats are delayed; answers are dropped; direct launches are carried out
-// late; workers' leases end; controllers freeze (none of their steps need happen), are
-// cut off and crash; machines are deleted. Time is not counted: a lease may end at any
-// moment, and the owner may know it as soon as it must have.
+// The model has two controllers, two machines, one task, a state service that keeps its
+// history, and faults of the environment. A watch returns any prefix of the changes since
+// its last answer, at any time; transactions are applied late, without an answer or not at
+// all; heartbeats are delayed; answers are dropped; direct launches are executed late;
+// workers' leases end; controllers freeze (no step of theirs has to happen), are cut off
+// and crash; machines are deleted. The model has no clock: a lease may end at any time, and
+// its owner may conclude that it has ended as soon as it must have.
 //
-// The invariant is stronger than the rule that a task must not run twice: whatever runs
-// is what the records bind there, in that epoch.
+// The invariant is stronger than the rule that a task must not run twice: every running
+// attempt is the one that the records bind to that machine in that epoch.
 //
 // Throughout the model c is the index of a controller and m that of a machine.
 
@@ -24,24 +24,24 @@
 	revisions    = 12
 	attempts     = 3
 	incarnations = 2
-	maxLinks     = 3 // links that an ownership stands on, at the most
+	maxLinks     = 3 // the most links that an ownership depends on
 )
 
-// Keys of the state service: the machines' claims, then the task, then the failover
-// record of the group of each incarnation of each controller.
+// Keys of the state service: the machines' claims, then the task, then one failover
+// record for the group of each incarnation of each controller.
 const (
 	taskKey  = machines
 	groupKey = machines + 1
 	keys     = groupKey + controllers*incarnations
 )
 
-// change is one revision: of a claim or a failover record (owner, incarnation), of the
-// task (the other fields), or the job's cancellation.
+// change is the content of one revision: a claim or a failover record (owner, incarnation),
+// the task (the other fields), or the job's cancellation.
 type change struct {
 	key                     uint8 // counts from 1; 0: the job's cancellation
 	owner, incarnation      uint8 // owner counts from 1
 	bound                   bool
-	attempt, machine, epoch uint8 // of the task; attempt is the last one if it is not bound
+	attempt, machine, epoch uint8 // of the task; attempt is the last one if the task is not bound
 }
 
 func claimBy(c, incarnation, m uint8) change {
@@ -73,7 +73,7 @@
 
 func (k txnKind) String() string { return txnKindNames[k] }
 
-// outcome is what became of a transaction at the state service.
+// outcome is the result of a transaction at the state service.
 type outcome uint8
 
 const (
@@ -85,19 +85,19 @@
 type txn struct {
 	kind                                     txnKind
 	machine, attempt, epoch, ifTask, ifClaim uint8
-	ifLinks                                  [maxLinks]linkRevision // beside ifClaim
+	ifLinks                                  [maxLinks]linkRevision // checked together with ifClaim
 	group                                    uint8                  // the key that a failover writes
-	renewal                                  bool                   // the claim renews one of ours
+	renewal                                  bool                   // the claim renews one of the same controller
 	outcome                                  outcome
 }
 
-// linkRevision is a group's key and its record's revision; the zero value is none.
+// linkRevision is a group's key and the revision of its record; the zero value is no link.
 type linkRevision struct{ key, revision uint8 }
 
-// unconditional is the ifClaim of a transaction without a condition on the claim.
+// unconditional is the value of ifClaim in a transaction without a condition on the claim.
 const unconditional = 255
 
-// directLaunch is a launch under way; abandoned: its sender has given up on it.
+// directLaunch is a launch under way. It is abandoned once its sender has given up on it.
 type directLaunch struct {
 	pending, abandoned             bool
 	machine, token, epoch, attempt uint8
@@ -106,13 +106,13 @@
 // workerView is what a controller knows of a machine.
 type workerView struct {
 	tokenSeen, mirrorComplete, launchInDoubt, adopted bool
-	tokenSeenAtWatch                                  bool // the token was seen before the open watch was opened
+	tokenSeenAtWatch                                  bool // the token had been seen when the current watch was opened
 	epoch, sequence, answeredSequence, answeredEpoch  uint8
-	unanswered                                        uint8 // attempts with an unanswered direct launch, as bits
+	unanswered                                        uint8 // bit set of attempts with an unanswered direct launch
 	launchEpoch, launchSequence                       uint8 // of the newest answer to a direct launch
 }
 
-// proposal is a release that a controller wants to write, and on what evidence.
+// proposal is a release that a controller wants to write, and its evidence.
 type proposal struct {
 	proof                          Proof
 	machine, epoch, attempt, token uint8
@@ -125,18 +125,18 @@
 	views                                       [machines]workerView
 	proposal                                    proposal
 	claim, taskWrite, lateTxn                   txn
-	launches                                    [2]directLaunch // two at a time at the most
-	unwanted                                    bool
-	knowsCancelled                              bool // from the records or from a peer
+	launches                                    [2]directLaunch // at most two at a time
+	unwanted                                    bool            // the controller wants the task stopped
+	knowsCancelled                              bool            // learnt from the records or from a peer
 }
 
 type heartbeat struct {
-	pending, afterHorizon            bool // afterHorizon: sent when the horizon had passed, as a lease counts from the sending
+	pending, afterHorizon            bool // afterHorizon: sent after the horizon had passed, as a lease runs from the sending
 	receiver, epoch, sequence, token uint8
 	attempts                         [attempts + 1]attemptState
 }
 
-// attemptState is what an attempt is on a machine.
+// attemptState is the state of an attempt on a machine.
 type attemptState uint8
 
 const (
@@ -153,7 +153,7 @@
 type exchange struct {
 	heartbeat                   heartbeat
 	answered                    bool
-	token, launch, forget, kill uint8 // forget and kill: attempts as bits
+	token, launch, forget, kill uint8 // forget and kill are bit sets of attempts
 }
 
 type worker struct {
@@ -172,7 +172,7 @@
 	workers                    [machines]worker
 	crashes, deletions, delays uint8
 	failovers                  uint8
-	// The job's cancellation: committed, confirmed to its user; then the horizon passes, and then cancel_s.
+	// The stages of the job's cancellation: committed, confirmed to its user, past the horizon, past cancel_s.
 	cancelled, confirmed, horizonPassed, deadlinePassed bool
 }
 
@@ -184,7 +184,7 @@
 	reliable                                                                     bool // no message is lost and no lease ends
 }
 
-// current is a key's present value and its revision.
+// current returns a key's current value and its revision.
 func (s *world) current(key uint8) (change, uint8) {
 	for revision := s.revision; revision > 0; revision-- {
 		if s.history[revision].key == key+1 {
@@ -194,7 +194,7 @@
 	return change{}, 0
 }
 
-// known is a key's value as a controller knows it.
+// known returns the newest value of a key that a controller knows.
 func (s *world) known(c, key uint8) change {
 	if revision := s.controllers[c].known[key]; revision > 0 {
 		return s.history[revision]
@@ -207,20 +207,20 @@
 	s.history[s.revision] = ch
 }
 
-// model is the product's code in a bounded world, broken on purpose by its defects.
+// model runs the product's code in a bounded world, with deliberate defects.
 type model struct {
 	bounds  bounds
 	defects defect
 }
 
-// ownership is who owns a machine, as a controller knows it.
+// ownership is a machine's owner, as a controller knows it.
 type ownership struct {
 	owner, incarnation, token uint8 // owner counts from 1; 0: nobody
 	links                     [maxLinks]linkRevision
-	nextGroup                 uint8 // the key of the group by which it may pass on; 0: it can't
+	nextGroup                 uint8 // the key of the group with which the machine may fail over; 0: it can't
 }
 
-// The machines' name and zone: all of an incarnation's machines are in one group.
+// All machines have the same name and zone, so that an incarnation's machines are in one group.
 const (
 	workerName = "w"
 	workerZone = "z"
@@ -230,13 +230,13 @@
 	return failover.Holder{Node: string('0' + rune(c)), Incarnation: int64(incarnation), Epoch: 1}
 }
 
-// groupForKey is the group whose failover record is under a key.
+// groupForKey returns the group whose failover record is stored under a key.
 func groupForKey(key uint8) failover.Group {
 	at := key - groupKey
 	return failover.GroupOf(failoverHolder(at/incarnations, at%incarnations+1), workerName, workerZone)
 }
 
-// ownershipOf finds a machine's owner with the product's own table of failovers.
+// ownershipOf resolves a machine's owner with the product's own failover table.
 func (md *model) ownershipOf(s *world, c, m uint8) ownership {
 	self, claim := &s.controllers[c], s.known(c, m)
 	o := ownership{owner: claim.owner, incarnation: claim.incarnation, token: self.known[m]}
@@ -255,7 +255,8 @@
 	return o
 }
 
-// failoverTable is the table of failovers by what a controller knows, and the key of each group.
+// failoverTable builds the failover table from the records that a controller knows. It also
+// returns the key of each group.
 func (md *model) failoverTable(s *world, c uint8) (*failover.Table, map[failover.Group]uint8) {
 	self, table := &s.controllers[c], failover.NewTable()
 	table.Advance(uint64(self.appliedRevision))
@@ -274,5 +275,5 @@
 	return table, keyOf
 }
 
-// tokenOf is the fencing token under which a controller knows a machine to be owned.
+// tokenOf returns the fencing token of a machine's owner, as a controller knows it.
 func (md *model) tokenOf(s *world, c, m uint8) uint8 { return md.ownershipOf(s, c, m).token }
