--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,21 +1,21 @@
 // Package failover decides which controller owns a worker when the workers of one
-// controller pass to others by the group: one record, in place of a claim for each.
+// controller fail over to others in groups: one record per group replaces a claim for each worker.
 //
-// A worker's own claim names the controller that holds it, the incarnation of that process
-// and the epoch of its claims. All workers of one holder in one zone whose names hash alike
-// are a group. A record under the group's key makes another controller their holder; its
-// revision is the fencing token that they are told. A group passes on once: its key is
-// written only while it does not exist. What its new holder holds is in that one's groups,
-// so records form chains, each link newer than the one before.
+// A worker's own claim names the controller that holds the worker, the incarnation of that
+// process and the epoch of its claims. All workers of one holder in one zone whose names hash
+// to the same number form a group. A record under the group's key makes another controller
+// their holder; the record's revision is the workers' new fencing token. A group fails over at
+// most once: its key is written only while it does not exist. The workers then belong to groups
+// of their new holder, so records form chains in which each link is newer than the one before.
 //
-// A worker whose own claim is newer than the record is not concerned by it: it has left
-// the group, and comes back to none but by another record.
+// A record does not affect a worker whose own claim is newer than the record: the worker has
+// left the group, and joins a group again only through another record.
 //
-// A record is applied once the mirror is complete up to its revision, and not before. Until
-// then a claim of a single worker may be missing that was committed ahead of the record,
-// and the group's new holder would answer a worker that is another controller's.
+// A record is applied only once the mirror is complete up to its revision. Before that, the
+// mirror may lack a claim of a single worker that was committed before the record, and the
+// group's new holder would answer a worker that belongs to another controller.
 //
-// There is no I/O or clock in it, and no lock: a Table has one owner. docs/design.md,
+// The package uses no I/O, no clock and no lock: a Table has one owner. See docs/design.md,
 // "Taking workers over by the group".
 package failover
 
@@ -27,29 +27,29 @@
 	"strings"
 )
 
-// GroupsPerZone is into how many groups a holder's workers in one zone are divided. All
-// controllers must agree on it, as it is part of the records' keys: a few, so that a
-// failover costs few changes, and more than one, so that several controllers share it.
+// GroupsPerZone is the number of groups into which a holder's workers in one zone are divided.
+// All controllers must use the same number, since the records' keys depend on it. It is small, so
+// that a failover takes few writes, and more than one, so that several controllers share the workers.
 const GroupsPerZone = 4
 
-// Holder is one incarnation of a controller, with the epoch of its claims: it begins a new
-// epoch whenever a group of its workers has failed over, so that those which it claims
-// afterwards can fail over, too. Epochs count from 1; 0 is a claim of a version that knows of
-// no groups, whose workers never fail over by the group.
+// Holder is one incarnation of a controller, with the epoch of its claims. The controller begins
+// a new epoch whenever a group of its workers has failed over, so that workers which it claims
+// afterwards can fail over, too. Epochs count from 1. Epoch 0 marks a claim by a version without
+// groups, whose workers never fail over in groups.
 type Holder struct {
 	Node        string `json:"o"`
 	Incarnation int64  `json:"l"`
 	Epoch       int    `json:"e"`
 }
 
-// Group is a set of a holder's workers.
+// Group identifies a set of a holder's workers in one zone that fail over together.
 type Group struct {
 	Holder
 	Zone   string
 	Number int // from 0 to Groups-1
 }
 
-// Key is the group's place under the prefix of such records:
+// Key returns the key of the group's record below the prefix of failover records:
 // node/incarnation.epoch/zone/number.
 func (g Group) Key() string {
 	return strings.Join([]string{
@@ -60,7 +60,7 @@
 	}, "/")
 }
 
-// ParseKey reads what Key writes; ok is false for anything else.
+// ParseKey parses a key in the format of Key; ok is false for any other text.
 func ParseKey(key string) (g Group, ok bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 {
@@ -79,14 +79,14 @@
 	return g, g.Epoch > 0 && g.Number >= 0 && g.Number < GroupsPerZone
 }
 
-// GroupOf is the group that a worker of a holder is in.
+// GroupOf returns the group to which a holder's worker belongs.
 func GroupOf(holder Holder, worker, zone string) Group {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(worker))
 	return Group{Holder: holder, Zone: zone, Number: int(sum.Sum32() % GroupsPerZone)}
 }
 
-// Claim is who holds a worker, and the fencing token that says so.
+// Claim is a worker's holder and the fencing token under which it holds the worker.
 type Claim struct {
 	Holder
 	Token uint64
@@ -98,16 +98,17 @@
 	Revision uint64
 }
 
-// Ownership is who holds a worker by all records. Links are what that stands on beside the
-// worker's own claim: the groups by which it has passed, and last the one by which it
-// would pass next. Who holds the worker changes only with one of them or with the claim.
+// Ownership is a worker's holder after all records are applied. Links lists the groups with which
+// the worker has failed over, and last the group with which it would fail over next. The holder
+// depends on these links and the worker's own claim alone: it changes only if one of them changes.
 type Ownership struct {
 	Claim
 	Links []Link
 }
 
-// NextGroup is the group by which the worker would pass to another controller; ok is false if
-// it can't, as the group has passed on already or the claim knows of none.
+// NextGroup returns the group with which the worker would fail over to another controller. ok is
+// false if it can't: the group has failed over already, before the claim, or the claim is of a
+// version without groups.
 func (o Ownership) NextGroup() (g Group, ok bool) {
 	if len(o.Links) == 0 {
 		return g, false
@@ -116,5 +117,5 @@
 	return last.Group, last.Revision == 0
 }
 
-// FailedOver tells whether the worker has passed to its holder by a group.
+// FailedOver reports whether the worker came to its holder by a group's failover.
 func (o Ownership) FailedOver() bool { return len(o.Links) > 1 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -12,7 +12,7 @@
 		holder := Holder{rapid.String().Draw(t, "node"), rapid.Int64().Draw(t, "incarnation"), rapid.IntRange(1, 1000).Draw(t, "epoch")}
 		g := Group{holder, rapid.String().Draw(t, "zone"), rapid.IntRange(0, GroupsPerZone-1).Draw(t, "number")}
 		if got, ok := ParseKey(g.Key()); !ok || got != g {
-			t.Fatalf("%q: %+v %v, want %+v", g.Key(), got, ok, g)
+			t.Fatalf("ParseKey(%q) = %+v, %v, want %+v", g.Key(), got, ok, g)
 		}
 	})
 }
@@ -30,7 +30,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if g, ok := ParseKey(c.key); ok {
-				t.Errorf("%q: %+v", c.key, g)
+				t.Errorf("ParseKey accepts %q as %+v", c.key, g)
 			}
 		})
 	}
@@ -38,12 +38,12 @@
 
 const zone = "z"
 
-// history is a drawn sequence of claims and failovers, each with the next revision, as the state
-// service would commit them: a claim whenever it likes, a failover of a group that has no record.
+// history is a random sequence of claims and failovers, each with the next revision, in an order in
+// which the state service could commit them: claims at any time, failovers only of groups without a record.
 type history struct {
 	workers  []string
-	claims   map[string]Claim // the workers' own
-	owners   map[string]Claim // by the meaning of each step, one worker at a time
+	claims   map[string]Claim // the workers' own claims
+	owners   map[string]Claim // the expected owners, updated worker by worker at each step
 	records  map[Group]record
 	revision uint64
 }
@@ -75,7 +75,7 @@
 	return h, table
 }
 
-// failOver makes another the owner of all workers of a group, and of nobody else.
+// failOver makes the successor the owner of the workers of a group, and of no others.
 func (h *history) failOver(g Group, successor Holder) {
 	h.records[g] = record{successor, h.revision}
 	for _, worker := range h.workers {
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestResolveFollowsTheHistory: Resolve says what one step after the other comes to.
+// TestResolveFollowsTheHistory checks that Resolve, which follows the links of a worker's records, finds the
+// same owner as applying every claim and failover of a history one after the other.
 func TestResolveFollowsTheHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, table := randomHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
@@ -93,16 +94,16 @@
 		for _, worker := range h.workers {
 			if own := h.claims[worker]; own.Token != 0 {
 				if got := table.Resolve(worker, zone, own); got.Claim != h.owners[worker] {
-					t.Fatalf("%s: %+v, want %+v", worker, got, h.owners[worker])
+					t.Fatalf("the owner of %s is %+v, want %+v", worker, got, h.owners[worker])
 				}
 			}
 		}
 	})
 }
 
-// TestChangeOfOwnerChangesALink: whoever holds a worker, a later change of its owner changes a link
-// that it stands on, or its own claim, and gives a higher token. This is what makes conditions on
-// links and claim sufficient.
+// TestChangeOfOwnerChangesALink checks that a failover that changes a worker's owner changes one of the links that
+// the ownership depends on, and raises the token. Any other change of owner changes the worker's own claim, so
+// conditions on the links and the claim are sufficient; without this property they would miss a change of owner.
 func TestChangeOfOwnerChangesALink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, table := randomHistory(t, rapid.IntRange(1, 20).Draw(t, "steps"))
@@ -129,13 +130,13 @@
 		}
 		next, ok := before.NextGroup()
 		if !ok || next != g || after.Token <= before.Token || !after.FailedOver() {
-			t.Fatalf("%+v -> %+v by %+v", before, after, g)
+			t.Fatalf("ownership %+v became %+v by the failover of %+v", before, after, g)
 		}
 	})
 }
 
-// TestDeletingUnusedRecordsChangesNoOwner: a record that is not in use can go without a worker's
-// holder changing by it.
+// TestDeletingUnusedRecordsChangesNoOwner guards against deleting a record that a worker's ownership still
+// depends on: the worker would fall back to an earlier holder.
 func TestDeletingUnusedRecordsChangesNoOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, table := randomHistory(t, rapid.IntRange(1, 40).Draw(t, "steps"))
@@ -153,32 +154,33 @@
 		}
 		for _, worker := range h.workers {
 			if own := h.claims[worker]; own.Token != 0 && table.Resolve(worker, zone, own).Claim != h.owners[worker] {
-				t.Fatalf("%s changed its owner as a record went", worker)
+				t.Fatalf("the owner of %s changed when unused records were deleted", worker)
 			}
 		}
 	})
 }
 
-// TestClaimsOfEarlierVersionsNeverFailOver: workers whose holder knows of no groups are never concerned.
+// TestClaimsOfEarlierVersionsNeverFailOver checks that a record does not affect workers whose claim is of a
+// version without groups (epoch 0).
 func TestClaimsOfEarlierVersionsNeverFailOver(t *testing.T) {
 	table := NewTable()
 	table.Advance(10)
 	table.Put(GroupOf(Holder{"a", 1, 1}, "i-1", zone), Holder{"b", 1, 1}, 7)
 	owner := table.Resolve("i-1", zone, Claim{Holder{"a", 1, 0}, 3})
 	if _, ok := owner.NextGroup(); ok || owner.Token != 3 || len(owner.Links) > 0 {
-		t.Errorf("%+v", owner)
+		t.Errorf("a claim of epoch 0 resolves to %+v", owner)
 	}
 }
 
 func TestNextEpochIsAboveThoseThatFailedOver(t *testing.T) {
 	table := NewTable()
 	if table.NextEpoch("a", 1) != 1 {
-		t.Error("epochs count from 1")
+		t.Error("the first epoch is not 1")
 	}
 	pending := Group{Holder{"a", 1, 3}, zone, 0}
 	table.Put(pending, Holder{"b", 1, 1}, 9)
 	if !table.Pending(pending) {
-		t.Error("a record that is newer than the mirror is applied")
+		t.Error("a record newer than the mirror is not pending")
 	}
 	for _, c := range []struct {
 		name        string
--- a/internal/failover/table.go
+++ b/internal/failover/table.go
@@ -1,6 +1,6 @@
 package failover
 
-// record makes another controller the holder of a group's workers.
+// record is a failover record: it makes the successor the holder of a group's workers.
 type record struct {
 	successor Holder
 	revision  uint64
@@ -10,16 +10,17 @@
 type Table struct {
 	appliedRevision uint64
 	applied         map[Group]record
-	pending         map[Group]record // newer than the revision up to which the mirror is complete
+	pending         map[Group]record // records newer than appliedRevision
 }
 
-// NewTable makes a table without records.
+// NewTable returns a table without records.
 func NewTable() *Table {
 	return &Table{applied: map[Group]record{}, pending: map[Group]record{}}
 }
 
-// Put takes a group's record, and tells whether the holder of a worker may have changed by it.
-// One that is newer than the mirror is complete is pending until Advance reaches it.
+// Put stores a group's record and reports whether a worker's holder may have changed.
+// A record newer than the revision up to which the mirror is complete stays pending until
+// Advance reaches its revision.
 func (t *Table) Put(g Group, successor Holder, revision uint64) bool {
 	if revision > t.appliedRevision {
 		t.pending[g] = record{successor, revision}
@@ -29,8 +30,7 @@
 	return true
 }
 
-// Delete takes that a group's record is gone, and tells whether the holder of a worker may have
-// changed by it.
+// Delete removes a group's record and reports whether a worker's holder may have changed.
 func (t *Table) Delete(g Group) bool {
 	delete(t.pending, g)
 	_, existed := t.applied[g]
@@ -38,8 +38,8 @@
 	return existed
 }
 
-// Advance takes up to which revision the mirror is complete, and returns the groups whose
-// records are applied from now on, in no order.
+// Advance records that the mirror is complete up to a revision. It returns the groups whose
+// pending records are now applied, in no particular order.
 func (t *Table) Advance(revision uint64) (applied []Group) {
 	t.appliedRevision = max(t.appliedRevision, revision)
 	for g, r := range t.pending {
@@ -52,13 +52,13 @@
 	return applied
 }
 
-// Pending tells whether a record of the group is known and not applied yet.
+// Pending reports whether a record of the group is known but not applied yet.
 func (t *Table) Pending(g Group) bool {
 	_, ok := t.pending[g]
 	return ok
 }
 
-// Resolve tells who holds a worker whose own claim is given.
+// Resolve returns the ownership of a worker, given the worker's own claim.
 func (t *Table) Resolve(worker, zone string, own Claim) Ownership {
 	o := Ownership{Claim: own}
 	for o.Epoch > 0 {
@@ -66,15 +66,15 @@
 		r := t.applied[g]
 		o.Links = append(o.Links, Link{g, r.revision})
 		if r.revision <= o.Token {
-			break // none, or older than the claim
+			break // no record, or one older than the claim
 		}
 		o.Claim = Claim{r.successor, r.revision}
 	}
 	return o
 }
 
-// NextEpoch is the epoch of an incarnation's next claims: above that of all its groups that have
-// failed over, by records that are applied or pending.
+// NextEpoch returns the epoch for an incarnation's next claims. It is higher than the epoch of every
+// group of the incarnation that has an applied or pending failover record.
 func (t *Table) NextEpoch(node string, incarnation int64) int {
 	epoch := 1
 	for _, records := range []map[Group]record{t.applied, t.pending} {
@@ -87,8 +87,8 @@
 	return epoch
 }
 
-// Unused lists the groups whose applied records no worker's holder stands on, in no order. inUse
-// has every group in the links of every worker.
+// Unused returns the groups whose applied records no worker's ownership depends on, in no particular
+// order. inUse holds every group in the links of every worker.
 func (t *Table) Unused(inUse map[Group]bool) (unused []Group) {
 	for g := range t.applied {
 		if !inUse[g] {
@@ -98,8 +98,8 @@
 	return unused
 }
 
-// Revision is the revision of a group's applied record, 0 if there is none.
+// Revision returns the revision of a group's applied record, 0 if there is none.
 func (t *Table) Revision(g Group) uint64 { return t.applied[g].revision }
 
-// Len is how many records there are, applied and pending.
+// Len returns the number of records, applied and pending.
 func (t *Table) Len() int { return len(t.applied) + len(t.pending) }
