--- a/internal/completionlog/completion.go
+++ b/internal/completionlog/completion.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// Task names a task of a job.
+// Task identifies a task of a job.
 type Task struct {
 	Job   string
-	Index int // from 0
+	Index int // counts from 0
 }
 
 // Completion is an attempt that has completed.
 type Completion struct {
 	Task
-	Attempt int // from 1
+	Attempt int // counts from 1
 	Machine string
-	Epoch   uint64 // the agent's epoch in which it ran
+	Epoch   uint64 // the agent's epoch in which the attempt ran
 }
 
-// String is the completion as records hold it: job/index.attempt machine epoch.
+// String returns the completion as it is stored in records: job/index.attempt machine epoch.
 func (c Completion) String() string {
 	return c.Job + "/" + strconv.Itoa(c.Index) + "." + strconv.Itoa(c.Attempt) + " " + c.Machine + " " + strconv.FormatUint(c.Epoch, 10)
 }
 
-// errMalformed says that a record's entry is not what String writes.
+// errMalformed is the error for text that is not in the format of Completion.String.
 var errMalformed = errors.New("not a completion")
 
-// Parse reads what String writes.
+// Parse parses a completion in the format of Completion.String.
 func Parse(s string) (Completion, error) {
 	c, ok := parse(s)
 	if !ok {
@@ -59,7 +59,7 @@
 	return c, c.Job != "" && c.Machine != "" && c.Index >= 0 && c.Attempt >= 1
 }
 
-// Record is what a key of the log holds: completions as String writes them.
+// Record is the value of one key of the log: completions in the format of Completion.String.
 type Record struct {
 	Completions []string `json:"e"`
 }
--- a/internal/completionlog/completion_test.go
+++ b/internal/completionlog/completion_test.go
@@ -16,7 +16,7 @@
 			Epoch:   rapid.Uint64().Draw(t, "epoch"),
 		}
 		if got, err := Parse(c.String()); err != nil || got != c {
-			t.Fatalf("%s: %+v %v", c, got, err)
+			t.Fatalf("Parse(%s) = %+v, %v", c, got, err)
 		}
 	})
 }
@@ -35,7 +35,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, err := Parse(c.text); !errors.Is(err, errMalformed) || got != (Completion{}) {
-				t.Errorf("%q: %+v, %v", c.text, got, err)
+				t.Errorf("Parse(%q) = %+v, %v, want errMalformed", c.text, got, err)
 			}
 		})
 	}
--- a/internal/completionlog/log.go
+++ b/internal/completionlog/log.go
@@ -1,14 +1,14 @@
-// Package completionlog keeps a log of attempts that have completed: a controller writes
-// what it has found, of all jobs, in one record, in place of a write of each task's page.
+// Package completionlog keeps a log of completed attempts: a controller writes the completions
+// that it has found, of all jobs, in one record instead of writing each task's page.
 //
-// An entry names the attempt: job, task, number, machine and agent epoch. That it has
-// completed stays true, whoever owns the machine, so an entry needs no condition, and one
-// that is written late or twice changes nothing. Readers hold a task to have completed
-// that a page binds and an entry names. A page takes the entry in when it is written for
-// another reason, or after a while; when all pages have, or their jobs are over, the
-// record is deleted.
+// An entry names the attempt by job, task, number, machine and agent epoch. That the attempt
+// has completed remains true under any owner of the machine, so an entry is written without a
+// condition, and writing it late or twice changes nothing. Readers treat a task as completed if
+// its page binds the attempt that an entry names. A page absorbs its entries when it is written
+// for another reason, or after some time. Once all pages have absorbed a record's entries, or
+// their jobs are over, the record is deleted.
 //
-// There is no I/O or clock in it, and no lock: a Log has one owner. docs/design.md, "The
+// The package uses no I/O, no clock and no lock: a Log has one owner. See docs/design.md, "The
 // log of endings".
 package completionlog
 
@@ -20,26 +20,26 @@
 	"time"
 )
 
-// record is a record of the log with the completions that no page has taken in yet.
+// record is a record of the log with its open completions: those that no page has absorbed yet.
 type record struct {
-	addedAt time.Duration // when it came to be known
+	addedAt time.Duration // when Add received the record
 	open    map[Task]Completion
 }
 
 // Log holds the records. The zero value is not usable; see NewLog.
 type Log struct {
 	records map[string]*record
-	// byTask has the names of the records that have an open completion of a task, by job and index.
+	// byTask holds, by job and task index, the names of the records with an open completion of the task.
 	byTask map[string]map[int][]string
 }
 
-// NewLog makes an empty log.
+// NewLog returns an empty log.
 func NewLog() *Log {
 	return &Log{records: map[string]*record{}, byTask: map[string]map[int][]string{}}
 }
 
-// Add takes a record that came to be known now, and returns its completions. What is not a
-// completion in it is passed over; so is a record of a name that is known, as records never change.
+// Add adds a record that became known at the time now, and returns its completions. It skips
+// malformed entries, and ignores a record whose name is known, as records never change.
 func (l *Log) Add(name string, r Record, now time.Duration) (added []Completion) {
 	if l.records[name] != nil {
 		return nil
@@ -61,7 +61,7 @@
 	return added
 }
 
-// Remove takes that a record is deleted.
+// Remove removes a record that has been deleted from the state service.
 func (l *Log) Remove(name string) {
 	rec := l.records[name]
 	if rec == nil {
@@ -73,7 +73,7 @@
 	delete(l.records, name)
 }
 
-// removeFromIndex takes a record off the index of a task.
+// removeFromIndex removes a record's name from byTask for a task.
 func (l *Log) removeFromIndex(task Task, name string) {
 	names := slices.DeleteFunc(l.byTask[task.Job][task.Index], func(n string) bool { return n == name })
 	if len(names) > 0 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// Has tells whether an attempt is in the log.
+// Has reports whether the log holds an open completion.
 func (l *Log) Has(c Completion) bool {
 	for _, name := range l.byTask[c.Job][c.Index] {
 		if l.records[name].open[c.Task] == c {
@@ -96,7 +96,7 @@
 	return false
 }
 
-// HasLaterAttempt tells whether the log has an attempt of a task after the one of that number.
+// HasLaterAttempt reports whether the log holds an open completion of a later attempt of a task.
 func (l *Log) HasLaterAttempt(task Task, attempt int) bool {
 	for _, name := range l.byTask[task.Job][task.Index] {
 		if l.records[name].open[task].Attempt > attempt {
@@ -106,11 +106,11 @@
 	return false
 }
 
-// TasksOf lists the tasks of a job that are in the log, in order.
+// TasksOf returns the indexes of a job's tasks with open completions, in ascending order.
 func (l *Log) TasksOf(job string) []int { return slices.Sorted(maps.Keys(l.byTask[job])) }
 
-// Settle takes that a task's page shows a later state than any completion of it, or has taken it
-// in. A page that binds a later attempt is not concerned by completions of earlier ones.
+// Settle removes a task's open completions from the log, because the task's page has absorbed them
+// or shows a later state. Completions of earlier attempts do not affect a page that binds a later one.
 func (l *Log) Settle(task Task) {
 	for _, name := range slices.Clone(l.byTask[task.Job][task.Index]) {
 		delete(l.records[name].open, task)
@@ -118,14 +118,15 @@
 	}
 }
 
-// SettleJob takes that a job is over.
+// SettleJob removes the open completions of all tasks of a job, because the job is over.
 func (l *Log) SettleJob(job string) {
 	for _, index := range l.TasksOf(job) {
 		l.Settle(Task{job, index})
 	}
 }
 
-// Settled lists the records of which no completion is open, in order. They may be deleted.
+// Settled returns the names of the records without open completions, in order. These records may be
+// deleted.
 func (l *Log) Settled() (names []string) {
 	for name, rec := range l.records {
 		if len(rec.open) == 0 {
@@ -136,8 +137,8 @@
 	return names
 }
 
-// OpenBefore lists the tasks with an open completion in a record that was known before a time, in
-// order; a task is listed once for each such record.
+// OpenBefore returns the tasks with an open completion in a record that was added before a given
+// time, in order. A task appears once for each such record.
 func (l *Log) OpenBefore(before time.Duration) (tasks []Task) {
 	for _, rec := range l.records {
 		if rec.addedAt < before {
@@ -150,5 +151,5 @@
 	return tasks
 }
 
-// Len is how many records there are.
+// Len returns the number of records.
 func (l *Log) Len() int { return len(l.records) }
--- a/internal/completionlog/log_test.go
+++ b/internal/completionlog/log_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// referenceLog is the open completions of each record, as a list.
+// referenceLog is a simple implementation of the log: a list of the open completions of each record.
 type referenceLog map[string][]Completion
 
-// add takes a record, of whose completions of one task the first is meant.
+// add adds a record with the first of the given completions of each task, and returns it.
 func (ref referenceLog) add(name string, completions []Completion) Record {
 	var rec Record
 	var unique []Completion
@@ -57,7 +57,8 @@
 	return Completion{task, rapid.IntRange(1, 2).Draw(t, "attempt"), "m", 1}
 }
 
-// TestLogMatchesReference takes both through drawn additions, settlements and removals.
+// TestLogMatchesReference applies the same random additions, settlements and removals to a Log and a
+// referenceLog. It guards against an index by task that differs from the records.
 func TestLogMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, reference := NewLog(), referenceLog{}
@@ -82,21 +83,22 @@
 				reference.drop(func(c Completion) bool { return c.Job == job })
 			}
 			if got, want := l.Settled(), reference.settled(); !slices.Equal(got, want) {
-				t.Fatalf("settled: %v, want %v", got, want)
+				t.Fatalf("settled records are %v, want %v", got, want)
 			}
 			if c := completions.Draw(t, "asked"); l.Has(c) != reference.has(c) || l.Len() != len(reference) {
-				t.Fatalf("%s: %v, want %v; %d records, want %d", c, l.Has(c), reference.has(c), l.Len(), len(reference))
+				t.Fatalf("Has(%s) = %v, want %v; %d records, want %d", c, l.Has(c), reference.has(c), l.Len(), len(reference))
 			}
 		}
 	})
 }
 
-// TestOpenBeforeListsTasksOfOldRecords: entries that are no completions are passed over.
+// TestOpenBeforeListsTasksOfOldRecords checks that OpenBefore returns the tasks of old records alone, in
+// order, and that Add skips a malformed entry.
 func TestOpenBeforeListsTasksOfOldRecords(t *testing.T) {
 	l := NewLog()
 	l.Add("a", Record{[]string{"wk-000002/1.1 m 1", "odd", "wk-000001/3.1 m 1"}}, time.Second)
 	l.Add("b", Record{[]string{"wk-000001/0.1 m 1"}}, time.Minute)
 	if got := l.OpenBefore(2 * time.Second); !slices.Equal(got, []Task{{"wk-000001", 3}, {"wk-000002", 1}}) {
-		t.Errorf("%v", got)
+		t.Errorf("open tasks are %v", got)
 	}
 }
