--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -1,40 +1,41 @@
-// Package faultattribution tells machines that are faulty from jobs that fail on every machine.
+// Package faultattribution distinguishes faulty machines from jobs that fail on every machine.
 //
-// A task that fails says that one of the two is faulty, and not which. A job that was
-// submitted with a mistake fails wherever it runs until its user cancels it; taken for
-// the machines' fault, a few such jobs have healthy machines returned one after the
-// other, with all that others run there. These are decisions alone, of what the records
-// show to every controller alike: no state, no I/O, no clock.
+// A failed task shows that either its machine or its job is faulty, but not which. A job that
+// was submitted with a mistake fails wherever it runs until its user cancels it. If the machines
+// were blamed for that, a few such jobs would cause healthy machines to be returned to the cloud
+// one after the other, together with the tasks of other jobs on them. The functions are pure:
+// they decide on data that the records show to every controller alike, and use no state, no I/O
+// and no clock.
 package faultattribution
 
 import "time"
 
-// Job is what is known of a job of which a task has failed.
+// Job summarizes the failures of a job of which a task has failed.
 type Job struct {
-	Machines int  // on which tasks of it failed
-	Rounds   int  // the most failures of one of its tasks
-	Finished int  // tasks that have completed
-	Settled  bool // it had time to fail elsewhere too, see Settles
+	Machines int  // number of machines on which tasks of the job failed
+	Rounds   int  // the most failures of any one task of the job
+	Finished int  // number of completed tasks
+	Settled  bool // the job has had time to fail on a second machine, see Settles
 }
 
-// Settles is how long after a job's first failure, in heartbeat intervals of workers, a job that
-// fails everywhere has most likely failed on a second machine.
+// Settles is the time after a job's first failure, in heartbeat intervals of workers, by which a
+// job that fails everywhere has most likely failed on a second machine.
 const Settles = 3
 
-// Suspect tells whether the job itself seems to be at fault: it failed on more than one
-// machine, and nothing of it has ever completed.
+// Suspect reports whether the job itself seems to be at fault: it failed on more than one
+// machine, and none of its tasks has ever completed.
 func (j Job) Suspect() bool { return j.Machines > 1 && j.Finished == 0 }
 
-// Weights of a job's failure on a machine, in halves.
+// Weights of a job's failure as evidence against a machine, in halves.
 const (
 	noWeight   = 0
 	halfWeight = 1
 	fullWeight = 2
 )
 
-// weight is how much a failure of the job says against the machine: nothing if the job is
-// suspect, or may become so within moments; a whole if it is known to work; a half if it has
-// failed only here, for it may still fail everywhere.
+// weight returns the weight of the job's failure as evidence against the machine: none if the
+// job is suspect, or may soon become so; full if the job is known to work; half if it has failed
+// on this machine alone, as it may still fail everywhere.
 func (j Job) weight() int {
 	switch {
 	case j.Suspect():
@@ -47,11 +48,11 @@
 	return noWeight
 }
 
-// faultyWeight is the weight, in halves, from which a machine counts as faulty: two jobs
-// that work, one that works and one that nothing is known of, or three of those.
+// faultyWeight is the total weight, in halves, from which a machine counts as faulty: two jobs
+// known to work, one known to work and one not known to work, or three not known to work.
 const faultyWeight = 3
 
-// Faulty tells whether a machine is at fault, given the jobs that failed on it.
+// Faulty reports whether a machine is faulty, given the jobs that failed on it.
 func Faulty(jobs []Job) bool {
 	sum := 0
 	for _, j := range jobs {
@@ -60,12 +61,13 @@
 	return sum >= faultyWeight
 }
 
-// maxDoublings bounds how often a pause is doubled.
+// maxDoublings bounds how often the backoff is doubled.
 const maxDoublings = 6
 
-// Pause is the backoff of a job that has failed, before it is tried again, given the heartbeat
-// interval of workers: one that failed on one machine alone does not wait, another longer and
-// longer, so that it does not churn machines, up to 64 intervals.
+// Pause returns the backoff before a failed job is retried, given the heartbeat interval of
+// workers. A job that failed on one machine alone is retried at once. For any other job the
+// backoff doubles with each failure, up to 64 intervals, so that its retries don't churn
+// machines.
 func (j Job) Pause(interval time.Duration) time.Duration {
 	if j.Machines < 2 {
 		return 0
@@ -73,8 +75,9 @@
 	return interval << min(max(j.Rounds, 1), maxDoublings)
 }
 
-// AtOnce is how many tasks of the job may be starting at a time, of as many as may
-// otherwise: a suspect job is tried with one, and whole again once that completes.
+// AtOnce returns how many tasks of the job may be starting at a time. otherwise is the number
+// for a job that is not suspect. A suspect job is tried with one task; once that task completes,
+// the job is no longer suspect.
 func (j Job) AtOnce(otherwise int) int {
 	if j.Suspect() {
 		return min(1, otherwise)
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// TestFaultyCountsJobsThatMayWork draws jobs that failed on a machine.
+// TestFaultyCountsJobsThatMayWork generates jobs that failed on a machine. It guards against blaming a machine for
+// jobs that fail everywhere, and against overlooking a faulty machine.
 func TestFaultyCountsJobsThatMayWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := rapid.SliceOf(rapid.Custom(randomJob)).Draw(t, "jobs")
@@ -35,10 +36,10 @@
 			t.Error("jobs that fail everywhere count against a machine")
 		}
 		if (working >= 2 || len(counted) >= 3) != faulty && !(working == 1 && len(counted) == 2) {
-			t.Errorf("%d jobs that work and %d that nothing is known of: faulty %v", working, len(counted)-working, faulty)
+			t.Errorf("%d jobs known to work and %d others that count: faulty is %v", working, len(counted)-working, faulty)
 		}
 		if faulty && !Faulty(append(jobs, randomJob(t))) {
-			t.Error("one more failure acquits a machine")
+			t.Error("a faulty machine is no longer faulty after one more failure")
 		}
 	})
 }
@@ -66,14 +67,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Faulty(c.jobs); got != c.want {
-				t.Errorf("faulty %v, want %v", got, c.want)
+				t.Errorf("faulty is %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// TestPauseGrowsUpToABound guards against jobs that churn machines, and against pauses that
-// never end.
+// TestPauseGrowsUpToABound guards against jobs whose retries churn machines, and against
+// backoffs without a limit.
 func TestPauseGrowsUpToABound(t *testing.T) {
 	const interval = 4 * time.Second
 	if p := (Job{Machines: 1, Rounds: 9}).Pause(interval); p != 0 {
@@ -83,7 +84,7 @@
 	for rounds := range 200 {
 		p := (Job{Machines: 2, Rounds: rounds}).Pause(interval)
 		if p < last || p < 2*interval || p > 64*interval {
-			t.Errorf("after %d rounds the pause is %v, before it was %v", rounds, p, last)
+			t.Errorf("after %d failures the backoff is %v, the previous one was %v", rounds, p, last)
 		}
 		last = p
 	}
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,6 +1,6 @@
-// Package goldentest helps tests to compare with golden files: files that an earlier
-// build wrote, in the forms that other controllers, records and recordings hold. Only
-// tests import it.
+// Package goldentest helps tests to compare data with golden files. An earlier build wrote these
+// files, in the formats that other controllers, records and recordings use. Only tests import
+// the package.
 package goldentest
 
 import (
@@ -11,16 +11,17 @@
 	"testing"
 )
 
-// UpdateVariable is the environment variable that, set to 1, has golden files written
-// anew. That is for a new format only: files in service were written by the builds before.
+// UpdateVariable is the environment variable that, set to 1, makes tests rewrite golden files.
+// It is only for new formats: the data in service was written by earlier builds, and the
+// existing golden files stand for it.
 const UpdateVariable = "GOLDEN_UPDATE"
 
-// Updating tells whether golden files are to be written anew.
+// Updating reports whether tests rewrite golden files.
 func Updating() bool { return os.Getenv(UpdateVariable) == "1" }
 
-// File returns the golden file at a path, relative to the test's package and with
-// slashes, after writing it with content() if Updating. It does not call content
-// otherwise.
+// File returns the contents of the golden file at a path, relative to the test's package and
+// with slashes. If Updating, it first writes the file with the result of content; otherwise it
+// does not call content.
 func File(t testing.TB, path string, content func() []byte) []byte {
 	t.Helper()
 	if Updating() {
@@ -29,17 +30,17 @@
 	return Read(t, path)
 }
 
-// Read returns the golden file at a path.
+// Read returns the contents of the golden file at a path.
 func Read(t testing.TB, path string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.FromSlash(path))
 	if err != nil {
-		t.Fatalf("%v (%s=1 writes it)", err, UpdateVariable)
+		t.Fatalf("%v (set %s=1 to write the file)", err, UpdateVariable)
 	}
 	return data
 }
 
-// Write writes the golden file at a path, and makes its directory. Tests call it only
+// Write writes the golden file at a path and creates its directory. Tests call it only
 // when Updating.
 func Write(t testing.TB, path string, data []byte) {
 	t.Helper()
@@ -52,17 +53,17 @@
 	}
 }
 
-// RequireNoZeroFields fails the test if an exported field of v, or of what v holds, has
-// no value: a golden file made of v would not show it.
+// RequireNoZeroFields fails the test if an exported field of v, or of a value within v, is
+// zero: a golden file made from v would not cover that field.
 func RequireNoZeroFields(t testing.TB, what string, v any) {
 	t.Helper()
 	if zero := ZeroFields(what, reflect.ValueOf(v)); len(zero) > 0 {
-		t.Errorf("without a value: %v", zero)
+		t.Errorf("fields without a value: %v", zero)
 	}
 }
 
-// ZeroFields lists the exported fields and the elements of slices below v that have no
-// value, each with the way to it, which begins with path.
+// ZeroFields returns the paths of the exported fields and slice elements within v that have
+// no value. Each path begins with path.
 func ZeroFields(path string, v reflect.Value) []string {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -15,7 +15,7 @@
 	}
 	t.Setenv(UpdateVariable, "")
 	content := func() []byte {
-		t.Error("the content is made without an update")
+		t.Error("File calls content without an update")
 		return nil
 	}
 	if got := File(t, path, content); string(got) != "first" {
@@ -57,7 +57,7 @@
 			value := full()
 			test.change(&value)
 			if got := ZeroFields("o", reflect.ValueOf(value)); !slices.Equal(got, test.want) {
-				t.Errorf("found %v, not %v", got, test.want)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,11 +1,11 @@
 // Package modelcheck explores all states that a small model can reach, breadth first,
-// and tells how one that breaks the model's invariant is reached in the fewest steps.
+// and returns a shortest sequence of steps to a state that violates the model's invariant.
 //
-// It is an explicit-state checker for protocols: the model holds processes, messages under
-// way and what the environment may do to them, and calls the product's own decisions. States
-// are remembered by a hash of 64 bits, which lets tens of millions fit; with ten million
-// the chance that two share one, and that a state is passed over, is about 3 in a
-// million.
+// It is an explicit-state checker for protocols: the model holds processes, messages in
+// flight and the faults of their environment, and calls the product's own functions for
+// decisions. Visited states are stored as 64-bit hashes, so that tens of millions fit in
+// memory. With ten million states the probability that two have the same hash, and that one
+// of them is therefore skipped, is about 3 in a million.
 package modelcheck
 
 import (
@@ -14,29 +14,29 @@
 	"strings"
 )
 
-// Model is what is explored. S holds a whole state in values, without pointers.
+// Model describes the system to explore. S holds a complete state in values, without pointers.
 type Model[S comparable] struct {
 	Start S
-	// Next calls to with each successor of a state, in an order that depends on the
+	// Next calls emit with each successor of a state, in an order that depends on the
 	// state alone. A state has at most 65,535 successors.
 	Next func(s *S, emit func(S))
-	// Broken says which invariant a state breaks, "" if none.
+	// Broken describes the invariant that a state violates, "" if none.
 	Broken func(s *S) string
-	// Label says in a few words what led from one state to the next, for traces.
+	// Label describes in a few words the step from one state to the next, for traces.
 	Label func(from, to *S) string
 }
 
 // Result is what an exploration found.
 type Result struct {
-	States int      // states seen
-	Steps  int      // steps tried
-	Depth  int      // of the farthest state
-	Whole  bool     // every state was seen, none was left out for the limit
-	Broken string   // the first invariant that was broken, "" if none
-	Trace  []string // the labels of the steps that lead there
+	States int      // number of states visited
+	Steps  int      // number of steps tried
+	Depth  int      // number of levels that were expanded
+	Whole  bool     // no state was skipped because of the limit
+	Broken string   // the first violation of an invariant, "" if none
+	Trace  []string // the labels of the steps that lead to the violation
 }
 
-// String is the result in one line, followed by the steps that lead to the broken invariant.
+// String returns the result in one line, followed by the steps that lead to the violation, if any.
 func (r Result) String() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Whole)
@@ -50,10 +50,10 @@
 	return out.String()
 }
 
-// origin is how a state was first reached: from which, by which of its steps.
+// origin records how a state was first reached: from which state and by which of its steps.
 type origin struct {
-	from uint32 // the number of that state, in the order in which they were seen
-	step uint16 // counts from 1
+	from uint32 // the number of the state, in the order of visits
+	step uint16 // the step's number, counted from 1
 }
 
 // node is a state on the frontier.
@@ -62,17 +62,17 @@
 	id    uint32
 }
 
-// explorer is an exploration under way.
+// explorer holds the progress of an exploration.
 type explorer[S comparable] struct {
 	model   Model[S]
 	limit   int
 	seed    maphash.Seed
 	seen    map[uint64]struct{}
-	origins []origin // by the states' numbers
+	origins []origin // indexed by the states' numbers
 	result  Result
 }
 
-// Run explores up to limit states, and stops at the first that breaks an invariant.
+// Run explores up to limit states, and stops at the first state that violates an invariant.
 func Run[S comparable](m Model[S], limit int) Result {
 	seed := maphash.MakeSeed()
 	e := explorer[S]{
@@ -90,7 +90,7 @@
 	return e.result
 }
 
-// expand takes the states of one depth and returns the new ones of the next.
+// expand tries all steps from the states of one depth and returns the new states of the next depth.
 func (e *explorer[S]) expand(level []node[S]) (next []node[S]) {
 	for i := range level {
 		n, step := &level[i], uint16(0)
@@ -107,7 +107,8 @@
 	return next
 }
 
-// visit takes a state that a step leads to; ok is whether it is new and within the limit.
+// visit records a state that a step leads to. ok is false if the state is known or exceeds the
+// limit, or if a violation has been found already.
 func (e *explorer[S]) visit(state S, from origin) (id uint32, ok bool) {
 	r := &e.result
 	r.Steps++
@@ -129,7 +130,7 @@
 	return id, true
 }
 
-// trace goes to a state again, by the steps noted, and labels them.
+// trace replays the recorded steps to a state and returns their labels.
 func (e *explorer[S]) trace(id uint32) []string {
 	var steps []uint16
 	for ; id != 0; id = e.origins[id].from {
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// jugs is the puzzle of two jugs that hold 3 and 5, of which one is to measure a goal: an
-// exploration has to find the shortest way.
+// jugs is the state of the water jug puzzle: one jug holds 3 units and one 5, and the goal is an
+// exact amount in the larger one. An exploration has to find the shortest solution.
 type jugs struct{ three, five int }
 
 func puzzle(goal int) Model[jugs] {
@@ -34,21 +34,21 @@
 func TestRunFindsTheShortestTrace(t *testing.T) {
 	r := Run(puzzle(4), 1000)
 	if r.Broken != "the goal" || len(r.Trace) != 6 {
-		t.Fatalf("four are measured in six steps: %v", r)
+		t.Fatalf("no solution in six steps for an amount of four: %v", r)
 	}
 	if last := r.Trace[5]; last != "{2 5} to {3 4}" {
-		t.Errorf("the last step is %s", last)
+		t.Errorf("the last step is %s, want {2 5} to {3 4}", last)
 	}
 }
 
 func TestRunSeesEveryState(t *testing.T) {
 	if r := Run(puzzle(6), 1000); r.Broken != "" || !r.Whole || r.States != 16 {
-		t.Errorf("sixteen states can be reached and six can't be measured: %v", r)
+		t.Errorf("want all sixteen states and no solution for an amount of six: %v", r)
 	}
 }
 
 func TestRunKeepsItsLimit(t *testing.T) {
 	if r := Run(puzzle(6), 10); r.Whole || r.States != 10 {
-		t.Errorf("a limit of ten is kept and told: %v", r)
+		t.Errorf("want ten states and a result that is not whole: %v", r)
 	}
 }
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest runs a package's tests with generated inputs from a fixed seed, so
-// that a verdict repeats. -rapid.seed on the command line chooses another.
+// Package proptest runs a package's property tests with inputs generated from a fixed seed, so
+// that every run has the same result. The flag -rapid.seed selects another seed.
 package proptest
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Main is what a package's TestMain calls.
+// Main sets the seed, runs the tests and exits. A package's TestMain calls it.
 func Main(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261201")
 	os.Exit(m.Run())
