--- a/internal/fencing/model_trace_test.go
+++ b/internal/fencing/model_trace_test.go
@@ -62,7 +62,7 @@
 		was, is bool
 		text    string
 	}{
-		{before.confirmed, after.confirmed, "its user is told"},
+		{before.confirmed, after.confirmed, "the cancellation is confirmed to its user"},
 		{before.horizonPassed, after.horizonPassed, "the horizon passes"},
 		{before.deadlinePassed, after.deadlinePassed, "cancel_s passes"},
 	} {
@@ -98,7 +98,7 @@
 	tr.describeTxn(c, before.claim, after.claim)
 	tr.describeTxn(c, before.taskWrite, after.taskWrite)
 	if before.lateTxn.kind == noTxn && after.lateTxn.kind != noTxn {
-		tr.addf("controller %d gives up on a %v, which may come late", c, after.lateTxn.kind)
+		tr.addf("controller %d gives up on a %v, which may be applied late", c, after.lateTxn.kind)
 	}
 	for i := range before.launches {
 		tr.describeLaunch(c, before.launches[i], after.launches[i])
@@ -115,7 +115,7 @@
 	case before.outcome == underWay && after.outcome == refused:
 		tr.addf("controller %d's %v is refused", c, before.kind)
 	case before.kind != noTxn && after.kind == noTxn && before.outcome == committed:
-		tr.addf("controller %d is done with a %v", c, before.kind)
+		tr.addf("controller %d handles the answer to a %v, or the answer is lost", c, before.kind)
 	}
 }
 
