--- a/internal/fencing/model_trace_test.go
+++ b/internal/fencing/model_trace_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// violation is how a world breaks the invariant, "" if it doesn't.
+// violation describes how a world violates the invariant, "" if it doesn't.
 func (md *model) violation(s *world) string {
 	task, _ := s.current(taskKey)
 	for m := range s.workers {
@@ -18,15 +18,15 @@
 				return fmt.Sprintf("attempt %d of a cancelled job runs on machine %d after cancel_s", number, m)
 			}
 			if !task.bound || task.machine != uint8(m) || task.attempt != uint8(number) || task.epoch != epoch {
-				return fmt.Sprintf("attempt %d runs on machine %d in epoch %d, the record says %s", number, m, epoch, task.task())
+				return fmt.Sprintf("attempt %d runs on machine %d in epoch %d, but the record says: %s", number, m, epoch, task.describeTask())
 			}
 		}
 	}
 	return ""
 }
 
-// task describes what a change makes of the task.
-func (ch change) task() string {
+// describeTask describes the task's state after a change.
+func (ch change) describeTask() string {
 	if !ch.bound {
 		return fmt.Sprintf("pending after attempt %d", ch.attempt)
 	}
@@ -38,7 +38,7 @@
 	case ch.key == 0:
 		return "the job is cancelled"
 	case ch.key == taskKey+1:
-		return "the task is " + ch.task()
+		return "the task is " + ch.describeTask()
 	case ch.key > groupKey:
 		group := ch.key - 1 - groupKey
 		return fmt.Sprintf("what controller %d, incarnation %d, owns fails over to controller %d, incarnation %d",
@@ -47,12 +47,12 @@
 	return fmt.Sprintf("machine %d is claimed by controller %d, incarnation %d", ch.key-1, ch.owner-1, ch.incarnation)
 }
 
-// trace collects what a step did.
+// trace collects descriptions of what a step did.
 type trace struct{ strings.Builder }
 
 func (tr *trace) addf(format string, args ...any) { fmt.Fprintf(tr, format+"; ", args...) }
 
-// describeStep says what a step did, from what differs.
+// describeStep describes a step by the differences between the worlds before and after it.
 func describeStep(before, after *world) string {
 	var tr trace
 	for revision := before.revision + 1; revision <= after.revision; revision++ {
@@ -62,7 +62,7 @@
 		was, is bool
 		text    string
 	}{
-		{before.confirmed, after.confirmed, "its user is told"},
+		{before.confirmed, after.confirmed, "the cancellation is confirmed to its user"},
 		{before.horizonPassed, after.horizonPassed, "the horizon passes"},
 		{before.deadlinePassed, after.deadlinePassed, "cancel_s passes"},
 	} {
@@ -90,7 +90,7 @@
 	case before.appliedRevision != after.appliedRevision:
 		tr.addf("controller %d's watch reaches %d of %d", c, after.appliedRevision, revision)
 	case before.watchOpenedAt != after.watchOpenedAt:
-		tr.addf("controller %d's watch brings nothing", c)
+		tr.addf("controller %d's watch returns no changes", c)
 	}
 	if p := after.proposal; p.proof != 0 && before.proposal != p {
 		tr.addf("controller %d finds %v of attempt %d on machine %d under token %d", c, p.proof, p.attempt, p.machine, p.token)
@@ -98,7 +98,7 @@
 	tr.describeTxn(c, before.claim, after.claim)
 	tr.describeTxn(c, before.taskWrite, after.taskWrite)
 	if before.lateTxn.kind == noTxn && after.lateTxn.kind != noTxn {
-		tr.addf("controller %d gives up on a %v, which may come late", c, after.lateTxn.kind)
+		tr.addf("controller %d gives up on a %v, which may be applied late", c, after.lateTxn.kind)
 	}
 	for i := range before.launches {
 		tr.describeLaunch(c, before.launches[i], after.launches[i])
@@ -115,7 +115,7 @@
 	case before.outcome == underWay && after.outcome == refused:
 		tr.addf("controller %d's %v is refused", c, before.kind)
 	case before.kind != noTxn && after.kind == noTxn && before.outcome == committed:
-		tr.addf("controller %d is done with a %v", c, before.kind)
+		tr.addf("controller %d handles the answer to a %v, or the answer is lost", c, before.kind)
 	}
 }
 
@@ -141,15 +141,15 @@
 	case after.delayed.pending && !before.delayed.pending:
 		tr.addf("machine %d's heartbeat is delayed", m)
 	case before.delayed.pending && !after.delayed.pending:
-		tr.addf("controller %d receives machine %d's delayed heartbeat", before.delayed.to, m)
+		tr.addf("controller %d receives machine %d's delayed heartbeat", before.delayed.receiver, m)
 	case is.answered:
 		if !was.answered {
-			tr.addf("controller %d answers machine %d with token %d, launch %d, forget %b, kill %b", is.heartbeat.to, m, is.token, is.launch, is.forget, is.kill)
+			tr.addf("controller %d answers machine %d with token %d, launch %d, forget %b, kill %b", is.heartbeat.receiver, m, is.token, is.launch, is.forget, is.kill)
 		}
 	case is.heartbeat.pending && !was.heartbeat.pending:
-		tr.addf("machine %d reports %v to controller %d, token %d", m, is.heartbeat.attempts[1:], is.heartbeat.to, after.token)
+		tr.addf("machine %d reports %v to controller %d, token %d", m, is.heartbeat.attempts[1:], is.heartbeat.receiver, after.token)
 	case was.heartbeat.pending && !is.heartbeat.pending:
-		tr.addf("machine %d is done with its heartbeat", m)
+		tr.addf("machine %d's heartbeat exchange ends", m)
 	}
 	for number := range after.attempts {
 		if before.attempts[number] != after.attempts[number] {
