--- a/internal/connectivity/cloudlink.go
+++ b/internal/connectivity/cloudlink.go
@@ -7,9 +7,9 @@
 
 // cloudLink is our own link to the cloud.
 type cloudLink struct {
-	answered time.Duration // the last real answer
-	asked    time.Duration // the first call since then that got none; 0: none
-	probeAt  time.Duration // not to be asked only for its answer's sake before
+	answeredAt      time.Duration // the last real answer
+	unansweredSince time.Duration // the first call since then that got none; 0: none
+	nextProbeAt     time.Duration // not to be asked only for its answer's sake before
 }
 
 // cloudTimeout is how long the cloud may be silent to who asks it every few seconds: a call that
@@ -21,28 +21,28 @@
 func (t *Tracker) CloudAnswered(status int) {
 	switch link := &t.cloud; {
 	case isServiceAnswer(status):
-		link.answered, link.asked = t.now, 0
-	case link.asked == 0:
-		link.asked = t.now
+		link.answeredAt, link.unansweredSince = t.now, 0
+	case link.unansweredSince == 0:
+		link.unansweredSince = t.now
 	}
 }
 
 // CloudUnreachable tells whether the cloud does not answer us, though we ask.
 func (t *Tracker) CloudUnreachable() bool {
-	return t.cloud.asked > 0 && t.silence(t.cloud.answered) > cloudTimeout && t.silence(t.cloud.asked) > cloudTimeout/4
+	return t.cloud.unansweredSince > 0 && t.silence(t.cloud.answeredAt) > cloudTimeout && t.silence(t.cloud.unansweredSince) > cloudTimeout/4
 }
 
 // ShouldProbeCloud tells whether the cloud is to be asked whether it answers us, which nothing else
 // shows of a controller that does not rent: the one that does (leader) says that it gets no answer,
 // or we got none ourselves. It is at most once in a worker's heartbeat interval.
 func (t *Tracker) ShouldProbeCloud(leader string) bool {
-	if t.now < t.cloud.probeAt || t.silence(t.cloud.answered) < t.cfg.HeartbeatInterval {
+	if t.now < t.cloud.nextProbeAt || t.silence(t.cloud.answeredAt) < t.cfg.HeartbeatInterval {
 		return false
 	}
 	if snapshot := t.Snapshot(); !t.CloudUnreachable() && !LeaderLostCloud(&snapshot, leader) {
 		return false
 	}
-	t.cloud.probeAt = t.now + t.cfg.HeartbeatInterval
+	t.cloud.nextProbeAt = t.now + t.cfg.HeartbeatInterval
 	return true
 }
 
--- a/internal/connectivity/hysteresis.go
+++ b/internal/connectivity/hysteresis.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// flapping is how soon after it came back a link that fails again has to hold longer each time.
-const flapping = 30 * time.Second
+// flapWindow is how soon after it came back a link that fails again has to hold longer each time.
+const flapWindow = 30 * time.Second
 
 // linkHysteresis is the hysteresis of a link: one that was lost is back when it was heard for a
 // time without a gap, and for twice as long each time when it is lost again within half a minute.
@@ -19,15 +19,15 @@
 
 // fail takes a gap; first and most bound how long the link must be heard after it. It tells
 // whether the link is lost by it.
-func (l *linkHysteresis) fail(now, first, most time.Duration) bool {
+func (l *linkHysteresis) fail(now, minimum, maximum time.Duration) bool {
 	l.upSince = 0
 	if l.lost {
 		return false
 	}
 	l.lost = true
-	l.requiredUptime = min(2*l.requiredUptime, most)
-	if l.requiredUptime < first || now-l.restoredAt > flapping {
-		l.requiredUptime = first
+	l.requiredUptime = min(2*l.requiredUptime, maximum)
+	if l.requiredUptime < minimum || now-l.restoredAt > flapWindow {
+		l.requiredUptime = minimum
 	}
 	return true
 }
--- a/internal/connectivity/linkreports.go
+++ b/internal/connectivity/linkreports.go
@@ -69,12 +69,12 @@
 func (t *Tracker) ownReport(mirrorAge time.Duration, throttled bool) LinkReport {
 	own := LinkReport{
 		Node:             t.cfg.Self,
-		StateServiceMS:   t.silence(t.state.answered).Milliseconds(),
+		StateServiceMS:   t.silence(t.state.answeredAt).Milliseconds(),
 		MirrorAgeMS:      mirrorAge.Milliseconds(),
 		HearsNoWorkers:   t.workers.lost,
 		Throttled:        throttled,
 		Zones:            t.zoneReports(),
-		CloudMS:          t.silence(t.cloud.answered).Milliseconds(),
+		CloudMS:          t.silence(t.cloud.answeredAt).Milliseconds(),
 		CloudUnreachable: t.CloudUnreachable(),
 	}
 	if t.StateServiceLost() {
--- a/internal/connectivity/relay.go
+++ b/internal/connectivity/relay.go
@@ -80,7 +80,7 @@
 
 // relayTable keeps calls under way: ours with others, others' with us.
 type relayTable struct {
-	next         uint64
+	lastID       uint64
 	pending      map[uint64]*pendingRelay
 	via          string         // who relays for us; "" while our own link is used
 	failures     int            // calls in a row that came back without the state service's answer
@@ -138,10 +138,10 @@
 // StartRelay makes the message that has a peer relay a call; done gets what comes of it,
 // in a later step.
 func (t *Tracker) StartRelay(to string, call protocol.Call, done func(protocol.Reply)) *RelayRequest {
-	t.relays.next++
+	t.relays.lastID++
 	request := &RelayRequest{
 		Incarnation: t.cfg.Incarnation,
-		ID:          t.relays.next,
+		ID:          t.relays.lastID,
 		Method:      call.Method,
 		Path:        call.Path,
 		Body:        call.Body,
@@ -175,7 +175,7 @@
 	case response.TooLarge:
 		reply = protocol.Reply{Sent: true}
 	}
-	t.trackRelayFailure(from, isServiceAnswer(response.Status))
+	t.recordRelayResult(from, isServiceAnswer(response.Status))
 	return func() { pending.done(reply) }
 }
 
@@ -187,8 +187,8 @@
 	return response.Incarnation == incarnation && from == to && response.RequestHash == requestHash
 }
 
-// trackRelayFailure leaves a relaying peer alone that brings no answer of the state service.
-func (t *Tracker) trackRelayFailure(from string, answered bool) {
+// recordRelayResult leaves a relaying peer alone that brings no answer of the state service.
+func (t *Tracker) recordRelayResult(from string, answered bool) {
 	if from != t.relays.via {
 		return
 	}
@@ -216,7 +216,7 @@
 		pending := t.relays.pending[id]
 		delete(t.relays.pending, id)
 		t.Stats.RelaysLost++
-		t.trackRelayFailure(pending.to, false)
+		t.recordRelayResult(pending.to, false)
 		calls = append(calls, func() { pending.done(protocol.Reply{Sent: true}) })
 	}
 	return calls
--- a/internal/connectivity/relay_model_test.go
+++ b/internal/connectivity/relay_model_test.go
@@ -31,15 +31,15 @@
 	origin          uint8 // of the call; 0: no message
 }
 
-type relayWorld struct {
-	incarnation, lastID, made uint8
-	calls                     [2]modelCall
-	network                   [3]modelMessage
-	violated                  bool
+type relayModelState struct {
+	incarnation, lastID, callsMade uint8
+	calls                          [2]modelCall
+	network                        [3]modelMessage
+	violated                       bool
 }
 
 // send puts a message on the network, if there is room.
-func (w relayWorld) send(message modelMessage) (relayWorld, bool) {
+func (w relayModelState) send(message modelMessage) (relayModelState, bool) {
 	for i := range w.network {
 		if w.network[i].origin == 0 {
 			w.network[i] = message
@@ -52,41 +52,41 @@
 // matcher tells whether an answer is to a call, as matchesRequest does.
 type matcher func(incarnation int64, to string, requestHash uint64, from string, response *RelayResponse) bool
 
-func relayModel(matches matcher) modelcheck.Model[relayWorld] {
-	return modelcheck.Model[relayWorld]{
-		Start: relayWorld{incarnation: 1},
-		Next: func(w *relayWorld, to func(relayWorld)) {
-			w.callSteps(to)
+func relayModel(matches matcher) modelcheck.Model[relayModelState] {
+	return modelcheck.Model[relayModelState]{
+		Start: relayModelState{incarnation: 1},
+		Next: func(w *relayModelState, emit func(relayModelState)) {
+			w.callSteps(emit)
 			for i, message := range w.network {
 				if message.origin != 0 {
-					w.messageSteps(i, matches, to)
+					w.messageSteps(i, matches, emit)
 				}
 			}
 			if w.incarnation == 1 { // it crashes
 				next := *w
 				next.incarnation, next.lastID, next.calls = 2, 0, [2]modelCall{}
-				to(next)
+				emit(next)
 			}
 		},
-		Broken: func(w *relayWorld) string {
+		Broken: func(w *relayModelState) string {
 			if w.violated {
 				return "an answer to another call was taken"
 			}
 			return ""
 		},
-		Label: func(_, to *relayWorld) string {
+		Label: func(_, to *relayModelState) string {
 			return fmt.Sprintf("incarnation %d, calls %v, on the network %v", to.incarnation, to.calls, to.network)
 		},
 	}
 }
 
 // callSteps make a call in the first free slot, and have the deadlines of calls pass.
-func (w *relayWorld) callSteps(to func(relayWorld)) {
+func (w *relayModelState) callSteps(emit func(relayModelState)) {
 	for i := range w.calls {
-		if !w.calls[i].pending && w.made < maxModelCalls {
+		if !w.calls[i].pending && w.callsMade < maxModelCalls {
 			for peer := uint8(1); peer <= 2; peer++ {
 				for hash := uint8(1); hash <= 2; hash++ { // the same transaction again, or another
-					w.startCall(i, peer, hash, to)
+					w.startCall(i, peer, hash, emit)
 				}
 			}
 			break
@@ -94,32 +94,32 @@
 		if w.calls[i].pending { // its deadline passes
 			next := *w
 			next.calls[i] = modelCall{}
-			to(next)
+			emit(next)
 		}
 	}
 }
 
-func (w *relayWorld) startCall(slot int, peer, hash uint8, to func(relayWorld)) {
+func (w *relayModelState) startCall(slot int, peer, hash uint8, emit func(relayModelState)) {
 	next := *w
-	next.lastID, next.made = next.lastID+1, next.made+1
-	next.calls[slot] = modelCall{true, next.lastID, peer, hash, next.made}
-	if next, ok := next.send(modelMessage{false, next.incarnation, next.lastID, peer, hash, next.made}); ok {
-		to(next)
+	next.lastID, next.callsMade = next.lastID+1, next.callsMade+1
+	next.calls[slot] = modelCall{true, next.lastID, peer, hash, next.callsMade}
+	if next, ok := next.send(modelMessage{false, next.incarnation, next.lastID, peer, hash, next.callsMade}); ok {
+		emit(next)
 	}
 }
 
 // messageSteps lose, duplicate and deliver a message.
-func (w *relayWorld) messageSteps(slot int, matches matcher, to func(relayWorld)) {
+func (w *relayModelState) messageSteps(slot int, matches matcher, emit func(relayModelState)) {
 	message, next := w.network[slot], *w
 	next.network[slot] = modelMessage{} // lost
-	to(next)
+	emit(next)
 	if duplicated, ok := w.send(message); ok {
-		to(duplicated)
+		emit(duplicated)
 	}
 	if !message.answer { // the peer answers it
 		next.network[slot] = message
 		next.network[slot].answer = true
-		to(next)
+		emit(next)
 		return
 	}
 	response := &RelayResponse{Incarnation: int64(message.incarnation), ID: uint64(message.id), RequestHash: uint64(message.hash)}
@@ -130,7 +130,7 @@
 			*call = modelCall{}
 		}
 	}
-	to(next)
+	emit(next)
 }
 
 func nodeName(n uint8) string { return fmt.Sprint("n", n) }
--- a/internal/connectivity/relay_test.go
+++ b/internal/connectivity/relay_test.go
@@ -30,7 +30,7 @@
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				id := tracker.relays.next + 1
+				id := tracker.relays.lastID + 1
 				call := protocol.Call{Method: "POST", Path: "/txn", Body: []byte{byte(id)}, Timeout: time.Second}
 				sent = append(sent, tracker.StartRelay("n1", call, func(protocol.Reply) { answered[id]++ }))
 			case 1:
--- a/internal/connectivity/snapshot.go
+++ b/internal/connectivity/snapshot.go
@@ -15,8 +15,8 @@
 	RelayBackoff bool          // relaying failed there a moment ago
 }
 
-// never is the age of what was never heard.
-const never = 365 * 24 * time.Hour
+// maxAge is the age of what was maxAge heard.
+const maxAge = 365 * 24 * time.Hour
 
 // Snapshot is who reaches what, as known to one controller at one moment.
 type Snapshot struct {
@@ -29,7 +29,7 @@
 func (t *Tracker) Snapshot() Snapshot {
 	s := Snapshot{Self: t.cfg.Self, HeartbeatInterval: t.cfg.HeartbeatInterval, StaleAfter: t.cfg.StaleAfter, Peers: make([]Peer, 0, len(t.cfg.Peers))}
 	for _, controller := range t.cfg.Peers {
-		peer := Peer{Controller: controller, HeartbeatAge: never, ReportAge: never}
+		peer := Peer{Controller: controller, HeartbeatAge: maxAge, ReportAge: maxAge}
 		if known := t.peers[controller.Node]; known != nil {
 			peer.LinkReport, peer.Relays, peer.ReportAge = known.report, known.relays, t.now-known.reportedAt
 			if known.heartbeatAt > 0 {
@@ -68,5 +68,5 @@
 
 // milliseconds is an age that a peer tells, held within bounds.
 func milliseconds(n int64) time.Duration {
-	return time.Duration(min(max(n, 0), never.Milliseconds())) * time.Millisecond
+	return time.Duration(min(max(n, 0), maxAge.Milliseconds())) * time.Millisecond
 }
--- a/internal/connectivity/statelink.go
+++ b/internal/connectivity/statelink.go
@@ -16,10 +16,10 @@
 // stateLink is our own link to the state service.
 type stateLink struct {
 	linkHysteresis
-	answered time.Duration // the last real answer
-	refused  time.Duration // the last refusal, which an outage gives, too
-	probeAt  time.Duration // the next probe is not before
-	probing  bool
+	answeredAt  time.Duration // the last real answer
+	refusedAt   time.Duration // the last refusal, which an outage gives, too
+	nextProbeAt time.Duration // the next probe is not before
+	probing     bool
 }
 
 // StateAnswered takes the status of a call of the state service that we made ourselves, 0 if
@@ -27,12 +27,12 @@
 func (t *Tracker) StateAnswered(status int) {
 	link := &t.state
 	if status == http.StatusServiceUnavailable {
-		link.refused = t.now
+		link.refusedAt = t.now
 	}
 	if !isServiceAnswer(status) {
 		return
 	}
-	link.answered = t.now
+	link.answeredAt = t.now
 	if link.lost && t.relays.via == "" {
 		link.lost, link.restoredAt = false, t.now // nobody relays for us: there is nothing better to keep to
 	}
@@ -43,7 +43,7 @@
 // second or more.
 func (t *Tracker) StateServiceLost() bool {
 	link := &t.state
-	if !link.lost && t.silence(link.answered) > t.cfg.StaleAfter && link.fail(t.now, minUptime, maxUptime) {
+	if !link.lost && t.silence(link.answeredAt) > t.cfg.StaleAfter && link.fail(t.now, minUptime, maxUptime) {
 		t.Stats.LinkLosses++
 	}
 	return link.lost
@@ -52,7 +52,7 @@
 // Isolated tells whether we are cut off from the state service and from every other controller. It
 // is not an outage, in which the service refuses, and the others are heard.
 func (t *Tracker) Isolated() bool {
-	if len(t.cfg.Peers) == 0 || !t.StateServiceLost() || t.silence(t.state.refused) <= t.cfg.StaleAfter {
+	if len(t.cfg.Peers) == 0 || !t.StateServiceLost() || t.silence(t.state.refusedAt) <= t.cfg.StaleAfter {
 		return false
 	}
 	for _, peer := range t.peers {
@@ -89,10 +89,10 @@
 // relays our calls nothing else shows that it is back. Probed is to be called with what comes of it.
 func (t *Tracker) ShouldProbe() bool {
 	link := &t.state
-	if !link.lost || t.relays.via == "" || link.probing || t.now < link.probeAt {
+	if !link.lost || t.relays.via == "" || link.probing || t.now < link.nextProbeAt {
 		return false
 	}
-	link.probing, link.probeAt = true, t.now+probeInterval
+	link.probing, link.nextProbeAt = true, t.now+probeInterval
 	return true
 }
 
@@ -104,7 +104,7 @@
 		link.upSince = 0
 		return
 	}
-	link.answered = t.now
+	link.answeredAt = t.now
 	if link.observe(t.now) {
 		t.relays.via = ""
 	}
--- a/internal/connectivity/workerlinks.go
+++ b/internal/connectivity/workerlinks.go
@@ -15,9 +15,9 @@
 
 // workerLink is whether a zone's workers are heard, or all.
 type workerLink struct {
-	heardAt time.Duration // the last heartbeat or answer of any worker
-	since   time.Duration // since when any is to be heard
-	workers int
+	heardAt       time.Duration // the last heartbeat or answer of any worker
+	expectedSince time.Duration // since when any is to be heard
+	workers       int
 	// awaited are those of an earlier incarnation of ours that have not come back yet.
 	awaited int
 	linkHysteresis
@@ -25,13 +25,15 @@
 
 func (l *workerLink) setWorkers(workers, awaited int, now time.Duration) {
 	if l.workers+l.awaited == 0 && workers+awaited > 0 {
-		l.since = now
+		l.expectedSince = now
 	}
 	l.workers, l.awaited = workers, awaited
 }
 
-// quiet is how long no worker of a link was heard that should have been.
-func (t *Tracker) quiet(l *workerLink) time.Duration { return t.silence(max(l.heardAt, l.since)) }
+// workerSilence is how long no worker of a link was heard that should have been.
+func (t *Tracker) workerSilence(l *workerLink) time.Duration {
+	return t.silence(max(l.heardAt, l.expectedSince))
+}
 
 // SetWorkers takes how many workers of each zone report to us, by the records, and how many
 // did so to an earlier incarnation of ours and are still to come back.
@@ -57,7 +59,7 @@
 		all += n
 	}
 	links.all.setWorkers(all, 0, t.now)
-	quiet := t.quiet(&links.all)
+	quiet := t.workerSilence(&links.all)
 	if all > 0 && quiet > t.cfg.HeartbeatInterval/4 && quiet*time.Duration(all) > minMissedHeartbeats*t.cfg.HeartbeatInterval {
 		links.lost = true
 	}
@@ -70,7 +72,7 @@
 // zoneSilent tells whether a zone has been silent for too long. awaited is the new count of those of
 // an earlier incarnation that are still to come back.
 func (t *Tracker) zoneSilent(link *workerLink, awaited int) bool {
-	quiet, interval := t.quiet(link), t.cfg.HeartbeatInterval
+	quiet, interval := t.workerSilence(link), t.cfg.HeartbeatInterval
 	if link.workers > 0 {
 		return quiet > silenceLimit(interval, link.workers)
 	}
@@ -120,7 +122,7 @@
 	var reports []ZoneReport
 	for _, zone := range slices.Sorted(maps.Keys(t.workers.zones)) {
 		if link := t.workers.zones[zone]; link.workers > 0 || link.lost {
-			reports = append(reports, ZoneReport{Zone: zone, Workers: link.workers, LastHeardMS: t.quiet(link).Milliseconds(), Unreachable: link.lost})
+			reports = append(reports, ZoneReport{Zone: zone, Workers: link.workers, LastHeardMS: t.workerSilence(link).Milliseconds(), Unreachable: link.lost})
 		}
 	}
 	return reports
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -41,11 +41,11 @@
 	return classNames[c]
 }
 
-// reserve is the part of a limit that is kept for what goes first: one in so many.
-const reserve = 8
+// reserveDivisor is the part of a limit that is kept for what goes first: one in so many.
+const reserveDivisor = 8
 
 // withoutReserve is what is left of a limit.
-func withoutReserve(limit int) int { return limit - limit/reserve }
+func withoutReserve(limit int) int { return limit - limit/reserveDivisor }
 
 // Limits are the budget, in connections.
 type Limits struct {
@@ -95,9 +95,9 @@
 }
 
 // Use tells that a connection of class was is now used for something of class is.
-func (l *Limiter) Use(was, is Class) {
-	l.count[was]--
-	l.count[is]++
+func (l *Limiter) Use(from, to Class) {
+	l.count[from]--
+	l.count[to]++
 }
 
 // KeepAlive tells, as a request is answered, whether its connection may be kept for
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -21,7 +21,7 @@
 	open    []*connection
 }
 
-func (s *server) drawWhich(t *rapid.T) int { return rapid.IntRange(0, len(s.open)-1).Draw(t, "which") }
+func (s *server) drawIndex(t *rapid.T) int { return rapid.IntRange(0, len(s.open)-1).Draw(t, "which") }
 
 func (s *server) openOne(t *rapid.T) {
 	full := len(s.open) >= s.total
@@ -34,7 +34,7 @@
 }
 
 func (s *server) request(t *rapid.T) {
-	c := s.open[s.drawWhich(t)]
+	c := s.open[s.drawIndex(t)]
 	if c.busy {
 		return
 	}
@@ -44,8 +44,8 @@
 }
 
 func (s *server) answer(t *rapid.T) {
-	at := s.drawWhich(t)
-	c := s.open[at]
+	index := s.drawIndex(t)
+	c := s.open[index]
 	if !c.busy {
 		return
 	}
@@ -54,15 +54,15 @@
 	keep := s.limiter.KeepAlive(c.class, served, rapid.Bool().Draw(t, "urgent"))
 	switch {
 	case !keep:
-		s.close(at)
+		s.close(index)
 	case c.class == Worker && !served:
 		t.Fatal("a worker that was redirected keeps its connection")
 	}
 }
 
-func (s *server) close(at int) {
-	s.limiter.Close(s.open[at].class)
-	s.open = slices.Delete(s.open, at, at+1)
+func (s *server) close(index int) {
+	s.limiter.Close(s.open[index].class)
+	s.open = slices.Delete(s.open, index, index+1)
 }
 
 // check holds the promises: idle workers keep within their share, and the count is right.
@@ -97,7 +97,7 @@
 			case step < 9:
 				s.answer(t)
 			default:
-				s.close(s.drawWhich(t))
+				s.close(s.drawIndex(t))
 			}
 			s.check(t)
 		}
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -38,8 +38,8 @@
 	// something waits, and halves on a refusal, after which it stays for borrowPause.
 	borrowRate  = 0.1
 	borrowPause = 5 * time.Second
-	// throttledFor is how long a wait for the budget counts.
-	throttledFor = 2 * time.Second
+	// throttledWindow is how long a wait for the budget counts.
+	throttledWindow = 2 * time.Second
 	// quietPeerUse is the part of its equal share that a controller is taken to use when
 	// nothing waits there, and idlePeerUse when there is nothing that it could do.
 	quietPeerUse = 0.5
@@ -98,7 +98,7 @@
 		share:     1,
 		maxShare:  controllers,
 		peerShare: 1,
-		blockedAt: -throttledFor,
+		blockedAt: -throttledWindow,
 	}
 }
 
@@ -124,7 +124,7 @@
 
 // Throttled reports whether something has waited for the budget of late. Peers that
 // know it leave more.
-func (l *Limiter) Throttled() bool { return l.now-l.blockedAt < throttledFor }
+func (l *Limiter) Throttled() bool { return l.now-l.blockedAt < throttledWindow }
 
 // SetPeerDemand sets how many of the other controllers are throttled, those that have not
 // been heard from included, and how many are idle: they hear no workers, or can't reach
@@ -139,8 +139,8 @@
 	}
 }
 
-// Refused tells that the service has refused a request for its rates.
-func (l *Limiter) Refused() {
+// RecordRefusal tells that the service has refused a request for its rates.
+func (l *Limiter) RecordRefusal() {
 	l.share = max(1, l.share/2)
 	l.refusedAt = l.now
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -66,7 +66,7 @@
 				waiting.add(l, class, 1, float64(rapid.IntRange(0, 4).Draw(rt, "changes")))
 			}
 			if rapid.IntRange(0, 20).Draw(rt, "refused") == 0 {
-				l.Refused()
+				l.RecordRefusal()
 			}
 			waiting.send(l, requireOrder)
 			if l.requests.level < 0 || l.changes.level < 0 {
@@ -176,13 +176,13 @@
 		var waiting queues
 		count := rapid.IntRange(0, 600).Draw(rt, "n")
 		waiting.add(l, UserRequests, count, 1)
-		estimate, took := l.QueueDelay(float64(count), float64(count)), time.Duration(0)
+		estimate, elapsed := l.QueueDelay(float64(count), float64(count)), time.Duration(0)
 		for now := time.Duration(0); len(waiting[UserRequests]) > 0; now += step {
 			l.Advance(now)
-			waiting.send(l, func(Class, float64) { took = now })
+			waiting.send(l, func(Class, float64) { elapsed = now })
 		}
-		if took > estimate+tolerance {
-			rt.Fatalf("%v was estimated for %d changes, it took %v", estimate, count, took)
+		if elapsed > estimate+tolerance {
+			rt.Fatalf("%v was estimated for %d changes, it took %v", estimate, count, elapsed)
 		}
 	})
 }
@@ -212,7 +212,7 @@
 			l.SetPeerDemand(c.throttled, c.idle)
 			l.Advance(2 * time.Millisecond) // borrows 0.1 a second beyond what is asked for
 			if c.refused {
-				l.Refused()
+				l.RecordRefusal()
 			}
 			if l.share < c.want || l.share > c.want+0.001 || !l.Throttled() {
 				t.Errorf("a share of %v, throttled %v; want %v", l.share, l.Throttled(), c.want)
--- a/internal/stateclient/client.go
+++ b/internal/stateclient/client.go
@@ -87,8 +87,8 @@
 // or was asked too often.
 func (c *Client) ContactAt() time.Duration { return c.contactAt }
 
-// noteContact records the time of a reply; see ContactAt. A status of 0 is no reply.
-func (c *Client) noteContact(reply protocol.Reply) {
+// recordContact records the time of a reply; see ContactAt. A status of 0 is no reply.
+func (c *Client) recordContact(reply protocol.Reply) {
 	switch reply.Status {
 	case 0, http.StatusServiceUnavailable, http.StatusTooManyRequests:
 	default:
--- a/internal/stateclient/mirror.go
+++ b/internal/stateclient/mirror.go
@@ -21,9 +21,9 @@
 	watchBlock = time.Second
 	// watchTimeout is the time limit of a watch: that, and two calls' time.
 	watchTimeout = watchBlock + 2*callTimeout
-	// watchRequestShare is the part of a controller's share of the request rate that
+	// watchShareDivisor is the part of a controller's share of the request rate that
 	// opening the watch anew may use: one in so many.
-	watchRequestShare = 4
+	watchShareDivisor = 4
 )
 
 // mirror is a copy of all keys under MirroredPrefix: at first and whenever the watch has
@@ -58,7 +58,7 @@
 	return mirror{
 		revisions:    map[string]uint64{},
 		tombstones:   map[string]uint64{},
-		watchSpacing: time.Duration(watchRequestShare * sharers / requestRate * float64(time.Second)),
+		watchSpacing: time.Duration(watchShareDivisor * sharers / requestRate * float64(time.Second)),
 	}
 }
 
@@ -127,7 +127,7 @@
 func (c *Client) handlePage(reply protocol.Reply) {
 	m := &c.mirror
 	m.scanInFlight = false
-	c.noteContact(reply)
+	c.recordContact(reply)
 	var page protocol.KeyValuePage
 	if reply.Status != http.StatusOK || protocol.DecodeState(reply.Body, &page) != nil {
 		m.nextReadAt = c.now + mirrorRetryDelay
@@ -179,7 +179,7 @@
 func (c *Client) handleWatch(reply protocol.Reply, openedAt time.Duration) {
 	m := &c.mirror
 	m.watchInFlight = false
-	c.noteContact(reply)
+	c.recordContact(reply)
 	m.nextReadAt = openedAt + m.watchSpacing
 	switch reply.Status {
 	case http.StatusOK:
--- a/internal/stateclient/queue.go
+++ b/internal/stateclient/queue.go
@@ -200,10 +200,10 @@
 // its rates or as it was unavailable, is sent again if its deadline has not passed.
 func (c *Client) handleReply(r *request, reply protocol.Reply) {
 	c.queue.inFlight--
-	c.noteContact(reply)
+	c.recordContact(reply)
 	overRate := reply.Status == http.StatusTooManyRequests
 	if overRate {
-		c.limiter.Refused()
+		c.limiter.RecordRefusal()
 	}
 	if (overRate || reply.Status == http.StatusServiceUnavailable) && c.now < r.deadline {
 		c.queue.pausedUntil = c.now + refusalPause
