--- a/internal/connectivity/cloudlink.go
+++ b/internal/connectivity/cloudlink.go
@@ -7,17 +7,17 @@
 
 // cloudLink is our own link to the cloud.
 type cloudLink struct {
-	answeredAt      time.Duration // the last real answer
-	unansweredSince time.Duration // the first call since then that got none; 0: none
-	nextProbeAt     time.Duration // not to be asked only for its answer's sake before
+	answeredAt      time.Duration // time of the cloud's last own answer, see isServiceAnswer
+	unansweredSince time.Duration // time of the first call since then without such an answer; 0: none
+	nextProbeAt     time.Duration // earliest time of the next call that only probes the link
 }
 
-// cloudTimeout is how long the cloud may be silent to who asks it every few seconds: a call that
-// nobody answers takes 5 s, and the next one proves that it was not that call alone.
+// cloudTimeout is how long the cloud may be silent towards a controller that calls it every few
+// seconds. An unanswered call takes 5 s, and the next one proves that the first was not the only one.
 const cloudTimeout = 8 * time.Second
 
-// CloudAnswered takes the status of a call of the cloud, 0 if there was no answer. In an outage it
-// answers 503 to all.
+// CloudAnswered records the status of a call to the cloud, 0 if there was no answer. In an outage the
+// cloud answers every call with 503, which counts as no answer.
 func (t *Tracker) CloudAnswered(status int) {
 	switch link := &t.cloud; {
 	case isServiceAnswer(status):
@@ -27,14 +27,15 @@
 	}
 }
 
-// CloudUnreachable tells whether the cloud does not answer us, though we ask.
+// CloudUnreachable reports whether the cloud has stopped answering our calls.
 func (t *Tracker) CloudUnreachable() bool {
 	return t.cloud.unansweredSince > 0 && t.silence(t.cloud.answeredAt) > cloudTimeout && t.silence(t.cloud.unansweredSince) > cloudTimeout/4
 }
 
-// ShouldProbeCloud tells whether the cloud is to be asked whether it answers us, which nothing else
-// shows of a controller that does not rent: the one that does (leader) says that it gets no answer,
-// or we got none ourselves. It is at most once in a worker's heartbeat interval.
+// ShouldProbeCloud reports whether to call the cloud only to find out whether it answers us. A
+// controller that does not rent machines learns this in no other way. A probe is due when the
+// controller that rents (leader) reports that the cloud does not answer it, or when the cloud does
+// not answer us, at most once per worker heartbeat interval.
 func (t *Tracker) ShouldProbeCloud(leader string) bool {
 	if t.now < t.cloud.nextProbeAt || t.silence(t.cloud.answeredAt) < t.cfg.HeartbeatInterval {
 		return false
@@ -46,18 +47,20 @@
 	return true
 }
 
-// LeaderLostCloud tells whether the controller that rents says that the cloud does not answer it.
+// LeaderLostCloud reports whether the controller that rents machines, leader, says that the cloud
+// does not answer it.
 func LeaderLostCloud(s *Snapshot, leader string) bool {
 	peer := s.Find(leader)
 	return peer != nil && s.heard(peer) && peer.CloudUnreachable
 }
 
-// PeerReachesCloud tells whether a controller that the cloud does not answer leaves renting to others:
-// one of them has fresh records and got an answer a moment ago. Else it is the cloud that is down.
+// PeerReachesCloud reports whether some peer has fresh records and had an answer from the cloud
+// a moment ago. If so, a controller that the cloud does not answer leaves renting to the others; if
+// not, it is the cloud that is down.
 //
-// The rule that this must not break: one controller rents. Who gives up drops the lease's record,
-// conditional on its revision, and who takes it creates the record; what was under way is on
-// record under its name, and is asked again by that name.
+// The rule that this must not break: only one controller rents. The one that gives up deletes the
+// leader record, conditional on its revision, and its successor creates a new one. Rentals that
+// were under way are on record by name, and are requested again under the same name.
 func PeerReachesCloud(s *Snapshot) bool {
 	return slices.ContainsFunc(s.Peers, func(peer Peer) bool {
 		return peer.Relays && s.heard(&peer) && !peer.CloudUnreachable &&
--- a/internal/connectivity/hysteresis.go
+++ b/internal/connectivity/hysteresis.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// flapWindow is how soon after it came back a link that fails again has to hold longer each time.
+// flapWindow is the time after a link is restored within which another loss doubles its required
+// uptime.
 const flapWindow = 30 * time.Second
 
-// linkHysteresis is the hysteresis of a link: one that was lost is back when it was heard for a
-// time without a gap, and for twice as long each time when it is lost again within half a minute.
+// linkHysteresis delays the return of a lost link: the link is restored once it has been heard
+// without a gap for requiredUptime, which doubles each time that the link is lost again within
+// flapWindow.
 type linkHysteresis struct {
 	lost           bool
-	upSince        time.Duration // since when it is heard again; 0: not
-	requiredUptime time.Duration // for how long it must be
-	restoredAt     time.Duration // when it last was back
+	upSince        time.Duration // when the link was first heard after its last gap; 0: not heard since
+	requiredUptime time.Duration // how long the link must be heard before it is restored
+	restoredAt     time.Duration // when the link was last restored
 }
 
-// fail takes a gap; first and most bound how long the link must be heard after it. It tells
-// whether the link is lost by it.
+// fail records a gap and reports whether the link became lost by it. The required uptime after
+// the gap is at least minimum and at most maximum.
 func (l *linkHysteresis) fail(now, minimum, maximum time.Duration) bool {
 	l.upSince = 0
 	if l.lost {
@@ -32,7 +34,7 @@
 	return true
 }
 
-// observe takes that the link was heard, and tells whether it is back with that.
+// observe records that the link was heard and reports whether that restores it.
 func (l *linkHysteresis) observe(now time.Duration) bool {
 	if !l.lost {
 		return false
@@ -47,6 +49,6 @@
 	return true
 }
 
-// isServiceAnswer tells whether a status is a service's own answer: 503 is what a controller gets
-// that is refused, and in an outage; 0 is no answer.
+// isServiceAnswer reports whether a status is a service's own answer. 503 is not: a controller gets it
+// when it is refused and in an outage. 0 means no answer.
 func isServiceAnswer(status int) bool { return status != 0 && status != http.StatusServiceUnavailable }
--- a/internal/connectivity/linkreports.go
+++ b/internal/connectivity/linkreports.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// LinkReport is what a controller says of its own links. Ages are in milliseconds, as of
-// the sending.
+// LinkReport is a controller's report on its own links. Ages are in milliseconds, as of the time
+// of sending.
 type LinkReport struct {
 	Node             string       `json:"node"`
-	AgeMS            int64        `json:"ageMs"`   // since the controller's own sending, where another passes it on
-	StateServiceMS   int64        `json:"stateMs"` // since the state service last answered it without anybody's help
-	MirrorAgeMS      int64        `json:"freshMs"` // since its records were last proved complete, by whatever way
-	HearsNoWorkers   bool         `json:"deaf"`    // it should hear workers, and hears none
-	Throttled        bool         `json:"hungry"`  // its work waits for the state service's rates
+	AgeMS            int64        `json:"ageMs"`   // since the controller itself sent it, if another passes it on
+	StateServiceMS   int64        `json:"stateMs"` // since the state service last answered it directly
+	MirrorAgeMS      int64        `json:"freshMs"` // since its records were last proved complete, directly or by relay
+	HearsNoWorkers   bool         `json:"deaf"`    // workers should be sending it heartbeats, and it hears none
+	Throttled        bool         `json:"hungry"`  // its requests wait for its share of the state service's rates
 	HearsPeers       []string     `json:"hears"`   // controllers whose own heartbeats reach it
 	Zones            []ZoneReport `json:"zones"`
-	CloudMS          int64        `json:"cloudMs"` // since the cloud last answered it; only who rents asks often
-	CloudUnreachable bool         `json:"noCloud"` // it asks, and has got no answer for too long
+	CloudMS          int64        `json:"cloudMs"` // since the cloud last answered it; only the controller that rents calls it often
+	CloudUnreachable bool         `json:"noCloud"` // it calls the cloud, and has had no answer for too long
 }
 
-// ZoneReport is what a controller says of a zone whose workers report to it.
+// ZoneReport is a controller's report on a zone whose workers send it heartbeats.
 type ZoneReport struct {
 	Zone        string `json:"zone"`
-	Workers     int    `json:"held"`    // how many
+	Workers     int    `json:"held"`    // how many of them
 	LastHeardMS int64  `json:"heardMs"` // since it heard any of them
-	Unreachable bool   `json:"lost"`    // it heard none for too long, and none since for long enough, even if none reports to it any more
+	Unreachable bool   `json:"lost"`    // it heard none for too long and not steadily enough since, even if none reports to it any more
 }
 
-// peerState is a link report and when it was true, by our clock.
+// peerState holds a peer's latest link report and its times, by our clock.
 type peerState struct {
 	report      LinkReport
-	reportedAt  time.Duration
-	heartbeatAt time.Duration // when the controller's own heartbeat came last; 0: never
-	relays      bool          // its heartbeats carry link reports, so that it relays calls, too
+	reportedAt  time.Duration // when the peer sent the report
+	heartbeatAt time.Duration // when the last heartbeat from the peer itself arrived; 0: never
+	relays      bool          // its heartbeats carry link reports, so its version can relay calls, too
 }
 
-// maxReportAge is how old a link report may be to be passed on, and maxReports and maxNames how
-// many reports and how many names in each are read of a message, whatever it says.
+// Bounds on the link reports that are accepted and passed on.
 const (
+	// maxReportAge is the greatest age at which a report is accepted or passed on.
 	maxReportAge = time.Minute
-	maxReports   = 64
-	maxNames     = 64
+	// maxReports is how many reports of a heartbeat are read at most.
+	maxReports = 64
+	// maxNames is how many zones and how many peer names of each report are read at most.
+	maxNames = 64
 )
 
-// LinkReports is what a heartbeat to peers carries: our own report, then the others' as we have
-// them. mirrorAge is since our records were last proved complete.
+// LinkReports returns the reports that a heartbeat to peers carries: first our own, then the latest
+// ones of peers. mirrorAge is the time since our records were last proved complete.
 func (t *Tracker) LinkReports(mirrorAge time.Duration, throttled bool) []LinkReport {
 	reports := []LinkReport{t.ownReport(mirrorAge, throttled)}
 	for _, p := range t.cfg.Peers {
@@ -65,7 +67,7 @@
 	return reports
 }
 
-// ownReport is our link report but for the peers that we hear.
+// ownReport returns our own link report without HearsPeers.
 func (t *Tracker) ownReport(mirrorAge time.Duration, throttled bool) LinkReport {
 	own := LinkReport{
 		Node:             t.cfg.Self,
@@ -83,8 +85,8 @@
 	return own
 }
 
-// ReceiveHeartbeat takes a peer's heartbeat. reports is empty from a version that knows of none;
-// mirrorAge and throttled are what such a version says.
+// ReceiveHeartbeat handles a peer's heartbeat. A version without link reports sends no reports;
+// for such a peer mirrorAge and throttled are used instead.
 func (t *Tracker) ReceiveHeartbeat(from string, mirrorAge time.Duration, throttled bool, reports []LinkReport) {
 	peer := t.peer(from)
 	if peer == nil {
@@ -105,7 +107,7 @@
 	}
 }
 
-// peer is what is known of a peer, nil for a name that is none.
+// peer returns the state of a peer, creating it if needed, or nil if no peer has that name.
 func (t *Tracker) peer(name string) *peerState {
 	peer := t.peers[name]
 	if peer == nil && slices.ContainsFunc(t.cfg.Peers, func(c Controller) bool { return c.Node == name }) {
@@ -115,8 +117,8 @@
 	return peer
 }
 
-// mergeReport takes a link report if it is newer than what we have of its controller; own is
-// whether it came from that controller itself.
+// mergeReport stores a link report if it is valid and newer than the one we have of its controller. own
+// means that the controller itself sent it, which needs no comparison.
 func (t *Tracker) mergeReport(report *LinkReport, own bool) {
 	peer := t.peer(report.Node)
 	age := time.Duration(report.AgeMS) * time.Millisecond
@@ -129,5 +131,5 @@
 	}
 }
 
-// clip copies the first maxNames of a list.
+// clip returns a copy of the first maxNames elements of a list.
 func clip[T any](all []T) []T { return slices.Clone(all[:min(len(all), maxNames)]) }
--- a/internal/connectivity/relay.go
+++ b/internal/connectivity/relay.go
@@ -11,20 +11,20 @@
 	"silvergate/internal/protocol"
 )
 
-// A controller whose own link to the state service is down calls it through a peer. The peer
-// makes the call as it is and sends back what came of it. Nothing else is needed for
-// safety: to its maker a relayed call is one on a longer way, and what the way adds,
-// the protocol has already (transactions applied late, answers lost). What
-// could be worse than that is closed here:
-//   - an answer that belongs to another call: it names the asker's incarnation, the call's
-//     number and the call's hash;
-//   - an answer after its deadline: it finds nobody who waits;
-//   - a call that nobody knows to have been made: no answer counts as may have been
-//     executed, and only the relaying peer's own answer says that it was not.
+// A controller whose own link to the state service is down calls the service through a peer. The
+// peer makes the call unchanged and sends back the result. Safety needs nothing more: to the
+// caller a relayed call is a call over a longer path, and the faults that the path adds
+// (transactions applied late, lost answers) already occur without relaying. This file excludes the
+// faults that would be new:
+//   - An answer to another call is ignored: each answer carries the caller's incarnation, the
+//     call's number and the call's hash.
+//   - An answer after the deadline is ignored: its call is no longer pending.
+//   - A call is never wrongly taken as not executed: without an answer it may have been executed,
+//     and only an answer from the relaying peer itself says that it was not.
 
 // RelayRequest asks a peer to call the state service.
 type RelayRequest struct {
-	Incarnation int64  // the asker's
+	Incarnation int64  // the caller's
 	ID          uint64 // counts from 1 in each incarnation
 	Method      string
 	Path        string
@@ -32,19 +32,19 @@
 	TimeoutMS   int64
 }
 
-// RelayResponse is what came of a relayed call.
+// RelayResponse is the result of a relayed call.
 type RelayResponse struct {
 	Incarnation int64  // of the request
 	ID          uint64 // of the request
 	RequestHash uint64 // of the call that was relayed
-	Status      int    // 0: no answer
-	Sent        bool   // without an answer: the call may have been executed
+	Status      int    // of the state service's answer; 0: no answer
+	Sent        bool   // if there was no answer: the call may have been executed
 	RetryAfter  int
 	Body        []byte
-	TooLarge    bool // the answer is too large for a message
+	TooLarge    bool // the answer was too large for a message, so Body is empty
 }
 
-// hash tells calls apart.
+// hash returns a hash of the call, which distinguishes it from other calls.
 func (c *RelayRequest) hash() uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(c.Method + " " + c.Path + "\n")
@@ -53,19 +53,20 @@
 }
 
 const (
-	// maxRelaysPerPeer is what a peer may ask for at a time, and maxRelays what all of them may:
-	// the watch, a reading, and as many calls as a controller has under way at the most.
+	// maxRelaysPerPeer is how many calls of one peer are relayed at a time, enough for its watch,
+	// a scan, and as many queued calls as a controller has in flight at most; maxRelays is
+	// how many calls of all peers are.
 	maxRelaysPerPeer     = 32
 	maxRelays            = 96
 	maxRelayRequestBytes = 64 << 10
-	// maxRelayResponseBytes is the largest answer that goes into one message between controllers.
+	// maxRelayResponseBytes is the largest answer that fits into one message between controllers.
 	maxRelayResponseBytes = 768 << 10
 	maxRelayTimeout       = 10 * time.Second
-	// relayGrace is what the way through a peer may take beside the call.
+	// relayGrace is the time allowed for the path through a peer, beyond the call's own timeout.
 	relayGrace = 500 * time.Millisecond
-	// relayBackoffTime is how long a peer whose relaying failed is left alone.
+	// relayBackoffTime is how long a peer whose relaying failed is not used.
 	relayBackoffTime = 3 * time.Second
-	// maxRelayFailures is after how many failures in a row it is.
+	// maxRelayFailures is the number of failures in a row that starts the backoff.
 	maxRelayFailures = 3
 )
 
@@ -78,18 +79,18 @@
 	done        func(protocol.Reply)
 }
 
-// relayTable keeps calls under way: ours with others, others' with us.
+// relayTable holds the relayed calls in flight: ours through a peer, and peers' through us.
 type relayTable struct {
-	lastID       uint64
+	lastID       uint64 // of the last call that we sent through a peer
 	pending      map[uint64]*pendingRelay
-	via          string         // who relays for us; "" while our own link is used
-	failures     int            // calls in a row that came back without the state service's answer
-	serving      map[string]int // others' calls under way, by who asked
+	via          string         // the peer that relays for us; "" while our own link is used
+	failures     int            // calls in a row through that peer without the state service's answer
+	serving      map[string]int // peers' calls in flight here, by peer
 	servingTotal int
 }
 
-// Relay names the peer through which the state service is to be called now, "" for
-// our own link.
+// Relay returns the name of the peer through which to call the state service now, or "" for our own
+// link.
 func (t *Tracker) Relay() string {
 	if !t.StateServiceLost() {
 		return ""
@@ -103,14 +104,14 @@
 	return via
 }
 
-// ChooseRelay names the peer through which the state service is called while our own link
-// to it is down, "" if there is none: one that messages reach both ways and that
-// the service answers itself. One that hears no workers has the time for it and goes first,
-// then whoever follows us by name, so that not all choose the same. The peer that relays
-// now (current) and works is kept.
+// ChooseRelay returns the name of the peer through which to call the state service while our own
+// link to it is down, or "" if there is none. The peer must be able to relay, exchange messages with
+// us both ways, and be answered directly by the service. The peer that relays now (current) is kept
+// while it qualifies. Otherwise a peer that hears no workers comes first, as it has time to
+// relay, then one whose name sorts after ours, so that controllers don't all choose the same peer.
 //
-// The rule that this must not break: none. A call that a peer relays is a call on a longer
-// way; what may happen to it there (lost, late, its answer lost) may happen without it.
+// The rule that this must not break: none. A relayed call is a call over a longer path, and the
+// faults of that path (the call lost or late, its answer lost) occur without a relay, too.
 func ChooseRelay(s *Snapshot, current string) string {
 	best, bestRank := "", 0
 	for i := range s.Peers {
@@ -135,8 +136,8 @@
 	return best
 }
 
-// StartRelay makes the message that has a peer relay a call; done gets what comes of it,
-// in a later step.
+// StartRelay returns the message that asks a peer to relay a call. done gets the call's reply, in a
+// later step.
 func (t *Tracker) StartRelay(to string, call protocol.Call, done func(protocol.Reply)) *RelayRequest {
 	t.relays.lastID++
 	request := &RelayRequest{
@@ -158,8 +159,8 @@
 	return request
 }
 
-// CompleteRelay takes what came of a call that a peer relayed. It returns nil if nobody waits for
-// it, else what is to be called with the reply.
+// CompleteRelay handles the result of a call that a peer relayed. It returns a function that passes
+// the reply to the caller, or nil if the result matches no pending call.
 func (t *Tracker) CompleteRelay(from string, response *RelayResponse) func() {
 	pending := t.relays.pending[response.ID]
 	if pending == nil || !matchesRequest(t.cfg.Incarnation, pending.to, pending.requestHash, from, response) {
@@ -169,8 +170,8 @@
 	reply := protocol.Reply{Status: response.Status, Sent: response.Sent, RetryAfter: response.RetryAfter, Body: response.Body}
 	switch {
 	case response.TooLarge && pending.watch:
-		// More has changed than a message holds: reading the records anew brings
-		// the same, page by page.
+		// The changes don't fit into one message. This status makes the caller scan all
+		// records again, which brings the same changes page by page.
 		reply = protocol.Reply{Status: http.StatusGone}
 	case response.TooLarge:
 		reply = protocol.Reply{Sent: true}
@@ -179,15 +180,17 @@
 	return func() { pending.done(reply) }
 }
 
-// matchesRequest tells whether an answer is to the call that has its number in this incarnation.
+// matchesRequest reports whether a response answers the pending call that has the response's number.
 //
-// Guards against a call of an earlier incarnation, whose numbers began anew: its answer would tell
-// this one that a transaction was applied which was not.
+// Guards against the answer to a call of an earlier incarnation: numbers begin anew in each
+// incarnation, so that answer could report a transaction of this incarnation as applied when it
+// was not.
 func matchesRequest(incarnation int64, to string, requestHash uint64, from string, response *RelayResponse) bool {
 	return response.Incarnation == incarnation && from == to && response.RequestHash == requestHash
 }
 
-// recordRelayResult leaves a relaying peer alone that brings no answer of the state service.
+// recordRelayResult counts the calls in a row that the relaying peer brought no answer of the state
+// service to, and starts the peer's backoff after maxRelayFailures of them.
 func (t *Tracker) recordRelayResult(from string, answered bool) {
 	if from != t.relays.via {
 		return
@@ -201,8 +204,8 @@
 	}
 }
 
-// ExpireRelays returns what is to be called for calls whose deadline has passed: the state service
-// may have carried them out.
+// ExpireRelays removes the relayed calls whose deadline has passed and returns, for each, a function
+// that reports to its caller that the state service may have executed it.
 func (t *Tracker) ExpireRelays() []func() {
 	var expired []uint64
 	for id, pending := range t.relays.pending {
@@ -210,7 +213,7 @@
 			expired = append(expired, id)
 		}
 	}
-	slices.Sort(expired) // equal inputs have equal effects
+	slices.Sort(expired) // map order is random, and equal inputs must have equal effects
 	var calls []func()
 	for _, id := range expired {
 		pending := t.relays.pending[id]
@@ -222,9 +225,10 @@
 	return calls
 }
 
-// AcceptRelay decides on a peer's call. It returns the call to make, or what the peer is told
-// instead, if that is not nil. Relaying takes none of our share of the service's rates, as who asks
-// keeps to its own; its connections and its processor time are bounded here.
+// AcceptRelay decides whether to relay a peer's call. It returns the call to make, or a non-nil
+// response that declines it. Relaying uses none of our share of the service's rates, as the
+// calling peer keeps to its own share; the connections and processor time that relaying takes are
+// bounded here.
 func (t *Tracker) AcceptRelay(from string, request *RelayRequest) (protocol.Call, *RelayResponse) {
 	if !t.mayServe(from, request) {
 		t.Stats.RelaysDeclined++
@@ -245,7 +249,7 @@
 	}, nil
 }
 
-// mayServe tells whether a call is made for who asks.
+// mayServe reports whether to make a call for the peer that asks for it.
 func (t *Tracker) mayServe(from string, request *RelayRequest) bool {
 	switch {
 	case t.peer(from) == nil,
@@ -261,10 +265,10 @@
 	return true
 }
 
-// isAllowedRelay tells whether a call is one that controllers make of the state service.
+// isAllowedRelay reports whether a call is one that controllers make to the state service.
 func isAllowedRelay(request *RelayRequest) bool {
 	if strings.ContainsFunc(request.Path, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
-		return false // it would not be one line of a request
+		return false // the path would break the request line
 	}
 	path, _, _ := strings.Cut(request.Path, "?")
 	switch request.Method {
@@ -276,7 +280,7 @@
 	return false
 }
 
-// FinishRelay makes the message that tells a peer what came of its call.
+// FinishRelay returns the message that carries a relayed call's reply back to the peer.
 func (t *Tracker) FinishRelay(from string, request *RelayRequest, reply protocol.Reply) *RelayResponse {
 	t.relays.serving[from]--
 	t.relays.servingTotal--
--- a/internal/connectivity/routing.go
+++ b/internal/connectivity/routing.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// CanServeZone tells whether a peer can answer a zone's workers, by a link report that is no older
-// than within: its records are fresh, and it hears the zone.
+// CanServeZone reports whether a peer can answer a zone's workers: its link report is younger than
+// within, its records are fresh, and it hears the zone.
 //
-// The rule that this must not break: none. Status 421 is advice: who is sent to the wrong place
-// is refused there and tries the next, and only a claim lets a controller answer.
+// The rule that this must not break: none. Status 421 is advice: a worker that is redirected to the
+// wrong controller is refused there and tries the next one, and a controller may answer a worker
+// only under a claim.
 func CanServeZone(s *Snapshot, peer *Peer, zone string, within time.Duration) bool {
 	return peer.ReportAge < within && s.mirrorFresh(peer) && HearsZone(s, peer, zone)
 }
 
-// HearsZone tells whether a peer hears a zone's workers at this moment, as far as its link report
-// goes: one of those that it holds there has been heard within its silence limit. One that holds
-// none, and has not lost them, is taken to.
+// HearsZone reports whether a peer's link report shows that it hears a zone's workers now: it has
+// heard one of its workers there within silenceLimit. A peer without workers there that has not
+// lost the zone is assumed to hear it.
 //
-// Guards against a worker that is sent back to the controller that it comes from because it
-// could not reach it: with a few others like it on its way, its lease runs out.
+// Guards against a worker that left a controller because it could not reach it and is sent back
+// there: after a few such detours its lease runs out.
 func HearsZone(s *Snapshot, peer *Peer, zone string) bool {
 	for _, z := range peer.Zones {
 		if z.Zone != zone {
@@ -38,13 +39,14 @@
 // prove that it hears the zone.
 const minProvingWorkers = 4
 
-// ProvenToHearZone tells whether a peer is known to hear a zone, and not merely not known to miss
-// it: it holds several workers there and hears them (of one or two, what is heard is
-// seconds old). A worker whose controller did not answer it is sent to no other: each
-// wrong guess takes it seconds of a lease that has begun to run out.
+// ProvenToHearZone reports whether a peer's link report proves that it hears a zone, where HearsZone
+// also accepts the lack of proof against it: the peer holds at least minProvingWorkers workers there
+// and hears them. With one or two workers the last heartbeat is seconds old. A worker that its
+// controller did not answer is redirected only to such a peer, as each wrong guess costs it seconds
+// of a lease that has begun to run out.
 //
-// Not one whose link to any zone flaps: one that is lost, and was heard a moment ago all the
-// same. It holds the workers that came while the link was up, and they prove nothing.
+// A peer proves nothing while its link to any zone flaps, that is, while a zone is lost and yet was
+// heard a moment ago: the workers that it holds may have come while the link was up.
 func ProvenToHearZone(s *Snapshot, peer *Peer, zone string) bool {
 	if slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Unreachable && milliseconds(z.LastHeardMS) < 2*s.HeartbeatInterval }) {
 		return false
@@ -52,10 +54,10 @@
 	return HearsZone(s, peer, zone) && slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Zone == zone && z.Workers >= minProvingWorkers })
 }
 
-// ChooseReceiver names the peer that a worker is best sent to by a controller that can't
-// answer it for long: one of its zone first, and by the worker's name among those that are
-// equal, so that none is overloaded. Not the one that it comes from, which did not answer it.
-// "" if none is known.
+// ChooseReceiver returns the name of the peer to which a controller that can't answer a worker for
+// much longer redirects it, or "" if no peer is known to serve the worker's zone. Peers in that zone
+// come first; among equals a hash of the worker's name decides, so that no peer is
+// overloaded. The controller that the worker comes from (from) is excluded, as it did not answer.
 func ChooseReceiver(s *Snapshot, zone, worker, from string, within time.Duration) string {
 	var sameZone, all []string
 	for i := range s.Peers {
@@ -77,17 +79,17 @@
 	return all[int(sum.Sum32()%uint32(len(all)))]
 }
 
-// PeersServe tells whether another controller can do what needs records no older than limit, by a
-// heartbeat of its own: then a balancer that leaves us out loses nothing.
+// PeersServe reports whether the recent heartbeat of some peer shows that its records are younger than
+// limit. If so, a load balancer that leaves us out loses nothing.
 func (t *Tracker) PeersServe(limit time.Duration) bool {
 	s := t.Snapshot()
 	return slices.ContainsFunc(s.Peers, func(peer Peer) bool { return s.heard(&peer) && milliseconds(peer.MirrorAgeMS) < limit })
 }
 
-// Workload is what a worker runs, most urgent first.
+// Workload is how urgent a worker's tasks are, most urgent first.
 type Workload int
 
-// Workloads of a worker.
+// The workloads: a worker runs urgent tasks, only other tasks, or no tasks.
 const (
 	UrgentWorkload Workload = iota
 	OtherWorkload
@@ -96,7 +98,7 @@
 
 var workloadNames = [...]string{"urgent", "other", "none"}
 
-// String is the workload's name, "unknown" for a value that is none.
+// String returns the workload's name, or "unknown" for an undefined value.
 func (w Workload) String() string {
 	if w < 0 || int(w) >= len(workloadNames) {
 		return "unknown"
@@ -104,40 +106,41 @@
 	return workloadNames[w]
 }
 
-// ShouldHandOver tells whether a controller without the state service and without anybody who
-// relays for it sends a worker on now: urgent ones at once, others from a third of
-// the time left on, empty ones from two thirds, so that claims are written where they
-// arrive in the order of what they save. alone is how long it has been so, left how long
-// workers may still be answered here.
+// ShouldHandOver reports whether a controller that has neither the state service nor a peer that
+// relays redirects a worker now. alone is how long that has lasted, left is how long the controller may
+// still answer workers. Workers with urgent work go at once, those with other work after a third of
+// alone+left, those without work after two thirds, so that their new controllers write first
+// the claims that save the most.
 //
-// The rule that this must not break: the cancel horizon, which is not its to decide:
-// who stays is answered within it alone.
+// The rule that this must not break: the cancel horizon. It is not decided here: the workers that
+// stay are answered only within it.
 func ShouldHandOver(w Workload, alone, left time.Duration) bool {
 	return 3*alone >= time.Duration(w)*(alone+left)
 }
 
-// MayRecover tells whether a worker's owner may be back soon and go on without a
-// new claim, its last heartbeat being no older than within. Not one that is silent after it said
-// that it reaches the state service through others alone, or hears no workers: what it lacked it
-// still lacks.
+// MayRecover reports whether a worker's owner may be back soon and go on without a new claim: its last
+// heartbeat is no older than within, and its last report said that it reached the state service
+// directly and heard workers. An owner that reported otherwise before it fell silent still lacks
+// what it lacked then.
 func MayRecover(s *Snapshot, owner *Peer, within time.Duration) bool {
 	return owner.HeartbeatAge <= within && !owner.HearsNoWorkers && milliseconds(owner.StateServiceMS) <= s.StaleAfter
 }
 
-// HolderReachable tells whether a worker's owner is there and hears workers, as far as its
-// heartbeats tell.
+// HolderReachable reports whether a worker's owner has sent us a recent heartbeat and does not report
+// that it hears no workers.
 //
-// The rule that this must not break: the cancel horizon, which the owner judges itself.
+// The rule that this must not break: the cancel horizon, which the owner checks itself.
 func (t *Tracker) HolderReachable(owner string) bool {
 	s := t.Snapshot()
 	peer := s.Find(owner)
 	return peer != nil && s.heard(peer) && !peer.HearsNoWorkers
 }
 
-// ZoneLost tells whether a peer says, a moment ago, that it has lost a zone's workers or all: it
-// heard none for too long, and none since for long enough.
+// ZoneLost reports whether a recent link report of a peer says that it has lost a zone's workers, or
+// all workers: it heard none for too long, and not steadily enough since.
 //
-// The rule that this must not break: none. Who takes its workers over does so by a record.
+// The rule that this must not break: none. A controller takes over the peer's workers only by
+// writing a record.
 func ZoneLost(s *Snapshot, owner, zone string) bool {
 	peer := s.Find(owner)
 	if peer == nil || peer.ReportAge >= s.HeartbeatInterval {
@@ -146,12 +149,13 @@
 	return peer.HearsNoWorkers || slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Zone == zone && z.Unreachable })
 }
 
-// ChooseIntermediary names a peer by way of which another can be queried that we can't query
-// ourselves: both hear one another. "" if there is none, or if none is needed.
+// ChooseIntermediary returns the name of a peer that can forward a query to another peer with which
+// we can't exchange messages: the intermediary is connected to us and hears that peer. It returns
+// "" if there is no such peer or no intermediary is needed.
 //
-// The rule that this must not break: the cancel horizon. A query names its asker's
-// clock and incarnation, so a reply that is late, or meant for an earlier incarnation, proves
-// nothing new; who passes it on adds nothing to it.
+// The rule that this must not break: the cancel horizon. A query carries its sender's clock
+// reading and incarnation, so a reply that is late, or meant for an earlier incarnation, proves
+// nothing new; the intermediary adds nothing to it.
 func ChooseIntermediary(s *Snapshot, to string) string {
 	if target := s.Find(to); target == nil || s.Connected(target) {
 		return ""
--- a/internal/connectivity/snapshot.go
+++ b/internal/connectivity/snapshot.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Peer is what is known of one controller.
+// Peer holds what is known about one peer.
 type Peer struct {
 	Controller
 	LinkReport
-	HeartbeatAge time.Duration // since its own heartbeat came here
-	ReportAge    time.Duration // of the link report, by whichever way it came
-	Relays       bool          // it knows how to relay calls
-	RelayBackoff bool          // relaying failed there a moment ago
+	HeartbeatAge time.Duration // since its last own heartbeat arrived here
+	ReportAge    time.Duration // of the link report, received directly or passed on by another peer
+	Relays       bool          // its version can relay calls
+	RelayBackoff bool          // relaying through it failed a moment ago
 }
 
-// maxAge is the age of what was maxAge heard.
+// maxAge is the age of a heartbeat or report that never came, and the upper bound of reported ages.
 const maxAge = 365 * 24 * time.Hour
 
-// Snapshot is who reaches what, as known to one controller at one moment.
+// Snapshot is one controller's view of all links at one moment.
 type Snapshot struct {
 	Self                          string
 	HeartbeatInterval, StaleAfter time.Duration // see Config
 	Peers                         []Peer
 }
 
-// Snapshot is what is known now, for decisions.
+// Snapshot returns the present view of all links, on which decisions are based.
 func (t *Tracker) Snapshot() Snapshot {
 	s := Snapshot{Self: t.cfg.Self, HeartbeatInterval: t.cfg.HeartbeatInterval, StaleAfter: t.cfg.StaleAfter, Peers: make([]Peer, 0, len(t.cfg.Peers))}
 	for _, controller := range t.cfg.Peers {
@@ -42,7 +42,7 @@
 	return s
 }
 
-// Find is a peer by its name, nil if there is none of that name.
+// Find returns the peer of the given name, or nil if there is none.
 func (s *Snapshot) Find(name string) *Peer {
 	for i := range s.Peers {
 		if s.Peers[i].Controller.Node == name {
@@ -52,21 +52,21 @@
 	return nil
 }
 
-// Connected tells whether messages pass both ways between us and a peer: its heartbeats come,
-// and say that ours do.
+// Connected reports whether messages pass both ways between us and a peer: its heartbeats arrive here,
+// and they say that ours arrive there.
 func (s *Snapshot) Connected(peer *Peer) bool {
 	return s.heard(peer) && slices.Contains(peer.HearsPeers, s.Self)
 }
 
-// heard tells whether a peer's own heartbeats come.
+// heard reports whether the peer's own heartbeats arrive here.
 func (s *Snapshot) heard(peer *Peer) bool { return peer.HeartbeatAge < s.HeartbeatInterval }
 
-// mirrorFresh tells whether a peer's records are fresh enough to answer workers by them.
+// mirrorFresh reports whether a peer's records are fresh enough for it to answer workers.
 func (s *Snapshot) mirrorFresh(peer *Peer) bool {
 	return milliseconds(peer.MirrorAgeMS) <= s.HeartbeatInterval/2
 }
 
-// milliseconds is an age that a peer tells, held within bounds.
+// milliseconds converts an age that a peer reported, clamped to between 0 and maxAge.
 func milliseconds(n int64) time.Duration {
 	return time.Duration(min(max(n, 0), maxAge.Milliseconds())) * time.Millisecond
 }
--- a/internal/connectivity/statelink.go
+++ b/internal/connectivity/statelink.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minUptime and maxUptime bound how long the link to the state service must answer
-	// probes before it is used again.
+	// minUptime and maxUptime bound how long probes of the lost link to the state service must be
+	// answered before the link is used again.
 	minUptime     = time.Second
 	maxUptime     = 16 * time.Second
 	probeInterval = time.Second
@@ -16,14 +16,14 @@
 // stateLink is our own link to the state service.
 type stateLink struct {
 	linkHysteresis
-	answeredAt  time.Duration // the last real answer
-	refusedAt   time.Duration // the last refusal, which an outage gives, too
-	nextProbeAt time.Duration // the next probe is not before
-	probing     bool
+	answeredAt  time.Duration // time of the service's last own answer, see isServiceAnswer
+	refusedAt   time.Duration // time of the last 503, which calls also get in an outage
+	nextProbeAt time.Duration // earliest time of the next probe
+	probing     bool          // a probe is in flight
 }
 
-// StateAnswered takes the status of a call of the state service that we made ourselves, 0 if
-// there was no answer.
+// StateAnswered records the status of a call that we made to the state service directly, 0 if there
+// was no answer.
 func (t *Tracker) StateAnswered(status int) {
 	link := &t.state
 	if status == http.StatusServiceUnavailable {
@@ -34,13 +34,13 @@
 	}
 	link.answeredAt = t.now
 	if link.lost && t.relays.via == "" {
-		link.lost, link.restoredAt = false, t.now // nobody relays for us: there is nothing better to keep to
+		link.lost, link.restoredAt = false, t.now // without a relay there is no better path than this link
 	}
 }
 
-// StateServiceLost tells whether the state service is unreachable for us: it has not answered for
-// longer than a watch and a slow answer take. It is back when probes were answered for a
-// second or more.
+// StateServiceLost reports whether we can't reach the state service directly: it has not answered for
+// longer than a watch and a slow answer take. The link is restored once probes have been answered
+// for a second or more.
 func (t *Tracker) StateServiceLost() bool {
 	link := &t.state
 	if !link.lost && t.silence(link.answeredAt) > t.cfg.StaleAfter && link.fail(t.now, minUptime, maxUptime) {
@@ -49,8 +49,8 @@
 	return link.lost
 }
 
-// Isolated tells whether we are cut off from the state service and from every other controller. It
-// is not an outage, in which the service refuses, and the others are heard.
+// Isolated reports whether we are cut off from the state service and from every other controller. In
+// an outage it is false, as the service refuses calls and the other controllers are heard.
 func (t *Tracker) Isolated() bool {
 	if len(t.cfg.Peers) == 0 || !t.StateServiceLost() || t.silence(t.state.refusedAt) <= t.cfg.StaleAfter {
 		return false
@@ -63,8 +63,8 @@
 	return true
 }
 
-// StateServiceLink is how the state service is reached: "direct", "relayed" by the peer via, or
-// "lost", which an outage that all see is, too.
+// StateServiceLink returns how we reach the state service: "direct", "relayed" by the peer via, or
+// "lost", also in an outage that all controllers see.
 func (t *Tracker) StateServiceLink() (how, via string) {
 	switch {
 	case !t.StateServiceLost():
@@ -75,8 +75,8 @@
 	return "lost", ""
 }
 
-// LinkChange is StateServiceLink, and whether it has changed since the last call. A first link
-// that is direct is no change.
+// LinkChange returns StateServiceLink and whether it has changed since the last call of LinkChange. At
+// the first call a direct link is no change.
 func (t *Tracker) LinkChange() (how, via string, changed bool) {
 	how, via = t.StateServiceLink()
 	link := how + " " + via
@@ -85,8 +85,8 @@
 	return how, via, changed
 }
 
-// ShouldProbe tells whether our own link to the state service is to be tried: while a peer
-// relays our calls nothing else shows that it is back. Probed is to be called with what comes of it.
+// ShouldProbe reports whether to probe our own link to the state service now: while a peer relays our
+// calls, nothing else shows that the link is back. The caller must call Probed with the result.
 func (t *Tracker) ShouldProbe() bool {
 	link := &t.state
 	if !link.lost || t.relays.via == "" || link.probing || t.now < link.nextProbeAt {
@@ -96,7 +96,7 @@
 	return true
 }
 
-// Probed takes the status that a probe was answered with, 0 if it was not.
+// Probed records the status with which a probe was answered, 0 if there was no answer.
 func (t *Tracker) Probed(status int) {
 	link := &t.state
 	link.probing = false
--- a/internal/connectivity/workerlinks.go
+++ b/internal/connectivity/workerlinks.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// workerLinks is whether workers are heard, by zone and of all.
+// workerLinks tracks whether workers are heard, by zone and overall.
 type workerLinks struct {
 	zones map[string]*workerLink
 	all   workerLink
-	lost  bool // no worker is heard, and some should be
+	lost  bool // we hear no worker, and should hear some
 }
 
-// workerLink is whether a zone's workers are heard, or all.
+// workerLink tracks whether the workers of a zone, or all workers, are heard.
 type workerLink struct {
-	heardAt       time.Duration // the last heartbeat or answer of any worker
-	expectedSince time.Duration // since when any is to be heard
-	workers       int
-	// awaited are those of an earlier incarnation of ours that have not come back yet.
+	heardAt       time.Duration // time of the last heartbeat or answer of any worker
+	expectedSince time.Duration // since when there have been workers to hear
+	workers       int           // how many send us heartbeats
+	// awaited is how many workers of an earlier incarnation of ours have not come back yet.
 	awaited int
 	linkHysteresis
 }
@@ -30,13 +30,13 @@
 	l.workers, l.awaited = workers, awaited
 }
 
-// workerSilence is how long no worker of a link was heard that should have been.
+// workerSilence returns how long no worker of a link has been heard while there were workers to hear.
 func (t *Tracker) workerSilence(l *workerLink) time.Duration {
 	return t.silence(max(l.heardAt, l.expectedSince))
 }
 
-// SetWorkers takes how many workers of each zone report to us, by the records, and how many
-// did so to an earlier incarnation of ours and are still to come back.
+// SetWorkers sets, by zone, how many workers send us heartbeats according to the records (held), and
+// how many sent them to an earlier incarnation of ours and have not come back yet (awaited).
 func (t *Tracker) SetWorkers(held, awaited map[string]int) {
 	links := &t.workers
 	for _, zones := range []map[string]int{held, awaited} {
@@ -47,8 +47,8 @@
 		}
 	}
 	for zone, link := range links.zones {
-		// Before the new count: whose last worker was just claimed by another controller
-		// may have lost it because it can't be reached.
+		// The check precedes the new counts: if another controller has just claimed our last
+		// worker of a zone, the reason may be that we don't hear the zone.
 		if t.zoneSilent(link, awaited[zone]) {
 			link.fail(t.now, 2*t.cfg.HeartbeatInterval, 8*t.cfg.HeartbeatInterval)
 		}
@@ -65,12 +65,12 @@
 	}
 }
 
-// minMissedHeartbeats is how many heartbeats must be missing, of all workers together, before a
-// controller takes itself for one that hears none.
+// minMissedHeartbeats is how many heartbeats of all workers together a controller must have missed
+// before it concludes that it hears no workers.
 const minMissedHeartbeats = 8
 
-// zoneSilent tells whether a zone has been silent for too long. awaited is the new count of those of
-// an earlier incarnation that are still to come back.
+// zoneSilent reports whether a zone has been silent for too long. awaited is the new count of workers
+// of an earlier incarnation that have not come back yet.
 func (t *Tracker) zoneSilent(link *workerLink, awaited int) bool {
 	quiet, interval := t.workerSilence(link), t.cfg.HeartbeatInterval
 	if link.workers > 0 {
@@ -79,7 +79,8 @@
 	return link.lost && quiet > interval/2 || awaited > 0 && quiet > 2*interval
 }
 
-// WorkerHeard takes that a worker of a zone was heard. One is enough to show that we hear workers.
+// WorkerHeard records a heartbeat or answer of a worker in the zone. A single one clears
+// HearsNoWorkers.
 func (t *Tracker) WorkerHeard(zone string) {
 	t.workers.all.heardAt, t.workers.lost = t.now, false
 	if link := t.workers.zones[zone]; link != nil {
@@ -88,14 +89,15 @@
 	}
 }
 
-// silenceLimit is how long a controller with so many workers waits to hear any of them: a time in
-// which two should have sent a heartbeat, and a quarter of a heartbeat interval at least.
+// silenceLimit returns how long a controller may hear none of its workers of a zone before it counts as
+// not hearing the zone: the time in which two of them should have sent a heartbeat, and at least
+// a quarter of a heartbeat interval.
 func silenceLimit(interval time.Duration, workers int) time.Duration {
 	return max(interval/4, 2*interval/time.Duration(workers))
 }
 
-// SilentZones names the zones that we don't hear and where nobody reports to us any more, in
-// order: only a query can show that we hear them again.
+// SilentZones returns, sorted, the lost zones in which no worker sends us heartbeats any more. Only a
+// query to a worker there can show that we hear such a zone again.
 func (t *Tracker) SilentZones() []string {
 	var zones []string
 	for zone, link := range t.workers.zones {
@@ -107,17 +109,18 @@
 	return zones
 }
 
-// HearsNoWorkers tells whether we hear no worker and should: eight heartbeats at least are missing. A
-// controller that has lost all its workers to others stays so until it hears one.
+// HearsNoWorkers reports whether we hear no worker although we should: at least eight heartbeats are
+// missing. If other controllers have taken over all our workers, it stays true until we hear a worker.
 func (t *Tracker) HearsNoWorkers() bool { return t.workers.lost }
 
-// LostZone tells whether we have lost a zone's workers, or all, as our link report says to others.
+// LostZone reports whether we have lost a zone's workers, or all workers, as our link report tells
+// peers.
 func (t *Tracker) LostZone(zone string) bool {
 	link := t.workers.zones[zone]
 	return t.workers.lost || link != nil && link.lost
 }
 
-// zoneReports is what our link report says of zones, in their order.
+// zoneReports returns the zones of our link report, sorted by name.
 func (t *Tracker) zoneReports() []ZoneReport {
 	var reports []ZoneReport
 	for _, zone := range slices.Sorted(maps.Keys(t.workers.zones)) {
