--- a/internal/connectivity/helpers_test.go
+++ b/internal/connectivity/helpers_test.go
@@ -12,7 +12,7 @@
 	staleAfter = 2500 * time.Millisecond
 )
 
-// newTracker is controller n0 of five, whose peers are n1 to n4.
+// newTracker returns the tracker of controller n0 of five, whose peers are n1 to n4.
 func newTracker() *Tracker {
 	cfg := Config{Self: "n0", Incarnation: 7, HeartbeatInterval: interval, StaleAfter: staleAfter}
 	for i := 1; i < 5; i++ {
@@ -21,14 +21,14 @@
 	return New(cfg)
 }
 
-// hearPeers has a heartbeat of every peer come, all of them being well.
+// hearPeers delivers a heartbeat of every peer, each of which hears n0.
 func hearPeers(tracker *Tracker) {
 	for _, p := range tracker.cfg.Peers {
 		tracker.ReceiveHeartbeat(p.Node, 0, false, []LinkReport{{Node: p.Node, HearsPeers: []string{"n0"}}})
 	}
 }
 
-// drawPeer draws what is known of a controller, also what no honest one says.
+// drawPeer draws a peer with any report, including values that no correct controller sends.
 func drawPeer(t *rapid.T, name string) Peer {
 	age := rapid.SampledFrom([]int64{-5, 0, 900, 2400, 2600, 60_000, 1 << 60})
 	zone := rapid.SampledFrom([]string{"a", "b", ""})
@@ -67,16 +67,16 @@
 	return s
 }
 
-// drawNode draws a peer's name, that of none, or no name.
+// drawNode draws the name of a peer, the name of no peer, or an empty name.
 func drawNode(t *rapid.T, label string) string {
 	return rapid.SampledFrom([]string{"", "n1", "n2", "n9"}).Draw(t, label)
 }
 
-// mustFind is the peer that a decision chose.
+// mustFind returns the peer that a decision chose, and fails the test if there is no such peer.
 func mustFind(t *rapid.T, s *Snapshot, name string) *Peer {
 	peer := s.Find(name)
 	if peer == nil {
-		t.Fatalf("%q was chosen, which nobody is", name)
+		t.Fatalf("chose %q, which is not a peer", name)
 	}
 	return peer
 }
--- a/internal/connectivity/linkreports_test.go
+++ b/internal/connectivity/linkreports_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestHostileReportsAreBounded: whatever a heartbeat says, little of it is kept, and of peers alone.
+// TestHostileReportsAreBounded guards against a heartbeat with thousands of reports, names or unknown
+// controllers that fills the memory: only a bounded part is stored, and only for peers.
 func TestHostileReportsAreBounded(t *testing.T) {
 	tracker := newTracker()
 	reports := []LinkReport{{Node: "n3", HearsPeers: make([]string, 5000), Zones: make([]ZoneReport, 5000), MirrorAgeMS: 1}}
@@ -16,9 +17,9 @@
 	tracker.ReceiveHeartbeat("nobody", 0, false, reports)
 	own := tracker.peers["n1"].report
 	if len(tracker.peers) > 4 || tracker.peers["n3"] != nil || len(own.HearsPeers) > maxNames || len(own.Zones) > maxNames {
-		t.Errorf("%d names, %+v", len(tracker.peers), own)
+		t.Errorf("%d peers are stored, n1 with %+v", len(tracker.peers), own)
 	}
 	if tracker.peers["n2"] != nil && tracker.peers["n2"].reportedAt > 0 {
-		t.Error("a report from the future was believed")
+		t.Error("a report with a negative age was accepted")
 	}
 }
--- a/internal/connectivity/links_test.go
+++ b/internal/connectivity/links_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestFlappingLinkChangesRelaySeldom has the link to the state service come and go as drawn: the way
-// of calls changes a bounded number of times, a relay is found within StaleAfter and a step when
-// the link is gone, and the link comes back when it holds.
+// TestFlappingLinkChangesRelaySeldom takes the link to the state service up and down at drawn
+// intervals. The path of calls must change a bounded number of times, a relay must be chosen
+// within StaleAfter and two steps after the link went down, and the direct link must be used again
+// once it stays up.
 func TestFlappingLinkChangesRelaySeldom(t *testing.T) {
 	const (
 		step       = 100 * time.Millisecond
@@ -18,7 +19,7 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := newTracker()
-		up, changes, via, gone := true, 0, "", time.Duration(0)
+		up, changes, via, downFor := true, 0, "", time.Duration(0)
 		left := 0
 		for now := step; now <= 60*time.Second; now += step {
 			if left--; left < 0 {
@@ -34,11 +35,11 @@
 			if up && via == "" {
 				tracker.StateAnswered(200)
 			}
-			if gone += step; up {
-				gone = 0
+			if downFor += step; up {
+				downFor = 0
 			}
-			if gone > tracker.cfg.StaleAfter+2*step && tracker.Relay() == "" {
-				t.Fatalf("the link is gone for %v", gone)
+			if downFor > tracker.cfg.StaleAfter+2*step && tracker.Relay() == "" {
+				t.Fatalf("the link has been down for %v and no peer relays", downFor)
 			}
 			if to := tracker.Relay(); to != via {
 				changes++
@@ -46,7 +47,7 @@
 			}
 		}
 		if changes > maxChanges {
-			t.Fatalf("%d changes in a minute", changes)
+			t.Fatalf("the path of calls changed %d times in a minute", changes)
 		}
 		for now := 60 * time.Second; now <= 60*time.Second+maxUptime+2*time.Second; now += step {
 			tracker.Advance(now)
@@ -59,13 +60,13 @@
 			}
 		}
 		if to := tracker.Relay(); to != "" {
-			t.Fatalf("the link holds, and %s still relays", to)
+			t.Fatalf("the link stays up, and %s still relays", to)
 		}
 	})
 }
 
-// TestStallIsNotSilence guards against a process that stalled, or was suspended, and takes all others
-// for silent when it wakes.
+// TestStallIsNotSilence guards against a process that stalled or was suspended and, when it resumes,
+// concludes that all others were silent.
 func TestStallIsNotSilence(t *testing.T) {
 	const step = 300 * time.Millisecond
 	tracker := newTracker()
@@ -80,19 +81,19 @@
 	tracker.Advance(50 * time.Second)
 	tracker.SetWorkers(workers, nil)
 	if tracker.StateServiceLost() || tracker.HearsNoWorkers() || zoneUnreachable() || tracker.Stats.Stalls != 1 {
-		t.Fatalf("lost %v, hears no workers %v, %+v", tracker.StateServiceLost(), tracker.HearsNoWorkers(), tracker.LinkReports(0, false)[0])
+		t.Fatalf("after a stall: state service lost %v, hears no workers %v, %+v", tracker.StateServiceLost(), tracker.HearsNoWorkers(), tracker.LinkReports(0, false)[0])
 	}
 	for now := 50 * time.Second; now < 54*time.Second; now += step {
 		tracker.Advance(now)
 		tracker.SetWorkers(workers, nil)
 	}
 	if !tracker.StateServiceLost() || !tracker.HearsNoWorkers() || !zoneUnreachable() {
-		t.Fatal("four seconds of silence after it are none")
+		t.Fatal("four seconds of silence after a stall were not detected")
 	}
 }
 
-// TestLostZoneIsBackOnceHeardSteadily: a zone whose workers went to others stays lost until it is heard
-// for two heartbeat intervals, and longer when it is lost again.
+// TestLostZoneIsBackOnceHeardSteadily checks that a zone whose workers other controllers have claimed
+// stays lost until it has been heard for two heartbeat intervals, and for longer when it is lost again.
 func TestLostZoneIsBackOnceHeardSteadily(t *testing.T) {
 	tracker := newTracker()
 	now := time.Duration(0)
@@ -110,29 +111,29 @@
 	}
 	pass(5*time.Second, 30, true)
 	if lost() || tracker.HearsNoWorkers() {
-		t.Fatal("lost while heard")
+		t.Fatal("the zone is lost while its workers are heard")
 	}
 	pass(3*time.Second, 30, false)
 	pass(10*time.Second, 0, false) // claimed by others
 	if !lost() || !slices.Equal(tracker.SilentZones(), []string{"a"}) {
-		t.Fatalf("not lost after it was silent: %v", tracker.SilentZones())
+		t.Fatalf("the zone is not lost after its silence; silent zones: %v", tracker.SilentZones())
 	}
 	pass(2*interval-time.Second, 0, true)
 	if !lost() {
-		t.Fatal("back too soon")
+		t.Fatal("the zone is back before it was heard for two heartbeat intervals")
 	}
 	pass(2*time.Second, 0, true)
 	if lost() || len(tracker.SilentZones()) > 0 {
-		t.Fatal("heard for two heartbeat intervals, and still lost")
+		t.Fatal("the zone was heard for two heartbeat intervals and is still lost")
 	}
 	pass(time.Second, 30, true)
 	pass(3*time.Second, 30, false)
 	pass(2*interval+time.Second, 30, true)
 	if !lost() {
-		t.Fatal("lost twice in half a minute, and trusted as soon as the first time")
+		t.Fatal("the zone was lost twice in half a minute and is back as soon as the first time")
 	}
 	pass(2*interval, 30, true)
 	if lost() {
-		t.Fatal("never trusted again")
+		t.Fatal("the zone was heard for four heartbeat intervals and is still lost")
 	}
 }
--- a/internal/connectivity/relay_model_test.go
+++ b/internal/connectivity/relay_model_test.go
@@ -7,30 +7,32 @@
 	"silvergate/internal/modelcheck"
 )
 
-// The model of relayed calls: an asker that crashes once and then numbers its calls anew, two
-// relaying peers, messages that are lost, late, duplicated and in any order, deadlines that pass.
-// Its invariant: an answer that is taken is to that very call. The judgement is the product's
-// own, matchesRequest; origin is what only the model knows.
+// The model of relayed calls: a caller that crashes once and then numbers its calls anew, two
+// relaying peers, messages that are lost, late, duplicated and delivered in any order, and
+// deadlines that pass. The invariant: an answer is accepted only for the very call that it answers.
+// Answers are accepted by the production code's matchesRequest; origin identifies a call across
+// crashes and is known only to the model.
 
-// maxModelCalls is how many calls the asker makes in all.
+// maxModelCalls is how many calls the caller makes in all.
 const maxModelCalls = 4
 
-// modelCall is a call of the asker.
+// modelCall is a call of the caller.
 type modelCall struct {
 	pending bool // waits for its answer
 	id, to  uint8
 	hash    uint8
-	origin  uint8 // which of all calls it is, from 1
+	origin  uint8 // number of the call among all calls, from 1
 }
 
-// modelMessage is a message under way: a call, or the answer to it.
+// modelMessage is a message on the network: a call, or the answer to it.
 type modelMessage struct {
 	answer          bool
 	incarnation, id uint8
 	to, hash        uint8
-	origin          uint8 // of the call; 0: no message
+	origin          uint8 // of the call; 0: the slot is free
 }
 
+// relayModelState is a state of the model.
 type relayModelState struct {
 	incarnation, lastID, callsMade uint8
 	calls                          [2]modelCall
@@ -38,7 +40,7 @@
 	violated                       bool
 }
 
-// send puts a message on the network, if there is room.
+// send puts a message on the network and reports whether there was a free slot for it.
 func (w relayModelState) send(message modelMessage) (relayModelState, bool) {
 	for i := range w.network {
 		if w.network[i].origin == 0 {
@@ -49,7 +51,7 @@
 	return w, false
 }
 
-// matcher tells whether an answer is to a call, as matchesRequest does.
+// matcher reports whether an answer belongs to a call, as matchesRequest does.
 type matcher func(incarnation int64, to string, requestHash uint64, from string, response *RelayResponse) bool
 
 func relayModel(matches matcher) modelcheck.Model[relayModelState] {
@@ -62,7 +64,7 @@
 					w.messageSteps(i, matches, emit)
 				}
 			}
-			if w.incarnation == 1 { // it crashes
+			if w.incarnation == 1 { // the caller crashes
 				next := *w
 				next.incarnation, next.lastID, next.calls = 2, 0, [2]modelCall{}
 				emit(next)
@@ -70,7 +72,7 @@
 		},
 		Broken: func(w *relayModelState) string {
 			if w.violated {
-				return "an answer to another call was taken"
+				return "an answer to another call was accepted"
 			}
 			return ""
 		},
@@ -80,7 +82,8 @@
 	}
 }
 
-// callSteps make a call in the first free slot, and have the deadlines of calls pass.
+// callSteps emits the states in which a call is made in the first free slot, and those in which the
+// deadline of a pending call passes.
 func (w *relayModelState) callSteps(emit func(relayModelState)) {
 	for i := range w.calls {
 		if !w.calls[i].pending && w.callsMade < maxModelCalls {
@@ -91,7 +94,7 @@
 			}
 			break
 		}
-		if w.calls[i].pending { // its deadline passes
+		if w.calls[i].pending { // the call's deadline passes
 			next := *w
 			next.calls[i] = modelCall{}
 			emit(next)
@@ -108,7 +111,7 @@
 	}
 }
 
-// messageSteps lose, duplicate and deliver a message.
+// messageSteps emits the states in which a message is lost, duplicated or delivered.
 func (w *relayModelState) messageSteps(slot int, matches matcher, emit func(relayModelState)) {
 	message, next := w.network[slot], *w
 	next.network[slot] = modelMessage{} // lost
@@ -135,7 +138,7 @@
 
 func nodeName(n uint8) string { return fmt.Sprint("n", n) }
 
-// TestRelayedAnswersBelongToTheirCalls explores the model whole.
+// TestRelayedAnswersBelongToTheirCalls explores all states of the model.
 func TestRelayedAnswersBelongToTheirCalls(t *testing.T) {
 	r := modelcheck.Run(relayModel(matchesRequest), 6_000_000)
 	t.Log(r.States, "states, depth", r.Depth)
@@ -144,14 +147,14 @@
 	}
 }
 
-// TestRelayModelFindsIgnoredIncarnation breaks the model on purpose: an incarnation that is not
-// looked at.
+// TestRelayModelFindsIgnoredIncarnation checks that the model detects a fault that is put into it on
+// purpose: a matcher that ignores the incarnation.
 func TestRelayModelFindsIgnoredIncarnation(t *testing.T) {
 	r := modelcheck.Run(relayModel(func(_ int64, to string, requestHash uint64, from string, response *RelayResponse) bool {
 		return matchesRequest(response.Incarnation, to, requestHash, from, response)
 	}), 1_000_000)
 	t.Log(r.States, "states, depth", r.Depth)
 	if r.Broken == "" || len(r.Trace) > 8 {
-		t.Errorf("an incarnation that is not looked at: %v", r)
+		t.Errorf("the model did not find, within 8 steps, that the incarnation is ignored: %v", r)
 	}
 }
--- a/internal/connectivity/relay_test.go
+++ b/internal/connectivity/relay_test.go
@@ -12,8 +12,8 @@
 	"silvergate/internal/protocol"
 )
 
-// TestEachRelayedCallIsAnsweredOnce draws calls, answers of all kinds, twice and late, and
-// deadlines that pass.
+// TestEachRelayedCallIsAnsweredOnce draws calls, answers that are right, wrong, duplicated or late, and
+// deadlines that pass. Every call must be answered exactly once.
 func TestEachRelayedCallIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := newTracker()
@@ -57,7 +57,8 @@
 	})
 }
 
-// deliverResponse delivers an answer as it is, or as one to something else, which must not be taken.
+// deliverResponse delivers an answer unchanged, or changed into one that belongs to another call, which
+// must not be accepted.
 func deliverResponse(t *rapid.T, tracker *Tracker, response RelayResponse) {
 	from, wrong := "n1", true
 	switch rapid.IntRange(0, 4).Draw(t, "wrong") {
@@ -72,14 +73,14 @@
 	}
 	done := tracker.CompleteRelay(from, &response)
 	if wrong && done != nil {
-		t.Fatal("an answer to something else was taken")
+		t.Fatal("an answer that belongs to another call was accepted")
 	}
 	if done != nil {
 		done()
 	}
 }
 
-// reachingTracker is a tracker whose link to the state service is up at one second.
+// reachingTracker returns a tracker at the time of one second, whose link to the state service is up.
 func reachingTracker() *Tracker {
 	tracker := newTracker()
 	tracker.Advance(time.Second)
@@ -87,8 +88,8 @@
 	return tracker
 }
 
-// TestServedRelaysAreBounded: what peers ask for at a time is bounded, each and all; what is over is
-// declined as not executed.
+// TestServedRelaysAreBounded checks that the calls relayed at a time are bounded, per peer and in all,
+// and that calls over the bound are declined as not executed.
 func TestServedRelaysAreBounded(t *testing.T) {
 	tracker := reachingTracker()
 	var served []string
@@ -97,23 +98,24 @@
 		if _, declined := tracker.AcceptRelay(from, &RelayRequest{ID: uint64(i), Method: "POST", Path: "/txn", TimeoutMS: 1500}); declined == nil {
 			served = append(served, from)
 		} else if declined.Status != 503 || declined.Sent {
-			t.Fatalf("declined with %+v", declined)
+			t.Fatalf("call declined with %+v, want status 503 and not sent", declined)
 		}
 	}
 	if len(served) != maxRelays {
-		t.Errorf("%d calls were taken, of %d", len(served), maxRelays)
+		t.Errorf("accepted %d calls, want %d", len(served), maxRelays)
 	}
 	for _, from := range served {
 		tracker.FinishRelay(from, &RelayRequest{}, protocol.Reply{Status: 200})
 	}
 	for i := range 2 * maxRelaysPerPeer {
 		if _, declined := tracker.AcceptRelay("n1", &RelayRequest{Method: "GET", Path: "/keys/sg/fleet", TimeoutMS: 1500}); (declined == nil) != (i < maxRelaysPerPeer) {
-			t.Fatalf("call %d of one peer: %v", i, declined)
+			t.Fatalf("call %d of one peer: declined with %v", i, declined)
 		}
 	}
 }
 
-// TestAcceptRelayDeclinesOtherCalls: calls from strangers, and what is no call of the state service.
+// TestAcceptRelayDeclinesOtherCalls checks that calls from unknown controllers, and requests that are no
+// calls to the state service, are declined.
 func TestAcceptRelayDeclinesOtherCalls(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -130,28 +132,30 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, declined := reachingTracker().AcceptRelay(c.from, &c.request); declined == nil {
-				t.Errorf("%s %.40q was taken", c.request.Method, c.request.Path)
+				t.Errorf("%s %.40q was accepted", c.request.Method, c.request.Path)
 			}
 		})
 	}
 }
 
-// TestAcceptRelayNeedsOwnLink: a controller that does not reach the state service itself relays nothing.
+// TestAcceptRelayNeedsOwnLink checks that a controller that does not reach the state service directly
+// relays nothing.
 func TestAcceptRelayNeedsOwnLink(t *testing.T) {
 	tracker := reachingTracker()
 	request := RelayRequest{Method: "GET", Path: "/keys/a", TimeoutMS: 9}
 	if _, declined := tracker.AcceptRelay("n3", &request); declined != nil {
-		t.Error("a call was declined by one that reaches the service")
+		t.Error("a call was declined although the state service is reached directly")
 	}
 	for now := time.Second; now < 5*time.Second; now += 500 * time.Millisecond {
-		tracker.Advance(now) // without an answer
+		tracker.Advance(now) // the state service does not answer
 	}
 	if _, declined := tracker.AcceptRelay("n3", &request); declined == nil {
-		t.Error("a call was taken by one that does not reach the service itself")
+		t.Error("a call was accepted although the state service is not reached directly")
 	}
 }
 
-// TestTooLargeAnswers: more changes than a message holds have the records read anew.
+// TestTooLargeAnswers checks that a watch whose changes don't fit into a message gets status 410, after
+// which all records are scanned again, and that a read gets no answer.
 func TestTooLargeAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
@@ -167,7 +171,7 @@
 			response := tracker.FinishRelay("n1", request, protocol.Reply{Status: 200, Body: make([]byte, maxRelayResponseBytes+1)})
 			done := tracker.CompleteRelay("n1", response)
 			if done == nil {
-				t.Fatal("the answer was not taken")
+				t.Fatal("the answer was not accepted")
 			}
 			if done(); got != c.want {
 				t.Errorf("status %d, want %d", got, c.want)
@@ -176,7 +180,8 @@
 	}
 }
 
-// FuzzAcceptRelay feeds the gate for peers' calls: what passes is one line of a request to the state service.
+// FuzzAcceptRelay passes arbitrary calls of peers to AcceptRelay: an accepted call has a known method, a
+// path that can't break the request line, and a bounded timeout and body.
 func FuzzAcceptRelay(f *testing.F) {
 	f.Add("GET", "/keys?under=sg/", []byte(nil), int64(1500))
 	f.Add("POST", "/grants/7/touch", []byte("{}"), int64(1500))
@@ -190,7 +195,7 @@
 		known := call.Method == "GET" || call.Method == "POST"
 		bounded := call.Timeout > 0 && call.Timeout <= maxRelayTimeout && len(call.Body) <= maxRelayRequestBytes
 		if !oneLine || !known || !bounded {
-			t.Errorf("taken: %q %q for %v", call.Method, call.Path, call.Timeout)
+			t.Errorf("accepted %q %q with timeout %v", call.Method, call.Path, call.Timeout)
 		}
 	})
 }
--- a/internal/connectivity/routing_test.go
+++ b/internal/connectivity/routing_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestChooseRelayTakesWhoCanRelay holds the choice on drawn snapshots against its terms.
+// TestChooseRelayTakesWhoCanRelay checks on drawn snapshots that a peer that can relay is chosen if there
+// is one, and that the current relay is kept while it can.
 func TestChooseRelayTakesWhoCanRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, current := drawSnapshot(t), drawNode(t, "current")
@@ -17,17 +18,18 @@
 		}
 		switch to := ChooseRelay(s, current); {
 		case to == "" && slices.ContainsFunc(s.Peers, canRelay):
-			t.Fatal("somebody could relay, and nobody was chosen")
+			t.Fatal("a peer can relay, and none was chosen")
 		case to == "":
 		case !canRelay(*mustFind(t, s, to)):
 			t.Fatalf("%+v can't relay", mustFind(t, s, to))
 		case to != current && slices.ContainsFunc(s.Peers, func(peer Peer) bool { return peer.Controller.Node == current && canRelay(peer) }):
-			t.Fatal("a peer that relays was left")
+			t.Fatal("the current relay can still relay, and another peer was chosen")
 		}
 	})
 }
 
-// TestChooseReceiverTakesWhoCanServe holds the choice on drawn snapshots against its terms.
+// TestChooseReceiverTakesWhoCanServe checks on drawn snapshots that a peer that can serve the worker is
+// chosen if there is one, and always the same one.
 func TestChooseReceiverTakesWhoCanServe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, from := drawSnapshot(t), drawNode(t, "from")
@@ -36,23 +38,23 @@
 		to := ChooseReceiver(s, "a", worker, from, within)
 		if to == "" {
 			if slices.ContainsFunc(s.Peers, func(peer Peer) bool { return peer.Controller.Node != from && CanServeZone(s, &peer, "a", within) }) {
-				t.Fatal("somebody could serve the worker, and nobody was chosen")
+				t.Fatal("a peer can serve the worker, and none was chosen")
 			}
 			return
 		}
 		peer := mustFind(t, s, to)
 		lost := slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Zone == "a" && z.Unreachable })
 		if to == from || peer.HearsNoWorkers || peer.ReportAge >= within || peer.MirrorAgeMS > 2000 || lost {
-			t.Fatalf("a worker that comes from %q is sent to %+v", from, peer)
+			t.Fatalf("a worker that comes from %q is redirected to %+v", from, peer)
 		}
 		if again := ChooseReceiver(s, "a", worker, from, within); again != to {
-			t.Fatalf("the same worker goes to %s and to %s", to, again)
+			t.Fatalf("the same worker is redirected to %s and to %s", to, again)
 		}
 	})
 }
 
-// TestProvenToHearZoneNeedsWorkers: only a peer that hears the zone and holds several workers there
-// proves that it hears it.
+// TestProvenToHearZoneNeedsWorkers checks that only a peer that hears the zone and has at least
+// minProvingWorkers workers there is proven to hear it.
 func TestProvenToHearZoneNeedsWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
@@ -60,19 +62,19 @@
 			peer := &s.Peers[i]
 			several := slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Zone == "a" && z.Workers >= minProvingWorkers })
 			if ProvenToHearZone(s, peer, "a") && (!HearsZone(s, peer, "a") || !several) {
-				t.Fatalf("%+v proves nothing", peer)
+				t.Fatalf("%+v is proven to hear zone a", peer)
 			}
 		}
 	})
 }
 
-// TestProvenToHearZoneNeedsSteadyLinks guards against workers sent to a controller that had met their
-// zone in the two seconds in which its link was up.
+// TestProvenToHearZoneNeedsSteadyLinks guards against workers that are redirected to a controller
+// which heard their zone only in the two seconds in which its flapping link was up.
 func TestProvenToHearZoneNeedsSteadyLinks(t *testing.T) {
 	s := Snapshot{Self: "n0", HeartbeatInterval: interval}
 	for _, c := range []struct {
 		name        string
-		lastHeardMS int64 // of zone c, which is lost
+		lastHeardMS int64 // age of the last heartbeat from zone c, which is lost
 		want        bool
 	}{
 		{"another zone comes and goes", 3878, false},
@@ -84,14 +86,14 @@
 				{Zone: "c", Workers: 1, LastHeardMS: c.lastHeardMS, Unreachable: true},
 			}}}
 			if got := ProvenToHearZone(&s, &peer, "a"); got != c.want {
-				t.Errorf("zone a is proven: %v, want %v", got, c.want)
+				t.Errorf("proven to hear zone a: %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// TestChooseIntermediaryHearsBothSides: only a peer that we can't query ourselves is queried by way of
-// another, which both hear.
+// TestChooseIntermediaryHearsBothSides checks that an intermediary is chosen only for a peer that is not
+// connected to us, and that the intermediary is connected to us and hears that peer.
 func TestChooseIntermediaryHearsBothSides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
@@ -103,13 +105,14 @@
 			}
 			between := mustFind(t, s, by)
 			if by == target.Controller.Node || s.Connected(target) || !slices.Contains(between.HearsPeers, target.Controller.Node) || !s.Connected(between) {
-				t.Fatalf("%s can't be queried by way of %s", target.Controller.Node, by)
+				t.Fatalf("%s was chosen as the intermediary to %s, which it can't be", by, target.Controller.Node)
 			}
 		}
 	})
 }
 
-// TestMayRecoverNeedsWorkingLinks: no worker waits for an owner whose links were down when it was last heard.
+// TestMayRecoverNeedsWorkingLinks checks that no worker waits for an owner whose links were down when it
+// was last heard.
 func TestMayRecoverNeedsWorkingLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
@@ -123,37 +126,38 @@
 	})
 }
 
-// TestRateDemandCountsEachPeerOnce holds the counts on drawn snapshots against the number of peers.
+// TestRateDemandCountsEachPeerOnce checks on drawn snapshots that the counts don't exceed the number of
+// peers.
 func TestRateDemandCountsEachPeerOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
 		alive := func(node string) bool { return node != "n2" }
 		if throttled, idle := RateDemand(s, alive); throttled < 0 || idle < 0 || throttled+idle > len(s.Peers) {
-			t.Fatalf("%d throttled and %d idle of %d", throttled, idle, len(s.Peers))
+			t.Fatalf("%d throttled and %d idle of %d peers", throttled, idle, len(s.Peers))
 		}
 	})
 }
 
-// TestShouldHandOverInOrder: urgent workers go at once, none later than a more urgent one, and all
-// before the time to answer is over.
+// TestShouldHandOverInOrder checks that workers with urgent work are handed over at once, none before a
+// worker with more urgent work, and all by the time at which they may not be answered any more.
 func TestShouldHandOverInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := time.Duration(rapid.IntRange(1, 60_000).Draw(t, "window")) * time.Millisecond
 		alone := time.Duration(rapid.Int64Range(0, int64(window)).Draw(t, "alone"))
 		left := window - alone
-		went := true // of the workload before
+		went := true // whether the previous, more urgent workload goes
 		for w := UrgentWorkload; w <= NoWorkload; w++ {
 			goes := ShouldHandOver(w, alone, left)
 			if goes && !went {
-				t.Fatalf("workload %v goes before %v", w, w-1)
+				t.Fatalf("workload %v is handed over before %v", w, w-1)
 			}
 			if later := min(window, alone+time.Millisecond); goes && !ShouldHandOver(w, later, window-later) {
-				t.Fatal("what went stays a moment later")
+				t.Fatal("a worker that is handed over now would stay a moment later")
 			}
 			went = goes
 		}
 		if !ShouldHandOver(UrgentWorkload, alone, left) || left == 0 && !went {
-			t.Fatal("a worker stays too long")
+			t.Fatal("a worker with urgent work is not handed over at once, or one without work not in time")
 		}
 	})
 }
@@ -162,7 +166,7 @@
 	for w, want := range map[Workload]string{UrgentWorkload: "urgent", OtherWorkload: "other", NoWorkload: "none", NoWorkload + 1: "unknown", -1: "unknown"} {
 		t.Run(want, func(t *testing.T) {
 			if got := w.String(); got != want {
-				t.Errorf("workload %d is %q", int(w), got)
+				t.Errorf("the name of workload %d is %q", int(w), got)
 			}
 		})
 	}
