--- a/internal/connectivity/routing_test.go
+++ b/internal/connectivity/routing_test.go
@@ -105,7 +105,7 @@
 			}
 			between := mustFind(t, s, by)
 			if by == target.Controller.Node || s.Connected(target) || !slices.Contains(between.HearsPeers, target.Controller.Node) || !s.Connected(between) {
-				t.Fatalf("%s was chosen as the intermediary to %s, which it can't be", by, target.Controller.Node)
+				t.Fatalf("%s can't be queried through the intermediary %s", target.Controller.Node, by)
 			}
 		}
 	})
