--- a/internal/stateclient/client_test.go
+++ b/internal/stateclient/client_test.go
@@ -11,20 +11,20 @@
 	"silvergate/internal/protocol"
 )
 
-// sentCall is a call that the client has sent, with what takes its reply.
+// sentCall is a call that the client has sent, with the callback for its reply.
 type sentCall struct {
 	call protocol.Call
 	done func(protocol.Reply)
 }
 
-// harness is a client whose calls are kept for the test to answer, and its mirror.
+// harness is a client, the calls that it has sent and the test has yet to answer, and its mirror.
 type harness struct {
 	*Client
 	calls  []sentCall
 	mirror map[string]string
 }
 
-// newHarness returns a client, one of three, of a service with these rates a second.
+// newHarness returns a harness for one of three clients of a service with these rates per second.
 func newHarness(requests, changes float64) *harness {
 	facts := &config.Facts{State: config.State{RPS: requests, WriteRPS: changes, ValueKB: 16, TxnOps: 12}}
 	h := &harness{Client: New(facts, 3), mirror: map[string]string{}}
@@ -41,7 +41,8 @@
 	return h
 }
 
-// newLoadedHarness returns a harness whose first scan has read keys, as of revision.
+// newLoadedHarness returns a harness whose first scan has read the keys at revision. keys holds
+// the mod revision of each.
 func newLoadedHarness(t *testing.T, revision uint64, keys map[string]uint64) *harness {
 	t.Helper()
 	h := newHarness(300, 120)
@@ -62,17 +63,17 @@
 	return nil
 }
 
-// mustTake is take, of a call that must have been sent.
+// mustTake is like take, but fails the test if no such call was sent.
 func (h *harness) mustTake(t *testing.T, prefix string) *sentCall {
 	t.Helper()
 	c := h.take(prefix)
 	if c == nil {
-		t.Fatalf("no call of %s was sent", prefix)
+		t.Fatalf("no call to %s was sent", prefix)
 	}
 	return c
 }
 
-// answerScan answers a scan's read with a single page: the keys with their revisions.
+// answerScan answers a scan's read with a single page that has the keys with their mod revisions.
 func (h *harness) answerScan(t *testing.T, revision uint64, keys map[string]uint64) {
 	t.Helper()
 	page := protocol.KeyValuePage{Revision: revision}
--- a/internal/stateclient/leases.go
+++ b/internal/stateclient/leases.go
@@ -9,8 +9,8 @@
 	"silvergate/internal/ratelimit"
 )
 
-// GrantLease asks for a lease that expires, and deletes the keys attached to it, unless
-// KeepAlive renews it within ttl. lease is 0 when none was granted.
+// GrantLease requests a lease. Unless KeepAlive renews the lease within ttl, it expires, and
+// the service deletes the keys attached to it. lease is 0 when none was granted.
 func (c *Client) GrantLease(ttl time.Duration, done func(lease uint64)) {
 	c.enqueue(&request{
 		class:    ratelimit.Safety,
@@ -21,15 +21,15 @@
 		done: func(reply protocol.Reply) {
 			var granted protocol.LeaseResponse
 			if reply.Status == http.StatusOK {
-				_ = protocol.DecodeState(reply.Body, &granted) // a lease of 0 says that it failed
+				_ = protocol.DecodeState(reply.Body, &granted) // on an error the lease stays 0
 			}
 			done(granted.Lease)
 		},
 	})
 }
 
-// KeepAlive renews a lease. ok tells that it was renewed, expired that it does not exist
-// any more; neither is true when that is not known.
+// KeepAlive renews a lease. ok means that it was renewed, expired that it does not exist any
+// more; both are false when the result is not known.
 func (c *Client) KeepAlive(lease uint64, done func(ok, expired bool)) {
 	c.enqueue(&request{
 		class:    ratelimit.Safety,
--- a/internal/stateclient/mirror.go
+++ b/internal/stateclient/mirror.go
@@ -13,24 +13,24 @@
 const (
 	// scanTimeout is the time limit of reading one page of keys.
 	scanTimeout = 2 * callTimeout
-	// scanPageSize is how many keys a page is asked to have at most.
+	// scanPageSize is the most keys that a page may have, as the request states it.
 	scanPageSize = "1000"
-	// mirrorRetryDelay is the pause before the mirror's next read when one has failed.
+	// mirrorRetryDelay is the pause before the mirror's next read after one has failed.
 	mirrorRetryDelay = callTimeout / 5
-	// watchBlock is how long the service keeps a watch open that has no events.
+	// watchBlock is how long the service keeps a watch open while there are no events.
 	watchBlock = time.Second
-	// watchTimeout is the time limit of a watch: that, and two calls' time.
+	// watchTimeout is the time limit of a watch: watchBlock and the time of two calls.
 	watchTimeout = watchBlock + 2*callTimeout
-	// watchShareDivisor is the part of a controller's share of the request rate that
-	// opening the watch anew may use: one in so many.
+	// watchShareDivisor is the divisor of a controller's share of the request rate that
+	// opening watches may use: a quarter of it.
 	watchShareDivisor = 4
 )
 
-// mirror is a copy of all keys under MirroredPrefix: at first and whenever the watch has
-// lost changes it is filled by a scan, page by page, and then kept by the watch.
+// mirror is a copy of all keys under MirroredPrefix. A scan fills it page by page, at the start
+// and whenever the watch has lost changes; after that the watch keeps it up to date.
 type mirror struct {
 	revisions map[string]uint64 // mod revision of each key
-	// tombstones are the revisions of keys that were deleted ahead of the watch.
+	// tombstones holds the revisions at which keys were deleted ahead of the watch.
 	tombstones map[string]uint64
 
 	scan          *scan // nil when none is under way
@@ -38,19 +38,19 @@
 	watchInFlight bool  // the watch is open
 	nextReadAt    time.Duration
 
-	loaded          bool // a scan has ended
-	consistent      bool
+	loaded          bool // a scan has finished
+	consistent      bool // see Consistent
 	appliedRevision uint64
-	freshAt         time.Duration
+	freshAt         time.Duration // see FreshAt
 
-	watchSpacing time.Duration // least time from one opening of the watch to the next
+	watchSpacing time.Duration // least time between two openings of the watch
 }
 
 // scan is the state of reading all keys by pages.
 type scan struct {
 	seenKeys map[string]bool
-	lastKey  string // the next page begins behind it
-	revision uint64 // of the first page, 0 before it was read
+	lastKey  string // the next page begins after it
+	revision uint64 // of the first page, 0 until that is read
 }
 
 func newMirror(requestRate float64, controllers int) mirror {
@@ -62,17 +62,17 @@
 	}
 }
 
-// Loaded reports whether the records have been read completely at least once.
+// Loaded reports whether all records have been read at least once.
 func (c *Client) Loaded() bool { return c.mirror.loaded }
 
-// Rescanning reports whether a scan of the records is under way. The changes that are
-// applied then may skip some: a key is seen as it is, not by each of its changes.
+// Rescanning reports whether a scan of the records is under way. The changes applied meanwhile
+// may be incomplete: a scan shows the present value of a key, not each change that led to it.
 func (c *Client) Rescanning() bool { return c.mirror.scan != nil }
 
-// Consistent reports whether the mirror is a state that the service once had, except for
-// writes of this client that are ahead of it. It is not during a scan, and until the
-// watch has brought what changed meanwhile: a later page may show the effect of a change
-// that was made after an earlier page was read.
+// Consistent reports whether the mirror equals a state that the service once had, apart from
+// writes of this client that are ahead of the watch. The mirror is not consistent from the
+// start of a scan until the watch has brought what changed during the scan: a later page may
+// show the effect of a change that was made after an earlier page was read.
 func (c *Client) Consistent() bool { return c.mirror.consistent }
 
 // AppliedRevision returns the revision up to which the mirror is complete.
@@ -81,19 +81,19 @@
 // FreshAt returns the time at which the mirror was last known to be complete.
 func (c *Client) FreshAt() time.Duration { return c.mirror.freshAt }
 
-// ModRevision returns the revision of the last change of a mirrored key, 0 if the key
-// does not exist.
+// ModRevision returns the revision of the last change of a mirrored key, or 0 if the key does
+// not exist.
 func (c *Client) ModRevision(key string) uint64 { return c.mirror.revisions[key] }
 
 // StaleAfter returns the age of FreshAt from which at least one watch has certainly
 // failed: each stays open for watchBlock at most, and the next one is opened at once.
 func (c *Client) StaleAfter() time.Duration { return 5 * watchBlock / 2 }
 
-// WatchSpacing returns the least time from one opening of the watch to the next.
+// WatchSpacing returns the least time between two openings of the watch.
 func (c *Client) WatchSpacing() time.Duration { return c.mirror.watchSpacing }
 
-// syncMirror sends the mirror's next read, a page of the scan or a watch, if it is due,
-// none is under way and the request budget allows it.
+// syncMirror sends the mirror's next read, a page of the scan or a watch, if it is due, no
+// other read is in flight and the request budget allows it.
 func (c *Client) syncMirror() {
 	m := &c.mirror
 	if m.scanInFlight || m.watchInFlight || c.now < m.nextReadAt || !c.limiter.SpendRead() {
@@ -123,7 +123,7 @@
 	}, c.handlePage)
 }
 
-// handlePage applies a page. A page that could not be read is asked for again later.
+// handlePage applies a page. If the read failed, the same page is read again later.
 func (c *Client) handlePage(reply protocol.Reply) {
 	m := &c.mirror
 	m.scanInFlight = false
@@ -147,8 +147,8 @@
 	c.finishScan()
 }
 
-// finishScan deletes the keys that the scan has not found. The watch goes on from the
-// first page's revision, as what changed since may be missing from that page.
+// finishScan deletes the keys that the scan has not found. The watch then starts at the first
+// page's revision, as changes made after that may be missing from that page.
 func (c *Client) finishScan() {
 	m := &c.mirror
 	for key, revision := range m.revisions {
@@ -161,7 +161,7 @@
 	m.scan = nil
 }
 
-// openWatch asks for the changes after the applied revision.
+// openWatch requests the changes after the applied revision.
 func (c *Client) openWatch() {
 	openedAt := c.now
 	c.mirror.watchInFlight = true
@@ -175,7 +175,7 @@
 	}, func(reply protocol.Reply) { c.handleWatch(reply, openedAt) })
 }
 
-// handleWatch takes the reply to a watch that was opened at openedAt.
+// handleWatch handles the reply to a watch that was opened at openedAt.
 func (c *Client) handleWatch(reply protocol.Reply, openedAt time.Duration) {
 	m := &c.mirror
 	m.watchInFlight = false
@@ -187,7 +187,7 @@
 		if protocol.DecodeState(reply.Body, &result) == nil {
 			c.applyEvents(&result, openedAt)
 		}
-	case http.StatusGone: // the service has dropped changes after the applied revision
+	case http.StatusGone: // the service no longer has all changes after the applied revision
 		m.consistent = false
 		m.startScan()
 	default:
@@ -195,8 +195,8 @@
 	}
 }
 
-// applyEvents applies what a watch has brought. The mirror is then complete as of the
-// time at which the watch was opened.
+// applyEvents applies the changes of a watch. The mirror is then complete as of the time at
+// which the watch was opened.
 func (c *Client) applyEvents(result *protocol.WatchResult, openedAt time.Duration) {
 	m := &c.mirror
 	for _, event := range result.Events {
@@ -216,8 +216,8 @@
 	}
 }
 
-// applyChange applies one change to the mirror, unless it has a newer one of the key.
-// data is nil for a deleted key.
+// applyChange applies one change to the mirror, unless the mirror already has this or a newer
+// change of the key. data is nil for a deleted key.
 func (c *Client) applyChange(key string, data json.RawMessage, revision uint64) {
 	m := &c.mirror
 	if current, exists := m.revisions[key]; exists && current >= revision {
--- a/internal/stateclient/mirror_test.go
+++ b/internal/stateclient/mirror_test.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/ratelimit"
 )
 
-// requireFrom demands that a read begins behind a key or a revision.
+// requireFrom fails the test unless a read begins after the given key or revision.
 func requireFrom(t *testing.T, c *sentCall, want string) {
 	t.Helper()
 	u, err := url.Parse(c.call.Path)
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if got := u.Query().Get("from"); got != want {
-		t.Fatalf("%s begins behind %q, not %q", c.call.Path, got, want)
+		t.Fatalf("%s begins after %q, not %q", c.call.Path, got, want)
 	}
 }
 
@@ -28,14 +28,14 @@
 	first := h.mustTake(t, protocol.PathKeys+"?")
 	first.done(reply(200, protocol.KeyValuePage{Revision: 10, Truncated: true, KeyValues: []protocol.KeyValue{{Key: "sg/a", Value: quoted("1"), ModRevision: 3}}}))
 	if h.Loaded() {
-		t.Fatal("loaded before the last page")
+		t.Fatal("the mirror is loaded before the last page was read")
 	}
 	h.Tick(2 * time.Second)
 	second := h.mustTake(t, protocol.PathKeys+"?")
 	requireFrom(t, second, "sg/a")
 	second.done(reply(200, protocol.KeyValuePage{Revision: 12, KeyValues: []protocol.KeyValue{{Key: "sg/b", Value: quoted("2"), ModRevision: 12}}}))
-	// The watch starts at the first page's revision: what changed between
-	// the pages comes again and is not applied twice.
+	// The watch starts at the first page's revision, so it brings changes between the
+	// pages again. They must not be applied twice.
 	h.Tick(3 * time.Second)
 	watch := h.mustTake(t, protocol.PathWatch)
 	requireFrom(t, watch, "10")
@@ -45,7 +45,7 @@
 		{Put: "sg/c", Value: quoted("3"), ModRevision: 14},
 	}}))
 	if fmt.Sprint(h.mirror) != `map[sg/b:"2" sg/c:"3"]` || h.AppliedRevision() != 14 || h.FreshAt() != 3*time.Second {
-		t.Fatalf("%v at %d, fresh at %v", h.mirror, h.AppliedRevision(), h.FreshAt())
+		t.Fatalf("the mirror is %v at revision %d, fresh at %v", h.mirror, h.AppliedRevision(), h.FreshAt())
 	}
 }
 
@@ -56,7 +56,7 @@
 	h.Tick(3 * time.Second)
 	h.answerScan(t, 99, map[string]uint64{"sg/b": 50})
 	if len(h.mirror) != 1 || h.ModRevision("sg/b") != 50 || h.ModRevision("sg/a") != 0 || h.AppliedRevision() != 99 {
-		t.Fatalf("%v at %d", h.mirror, h.AppliedRevision())
+		t.Fatalf("the mirror is %v at revision %d", h.mirror, h.AppliedRevision())
 	}
 }
 
@@ -70,7 +70,7 @@
 	h.Tick(2 * time.Second)
 	h.mustTake(t, protocol.PathWatch).done(reply(200, protocol.WatchResult{Revision: 10}))
 	if !h.Consistent() {
-		t.Fatal("not consistent after the watch")
+		t.Fatal("the mirror is not consistent after the watch")
 	}
 	h.Tick(3 * time.Second)
 	h.mustTake(t, protocol.PathWatch).done(reply(410, nil))
@@ -79,8 +79,8 @@
 	}
 }
 
-// A deletion of ours that the watch has not brought yet must not be undone by an older
-// write that it brings first.
+// TestMirrorKeepsOwnDeletionAgainstOlderEvents guards against a key that this client has deleted and
+// that comes back into the mirror: the watch brings an older write of the key before the deletion.
 func TestMirrorKeepsOwnDeletionAgainstOlderEvents(t *testing.T) {
 	h := newLoadedHarness(t, 10, map[string]uint64{"sg/a": 3})
 	h.Txn(ratelimit.Safety, nil, []protocol.Op{{Delete: "sg/a"}}, func(outcome TxnOutcome, _ []string, _ uint64) {
--- a/internal/stateclient/queue.go
+++ b/internal/stateclient/queue.go
@@ -11,33 +11,34 @@
 const (
 	// queueTimeout is how long a request may wait for the budget.
 	queueTimeout = 2 * time.Second
-	// claimQueueTimeout is queueTimeout for claims: a worker waits 4 s for its answer, and
-	// one that is refused tries the next controller, which may not be in its reach and
-	// cost it 5 s each.
+	// claimQueueTimeout is queueTimeout for claims. It is longer, as a worker waits 4 s for
+	// its answer, and one that is refused tries the next controllers; each of them that it
+	// can't reach costs it 5 s.
 	claimQueueTimeout = 3 * time.Second
-	// refusalPause is how long nothing is sent after the service has refused a request
-	// for its rates or as it was unavailable.
+	// refusalPause is how long no queued request is sent after the service has refused one
+	// because of its rates or because it was unavailable.
 	refusalPause = queueTimeout / 20
-	// maxInFlight is the most queued requests that are sent and not yet answered.
+	// maxInFlight is the most queued requests that may be sent and not yet answered.
 	maxInFlight = 24
 )
 
-// request is one that waits for the budget or for its reply.
+// request is a request that waits for the budget or for its reply.
 type request struct {
 	class    ratelimit.Class
 	method   string
 	path     string
 	body     []byte
-	changes  float64
-	deadline time.Duration // it is not sent, or sent again, after this
+	changes  float64       // how many keys it writes or deletes
+	deadline time.Duration // the request is not sent, or sent again, after this time
 	done     func(protocol.Reply)
 }
 
 // requestQueue holds the requests that wait for the budget, in order within each class.
 type requestQueue struct {
 	waiting [ratelimit.NumClasses][]*request
-	// reservedChanges are, per class, the changes of a transaction that Reserve refused:
-	// it is built when it can be sent, and the budget is saved for it until then.
+	// reservedChanges holds, per class, the number of changes of a transaction that Reserve
+	// refused. The caller builds the transaction only when it can be sent; the budget is
+	// saved for it until then.
 	reservedChanges [ratelimit.NumClasses]float64
 	inFlight        int
 	pausedUntil     time.Duration
@@ -67,18 +68,18 @@
 // HasSpareRequests reports whether the budget of requests is at least half full.
 func (c *Client) HasSpareRequests() bool { return c.limiter.HasSpareRequests() }
 
-// Throttled reports whether something has waited for the budget of late. The other
-// controllers are told, and give it to their SetPeerDemand.
+// Throttled reports whether some request has recently waited for the budget. Controllers tell
+// each other, and the peers count it in their SetPeerDemand.
 func (c *Client) Throttled() bool { return c.limiter.Throttled() }
 
-// SetPeerDemand sets how many other controllers are throttled or have not been heard from,
-// and how many are idle; see ratelimit.Limiter.SetPeerDemand.
+// SetPeerDemand sets how many other controllers are throttled, including those that have not
+// been heard from, and how many are idle; see ratelimit.Limiter.SetPeerDemand.
 func (c *Client) SetPeerDemand(throttled, idle int) { c.limiter.SetPeerDemand(throttled, idle) }
 
-// Reserve reports whether a transaction of this class with so many changes would be sent
-// at once. A caller that reserves before it builds the transaction builds it from the
-// latest mirror, and can add what comes up until then. When Reserve refuses, the budget
-// is saved for the transaction until ReleaseReservations.
+// Reserve reports whether a transaction of this class with this many changes would be sent at
+// once. A caller that builds the transaction only then builds it from the latest mirror, and can
+// include changes that came up while it waited. When Reserve returns false, the budget is saved for
+// the transaction until ReleaseReservations.
 func (c *Client) Reserve(class ratelimit.Class, changes int) bool {
 	c.queue.reservedChanges[class] = 0
 	c.updateDemand(class)
@@ -90,12 +91,12 @@
 	return false
 }
 
-// CanSend is Reserve that saves nothing when it refuses.
+// CanSend is like Reserve, but saves no budget when it returns false.
 func (c *Client) CanSend(class ratelimit.Class, changes int) bool {
 	return c.canDispatch() && len(c.queue.waiting[class]) == 0 && c.limiter.CanSpend(class, float64(changes))
 }
 
-// ReleaseReservations ends the saving for whatever Reserve has refused.
+// ReleaseReservations stops saving the budget for the transactions that Reserve has refused.
 func (c *Client) ReleaseReservations() {
 	for i, changes := range c.queue.reservedChanges {
 		if changes > 0 {
@@ -105,7 +106,7 @@
 	}
 }
 
-// txnQueueTimeout is how long a transaction of a class may wait for the budget.
+// txnQueueTimeout returns how long a transaction of a class may wait for the budget.
 func txnQueueTimeout(class ratelimit.Class) time.Duration {
 	switch class {
 	case ratelimit.UrgentClaims, ratelimit.BusyClaims, ratelimit.IdleClaims:
@@ -136,7 +137,7 @@
 	return waiting[0]
 }
 
-// updateDemand tells the limiter what waits next in a class.
+// updateDemand tells the limiter which changes the next request of a class makes, if one waits.
 func (c *Client) updateDemand(class ratelimit.Class) {
 	if waiting := c.queue.waiting[class]; len(waiting) > 0 {
 		c.limiter.SetDemand(class, true, waiting[0].changes)
@@ -160,18 +161,18 @@
 			c.updateDemand(ratelimit.Class(class))
 		}
 	}
-	// Only now, as done may add requests.
+	// The callbacks come last, as they may add requests to the queue.
 	for _, r := range expired {
 		r.done(protocol.Reply{})
 	}
 }
 
-// sendQueued sends queued requests in the limiter's order while it allows.
+// sendQueued sends queued requests in the limiter's order as long as the limiter allows it.
 func (c *Client) sendQueued() {
 	for c.canDispatch() {
 		class := c.limiter.Next()
 		if class < 0 || len(c.queue.waiting[class]) == 0 {
-			return // nothing can be sent, or the budget is due to what Reserve refused
+			return // nothing can be sent, or the budget is saved for a transaction that Reserve refused
 		}
 		r := c.dequeue(class)
 		c.limiter.Spend(class, r.changes)
@@ -184,7 +185,7 @@
 	return c.now >= c.queue.pausedUntil && c.queue.inFlight < maxInFlight
 }
 
-// dispatch sends a request.
+// dispatch sends a request whose budget is spent.
 func (c *Client) dispatch(r *request) {
 	c.queue.inFlight++
 	c.Send(protocol.Call{
@@ -196,8 +197,9 @@
 	}, func(reply protocol.Reply) { c.handleReply(r, reply) })
 }
 
-// handleReply passes a reply on. A request that the service has refused unexecuted, for
-// its rates or as it was unavailable, is sent again if its deadline has not passed.
+// handleReply passes a reply to the request's callback. But a request that the service has
+// refused without executing it, because of its rates or because it was unavailable, is queued
+// again if its deadline has not passed.
 func (c *Client) handleReply(r *request, reply protocol.Reply) {
 	c.queue.inFlight--
 	c.recordContact(reply)
--- a/internal/stateclient/queue_test.go
+++ b/internal/stateclient/queue_test.go
@@ -19,17 +19,17 @@
 	h.Tick(2*time.Second + queueTimeout/2)
 	again := h.take(protocol.PathTxn)
 	if again == nil || got != noOutcome {
-		t.Fatalf("not sent again, outcome %v", got)
+		t.Fatalf("the refused request was not sent again, or failed: outcome %v", got)
 	}
 	h.Tick(2*time.Second + 2*queueTimeout)
 	again.done(reply(503, nil))
 	if got != NotExecuted {
-		t.Fatalf("%v after its deadline", got)
+		t.Fatalf("the outcome is %v after the deadline", got)
 	}
 }
 
-// TestRatesAreAnEqualShareAndSafetyGoesFirst has one of three clients of a service with 30
-// requests and changes a second.
+// TestRatesAreAnEqualShareAndSafetyGoesFirst checks one of three clients of a service that allows
+// 30 requests and 30 changes a second.
 func TestRatesAreAnEqualShareAndSafetyGoesFirst(t *testing.T) {
 	h := newHarness(30, 30)
 	h.Tick(time.Second)
@@ -43,16 +43,16 @@
 		h.Tick(now)
 		for c := h.take(protocol.PathTxn); c != nil; c = h.take(protocol.PathTxn) {
 			if count == 0 && !strings.Contains(string(c.call.Body), "sg/rules") {
-				t.Fatalf("first: %s", c.call.Body)
+				t.Fatalf("the first transaction is not the one of class Safety: %s", c.call.Body)
 			}
 			count++
 			c.done(reply(200, protocol.TxnResult{Revision: uint64(20 + count)}))
 		}
 	}
-	// A share of ten a second, and the burst of half a second's worth or one
-	// whole transaction.
+	// The share is ten a second; the burst on top is half a second's worth or, as here, the
+	// changes of one whole transaction (12).
 	if count < 8 || count > 10+12 {
-		t.Fatalf("%d transactions in a second", count)
+		t.Fatalf("%d transactions were sent in a second", count)
 	}
 }
 
@@ -72,17 +72,17 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.class), func(t *testing.T) {
-			const tooLarge = 1000 // changes: more than the budget ever holds
+			const tooLarge = 1000 // changes, more than the budget ever holds
 			h := newLoadedHarness(t, 10, nil)
 			got := noOutcome
 			h.Txn(c.class, nil, make([]protocol.Op, tooLarge), func(outcome TxnOutcome, _ []string, _ uint64) { got = outcome })
 			h.Tick(time.Second + c.want)
 			if got != noOutcome || h.Backlog() != 1 {
-				t.Fatalf("%v at the deadline, %d wait", got, h.Backlog())
+				t.Fatalf("at the deadline: outcome %v, %d requests wait", got, h.Backlog())
 			}
 			h.Tick(time.Second + c.want + time.Nanosecond)
 			if got != NotExecuted || h.Backlog() != 0 {
-				t.Fatalf("%v after the deadline, %d wait", got, h.Backlog())
+				t.Fatalf("after the deadline: outcome %v, %d requests wait", got, h.Backlog())
 			}
 		})
 	}
--- a/internal/stateclient/read.go
+++ b/internal/stateclient/read.go
@@ -8,8 +8,8 @@
 	"silvergate/internal/ratelimit"
 )
 
-// Refresh reads one key into the mirror, ahead of the watch. ok is false when that
-// failed. A key that does not exist is left in the mirror for the watch to delete.
+// Refresh reads one key into the mirror, ahead of the watch. ok is false when the read failed.
+// A key that does not exist stays in the mirror until the watch deletes it.
 func (c *Client) Refresh(class ratelimit.Class, key string, done func(ok bool)) {
 	c.readKey(class, key, func(reply protocol.Reply) {
 		var entry protocol.KeyValue
@@ -25,8 +25,8 @@
 	})
 }
 
-// ReadUnmirrored reads a key that is not mirrored, one under UnmirroredPrefix. ok is false
-// when that failed; data is nil when the key does not exist.
+// ReadUnmirrored reads a key that is not mirrored, such as one under UnmirroredPrefix. ok is
+// false when the read failed; data is nil when the key does not exist.
 func (c *Client) ReadUnmirrored(class ratelimit.Class, key string, done func(data json.RawMessage, ok bool)) {
 	c.readKey(class, key, func(reply protocol.Reply) {
 		var entry protocol.KeyValue
--- a/internal/stateclient/txn.go
+++ b/internal/stateclient/txn.go
@@ -8,18 +8,18 @@
 	"silvergate/internal/ratelimit"
 )
 
-// TxnOutcome is what is known of a transaction.
+// TxnOutcome is what is known about the execution of a transaction.
 type TxnOutcome int
 
 const (
 	// Committed means that all comparisons held and all operations were executed.
 	Committed TxnOutcome = iota
-	// Conflict means that nothing was executed, as at least one comparison failed.
+	// Conflict means that nothing was executed because at least one comparison failed.
 	Conflict
-	// NotExecuted means that nothing was and nothing will be executed.
+	// NotExecuted means that nothing was executed and nothing will be.
 	NotExecuted
-	// LeaseExpired means that nothing was executed, as the service refused the request:
-	// the lease of a put does not exist any more.
+	// LeaseExpired means that nothing was executed because the lease of a put does not
+	// exist any more, for which the service refused the request.
 	LeaseExpired
 	// Unknown means that the transaction may have been, or may yet be, executed.
 	Unknown
@@ -41,21 +41,21 @@
 	return txnOutcomeNames[o]
 }
 
-// TxnCallback takes what came of a transaction. failedKeys are, after Conflict, the keys
-// whose comparison failed. revision is the transaction's after Committed, the service's
-// after Conflict, and else 0.
+// TxnCallback is called with the result of a transaction. After Conflict, failedKeys are the
+// keys whose comparison failed. revision is that of the transaction after Committed, that of
+// the service after Conflict, and otherwise 0.
 type TxnCallback = func(outcome TxnOutcome, failedKeys []string, revision uint64)
 
-// txnReply is what a reply to a transaction says; see TxnCallback.
+// txnReply is the decoded reply to a transaction; see TxnCallback.
 type txnReply struct {
 	outcome    TxnOutcome
 	failedKeys []string
 	revision   uint64
 }
 
-// Txn sends a transaction that executes all of ops if every comparison holds, and else
-// nothing. After Committed the mirror has its changes. done is called once: with
-// NotExecuted, too, if the budget does not allow the request in time.
+// Txn queues a transaction that executes all of ops if every comparison holds, and otherwise
+// nothing. done is called once; after Committed the mirror already has the changes. If the
+// budget does not allow the request in time, the outcome is NotExecuted.
 func (c *Client) Txn(class ratelimit.Class, compares []protocol.Compare, ops []protocol.Op, done TxnCallback) {
 	c.enqueue(&request{
 		class:    class,
@@ -83,7 +83,7 @@
 		}
 		return txnReply{outcome: Committed, revision: result.Revision}
 	case http.StatusConflict:
-		// The status alone says that nothing was executed.
+		// The status alone means that nothing was executed, so a decoding error doesn't matter.
 		_ = protocol.DecodeState(reply.Body, &result)
 		return txnReply{outcome: Conflict, failedKeys: result.Failed, revision: result.Revision}
 	case http.StatusBadRequest:
--- a/internal/stateclient/txn_test.go
+++ b/internal/stateclient/txn_test.go
@@ -39,10 +39,10 @@
 			h.Tick(2 * time.Second)
 			h.mustTake(t, protocol.PathTxn).done(c.reply)
 			if got != c.want || !slices.Equal(gotKeys, c.failedKeys) || gotRevision != c.revision {
-				t.Errorf("%v, failed %v, revision %d; want %v, %v, %d", got, gotKeys, gotRevision, c.want, c.failedKeys, c.revision)
+				t.Errorf("outcome %v, failed keys %v, revision %d; want %v, %v, %d", got, gotKeys, gotRevision, c.want, c.failedKeys, c.revision)
 			}
 			if mirrored := len(h.mirror) == 1; mirrored != (c.want == Committed) {
-				t.Errorf("%v with the mirror %v", got, h.mirror)
+				t.Errorf("after outcome %v the mirror is %v", got, h.mirror)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			if got := outcome.String(); got != want {
-				t.Errorf("%q", got)
+				t.Errorf("the name is %q", got)
 			}
 		})
 	}
