--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,28 +1,28 @@
-// Package connlimit decides who may hold a connection to a controller. Sockets are
-// a budget like the requests of the state service: what is spent on a worker
-// that waits for its next heartbeat is missing to a user, to the load balancer's
-// health checks and to operators, who come as they like.
+// Package connlimit decides which connections to a controller may stay open. Sockets are
+// a limited budget like the requests to the state service: a socket held by a worker
+// that waits for its next heartbeat is not available to users, to the load balancer's
+// health checks or to operators, who may connect at any time.
 //
-// It owns the count of open connections by what they are used for, and promises:
-//   - never more than Total are open;
-//   - workers that wait for their next heartbeat hold at most Workers of them, and
-//     those whose machines have no urgent work at most seven eighths of that: the
-//     answer to a heartbeat closes the connection where that is passed, and the
-//     worker connects again for its next one;
-//   - when less than an eighth is free, every answer closes, but for those to
-//     workers within their share.
+// The package counts the open connections by what they are used for, and guarantees:
+//   - Never more than Total connections are open.
+//   - Workers that wait for their next heartbeat hold at most Workers connections, and
+//     those whose machines have no urgent work at most seven eighths of that. Beyond
+//     this limit the connection is closed with the answer to the heartbeat, and the
+//     worker connects again for its next one.
+//   - When less than an eighth of Total is free, every connection is closed with its
+//     answer, except those of workers within their limit.
 //
-// A connection belongs to nobody until its first request is read, so a rush of
-// newcomers shares what is free; each leaves as soon as it is answered.
+// A connection has no class until its first request is read, so a rush of new
+// connections shares what is free; each is closed as soon as it is answered.
 //
-// There is no I/O, clock or lock in it: the caller, who owns a Limiter, tells of each
-// connection that opens, is used and closes.
+// The package does no I/O, reads no clock and takes no lock: the caller, who owns a
+// Limiter, reports each connection that is opened, used and closed.
 package connlimit
 
 // Class is what a connection is used for, by its last request.
 type Class uint8
 
-// Classes of connections. Fresh ones have had no request yet. Classes is how many there are.
+// Classes of connections. A Fresh connection has had no request yet. Classes is the number of classes.
 const (
 	Fresh Class = iota
 	User
@@ -33,7 +33,7 @@
 
 var classNames = [Classes]string{"fresh", "user", "worker", "operator"}
 
-// String is the class's name, "unknown" for a value that is none.
+// String returns the class's name, or "unknown" for an undefined value.
 func (c Class) String() string {
 	if c >= Classes {
 		return "unknown"
@@ -41,36 +41,37 @@
 	return classNames[c]
 }
 
-// reserveDivisor is the part of a limit that is kept for what goes first: one in so many.
+// reserveDivisor is the divisor of the part of a limit that is reserved for connections that go
+// first: an eighth.
 const reserveDivisor = 8
 
-// withoutReserve is what is left of a limit.
+// withoutReserve returns a limit less its reserve.
 func withoutReserve(limit int) int { return limit - limit/reserveDivisor }
 
-// Limits are the budget, in connections.
+// Limits are the most connections that may be open.
 type Limits struct {
-	// Total is how many may be open at all.
+	// Total is the limit for all connections together.
 	Total int
-	// Workers is how many the workers may keep between two heartbeats; 0: as many as they like.
+	// Workers is the limit for connections that workers keep between two heartbeats; 0 means none.
 	Workers int
 }
 
-// Share gives a controller's limits from the sockets it may use for requests:
-// half of them for waiting workers. What is left has to take the requests under
-// way as well, and when a peer is down those of the peer's workers.
+// Share returns the limits of a controller that may use total sockets for requests: half
+// of them are for waiting workers. The other half also has to serve the requests under
+// way and, when a peer is down, those of the peer's workers.
 func Share(total int) Limits { return Limits{Total: max(1, total), Workers: max(1, total/2)} }
 
-// Stats tell how near the budget is to its end.
+// Stats shows how close the connections are to their limits.
 type Stats struct {
 	Open     int    `json:"open"`
 	Workers  int    `json:"workers"`
 	Limit    int    `json:"limit"`
-	Peak     int    `json:"peak"`
-	Refused  uint64 `json:"refused"`  // when they were opened, as Total were open
-	Released uint64 `json:"released"` // closed with an answer, to make room
+	Peak     int    `json:"peak"`     // the most that were open at once
+	Refused  uint64 `json:"refused"`  // connections refused on arrival because Total were open
+	Released uint64 `json:"released"` // connections closed with an answer to make room
 }
 
-// Limiter keeps the count. Use New.
+// Limiter counts open connections and applies the limits. Create it with New.
 type Limiter struct {
 	limits Limits
 	count  [Classes]int
@@ -78,11 +79,11 @@
 	stats  Stats
 }
 
-// New makes a Limiter of no connections.
+// New returns a Limiter without open connections.
 func New(limits Limits) *Limiter { return &Limiter{limits: limits} }
 
-// Open takes a connection that was just opened, or refuses it. One that is
-// refused is not counted and must not be told of again.
+// Open counts a connection that was just opened and returns true, or returns false to refuse
+// it. A refused connection is not counted and must not be passed to Use or Close.
 func (l *Limiter) Open() bool {
 	if l.open >= l.limits.Total {
 		l.stats.Refused++
@@ -94,17 +95,17 @@
 	return true
 }
 
-// Use tells that a connection of class was is now used for something of class is.
+// Use moves a connection to another class, as its latest request requires.
 func (l *Limiter) Use(from, to Class) {
 	l.count[from]--
 	l.count[to]++
 }
 
-// KeepAlive tells, as a request is answered, whether its connection may be kept for
+// KeepAlive reports, when a request is answered, whether its connection may stay open for
 // the next one. A worker that is not served turns to another controller, so its
-// connection is closed in any case; urgent says that its machine has work that
-// goes first. Without room the connection is closed with the answer, and Close
-// has yet to be called.
+// connection is closed in any case; urgent means that its machine has urgent work. If
+// KeepAlive returns false, the caller closes the connection with the answer and still
+// has to call Close.
 func (l *Limiter) KeepAlive(c Class, served, urgent bool) bool {
 	if c == Worker && !served {
 		return false
@@ -116,7 +117,7 @@
 	return keep
 }
 
-// hasRoom tells whether a connection of a class may be kept.
+// hasRoom reports whether the limits allow a connection of a class to stay open.
 func (l *Limiter) hasRoom(c Class, urgent bool) bool {
 	switch {
 	case c != Worker:
@@ -129,19 +130,19 @@
 	return l.count[Worker] <= withoutReserve(l.limits.Workers)
 }
 
-// Close tells that a connection was closed, by whichever end.
+// Close records that a connection of a class was closed, by either end.
 func (l *Limiter) Close(c Class) {
 	l.open--
 	l.count[c]--
 }
 
-// WorkersNearLimit tells whether workers hold what they may: the site has more of them
-// than its controllers have sockets to keep.
+// WorkersNearLimit reports whether workers hold at least seven eighths of the connections
+// that they may: the site has more workers than its controllers have sockets for.
 func (l *Limiter) WorkersNearLimit() bool {
 	return l.limits.Workers > 0 && l.count[Worker] >= withoutReserve(l.limits.Workers)
 }
 
-// Stats reads the counters.
+// Stats returns the counters.
 func (l *Limiter) Stats() Stats {
 	s := l.stats
 	s.Open, s.Workers, s.Limit = l.open, l.count[Worker], l.limits.Total
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -11,10 +11,10 @@
 type connection struct {
 	class Class
 	busy  bool // a request is under way
-	idle  bool // it waits for the next one
+	idle  bool // it waits for the next request
 }
 
-// server is a Limiter and the connections that it was told of.
+// server is a Limiter and the open connections that it counts.
 type server struct {
 	limiter *Limiter
 	total   int
@@ -26,7 +26,7 @@
 func (s *server) openOne(t *rapid.T) {
 	full := len(s.open) >= s.total
 	if s.limiter.Open() == full {
-		t.Fatalf("%d of %d are open, accepted: %v", len(s.open), s.total, !full)
+		t.Fatalf("%d of %d connections are open, want accepted: %v", len(s.open), s.total, !full)
 	}
 	if !full {
 		s.open = append(s.open, &connection{})
@@ -56,7 +56,7 @@
 	case !keep:
 		s.close(index)
 	case c.class == Worker && !served:
-		t.Fatal("a worker that was redirected keeps its connection")
+		t.Fatal("a worker that was not served keeps its connection")
 	}
 }
 
@@ -65,7 +65,8 @@
 	s.open = slices.Delete(s.open, index, index+1)
 }
 
-// check holds the promises: idle workers keep within their share, and the count is right.
+// check fails the test if idle workers hold more connections than they may, or if the
+// Limiter's counts are wrong.
 func (s *server) check(t *rapid.T) {
 	idle, byClass := 0, [Classes]int{}
 	for _, c := range s.open {
@@ -74,16 +75,16 @@
 			idle++
 		}
 	}
-	if share := s.limiter.limits.Workers; idle > share {
-		t.Fatalf("%d workers wait on connections, of %d", idle, share)
+	if limit := s.limiter.limits.Workers; idle > limit {
+		t.Fatalf("%d idle connections of workers, limit %d", idle, limit)
 	}
 	if byClass != s.limiter.count || s.limiter.Stats().Open != len(s.open) {
-		t.Fatalf("%v are open, %v counted", byClass, s.limiter.count)
+		t.Fatalf("%v connections are open by class, counted %v", byClass, s.limiter.count)
 	}
 }
 
-// TestLimiterKeepsItsPromises draws connections that open, have requests, are answered and
-// close, in any order and number, as when a peer goes down.
+// TestLimiterKeepsItsPromises draws connections that are opened, used, answered and closed
+// in any order and number, as happens when a peer goes down, and checks the limits after each step.
 func TestLimiterKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(8, 80).Draw(t, "total")
@@ -104,13 +105,13 @@
 	})
 }
 
-// connectWorkers has so many workers connect, send a heartbeat and be answered, and returns how
-// many keep their connection.
+// connectWorkers opens a connection for each of the given number of workers, answers one heartbeat
+// on it, and returns how many workers keep their connection.
 func connectWorkers(t *testing.T, l *Limiter, workers int, urgent bool) (kept int) {
 	t.Helper()
 	for range workers {
 		if !l.Open() {
-			t.Fatal("a worker is refused though others only wait")
+			t.Fatal("a worker's connection is refused although workers hold idle ones")
 		}
 		l.Use(Fresh, Worker)
 		if l.KeepAlive(Worker, true, urgent) {
@@ -122,10 +123,9 @@
 	return kept
 }
 
-// TestUsersGetInHoweverManyWorkersThereAre guards against a site with more
-// workers than sockets: its users, health checks and operators were crowded out
-// and half of its work was lost (shiftbook-akl-fleet with four times the machines,
-// simulated: mark 0.17).
+// TestUsersGetInHoweverManyWorkersThereAre guards against a site with more workers than
+// sockets, whose idle connections leave none for users, health checks and operators: half of
+// the site's work was lost (shiftbook-akl-fleet with four times the machines, simulated: mark 0.17).
 func TestUsersGetInHoweverManyWorkersThereAre(t *testing.T) {
 	const total = 800
 	l := New(Share(total))
@@ -133,7 +133,7 @@
 	if kept != total/2-total/16 || !l.WorkersNearLimit() {
 		t.Errorf("%d of %d connections are kept by workers, near the limit: %v", kept, total, l.WorkersNearLimit())
 	}
-	kept += connectWorkers(t, l, total, true) // they get what is left of the share
+	kept += connectWorkers(t, l, total, true) // they get the rest of the workers' limit
 	if kept != total/2 {
 		t.Errorf("%d of %d connections are kept by workers with urgent work", kept, total)
 	}
@@ -146,10 +146,10 @@
 		l.Use(Fresh, User)
 	}
 	if users != total/2 || l.Stats().Refused != 1 {
-		t.Errorf("%d users got in", users)
+		t.Errorf("%d users got a connection", users)
 	}
 	if l.KeepAlive(User, true, false) {
-		t.Error("a user's connection is kept though nothing is free")
+		t.Error("a user's connection is kept although none is free")
 	}
 }
 
@@ -160,7 +160,7 @@
 	}{{Fresh, "fresh"}, {User, "user"}, {Worker, "worker"}, {Operator, "operator"}, {Classes, "unknown"}} {
 		t.Run(c.want, func(t *testing.T) {
 			if got := c.class.String(); got != c.want {
-				t.Errorf("%d is %q", uint8(c.class), got)
+				t.Errorf("the name of class %d is %q", uint8(c.class), got)
 			}
 		})
 	}
--- a/internal/ratelimit/class.go
+++ b/internal/ratelimit/class.go
@@ -2,25 +2,25 @@
 
 import "strconv"
 
-// Class is the class of a request. It decides which goes first when the budget is short.
+// Class is the class of a request. It decides which request goes first when the budget is short.
 type Class int
 
 const (
 	// Safety is for leases and cancellations.
 	Safety Class = iota
-	// UrgentWork is for placements and endings of work of the highest priority.
+	// UrgentWork is for placing and ending work of the highest priority.
 	UrgentWork
-	// UserRequests is for answers that users wait for.
+	// UserRequests is for requests whose answers users wait for.
 	UserRequests
-	// UrgentClaims is for workers on whose machines work of the highest priority runs.
+	// UrgentClaims is for claims of workers that run work of the highest priority.
 	UrgentClaims
-	// BusyClaims is for workers on whose machines other work runs.
+	// BusyClaims is for claims of workers that run other work.
 	BusyClaims
-	// OtherWork is for placements and endings of other work, and for the fleet.
+	// OtherWork is for placing and ending other work, and for managing the fleet.
 	OtherWork
-	// IdleClaims is for workers without any work.
+	// IdleClaims is for claims of workers that run no work.
 	IdleClaims
-	// Background is for publications and what can wait.
+	// Background is for publications and other requests that can wait.
 	Background
 
 	// NumClasses is the number of classes.
@@ -46,14 +46,15 @@
 	return classNames[c]
 }
 
-// none is the class of no request.
+// none means no class: no request can be sent.
 const none Class = -1
 
+// numTiers is the number of tiers in tierOf.
 const numTiers = 5
 
-// tierOf is the tier of each class. A lower tier goes first; within one, classes take
-// turns by what they cost. A claim that keeps several tasks running goes before what
-// starts or ends as many, which costs more changes and loses their work.
+// tierOf is the tier of each class. Lower tiers go first; within a tier the classes share the
+// budget by the cost of their requests. A claim of a busy worker goes before other work: it keeps several
+// tasks running, while starting or ending as many costs more changes and loses their work.
 var tierOf = [NumClasses]int{
 	Safety:       0,
 	UrgentWork:   1,
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,58 +1,58 @@
-// Package ratelimit decides whose request goes to the state service next. The
-// service's rates are what recovery is made of: after a mass failure, claims of
-// workers, endings and placements wait for the same changes a second, and a
-// change spent on lesser work is one that urgent work waits for.
+// Package ratelimit decides which request a controller sends to the state service next. The
+// service's rates limit how fast the cluster recovers: after a mass failure, claims of workers,
+// endings and placements compete for the same changes a second, and every change spent on less
+// important work delays urgent work.
 //
-// It owns the share of both rates that this controller may use, and the order of
-// the classes, and promises:
-//   - Safety goes first, always;
-//   - while something of the first tier waits (UrgentWork, UserRequests, UrgentClaims),
-//     nothing of the later ones is sent, and so on; what is meant for one class of a tier
-//     is not taken by another: each gets an equal part of what the tier gets, as long as
-//     it has any use for it;
-//   - Background goes when nothing else waits;
-//   - a request is never held up by one that waits for a rate it doesn't use.
+// The package manages the share of both rates (requests and changes) that this controller may
+// use, and the order of the classes. It guarantees:
+//   - Safety always goes first.
+//   - While a request of tier 1 waits (UrgentWork, UserRequests, UrgentClaims), nothing of the
+//     later tiers is sent, and likewise for each later tier. Classes of the same tier can't take
+//     each other's share: each gets an equal part of what the tier gets, as long as it has any use for it.
+//   - Background goes only when nothing else waits.
+//   - A request is never held up by one that waits for a rate which the first doesn't use.
 //
 // The classes of a tier share it by start-time fair queueing: each request gets a start
-// tag in its tier's virtual time, and the lowest one goes first.
+// tag in its tier's virtual time, and the request with the lowest tag goes first.
 //
-// There is no I/O or clock in the package: time comes with Limiter.Advance, and what waits
-// with Limiter.SetDemand.
+// The package does no I/O and reads no clock: the time is passed to Limiter.Advance, and the
+// waiting requests are made known by Limiter.SetDemand.
 package ratelimit
 
 import "time"
 
 // Rates are the state service's limits as this controller sees them.
 type Rates struct {
-	// Requests and Changes a second that all controllers together may use.
+	// Requests and Changes are how many a second all controllers together may use.
 	Requests, Changes float64
-	// Controllers is how many share them.
+	// Controllers is how many controllers share the rates.
 	Controllers int
-	// TxnChanges is how many changes a transaction may have: so many are saved up.
+	// TxnChanges is how many changes a transaction may have; the budget can save up as many.
 	TxnChanges int
 }
 
 const (
-	// A controller that has more to do than its equal share allows borrows
-	// what the others leave: its share grows by borrowRate a second while
-	// something waits, and halves on a refusal, after which it stays for borrowPause.
+	// A controller that needs more than its equal share borrows what the others leave
+	// unused: its share grows by borrowRate equal shares a second while a request waits. When
+	// the service refuses a request, the share halves and does not grow for borrowPause.
 	borrowRate  = 0.1
 	borrowPause = 5 * time.Second
-	// throttledWindow is how long a wait for the budget counts.
+	// throttledWindow is how long after a request has waited for the budget Throttled stays true.
 	throttledWindow = 2 * time.Second
-	// quietPeerUse is the part of its equal share that a controller is taken to use when
-	// nothing waits there, and idlePeerUse when there is nothing that it could do.
+	// quietPeerUse is the part of its equal share that a peer is assumed to use when no
+	// request waits there, and idlePeerUse when it can do no work; see SetPeerDemand.
 	quietPeerUse = 0.5
 	idlePeerUse  = 0.1
-	// safetyMargin keeps clear of the service's own count.
+	// safetyMargin keeps the rates below those at which the service refuses by its own count.
 	safetyMargin = 0.95
-	// burstSeconds is how long a rate may be saved up, but never for less than
-	// minRequestBurst, a request and one that waits for changes, or one transaction.
+	// burstSeconds is for how long a rate can be saved up. The burst of requests is at least
+	// minRequestBurst, for a request and one that waits for changes; that of changes is
+	// at least one transaction.
 	burstSeconds    = 0.5
 	minRequestBurst = 2
 )
 
-// bucket is a token bucket; rate is a second's at the equal share.
+// bucket is a token bucket; rate is in tokens a second at the equal share.
 type bucket struct{ rate, burst, level float64 }
 
 func newBucket(equalShare, minBurst float64) bucket {
@@ -60,7 +60,7 @@
 	return bucket{rate: equalShare * safetyMargin, burst: burst, level: burst}
 }
 
-// fill lets time pass at a share of so many equal ones.
+// fill adds the tokens of the elapsed time; share is in equal shares.
 func (b *bucket) fill(elapsed time.Duration, share float64) {
 	b.level = min(b.burst, b.level+b.rate*share*elapsed.Seconds())
 }
@@ -71,22 +71,22 @@
 	now       time.Duration
 	requests  bucket
 	changes   bucket
-	share     float64       // of the rates, in equal shares: from 1 to maxShare
-	maxShare  float64       // the number of controllers
-	peerShare float64       // what the peers leave, by what they say
-	blocked   bool          // something waited for the budget since the last fill
-	blockedAt time.Duration // when something last did
-	refusedAt time.Duration // when the service last refused for its rates, 0 for never
+	share     float64       // share of the rates, in equal shares: from 1 to maxShare
+	maxShare  float64       // the number of controllers, in equal shares
+	peerShare float64       // the share that the peers leave, by the demand that they report
+	blocked   bool          // a request has waited for the budget since the last fill
+	blockedAt time.Duration // when a request last waited for the budget
+	refusedAt time.Duration // when the service last refused a request because of its rates, 0 for never
 
 	demand      [NumClasses]classDemand
-	startTags   [NumClasses]float64 // of each class's next request
+	startTags   [NumClasses]float64 // start tag of each class's next request
 	virtualTime [numTiers]float64
 }
 
-// classDemand is what waits in a class.
+// classDemand describes the waiting requests of a class.
 type classDemand struct {
 	waiting bool
-	changes float64 // of the first request that waits
+	changes float64 // number of changes of the first waiting request
 }
 
 // New returns a limiter with an equal share and a full budget.
@@ -102,8 +102,8 @@
 	}
 }
 
-// Advance sets the time: the budget fills up, and the share grows or shrinks. Time must
-// not go back.
+// Advance sets the time, refills the budget, and lets the share grow or shrink. Time must not go
+// back.
 func (l *Limiter) Advance(now time.Duration) {
 	elapsed := now - l.now
 	l.now = now
@@ -122,15 +122,15 @@
 	l.blocked = l.blocked && elapsed == 0
 }
 
-// Throttled reports whether something has waited for the budget of late. Peers that
-// know it leave more.
+// Throttled reports whether a request has waited for the budget within throttledWindow. Peers
+// that are told so leave more of the rates to this controller.
 func (l *Limiter) Throttled() bool { return l.now-l.blockedAt < throttledWindow }
 
-// SetPeerDemand sets how many of the other controllers are throttled, those that have not
-// been heard from included, and how many are idle: they hear no workers, or can't reach
-// the service. The throttled ones share what the others hardly use, at once: a controller
-// that alone has a mass failure to work off would else take half a minute to borrow
-// it. Nothing depends on what peers say being true, as the service refuses what is over.
+// SetPeerDemand sets how many of the other controllers are throttled, including those that
+// have not been heard from, and how many are idle: they hear no workers, or can't reach
+// the service. The throttled controllers at once share what the others hardly use; otherwise
+// a controller that alone has to recover from a mass failure would take half a minute to
+// borrow it. A false report does no harm, as the service refuses requests over its rates.
 func (l *Limiter) SetPeerDemand(throttled, idle int) {
 	quiet := l.maxShare - 1 - float64(throttled) - float64(idle)
 	l.peerShare = max(1, (l.maxShare-quiet*quietPeerUse-float64(idle)*idlePeerUse)/(1+float64(throttled)))
@@ -139,14 +139,15 @@
 	}
 }
 
-// RecordRefusal tells that the service has refused a request for its rates.
+// RecordRefusal records that the service has refused a request because of its rates, and halves
+// the share, but not below the equal one.
 func (l *Limiter) RecordRefusal() {
 	l.share = max(1, l.share/2)
 	l.refusedAt = l.now
 }
 
-// SetDemand sets whether a class has something to send, and how many changes the
-// first request of it makes.
+// SetDemand sets whether a class has a request to send, and how many changes its first
+// request makes.
 func (l *Limiter) SetDemand(class Class, waiting bool, changes float64) {
 	if waiting && !l.demand[class].waiting {
 		l.startTags[class] = l.startTag(class)
@@ -154,15 +155,15 @@
 	l.demand[class] = classDemand{waiting, changes}
 }
 
-// startTag returns the start tag of a class's next request if it came now: a class that
-// had nothing to send has not saved up turns.
+// startTag returns the start tag of a class's next request if it arrived now. It is at least
+// the tier's virtual time, so that a class with nothing to send saves up no turns.
 func (l *Limiter) startTag(class Class) float64 {
 	return max(l.startTags[class], l.virtualTime[tierOf[class]])
 }
 
-// Next returns the class whose turn it is and that the budget allows a request, or -1. A
-// class whose turn it is and that lacks changes holds up all others that make some, as
-// they would take what it saves for; what only reads passes it.
+// Next returns the class whose request is to be sent next, or -1 if the budget allows none. If
+// the class whose turn it is lacks changes, it holds up all requests of other classes that
+// make changes, as they would spend what is saved for it; requests that only read may overtake it.
 func (l *Limiter) Next() Class {
 	first := l.firstWaiting(func(Class) bool { return true })
 	if l.requests.level < 1 {
@@ -173,13 +174,14 @@
 		return first
 	}
 	l.blocked = true
-	if l.requests.level < 2 { // one is kept for it
+	if l.requests.level < 2 { // one request is kept for the first class
 		return none
 	}
 	return l.firstWaiting(func(class Class) bool { return l.demand[class].changes <= 0 })
 }
 
-// firstWaiting returns the class whose turn it is among those that wait and that match.
+// firstWaiting returns the class whose turn it is among those with a waiting request for
+// which matches is true, or none.
 func (l *Limiter) firstWaiting(matches func(Class) bool) Class {
 	first := none
 	for i := range l.demand {
@@ -194,14 +196,14 @@
 	return first
 }
 
-// goesBefore reports whether a class with a start tag goes before another.
+// goesBefore reports whether class goes before other, by their tiers and then their start tags.
 func goesBefore(class Class, startTag float64, other Class, otherStartTag float64) bool {
 	tier, otherTier := tierOf[class], tierOf[other]
 	return tier < otherTier || tier == otherTier && startTag < otherStartTag
 }
 
-// CanSpend reports whether a transaction of a class with so many changes could be sent
-// now, so that the caller can build it from the latest records.
+// CanSpend reports whether a transaction of a class with this many changes could be sent now. It
+// lets the caller build the transaction only then, from the latest records.
 func (l *Limiter) CanSpend(class Class, changes float64) bool {
 	other := l.firstWaiting(func(c Class) bool { return c != class })
 	if other != none && goesBefore(other, l.startTags[other], class, l.startTag(class)) {
@@ -214,7 +216,7 @@
 	return true
 }
 
-// Spend takes a request of a class with so many changes out of the budget.
+// Spend deducts a request of a class with this many changes from the budget.
 func (l *Limiter) Spend(class Class, changes float64) {
 	l.requests.level--
 	l.changes.level -= changes
@@ -223,8 +225,8 @@
 	l.startTags[class] = start + 1 + changes
 }
 
-// SpendRead takes a request out of the budget that belongs to no class: the watch and
-// the first reading of the records. It returns false when there is none.
+// SpendRead deducts a request that belongs to no class from the budget: a watch or a page of a
+// scan of the records. It returns false if the budget allows no request.
 func (l *Limiter) SpendRead() bool {
 	if l.requests.level < 1 {
 		return false
@@ -233,8 +235,8 @@
 	return true
 }
 
-// QueueDelay estimates how long so many requests with so many changes take at the
-// present share.
+// QueueDelay estimates how long it takes to send this many requests with this many changes in
+// all at the present share.
 func (l *Limiter) QueueDelay(requests, changes float64) time.Duration {
 	requestSeconds := (requests - l.requests.level) / (l.requests.rate * l.share)
 	changeSeconds := (changes - l.changes.level) / (l.changes.rate * l.share)
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// queues hold what waits: for each class, the changes of its requests in order.
+// queues holds, for each class, the numbers of changes of its waiting requests in order.
 type queues [NumClasses][]float64
 
-// add has so many requests of the same changes wait.
+// add appends count requests with the same number of changes to a class.
 func (q *queues) add(l *Limiter, class Class, count int, changes float64) {
 	for range count {
 		q[class] = append(q[class], changes)
@@ -19,7 +19,7 @@
 	q.updateDemand(l, class)
 }
 
-// updateDemand tells the limiter what waits in a class.
+// updateDemand tells the limiter the demand of a class.
 func (q *queues) updateDemand(l *Limiter, class Class) {
 	if len(q[class]) > 0 {
 		l.SetDemand(class, true, q[class][0])
@@ -28,7 +28,7 @@
 	}
 }
 
-// send takes out what the limiter allows, and calls sent after each.
+// send removes the requests that the limiter allows to be sent, and calls sent after each.
 func (q *queues) send(l *Limiter, sent func(class Class, changes float64)) {
 	for class := l.Next(); class != none; class = l.Next() {
 		changes := q[class][0]
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestLowerTiersGoFirstAndNothingWaitsForEver draws any arrivals over time: nothing of a
-// later tier takes what a class that goes first waits for.
+// TestLowerTiersGoFirstAndNothingWaitsForEver draws arrivals over time and checks that no request
+// is sent while a request of an earlier tier waits for what it uses, that no budget is
+// overspent, and that every request is sent in the end.
 func TestLowerTiersGoFirstAndNothingWaitsForEver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := New(Rates{
@@ -53,7 +54,7 @@
 		requireOrder := func(sent Class, changes float64) {
 			for other := range waiting {
 				if tierOf[other] < tierOf[sent] && len(waiting[other]) > 0 && (changes > 0 || waiting[other][0] == 0) {
-					rt.Fatalf("%v with %v changes went while %v with %v waited", sent, changes, Class(other), waiting[other][0])
+					rt.Fatalf("%v with %v changes was sent while %v with %v waited", sent, changes, Class(other), waiting[other][0])
 				}
 			}
 		}
@@ -70,10 +71,10 @@
 			}
 			waiting.send(l, requireOrder)
 			if l.requests.level < 0 || l.changes.level < 0 {
-				rt.Fatalf("spent more than there was: %+v", l)
+				rt.Fatalf("the budget is overspent: %+v", l)
 			}
 		}
-		// Whatever waits goes in the end: nothing holds the rest up for ever.
+		// Every waiting request is sent in the end: none holds up the rest for ever.
 		for range 400 {
 			now += time.Second
 			l.Advance(now)
@@ -81,7 +82,7 @@
 		}
 		for class := range waiting {
 			if len(waiting[class]) > 0 {
-				rt.Fatalf("%v still waits: %v", Class(class), waiting[class])
+				rt.Fatalf("requests of class %v still wait: %v", Class(class), waiting[class])
 			}
 		}
 	})
@@ -103,9 +104,9 @@
 	return drawn
 }
 
-// TestClassesOfATierShareItEqually guards against the placements of a mass failure that
-// keep claims waiting until leases end, against claims of thousands of new workers
-// that keep placements waiting, and against either that keeps users waiting.
+// TestClassesOfATierShareItEqually guards against a class that starves others of its tier: the
+// placements after a mass failure that keep claims waiting until leases expire, the claims of
+// thousands of new workers that keep placements waiting, and either that keeps users waiting.
 func TestClassesOfATierShareItEqually(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := New(Rates{Requests: 1000, Changes: rapid.Float64Range(20, 150).Draw(rt, "changes"), Controllers: 1, TxnChanges: 12})
@@ -123,20 +124,20 @@
 		for _, a := range classes {
 			for _, b := range classes {
 				if spent[a] > spent[b]+2*(1+max(changesOf[a], changesOf[b])) {
-					rt.Fatalf("%v got %v, %v got %v", a, spent[a], b, spent[b])
+					rt.Fatalf("class %v spent %v, class %v spent %v", a, spent[a], b, spent[b])
 				}
 			}
 		}
 	})
 }
 
-// TestChangesAreSavedForATransactionThatGoesFirst guards against single changes that take
-// the budget away from a transaction of three that goes first.
+// TestChangesAreSavedForATransactionThatGoesFirst guards against requests with a single change that
+// use up the budget before enough is saved for a transaction of three changes that goes first.
 func TestChangesAreSavedForATransactionThatGoesFirst(t *testing.T) {
 	l := New(Rates{Requests: 100, Changes: 10, Controllers: 1, TxnChanges: 4})
 	var waiting queues
 	waiting.add(l, BusyClaims, 100, 1)
-	l.SetDemand(UrgentWork, true, 3) // always another one
+	l.SetDemand(UrgentWork, true, 3) // there is always another one
 	urgent, claims := 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
 		l.Advance(now)
@@ -151,9 +152,9 @@
 		}
 	}
 	if claims > 0 || urgent < 30 {
-		t.Errorf("%d transactions of about 32, and %d claims ahead of them", urgent, claims)
+		t.Errorf("sent %d transactions, want about 32, and %d claims ahead of them, want 0", urgent, claims)
 	}
-	// What reads alone is not held up by it.
+	// Requests that only read are not held up by the transaction.
 	waiting.add(l, UserRequests, 3, 0)
 	reads := 0
 	for class := l.Next(); class == UserRequests; class = l.Next() {
@@ -163,12 +164,12 @@
 		reads++
 	}
 	if reads != 3 {
-		t.Errorf("%d reads went while changes were saved for", reads)
+		t.Errorf("sent %d reads while changes were saved for a transaction, want 3", reads)
 	}
 }
 
-// TestQueueDelayIsNotExceeded compares the estimate that refused users are told with
-// what came.
+// TestQueueDelayIsNotExceeded compares the estimated delay, which refused users are told, with the
+// time that sending actually takes.
 func TestQueueDelayIsNotExceeded(t *testing.T) {
 	const step, tolerance = 10 * time.Millisecond, 200 * time.Millisecond
 	rapid.Check(t, func(rt *rapid.T) {
@@ -182,13 +183,13 @@
 			waiting.send(l, func(Class, float64) { elapsed = now })
 		}
 		if elapsed > estimate+tolerance {
-			rt.Fatalf("%v was estimated for %d changes, it took %v", estimate, count, elapsed)
+			rt.Fatalf("estimated %v for %d changes, which took %v", estimate, count, elapsed)
 		}
 	})
 }
 
-// TestShareIsBorrowedFromPeers has one of five controllers that always has something to
-// send, and looks at its share in equal ones.
+// TestShareIsBorrowedFromPeers checks the share, in equal shares, of one of five controllers that
+// always has requests waiting.
 func TestShareIsBorrowedFromPeers(t *testing.T) {
 	cases := []struct {
 		name            string
@@ -210,12 +211,12 @@
 			l.Advance(time.Millisecond)
 			waiting.send(l, func(Class, float64) {})
 			l.SetPeerDemand(c.throttled, c.idle)
-			l.Advance(2 * time.Millisecond) // borrows 0.1 a second beyond what is asked for
+			l.Advance(2 * time.Millisecond) // borrows 0.1 a second on top of the wanted share
 			if c.refused {
 				l.RecordRefusal()
 			}
 			if l.share < c.want || l.share > c.want+0.001 || !l.Throttled() {
-				t.Errorf("a share of %v, throttled %v; want %v", l.share, l.Throttled(), c.want)
+				t.Errorf("share %v, throttled %v; want share %v, throttled", l.share, l.Throttled(), c.want)
 			}
 		})
 	}
@@ -226,14 +227,14 @@
 	for class := range Class(NumClasses) {
 		name := class.String()
 		if name == "" || seen[name] {
-			t.Errorf("class %d is %q", int(class), name)
+			t.Errorf("the name of class %d is %q", int(class), name)
 		}
 		seen[name] = true
 	}
 	for class, want := range map[Class]string{Safety: "safety", Background: "background", none: "Class(-1)", NumClasses: "Class(8)"} {
 		t.Run(want, func(t *testing.T) {
 			if got := fmt.Sprint(class); got != want {
-				t.Errorf("%q", got)
+				t.Errorf("the name is %q", got)
 			}
 		})
 	}
