--- a/internal/connectivity/cloudlink.go
+++ b/internal/connectivity/cloudlink.go
@@ -13,7 +13,7 @@
 }
 
 // cloudTimeout is how long the cloud may be silent towards a controller that calls it every few
-// seconds. An unanswered call takes 5 s, and the next one proves that the first was not the only one.
+// seconds. An unanswered call takes 5 s; a second one shows that the first was not a single failure.
 const cloudTimeout = 8 * time.Second
 
 // CloudAnswered records the status of a call to the cloud, 0 if there was no answer. In an outage the
--- a/internal/connectivity/links_test.go
+++ b/internal/connectivity/links_test.go
@@ -81,7 +81,7 @@
 	tracker.Advance(50 * time.Second)
 	tracker.SetWorkers(workers, nil)
 	if tracker.StateServiceLost() || tracker.HearsNoWorkers() || zoneUnreachable() || tracker.Stats.Stalls != 1 {
-		t.Fatalf("after a stall: state service lost %v, hears no workers %v, %+v", tracker.StateServiceLost(), tracker.HearsNoWorkers(), tracker.LinkReports(0, false)[0])
+		t.Fatalf("lost %v after a stall, hears no workers %v, %+v", tracker.StateServiceLost(), tracker.HearsNoWorkers(), tracker.LinkReports(0, false)[0])
 	}
 	for now := 50 * time.Second; now < 54*time.Second; now += step {
 		tracker.Advance(now)
--- a/internal/connectivity/relay.go
+++ b/internal/connectivity/relay.go
@@ -53,9 +53,9 @@
 }
 
 const (
-	// maxRelaysPerPeer is how many calls of one peer are relayed at a time, enough for its watch,
-	// a scan, and as many queued calls as a controller has in flight at most; maxRelays is
-	// how many calls of all peers are.
+	// maxRelaysPerPeer is how many calls of one peer are relayed at a time: its watch, a scan,
+	// and as many queued calls as a controller has in flight at most. maxRelays is the same
+	// for all peers together.
 	maxRelaysPerPeer     = 32
 	maxRelays            = 96
 	maxRelayRequestBytes = 64 << 10
@@ -189,8 +189,8 @@
 	return response.Incarnation == incarnation && from == to && response.RequestHash == requestHash
 }
 
-// recordRelayResult counts the calls in a row that the relaying peer brought no answer of the state
-// service to, and starts the peer's backoff after maxRelayFailures of them.
+// recordRelayResult records whether a call through the relaying peer brought an answer of the state
+// service. After maxRelayFailures calls in a row without one, the peer's backoff starts.
 func (t *Tracker) recordRelayResult(from string, answered bool) {
 	if from != t.relays.via {
 		return
--- a/internal/connectivity/routing.go
+++ b/internal/connectivity/routing.go
@@ -39,11 +39,11 @@
 // prove that it hears the zone.
 const minProvingWorkers = 4
 
-// ProvenToHearZone reports whether a peer's link report proves that it hears a zone, where HearsZone
-// also accepts the lack of proof against it: the peer holds at least minProvingWorkers workers there
-// and hears them. With one or two workers the last heartbeat is seconds old. A worker that its
-// controller did not answer is redirected only to such a peer, as each wrong guess costs it seconds
-// of a lease that has begun to run out.
+// ProvenToHearZone reports whether a peer's link report proves that it hears a zone: it holds at
+// least minProvingWorkers workers there and hears them. HearsZone is weaker, as it also accepts a
+// peer of which nothing is known against it. With one or two workers the last heartbeat is seconds
+// old and proves little. A worker that its controller did not answer is redirected only to
+// a proven peer, as each wrong guess costs it seconds of a lease that has begun to run out.
 //
 // A peer proves nothing while its link to any zone flaps, that is, while a zone is lost and yet was
 // heard a moment ago: the workers that it holds may have come while the link was up.
@@ -106,11 +106,11 @@
 	return workloadNames[w]
 }
 
-// ShouldHandOver reports whether a controller that has neither the state service nor a peer that
-// relays redirects a worker now. alone is how long that has lasted, left is how long the controller may
-// still answer workers. Workers with urgent work go at once, those with other work after a third of
-// alone+left, those without work after two thirds, so that their new controllers write first
-// the claims that save the most.
+// ShouldHandOver reports whether to redirect a worker now, in a controller that can reach the state
+// service neither directly nor through a peer. alone is how long that has lasted; left is how long
+// the controller may still answer workers. Workers with urgent work go at once, those with other
+// work after a third of alone+left, and those without work after two thirds, so that their new
+// controllers first write the claims that save the most.
 //
 // The rule that this must not break: the cancel horizon. It is not decided here: the workers that
 // stay are answered only within it.
