--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -55,7 +55,7 @@
 			return
 		}
 		steps := lines
-		t.Run(strings.Trim(name, "! "), func(t *testing.T) { one(t, steps, fresh(t)) })
+		t.Run(strings.Trim(name, "! "), func(t *testing.T) { runCase(t, steps, fresh(t)) })
 	}
 	cases := 0
 	for _, l := range strings.Split(table, "\n") {
@@ -73,7 +73,7 @@
 	}
 }
 
-func one(t *testing.T, steps []string, target Target) {
+func runCase(t *testing.T, steps []string, target Target) {
 	vars := map[string]any{}
 	type request struct {
 		line  string
@@ -86,7 +86,7 @@
 		mark, rest, _ := strings.Cut(line, " ")
 		switch mark {
 		case ">", ">&", ">~":
-			method, rest, _ := strings.Cut(fill(t, rest, vars), " ")
+			method, rest, _ := strings.Cut(expandVariables(t, rest, vars), " ")
 			path, body, _ := strings.Cut(rest, " ")
 			r := request{line: line, wait: target.Begin(method, path, body)}
 			if mark == ">~" {
@@ -107,7 +107,7 @@
 					r.wait = r.again()
 				}
 				status, answer := r.wait()
-				if err = compare(status, answer, want, pattern, vars); err != nil {
+				if err = compareAnswer(status, answer, want, pattern, vars); err != nil {
 					err = fmt.Errorf("%s\n got %d %.500s\nwant %s: %w", r.line, status, answer, rest, err)
 				}
 			}
@@ -130,7 +130,7 @@
 	}
 }
 
-func compare(status int, answer, want, pattern string, vars map[string]any) error {
+func compareAnswer(status int, answer, want, pattern string, vars map[string]any) error {
 	if strconv.Itoa(status) != want {
 		return errors.New("another status")
 	}
@@ -144,12 +144,12 @@
 	if err := json.Unmarshal([]byte(answer), &v); err != nil {
 		return err
 	}
-	return match(p, v, vars)
+	return matchPattern(p, v, vars)
 }
 
 var variable = regexp.MustCompile(`\$\{(\w+)([+-]1)?\}`)
 
-func fill(t *testing.T, s string, vars map[string]any) string {
+func expandVariables(t *testing.T, s string, vars map[string]any) string {
 	return variable.ReplaceAllStringFunc(s, func(m string) string {
 		f := variable.FindStringSubmatch(m)
 		v, ok := vars[f[1]]
@@ -169,7 +169,7 @@
 	})
 }
 
-func match(p, v any, vars map[string]any) error {
+func matchPattern(p, v any, vars map[string]any) error {
 	switch p := p.(type) {
 	case string:
 		if name, ok := strings.CutPrefix(p, ">$"); ok {
@@ -205,7 +205,7 @@
 			if _, there := m[k]; !there && x != nil {
 				return fmt.Errorf("field %s is missing", k)
 			}
-			if err := match(x, m[k], vars); err != nil {
+			if err := matchPattern(x, m[k], vars); err != nil {
 				return fmt.Errorf("%s: %w", k, err)
 			}
 		}
@@ -216,7 +216,7 @@
 			return fmt.Errorf("%.300v is not a list of %d", v, len(p))
 		}
 		for i := range p {
-			if err := match(p[i], l[i], vars); err != nil {
+			if err := matchPattern(p[i], l[i], vars); err != nil {
 				return fmt.Errorf("[%d]: %w", i, err)
 			}
 		}
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireOneWholeKind(t, m)
+	requireOneCompleteField(t, m)
 	again, err := encodeMessage(format, m)
 	if err != nil {
 		t.Fatal(err)
@@ -121,9 +121,9 @@
 	}
 }
 
-// requireOneWholeKind checks that exactly one field of a decoded message is set, and that
+// requireOneCompleteField checks that exactly one field of a decoded message is set, and that
 // no field below it lacks a value: one that the product has beyond the golden file would.
-func requireOneWholeKind(t *testing.T, m Message) {
+func requireOneCompleteField(t *testing.T, m Message) {
 	t.Helper()
 	set := 0
 	v := reflect.ValueOf(m)
--- a/internal/protocol/dataset.go
+++ b/internal/protocol/dataset.go
@@ -20,7 +20,7 @@
 
 // Limits of data sets and announced work.
 const (
-	maxSetName         = 60 // bytes, of versions and ids too
+	maxDataSetName         = 60 // bytes, of versions and ids too
 	digestDigits       = 64
 	copyIDDigits       = 32
 	maxDataSetBytes    = 1 << 50
@@ -48,9 +48,9 @@
 // Check returns a *FieldError for the first field that is not valid.
 func (d *DataSet) Check() error {
 	switch {
-	case !ValidName(d.Set) || len(d.Set) > maxSetName:
+	case !ValidName(d.Set) || len(d.Set) > maxDataSetName:
 		return badField("set", "missing, too long or not a name")
-	case !ValidName(d.Version) || len(d.Version) > maxSetName || d.Version == LatestVersion:
+	case !ValidName(d.Version) || len(d.Version) > maxDataSetName || d.Version == LatestVersion:
 		return badField("version", "missing, too long, not a name, or latest")
 	case len(d.Digest) != digestDigits || !isHexadecimal(d.Digest):
 		return badField("digest", "must have %d hexadecimal digits", digestDigits)
@@ -88,7 +88,7 @@
 // Check returns a *FieldError for the first field that is not valid.
 func (s *Staging) Check() error {
 	switch {
-	case !ValidName(s.ID) || len(s.ID) > maxSetName:
+	case !ValidName(s.ID) || len(s.ID) > maxDataSetName:
 		return badField("ref", "missing, too long or not a name")
 	case !ValidName(s.Set):
 		return badField("set", "missing or not a name")
--- a/internal/protocol/extra.go
+++ b/internal/protocol/extra.go
@@ -15,7 +15,7 @@
 	maxArguments    = 256
 	maxVariables    = 256
 	maxInputs       = 32
-	maxKeep         = 32
+	maxKeepPatterns         = 32
 	maxCustomer     = 100      // bytes
 	maxArgument     = 16 << 10 // bytes, of a variable's value too
 	maxQuotedInText = 40       // bytes of a user's text in an error
@@ -122,8 +122,8 @@
 }
 
 func checkKeep(extra *job.Extra) error {
-	if len(extra.Keep) > maxKeep {
-		return badField("keep", "more than %d patterns", maxKeep)
+	if len(extra.Keep) > maxKeepPatterns {
+		return badField("keep", "more than %d patterns", maxKeepPatterns)
 	}
 	for i, pattern := range extra.Keep {
 		if _, err := path.Match(pattern, "x"); err != nil || !ValidRelativePath(pattern) {
@@ -143,7 +143,7 @@
 			return err
 		}
 		for _, earlier := range extra.Inputs[:i] {
-			if overlap(earlier.Path, input.Path) {
+			if pathsOverlap(earlier.Path, input.Path) {
 				return badField(field+".place", "overlaps another input's")
 			}
 		}
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// overlap tells whether two clean paths are the same or one contains the other.
-func overlap(a, b string) bool {
+// pathsOverlap tells whether two clean paths are the same or one contains the other.
+func pathsOverlap(a, b string) bool {
 	return a == b || strings.HasPrefix(a, b+"/") || strings.HasPrefix(b, a+"/")
 }
 
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -75,7 +75,7 @@
 		fields[name] = value
 		_, err := parseFields(fields)
 		_, wantsText := former.(string)
-		if isValidAfterAll(name, former, value) {
+		if isValidValue(name, former, value) {
 			if err != nil {
 				t.Fatalf("%s = %v: %v", name, value, err)
 			}
@@ -85,9 +85,9 @@
 	})
 }
 
-// isValidAfterAll tells whether a wrong value happens to be one that a field can have:
+// isValidValue tells whether a wrong value happens to be one that a field can have:
 // any flag, or any text where texts are free.
-func isValidAfterAll(name string, former, value any) bool {
+func isValidValue(name string, former, value any) bool {
 	_, wantsFlag := former.(bool)
 	_, isFlag := value.(bool)
 	if wantsFlag && isFlag {
