--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,13 +10,14 @@
 	"silvergate/internal/fencing"
 )
 
-// Least values of limits that the core can work with.
+// Smallest values of limits with which the core can work.
 const (
 	minTxnOps     = 4
 	minMaxSockets = 64
 )
 
-// check returns the first fault of the platform's settings, and names its field.
+// check returns an error that names the first field of the platform's settings that is not
+// valid.
 func (s *Settings) check() error {
 	if s.Node == "" {
 		return errors.New("node_name: missing")
@@ -41,32 +42,33 @@
 }
 
 func checkPositive(field string, value float64) error {
-	if !(value > 0) || math.IsInf(value, 0) { // not a number is refused, too
+	if !(value > 0) || math.IsInf(value, 0) { // also refuses NaN
 		return fmt.Errorf("%s: must be a positive number", field)
 	}
 	return nil
 }
 
-// checkFields checks the fields that are addresses or must be positive, by themselves.
+// checkFields checks each field that is an address or must be positive, independently of the
+// others.
 func (s *Settings) checkFields() error {
-	f := &s.Facts
+	facts := &s.Facts
 	errs := []error{
 		checkAddress("bind", s.Listen),
 		checkAddress("back", s.Back),
 		checkAddress("outside.cloud", s.Services.Cloud),
 		checkAddress("outside.state", s.Services.State),
-		checkPositive("facts.workers.report_s", f.Workers.Report),
-		checkPositive("facts.workers.lease_s", f.Workers.Lease),
-		checkPositive("facts.workers.cancel_s", f.Workers.Cancel),
-		checkPositive("facts.workers.gang_wait_s", f.Workers.GangWait),
-		checkPositive("facts.workers.gang_peer_s", f.Workers.GangPeer),
-		checkPositive("facts.state.rps", f.State.RPS),
-		checkPositive("facts.state.write_rps", f.State.WriteRPS),
-		checkPositive("facts.state.value_kb", f.State.ValueKB),
-		checkPositive("facts.cloud.rps", f.Cloud.RPS),
-		checkPositive("facts.cloud.list_lag_s", f.Cloud.ListLag),
-		checkPositive("facts.limits.cpu", f.Limits.CPU),
-		checkPositive("facts.limits.ram_mb", f.Limits.RAMMB),
+		checkPositive("facts.workers.report_s", facts.Workers.Report),
+		checkPositive("facts.workers.lease_s", facts.Workers.Lease),
+		checkPositive("facts.workers.cancel_s", facts.Workers.Cancel),
+		checkPositive("facts.workers.gang_wait_s", facts.Workers.GangWait),
+		checkPositive("facts.workers.gang_peer_s", facts.Workers.GangPeer),
+		checkPositive("facts.state.rps", facts.State.RPS),
+		checkPositive("facts.state.write_rps", facts.State.WriteRPS),
+		checkPositive("facts.state.value_kb", facts.State.ValueKB),
+		checkPositive("facts.cloud.rps", facts.Cloud.RPS),
+		checkPositive("facts.cloud.list_lag_s", facts.Cloud.ListLag),
+		checkPositive("facts.limits.cpu", facts.Limits.CPU),
+		checkPositive("facts.limits.ram_mb", facts.Limits.RAMMB),
 	}
 	for _, err := range errs {
 		if err != nil {
@@ -81,8 +83,8 @@
 	if f.State.TxnOps < minTxnOps {
 		return fmt.Errorf("facts.state.txn_ops: must be at least %d", minTxnOps)
 	}
-	// No worker could ever be answered: the first response after a proof would be valid
-	// for too long.
+	// With a horizon of 0 the controller could never answer a worker: even the first
+	// response after a proof that it knows of all cancellations would be valid for too long.
 	cancel := time.Duration(f.Workers.Cancel * float64(time.Second))
 	lease := time.Duration(f.Workers.Lease * float64(time.Second))
 	if fencing.CancelHorizon(cancel, lease) == 0 {
@@ -96,12 +98,12 @@
 
 func (s *Settings) checkPeers() error {
 	seen := map[string]bool{s.Node: true}
-	for i, p := range s.Peers {
-		if p.Node == "" || seen[p.Node] {
+	for i, peer := range s.Peers {
+		if peer.Node == "" || seen[peer.Node] {
 			return fmt.Errorf("peers[%d].node_name: missing or repeated", i)
 		}
-		seen[p.Node] = true
-		if err := checkAddress(fmt.Sprintf("peers[%d].peer_addr", i), p.Addr); err != nil {
+		seen[peer.Node] = true
+		if err := checkAddress(fmt.Sprintf("peers[%d].peer_addr", i), peer.Addr); err != nil {
 			return err
 		}
 	}
@@ -110,12 +112,12 @@
 
 func (f *Facts) checkTeams() error {
 	seen := map[string]bool{}
-	for i, t := range f.Teams {
-		if t.Name == "" || seen[t.Name] {
+	for i, team := range f.Teams {
+		if team.Name == "" || seen[team.Name] {
 			return fmt.Errorf("facts.teams[%d].name: missing or repeated", i)
 		}
-		seen[t.Name] = true
-		for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		seen[team.Name] = true
+		for _, amount := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
 			if !(amount >= 0) || math.IsInf(amount, 0) {
 				return fmt.Errorf("facts.teams[%d]: guarantee and limit must not be negative", i)
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,11 +13,11 @@
 	"silvergate/internal/archive"
 )
 
-// OperatorFile is the name of the operators' file, which is looked for in the folder of
-// the platform's settings file and then in deploy/.
+// OperatorFile is the name of the operators' file. Load looks for it in the folder of the
+// platform's settings file and then in deploy/.
 const OperatorFile = "silvergate.yaml"
 
-// Settings is the platform's settings file. Unknown fields are ignored.
+// Settings holds the platform's settings file. Unknown fields are ignored.
 type Settings struct {
 	Node     string  `json:"node_name"`
 	Zone     string  `json:"site"`
@@ -37,13 +37,13 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Outside holds the addresses of the outside systems.
+// Outside holds the addresses of the cloud and of the state service.
 type Outside struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
 
-// Facts are the figures of the deployment.
+// Facts holds the figures of the deployment: its size, its teams, its periods and limits.
 type Facts struct {
 	Count       int         `json:"count"`
 	Zones       []string    `json:"zones"`
@@ -74,7 +74,7 @@
 	Times  float64 `json:"times" yaml:"times"`
 }
 
-// Workers holds the periods of the workers' protocol, in seconds.
+// Workers holds the periods of the protocol between controllers and workers, in seconds.
 type Workers struct {
 	Report   float64 `json:"report_s" yaml:"report_s"`
 	Lease    float64 `json:"lease_s" yaml:"lease_s"`
@@ -83,7 +83,7 @@
 	Cancel   float64 `json:"cancel_s" yaml:"cancel_s"`
 }
 
-// State holds the limits of the state service: requests and writes in a second, the size
+// State holds the limits of the state service: requests and writes per second, the size
 // of a value in KiB, and operations in a transaction.
 type State struct {
 	RPS      float64 `json:"rps" yaml:"rps"`
@@ -92,23 +92,23 @@
 	TxnOps   int     `json:"txn_ops" yaml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud's interface: requests in a second, and how many
-// seconds its list of machines may lag.
+// Cloud holds the limits of the cloud's interface: requests per second, and how many
+// seconds its list of machines may lag behind.
 type Cloud struct {
 	RPS     float64 `json:"rps" yaml:"rps"`
 	ListLag float64 `json:"list_lag_s" yaml:"list_lag_s"`
 }
 
-// Limits are the resources of this process: CPUs, memory in MiB and open sockets.
+// Limits holds the resources of this process: CPUs, memory in MiB and open sockets.
 type Limits struct {
 	CPU        float64 `json:"cpu" yaml:"cpu"`
 	RAMMB      float64 `json:"ram_mb" yaml:"ram_mb"`
 	MaxSockets int     `json:"max_sockets" yaml:"max_sockets"`
 }
 
-// Load reads and checks the settings file at path and the operators' file: the one at
-// operatorPath, or the first that is found if that is "". Errors name the file and the
-// field.
+// Load reads and checks the settings file at path and the operators' file. The operators'
+// file is the one at operatorPath or, if that is "", the first OperatorFile found. Errors
+// name the file and the field.
 func Load(path, operatorPath string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -124,8 +124,8 @@
 	return s, nil
 }
 
-// loadOperator reads the operators' file. One that is named must exist; without any the
-// defaults stay.
+// loadOperator reads the operators' file. A file named by operatorPath must exist. If no
+// file is named or found, the defaults stay.
 func (s *Settings) loadOperator(path, operatorPath string) error {
 	candidates := []string{operatorPath}
 	if operatorPath == "" {
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// Parse reads the platform's settings and checks them. The operators' settings are the
-// defaults.
+// Parse reads the platform's settings and checks them. It sets the operators' settings to
+// their defaults.
 func Parse(raw []byte) (*Settings, error) {
 	s := &Settings{Operator: DefaultOperator()}
 	if err := json.Unmarshal(raw, s); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Every refusal names the field.
+// TestParseNamesTheBadField checks that the error for each bad field names the field.
 func TestParseNamesTheBadField(t *testing.T) {
 	for field, change := range map[string][2]string{
 		"node_name":                {`"node_name":"n0"`, `"node_name":""`},
@@ -45,10 +45,10 @@
 	} {
 		bad := strings.Replace(settings, change[0], change[1], 1)
 		if !json.Valid([]byte(bad)) || bad == settings {
-			t.Fatalf("%s: the test's change does not apply", field)
+			t.Fatalf("%s: the change of this test does not apply to the settings", field)
 		}
 		if _, err := Parse([]byte(bad)); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: got %v", field, err)
+			t.Errorf("%s: the error is %v, which does not name the field", field, err)
 		}
 	}
 }
@@ -56,14 +56,14 @@
 func TestOperatorSettings(t *testing.T) {
 	o, err := ParseOperator([]byte("probes: 4\npublish_interval: 500ms\n"))
 	if err != nil || o.Probes != 4 || o.PublishInterval != 500*time.Millisecond || o.EntryAge != DefaultOperator().EntryAge {
-		t.Fatalf("%+v %v", o, err)
+		t.Fatalf("ParseOperator returned %+v, error %v", o, err)
 	}
 	if o, err := ParseOperator(nil); err != nil || o != DefaultOperator() {
-		t.Fatalf("an empty file: %+v %v", o, err)
+		t.Fatalf("an empty file: ParseOperator returned %+v, error %v", o, err)
 	}
 	for _, bad := range []string{"prbes: 2", "probes: 0", "publish_interval: 1ms", "log_level: loud", "probes: [", "entry_age_reports: .nan", "begin_within: 0s", "begin_within: -1m"} {
 		if _, err := ParseOperator([]byte(bad)); err == nil {
-			t.Errorf("%q passed", bad)
+			t.Errorf("ParseOperator accepted %q", bad)
 		}
 	}
 }
@@ -78,18 +78,19 @@
 	}
 	write("settings.json", settings)
 	if s, err := Load(path, ""); err != nil || s.Operator != DefaultOperator() {
-		t.Fatalf("without a file: %v", err)
+		t.Fatalf("without an operators' file: the settings are not the defaults; error %v", err)
 	}
 	write(OperatorFile, "probes: 5\n")
 	if s, err := Load(path, ""); err != nil || s.Operator.Probes != 5 {
-		t.Fatalf("with a file: %v", err)
+		t.Fatalf("with an operators' file: its settings are not used; error %v", err)
 	}
 	if _, err := Load(path, filepath.Join(dir, "missing.yaml")); err == nil {
-		t.Fatal("a named file that is missing passed")
+		t.Fatal("Load accepted the name of an operators' file that does not exist")
 	}
 }
 
-// TestCancelNeedsRoomForTheLease refuses settings under which no worker could ever be answered.
+// TestCancelNeedsRoomForTheLease checks that Parse refuses a cancel_s so close to lease_s that
+// controllers could never answer a worker.
 func TestCancelNeedsRoomForTheLease(t *testing.T) {
 	for cancel, ok := range map[string]bool{"18": false, "18.01": false, "18.5": true} {
 		_, err := Parse([]byte(strings.Replace(settings, `"cancel_s":48`, `"cancel_s":`+cancel, 1)))
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,23 +9,27 @@
 )
 
 // Operator holds the operators' own settings, from YAML. Unknown keys are
-// refused, so that a misspelt key does not go unnoticed.
+// refused, so that a misspelt key is noticed.
 type Operator struct {
-	// Probes is the thesis's d: how many controllers a task may visit.
+	// Probes is how many controllers a task may visit, the parameter d of the thesis that
+	// docs/design.md cites.
 	Probes int `yaml:"probes"`
-	// PublishInterval is the time between two publications of a list length.
+	// PublishInterval is the time between two publications of the length of a controller's
+	// list of idle machines.
 	PublishInterval time.Duration `yaml:"publish_interval"`
-	// EntryAge is after how many heartbeat periods an idle entry expires unless it is renewed.
+	// EntryAge is the number of heartbeat periods after which a machine's entry in the list
+	// of idle machines expires unless it is renewed.
 	EntryAge float64 `yaml:"entry_age_reports"`
-	// BeginWithin is after how long a job that has not begun goes ahead of others of its
-	// priority with its first task, or as a whole if it is a gang.
+	// BeginWithin is the time after which a job that has not begun goes ahead of other jobs
+	// of its priority with its first task, or as a whole if it is a gang.
 	BeginWithin time.Duration `yaml:"begin_within"`
-	// GroupTakeover has the workers of a controller that failed, or has lost contact with
-	// them, fail over to others by the group: with one write to the state service for each
-	// group in place of one for each worker.
+	// GroupTakeover makes the workers of a controller that failed, or that has lost contact
+	// with them, fail over to other controllers in groups: with one write to the state
+	// service per group instead of one per worker.
 	GroupTakeover bool `yaml:"group_takeover"`
-	// EndingLog has completions of arrays' tasks, of teams without limits, written to a log,
-	// many with one write to the state service, in place of their jobs' pages.
+	// EndingLog makes controllers write completions of tasks to a log instead of to their
+	// jobs' pages, many with one write to the state service. This applies to tasks of
+	// arrays of teams without limits.
 	EndingLog bool `yaml:"ending_log"`
 	// LogLevel is used when LOG_LEVEL is not set.
 	LogLevel string `yaml:"log_level"`
@@ -33,33 +37,36 @@
 	Metrics bool `yaml:"metrics,omitempty"`
 	// Staging switches data sets on; nil: off.
 	Staging *Staging `yaml:"staging,omitempty"`
-	// Archive has this controller grant attempts access to the archive; nil: off.
+	// Archive makes this controller grant attempts access to the archive; nil: off.
 	Archive *Archive `yaml:"archive,omitempty"`
 	// Recorder records the inputs of the core; nil: off.
 	Recorder *Recorder `yaml:"recorder,omitempty"`
 }
 
-// Recorder says where recordings are kept and how much space they may take.
+// Recorder holds the settings for recordings: where they are stored and how much space
+// they may take.
 type Recorder struct {
 	// Dir is the folder of this controller's recordings.
 	Dir string `yaml:"dir"`
-	// MaxMB is the space for all, in MB; the oldest segments are removed.
+	// MaxMB is the space for all recordings, in MB; beyond it the oldest segments are
+	// removed.
 	MaxMB float64 `yaml:"max_mb"`
-	// SegmentMB is after how many MB a new segment is begun.
+	// SegmentMB is the size in MB at which a new segment is begun.
 	SegmentMB float64 `yaml:"segment_mb"`
-	// Flush is how long an input may wait until it is written: what a kill may lose.
+	// Flush is how long an input may wait before it is written: if the process is killed,
+	// the inputs of up to this time are lost.
 	Flush time.Duration `yaml:"flush"`
 }
 
-// UnmarshalYAML reads the settings; those that are left out get their defaults.
+// UnmarshalYAML reads the settings. Settings that are left out get their defaults.
 func (r *Recorder) UnmarshalYAML(n *yaml.Node) error {
 	type plain Recorder
 	p := plain{MaxMB: 512, SegmentMB: 16, Flush: time.Second}
-	for i := 0; i+1 < len(n.Content); i += 2 { // a node's Decode does not refuse unknown keys
-		switch k := n.Content[i].Value; k {
+	for i := 0; i+1 < len(n.Content); i += 2 { // Node.Decode does not refuse unknown keys
+		switch key := n.Content[i].Value; key {
 		case "dir", "max_mb", "segment_mb", "flush":
 		default:
-			return fmt.Errorf("line %d: field %s not found in recorder", n.Content[i].Line, k)
+			return fmt.Errorf("line %d: field %s not found in recorder", n.Content[i].Line, key)
 		}
 	}
 	if err := n.Decode(&p); err != nil {
@@ -87,24 +94,25 @@
 
 // Archive holds the settings for the archive.
 type Archive struct {
-	// GrantKey is the file with the key that it shares with the archive's nodes.
+	// GrantKey is the path of the file with the key that controllers share with the
+	// archive's nodes.
 	GrantKey string `yaml:"grant_key"`
-	// HoldS is how long a machine without work is kept for output that the archive
-	// has not acknowledged, in seconds.
+	// HoldS is how long a machine without work is not returned to the cloud because the
+	// archive has not acknowledged its output, in seconds.
 	HoldS float64 `yaml:"hold_s"`
-	// Key is the content of that file; LoadKeys reads it.
+	// Key is the key in that file; LoadKeys reads it.
 	Key []byte `yaml:"-"`
 }
 
 // Staging holds the limits of transfers of data sets.
 type Staging struct {
-	// ServerStreams is how many copies all controllers together have fetched
-	// from one file server at a time, PeerStreams how many from one machine,
-	// MachineStreams how many that are not urgent by one machine.
+	// ServerStreams is how many copies may be fetched from one file server at a time, over
+	// all controllers; PeerStreams how many from one machine; MachineStreams how many one
+	// machine may fetch that are not urgent.
 	ServerStreams  int `yaml:"server_streams"`
 	PeerStreams    int `yaml:"peer_streams"`
 	MachineStreams int `yaml:"machine_streams"`
-	// RateMBPerS is one fetch's rate until rates are measured.
+	// RateMBPerS is the assumed rate of one fetch until rates have been measured.
 	RateMBPerS float64 `yaml:"rate_mb_per_s"`
 }
 
@@ -122,7 +130,7 @@
 	return nil
 }
 
-// DefaultOperator returns the settings without an operators' file.
+// DefaultOperator returns the operators' settings that apply without an operators' file.
 func DefaultOperator() Operator {
 	return Operator{
 		Probes:          3,
@@ -136,11 +144,11 @@
 
 // ParseOperator reads the operators' YAML and checks it. Errors name the key.
 func ParseOperator(raw []byte) (Operator, error) {
-	o := DefaultOperator()
-	if err := DecodeYAML(raw, &o); err != nil {
-		return o, err
+	operator := DefaultOperator()
+	if err := DecodeYAML(raw, &operator); err != nil {
+		return operator, err
 	}
-	return o, o.check()
+	return operator, operator.check()
 }
 
 func (o *Operator) check() error {
--- a/internal/config/yaml.go
+++ b/internal/config/yaml.go
@@ -12,9 +12,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// DecodeYAML reads one YAML document into v. Unknown and repeated keys are errors, which
-// name them; what is left out keeps its value, and an empty document leaves out
-// everything.
+// DecodeYAML reads one YAML document into v. Unknown and repeated keys are errors that name
+// the key. A key that the document lacks leaves its value in v unchanged, so an empty
+// document leaves all of v unchanged.
 func DecodeYAML(raw []byte, v any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
 	dec.KnownFields(true)
@@ -27,11 +27,11 @@
 	return nil
 }
 
-// linePrefix is how yaml names the line that an error is about.
+// linePrefix matches the line number with which the yaml package begins an error.
 var linePrefix = regexp.MustCompile(`^line (\d+): `)
 
-// quoteLines joins yaml's errors, each with the text of the line that it is about: yaml
-// itself names the line and a type, but not the key.
+// quoteLines joins the errors of the yaml package and adds to each the text of its line: the
+// package itself names the line and a type, but not the key.
 func quoteLines(raw []byte, err error) error {
 	var typeError *yaml.TypeError
 	if !errors.As(err, &typeError) {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,6 +1,6 @@
 // Package job is the neutral model of jobs and tasks. Nothing in it belongs to
 // one wire format, so that other formats can be translated into it. The JSON names are
-// those of the records in the state service, where they must stay as they are.
+// those of the records in the state service, so they must not change.
 package job
 
 import (
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Shape says how the tasks of a job belong together.
+// Shape is how the tasks of a job belong together.
 type Shape string
 
 // Shapes.
@@ -18,7 +18,7 @@
 	Service Shape = "service" // tasks are replicas that run until the job is cancelled
 )
 
-// Priority orders jobs; the larger goes first.
+// Priority orders jobs; a job of a larger one goes first.
 type Priority int
 
 // Priorities.
@@ -31,7 +31,7 @@
 
 var priorityNames = [...]string{Low: "low", Normal: "normal", High: "high", Production: "production"}
 
-// String is the priority's name for people; records and logs have its number.
+// String returns the priority's name for people to read. Records and logs have its number.
 func (p Priority) String() string {
 	if p < 0 || int(p) >= len(priorityNames) {
 		return fmt.Sprintf("priority %d", int(p))
@@ -40,38 +40,38 @@
 }
 
 // Spec is what a user asked for. It does not change once the job is accepted. Its fields
-// are not grouped, as those of submissions and records are not.
+// are not grouped because those of submissions and records are not.
 type Spec struct {
 	ID                  string   `json:"id"`
-	Class               string   `json:"cl"` // of like jobs; named by the user
+	Class               string   `json:"cl"` // names similar jobs; chosen by the user
 	Team                string   `json:"tm"`
 	Shape               Shape    `json:"sh"`
 	Priority            Priority `json:"pr"`
 	Tasks               int      `json:"n"`           // how many
-	CPUs                float64  `json:"c,omitempty"` // of each task, as the next two
+	CPUs                float64  `json:"c,omitempty"` // per task, like GPUs and MemoryGB
 	GPUs                float64  `json:"g,omitempty"`
 	MemoryGB            float64  `json:"m,omitempty"`
 	Image               string   `json:"im,omitempty"`
 	ImageGB             float64  `json:"ig,omitempty"`
-	MachineTypes        []string `json:"ty,omitempty"` // that it may use; nil: any
-	Zone                string   `json:"z,omitempty"`  // that it must use; "": any
+	MachineTypes        []string `json:"ty,omitempty"` // that the job may use; nil: any
+	Zone                string   `json:"z,omitempty"`  // that the job must use; "": any
 	OneZone             bool     `json:"oz,omitempty"` // all tasks in one zone
 	Spread              bool     `json:"sp,omitempty"` // see SpreadLimit
 	Spot                bool     `json:"ca,omitempty"` // may use spot machines
-	EstimateS           float64  `json:"es,omitempty"` // duration of a task
-	CheckpointIntervalS float64  `json:"ck,omitempty"` // 0: it saves no checkpoints
-	CheckpointSaveS     float64  `json:"sv,omitempty"` // what a checkpoint takes
-	DeadlineS           *float64 `json:"dl,omitempty"` // from the submission on; nil: none
-	// Extended tells that there is an Extra, kept under a key of its own.
+	EstimateS           float64  `json:"es,omitempty"` // expected duration of a task
+	CheckpointIntervalS float64  `json:"ck,omitempty"` // 0: tasks save no checkpoints
+	CheckpointSaveS     float64  `json:"sv,omitempty"` // time to save a checkpoint
+	DeadlineS           *float64 `json:"dl,omitempty"` // since the submission; nil: none
+	// Extended reports whether the job has an Extra, which is stored under a key of its own.
 	Extended bool `json:"x,omitempty"`
-	// Inputs are the versions of data sets that its tasks read, as set/version, resolved.
+	// Inputs are the data sets that the tasks read, as set/version with the version resolved.
 	Inputs []string `json:"in,omitempty"`
 }
 
-// SpreadLimit is the most tasks a spread job may have in one zone.
+// SpreadLimit returns the largest number of tasks that a spread job may have in one zone.
 func (s *Spec) SpreadLimit() int { return (s.Tasks + 1) / 2 }
 
-// AllowsMachineType tells whether the job may use a machine type.
+// AllowsMachineType reports whether the job may use a machine type.
 func (s *Spec) AllowsMachineType(name string) bool {
 	return s.MachineTypes == nil || slices.Contains(s.MachineTypes, name)
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -25,7 +25,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			spec := &Spec{MachineTypes: test.types}
 			if got := spec.AllowsMachineType("g4"); got != test.want {
-				t.Errorf("%v, not %v", got, test.want)
+				t.Errorf("AllowsMachineType returned %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -35,7 +35,7 @@
 	for tasks, want := range map[int]int{1: 1, 2: 1, 3: 2, 10: 5} {
 		spec := &Spec{Tasks: tasks}
 		if got := spec.SpreadLimit(); got != want {
-			t.Errorf("%d of %d tasks, not %d", got, tasks, want)
+			t.Errorf("SpreadLimit returned %d for %d tasks, want %d", got, tasks, want)
 		}
 	}
 }
--- a/internal/job/main_test.go
+++ b/internal/job/main_test.go
@@ -6,5 +6,5 @@
 	"silvergate/internal/proptest"
 )
 
-// Generated inputs come from a fixed seed, so that a verdict repeats.
+// TestMain generates inputs from a fixed seed, so that results are reproducible.
 func TestMain(m *testing.M) { proptest.Main(m) }
--- a/internal/job/task_test.go
+++ b/internal/job/task_test.go
@@ -6,15 +6,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestTaskNames reads names as they are written.
+// TestTaskNames checks that ParseTaskName reads what TaskName writes.
 func TestTaskNames(t *testing.T) {
-	const maxIndex = 100_000 // of protocol.MaxTasks
+	const maxIndex = 100_000 // as in protocol.MaxTasks
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`wk-[0-9]{6}`).Draw(t, "id")
 		index := rapid.IntRange(0, maxIndex).Draw(t, "index")
 		gotID, gotIndex, err := ParseTaskName(TaskName(id, index))
 		if err != nil || gotID != id || gotIndex != index {
-			t.Fatalf("%q %d %v", gotID, gotIndex, err)
+			t.Fatalf("ParseTaskName returned %q, %d, error %v", gotID, gotIndex, err)
 		}
 	})
 }
@@ -30,7 +30,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, err := ParseTaskName(test.task); err == nil {
-				t.Errorf("%q passed", test.task)
+				t.Errorf("ParseTaskName accepted %q", test.task)
 			}
 		})
 	}
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -2,8 +2,8 @@
 
 import "silvergate/internal/connectivity"
 
-// The conversions between messages and their wire forms. A nil message has a nil
-// form, and a nil slice a nil slice: CBOR tells nil from empty.
+// Conversions between messages and their wire forms. A nil message converts to a nil wire
+// form and a nil slice to a nil slice, because CBOR distinguishes nil from empty.
 
 func (h *Heartbeat) wire() *wireBeat {
 	if h == nil {
--- a/internal/peer/frozen_test.go
+++ b/internal/peer/frozen_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Peer messages cross links as gob and stand in recordings as CBOR. Both match fields by
-// their names. The types here are a copy of those that controllers in service and
+// Links carry peer messages as gob and recordings hold them as CBOR. Both match fields by
+// their names. The types here are a copy of those that deployed controllers and existing
 // recordings use; they change only with the protocol, never with the code.
 
 type frozenMessage struct {
@@ -28,7 +28,7 @@
 	Rows      []frozenRow
 }
 
-// frozenRow has the tags of the base: CBOR names fields by them, gob does not.
+// frozenRow has the JSON tags of the type it copies: CBOR names fields by them, gob does not.
 type frozenRow struct {
 	Node    string           `json:"node"`
 	AgeMS   int64            `json:"ageMs"`
@@ -107,7 +107,8 @@
 	Vouch    *frozenVouch
 }
 
-// frozenMessages has a message of each kind, by the name of its field, with every field set.
+// frozenMessages returns a message of each kind, with every field set, under the name of the
+// kind's field.
 func frozenMessages() map[string]frozenMessage {
 	ask := &frozenAsk{At: 90 * time.Second, Ledger: 1 << 41, Life: 1767225600000000007}
 	vouch := &frozenVouch{At: 91 * time.Second, Cancelled: []string{"wk-000003", "wk-000011"}, Life: 1767225600000000008}
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -7,14 +7,14 @@
 )
 
 // The wire forms below are frozen. Links carry them as gob and recordings as CBOR, and
-// both match fields by their names, silently: a field that is renamed here arrives
-// empty at a controller of another version. Fields may be added, never renamed. The
-// types are named after the fields that hold them, and gob sends those names, too.
+// both match fields by name without reporting a mismatch: a field that is renamed here
+// arrives empty at a controller of another version. Fields may be added, never renamed.
+// The types are named after the fields that hold them, and gob sends those names, too.
 // convert.go maps all of them to the messages that the code works with; frozen_test.go
 // has an independent copy of them.
 
 // WireMessage is the form of a Message on links and in recordings. Exactly one field is
-// set, or none if a later version has added the kind.
+// set, or none in a message of a kind that a later version has added.
 type WireMessage struct {
 	Beat    *wireBeat
 	Ask     *wireAsk
@@ -28,7 +28,7 @@
 	Pass    *wirePass
 }
 
-// wireBeat is the form of a Heartbeat.
+// wireBeat is the wire form of a Heartbeat.
 type wireBeat struct {
 	FreshMS   int64
 	Hungry    bool
@@ -38,7 +38,7 @@
 	Rows      []wireRow
 }
 
-// wireRow is the form of a connectivity.LinkReport. It has JSON tags because CBOR names
+// wireRow is the wire form of a connectivity.LinkReport. It has JSON tags because CBOR names
 // fields by them; gob does not.
 type wireRow struct {
 	Node    string         `json:"node"`
@@ -53,7 +53,7 @@
 	NoCloud bool           `json:"noCloud"`
 }
 
-// wireZoneWord is the form of a connectivity.ZoneReport.
+// wireZoneWord is the wire form of a connectivity.ZoneReport.
 type wireZoneWord struct {
 	Zone    string `json:"zone"`
 	Held    int    `json:"held"`
@@ -61,45 +61,45 @@
 	Lost    bool   `json:"lost"`
 }
 
-// wireAsk is the form of a CancellationQuery.
+// wireAsk is the wire form of a CancellationQuery.
 type wireAsk struct {
 	At     time.Duration
 	Ledger uint64
 	Life   int64
 }
 
-// wireVouch is the form of a CancellationReply.
+// wireVouch is the wire form of a CancellationReply.
 type wireVouch struct {
 	At        time.Duration
 	Cancelled []string
 	Life      int64
 }
 
-// wireForward is the form of a TaskHandoff, in both directions.
+// wireForward is the wire form of a TaskHandoff, both for a handoff and for its return.
 type wireForward struct {
 	Job   string
 	Tasks []int
 }
 
-// wireDraw is the form of a RoomRequest.
+// wireDraw is the wire form of a RoomRequest.
 type wireDraw struct {
 	Job      string
 	Machines []string
 }
 
-// wireOffer is the form of a RoomOffer.
+// wireOffer is the wire form of a RoomOffer.
 type wireOffer struct {
 	Job      string
 	Machines []wireOffered
 }
 
-// wireOffered is the form of an OfferedMachine.
+// wireOffered is the wire form of an OfferedMachine.
 type wireOffered struct {
 	Machine string
 	Session uint64
 }
 
-// wireCarry is the form of a connectivity.RelayRequest.
+// wireCarry is the wire form of a connectivity.RelayRequest.
 type wireCarry struct {
 	Life      int64
 	ID        uint64
@@ -109,7 +109,7 @@
 	TimeoutMS int64
 }
 
-// wireCarried is the form of a connectivity.RelayResponse.
+// wireCarried is the wire form of a connectivity.RelayResponse.
 type wireCarried struct {
 	Life       int64
 	ID         uint64
@@ -121,14 +121,14 @@
 	Large      bool
 }
 
-// wirePass is the form of a ForwardedMessage.
+// wirePass is the wire form of a ForwardedMessage.
 type wirePass struct {
 	From, To string
 	Ask      *wireAsk
 	Vouch    *wireVouch
 }
 
-// Wire is the message in its form on links. It shares slices with the message, which
+// Wire returns the wire form of the message. It shares slices with the message, which
 // must not change before it is encoded.
 func (m Message) Wire() WireMessage {
 	return WireMessage{
@@ -145,7 +145,7 @@
 	}
 }
 
-// Message is the message that a wire form stands for. It shares slices with the form.
+// Message returns the message that has this wire form. It shares slices with the form.
 func (w *WireMessage) Message() Message {
 	return Message{
 		Heartbeat:         w.Beat.message(),
@@ -161,13 +161,13 @@
 	}
 }
 
-// MarshalCBOR writes the form that stands in recordings.
+// MarshalCBOR encodes the message as recordings hold it.
 func (m Message) MarshalCBOR() ([]byte, error) {
 	w := m.Wire()
 	return cbor.Marshal(&w)
 }
 
-// UnmarshalCBOR reads the form that stands in recordings.
+// UnmarshalCBOR decodes a message as recordings hold it.
 func (m *Message) UnmarshalCBOR(data []byte) error {
 	var w WireMessage
 	if err := cbor.Unmarshal(data, &w); err != nil {
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -35,8 +35,8 @@
 	return gob.NewDecoder(bytes.NewReader(data)).Decode(v)
 }
 
-// encodeMessage and decodeMessage are what the product does with a message: on a
-// link with gob, in a recording with CBOR.
+// encodeMessage and decodeMessage do what the product does with a message: on a link it
+// uses gob, in a recording CBOR.
 func encodeMessage(f wireFormat, m Message) ([]byte, error) {
 	if f.name == "gob" {
 		return f.marshal(m.Wire())
@@ -54,29 +54,30 @@
 	return m, err
 }
 
-// TestFrozenMessagesAreComplete checks that each kind of message has a golden file, and
-// that no field of it lacks a value.
+// TestFrozenMessagesAreComplete checks that there is a frozen message, and so a golden
+// file, of each kind, and that each message sets only the field of its kind and every field
+// below it.
 func TestFrozenMessagesAreComplete(t *testing.T) {
 	messages := frozenMessages()
 	kinds := reflect.TypeFor[frozenMessage]()
 	if len(messages) != kinds.NumField() {
-		t.Errorf("%d messages of %d kinds", len(messages), kinds.NumField())
+		t.Errorf("%d frozen messages for %d kinds", len(messages), kinds.NumField())
 	}
 	if n := reflect.TypeFor[Message]().NumField(); n != kinds.NumField() {
-		t.Errorf("the product has %d kinds of messages, not %d", n, kinds.NumField())
+		t.Errorf("Message has %d kinds, the frozen copy has %d", n, kinds.NumField())
 	}
 	for kind, m := range messages {
 		for i := range kinds.NumField() {
 			if name := kinds.Field(i).Name; (name == kind) == reflect.ValueOf(m).Field(i).IsNil() {
-				t.Errorf("the message for %s: field %s is set where it should not be, or the reverse", kind, name)
+				t.Errorf("the frozen message for %s: field %s is set and should not be, or is not set and should be", kind, name)
 			}
 		}
 		goldentest.RequireNoZeroFields(t, kind, reflect.ValueOf(m).FieldByName(kind).Interface())
 	}
 }
 
-// TestMessagesKeepTheirBytes has the product read each golden message and write it
-// again: nothing is lost on either way.
+// TestMessagesKeepTheirBytes checks that the product decodes each golden message and
+// encodes it again without loss.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	for kind, want := range frozenMessages() {
 		for _, format := range wireFormats {
@@ -96,33 +97,34 @@
 	})
 	var original frozenMessage
 	if err := format.unmarshal(data, &original); err != nil || !reflect.DeepEqual(original, want) {
-		t.Fatalf("the golden file holds %+v, not %+v: %v", original, want, err)
+		t.Fatalf("the golden file decodes to %+v, want %+v; error %v", original, want, err)
 	}
 	m, err := decodeMessage(format, data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	requireOneCompleteField(t, m)
-	again, err := encodeMessage(format, m)
+	encoded, err := encodeMessage(format, m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back frozenMessage
-	if err := format.unmarshal(again, &back); err != nil {
+	var decoded frozenMessage
+	if err := format.unmarshal(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(back, want) {
-		t.Errorf("came back as %+v, not %+v", reflect.ValueOf(back).FieldByName(kind), reflect.ValueOf(want).FieldByName(kind))
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("encoded again, the message decodes to %+v, want %+v", reflect.ValueOf(decoded).FieldByName(kind), reflect.ValueOf(want).FieldByName(kind))
 	}
-	// Digests of effects in recordings are over these bytes. gob numbers its types by the
-	// order of their use in the process, so its bytes need not be the same.
-	if format.name == "cbor" && !bytes.Equal(again, data) {
-		t.Errorf("written as\n%x, not\n%x", again, data)
+	// Recordings hold digests of effects, which are computed over these bytes. gob numbers
+	// its types in the order of their use in the process, so its bytes may differ.
+	if format.name == "cbor" && !bytes.Equal(encoded, data) {
+		t.Errorf("encoded again as\n%x, want\n%x", encoded, data)
 	}
 }
 
 // requireOneCompleteField checks that exactly one field of a decoded message is set, and that
-// no field below it lacks a value: one that the product has beyond the golden file would.
+// every field below it has a value. A field that the product has and the golden file lacks
+// would have none.
 func requireOneCompleteField(t *testing.T, m Message) {
 	t.Helper()
 	set := 0
@@ -133,7 +135,7 @@
 		}
 		set++
 		if zero := goldentest.ZeroFields(v.Type().Field(i).Name, v.Field(i)); len(zero) > 0 {
-			t.Errorf("without a value: %v", zero)
+			t.Errorf("fields without a value: %v", zero)
 		}
 	}
 	if set != 1 {
@@ -141,8 +143,8 @@
 	}
 }
 
-// TestLinkKeepsItsBytes reads and writes all kinds on one stream, as a link does
-// after its greeting: type descriptions cross once.
+// TestLinkKeepsItsBytes decodes and encodes all kinds on one stream, as a link does after
+// its greeting: gob sends each type description only once per stream.
 func TestLinkKeepsItsBytes(t *testing.T) {
 	messages := frozenMessages()
 	kinds := slices.Sorted(maps.Keys(messages))
@@ -163,7 +165,7 @@
 	in, enc, dec := gob.NewDecoder(bytes.NewReader(data)), gob.NewEncoder(&out), gob.NewDecoder(&out)
 	var from string
 	if err := in.Decode(&from); err != nil || from != "n1" {
-		t.Fatalf("greeting %q: %v", from, err)
+		t.Fatalf("greeting %q, want the name n1; error %v", from, err)
 	}
 	stream := wireFormat{
 		name:      "gob",
@@ -178,9 +180,9 @@
 		if _, err := encodeMessage(stream, m); err != nil {
 			t.Fatal(err)
 		}
-		var back frozenMessage
-		if err := dec.Decode(&back); err != nil || !reflect.DeepEqual(back, messages[kind]) {
-			t.Errorf("%s came back as %+v: %v", kind, back, err)
+		var decoded frozenMessage
+		if err := dec.Decode(&decoded); err != nil || !reflect.DeepEqual(decoded, messages[kind]) {
+			t.Errorf("%s, encoded again, decodes to %+v; error %v", kind, decoded, err)
 		}
 	}
 }
