--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -1,18 +1,20 @@
-// Package conformance holds the protocols' sentences about the state service,
-// the cloud and the workers as tables of requests and answers, and plays them
-// against whatever claims to speak them: the parts of the product, and the
-// stand-ins that the core is tested with. So neither drifts from the page.
+// Package conformance holds the sentences of the protocols about the state service,
+// the cloud and the workers as tables of requests and expected answers. It runs the
+// tables against every implementation of a protocol: the parts of the product, and the
+// stand-ins with which the core is tested. So neither drifts from the protocols' pages.
 //
-// A table is text. "==" begins a case and quotes the sentence; ">" sends a
-// request, ">&" sends one and goes on; "<" awaits the answer of the oldest
-// request that has none yet and compares it; ">~" is sent again until its answer
-// is as it should be, for what takes its time; "~" lets time pass. A case marked
-// "!" asks what only a product must refuse in form.
+// A table is text. A line that begins with "==" begins a case and quotes the sentence.
+// ">" sends a request, and ">&" one whose answer is compared only later. "<" waits for
+// the answer to the oldest request that has none yet, and compares it. ">~" sends a
+// request, and sends it again until its answer is the expected one, for effects that take
+// time. "~" lets time pass. A case marked "!" is about the form of requests, which only
+// the product must check.
 //
-// An answer's pattern is JSON: objects may have further fields, "$x" takes a
-// value the first time and must equal it from then on, ">$x" must be a larger
-// number, "*" is anything, and {"#":n} a list of n. In requests, ${x} is what $x
-// took, and ${x+1} and ${x-1} its neighbours.
+// An answer's pattern is JSON. Objects may have further fields. "$x" stores the value
+// where it first occurs, and must equal the stored value from then on. ">$x" must be a
+// number larger than the stored one, "*" is any value, and {"#":n} is a list of n
+// elements. In requests, ${x} stands for the value of $x, and ${x+1} and ${x-1} for the
+// numbers next to it.
 package conformance
 
 import (
@@ -28,7 +30,7 @@
 	"time"
 )
 
-// State, Cloud and Worker are the tables.
+// State, Cloud and Worker are the tables of the three protocols.
 var (
 	//go:embed state.txt
 	State string
@@ -38,76 +40,76 @@
 	Worker string
 )
 
-// Target is what a table is played against.
+// Target is an implementation that a table is run against.
 type Target interface {
-	// Begin sends a request. The function awaits its answer; status 0 means
-	// that none came.
+	// Begin sends a request. The returned function waits for the answer; status 0
+	// means that none came.
 	Begin(method, path, body string) func() (status int, answer string)
 	Sleep(d time.Duration)
 }
 
-// Run plays a table. fresh gives a new target for each case; strict also plays
-// the cases about form.
-func Run(t *testing.T, table string, strict bool, fresh func(t *testing.T) Target) {
+// Run runs each case of a table as a subtest. newTarget returns the target of one case;
+// strict also runs the cases about the form of requests.
+func Run(t *testing.T, table string, strict bool, newTarget func(t *testing.T) Target) {
 	name, lines := "", []string(nil)
-	play := func() {
+	runCollected := func() {
 		if name == "" || strings.HasPrefix(name, "!") && !strict {
 			return
 		}
 		steps := lines
-		t.Run(strings.Trim(name, "! "), func(t *testing.T) { runCase(t, steps, fresh(t)) })
+		t.Run(strings.Trim(name, "! "), func(t *testing.T) { runCase(t, steps, newTarget(t)) })
 	}
 	cases := 0
-	for _, l := range strings.Split(table, "\n") {
-		if rest, ok := strings.CutPrefix(l, "=="); ok {
-			play()
+	for _, line := range strings.Split(table, "\n") {
+		if rest, ok := strings.CutPrefix(line, "=="); ok {
+			runCollected()
 			name, lines = strings.TrimSpace(rest), nil
 			cases++
-		} else if strings.TrimSpace(l) != "" {
-			lines = append(lines, l)
+		} else if strings.TrimSpace(line) != "" {
+			lines = append(lines, line)
 		}
 	}
-	play()
+	runCollected()
 	if cases == 0 {
-		t.Fatal("an empty table")
+		t.Fatal("the table has no cases")
 	}
 }
 
 func runCase(t *testing.T, steps []string, target Target) {
 	vars := map[string]any{}
 	type request struct {
-		line  string
-		wait  func() (int, string)
-		again func() func() (int, string) // nil: only once
+		line   string
+		wait   func() (int, string)
+		resend func() func() (int, string) // nil: the request is sent only once
 	}
-	var open []request
+	var pending []request
 	checks := 0
 	for _, line := range steps {
-		mark, rest, _ := strings.Cut(line, " ")
-		switch mark {
+		marker, rest, _ := strings.Cut(line, " ")
+		switch marker {
 		case ">", ">&", ">~":
 			method, rest, _ := strings.Cut(expandVariables(t, rest, vars), " ")
 			path, body, _ := strings.Cut(rest, " ")
 			r := request{line: line, wait: target.Begin(method, path, body)}
-			if mark == ">~" {
-				r.again = func() func() (int, string) { return target.Begin(method, path, body) }
+			if marker == ">~" {
+				r.resend = func() func() (int, string) { return target.Begin(method, path, body) }
 			}
-			open = append(open, r)
+			pending = append(pending, r)
 		case "<":
-			if len(open) == 0 {
-				t.Fatalf("%s: no request awaits an answer", line)
+			if len(pending) == 0 {
+				t.Fatalf("%s: no request is waiting for an answer", line)
 			}
-			r := open[0]
-			open = open[1:]
-			want, pattern, _ := strings.Cut(rest, " ")
+			r := pending[0]
+			pending = pending[1:]
+			wantStatus, pattern, _ := strings.Cut(rest, " ")
 			var err error
-			for tries := 0; tries == 0 || err != nil && r.again != nil && tries < 300; tries++ {
+			for tries := 0; tries == 0 || err != nil && r.resend != nil && tries < 300; tries++ {
 				if tries > 0 {
 					target.Sleep(100 * time.Millisecond)
-					r.wait = r.again()
+					r.wait = r.resend()
 				}
 				status, answer := r.wait()
-				if err = compareAnswer(status, answer, want, pattern, vars); err != nil {
+				if err = compareAnswer(status, answer, wantStatus, pattern, vars); err != nil {
 					err = fmt.Errorf("%s\n got %d %.500s\nwant %s: %w", r.line, status, answer, rest, err)
 				}
 			}
@@ -116,48 +118,48 @@
 			}
 			checks++
 		case "~":
-			d, err := time.ParseDuration(rest)
+			duration, err := time.ParseDuration(rest)
 			if err != nil {
 				t.Fatalf("%s: %v", line, err)
 			}
-			target.Sleep(d)
+			target.Sleep(duration)
 		default:
 			t.Fatalf("unknown line %q", line)
 		}
 	}
-	if checks == 0 || len(open) > 0 {
-		t.Fatalf("%d answers compared, %d requests left", checks, len(open))
+	if checks == 0 || len(pending) > 0 {
+		t.Fatalf("the case compares %d answers and leaves %d requests without one", checks, len(pending))
 	}
 }
 
-func compareAnswer(status int, answer, want, pattern string, vars map[string]any) error {
-	if strconv.Itoa(status) != want {
-		return errors.New("another status")
+func compareAnswer(status int, answer, wantStatus, pattern string, vars map[string]any) error {
+	if strconv.Itoa(status) != wantStatus {
+		return errors.New("the status differs")
 	}
 	if pattern == "" {
 		return nil
 	}
-	var p, v any
-	if err := json.Unmarshal([]byte(pattern), &p); err != nil {
-		return fmt.Errorf("the table: %w", err)
+	var decodedPattern, value any
+	if err := json.Unmarshal([]byte(pattern), &decodedPattern); err != nil {
+		return fmt.Errorf("the pattern in the table is not valid: %w", err)
 	}
-	if err := json.Unmarshal([]byte(answer), &v); err != nil {
+	if err := json.Unmarshal([]byte(answer), &value); err != nil {
 		return err
 	}
-	return matchPattern(p, v, vars)
+	return matchPattern(decodedPattern, value, vars)
 }
 
 var variable = regexp.MustCompile(`\$\{(\w+)([+-]1)?\}`)
 
-func expandVariables(t *testing.T, s string, vars map[string]any) string {
-	return variable.ReplaceAllStringFunc(s, func(m string) string {
-		f := variable.FindStringSubmatch(m)
-		v, ok := vars[f[1]]
+func expandVariables(t *testing.T, text string, vars map[string]any) string {
+	return variable.ReplaceAllStringFunc(text, func(reference string) string {
+		parts := variable.FindStringSubmatch(reference)
+		value, ok := vars[parts[1]]
 		if !ok {
-			t.Fatalf("%s: $%s was never taken", s, f[1])
+			t.Fatalf("%s: $%s has no value yet", text, parts[1])
 		}
-		if n, ok := v.(float64); ok {
-			switch f[2] {
+		if n, ok := value.(float64); ok {
+			switch parts[2] {
 			case "+1":
 				n++
 			case "-1":
@@ -165,65 +167,65 @@
 			}
 			return strconv.FormatFloat(n, 'f', -1, 64)
 		}
-		return fmt.Sprint(v)
+		return fmt.Sprint(value)
 	})
 }
 
-func matchPattern(p, v any, vars map[string]any) error {
-	switch p := p.(type) {
+func matchPattern(pattern, value any, vars map[string]any) error {
+	switch pattern := pattern.(type) {
 	case string:
-		if name, ok := strings.CutPrefix(p, ">$"); ok {
-			a, _ := vars[name].(float64)
-			if b, ok := v.(float64); !ok || b <= a {
-				return fmt.Errorf("%v is not above %v", v, a)
+		if name, ok := strings.CutPrefix(pattern, ">$"); ok {
+			bound, _ := vars[name].(float64)
+			if number, ok := value.(float64); !ok || number <= bound {
+				return fmt.Errorf("%v is not a number above %v", value, bound)
 			}
 			return nil
 		}
-		name, ok := strings.CutPrefix(p, "$")
-		switch old, bound := vars[name]; {
-		case p == "*":
+		name, ok := strings.CutPrefix(pattern, "$")
+		switch stored, isStored := vars[name]; {
+		case pattern == "*":
 			return nil
 		case !ok:
-		case bound && !reflect.DeepEqual(old, v):
-			return fmt.Errorf("%v differs from %v", v, old)
+		case isStored && !reflect.DeepEqual(stored, value):
+			return fmt.Errorf("%v differs from the earlier value %v", value, stored)
 		default:
-			vars[name] = v
+			vars[name] = value
 			return nil
 		}
 	case map[string]any:
-		if n, ok := p["#"].(float64); ok {
-			if l, ok := v.([]any); !ok || len(l) != int(n) {
-				return fmt.Errorf("%.200v is not a list of %g", v, n)
+		if n, ok := pattern["#"].(float64); ok {
+			if list, ok := value.([]any); !ok || len(list) != int(n) {
+				return fmt.Errorf("%.200v is not a list of length %g", value, n)
 			}
 			return nil
 		}
-		m, ok := v.(map[string]any)
+		object, ok := value.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%.200v is not an object", v)
+			return fmt.Errorf("%.200v is not an object", value)
 		}
-		for k, x := range p {
-			if _, there := m[k]; !there && x != nil {
-				return fmt.Errorf("field %s is missing", k)
+		for field, fieldPattern := range pattern {
+			if _, present := object[field]; !present && fieldPattern != nil {
+				return fmt.Errorf("field %s is missing", field)
 			}
-			if err := matchPattern(x, m[k], vars); err != nil {
-				return fmt.Errorf("%s: %w", k, err)
+			if err := matchPattern(fieldPattern, object[field], vars); err != nil {
+				return fmt.Errorf("%s: %w", field, err)
 			}
 		}
 		return nil
 	case []any:
-		l, ok := v.([]any)
-		if !ok || len(l) != len(p) {
-			return fmt.Errorf("%.300v is not a list of %d", v, len(p))
+		list, ok := value.([]any)
+		if !ok || len(list) != len(pattern) {
+			return fmt.Errorf("%.300v is not a list of length %d", value, len(pattern))
 		}
-		for i := range p {
-			if err := matchPattern(p[i], l[i], vars); err != nil {
+		for i := range pattern {
+			if err := matchPattern(pattern[i], list[i], vars); err != nil {
 				return fmt.Errorf("[%d]: %w", i, err)
 			}
 		}
 		return nil
 	}
-	if !reflect.DeepEqual(p, v) {
-		return fmt.Errorf("%v is not %v", v, p)
+	if !reflect.DeepEqual(pattern, value) {
+		return fmt.Errorf("%v is not %v", value, pattern)
 	}
 	return nil
 }
--- a/internal/conformance/http.go
+++ b/internal/conformance/http.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// HTTP is a target that listens at an address. A protocol time of a second
-// passes in Second.
+// HTTP is a target that listens at an address. Second is the real time that a second of
+// protocol time takes.
 type HTTP struct {
 	Address string
 	Second  time.Duration
 }
 
-// Begin sends a request over the network.
+// Begin sends a request over HTTP.
 func (h HTTP) Begin(method, path, body string) func() (int, string) {
 	type answer struct {
 		status int
@@ -33,8 +33,8 @@
 			return
 		}
 		defer r.Body.Close()
-		b, _ := io.ReadAll(r.Body)
-		got <- answer{r.StatusCode, string(b)}
+		responseBody, _ := io.ReadAll(r.Body)
+		got <- answer{r.StatusCode, string(responseBody)}
 	}()
 	return func() (int, string) {
 		a := <-got
@@ -42,7 +42,7 @@
 	}
 }
 
-// Sleep lets time pass.
+// Sleep waits for a duration of protocol time.
 func (h HTTP) Sleep(d time.Duration) {
 	time.Sleep(time.Duration(float64(d) * h.Second.Seconds()))
 }
