--- a/internal/fakeserver/fileserver.go
+++ b/internal/fakeserver/fileserver.go
@@ -44,7 +44,7 @@
 	faults       Faults
 	random       *rand.Rand
 	unresponsive bool // accepts connections and answers nothing
-	free         time.Time
+	bandwidthFreeAt         time.Time
 	done         chan struct{}
 
 	// Sent is how many bytes of files were sent.
@@ -93,7 +93,7 @@
 	f.srv.Close()
 }
 
-func (f *FileServer) sleep(r *http.Request, d time.Duration) {
+func (f *FileServer) wait(r *http.Request, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-r.Context().Done():
@@ -109,7 +109,7 @@
 	luck := f.random.Float64()
 	f.mu.Unlock()
 	if unresponsive {
-		f.sleep(r, time.Minute)
+		f.wait(r, time.Minute)
 		panic(http.ErrAbortHandler)
 	}
 	name := path.Clean(r.URL.Path)
@@ -133,27 +133,27 @@
 		return
 	}
 	if luck >= faults.Damage+faults.Short+faults.Lie+faults.Stall && faults.BytesPerS == 0 {
-		http.ServeContent(&counter{ResponseWriter: w, sent: &f.Sent}, r, "", info.ModTime(), file)
+		http.ServeContent(&countingWriter{ResponseWriter: w, sent: &f.Sent}, r, "", info.ModTime(), file)
 		return
 	}
-	recorded := recorder{header: http.Header{}}
+	recorded := responseRecorder{header: http.Header{}}
 	http.ServeContent(&recorded, r, "", info.ModTime(), file)
-	f.send(w, r, &recorded, f.misbehave(&recorded, faults, luck), faults)
+	f.send(w, r, &recorded, f.injectFault(&recorded, faults, luck), faults)
 }
 
-// never is a position that no response reaches.
-const never = -1
+// noPosition is a position that no response reaches.
+const noPosition = -1
 
 // disruption is where a response stalls or is cut off; never if it isn't.
 type disruption struct {
 	stallAt, cutAt int
 }
 
-// misbehave chooses a fault by luck, from 0 to 1, and makes it in a response or
+// injectFault chooses a fault by luck, from 0 to 1, and makes it in a response or
 // says where the response is to be disrupted.
-func (f *FileServer) misbehave(recorded *recorder, faults Faults, luck float64) disruption {
+func (f *FileServer) injectFault(recorded *responseRecorder, faults Faults, luck float64) disruption {
 	body := recorded.body.Bytes()
-	d := disruption{stallAt: never, cutAt: never}
+	d := disruption{stallAt: noPosition, cutAt: noPosition}
 	switch {
 	case luck < faults.Damage && len(body) > 0:
 		f.mu.Lock()
@@ -175,7 +175,7 @@
 const pieceBytes = 64 << 10
 
 // send writes a recorded response piece by piece.
-func (f *FileServer) send(w http.ResponseWriter, r *http.Request, recorded *recorder, d disruption, faults Faults) {
+func (f *FileServer) send(w http.ResponseWriter, r *http.Request, recorded *responseRecorder, d disruption, faults Faults) {
 	for k, v := range recorded.header {
 		w.Header()[k] = v
 	}
@@ -186,12 +186,12 @@
 			panic(http.ErrAbortHandler)
 		}
 		if d.stallAt >= 0 && at >= d.stallAt {
-			d.stallAt = never
-			f.sleep(r, faults.StallFor)
+			d.stallAt = noPosition
+			f.wait(r, faults.StallFor)
 		}
 		n := min(pieceBytes, len(body)-at)
 		if faults.BytesPerS > 0 {
-			f.sleep(r, f.share(n, faults.BytesPerS))
+			f.wait(r, f.reserveBandwidth(n, faults.BytesPerS))
 		}
 		if _, err := w.Write(body[at : at+n]); err != nil {
 			return
@@ -203,42 +203,42 @@
 	}
 }
 
-// share is how long a piece of n bytes waits so that the server keeps its rate.
-func (f *FileServer) share(n int, rate float64) time.Duration {
+// reserveBandwidth is how long a piece of n bytes waits so that the server keeps its rate.
+func (f *FileServer) reserveBandwidth(n int, rate float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if f.free.Before(now) {
-		f.free = now
+	if f.bandwidthFreeAt.Before(now) {
+		f.bandwidthFreeAt = now
 	}
-	f.free = f.free.Add(time.Duration(float64(n) / rate * float64(time.Second)))
-	return f.free.Sub(now)
+	f.bandwidthFreeAt = f.bandwidthFreeAt.Add(time.Duration(float64(n) / rate * float64(time.Second)))
+	return f.bandwidthFreeAt.Sub(now)
 }
 
-// recorder holds a response back, to be changed before it is sent.
-type recorder struct {
+// responseRecorder holds a response back, to be changed before it is sent.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (r *recorder) Header() http.Header         { return r.header }
-func (r *recorder) WriteHeader(s int)           { r.status = s }
-func (r *recorder) Write(b []byte) (int, error) { return r.body.Write(b) }
+func (r *responseRecorder) Header() http.Header         { return r.header }
+func (r *responseRecorder) WriteHeader(s int)           { r.status = s }
+func (r *responseRecorder) Write(b []byte) (int, error) { return r.body.Write(b) }
 
-// counter counts the bytes of a response that are sent as they are.
-type counter struct {
+// countingWriter counts the bytes of a response that are sent as they are.
+type countingWriter struct {
 	http.ResponseWriter
 	sent *atomic.Int64
 }
 
-func (c *counter) Write(b []byte) (int, error) {
+func (c *countingWriter) Write(b []byte) (int, error) {
 	n, err := c.ResponseWriter.Write(b)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
 // ReadFrom keeps the copy in pieces, so that what was sent is counted.
-func (c *counter) ReadFrom(r io.Reader) (int64, error) {
+func (c *countingWriter) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -50,7 +50,7 @@
 		if f.Count {
 			name, kind = name+"_total", prometheus.CounterValue
 		}
-		m, err := prometheus.NewConstMetric(prometheus.NewDesc(name, f.Help, nil, join(f.Labels, c.component)), kind, f.Value)
+		m, err := prometheus.NewConstMetric(prometheus.NewDesc(name, f.Help, nil, withComponent(f.Labels, c.component)), kind, f.Value)
 		if err != nil {
 			m = prometheus.NewInvalidMetric(prometheus.NewDesc(name, f.Help, nil, nil), err)
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-func join(labels map[string]string, component string) prometheus.Labels {
+func withComponent(labels map[string]string, component string) prometheus.Labels {
 	out := prometheus.Labels{"component": component}
 	for k, v := range labels {
 		out[k] = v
--- a/internal/statestore/admission.go
+++ b/internal/statestore/admission.go
@@ -33,10 +33,10 @@
 )
 
 // rateBucket is a token bucket that allows a burst of one second's worth.
-type rateBucket struct{ rate, level float64 }
+type rateBucket struct{ rate, tokens float64 }
 
-func (b *rateBucket) fill(elapsed time.Duration) {
-	b.level = min(b.rate, b.level+b.rate*elapsed.Seconds())
+func (b *rateBucket) refill(elapsed time.Duration) {
+	b.tokens = min(b.rate, b.tokens+b.rate*elapsed.Seconds())
 }
 
 // decision is what admission control makes of a request: an answer, or one thing that is
@@ -83,7 +83,7 @@
 		watchers: map[uint64]*watcher{},
 	}
 	for id, ttl := range leaseTTLs {
-		a.leases[id] = &lease{ttl: ttl, until: ttl}
+		a.leases[id] = &lease{ttl: ttl, deadline: ttl}
 	}
 	return a
 }
@@ -96,8 +96,8 @@
 func (a *admission) advance(now time.Duration) (expired []uint64) {
 	elapsed := now - a.now
 	a.now = now
-	a.requests.fill(elapsed)
-	a.changes.fill(elapsed)
+	a.requests.refill(elapsed)
+	a.changes.refill(elapsed)
 	return a.expireLeases(elapsed)
 }
 
@@ -108,12 +108,12 @@
 		next = a.now + leaseTickInterval
 	}
 	for _, l := range a.leases {
-		if !l.expired {
-			next = min(next, l.until)
+		if !l.removalPending {
+			next = min(next, l.deadline)
 		}
 	}
 	for _, w := range a.watchers {
-		next = min(next, w.until)
+		next = min(next, w.deadline)
 	}
 	return next
 }
@@ -134,31 +134,31 @@
 
 // admit decides on a request. id is the one by which it is answered.
 func (a *admission) admit(id uint64, method, path, query string, body []byte) decision {
-	if a.requests.level < 1 {
+	if a.requests.tokens < 1 {
 		return a.refuse(http.StatusTooManyRequests, "more than %g requests a second", a.limits.RPS)
 	}
-	a.requests.level--
+	a.requests.tokens--
 	escapedKey, isKey := strings.CutPrefix(path, protocol.PathKeys+"/")
 	leasePath, isLease := strings.CutPrefix(path, protocol.PathLeases+"/")
 	switch {
 	case isKey:
-		return withMethod(method, http.MethodGet, func() decision { return admitGet(escapedKey) })
+		return requireMethod(method, http.MethodGet, func() decision { return admitGet(escapedKey) })
 	case path == protocol.PathKeys:
-		return withMethod(method, http.MethodGet, func() decision { return admitList(query) })
+		return requireMethod(method, http.MethodGet, func() decision { return admitList(query) })
 	case path == protocol.PathTxn:
-		return withMethod(method, http.MethodPost, func() decision { return a.admitTxn(body) })
+		return requireMethod(method, http.MethodPost, func() decision { return a.admitTxn(body) })
 	case path == protocol.PathLeases:
-		return withMethod(method, http.MethodPost, func() decision { return a.admitLeaseGrant(body) })
+		return requireMethod(method, http.MethodPost, func() decision { return a.admitLeaseGrant(body) })
 	case isLease:
 		return a.admitLeaseAction(method, leasePath)
 	case path == protocol.PathWatch:
-		return withMethod(method, http.MethodGet, func() decision { return a.admitWatch(id, query) })
+		return requireMethod(method, http.MethodGet, func() decision { return a.admitWatch(id, query) })
 	}
 	return errorDecision(http.StatusNotFound, "no such path")
 }
 
-// withMethod decides by admit if the method is the wanted one.
-func withMethod(method, want string, admit func() decision) decision {
+// requireMethod decides by admit if the method is the wanted one.
+func requireMethod(method, want string, admit func() decision) decision {
 	if method != want {
 		return errorDecision(http.StatusMethodNotAllowed, "use %s", want)
 	}
@@ -210,7 +210,7 @@
 		return nil, errors.New("page: must be at least 1")
 	}
 	from := q.Get("from")
-	if !isKeyPart(from) {
+	if !isKeyPrefix(from) {
 		return nil, fmt.Errorf("from: must be text of at most %d bytes", maxKeyBytes)
 	}
 	return &listRequest{q.Get("under"), from, int(min(limit, maxPageKeys))}, nil
@@ -222,14 +222,14 @@
 	if err != nil {
 		return nil, errors.New("the query is malformed")
 	}
-	if !isKeyPart(q.Get("under")) {
+	if !isKeyPrefix(q.Get("under")) {
 		return nil, fmt.Errorf("under: must be text of at most %d bytes", maxKeyBytes)
 	}
 	return q, nil
 }
 
-// isKeyPart reports whether s can be the beginning of a key.
-func isKeyPart(s string) bool { return len(s) <= maxKeyBytes && utf8.ValidString(s) }
+// isKeyPrefix reports whether s can be the beginning of a key.
+func isKeyPrefix(s string) bool { return len(s) <= maxKeyBytes && utf8.ValidString(s) }
 
 // queryNumber returns the field's number, which may be at most highest, or absent if the
 // query does not have the field.
@@ -251,10 +251,10 @@
 		return errorDecision(http.StatusBadRequest, "%v", err)
 	}
 	changes := float64(len(txn.Ops))
-	if a.changes.level < changes {
+	if a.changes.tokens < changes {
 		return a.refuse(http.StatusTooManyRequests, "more than %g writes a second", a.limits.WriteRPS)
 	}
-	a.changes.level -= changes
+	a.changes.tokens -= changes
 	for _, op := range txn.Ops {
 		if op.Lease != 0 && !a.leaseExists(op.Lease) {
 			return errorDecision(http.StatusBadRequest, "no such lease")
--- a/internal/statestore/admission_test.go
+++ b/internal/statestore/admission_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestRefusalsForRatesTellWhenToTryAgain covers the three refusals that a client repeats.
-func TestRefusalsForRatesTellWhenToTryAgain(t *testing.T) {
+// TestRateRefusalsCarryRetryAfter covers the three refusals that a client repeats.
+func TestRateRefusalsCarryRetryAfter(t *testing.T) {
 	limits := Limits{RPS: 4, WriteRPS: 3, ValueKB: 1, TxnOps: 3}
 	cases := []struct {
 		name   string
@@ -85,8 +85,8 @@
 		status int
 		want   string
 	}{
-		{"no request left", func(a *admission) { a.requests.level = 0 }, 429, `{"error":"more than 4 requests a second"}`},
-		{"no change left", func(a *admission) { a.changes.level = 0 }, 429, `{"error":"more than 3 writes a second"}`},
+		{"no request left", func(a *admission) { a.requests.tokens = 0 }, 429, `{"error":"more than 4 requests a second"}`},
+		{"no change left", func(a *admission) { a.changes.tokens = 0 }, 429, `{"error":"more than 3 writes a second"}`},
 		{"the disk is behind", func(a *admission) { a.pendingWrites = 4 }, 503, `{"error":"the disk can't follow; nothing was done"}`},
 	}
 	for _, c := range cases {
--- a/internal/statestore/backup.go
+++ b/internal/statestore/backup.go
@@ -21,8 +21,8 @@
 
 const (
 	backupSuffix    = ".db"
-	defaultBackups  = "backups" // in the store's folder
-	maxBackupLength = 100       // of a name
+	defaultBackupDir  = "backups" // in the store's folder
+	maxBackupNameLength = 100       // of a name
 )
 
 // BackupRequest asks for a backup.
@@ -42,8 +42,8 @@
 // checkBackupName returns what is wrong with a name. It names a file in one folder
 // and can't lead out of it.
 func checkBackupName(name string) error {
-	if name == "" || len(name) > maxBackupLength {
-		return fmt.Errorf("name: must have 1 to %d characters", maxBackupLength)
+	if name == "" || len(name) > maxBackupNameLength {
+		return fmt.Errorf("name: must have 1 to %d characters", maxBackupNameLength)
 	}
 	for _, c := range name {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_') {
@@ -82,7 +82,7 @@
 func (s *Service) writeBackup(id uint64, name string) {
 	dir := s.cfg.BackupDir
 	if dir == "" {
-		dir = filepath.Join(s.cfg.Dir, defaultBackups)
+		dir = filepath.Join(s.cfg.Dir, defaultBackupDir)
 	}
 	saved, err := s.disk.backup(dir, name)
 	s.mu.Lock()
--- a/internal/statestore/backup_test.go
+++ b/internal/statestore/backup_test.go
@@ -18,7 +18,7 @@
 	pool := transport.NewPool(4)
 	put := func(value int) (revision uint64) {
 		t.Helper()
-		status, body := do(pool, address, "POST", "/txn", protocol.Txn{Ops: []protocol.Op{{Put: "a", Value: protocol.Encode(value)}}})
+		status, body := sendRequest(pool, address, "POST", "/txn", protocol.Txn{Ops: []protocol.Op{{Put: "a", Value: protocol.Encode(value)}}})
 		var r protocol.TxnResult
 		if json.Unmarshal(body, &r) != nil || status != 200 {
 			t.Fatalf("%d %s", status, body)
@@ -26,7 +26,7 @@
 		return r.Revision
 	}
 	first := put(1)
-	status, body := do(pool, address, "POST", PathBackup, BackupRequest{"one"})
+	status, body := sendRequest(pool, address, "POST", PathBackup, BackupRequest{"one"})
 	var saved BackupSummary
 	if json.Unmarshal(body, &saved) != nil || status != 200 || saved.Revision != first {
 		t.Fatalf("%d %s", status, body)
@@ -39,7 +39,7 @@
 		{"out of the folder", "../one", 400},
 		{"empty", "", 400},
 	} {
-		if status, body := do(pool, address, "POST", PathBackup, BackupRequest{c.name}); status != c.want {
+		if status, body := sendRequest(pool, address, "POST", PathBackup, BackupRequest{c.name}); status != c.want {
 			t.Errorf("%s name: %d %s, want %d", c.why, status, body, c.want)
 		}
 	}
@@ -53,16 +53,16 @@
 		t.Fatal(err)
 	}
 	address, _ = serve(t, restored, unlimited)
-	_, body = do(pool, address, "GET", "/keys/a", nil)
+	_, body = sendRequest(pool, address, "GET", "/keys/a", nil)
 	var e protocol.KeyValue
 	if json.Unmarshal(body, &e) != nil || string(e.Value) != "1" || e.ModRevision <= last {
 		t.Errorf("restored: %s", body)
 	}
 	stale := protocol.Txn{Compares: []protocol.Compare{{Key: "a", ModRevision: first}}, Ops: []protocol.Op{{Delete: "a"}}}
-	if status, _ := do(pool, address, "POST", "/txn", stale); status != 409 {
+	if status, _ := sendRequest(pool, address, "POST", "/txn", stale); status != 409 {
 		t.Errorf("an old revision was taken: %d", status)
 	}
-	if status, _ := do(pool, address, "GET", fmt.Sprintf("/watch?from=%d", last), nil); status != 410 {
+	if status, _ := sendRequest(pool, address, "GET", fmt.Sprintf("/watch?from=%d", last), nil); status != 410 {
 		t.Errorf("an old watch went on: %d", status)
 	}
 }
--- a/internal/statestore/codec.go
+++ b/internal/statestore/codec.go
@@ -27,7 +27,7 @@
 	eventKeySize     = 2 * numberSize
 	headerSize       = 7 * numberSize
 	recordHeaderSize = 2 * numberSize // before the value
-	eventLengthSize  = 2              // of the key's length
+	keyLengthSize  = 2              // of the key's length
 )
 
 // An event's key is followed by one byte that tells whether a value follows.
@@ -103,14 +103,14 @@
 // checksum.
 func decodeChange(eventKey, stored []byte) (changeEvent, bool) {
 	b, ok := checksum.Open(eventKey, stored)
-	if !ok || len(b) <= eventLengthSize || len(eventKey) != eventKeySize {
+	if !ok || len(b) <= keyLengthSize || len(eventKey) != eventKeySize {
 		return changeEvent{}, false
 	}
-	kindAt := eventLengthSize + int(binary.BigEndian.Uint16(b))
+	kindAt := keyLengthSize + int(binary.BigEndian.Uint16(b))
 	if len(b) <= kindAt {
 		return changeEvent{}, false
 	}
-	c := changeEvent{key: string(b[eventLengthSize:kindAt]), revision: decode64(eventKey)}
+	c := changeEvent{key: string(b[keyLengthSize:kindAt]), revision: decode64(eventKey)}
 	if b[kindAt] == eventPut {
 		c.value = bytes.Clone(b[kindAt+1:])
 	}
--- a/internal/statestore/commits.go
+++ b/internal/statestore/commits.go
@@ -13,8 +13,8 @@
 type request struct {
 	txn *protocol.Txn
 	ttl time.Duration // of the lease to grant
-	// expiredLeases is the lease to remove, which has expired or was revoked; 0 for none.
-	expiredLeases uint64
+	// leaseToRemove is the lease to remove, which has expired or was revoked; 0 for none.
+	leaseToRemove uint64
 	respond       func(result) // called with the service's lock held
 }
 
@@ -73,13 +73,13 @@
 	s.stats.Revision, s.stats.Keys = s.disk.header.Revision, s.disk.header.Keys
 	s.advance()
 	for i, r := range batch {
-		if r.expiredLeases != 0 {
-			s.admission.leaseRemoved(r.expiredLeases)
+		if r.leaseToRemove != 0 {
+			s.admission.forgetLease(r.leaseToRemove)
 		}
 		r.respond(results[i])
 	}
 	if len(changes) > 0 {
-		s.answerWatchers(s.admission.takeWatchersOf(changes))
+		s.answerWatchers(s.admission.takeAffectedWatchers(changes))
 	}
 	s.scheduleTick()
 	return nil
@@ -90,12 +90,12 @@
 	switch {
 	case r.txn != nil:
 		s.answerTxn(id, res)
-	case r.expiredLeases != 0 && res.leaseNotFound:
+	case r.leaseToRemove != 0 && res.leaseNotFound:
 		s.answerError(id, http.StatusNotFound, "no such lease")
-	case r.expiredLeases != 0:
+	case r.leaseToRemove != 0:
 		s.server.Answer(id, http.StatusOK, []byte("{}"), 0)
 	default:
-		s.admission.leaseGranted(res.lease, r.ttl)
+		s.admission.addLease(res.lease, r.ttl)
 		s.answerJSON(id, http.StatusOK, protocol.LeaseResponse{Lease: res.lease})
 	}
 }
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -29,11 +29,11 @@
 	goldenRestored = "restored.txt" // of a store that is restored from the backup
 )
 
-// goldenKeep is how many changes the golden store keeps: fewer than were made.
-const goldenKeep = 6
+// goldenRetainedEvents is how many changes the golden store keeps: fewer than were made.
+const goldenRetainedEvents = 6
 
-// goldenOrders write keys, replace and drop some, and make grants, of which one has ended.
-func goldenOrders() []request {
+// goldenRequests write keys, replace and drop some, and make grants, of which one has ended.
+func goldenRequests() []request {
 	write := func(ops ...protocol.Op) request { return request{txn: &protocol.Txn{Ops: ops}} }
 	return []request{
 		{ttl: 10 * time.Second},
@@ -42,7 +42,7 @@
 		write(protocol.Op{Put: "sg/j/wk-000001", Value: json.RawMessage(`{"st":"open"}`)}),
 		write(protocol.Op{Put: "sg/p/wk-000001/0", Value: json.RawMessage(`"p0*3"`)}, protocol.Op{Put: "sg/x/i-1", Value: json.RawMessage(`null`)}),
 		{txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/j/wk-000001", ModRevision: 2}}, Ops: []protocol.Op{{Put: "sg/j/wk-000001", Value: json.RawMessage(`{"st":"done"}`)}}}},
-		{expiredLeases: 2},
+		{leaseToRemove: 2},
 		write(protocol.Op{Delete: "sg/x/i-1"}),
 		write(protocol.Op{Put: "sgx/d/wk-000001", Value: json.RawMessage(`{"command":["ü"]}`)}),
 	}
@@ -51,11 +51,11 @@
 // writeGoldenStore makes a store in dir by the golden orders.
 func writeGoldenStore(t *testing.T, dir string) *disk {
 	t.Helper()
-	d, err := openDisk(dir, goldenKeep)
+	d, err := openDisk(dir, goldenRetainedEvents)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, o := range goldenOrders() { // each in a commit of its own
+	for _, o := range goldenRequests() { // each in a commit of its own
 		if _, _, err := d.commit([]request{o}); err != nil {
 			t.Fatal(err)
 		}
@@ -80,12 +80,12 @@
 	}
 	goldentest.Write(t, goldenFolder+goldenStore, pack(t, filepath.Join(dir, FileName)))
 	goldentest.Write(t, goldenFolder+goldenBackup, pack(t, saved.File))
-	goldentest.Write(t, goldenFolder+goldenContent, []byte(content(t, dir)))
+	goldentest.Write(t, goldenFolder+goldenContent, []byte(readContent(t, dir)))
 	restored := filepath.Join(t.TempDir(), "restored")
 	if _, err := Restore(saved.File, restored); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Write(t, goldenFolder+goldenRestored, []byte(content(t, restored)))
+	goldentest.Write(t, goldenFolder+goldenRestored, []byte(readContent(t, restored)))
 }
 
 // pack compresses a file.
@@ -122,10 +122,10 @@
 	}
 }
 
-// content tells all that the code reads from the store in dir, a line each.
-func content(t *testing.T, dir string) string {
+// readContent tells all that the code reads from the store in dir, a line each.
+func readContent(t *testing.T, dir string) string {
 	t.Helper()
-	d, err := openDisk(dir, goldenKeep)
+	d, err := openDisk(dir, goldenRetainedEvents)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,13 +153,13 @@
 func requireContent(t *testing.T, dir, name string) {
 	t.Helper()
 	want := goldentest.Read(t, goldenFolder+name)
-	if got := content(t, dir); got != string(want) {
+	if got := readContent(t, dir); got != string(want) {
 		t.Errorf("read\n%s\nnot\n%s", got, want)
 	}
 }
 
-// stored tells what is in a file's buckets, byte by byte, without the package's reader.
-func stored(t *testing.T, path string) string {
+// storedBytes tells what is in a file's buckets, byte by byte, without the package's reader.
+func storedBytes(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: time.Second})
 	if err != nil {
@@ -187,23 +187,23 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state.db") // the name is part of the format
 	unpack(t, goldenStore, path)
-	want := stored(t, path)
+	want := storedBytes(t, path)
 	requireContent(t, dir, goldenContent)
 
 	anew := t.TempDir()
 	if err := writeGoldenStore(t, anew).close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := stored(t, filepath.Join(anew, "state.db")); got != want {
+	if got := storedBytes(t, filepath.Join(anew, "state.db")); got != want {
 		t.Errorf("written as\n%s\nnot\n%s", got, want)
 	}
 
-	d, err := openDisk(dir, goldenKeep)
+	d, err := openDisk(dir, goldenRetainedEvents)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.close()
-	out, _, err := d.commit([]request{{expiredLeases: 1}, {ttl: time.Second}, {txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/m/n1"}}}}})
+	out, _, err := d.commit([]request{{leaseToRemove: 1}, {ttl: time.Second}, {txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/m/n1"}}}}})
 	if err != nil || out[0].leaseNotFound || out[1].lease != 3 || out[2].failed != nil {
 		t.Errorf("went on with %+v: %v", out, err)
 	}
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -22,8 +22,8 @@
 // lease is the deadline of a lease that the store has.
 type lease struct {
 	ttl     time.Duration
-	until   time.Duration
-	expired bool // the writer was told to remove it
+	deadline   time.Duration
+	removalPending bool // the writer was told to remove it
 }
 
 // expireLeases marks the leases whose time is over as expired and returns them in order.
@@ -31,14 +31,14 @@
 func (a *admission) expireLeases(elapsed time.Duration) (expired []uint64) {
 	for id, l := range a.leases {
 		switch {
-		case l.expired:
+		case l.removalPending:
 		case elapsed > maxClockGap:
 			// Guards against a process that was stopped or starved: its
 			// clients could not renew, and would lose their leases for our
 			// fault. They get their full time again, as after an outage.
-			l.until = a.now + l.ttl
-		case a.now >= l.until:
-			l.expired = true
+			l.deadline = a.now + l.ttl
+		case a.now >= l.deadline:
+			l.removalPending = true
 			expired = append(expired, id)
 		}
 	}
@@ -49,16 +49,16 @@
 // leaseExists reports whether a lease was granted and has not expired.
 func (a *admission) leaseExists(id uint64) bool {
 	l := a.leases[id]
-	return l != nil && !l.expired
+	return l != nil && !l.removalPending
 }
 
-// leaseGranted notes a lease that is on disk; its time begins.
-func (a *admission) leaseGranted(id uint64, ttl time.Duration) {
-	a.leases[id] = &lease{ttl: ttl, until: a.now + ttl}
+// addLease notes a lease that is on disk; its time begins.
+func (a *admission) addLease(id uint64, ttl time.Duration) {
+	a.leases[id] = &lease{ttl: ttl, deadline: a.now + ttl}
 }
 
-// leaseRemoved notes that a lease is no longer on disk.
-func (a *admission) leaseRemoved(id uint64) { delete(a.leases, id) }
+// forgetLease notes that a lease is no longer on disk.
+func (a *admission) forgetLease(id uint64) { delete(a.leases, id) }
 
 func (a *admission) admitLeaseGrant(body []byte) decision {
 	// Unnamed, as the decoder shows its type's name in the errors that clients get.
@@ -87,7 +87,7 @@
 	case hasAction && method != http.MethodPost, !hasAction && method != http.MethodDelete:
 		return errorDecision(http.StatusMethodNotAllowed, "method not allowed")
 	}
-	if !a.leaseExists(id) || a.now >= a.leases[id].until {
+	if !a.leaseExists(id) || a.now >= a.leases[id].deadline {
 		return errorDecision(http.StatusNotFound, "no such lease")
 	}
 	if hasAction {
@@ -98,12 +98,12 @@
 
 func (a *admission) renewLease(id uint64) decision {
 	l := a.leases[id]
-	l.until = a.now + l.ttl
+	l.deadline = a.now + l.ttl
 	return decision{status: http.StatusOK, body: []byte("{}")}
 }
 
 func (a *admission) revokeLease(id uint64) decision {
-	v := a.admitWrite(&request{expiredLeases: id})
-	a.leases[id].expired = v.request != nil
+	v := a.admitWrite(&request{leaseToRemove: id})
+	a.leases[id].removalPending = v.request != nil
 	return v
 }
--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLeasesExpireInTimeAndNotForAPauseOfTheService drives admission's clock.
-func TestLeasesExpireInTimeAndNotForAPauseOfTheService(t *testing.T) {
+// TestLeasesExpireOnTimeButNotDuringServicePause drives admission's clock.
+func TestLeasesExpireOnTimeButNotDuringServicePause(t *testing.T) {
 	a := newAdmission(unlimited, map[uint64]time.Duration{1: time.Second})
 	advanceTo := func(until time.Duration) (expired []uint64) {
 		for a.now < until {
--- a/internal/statestore/model_test.go
+++ b/internal/statestore/model_test.go
@@ -95,18 +95,18 @@
 	}
 }
 
-var drawKey = rapid.SampledFrom([]string{"a", "a/b", "a/c", "b", "ab"})
+var randomKey = rapid.SampledFrom([]string{"a", "a/b", "a/c", "b", "ab"})
 
-// drawTxn draws a transaction; about every other comparison holds.
-func (m *storeModel) drawTxn(t *rapid.T) *protocol.Txn {
+// randomTxn draws a transaction; about every other comparison holds.
+func (m *storeModel) randomTxn(t *rapid.T) *protocol.Txn {
 	txn := &protocol.Txn{}
 	for range rapid.IntRange(0, 2).Draw(t, "compares") {
-		key := drawKey.Draw(t, "key")
+		key := randomKey.Draw(t, "key")
 		revision := rapid.SampledFrom([]uint64{0, m.keys[key].revision}).Draw(t, "revision")
 		txn.Compares = append(txn.Compares, protocol.Compare{Key: key, ModRevision: revision})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "ops") {
-		key := drawKey.Draw(t, "key")
+		key := randomKey.Draw(t, "key")
 		if rapid.Bool().Draw(t, "delete") {
 			txn.Ops = append(txn.Ops, protocol.Op{Delete: key})
 			continue
@@ -118,26 +118,26 @@
 	return txn
 }
 
-// drawRequest draws a request, and returns with it what applies its result.
-func (m *storeModel) drawRequest(t *rapid.T) (request, func(result)) {
+// randomRequest draws a request, and returns with it what applies its result.
+func (m *storeModel) randomRequest(t *rapid.T) (request, func(result)) {
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
 		return request{ttl: time.Second}, func(got result) { m.leases[got.lease] = true }
 	case 1:
 		lease := rapid.Uint64Range(1, 6).Draw(t, "lease")
-		return request{expiredLeases: lease}, func(got result) { m.removeLease(t, lease, got) }
+		return request{leaseToRemove: lease}, func(got result) { m.removeLease(t, lease, got) }
 	default:
-		txn := m.drawTxn(t)
+		txn := m.randomTxn(t)
 		return request{txn: txn}, func(got result) { m.applyTxn(t, txn, got) }
 	}
 }
 
-// commitDrawn commits drawn requests, and applies their results.
-func (m *storeModel) commitDrawn(t *rapid.T, d *disk) {
+// commitRandomBatch commits drawn requests, and applies their results.
+func (m *storeModel) commitRandomBatch(t *rapid.T, d *disk) {
 	var batch []request
 	var apply []func(result)
 	for range rapid.IntRange(1, 4).Draw(t, "requests") {
-		r, applyResult := m.drawRequest(t)
+		r, applyResult := m.randomRequest(t)
 		batch = append(batch, r)
 		apply = append(apply, applyResult)
 	}
@@ -199,7 +199,7 @@
 		defer func() { d.close() }()
 		model := &storeModel{keys: map[string]modelValue{}, leases: map[uint64]bool{}}
 		for range rapid.IntRange(1, 30).Draw(t, "commits") {
-			model.commitDrawn(t, d)
+			model.commitRandomBatch(t, d)
 			if rapid.IntRange(0, 4).Draw(t, "reopen") == 0 {
 				if err := d.close(); err != nil {
 					t.Fatal(err)
--- a/internal/statestore/serve.go
+++ b/internal/statestore/serve.go
@@ -8,12 +8,12 @@
 	"silvergate/internal/transport"
 )
 
-// raw is JSON that was checked when it came in.
-type raw = json.RawMessage
+// rawJSON is JSON that was checked when it came in.
+type rawJSON = json.RawMessage
 
 type keyValue struct {
 	Key         string `json:"key"`
-	Value       raw    `json:"data"`
+	Value       rawJSON    `json:"data"`
 	ModRevision uint64 `json:"stamp"`
 	Lease       uint64 `json:"permit,omitempty"`
 }
@@ -89,7 +89,7 @@
 		}
 		size += entrySize
 		// The value is in the mapped file, and only valid until the scan ends.
-		page.KeyValues = append(page.KeyValues, keyValue{string(key), append(raw(nil), r.value...), r.modRevision, r.lease})
+		page.KeyValues = append(page.KeyValues, keyValue{string(key), append(rawJSON(nil), r.value...), r.modRevision, r.lease})
 		return true
 	})
 	if err != nil {
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -23,8 +23,8 @@
 	"silvergate/internal/transport"
 )
 
-// slowSenderTimeout is how long a client may take to send a request.
-const slowSenderTimeout = 10 * time.Second
+// requestReadTimeout is how long a client may take to send a request.
+const requestReadTimeout = 10 * time.Second
 
 // Stats counts what the service did, and what it holds.
 type Stats struct {
@@ -58,7 +58,7 @@
 	nextTickAt       time.Duration // since start; 0 while none is scheduled
 	stats            Stats
 	backupInProgress bool
-	failed           error
+	failure           error
 	closed           bool
 
 	writerDone chan struct{} // closed when the writer has ended
@@ -83,7 +83,7 @@
 		writerDone: make(chan struct{}),
 	}
 	s.workAvailable = sync.NewCond(&s.mu)
-	s.server = transport.NewServer(&s.mu, s, slowSenderTimeout, cfg.MaxSockets)
+	s.server = transport.NewServer(&s.mu, s, requestReadTimeout, cfg.MaxSockets)
 	s.stats.Revision, s.stats.Keys = d.header.Revision, d.header.Keys
 	return s, nil
 }
@@ -107,7 +107,7 @@
 	s.closed = true
 	s.timer.Stop()
 	s.workAvailable.Signal()
-	failed := s.failed
+	failed := s.failure
 	s.mu.Unlock()
 	<-s.writerDone
 	return errors.Join(failed, err, s.disk.close())
@@ -152,7 +152,7 @@
 func (s *Service) advance() {
 	for _, lease := range s.admission.advance(time.Since(s.start)) {
 		s.admission.pendingWrites++
-		s.submit(request{expiredLeases: lease, respond: func(result) {}})
+		s.submit(request{leaseToRemove: lease, respond: func(result) {}})
 	}
 }
 
@@ -169,8 +169,8 @@
 // fail ends the service. Guards against going on after a failed sync: the pages
 // that the system could not write may look written from then on.
 func (s *Service) fail(err error) {
-	if s.failed == nil {
-		s.failed = err
+	if s.failure == nil {
+		s.failure = err
 		s.log.Error("stopping", "error", err)
 		go s.server.Stop()
 	}
--- a/internal/statestore/service_test.go
+++ b/internal/statestore/service_test.go
@@ -20,7 +20,7 @@
 	"silvergate/internal/transport"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // unlimited are limits whose rates no test reaches.
 var unlimited = Limits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}
@@ -32,7 +32,7 @@
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261201") // so that a verdict repeats
 	if dir := os.Getenv(serveDirVariable); dir != "" {
-		s, err := Open(Config{Listen: "127.0.0.1:0", Dir: dir, Limits: unlimited, MaxSockets: 64}, quiet)
+		s, err := Open(Config{Listen: "127.0.0.1:0", Dir: dir, Limits: unlimited, MaxSockets: 64}, discardLog)
 		if err == nil {
 			err = s.Run(func(address net.Addr) { fmt.Println(address) })
 		}
@@ -45,7 +45,7 @@
 // serve runs a service on dir until the test ends, or stop is called.
 func serve(t testing.TB, dir string, l Limits) (address string, stop func()) {
 	t.Helper()
-	s, err := Open(Config{Listen: "127.0.0.1:0", Dir: dir, Limits: l, MaxSockets: 256}, quiet)
+	s, err := Open(Config{Listen: "127.0.0.1:0", Dir: dir, Limits: l, MaxSockets: 256}, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,9 +65,9 @@
 	return address, stop
 }
 
-// do sends a request and returns the response's status and body; the status is 0 without a
+// sendRequest sends a request and returns the response's status and body; the status is 0 without a
 // response.
-func do(pool *transport.Pool, address, method, path string, body any) (status int, response []byte) {
+func sendRequest(pool *transport.Pool, address, method, path string, body any) (status int, response []byte) {
 	var encoded []byte
 	if body != nil {
 		encoded = protocol.Encode(body)
@@ -120,7 +120,7 @@
 	pool := transport.NewPool(2)
 	for n := w.answered[client] + 1; ; n++ {
 		txn := protocol.Txn{Ops: []protocol.Op{{Put: numberedKey(client, n), Value: protocol.Encode(n)}}}
-		status, body := do(pool, address, "POST", "/txn", txn)
+		status, body := sendRequest(pool, address, "POST", "/txn", txn)
 		if status != 200 {
 			return
 		}
@@ -133,9 +133,9 @@
 	}
 }
 
-// requireIn requires that all that was answered is in the store, in order and once. It
+// requireStored requires that all that was answered is in the store, in order and once. It
 // takes a write that was not answered, and is there, for answered.
-func (w *numberedWrites) requireIn(t *testing.T, d *disk) {
+func (w *numberedWrites) requireStored(t *testing.T, d *disk) {
 	t.Helper()
 	if d.header.Revision < w.revision {
 		t.Fatalf("the revision went back from %d to %d", w.revision, d.header.Revision)
@@ -155,10 +155,10 @@
 	}
 }
 
-// TestKilledServiceKeepsAllItAnswered kills the service while clients write, and demands
+// TestKilledServiceKeepsAcknowledgedWrites kills the service while clients write, and demands
 // that all it answered is there afterwards, in order and once, and that the revision
 // has not gone back.
-func TestKilledServiceKeepsAllItAnswered(t *testing.T) {
+func TestKilledServiceKeepsAcknowledgedWrites(t *testing.T) {
 	rounds := 6
 	if testing.Short() {
 		rounds = 2
@@ -182,7 +182,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		writes.requireIn(t, d)
+		writes.requireStored(t, d)
 		if err := d.close(); err != nil {
 			t.Fatal(err)
 		}
@@ -197,7 +197,7 @@
 func watchDelays(address string, sent []time.Time, mu *sync.Mutex, writes int) (delays []time.Duration) {
 	pool := transport.NewPool(1)
 	for from, left := uint64(0), writes; left > 0; {
-		_, body := do(pool, address, "GET", fmt.Sprintf("/watch?under=c&from=%d&blockMs=1000", from), nil)
+		_, body := sendRequest(pool, address, "GET", fmt.Sprintf("/watch?under=c&from=%d&blockMs=1000", from), nil)
 		var r protocol.WatchResult
 		if json.Unmarshal(body, &r) != nil {
 			break
@@ -237,7 +237,7 @@
 						mu.Lock()
 						sent[i] = time.Now()
 						mu.Unlock()
-						do(pool, address, "POST", "/txn", protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("c%d/%d", client, n%100), Value: protocol.Encode(i)}}})
+						sendRequest(pool, address, "POST", "/txn", protocol.Txn{Ops: []protocol.Op{{Put: fmt.Sprintf("c%d/%d", client, n%100), Value: protocol.Encode(i)}}})
 					}
 				})
 			}
--- a/internal/statestore/watchers.go
+++ b/internal/statestore/watchers.go
@@ -22,7 +22,7 @@
 type watcher struct {
 	id uint64 // by which it is answered
 	watchRange
-	until time.Duration // when it is answered without any event
+	deadline time.Duration // when it is answered without any event
 }
 
 func (a *admission) admitWatch(id uint64, query string) decision {
@@ -52,7 +52,7 @@
 
 // addWatcher has a watch wait for events; it returns false when its time is over.
 func (a *admission) addWatcher(w *watcher) bool {
-	if a.now >= w.until {
+	if a.now >= w.deadline {
 		return false
 	}
 	a.watchers[w.id] = w
@@ -61,11 +61,11 @@
 
 // takeExpiredWatchers removes and returns the watches whose time is over.
 func (a *admission) takeExpiredWatchers() []*watcher {
-	return a.takeWatchers(func(w *watcher) bool { return a.now >= w.until })
+	return a.takeWatchers(func(w *watcher) bool { return a.now >= w.deadline })
 }
 
-// takeWatchersOf removes and returns the watches that any of the changes concerns.
-func (a *admission) takeWatchersOf(changes []changeEvent) []*watcher {
+// takeAffectedWatchers removes and returns the watches that any of the changes concerns.
+func (a *admission) takeAffectedWatchers(changes []changeEvent) []*watcher {
 	return a.takeWatchers(func(w *watcher) bool {
 		for i := range changes {
 			if strings.HasPrefix(changes[i].key, w.prefix) {
@@ -90,7 +90,7 @@
 type watchEvent struct {
 	Put         string `json:"write,omitempty"`
 	Delete      string `json:"drop,omitempty"`
-	Value       raw    `json:"data,omitempty"`
+	Value       rawJSON    `json:"data,omitempty"`
 	ModRevision uint64 `json:"stamp"`
 }
 
--- a/internal/statestore/write.go
+++ b/internal/statestore/write.go
@@ -75,8 +75,8 @@
 	switch {
 	case r.txn != nil:
 		return w.applyTxn(r.txn)
-	case r.expiredLeases != 0:
-		return w.removeLease(r.expiredLeases)
+	case r.leaseToRemove != 0:
+		return w.removeLease(r.leaseToRemove)
 	}
 	w.header.LastLease++
 	w.header.Leases++
@@ -101,7 +101,7 @@
 		res.failed = failed
 		return res, err
 	}
-	err = w.change(func(revision uint64) (changed bool, err error) {
+	err = w.withNextRevision(func(revision uint64) (changed bool, err error) {
 		for _, op := range txn.Ops {
 			did, err := w.applyOp(op, revision)
 			if err != nil {
@@ -129,8 +129,8 @@
 	return failed, nil
 }
 
-// change calls apply with the next revision, which is used up if apply changes something.
-func (w *batchWriter) change(apply func(revision uint64) (changed bool, err error)) error {
+// withNextRevision calls apply with the next revision, which is used up if apply changes something.
+func (w *batchWriter) withNextRevision(apply func(revision uint64) (changed bool, err error)) error {
 	next := w.header.Revision + 1
 	changed, err := apply(next)
 	if err != nil {
@@ -159,7 +159,7 @@
 		res.leaseNotFound = true
 		return res, nil
 	}
-	err := w.change(func(revision uint64) (changed bool, err error) {
+	err := w.withNextRevision(func(revision uint64) (changed bool, err error) {
 		for _, key := range slices.Sorted(maps.Keys(w.disk.leaseKeys[lease])) {
 			did, err := w.delete(key, revision)
 			if err != nil {
@@ -194,8 +194,8 @@
 	return r, true, nil
 }
 
-// discount takes a key's record out of the header's count and digest and from its lease.
-func (w *batchWriter) discount(key string) (existed bool, err error) {
+// subtractRecord takes a key's record out of the header's count and digest and from its lease.
+func (w *batchWriter) subtractRecord(key string) (existed bool, err error) {
 	r, exists, err := w.read(key)
 	if err != nil || !exists {
 		return false, err
@@ -209,7 +209,7 @@
 }
 
 func (w *batchWriter) put(op protocol.Op, revision uint64) error {
-	if _, err := w.discount(op.Put); err != nil {
+	if _, err := w.subtractRecord(op.Put); err != nil {
 		return err
 	}
 	key := []byte(op.Put)
@@ -227,7 +227,7 @@
 
 // delete reports whether the key existed.
 func (w *batchWriter) delete(key string, revision uint64) (existed bool, err error) {
-	existed, err = w.discount(key)
+	existed, err = w.subtractRecord(key)
 	if err != nil || !existed {
 		return false, err
 	}
