--- a/internal/checksum/checksum_test.go
+++ b/internal/checksum/checksum_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestStoredFormIsUnchanged pins the bytes of stored values: files of earlier versions
-// must stay readable.
+// TestStoredFormIsUnchanged pins the bytes of stored values, so that files written by
+// earlier versions stay readable.
 func TestStoredFormIsUnchanged(t *testing.T) {
 	cases := []struct{ name, key, value, want string }{
 		{"empty", "", "", "e934a84adb052768"},
@@ -25,7 +25,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := Append([]byte(c.key), []byte(c.value))
 			if want := hex.EncodeToString([]byte(c.value)) + c.want; hex.EncodeToString(got) != want {
-				t.Errorf("%x, want %s", got, want)
+				t.Errorf("stored as %x, want %s", got, want)
 			}
 			value, ok := Open([]byte(c.key), got)
 			if !ok || string(value) != c.value {
@@ -35,6 +35,8 @@
 	}
 }
 
+// TestOpenRefusesWhatDoesNotMatch guards against damaged values that Open accepts: cut off,
+// lengthened, stored under another key, or with a single bit changed.
 func TestOpenRefusesWhatDoesNotMatch(t *testing.T) {
 	key, value := []byte("key"), []byte("value")
 	stored := func() []byte { return Append(key, bytes.Clone(value)) }
@@ -67,7 +69,7 @@
 	})
 }
 
-// readBeyondEnd reads a mapped page that the file no longer has, which faults.
+// readBeyondEnd reads a mapped page beyond the end of a truncated file, which faults.
 func readBeyondEnd(t *testing.T) error {
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, make([]byte, os.Getpagesize()), 0o600); err != nil {
@@ -92,12 +94,14 @@
 	return nil
 }
 
+// TestGuardTurnsDamageIntoAnError guards against a process that crashes because code that
+// reads a damaged file panics or faults.
 func TestGuardTurnsDamageIntoAnError(t *testing.T) {
 	errRead := errors.New("of the read")
 	cases := []struct {
 		name string
 		read func() error
-		want error // that the error wraps
+		want error // must be wrapped by the returned error
 		text string
 	}{
 		{"no error", func() error { return nil }, nil, ""},
@@ -111,10 +115,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			err := Guard("store.db", c.read)
 			if !errors.Is(err, c.want) {
-				t.Fatalf("%v, which does not wrap %v", err, c.want)
+				t.Fatalf("got error %v, which does not wrap %v", err, c.want)
 			}
 			if c.text != "" && err.Error() != c.text {
-				t.Errorf("%q, want %q", err, c.text)
+				t.Errorf("got error %q, want %q", err, c.text)
 			}
 		})
 	}
--- a/internal/fakeserver/fileserver.go
+++ b/internal/fakeserver/fileserver.go
@@ -1,5 +1,5 @@
-// Package fakeserver holds stand-ins for systems outside: file servers that serve
-// data sets over HTTP with ranges, and that can be as bad as real ones.
+// Package fakeserver contains fakes of external systems: file servers that serve data
+// sets over HTTP with range requests, and that can fail in the ways real ones do.
 package fakeserver
 
 import (
@@ -20,40 +20,42 @@
 	"silvergate/internal/dataset"
 )
 
-// Faults describes how a file server misbehaves. Each is a probability for a response.
+// Faults describes how a file server misbehaves. Damage, Short, Lie, Error and Stall are
+// probabilities that a response has that fault.
 type Faults struct {
-	Damage float64 // some bytes are changed
-	Short  float64 // it ends in the middle and closes the connection
-	Lie    float64 // the length is wrong
-	Error  float64 // 500
-	Stall  float64 // it stops in the middle, for StallFor
-	// StallFor is how long.
+	Damage float64 // some bytes of the body are changed
+	Short  float64 // the body ends in the middle and the connection is closed
+	Lie    float64 // Content-Length is larger than the body
+	Error  float64 // the status is 500
+	Stall  float64 // the body pauses in the middle for StallFor
+	// StallFor is how long a response with the fault Stall pauses.
 	StallFor time.Duration
-	// BytesPerS bounds all responses together; 0: unbounded.
+	// BytesPerS limits the rate of all responses together; 0 means no limit.
 	BytesPerS float64
 }
 
-// FileServer serves the data sets below a root. It is safe for concurrent use;
-// Close must be called.
+// FileServer serves the data sets in a root folder. It is safe for concurrent use. Close
+// must be called to stop it.
 type FileServer struct {
 	root string
 	srv  *http.Server
 	addr string
 
-	mu           sync.Mutex
-	faults       Faults
-	random       *rand.Rand
-	unresponsive bool // accepts connections and answers nothing
-	bandwidthFreeAt         time.Time
-	done         chan struct{}
+	mu              sync.Mutex
+	faults          Faults
+	random          *rand.Rand
+	unresponsive    bool          // accepts connections and answers nothing
+	bandwidthFreeAt time.Time     // when the pieces sent so far have used up BytesPerS
+	done            chan struct{} // closed by Close
 
-	// Sent is how many bytes of files were sent.
+	// Sent is the number of bytes of files that were sent.
 	Sent atomic.Int64
-	// Requests counts requests.
+	// Requests is the number of requests received.
 	Requests atomic.Int64
 }
 
-// Serve starts a file server on an address; the seed determines its faults.
+// Serve starts a file server that listens on an address. The seed determines which responses
+// have faults.
 func Serve(listen, root string, seed uint64) (*FileServer, error) {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
@@ -65,25 +67,25 @@
 	return f, nil
 }
 
-// Address returns the host and port at which it listens.
+// Address returns the host and port that the server listens on.
 func (f *FileServer) Address() string { return f.addr }
 
-// Set replaces the faults.
-func (f *FileServer) Set(x Faults) {
+// Set replaces the faults of subsequent requests.
+func (f *FileServer) Set(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults = x
+	f.faults = faults
 }
 
-// SetUnresponsive has it accept connections and answer nothing, as behind a
-// network partition, or ends that.
+// SetUnresponsive sets whether the server accepts connections but answers nothing, as a
+// server behind a network partition does.
 func (f *FileServer) SetUnresponsive(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unresponsive = on
 }
 
-// Close ends it and its connections.
+// Close stops the server and closes its connections. It may be called repeatedly.
 func (f *FileServer) Close() {
 	select {
 	case <-f.done:
@@ -93,6 +95,7 @@
 	f.srv.Close()
 }
 
+// wait waits for d, or until the request is cancelled or the server is closed.
 func (f *FileServer) wait(r *http.Request, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -101,12 +104,12 @@
 	}
 }
 
-// ServeHTTP serves one request, well or as the faults have it.
+// ServeHTTP serves one request, with a fault if the request's random number selects one.
 func (f *FileServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.Requests.Add(1)
 	f.mu.Lock()
 	faults, unresponsive := f.faults, f.unresponsive
-	luck := f.random.Float64()
+	randomValue := f.random.Float64()
 	f.mu.Unlock()
 	if unresponsive {
 		f.wait(r, time.Minute)
@@ -117,7 +120,7 @@
 		http.Error(w, "no such file", http.StatusNotFound)
 		return
 	}
-	if luck -= faults.Error; luck < 0 {
+	if randomValue -= faults.Error; randomValue < 0 {
 		http.Error(w, "trouble", http.StatusInternalServerError)
 		return
 	}
@@ -132,68 +135,70 @@
 		http.Error(w, "no such file", http.StatusNotFound)
 		return
 	}
-	if luck >= faults.Damage+faults.Short+faults.Lie+faults.Stall && faults.BytesPerS == 0 {
+	if randomValue >= faults.Damage+faults.Short+faults.Lie+faults.Stall && faults.BytesPerS == 0 {
 		http.ServeContent(&countingWriter{ResponseWriter: w, sent: &f.Sent}, r, "", info.ModTime(), file)
 		return
 	}
 	recorded := responseRecorder{header: http.Header{}}
 	http.ServeContent(&recorded, r, "", info.ModTime(), file)
-	f.send(w, r, &recorded, f.injectFault(&recorded, faults, luck), faults)
+	f.send(w, r, &recorded, f.injectFault(&recorded, faults, randomValue), faults)
 }
 
-// noPosition is a position that no response reaches.
+// noPosition is an offset that no response reaches.
 const noPosition = -1
 
-// disruption is where a response stalls or is cut off; never if it isn't.
+// disruption holds the offsets at which a response stalls or is cut off; noPosition if it
+// does not.
 type disruption struct {
 	stallAt, cutAt int
 }
 
-// injectFault chooses a fault by luck, from 0 to 1, and makes it in a response or
-// says where the response is to be disrupted.
-func (f *FileServer) injectFault(recorded *responseRecorder, faults Faults, luck float64) disruption {
+// injectFault selects a fault by a random number from 0 to 1. It either changes the recorded
+// response or returns where send must disrupt it.
+func (f *FileServer) injectFault(recorded *responseRecorder, faults Faults, randomValue float64) disruption {
 	body := recorded.body.Bytes()
 	d := disruption{stallAt: noPosition, cutAt: noPosition}
 	switch {
-	case luck < faults.Damage && len(body) > 0:
+	case randomValue < faults.Damage && len(body) > 0:
 		f.mu.Lock()
 		for range 1 + f.random.IntN(3) {
 			body[f.random.IntN(len(body))] ^= byte(1 + f.random.IntN(255))
 		}
 		f.mu.Unlock()
-	case luck < faults.Damage+faults.Short:
+	case randomValue < faults.Damage+faults.Short:
 		d.cutAt = len(body) / 2
-	case luck < faults.Damage+faults.Short+faults.Lie:
+	case randomValue < faults.Damage+faults.Short+faults.Lie:
 		recorded.header.Set("Content-Length", fmt.Sprint(len(body)+1+len(body)/3))
-	case luck < faults.Damage+faults.Short+faults.Lie+faults.Stall:
+	case randomValue < faults.Damage+faults.Short+faults.Lie+faults.Stall:
 		d.stallAt = len(body) / 2
 	}
 	return d
 }
 
-// pieceBytes is how much of a disturbed response is written at a time.
+// pieceBytes is how much of a recorded response is written at a time.
 const pieceBytes = 64 << 10
 
-// send writes a recorded response piece by piece.
+// send writes a recorded response piece by piece, with its disruption and at the limited
+// rate.
 func (f *FileServer) send(w http.ResponseWriter, r *http.Request, recorded *responseRecorder, d disruption, faults Faults) {
 	for k, v := range recorded.header {
 		w.Header()[k] = v
 	}
 	w.WriteHeader(max(recorded.status, http.StatusOK))
 	body := recorded.body.Bytes()
-	for at := 0; at < len(body); at += pieceBytes {
-		if d.cutAt >= 0 && at >= d.cutAt {
+	for offset := 0; offset < len(body); offset += pieceBytes {
+		if d.cutAt >= 0 && offset >= d.cutAt {
 			panic(http.ErrAbortHandler)
 		}
-		if d.stallAt >= 0 && at >= d.stallAt {
+		if d.stallAt >= 0 && offset >= d.stallAt {
 			d.stallAt = noPosition
 			f.wait(r, faults.StallFor)
 		}
-		n := min(pieceBytes, len(body)-at)
+		n := min(pieceBytes, len(body)-offset)
 		if faults.BytesPerS > 0 {
 			f.wait(r, f.reserveBandwidth(n, faults.BytesPerS))
 		}
-		if _, err := w.Write(body[at : at+n]); err != nil {
+		if _, err := w.Write(body[offset : offset+n]); err != nil {
 			return
 		}
 		f.Sent.Add(int64(n))
@@ -203,7 +208,8 @@
 	}
 }
 
-// reserveBandwidth is how long a piece of n bytes waits so that the server keeps its rate.
+// reserveBandwidth reserves the time that n bytes take at the rate, and returns how long to
+// wait before sending them, so that all responses together stay below the rate.
 func (f *FileServer) reserveBandwidth(n int, rate float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -215,7 +221,7 @@
 	return f.bandwidthFreeAt.Sub(now)
 }
 
-// responseRecorder holds a response back, to be changed before it is sent.
+// responseRecorder buffers a response so that it can be changed before it is sent.
 type responseRecorder struct {
 	header http.Header
 	status int
@@ -226,7 +232,7 @@
 func (r *responseRecorder) WriteHeader(s int)           { r.status = s }
 func (r *responseRecorder) Write(b []byte) (int, error) { return r.body.Write(b) }
 
-// countingWriter counts the bytes of a response that are sent as they are.
+// countingWriter counts the bytes of a response that is sent without a fault.
 type countingWriter struct {
 	http.ResponseWriter
 	sent *atomic.Int64
@@ -238,7 +244,8 @@
 	return n, err
 }
 
-// ReadFrom keeps the copy in pieces, so that what was sent is counted.
+// ReadFrom copies r through Write, so that the bytes are counted piece by piece while they
+// are sent.
 func (c *countingWriter) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics renders a process's figures as OpenMetrics for GET /metrics.
-// Figures are read when they are asked for: nothing is counted twice, and what
-// nobody asks for costs nothing.
+// Package metrics renders the metrics of a process in the OpenMetrics format for
+// GET /metrics. The values are read on each request, so that no value is counted in two
+// places and there is no cost without requests.
 package metrics
 
 import (
@@ -11,24 +11,25 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Path is where the figures are read.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// Figure is one figure of a process.
+// Figure is one metric of a process with its current value.
 type Figure struct {
-	Name   string // without the prefix; counters get _total
+	Name   string // without the prefix silvergate_ and, for counters, the suffix _total
 	Help   string
 	Value  float64
-	Count  bool              // never goes back within a life
-	Labels map[string]string // the same names for all figures of one name
+	Count  bool              // whether it is a counter, which never decreases while the process runs
+	Labels map[string]string // all metrics of the same name must have the same label names
 }
 
-// Page reads figures and renders them. Component is a label of all.
+// Page reads the metrics of a component and renders them.
 type Page struct {
 	registry *prometheus.Registry
 }
 
-// New makes a page of what read returns at each call.
+// New returns a Page that calls read each time it is rendered. All metrics get the label
+// component.
 func New(component string, read func() []Figure) *Page {
 	r := prometheus.NewPedanticRegistry()
 	r.MustRegister(collector{component, read})
@@ -40,10 +41,10 @@
 	read      func() []Figure
 }
 
-// Describe sends nothing: which figures there are depends on what happened.
+// Describe sends no descriptions, because which metrics exist varies while the process runs.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the figures as they are now.
+// Collect sends the metrics with their current values.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	for _, f := range c.read() {
 		name, kind := "silvergate_"+f.Name, prometheus.GaugeValue
@@ -58,6 +59,7 @@
 	}
 }
 
+// withComponent returns the labels together with the component's label.
 func withComponent(labels map[string]string, component string) prometheus.Labels {
 	out := prometheus.Labels{"component": component}
 	for k, v := range labels {
@@ -66,7 +68,7 @@
 	return out
 }
 
-// Render gives the page and its content type.
+// Render returns the current metrics in the OpenMetrics format, and their content type.
 func (p *Page) Render() (contentType string, body []byte, err error) {
 	families, err := p.registry.Gather()
 	if err != nil {
--- a/internal/statestore/admission.go
+++ b/internal/statestore/admission.go
@@ -18,50 +18,50 @@
 	maxKeyBytes     = 200
 	maxPageKeys     = 1000
 	maxPageBytes    = 512 << 10
-	retainedChanges = 10_000 // for watches
+	retainedChanges = 10_000 // events kept for watches
 )
 
-// retryAfterSeconds is when a client that was refused for the rates, or as the disk is
-// behind, is told to try again.
+// retryAfterSeconds is the Retry-After value sent to a client whose request was refused
+// because of the rate limits or because too many writes wait for the disk.
 const retryAfterSeconds = 1
 
 const (
-	// idleTickInterval is the most time between two looks at the clock.
+	// idleTickInterval is the longest time between two calls of advance.
 	idleTickInterval = time.Second
-	// leaseTickInterval is idleTickInterval while there are leases.
+	// leaseTickInterval replaces idleTickInterval while any lease exists.
 	leaseTickInterval = maxClockGap / 2
 )
 
-// rateBucket is a token bucket that allows a burst of one second's worth.
+// rateBucket is a token bucket that allows a burst of one second's worth of tokens.
 type rateBucket struct{ rate, tokens float64 }
 
 func (b *rateBucket) refill(elapsed time.Duration) {
 	b.tokens = min(b.rate, b.tokens+b.rate*elapsed.Seconds())
 }
 
-// decision is what admission control makes of a request: an answer, or one thing that is
-// to be done for it.
+// decision is the outcome of admission control for a request: either an immediate
+// response or one action to carry out.
 type decision struct {
-	status     int // of the answer; 0 if something below is to be done
+	status     int // of the response; 0 if one of the actions below is set
 	body       []byte
 	retryAfter int // seconds; 0 for none
 
-	request *request     // hand this write to the writer
+	request *request     // submit this write to the writer
 	get     string       // read this key
 	list    *listRequest // read a page of keys
-	watcher *watcher     // answer this watch, or have it wait
+	watcher *watcher     // answer this watch now, or register it until there are events
 }
 
-// listRequest asks for at most limit keys with a prefix that come after from.
+// listRequest asks for at most limit keys that have the prefix and sort after from.
 type listRequest struct {
 	prefix, from string
 	limit        int
 }
 
-// admission decides on requests by their form, the rates, the leases and what waits for
-// the disk, and holds the leases' deadlines and the watches that wait. It does no I/O and
-// reads no clock: the time comes with advance. It is not safe for concurrent use; Service
-// calls it with its lock held.
+// admission decides on requests by their form, the rate limits, the leases and the number
+// of writes that wait for the disk. It holds the deadlines of the leases and the watches
+// that wait for events. It does no I/O and reads no clock: advance sets its time. It is
+// not safe for concurrent use; Service calls it with its lock held.
 type admission struct {
 	limits        Limits
 	now           time.Duration
@@ -69,11 +69,11 @@
 	changes       rateBucket
 	leases        map[uint64]*lease
 	watchers      map[uint64]*watcher
-	pendingWrites int // requests that are with the writer
+	pendingWrites int // requests submitted to the writer and not answered yet
 	refused       uint64
 }
 
-// newAdmission starts with the leases that the store has, each with its full TTL.
+// newAdmission returns an admission that holds the store's leases, each with its full TTL.
 func newAdmission(limits Limits, leaseTTLs map[uint64]time.Duration) *admission {
 	a := &admission{
 		limits:   limits,
@@ -88,11 +88,11 @@
 	return a
 }
 
-// maxPendingWrites is how many writes may wait for the disk: a second's worth of
-// requests. More could not be answered in time.
+// maxPendingWrites returns how many writes may wait for the disk: a second's worth of
+// requests. Further ones could not be answered in time.
 func (a *admission) maxPendingWrites() int { return max(1, int(a.limits.RPS)) }
 
-// advance sets the time. It returns the leases that have expired, in order of their ids.
+// advance sets the time and returns the leases that have expired, ordered by id.
 func (a *admission) advance(now time.Duration) (expired []uint64) {
 	elapsed := now - a.now
 	a.now = now
@@ -101,7 +101,7 @@
 	return a.expireLeases(elapsed)
 }
 
-// nextDeadline is when advance must be called at the latest.
+// nextDeadline returns the latest time at which advance must be called again.
 func (a *admission) nextDeadline() time.Duration {
 	next := a.now + idleTickInterval
 	if len(a.leases) > 0 {
@@ -126,13 +126,13 @@
 	return v
 }
 
-// refuse is errorDecision for what is counted as refused.
+// refuse counts a refused request and returns its errorDecision.
 func (a *admission) refuse(status int, format string, args ...any) decision {
 	a.refused++
 	return errorDecision(status, format, args...)
 }
 
-// admit decides on a request. id is the one by which it is answered.
+// admit decides on a request. id identifies the request when it is answered.
 func (a *admission) admit(id uint64, method, path, query string, body []byte) decision {
 	if a.requests.tokens < 1 {
 		return a.refuse(http.StatusTooManyRequests, "more than %g requests a second", a.limits.RPS)
@@ -157,7 +157,7 @@
 	return errorDecision(http.StatusNotFound, "no such path")
 }
 
-// requireMethod decides by admit if the method is the wanted one.
+// requireMethod calls admit if the method is the wanted one, and refuses the request if not.
 func requireMethod(method, want string, admit func() decision) decision {
 	if method != want {
 		return errorDecision(http.StatusMethodNotAllowed, "use %s", want)
@@ -165,8 +165,8 @@
 	return admit()
 }
 
-// checkKey returns what is wrong with a key. Control characters are refused like
-// spaces: they could not be shown, or sent in a path.
+// checkKey returns an error that says why a key is invalid, or nil. Control characters
+// are refused like spaces, because they can't be displayed or sent in a path.
 func checkKey(key string) error {
 	if key == "" || len(key) > maxKeyBytes {
 		return fmt.Errorf("must have 1 to %d bytes", maxKeyBytes)
@@ -216,7 +216,8 @@
 	return &listRequest{q.Get("under"), from, int(min(limit, maxPageKeys))}, nil
 }
 
-// parseQuery parses the query of a list or a watch. All of its fields are optional.
+// parseQuery parses the query of a list or a watch and checks its prefix. All fields are
+// optional.
 func parseQuery(query string) (url.Values, error) {
 	q, err := url.ParseQuery(query)
 	if err != nil {
@@ -228,15 +229,15 @@
 	return q, nil
 }
 
-// isKeyPrefix reports whether s can be the beginning of a key.
+// isKeyPrefix reports whether s can be the prefix of a key.
 func isKeyPrefix(s string) bool { return len(s) <= maxKeyBytes && utf8.ValidString(s) }
 
-// queryNumber returns the field's number, which may be at most highest, or absent if the
-// query does not have the field.
-func queryNumber(q url.Values, name string, highest, absent uint64) (uint64, error) {
+// queryNumber returns the number in a query field, which may be at most highest, or
+// defaultValue if the query does not have the field.
+func queryNumber(q url.Values, name string, highest, defaultValue uint64) (uint64, error) {
 	s := q.Get(name)
 	if s == "" {
-		return absent, nil
+		return defaultValue, nil
 	}
 	v, err := strconv.ParseUint(s, 10, 64)
 	if err != nil || v > highest {
@@ -263,8 +264,8 @@
 	return a.admitWrite(&request{txn: txn})
 }
 
-// admitWrite hands a write to the writer, unless so many wait that its answer would come
-// too late.
+// admitWrite admits a write for the writer. It refuses the write if so many others wait
+// that its answer would come too late.
 func (a *admission) admitWrite(r *request) decision {
 	if a.pendingWrites >= a.maxPendingWrites() {
 		return a.refuse(http.StatusServiceUnavailable, "the disk can't follow; nothing was done")
--- a/internal/statestore/admission_test.go
+++ b/internal/statestore/admission_test.go
@@ -7,7 +7,8 @@
 )
 
 // TestRefusalsKeepTheirStatusAndText pins the status and the body of refusals, which
-// clients and people read. A few show the Go type that a body was decoded into.
+// clients and people read. Some bodies contain the Go type that a request was decoded
+// into, so renaming a field of that type would change them.
 func TestRefusalsKeepTheirStatusAndText(t *testing.T) {
 	longKey := strings.Repeat("k", 201)
 	cases := []struct {
@@ -70,13 +71,14 @@
 			a := newAdmission(limits, map[uint64]time.Duration{1: time.Second})
 			got := a.admit(0, c.method, c.path, c.query, []byte(c.body))
 			if got.status != c.status || string(got.body) != c.want {
-				t.Errorf("%d, `%s`,", got.status, got.body)
+				t.Errorf("got %d, `%s`", got.status, got.body)
 			}
 		})
 	}
 }
 
-// TestRateRefusalsCarryRetryAfter covers the three refusals that a client repeats.
+// TestRateRefusalsCarryRetryAfter covers the three refusals after which a client repeats its
+// request: each must carry Retry-After and be counted.
 func TestRateRefusalsCarryRetryAfter(t *testing.T) {
 	limits := Limits{RPS: 4, WriteRPS: 3, ValueKB: 1, TxnOps: 3}
 	cases := []struct {
@@ -95,16 +97,17 @@
 			c.before(a)
 			got := a.admit(0, "POST", "/txn", "", []byte(`{"then":[{"drop":"a"}]}`))
 			if got.status != c.status || string(got.body) != c.want || got.retryAfter != 1 || a.refused != 1 {
-				t.Errorf("%d, `%s`, again after %d s, %d counted", got.status, got.body, got.retryAfter, a.refused)
+				t.Errorf("got %d, `%s`, retry after %d s, %d counted as refused", got.status, got.body, got.retryAfter, a.refused)
 			}
 		})
 	}
 }
 
-// TestRatesAllowBurstsOfASecond demands bursts of a second's worth and no more.
+// TestRatesAllowBurstsOfASecond checks that the token buckets admit a burst of one second's
+// worth of requests or changes, and no more, even after a long idle time.
 func TestRatesAllowBurstsOfASecond(t *testing.T) {
 	a := newAdmission(Limits{RPS: 10, WriteRPS: 6, ValueKB: 1, TxnOps: 3}, nil)
-	// admitted counts how many are admitted until one is refused for the rates.
+	// admitted repeats a request until a rate limit refuses it, and returns how many were admitted.
 	admitted := func(method, path, body string) (count int) {
 		for a.admit(0, method, path, "", []byte(body)).status != 429 {
 			count++
@@ -113,18 +116,18 @@
 	}
 	reads := func() int { return admitted("GET", "/keys/a", "") }
 	if n := admitted("POST", "/txn", `{"then":[{"drop":"a"},{"drop":"b"},{"drop":"c"}]}`); n != 2 {
-		t.Errorf("%d transactions of 3 at 6 writes a second", n)
+		t.Errorf("admitted %d transactions of 3 writes at 6 writes a second, want 2", n)
 	}
 	a.pendingWrites = 0
-	if n := reads(); n != 7 { // one was refused for its writes
-		t.Errorf("%d more requests", n)
+	if n := reads(); n != 7 { // two were admitted, and one was refused for its writes
+		t.Errorf("admitted %d more requests, want 7", n)
 	}
 	a.advance(500 * time.Millisecond)
 	if n := reads(); n != 5 {
-		t.Errorf("%d requests after half a second", n)
+		t.Errorf("admitted %d requests after half a second, want 5", n)
 	}
 	a.advance(time.Hour)
 	if n := reads(); n != 10 {
-		t.Errorf("%d requests after an hour", n)
+		t.Errorf("admitted %d requests after an hour, want 10", n)
 	}
 }
--- a/internal/statestore/backup.go
+++ b/internal/statestore/backup.go
@@ -14,24 +14,25 @@
 	"silvergate/internal/transport"
 )
 
-// PathBackup is where a backup is asked for. It is not part of the protocol:
-// POST with a BackupRequest writes a consistent snapshot under its name into the
-// service's backup folder while it goes on serving, and is answered with a BackupSummary.
+// PathBackup is the path of backup requests. It is not part of the protocol: on a POST
+// with a BackupRequest, the service writes a consistent snapshot under the requested name
+// into its backup folder while it goes on serving, and answers with a BackupSummary.
 const PathBackup = "/backup"
 
 const (
-	backupSuffix    = ".db"
-	defaultBackupDir  = "backups" // in the store's folder
-	maxBackupNameLength = 100       // of a name
+	backupSuffix        = ".db"
+	defaultBackupDir    = "backups" // subfolder of the store's folder
+	maxBackupNameLength = 100       // characters
 )
 
 // BackupRequest asks for a backup.
 type BackupRequest struct {
-	// Name has 1 to 100 letters, digits, - and _. It must be new.
+	// Name has 1 to 100 letters, digits, - and _. No backup of that name may exist.
 	Name string `json:"name"`
 }
 
-// BackupSummary describes a store's file that was read completely and found undamaged.
+// BackupSummary describes a store's file or backup that was read completely and found
+// undamaged.
 type BackupSummary struct {
 	File     string `json:"file"`
 	Revision uint64 `json:"ledger"` // of the last change
@@ -39,8 +40,8 @@
 	Bytes    int64  `json:"bytes"`  // size of the file
 }
 
-// checkBackupName returns what is wrong with a name. It names a file in one folder
-// and can't lead out of it.
+// checkBackupName returns an error that says why a name is invalid, or nil. The allowed
+// characters ensure that the backup's file can't lie outside the backup folder.
 func checkBackupName(name string) error {
 	if name == "" || len(name) > maxBackupNameLength {
 		return fmt.Errorf("name: must have 1 to %d characters", maxBackupNameLength)
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// serveBackup serves PathBackup. The backup is written by a goroutine of its own, one at a
-// time. The lock must be held.
+// serveBackup serves PathBackup. It starts a goroutine that writes the backup and answers
+// the request; only one backup is written at a time. The lock must be held.
 func (s *Service) serveBackup(id uint64, r *transport.Request) {
 	if r.Method != http.MethodPost {
 		s.answerError(id, http.StatusMethodNotAllowed, "use POST")
@@ -77,8 +78,8 @@
 	go s.writeBackup(id, wanted.Name)
 }
 
-// writeBackup writes a backup and answers the request for it. It takes the lock only to
-// answer.
+// writeBackup writes a backup and answers the request for it. It takes the lock only for
+// the answer.
 func (s *Service) writeBackup(id uint64, name string) {
 	dir := s.cfg.BackupDir
 	if dir == "" {
@@ -100,8 +101,8 @@
 	}
 }
 
-// backup writes a snapshot and checks it before it gets its name. The error wraps
-// fs.ErrExist if that name is taken.
+// backup writes a snapshot to a temporary file, checks it and gives it its final name. The
+// error wraps fs.ErrExist if a backup of that name exists.
 func (d *disk) backup(dir, name string) (BackupSummary, error) {
 	path := filepath.Join(dir, name+backupSuffix)
 	unfinished := path + unfinishedSuffix
@@ -125,7 +126,8 @@
 	return saved, nil
 }
 
-// writeSnapshot writes a snapshot durably, or removes what it has written of it.
+// writeSnapshot writes a snapshot to path and syncs it. On an error it removes the partial
+// file.
 func (d *disk) writeSnapshot(path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -143,9 +145,9 @@
 	return nil
 }
 
-// Check reads all of a store's file or backup, which no service may have open, and
-// compares it with its checksums. It changes nothing. The error wraps ErrDamaged if the
-// file is damaged.
+// Check reads the whole file of a store or a backup, which no service may have open, and
+// compares its contents with its checksums. It changes nothing. The error wraps ErrDamaged
+// if the file is damaged.
 func Check(path string) (BackupSummary, error) {
 	d := &disk{path: path}
 	if err := d.open(true); err != nil {
@@ -168,16 +170,16 @@
 	return BackupSummary{path, d.header.Revision, d.header.Keys, info.Size()}, nil
 }
 
-// restoreRevisionGap is how far a restored store's revision lies ahead of its backup's:
-// further than any store gets between two backups, so that a revision given out
-// after the backup is never given out again. Workers' fencing tokens are revisions, and
-// must not go back. The ids of leases have the same gap.
+// restoreRevisionGap is added to a backup's revision to get the revision of the restored
+// store. It exceeds the number of revisions that any store uses between two backups, so
+// that a revision issued after the backup is never issued again: the fencing tokens of
+// workers are revisions and must not go back. The same gap is added to the ids of leases.
 const restoreRevisionGap = 1 << 40
 
-// Restore makes a store in dir from a backup. All keys get a new revision above any
-// that the lost store can have given out, so that whoever still holds an old
-// one is refused. Leases are not restored, nor the keys attached to them. A store that
-// exists in dir is never replaced. The error wraps ErrDamaged if the backup is damaged.
+// Restore creates a store in dir from a backup. All keys get a new revision that is higher
+// than any that the lost store can have issued, so that a client that still holds an old
+// revision is refused. Leases and the keys attached to them are not restored. Restore never
+// replaces an existing store in dir. The error wraps ErrDamaged if the backup is damaged.
 func Restore(backup, dir string) (BackupSummary, error) {
 	path := filepath.Join(dir, FileName)
 	if _, err := os.Lstat(path); err == nil {
@@ -189,19 +191,19 @@
 	}
 	defer d.close()
 	if err := createDisk(dir, path, d.restoreInto); err != nil {
-		return BackupSummary{}, fmt.Errorf("make the store: %w", err)
+		return BackupSummary{}, fmt.Errorf("create the store: %w", err)
 	}
 	return Check(path)
 }
 
-// restoreInto puts the keys of a backup without a lease into a new store, and returns its
-// header.
+// restoreInto copies the keys of a backup that have no lease into a new store, and returns
+// the new store's header.
 func (d *disk) restoreInto(tx *bolt.Tx) (header, error) {
 	revision := d.header.Revision + restoreRevisionGap
 	h := header{
 		Revision:        revision,
 		LastLease:       d.header.LastLease + restoreRevisionGap,
-		CompactRevision: revision, // there are no events of it
+		CompactRevision: revision, // no events are restored
 	}
 	keys := tx.Bucket(bucketKeys)
 	var putErr error
--- a/internal/statestore/backup_test.go
+++ b/internal/statestore/backup_test.go
@@ -10,8 +10,9 @@
 	"silvergate/internal/transport"
 )
 
-// TestBackupAndRestore backs up while the service serves, and demands that a restored
-// store refuses every revision of the lost one.
+// TestBackupAndRestore writes a backup while the service runs and restores it. It guards
+// against a restored store that accepts a revision of the lost one: revisions are fencing
+// tokens and must not go back.
 func TestBackupAndRestore(t *testing.T) {
 	dir := t.TempDir()
 	address, stop := serve(t, dir, unlimited)
@@ -46,7 +47,7 @@
 	last := put(2)
 	stop()
 	if _, err := Restore(saved.File, dir); err == nil {
-		t.Error("a store that exists was replaced")
+		t.Error("Restore replaced an existing store")
 	}
 	restored := filepath.Join(t.TempDir(), "other")
 	if _, err := Restore(saved.File, restored); err != nil {
@@ -56,13 +57,13 @@
 	_, body = sendRequest(pool, address, "GET", "/keys/a", nil)
 	var e protocol.KeyValue
 	if json.Unmarshal(body, &e) != nil || string(e.Value) != "1" || e.ModRevision <= last {
-		t.Errorf("restored: %s", body)
+		t.Errorf("restored key: %s", body)
 	}
 	stale := protocol.Txn{Compares: []protocol.Compare{{Key: "a", ModRevision: first}}, Ops: []protocol.Op{{Delete: "a"}}}
 	if status, _ := sendRequest(pool, address, "POST", "/txn", stale); status != 409 {
-		t.Errorf("an old revision was taken: %d", status)
+		t.Errorf("a comparison with an old revision was answered %d, want 409", status)
 	}
 	if status, _ := sendRequest(pool, address, "GET", fmt.Sprintf("/watch?from=%d", last), nil); status != 410 {
-		t.Errorf("an old watch went on: %d", status)
+		t.Errorf("a watch from an old revision was answered %d, want 410", status)
 	}
 }
--- a/internal/statestore/codec.go
+++ b/internal/statestore/codec.go
@@ -8,14 +8,14 @@
 )
 
 // The store's file is a bbolt database with these buckets. Numbers in it are fixed-size
-// and big-endian, and every stored value ends with the checksum of its key and itself.
-// The header holds the number and a digest of all keys besides, so that a lost page is
-// noticed as well as a changed one: bbolt itself checks its two meta pages only.
+// and big-endian, and every stored value ends with a checksum over its key and the value.
+// The header also holds the number of keys and a digest over all of them, so that a lost
+// page is detected as well as a changed one: bbolt itself checks only its two meta pages.
 var (
-	bucketHeader = []byte("head")   // headerKey: header
-	bucketKeys   = []byte("keys")   // key: keyRecord
-	bucketEvents = []byte("news")   // revision and a number within a commit: changeEvent
-	bucketLeases = []byte("grants") // lease: its TTL in ms
+	bucketHeader = []byte("head")   // headerKey -> header
+	bucketKeys   = []byte("keys")   // key -> keyRecord
+	bucketEvents = []byte("news")   // revision and number within the commit -> changeEvent
+	bucketLeases = []byte("grants") // lease id -> TTL in ms
 	headerKey    = []byte("head")
 
 	allBuckets = [][]byte{bucketHeader, bucketKeys, bucketEvents, bucketLeases}
@@ -26,34 +26,35 @@
 	numberSize       = 8
 	eventKeySize     = 2 * numberSize
 	headerSize       = 7 * numberSize
-	recordHeaderSize = 2 * numberSize // before the value
-	keyLengthSize  = 2              // of the key's length
+	recordHeaderSize = 2 * numberSize // numbers before a key's value
+	keyLengthSize    = 2              // length of the changed key, before the key
 )
 
-// An event's key is followed by one byte that tells whether a value follows.
+// In a stored event, the changed key is followed by one of these bytes, which says whether
+// a value follows.
 const (
 	eventDeleted byte = iota
 	eventPut
 )
 
-// header is what the file says of itself.
+// header is the stored summary of the file's contents.
 type header struct {
 	Revision        uint64 // revision of the last change
-	LastLease       uint64 // the last lease's id
-	CompactRevision uint64 // the highest revision of which events were dropped
-	Events          uint64 // number of events kept
+	LastLease       uint64 // id of the last lease that was granted
+	CompactRevision uint64 // highest revision whose events were dropped
+	Events          uint64 // number of retained events
 	Leases          uint64 // number of leases
 	Keys            uint64 // number of keys
-	Digest          uint64 // of all keys' records: the exclusive or of their checksums
+	Digest          uint64 // exclusive or of the checksums of all keys' records
 }
 
-// keyRecord is a key's stored value.
+// keyRecord is what is stored for a key: its value, its revision and its lease, if any.
 type keyRecord struct {
 	modRevision, lease uint64
 	value              []byte
 }
 
-// changeEvent is one change of a key; value is nil when it was deleted.
+// changeEvent is one change of a key; value is nil if the key was deleted.
 type changeEvent struct {
 	key      string
 	value    []byte
@@ -68,7 +69,8 @@
 // storedChecksum returns the checksum that a stored value ends with.
 func storedChecksum(stored []byte) uint64 { return decode64(stored[len(stored)-checksum.Size:]) }
 
-// encodeRecord returns what is stored for a key: two numbers and the value.
+// encodeRecord returns the stored form of a key's record: two numbers, the value and the
+// checksum.
 func encodeRecord(key []byte, r keyRecord) []byte {
 	b := make([]byte, 0, recordHeaderSize+len(r.value)+checksum.Size)
 	b = binary.BigEndian.AppendUint64(b, r.modRevision)
@@ -76,8 +78,8 @@
 	return checksum.Append(key, append(b, r.value...))
 }
 
-// decodeRecord decodes what is stored for a key, without copying the value; false if it
-// does not match its checksum.
+// decodeRecord decodes a key's stored record without copying the value. It returns false if
+// the record does not match its checksum.
 func decodeRecord(key, stored []byte) (keyRecord, bool) {
 	b, ok := checksum.Open(key, stored)
 	if !ok || len(b) < recordHeaderSize {
@@ -86,8 +88,8 @@
 	return keyRecord{decode64(b), decode64(b[numberSize:]), b[recordHeaderSize:]}, true
 }
 
-// encodeChange returns what is stored for an event: its key with its length, whether it
-// is a put, and the value.
+// encodeChange returns the stored form of an event: the length of the changed key, the key,
+// eventPut or eventDeleted, the value and the checksum.
 func encodeChange(eventKey []byte, c changeEvent) []byte {
 	b := binary.BigEndian.AppendUint16(nil, uint16(len(c.key)))
 	b = append(b, c.key...)
@@ -99,7 +101,7 @@
 	return checksum.Append(eventKey, b)
 }
 
-// decodeChange decodes what is stored for an event; false if it does not match its
+// decodeChange decodes a stored event. It returns false if the event does not match its
 // checksum.
 func decodeChange(eventKey, stored []byte) (changeEvent, bool) {
 	b, ok := checksum.Open(eventKey, stored)
@@ -117,7 +119,7 @@
 	return c, true
 }
 
-// fields lists the header's fields in their stored order.
+// fields returns pointers to the header's fields in their stored order.
 func (h *header) fields() []*uint64 {
 	return []*uint64{&h.Revision, &h.LastLease, &h.CompactRevision, &h.Events, &h.Leases, &h.Keys, &h.Digest}
 }
@@ -130,7 +132,8 @@
 	return checksum.Append(headerKey, b)
 }
 
-// decode sets the header to a stored one; false if that does not match its checksum.
+// decode sets h to a stored header. It returns false if the stored header does not match its
+// checksum.
 func (h *header) decode(stored []byte) bool {
 	b, ok := checksum.Open(headerKey, stored)
 	if !ok || len(b) != headerSize {
--- a/internal/statestore/commits.go
+++ b/internal/statestore/commits.go
@@ -8,33 +8,32 @@
 	"silvergate/internal/protocol"
 )
 
-// request is a write that waits for the writer: a transaction, the grant of a lease or
-// the removal of one.
+// request is a write for the writer: a transaction, or the grant or the removal of a lease.
 type request struct {
 	txn *protocol.Txn
 	ttl time.Duration // of the lease to grant
-	// leaseToRemove is the lease to remove, which has expired or was revoked; 0 for none.
+	// leaseToRemove is the id of a lease that has expired or was revoked; 0 for none.
 	leaseToRemove uint64
 	respond       func(result) // called with the service's lock held
 }
 
-// result is what came of a request.
+// result is the outcome of a request.
 type result struct {
 	failed        []string // keys whose comparison failed
 	leaseExpired  bool     // the lease of a put does not exist
 	revision      uint64
-	lease         uint64 // that was granted
+	lease         uint64 // id of the granted lease
 	leaseNotFound bool   // the lease to remove does not exist
 }
 
-// submit hands a request to the writer. The lock must be held.
+// submit queues a request for the writer. The lock must be held.
 func (s *Service) submit(r request) {
 	s.pending = append(s.pending, r)
 	s.workAvailable.Signal()
 }
 
-// commitLoop is the writer: it commits all requests that wait together, and answers them,
-// until the service ends or a commit fails. No other goroutine commits.
+// commitLoop is the writer: until the service ends or a commit fails, it takes all pending
+// requests, commits them together and answers them. No other goroutine commits.
 func (s *Service) commitLoop() {
 	defer close(s.writerDone)
 	s.mu.Lock()
@@ -55,8 +54,8 @@
 	}
 }
 
-// commitBatch makes requests durable and answers them. It is called with the lock held
-// and lets go of it while the disk is busy.
+// commitBatch makes requests durable and answers them. It is called with the lock held,
+// and releases the lock during the disk's commit.
 func (s *Service) commitBatch(batch []request) error {
 	s.mu.Unlock()
 	began := time.Now()
@@ -85,7 +84,7 @@
 	return nil
 }
 
-// answerWrite answers a request with its result.
+// answerWrite answers the client of a request with the request's result.
 func (s *Service) answerWrite(id uint64, r *request, res result) {
 	switch {
 	case r.txn != nil:
--- a/internal/statestore/config.go
+++ b/internal/statestore/config.go
@@ -4,21 +4,21 @@
 
 // Config holds the settings of a state service.
 type Config struct {
-	// Listen is the address to serve at, an IP address with a port.
+	// Listen is the address to listen on, an IP address with a port.
 	Listen string `yaml:"listen"`
 	// Dir is the folder of the store's file.
 	Dir string `yaml:"dir"`
 	// Limits are the service's limits.
 	Limits Limits `yaml:"limits"`
-	// BackupDir is where backups are written; default: backups in Dir.
+	// BackupDir is the folder that backups are written to; default: backups in Dir.
 	BackupDir string `yaml:"backup_dir"`
-	// MaxSockets is the most connections.
+	// MaxSockets is the maximum number of connections.
 	MaxSockets int `yaml:"max_sockets"`
-	// Metrics switches GET /metrics on.
+	// Metrics enables GET /metrics.
 	Metrics bool `yaml:"metrics"`
 }
 
-// DefaultConfig returns what holds for fields that a file does not name.
+// DefaultConfig returns the settings that apply to fields that a file does not set.
 func DefaultConfig() Config {
 	return Config{
 		Listen:     "127.0.0.1:2379",
@@ -28,7 +28,7 @@
 	}
 }
 
-// Check returns an error that names the first field with a value that is not allowed.
+// Check returns an error that names the first field with an invalid value, or nil.
 func (c *Config) Check() error {
 	if c.Dir == "" {
 		return errors.New("dir: missing")
@@ -39,23 +39,23 @@
 	return c.Limits.Check()
 }
 
-// Limits are the service's limits, which the controllers' settings give as well.
+// Limits are the service's limits. The controllers' settings contain them as well.
 type Limits struct {
-	// RPS is the most requests, WriteRPS the most puts and deletes a second;
-	// both allow bursts of a second's worth.
+	// RPS is the maximum number of requests per second, WriteRPS that of puts and
+	// deletes per second. Both allow bursts of one second's worth.
 	RPS      float64 `yaml:"rps"`
 	WriteRPS float64 `yaml:"write_rps"`
-	// ValueKB is the largest value in KiB.
+	// ValueKB is the maximum size of a value in KiB.
 	ValueKB float64 `yaml:"value_kb"`
-	// TxnOps is the most puts and deletes of a transaction; four times as
-	// many comparisons are allowed.
+	// TxnOps is the maximum number of puts and deletes in a transaction; four
+	// times as many comparisons are allowed.
 	TxnOps int `yaml:"txn_ops"`
 }
 
 // comparesPerOp is how many comparisons a transaction may have for each of Limits.TxnOps.
 const comparesPerOp = 4
 
-// Check returns an error that names the first field with a value that is not allowed.
+// Check returns an error that names the first field with an invalid value, or nil.
 func (l *Limits) Check() error {
 	switch {
 	case !(l.RPS >= 1 && l.RPS <= 1e9):
--- a/internal/statestore/disk.go
+++ b/internal/statestore/disk.go
@@ -18,17 +18,17 @@
 // FileName is the name of the store's file in its folder.
 const FileName = "state.db"
 
-// ErrDamaged marks a file whose contents contradict its checksums. It is left
+// ErrDamaged marks a file whose contents do not match its checksums. The file is left
 // as it is.
 var ErrDamaged = checksum.ErrDamaged
 
 const (
 	dirMode  = 0o700
 	fileMode = 0o600
-	// lockTimeout is how long to wait for a file that another process has open.
+	// lockTimeout is how long opening waits for a file that another process has open.
 	lockTimeout = time.Second
-	// minPages is how many pages every file has: two meta pages, the list of free ones,
-	// and the root of the buckets.
+	// minPages is how many pages a file has at least: two meta pages, the list of free
+	// pages, and the root page of the buckets.
 	minPages = 4
 	// unfinishedSuffix is added to the name of a file until it is complete.
 	unfinishedSuffix = ".new"
@@ -36,17 +36,17 @@
 
 // disk is the store's file. get, scan, changes and backup read a snapshot and may be
 // called by any goroutine, also during a commit. Only one goroutine, the writer, may call
-// commit; header and leaseKeys are the writer's alone from its first commit on.
+// commit, and from its first commit on only the writer may access header and leaseKeys.
 type disk struct {
 	db             *bolt.DB
 	path           string
-	retainedEvents int // kept for watches
+	retainedEvents int // maximum number of events kept for watches
 	header         header
 	leaseKeys      map[uint64]map[string]bool // the keys attached to each lease
-	ttls           map[uint64]time.Duration   // of all leases, as of opening
+	ttls           map[uint64]time.Duration   // of all leases, as of when the file was opened
 }
 
-// openDisk opens the store in dir, or makes one, and checks all of it.
+// openDisk opens the store in dir, or creates one, and checks all of its contents.
 func openDisk(dir string, retainedEvents int) (*disk, error) {
 	path := filepath.Join(dir, FileName)
 	_, err := os.Stat(path)
@@ -54,15 +54,15 @@
 	case errors.Is(err, fs.ErrNotExist):
 		empty := func(*bolt.Tx) (header, error) { return header{}, nil }
 		if err := createDisk(dir, path, empty); err != nil {
-			return nil, fmt.Errorf("make the store: %w", err)
+			return nil, fmt.Errorf("create the store: %w", err)
 		}
 	case err != nil:
-		return nil, fmt.Errorf("look for the store: %w", err)
+		return nil, fmt.Errorf("find the store: %w", err)
 	}
 	d := &disk{path: path, retainedEvents: retainedEvents}
-	// All of it is read before it is opened for writing: to do that, bbolt
-	// walks the pages in a goroutine of its own, where damage is a panic that
-	// nobody could turn into an error.
+	// The whole file is read before it is opened for writing. When bbolt opens a file for
+	// writing, it walks the pages in a goroutine of its own, and a panic that damage causes
+	// there can't be turned into an error.
 	if err := d.open(true); err != nil {
 		return nil, err
 	}
@@ -75,16 +75,16 @@
 	return d, nil
 }
 
-// createDisk makes a store's file, with the keys that fill puts and the header that it
-// returns. The file appears under its name when it is complete: one that exists is never
-// taken for an unfinished one. The error wraps fs.ErrExist if there is one already.
+// createDisk creates a store's file, with the keys that fill puts and the header that fill
+// returns. The file gets its final name only when it is complete, so that a file of that name
+// is never unfinished. The error wraps fs.ErrExist if the file exists already.
 func createDisk(dir, path string, fill func(tx *bolt.Tx) (header, error)) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return fmt.Errorf("make its folder: %w", err)
+		return fmt.Errorf("create its folder: %w", err)
 	}
 	unfinished := path + unfinishedSuffix
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("remove what an interrupted start left: %w", err)
+		return fmt.Errorf("remove the unfinished file of an interrupted start: %w", err)
 	}
 	db, err := bolt.Open(unfinished, fileMode, boltOptions(false))
 	if err != nil {
@@ -100,7 +100,7 @@
 func createBuckets(tx *bolt.Tx, fill func(tx *bolt.Tx) (header, error)) error {
 	for _, name := range allBuckets {
 		if _, err := tx.CreateBucket(name); err != nil {
-			return fmt.Errorf("make the bucket %s: %w", name, err)
+			return fmt.Errorf("create the bucket %s: %w", name, err)
 		}
 	}
 	h, err := fill(tx)
@@ -110,11 +110,12 @@
 	return tx.Bucket(bucketHeader).Put(headerKey, h.encode())
 }
 
-// publish gives a complete file its name, durably. A file that has got that name meanwhile
-// is kept, as linking refuses to replace it: the error then wraps fs.ErrExist.
+// publish gives a complete file its final name and syncs the folder. If a file of that name
+// has appeared meanwhile, it is kept, because os.Link does not replace files; the error then
+// wraps fs.ErrExist.
 func publish(unfinished, path string) error {
 	if err := os.Link(unfinished, path); err != nil {
-		return err // names both and the call
+		return err // it names both paths and the call
 	}
 	return errors.Join(os.Remove(unfinished), syncDir(filepath.Dir(path)))
 }
@@ -128,23 +129,23 @@
 }
 
 func boltOptions(readOnly bool) *bolt.Options {
-	// The list of free pages is found again at the start instead of being
-	// written with every commit.
+	// NoFreelistSync: bbolt rebuilds the list of free pages at the start instead of
+	// writing it with every commit.
 	return &bolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, NoFreelistSync: true, FreelistType: bolt.FreelistMapType}
 }
 
-// damaged returns an error that wraps ErrDamaged and tells what is wrong.
+// damaged returns an error that wraps ErrDamaged and describes the damage.
 func (d *disk) damaged(format string, args ...any) error {
-	// What bbolt says may hold whole pages.
+	// The description is cut off because texts of bbolt may contain whole pages.
 	return fmt.Errorf("%s is %w: %.300s; it was left as it is: restore a backup into another folder (silvergate state restore)", d.path, ErrDamaged, fmt.Sprintf(format, args...))
 }
 
-// guard calls what reads the file, and turns what a damaged page makes bbolt do into an
-// error.
-func (d *disk) guard(do func() error) error { return checksum.Guard(d.path, do) }
+// guard calls access, which uses the file, and returns its error. If a damaged page makes
+// bbolt panic or fault, guard returns an error that wraps ErrDamaged.
+func (d *disk) guard(access func() error) error { return checksum.Guard(d.path, access) }
 
-// open opens the file; if only for reading, it checks all of it, too, and sets the header,
-// the TTLs and the leases' keys. On an error the file is closed and unlocked.
+// open opens the file. If readOnly is set, it also checks the whole file and sets the
+// header, the TTLs and the keys of the leases. On an error the file is closed and unlocked.
 func (d *disk) open(readOnly bool) error {
 	var file *os.File
 	err := d.guard(func() error { return d.openAndCheck(readOnly, &file) })
@@ -155,20 +156,20 @@
 		_ = d.guard(d.db.Close)
 		d.db = nil
 	}
-	if file != nil { // unless bbolt got so far itself
-		// The mapping that a panic leaves behind keeps the lock, so
-		// closing alone would not give it back.
+	if file != nil { // bbolt opened the file before it failed
+		// After a panic the file stays mapped, and the mapping keeps the lock, so
+		// closing the file alone would not release it.
 		_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN)
 		_ = file.Close()
 	}
 	return err
 }
 
-// openAndCheck is open without what follows an error. It sets file as soon as the file is
-// open, as it may end in a panic then.
+// openAndCheck does the work of open, without the clean-up after an error. It sets *file as
+// soon as the file is open, because it may panic after that.
 func (d *disk) openAndCheck(readOnly bool, file **os.File) error {
-	// Guards against a file that was cut off: bbolt would make an empty
-	// one anew, and read beyond the end of a shorter one.
+	// Guards against a file that was cut off: bbolt would initialize an empty file as a
+	// new database, and read beyond the end of a file that is too short.
 	info, err := os.Stat(d.path)
 	if err != nil {
 		return fmt.Errorf("open the store: %w", err)
@@ -177,7 +178,7 @@
 	if size < minPages*int64(os.Getpagesize()) {
 		return d.damaged("it has %d bytes only", size)
 	}
-	// Guards against a panic in Open, which would leave the file locked.
+	// Guards against a panic in bolt.Open, which would leave the file locked.
 	options := boltOptions(readOnly)
 	options.OpenFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 		f, err := os.OpenFile(name, flag, mode)
@@ -196,7 +197,7 @@
 			return d.damaged("it has %d bytes of %d", size, tx.Size())
 		}
 		if !readOnly {
-			return nil // was verified just before
+			return nil // openDisk has just verified it
 		}
 		return d.verify(tx)
 	})
--- a/internal/statestore/disk_test.go
+++ b/internal/statestore/disk_test.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/protocol"
 )
 
-// diskContents returns all keys that can be read, or the error.
+// diskContents returns all keys that scan returns, the revision and the error.
 func diskContents(d *disk) string {
 	var b strings.Builder
 	revision, err := d.scan("", "", func(k []byte, r keyRecord) bool {
@@ -25,7 +25,7 @@
 	return b.String()
 }
 
-// writeStoreToDamage makes a store in dir of 60 commits that put 40 keys.
+// writeStoreToDamage creates a store in dir with 60 commits that put 40 keys.
 func writeStoreToDamage(t *testing.T, dir string) (contents string) {
 	t.Helper()
 	d, err := openDisk(dir, 20)
@@ -43,8 +43,8 @@
 	return diskContents(d)
 }
 
-// damageAtRandom returns a copy that is cut off, or of which some bytes in a row differ as
-// in a bad sector.
+// damageAtRandom returns a copy of file that is cut off at a random position, or in which up
+// to 512 consecutive bytes differ, as in a bad sector.
 func damageAtRandom(rnd *rand.Rand, file []byte, cutOff bool) []byte {
 	damaged := slices.Clone(file)
 	if cutOff {
@@ -57,8 +57,9 @@
 	return damaged
 }
 
-// TestDamagedFileIsRefusedAndLeftAlone changes bytes of a file, and cuts it off, and
-// demands that it is refused by name and left alone, or read exactly as it was.
+// TestDamagedFileIsRefusedAndLeftAlone guards against damage that is read as contents or
+// written over. It changes bytes of a store's file or cuts it off. openDisk must either
+// refuse the file, name its path and leave it unchanged, or read the original contents.
 func TestDamagedFileIsRefusedAndLeftAlone(t *testing.T) {
 	const (
 		cases      = 400
@@ -82,13 +83,14 @@
 		switch {
 		case err == nil:
 			got := diskContents(d)
-			// An older meta page that is whole is what a crash leaves too.
+			// Damage to the latest meta page leaves the previous one valid, with an
+			// older revision, as a crash does.
 			if got != want && d.header.Revision == 60 {
-				t.Fatalf("case %d: damage was read as contents", i)
+				t.Fatalf("case %d: damaged contents were read without an error", i)
 			}
 			d.close()
 		case !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), path):
-			t.Fatalf("case %d: %v", i, err)
+			t.Fatalf("case %d: %v, want ErrDamaged with the file's path", i, err)
 		default:
 			refused++
 			if now, _ := os.ReadFile(path); !slices.Equal(now, damaged) {
@@ -97,13 +99,12 @@
 		}
 	}
 	if refused < minRefused {
-		t.Fatalf("only %d of %d were refused", refused, cases)
+		t.Fatalf("only %d of %d damaged files were refused", refused, cases)
 	}
 }
 
-// BenchmarkFileSize writes values of 300 bytes to a thousand keys, fifty to a
-// sync, and reports the file's size: with -benchtime 1000000x, of a million
-// changes.
+// BenchmarkFileSize writes values of 300 bytes to a thousand keys, with fifty changes per
+// sync, and reports the file's size. With -benchtime 1000000x it makes a million changes.
 func BenchmarkFileSize(b *testing.B) {
 	d, err := openDisk(b.TempDir(), retainedChanges)
 	if err != nil {
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -19,8 +19,8 @@
 	"silvergate/internal/protocol"
 )
 
-// The golden files are a store and its backup, written by an earlier build, and what is
-// to be read from them.
+// The golden files are a store and its backup, which an earlier build wrote, and the
+// content that readContent must return for them.
 const (
 	goldenFolder   = "testdata/"
 	goldenStore    = "state.db.gz"
@@ -29,10 +29,12 @@
 	goldenRestored = "restored.txt" // of a store that is restored from the backup
 )
 
-// goldenRetainedEvents is how many changes the golden store keeps: fewer than were made.
+// goldenRetainedEvents is how many changes the golden store retains: fewer than
+// goldenRequests make, so that some were dropped.
 const goldenRetainedEvents = 6
 
-// goldenRequests write keys, replace and drop some, and make grants, of which one has ended.
+// goldenRequests returns requests that put keys, replace and delete some of them, and grant
+// leases, one of which is removed.
 func goldenRequests() []request {
 	write := func(ops ...protocol.Op) request { return request{txn: &protocol.Txn{Ops: ops}} }
 	return []request{
@@ -48,22 +50,22 @@
 	}
 }
 
-// writeGoldenStore makes a store in dir by the golden orders.
+// writeGoldenStore creates a store in dir and commits goldenRequests to it.
 func writeGoldenStore(t *testing.T, dir string) *disk {
 	t.Helper()
 	d, err := openDisk(dir, goldenRetainedEvents)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, o := range goldenRequests() { // each in a commit of its own
-		if _, _, err := d.commit([]request{o}); err != nil {
+	for _, r := range goldenRequests() { // each in a commit of its own
+		if _, _, err := d.commit([]request{r}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return d
 }
 
-// updateGoldenFiles writes them anew when GOLDEN_UPDATE=1 asks for it.
+// updateGoldenFiles rewrites the golden files if GOLDEN_UPDATE is 1.
 func updateGoldenFiles(t *testing.T) {
 	t.Helper()
 	if !goldentest.Updating() {
@@ -88,7 +90,7 @@
 	goldentest.Write(t, goldenFolder+goldenRestored, []byte(readContent(t, restored)))
 }
 
-// pack compresses a file.
+// pack returns the compressed contents of a file.
 func pack(t *testing.T, from string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(from)
@@ -106,7 +108,7 @@
 	return b.Bytes()
 }
 
-// unpack copies a golden file to path.
+// unpack writes the decompressed contents of a golden file to path.
 func unpack(t *testing.T, name, path string) {
 	t.Helper()
 	z, err := gzip.NewReader(bytes.NewReader(goldentest.Read(t, goldenFolder+name)))
@@ -122,7 +124,8 @@
 	}
 }
 
-// readContent tells all that the code reads from the store in dir, a line each.
+// readContent returns all that the package reads from the store in dir: a line each for the
+// header and every lease, key and retained change.
 func readContent(t *testing.T, dir string) string {
 	t.Helper()
 	d, err := openDisk(dir, goldenRetainedEvents)
@@ -142,10 +145,10 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if _, kept, err := d.changes(h.CompactRevision, func(c changeEvent) {
+	if _, retained, err := d.changes(h.CompactRevision, func(c changeEvent) {
 		fmt.Fprintf(&b, "change %s stamp=%d dropped=%v %s\n", c.key, c.revision, c.value == nil, c.value)
-	}); err != nil || !kept {
-		t.Fatal(kept, err)
+	}); err != nil || !retained {
+		t.Fatal(retained, err)
 	}
 	return b.String()
 }
@@ -154,11 +157,12 @@
 	t.Helper()
 	want := goldentest.Read(t, goldenFolder+name)
 	if got := readContent(t, dir); got != string(want) {
-		t.Errorf("read\n%s\nnot\n%s", got, want)
+		t.Errorf("got content\n%s\nwant\n%s", got, want)
 	}
 }
 
-// storedBytes tells what is in a file's buckets, byte by byte, without the package's reader.
+// storedBytes returns the keys and values in all buckets of a file in hexadecimal. It reads
+// the file with bbolt, not with the package's code.
 func storedBytes(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: time.Second})
@@ -180,8 +184,9 @@
 	return b.String()
 }
 
-// TestGoldenStore opens a store of an earlier build, reads the same content, and goes on
-// with it. What is written now by the same orders are the same bytes.
+// TestGoldenStore guards against changes of the file's format. It requires that a store of an
+// earlier build has the same content when it is read now and accepts further commits, and
+// that the same requests write the same bytes now.
 func TestGoldenStore(t *testing.T) {
 	updateGoldenFiles(t)
 	dir := t.TempDir()
@@ -190,12 +195,12 @@
 	want := storedBytes(t, path)
 	requireContent(t, dir, goldenContent)
 
-	anew := t.TempDir()
-	if err := writeGoldenStore(t, anew).close(); err != nil {
+	rewrittenDir := t.TempDir()
+	if err := writeGoldenStore(t, rewrittenDir).close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := storedBytes(t, filepath.Join(anew, "state.db")); got != want {
-		t.Errorf("written as\n%s\nnot\n%s", got, want)
+	if got := storedBytes(t, filepath.Join(rewrittenDir, "state.db")); got != want {
+		t.Errorf("wrote\n%s\nwant\n%s", got, want)
 	}
 
 	d, err := openDisk(dir, goldenRetainedEvents)
@@ -203,20 +208,21 @@
 		t.Fatal(err)
 	}
 	defer d.close()
-	out, _, err := d.commit([]request{{leaseToRemove: 1}, {ttl: time.Second}, {txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/m/n1"}}}}})
-	if err != nil || out[0].leaseNotFound || out[1].lease != 3 || out[2].failed != nil {
-		t.Errorf("went on with %+v: %v", out, err)
+	results, _, err := d.commit([]request{{leaseToRemove: 1}, {ttl: time.Second}, {txn: &protocol.Txn{Compares: []protocol.Compare{{Key: "sg/m/n1"}}}}})
+	if err != nil || results[0].leaseNotFound || results[1].lease != 3 || results[2].failed != nil {
+		t.Errorf("commit to the golden store: results %+v, error %v", results, err)
 	}
 }
 
-// TestGoldenBackup checks and restores a backup of an earlier build.
+// TestGoldenBackup guards against changes of the format of backups: it checks and restores a
+// backup that an earlier build wrote.
 func TestGoldenBackup(t *testing.T) {
 	updateGoldenFiles(t)
 	backup := filepath.Join(t.TempDir(), "golden.db")
 	unpack(t, goldenBackup, backup)
 	saved, err := Check(backup)
 	if err != nil || saved.Revision != 7 || saved.Keys != 4 {
-		t.Errorf("%+v: %v", saved, err)
+		t.Errorf("summary %+v, error %v, want revision 7 and 4 keys", saved, err)
 	}
 	restored := filepath.Join(t.TempDir(), "restored")
 	if _, err := Restore(backup, restored); err != nil {
@@ -224,7 +230,7 @@
 	}
 	requireContent(t, restored, goldenRestored)
 
-	whole := t.TempDir() // a backup is a store itself
-	unpack(t, goldenBackup, filepath.Join(whole, "state.db"))
-	requireContent(t, whole, goldenContent)
+	backupAsStore := t.TempDir() // a backup is a complete store file
+	unpack(t, goldenBackup, filepath.Join(backupAsStore, "state.db"))
+	requireContent(t, backupAsStore, goldenContent)
 }
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -13,29 +13,30 @@
 const (
 	minLeaseTTL = 100 * time.Millisecond
 	maxLeaseTTL = 600 * time.Second
-	// maxClockGap is the time between two looks at the clock from which the service is
-	// taken to have been out: nobody could renew a lease meanwhile. A lease may expire
-	// late by as much.
+	// maxClockGap is the longest time between two calls of advance during which the
+	// service counts as running. After a longer gap the service counts as having been
+	// paused, since no client could renew a lease during it. A lease may expire late by
+	// up to maxClockGap.
 	maxClockGap = minLeaseTTL
 )
 
-// lease is the deadline of a lease that the store has.
+// lease holds the TTL and the deadline of a lease in the store.
 type lease struct {
-	ttl     time.Duration
-	deadline   time.Duration
-	removalPending bool // the writer was told to remove it
+	ttl            time.Duration
+	deadline       time.Duration
+	removalPending bool // the writer was told to remove it, as it expired or was revoked
 }
 
-// expireLeases marks the leases whose time is over as expired and returns them in order.
-// elapsed is the time since it was called last.
+// expireLeases marks the leases whose deadline has passed as pending removal and returns
+// them ordered by id. elapsed is the time since the last call.
 func (a *admission) expireLeases(elapsed time.Duration) (expired []uint64) {
 	for id, l := range a.leases {
 		switch {
 		case l.removalPending:
 		case elapsed > maxClockGap:
-			// Guards against a process that was stopped or starved: its
-			// clients could not renew, and would lose their leases for our
-			// fault. They get their full time again, as after an outage.
+			// This process was stopped or starved, so clients could not renew and
+			// would lose their leases through our fault. Each lease gets its full
+			// TTL again, as after a restart of the service.
 			l.deadline = a.now + l.ttl
 		case a.now >= l.deadline:
 			l.removalPending = true
@@ -46,22 +47,23 @@
 	return expired
 }
 
-// leaseExists reports whether a lease was granted and has not expired.
+// leaseExists reports whether a lease was granted and has neither expired nor been revoked.
 func (a *admission) leaseExists(id uint64) bool {
 	l := a.leases[id]
 	return l != nil && !l.removalPending
 }
 
-// addLease notes a lease that is on disk; its time begins.
+// addLease adds a granted lease after it was written to disk; its TTL starts now.
 func (a *admission) addLease(id uint64, ttl time.Duration) {
 	a.leases[id] = &lease{ttl: ttl, deadline: a.now + ttl}
 }
 
-// forgetLease notes that a lease is no longer on disk.
+// forgetLease drops a lease after it was removed from disk.
 func (a *admission) forgetLease(id uint64) { delete(a.leases, id) }
 
 func (a *admission) admitLeaseGrant(body []byte) decision {
-	// Unnamed, as the decoder shows its type's name in the errors that clients get.
+	// The type is unnamed because the decoder writes a type's name into the errors that
+	// clients receive.
 	var encoded struct {
 		TTL *int64 `json:"ttlMs"`
 	}
@@ -74,8 +76,8 @@
 	return a.admitWrite(&request{ttl: time.Duration(*encoded.TTL) * time.Millisecond})
 }
 
-// admitLeaseAction decides on the renewal and on the end of a lease; path is what follows
-// the leases' path.
+// admitLeaseAction decides on the renewal and the revocation of a lease. path is the part of
+// the request's path after protocol.PathLeases and a slash.
 func (a *admission) admitLeaseAction(method, path string) decision {
 	number, action, hasAction := strings.Cut(path, "/")
 	id, err := strconv.ParseUint(number, 10, 64)
--- a/internal/statestore/model_test.go
+++ b/internal/statestore/model_test.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/protocol"
 )
 
-// storeModel is what a store must hold: a plain map, and every change ever made.
+// storeModel is the expected state of a store: plain maps and every change ever made.
 type storeModel struct {
 	keys     map[string]modelValue
 	revision uint64
@@ -32,7 +32,7 @@
 	m.history = append(m.history, changeEvent{op.Put, op.Value, revision})
 }
 
-// delete reports whether the key existed.
+// delete deletes a key and reports whether it existed.
 func (m *storeModel) delete(key string, revision uint64) bool {
 	if _, exists := m.keys[key]; !exists {
 		return false
@@ -42,10 +42,11 @@
 	return true
 }
 
-// removeLease requires that a removal's result agrees, and applies it.
+// removeLease requires that the result of a lease's removal agrees with the model, and removes
+// the lease and its keys from the model.
 func (m *storeModel) removeLease(t *rapid.T, lease uint64, got result) {
 	if got.leaseNotFound == m.leases[lease] {
-		t.Fatalf("lease %d not found: %v", lease, got.leaseNotFound)
+		t.Fatalf("removal of lease %d: not found is %v, which the model contradicts", lease, got.leaseNotFound)
 	}
 	delete(m.leases, lease)
 	next, changed := m.revision+1, false
@@ -60,7 +61,8 @@
 	}
 }
 
-// applyTxn requires that a transaction's result agrees, and applies it.
+// applyTxn requires that a transaction's result agrees with the model, and applies the
+// transaction to the model.
 func (m *storeModel) applyTxn(t *rapid.T, txn *protocol.Txn, got result) {
 	var failed []string
 	for _, c := range txn.Compares {
@@ -68,14 +70,14 @@
 			failed = append(failed, c.Key)
 		}
 	}
-	noLease := false
+	leaseMissing := false
 	for _, op := range txn.Ops {
-		noLease = noLease || op.Lease != 0 && !m.leases[op.Lease]
+		leaseMissing = leaseMissing || op.Lease != 0 && !m.leases[op.Lease]
 	}
-	if got.leaseExpired != noLease || !noLease && !slices.Equal(failed, got.failed) {
-		t.Fatalf("%+v: %+v, expected failed %v, no lease %v", txn, got, failed, noLease)
+	if got.leaseExpired != leaseMissing || !leaseMissing && !slices.Equal(failed, got.failed) {
+		t.Fatalf("%+v: result %+v, expected failed compares %v, missing lease %v", txn, got, failed, leaseMissing)
 	}
-	if noLease || failed != nil {
+	if leaseMissing || failed != nil {
 		return
 	}
 	next, changed := m.revision+1, false
@@ -97,7 +99,7 @@
 
 var randomKey = rapid.SampledFrom([]string{"a", "a/b", "a/c", "b", "ab"})
 
-// randomTxn draws a transaction; about every other comparison holds.
+// randomTxn returns a random transaction, about half of whose comparisons hold.
 func (m *storeModel) randomTxn(t *rapid.T) *protocol.Txn {
 	txn := &protocol.Txn{}
 	for range rapid.IntRange(0, 2).Draw(t, "compares") {
@@ -118,7 +120,8 @@
 	return txn
 }
 
-// randomRequest draws a request, and returns with it what applies its result.
+// randomRequest returns a random request and a function that checks its result and applies the
+// request to the model.
 func (m *storeModel) randomRequest(t *rapid.T) (request, func(result)) {
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
@@ -132,7 +135,8 @@
 	}
 }
 
-// commitRandomBatch commits drawn requests, and applies their results.
+// commitRandomBatch commits random requests in one batch, checks their results and applies
+// the requests to the model.
 func (m *storeModel) commitRandomBatch(t *rapid.T, d *disk) {
 	var batch []request
 	var apply []func(result)
@@ -150,7 +154,7 @@
 	}
 }
 
-// requireKeys requires that a scan of all keys agrees.
+// requireKeys requires that a scan of all keys agrees with the model.
 func (m *storeModel) requireKeys(t *rapid.T, d *disk) {
 	var got []string
 	revision, err := d.scan("", "", func(k []byte, r keyRecord) bool {
@@ -166,8 +170,8 @@
 	}
 }
 
-// requireChanges requires that the changes after a drawn revision agree, or are more than
-// the store retains.
+// requireChanges requires that the changes after a random revision agree with the model. The
+// store may report them as dropped only if they are more than it retains.
 func (m *storeModel) requireChanges(t *rapid.T, d *disk, retainedEvents int) {
 	from := rapid.Uint64Range(0, m.revision).Draw(t, "from")
 	var got, want []changeEvent
@@ -182,8 +186,9 @@
 	}
 }
 
-// TestDiskAgreesWithModel commits drawn requests in drawn batches, opens the file
-// again now and then, and compares all that can be read with a plain map.
+// TestDiskAgreesWithModel guards against results, keys, leases or changes that differ from a
+// plain map's. It commits random batches of random requests, sometimes reopens the file, and
+// compares all that can be read with the model.
 func TestDiskAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "statestore")
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -6,7 +6,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// view calls read with a snapshot and its header.
+// view calls read with a snapshot of the file and the snapshot's header.
 func (d *disk) view(read func(tx *bolt.Tx, h header) error) error {
 	return d.guard(func() error {
 		return d.db.View(func(tx *bolt.Tx) error {
@@ -26,9 +26,9 @@
 	return nil
 }
 
-// scan calls each for the keys with a prefix that come after from, in order,
-// until it returns false. What it is called with is only valid until it returns. revision
-// is that of the snapshot.
+// scan calls each for the keys that have the prefix and sort after from, in order, until
+// each returns false. The key and the record's value are only valid until each returns.
+// revision is the revision of the snapshot.
 func (d *disk) scan(prefix, from string, each func(key []byte, r keyRecord) bool) (revision uint64, err error) {
 	err = d.view(func(tx *bolt.Tx, h header) error {
 		revision = h.Revision
@@ -51,7 +51,7 @@
 	return revision, err
 }
 
-// get reads one key. revision is that of the snapshot.
+// get reads one key. revision is the revision of the snapshot.
 func (d *disk) get(key string) (r keyRecord, found bool, revision uint64, err error) {
 	revision, err = d.scan(key, "", func(k []byte, got keyRecord) bool {
 		if found = string(k) == key; found {
@@ -63,9 +63,9 @@
 	return r, found, revision, err
 }
 
-// changes calls each for the changes after a revision, oldest first. retained is false,
-// and each is not called, when some of them are not kept any more. revision is that of
-// the snapshot.
+// changes calls each for the changes after a revision, oldest first. If some of these
+// changes are not retained any more, it does not call each and returns retained as false.
+// revision is the revision of the snapshot.
 func (d *disk) changes(from uint64, each func(c changeEvent)) (revision uint64, retained bool, err error) {
 	err = d.view(func(tx *bolt.Tx, h header) error {
 		revision, retained = h.Revision, from >= h.CompactRevision
--- a/internal/statestore/serve.go
+++ b/internal/statestore/serve.go
@@ -8,31 +8,32 @@
 	"silvergate/internal/transport"
 )
 
-// rawJSON is JSON that was checked when it came in.
+// rawJSON is a JSON value that was validated when its transaction was received.
 type rawJSON = json.RawMessage
 
 type keyValue struct {
-	Key         string `json:"key"`
-	Value       rawJSON    `json:"data"`
-	ModRevision uint64 `json:"stamp"`
-	Lease       uint64 `json:"permit,omitempty"`
+	Key         string  `json:"key"`
+	Value       rawJSON `json:"data"`
+	ModRevision uint64  `json:"stamp"`
+	Lease       uint64  `json:"permit,omitempty"`
 }
 
-// keyPage answers a list.
+// keyPage is the response to a list.
 type keyPage struct {
 	KeyValues []keyValue `json:"entries"`
 	Truncated bool       `json:"truncated"`
 	Revision  uint64     `json:"ledger"`
 }
 
-// revisionResponse answers a committed transaction, and a read of a key that does not
-// exist.
+// revisionResponse is the response to a committed transaction, and to a read of a key that
+// does not exist.
 type revisionResponse struct {
 	Revision uint64 `json:"ledger"`
 }
 
-// Serve takes a request; the server calls it with the lock held. Writes and watches are
-// answered later.
+// Serve handles a request; the server calls it with the lock held. It answers reads and
+// refusals at once, writes after their commit, and watches when there are events for them
+// or their time is over.
 func (s *Service) Serve(id uint64, r *transport.Request) {
 	s.advance()
 	defer s.scheduleTick()
@@ -77,8 +78,8 @@
 	page := keyPage{KeyValues: []keyValue{}} // not null in JSON
 	const (
 		pageOverhead  = 100
-		entryOverhead = 80 // an entry's field names and numbers, at most
-		maxEscaped    = 6  // bytes that one of a key may take in JSON
+		entryOverhead = 80 // maximum size of an entry's field names and numbers
+		maxEscaped    = 6  // maximum bytes in JSON for one byte of a key
 	)
 	size := pageOverhead
 	revision, err := s.disk.scan(l.prefix, l.from, func(key []byte, r keyRecord) bool {
@@ -88,7 +89,7 @@
 			return false
 		}
 		size += entrySize
-		// The value is in the mapped file, and only valid until the scan ends.
+		// The value is copied: it lies in the mapped file and is only valid during the scan.
 		page.KeyValues = append(page.KeyValues, keyValue{string(key), append(rawJSON(nil), r.value...), r.modRevision, r.lease})
 		return true
 	})
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -1,16 +1,17 @@
 // Package statestore is silvergate's state service: a small strongly consistent
-// key-value store with revisions, conditional transactions, leases and watches,
-// spoken to as PROTOCOL says.
+// key-value store with revisions, conditional transactions, leases and watches.
+// PROTOCOL describes its HTTP interface.
 //
-// It owns one file (bbolt). A change is answered after it is on disk; changes
-// that wait share one sync. The revision never goes back, and a restart gives
-// every lease its full time again. Damage is detected by checksums over every
-// record and a digest of them all, named, and never written over. The process
-// ends when the disk fails under it: what it had not answered may or may not
-// have been done, which is what its clients are prepared for.
+// The service owns one file (bbolt). It answers a change after the change is on
+// disk; changes that wait together share one sync. The revision never goes back,
+// and after a restart every lease has its full TTL again. Damage to the file is
+// detected by checksums over every record and a digest over all keys' records. It
+// is reported as such and never written over. The process ends when the disk
+// fails: requests that were not answered by then may or may not have taken effect,
+// and clients have to be prepared for either.
 //
-// The type admission decides on requests and does no I/O; disk reads and writes
-// the file and does nothing else; Service connects them to the network.
+// The type admission decides on requests and does no I/O; disk only reads and
+// writes the file; Service connects them to the network.
 package statestore
 
 import (
@@ -26,7 +27,8 @@
 // requestReadTimeout is how long a client may take to send a request.
 const requestReadTimeout = 10 * time.Second
 
-// Stats counts what the service did, and what it holds.
+// Stats holds counters since the start of the service, and the current size of its
+// contents and queues.
 type Stats struct {
 	Requests, Refused, Commits, Changes uint64
 	Keys, Revision, Leases              uint64
@@ -35,37 +37,37 @@
 }
 
 // Service is a running state service. Its goroutines are the server's event loop, which
-// calls Serve; the writer (commitLoop); the timer's (tick); and one while a backup is
-// written. They share one lock, mu, which the server holds when it calls Serve. The
-// writer lets go of it while it is busy with the disk, and the backup takes it only to
-// answer.
+// calls Serve; the writer (commitLoop); the timer, which calls tick; and one that writes a
+// backup while a backup is in progress. They share one lock, mu, which the server holds
+// when it calls Serve. The writer releases the lock during a commit to disk, and the backup
+// takes the lock only for its answer.
 type Service struct {
 	cfg    Config
 	log    *slog.Logger
 	disk   *disk
 	server *transport.Server
 	start  time.Time
-	// Extra answers paths that are not the protocol's, such as /metrics. It
-	// is called with the lock held and returns false for what it doesn't know. It must
-	// be set before Run.
+	// Extra answers requests for paths outside the protocol, such as /metrics. It is
+	// called with the lock held and returns false for paths that it doesn't serve. It
+	// must be set before Run.
 	Extra func(id uint64, method, path string) bool
 
 	mu               sync.Mutex // guards all fields below, and the server
 	admission        *admission
-	pending          []request  // that the writer has not taken yet
+	pending          []request  // writes that the writer has not taken yet
 	workAvailable    *sync.Cond // signalled when pending or closed change; uses mu
 	timer            *time.Timer
-	nextTickAt       time.Duration // since start; 0 while none is scheduled
+	nextTickAt       time.Duration // time since start; 0 if no tick is scheduled
 	stats            Stats
 	backupInProgress bool
-	failure           error
+	failure          error
 	closed           bool
 
 	writerDone chan struct{} // closed when the writer has ended
 }
 
-// Open opens the store in cfg.Dir, or makes one. The error wraps ErrDamaged if its file
-// is damaged. Run must be called to close the store again.
+// Open opens the store in cfg.Dir, or creates one. The error wraps ErrDamaged if the store's
+// file is damaged. Only Run closes the store again, so it must be called after Open.
 func Open(cfg Config, log *slog.Logger) (*Service, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -88,8 +90,9 @@
 	return s, nil
 }
 
-// Run serves until the disk or the network fails or Stop is called, and closes the store.
-// ready, if not nil, is called once with the address. Run must be called only once.
+// Run serves until the disk or the network fails or Stop is called, and then closes the
+// store. It calls ready, if not nil, once with the address that it listens on. Run must be
+// called only once.
 func (s *Service) Run(ready func(addr net.Addr)) error {
 	opened := s.disk.header // before the writer changes it
 	s.server.Ready = func(a []net.Addr) {
@@ -113,16 +116,17 @@
 	return errors.Join(failed, err, s.disk.close())
 }
 
-// Stop ends Run. Whatever was answered is on disk already. It may be called from any
-// goroutine.
+// Stop makes Run return. All writes that were answered are on disk already. Stop may be
+// called from any goroutine.
 func (s *Service) Stop() { s.server.Stop() }
 
-// AnswerAs answers a request that Extra took; the lock must be held, as it is in Extra.
+// AnswerAs answers a request for which Extra returned true. The lock must be held, as it is
+// in Extra.
 func (s *Service) AnswerAs(id uint64, contentType string, body []byte) {
 	s.server.AnswerAs(id, contentType, body)
 }
 
-// Stats returns the counters; the lock must be held, as it is in Extra.
+// Stats returns the current statistics. The lock must be held, as it is in Extra.
 func (s *Service) Stats() Stats {
 	stats := s.stats
 	stats.Watches = len(s.admission.watchers)
@@ -132,7 +136,7 @@
 	return stats
 }
 
-// tick lets time pass: leases and watches expire.
+// tick advances admission's clock, expires leases and watches, and schedules the next tick.
 func (s *Service) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +152,7 @@
 	s.scheduleTick()
 }
 
-// advance sets admission's clock, and has the writer remove the leases that have expired.
+// advance sets admission's clock and submits the removal of the leases that have expired.
 func (s *Service) advance() {
 	for _, lease := range s.admission.advance(time.Since(s.start)) {
 		s.admission.pendingWrites++
@@ -156,18 +160,19 @@
 	}
 }
 
-// scheduleTick has the next tick come at admission's next deadline.
+// scheduleTick schedules the next tick for admission's next deadline.
 func (s *Service) scheduleTick() {
-	// Guards against a clock that is looked at too seldom once a lease is
-	// granted: admission would take the pause for an outage and extend it.
+	// A tick that is scheduled already may be moved forward. Otherwise the time between
+	// two calls of advance could exceed maxClockGap once a lease is granted, and
+	// admission would mistake the gap for a pause of the service and extend the lease.
 	if at := s.admission.nextDeadline(); s.nextTickAt == 0 || at < s.nextTickAt {
 		s.nextTickAt = at
 		s.timer.Reset(max(time.Millisecond, at-time.Since(s.start)))
 	}
 }
 
-// fail ends the service. Guards against going on after a failed sync: the pages
-// that the system could not write may look written from then on.
+// fail ends the service because of an error. The service can't go on after a failed sync:
+// pages that the operating system could not write may look written afterwards.
 func (s *Service) fail(err error) {
 	if s.failure == nil {
 		s.failure = err
--- a/internal/statestore/service_test.go
+++ b/internal/statestore/service_test.go
@@ -22,15 +22,15 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// unlimited are limits whose rates no test reaches.
+// unlimited holds limits with rates that no test reaches.
 var unlimited = Limits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}
 
-// serveDirVariable names the environment variable by which the test binary serves a
-// folder: as a process of its own, it can be killed.
+// serveDirVariable is an environment variable. If it names a folder, the test binary runs a
+// service on that folder instead of the tests, as a process that a test can kill.
 const serveDirVariable = "STATESTORE_DIR"
 
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "20261201") // so that a verdict repeats
+	_ = flag.Set("rapid.seed", "20261201") // fixed, so that results are reproducible
 	if dir := os.Getenv(serveDirVariable); dir != "" {
 		s, err := Open(Config{Listen: "127.0.0.1:0", Dir: dir, Limits: unlimited, MaxSockets: 64}, discardLog)
 		if err == nil {
@@ -42,7 +42,7 @@
 	os.Exit(m.Run())
 }
 
-// serve runs a service on dir until the test ends, or stop is called.
+// serve runs a service on dir until the test ends or stop is called.
 func serve(t testing.TB, dir string, l Limits) (address string, stop func()) {
 	t.Helper()
 	s, err := Open(Config{Listen: "127.0.0.1:0", Dir: dir, Limits: l, MaxSockets: 256}, discardLog)
@@ -65,8 +65,8 @@
 	return address, stop
 }
 
-// sendRequest sends a request and returns the response's status and body; the status is 0 without a
-// response.
+// sendRequest sends a request and returns the response's status and body. The status is 0 if
+// there is no response.
 func sendRequest(pool *transport.Pool, address, method, path string, body any) (status int, response []byte) {
 	var encoded []byte
 	if body != nil {
@@ -79,7 +79,7 @@
 	return r.Status, r.Body
 }
 
-// TestConformsToProtocol plays the protocol's sentences.
+// TestConformsToProtocol runs the conformance suite of the state protocol.
 func TestConformsToProtocol(t *testing.T) {
 	conformance.Run(t, conformance.State, true, func(t *testing.T) conformance.Target {
 		address, _ := serve(t, t.TempDir(), unlimited)
@@ -87,7 +87,7 @@
 	})
 }
 
-// startProcess serves dir in a process of its own.
+// startProcess starts a process that serves dir, and returns it with its address.
 func startProcess(t *testing.T, dir string) (process *exec.Cmd, address string) {
 	t.Helper()
 	process = exec.Command(os.Args[0])
@@ -106,16 +106,17 @@
 	return process, address
 }
 
-// numberedWrites are writes of clients, each of which puts keys that it numbers from 1.
+// numberedWrites tracks the writes of several clients, each of which puts keys numbered
+// from 1.
 type numberedWrites struct {
 	mu       sync.Mutex
-	answered []int  // each client's last number that was answered
-	revision uint64 // the highest that was answered
+	answered []int  // number of each client's last write that was answered
+	revision uint64 // highest revision that was answered
 }
 
 func numberedKey(client, number int) string { return fmt.Sprintf("c%d/%06d", client, number) }
 
-// run has a client write until it gets no answer.
+// run writes as one client until a write is not answered with 200.
 func (w *numberedWrites) run(address string, client int) {
 	pool := transport.NewPool(2)
 	for n := w.answered[client] + 1; ; n++ {
@@ -133,8 +134,9 @@
 	}
 }
 
-// requireStored requires that all that was answered is in the store, in order and once. It
-// takes a write that was not answered, and is there, for answered.
+// requireStored requires that the store holds every answered write exactly once and in
+// order. Each client may have one more write stored, which the service committed but was
+// killed before it answered; requireStored counts that write as answered.
 func (w *numberedWrites) requireStored(t *testing.T, d *disk) {
 	t.Helper()
 	if d.header.Revision < w.revision {
@@ -149,15 +151,15 @@
 			t.Fatal(err)
 		}
 		if stored < answered || stored > answered+1 {
-			t.Fatalf("client %d got %d answers, %d are there", client, answered, stored)
+			t.Fatalf("client %d got %d answers, but %d writes are stored", client, answered, stored)
 		}
 		w.answered[client] = stored
 	}
 }
 
-// TestKilledServiceKeepsAcknowledgedWrites kills the service while clients write, and demands
-// that all it answered is there afterwards, in order and once, and that the revision
-// has not gone back.
+// TestKilledServiceKeepsAcknowledgedWrites guards against answered writes that are lost,
+// reordered or repeated, and against a revision that goes back, when the service's process is
+// killed while clients write.
 func TestKilledServiceKeepsAcknowledgedWrites(t *testing.T) {
 	rounds := 6
 	if testing.Short() {
@@ -188,12 +190,13 @@
 		}
 	}
 	if writes.answered[0] == 0 {
-		t.Fatal("nothing was written")
+		t.Fatal("no write of client 0 was answered")
 	}
 }
 
-// watchDelays watches until the writes of so many numbers have come. It returns how long
-// after its sending each came; sent is read with mu held.
+// watchDelays watches until it has received as many events as there are writes. It returns
+// how long after the sending of its write each event arrived. The value of a write is its
+// index in sent, which watchDelays reads with mu held.
 func watchDelays(address string, sent []time.Time, mu *sync.Mutex, writes int) (delays []time.Duration) {
 	pool := transport.NewPool(1)
 	for from, left := uint64(0), writes; left > 0; {
@@ -216,8 +219,8 @@
 	return delays
 }
 
-// BenchmarkChanges has clients write one key each as fast as they get answers,
-// with a watch open: changes a second, and how late the watch tells.
+// BenchmarkChanges measures the changes per second while a watch is open, and how late the
+// watch reports them. Each client writes one key at a time, as fast as it gets answers.
 func BenchmarkChanges(b *testing.B) {
 	for _, clients := range []int{1, 3, 9} {
 		b.Run(fmt.Sprintf("clients=%d", clients), func(b *testing.B) {
--- a/internal/statestore/txn.go
+++ b/internal/statestore/txn.go
@@ -7,9 +7,9 @@
 	"silvergate/internal/protocol"
 )
 
-// The types that a transaction is decoded into tell a missing field from a zero one. They
-// are aliases of unnamed types, and keep their fields' names, as the decoder shows both in
-// the errors that clients get.
+// A transaction is decoded into these types, whose pointers distinguish a missing field from
+// a zero one. They are aliases of unnamed types and their field names must not change,
+// because the decoder writes both into the errors that clients receive.
 type (
 	encodedCompare = struct {
 		Key   *string `json:"key"`
@@ -27,7 +27,7 @@
 	}
 )
 
-// decodeTxn decodes a transaction and checks it against the limits. Its errors are for
+// decodeTxn decodes a transaction and checks it against the limits. Its errors are sent to
 // the client.
 func decodeTxn(body []byte, limits Limits) (*protocol.Txn, error) {
 	var encoded encodedTxn
@@ -58,7 +58,7 @@
 	return txn, nil
 }
 
-// decodeCompare decodes the comparison at an index.
+// decodeCompare decodes a transaction's comparison; index is its position, for errors.
 func decodeCompare(index int, c encodedCompare) (protocol.Compare, error) {
 	if c.Key == nil || c.Stamp == nil {
 		return protocol.Compare{}, fmt.Errorf("if[%d]: key or stamp is missing", index)
@@ -69,7 +69,7 @@
 	return protocol.Compare{Key: *c.Key, ModRevision: *c.Stamp}, nil
 }
 
-// decodeOp decodes the operation at an index.
+// decodeOp decodes a transaction's operation; index is its position, for errors.
 func decodeOp(index int, o encodedOp, limits Limits) (protocol.Op, error) {
 	switch {
 	case (o.Write == nil) == (o.Drop == nil):
--- a/internal/statestore/txn_test.go
+++ b/internal/statestore/txn_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzTxn demands that whatever is accepted keeps to the limits.
+// FuzzTxn guards against transactions that decodeTxn accepts although they exceed the limits
+// or are malformed.
 func FuzzTxn(f *testing.F) {
 	for _, s := range []string{
 		`{}`,
@@ -26,11 +27,11 @@
 			return
 		}
 		if len(txn.Ops) > 2 || len(txn.Compares) > 8 {
-			t.Fatalf("too much: %+v", txn)
+			t.Fatalf("accepted too many operations or comparisons: %+v", txn)
 		}
 		for _, op := range txn.Ops {
 			if (op.Put == "") == (op.Delete == "") || checkKey(op.Put+op.Delete) != nil || len(op.Value) > maxValueBytes || op.Put != "" && !json.Valid(op.Value) {
-				t.Fatalf("bad: %+v", op)
+				t.Fatalf("accepted a malformed operation: %+v", op)
 			}
 		}
 	})
--- a/internal/statestore/verify.go
+++ b/internal/statestore/verify.go
@@ -9,8 +9,8 @@
 	"silvergate/internal/checksum"
 )
 
-// verify reads everything, compares it with its checksums and with the header, and sets
-// the header, the TTLs and the leases' keys.
+// verify reads the whole file, compares its contents with their checksums and with the
+// header, and sets the header, the TTLs and the keys of the leases.
 func (d *disk) verify(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if tx.Bucket(name) == nil {
@@ -48,8 +48,9 @@
 	return nil
 }
 
-// verifyKeys also demands that the keys are in order, which a damaged inner page could
-// change, and that the leases of keys exist: the leases must have been read before.
+// verifyKeys checks the keys' records. It also requires that the keys are in order, which a
+// damaged inner page could change, and that the leases of keys exist, so verifyLeases must
+// have been called before.
 func (d *disk) verifyKeys(keys *bolt.Bucket) error {
 	count, digest := uint64(0), uint64(0)
 	var last []byte
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// verifyEvents also demands that the events are in order and within the header's
-// revisions.
+// verifyEvents checks the retained events. It also requires that they are in order and lie
+// within the header's range of revisions.
 func (d *disk) verifyEvents(events *bolt.Bucket) error {
 	count, last := uint64(0), d.header.CompactRevision
 	err := events.ForEach(func(k, v []byte) error {
--- a/internal/statestore/verify_test.go
+++ b/internal/statestore/verify_test.go
@@ -13,7 +13,7 @@
 	"silvergate/internal/protocol"
 )
 
-// tamper changes a store's file past the package's writer.
+// tamper changes a store's file directly, bypassing the package's writer.
 func tamper(t *testing.T, path string, change func(tx *bolt.Tx) error) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, nil)
@@ -25,8 +25,9 @@
 	}
 }
 
-// TestRecordsThatContradictTheHeaderAreDamage guards against lost and stale pages, whose
-// records match their checksums.
+// TestRecordsThatContradictTheHeaderAreDamage guards against lost and stale pages that are
+// not detected. The records on such pages match their checksums, so only the counts, the
+// digest and the revisions in the header reveal the damage.
 func TestRecordsThatContradictTheHeaderAreDamage(t *testing.T) {
 	putRecord := func(tx *bolt.Tx, key string, r keyRecord) error {
 		return tx.Bucket(bucketKeys).Put([]byte(key), encodeRecord([]byte(key), r))
--- a/internal/statestore/watchers.go
+++ b/internal/statestore/watchers.go
@@ -8,21 +8,21 @@
 	"silvergate/internal/protocol"
 )
 
-// maxWatchBlock is the longest time that a watch may wait for events.
+// maxWatchBlock is the longest time for which a watch may ask to wait for events.
 const maxWatchBlock = time.Minute
 
-// watchRange is what a watch asks for: the changes after a revision of the keys with a
-// prefix.
+// watchRange selects the events of a watch: the changes after revision from of keys that
+// have the prefix.
 type watchRange struct {
 	prefix string
 	from   uint64
 }
 
-// watcher is a watch that is not answered yet.
+// watcher is a watch that has not been answered yet.
 type watcher struct {
-	id uint64 // by which it is answered
+	id uint64 // identifies the request when it is answered
 	watchRange
-	deadline time.Duration // when it is answered without any event
+	deadline time.Duration // when the watch is answered even without events
 }
 
 func (a *admission) admitWatch(id uint64, query string) decision {
@@ -50,7 +50,8 @@
 	return &watcher{id, watchRange{q.Get("under"), from}, until}, nil
 }
 
-// addWatcher has a watch wait for events; it returns false when its time is over.
+// addWatcher registers a watch to wait for events. It returns false, and does not register
+// the watch, if the watch's deadline has passed.
 func (a *admission) addWatcher(w *watcher) bool {
 	if a.now >= w.deadline {
 		return false
@@ -59,12 +60,12 @@
 	return true
 }
 
-// takeExpiredWatchers removes and returns the watches whose time is over.
+// takeExpiredWatchers removes and returns the watches whose deadline has passed.
 func (a *admission) takeExpiredWatchers() []*watcher {
 	return a.takeWatchers(func(w *watcher) bool { return a.now >= w.deadline })
 }
 
-// takeAffectedWatchers removes and returns the watches that any of the changes concerns.
+// takeAffectedWatchers removes and returns the watches whose prefix matches any of the changes.
 func (a *admission) takeAffectedWatchers(changes []changeEvent) []*watcher {
 	return a.takeWatchers(func(w *watcher) bool {
 		for i := range changes {
@@ -88,10 +89,10 @@
 }
 
 type watchEvent struct {
-	Put         string `json:"write,omitempty"`
-	Delete      string `json:"drop,omitempty"`
-	Value       rawJSON    `json:"data,omitempty"`
-	ModRevision uint64 `json:"stamp"`
+	Put         string  `json:"write,omitempty"`
+	Delete      string  `json:"drop,omitempty"`
+	Value       rawJSON `json:"data,omitempty"`
+	ModRevision uint64  `json:"stamp"`
 }
 
 type watchResponse struct {
@@ -99,7 +100,8 @@
 	Events   []watchEvent `json:"news"`
 }
 
-// serveWatch answers a watch that there are events for, and has any other wait.
+// serveWatch answers a watch at once if there are events for it or its deadline has passed,
+// and registers it to wait for events otherwise.
 func (s *Service) serveWatch(w *watcher) {
 	response, retained, err := s.eventsSince(w.watchRange)
 	switch {
@@ -112,8 +114,8 @@
 	}
 }
 
-// answerWatchers answers watches with the events that there are now. Watches of the same
-// range share the encoding.
+// answerWatchers answers watches with the current events of their ranges. Watches of the
+// same range share one encoded response.
 func (s *Service) answerWatchers(watchers []*watcher) {
 	encoded := map[watchRange][]byte{}
 	for _, w := range watchers {
@@ -135,12 +137,12 @@
 	}
 }
 
-// answerCompacted tells a watch that the changes it asks for were dropped.
+// answerCompacted answers a watch with the error that changes in its range were dropped.
 func (s *Service) answerCompacted(w *watcher) {
 	s.answerError(w.id, http.StatusGone, "changes after %d are not kept any more; read the keys again", w.from)
 }
 
-// eventsSince reads the events of a range; retained is false when some were dropped.
+// eventsSince reads the events of a range. retained is false if some of them were dropped.
 func (s *Service) eventsSince(r watchRange) (response watchResponse, retained bool, err error) {
 	response.Events = []watchEvent{} // not null in JSON
 	response.Revision, retained, err = s.disk.changes(r.from, func(c changeEvent) {
--- a/internal/statestore/write.go
+++ b/internal/statestore/write.go
@@ -11,10 +11,10 @@
 	"silvergate/internal/protocol"
 )
 
-// commit carries out requests one after the other, each whole or not at all, and
-// makes their changes durable with one sync. The results hold when it returns
-// without an error; after an error nothing is known until the file is opened
-// again. Only one goroutine may call it.
+// commit applies requests one after the other, each entirely or not at all, and makes
+// their changes durable with one sync. The results are valid if commit returns without an
+// error. After an error it is unknown which requests took effect until the file is opened
+// again. Only one goroutine may call commit.
 func (d *disk) commit(requests []request) (results []result, changes []changeEvent, err error) {
 	err = d.guard(func() error {
 		results, changes, err = d.commitUnguarded(requests)
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("begin: %w", err)
 	}
-	defer tx.Rollback() // without effect after Commit
+	defer tx.Rollback() // no effect after Commit
 	w := batchWriter{
 		disk:   d,
 		header: d.header,
@@ -48,7 +48,7 @@
 		results = append(results, res)
 	}
 	if w.header == d.header {
-		return results, nil, nil // only comparisons: nothing to sync
+		return results, nil, nil // no request changed anything: nothing to sync
 	}
 	if err := w.compact(); err != nil {
 		return nil, nil, fmt.Errorf("drop old events: %w", err)
@@ -63,10 +63,10 @@
 	return results, w.changes, nil
 }
 
-// batchWriter carries out the requests of one commit.
+// batchWriter applies the requests of one commit.
 type batchWriter struct {
 	disk                 *disk
-	header               header // the disk's after the commit
+	header               header // becomes the disk's header after the commit
 	keys, events, leases *bolt.Bucket
 	changes              []changeEvent
 }
@@ -92,7 +92,7 @@
 	res := result{revision: w.header.Revision}
 	for _, op := range txn.Ops {
 		if op.Lease != 0 && w.leases.Get(encode64(op.Lease)) == nil {
-			res.leaseExpired = true // whatever the comparisons
+			res.leaseExpired = true // regardless of the comparisons
 			return res, nil
 		}
 	}
@@ -103,11 +103,11 @@
 	}
 	err = w.withNextRevision(func(revision uint64) (changed bool, err error) {
 		for _, op := range txn.Ops {
-			did, err := w.applyOp(op, revision)
+			opChanged, err := w.applyOp(op, revision)
 			if err != nil {
 				return false, err
 			}
-			changed = changed || did
+			changed = changed || opChanged
 		}
 		return changed, nil
 	})
@@ -115,7 +115,8 @@
 	return res, err
 }
 
-// failedCompares returns the keys whose comparison fails, in order, or nil.
+// failedCompares returns the keys whose comparison fails, in the order of the comparisons, or
+// nil if none fails.
 func (w *batchWriter) failedCompares(compares []protocol.Compare) (failed []string, err error) {
 	for _, c := range compares {
 		r, _, err := w.read(c.Key)
@@ -129,7 +130,8 @@
 	return failed, nil
 }
 
-// withNextRevision calls apply with the next revision, which is used up if apply changes something.
+// withNextRevision calls apply with the next revision, and makes it the current one
+// if apply changes something.
 func (w *batchWriter) withNextRevision(apply func(revision uint64) (changed bool, err error)) error {
 	next := w.header.Revision + 1
 	changed, err := apply(next)
@@ -142,8 +144,8 @@
 	return nil
 }
 
-// applyOp reports whether it changed something: deleting a key that does not exist does
-// not.
+// applyOp applies a put or a delete and reports whether it changed something, which deleting
+// a key that does not exist does not.
 func (w *batchWriter) applyOp(op protocol.Op, revision uint64) (changed bool, err error) {
 	if op.Put != "" {
 		return true, w.put(op, revision)
@@ -151,7 +153,7 @@
 	return w.delete(op.Delete, revision)
 }
 
-// removeLease removes a lease and deletes its keys, all in one revision.
+// removeLease removes a lease and deletes the keys attached to it, all in one revision.
 func (w *batchWriter) removeLease(lease uint64) (result, error) {
 	res := result{revision: w.header.Revision}
 	key := encode64(lease)
@@ -161,11 +163,11 @@
 	}
 	err := w.withNextRevision(func(revision uint64) (changed bool, err error) {
 		for _, key := range slices.Sorted(maps.Keys(w.disk.leaseKeys[lease])) {
-			did, err := w.delete(key, revision)
+			existed, err := w.delete(key, revision)
 			if err != nil {
 				return false, err
 			}
-			changed = changed || did
+			changed = changed || existed
 		}
 		return changed, nil
 	})
@@ -181,7 +183,7 @@
 	return res, nil
 }
 
-// read reads a key as the requests before have left it.
+// read returns a key's record as of the preceding requests of the batch.
 func (w *batchWriter) read(key string) (r keyRecord, exists bool, err error) {
 	stored := w.keys.Get([]byte(key))
 	if stored == nil {
@@ -194,7 +196,8 @@
 	return r, true, nil
 }
 
-// subtractRecord takes a key's record out of the header's count and digest and from its lease.
+// subtractRecord subtracts a key's record from the header's count and digest and detaches
+// the key from its lease. It reports whether the key existed.
 func (w *batchWriter) subtractRecord(key string) (existed bool, err error) {
 	r, exists, err := w.read(key)
 	if err != nil || !exists {
@@ -225,7 +228,7 @@
 	return w.appendEvent(changeEvent{op.Put, op.Value, revision})
 }
 
-// delete reports whether the key existed.
+// delete deletes a key and reports whether it existed.
 func (w *batchWriter) delete(key string, revision uint64) (existed bool, err error) {
 	existed, err = w.subtractRecord(key)
 	if err != nil || !existed {
@@ -237,8 +240,9 @@
 	return true, w.appendEvent(changeEvent{key, nil, revision})
 }
 
-// appendEvent keeps a change for watches. The number within the commit keeps the keys of
-// the changes of one revision apart, and in order.
+// appendEvent stores a change as an event for watches. The event's key consists of the
+// revision and the change's number within the commit, which makes the keys of several
+// changes in one revision distinct and keeps them in order.
 func (w *batchWriter) appendEvent(c changeEvent) error {
 	key := append(encode64(c.revision), encode64(uint64(len(w.changes)))...)
 	w.changes = append(w.changes, c)
@@ -249,7 +253,7 @@
 	return nil
 }
 
-// compact drops the oldest events beyond those that are retained.
+// compact drops the oldest events until no more than disk.retainedEvents are left.
 func (w *batchWriter) compact() error {
 	cursor := w.events.Cursor()
 	for k, _ := cursor.First(); k != nil && w.header.Events > uint64(w.disk.retainedEvents); k, _ = cursor.First() {
@@ -262,7 +266,7 @@
 	return nil
 }
 
-// attachKey notes that a key is deleted with a lease.
+// attachKey records that a key is to be deleted together with a lease.
 func (d *disk) attachKey(lease uint64, key string) {
 	if d.leaseKeys[lease] == nil {
 		d.leaseKeys[lease] = map[string]bool{}
