--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -28,7 +28,7 @@
 // than without it, and that at most a few records of the log remain once all jobs are done.
 func TestCompletionLogSavesRevisions(t *testing.T) {
 	run := func(logged bool) (revisions uint64, remaining int) {
-		s := grownSim(t, 91)
+		s := newLargeDeploymentSim(t, 91)
 		s.options.completionLog = logged
 		for i := range s.facts.Teams {
 			s.facts.Teams[i].GPUsMax = 0 // completions of limited teams are written with their pages
--- a/internal/coordination/data_sets_test.go
+++ b/internal/coordination/data_sets_test.go
@@ -29,7 +29,7 @@
 					case 503, 0:
 						s.after(500*time.Millisecond, register)
 					default:
-						s.violation("data sets", "%d %s", st, body)
+						s.addViolation("data sets", "%d %s", st, body)
 					}
 				})
 			}
@@ -40,7 +40,7 @@
 			s.anyController().request("users", "POST", protocol.PathStagings, encode(protocol.Staging{ID: "x", Set: "set0", Version: "latest", Team: "red", Priority: "urgent", ByS: 30, Machines: 2, Zone: &zone}),
 				func(st int, body []byte) {
 					if st != 201 && st != 503 && st != 0 {
-						s.violation("announcements", "%d %s", st, body)
+						s.addViolation("announcements", "%d %s", st, body)
 					}
 				})
 		})
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -10,9 +10,9 @@
 // the planner counted on their free capacity (scenario carbura-iasi-fleet, day zone: replicas had
 // no room for 45 s).
 func TestMostOfAControllersMachinesHang(t *testing.T) {
-	s := grownSim(t, 41)
+	s := newLargeDeploymentSim(t, 41)
 	s.advertised.Limits.MaxSockets = 2000
-	s.loadGrown(140 * time.Second)
+	s.submitLargeLoad(140 * time.Second)
 	s.run(100 * time.Second)
 	c := s.controllers[0].core
 	hung := map[string]bool{}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -233,8 +233,8 @@
 // about them.
 func (c *Core) checkInheritedMachines(othersHeard bool) {
 	missing := c.countInheritedMachines()
-	c.scaler.inherited = max(c.scaler.inherited, missing)
-	singleFailures := othersHeard && (missing < minUnreachableMachines || 4*missing <= 3*c.scaler.inherited)
+	c.scaler.inheritedMachines = max(c.scaler.inheritedMachines, missing)
+	singleFailures := othersHeard && (missing < minUnreachableMachines || 4*missing <= 3*c.scaler.inheritedMachines)
 	for _, id := range sortedKeys(c.machines.byID) {
 		m := c.machines.byID[id]
 		if c.ownedByEarlierIncarnation(m) && !m.claiming {
--- a/internal/coordination/fault_days_controllers_test.go
+++ b/internal/coordination/fault_days_controllers_test.go
@@ -18,7 +18,7 @@
 			for _, w := range s.cloud.sortedMachines() {
 				if w.up && leader.holds(w) {
 					s.faultCounts.affected += len(w.tasks)
-					w.hungUntil = s.now + s.leaseTimes(0.4+0.8*s.random.Float64())
+					w.hungUntil = s.now + s.leaseMultiple(0.4+0.8*s.random.Float64())
 				}
 			}
 			leader.crash(40 * time.Second)
@@ -77,7 +77,7 @@
 		duration: 70 * time.Second,
 		inject: func(s *sim) {
 			partitioned := s.controllers[0] // in zone a
-			until := s.now + max(s.leaseTimes(1.2), seconds((1+0.3*s.random.Float64())*s.facts.Workers.Cancel))
+			until := s.now + max(s.leaseMultiple(1.2), seconds((1+0.3*s.random.Float64())*s.facts.Workers.Cancel))
 			for _, link := range []string{"state", "peers", "users", "cloud"} {
 				partitioned.unreachableUntil[link] = until
 			}
@@ -184,7 +184,7 @@
 			s.cancelShare(0.2, 300*time.Millisecond, nil)
 			s.after(350*time.Millisecond, func() {
 				for _, n := range s.controllers {
-					n.crash(s.leaseTimes(1.1 + 0.6*s.random.Float64()))
+					n.crash(s.leaseMultiple(1.1 + 0.6*s.random.Float64()))
 				}
 			})
 		},
--- a/internal/coordination/fault_days_test.go
+++ b/internal/coordination/fault_days_test.go
@@ -64,7 +64,7 @@
 	if defect != nil {
 		defect(s)
 	}
-	s.options.unorderedLaunches = true
+	s.options.skipLaunchOrderCheck = true
 	s.traceDay(t, seed)
 	s.after(time.Second, func() {
 		if d.workload != nil {
--- a/internal/coordination/fault_days_users_test.go
+++ b/internal/coordination/fault_days_users_test.go
@@ -105,14 +105,14 @@
 				s.faultCounts.affected++
 				switch i % 3 {
 				case 0:
-					w.hungUntil = s.now + s.leaseTimes(0.3+0.9*s.random.Float64())
+					w.hungUntil = s.now + s.leaseMultiple(0.3+0.9*s.random.Float64())
 				case 1:
-					w.unresponsiveUntil = s.now + s.leaseTimes(0.3+1.2*s.random.Float64())
+					w.unresponsiveUntil = s.now + s.leaseMultiple(0.3+1.2*s.random.Float64())
 				}
 			}
 			zone := s.facts.Zones[s.random.IntN(2)]
 			for _, n := range s.controllers {
-				n.unreachableUntil["zone:"+zone] = s.now + s.leaseTimes(1.3)
+				n.unreachableUntil["zone:"+zone] = s.now + s.leaseMultiple(1.3)
 			}
 			s.cancelShare(0.5, 2*time.Second, nil)
 			s.after(s.randomMillis(0, 3000), func() { leader.crash(s.randomMillis(500, 20_000)) })
@@ -182,7 +182,7 @@
 		inject: func(s *sim) {
 			for i, at := range []time.Duration{0, 40} {
 				s.after(at*time.Second, func() {
-					s.cancelRunning(8, s.leaseTimes(0.3+0.6*s.random.Float64()))
+					s.cancelRunning(8, s.leaseMultiple(0.3+0.6*s.random.Float64()))
 					if i == 1 {
 						s.after(s.randomMillis(0, 2000), func() { s.busiestController().crash(s.randomMillis(500, 9000)) })
 					}
--- a/internal/coordination/fault_days_workers_test.go
+++ b/internal/coordination/fault_days_workers_test.go
@@ -23,7 +23,7 @@
 						s.submit(&job.Spec{ID: fmt.Sprintf("wk-71%02d%02d", i, j), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 6, CPUs: 4, GPUs: 1, MemoryGB: 8, Spot: j%2 == 0}, 12, 0)
 					}
 					s.after(s.randomMillis(0, 4000), func() {
-						if leader := s.leading(); leader != nil {
+						if leader := s.fleetLeader(); leader != nil {
 							leader.crash(s.randomMillis(200, 5000))
 						}
 					})
@@ -57,7 +57,7 @@
 					leader := s.busiestController()
 					for _, w := range s.cloud.sortedMachines() { // some lose their lease and begin a new agent epoch
 						if w.up && leader.holds(w) && s.random.IntN(3) == 0 {
-							w.unresponsiveUntil = s.now + s.leaseTimes(1.2)
+							w.unresponsiveUntil = s.now + s.leaseMultiple(1.2)
 						}
 					}
 					down := s.randomMillis(300, 8000)
@@ -104,7 +104,7 @@
 		inject: func(s *sim) {
 			for i, at := range []time.Duration{0, 45} {
 				s.after(at*time.Second, func() {
-					s.forSomeWorkers(0.6, func(w *simWorker) { w.isolatedUntil = s.now + s.leaseTimes(0.2+1.6*s.random.Float64()) })
+					s.forSomeWorkers(0.6, func(w *simWorker) { w.isolatedUntil = s.now + s.leaseMultiple(0.2+1.6*s.random.Float64()) })
 					if i == 1 {
 						s.after(s.randomMillis(0, 10_000), func() { s.busiestController().crash(s.randomMillis(500, 6000)) })
 					}
@@ -167,9 +167,9 @@
 							w.die()
 							w.failed = true
 						case 1:
-							w.hungUntil = s.now + s.leaseTimes(0.5+s.random.Float64())
+							w.hungUntil = s.now + s.leaseMultiple(0.5+s.random.Float64())
 						default:
-							w.unresponsiveUntil = s.now + s.leaseTimes(0.5+s.random.Float64())
+							w.unresponsiveUntil = s.now + s.leaseMultiple(0.5+s.random.Float64())
 						}
 					})
 					s.after(s.randomMillis(0, 6000), func() { s.busiestController().crash(s.randomMillis(500, 4000)) })
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -167,7 +167,7 @@
 		}
 		s.facts.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: 30}, {Name: "blue"}}
 		s.advertised = s.facts
-		s.options.unorderedLaunches = true // controllers learn late what was committed, see checkLaunchOrder
+		s.options.skipLaunchOrderCheck = true // controllers learn late what was committed, see checkLaunchOrder
 		s.traceDay(t, seed)
 		s.submitMixedJobs(200 * time.Second)
 		s.after(20*time.Second, func() { s.largeJob(1) })
--- a/internal/coordination/fleet_leadership.go
+++ b/internal/coordination/fleet_leadership.go
@@ -20,12 +20,12 @@
 	rentalState
 	deletionState
 
-	// inherited is the largest number of machines held by an earlier incarnation of this
+	// inheritedMachines is the largest number of machines held by an earlier incarnation of this
 	// controller that this incarnation has counted since it started.
-	inherited  int
-	nextPlanAt time.Duration
-	zoneViews  map[string]zoneView // by controller
-	unshipped  *unshippedOutput
+	inheritedMachines int
+	nextPlanAt        time.Duration
+	zoneViews         map[string]zoneView // by controller
+	unshipped         *unshippedOutput
 }
 
 func newFleetScaler(unshipped *unshippedOutput) fleetScaler {
--- a/internal/coordination/full_restart_test.go
+++ b/internal/coordination/full_restart_test.go
@@ -139,9 +139,9 @@
 	}},
 	{name: "for longer than the lease", crash: func(s *sim) time.Duration {
 		for _, n := range s.controllers {
-			n.crash(s.leaseTimes(1.5))
+			n.crash(s.leaseMultiple(1.5))
 		}
-		return s.leaseTimes(1.5)
+		return s.leaseMultiple(1.5)
 	}},
 	{name: "with the state service", crash: func(s *sim) time.Duration {
 		s.state.downUntil = s.now + 9*time.Second
@@ -176,9 +176,9 @@
 	for _, c := range restartCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := grownSim(t, 50_000)
-			s.options.unorderedLaunches = true
-			s.loadGrown(200 * time.Second)
+			s := newLargeDeploymentSim(t, 50_000)
+			s.options.skipLaunchOrderCheck = true
+			s.submitLargeLoad(200 * time.Second)
 			s.run(100 * time.Second)
 			back := c.crash(s)
 			s.run(s.now + back)
@@ -232,7 +232,7 @@
 func (s *sim) checkRestart(t *testing.T, counts restartCounts, defective bool) {
 	t.Helper()
 	for i, after := range counts.answered {
-		if within := s.leaseTimes(answeredWithin[i]); after == 0 || after > within {
+		if within := s.leaseMultiple(answeredWithin[i]); after == 0 || after > within {
 			t.Errorf("%d%% of the workers were answered after %v, want %v", answeredShares[i], after, within)
 		}
 	}
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -34,7 +34,7 @@
 // newMultipliedSim returns a grown deployment with a multiple of its usual machines and work.
 func newMultipliedSim(t *testing.T, seed uint64, multiple int) *sim {
 	t.Helper()
-	s := grownSim(t, seed)
+	s := newLargeDeploymentSim(t, seed)
 	for k := range s.cloud.capacity {
 		s.cloud.capacity[k] *= multiple
 	}
@@ -43,7 +43,7 @@
 	}
 	s.advertised = s.facts
 	for i := range multiple {
-		s.loadGrownFrom(10_000*i, 100*time.Second)
+		s.submitLargeLoadFrom(10_000*i, 100*time.Second)
 	}
 	return s
 }
@@ -163,7 +163,7 @@
 		if grouped.failovers == 0 || alone.failovers > 0 || grouped.changes*3 > alone.changes {
 			t.Errorf("%d times: %d changes with group failover, %d one by one", n, grouped.changes, alone.changes)
 		}
-		if lease := seconds(grownSim(t, 1).facts.Workers.Lease); grouped.mostAnswered > 3*lease/4 {
+		if lease := seconds(newLargeDeploymentSim(t, 1).facts.Workers.Lease); grouped.mostAnswered > 3*lease/4 {
 			t.Errorf("%d times: nine tenths of the workers were answered after %s, a lease is %s", n, grouped.mostAnswered, lease)
 		}
 		if os.Getenv("SIM_TIMES") == "" {
@@ -269,12 +269,12 @@
 	for _, seed := range []uint64{81, 82, 83} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			s := grownSim(t, seed)
-			s.options.unorderedLaunches = true
+			s := newLargeDeploymentSim(t, seed)
+			s.options.skipLaunchOrderCheck = true
 			for _, n := range s.controllers {
 				n.beforeGroupFailover = true
 			}
-			s.loadGrown(330 * time.Second)
+			s.submitLargeLoad(330 * time.Second)
 			roll := func(at time.Duration, legacy bool) {
 				for i, n := range s.controllers {
 					s.after(at+time.Duration(8*i)*time.Second, func() { n.beforeGroupFailover = legacy; n.crash(2 * time.Second) })
@@ -315,8 +315,8 @@
 // next claims in a new epoch, so that the workers fail over in groups after a second loss, too. It
 // also checks that failover records are deleted when no machine's ownership depends on them.
 func TestAGroupThatFailsOverTwice(t *testing.T) {
-	s := grownSim(t, 84)
-	s.loadGrown(260 * time.Second)
+	s := newLargeDeploymentSim(t, 84)
+	s.submitLargeLoad(260 * time.Second)
 	for _, at := range []time.Duration{60, 150} {
 		s.after(at*time.Second, func() { s.cutLink(s.controllers[0], "workers", 30*time.Second) })
 	}
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -9,9 +9,9 @@
 	"silvergate/internal/job"
 )
 
-// grownSim returns a simulation of a deployment of five controllers and some hundred machines, with
+// newLargeDeploymentSim returns a simulation of a deployment of five controllers and some hundred machines, with
 // the limits of a real state service.
-func grownSim(t testing.TB, seed uint64) *sim {
+func newLargeDeploymentSim(t testing.TB, seed uint64) *sim {
 	t.Helper()
 	s := newSim(t, seed, 0)
 	s.facts.Workers.Report = 4
@@ -34,11 +34,11 @@
 	return s
 }
 
-// loadGrown submits services at once, and arrays and gangs until the given time.
-func (s *sim) loadGrown(until time.Duration) { s.loadGrownFrom(0, until) }
+// submitLargeLoad submits services at once, and arrays and gangs until the given time.
+func (s *sim) submitLargeLoad(until time.Duration) { s.submitLargeLoadFrom(0, until) }
 
-// loadGrownFrom does the same as loadGrown with job numbers above n.
-func (s *sim) loadGrownFrom(n int, until time.Duration) {
+// submitLargeLoadFrom does the same as loadGrown with job numbers above n.
+func (s *sim) submitLargeLoadFrom(n int, until time.Duration) {
 	spec := func(shape job.Shape, class string, p job.Priority, tasks int) *job.Spec {
 		n++
 		return &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: class, Team: []string{"red", "blue"}[s.random.IntN(2)], Shape: shape, Priority: p,
@@ -76,8 +76,8 @@
 // machines hang, the cloud takes back a third of the spot machines, and all controllers crash. No
 // rule may be broken, and all jobs must end.
 func TestGrownDeployment(t *testing.T) {
-	s := grownSim(t, 31)
-	s.loadGrown(150 * time.Second)
+	s := newLargeDeploymentSim(t, 31)
+	s.submitLargeLoad(150 * time.Second)
 	s.after(60*time.Second, func() {
 		for i, w := range s.cloud.sortedMachines() {
 			if i%16 == 0 {
@@ -147,8 +147,8 @@
 // controller and can't be reached for less than a lease: its machines must be kept and its tasks
 // go on, while a few silent machines elsewhere are returned.
 func TestZoneThatIsCutOffKeepsItsMachines(t *testing.T) {
-	s := grownSim(t, 37)
-	s.loadGrown(120 * time.Second)
+	s := newLargeDeploymentSim(t, 37)
+	s.submitLargeLoad(120 * time.Second)
 	s.run(100 * time.Second)
 	cutOff := map[string]bool{} // machines of the zone
 	single := map[string]bool{} // silent machines elsewhere
@@ -194,8 +194,8 @@
 	ended := 0 // leases that ended
 	owned := 0
 	for seed := uint64(51); seed < 54; seed++ {
-		s := grownSim(t, seed)
-		s.loadGrown(120 * time.Second)
+		s := newLargeDeploymentSim(t, seed)
+		s.submitLargeLoad(120 * time.Second)
 		s.run(100 * time.Second)
 		epochs := map[string]uint64{}
 		for _, w := range s.cloud.sortedMachines() {
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -43,7 +43,7 @@
 		message.Forwarded = nil
 	}
 	if n.beforeRelays && (message.RelayRequest != nil || message.RelayResponse != nil || message.Forwarded != nil) {
-		s.violation("versions", "%s sends message fields that its version does not have", n.name)
+		s.addViolation("versions", "%s sends message fields that its version does not have", n.name)
 	}
 	return message, true
 }
@@ -286,10 +286,10 @@
 // lost or hang at random.
 func runRandomLinkCuts(t *testing.T, seed uint64) *sim {
 	t.Helper()
-	s := grownSim(t, seed)
+	s := newLargeDeploymentSim(t, seed)
 	s.traceDay(t, seed)
-	s.options.unorderedLaunches = true // cuts and late watches: see checkLaunchOrder
-	s.loadGrown(3 * time.Minute)
+	s.options.skipLaunchOrderCheck = true // cuts and late watches: see checkLaunchOrder
+	s.submitLargeLoad(3 * time.Minute)
 	s.watchPaths()
 	kinds := s.linkCutKinds()
 	var next func()
@@ -411,7 +411,7 @@
 func TestRulesDoNotDependOnLinkReports(t *testing.T) {
 	runSeeds(t, 9700, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
-		s.options.unorderedLaunches, s.faults.randomLinkReports = true, true
+		s.options.skipLaunchOrderCheck, s.faults.randomLinkReports = true, true
 		s.submitMixedJobs(3 * time.Minute)
 		s.after(20*time.Second, func() { s.injectFaults(3 * time.Minute) })
 		s.after(30*time.Second, func() { s.injectPartitions(3 * time.Minute) })
@@ -425,7 +425,7 @@
 func TestRollingRestartFromTheVersionBefore(t *testing.T) {
 	for old := 1; old <= 2; old++ {
 		s := newSim(t, uint64(9800+old), 0.002)
-		s.options.unorderedLaunches = true
+		s.options.skipLaunchOrderCheck = true
 		for i := range old {
 			s.controllers[i].beforeRelays = true
 		}
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -113,7 +113,7 @@
 		day.submit(job.Array, job.Low, 5)
 		day.submit(job.Gang, job.High, 2)
 	}
-	s.followCancelled()
+	s.recordCancelledActivity()
 	s.run(55 * time.Second)
 	day.pickControllers()
 	day.refusedAt, day.outageAt = 60*time.Second, 85*time.Second
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -14,7 +14,7 @@
 func TestRulesHoldWhenAZoneIsCutOff(t *testing.T) {
 	runSeeds(t, 5000, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
-		s.options.unorderedLaunches = true
+		s.options.skipLaunchOrderCheck = true
 		s.traceDay(t, seed)
 		s.submitMixedJobs(3 * time.Minute)
 		s.after(20*time.Second, func() { s.injectPartitions(3 * time.Minute) })
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -70,9 +70,9 @@
 // controllers crash.
 func playScarceDay(t *testing.T, seed uint64, productionAsLow bool) *sim {
 	t.Helper()
-	s := grownSim(t, seed)
+	s := newLargeDeploymentSim(t, seed)
 	s.defects.productionAsLow = productionAsLow
-	s.loadGrown(130 * time.Second)
+	s.submitLargeLoad(130 * time.Second)
 	s.after(80*time.Second, func() {
 		s.loseCapacity(seed % 4)
 		for i := range 30 {
@@ -120,7 +120,7 @@
 				t.Parallel()
 				s := day(200+seed, false)
 				s.reportViolations(t)
-				checkedLaunches <- s.counts.launchesJudged
+				checkedLaunches <- s.counts.launchesChecked
 			})
 		}
 	})
--- a/internal/coordination/recording_test.go
+++ b/internal/coordination/recording_test.go
@@ -27,9 +27,9 @@
 	writer *recorder.Writer
 }
 
-// record begins a recording. The recording of a controller with an archive is not complete:
+// startRecording begins a recording. The recording of a controller with an archive is not complete:
 // it does not contain the archive's key.
-func (s *sim) record(cfg *config.Settings, incarnation int64, seed uint64) *recorder.Writer {
+func (s *sim) startRecording(cfg *config.Settings, incarnation int64, seed uint64) *recorder.Writer {
 	recording := &simRecording{name: fmt.Sprintf("%s-%020d-000000.rec", cfg.Node, incarnation)}
 	h, err := RecordingHeader(cfg, "simulation", incarnation, [2]uint64{seed, 1})
 	if err != nil {
@@ -176,8 +176,8 @@
 // BenchmarkRecorded replays a day of a site with hundreds of machines, with and without a
 // recorder, and reports the time per input and the bytes that an input adds to the recording.
 func BenchmarkRecorded(b *testing.B) {
-	s := grownSim(b, 41)
-	s.loadGrown(100 * time.Second)
+	s := newLargeDeploymentSim(b, 41)
+	s.submitLargeLoad(100 * time.Second)
 	s.run(120 * time.Second)
 	var raw []byte
 	for _, x := range s.output.recordings {
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -84,7 +84,7 @@
 			if other.jobID == task.jobID {
 				zones[worker.zone]++
 				if other.index == task.index {
-					s.violation("ran_twice", "%s also runs on %s", name, worker.name)
+					s.addViolation("ran_twice", "%s also runs on %s", name, worker.name)
 				}
 			}
 			if otherSpec.Team == spec.Team {
@@ -94,15 +94,15 @@
 	}
 	for _, team := range s.facts.Teams {
 		if team.Name == spec.Team && team.GPUsMax > 0 && gpus > team.GPUsMax+1e-6 {
-			s.violation("quota", "%s: team %s uses %v GPUs", name, team.Name, gpus)
+			s.addViolation("quota", "%s: team %s uses %v GPUs", name, team.Name, gpus)
 		}
 	}
 	if !spec.AllowsMachineType(w.machineType) || (w.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != w.zone) ||
 		(spec.Spread && zones[w.zone]+1 > spec.SpreadLimit()) || (spec.OneZone && len(zones) > 0 && zones[w.zone] == 0) {
-		s.violation("wrong_place", "%s", name)
+		s.addViolation("wrong_place", "%s", name)
 	}
 	if u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
-		s.violation("ran_cancelled", "%s starts more than cancel_s after the cancellation of its job", name)
+		s.addViolation("ran_cancelled", "%s starts more than cancel_s after the cancellation of its job", name)
 	}
 }
 
@@ -113,15 +113,15 @@
 		for _, task := range w.tasks {
 			u := s.users[task.jobID]
 			if u != nil && task.isActive() && u.cancelledAt > 0 && s.now-u.cancelledAt > seconds(s.facts.Workers.Cancel) {
-				s.violation("ran_cancelled", "%s/%d still runs on %s", task.jobID, task.index, w.name)
+				s.addViolation("ran_cancelled", "%s/%d still runs on %s", task.jobID, task.index, w.name)
 			}
 		}
 	}
 	s.after(500*time.Millisecond, s.checkCancelledJobs)
 }
 
-// followCancelled records until when tasks of cancelled jobs stay active.
-func (s *sim) followCancelled() {
+// recordCancelledActivity records until when tasks of cancelled jobs stay active.
+func (s *sim) recordCancelledActivity() {
 	for _, w := range s.workers {
 		for _, task := range w.tasks {
 			if u := s.users[task.jobID]; u != nil && u.cancelledAt > 0 && task.isActive() {
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	s.after(100*time.Millisecond, s.followCancelled)
+	s.after(100*time.Millisecond, s.recordCancelledActivity)
 }
 
 // zoneWait identifies a waiting task and a zone in which its job may be placed.
@@ -146,7 +146,7 @@
 // rate limit.
 func (n *simController) checkLaunchOrder(e Effects) {
 	n.updateWaits()
-	if len(n.waitingSince) == 0 || n.s.options.unorderedLaunches {
+	if len(n.waitingSince) == 0 || n.s.options.skipLaunchOrderCheck {
 		return
 	}
 	for _, call := range e.Calls {
@@ -205,7 +205,7 @@
 		if err != nil || command.Verb != protocol.VerbLaunch || m == nil || s.users[jobID].spec.Priority == job.Production {
 			continue
 		}
-		s.counts.launchesJudged++
+		s.counts.launchesChecked++
 		launched := c.jobs.byID[jobID].spec
 		boundAt := n.startedAt + m.boundAt[taskKey{jobID, index}].boundAt
 		for wait, since := range n.waitingSince {
@@ -217,7 +217,7 @@
 			fits := c.fits(c.jobs.byID[wait.job], m) && !c.unschedulable(m)
 			m.addUsage(launched, 1)
 			if fits {
-				s.violation("lesser first", "%s is launched on %s, although %s/%d fits there and had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
+				s.addViolation("lesser first", "%s is launched on %s, although %s/%d fits there and had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
 			}
 		}
 	}
@@ -303,10 +303,10 @@
 // maxCapacityWait is how long a job may wait although there is capacity for it.
 const maxCapacityWait = 90 * time.Second
 
-// watchIdleCapacity checks every second that no job waits for longer than maxCapacityWait although there is capacity
+// checkIdleCapacity checks every second that no job waits for longer than maxCapacityWait although there is capacity
 // for it: a machine has room for one of its tasks, its team is below its limit, and none of its tasks has started in
 // that time. A gang needs room for all its tasks.
-func (s *sim) watchIdleCapacity() {
+func (s *sim) checkIdleCapacity() {
 	gpusByTeam := map[string]float64{}
 	tasksByJob := map[string]map[int]bool{}
 	zonesByJob := map[string]map[string]int{}
@@ -339,11 +339,11 @@
 			continue
 		}
 		if s.now-u.capacityWait.since > maxCapacityWait {
-			s.violation("waits despite capacity", "%s (%s of %d tasks, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
+			s.addViolation("waits despite capacity", "%s (%s of %d tasks, team %s)", id, u.spec.Shape, u.spec.Tasks, u.spec.Team)
 			u.capacityWait.since = s.now
 		}
 	}
-	s.after(time.Second, s.watchIdleCapacity)
+	s.after(time.Second, s.checkIdleCapacity)
 }
 
 // couldStart reports whether the usable machines have room for one waiting task of the job, or for all tasks of a
--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -10,8 +10,8 @@
 	"silvergate/internal/protocol"
 )
 
-// leading returns the fleet leader, or nil if there is none.
-func (s *sim) leading() *simController {
+// fleetLeader returns the fleet leader, or nil if there is none.
+func (s *sim) fleetLeader() *simController {
 	for _, n := range s.controllers {
 		if n.core != nil && n.core.isLeader() {
 			return n
@@ -34,7 +34,7 @@
 			}
 		})
 		s.run(50 * time.Second)
-		leader := s.leading()
+		leader := s.fleetLeader()
 		leader.watchDelayedUntil = time.Hour // the leader's watch responses are delayed from here on
 		s.hooks.onLaunch = func(w *simWorker, o protocol.Command) {
 			m := leader.core.machines.byID[w.name]
@@ -76,7 +76,7 @@
 			torn := v.torn
 			s := newSim(t, 45_100, 0)
 			s.run(20 * time.Second)
-			leader := s.leading()
+			leader := s.fleetLeader()
 			c := leader.core
 			// A job with one task that runs on a machine whose claim is missing from the mirror.
 			spec := encode(storedJob{&job.Spec{ID: "wk-700000", Class: "arr", Team: "blue", Shape: job.Array, Tasks: 1, CPUs: 1, MemoryGB: 1}, job.Open, 1, leader.name})
@@ -172,7 +172,7 @@
 						delayed++
 					}
 					if delay { // the leader, which sent the request, crashes or is paused, and new jobs arrive
-						l := s.leading()
+						l := s.fleetLeader()
 						if l != nil && s.random.IntN(2) == 0 {
 							l.crash(s.randomMillis(1000, 20_000))
 						} else if l != nil {
@@ -185,7 +185,7 @@
 				if v.lost {
 					s.run(40 * time.Second)
 					n := s.busiestController()
-					if n == s.leading() {
+					if n == s.fleetLeader() {
 						n = s.otherControllers(n)[0]
 					}
 					for _, w := range s.cloud.sortedMachines() {
@@ -246,12 +246,12 @@
 			longest, replaced, incidents := time.Duration(0), 0, 0
 			for seed := uint64(45_300); seed < 45_304; seed++ {
 				s := newOutageSim(t, seed, outageScenario{controllers: 3 + 2*int(seed%2), workers: "well"})
-				s.options.unorderedLaunches = true
+				s.options.skipLaunchOrderCheck = true
 				s.faults.quickBoots = seed%2 == 0
 				s.submitMixedJobs(140 * time.Second)
 				for i := range 4 {
 					s.after(time.Duration(30+28*i)*time.Second, func() {
-						if l := s.leading(); l != nil {
+						if l := s.fleetLeader(); l != nil {
 							incidents++
 							v.fault(s, l)
 						}
@@ -281,9 +281,9 @@
 				}
 				watch()
 				s.finish(t, 180*time.Second)
-				bound := s.leaseTimes(1.0/3) + seconds(2*s.facts.Workers.Report)
+				bound := s.leaseMultiple(1.0/3) + seconds(2*s.facts.Workers.Report)
 				if v.renewalMayBeLate {
-					bound += s.leaseTimes(1.0 / 3)
+					bound += s.leaseMultiple(1.0 / 3)
 				}
 				if longestGap > bound {
 					t.Errorf("seed %d: the fleet had no leader for %v, the bound is %v", seed, longestGap, bound)
@@ -312,7 +312,7 @@
 	s := newSim(t, 45_400, 0)
 	s.submit(&job.Spec{ID: "wk-000001", Class: "svc", Team: "blue", Shape: job.Service, Priority: job.Production, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8}, 0, 0)
 	s.run(50 * time.Second)
-	leader := s.leading()
+	leader := s.fleetLeader()
 	c := leader.core
 	c.beginStep(leader.clock())
 	for _, w := range s.cloud.sortedMachines() {
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -65,7 +65,7 @@
 	}
 	seed, incarnation := s.random.Uint64(), n.incarnation*1000+s.now.Milliseconds()+1
 	n.core = New(cfg, log, rand.New(rand.NewPCG(seed, 1)), incarnation)
-	n.recorded = NewRecordedCore(n.core, s.record(cfg, incarnation, seed))
+	n.recorded = NewRecordedCore(n.core, s.startRecording(cfg, incarnation, seed))
 	n.tick(n.incarnation)
 }
 
--- a/internal/coordination/sim_state_test.go
+++ b/internal/coordination/sim_state_test.go
@@ -101,7 +101,7 @@
 			return
 		}
 	}
-	k.s.violation("unconditional", "%s", key)
+	k.s.addViolation("unconditional", "%s", key)
 }
 
 // keysAfter returns the keys that sort after the given one, in order.
@@ -197,7 +197,7 @@
 	case strings.HasSuffix(u.Path, "/"+protocol.PathKeepAlive):
 		k.serveKeepAlive(leaseFromPath(u.Path), reply)
 	default:
-		k.s.violation("state limits", "unknown request %s %s", call.Method, call.Path)
+		k.s.addViolation("state limits", "unknown request %s %s", call.Method, call.Path)
 	}
 }
 
@@ -223,13 +223,13 @@
 func (k *simState) serveTxn(txn protocol.Txn, size int, reply func(int, []byte)) {
 	limits := k.s.facts.State
 	if len(txn.Ops) > limits.TxnOps || len(txn.Compares) > 4*limits.TxnOps || size > 64<<10 {
-		k.s.violation("state limits", "transaction of %d operations, %d comparisons, %d bytes", len(txn.Ops), len(txn.Compares), size)
+		k.s.addViolation("state limits", "transaction of %d operations, %d comparisons, %d bytes", len(txn.Ops), len(txn.Compares), size)
 	}
 	failed := k.failedCompares(txn)
 	for _, op := range txn.Ops {
 		k.checkCompares(txn, op)
 		if len(op.Value) > int(limits.ValueKB*1024) {
-			k.s.violation("state limits", "value of %d bytes at %s", len(op.Value), op.Put)
+			k.s.addViolation("state limits", "value of %d bytes at %s", len(op.Value), op.Put)
 		}
 		if _, ok := k.leaseExpiry[op.Lease]; op.Lease != 0 && !ok {
 			reply(400, nil)
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -46,10 +46,10 @@
 
 // simOptions are the settings that differ between simulated days.
 type simOptions struct {
-	dataSets          []protocol.DataSet // read by the jobs; nil: staging is off
-	unorderedLaunches bool               // checkLaunchOrder is off, because faults delay when controllers learn that a placement was committed
-	completionLog     bool               // controllers write the completion log
-	perWorkerFailover bool               // workers fail over one by one, not as a group
+	dataSets             []protocol.DataSet // read by the jobs; nil: staging is off
+	skipLaunchOrderCheck bool               // checkLaunchOrder is off, because faults delay when controllers learn that a placement was committed
+	completionLog        bool               // controllers write the completion log
+	perWorkerFailover    bool               // workers fail over one by one, not as a group
 }
 
 // simHooks are called with the commands that reach workers. Each may be nil.
@@ -67,12 +67,12 @@
 
 // simCounts counts what happened on a day.
 type simCounts struct {
-	taskStarts     int
-	warmStarts     int           // launches on machines that held the task's input when the launch arrived
-	coldStarts     int           // launches on machines that did not
-	launchesJudged int           // launches of lower-priority work that were checked while production work waited
-	leaseKills     int           // tasks killed by lease expiry on healthy machines although nobody cancelled their job
-	outage         time.Duration // total time so far that the state service was down for all controllers
+	taskStarts      int
+	warmStarts      int           // launches on machines that held the task's input when the launch arrived
+	coldStarts      int           // launches on machines that did not
+	launchesChecked int           // launches of lower-priority work that were checked while production work waited
+	leaseKills      int           // tasks killed by lease expiry on healthy machines although nobody cancelled their job
+	outage          time.Duration // total time so far that the state service was down for all controllers
 }
 
 // newSim returns a simulated day with three controllers that start within half a second. messageLoss is the
@@ -132,8 +132,8 @@
 	s.now = until
 }
 
-// violation records that a rule was broken.
-func (s *sim) violation(rule, format string, args ...any) {
+// addViolation records that a rule was broken.
+func (s *sim) addViolation(rule, format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%8.3f %s: ", s.now.Seconds(), rule)+fmt.Sprintf(format, args...))
 }
 
@@ -142,8 +142,10 @@
 	return seconds((lo + (hi-lo)*s.random.Float64()) / 1000)
 }
 
-// leaseTimes returns a multiple of the workers' lease.
-func (s *sim) leaseTimes(times float64) time.Duration { return seconds(times * s.facts.Workers.Lease) }
+// leaseMultiple returns a multiple of the workers' lease.
+func (s *sim) leaseMultiple(times float64) time.Duration {
+	return seconds(times * s.facts.Workers.Lease)
+}
 
 // runSeeds runs one day for each of several consecutive seeds, from first on. SIM_DAYS sets the number of days; the
 // default is defaultDays.
--- a/internal/coordination/sim_user_test.go
+++ b/internal/coordination/sim_user_test.go
@@ -108,9 +108,9 @@
 			}
 		case 400, 422:
 			if u.accepted {
-				s.violation("forgotten", "repeated submission of %s: %d %s", u.spec.ID, st, body)
+				s.addViolation("forgotten", "repeated submission of %s: %d %s", u.spec.ID, st, body)
 			} else {
-				s.violation("refused", "%s: %d %s", u.spec.ID, st, body)
+				s.addViolation("refused", "%s: %d %s", u.spec.ID, st, body)
 			}
 		default:
 			s.after(time.Second, u.sendSubmission)
@@ -129,7 +129,7 @@
 	}()
 	var state protocol.JobState
 	if json.Unmarshal(body, &state) != nil || state.ID != u.spec.ID {
-		u.s.violation("format", "%s: %q", u.spec.ID, body)
+		u.s.addViolation("format", "%s: %q", u.spec.ID, body)
 		return
 	}
 	allDone := true
@@ -137,17 +137,17 @@
 		allDone = allDone && done
 	}
 	if before.final != "" && state.Status != before.final || u.finalStatus != "" && state.Status != u.finalStatus && (state.Status == "done" || state.Status == "cancelled") {
-		u.s.violation("went_back", "%s was %s, is %s", u.spec.ID, cmp.Or(before.final, u.finalStatus), state.Status)
+		u.s.addViolation("went_back", "%s was %s, is %s", u.spec.ID, cmp.Or(before.final, u.finalStatus), state.Status)
 	}
 	switch state.Status {
 	case "done":
 		if !allDone {
-			u.s.violation("not_done", "%s", u.spec.ID)
+			u.s.addViolation("not_done", "%s", u.spec.ID)
 		}
 		u.finalStatus = "done"
 	case "cancelled":
 		if !u.cancelRequested {
-			u.s.violation("went_back", "%s is cancelled, which nobody requested", u.spec.ID)
+			u.s.addViolation("went_back", "%s is cancelled, which nobody requested", u.spec.ID)
 		}
 		u.finalStatus = "cancelled"
 		if u.cancelledAt == 0 {
@@ -192,7 +192,7 @@
 // cancelAnswered checks the answer to a cancellation and reports whether the cancellation was accepted.
 func (u *simUser) cancelAnswered(st int, body []byte, before knownStatus) bool {
 	if st == 404 && before.known {
-		u.s.violation("forgotten", "cancellation of %s answered with 404", u.spec.ID)
+		u.s.addViolation("forgotten", "cancellation of %s answered with 404", u.spec.ID)
 	}
 	if st == 200 {
 		u.checkAnswer(body, before)
@@ -210,7 +210,7 @@
 			u.accepted = true
 			u.checkAnswer(b, before)
 		case before.known && (st == 201 || st == 400 || st == 422 || st == 404):
-			u.s.violation("forgotten", "repeated submission of %s: %d %s", u.spec.ID, st, b)
+			u.s.addViolation("forgotten", "repeated submission of %s: %d %s", u.spec.ID, st, b)
 		}
 	})
 }
@@ -268,7 +268,7 @@
 	id := fmt.Sprintf("wk-%06d", 900000+s.random.IntN(1000))
 	s.anyController().request("users", "GET", protocol.PathJobs+"/"+id, nil, func(st int, _ []byte) {
 		if st == 200 {
-			s.violation("invented", "%s", id)
+			s.addViolation("invented", "%s", id)
 		}
 	})
 	s.after(s.randomMillis(3000, 9000), s.queryUnknownJobs)
--- a/internal/coordination/sim_workload_test.go
+++ b/internal/coordination/sim_workload_test.go
@@ -146,7 +146,7 @@
 			n, body := s.anyController(), invalidBody(s, u.body, id)
 			n.request("users", "POST", protocol.PathJobs, body, func(st int, b []byte) {
 				if st == 200 || st == 201 {
-					s.violation("accepted", "%s: %d %s", body, st, b)
+					s.addViolation("accepted", "%s: %d %s", body, st, b)
 				}
 			})
 		}
--- a/internal/coordination/step_cost_test.go
+++ b/internal/coordination/step_cost_test.go
@@ -15,8 +15,8 @@
 // largeDeploymentCore returns a simulated deployment of hundreds of machines that run tasks, one of
 // its controllers, and a machine of that controller with at least two tasks.
 func largeDeploymentCore(t testing.TB) (*sim, *Core, *machine) {
-	s := grownSim(t, 31)
-	s.loadGrown(80 * time.Second)
+	s := newLargeDeploymentSim(t, 31)
+	s.submitLargeLoad(80 * time.Second)
 	s.run(60 * time.Second)
 	c := s.controllers[0].core
 	if len(c.machines.byID) < 150 || len(c.machines.own) < 20 {
--- a/internal/coordination/unshipped_test.go
+++ b/internal/coordination/unshipped_test.go
@@ -70,7 +70,7 @@
 		id, index, _ := job.ParseTaskName(command.Task)
 		attempt := archive.Attempt{Job: id, Task: index, Try: command.Attempt, Machine: w.name}
 		if command.Grant != key.SealLaunch(attempt) {
-			s.violation("seal", "%s attempt %d on %s: %q", command.Task, command.Attempt, w.name, command.Grant)
+			s.addViolation("seal", "%s attempt %d on %s: %q", command.Task, command.Attempt, w.name, command.Grant)
 		}
 		launches++
 	}
--- a/internal/coordination/user_expectations_test.go
+++ b/internal/coordination/user_expectations_test.go
@@ -31,7 +31,7 @@
 	s.after(now-s.now, func() {
 		s.service = served{from: s.now, lost: map[string]bool{}}
 		s.queryAllJobs()
-		s.watchIdleCapacity()
+		s.checkIdleCapacity()
 	})
 }
 
@@ -43,7 +43,7 @@
 		}
 		if since := s.now - max(s.service.from, u.lastAnsweredAt, u.submittedAt); since > maxTimeWithoutAnswer && !s.service.lost[id] {
 			s.service.lost[id] = true
-			s.violation("unanswered", "%s: no status query has been answered for %v", id, since)
+			s.addViolation("unanswered", "%s: no status query has been answered for %v", id, since)
 		}
 		if u.finalStatus == "" {
 			continue // the user of an unfinished job polls anyway
@@ -72,7 +72,7 @@
 		u.checkAnswer(body, before)
 	case 404:
 		if before.known {
-			u.s.violation("forgotten", "%s", u.spec.ID)
+			u.s.addViolation("forgotten", "%s", u.spec.ID)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	for _, name := range sortedKeys(groups) {
 		if g := groups[name]; 2*g.served < g.all {
-			s.violation("not served", "%s: %d of %d jobs", name, g.served, g.all)
+			s.addViolation("not served", "%s: %d of %d jobs", name, g.served, g.all)
 		}
 	}
 }
