--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -261,7 +261,7 @@
 	for _, call := range effects.Calls {
 		n.startCall(call)
 	}
-	n.tickWithin(n.core.Due())
+	n.tickWithin(n.core.TimeToNextTick())
 	n.measureStep()
 }
 
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -199,7 +199,7 @@
 		Spot:        heartbeat.Spot,
 		Epoch:       c.claimEpoch(),
 	}
-	class := m.class()
+	class := m.rateClass()
 	ops := []protocol.Op{{Put: keyClaim + m.id, Value: encode(claim)}}
 	c.state.Txn(class, m.ownershipCompares(), ops, func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
 		m.claiming = false
@@ -252,7 +252,7 @@
 		}
 	}
 	for key := range m.bound {
-		attempt, ok := c.boundHere(m, key)
+		attempt, ok := c.boundAttempt(m, key)
 		if ok && !fencing.Adoptable(heartbeatHead(heartbeat), attempt, listed[taskAttempt{key, attempt.Number}]) {
 			return
 		}
--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -252,7 +252,7 @@
 	c.unindexTask(p.job, k, &old)
 	*task = completedTask(&old)
 	c.indexTask(p.job, k, task, 0)
-	c.machineFreed(old.Machine)
+	c.offerFreedMachine(old.Machine)
 }
 
 // completeBoundTasks marks all bound tasks of a page as completed in the mirror, for a job that
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -64,7 +64,7 @@
 // empty, and reports whether the machine is still being emptied.
 func (c *Core) continueConsolidation(m *machine) bool {
 	switch {
-	case len(m.bound) == 0 && c.scaler.unshipped.holds(m.id):
+	case len(m.bound) == 0 && c.scaler.unshipped.mustKeep(m.id):
 		return true
 	case len(m.bound) == 0:
 		// Draining the machine at once guards against a fleet plan that counts
@@ -79,7 +79,7 @@
 	}
 	if c.scheduler.serviceMoveCredit >= 1 {
 		c.scheduler.serviceMoveCredit--
-		c.stopTask(m, m.tasks()[0], "moved")
+		c.stopTask(m, m.boundTasks()[0], "moved")
 	}
 	return true
 }
@@ -167,7 +167,7 @@
 // allServicesFitElsewhere reports whether all services on m have room on other machines of ours.
 func (c *Core) allServicesFitElsewhere(m *machine) bool {
 	reserved := map[*machine]usage{}
-	for _, k := range m.tasks() {
+	for _, k := range m.boundTasks() {
 		r := m.bound[k]
 		target := c.consolidationTarget(r, m, reserved)
 		if target == nil {
@@ -189,7 +189,7 @@
 		if len(m.pulling) == 0 || len(m.stops) > 0 || m.services == 0 {
 			continue
 		}
-		for _, k := range m.tasks() {
+		for _, k := range m.boundTasks() {
 			r := m.bound[k]
 			if !m.pulling[k] || r.spec.Shape != job.Service || r.final() {
 				continue
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -225,11 +225,11 @@
 // TickInterval is the time between two ticks while work is waiting for time to pass.
 const TickInterval = 50 * time.Millisecond
 
-// Due returns how long the core can go without a tick: until its next sweep, or
+// TimeToNextTick returns how long the core can go without a tick: until its next sweep, or
 // TickInterval while a request, a page or a status query waits for time to pass. An
 // idle controller thus wakes up only for its sweeps, since a wakeup costs more than the
 // work done in it.
-func (c *Core) Due() time.Duration {
+func (c *Core) TimeToNextTick() time.Duration {
 	if c.needsFrequentTicks() {
 		return TickInterval
 	}
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -72,7 +72,7 @@
 	// machines that another controller has taken over in the meantime.
 	compares = append(compares, m.ownershipCompares()...)
 	ops := []protocol.Op{{Put: key, Value: encode(drainRecord{Reason: reason})}}
-	c.state.Txn(m.class(), compares, ops, func(stateclient.TxnOutcome, []string, uint64) {
+	c.state.Txn(m.rateClass(), compares, ops, func(stateclient.TxnOutcome, []string, uint64) {
 		m.draining = false
 	})
 }
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -62,12 +62,12 @@
 			}
 		}
 	}
-	for _, k := range gone.tasks() {
+	for _, k := range gone.boundTasks() {
 		s.users[k.job].cancel()
 	}
 	s.run(66 * time.Second)
 	if len(gone.bound) > 0 {
-		t.Fatalf("%v are still bound", gone.tasks())
+		t.Fatalf("%v are still bound", gone.boundTasks())
 	}
 	gone.consolidating = true
 	s.run(70 * time.Second)
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -11,10 +11,10 @@
 // complete.
 func (c *Core) AppliedRevision() uint64 { return c.state.AppliedRevision() }
 
-// Known returns a one-line description of what this controller knows about a task
+// Describe returns a one-line description of what this controller knows about a task
 // ("wk-000412/3"), a job or a machine, or "" if it knows nothing. Replays use it to explain
 // decisions. Its texts are part of their output, so they must not change.
-func (c *Core) Known(name string) string {
+func (c *Core) Describe(name string) string {
 	if id, index, err := job.ParseTaskName(name); err == nil {
 		return c.describeTask(id, index)
 	}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -99,7 +99,7 @@
 		if c.now-m.heardAt > idleEntryLifetime {
 			c.scheduler.removeFromIdleList(m)
 		}
-		c.sendDeferred(m)
+		c.queueDeferredLaunches(m)
 		c.checkLease(m)
 		c.checkSilentMachine(m, &counts, mirrorStale)
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	m.leaseExpired = true
-	for _, key := range m.tasks() {
+	for _, key := range m.boundTasks() {
 		record := m.bound[key]
 		task := record.task(c, key.index)
 		if task.Epoch <= m.epoch && !c.releasePending(record, key.index) {
--- a/internal/coordination/failure_history.go
+++ b/internal/coordination/failure_history.go
@@ -7,7 +7,7 @@
 
 // taskFailure is a failure of a task, as shown by a change of its page.
 type taskFailure struct {
-	was      job.Task // the task before the failure
+	previous job.Task // the task before the failure
 	failures int      // the task's number of failures, including this one
 }
 
@@ -16,8 +16,8 @@
 // machines for it and the owner of the machine all reach the same verdict.
 func (c *Core) recordFailure(r *jobRecord, failure taskFailure) {
 	r.maxFailures = max(r.maxFailures, failure.failures)
-	m := c.machines.byID[failure.was.Machine]
-	if failure.was.Phase != job.Bound || m == nil {
+	m := c.machines.byID[failure.previous.Machine]
+	if failure.previous.Phase != job.Bound || m == nil {
 		return // the page was read anew: it is unknown where the task failed
 	}
 	if r.failedOn == nil {
--- a/internal/coordination/fleet_leadership.go
+++ b/internal/coordination/fleet_leadership.go
@@ -20,7 +20,7 @@
 	rentalState
 	deletionState
 
-	// inheritedMachines is the largest number of machines held by an earlier incarnation of this
+	// inheritedMachines is the largest number of machines claimed by an earlier incarnation of this
 	// controller that this incarnation has counted since it started.
 	inheritedMachines int
 	nextPlanAt        time.Duration
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -29,9 +29,9 @@
 // request to be repeated.
 func (c *Core) holdTime() time.Duration { return 2 * c.cfg.Operator.PublishInterval }
 
-// usable reports whether a job's tasks may be bound to a machine in an agent epoch now: the
+// canBindTo reports whether a job's tasks may be bound to a machine in an agent epoch now: the
 // machine is ours, or its owner has offered it under the current claim.
-func (c *Core) usable(r *jobRecord, m *machine, epoch uint64) bool {
+func (c *Core) canBindTo(r *jobRecord, m *machine, epoch uint64) bool {
 	if c.isOwn(m) {
 		return m.epoch == epoch && !c.unschedulable(m)
 	}
@@ -142,7 +142,7 @@
 			if !c.isOwn(m) {
 				epoch = r.offers[id].epoch
 			}
-			if c.usable(r, m, epoch) {
+			if c.canBindTo(r, m, epoch) {
 				best = m
 				break
 			}
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -146,9 +146,9 @@
 // releaseEarlierEpochs releases the tasks that were bound in an earlier agent epoch than that of
 // an untrusted heartbeat.
 func (c *Core) releaseEarlierEpochs(m *machine, heartbeat *protocol.Heartbeat) {
-	for _, key := range m.tasks() {
+	for _, key := range m.boundTasks() {
 		record := m.bound[key]
-		attempt, ok := c.boundHere(m, key)
+		attempt, ok := c.boundAttempt(m, key)
 		if !ok || c.releasePending(record, key.index) {
 			continue
 		}
@@ -182,9 +182,9 @@
 			commands = append(commands, killCommand(status, 0))
 		}
 	}
-	for _, key := range m.tasks() {
+	for _, key := range m.boundTasks() {
 		name := job.TaskName(key.job, key.index)
-		attempt, ok := c.boundHere(m, key)
+		attempt, ok := c.boundAttempt(m, key)
 		if ok && m.bound[key].final() && attempt.Epoch == heartbeat.AgentEpoch && !listed[name] {
 			commands = append(commands, killCommand(&protocol.TaskStatus{Task: name, Attempt: attempt.Number}, 0))
 		}
@@ -212,7 +212,7 @@
 		Verb:    protocol.VerbLaunch,
 		Task:    job.TaskName(attempt.job, attempt.index),
 		Attempt: attempt.number,
-		Grant:   c.queries.grantLaunch(m, attempt.taskKey, attempt.number),
+		Grant:   c.queries.sealLaunchGrant(m, attempt.taskKey, attempt.number),
 	}
 }
 
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -206,7 +206,7 @@
 	_, wasOpen := c.jobs.open[r.spec.ID]
 	switch {
 	case wasOpen && r.final():
-		c.stopTasksOf(r)
+		c.stopUnstartedTasks(r)
 		c.jobs.removeOpen(r)
 	case !wasOpen && !r.final():
 		c.jobs.addOpen(r)
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -37,7 +37,7 @@
 // submitLargeLoad submits services at once, and arrays and gangs until the given time.
 func (s *sim) submitLargeLoad(until time.Duration) { s.submitLargeLoadFrom(0, until) }
 
-// submitLargeLoadFrom does the same as loadGrown with job numbers above n.
+// submitLargeLoadFrom does the same as submitLargeLoad with job numbers above n.
 func (s *sim) submitLargeLoadFrom(n int, until time.Duration) {
 	spec := func(shape job.Shape, class string, p job.Priority, tasks int) *job.Spec {
 		n++
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -47,7 +47,7 @@
 	state := c.workerState(m)
 	var sendable []taskAttempt
 	for _, attempt := range queued {
-		bound, ok := c.boundHere(m, attempt.taskKey)
+		bound, ok := c.boundAttempt(m, attempt.taskKey)
 		if !ok || bound.Number != attempt.number || m.bound[attempt.taskKey].final() {
 			c.log.Debug("launch withheld: the attempt is over", "task", job.TaskName(attempt.job, attempt.index), "attempt", attempt.number, "machine", m.id)
 			continue
@@ -124,9 +124,9 @@
 	}
 }
 
-// sendDeferred queues deferred launches once the mirror is complete. Otherwise they would wait
+// queueDeferredLaunches queues deferred launches once the mirror is complete. Otherwise they would wait
 // for the worker's next heartbeat.
-func (c *Core) sendDeferred(m *machine) {
+func (c *Core) queueDeferredLaunches(m *machine) {
 	if len(m.deferredLaunches) == 0 || !c.mirrorComplete(m) {
 		return
 	}
@@ -141,7 +141,7 @@
 
 // launchStillWanted reports whether a deferred launch is still to be sent.
 func (c *Core) launchStillWanted(m *machine, attempt taskAttempt) bool {
-	bound, ok := c.boundHere(m, attempt.taskKey)
+	bound, ok := c.boundAttempt(m, attempt.taskKey)
 	if !ok || bound.Number != attempt.number {
 		return false
 	}
@@ -178,9 +178,9 @@
 	return m.mirrorComplete
 }
 
-// boundHere returns the attempt with which the records bind a task to a machine; ok is false if
+// boundAttempt returns the attempt with which the records bind a task to a machine; ok is false if
 // they bind none.
-func (c *Core) boundHere(m *machine, key taskKey) (attempt fencing.Attempt, ok bool) {
+func (c *Core) boundAttempt(m *machine, key taskKey) (attempt fencing.Attempt, ok bool) {
 	record := m.bound[key]
 	if record == nil {
 		return fencing.Attempt{}, false
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -253,9 +253,9 @@
 // urgent reports whether any production task other than a gang's is bound to the machine.
 func (m *machine) urgent() bool { return m.boundByPriority[job.Production] > 0 }
 
-// class returns the rate class for writes to the machine's records. It is that of the most urgent
-// task on the machine.
-func (m *machine) class() ratelimit.Class {
+// rateClass returns the rate limit class of writes to the machine's records, which is that of the most
+// urgent task on the machine.
+func (m *machine) rateClass() ratelimit.Class {
 	switch {
 	case m.urgent():
 		return ratelimit.UrgentClaims
--- a/internal/coordination/operator_queries.go
+++ b/internal/coordination/operator_queries.go
@@ -212,10 +212,10 @@
 	}
 }
 
-// grantLaunch returns the attempt's half of the archive grant, the seal of its launch, or "" if
+// sealLaunchGrant returns the attempt's half of the archive grant, the seal of its launch, or "" if
 // the site has no archive. It is called where launches are issued: by the machine's owner, for
 // tasks that the records show as bound to the machine.
-func (v *queryHandler) grantLaunch(m *machine, k taskKey, attempt int) string {
+func (v *queryHandler) sealLaunchGrant(m *machine, k taskKey, attempt int) string {
 	if v.grantKey == nil {
 		return ""
 	}
@@ -368,7 +368,7 @@
 		GPUCapacity:      capacity.GPUs,
 		MemoryCapacityGB: capacity.MemoryGB,
 	}
-	for _, key := range m.tasks() { // in fixed order, so that equal inputs give equal floating-point sums
+	for _, key := range m.boundTasks() { // in fixed order, so that equal inputs give equal floating-point sums
 		s := m.bound[key].spec
 		summary.CPUs += s.CPUs
 		summary.GPUs += s.GPUs
--- a/internal/coordination/order.go
+++ b/internal/coordination/order.go
@@ -24,8 +24,8 @@
 	return cmp.Or(cmp.Compare(k.job, o.job), cmp.Compare(k.index, o.index))
 }
 
-// tasks returns the tasks that are bound to the machine, sorted by job and index.
-func (m *machine) tasks() []taskKey {
+// boundTasks returns the tasks that are bound to the machine, sorted by job and index.
+func (m *machine) boundTasks() []taskKey {
 	keys := make([]taskKey, 0, len(m.bound))
 	for key := range m.bound {
 		keys = append(keys, key)
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -153,7 +153,7 @@
 		}
 		old := p.tasks[index]
 		if task.Failures > old.Failures {
-			failed = append(failed, taskFailure{was: old, failures: task.Failures})
+			failed = append(failed, taskFailure{previous: old, failures: task.Failures})
 		}
 		c.unindexTask(p.job, p.taskKey(index), &old)
 		p.tasks[index] = *task
--- a/internal/coordination/page_draft.go
+++ b/internal/coordination/page_draft.go
@@ -128,7 +128,7 @@
 func (d *pageDraft) placementHolds(transition taskTransition, m *machine) bool {
 	c := d.core
 	r := d.page.job
-	if d.tasks[transition.index].Phase != job.Pending || r.final() || m == nil || !c.usable(r, m, transition.epoch) {
+	if d.tasks[transition.index].Phase != job.Pending || r.final() || m == nil || !c.canBindTo(r, m, transition.epoch) {
 		return false
 	}
 	if d.batch.chargesQuota && !d.batch.team.leavesQuotaFor(r, d.usage.plus(r.spec, 1)) {
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -27,7 +27,7 @@
 	}
 	c.updatePeerDemand()
 	ownView := c.scaler.zoneViews[c.cfg.Node]
-	unshipped := c.scaler.unshipped.toAnnounce()
+	unshipped := c.scaler.unshipped.machinesToAnnounce()
 	mirrorAge := c.mirrorAge()
 	links := c.links.LinkReports(mirrorAge, c.state.Throttled())
 	mirrorStale := c.state.Loaded() && c.now-c.state.FreshAt() > seconds(c.cfg.Facts.Workers.Report)
@@ -178,7 +178,7 @@
 		return
 	}
 	record.status = job.Cancelled // the cancellation is committed, since the peer knows of it
-	c.stopTasksOf(record)
+	c.stopUnstartedTasks(record)
 }
 
 // cancellationProof returns the latest time as of which it is proven that no cancellation was
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		seen++
-		for _, k := range m.tasks() {
+		for _, k := range m.boundTasks() {
 			v := m.bound[k]
 			if v.spec.Team != r.spec.Team || v.spec.Priority >= r.spec.Priority || isGang(v) || v.final() || m.vacated[k] != nil {
 				continue
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -40,7 +40,7 @@
 		return commands
 	}
 	key := taskKey{id, index}
-	attempt, bound := c.boundHere(m, key)
+	attempt, bound := c.boundAttempt(m, key)
 	listedAttempt := fencing.ListedAttempt{Number: status.Attempt, Ended: status.Status == protocol.TaskEnded}
 	launchInFlight := m.inFlight[taskAttempt{key, status.Attempt}]
 	action, _ := state.JudgeListed(heartbeatHead(heartbeat), listedAttempt, attempt, bound, launchInFlight)
@@ -103,7 +103,7 @@
 	_, stopping := m.stops[key]
 	wanted := !record.final() && !stopping && !m.preempted
 	attempt := taskAttempt{key, task.Attempt}
-	boundAttempt, _ := c.boundHere(m, key)
+	boundAttempt, _ := c.boundAttempt(m, key)
 	action, proof := state.JudgeMissing(heartbeatHead(heartbeat), boundAttempt, m.inFlight[attempt], wanted, c.releasePending(record, key.index))
 	switch action {
 	case fencing.RenewToken:
--- a/internal/coordination/release_evidence_test.go
+++ b/internal/coordination/release_evidence_test.go
@@ -22,7 +22,7 @@
 		for _, n := range s.controllers {
 			c := n.core
 			for _, m := range c.machines.own {
-				for _, k := range m.tasks() {
+				for _, k := range m.boundTasks() {
 					tried = true
 					r := m.bound[k]
 					task := *r.task(c, k.index)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		idleLimit := seconds(idleTimeShare * c.machineTypeOf(m).StartupS)
-		if c.now-m.unboundSince > idleLimit && !c.scaler.unshipped.holds(m.id) {
+		if c.now-m.unboundSince > idleLimit && !c.scaler.unshipped.mustKeep(m.id) {
 			// The condition on the leader record keeps a replaced leader from draining machines.
 			c.drainMachine(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.scaler.leaderRevision})
 		}
@@ -285,7 +285,7 @@
 	if m == nil {
 		return
 	}
-	for _, k := range m.tasks() {
+	for _, k := range m.boundTasks() {
 		rec := m.bound[k]
 		t := rec.task(c, k.index)
 		if !c.releasePending(rec, k.index) {
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -84,9 +84,9 @@
 	m.idleListIndex = 0
 }
 
-// machineFreed offers one of our machines on which room has become free, if its last heartbeat
+// offerFreedMachine offers one of our machines on which room has become free, if its last heartbeat
 // is recent enough for an entry in the idle list.
-func (c *Core) machineFreed(id string) {
+func (c *Core) offerFreedMachine(id string) {
 	m := c.machines.byID[id]
 	if m == nil || !c.isOwn(m) || !m.tokenSeen {
 		return
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -87,7 +87,7 @@
 // scheduleTick schedules the next tick for the time at which the core is due, as the program does.
 func (n *simController) scheduleTick() {
 	s, incarnation := n.s, n.incarnation
-	if at := s.now + n.core.Due(); n.nextTickAt == 0 || at < n.nextTickAt {
+	if at := s.now + n.core.TimeToNextTick(); n.nextTickAt == 0 || at < n.nextTickAt {
 		n.nextTickAt = at
 		s.after(at-s.now, func() {
 			if n.nextTickAt == at {
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -214,7 +214,7 @@
 		}
 		for _, machine := range sortedKeys(c.machines.byID) {
 			if m := c.machines.byID[machine]; c.isOwn(m) || m.token == 0 {
-				t.Logf("    %s %v unschedulable %v token seen %v drain %v use %v %v bound %v held for %q", machine, m.claim, c.unschedulable(m), m.tokenSeen, c.machines.drains[machine], m.cpus, m.gpus, m.tasks(), m.reservedFor)
+				t.Logf("    %s %v unschedulable %v token seen %v drain %v use %v %v bound %v held for %q", machine, m.claim, c.unschedulable(m), m.tokenSeen, c.machines.drains[machine], m.cpus, m.gpus, m.boundTasks(), m.reservedFor)
 			}
 		}
 	}
--- a/internal/coordination/staging_wait.go
+++ b/internal/coordination/staging_wait.go
@@ -14,7 +14,7 @@
 		return 0
 	}
 	soonest := staging.Never
-	for _, k := range m.tasks() {
+	for _, k := range m.boundTasks() {
 		s := m.bound[k].spec
 		if s.Shape == job.Service || s.CPUs < r.spec.CPUs || s.GPUs < r.spec.GPUs {
 			continue
--- a/internal/coordination/step_cost_test.go
+++ b/internal/coordination/step_cost_test.go
@@ -37,7 +37,7 @@
 	s, c, m := largeDeploymentCore(t)
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
-	for _, k := range m.tasks() {
+	for _, k := range m.boundTasks() {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: m.bound[k].task(c, k.index).Attempt, Status: protocol.TaskRunning})
 	}
 	var bodies [][]byte
--- a/internal/coordination/stop_commands.go
+++ b/internal/coordination/stop_commands.go
@@ -44,10 +44,10 @@
 	c.call(call, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
 }
 
-// stopTasksOf stops those tasks of a cancelled job on machines of ours that are not known to have
-// started, because no task may start once the user's request is answered. Tasks that are running
-// are stopped with the answers to the next heartbeats.
-func (c *Core) stopTasksOf(r *jobRecord) {
+// stopUnstartedTasks stops those tasks of a cancelled job on machines of ours that are not known to
+// have started, because no task may start once the user's request is answered. Tasks that are
+// running are stopped with the answers to the next heartbeats.
+func (c *Core) stopUnstartedTasks(r *jobRecord) {
 	if r.status != job.Cancelled || r.bound == 0 {
 		return
 	}
@@ -83,7 +83,7 @@
 	vacatedBefore := len(m.vacated)
 	defer func() {
 		if len(m.vacated) > vacatedBefore {
-			c.machineFreed(m.id)
+			c.offerFreedMachine(m.id)
 		}
 	}()
 	for i := range reply.Tasks {
--- a/internal/coordination/txn_batch.go
+++ b/internal/coordination/txn_batch.go
@@ -60,7 +60,7 @@
 		c.commit(b)
 	}
 	for _, id := range b.yieldedMachines {
-		c.machineFreed(id)
+		c.offerFreedMachine(id)
 	}
 }
 
@@ -160,7 +160,7 @@
 			continue
 		}
 		c.Stats.Completions++
-		c.machineFreed(transition.machine)
+		c.offerFreedMachine(transition.machine)
 		if c.verbose {
 			c.traceEnding(losses.Ended, r, first+transition.index, transition)
 		}
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -73,9 +73,9 @@
 	return u.core.now-entry.announcedAt > lifetime
 }
 
-// toAnnounce returns this controller's own machines with unshipped output for a peer heartbeat, in
-// order.
-func (u *unshippedOutput) toAnnounce() []string {
+// machinesToAnnounce returns, in order, this controller's own machines with unshipped output for a
+// peer heartbeat.
+func (u *unshippedOutput) machinesToAnnounce() []string {
 	var machines []string
 	for id := range u.own {
 		m := u.core.machines.byID[id]
@@ -89,9 +89,9 @@
 	return machines[:min(len(machines), maxAnnouncedMachines)]
 }
 
-// holds reports whether a machine without work must be kept because of its unshipped output. Once
-// the deadline has passed, the machine need not be kept, which the controller logs.
-func (u *unshippedOutput) holds(id string) bool {
+// mustKeep reports whether a machine without work must be kept because of its unshipped output.
+// Once the deadline has passed, the machine need not be kept, which the controller logs.
+func (u *unshippedOutput) mustKeep(id string) bool {
 	archive := u.core.cfg.Operator.Archive
 	entry, known := u.known[id]
 	if archive == nil || !known {
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -60,7 +60,7 @@
 	}
 	x.described = true
 	for _, name := range x.options.Names {
-		known := x.core.Known(name)
+		known := x.core.Describe(name)
 		if known == "" {
 			known = "nothing is known"
 		}
@@ -122,7 +122,7 @@
 			texts = append(texts, text)
 		}
 		texts = append(texts, effectTexts(effects, name)...)
-		if known := x.core.Known(name); known != x.known[i] {
+		if known := x.core.Describe(name); known != x.known[i] {
 			x.known[i] = known
 			texts = append(texts, "now knows of "+name+": "+known)
 		}
