--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -72,9 +72,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newScript(t)
-			s.held(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
-			s.c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{test.completion}}))
-			if ended := s.c.jobs.byID["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != test.ends {
+			s.driveToOwnedMachine(protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: 1, Machine: "i-000001", Epoch: 1}}), ModRevision: 125})
+			s.core.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{test.completion}}))
+			if ended := s.core.jobs.byID["wk-700000"].pages[0].tasks[0].Phase == job.Finished; ended != test.ends {
 				t.Errorf("%s: task finished %v, want %v", test.completion, ended, test.ends)
 			}
 		})
@@ -86,8 +86,8 @@
 // shows a later attempt settles the completion.
 func TestAPageBehindTheLog(t *testing.T) {
 	s := newScript(t)
-	s.held()
-	c := s.c
+	s.driveToOwnedMachine()
+	c := s.core
 	c.applyCompletionRecord("n9/1-1", encode(completionlog.Record{Completions: []string{"wk-700000/0.1 i-000001 1"}}))
 	page := func(attempt int) []byte {
 		return writePage([]job.Task{{Phase: job.Bound, Attempt: attempt, Machine: "i-000001", Epoch: 1}})
--- a/internal/coordination/failover_completions_test.go
+++ b/internal/coordination/failover_completions_test.go
@@ -156,24 +156,24 @@
 		for _, later := range []string{"it runs", "in the next agent epoch", "under a new token"} {
 			s := newScriptWithLaunch(t)
 			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120, Tasks: []protocol.TaskStatus{running}})
-			s.at += time.Second
-			s.report(120, 5, running)
+			s.now += time.Second
+			s.sendHeartbeat(120, 5, running)
 			switch later {
 			case "in the next agent epoch":
-				s.next++
-				s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
+				s.lastRequestID++
+				s.collect(s.core.Request(s.clock(), s.lastRequestID, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
 					MachineType: "small", Zone: "a", AgentEpoch: 2, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}})))
-				s.pass(time.Second) // its release is under way
+				s.advance(time.Second) // its release is under way
 			case "under a new token":
-				s.report(130, 6, running) // as if a peer had answered it: a claim is needed
+				s.sendHeartbeat(130, 6, running) // as if a peer had answered it: a claim is needed
 				s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 140})
 			}
-			callsBefore := len(s.todo)
-			s.next++
-			s.ans = nil
-			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
+			callsBefore := len(s.openCalls)
+			s.lastRequestID++
+			s.responses = nil
+			s.collect(s.core.Request(s.clock(), s.lastRequestID, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
 				MachineType: "small", Zone: "a", AgentEpoch: k.epoch, Sequence: k.sequence, FencingToken: k.token, Tasks: append([]protocol.TaskStatus{}, k.statuses...)})))
-			for _, c := range s.todo[callsBefore:] {
+			for _, c := range s.openCalls[callsBefore:] {
 				if c.Path == protocol.PathTxn || c.Path == protocol.PathCommands {
 					t.Errorf("copy %d when %s: caused the call %s %s", i, later, c.Path, c.Body)
 				}
--- a/internal/coordination/fault_days_test.go
+++ b/internal/coordination/fault_days_test.go
@@ -74,7 +74,7 @@
 		}
 	})
 	s.after(50*time.Second, func() { d.inject(s) })
-	s.knownFrom(50*time.Second + d.duration)
+	s.checkAnswersFrom(50*time.Second + d.duration)
 	return s
 }
 
@@ -86,7 +86,7 @@
 		d, controllers := &faultDays[int(i)%days], 3+2*int(i/uint64(days)%2)
 		s := d.prepare(t, controllers, 46_000+i, nil)
 		s.finish(t, 60*time.Second+d.duration)
-		s.judgeServed()
+		s.checkServed()
 		s.reportViolations(t)
 		if d.check != nil {
 			d.check(t, s)
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -170,12 +170,12 @@
 		s.options.skipLaunchOrderCheck = true // controllers learn late what was committed, see checkLaunchOrder
 		s.traceDay(t, seed)
 		s.submitMixedJobs(200 * time.Second)
-		s.after(20*time.Second, func() { s.largeJob(1) })
-		s.after(100*time.Second, func() { s.largeJob(2) })
+		s.after(20*time.Second, func() { s.submitLargeJob(1) })
+		s.after(100*time.Second, func() { s.submitLargeJob(2) })
 		s.injectPair(a, b)
-		s.knownFrom(290 * time.Second)
+		s.checkAnswersFrom(290 * time.Second)
 		s.finish(t, 300*time.Second)
-		s.judgeServed()
+		s.checkServed()
 		s.reportViolations(t)
 		if t.Failed() {
 			t.Logf("%s + %s", a.name, b.name)
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -38,9 +38,9 @@
 func newScriptWithLaunch(t *testing.T) *script {
 	t.Helper()
 	s := newScript(t)
-	s.held(boundTaskChange())
-	if s.launches() != 1 {
-		t.Fatalf("%d direct launches were sent, want 1", s.launches())
+	s.driveToOwnedMachine(boundTaskChange())
+	if s.countLaunches() != 1 {
+		t.Fatalf("%d direct launches were sent, want 1", s.countLaunches())
 	}
 	return s
 }
@@ -61,9 +61,9 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			s := newScriptWithLaunch(t)
-			s.take(s.c.Peer(s.clock(), "n0", peer.Message{CancellationReply: &peer.CancellationReply{Cancelled: v.cancelled}}))
-			s.at += 300 * time.Millisecond
-			answer := s.report(120, 3, v.tasks...)
+			s.collect(s.core.Peer(s.clock(), "n0", peer.Message{CancellationReply: &peer.CancellationReply{Cancelled: v.cancelled}}))
+			s.now += 300 * time.Millisecond
+			answer := s.sendHeartbeat(120, 3, v.tasks...)
 			if (answer.FencingToken == 120) != v.answered {
 				t.Errorf("the heartbeat was answered with %+v", answer)
 			}
@@ -96,21 +96,21 @@
 			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, launchReply(3, protocol.TaskRunning))
 			// Another controller claims the machine, the worker does not learn of that, and sends
 			// its next heartbeat here.
-			s.pass(time.Second)
+			s.advance(time.Second)
 			claim := claimRecord{Owner: "n0", Incarnation: 3, Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", Epoch: 1}
 			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 140, Events: []protocol.WatchEvent{{Put: keyClaim + "i-000001", Value: encode(claim), ModRevision: 140}}})
-			s.next++
-			s.ans = nil
+			s.lastRequestID++
+			s.responses = nil
 			heartbeat := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a",
 				AgentEpoch: v.epoch, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}}
-			s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(heartbeat)))
+			s.collect(s.core.Request(s.clock(), s.lastRequestID, "POST", protocol.PathHeartbeat, encode(heartbeat)))
 			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 150})
 			if answer := s.answer(); answer.FencingToken != 150 {
 				t.Fatalf("the heartbeat was answered with %+v", answer)
 			}
-			s.pass(time.Second)
+			s.advance(time.Second)
 			released := false
-			for _, call := range s.todo {
+			for _, call := range s.openCalls {
 				released = released || call.Path == protocol.PathTxn && strings.Contains(string(call.Body), pageKey("wk-700000", 0))
 			}
 			if released != v.released {
@@ -143,9 +143,9 @@
 			s := newScriptWithLaunch(t)
 			s.reply(protocol.PathCommands, protocol.VerbLaunch, 200, launchReply(4, protocol.TaskPulling))
 			if v.cancelled {
-				s.take(s.c.Peer(s.clock(), "n0", cancellationReply()))
+				s.collect(s.core.Peer(s.clock(), "n0", cancellationReply()))
 			}
-			answer := s.report(120, 3) // sent before the launch arrived
+			answer := s.sendHeartbeat(120, 3) // sent before the launch arrived
 			if answer.FencingToken != 120 || len(answer.Commands) > 0 != v.cancelled {
 				t.Fatalf("the heartbeat was answered with %+v", answer)
 			}
@@ -179,20 +179,20 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			s := newScript(t)
-			s.pass(100 * time.Millisecond)
+			s.advance(100 * time.Millisecond)
 			page := protocol.KeyValuePage{Revision: 100}
 			if v.status != "" {
-				page.KeyValues = []protocol.KeyValue{{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), v.status, 1, "n0"}), ModRevision: 90}}
+				page.KeyValues = []protocol.KeyValue{{Key: keyJob + "wk-700000", Value: encode(storedJob{singleServiceSpec(), v.status, 1, "n0"}), ModRevision: 90}}
 			}
 			s.reply(protocol.PathKeys+"?", "", 200, page)
 			if v.cancelled {
-				s.take(s.c.Peer(s.clock(), "n0", cancellationReply()))
+				s.collect(s.core.Peer(s.clock(), "n0", cancellationReply()))
 			}
 			running := firstAttemptStatus(protocol.TaskRunning)
-			s.report(0, 1, running)
+			s.sendHeartbeat(0, 1, running)
 			s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120}) // the watch does not reach this revision
-			s.at += 500 * time.Millisecond
-			answer := s.report(120, 2, running)
+			s.now += 500 * time.Millisecond
+			answer := s.sendHeartbeat(120, 2, running)
 			if answer.FencingToken != 120 || len(answer.Commands) != v.kills || v.kills > 0 && answer.Commands[0].Verb != protocol.VerbKill {
 				t.Errorf("answered with %+v, want %d kills", answer, v.kills)
 			}
@@ -205,7 +205,7 @@
 // cancellation. The job counted as open again, while the peer's reply still counted as proof that
 // no cancellation was unknown, so the worker was answered without a stop.
 func TestACancellationOnceKnownStays(t *testing.T) {
-	older := protocol.WatchEvent{Put: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 135}
+	older := protocol.WatchEvent{Put: keyJob + "wk-700000", Value: encode(storedJob{singleServiceSpec(), job.Open, 1, "n0"}), ModRevision: 135}
 	running := firstAttemptStatus(protocol.TaskRunning)
 	for _, v := range []struct {
 		name    string
@@ -221,20 +221,20 @@
 			if v.unknown {
 				s.claimBeforeJob()
 			} else {
-				s.held(boundTaskChange())
+				s.driveToOwnedMachine(boundTaskChange())
 				s.reply(protocol.PathCommands, "", 200, launchReply(3, protocol.TaskRunning))
 			}
-			s.pass(1200 * time.Millisecond) // the next watch is opened, and its answer is delayed
+			s.advance(1200 * time.Millisecond) // the next watch is opened, and its answer is delayed
 			if v.named {
 				message := cancellationReply()
-				message.CancellationReply.AskedAt = s.at
+				message.CancellationReply.AskedAt = s.now
 				message.CancellationReply.Incarnation = 7
-				s.take(s.c.Peer(s.clock(), "n0", message))
+				s.collect(s.core.Peer(s.clock(), "n0", message))
 			}
 			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 136, Events: []protocol.WatchEvent{boundTaskChange(), older}})
-			s.at += 500 * time.Millisecond
+			s.now += 500 * time.Millisecond
 			stopped := false
-			for _, command := range s.report(120, 9, running).Commands {
+			for _, command := range s.sendHeartbeat(120, 9, running).Commands {
 				stopped = stopped || command.Verb == protocol.VerbKill && command.Task == "wk-700000/0"
 			}
 			if stopped != v.named {
@@ -246,12 +246,12 @@
 
 // claimBeforeJob makes the controller claim i-000001 when its mirror contains no job yet.
 func (s *script) claimBeforeJob() {
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100})
-	s.pass(200 * time.Millisecond)
-	s.report(0, 1)
+	s.advance(200 * time.Millisecond)
+	s.sendHeartbeat(0, 1)
 	s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120})
-	s.at += 500 * time.Millisecond
-	s.report(120, 2)
+	s.now += 500 * time.Millisecond
+	s.sendHeartbeat(120, 2)
 	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 120})
 }
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -23,8 +23,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newScript(t)
-			spec := lateSpec()
-			tasksPerPage := s.c.tasksPerPage()
+			spec := singleServiceSpec()
+			tasksPerPage := s.core.tasksPerPage()
 			spec.Shape = job.Array
 			spec.Tasks = 2 * tasksPerPage
 			s.loadTwoPages(spec, test.owner)
@@ -32,7 +32,7 @@
 				finishedPage(spec.ID, 0, tasksPerPage, tasksPerPage, 105),
 				finishedPage(spec.ID, 1, tasksPerPage, tasksPerPage, 106),
 			}})
-			s.pass(time.Second)
+			s.advance(time.Second)
 			if got := s.transactionsOnJob(spec.ID); got != test.transactions {
 				t.Errorf("%d transactions mark the job as done, want %d", got, test.transactions)
 			}
@@ -40,11 +40,11 @@
 				return
 			}
 			s.reply(protocol.PathTxn, `"write":"`+keyJob+spec.ID, 200, protocol.TxnResult{Revision: 111})
-			s.ans = nil
-			s.take(s.c.Request(s.clock(), 1, "GET", protocol.PathJobs+"/"+spec.ID, nil))
+			s.responses = nil
+			s.collect(s.core.Request(s.clock(), 1, "GET", protocol.PathJobs+"/"+spec.ID, nil))
 			var state protocol.JobState
-			if len(s.ans) != 1 || protocol.Decode(s.ans[0].Body, &state) != nil || state.Status != string(job.Done) {
-				t.Errorf("the answer to the user's status query is %+v, want the job done", s.ans)
+			if len(s.responses) != 1 || protocol.Decode(s.responses[0].Body, &state) != nil || state.Status != string(job.Done) {
+				t.Errorf("the answer to the user's status query is %+v, want the job done", s.responses)
 			}
 		})
 	}
@@ -53,8 +53,8 @@
 // loadTwoPages has the controller read a job of two pages, in each of which all tasks but one have
 // finished.
 func (s *script) loadTwoPages(spec *job.Spec, owner string) {
-	tasksPerPage := s.c.tasksPerPage()
-	s.pass(100 * time.Millisecond)
+	tasksPerPage := s.core.tasksPerPage()
+	s.advance(100 * time.Millisecond)
 	records := protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
 		{Key: keyJob + spec.ID, Value: encode(storedJob{spec, job.Open, 1, owner}), ModRevision: 90},
 		{Key: keyMember + "n0", Value: encode(member{1, 0, 0, latestFormat}), ModRevision: 91}}}
@@ -63,7 +63,7 @@
 		records.KeyValues = append(records.KeyValues, protocol.KeyValue{Key: event.Put, Value: event.Value, ModRevision: event.ModRevision})
 	}
 	s.reply(protocol.PathKeys+"?", "", 200, records)
-	s.pass(200 * time.Millisecond)
+	s.advance(200 * time.Millisecond)
 }
 
 // finishedPage returns a change of a page in which the first finished tasks have finished.
@@ -78,7 +78,7 @@
 // transactionsOnJob returns the number of sent transactions that write only a job's record.
 func (s *script) transactionsOnJob(jobID string) int {
 	count := 0
-	for _, call := range s.todo {
+	for _, call := range s.openCalls {
 		var txn protocol.Txn
 		if call.Path != protocol.PathTxn || protocol.Decode(call.Body, &txn) != nil {
 			continue
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -17,9 +17,9 @@
 	return n.unreachableUntil["peers"] <= now && o.unreachableUntil["peers"] <= now && n.unreachableUntil["to:"+o.name] <= now
 }
 
-// asReadBy returns a message as the receiver o decodes it: a version before link reports and relayed
+// decodedBy returns a message as the receiver o decodes it: a version before link reports and relayed
 // calls ignores fields that it does not know, as gob does. ok is false if the message is lost.
-func (n *simController) asReadBy(o *simController, message peer.Message) (read peer.Message, ok bool) {
+func (n *simController) decodedBy(o *simController, message peer.Message) (read peer.Message, ok bool) {
 	s := n.s
 	if s.defects.noRelays && message.RelayRequest != nil {
 		return message, false
@@ -78,9 +78,9 @@
 	return out
 }
 
-// pathLosses counts the tasks that were killed because their worker's lease expired, by whether a
+// leaseLossCounts counts the tasks that were killed because their worker's lease expired, by whether a
 // path from the worker through one controller to the state service was up for the whole lease.
-type pathLosses struct {
+type leaseLossCounts struct {
 	urgent, other int // tasks killed although there was a path
 	withoutPath   int // tasks killed without a path, or without one that could be found within a lease
 	// upSince is since when the path through each controller to each zone has been up; paths that
--- a/internal/coordination/redirect_test.go
+++ b/internal/coordination/redirect_test.go
@@ -30,11 +30,11 @@
 func (v *redirectCase) start(t *testing.T) *script {
 	t.Helper()
 	s := newScript(t)
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	claim := claimRecord{Owner: "n0", Incarnation: 3, Address: "10.1.0.1:9000", MachineType: "small", Zone: "b", Epoch: 1}
 	s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 120, KeyValues: []protocol.KeyValue{{Key: keyClaim + "i-000001", Value: encode(claim), ModRevision: 110}}})
-	for end := s.at + v.claimAge; s.at < end; {
-		s.pass(200 * time.Millisecond)
+	for end := s.now + v.claimAge; s.now < end; {
+		s.advance(200 * time.Millisecond)
 		if !v.outage {
 			s.answerWatch(120)
 		}
@@ -44,7 +44,7 @@
 
 // answerWatch answers the pending watch request, if there is one, without events.
 func (s *script) answerWatch(revision uint64) {
-	for _, call := range s.todo {
+	for _, call := range s.openCalls {
 		if strings.HasPrefix(call.Path, protocol.PathWatch) {
 			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: revision})
 			return
@@ -57,7 +57,7 @@
 	ageMS := v.claimAge.Milliseconds()
 	report := connectivity.LinkReport{Node: "n0", HearsNoWorkers: v.ownerHearsNoWorkers, MirrorAgeMS: ageMS, StateServiceMS: ageMS, HearsPeers: []string{"n1"}}
 	heartbeat := &peer.Heartbeat{MirrorAgeMS: ageMS, Links: []connectivity.LinkReport{report}}
-	s.take(s.c.Peer(s.clock(), "n0", peer.Message{Heartbeat: heartbeat}))
+	s.collect(s.core.Peer(s.clock(), "n0", peer.Message{Heartbeat: heartbeat}))
 }
 
 // sendWorkerHeartbeat delivers a heartbeat of the worker to n1 and returns the status of the
@@ -67,13 +67,13 @@
 	if v.busy {
 		tasks = append(tasks, protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning})
 	}
-	s.next++
-	s.ans = nil
+	s.lastRequestID++
+	s.responses = nil
 	heartbeat := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "b", AgentEpoch: 1, Sequence: 9, FencingToken: v.fencingToken, Tasks: tasks}
-	s.take(s.c.Request(s.clock(), s.next, "POST", protocol.PathHeartbeat, encode(heartbeat)))
+	s.collect(s.core.Request(s.clock(), s.lastRequestID, "POST", protocol.PathHeartbeat, encode(heartbeat)))
 	status := 0
-	for _, answer := range s.ans {
-		if answer.ID == s.next {
+	for _, answer := range s.responses {
+		if answer.ID == s.lastRequestID {
 			status = answer.Status
 		}
 	}
@@ -112,7 +112,7 @@
 			status := v.sendWorkerHeartbeat(s)
 			if v.repeats {
 				if v.pause > 0 {
-					s.pass(v.pause)
+					s.advance(v.pause)
 					v.sendOwnerHeartbeat(s)
 				}
 				status = v.sendWorkerHeartbeat(s)
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -206,7 +206,7 @@
 		if peer.name != outgoing.To || !n.reachesPeer(peer) || s.random.Float64() < s.faults.messageLoss {
 			continue
 		}
-		message, ok := n.asReadBy(peer, outgoing.Message)
+		message, ok := n.decodedBy(peer, outgoing.Message)
 		if !ok {
 			continue
 		}
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -40,8 +40,8 @@
 	violations  []string // broken rules, in the order of detection
 	counts      simCounts
 	faultCounts faultCounts
-	leaseLosses pathLosses // tasks killed by lease expiry, by whether their worker had a path to the state service
-	service     served
+	leaseLosses leaseLossCounts // tasks killed by lease expiry, by whether their worker had a path to the state service
+	service     answerChecks
 }
 
 // simOptions are the settings that differ between simulated days.
--- a/internal/coordination/sim_user_test.go
+++ b/internal/coordination/sim_user_test.go
@@ -38,7 +38,7 @@
 	startDelay         time.Duration // from the submission to the first start, not counting outages
 	outageAtSubmission time.Duration // simCounts.outage at the submission
 	tasksStarted       int           // tasks that have started at least once
-	lastStarts         []startedOn   // by task index
+	lastStarts         []lastStart   // by task index
 	restarts           int           // starts of tasks that had started on a machine that is still up in the same agent epoch
 }
 
@@ -160,7 +160,7 @@
 func (u *simUser) poll() {
 	s, before := u.s, u.knownStatus()
 	s.anyController().request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) {
-		u.polled(st, body, before)
+		u.checkQueryAnswer(st, body, before)
 		if u.finalStatus == "" || s.random.IntN(4) == 0 {
 			s.after(s.randomMillis(2000, 5000), u.poll)
 		}
@@ -224,7 +224,7 @@
 	for _, n := range s.controllers {
 		for range 2 {
 			s.faultCounts.concurrentQueries++
-			s.after(s.randomMillis(0, 60), func() { u.askAt(n) })
+			s.after(s.randomMillis(0, 60), func() { u.queryAt(n) })
 		}
 		switch s.random.IntN(8) {
 		case 0:
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -406,7 +406,7 @@
 	}
 	s.checkStart(w, u, task)
 	s.countLateStart(u)
-	u.start(task.index, w)
+	u.recordStart(task.index, w)
 	task.status = protocol.TaskRunning
 	if u.done[task.index] {
 		task.status, task.cause = protocol.TaskEnded, protocol.CauseDone
--- a/internal/coordination/stale_launch_test.go
+++ b/internal/coordination/stale_launch_test.go
@@ -33,15 +33,15 @@
 		{"bound under our claim", 130, []protocol.WatchEvent{page(125, here)}, 1},
 		{"bound under our claim and gone", 130, []protocol.WatchEvent{page(125, here), page(128, there)}, 0},
 		{"cancelled since", 130, []protocol.WatchEvent{page(125, here),
-			{Put: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Cancelled, 1, "n0"}), ModRevision: 129}}, 0},
+			{Put: keyJob + "wk-700000", Value: encode(storedJob{singleServiceSpec(), job.Cancelled, 1, "n0"}), ModRevision: 129}}, 0},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			s := newScript(t)
-			s.pass(100 * time.Millisecond)
+			s.advance(100 * time.Millisecond)
 			s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
-				{Key: keyJob + "wk-700000", Value: encode(storedJob{lateSpec(), job.Open, 1, "n0"}), ModRevision: 90}}})
-			s.pass(200 * time.Millisecond) // the watch is opened, and gets no answer yet
-			s.report(50, 1)
+				{Key: keyJob + "wk-700000", Value: encode(storedJob{singleServiceSpec(), job.Open, 1, "n0"}), ModRevision: 90}}})
+			s.advance(200 * time.Millisecond) // the watch is opened, and gets no answer yet
+			s.sendHeartbeat(50, 1)
 			s.reply(protocol.PathTxn, keyClaim, 409, protocol.TxnResult{Failed: []string{keyClaim + "i-000001"}, Revision: 119})
 			s.reply(protocol.PathKeys+"/", "", 200, protocol.KeyValue{Key: keyClaim + "i-000001", ModRevision: 101,
 				Value: encode(claimRecord{"n0", 3, "10.1.0.1:9000", "small", "a", false, 1})})
@@ -49,20 +49,20 @@
 			if a := s.answer(); a.FencingToken != 120 {
 				t.Fatalf("the claim was answered with token %d", a.FencingToken)
 			}
-			s.at += 500 * time.Millisecond
-			if a := s.report(120, 2); a.FencingToken != 120 || len(a.Commands) > 0 {
+			s.now += 500 * time.Millisecond
+			if a := s.sendHeartbeat(120, 2); a.FencingToken != 120 || len(a.Commands) > 0 {
 				t.Fatalf("the heartbeat that shows the token was answered with %+v", a)
 			}
 			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: v.revision, Events: v.news})
-			if n := s.launches(); n != v.launches {
+			if n := s.countLaunches(); n != v.launches {
 				t.Errorf("%d launches were sent, want %d", n, v.launches)
 			}
 		})
 	}
 }
 
-// lateSpec returns the spec of wk-700000, a production service with one task.
-func lateSpec() *job.Spec {
+// singleServiceSpec returns the spec of wk-700000, a production service with one task.
+func singleServiceSpec() *job.Spec {
 	return &job.Spec{ID: "wk-700000", Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1, Priority: job.Production, CPUs: 1, GPUs: 1, MemoryGB: 1}
 }
 
@@ -82,18 +82,18 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			s := newScript(t)
-			s.held(here)
-			if s.launches() != 1 {
+			s.driveToOwnedMachine(here)
+			if s.countLaunches() != 1 {
 				t.Fatal("the attempt was not launched directly")
 			}
 			s.reply(protocol.PathCommands, "", 200, protocol.Heartbeat{Worker: "i-000001", AgentEpoch: 1, Sequence: 4, FencingToken: 120,
 				Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskPulling}}})
-			s.recall = 10
-			if a := s.report(120, v.sequence); a.FencingToken != 120 {
+			s.preemptionNoticeS = 10
+			if a := s.sendHeartbeat(120, v.sequence); a.FencingToken != 120 {
 				t.Errorf("the heartbeat was not answered under our token: %+v", a)
 			}
-			s.pass(200 * time.Millisecond)
-			if n := s.releases(); n != v.releases {
+			s.advance(200 * time.Millisecond)
+			if n := s.countPageWrites(); n != v.releases {
 				t.Errorf("a heartbeat with sequence number %d led to %d releases, want %d", v.sequence, n, v.releases)
 			}
 		})
@@ -108,10 +108,10 @@
 	bound := func(attempt int, revision uint64) protocol.WatchEvent {
 		return protocol.WatchEvent{Put: pageKey("wk-700000", 0), Value: writePage([]job.Task{{Phase: job.Bound, Attempt: attempt, Machine: "i-000001", Epoch: 1}}), ModRevision: revision}
 	}
-	s.held(bound(1, 125)) // its launch is not answered
-	s.pass(200 * time.Millisecond)
+	s.driveToOwnedMachine(bound(1, 125)) // its launch is not answered
+	s.advance(200 * time.Millisecond)
 	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 140, Events: []protocol.WatchEvent{bound(2, 135)}})
-	a := s.report(120, 3, protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseError},
+	a := s.sendHeartbeat(120, 3, protocol.TaskStatus{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskEnded, Cause: protocol.CauseError},
 		protocol.TaskStatus{Task: "wk-700000/0", Attempt: 2, Status: protocol.TaskPulling})
 	if a.FencingToken != 120 || len(a.Commands) > 0 {
 		t.Errorf("while a launch of the first attempt has no reply, the heartbeat was answered with %+v", a)
--- a/internal/coordination/user_expectations_test.go
+++ b/internal/coordination/user_expectations_test.go
@@ -19,17 +19,17 @@
 	largestJobStartLimit = 4 * time.Minute  // from the submission of a class's largest jobs to their start
 )
 
-// served is the state of the checkers of answers to users.
-type served struct {
+// answerChecks is the state of the checkers of answers to users.
+type answerChecks struct {
 	from time.Duration   // time at which all faults are over; 0: not yet
 	lost map[string]bool // jobs reported as unanswered
 }
 
-// knownFrom makes the users of all accepted jobs query their jobs' status regularly from the time
+// checkAnswersFrom makes the users of all accepted jobs query their jobs' status regularly from the time
 // now on, when all faults are over, and checks that each gets an answer.
-func (s *sim) knownFrom(now time.Duration) {
+func (s *sim) checkAnswersFrom(now time.Duration) {
 	s.after(now-s.now, func() {
-		s.service = served{from: s.now, lost: map[string]bool{}}
+		s.service = answerChecks{from: s.now, lost: map[string]bool{}}
 		s.queryAllJobs()
 		s.checkIdleCapacity()
 	})
@@ -48,24 +48,24 @@
 		if u.finalStatus == "" {
 			continue // the user of an unfinished job polls anyway
 		}
-		u.ask()
+		u.queryOnce()
 	}
 	s.after(15*time.Second, s.queryAllJobs)
 }
 
-// ask sends one more status query, to any controller.
-func (u *simUser) ask() {
-	u.askAt(u.s.anyController())
+// queryOnce sends one more status query, to any controller.
+func (u *simUser) queryOnce() {
+	u.queryAt(u.s.anyController())
 }
 
-// askAt sends one more status query to a controller.
-func (u *simUser) askAt(n *simController) {
+// queryAt sends one more status query to a controller.
+func (u *simUser) queryAt(n *simController) {
 	before := u.knownStatus()
-	n.request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) { u.polled(st, body, before) })
+	n.request("users", "GET", protocol.PathJobs+"/"+u.spec.ID, nil, func(st int, body []byte) { u.checkQueryAnswer(st, body, before) })
 }
 
-// polled checks the answer to a status query.
-func (u *simUser) polled(st int, body []byte, before knownStatus) {
+// checkQueryAnswer checks the answer to a status query.
+func (u *simUser) checkQueryAnswer(st int, body []byte, before knownStatus) {
 	switch st {
 	case 200:
 		u.lastAnsweredAt = u.s.now
@@ -77,11 +77,11 @@
 	}
 }
 
-// judgeServed checks at the end of a day that at least half of the jobs of each class, of each
+// checkServed checks at the end of a day that at least half of the jobs of each class, of each
 // team, and of each class's largest jobs were served. The largest jobs count as served only if
 // they also began in time. Jobs that their users cancelled, that fail everywhere or that were
 // submitted too late do not count.
-func (s *sim) judgeServed() {
+func (s *sim) checkServed() {
 	type count struct{ served, all int }
 	groups := map[string]*count{}
 	add := func(name string, ok bool) {
@@ -118,24 +118,24 @@
 	}
 }
 
-// startedOn is the worker and agent epoch in which a task was last started.
-type startedOn struct {
+// lastStart is the worker and agent epoch in which a task was last started.
+type lastStart struct {
 	worker     *simWorker
 	agentEpoch uint64
 }
 
-// start records a task's start. It counts a restart if the task was started before on a machine
+// recordStart records a task's recordStart. It counts a restart if the task was started before on a machine
 // that still exists, in the same agent epoch.
-func (u *simUser) start(index int, w *simWorker) {
+func (u *simUser) recordStart(index int, w *simWorker) {
 	if u.lastStarts == nil {
-		u.lastStarts = make([]startedOn, u.spec.Tasks)
+		u.lastStarts = make([]lastStart, u.spec.Tasks)
 	}
 	if previous := u.lastStarts[index]; previous.worker == nil {
 		u.tasksStarted++
 	} else if !previous.worker.dead && previous.worker.agentEpoch == previous.agentEpoch {
 		u.restarts++
 	}
-	u.lastStarts[index] = startedOn{w, w.agentEpoch}
+	u.lastStarts[index] = lastStart{w, w.agentEpoch}
 	if u.firstStartAt == 0 {
 		u.firstStartAt = u.s.now
 		u.startDelay = u.s.now - u.submittedAt - (u.s.counts.outage - u.outageAtSubmission)
@@ -151,8 +151,8 @@
 	s.after(100*time.Millisecond, s.countOutages)
 }
 
-// largeJob submits a job that is large for the site, for the check of a class's largest jobs.
-func (s *sim) largeJob(n int) {
+// submitLargeJob submits a job that is large for the site, for the check of a class's largest jobs.
+func (s *sim) submitLargeJob(n int) {
 	s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", 500_000+n), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 40,
 		CPUs: 4, GPUs: 0.5, MemoryGB: 8, Spot: true}, 8, 0)
 }
@@ -195,12 +195,12 @@
 				for i := range 6 {
 					s.submit(&job.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Normal, Tasks: 1, CPUs: 4, GPUs: 1, MemoryGB: 8}, 30, 0)
 				}
-				s.largeJob(1)
+				s.submitLargeJob(1)
 			})
 			v.spoil(s)
-			s.knownFrom(90 * time.Second)
+			s.checkAnswersFrom(90 * time.Second)
 			s.run(6 * time.Minute)
-			s.judgeServed()
+			s.checkServed()
 			if got := strings.Join(s.violations, "\n"); v.rule == "" && got != "" || v.rule != "" && !strings.Contains(got, v.rule) {
 				t.Errorf("want violation %q, the checkers reported %q", v.rule, got)
 			}
