--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -11,7 +11,7 @@
 // catalogue holds the cloud's machine types, which are needed to validate submissions.
 type catalogue struct {
 	types           map[string]*protocol.MachineType
-	dueAt           time.Duration // when to request the machine types again
+	nextRefreshAt   time.Duration // when to request the machine types again
 	requestInFlight bool
 }
 
@@ -42,7 +42,7 @@
 		if !c.links.ShouldProbeCloud(c.scaler.leader) {
 			return
 		}
-	} else if c.now < c.catalogue.dueAt {
+	} else if c.now < c.catalogue.nextRefreshAt {
 		return
 	}
 	c.catalogue.requestInFlight = true
@@ -50,10 +50,10 @@
 		c.catalogue.requestInFlight = false
 		var types protocol.MachineTypes
 		if r.Status != http.StatusOK || protocol.Decode(r.Body, &types) != nil || len(types.MachineTypes) == 0 {
-			c.catalogue.dueAt = c.now + time.Second
+			c.catalogue.nextRefreshAt = c.now + time.Second
 			return
 		}
-		c.catalogue.dueAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
+		c.catalogue.nextRefreshAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
 		c.catalogue.update(&types)
 		if c.state.Loaded() && c.state.ModRevision(keyMachineTypes) == 0 {
 			c.state.Txn(ratelimit.Background,
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -108,15 +108,15 @@
 	m.tokenSeen = false
 	m.reoccupy()
 	c.scheduler.removeFromIdleList(m)
-	c.forgetUnclaimed(m)
+	c.removeIfUnused(m)
 	c.updateOwnership(m)
 }
 
-// forgetUnclaimed removes a machine from the table if it has no claim, no bound tasks and no
+// removeIfUnused removes a machine from the table if it has no claim, no bound tasks and no
 // reserved room. Guards against room being returned to the wrong object: if a machine is
-// forgotten while room is reserved on it and then added again under the same name, returning the
+// removed while room is reserved on it and then added again under the same name, returning the
 // reservation would give the new entry more room than the machine has.
-func (c *Core) forgetUnclaimed(m *machine) {
+func (c *Core) removeIfUnused(m *machine) {
 	if m.token == 0 && len(m.bound) == 0 && m.reserved == 0 && c.machines.byID[m.id] == m {
 		delete(c.machines.byID, m.id)
 		c.staging.machineLost(m.id)
--- a/internal/coordination/fault_days_controllers_test.go
+++ b/internal/coordination/fault_days_controllers_test.go
@@ -16,7 +16,7 @@
 		inject: func(s *sim) {
 			leader := s.busiestController()
 			for _, w := range s.cloud.sortedMachines() {
-				if w.up && leader.holds(w) {
+				if w.up && leader.owns(w) {
 					s.faultCounts.affected += len(w.tasks)
 					w.hungUntil = s.now + s.leaseMultiple(0.4+0.8*s.random.Float64())
 				}
@@ -115,7 +115,7 @@
 			for _, o := range s.otherControllers(leader) { // so that the leader's workers can't switch to another controller
 				o.unreachableUntil["workers"] = s.now + long
 			}
-			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return leader.holds(w) })
+			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return leader.owns(w) })
 			s.after(3*time.Second, func() { s.cancelShare(0.5, 10*time.Second, s.otherControllers(leader)[0]) })
 		},
 		occurrences: func(s *sim) int { return s.faultCounts.affected },
--- a/internal/coordination/fault_days_workers_test.go
+++ b/internal/coordination/fault_days_workers_test.go
@@ -56,7 +56,7 @@
 				s.after(at*time.Second, func() {
 					leader := s.busiestController()
 					for _, w := range s.cloud.sortedMachines() { // some lose their lease and begin a new agent epoch
-						if w.up && leader.holds(w) && s.random.IntN(3) == 0 {
+						if w.up && leader.owns(w) && s.random.IntN(3) == 0 {
 							w.unresponsiveUntil = s.now + s.leaseMultiple(1.2)
 						}
 					}
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -83,7 +83,7 @@
 		if s != nil {
 			s.cpus -= m.cpus
 			s.gpus -= m.gpus
-			s.memoryGB -= m.ram
+			s.memoryGB -= m.memoryGB
 			s.bound = len(m.bound) > 0
 		}
 	}
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -56,9 +56,9 @@
 	}
 	// Few jobs change places between two sweeps, and the sort is faster on
 	// nearly sorted input.
-	c.jobs.openByUrgency = append(c.jobs.openByUrgency, c.jobs.added...)
-	clear(c.jobs.added)
-	c.jobs.added = c.jobs.added[:0]
+	c.jobs.openByUrgency = append(c.jobs.openByUrgency, c.jobs.addedSinceSweep...)
+	clear(c.jobs.addedSinceSweep)
+	c.jobs.addedSinceSweep = c.jobs.addedSinceSweep[:0]
 	c.jobs.openByUrgency = slices.DeleteFunc(c.jobs.openByUrgency, (*jobRecord).final)
 	slices.SortFunc(c.jobs.openByUrgency, compareUrgency)
 	c.saveQuotaForGangs()
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -20,10 +20,10 @@
 	openByAge   []*jobRecord          // the open jobs, oldest first
 	// openByUrgency holds the open jobs, most urgent first, as of the last sweep; added
 	// holds the jobs that were opened since then.
-	openByUrgency []*jobRecord
-	added         []*jobRecord
-	orphanPages   map[string]orphanPage // pages that were read before their jobs, by name
-	teams         map[string]*team
+	openByUrgency   []*jobRecord
+	addedSinceSweep []*jobRecord
+	orphanPages     map[string]orphanPage // pages that were read before their jobs, by name
+	teams           map[string]*team
 }
 
 func newJobTable() jobTable {
@@ -43,7 +43,7 @@
 	t.open[r.spec.ID] = r
 	at, _ := slices.BinarySearchFunc(t.openByAge, r, compareAge)
 	t.openByAge = slices.Insert(t.openByAge, at, r)
-	t.added = append(t.added, r)
+	t.addedSinceSweep = append(t.addedSinceSweep, r)
 	if r.spec.GPUs == 0 {
 		t.openCPUOnly++
 	}
--- a/internal/coordination/job_table_test.go
+++ b/internal/coordination/job_table_test.go
@@ -30,7 +30,7 @@
 	if want := []*jobRecord{oldest, middle, youngest}; !slices.Equal(table.openByAge, want) {
 		t.Error("open jobs are not in order of age")
 	}
-	if want := []*jobRecord{youngest, oldest, middle}; !slices.Equal(table.added, want) {
+	if want := []*jobRecord{youngest, oldest, middle}; !slices.Equal(table.addedSinceSweep, want) {
 		t.Error("added jobs are not in the order in which they were added")
 	}
 	if len(table.open) != 3 || table.openCPUOnly != 2 {
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// queueDeferredLaunches queues deferred launches once the mirror is complete. Otherwise they would wait
-// for the worker's next heartbeat.
+// queueDeferredLaunches queues deferred launches once the mirror is complete. Otherwise they would
+// wait for the worker's next heartbeat.
 func (c *Core) queueDeferredLaunches(m *machine) {
 	if len(m.deferredLaunches) == 0 || !c.mirrorComplete(m) {
 		return
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -355,7 +355,7 @@
 			s := newSim(t, 9950, 0)
 			s.submitMixedJobs(3 * time.Minute)
 			s.run(50 * time.Second)
-			first := s.leader()
+			first := s.lastFleetLeader()
 			for _, n := range s.controllers {
 				if n == first || v.all {
 					s.cutLink(n, "cloud", time.Minute)
@@ -373,8 +373,8 @@
 	}
 }
 
-// leader returns the last controller that considers itself the leader, or nil if none does.
-func (s *sim) leader() *simController {
+// lastFleetLeader returns the last controller that considers itself the fleet leader, or nil if none does.
+func (s *sim) lastFleetLeader() *simController {
 	var leader *simController
 	for _, n := range s.controllers {
 		if n.core.isLeader() {
--- a/internal/coordination/losslines_test.go
+++ b/internal/coordination/losslines_test.go
@@ -51,8 +51,8 @@
 	}
 	for index, transition := range releases {
 		transition.attempt, transition.machine = 1, "i-000001"
-		c.traceEnding(losses.Evidence, r, index, transition)
-		c.traceEnding(losses.Ended, r, index, transition)
+		c.traceEnd(losses.Evidence, r, index, transition)
+		c.traceEnd(losses.Ended, r, index, transition)
 		c.traceStart(losses.Placing, r.spec.ID, index, 0, "i-000002")
 		c.traceStart(losses.Bound, r.spec.ID, index, 2, "i-000002")
 		c.traceStart(losses.Launch, r.spec.ID, index, 2, "i-000002")
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -101,7 +101,7 @@
 	boundByPriority [job.Production + 1]int // number of bound tasks that can be stopped individually, by priority
 	cpus            float64                 // processors in use or reserved
 	gpus            float64                 // accelerators in use or reserved
-	ram             float64                 // memory in use or reserved, in GB
+	memoryGB        float64                 // memory in use or reserved, in GB
 	serviceShare    float64                 // usage by services, see addUsage
 	// imageReadyAt is when each image is expected to be on the machine.
 	imageReadyAt map[string]time.Duration
@@ -208,7 +208,7 @@
 func (m *machine) addUsage(spec *job.Spec, tasks float64) {
 	m.cpus += tasks * spec.CPUs
 	m.gpus += tasks * spec.GPUs
-	m.ram += tasks * spec.MemoryGB
+	m.memoryGB += tasks * spec.MemoryGB
 	if spec.Shape == job.Service {
 		m.serviceShare += tasks * max(spec.GPUs, spec.CPUs/1e3)
 	}
@@ -253,8 +253,8 @@
 // urgent reports whether any production task other than a gang's is bound to the machine.
 func (m *machine) urgent() bool { return m.boundByPriority[job.Production] > 0 }
 
-// rateClass returns the rate limit class of writes to the machine's records, which is that of the most
-// urgent task on the machine.
+// rateClass returns the rate limit class of writes to the machine's records, which is that of the
+// most urgent task on the machine.
 func (m *machine) rateClass() ratelimit.Class {
 	switch {
 	case m.urgent():
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -25,7 +25,7 @@
 	workers         string // "well", "hung", "deaf" (unresponsive), "partly" unresponsive, or sending heartbeats "rarely"
 	delayedLaunches bool   // direct launches of cancelled jobs arrive after more than cancel_s
 	checkpointing   bool   // the gangs are saving a checkpoint, which takes long
-	stayWithHolder  bool   // no worker reaches a controller other than its own
+	stayWithOwner   bool   // no worker reaches a controller other than its own
 	shortCancel     bool   // cancel_s is only a little longer than lease_s
 	simultaneous    bool   // the cancellations come within 20 ms of the refusal, and the outage a second later
 
@@ -33,13 +33,13 @@
 }
 
 func (m outageScenario) String() string {
-	return fmt.Sprintf("{controllers:%d links:%s cancelWhen:%s confirmerFate:%s leader:%s workers:%s delayedLaunches:%v checkpointing:%v stayWithHolder:%v shortCancel:%v simultaneous:%v}",
-		m.controllers, m.links, m.cancelWhen, m.confirmerFate, m.leader, m.workers, m.delayedLaunches, m.checkpointing, m.stayWithHolder, m.shortCancel, m.simultaneous)
+	return fmt.Sprintf("{controllers:%d links:%s cancelWhen:%s confirmerFate:%s leader:%s workers:%s delayedLaunches:%v checkpointing:%v stayWithOwner:%v shortCancel:%v simultaneous:%v}",
+		m.controllers, m.links, m.cancelWhen, m.confirmerFate, m.leader, m.workers, m.delayedLaunches, m.checkpointing, m.stayWithOwner, m.shortCancel, m.simultaneous)
 }
 
 // usualOutage is the scenario without other faults than the refusal and the outage.
 var usualOutage = outageScenario{
-	controllers: 3, links: "up", cancelWhen: "during", confirmerFate: "lives", leader: "well", workers: "well", stayWithHolder: true,
+	controllers: 3, links: "up", cancelWhen: "during", confirmerFate: "lives", leader: "well", workers: "well", stayWithOwner: true,
 }
 
 // scenarioValues lists the possible values of a scenario's fields.
@@ -103,8 +103,8 @@
 	outageEndsAt time.Duration
 }
 
-// play simulates the scenario.
-func (m outageScenario) play(t *testing.T, seed uint64) (*sim, outcome) {
+// simulate simulates the scenario.
+func (m outageScenario) simulate(t *testing.T, seed uint64) (*sim, outcome) {
 	s := newOutageSim(t, seed, m)
 	s.traceDay(t, seed)
 	day := &outageDay{outageScenario: m, s: s}
@@ -159,10 +159,10 @@
 // refuseLeader makes the state service refuse the leader, and cuts the scenario's links.
 func (d *outageDay) refuseLeader() {
 	for _, w := range d.s.cloud.sortedMachines() {
-		w.observed = d.leader.holds(w)
+		w.observed = d.leader.owns(w)
 	}
 	d.leader.refusedUntil = d.outageAt
-	if d.stayWithHolder {
+	if d.stayWithOwner {
 		for _, n := range d.others {
 			n.unreachableUntil["workers"] = d.outageEndsAt
 		}
@@ -278,7 +278,7 @@
 		workers:         one(scenarioValues.workers),
 		delayedLaunches: coin(),
 		checkpointing:   coin(),
-		stayWithHolder:  coin(),
+		stayWithOwner:   coin(),
 		shortCancel:     s.random.IntN(4) == 0,
 		simultaneous:    s.random.IntN(3) == 0,
 	}
@@ -309,7 +309,7 @@
 		set    func(m *outageScenario, v string)
 	}{
 		{scenarioValues.links, func(m *outageScenario, v string) { m.links = v }},
-		{scenarioValues.links, func(m *outageScenario, v string) { m.links, m.stayWithHolder = v, false }},
+		{scenarioValues.links, func(m *outageScenario, v string) { m.links, m.stayWithOwner = v, false }},
 		{scenarioValues.cancelWhen, func(m *outageScenario, v string) { m.cancelWhen = v }},
 		{scenarioValues.confirmerFate, func(m *outageScenario, v string) { m.confirmerFate = v }},
 		{scenarioValues.leader, func(m *outageScenario, v string) { m.leader = v }},
@@ -336,7 +336,7 @@
 			m.controllers = nodes
 			t.Run(fmt.Sprintf("%d %d", i, nodes), func(t *testing.T) {
 				t.Parallel()
-				s, o := m.play(t, uint64(20_000+i))
+				s, o := m.simulate(t, uint64(20_000+i))
 				m.checkOutcome(t, s, o)
 				if o.confirmed == 0 {
 					t.Error("no cancellation was confirmed: the scenario did not occur")
@@ -346,7 +346,7 @@
 	}
 	runSeeds(t, 21_000, 40, func(t *testing.T, seed uint64) {
 		m := randomScenario(newSim(t, seed, 0))
-		s, o := m.play(t, seed)
+		s, o := m.simulate(t, seed)
 		m.checkOutcome(t, s, o)
 	})
 }
@@ -368,7 +368,7 @@
 				m := base
 				v.change(&m)
 				m.defect = v.defect
-				s, o := m.play(t, seed)
+				s, o := m.simulate(t, seed)
 				if o.longestActive > seconds(s.facts.Workers.Cancel) && strings.Contains(strings.Join(s.violations, ""), "ran_cancelled") {
 					return
 				}
--- a/internal/coordination/page_draft.go
+++ b/internal/coordination/page_draft.go
@@ -103,7 +103,7 @@
 	c := d.core
 	r := d.page.job
 	m := c.machines.byID[transition.machine]
-	if !d.placementHolds(transition, m) {
+	if !d.placementValid(transition, m) {
 		c.unreserve(r, d.page.firstTask+transition.index)
 		d.gangIncomplete = isGang(r)
 		return
@@ -123,9 +123,9 @@
 	d.included = append(d.included, transition)
 }
 
-// placementHolds reports whether a placement on m is still valid. If the placement yields its
+// placementValid reports whether a placement on m is still valid. If the placement yields its
 // capacity to urgent work, the machine is added to the batch's yieldedMachines.
-func (d *pageDraft) placementHolds(transition taskTransition, m *machine) bool {
+func (d *pageDraft) placementValid(transition taskTransition, m *machine) bool {
 	c := d.core
 	r := d.page.job
 	if d.tasks[transition.index].Phase != job.Pending || r.final() || m == nil || !c.canBindTo(r, m, transition.epoch) {
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -160,15 +160,15 @@
 // records and those that the reply names.
 func (c *Core) handleCancellationReply(from string, reply *peer.CancellationReply) {
 	for _, id := range reply.Cancelled {
-		c.noteCancellation(id)
+		c.recordCancellation(id)
 	}
 	if reply.Incarnation == 0 || reply.Incarnation == c.incarnation {
 		c.links.ConfirmCancellations(from, reply.AskedAt)
 	}
 }
 
-// noteCancellation records that a peer has named a job as cancelled, and stops the job's tasks.
-func (c *Core) noteCancellation(id string) {
+// recordCancellation records that a peer has named a job as cancelled, and stops the job's tasks.
+func (c *Core) recordCancellation(id string) {
 	record := c.jobs.byID[id]
 	if record == nil {
 		c.links.NoteCancelled(id)
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -24,7 +24,7 @@
 	if m.reservedFor != r.spec.ID && c.now < m.reservedUntil {
 		return false
 	}
-	return hasCapacity(machineType, m.cpus, m.gpus, m.ram, r.spec) && c.zoneAllowed(r, m.claim.Zone)
+	return hasCapacity(machineType, m.cpus, m.gpus, m.memoryGB, r.spec) && c.zoneAllowed(r, m.claim.Zone)
 }
 
 // allowsMachine reports whether a job may run on a machine, by its type, its zone, and whether
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -245,7 +245,7 @@
 // make enough room.
 func (c *Core) pickVictims(r *jobRecord, m *machine, gangs bool) (victims []taskKey, cost float64, ok bool) {
 	machineType := c.machineTypeOf(m)
-	cpus, gpus, memoryGB := m.cpus, m.gpus, m.ram
+	cpus, gpus, memoryGB := m.cpus, m.gpus, m.memoryGB
 	for _, v := range c.evictionCandidates(r, m, gangs) {
 		if hasCapacity(machineType, cpus, gpus, memoryGB, r.spec) {
 			break
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -65,10 +65,10 @@
 	}
 }
 
-// playScarceDay simulates a large deployment with more work than fits. After 80 s 30 more services are submitted and,
+// simulateScarceDay simulates a large deployment with more work than fits. After 80 s 30 more services are submitted and,
 // depending on the seed, a third of the machines or those of a zone are lost, a tenth of the machines hang, or all
 // controllers crash.
-func playScarceDay(t *testing.T, seed uint64, productionAsLow bool) *sim {
+func simulateScarceDay(t *testing.T, seed uint64, productionAsLow bool) *sim {
 	t.Helper()
 	s := newLargeDeploymentSim(t, seed)
 	s.defects.productionAsLow = productionAsLow
@@ -108,7 +108,7 @@
 // to the controllers as jobs of low priority: the checker must then report a violation.
 func TestUrgentWorkGoesFirst(t *testing.T) {
 	// day plays on the t of the whole test, not that of a subtest: digest lines name days by it.
-	day := func(seed uint64, productionAsLow bool) *sim { return playScarceDay(t, seed, productionAsLow) }
+	day := func(seed uint64, productionAsLow bool) *sim { return simulateScarceDay(t, seed, productionAsLow) }
 	days := uint64(8)
 	if v, err := strconv.Atoi(os.Getenv("SIM_DAYS")); err == nil {
 		days = uint64(v)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -68,7 +68,7 @@
 	for _, id := range c.unattendedMachines() {
 		c.checkUnattended(id)
 	}
-	c.drainUnheldMachines()
+	c.drainUnownedMachines()
 	if len(c.scaler.toDelete) == 0 || c.scaler.cloudCalls.tokens < 1 {
 		return
 	}
@@ -200,11 +200,11 @@
 	}
 }
 
-// drainUnheldMachines writes drain records for the machines in toDrain, which no controller that is
+// drainUnownedMachines writes drain records for the machines in toDrain, which no controller that is
 // up owns, as many as fit in one transaction. The transaction is conditional on the leader record,
 // so that a replaced leader drains nothing, and on the machines' claims, so that a machine that has
 // been claimed in the meantime is not drained.
-func (c *Core) drainUnheldMachines() {
+func (c *Core) drainUnownedMachines() {
 	f := &c.scaler
 	c.dropObsoleteDrains()
 	if f.drainInFlight || f.leadershipInFlight || len(f.toDrain) == 0 {
--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -189,7 +189,7 @@
 						n = s.otherControllers(n)[0]
 					}
 					for _, w := range s.cloud.sortedMachines() {
-						if n.holds(w) {
+						if n.owns(w) {
 							w.hungUntil = s.now + time.Hour // until its deletion is requested
 						}
 					}
@@ -324,7 +324,7 @@
 	if len(c.scaler.toDrain) < 2 {
 		t.Fatal("no machine is up")
 	}
-	c.drainUnheldMachines()
+	c.drainUnownedMachines()
 	leader.applyEffects(c.endStep())
 	s.run(52 * time.Second)
 	for key := range s.state.drainWrites {
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -102,7 +102,7 @@
 	if machineType.GPUs > 0 && c.jobs.openCPUOnly == 0 && machineType.GPUs-m.gpus < tolerance {
 		return false
 	}
-	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.ram > tolerance
+	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.memoryGB > tolerance
 }
 
 // requeueTask immediately places a task that was stopped or lost on another machine of this
--- a/internal/coordination/scripted_core_test.go
+++ b/internal/coordination/scripted_core_test.go
@@ -101,8 +101,8 @@
 	return a
 }
 
-// driveToOwnedMachine drives the core to a state in which it owns machine i-000001, which has shown its fencing
-// token, 120, and in which a watch has been answered with the given events.
+// driveToOwnedMachine drives the core to a state in which it owns machine i-000001, which has shown
+// its fencing token, 120, and in which a watch has been answered with the given events.
 func (s *script) driveToOwnedMachine(news ...protocol.WatchEvent) {
 	s.t.Helper()
 	s.advance(100 * time.Millisecond)
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -339,8 +339,8 @@
 	}
 }
 
-// holds reports whether the controller owns a worker according to its own records.
-func (n *simController) holds(w *simWorker) bool {
+// owns reports whether the controller owns a worker according to its own records.
+func (n *simController) owns(w *simWorker) bool {
 	if n.core == nil {
 		return false
 	}
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -28,14 +28,14 @@
 	losesReply     func(n *simController, t protocol.Txn) bool // selects transactions that are carried out at once and whose answer is lost
 	delaysDeletion func(names []string) bool                   // selects deletions that are carried out late
 
-	heldBackShare float64           // share of heartbeats that are held back until the machine has a new holder
+	heldBackShare float64           // share of heartbeats that are held back until the machine has a new owner
 	heldBack      map[string][]byte // last heartbeat held back, by machine
-	copiedShare   float64           // share of heartbeats of which a copy is stored for the next holder
+	copiedShare   float64           // share of heartbeats of which a copy is stored for the next owner
 	copied        map[string][]byte // last heartbeat copied, by machine
 
 	queryEverywhere  bool    // users query all controllers within milliseconds
 	cancelAtEnd      float64 // share of jobs whose users send requests at the moment of their end
-	cancelAtFailover float64 // probability that a job is cancelled when a machine that runs it gets another holder
+	cancelAtFailover float64 // probability that a job is cancelled when a machine that runs it gets another owner
 }
 
 // simDefects break the stand-ins or the controllers on purpose, to show that the checkers detect each defect.
@@ -65,7 +65,7 @@
 	lostRepliesByKind   map[string]int // the same, by kind of record (key prefix)
 	groupFailovers      int            // failover records written
 	replacedClaims      int            // claims written for machines that had one
-	holderChanges       int            // machines that got another holder
+	ownerChanges        int            // machines that got another owner
 	lateHeartbeats      int            // heartbeats that were held back or copied, and delivered late
 	concurrentQueries   int            // queries sent to all controllers within milliseconds
 	requestsAtEnd       int            // jobs whose users sent requests at the moment of their end
@@ -240,7 +240,7 @@
 	return false
 }
 
-// storeHeartbeatCopy stores copies of a random share of the heartbeats for the machine's next holder.
+// storeHeartbeatCopy stores copies of a random share of the heartbeats for the machine's next owner.
 func (s *sim) storeHeartbeatCopy(w *simWorker, heartbeat protocol.Heartbeat) {
 	if s.faults.copiedShare > 0 && s.random.Float64() < s.faults.copiedShare {
 		if s.faults.copied == nil {
@@ -250,7 +250,7 @@
 	}
 }
 
-// holdBackHeartbeat holds back a random share of the heartbeats until their machine has a new holder, and reports
+// holdBackHeartbeat holds back a random share of the heartbeats until their machine has a new owner, and reports
 // whether it held back this one.
 func (s *sim) holdBackHeartbeat(w *simWorker, heartbeat protocol.Heartbeat) bool {
 	if s.faults.heldBackShare == 0 || s.random.Float64() >= s.faults.heldBackShare {
@@ -263,7 +263,7 @@
 	return true
 }
 
-// claimWritten is called for each record that is written. If a claim gives a machine another holder, its heartbeats
+// claimWritten is called for each record that is written. If a claim gives a machine another owner, its heartbeats
 // that were held back or copied are delivered, and users may cancel jobs.
 func (s *sim) claimWritten(key string, data json.RawMessage) {
 	if data == nil {
@@ -284,11 +284,11 @@
 		s.faultCounts.replacedClaims++
 	}
 	if claim.Owner != previous.Owner || claim.Incarnation != previous.Incarnation {
-		s.holderChanged(name, claim.Owner)
+		s.ownerChanged(name, claim.Owner)
 	}
 }
 
-// failoverWritten is called for each failover record that is written: all workers of the group get another holder.
+// failoverWritten is called for each failover record that is written: all workers of the group get another owner.
 func (s *sim) failoverWritten(key string, data json.RawMessage) {
 	s.faultCounts.groupFailovers++
 	var successor failover.Holder
@@ -299,15 +299,15 @@
 		_ = json.Unmarshal(s.state.keys[keyClaim+machine].value, &claim)
 		holder := failover.Holder{Node: claim.Owner, Incarnation: claim.Incarnation, Epoch: claim.Epoch}
 		if failover.GroupOf(holder, machine, claim.Zone) == group {
-			s.holderChanged(machine, successor.Node)
+			s.ownerChanged(machine, successor.Node)
 		}
 	}
 }
 
-// holderChanged is called when a machine gets another holder. It delivers the machine's heartbeats that were held
+// ownerChanged is called when a machine gets another owner. It delivers the machine's heartbeats that were held
 // back or copied, and cancels some of the jobs on the machine.
-func (s *sim) holderChanged(name, owner string) {
-	s.faultCounts.holderChanges++
+func (s *sim) ownerChanged(name, owner string) {
+	s.faultCounts.ownerChanges++
 	if body, ok := s.faults.heldBack[name]; ok {
 		delete(s.faults.heldBack, name)
 		for _, n := range s.controllers {
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -37,11 +37,11 @@
 	hooks       simHooks
 	output      simOutput
 
-	violations  []string // broken rules, in the order of detection
-	counts      simCounts
-	faultCounts faultCounts
-	leaseLosses leaseLossCounts // tasks killed by lease expiry, by whether their worker had a path to the state service
-	service     answerChecks
+	violations   []string // broken rules, in the order of detection
+	counts       simCounts
+	faultCounts  faultCounts
+	leaseLosses  leaseLossCounts // tasks killed by lease expiry, by whether their worker had a path to the state service
+	answerChecks answerChecks
 }
 
 // simOptions are the settings that differ between simulated days.
--- a/internal/coordination/staging.go
+++ b/internal/coordination/staging.go
@@ -26,7 +26,7 @@
 	announced    map[string]*announcement
 	waitingSince map[taskKey]time.Duration // since when tasks wait for a machine that holds their inputs
 	prefetchJobs map[prefetch]string       // IDs of the jobs for which copies are fetched before a task is bound
-	tickAt       time.Duration
+	nextTickAt   time.Duration
 }
 
 // prefetch is a copy that a machine fetches before a task that reads it is bound to the machine.
@@ -154,9 +154,9 @@
 	return staging.Normal
 }
 
-// taskBound plans the fetch of a task's inputs by the machine to which the task was bound, if the
-// machine belongs to this controller.
-func (d *stagingCoordinator) taskBound(m *machine, s *job.Spec) {
+// stageInputs plans the fetch of a job's inputs by the machine to which a task of the job was bound
+// or is to be bound, if the machine belongs to this controller.
+func (d *stagingCoordinator) stageInputs(m *machine, s *job.Spec) {
 	if d == nil || len(s.Inputs) == 0 || !d.core.isOwn(m) {
 		return
 	}
@@ -219,20 +219,20 @@
 // tick plans fetches for queued jobs, for gangs whose machines are chosen and for announced work,
 // every half heartbeat period.
 func (d *stagingCoordinator) tick() {
-	if d == nil || d.core.now < d.tickAt {
+	if d == nil || d.core.now < d.nextTickAt {
 		return
 	}
 	c := d.core
-	d.tickAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
-	d.forgetWaits()
+	d.nextTickAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
+	d.pruneWaits()
 	d.stageQueuedJobs()
 	d.cancelUnneededPrefetches()
 	d.stageAnnounced()
 	d.planner.Tick(c.now)
 }
 
-// forgetWaits deletes the waiting times of tasks that are no longer pending.
-func (d *stagingCoordinator) forgetWaits() {
+// pruneWaits deletes the waiting times of tasks that are no longer pending.
+func (d *stagingCoordinator) pruneWaits() {
 	c := d.core
 	for k := range d.waitingSince {
 		r := c.jobs.byID[k.job]
@@ -267,7 +267,7 @@
 	c := d.core
 	for _, id := range r.blockMachines {
 		if m := c.machines.byID[id]; m != nil && c.isOwn(m) {
-			d.taskBound(m, r.spec)
+			d.stageInputs(m, r.spec)
 		}
 	}
 }
--- a/internal/coordination/task_index.go
+++ b/internal/coordination/task_index.go
@@ -28,7 +28,7 @@
 	r.tasksByZone[m.claim.Zone]++
 	m.boundAt[k] = binding{c.now, boundRevision}
 	c.recordImagePull(m, r.spec)
-	c.staging.taskBound(m, r.spec)
+	c.staging.stageInputs(m, r.spec)
 	if !isGang(r) {
 		m.boundByPriority[r.spec.Priority]++
 	}
--- a/internal/coordination/transitions.go
+++ b/internal/coordination/transitions.go
@@ -67,13 +67,13 @@
 	transition.proposedAt = c.now
 	p.queue = append(p.queue, transition)
 	if c.verbose && !transition.placement {
-		c.traceEnding(losses.Evidence, r, index, transition)
+		c.traceEnd(losses.Evidence, r, index, transition)
 	}
 }
 
-// traceEnding logs a step of the end of an attempt at debug level, in the form that
+// traceEnd logs a step of the end of an attempt at debug level, in the form that
 // internal/losses parses.
-func (c *Core) traceEnding(step string, r *jobRecord, index int, transition taskTransition) {
+func (c *Core) traceEnd(step string, r *jobRecord, index int, transition taskTransition) {
 	reason := transition.proof.String() // the names that internal/losses knows
 	if transition.proof == fencing.Ended {
 		reason = transition.cause
@@ -122,5 +122,5 @@
 	m.reserved--
 	m.addUsage(r.spec, -1)
 	r.tasksByZone[m.claim.Zone]--
-	c.forgetUnclaimed(m)
+	c.removeIfUnused(m)
 }
--- a/internal/coordination/txn_batch.go
+++ b/internal/coordination/txn_batch.go
@@ -162,7 +162,7 @@
 		c.Stats.Completions++
 		c.offerFreedMachine(transition.machine)
 		if c.verbose {
-			c.traceEnding(losses.Ended, r, first+transition.index, transition)
+			c.traceEnd(losses.Ended, r, first+transition.index, transition)
 		}
 		if !transition.done {
 			c.requeueTask(r, first+transition.index)
--- a/internal/coordination/user_expectations_test.go
+++ b/internal/coordination/user_expectations_test.go
@@ -21,15 +21,15 @@
 
 // answerChecks is the state of the checkers of answers to users.
 type answerChecks struct {
-	from time.Duration   // time at which all faults are over; 0: not yet
-	lost map[string]bool // jobs reported as unanswered
+	faultsOverAt time.Duration   // time at which all faults are over; 0: not yet
+	unanswered   map[string]bool // jobs reported as unanswered
 }
 
-// checkAnswersFrom makes the users of all accepted jobs query their jobs' status regularly from the time
-// now on, when all faults are over, and checks that each gets an answer.
+// checkAnswersFrom makes the users of all accepted jobs query their jobs' status regularly from the
+// time now on, when all faults are over, and checks that each gets an answer.
 func (s *sim) checkAnswersFrom(now time.Duration) {
 	s.after(now-s.now, func() {
-		s.service = answerChecks{from: s.now, lost: map[string]bool{}}
+		s.answerChecks = answerChecks{faultsOverAt: s.now, unanswered: map[string]bool{}}
 		s.queryAllJobs()
 		s.checkIdleCapacity()
 	})
@@ -41,8 +41,8 @@
 		if !u.accepted {
 			continue
 		}
-		if since := s.now - max(s.service.from, u.lastAnsweredAt, u.submittedAt); since > maxTimeWithoutAnswer && !s.service.lost[id] {
-			s.service.lost[id] = true
+		if since := s.now - max(s.answerChecks.faultsOverAt, u.lastAnsweredAt, u.submittedAt); since > maxTimeWithoutAnswer && !s.answerChecks.unanswered[id] {
+			s.answerChecks.unanswered[id] = true
 			s.addViolation("unanswered", "%s: no status query has been answered for %v", id, since)
 		}
 		if u.finalStatus == "" {
@@ -124,8 +124,8 @@
 	agentEpoch uint64
 }
 
-// recordStart records a task's recordStart. It counts a restart if the task was started before on a machine
-// that still exists, in the same agent epoch.
+// recordStart records the start of a task. It counts a restart if the task was started before on a
+// machine that still exists, in the same agent epoch.
 func (u *simUser) recordStart(index int, w *simWorker) {
 	if u.lastStarts == nil {
 		u.lastStarts = make([]lastStart, u.spec.Tasks)
