--- a/internal/coordination/failure_history_test.go
+++ b/internal/coordination/failure_history_test.go
@@ -16,7 +16,7 @@
 }
 
 // TestJobsThatFailEverywhereCostOthersNothing guards against two effects of broken jobs, which fail
-// on every machine: healthy machines were returned as faulty because two broken jobs had failed on
+// on every machine: healthy machines were deleted as faulty because two broken jobs had failed on
 // each, and machines were rented for the broken jobs. On carbura-iasi-ops with 8 of 100 jobs
 // broken, 642 machines were rented instead of 385.
 func TestJobsThatFailEverywhereCostOthersNothing(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestAFaultyMachineIsStillFound checks that a machine is returned as faulty if jobs that work
+// TestAFaultyMachineIsStillFound checks that a machine is drained as faulty if jobs that work
 // elsewhere fail on it.
 func TestAFaultyMachineIsStillFound(t *testing.T) {
 	s := newSim(t, 73, 0)
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -320,7 +320,7 @@
 }
 
 // clearMachine holds a machine's room for a gang and stops the tasks that are in the way.
-// requester is the controller that is told when the room is free.
+// requester is the controller that is notified when the room is free.
 func (c *Core) clearMachine(r *jobRecord, m *machine, requester string) {
 	if c.unschedulable(m) || (m.reservedFor != r.spec.ID && c.now < m.reservedUntil) {
 		return
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -31,7 +31,7 @@
 		d.workers, d.changes, d.failovers, d.halfAnswered.Seconds(), d.mostAnswered.Seconds(), d.allAnswered.Seconds(), d.expiredLeases)
 }
 
-// newMultipliedSim returns a grown deployment with a multiple of its usual machines and work.
+// newMultipliedSim returns a large deployment with a multiple of its usual machines and work.
 func newMultipliedSim(t *testing.T, seed uint64, multiple int) *sim {
 	t.Helper()
 	s := newLargeDeploymentSim(t, seed)
@@ -88,7 +88,7 @@
 	return answered
 }
 
-// simulateFailover simulates a grown deployment with a multiple of its usual machines and work. The
+// simulateFailover simulates a large deployment with a multiple of its usual machines and work. The
 // first controller crashes for good or, if all is set, all controllers crash for some seconds. If
 // grouped is set, workers fail over in groups, otherwise one by one.
 func simulateFailover(t *testing.T, seed uint64, multiple int, grouped, all bool) failoverResult {
@@ -108,7 +108,7 @@
 		n.crash(downtime)
 	}
 	answered := s.measureAnswerTimes(lost)
-	workers := len(answered) + len(lost) // without those whose machines were returned in the meantime
+	workers := len(answered) + len(lost) // without those whose machines were deleted in the meantime
 	answeredAt := func(share float64) time.Duration {
 		i := int(share*float64(workers)+0.5) - 1
 		if i < 0 || i >= len(answered) {
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -59,7 +59,7 @@
 	if c.workerState(m).JudgeHeartbeat(heartbeatHead(heartbeat)) == fencing.NeedsClaim {
 		return true
 	}
-	// A machine that was taken over with its group is claimed individually while a peer runs a
+	// A machine that failed over with its group is claimed individually while a peer runs a
 	// version that does not read failover records and so can't tell who owns the machine.
 	return m.failedOver() && c.hasPeerBelowFormat(failoverFormat)
 }
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestZoneThatIsCutOffKeepsItsMachines guards against returning the machines of a zone that has no
+// TestZoneThatIsCutOffKeepsItsMachines guards against deleting the machines of a zone that has no
 // controller and can't be reached for less than a lease: its machines must be kept and its tasks
-// go on, while a few silent machines elsewhere are returned.
+// go on, while a few silent machines elsewhere are deleted.
 func TestZoneThatIsCutOffKeepsItsMachines(t *testing.T) {
 	s := newLargeDeploymentSim(t, 37)
 	s.submitLargeLoad(120 * time.Second)
@@ -179,7 +179,7 @@
 	}
 	for name := range single {
 		if s.cloud.machines[name] != nil {
-			t.Errorf("%s was not returned although it is silent while other machines of its zone are not", name)
+			t.Errorf("%s was not deleted although it is silent while other machines of its zone are not", name)
 		}
 	}
 	s.finish(t, 160*time.Second)
@@ -203,8 +203,8 @@
 		}
 		n := s.controllers[0]
 		owned += len(n.core.machines.own)
-		for _, who := range []string{"workers", "peers", "state", "users"} {
-			n.unreachableUntil[who] = s.now + 30*time.Second
+		for _, link := range []string{"workers", "peers", "state", "users"} {
+			n.unreachableUntil[link] = s.now + 30*time.Second
 		}
 		s.run(128 * time.Second)
 		for _, w := range s.cloud.sortedMachines() {
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -236,35 +236,35 @@
 func TestPairsOfCuts(t *testing.T) {
 	kinds := newSim(t, 1, 0).linkCutKinds()
 	type cut struct {
-		node int
-		kind string
+		controller int
+		kind       string
 	}
 	var all []cut
-	for node := range 3 {
+	for controller := range 3 {
 		for _, k := range kinds {
-			if k != fmt.Sprintf("to:n%d", node) {
-				all = append(all, cut{node, k})
+			if k != fmt.Sprintf("to:n%d", controller) {
+				all = append(all, cut{controller, k})
 			}
 		}
 	}
 	seed := uint64(9000)
 	for i, a := range all {
 		seed += 2 * uint64(len(all)-i)
-		t.Run(fmt.Sprintf("n%d %s", a.node, a.kind), func(t *testing.T) {
+		t.Run(fmt.Sprintf("n%d %s", a.controller, a.kind), func(t *testing.T) {
 			t.Parallel()
 			other, lost, days := 0, 0, 0
 			for j, b := range all[i+1:] {
 				for k, die := range []int{0, 3} {
 					s := newSim(t, seed+uint64(2*j+k), 0)
-					runLinkCuts(s, die, func() { s.cutLink(s.controllers[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.node], b.kind, 40*time.Second) })
+					runLinkCuts(s, die, func() { s.cutLink(s.controllers[a.controller], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.controller], b.kind, 40*time.Second) })
 					days++
 					if len(s.violations) > 0 || s.leaseLosses.urgent > 0 {
-						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.node, b.kind, die, s.leaseLosses.urgent, s.violations)
+						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.controller, b.kind, die, s.leaseLosses.urgent, s.violations)
 					}
 					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.withoutPath
 				}
 			}
-			t.Logf("%d days: %d lesser tasks killed that had a path, %d that had none", days, other, lost)
+			t.Logf("%d days: %d other tasks killed that had a path, %d that had none", days, other, lost)
 		})
 	}
 }
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -332,9 +332,9 @@
 		all = append(all, m)
 	}
 	for i, m := range all {
-		for _, nodes := range []int{3, 5} {
-			m.controllers = nodes
-			t.Run(fmt.Sprintf("%d %d", i, nodes), func(t *testing.T) {
+		for _, controllers := range []int{3, 5} {
+			m.controllers = controllers
+			t.Run(fmt.Sprintf("%d %d", i, controllers), func(t *testing.T) {
 				t.Parallel()
 				s, o := m.simulate(t, uint64(20_000+i))
 				m.checkOutcome(t, s, o)
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -135,7 +135,7 @@
 	}
 	for seed := uint64(0); ; seed++ {
 		s := day(200+seed, true)
-		if slices.ContainsFunc(s.violations, func(b string) bool { return strings.Contains(b, "lesser first") }) {
+		if slices.ContainsFunc(s.violations, func(b string) bool { return strings.Contains(b, "lower priority first") }) {
 			break
 		}
 		if seed == 8 {
--- a/internal/coordination/restart_test.go
+++ b/internal/coordination/restart_test.go
@@ -110,11 +110,11 @@
 	}
 	s.run(60*time.Second + seconds(5*s.facts.Workers.Report))
 	if w := s.cloud.machines[hung.name]; w != nil {
-		t.Errorf("%s hangs and was not returned", hung.name)
+		t.Errorf("%s hangs and was not deleted", hung.name)
 	}
 	for _, w := range before {
 		if w != hung && s.cloud.machines[w.name] == nil && busy[w.name] {
-			t.Errorf("%s was returned too", w.name)
+			t.Errorf("%s was deleted too", w.name)
 		}
 	}
 	s.reportViolations(t)
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -142,7 +142,7 @@
 // machine if, when it was bound there, a production task that fits the machine had waited in this controller's queues
 // for longer than a heartbeat period and could be placed in that zone. Work that was bound earlier may be launched,
 // even if the launch is sent late, with the worker's next heartbeat, as after a restart. The check sees the order as
-// an outside observer does, whatever decided it: queues, hand-offs, or changes that waited for the state service's
+// an outside observer does, whatever decided it: queues, handoffs, or changes that waited for the state service's
 // rate limit.
 func (n *simController) checkLaunchOrder(e Effects) {
 	n.updateWaits()
@@ -217,7 +217,7 @@
 			fits := c.fits(c.jobs.byID[wait.job], m) && !c.unschedulable(m)
 			m.addUsage(launched, 1)
 			if fits {
-				s.addViolation("lesser first", "%s is launched on %s, although %s/%d fits there and had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
+				s.addViolation("lower priority first", "%s is launched on %s, although %s/%d fits there and had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
 			}
 		}
 	}
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -132,7 +132,7 @@
 		f.orphanedSince[id] = c.now
 		return
 	}
-	// A controller that is only cut off redirects its workers once its cancellation horizon is
+	// A controller that is only cut off redirects its workers once its cancel horizon is
 	// reached. A machine that no other controller has claimed by then is lost.
 	if c.now-f.orphanedSince[id] > c.cancelHorizon()+seconds(3*c.cfg.Facts.Workers.Report) {
 		f.toDrain[id] = drainLost
@@ -259,7 +259,7 @@
 	case stateclient.Committed:
 		for _, op := range ops {
 			id := strings.TrimPrefix(op.Put, keyDrain)
-			c.log.Info("draining a machine that no live controller holds", "machine", id, "reason", c.machines.drains[id].Reason)
+			c.log.Info("draining a machine that no live controller owns", "machine", id, "reason", c.machines.drains[id].Reason)
 		}
 	case stateclient.Conflict:
 		for _, key := range failed {
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -17,7 +17,7 @@
 	Cancelled       uint64 `json:"cancelled"`
 	Heartbeats      uint64 `json:"checkins"`
 	Claims          uint64 `json:"claims"`
-	Failovers       uint64 `json:"takeovers"` // groups of workers taken over
+	Failovers       uint64 `json:"takeovers"` // groups of workers that failed over to this controller
 	Adopted         uint64 `json:"adopted"`
 	Placements      uint64 `json:"placements"`
 	Completions     uint64 `json:"endings"`
--- a/internal/coordination/stored_keys_test.go
+++ b/internal/coordination/stored_keys_test.go
@@ -33,8 +33,8 @@
 const storedKeyRevision = 99
 
 func storedKeyCases() []storedKeyCase {
-	ending := completionlog.Completion{Task: completionlog.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}
-	passed := failover.Group{Holder: failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
+	completion := completionlog.Completion{Task: completionlog.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}
+	group := failover.Group{Holder: failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}, Zone: "z a/1", Number: 3}
 	return []storedKeyCase{
 		{"sg/j/wk-000042", "j-open.json", func(c *Core) bool {
 			r := c.jobs.byID["wk-000042"]
@@ -52,8 +52,10 @@
 			m := c.machines.byID["i-000231"]
 			return m != nil && m.claim.Owner == "n1" && m.claim.Zone == "z-a" && m.ownClaim.Token == storedKeyRevision && m.ownClaim.Epoch == 2
 		}},
-		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.machines.ownership.failovers.Pending(passed) }},
-		{"sg/e/n1/7-1", "e.json", func(c *Core) bool { return c.writer.completions.log.Has(ending) && c.writer.completions.log.Len() == 1 }},
+		{"sg/t/n1/1767225600000000007.2/z%20a%2F1/3", "t.json", func(c *Core) bool { return c.machines.ownership.failovers.Pending(group) }},
+		{"sg/e/n1/7-1", "e.json", func(c *Core) bool {
+			return c.writer.completions.log.Has(completion) && c.writer.completions.log.Len() == 1
+		}},
 		{"sg/x/i-000231", "x.json", func(c *Core) bool { return c.machines.drains["i-000231"].Reason == "idle" }},
 		{"sg/m/n1", "m.json", func(c *Core) bool {
 			return reflect.DeepEqual(c.membership.members["n1"], &member{7, 5, 6, 3}) && c.membership.formats["n1"] == 3
--- a/internal/coordination/stored_records_test.go
+++ b/internal/coordination/stored_records_test.go
@@ -109,7 +109,7 @@
 	announced := announcement{AtMS: 1767225600001}
 	announced.Staging = protocol.Staging{ID: "night", Set: "maps", Version: "v1", Team: "red", Priority: "high", ByS: 90.5, Machines: 4, Zone: &zone}
 	holder := failover.Holder{Node: "n1", Incarnation: 1767225600000000007, Epoch: 2}
-	passed := failover.Group{Holder: holder, Zone: "z a/1", Number: 3}
+	group := failover.Group{Holder: holder, Zone: "z a/1", Number: 3}
 	completions := []string{
 		completionlog.Completion{Task: completionlog.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}.String(),
 		completionlog.Completion{Task: completionlog.Task{Job: "wk-000043", Index: 0}, Attempt: 1, Machine: "i-000232", Epoch: 1}.String(),
@@ -136,7 +136,7 @@
 			claimRecord{Owner: "n1", Incarnation: 1767225600000000007, Address: "127.0.0.1:9000", MachineType: "g4", Zone: "z-a", Spot: true, Epoch: 2}),
 		partialRecord("claim, without an epoch", "c-least.json", "sg/c/i-000232", keyClaim+"i-000232",
 			claimRecord{Owner: "n1", Incarnation: 7, Address: "127.0.0.1:9001", MachineType: "c8", Zone: "z-b"}),
-		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyFailover+passed.Key(),
+		wholeRecord("take-over", "t.json", "sg/t/n1/1767225600000000007.2/z%20a%2F1/3", keyFailover+group.Key(),
 			failover.Holder{Node: "n2", Incarnation: 8, Epoch: 1}),
 		wholeRecord("endings", "e.json", "sg/e/n1/7-1", keyCompletions+"n1/7-1", completionlog.Record{Completions: completions}),
 		wholeRecord("drain", "x.json", "sg/x/i-000231", keyDrain+"i-000231", drainRecord{Reason: drainIdle}),
@@ -182,9 +182,9 @@
 			t.Errorf("%s is in group %d, want %d", worker, g.Number, number)
 		}
 	}
-	ending := completionlog.Completion{Task: completionlog.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}
+	completion := completionlog.Completion{Task: completionlog.Task{Job: "wk-000042", Index: 7}, Attempt: 2, Machine: "i-000231", Epoch: 1 << 62}
 	const text = "wk-000042/7.2 i-000231 4611686018427387904"
-	if e, err := completionlog.Parse(text); err != nil || e != ending || e.String() != text {
+	if e, err := completionlog.Parse(text); err != nil || e != completion || e.String() != text {
 		t.Errorf("%s is parsed as %+v: %v", text, e, err)
 	}
 }
--- a/internal/coordination/unshipped_test.go
+++ b/internal/coordination/unshipped_test.go
@@ -19,16 +19,16 @@
 	}
 }
 
-// TestMachineIsKeptForItsOutput guards against two faults: an idle machine is returned while output
+// TestMachineIsKeptForItsOutput guards against two faults: an idle machine is deleted while output
 // of its tasks waits to be shipped, and a machine is kept for ever for its output. The machine is
 // released by the archive's acknowledgement, when it stops announcing output, or at the deadline.
-// The machine's own controller need not be the one that returns machines.
+// The machine's own controller need not be the one that deletes machines.
 func TestMachineIsKeptForItsOutput(t *testing.T) {
 	for _, v := range []struct {
 		name             string
 		waits            time.Duration // how long the machine announces that output waits
 		deadlineS        float64
-		earliest, latest time.Duration // bounds of when it is returned, from the end of its work
+		earliest, latest time.Duration // bounds of when it is deleted, from the end of its work
 	}{
 		{"nothing waits", 0, 200, 0, 70 * time.Second},
 		{"until the archive's acknowledgement", 120 * time.Second, 200, 115 * time.Second, 160 * time.Second},
@@ -52,7 +52,7 @@
 				s.run(s.now + time.Second)
 			}
 			if took := s.now - doneAt; took < v.earliest || took > v.latest {
-				t.Errorf("the machines were returned after %v, want between %v and %v", took, v.earliest, v.latest)
+				t.Errorf("the machines were deleted after %v, want between %v and %v", took, v.earliest, v.latest)
 			}
 			s.reportViolations(t)
 		})
