--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -105,6 +105,6 @@
 	if waited < seconds(archive.HoldS) {
 		return true
 	}
-	u.core.log.Warn("a machine may be deleted with output that the archive has not acknowledged", "machine", id, "waited", waited)
+	u.core.log.Warn("a machine is returned with output that the archive has not acknowledged", "machine", id, "waited", waited)
 	return false
 }
