--- a/internal/coordination/digest_test.go
+++ b/internal/coordination/digest_test.go
@@ -175,9 +175,9 @@
 	return b
 }
 
-// TestDigestsTellEffectsApart checks that various differences between effects change the digest, and
+// TestDigestsOfDifferentEffectsDiffer checks that various differences between effects change the digest, and
 // that names and the order of maps don't.
-func TestDigestsTellEffectsApart(t *testing.T) {
+func TestDigestsOfDifferentEffectsDiffer(t *testing.T) {
 	encoded := func(v any) string { return string(appendValue(nil, reflect.ValueOf(v))) }
 	base := func() Effects {
 		return Effects{
--- a/internal/coordination/handoff_test.go
+++ b/internal/coordination/handoff_test.go
@@ -8,9 +8,9 @@
 	"silvergate/internal/peer"
 )
 
-// TestEarlyHandOverIsKept guards against tasks that stayed unscheduled for two publishing intervals: a
+// TestEarlyHandoffIsKept guards against tasks that stayed unscheduled for two publishing intervals: a
 // peer's handoff often arrives before the watch delivers the job's record, and was dropped.
-func TestEarlyHandOverIsKept(t *testing.T) {
+func TestEarlyHandoffIsKept(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(20 * time.Second)
 	c := s.controllers[0].core
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -72,10 +72,10 @@
 	next()
 }
 
-// TestGrownDeployment simulates bulk failures in a deployment of hundreds of machines: dozens of
+// TestLargeDeploymentWithBulkFailures simulates bulk failures in a deployment of hundreds of machines: dozens of
 // machines hang, the cloud takes back a third of the spot machines, and all controllers crash. No
 // rule may be broken, and all jobs must end.
-func TestGrownDeployment(t *testing.T) {
+func TestLargeDeploymentWithBulkFailures(t *testing.T) {
 	s := newLargeDeploymentSim(t, 31)
 	s.submitLargeLoad(150 * time.Second)
 	s.after(60*time.Second, func() {
@@ -186,11 +186,11 @@
 	s.reportViolations(t)
 }
 
-// TestWorkersOfASilentControllerAreTakenInTime guards against tasks that are killed by their leases
+// TestWorkersOfASilentControllerAreClaimedInTime guards against tasks that are killed by their leases
 // when a controller falls silent without refusing connections. Its workers turn to other
 // controllers a heartbeat period and a response timeout later, and must not be told then to
 // wait for its return.
-func TestWorkersOfASilentControllerAreTakenInTime(t *testing.T) {
+func TestWorkersOfASilentControllerAreClaimedInTime(t *testing.T) {
 	ended := 0 // leases that ended
 	owned := 0
 	for seed := uint64(51); seed < 54; seed++ {
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -343,10 +343,10 @@
 	}
 }
 
-// TestLeaderWithoutTheCloudGivesWay cuts only the leader off from the cloud: another controller
+// TestLeaderWithoutTheCloudResigns cuts only the leader off from the cloud: another controller
 // becomes the leader soon and remains it. If the cloud answers no controller, the leader does not
 // change.
-func TestLeaderWithoutTheCloudGivesWay(t *testing.T) {
+func TestLeaderWithoutTheCloudResigns(t *testing.T) {
 	for _, v := range []struct {
 		name string
 		all  bool // all controllers are cut off
--- a/internal/coordination/recording_test.go
+++ b/internal/coordination/recording_test.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestReplaysNoticeAnotherCore checks that a replay detects different effects: it replays a
+// TestReplayDetectsAnotherSeed checks that a replay detects different effects: it replays a
 // recording with another seed.
-func TestReplaysNoticeAnotherCore(t *testing.T) {
+func TestReplayDetectsAnotherSeed(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.submitMixedJobs(30 * time.Second)
 	s.run(time.Minute)
