--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -217,7 +217,8 @@
 			fits := c.fits(c.jobs.byID[wait.job], m) && !c.unschedulable(m)
 			m.addUsage(launched, 1)
 			if fits {
-				s.addViolation("lower priority first", "%s is launched on %s, although %s/%d fits there and had waited for %v", command.Task, m.id, wait.job, wait.index, waited)
+				s.addViolation("lower priority first", "%s is launched on %s, although %s/%d fits there and had waited for %v",
+					command.Task, m.id, wait.job, wait.index, waited)
 			}
 		}
 	}
