--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -108,15 +108,15 @@
 	m.tokenSeen = false
 	m.reoccupy()
 	c.scheduler.removeFromIdleList(m)
-	c.forgetUnclaimed(m)
+	c.removeIfUnused(m)
 	c.updateOwnership(m)
 }
 
-// forgetUnclaimed removes a machine from the table if it has no claim, no bound tasks and no
+// removeIfUnused removes a machine from the table if it has no claim, no bound tasks and no
 // reserved room. Guards against room being returned to the wrong object: if a machine is
-// forgotten while room is reserved on it and then added again under the same name, returning the
+// removed while room is reserved on it and then added again under the same name, returning the
 // reservation would give the new entry more room than the machine has.
-func (c *Core) forgetUnclaimed(m *machine) {
+func (c *Core) removeIfUnused(m *machine) {
 	if m.token == 0 && len(m.bound) == 0 && m.reserved == 0 && c.machines.byID[m.id] == m {
 		delete(c.machines.byID, m.id)
 		c.staging.machineLost(m.id)
@@ -199,7 +199,7 @@
 		Spot:        heartbeat.Spot,
 		Epoch:       c.claimEpoch(),
 	}
-	class := m.class()
+	class := m.rateClass()
 	ops := []protocol.Op{{Put: keyClaim + m.id, Value: encode(claim)}}
 	c.state.Txn(class, m.ownershipCompares(), ops, func(outcome stateclient.TxnOutcome, _ []string, _ uint64) {
 		m.claiming = false
@@ -252,7 +252,7 @@
 		}
 	}
 	for key := range m.bound {
-		attempt, ok := c.boundHere(m, key)
+		attempt, ok := c.boundAttempt(m, key)
 		if ok && !fencing.Adoptable(heartbeatHead(heartbeat), attempt, listed[taskAttempt{key, attempt.Number}]) {
 			return
 		}
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -10,9 +10,9 @@
 // the planner counted on their free capacity (scenario carbura-iasi-fleet, day zone: replicas had
 // no room for 45 s).
 func TestMostOfAControllersMachinesHang(t *testing.T) {
-	s := grownSim(t, 41)
+	s := newLargeDeploymentSim(t, 41)
 	s.advertised.Limits.MaxSockets = 2000
-	s.loadGrown(140 * time.Second)
+	s.submitLargeLoad(140 * time.Second)
 	s.run(100 * time.Second)
 	c := s.controllers[0].core
 	hung := map[string]bool{}
@@ -62,12 +62,12 @@
 			}
 		}
 	}
-	for _, k := range gone.tasks() {
+	for _, k := range gone.boundTasks() {
 		s.users[k.job].cancel()
 	}
 	s.run(66 * time.Second)
 	if len(gone.bound) > 0 {
-		t.Fatalf("%v are still bound", gone.tasks())
+		t.Fatalf("%v are still bound", gone.boundTasks())
 	}
 	gone.consolidating = true
 	s.run(70 * time.Second)
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -99,7 +99,7 @@
 		if c.now-m.heardAt > idleEntryLifetime {
 			c.scheduler.removeFromIdleList(m)
 		}
-		c.sendDeferred(m)
+		c.queueDeferredLaunches(m)
 		c.checkLease(m)
 		c.checkSilentMachine(m, &counts, mirrorStale)
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	m.leaseExpired = true
-	for _, key := range m.tasks() {
+	for _, key := range m.boundTasks() {
 		record := m.bound[key]
 		task := record.task(c, key.index)
 		if task.Epoch <= m.epoch && !c.releasePending(record, key.index) {
@@ -233,8 +233,8 @@
 // about them.
 func (c *Core) checkInheritedMachines(othersHeard bool) {
 	missing := c.countInheritedMachines()
-	c.scaler.inherited = max(c.scaler.inherited, missing)
-	singleFailures := othersHeard && (missing < minUnreachableMachines || 4*missing <= 3*c.scaler.inherited)
+	c.scaler.inheritedMachines = max(c.scaler.inheritedMachines, missing)
+	singleFailures := othersHeard && (missing < minUnreachableMachines || 4*missing <= 3*c.scaler.inheritedMachines)
 	for _, id := range sortedKeys(c.machines.byID) {
 		m := c.machines.byID[id]
 		if c.ownedByEarlierIncarnation(m) && !m.claiming {
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -29,9 +29,9 @@
 // request to be repeated.
 func (c *Core) holdTime() time.Duration { return 2 * c.cfg.Operator.PublishInterval }
 
-// usable reports whether a job's tasks may be bound to a machine in an agent epoch now: the
+// canBindTo reports whether a job's tasks may be bound to a machine in an agent epoch now: the
 // machine is ours, or its owner has offered it under the current claim.
-func (c *Core) usable(r *jobRecord, m *machine, epoch uint64) bool {
+func (c *Core) canBindTo(r *jobRecord, m *machine, epoch uint64) bool {
 	if c.isOwn(m) {
 		return m.epoch == epoch && !c.unschedulable(m)
 	}
@@ -142,7 +142,7 @@
 			if !c.isOwn(m) {
 				epoch = r.offers[id].epoch
 			}
-			if c.usable(r, m, epoch) {
+			if c.canBindTo(r, m, epoch) {
 				best = m
 				break
 			}
@@ -276,7 +276,7 @@
 // work of lower priority there is stopped, and what that costs.
 func (c *Core) blockCandidate(r *jobRecord, m *machine, need int) blockCandidate {
 	machineType := c.machineTypeOf(m)
-	room := slot{cpus: machineType.CPUs - m.cpus, gpus: machineType.GPUs - m.gpus, memoryGB: machineType.MemoryGB - m.ram}
+	room := slot{cpus: machineType.CPUs - m.cpus, gpus: machineType.GPUs - m.gpus, memoryGB: machineType.MemoryGB - m.memoryGB}
 	cost := c.fetchTime(r.spec, m)
 	for k, v := range m.bound {
 		if v.spec.Priority < r.spec.Priority && !isGang(v) && m.vacated[k] == nil {
@@ -320,7 +320,7 @@
 }
 
 // clearMachine holds a machine's room for a gang and stops the tasks that are in the way.
-// requester is the controller that is told when the room is free.
+// requester is the controller that is notified when the room is free.
 func (c *Core) clearMachine(r *jobRecord, m *machine, requester string) {
 	if c.unschedulable(m) || (m.reservedFor != r.spec.ID && c.now < m.reservedUntil) {
 		return
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -31,10 +31,10 @@
 		d.workers, d.changes, d.failovers, d.halfAnswered.Seconds(), d.mostAnswered.Seconds(), d.allAnswered.Seconds(), d.expiredLeases)
 }
 
-// newMultipliedSim returns a grown deployment with a multiple of its usual machines and work.
+// newMultipliedSim returns a large deployment with a multiple of its usual machines and work.
 func newMultipliedSim(t *testing.T, seed uint64, multiple int) *sim {
 	t.Helper()
-	s := grownSim(t, seed)
+	s := newLargeDeploymentSim(t, seed)
 	for k := range s.cloud.capacity {
 		s.cloud.capacity[k] *= multiple
 	}
@@ -43,7 +43,7 @@
 	}
 	s.advertised = s.facts
 	for i := range multiple {
-		s.loadGrownFrom(10_000*i, 100*time.Second)
+		s.submitLargeLoadFrom(10_000*i, 100*time.Second)
 	}
 	return s
 }
@@ -88,7 +88,7 @@
 	return answered
 }
 
-// simulateFailover simulates a grown deployment with a multiple of its usual machines and work. The
+// simulateFailover simulates a large deployment with a multiple of its usual machines and work. The
 // first controller crashes for good or, if all is set, all controllers crash for some seconds. If
 // grouped is set, workers fail over in groups, otherwise one by one.
 func simulateFailover(t *testing.T, seed uint64, multiple int, grouped, all bool) failoverResult {
@@ -108,7 +108,7 @@
 		n.crash(downtime)
 	}
 	answered := s.measureAnswerTimes(lost)
-	workers := len(answered) + len(lost) // without those whose machines were returned in the meantime
+	workers := len(answered) + len(lost) // without those whose machines were deleted in the meantime
 	answeredAt := func(share float64) time.Duration {
 		i := int(share*float64(workers)+0.5) - 1
 		if i < 0 || i >= len(answered) {
@@ -163,7 +163,7 @@
 		if grouped.failovers == 0 || alone.failovers > 0 || grouped.changes*3 > alone.changes {
 			t.Errorf("%d times: %d changes with group failover, %d one by one", n, grouped.changes, alone.changes)
 		}
-		if lease := seconds(grownSim(t, 1).facts.Workers.Lease); grouped.mostAnswered > 3*lease/4 {
+		if lease := seconds(newLargeDeploymentSim(t, 1).facts.Workers.Lease); grouped.mostAnswered > 3*lease/4 {
 			t.Errorf("%d times: nine tenths of the workers were answered after %s, a lease is %s", n, grouped.mostAnswered, lease)
 		}
 		if os.Getenv("SIM_TIMES") == "" {
@@ -269,12 +269,12 @@
 	for _, seed := range []uint64{81, 82, 83} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			s := grownSim(t, seed)
-			s.options.unorderedLaunches = true
+			s := newLargeDeploymentSim(t, seed)
+			s.options.skipLaunchOrderCheck = true
 			for _, n := range s.controllers {
 				n.beforeGroupFailover = true
 			}
-			s.loadGrown(330 * time.Second)
+			s.submitLargeLoad(330 * time.Second)
 			roll := func(at time.Duration, legacy bool) {
 				for i, n := range s.controllers {
 					s.after(at+time.Duration(8*i)*time.Second, func() { n.beforeGroupFailover = legacy; n.crash(2 * time.Second) })
@@ -315,8 +315,8 @@
 // next claims in a new epoch, so that the workers fail over in groups after a second loss, too. It
 // also checks that failover records are deleted when no machine's ownership depends on them.
 func TestAGroupThatFailsOverTwice(t *testing.T) {
-	s := grownSim(t, 84)
-	s.loadGrown(260 * time.Second)
+	s := newLargeDeploymentSim(t, 84)
+	s.submitLargeLoad(260 * time.Second)
 	for _, at := range []time.Duration{60, 150} {
 		s.after(at*time.Second, func() { s.cutLink(s.controllers[0], "workers", 30*time.Second) })
 	}
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -9,9 +9,9 @@
 	"silvergate/internal/job"
 )
 
-// grownSim returns a simulation of a deployment of five controllers and some hundred machines, with
+// newLargeDeploymentSim returns a simulation of a deployment of five controllers and some hundred machines, with
 // the limits of a real state service.
-func grownSim(t testing.TB, seed uint64) *sim {
+func newLargeDeploymentSim(t testing.TB, seed uint64) *sim {
 	t.Helper()
 	s := newSim(t, seed, 0)
 	s.facts.Workers.Report = 4
@@ -34,11 +34,11 @@
 	return s
 }
 
-// loadGrown submits services at once, and arrays and gangs until the given time.
-func (s *sim) loadGrown(until time.Duration) { s.loadGrownFrom(0, until) }
+// submitLargeLoad submits services at once, and arrays and gangs until the given time.
+func (s *sim) submitLargeLoad(until time.Duration) { s.submitLargeLoadFrom(0, until) }
 
-// loadGrownFrom does the same as loadGrown with job numbers above n.
-func (s *sim) loadGrownFrom(n int, until time.Duration) {
+// submitLargeLoadFrom does the same as submitLargeLoad with job numbers above n.
+func (s *sim) submitLargeLoadFrom(n int, until time.Duration) {
 	spec := func(shape job.Shape, class string, p job.Priority, tasks int) *job.Spec {
 		n++
 		return &job.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: class, Team: []string{"red", "blue"}[s.random.IntN(2)], Shape: shape, Priority: p,
@@ -72,12 +72,12 @@
 	next()
 }
 
-// TestGrownDeployment simulates bulk failures in a deployment of hundreds of machines: dozens of
+// TestLargeDeploymentWithBulkFailures simulates bulk failures in a deployment of hundreds of machines: dozens of
 // machines hang, the cloud takes back a third of the spot machines, and all controllers crash. No
 // rule may be broken, and all jobs must end.
-func TestGrownDeployment(t *testing.T) {
-	s := grownSim(t, 31)
-	s.loadGrown(150 * time.Second)
+func TestLargeDeploymentWithBulkFailures(t *testing.T) {
+	s := newLargeDeploymentSim(t, 31)
+	s.submitLargeLoad(150 * time.Second)
 	s.after(60*time.Second, func() {
 		for i, w := range s.cloud.sortedMachines() {
 			if i%16 == 0 {
@@ -143,12 +143,12 @@
 	}
 }
 
-// TestZoneThatIsCutOffKeepsItsMachines guards against returning the machines of a zone that has no
+// TestZoneThatIsCutOffKeepsItsMachines guards against deleting the machines of a zone that has no
 // controller and can't be reached for less than a lease: its machines must be kept and its tasks
-// go on, while a few silent machines elsewhere are returned.
+// go on, while a few silent machines elsewhere are deleted.
 func TestZoneThatIsCutOffKeepsItsMachines(t *testing.T) {
-	s := grownSim(t, 37)
-	s.loadGrown(120 * time.Second)
+	s := newLargeDeploymentSim(t, 37)
+	s.submitLargeLoad(120 * time.Second)
 	s.run(100 * time.Second)
 	cutOff := map[string]bool{} // machines of the zone
 	single := map[string]bool{} // silent machines elsewhere
@@ -179,23 +179,23 @@
 	}
 	for name := range single {
 		if s.cloud.machines[name] != nil {
-			t.Errorf("%s was not returned although it is silent while other machines of its zone are not", name)
+			t.Errorf("%s was not deleted although it is silent while other machines of its zone are not", name)
 		}
 	}
 	s.finish(t, 160*time.Second)
 	s.reportViolations(t)
 }
 
-// TestWorkersOfASilentControllerAreTakenInTime guards against tasks that are killed by their leases
+// TestWorkersOfASilentControllerAreClaimedInTime guards against tasks that are killed by their leases
 // when a controller falls silent without refusing connections. Its workers turn to other
 // controllers a heartbeat period and a response timeout later, and must not be told then to
 // wait for its return.
-func TestWorkersOfASilentControllerAreTakenInTime(t *testing.T) {
+func TestWorkersOfASilentControllerAreClaimedInTime(t *testing.T) {
 	ended := 0 // leases that ended
 	owned := 0
 	for seed := uint64(51); seed < 54; seed++ {
-		s := grownSim(t, seed)
-		s.loadGrown(120 * time.Second)
+		s := newLargeDeploymentSim(t, seed)
+		s.submitLargeLoad(120 * time.Second)
 		s.run(100 * time.Second)
 		epochs := map[string]uint64{}
 		for _, w := range s.cloud.sortedMachines() {
@@ -203,8 +203,8 @@
 		}
 		n := s.controllers[0]
 		owned += len(n.core.machines.own)
-		for _, who := range []string{"workers", "peers", "state", "users"} {
-			n.unreachableUntil[who] = s.now + 30*time.Second
+		for _, link := range []string{"workers", "peers", "state", "users"} {
+			n.unreachableUntil[link] = s.now + 30*time.Second
 		}
 		s.run(128 * time.Second)
 		for _, w := range s.cloud.sortedMachines() {
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -17,9 +17,9 @@
 	return n.unreachableUntil["peers"] <= now && o.unreachableUntil["peers"] <= now && n.unreachableUntil["to:"+o.name] <= now
 }
 
-// asReadBy returns a message as the receiver o decodes it: a version before link reports and relayed
+// decodedBy returns a message as the receiver o decodes it: a version before link reports and relayed
 // calls ignores fields that it does not know, as gob does. ok is false if the message is lost.
-func (n *simController) asReadBy(o *simController, message peer.Message) (read peer.Message, ok bool) {
+func (n *simController) decodedBy(o *simController, message peer.Message) (read peer.Message, ok bool) {
 	s := n.s
 	if s.defects.noRelays && message.RelayRequest != nil {
 		return message, false
@@ -43,7 +43,7 @@
 		message.Forwarded = nil
 	}
 	if n.beforeRelays && (message.RelayRequest != nil || message.RelayResponse != nil || message.Forwarded != nil) {
-		s.violation("versions", "%s sends message fields that its version does not have", n.name)
+		s.addViolation("versions", "%s sends message fields that its version does not have", n.name)
 	}
 	return message, true
 }
@@ -78,9 +78,9 @@
 	return out
 }
 
-// pathLosses counts the tasks that were killed because their worker's lease expired, by whether a
+// leaseLossCounts counts the tasks that were killed because their worker's lease expired, by whether a
 // path from the worker through one controller to the state service was up for the whole lease.
-type pathLosses struct {
+type leaseLossCounts struct {
 	urgent, other int // tasks killed although there was a path
 	withoutPath   int // tasks killed without a path, or without one that could be found within a lease
 	// upSince is since when the path through each controller to each zone has been up; paths that
@@ -236,35 +236,35 @@
 func TestPairsOfCuts(t *testing.T) {
 	kinds := newSim(t, 1, 0).linkCutKinds()
 	type cut struct {
-		node int
-		kind string
+		controller int
+		kind       string
 	}
 	var all []cut
-	for node := range 3 {
+	for controller := range 3 {
 		for _, k := range kinds {
-			if k != fmt.Sprintf("to:n%d", node) {
-				all = append(all, cut{node, k})
+			if k != fmt.Sprintf("to:n%d", controller) {
+				all = append(all, cut{controller, k})
 			}
 		}
 	}
 	seed := uint64(9000)
 	for i, a := range all {
 		seed += 2 * uint64(len(all)-i)
-		t.Run(fmt.Sprintf("n%d %s", a.node, a.kind), func(t *testing.T) {
+		t.Run(fmt.Sprintf("n%d %s", a.controller, a.kind), func(t *testing.T) {
 			t.Parallel()
 			other, lost, days := 0, 0, 0
 			for j, b := range all[i+1:] {
 				for k, die := range []int{0, 3} {
 					s := newSim(t, seed+uint64(2*j+k), 0)
-					runLinkCuts(s, die, func() { s.cutLink(s.controllers[a.node], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.node], b.kind, 40*time.Second) })
+					runLinkCuts(s, die, func() { s.cutLink(s.controllers[a.controller], a.kind, 40*time.Second) }, func() { s.cutLink(s.controllers[b.controller], b.kind, 40*time.Second) })
 					days++
 					if len(s.violations) > 0 || s.leaseLosses.urgent > 0 {
-						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.node, b.kind, die, s.leaseLosses.urgent, s.violations)
+						t.Errorf("with n%d %s, %d machines lost: %d urgent tasks killed that had a path; %v", b.controller, b.kind, die, s.leaseLosses.urgent, s.violations)
 					}
 					other, lost = other+s.leaseLosses.other, lost+s.leaseLosses.withoutPath
 				}
 			}
-			t.Logf("%d days: %d lesser tasks killed that had a path, %d that had none", days, other, lost)
+			t.Logf("%d days: %d other tasks killed that had a path, %d that had none", days, other, lost)
 		})
 	}
 }
@@ -286,10 +286,10 @@
 // lost or hang at random.
 func runRandomLinkCuts(t *testing.T, seed uint64) *sim {
 	t.Helper()
-	s := grownSim(t, seed)
+	s := newLargeDeploymentSim(t, seed)
 	s.traceDay(t, seed)
-	s.options.unorderedLaunches = true // cuts and late watches: see checkLaunchOrder
-	s.loadGrown(3 * time.Minute)
+	s.options.skipLaunchOrderCheck = true // cuts and late watches: see checkLaunchOrder
+	s.submitLargeLoad(3 * time.Minute)
 	s.watchPaths()
 	kinds := s.linkCutKinds()
 	var next func()
@@ -343,10 +343,10 @@
 	}
 }
 
-// TestLeaderWithoutTheCloudGivesWay cuts only the leader off from the cloud: another controller
+// TestLeaderWithoutTheCloudResigns cuts only the leader off from the cloud: another controller
 // becomes the leader soon and remains it. If the cloud answers no controller, the leader does not
 // change.
-func TestLeaderWithoutTheCloudGivesWay(t *testing.T) {
+func TestLeaderWithoutTheCloudResigns(t *testing.T) {
 	for _, v := range []struct {
 		name string
 		all  bool // all controllers are cut off
@@ -355,7 +355,7 @@
 			s := newSim(t, 9950, 0)
 			s.submitMixedJobs(3 * time.Minute)
 			s.run(50 * time.Second)
-			first := s.leader()
+			first := s.lastFleetLeader()
 			for _, n := range s.controllers {
 				if n == first || v.all {
 					s.cutLink(n, "cloud", time.Minute)
@@ -373,8 +373,8 @@
 	}
 }
 
-// leader returns the last controller that considers itself the leader, or nil if none does.
-func (s *sim) leader() *simController {
+// lastFleetLeader returns the last controller that considers itself the fleet leader, or nil if none does.
+func (s *sim) lastFleetLeader() *simController {
 	var leader *simController
 	for _, n := range s.controllers {
 		if n.core.isLeader() {
@@ -411,7 +411,7 @@
 func TestRulesDoNotDependOnLinkReports(t *testing.T) {
 	runSeeds(t, 9700, 12, func(t *testing.T, seed uint64) {
 		s := newSim(t, seed, 0.004)
-		s.options.unorderedLaunches, s.faults.randomLinkReports = true, true
+		s.options.skipLaunchOrderCheck, s.faults.randomLinkReports = true, true
 		s.submitMixedJobs(3 * time.Minute)
 		s.after(20*time.Second, func() { s.injectFaults(3 * time.Minute) })
 		s.after(30*time.Second, func() { s.injectPartitions(3 * time.Minute) })
@@ -425,7 +425,7 @@
 func TestRollingRestartFromTheVersionBefore(t *testing.T) {
 	for old := 1; old <= 2; old++ {
 		s := newSim(t, uint64(9800+old), 0.002)
-		s.options.unorderedLaunches = true
+		s.options.skipLaunchOrderCheck = true
 		for i := range old {
 			s.controllers[i].beforeRelays = true
 		}
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -27,7 +27,7 @@
 	}
 	c.updatePeerDemand()
 	ownView := c.scaler.zoneViews[c.cfg.Node]
-	unshipped := c.scaler.unshipped.toAnnounce()
+	unshipped := c.scaler.unshipped.machinesToAnnounce()
 	mirrorAge := c.mirrorAge()
 	links := c.links.LinkReports(mirrorAge, c.state.Throttled())
 	mirrorStale := c.state.Loaded() && c.now-c.state.FreshAt() > seconds(c.cfg.Facts.Workers.Report)
@@ -160,15 +160,15 @@
 // records and those that the reply names.
 func (c *Core) handleCancellationReply(from string, reply *peer.CancellationReply) {
 	for _, id := range reply.Cancelled {
-		c.noteCancellation(id)
+		c.recordCancellation(id)
 	}
 	if reply.Incarnation == 0 || reply.Incarnation == c.incarnation {
 		c.links.ConfirmCancellations(from, reply.AskedAt)
 	}
 }
 
-// noteCancellation records that a peer has named a job as cancelled, and stops the job's tasks.
-func (c *Core) noteCancellation(id string) {
+// recordCancellation records that a peer has named a job as cancelled, and stops the job's tasks.
+func (c *Core) recordCancellation(id string) {
 	record := c.jobs.byID[id]
 	if record == nil {
 		c.links.NoteCancelled(id)
@@ -178,7 +178,7 @@
 		return
 	}
 	record.status = job.Cancelled // the cancellation is committed, since the peer knows of it
-	c.stopTasksOf(record)
+	c.stopUnstartedTasks(record)
 }
 
 // cancellationProof returns the latest time as of which it is proven that no cancellation was
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -65,14 +65,14 @@
 	}
 }
 
-// playScarceDay simulates a large deployment with more work than fits. After 80 s 30 more services are submitted and,
+// simulateScarceDay simulates a large deployment with more work than fits. After 80 s 30 more services are submitted and,
 // depending on the seed, a third of the machines or those of a zone are lost, a tenth of the machines hang, or all
 // controllers crash.
-func playScarceDay(t *testing.T, seed uint64, productionAsLow bool) *sim {
+func simulateScarceDay(t *testing.T, seed uint64, productionAsLow bool) *sim {
 	t.Helper()
-	s := grownSim(t, seed)
+	s := newLargeDeploymentSim(t, seed)
 	s.defects.productionAsLow = productionAsLow
-	s.loadGrown(130 * time.Second)
+	s.submitLargeLoad(130 * time.Second)
 	s.after(80*time.Second, func() {
 		s.loseCapacity(seed % 4)
 		for i := range 30 {
@@ -108,7 +108,7 @@
 // to the controllers as jobs of low priority: the checker must then report a violation.
 func TestUrgentWorkGoesFirst(t *testing.T) {
 	// day plays on the t of the whole test, not that of a subtest: digest lines name days by it.
-	day := func(seed uint64, productionAsLow bool) *sim { return playScarceDay(t, seed, productionAsLow) }
+	day := func(seed uint64, productionAsLow bool) *sim { return simulateScarceDay(t, seed, productionAsLow) }
 	days := uint64(8)
 	if v, err := strconv.Atoi(os.Getenv("SIM_DAYS")); err == nil {
 		days = uint64(v)
@@ -120,7 +120,7 @@
 				t.Parallel()
 				s := day(200+seed, false)
 				s.reportViolations(t)
-				checkedLaunches <- s.counts.launchesJudged
+				checkedLaunches <- s.counts.launchesChecked
 			})
 		}
 	})
@@ -135,7 +135,7 @@
 	}
 	for seed := uint64(0); ; seed++ {
 		s := day(200+seed, true)
-		if slices.ContainsFunc(s.violations, func(b string) bool { return strings.Contains(b, "lesser first") }) {
+		if slices.ContainsFunc(s.violations, func(b string) bool { return strings.Contains(b, "lower priority first") }) {
 			break
 		}
 		if seed == 8 {
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		idleLimit := seconds(idleTimeShare * c.machineTypeOf(m).StartupS)
-		if c.now-m.unboundSince > idleLimit && !c.scaler.unshipped.holds(m.id) {
+		if c.now-m.unboundSince > idleLimit && !c.scaler.unshipped.mustKeep(m.id) {
 			// The condition on the leader record keeps a replaced leader from draining machines.
 			c.drainMachine(m, drainIdle, protocol.Compare{Key: keyFleet, ModRevision: c.scaler.leaderRevision})
 		}
@@ -68,7 +68,7 @@
 	for _, id := range c.unattendedMachines() {
 		c.checkUnattended(id)
 	}
-	c.drainUnheldMachines()
+	c.drainUnownedMachines()
 	if len(c.scaler.toDelete) == 0 || c.scaler.cloudCalls.tokens < 1 {
 		return
 	}
@@ -132,7 +132,7 @@
 		f.orphanedSince[id] = c.now
 		return
 	}
-	// A controller that is only cut off redirects its workers once its cancellation horizon is
+	// A controller that is only cut off redirects its workers once its cancel horizon is
 	// reached. A machine that no other controller has claimed by then is lost.
 	if c.now-f.orphanedSince[id] > c.cancelHorizon()+seconds(3*c.cfg.Facts.Workers.Report) {
 		f.toDrain[id] = drainLost
@@ -200,11 +200,11 @@
 	}
 }
 
-// drainUnheldMachines writes drain records for the machines in toDrain, which no controller that is
+// drainUnownedMachines writes drain records for the machines in toDrain, which no controller that is
 // up owns, as many as fit in one transaction. The transaction is conditional on the leader record,
 // so that a replaced leader drains nothing, and on the machines' claims, so that a machine that has
 // been claimed in the meantime is not drained.
-func (c *Core) drainUnheldMachines() {
+func (c *Core) drainUnownedMachines() {
 	f := &c.scaler
 	c.dropObsoleteDrains()
 	if f.drainInFlight || f.leadershipInFlight || len(f.toDrain) == 0 {
@@ -259,7 +259,7 @@
 	case stateclient.Committed:
 		for _, op := range ops {
 			id := strings.TrimPrefix(op.Put, keyDrain)
-			c.log.Info("draining a machine that no live controller holds", "machine", id, "reason", c.machines.drains[id].Reason)
+			c.log.Info("draining a machine that no live controller owns", "machine", id, "reason", c.machines.drains[id].Reason)
 		}
 	case stateclient.Conflict:
 		for _, key := range failed {
@@ -285,7 +285,7 @@
 	if m == nil {
 		return
 	}
-	for _, k := range m.tasks() {
+	for _, k := range m.boundTasks() {
 		rec := m.bound[k]
 		t := rec.task(c, k.index)
 		if !c.releasePending(rec, k.index) {
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -84,9 +84,9 @@
 	m.idleListIndex = 0
 }
 
-// machineFreed offers one of our machines on which room has become free, if its last heartbeat
+// offerFreedMachine offers one of our machines on which room has become free, if its last heartbeat
 // is recent enough for an entry in the idle list.
-func (c *Core) machineFreed(id string) {
+func (c *Core) offerFreedMachine(id string) {
 	m := c.machines.byID[id]
 	if m == nil || !c.isOwn(m) || !m.tokenSeen {
 		return
@@ -102,7 +102,7 @@
 	if machineType.GPUs > 0 && c.jobs.openCPUOnly == 0 && machineType.GPUs-m.gpus < tolerance {
 		return false
 	}
-	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.ram > tolerance
+	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.memoryGB > tolerance
 }
 
 // requeueTask immediately places a task that was stopped or lost on another machine of this
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -65,7 +65,7 @@
 	}
 	seed, incarnation := s.random.Uint64(), n.incarnation*1000+s.now.Milliseconds()+1
 	n.core = New(cfg, log, rand.New(rand.NewPCG(seed, 1)), incarnation)
-	n.recorded = NewRecordedCore(n.core, s.record(cfg, incarnation, seed))
+	n.recorded = NewRecordedCore(n.core, s.startRecording(cfg, incarnation, seed))
 	n.tick(n.incarnation)
 }
 
@@ -87,7 +87,7 @@
 // scheduleTick schedules the next tick for the time at which the core is due, as the program does.
 func (n *simController) scheduleTick() {
 	s, incarnation := n.s, n.incarnation
-	if at := s.now + n.core.Due(); n.nextTickAt == 0 || at < n.nextTickAt {
+	if at := s.now + n.core.TimeToNextTick(); n.nextTickAt == 0 || at < n.nextTickAt {
 		n.nextTickAt = at
 		s.after(at-s.now, func() {
 			if n.nextTickAt == at {
@@ -206,7 +206,7 @@
 		if peer.name != outgoing.To || !n.reachesPeer(peer) || s.random.Float64() < s.faults.messageLoss {
 			continue
 		}
-		message, ok := n.asReadBy(peer, outgoing.Message)
+		message, ok := n.decodedBy(peer, outgoing.Message)
 		if !ok {
 			continue
 		}
@@ -339,8 +339,8 @@
 	}
 }
 
-// holds reports whether the controller owns a worker according to its own records.
-func (n *simController) holds(w *simWorker) bool {
+// owns reports whether the controller owns a worker according to its own records.
+func (n *simController) owns(w *simWorker) bool {
 	if n.core == nil {
 		return false
 	}
--- a/internal/coordination/step_cost_test.go
+++ b/internal/coordination/step_cost_test.go
@@ -15,8 +15,8 @@
 // largeDeploymentCore returns a simulated deployment of hundreds of machines that run tasks, one of
 // its controllers, and a machine of that controller with at least two tasks.
 func largeDeploymentCore(t testing.TB) (*sim, *Core, *machine) {
-	s := grownSim(t, 31)
-	s.loadGrown(80 * time.Second)
+	s := newLargeDeploymentSim(t, 31)
+	s.submitLargeLoad(80 * time.Second)
 	s.run(60 * time.Second)
 	c := s.controllers[0].core
 	if len(c.machines.byID) < 150 || len(c.machines.own) < 20 {
@@ -37,7 +37,7 @@
 	s, c, m := largeDeploymentCore(t)
 	r := protocol.Heartbeat{Worker: m.id, Address: m.claim.Address, MachineType: m.claim.MachineType, Zone: m.claim.Zone, Spot: m.claim.Spot,
 		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.token}
-	for _, k := range m.tasks() {
+	for _, k := range m.boundTasks() {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: job.TaskName(k.job, k.index), Attempt: m.bound[k].task(c, k.index).Attempt, Status: protocol.TaskRunning})
 	}
 	var bodies [][]byte
