--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -64,14 +64,14 @@
 	pool            *transport.Pool
 	runner          *runner
 	images          *imageStore
-	outsideStore    outsideStore
+	shared          sharedStore
 
 	mu        sync.Mutex // guards what follows; the server's lock too
 	worker    *Worker
 	persisted persistedState
 	schedule  schedule
-	inputs    *inputStore   // nil: no data sets
-	keeper    *outputKeeper // nil: no archive
+	inputs    *inputStore    // nil: no data sets
+	outputs   *outputShipper // nil: no archive
 	attempts  attemptRecords
 	watchdog  *watchdogProcess // nil while none runs
 	stats     Stats
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	a := &Agent{
-		cfg: cfg, log: log, pool: transport.NewPool(maxConnections), outsideStore: outsideStore{cfg.OutsideDir},
+		cfg: cfg, log: log, pool: transport.NewPool(maxConnections), shared: sharedStore{cfg.OutsideDir},
 		taskCommand:     []string{self, "task-exec"},
 		watchdogCommand: []string{self, "agent-watchdog", cfg.Dir},
 		schedule:        schedule{startedAt: bootClock()},
@@ -127,19 +127,19 @@
 			return nil, fmt.Errorf("%s: damaged: %w; return the machine to its provider", filepath.Join(cfg.Dir, stateFile), err)
 		}
 	}
-	a.runner = &runner{dir: cfg.Dir, exec: a.taskCommand, log: log, tasks: map[TaskAttempt]*task{}, exited: a.taskExited}
+	a.runner = &runner{dir: cfg.Dir, taskCommand: a.taskCommand, log: log, tasks: map[TaskAttempt]*task{}, exited: a.taskExited}
 	if a.images, err = newImageStore(filepath.Join(cfg.Dir, "images"), int64(cfg.LocalGB*1e9), cfg.Images); err != nil {
 		return nil, err
 	}
-	a.images.wanted = func(name string) bool {
+	a.images.needed = func(name string) bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return a.worker.Wanted(name)
+		return a.worker.NeedsImage(name)
 	}
-	a.images.evicted = func(name string) {
+	a.images.onEvict = func(name string) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.worker.Evicted(name)
+		a.worker.ImageEvicted(name)
 	}
 	if cfg.Staging != nil {
 		if a.inputs, err = newInputStore(a); err != nil {
@@ -147,10 +147,10 @@
 		}
 	}
 	if cfg.Archive != nil {
-		if a.keeper, err = newOutputKeeper(a); err != nil {
+		if a.outputs, err = newOutputShipper(a); err != nil {
 			return nil, err
 		}
-		a.runner.holds = a.keeper.holds
+		a.runner.needsFolder = a.outputs.needsFolder
 	}
 	a.server = transport.NewServer(&a.mu, a, requestTimeout, maxServedConnections)
 	return a, nil
@@ -184,15 +184,15 @@
 	if err := proc.KeepOrphans(); err != nil {
 		return fmt.Errorf("orphans of tasks: %w", err)
 	}
-	a.runner.clear() // whatever an earlier agent left
+	a.runner.endAll() // whatever an earlier agent left
 	if err := endEarlierWatchdog(a.cfg.Dir); err != nil {
 		return fmt.Errorf("watchdog: %w", err)
 	}
-	a.keeper.open()
+	a.outputs.open()
 	if err := a.startWatchdog(); err != nil {
 		return fmt.Errorf("watchdog: %w", err)
 	}
-	a.server.Ready = func(addrs []net.Addr) { a.begin(addrs[0].String()) }
+	a.server.Ready = func(addrs []net.Addr) { a.beginEpoch(addrs[0].String()) }
 	err := a.server.Run(a.listenAddress(), "")
 	a.mu.Lock()
 	a.shutdown.begun = true
@@ -202,8 +202,8 @@
 	failed := a.shutdown.err
 	a.mu.Unlock()
 	a.inputs.close()
-	a.runner.clear()
-	a.keeper.close()
+	a.runner.endAll()
+	a.outputs.close()
 	a.endWatchdog()
 	return errors.Join(failed, err)
 }
@@ -232,8 +232,8 @@
 // Stop ends the agent and its tasks, as a machine that is switched off.
 func (a *Agent) Stop() { a.server.Stop() }
 
-// begin starts the agent epoch; the server holds the lock.
-func (a *Agent) begin(address string) {
+// beginEpoch starts the agent epoch; the server holds the lock.
+func (a *Agent) beginEpoch(address string) {
 	a.persisted.Epoch++
 	if ap, err := netip.ParseAddrPort(address); err == nil {
 		a.persisted.Port = int(ap.Port())
@@ -245,7 +245,7 @@
 	me := protocol.Heartbeat{Worker: a.cfg.Worker, Address: address, MachineType: a.cfg.MachineType, Zone: a.cfg.Zone, Spot: a.cfg.Spot}
 	a.schedule.startedAt = bootClock()
 	a.worker = NewWorker(me, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.persisted.Epoch, a.persisted.FencingToken, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	a.runner.open(a.persisted.Epoch)
+	a.runner.setEpoch(a.persisted.Epoch)
 	a.stats.Epochs++
 	a.log.Info("serving", "listen", address, "epoch", a.persisted.Epoch)
 	a.schedule.timer = time.AfterFunc(0, a.tick)
@@ -263,9 +263,9 @@
 	if now.Sub(a.schedule.lastSweepAt) > a.sweepPeriod() {
 		a.schedule.lastSweepAt = now
 		a.server.Sweep(now)
-		a.stats.Usage = a.runner.watch()
-		a.inputs.refresh(false)
-		a.worker.SetUnshipped(a.keeper.left())
+		a.stats.Usage = a.runner.checkMemory()
+		a.inputs.refreshReport(false)
+		a.worker.SetUnshipped(a.outputs.unshipped())
 		if at, ok := a.checkPreemption(); ok {
 			a.perform(a.worker.Preempt(a.clock(), at))
 		}
@@ -297,7 +297,7 @@
 func (a *Agent) sendHeartbeat(s *HeartbeatSend) {
 	a.stats.Heartbeats++
 	a.inputs.heartbeatSent()
-	a.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: patience,
+	a.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: answerTimeout,
 		Done: func(r *transport.Response, _ bool, err error) {
 			a.step(func() Effects {
 				if err != nil {
@@ -315,7 +315,7 @@
 
 // endAllTasks ends the epoch's tasks and begins the next agent epoch.
 func (a *Agent) endAllTasks() {
-	a.runner.clear()
+	a.runner.endAll()
 	err := a.replaceWatchdog()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -331,7 +331,7 @@
 	a.persist()
 	if a.shutdown.err == nil {
 		a.stats.Epochs++
-		a.runner.open(a.persisted.Epoch)
+		a.runner.setEpoch(a.persisted.Epoch)
 		a.perform(a.worker.EpochEnded(a.clock()))
 	}
 }
@@ -385,8 +385,8 @@
 func (a *Agent) Stats() Stats {
 	s := a.stats
 	s.Tasks, s.Live = a.worker.Count()
-	if a.keeper != nil {
-		t := a.keeper.ship.Stats()
+	if a.outputs != nil {
+		t := a.outputs.shipper.Stats()
 		s.Archive = &t
 	}
 	return s
--- a/internal/agent/agent_effects.go
+++ b/internal/agent/agent_effects.go
@@ -11,14 +11,14 @@
 		a.persisted.FencingToken = e.Token
 		a.persist()
 	}
-	a.extendWatchdog(e.Lease)
+	a.extendWatchdog(e.LeaseEnd)
 	if e.EndAll {
 		a.log.Info("lease expired", "epoch", a.worker.Epoch())
 		go a.endAllTasks()
 	}
 	a.signalTasks(e)
 	a.fetchWanted(e)
-	a.bringInputs(e)
+	a.fetchInputs(e)
 	a.startTasks(e)
 	a.forget(e.Forget)
 	if e.Heartbeat != nil {
@@ -33,7 +33,7 @@
 		a.runner.kill(k)
 	}
 	for _, k := range e.Stop {
-		a.attempts.lastCheckpoints[k] = a.outsideStore.last(k.Job, k.Index)
+		a.attempts.lastCheckpoints[k] = a.shared.last(k.Job, k.Index)
 		a.runner.signal(k, syscall.SIGTERM)
 	}
 	for _, k := range e.Checkpoint {
@@ -45,7 +45,7 @@
 // task waits for any more; the lock is held.
 func (a *Agent) fetchWanted(e Effects) {
 	for _, name := range e.Leave {
-		a.images.leave(name)
+		a.images.cancelFetch(name)
 	}
 	for _, id := range e.Describe {
 		a.fetchDescription(id, 0)
@@ -61,15 +61,15 @@
 	}
 }
 
-// bringInputs has the store of data sets carry out what concerns it, or refuses
+// fetchInputs has the store of data sets carry out what concerns it, or refuses
 // inputs on a machine without one; the lock is held.
-func (a *Agent) bringInputs(e Effects) {
+func (a *Agent) fetchInputs(e Effects) {
 	if a.inputs == nil {
-		for _, k := range e.Inputs { // of a site that has data sets
-			go a.step(func() Effects { return a.worker.Brought(a.clock(), k, errNoStore, false) })
+		for _, k := range e.FetchInputs { // of a site that has data sets
+			go a.step(func() Effects { return a.worker.InputsFetched(a.clock(), k, errNoStore, false) })
 		}
 	}
-	a.inputs.do(e)
+	a.inputs.apply(e)
 }
 
 // startTasks starts attempts, and asks how the other tasks of gangs are; the lock
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -41,7 +41,7 @@
 			raw, _ := os.ReadFile(os.Args[2])
 			if err = json.Unmarshal(raw, &cfg); err == nil {
 				var a *Agent
-				if a, err = New(cfg, os.Args[0], quiet); err == nil {
+				if a, err = New(cfg, os.Args[0], discardLog); err == nil {
 					err = a.Run()
 				}
 			}
@@ -57,30 +57,30 @@
 	os.Exit(m.Run())
 }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// controller is a stand-in: it answers heartbeats with whatever commands are due and
+// fakeController is a stand-in: it answers heartbeats with whatever commands are due and
 // keeps the last heartbeat.
-type controller struct {
-	t        *testing.T
-	srv      *httptest.Server
-	mu       sync.Mutex
-	commands []protocol.Command
-	jobs     map[string]protocol.JobDescription
-	last     protocol.Heartbeat
-	causes   map[string]string // by "load#try"
-	silent   bool
-	each     func(r protocol.Heartbeat)
+type fakeController struct {
+	t           *testing.T
+	srv         *httptest.Server
+	mu          sync.Mutex
+	commands    []protocol.Command
+	jobs        map[string]protocol.JobDescription
+	last        protocol.Heartbeat
+	causes      map[string]string // by "load#try"
+	unavailable bool
+	onHeartbeat func(r protocol.Heartbeat)
 }
 
-func newController(t *testing.T) *controller {
-	c := &controller{t: t, jobs: map[string]protocol.JobDescription{}, causes: map[string]string{}}
+func newFakeController(t *testing.T) *fakeController {
+	c := &fakeController{t: t, jobs: map[string]protocol.JobDescription{}, causes: map[string]string{}}
 	c.srv = httptest.NewServer(http.HandlerFunc(c.serve))
 	t.Cleanup(c.srv.Close)
 	return c
 }
 
-func (c *controller) serve(w http.ResponseWriter, r *http.Request) {
+func (c *fakeController) serve(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ref, ok := strings.CutPrefix(r.URL.Path, protocol.PathJobs+"/"); ok {
@@ -94,8 +94,8 @@
 	var rep protocol.Heartbeat
 	_ = json.NewDecoder(r.Body).Decode(&rep)
 	c.last = rep
-	if c.each != nil {
-		c.each(rep)
+	if c.onHeartbeat != nil {
+		c.onHeartbeat(rep)
 	}
 	for _, task := range rep.Tasks {
 		if task.Status == protocol.TaskEnded {
@@ -106,7 +106,7 @@
 			c.causes[fmt.Sprintf("%s#%d", task.Task, task.Attempt)] = cause
 		}
 	}
-	if c.silent {
+	if c.unavailable {
 		w.WriteHeader(503)
 		return
 	}
@@ -114,14 +114,14 @@
 	c.commands = nil
 }
 
-func (c *controller) order(o ...protocol.Command) {
+func (c *fakeController) send(o ...protocol.Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.commands = append(c.commands, o...)
 }
 
 // await waits until a condition holds, and names it when it never does.
-func (c *controller) await(what string, ok func() bool) {
+func (c *fakeController) await(what string, ok func() bool) {
 	c.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		c.mu.Lock()
@@ -138,7 +138,7 @@
 	}
 }
 
-func (c *controller) job(id, script string, change func(*protocol.JobDescription)) {
+func (c *fakeController) addJob(id, script string, change func(*protocol.JobDescription)) {
 	d := protocol.JobDescription{ID: id, Shape: job.Array, Tasks: 9, CPUs: 0.1, MemoryGB: 0.5, Image: "sh", Priority: "idle",
 		Extra: &job.Extra{Command: []string{"/bin/sh", "-c", script}}}
 	if change != nil {
@@ -149,7 +149,7 @@
 	c.jobs[id] = d
 }
 
-func testConfig(t *testing.T, c *controller) Config {
+func testConfig(t *testing.T, c *fakeController) Config {
 	cfg := DefaultConfig()
 	cfg.Worker, cfg.MachineType, cfg.Zone = "i-1", "r", "z"
 	cfg.Dir, cfg.OutsideDir = filepath.Join(t.TempDir(), "m"), t.TempDir()
@@ -165,7 +165,7 @@
 }
 
 func runAgent(t *testing.T, cfg Config) *Agent {
-	a, err := New(cfg, os.Args[0], quiet)
+	a, err := New(cfg, os.Args[0], discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,19 +184,19 @@
 // fails, one that takes too much memory, one whose children leave its group, one
 // that saves, and one that nobody can start.
 func TestTasksRunAndEndWhole(t *testing.T) {
-	c := newController(t)
+	c := newFakeController(t)
 	cfg := testConfig(t, c)
-	c.job("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.JobDescription) { d.Extra.Env = map[string]string{"WORD": "hello"} })
-	c.job("wk-000002", `exit 3`, nil)
-	c.job("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.JobDescription) { d.MemoryGB = 0.1 })
-	c.job("wk-000004", `setsid sleep 1000 & echo $! > left; sleep 1000 & wait`, nil)
-	c.job("wk-000005", `trap 'echo saved > $SILVERGATE_CHECKPOINTS/7; touch $SILVERGATE_CHECKPOINTS/7.complete; exit 0' TERM; echo ready; while :; do sleep 0.05; done`,
+	c.addJob("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.JobDescription) { d.Extra.Env = map[string]string{"WORD": "hello"} })
+	c.addJob("wk-000002", `exit 3`, nil)
+	c.addJob("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.JobDescription) { d.MemoryGB = 0.1 })
+	c.addJob("wk-000004", `setsid sleep 1000 & echo $! > left; sleep 1000 & wait`, nil)
+	c.addJob("wk-000005", `trap 'echo saved > $SILVERGATE_CHECKPOINTS/7; touch $SILVERGATE_CHECKPOINTS/7.complete; exit 0' TERM; echo ready; while :; do sleep 0.05; done`,
 		func(d *protocol.JobDescription) { d.CheckpointIntervalS, d.CheckpointSaveS = 100, 1 })
-	c.job("wk-000006", ``, func(d *protocol.JobDescription) { d.Extra.Command = []string{"no-such-program"} })
-	c.job("wk-000007", ``, func(d *protocol.JobDescription) { d.Image = "unknown" })
+	c.addJob("wk-000006", ``, func(d *protocol.JobDescription) { d.Extra.Command = []string{"no-such-program"} })
+	c.addJob("wk-000007", ``, func(d *protocol.JobDescription) { d.Image = "unknown" })
 	runAgent(t, cfg)
 	for i := 1; i <= 8; i++ { // the last is of a job that nobody knows
-		c.order(launch(fmt.Sprintf("wk-%06d", i), 0))
+		c.send(launch(fmt.Sprintf("wk-%06d", i), 0))
 	}
 	file := func(i int, name string) string {
 		b, _ := os.ReadFile(filepath.Join(cfg.Dir, tasksDir, fmt.Sprintf("wk-%06d.0.1", i), name))
@@ -221,16 +221,16 @@
 		t.Fatal(err)
 	}
 	grace := 10.0
-	c.order(protocol.Command{Verb: "kill", Task: "wk-000004/0", Attempt: 1}, protocol.Command{Verb: "kill", Task: "wk-000005/0", Attempt: 1, GracePeriodS: &grace})
+	c.send(protocol.Command{Verb: "kill", Task: "wk-000004/0", Attempt: 1}, protocol.Command{Verb: "kill", Task: "wk-000005/0", Attempt: 1, GracePeriodS: &grace})
 	c.await("the kills", func() bool { return len(c.causes) == 8 })
 	if c.causes["wk-000004/0#1"] != "stopped" || id.Alive() {
 		t.Errorf("%s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
 	}
-	if c.causes["wk-000005/0#1"] != "stopped+saved" || (outsideStore{cfg.OutsideDir}).resume("wk-000005", 0, 9, false) != 7 {
+	if c.causes["wk-000005/0#1"] != "stopped+saved" || (sharedStore{cfg.OutsideDir}).resume("wk-000005", 0, 9, false) != 7 {
 		t.Errorf("saved: %s", c.causes["wk-000005/0#1"])
 	}
 	// The result is kept: the same task started again does not run again.
-	c.order(protocol.Command{Verb: "forget", Task: "wk-000001/0", Attempt: 1}, protocol.Command{Verb: "launch", Task: "wk-000001/0", Attempt: 2})
+	c.send(protocol.Command{Verb: "forget", Task: "wk-000001/0", Attempt: 1}, protocol.Command{Verb: "launch", Task: "wk-000001/0", Attempt: 2})
 	c.await("the repeated task", func() bool { return c.causes["wk-000001/0#2"] == "done" })
 	if exists(filepath.Join(cfg.Dir, tasksDir, "wk-000001.0.2", execFile)) {
 		t.Error("a task that was done ran again")
@@ -242,10 +242,10 @@
 func TestNoTaskOutlivesItsAgentOrLease(t *testing.T) {
 	for _, how := range []string{"killed", "hangs"} {
 		t.Run(how, func(t *testing.T) {
-			c := newController(t)
+			c := newFakeController(t)
 			cfg := testConfig(t, c)
 			cfg.Workers.Lease = 1.5
-			c.job("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
+			c.addJob("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
 			raw, _ := json.Marshal(cfg)
 			file := filepath.Join(t.TempDir(), "agent.json")
 			if err := os.WriteFile(file, raw, 0o600); err != nil {
@@ -264,7 +264,7 @@
 				cmd.Wait()
 				EndTasks(cfg.Dir)
 			}()
-			c.order(launch("wk-000001", 0))
+			c.send(launch("wk-000001", 0))
 			var id proc.ID
 			c.await("the task", func() bool {
 				b, _ := os.ReadFile(filepath.Join(cfg.Dir, tasksDir, "wk-000001.0.1", workDir, "pid"))
@@ -278,7 +278,7 @@
 			early := false
 			c.mu.Lock()
 			epoch := c.last.AgentEpoch
-			c.each = func(r protocol.Heartbeat) { early = early || r.AgentEpoch > epoch && id.Alive() }
+			c.onHeartbeat = func(r protocol.Heartbeat) { early = early || r.AgentEpoch > epoch && id.Alive() }
 			c.mu.Unlock()
 			if how == "killed" {
 				cmd.Process.Kill()
@@ -339,7 +339,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.wanted, c.evicted = func(string) bool { return true }, func(string) {}
+		c.needed, c.onEvict = func(string) bool { return true }, func(string) {}
 		got := make(chan error, 1)
 		c.fetch("x", func(err error) { got <- err })
 		if err := <-got; err == nil {
@@ -354,14 +354,14 @@
 	}
 	good := archive(tar.Header{Name: "bin/run", Typeflag: tar.TypeReg})
 	c, _ := newImageStore(t.TempDir(), 100, []Image{{Name: "x", Path: good}})
-	c.wanted, c.evicted = func(string) bool { return true }, func(string) {}
+	c.needed, c.onEvict = func(string) bool { return true }, func(string) {}
 	got := make(chan error, 1)
 	c.fetch("x", func(err error) { got <- err })
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
 	folder, _, _ := c.folder("x")
-	if p, err := find("run", folder); err != nil || !strings.HasPrefix(p, folder) {
+	if p, err := findProgram("run", folder); err != nil || !strings.HasPrefix(p, folder) {
 		t.Errorf("program of the image: %s %v", p, err)
 	}
 }
@@ -369,9 +369,9 @@
 // TestConformsToProtocol plays the protocol's sentences.
 func TestConformsToProtocol(t *testing.T) {
 	conformance.Run(t, conformance.Worker, true, func(t *testing.T) conformance.Target {
-		c := newController(t)
-		c.silent = true // the table gives the commands
-		c.job("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
+		c := newFakeController(t)
+		c.unavailable = true // the table gives the commands
+		c.addJob("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
 		cfg := testConfig(t, c)
 		cfg.Workers.Lease = 60
 		a := runAgent(t, cfg)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -48,7 +48,7 @@
 	Idle     int `yaml:"idle"`
 }
 
-func (n NiceLevels) of(urgency string) int {
+func (n NiceLevels) forPriority(urgency string) int {
 	switch urgency {
 	case "prod":
 		return n.Prod
--- a/internal/agent/images.go
+++ b/internal/agent/images.go
@@ -53,21 +53,21 @@
 	dir      string
 	capacity int64 // bytes
 	offered  map[string]Image
-	// wanted tells whether an image may not be evicted.
-	wanted  func(name string) bool
-	evicted func(name string)
+	// needed tells whether an image may not be evicted.
+	needed  func(name string) bool
+	onEvict func(name string)
 
-	mu      sync.Mutex
-	pulls   map[string]context.CancelFunc
-	ready   map[string]string // name -> folder
-	sizes   map[string]int64
-	used    map[string]uint64
-	counter uint64
+	mu       sync.Mutex
+	fetches  map[string]context.CancelFunc
+	folders  map[string]string // name -> folder
+	sizes    map[string]int64
+	lastUse  map[string]uint64
+	useCount uint64
 }
 
 func newImageStore(dir string, capacity int64, list []Image) (*imageStore, error) {
-	c := &imageStore{dir: dir, capacity: capacity, offered: map[string]Image{}, pulls: map[string]context.CancelFunc{},
-		ready: map[string]string{}, sizes: map[string]int64{}, used: map[string]uint64{}}
+	c := &imageStore{dir: dir, capacity: capacity, offered: map[string]Image{}, fetches: map[string]context.CancelFunc{},
+		folders: map[string]string{}, sizes: map[string]int64{}, lastUse: map[string]uint64{}}
 	for _, m := range list {
 		c.offered[m.Name] = m
 	}
@@ -93,19 +93,19 @@
 func (c *imageStore) fetch(name string, done func(error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
-	c.pulls[name] = cancel
+	c.fetches[name] = cancel
 	c.mu.Unlock()
 	go func() {
-		folder, size, err := c.get(ctx, name)
+		folder, size, err := c.install(ctx, name)
 		c.mu.Lock()
 		if ctx.Err() != nil {
 			c.mu.Unlock()
 			return
 		}
-		delete(c.pulls, name)
+		delete(c.fetches, name)
 		cancel()
 		if err == nil {
-			c.ready[name], c.sizes[name] = folder, size
+			c.folders[name], c.sizes[name] = folder, size
 			c.touch(name)
 		}
 		c.mu.Unlock()
@@ -116,26 +116,26 @@
 	}()
 }
 
-// leave gives a fetch up.
-func (c *imageStore) leave(name string) {
+// cancelFetch gives a fetch up.
+func (c *imageStore) cancelFetch(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cancel := c.pulls[name]; cancel != nil {
+	if cancel := c.fetches[name]; cancel != nil {
 		cancel()
-		delete(c.pulls, name)
+		delete(c.fetches, name)
 	}
 }
 
 func (c *imageStore) touch(name string) {
-	c.counter++
-	c.used[name] = c.counter
+	c.useCount++
+	c.lastUse[name] = c.useCount
 }
 
 // folder is where an image is; it counts as a use.
 func (c *imageStore) folder(name string) (string, Image, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f, ok := c.ready[name]
+	f, ok := c.folders[name]
 	c.touch(name)
 	return f, c.offered[name], ok
 }
@@ -149,30 +149,30 @@
 		total += s
 		names = append(names, n)
 	}
-	sort.Slice(names, func(i, j int) bool { return c.used[names[i]] < c.used[names[j]] })
+	sort.Slice(names, func(i, j int) bool { return c.lastUse[names[i]] < c.lastUse[names[j]] })
 	c.mu.Unlock()
 	for _, n := range names {
 		if total <= c.capacity {
 			return
 		}
-		if n == keep || c.wanted(n) {
+		if n == keep || c.needed(n) {
 			continue
 		}
 		c.mu.Lock()
-		folder := c.ready[n]
+		folder := c.folders[n]
 		total -= c.sizes[n]
-		delete(c.ready, n)
+		delete(c.folders, n)
 		delete(c.sizes, n)
 		c.mu.Unlock()
-		c.evicted(n)
+		c.onEvict(n)
 		if folder != "" {
 			_ = os.RemoveAll(folder)
 		}
 	}
 }
 
-// get copies an image to this machine, unless the same one is here already.
-func (c *imageStore) get(ctx context.Context, name string) (folder string, size int64, err error) {
+// install copies an image to this machine, unless the same one is here already.
+func (c *imageStore) install(ctx context.Context, name string) (folder string, size int64, err error) {
 	m, ok := c.offered[name]
 	if !ok {
 		return "", 0, ErrNoImage
@@ -194,7 +194,7 @@
 		return "", 0, err
 	}
 	defer os.RemoveAll(tmp)
-	w := &unpacker{ctx: ctx, left: c.capacity}
+	w := &unpacker{ctx: ctx, remaining: c.capacity}
 	if w.root, err = os.OpenRoot(tmp); err != nil {
 		return "", 0, err
 	}
@@ -213,7 +213,7 @@
 	if err != nil {
 		return "", 0, fmt.Errorf("image %s: %w", name, err)
 	}
-	return folder, c.capacity - w.left, nil
+	return folder, c.capacity - w.remaining, nil
 }
 
 // syncTree makes what was written below a folder durable.
@@ -240,9 +240,9 @@
 
 // unpacker writes files below a root, and nowhere else, whatever their names.
 type unpacker struct {
-	ctx  context.Context
-	root *os.Root
-	left int64 // bytes that may still be written
+	ctx       context.Context
+	root      *os.Root
+	remaining int64 // bytes that may still be written
 }
 
 // maxFiles bounds the files of an image, as bytes alone don't.
@@ -250,7 +250,7 @@
 
 var errTooLarge = errors.New("larger than the machine's room for images (localGb)")
 
-func (u *unpacker) file(name string, mode fs.FileMode, r io.Reader) error {
+func (u *unpacker) writeFile(name string, mode fs.FileMode, r io.Reader) error {
 	if err := u.root.MkdirAll(filepath.Dir(name), 0o755); err != nil {
 		return err
 	}
@@ -258,9 +258,9 @@
 	if err != nil {
 		return err
 	}
-	n, err := io.Copy(f, io.LimitReader(ctxReader{u.ctx, r}, u.left+1))
-	u.left -= n
-	if u.left < 0 {
+	n, err := io.Copy(f, io.LimitReader(contextReader{u.ctx, r}, u.remaining+1))
+	u.remaining -= n
+	if u.remaining < 0 {
 		err = errTooLarge
 	}
 	return errors.Join(err, f.Close())
@@ -299,7 +299,7 @@
 			return err
 		}
 		defer f.Close()
-		return u.file(name, info.Mode(), f)
+		return u.writeFile(name, info.Mode(), f)
 	})
 }
 
@@ -345,14 +345,14 @@
 		if files > maxFiles {
 			return errTooLarge
 		}
-		if err := u.entry(h, t); err != nil {
+		if err := u.writeEntry(h, t); err != nil {
 			return err
 		}
 	}
 }
 
-// entry writes one entry of a tar stream, whose contents r has.
-func (u *unpacker) entry(h *tar.Header, r io.Reader) error {
+// writeEntry writes one writeEntry of a tar stream, whose contents r has.
+func (u *unpacker) writeEntry(h *tar.Header, r io.Reader) error {
 	name := filepath.Clean(strings.TrimSuffix(h.Name, "/"))
 	if name == "." {
 		return nil
@@ -362,7 +362,7 @@
 	}
 	switch h.Typeflag {
 	case tar.TypeReg:
-		return u.file(name, fs.FileMode(h.Mode), r)
+		return u.writeFile(name, fs.FileMode(h.Mode), r)
 	case tar.TypeDir:
 		return u.root.MkdirAll(name, 0o755)
 	case tar.TypeSymlink:
@@ -374,12 +374,12 @@
 	return fmt.Errorf("%q is neither a file, a folder nor a link", h.Name)
 }
 
-type ctxReader struct {
+type contextReader struct {
 	ctx context.Context
 	r   io.Reader
 }
 
-func (r ctxReader) Read(b []byte) (int, error) {
+func (r contextReader) Read(b []byte) (int, error) {
 	if err := r.ctx.Err(); err != nil {
 		return 0, err
 	}
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -49,14 +49,14 @@
 // store holds. A nil one is a machine without a store. The agent's lock guards
 // it.
 type inputStore struct {
-	a      *Agent
-	store  *datastore.Store
-	pinned map[TaskAttempt][]dataset.ID
-	staged map[dataset.ID]bool
-	failed map[dataset.ID]bool // since the last heartbeat
-	digest string              // as in the last heartbeat
-	list   bool                // the next heartbeat lists all
-	trace  *tracer             // nil: off
+	agent      *Agent
+	store      *datastore.Store
+	pinned     map[TaskAttempt][]dataset.ID
+	staged     map[dataset.ID]bool
+	failed     map[dataset.ID]bool // since the last heartbeat
+	sentDigest string              // as in the last heartbeat
+	listCopies bool                // the next heartbeat lists all
+	trace      *tracer             // nil: off
 }
 
 var errNoStore = errors.New("this machine has no store of data sets (staging is off)")
@@ -64,8 +64,8 @@
 // A heartbeat's list of copies and of fetches: with the tasks they must fit into a
 // request. Copies beyond are covered by the digest alone, and only cost a hint.
 const (
-	listed  = 500
-	pulling = 32
+	maxListedCopies  = 500
+	maxListedFetches = 32
 )
 
 func newInputStore(a *Agent) (*inputStore, error) {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store of data sets: %w", err)
 	}
-	d := &inputStore{a: a, store: s, pinned: map[TaskAttempt][]dataset.ID{}, staged: map[dataset.ID]bool{}, failed: map[dataset.ID]bool{}, list: true}
+	d := &inputStore{agent: a, store: s, pinned: map[TaskAttempt][]dataset.ID{}, staged: map[dataset.ID]bool{}, failed: map[dataset.ID]bool{}, listCopies: true}
 	if c.Trace {
 		if d.trace, err = newTracer(filepath.Join(a.cfg.Dir, "data", EventsFile), a.cfg.Worker); err != nil {
 			return nil, err
@@ -93,8 +93,8 @@
 	}
 }
 
-// want reads a version's record.
-func want(v *protocol.DataSet, urgent bool) (datastore.Want, error) {
+// parseWant reads a version's record.
+func parseWant(v *protocol.DataSet, urgent bool) (datastore.Want, error) {
 	if err := v.Check(); err != nil {
 		return datastore.Want{}, err
 	}
@@ -106,29 +106,29 @@
 	return w, err
 }
 
-// do carries out what concerns data; the lock is held.
-func (d *inputStore) do(e Effects) {
+// apply carries out what concerns data; the lock is held.
+func (d *inputStore) apply(e Effects) {
 	if d == nil {
 		return
 	}
 	for k, ids := range d.pinned {
-		if !d.a.worker.Live(k) {
+		if !d.agent.worker.Live(k) {
 			delete(d.pinned, k)
 			for _, id := range ids {
 				d.store.Unpin(id)
 			}
 		}
 	}
-	for _, k := range e.Inputs {
-		d.bring(k, d.a.worker.Description(k.Job))
+	for _, k := range e.FetchInputs {
+		d.fetchInputs(k, d.agent.worker.Description(k.Job))
 	}
-	if e.Store != nil {
-		d.stage(e.Store)
+	if e.StagingCommands != nil {
+		d.stage(e.StagingCommands)
 	}
 }
 
-// bring has an attempt's inputs fetched and pinned.
-func (d *inputStore) bring(k TaskAttempt, desc *protocol.JobDescription) {
+// fetchInputs has an attempt's inputs fetched and pinned.
+func (d *inputStore) fetchInputs(k TaskAttempt, desc *protocol.JobDescription) {
 	if desc == nil {
 		return
 	}
@@ -136,12 +136,12 @@
 	var wants []datastore.Want
 	var broken error
 	for i := range desc.Inputs {
-		w, err := want(&desc.Inputs[i].DataSet, urgent)
+		w, err := parseWant(&desc.Inputs[i].DataSet, urgent)
 		broken = errors.Join(broken, err)
 		wants = append(wants, w)
 	}
 	if broken != nil {
-		go d.brought(k, broken)
+		go d.reportInputs(k, broken)
 		return
 	}
 	left := len(wants)
@@ -154,45 +154,45 @@
 		var fetch func(pause time.Duration)
 		fetch = func(pause time.Duration) {
 			d.store.Fetch(w, func(err error) {
-				d.a.mu.Lock()
-				live := d.a.worker.Live(k) && !d.a.shutdown.begun
+				d.agent.mu.Lock()
+				live := d.agent.worker.Live(k) && !d.agent.shutdown.begun
 				if err == nil {
 					left--
 				}
 				last := left == 0
-				d.a.mu.Unlock()
+				d.agent.mu.Unlock()
 				switch {
 				case !live:
 				case err == nil && last, errors.Is(err, datastore.ErrFull):
-					d.brought(k, err)
+					d.reportInputs(k, err)
 				case err != nil:
 					// Sources come back; the task waits as long as it is wanted.
-					time.AfterFunc(pause, func() { fetch(min(2*pause, seconds(d.a.cfg.Workers.Lease))) })
+					time.AfterFunc(pause, func() { fetch(min(2*pause, seconds(d.agent.cfg.Workers.Lease))) })
 				}
 			})
 		}
-		fetch(seconds(d.a.cfg.Workers.Heartbeat / 4))
+		fetch(seconds(d.agent.cfg.Workers.Heartbeat / 4))
 	}
 }
 
-func (d *inputStore) brought(k TaskAttempt, err error) {
-	d.a.step(func() Effects {
+func (d *inputStore) reportInputs(k TaskAttempt, err error) {
+	d.agent.step(func() Effects {
 		if err != nil {
-			d.a.log.Error("inputs can't be had", "task", k.TaskName(), "error", err)
+			d.agent.log.Error("inputs can't be had", "task", k.TaskName(), "error", err)
 		}
-		return d.a.worker.Brought(d.a.clock(), k, err, errors.Is(err, datastore.ErrFull))
+		return d.agent.worker.InputsFetched(d.agent.clock(), k, err, errors.Is(err, datastore.ErrFull))
 	})
 }
 
 // stage carries out a controller's wishes, which are whole.
 func (d *inputStore) stage(o *protocol.StoreOrders) {
-	d.list = d.list || o.List
+	d.listCopies = d.listCopies || o.List
 	wanted := map[dataset.ID]bool{}
 	for i := range o.Fetch {
 		f := &o.Fetch[i]
-		w, err := want(&f.DataSet, f.Urgent)
+		w, err := parseWant(&f.DataSet, f.Urgent)
 		if err != nil {
-			d.a.log.Error("a stage order can't be read", "error", err)
+			d.agent.log.Error("a stage order can't be read", "error", err)
 			continue
 		}
 		wanted[w.ID] = true
@@ -203,16 +203,16 @@
 			w.Sources = []datastore.Source{{Address: f.Server}}
 		}
 		if !d.staged[w.ID] {
-			d.a.log.Debug("staging", "copy", w.ID, "set", w.Set, "version", w.Version, "urgent", f.Urgent, "peer", f.Peer, "server", f.Server)
+			d.agent.log.Debug("staging", "copy", w.ID, "set", w.Set, "version", w.Version, "urgent", f.Urgent, "peer", f.Peer, "server", f.Server)
 		}
 		d.staged[w.ID] = true
 		d.store.Fetch(w, func(err error) {
-			d.a.mu.Lock()
-			defer d.a.mu.Unlock()
+			d.agent.mu.Lock()
+			defer d.agent.mu.Unlock()
 			if err != nil && !errors.Is(err, datastore.ErrDropped) {
 				d.failed[w.ID] = true
 			}
-			d.refresh(true)
+			d.refreshReport(true)
 		})
 	}
 	for id := range d.staged {
@@ -223,43 +223,43 @@
 	}
 }
 
-// refresh has the heartbeats say what the store holds; the lock is held.
-func (d *inputStore) refresh(soon bool) {
-	if d == nil || d.a.worker == nil || d.a.shutdown.begun {
+// refreshReport has the heartbeats say what the store holds; the lock is held.
+func (d *inputStore) refreshReport(soon bool) {
+	if d == nil || d.agent.worker == nil || d.agent.shutdown.begun {
 		return
 	}
 	digest := d.store.Digest()
 	r := &protocol.StoreReport{Digest: digest}
-	if d.list || digest != d.digest {
-		soon = soon || digest != d.digest
+	if d.listCopies || digest != d.sentDigest {
+		soon = soon || digest != d.sentDigest
 		r.Listed = true
 		for i, id := range d.store.Held() {
-			if i == listed {
+			if i == maxListedCopies {
 				break
 			}
 			r.Copies = append(r.Copies, string(id))
 		}
 	}
 	for i, p := range d.store.Pulls() {
-		if i == pulling {
+		if i == maxListedFetches {
 			break
 		}
 		r.Pulls = append(r.Pulls, protocol.StorePull{Copy: string(p.ID), Done: p.Done, Total: p.Total, Rate: p.Rate})
 	}
 	for id := range d.failed {
-		if len(r.Failed) == pulling {
+		if len(r.Failed) == maxListedFetches {
 			break
 		}
 		r.Failed = append(r.Failed, string(id))
 	}
-	d.a.worker.Stored(r, soon)
+	d.agent.worker.SetStoreReport(r, soon)
 }
 
 // heartbeatSent takes that a heartbeat has left.
 func (d *inputStore) heartbeatSent() {
 	if d != nil {
-		d.list = false
-		d.digest = d.store.Digest()
+		d.listCopies = false
+		d.sentDigest = d.store.Digest()
 		clear(d.failed)
 	}
 }
@@ -271,7 +271,7 @@
 		return errNoStore
 	}
 	for i := range list {
-		w, err := want(&list[i].DataSet, false)
+		w, err := parseWant(&list[i].DataSet, false)
 		if err == nil && !protocol.ValidRelativePath(list[i].Path) {
 			err = errors.New("not a path inside")
 		}
@@ -292,20 +292,20 @@
 		return false
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 		defer cancel()
 		status, body := datastore.Answer(ctx, d.store, name)
-		d.a.mu.Lock()
-		defer d.a.mu.Unlock()
+		d.agent.mu.Lock()
+		defer d.agent.mu.Unlock()
 		if status == http.StatusOK {
-			d.a.server.AnswerAs(id, "application/octet-stream", body)
+			d.agent.server.AnswerAs(id, "application/octet-stream", body)
 			return
 		}
 		retry := 0
 		if status == http.StatusServiceUnavailable {
 			retry = 1
 		}
-		d.a.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: string(body)}), retry)
+		d.agent.server.Answer(id, status, protocol.Encode(protocol.ErrorResponse{Error: string(body)}), retry)
 	}()
 	return true
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -23,13 +23,13 @@
 
 // Names in a machine's folder.
 const (
-	tasksDir  = "tasks"
-	stdout    = "stdout"
-	stderr    = "stderr"
-	workDir   = "work"
-	procFile  = "process.json"
-	execFile  = "exec.json"
-	keptTasks = 200 // folders of attempts that are over
+	tasksDir       = "tasks"
+	stdout         = "stdout"
+	stderr         = "stderr"
+	workDir        = "work"
+	procFile       = "process.json"
+	execFile       = "exec.json"
+	maxKeptFolders = 200 // folders of attempts that are over
 )
 
 // program is what is run for an attempt.
@@ -80,35 +80,35 @@
 // runner owns the processes of a machine: it starts programs as process groups,
 // watches their memory and ends them whole.
 type runner struct {
-	dir  string // of the machine
-	exec []string
-	log  *slog.Logger
+	dir         string // of the machine
+	taskCommand []string
+	log         *slog.Logger
 	// exited is called when all processes of an attempt are gone.
 	exited func(k TaskAttempt, code int, memory bool)
-	// holds tells of attempts whose folders are still needed; nil: none are.
-	holds func(k TaskAttempt) bool
+	// needsFolder tells of attempts whose folders are still needed; nil: none are.
+	needsFolder func(k TaskAttempt) bool
 
-	mu       sync.Mutex
-	tasks    map[TaskAttempt]*task
-	epoch    uint64     // whose tasks may be started
-	starting int        // being started
-	fewer    *sync.Cond // tells that there are fewer of tasks or starting; nil before anyone waits
+	mu        sync.Mutex
+	tasks     map[TaskAttempt]*task
+	epoch     uint64     // whose tasks may be started
+	starting  int        // being started
+	decreased *sync.Cond // tells that there are fewer of tasks or starting; nil before anyone waits
 }
 
 var errWrongEpoch = errors.New("its session is over")
 
 type task struct {
-	id     proc.ID
-	ram    uint64 // bytes; 0: no limit
-	memory bool   // ended for its memory
+	id             proc.ID
+	memoryLimit    uint64 // bytes; 0: no limit
+	memoryExceeded bool   // ended for its memory
 }
 
 func (r *runner) folder(k TaskAttempt) string { return filepath.Join(r.dir, tasksDir, k.String()) }
 
 func (r *runner) processMarker(k TaskAttempt) string { return r.dir + "/" + k.String() }
 
-// open allows the tasks of an agent epoch to be started, and of no other.
-func (r *runner) open(epoch uint64) {
+// setEpoch allows the tasks of an agent epoch to be started, and of no other.
+func (r *runner) setEpoch(epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch = epoch
@@ -130,7 +130,7 @@
 	if err == nil {
 		r.tasks[k] = t
 	}
-	r.tellFewer()
+	r.signalDecrease()
 	r.mu.Unlock()
 	if err != nil {
 		return err
@@ -159,11 +159,11 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, nil, err
 	}
-	cmd := exec.Command(r.exec[0], append(r.exec[1:len(r.exec):len(r.exec)], path)...)
+	cmd := exec.Command(r.taskCommand[0], append(r.taskCommand[1:len(r.taskCommand):len(r.taskCommand)], path)...)
 	cmd.Env = append(os.Environ(), proc.MarkEnv+"="+r.processMarker(k))
 	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, errs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	t := &task{ram: uint64(ramGB * (1 << 30))}
+	t := &task{memoryLimit: uint64(ramGB * (1 << 30))}
 	t.id, err = proc.Start(cmd, proc.Record(filepath.Join(dir, procFile)))
 	return t, cmd, err
 }
@@ -183,8 +183,8 @@
 	code := exitCode(cmd.Wait())
 	r.mu.Lock()
 	delete(r.tasks, k)
-	memory := t.memory
-	r.tellFewer()
+	memory := t.memoryExceeded
+	r.signalDecrease()
 	r.mu.Unlock()
 	r.exited(k, code, memory)
 }
@@ -214,9 +214,9 @@
 // kill ends an attempt whole. Its end is announced by exited.
 func (r *runner) kill(k TaskAttempt) { r.signal(k, syscall.SIGKILL) }
 
-// watch ends the attempts that hold more memory than they asked for, and
+// checkMemory ends the attempts that hold more memory than they asked for, and
 // returns what all hold.
-func (r *runner) watch() (total proc.Usage) {
+func (r *runner) checkMemory() (total proc.Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.tasks) == 0 {
@@ -226,40 +226,40 @@
 	for k, t := range r.tasks {
 		u := groups[t.id.PID]
 		total.RSS, total.CPU, total.Members = total.RSS+u.RSS, total.CPU+u.CPU, total.Members+u.Members
-		if t.ram > 0 && u.RSS > t.ram && !t.memory {
-			t.memory = true
-			r.log.Info("task ended for its memory", "task", k.String(), "resident_bytes", u.RSS, "limit_bytes", t.ram)
+		if t.memoryLimit > 0 && u.RSS > t.memoryLimit && !t.memoryExceeded {
+			t.memoryExceeded = true
+			r.log.Info("task ended for its memory", "task", k.String(), "resident_bytes", u.RSS, "limit_bytes", t.memoryLimit)
 			_ = proc.KillGroup(t.id, syscall.SIGKILL)
 		}
 	}
 	return total
 }
 
-// clear ends everything on the machine, also what an earlier agent started.
+// endAll ends everything on the machine, also what an earlier agent started.
 // Nothing is started from then on, until open allows it.
-func (r *runner) clear() {
-	r.open(0)
-	r.awaitFewer(func() bool { return r.starting == 0 })
-	endUntilGone(ownerOf(r.dir, r.log), r.log)
-	r.awaitFewer(func() bool { return len(r.tasks) == 0 })
+func (r *runner) endAll() {
+	r.setEpoch(0)
+	r.awaitCondition(func() bool { return r.starting == 0 })
+	endUntilGone(taskOwner(r.dir, r.log), r.log)
+	r.awaitCondition(func() bool { return len(r.tasks) == 0 })
 }
 
-// awaitFewer waits until a condition on tasks or starting holds.
-func (r *runner) awaitFewer(holds func() bool) {
+// awaitCondition waits until a condition on tasks or starting holds.
+func (r *runner) awaitCondition(holds func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.fewer == nil {
-		r.fewer = sync.NewCond(&r.mu)
+	if r.decreased == nil {
+		r.decreased = sync.NewCond(&r.mu)
 	}
 	for !holds() {
-		r.fewer.Wait()
+		r.decreased.Wait()
 	}
 }
 
-// tellFewer wakes who waits in awaitFewer; the lock is held.
-func (r *runner) tellFewer() {
-	if r.fewer != nil {
-		r.fewer.Broadcast()
+// signalDecrease wakes who waits in awaitFewer; the lock is held.
+func (r *runner) signalDecrease() {
+	if r.decreased != nil {
+		r.decreased.Broadcast()
 	}
 }
 
@@ -267,7 +267,7 @@
 func (r *runner) prune() {
 	root := filepath.Join(r.dir, tasksDir)
 	dirs, err := os.ReadDir(root)
-	if err != nil || len(dirs) <= keptTasks {
+	if err != nil || len(dirs) <= maxKeptFolders {
 		return
 	}
 	type old struct {
@@ -276,22 +276,22 @@
 	}
 	var over []old
 	for _, d := range dirs {
-		k, ok := parseKey(d.Name())
+		k, ok := parseTaskAttempt(d.Name())
 		r.mu.Lock()
 		_, live := r.tasks[k]
 		r.mu.Unlock()
-		if info, err := os.Stat(filepath.Join(root, d.Name(), execFile)); ok && !live && err == nil && (r.holds == nil || !r.holds(k)) {
+		if info, err := os.Stat(filepath.Join(root, d.Name(), execFile)); ok && !live && err == nil && (r.needsFolder == nil || !r.needsFolder(k)) {
 			over = append(over, old{d.Name(), info.ModTime()})
 		}
 	}
 	sort.Slice(over, func(i, j int) bool { return over[i].at.Before(over[j].at) })
-	for i := 0; i < len(over) && len(dirs)-i > keptTasks; i++ {
+	for i := 0; i < len(over) && len(dirs)-i > maxKeptFolders; i++ {
 		_ = os.RemoveAll(filepath.Join(root, over[i].name))
 	}
 }
 
-// parseKey undoes TaskAttempt.String.
-func parseKey(s string) (TaskAttempt, bool) {
+// parseTaskAttempt undoes TaskAttempt.String.
+func parseTaskAttempt(s string) (TaskAttempt, bool) {
 	f := strings.Split(s, ".")
 	if len(f) != 3 {
 		return TaskAttempt{}, false
--- a/internal/agent/record_test.go
+++ b/internal/agent/record_test.go
@@ -40,7 +40,7 @@
 			}
 			_, err := proc.ReadRecord(path)
 			var log bytes.Buffer
-			owner := ownerOf(dir, slog.New(slog.NewTextHandler(&log, nil)))
+			owner := taskOwner(dir, slog.New(slog.NewTextHandler(&log, nil)))
 			if c.want == "" {
 				if err != nil || len(owner.Leaders) != 1 || log.Len() > 0 {
 					t.Errorf("%v, %+v, %s", err, owner, &log)
--- a/internal/agent/sweep.go
+++ b/internal/agent/sweep.go
@@ -11,13 +11,13 @@
 	"silvergate/internal/proc"
 )
 
-// sweepPatience is how long a sweep may take before it says what it can't end.
-const sweepPatience = 5 * time.Second
+// sweepTimeout is how long a sweep may take before it says what it can't end.
+const sweepTimeout = 5 * time.Second
 
 // EndTasks ends all tasks of a machine whose agent is gone. Without an error, all of
 // their processes are known to be gone.
 func EndTasks(dir string) error {
-	_, err := ownerOf(dir, slog.Default()).End(sweepPatience)
+	_, err := taskOwner(dir, slog.Default()).End(sweepTimeout)
 	return err
 }
 
@@ -34,8 +34,8 @@
 // hangs in the kernel: it is on its machine as long as it does.
 func retryUntilGone(log *slog.Logger, end func(patience time.Duration) error) {
 	for {
-		again := time.Now().Add(sweepPatience)
-		err := end(sweepPatience)
+		again := time.Now().Add(sweepTimeout)
+		err := end(sweepTimeout)
 		if err == nil {
 			return
 		}
@@ -44,9 +44,9 @@
 	}
 }
 
-// ownerOf names all processes of a machine's tasks. A damaged record is logged and passed
+// taskOwner names all processes of a machine's tasks. A damaged record is logged and passed
 // over: what it was about is still found by its mark.
-func ownerOf(dir string, log *slog.Logger) proc.Owner {
+func taskOwner(dir string, log *slog.Logger) proc.Owner {
 	owner := proc.Owner{Mark: dir}
 	tasks, err := os.ReadDir(filepath.Join(dir, tasksDir))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/agent/sweep_test.go
+++ b/internal/agent/sweep_test.go
@@ -47,18 +47,18 @@
 type agentProcess struct {
 	t          *testing.T
 	cfg        Config
-	file       string
+	configFile string
 	cmd        *exec.Cmd
-	controller *controller
+	controller *fakeController
 }
 
-func newAgentProcess(t *testing.T, c *controller, cfg Config) *agentProcess {
+func newAgentProcess(t *testing.T, c *fakeController, cfg Config) *agentProcess {
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &agentProcess{t: t, cfg: cfg, file: filepath.Join(t.TempDir(), "agent.json"), controller: c}
-	if err := os.WriteFile(p.file, raw, 0o600); err != nil {
+	p := &agentProcess{t: t, cfg: cfg, configFile: filepath.Join(t.TempDir(), "agent.json"), controller: c}
+	if err := os.WriteFile(p.configFile, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.start()
@@ -71,7 +71,7 @@
 
 func (p *agentProcess) start() {
 	p.t.Helper()
-	p.cmd = exec.Command(os.Args[0], "agent", p.file)
+	p.cmd = exec.Command(os.Args[0], "agent", p.configFile)
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	return ""
 }
 
-func exe(t *testing.T) string {
+func testBinary(t *testing.T) string {
 	path, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -165,10 +165,10 @@
 // Beside load any program is in that state for long enough: of 640 runs of
 // TestNoTaskOutlivesItsAgentOrLease beside 14 busy processes two failed so.
 func TestTheNextEpochWaitsForAnEndingTask(t *testing.T) {
-	c := newController(t)
-	c.job("wk-000001", `echo $$ > pid; exec env `+slowEndEnv+`=1 `+exe(t), nil)
+	c := newFakeController(t)
+	c.addJob("wk-000001", `echo $$ > pid; exec env `+slowEndEnv+`=1 `+testBinary(t), nil)
 	p := newAgentProcess(t, c, testConfig(t, c))
-	c.order(launch("wk-000001", 0))
+	c.send(launch("wk-000001", 0))
 	id := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	p.awaitOutput("wk-000001.0.1")
 	c.await("the running task", func() bool { return len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning })
@@ -176,7 +176,7 @@
 	var toldAt, goneAt time.Time
 	c.mu.Lock()
 	epoch := c.last.AgentEpoch
-	c.each = func(r protocol.Heartbeat) {
+	c.onHeartbeat = func(r protocol.Heartbeat) {
 		if r.AgentEpoch > epoch && toldAt.IsZero() {
 			toldAt = time.Now()
 			early = processState(id.PID)
@@ -204,7 +204,7 @@
 	dir := t.TempDir()
 	pidFile := filepath.Join(dir, "pid")
 	exited := make(chan string, 1)
-	r := &runner{dir: dir, exec: []string{os.Args[0], "task-exec"}, log: quiet, tasks: map[TaskAttempt]*task{}}
+	r := &runner{dir: dir, taskCommand: []string{os.Args[0], "task-exec"}, log: discardLog, tasks: map[TaskAttempt]*task{}}
 	r.exited = func(TaskAttempt, int, bool) {
 		raw, _ := os.ReadFile(pidFile)
 		pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
@@ -216,8 +216,8 @@
 	if err := os.MkdirAll(r.folder(k), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	script := "setsid env " + slowEndEnv + "=1 " + exe(t) + " > said & echo $! > pid; until [ -s said ]; do sleep 0.01; done"
-	r.open(1)
+	script := "setsid env " + slowEndEnv + "=1 " + testBinary(t) + " > said & echo $! > pid; until [ -s said ]; do sleep 0.01; done"
+	r.setEpoch(1)
 	err := r.start(1, k, program{Argv: []string{"/bin/sh", "-c", script}, Env: append(os.Environ(), proc.MarkEnv+"="+r.processMarker(k)), Dir: dir}, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -234,13 +234,13 @@
 // (The test holds the pipe open: a watchdog that is stopped gets SIGHUP with its parent's
 // end.)
 func TestALateWatchdogLeavesTheNextEpochAlone(t *testing.T) {
-	c := newController(t)
-	c.job("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
-	c.job("wk-000002", `echo $$ > pid; exec sleep 1000`, nil)
+	c := newFakeController(t)
+	c.addJob("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
+	c.addJob("wk-000002", `echo $$ > pid; exec sleep 1000`, nil)
 	cfg := testConfig(t, c)
 	cfg.Workers.Lease = 60 // the watchdog's own clock has no part in this
 	p := newAgentProcess(t, c, cfg)
-	c.order(launch("wk-000001", 0))
+	c.send(launch("wk-000001", 0))
 	first := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	c.mu.Lock()
 	epoch := c.last.AgentEpoch
@@ -256,7 +256,7 @@
 	if state := processState(first.PID); state != "" {
 		t.Errorf("a task of the epoch before: %s", state)
 	}
-	c.order(launch("wk-000002", 0))
+	c.send(launch("wk-000002", 0))
 	second := p.awaitProcess(p.taskFile("wk-000002.0.1", workDir+"/pid"))
 	pipe.Close()
 	time.Sleep(time.Second) // several sweeps long
@@ -278,12 +278,12 @@
 // without tasks: never; causes map[wk-000001/0#1:error]", 33 heartbeats of the same epoch
 // later. The test holds the agent's lock in that moment.
 func TestAnEpochWhoseTasksTheWatchdogEndedIsOver(t *testing.T) {
-	c := newController(t)
+	c := newFakeController(t)
 	cfg := testConfig(t, c)
 	cfg.Workers.Lease = 1.5
-	c.job("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
+	c.addJob("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
 	a := runAgent(t, cfg)
-	c.order(launch("wk-000001", 0))
+	c.send(launch("wk-000001", 0))
 	p := &agentProcess{t: t, cfg: cfg, controller: c}
 	id := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	c.await("the running task", func() bool { return len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning })
@@ -310,14 +310,14 @@
 	}
 }
 
-// endWithEpoch runs a task whose script writes the number of a process, starts the agent anew,
+// checkProcessEndsWithEpoch runs a task whose script writes the number of a process, starts the agent anew,
 // and demands that the process is gone when the next epoch is told.
-func endWithEpoch(t *testing.T, script string) {
+func checkProcessEndsWithEpoch(t *testing.T, script string) {
 	t.Helper()
-	c := newController(t)
-	c.job("wk-000001", script, nil)
+	c := newFakeController(t)
+	c.addJob("wk-000001", script, nil)
 	p := newAgentProcess(t, c, testConfig(t, c))
-	c.order(launch("wk-000001", 0))
+	c.send(launch("wk-000001", 0))
 	id := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	defer func() { _ = id.Signal(syscall.SIGKILL) }()
 	c.await("the running task", func() bool { return len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning })
@@ -336,27 +336,27 @@
 // group nor a mark tells whose it is. The sweep passed it over, the next epoch was reported,
 // and it ran on ("S 1 18174 18174", a child of process 1 in a session of its own).
 func TestAProgramThatDropsGroupAndEnvironmentEnds(t *testing.T) {
-	endWithEpoch(t, `setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid; wait`)
+	checkProcessEndsWithEpoch(t, `setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid; wait`)
 }
 
 // The same program is started twice removed: its parent has ended, so that its agent's
 // next life can't tell from its parents either, unless the task's program was handed it.
 func TestAnOrphanThatDropsGroupAndEnvironmentEnds(t *testing.T) {
-	endWithEpoch(t, `(setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid); exec sleep 1000`)
+	checkProcessEndsWithEpoch(t, `(setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid); exec sleep 1000`)
 }
 
 // A task's program ends by itself and leaves such a process, beside another task that runs
 // and has one, too. The first is gone when its task's ending is told; the other lives.
 func TestWhatAnEndedProgramLeavesEnds(t *testing.T) {
-	c := newController(t)
+	c := newFakeController(t)
 	const leaves = `(setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid)`
-	c.job("wk-000001", leaves, nil)
-	c.job("wk-000002", leaves+`; exec sleep 1000`, nil)
+	c.addJob("wk-000001", leaves, nil)
+	c.addJob("wk-000002", leaves+`; exec sleep 1000`, nil)
 	p := newAgentProcess(t, c, testConfig(t, c))
-	c.order(launch("wk-000002", 0))
+	c.send(launch("wk-000002", 0))
 	other := p.awaitProcess(p.taskFile("wk-000002.0.1", workDir+"/pid"))
 	defer func() { _ = other.Signal(syscall.SIGKILL) }()
-	c.order(launch("wk-000001", 0))
+	c.send(launch("wk-000001", 0))
 	c.await("the ending", func() bool { return c.causes["wk-000001/0#1"] != "" })
 	raw, err := os.ReadFile(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	if err != nil {
@@ -381,7 +381,7 @@
 // causes map[]", no heartbeat after its end, once in 320 runs of
 // TestNoTaskOutlivesItsAgentOrLease beside load, and here each time.
 func TestAnAgentWaitsForItsPort(t *testing.T) {
-	c := newController(t)
+	c := newFakeController(t)
 	p := newAgentProcess(t, c, testConfig(t, c))
 	c.await("a heartbeat", func() bool { return c.last.AgentEpoch > 0 })
 	c.mu.Lock()
--- a/internal/agent/task_program.go
+++ b/internal/agent/task_program.go
@@ -26,7 +26,7 @@
 func (a *Agent) fetchDescription(id string, asked int) {
 	n := len(a.cfg.Controllers)
 	node := a.cfg.Controllers[(a.worker.heartbeats.controller+asked)%n]
-	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: patience,
+	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: answerTimeout,
 		Done: func(r *transport.Response, _ bool, err error) {
 			var d protocol.JobDescription
 			switch {
@@ -54,18 +54,18 @@
 	if d == nil {
 		return
 	}
-	if d.Shape == job.Array && a.outsideStore.done(k.Job, k.Index) {
+	if d.Shape == job.Array && a.shared.done(k.Job, k.Index) {
 		a.log.Info("done before", "task", k.TaskName(), "attempt", k.Attempt)
 		a.programEnded(k, Exit{})
 		return
 	}
 	p, err := a.taskProgram(k, d)
 	if err == nil {
-		a.keeper.begin(k, d)
+		a.outputs.begin(k, d)
 		err = a.runner.start(epoch, k, p, d.MemoryGB)
 	}
 	if errors.Is(err, errWrongEpoch) {
-		a.keeper.ended(k, "its session was over", -1)
+		a.outputs.ended(k, "its session was over", -1)
 		return
 	}
 	if err != nil {
@@ -111,10 +111,10 @@
 		return p, fmt.Errorf("neither the job nor its image %s has a command", d.Image)
 	}
 	p.Argv = append([]string(nil), command...)
-	if p.Argv[0], err = find(command[0], folder); err != nil {
+	if p.Argv[0], err = findProgram(command[0], folder); err != nil {
 		return p, err
 	}
-	p.Nice, p.Files = a.cfg.Nice.of(d.Priority), a.cfg.OpenFiles
+	p.Nice, p.Files = a.cfg.Nice.forPriority(d.Priority), a.cfg.OpenFiles
 	env := map[string]string{"PATH": os.Getenv("PATH"), "HOME": p.Dir, "LANG": "C.UTF-8"}
 	for _, v := range a.cfg.Environment {
 		name, value, _ := strings.Cut(v, "=")
@@ -126,10 +126,10 @@
 	own := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Attempt), "LOADS": strconv.Itoa(d.Tasks),
 		"IMAGE": folder, "MACHINE": a.cfg.Worker, "ZONE": a.cfg.Zone, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.MemoryGB)}
 	if d.CheckpointIntervalS > 0 && a.cfg.OutsideDir != "" {
-		if own["CHECKPOINTS"], err = a.outsideStore.prepare(k.Job, k.Index); err != nil {
+		if own["CHECKPOINTS"], err = a.shared.prepare(k.Job, k.Index); err != nil {
 			return p, err
 		}
-		if n := a.outsideStore.resume(k.Job, k.Index, d.Tasks, d.Shape == job.Gang); n > 0 {
+		if n := a.shared.resume(k.Job, k.Index, d.Tasks, d.Shape == job.Gang); n > 0 {
 			own["RESUME"] = strconv.Itoa(n)
 		}
 	}
@@ -143,8 +143,8 @@
 	return p, nil
 }
 
-// find looks a program up: in the image, then where the agent finds its own.
-func find(name, image string) (string, error) {
+// findProgram looks a program up: in the image, then where the agent finds its own.
+func findProgram(name, image string) (string, error) {
 	if filepath.IsAbs(name) {
 		return name, nil
 	}
@@ -166,15 +166,15 @@
 	a.mu.Lock()
 	d, before := a.worker.Description(k.Job), a.attempts.lastCheckpoints[k]
 	a.mu.Unlock()
-	x := Exit{Code: code, Saved: a.outsideStore.dir != "" && a.outsideStore.last(k.Job, k.Index) > before}
+	x := Exit{Code: code, Saved: a.shared.dir != "" && a.shared.last(k.Job, k.Index) > before}
 	if memory {
 		x.Code = -1
 	}
-	if d != nil && d.Shape == job.Array && x.Code == 0 && a.outsideStore.dir != "" {
+	if d != nil && d.Shape == job.Array && x.Code == 0 && a.shared.dir != "" {
 		// Durable before it is reported: otherwise a lost heartbeat would have the
 		// task run again.
-		if a.running(k) {
-			if err := a.outsideStore.complete(k.Job, k.Index); err != nil {
+		if a.isRunning(k) {
+			if err := a.shared.complete(k.Job, k.Index); err != nil {
 				a.log.Error("a result can't be kept", "task", k.TaskName(), "error", err)
 			}
 		}
@@ -182,8 +182,8 @@
 	a.programEnded(k, x)
 }
 
-// running tells whether an attempt was left to complete.
-func (a *Agent) running(k TaskAttempt) bool {
+// isRunning tells whether an attempt was left to complete.
+func (a *Agent) isRunning(k TaskAttempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	task := a.worker.tasks[k]
@@ -192,7 +192,7 @@
 
 func (a *Agent) programEnded(k TaskAttempt, x Exit) {
 	cause := "the lease was over"
-	defer func() { a.keeper.ended(k, cause, x.Code) }()
+	defer func() { a.outputs.ended(k, cause, x.Code) }()
 	a.step(func() Effects {
 		e := a.worker.Exited(a.clock(), k, x)
 		if task := a.worker.tasks[k]; task != nil && task.phase == ended {
@@ -217,7 +217,7 @@
 	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Attempt)
 	limit := seconds(a.cfg.Workers.GangPeer / 2)
 	// Before it runs, a gang can still get a task on another machine.
-	if len(places) < d.Tasks || !a.running(k) {
+	if len(places) < d.Tasks || !a.isRunning(k) {
 		if r, _, err := a.pool.Do(node.Address, http.MethodGet, path, nil, limit); err == nil && r.Status == http.StatusOK {
 			var p protocol.GangMembers
 			if protocol.Decode(r.Body, &p) == nil && len(p.Members) >= len(places) {
--- a/internal/agent/task_state.go
+++ b/internal/agent/task_state.go
@@ -53,18 +53,18 @@
 	nextCheckpointAt time.Duration // when it is to save by itself
 	needsInputs      bool          // inputs that are not here yet
 	grant            string        // that came with the launch; for the archive
-	peers            map[int]string
+	peerStates       map[int]string
 }
 
-// process tells whether the attempt has a program that runs.
-func (task *taskState) process() bool {
+// hasProcess tells whether the attempt has a program that runs.
+func (task *taskState) hasProcess() bool {
 	return task.phase == running || task.phase == checkpointing || task.phase == ending
 }
 
-// all tells whether every other task of the gang is in one of the states.
-func (task *taskState) all(states ...string) bool {
+// allPeersIn tells whether every other task of the gang is in one of the states.
+func (task *taskState) allPeersIn(states ...string) bool {
 	for i := range task.description.Tasks {
-		if i != task.id.Index && !slices.Contains(states, task.peers[i]) {
+		if i != task.id.Index && !slices.Contains(states, task.peerStates[i]) {
 			return false
 		}
 	}
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -25,13 +25,13 @@
 // tracer writes events; a nil one writes none.
 type tracer struct {
 	mu      sync.Mutex
-	f       *os.File
+	file    *os.File
 	machine string
 }
 
 func newTracer(path, machine string) (*tracer, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	return &tracer{f: f, machine: machine}, err
+	return &tracer{file: f, machine: machine}, err
 }
 
 func (t *tracer) write(e Event) {
@@ -45,5 +45,5 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, _ = t.f.Write(append(raw, '\n'))
+	_, _ = t.file.Write(append(raw, '\n'))
 }
--- a/internal/agent/watchdog.go
+++ b/internal/agent/watchdog.go
@@ -25,13 +25,13 @@
 // the time between two sweeps after a lease's end.
 const watchdogPeriod = time.Second
 
-// guard is the watchdog process itself.
-type guard struct {
-	dir      string
-	fd       int           // carries the deadlines
-	unread   []byte        // the beginning of a line
-	deadline time.Duration // boot clock; 0: none was told yet
-	sweptAt  time.Time     // for this deadline
+// watchdogState is the watchdog process itself.
+type watchdogState struct {
+	dir         string
+	deadlineFD  int           // carries the deadlines
+	partialLine []byte        // the beginning of a line
+	deadline    time.Duration // boot clock; 0: none was told yet
+	sweptAt     time.Time     // for this deadline
 }
 
 // Watchdog ends all tasks of a machine when its agent's lease is over or the
@@ -48,11 +48,11 @@
 	if err := os.Chdir("/"); err != nil {
 		return err
 	}
-	g := guard{dir: dir, fd: int(deadlines.Fd())}
+	g := watchdogState{dir: dir, deadlineFD: int(deadlines.Fd())}
 	for {
 		open, err := g.step()
 		if err != nil || !open {
-			endUntilGone(ownerOf(dir, slog.Default()), slog.Default())
+			endUntilGone(taskOwner(dir, slog.Default()), slog.Default())
 			return err
 		}
 	}
@@ -60,7 +60,7 @@
 
 // step waits for a line or the deadline, whichever is first. It returns false when the
 // agent is gone.
-func (g *guard) step() (open bool, err error) {
+func (g *watchdogState) step() (open bool, err error) {
 	// The clock is read before the pipe: what was written before the deadline is there.
 	late := g.deadline > 0 && bootClock() >= g.deadline
 	readable, err := g.poll(g.wait(late))
@@ -79,7 +79,7 @@
 }
 
 // wait is how long the watchdog may wait for the next line.
-func (g *guard) wait(late bool) time.Duration {
+func (g *watchdogState) wait(late bool) time.Duration {
 	switch {
 	case late:
 		return max(0, watchdogPeriod-time.Since(g.sweptAt))
@@ -89,11 +89,11 @@
 	return watchdogPeriod
 }
 
-func (g *guard) poll(wait time.Duration) (readable bool, err error) {
+func (g *watchdogState) poll(wait time.Duration) (readable bool, err error) {
 	if wait > 0 {
 		wait += time.Millisecond // poll counts whole ones
 	}
-	watched := []unix.PollFd{{Fd: int32(g.fd), Events: unix.POLLIN}}
+	watched := []unix.PollFd{{Fd: int32(g.deadlineFD), Events: unix.POLLIN}}
 	n, err := unix.Poll(watched, int(max(0, wait)/time.Millisecond))
 	if errors.Is(err, unix.EINTR) {
 		return false, nil
@@ -102,19 +102,19 @@
 }
 
 // read takes what the pipe holds. The last line counts.
-func (g *guard) read() (open bool, err error) {
+func (g *watchdogState) read() (open bool, err error) {
 	chunk := make([]byte, 4096)
-	n, err := unix.Read(g.fd, chunk)
+	n, err := unix.Read(g.deadlineFD, chunk)
 	if n <= 0 {
 		return errors.Is(err, unix.EINTR) || errors.Is(err, unix.EAGAIN), nil
 	}
-	g.unread = append(g.unread, chunk[:n]...)
+	g.partialLine = append(g.partialLine, chunk[:n]...)
 	for {
-		line, rest, whole := bytes.Cut(g.unread, []byte{'\n'})
+		line, rest, whole := bytes.Cut(g.partialLine, []byte{'\n'})
 		if !whole {
 			return true, nil
 		}
-		g.unread = rest
+		g.partialLine = rest
 		nanoseconds, err := strconv.ParseInt(string(line), 10, 64)
 		if err != nil {
 			slog.Error("a deadline is passed over, the one before stays", "error", err)
@@ -145,8 +145,8 @@
 	ended    chan struct{} // closed when it is over and its end was heeded
 }
 
-// passed tells whether the watchdog may have ended the tasks.
-func (w *watchdogProcess) passed() bool { return w.deadline > 0 && bootClock() >= w.deadline }
+// deadlinePassed tells whether the watchdog may have ended the tasks.
+func (w *watchdogProcess) deadlinePassed() bool { return w.deadline > 0 && bootClock() >= w.deadline }
 
 // startWatchdog starts the watchdog of the present epoch.
 func (a *Agent) startWatchdog() error {
@@ -182,8 +182,8 @@
 	needed := a.watchdog == dog && !a.shutdown.begun
 	if needed {
 		a.watchdog = nil
-		if byItself || dog.passed() {
-			a.lapse("the watchdog is gone and may have ended the tasks")
+		if byItself || dog.deadlinePassed() {
+			a.endEpoch("the watchdog is gone and may have ended the tasks")
 		}
 	}
 	a.mu.Unlock()
@@ -241,7 +241,7 @@
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	if !id.Await(time.Now().Add(sweepPatience)) {
+	if !id.Await(time.Now().Add(sweepTimeout)) {
 		return fmt.Errorf("process %d of an earlier agent: %s", id.PID, proc.ReasonRunning)
 	}
 	return nil
@@ -256,22 +256,22 @@
 	// The worker itself ends tasks at this moment; the watchdog is for
 	// when it can't, a little later. It must not hold the agent up.
 	deadline := a.schedule.startedAt + leaseEnd + seconds(a.cfg.Workers.Lease/100)
-	_ = dog.pipe.SetWriteDeadline(time.Now().Add(soonest))
+	_ = dog.pipe.SetWriteDeadline(time.Now().Add(minHeartbeatInterval))
 	if _, err := fmt.Fprintf(dog.pipe, "%d\n", int64(deadline)); err != nil {
 		a.log.Error("the watchdog does not read; it is ended", "error", err)
 		_ = dog.id.Signal(syscall.SIGKILL) // watchdogEnded starts another
 		return
 	}
-	if dog.passed() {
-		a.lapse("the watchdog was told of the lease too late")
+	if dog.deadlinePassed() {
+		a.endEpoch("the watchdog was told of the lease too late")
 	}
 	dog.leaseEnd, dog.deadline = leaseEnd, deadline
 }
 
-// lapse ends the agent epoch though its lease runs, because the watchdog may have ended its
+// endEpoch ends the agent epoch though its lease runs, because the watchdog may have ended its
 // tasks: to report these would name their programs as the cause. The lock is held.
-func (a *Agent) lapse(why string) {
-	if a.worker != nil && a.worker.Lapse() {
+func (a *Agent) endEpoch(why string) {
+	if a.worker != nil && a.worker.EndEpoch() {
 		a.log.Info("agent epoch ended", "epoch", a.worker.Epoch(), "reason", why)
 		go a.endAllTasks()
 	}
@@ -280,7 +280,7 @@
 // checkWatchdog ends the epoch if the watchdog's deadline has passed unnoticed; the lock
 // is held.
 func (a *Agent) checkWatchdog() {
-	if a.watchdog != nil && a.watchdog.passed() {
-		a.lapse("the watchdog's deadline has passed")
+	if a.watchdog != nil && a.watchdog.deadlinePassed() {
+		a.endEpoch("the watchdog's deadline has passed")
 	}
 }
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -11,13 +11,13 @@
 	"silvergate/internal/protocol"
 )
 
-// wire is how each phase is reported. One that is ending still takes its room.
-var wire = [...]protocol.TaskState{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
+// reportedStates is how each phase is reported. One that is ending still takes its room.
+var reportedStates = [...]protocol.TaskState{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
 	running: protocol.TaskRunning, finished: protocol.TaskRunning, checkpointing: protocol.TaskCheckpointing, checkpointed: protocol.TaskCheckpointing,
 	ending: protocol.TaskRunning, ended: protocol.TaskEnded}
 
-// gangNames is how each phase is shown to the agents of a gang's other tasks.
-var gangNames = [...]string{describing: "pulling", fetching: "pulling", waiting: "waiting", running: "running", finished: "finished",
+// gangStateNames is how each phase is shown to the agents of a gang's other tasks.
+var gangStateNames = [...]string{describing: "pulling", fetching: "pulling", waiting: "waiting", running: "running", finished: "finished",
 	checkpointing: "saving", checkpointed: "saved", ending: "ending", ended: "ended"}
 
 // gangDone is shown for a task of a gang that is complete.
@@ -49,11 +49,11 @@
 
 // Intervals of the protocol that no setting changes.
 const (
-	soonest           = 500 * time.Millisecond // between two heartbeats
-	patience          = 4 * time.Second        // for the answer to a heartbeat
-	nextController    = time.Second            // before the next controller is tried
-	maxHeartbeatBytes = 40 << 10               // of a heartbeat's tasks, in bytes; a request may have 64 KiB, the store's part too
-	taskStatusBytes   = 120                    // of a task in a heartbeat, at the most
+	minHeartbeatInterval = 500 * time.Millisecond // between two heartbeats
+	answerTimeout        = 4 * time.Second        // for the answer to a heartbeat
+	controllerRetryDelay = time.Second            // before the next controller is tried
+	maxHeartbeatBytes    = 40 << 10               // of a heartbeat's tasks, in bytes; a request may have 64 KiB, the store's part too
+	maxTaskStatusBytes   = 120                    // of a task in a heartbeat, at the most
 )
 
 // HeartbeatSend is a heartbeat to be sent.
@@ -66,21 +66,21 @@
 
 // Effects are what a step wants done.
 type Effects struct {
-	Heartbeat  *HeartbeatSend
-	Describe   []string      // jobs whose descriptions are to be asked for
-	Fetch      []string      // images wanted, by name
-	Leave      []string      // images that no task waits for any more
-	Inputs     []TaskAttempt // attempts whose inputs are to be brought here
-	Start      []TaskAttempt
-	Checkpoint []TaskAttempt // to save a checkpoint and go on
-	Stop       []TaskAttempt // to save a checkpoint and end
-	Kill       []TaskAttempt // to be ended at once, whole
-	AskGang    []TaskAttempt // gang tasks whose others are to be asked
-	Forget     []TaskAttempt
-	EndAll     bool   // all tasks are to be ended; EpochEnded is called when they are gone
-	Token      uint64 // a higher fencing token than ever before, to be kept
-	Store      *protocol.StoreOrders
-	Lease      time.Duration
+	Heartbeat       *HeartbeatSend
+	Describe        []string      // jobs whose descriptions are to be asked for
+	Fetch           []string      // images wanted, by name
+	Leave           []string      // images that no task waits for any more
+	FetchInputs     []TaskAttempt // attempts whose inputs are to be brought here
+	Start           []TaskAttempt
+	Checkpoint      []TaskAttempt // to save a checkpoint and go on
+	Stop            []TaskAttempt // to save a checkpoint and end
+	Kill            []TaskAttempt // to be ended at once, whole
+	AskGang         []TaskAttempt // gang tasks whose others are to be asked
+	Forget          []TaskAttempt
+	EndAll          bool   // all tasks are to be ended; EpochEnded is called when they are gone
+	Token           uint64 // a higher fencing token than ever before, to be kept
+	StagingCommands *protocol.StoreOrders
+	LeaseEnd        time.Duration
 }
 
 // Worker is a worker's side of the protocol: a state machine without I/O. Time
@@ -101,8 +101,8 @@
 	preemption     preemptionNotice
 	heartbeats     heartbeatSchedule
 
-	store     *protocol.StoreReport
-	unshipped int
+	storeReport *protocol.StoreReport
+	unshipped   int
 
 	tasks  map[TaskAttempt]*taskState
 	jobs   jobDescriptions
@@ -114,7 +114,7 @@
 // unbroken lease.
 type agentEpoch struct {
 	number     uint64
-	began      time.Duration
+	startedAt  time.Duration
 	answeredAt time.Duration // sending time of the last answered heartbeat of this epoch
 	ending     bool          // the epoch is over; its tasks are being ended
 }
@@ -143,7 +143,7 @@
 
 // imageStates are the images on the machine, by name.
 type imageStates struct {
-	here     map[string]bool
+	present  map[string]bool
 	fetching map[string]bool
 }
 
@@ -158,24 +158,26 @@
 		heartbeats: heartbeatSchedule{controller: rnd.IntN(len(nodes))},
 		tasks:      map[TaskAttempt]*taskState{},
 		jobs:       jobDescriptions{descriptions: map[string]*protocol.JobDescription{}, describing: map[string]bool{}},
-		images:     imageStates{here: map[string]bool{}, fetching: map[string]bool{}},
+		images:     imageStates{present: map[string]bool{}, fetching: map[string]bool{}},
 		doneAt:     map[TaskAttempt]time.Duration{},
 	}
 }
 
 func (w *Worker) lease() time.Duration { return seconds(w.periods.Lease) }
 
-// leaseEnds is when the agent epoch ends unless a heartbeat is answered.
-func (w *Worker) leaseEnds() time.Duration { return max(w.epoch.began, w.epoch.answeredAt) + w.lease() }
+// leaseEnd is when the agent epoch ends unless a heartbeat is answered.
+func (w *Worker) leaseEnd() time.Duration {
+	return max(w.epoch.startedAt, w.epoch.answeredAt) + w.lease()
+}
 
 func (w *Worker) takeEffects() Effects {
 	e := w.effects
-	e.Lease = w.leaseEnds()
+	e.LeaseEnd = w.leaseEnd()
 	w.effects = Effects{}
 	return e
 }
 
-func (w *Worker) sorted() []*taskState {
+func (w *Worker) sortedTasks() []*taskState {
 	out := make([]*taskState, 0, len(w.tasks))
 	for _, task := range w.tasks {
 		out = append(out, task)
@@ -194,9 +196,9 @@
 
 // Due is when the worker must look at the clock again.
 func (w *Worker) Due() time.Duration {
-	next := w.leaseEnds() + 1
+	next := w.leaseEnd() + 1
 	if w.epoch.ending {
-		return w.now + soonest
+		return w.now + minHeartbeatInterval
 	}
 	if !w.heartbeats.inflight {
 		next = min(next, w.heartbeatTime())
@@ -224,7 +226,7 @@
 // heartbeatTime is when the next heartbeat is to be sent.
 func (w *Worker) heartbeatTime() time.Duration {
 	if w.heartbeats.changed && w.heartbeats.sent {
-		return min(w.heartbeats.nextAt, max(w.heartbeats.lastAt+soonest, w.now))
+		return min(w.heartbeats.nextAt, max(w.heartbeats.lastAt+minHeartbeatInterval, w.now))
 	}
 	return w.heartbeats.nextAt
 }
@@ -240,7 +242,7 @@
 	if w.epoch.ending {
 		return
 	}
-	if w.now > w.leaseEnds() {
+	if w.now > w.leaseEnd() {
 		// Nobody may count on what is here from now on. The new epoch
 		// begins when all of it is gone, and not before: its first heartbeat is
 		// the evidence of that.
@@ -248,7 +250,7 @@
 		w.effects.EndAll = true
 		return
 	}
-	for _, task := range w.sorted() {
+	for _, task := range w.sortedTasks() {
 		w.advanceTask(task)
 	}
 	for k, at := range w.doneAt {
@@ -257,30 +259,30 @@
 		}
 	}
 	if !w.heartbeats.inflight && w.now >= w.heartbeatTime() {
-		w.heartbeat()
+		w.sendHeartbeat()
 	}
 }
 
 // advanceTask lets time pass for one attempt.
 func (w *Worker) advanceTask(task *taskState) {
 	if task.phase == checkpointing && w.now >= task.killAt {
-		w.end(task, protocol.CauseStopped)
+		w.endProcess(task, protocol.CauseStopped)
 	}
 	if task.phase == running && task.nextCheckpointAt > 0 && w.now >= task.nextCheckpointAt {
 		task.nextCheckpointAt = w.now + seconds(task.description.CheckpointIntervalS)
 		w.effects.Checkpoint = append(w.effects.Checkpoint, task.id)
 	}
-	if !w.gang(task) {
+	if !w.hasGangPeers(task) {
 		return
 	}
-	w.judge(task)
+	w.advanceGangTask(task)
 	if asks := task.phase == waiting || task.phase == running || task.phase == finished || task.phase == checkpointed; asks && w.now >= task.nextGangCheckAt {
 		task.nextGangCheckAt = w.now + seconds(w.periods.GangPeer/4)
 		w.effects.AskGang = append(w.effects.AskGang, task.id)
 	}
 }
 
-func (w *Worker) set(task *taskState, p phase) {
+func (w *Worker) setPhase(task *taskState, p phase) {
 	task.phase, task.phaseSince = p, w.now
 	w.heartbeats.changed = true
 }
@@ -288,16 +290,16 @@
 // endWithoutProcess ends an attempt that has no process.
 func (w *Worker) endWithoutProcess(task *taskState, cause string) {
 	task.cause = cause
-	w.set(task, ended)
-	task.peers = nil
-	if cause == protocol.CauseDone && w.gang(task) {
+	w.setPhase(task, ended)
+	task.peerStates = nil
+	if cause == protocol.CauseDone && w.hasGangPeers(task) {
 		w.doneAt[task.id] = w.now
 	}
-	w.idleImage(task)
+	w.cancelUnusedFetch(task)
 }
 
-// idleImage gives a fetch up that no task waits for any more.
-func (w *Worker) idleImage(task *taskState) {
+// cancelUnusedFetch gives a fetch up that no task waits for any more.
+func (w *Worker) cancelUnusedFetch(task *taskState) {
 	if task.description == nil || !w.images.fetching[task.description.Image] {
 		return
 	}
@@ -316,15 +318,15 @@
 	w.effects.Leave = append(w.effects.Leave, task.description.Image)
 }
 
-// end ends an attempt that has a process; it is over when that is gone.
-func (w *Worker) end(task *taskState, cause string) {
+// endProcess ends an attempt that has a process; it is over when that is gone.
+func (w *Worker) endProcess(task *taskState, cause string) {
 	task.finalCause = cause
-	w.set(task, ending)
+	w.setPhase(task, ending)
 	w.effects.Kill = append(w.effects.Kill, task.id)
 }
 
 func (w *Worker) start(task *taskState) {
-	w.set(task, running)
+	w.setPhase(task, running)
 	task.gangCompleteAt = w.now
 	if task.description.CheckpointIntervalS > 0 {
 		task.nextCheckpointAt = w.now + seconds(task.description.CheckpointIntervalS)
@@ -332,8 +334,8 @@
 	w.effects.Start = append(w.effects.Start, task.id)
 }
 
-// describe goes on with an attempt whose job is known now.
-func (w *Worker) describe(task *taskState, d *protocol.JobDescription) {
+// applyDescription goes on with an attempt whose job is known now.
+func (w *Worker) applyDescription(task *taskState, d *protocol.JobDescription) {
 	if task.id.Index >= d.Tasks {
 		w.endWithoutProcess(task, protocol.CauseUnknown)
 		return
@@ -352,10 +354,10 @@
 	task.description = d
 	task.phase = fetching
 	if task.needsInputs = len(d.Inputs) > 0; task.needsInputs {
-		w.effects.Inputs = append(w.effects.Inputs, task.id)
+		w.effects.FetchInputs = append(w.effects.FetchInputs, task.id)
 	}
-	if w.images.here[d.Image] {
-		w.ready(task)
+	if w.images.present[d.Image] {
+		w.startIfReady(task)
 	} else if !w.images.fetching[d.Image] {
 		w.images.fetching[d.Image] = true
 		if i := slices.Index(w.effects.Leave, d.Image); i >= 0 {
@@ -372,22 +374,22 @@
 	return task != nil && task.phase != ended && !w.epoch.ending
 }
 
-// ready goes on with an attempt whose image is here.
-func (w *Worker) ready(task *taskState) {
+// startIfReady goes on with an attempt whose image is here.
+func (w *Worker) startIfReady(task *taskState) {
 	switch {
 	case task.needsInputs:
 	case task.description.Complete:
 		w.endWithoutProcess(task, protocol.CauseDone)
-	case w.gang(task):
-		w.set(task, waiting)
+	case w.hasGangPeers(task):
+		w.setPhase(task, waiting)
 		task.nextGangCheckAt = w.now
 	default:
 		w.start(task)
 	}
 }
 
-// Wanted tells whether a task that is not over needs an image.
-func (w *Worker) Wanted(image string) bool {
+// NeedsImage tells whether a task that is not over needs an image.
+func (w *Worker) NeedsImage(image string) bool {
 	for _, task := range w.tasks {
 		if task.description != nil && task.description.Image == image && task.phase != ended {
 			return true
--- a/internal/agent/worker_commands.go
+++ b/internal/agent/worker_commands.go
@@ -20,7 +20,7 @@
 	if w.epoch.ending {
 		return nil, w.takeEffects(), ErrEndingEpoch
 	}
-	return protocol.Encode(w.current()), w.takeEffects(), nil
+	return protocol.Encode(w.buildHeartbeat()), w.takeEffects(), nil
 }
 
 // Direct answers POST /orders: commands that come from a controller directly.
@@ -45,15 +45,15 @@
 	case w.epoch.ending:
 		return refuse(http.StatusServiceUnavailable, ErrEndingEpoch.Error())
 	case *d.FencingToken < w.fencingToken || *d.AgentEpoch != w.epoch.number:
-		return http.StatusConflict, protocol.Encode(w.current()), w.takeEffects()
+		return http.StatusConflict, protocol.Encode(w.buildHeartbeat()), w.takeEffects()
 	}
-	w.seeToken(*d.FencingToken)
-	w.carryOut(d.Commands)
-	return http.StatusOK, protocol.Encode(w.current()), w.takeEffects()
+	w.acceptToken(*d.FencingToken)
+	w.execute(d.Commands)
+	return http.StatusOK, protocol.Encode(w.buildHeartbeat()), w.takeEffects()
 }
 
-// carryOut executes commands one after the other.
-func (w *Worker) carryOut(commands []protocol.Command) {
+// execute executes commands one after the other.
+func (w *Worker) execute(commands []protocol.Command) {
 	for _, command := range commands {
 		id, index, err := job.ParseTaskName(command.Task)
 		if err != nil || !protocol.ValidJobID(id) {
@@ -72,15 +72,15 @@
 			w.kill(task, grace)
 		case command.Verb == protocol.VerbForget && task != nil && task.phase == ended:
 			delete(w.tasks, k)
-			w.drop(id)
+			w.dropDescription(id)
 			w.effects.Forget = append(w.effects.Forget, k)
 			w.heartbeats.changed = true
 		}
 	}
 }
 
-// drop forgets a job's description with its last attempt.
-func (w *Worker) drop(id string) {
+// dropDescription forgets a job's description with its last attempt.
+func (w *Worker) dropDescription(id string) {
 	for k := range w.tasks {
 		if k.Job == id {
 			return
@@ -90,7 +90,7 @@
 }
 
 func (w *Worker) launch(k TaskAttempt, grant string) {
-	if (len(w.tasks)+1)*taskStatusBytes > maxHeartbeatBytes {
+	if (len(w.tasks)+1)*maxTaskStatusBytes > maxHeartbeatBytes {
 		// Guards against a heartbeat that no request could carry: refusals are
 		// listed too. What is not listed is launched again with a later
 		// answer, when others were forgotten.
@@ -110,7 +110,7 @@
 		return
 	}
 	if d := w.jobs.descriptions[k.Job]; d != nil {
-		w.describe(task, d)
+		w.applyDescription(task, d)
 	} else if !w.jobs.describing[k.Job] {
 		w.jobs.describing[k.Job] = true
 		w.effects.Describe = append(w.effects.Describe, k.Job)
@@ -131,16 +131,16 @@
 		}
 	case checkpointing:
 		if grace == 0 {
-			w.end(task, protocol.CauseStopped)
+			w.endProcess(task, protocol.CauseStopped)
 		}
 	case running:
 		task.stopRequestedAt = w.now
 		if task.description.CheckpointIntervalS > 0 && grace >= task.description.CheckpointSaveS && grace > 0 {
 			task.killAt = w.now + seconds(grace)
-			w.set(task, checkpointing)
+			w.setPhase(task, checkpointing)
 			w.effects.Stop = append(w.effects.Stop, task.id)
 			return
 		}
-		w.end(task, protocol.CauseStopped)
+		w.endProcess(task, protocol.CauseStopped)
 	}
 }
--- a/internal/agent/worker_events.go
+++ b/internal/agent/worker_events.go
@@ -7,9 +7,9 @@
 	"silvergate/internal/protocol"
 )
 
-// Brought takes that an attempt's inputs are all here, whole, or can't be had;
+// InputsFetched takes that an attempt's inputs are all here, whole, or can't be had;
 // full says that there is no room for them.
-func (w *Worker) Brought(now time.Duration, k TaskAttempt, err error, full bool) Effects {
+func (w *Worker) InputsFetched(now time.Duration, k TaskAttempt, err error, full bool) Effects {
 	w.advance(now)
 	task := w.tasks[k]
 	if w.epoch.ending || task == nil || task.phase != fetching || !task.needsInputs {
@@ -21,16 +21,16 @@
 		w.endWithoutProcess(task, protocol.CauseNoRoom)
 	case err != nil:
 		w.endWithoutProcess(task, protocol.CauseError)
-	case w.images.here[task.description.Image]:
-		w.ready(task)
+	case w.images.present[task.description.Image]:
+		w.startIfReady(task)
 	}
 	return w.takeEffects()
 }
 
-// Stored takes what the heartbeats are to say of the store; soon has the next one
+// SetStoreReport takes what the heartbeats are to say of the store; soon has the next one
 // sent early.
-func (w *Worker) Stored(r *protocol.StoreReport, soon bool) {
-	w.store = r
+func (w *Worker) SetStoreReport(r *protocol.StoreReport, soon bool) {
+	w.storeReport = r
 	w.heartbeats.changed = w.heartbeats.changed || soon
 }
 
@@ -56,11 +56,11 @@
 	if d != nil {
 		w.jobs.descriptions[id] = d
 	}
-	for _, task := range w.sorted() {
+	for _, task := range w.sortedTasks() {
 		switch {
 		case task.id.Job != id || task.phase != describing:
 		case d != nil:
-			w.describe(task, d)
+			w.applyDescription(task, d)
 		case unknown:
 			w.endWithoutProcess(task, protocol.CauseUnknown)
 		case !w.jobs.describing[id]:
@@ -68,7 +68,7 @@
 			w.effects.Describe = append(w.effects.Describe, id)
 		}
 	}
-	w.drop(id)
+	w.dropDescription(id)
 	return w.takeEffects()
 }
 
@@ -78,27 +78,27 @@
 	delete(w.images.fetching, image)
 	if w.epoch.ending {
 		if err == nil {
-			w.images.here[image] = true
+			w.images.present[image] = true
 		}
 		return w.takeEffects()
 	}
 	if err == nil {
-		w.images.here[image] = true
+		w.images.present[image] = true
 	}
-	for _, task := range w.sorted() {
+	for _, task := range w.sortedTasks() {
 		switch {
 		case task.phase != fetching || task.description.Image != image:
 		case err != nil:
 			w.endWithoutProcess(task, protocol.CauseError)
 		default:
-			w.ready(task)
+			w.startIfReady(task)
 		}
 	}
 	return w.takeEffects()
 }
 
-// Evicted takes that an image is not here any more.
-func (w *Worker) Evicted(image string) { delete(w.images.here, image) }
+// ImageEvicted takes that an image is not here any more.
+func (w *Worker) ImageEvicted(image string) { delete(w.images.present, image) }
 
 // Exit is how an attempt's program ended.
 type Exit struct {
@@ -110,22 +110,22 @@
 func (w *Worker) Exited(now time.Duration, k TaskAttempt, x Exit) Effects {
 	w.advance(now)
 	task := w.tasks[k]
-	if w.epoch.ending || task == nil || !task.process() {
+	if w.epoch.ending || task == nil || !task.hasProcess() {
 		return w.takeEffects()
 	}
 	switch {
 	case task.phase == ending:
 		w.endWithoutProcess(task, task.finalCause)
-	case task.phase == checkpointing && x.Saved && w.gang(task):
-		w.set(task, checkpointed)
+	case task.phase == checkpointing && x.Saved && w.hasGangPeers(task):
+		w.setPhase(task, checkpointed)
 		task.nextGangCheckAt = w.now
 	case task.phase == checkpointing:
 		task.checkpointed = x.Saved
 		w.endWithoutProcess(task, protocol.CauseStopped)
 	case task.description.Shape == job.Service || x.Code != 0:
 		w.endWithoutProcess(task, protocol.CauseError) // replicas have no end of their own
-	case w.gang(task):
-		w.set(task, finished)
+	case w.hasGangPeers(task):
+		w.setPhase(task, finished)
 		task.gangCompleteAt, task.nextGangCheckAt = w.now, w.now
 	default:
 		w.endWithoutProcess(task, protocol.CauseDone)
@@ -144,9 +144,9 @@
 	return w.takeEffects()
 }
 
-// Lapse ends the agent epoch as if its lease were over, and tells whether it went on until
+// EndEpoch ends the agent epoch as if its lease were over, and tells whether it went on until
 // now. All tasks have to be ended then; EpochEnded follows.
-func (w *Worker) Lapse() bool {
+func (w *Worker) EndEpoch() bool {
 	if w.epoch.ending {
 		return false
 	}
@@ -160,13 +160,13 @@
 	w.now = max(w.now, now)
 	if w.epoch.ending {
 		w.epoch.ending = false
-		for _, task := range w.sorted() {
+		for _, task := range w.sortedTasks() {
 			w.effects.Forget = append(w.effects.Forget, task.id)
 		}
 		w.tasks, w.jobs.descriptions = map[TaskAttempt]*taskState{}, map[string]*protocol.JobDescription{}
 		w.jobs.describing, w.doneAt = map[string]bool{}, map[TaskAttempt]time.Duration{}
 		w.epoch.number++
-		w.epoch.began = w.now
+		w.epoch.startedAt = w.now
 		w.heartbeats.changed = true
 	}
 	w.advance(now)
--- a/internal/agent/worker_gang.go
+++ b/internal/agent/worker_gang.go
@@ -7,43 +7,43 @@
 	"silvergate/internal/protocol"
 )
 
-// gang tells whether the attempt has others that it depends on.
-func (w *Worker) gang(task *taskState) bool {
+// hasGangPeers tells whether the attempt has others that it depends on.
+func (w *Worker) hasGangPeers(task *taskState) bool {
 	return task.description != nil && task.description.Shape == job.Gang && task.description.Tasks > 1
 }
 
-// judge decides what a gang's task does next, from what is known of the others.
-func (w *Worker) judge(task *taskState) {
+// advanceGangTask decides what a gang's task does next, from what is known of the others.
+func (w *Worker) advanceGangTask(task *taskState) {
 	peer := seconds(w.periods.GangPeer)
 	switch task.phase {
 	case waiting:
 		switch {
-		case task.all("waiting", "running", "finished", gangDone):
+		case task.allPeersIn("waiting", "running", "finished", gangDone):
 			w.start(task)
 		case w.now-task.phaseSince >= seconds(w.periods.GangWait):
 			w.endWithoutProcess(task, protocol.CauseGangTimeout)
 		}
 	case running:
-		if task.all("waiting", "running", "finished", "saving", "saved", gangDone) {
+		if task.allPeersIn("waiting", "running", "finished", "saving", "saved", gangDone) {
 			task.gangCompleteAt = w.now
 		} else if w.now-task.gangCompleteAt > peer {
-			w.end(task, protocol.CauseGangMemberLost)
+			w.endProcess(task, protocol.CauseGangMemberLost)
 		}
 	case finished:
 		switch {
-		case task.all("finished", gangDone):
+		case task.allPeersIn("finished", gangDone):
 			w.endWithoutProcess(task, protocol.CauseDone)
-		case task.all("running", "finished", gangDone):
+		case task.allPeersIn("running", "finished", gangDone):
 			task.gangCompleteAt = w.now
 		case w.now-task.gangCompleteAt > peer:
 			w.endWithoutProcess(task, protocol.CauseGangMemberLost)
 		}
 	case checkpointed:
 		switch {
-		case task.all("saved", "ended"):
+		case task.allPeersIn("saved", "ended"):
 			task.checkpointed = true
 			w.endWithoutProcess(task, protocol.CauseStopped)
-		case task.all("saving", "saved", "ended") && w.now < task.killAt:
+		case task.allPeersIn("saving", "saved", "ended") && w.now < task.killAt:
 		case w.now-task.stopRequestedAt > peer:
 			w.endWithoutProcess(task, protocol.CauseGangMemberLost)
 		}
@@ -54,7 +54,7 @@
 func (w *Worker) Peers(now time.Duration, k TaskAttempt, states map[int]string) Effects {
 	w.now = max(w.now, now)
 	if task := w.tasks[k]; task != nil && task.phase != ended && !w.epoch.ending {
-		task.peers = states
+		task.peerStates = states
 	}
 	w.advance(now)
 	return w.takeEffects()
@@ -74,7 +74,7 @@
 		}
 		switch {
 		case task.phase != ended:
-			out[k.Index] = gangNames[task.phase]
+			out[k.Index] = gangStateNames[task.phase]
 		case task.cause == protocol.CauseDone:
 			out[k.Index] = gangDone
 		case task.checkpointed:
--- a/internal/agent/worker_heartbeat.go
+++ b/internal/agent/worker_heartbeat.go
@@ -8,27 +8,27 @@
 	"silvergate/internal/protocol"
 )
 
-// current writes the heartbeat as things stand.
-func (w *Worker) current() protocol.Heartbeat {
+// buildHeartbeat writes the heartbeat as things stand.
+func (w *Worker) buildHeartbeat() protocol.Heartbeat {
 	w.sequence++
 	r := w.identity
-	r.DataStore, r.Unshipped = w.store, w.unshipped
+	r.DataStore, r.Unshipped = w.storeReport, w.unshipped
 	r.AgentEpoch, r.Sequence, r.FencingToken = w.epoch.number, w.sequence, w.fencingToken
 	if w.preemption.received {
 		left := max(0, (w.preemption.at - w.now).Seconds())
 		r.PreemptionNoticeS = &left
 	}
 	r.Tasks = make([]protocol.TaskStatus, 0, len(w.tasks))
-	for _, task := range w.sorted() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.id.TaskName(), Attempt: task.id.Attempt, Status: wire[task.phase], Cause: task.cause, Checkpointed: task.checkpointed})
+	for _, task := range w.sortedTasks() {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.id.TaskName(), Attempt: task.id.Attempt, Status: reportedStates[task.phase], Cause: task.cause, Checkpointed: task.checkpointed})
 	}
 	return r
 }
 
-func (w *Worker) heartbeat() {
+func (w *Worker) sendHeartbeat() {
 	w.heartbeats.inflight, w.heartbeats.sent, w.heartbeats.changed = true, true, false
 	w.heartbeats.lastAt = w.now
-	w.effects.Heartbeat = &HeartbeatSend{Controller: w.controllers[w.heartbeats.controller], Body: protocol.Encode(w.current()), Epoch: w.epoch.number, SentAt: w.now}
+	w.effects.Heartbeat = &HeartbeatSend{Controller: w.controllers[w.heartbeats.controller], Body: protocol.Encode(w.buildHeartbeat()), Epoch: w.epoch.number, SentAt: w.now}
 }
 
 // Answered takes what came of a heartbeat: status 0 when no answer came in time.
@@ -39,20 +39,20 @@
 	case http.StatusOK:
 		w.heartbeats.nextAt = w.now + seconds(w.periods.Heartbeat*(0.75+0.5*w.random.Float64()))
 		var a protocol.HeartbeatResponse
-		if s.Epoch != w.epoch.number || w.epoch.ending || w.now-s.SentAt > patience || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.fencingToken {
+		if s.Epoch != w.epoch.number || w.epoch.ending || w.now-s.SentAt > answerTimeout || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.fencingToken {
 			break // dropped: neither obeyed nor renewing
 		}
 		w.epoch.answeredAt = max(w.epoch.answeredAt, s.SentAt)
-		w.seeToken(a.FencingToken)
-		w.carryOut(a.Commands)
-		w.effects.Store = a.DataStore
+		w.acceptToken(a.FencingToken)
+		w.execute(a.Commands)
+		w.effects.StagingCommands = a.DataStore
 	case http.StatusMisdirectedRequest:
 		var r protocol.Redirect
 		_ = protocol.Decode(body, &r)
 		to := slices.IndexFunc(w.controllers, func(n Controller) bool { return n.Name == r.Controller })
 		if to >= 0 && to != w.heartbeats.controller {
 			w.heartbeats.controller = to
-			w.heartbeats.nextAt = w.now + time.Duration(w.random.Float64()*float64(soonest))
+			w.heartbeats.nextAt = w.now + time.Duration(w.random.Float64()*float64(minHeartbeatInterval))
 			break
 		}
 		w.tryNextController()
@@ -64,11 +64,11 @@
 
 func (w *Worker) tryNextController() {
 	w.heartbeats.controller = (w.heartbeats.controller + 1) % len(w.controllers)
-	w.heartbeats.nextAt = w.now + nextController
+	w.heartbeats.nextAt = w.now + controllerRetryDelay
 }
 
-// seeToken takes a fencing token that is no lower than any before.
-func (w *Worker) seeToken(token uint64) {
+// acceptToken takes a fencing token that is no lower than any before.
+func (w *Worker) acceptToken(token uint64) {
 	if token == w.fencingToken {
 		return
 	}
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -16,46 +16,46 @@
 )
 
 var (
-	testPeriods = Periods{Heartbeat: 3, Lease: 18, GangWait: 35, GangPeer: 4}
-	testNodes   = []Controller{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
-	testRoom    = Room{CPUs: 4, GPUs: 0, RAM: 3}
+	testPeriods     = Periods{Heartbeat: 3, Lease: 18, GangWait: 35, GangPeer: 4}
+	testControllers = []Controller{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
+	testRoom        = Room{CPUs: 4, GPUs: 0, RAM: 3}
 )
 
-// bench drives a worker as an agent would, with a world that draws what happens.
-type bench struct {
-	w         *Worker
-	now       time.Duration
-	heartbeat *HeartbeatSend
-	alive     map[TaskAttempt]bool // attempts whose processes run
-	pulls     map[string]bool
-	asked     []string
-	clear     bool
-	started   map[TaskAttempt]int // in this agent epoch
-	fail      func(format string, args ...any)
+// workerHarness drives a worker as an agent would, with a world that draws what happens.
+type workerHarness struct {
+	worker              *Worker
+	now                 time.Duration
+	heartbeat           *HeartbeatSend
+	alive               map[TaskAttempt]bool // attempts whose processes run
+	fetches             map[string]bool
+	descriptionRequests []string
+	ending              bool
+	started             map[TaskAttempt]int // in this agent epoch
+	fail                func(format string, args ...any)
 }
 
-func newBench(fail func(string, ...any)) *bench {
+func newWorkerHarness(fail func(string, ...any)) *workerHarness {
 	me := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
-	return &bench{w: NewWorker(me, testRoom, testPeriods, testNodes, 1, 0, rand.New(rand.NewPCG(1, 2))),
-		alive: map[TaskAttempt]bool{}, pulls: map[string]bool{}, started: map[TaskAttempt]int{}, fail: fail}
+	return &workerHarness{worker: NewWorker(me, testRoom, testPeriods, testControllers, 1, 0, rand.New(rand.NewPCG(1, 2))),
+		alive: map[TaskAttempt]bool{}, fetches: map[string]bool{}, started: map[TaskAttempt]int{}, fail: fail}
 }
 
-// take does what a step wants done.
-func (b *bench) take(e Effects) {
+// apply does what a step wants done.
+func (b *workerHarness) apply(e Effects) {
 	if e.Heartbeat != nil {
 		if b.heartbeat != nil {
 			b.fail("two reports in flight")
 		}
-		if b.clear {
+		if b.ending {
 			b.fail("a report while the last session's tasks are being ended")
 		}
 		b.heartbeat = e.Heartbeat
 	}
 	if e.EndAll {
-		b.clear = true
+		b.ending = true
 	}
 	for _, k := range e.Start {
-		if b.alive[k] || b.started[k] > 0 && b.w.tasks[k] != nil && b.started[k] > 1 {
+		if b.alive[k] || b.started[k] > 0 && b.worker.tasks[k] != nil && b.started[k] > 1 {
 			b.fail("%v started twice", k)
 		}
 		for o := range b.alive {
@@ -68,22 +68,22 @@
 	}
 	for _, k := range e.Forget {
 		delete(b.started, k)
-		if b.alive[k] && !b.clear {
+		if b.alive[k] && !b.ending {
 			b.fail("%v forgotten while its processes run", k)
 		}
 	}
 	for _, n := range e.Fetch {
-		if b.pulls[n] {
+		if b.fetches[n] {
 			b.fail("image %s fetched twice at once", n)
 		}
-		b.pulls[n] = true
+		b.fetches[n] = true
 	}
 	for _, n := range e.Leave {
-		delete(b.pulls, n)
+		delete(b.fetches, n)
 	}
-	b.asked = append(b.asked, e.Describe...)
+	b.descriptionRequests = append(b.descriptionRequests, e.Describe...)
 	used := Room{}
-	for k, task := range b.w.tasks {
+	for k, task := range b.worker.tasks {
 		if task.phase == ended && b.alive[k] {
 			b.fail("%v reported over (%s) while its processes run", k, task.cause)
 		}
@@ -97,27 +97,27 @@
 	}
 }
 
-func (b *bench) tick(d time.Duration) {
+func (b *workerHarness) tick(d time.Duration) {
 	b.now += d
-	b.take(b.w.Tick(b.now))
+	b.apply(b.worker.Tick(b.now))
 }
 
-func (b *bench) answer(status int, v any) {
+func (b *workerHarness) answer(status int, v any) {
 	r := b.heartbeat
 	b.heartbeat = nil
-	b.take(b.w.Answered(b.now, r, status, protocol.Encode(v)))
+	b.apply(b.worker.Answered(b.now, r, status, protocol.Encode(v)))
 }
 
-func describe(id string, shape job.Shape, loads int) *protocol.JobDescription {
+func jobDescription(id string, shape job.Shape, loads int) *protocol.JobDescription {
 	return &protocol.JobDescription{ID: id, Shape: shape, Tasks: loads, CPUs: 1, MemoryGB: 1, Image: "img", Priority: "standard"}
 }
 
-// TestWorkerKeepsTheProtocolsRules draws commands, answers, ends, pauses and lost
+// TestWorkerKeepsProtocolInvariants draws commands, answers, ends, pauses and lost
 // messages, and checks after each step what must always hold.
-func TestWorkerKeepsTheProtocolsRules(t *testing.T) {
+func TestWorkerKeepsProtocolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t.Fatalf)
-		jobs := map[string]*protocol.JobDescription{"wk-000001": describe("wk-000001", job.Array, 3), "wk-000002": describe("wk-000002", job.Service, 2)}
+		b := newWorkerHarness(t.Fatalf)
+		jobs := map[string]*protocol.JobDescription{"wk-000001": jobDescription("wk-000001", job.Array, 3), "wk-000002": jobDescription("wk-000002", job.Service, 2)}
 		jobs["wk-000001"].CheckpointIntervalS, jobs["wk-000001"].CheckpointSaveS = 5, 1
 		highest, currentEpoch := uint64(0), uint64(1)
 		answeredAt := time.Duration(0)
@@ -133,7 +133,7 @@
 		}
 		b.tick(0)
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
-			before := fmt.Sprint(b.w.Count())
+			before := fmt.Sprint(b.worker.Count())
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
 				b.tick(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
@@ -145,13 +145,13 @@
 					continue
 				}
 				token := rapid.SampledFrom([]uint64{0, highest, highest, highest + 1, highest / 2}).Draw(t, "token")
-				r, epoch := b.heartbeat, b.w.Epoch()
+				r, epoch := b.heartbeat, b.worker.Epoch()
 				o := commands()
 				b.answer(200, protocol.HeartbeatResponse{FencingToken: token, Commands: o})
-				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= patience && !b.w.epoch.ending; {
+				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= answerTimeout && !b.worker.epoch.ending; {
 				case taken:
 					highest, answeredAt = token, max(answeredAt, r.SentAt)
-				case fmt.Sprint(b.w.Count()) != before && !b.clear:
+				case fmt.Sprint(b.worker.Count()) != before && !b.ending:
 					t.Fatalf("an answer under token %d of %d was obeyed", token, highest)
 				}
 			case 4:
@@ -161,32 +161,32 @@
 			case 5:
 				token := rapid.SampledFrom([]uint64{highest, highest + 1, highest / 2}).Draw(t, "token")
 				epoch := rapid.SampledFrom([]uint64{currentEpoch, currentEpoch, currentEpoch + 1}).Draw(t, "shift")
-				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
-				b.take(e)
-				if want := token >= highest && epoch == currentEpoch && !b.w.epoch.ending; (st == 200) != want {
+				st, _, e := b.worker.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
+				b.apply(e)
+				if want := token >= highest && epoch == currentEpoch && !b.worker.epoch.ending; (st == 200) != want {
 					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, epoch, currentEpoch)
 				}
 				if st == 200 {
 					highest = token
 				}
 			case 6:
-				asked := b.asked
-				b.asked = nil
+				asked := b.descriptionRequests
+				b.descriptionRequests = nil
 				for _, id := range asked {
 					if rapid.IntRange(0, 3).Draw(t, "described") == 0 {
-						b.take(b.w.Described(b.now, id, nil, false))
+						b.apply(b.worker.Described(b.now, id, nil, false))
 					} else {
-						b.take(b.w.Described(b.now, id, jobs[id], jobs[id] == nil))
+						b.apply(b.worker.Described(b.now, id, jobs[id], jobs[id] == nil))
 					}
 				}
 			case 7:
-				for n := range b.pulls {
-					delete(b.pulls, n)
+				for n := range b.fetches {
+					delete(b.fetches, n)
 					var err error
 					if rapid.IntRange(0, 4).Draw(t, "fetched") == 0 {
 						err = errors.New("no")
 					}
-					b.take(b.w.Fetched(b.now, n, err))
+					b.apply(b.worker.Fetched(b.now, n, err))
 				}
 			case 8:
 				var live []TaskAttempt
@@ -197,54 +197,54 @@
 				if len(live) > 0 {
 					k := rapid.SampledFrom(live).Draw(t, "exits")
 					delete(b.alive, k)
-					b.take(b.w.Exited(b.now, k, Exit{Code: rapid.IntRange(0, 1).Draw(t, "code"), Saved: rapid.Bool().Draw(t, "saved")}))
+					b.apply(b.worker.Exited(b.now, k, Exit{Code: rapid.IntRange(0, 1).Draw(t, "code"), Saved: rapid.Bool().Draw(t, "saved")}))
 				}
 			case 9:
-				if b.clear {
+				if b.ending {
 					clear(b.alive)
 					clear(b.started)
-					b.clear = false
+					b.ending = false
 					currentEpoch++
-					b.take(b.w.EpochEnded(b.now))
+					b.apply(b.worker.EpochEnded(b.now))
 					answeredAt = b.now
 				}
 			}
-			if over := b.now - answeredAt; over > b.w.lease() != b.w.epoch.ending && over > b.w.lease() {
-				t.Fatalf("the lease is over since %v and the session goes on", over-b.w.lease())
+			if over := b.now - answeredAt; over > b.worker.lease() != b.worker.epoch.ending && over > b.worker.lease() {
+				t.Fatalf("the lease is over since %v and the session goes on", over-b.worker.lease())
 			}
-			if b.w.Epoch() != currentEpoch {
-				t.Fatalf("session %d, expected %d", b.w.Epoch(), currentEpoch)
+			if b.worker.Epoch() != currentEpoch {
+				t.Fatalf("session %d, expected %d", b.worker.Epoch(), currentEpoch)
 			}
 		}
 	})
 }
 
-// TestNewSessionIsEvidence demands that no heartbeat of a new agent epoch leaves before
+// TestNewEpochStartsAfterOldTasksEnd demands that no heartbeat of a new agent epoch leaves before
 // the old one's processes are gone.
-func TestNewSessionIsEvidence(t *testing.T) {
-	b := newBench(t.Fatalf)
+func TestNewEpochStartsAfterOldTasksEnd(t *testing.T) {
+	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 7, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
-	b.take(b.w.Described(b.now, "wk-000001", describe("wk-000001", job.Array, 1), false))
-	b.take(b.w.Fetched(b.now, "img", nil))
+	b.apply(b.worker.Described(b.now, "wk-000001", jobDescription("wk-000001", job.Array, 1), false))
+	b.apply(b.worker.Fetched(b.now, "img", nil))
 	if len(b.alive) != 1 {
 		t.Fatal("not started")
 	}
 	b.tick(19 * time.Second)
-	if !b.clear {
+	if !b.ending {
 		t.Fatal("the lease did not end")
 	}
-	if _, _, err := b.w.Status(b.now); err == nil {
+	if _, _, err := b.worker.Status(b.now); err == nil {
 		t.Fatal("a status was given while tasks were being ended")
 	}
-	if st, _, _ := b.w.Direct(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
+	if st, _, _ := b.worker.Direct(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
 		t.Fatalf("orders were taken while tasks were being ended: %d", st)
 	}
 	b.heartbeat = nil
 	b.tick(time.Minute) // bench fails on a heartbeat
 	clear(b.alive)
-	b.clear = false
-	b.take(b.w.EpochEnded(b.now))
+	b.ending = false
+	b.apply(b.worker.EpochEnded(b.now))
 	b.tick(0)
 	var r protocol.Heartbeat
 	if b.heartbeat == nil || json.Unmarshal(b.heartbeat.Body, &r) != nil || r.AgentEpoch != 2 || len(r.Tasks) != 0 || r.FencingToken != 7 {
@@ -252,22 +252,22 @@
 	}
 }
 
-// TestAnswerOfAnEarlierSessionIsDropped delays an answer past the lease's end.
-func TestAnswerOfAnEarlierSessionIsDropped(t *testing.T) {
-	b := newBench(t.Fatalf)
+// TestAnswerToEarlierEpochIsDropped delays an answer past the lease's end.
+func TestAnswerToEarlierEpochIsDropped(t *testing.T) {
+	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 5})
 	b.tick(17 * time.Second)
 	late := b.heartbeat
 	b.tick(1100 * time.Millisecond)
-	if late == nil || !b.clear {
+	if late == nil || !b.ending {
 		t.Fatal("no report under way at the end of the lease")
 	}
-	b.clear = false
-	b.take(b.w.EpochEnded(b.now))
+	b.ending = false
+	b.apply(b.worker.EpochEnded(b.now))
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 6, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
-	if all, _ := b.w.Count(); all != 0 || b.w.fencingToken != 5 {
-		t.Fatalf("%d attempts, token %d", all, b.w.fencingToken)
+	if all, _ := b.worker.Count(); all != 0 || b.worker.fencingToken != 5 {
+		t.Fatalf("%d attempts, token %d", all, b.worker.fencingToken)
 	}
 }
 
@@ -277,14 +277,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
 		id := "wk-000009"
-		d := describe(id, job.Gang, n)
+		d := jobDescription(id, job.Gang, n)
 		d.CheckpointIntervalS, d.CheckpointSaveS = 10, 1
-		var bs []*bench
+		var bs []*workerHarness
 		for i := range n {
-			b := newBench(t.Fatalf)
+			b := newWorkerHarness(t.Fatalf)
 			b.tick(0)
 			b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{{Verb: "launch", Task: fmt.Sprintf("%s/%d", id, i), Attempt: 4}}})
-			b.take(b.w.Described(b.now, id, d, false))
+			b.apply(b.worker.Described(b.now, id, d, false))
 			bs = append(bs, b)
 		}
 		imageAt := []int{}
@@ -303,18 +303,18 @@
 		for q := range 300 {
 			for i, b := range bs {
 				if q == imageAt[i] {
-					b.take(b.w.Fetched(b.now, "img", nil))
+					b.apply(b.worker.Fetched(b.now, "img", nil))
 				}
 				k := TaskAttempt{id, i, 4}
 				if q == stopAt && (i != lost || q < lostAt) {
 					grace := 8.0
-					_, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.TaskName(), Attempt: 4, GracePeriodS: &grace}}}))
-					b.take(e)
+					_, _, e := b.worker.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.TaskName(), Attempt: 4, GracePeriodS: &grace}}}))
+					b.apply(e)
 				}
 				if i == lost && q >= lostAt && lostAt < 100 {
 					continue
 				}
-				task := b.w.tasks[k]
+				task := b.worker.tasks[k]
 				if b.alive[k] && startedAt < 0 {
 					startedAt = q
 					for j, at := range imageAt {
@@ -326,14 +326,14 @@
 				switch {
 				case b.alive[k] && task.phase == ending:
 					delete(b.alive, k)
-					b.take(b.w.Exited(b.now, k, Exit{Code: -1}))
+					b.apply(b.worker.Exited(b.now, k, Exit{Code: -1}))
 				case b.alive[k] && task.phase == checkpointing && q >= stopAt+4:
 					delete(b.alive, k)
-					b.take(b.w.Exited(b.now, k, Exit{Saved: true}))
+					b.apply(b.worker.Exited(b.now, k, Exit{Saved: true}))
 				case b.alive[k] && task.phase == running && startedAt >= 0 && q >= startedAt+runs[i]:
 					delete(b.alive, k)
 					ran++
-					b.take(b.w.Exited(b.now, k, Exit{}))
+					b.apply(b.worker.Exited(b.now, k, Exit{}))
 				}
 				if q%2 == 0 { // what the others say arrives every half second
 					states := map[int]string{}
@@ -341,11 +341,11 @@
 						if j == lost && q >= lostAt && lostAt < 100 {
 							continue
 						}
-						for i, s := range o.w.Gang(id, 4) {
+						for i, s := range o.worker.Gang(id, 4) {
 							states[i] = s
 						}
 					}
-					b.take(b.w.Peers(b.now, k, states))
+					b.apply(b.worker.Peers(b.now, k, states))
 				}
 				if b.heartbeat != nil {
 					b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{}})
@@ -358,7 +358,7 @@
 			if i == lost && lostAt < 100 {
 				continue
 			}
-			task := b.w.tasks[TaskAttempt{id, i, 4}]
+			task := b.worker.tasks[TaskAttempt{id, i, 4}]
 			if task == nil || task.phase != ended {
 				t.Fatalf("task %d is not over: %+v", i, task)
 			}
@@ -385,10 +385,10 @@
 	})
 }
 
-// TestLargestReportFitsIntoARequest fills a machine with as many attempts as it
+// TestLargestHeartbeatFitsIntoARequest fills a machine with as many attempts as it
 // takes, and its store's part with the most that is reported.
-func TestLargestReportFitsIntoARequest(t *testing.T) {
-	b := newBench(t.Fatalf)
+func TestLargestHeartbeatFitsIntoARequest(t *testing.T) {
+	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
 	var commands []protocol.Command
 	for i := range 5000 {
@@ -396,14 +396,14 @@
 	}
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 1 << 60, Commands: commands})
 	s := &protocol.StoreReport{Digest: "0123456789abcdef", Listed: true}
-	for range listed {
+	for range maxListedCopies {
 		s.Copies = append(s.Copies, "0123456789abcdef0123456789abcdef")
 	}
-	for range pulling {
+	for range maxListedFetches {
 		s.Pulls = append(s.Pulls, protocol.StorePull{Copy: s.Copies[0], Done: 1 << 50, Total: 1 << 50, Rate: 123456789.123})
 		s.Failed = append(s.Failed, s.Copies[0])
 	}
-	b.w.Stored(s, true)
+	b.worker.SetStoreReport(s, true)
 	b.tick(time.Second)
 	if b.heartbeat == nil || len(b.heartbeat.Body) > protocol.MaxBody {
 		t.Fatalf("%d bytes", len(b.heartbeat.Body))
