--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,14 +1,16 @@
-// Package agent is silvergate's worker on a real machine: it sends heartbeats to
-// the controllers, runs tasks as process groups and ends them whole.
+// Package agent implements silvergate's worker on a real machine: it sends
+// heartbeats to the controllers, runs each task as a process group and, when the
+// task ends, kills all processes of the task.
 //
-// Worker is the protocol, a state machine without I/O that owns the attempts;
-// runner owns processes; images owns the cache of images; outside is what
-// outlives the machine. Agent connects them to the network and the clock.
+// Worker is the protocol: a state machine without I/O that owns the attempts.
+// runner owns the processes, imageStore the cache of images, and sharedStore the
+// data that outlives the machine. Agent connects them to the network and the
+// clock.
 //
-// Nothing runs longer than the machine's lease: when the agent hangs or is
-// gone, a watchdog process of its own ends all tasks. A restarted agent ends
-// what an earlier one left and begins a new agent epoch after that, so the new
-// epoch is evidence that the old one's tasks are gone.
+// No task runs longer than the machine's lease: if the agent hangs or dies, a
+// separate watchdog process kills all tasks. A restarted agent first kills the
+// tasks that the previous agent left behind and only then begins a new agent
+// epoch, so the new epoch is evidence that the tasks of the old one are gone.
 package agent
 
 import (
@@ -35,16 +37,16 @@
 	"silvergate/internal/transport"
 )
 
-// maxConnections bounds the connections that an agent opens at a time.
+// maxConnections bounds the number of connections that an agent has open at a time.
 const maxConnections = 32
 
-// Bounds of the agent's own server.
+// Limits of the agent's own HTTP server.
 const (
 	requestTimeout       = 10 * time.Second
 	maxServedConnections = 256
 )
 
-// Stats counts what an agent did.
+// Stats holds an agent's counters and current usage.
 type Stats struct {
 	Heartbeats, Answered, Launched, Epochs uint64
 	TaskEnds                               map[string]uint64 // by cause
@@ -57,7 +59,7 @@
 type Agent struct {
 	cfg         Config
 	log         *slog.Logger
-	taskCommand []string // starts this program for a task; see ExecTask
+	taskCommand []string // starts this program as a task's process; see ExecTask
 	// watchdogCommand starts this program as a watchdog; see Watchdog.
 	watchdogCommand []string
 	server          *transport.Server
@@ -66,42 +68,45 @@
 	images          *imageStore
 	shared          sharedStore
 
-	mu        sync.Mutex // guards what follows; the server's lock too
+	mu        sync.Mutex // guards the fields below; the server uses it as its lock too
 	worker    *Worker
 	persisted persistedState
 	schedule  schedule
 	inputs    *inputStore    // nil: no data sets
 	outputs   *outputShipper // nil: no archive
 	attempts  attemptRecords
-	watchdog  *watchdogProcess // nil while none runs
+	watchdog  *watchdogProcess // nil while none is running
 	stats     Stats
 	shutdown  shutdownState
-	// Extra answers paths that are not the protocol's, such as /metrics.
+	// Extra serves paths outside the protocol, such as /metrics. It reports whether it
+	// handled the request.
 	Extra func(id uint64, method, path string) bool
 }
 
-// schedule holds the agent's times and the timer of its next step.
+// schedule holds the agent's points in time and the timer of its next tick.
 type schedule struct {
-	startedAt   time.Duration // boot clock; zero of the worker's clock
+	startedAt   time.Duration // on the boot clock; the zero point of the worker's clock
 	answeredAt  time.Duration // when a heartbeat was last answered
 	lastSweepAt time.Time
 	timer       *time.Timer
 }
 
-// attemptRecords is what the agent remembers of attempts until they are forgotten.
+// attemptRecords holds what the agent itself records about attempts, until the
+// controllers have them forgotten.
 type attemptRecords struct {
 	gangMembers     map[TaskAttempt][]protocol.GangMember
-	lastCheckpoints map[TaskAttempt]int // the newest checkpoint when the task was asked to stop
+	lastCheckpoints map[TaskAttempt]int // number of the newest checkpoint when the task was asked to stop
 }
 
-// shutdownState is whether the agent has stopped, and the error that stopped it.
+// shutdownState records whether the agent is shutting down, and the error that caused it.
 type shutdownState struct {
 	begun bool
 	err   error
 }
 
-// New makes an agent that Run starts. It fails if the configuration or what an
-// earlier agent left in the machine's folder is unusable. self is this program; it is started again for each task.
+// New returns an agent that is ready to Run. It fails if the configuration is invalid or if
+// the files that an earlier agent left in the machine's folder are unusable. self is the path
+// of this program, which is started again for each task and for the watchdog.
 func New(cfg Config, self string, log *slog.Logger) (*Agent, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -127,7 +132,7 @@
 			return nil, fmt.Errorf("%s: damaged: %w; return the machine to its provider", filepath.Join(cfg.Dir, stateFile), err)
 		}
 	}
-	a.runner = &runner{dir: cfg.Dir, taskCommand: a.taskCommand, log: log, tasks: map[TaskAttempt]*task{}, exited: a.taskExited}
+	a.runner = &runner{dir: cfg.Dir, exec: a.taskCommand, log: log, tasks: map[TaskAttempt]*task{}, exited: a.taskExited}
 	if a.images, err = newImageStore(filepath.Join(cfg.Dir, "images"), int64(cfg.LocalGB*1e9), cfg.Images); err != nil {
 		return nil, err
 	}
@@ -158,7 +163,7 @@
 
 func (a *Agent) clock() time.Duration { return bootClock() - a.schedule.startedAt }
 
-// persist makes the agent epoch, the fencing token and the port durable.
+// persist writes the agent epoch, the fencing token and the port to disk.
 func (a *Agent) persist() {
 	raw, err := json.Marshal(a.persisted)
 	if err == nil {
@@ -169,8 +174,8 @@
 	}
 }
 
-// fail ends the agent, and with it, by the watchdog, its tasks: a machine that
-// can't keep its agent epoch must not go on under it.
+// fail stops the agent, and the watchdog then kills the agent's tasks: a machine
+// that can't store its agent epoch must not keep running in that epoch.
 func (a *Agent) fail(err error) {
 	if a.shutdown.err == nil {
 		a.shutdown.err = err
@@ -179,12 +184,12 @@
 	}
 }
 
-// Run serves until Stop is called or the machine fails.
+// Run serves until Stop is called or the agent fails.
 func (a *Agent) Run() error {
 	if err := proc.KeepOrphans(); err != nil {
-		return fmt.Errorf("orphans of tasks: %w", err)
+		return fmt.Errorf("adopting orphaned task processes: %w", err)
 	}
-	a.runner.endAll() // whatever an earlier agent left
+	a.runner.clear() // kills the tasks that an earlier agent left
 	if err := endEarlierWatchdog(a.cfg.Dir); err != nil {
 		return fmt.Errorf("watchdog: %w", err)
 	}
@@ -202,15 +207,16 @@
 	failed := a.shutdown.err
 	a.mu.Unlock()
 	a.inputs.close()
-	a.runner.endAll()
+	a.runner.clear()
 	a.outputs.close()
 	a.endWatchdog()
 	return errors.Join(failed, err)
 }
 
-// listenAddress is where the agent listens: where any port will do, at the one that it had
-// before. Controllers send commands there until they claim the machine anew, so another one
-// would be wrong; a process that has got it meanwhile is waited for, for a lease.
+// listenAddress returns the address to listen on. If the configured port is 0, it is the port
+// that the agent had before, because controllers send commands there until they claim the
+// machine again. If another process has taken that port meanwhile, listenAddress waits up to
+// the length of a lease for it to become free.
 func (a *Agent) listenAddress() string {
 	host, port, err := net.SplitHostPort(a.cfg.Listen)
 	if err != nil || port != "0" || a.persisted.Port == 0 {
@@ -224,15 +230,15 @@
 			_ = probe.Close()
 			break
 		}
-		a.log.Debug("the port of before is taken", "listen", address, "error", err)
+		a.log.Debug("the previous port is taken", "listen", address, "error", err)
 	}
 	return address
 }
 
-// Stop ends the agent and its tasks, as a machine that is switched off.
+// Stop ends the agent and its tasks, as switching the machine off would.
 func (a *Agent) Stop() { a.server.Stop() }
 
-// beginEpoch starts the agent epoch; the server holds the lock.
+// beginEpoch starts a new agent epoch with a new worker; the server holds the lock.
 func (a *Agent) beginEpoch(address string) {
 	a.persisted.Epoch++
 	if ap, err := netip.ParseAddrPort(address); err == nil {
@@ -242,9 +248,10 @@
 	if err := renameio.WriteFile(filepath.Join(a.cfg.Dir, AddressFile), []byte(address), 0o600); err != nil {
 		a.fail(err)
 	}
-	me := protocol.Heartbeat{Worker: a.cfg.Worker, Address: address, MachineType: a.cfg.MachineType, Zone: a.cfg.Zone, Spot: a.cfg.Spot}
+	identity := protocol.Heartbeat{Worker: a.cfg.Worker, Address: address, MachineType: a.cfg.MachineType, Zone: a.cfg.Zone, Spot: a.cfg.Spot}
 	a.schedule.startedAt = bootClock()
-	a.worker = NewWorker(me, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.persisted.Epoch, a.persisted.FencingToken, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	a.worker = NewWorker(identity, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.persisted.Epoch, a.persisted.FencingToken,
+		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	a.runner.setEpoch(a.persisted.Epoch)
 	a.stats.Epochs++
 	a.log.Info("serving", "listen", address, "epoch", a.persisted.Epoch)
@@ -269,10 +276,10 @@
 		if at, ok := a.checkPreemption(); ok {
 			a.perform(a.worker.Preempt(a.clock(), at))
 		}
-		// Guards against machines that go on for ever when the site that they
-		// belong to was killed and never started again.
+		// Guards against machines that run forever after their site was killed
+		// and never restarted.
 		if g := seconds(a.cfg.GiveUpS); g > 0 && a.clock() > a.schedule.answeredAt+g {
-			a.log.Info("no controller answers; switching off", "seconds", a.cfg.GiveUpS)
+			a.log.Info("no controller answers; shutting down", "seconds", a.cfg.GiveUpS)
 			a.cfg.GiveUpS = 0
 			go a.server.Stop()
 		}
@@ -280,7 +287,8 @@
 	a.perform(a.worker.Tick(a.clock()))
 }
 
-// checkPreemption reads the provider's notice.
+// checkPreemption reads the provider's preemption notice and returns the time, on the worker's
+// clock, at which the machine is taken back.
 func (a *Agent) checkPreemption() (time.Duration, bool) {
 	raw, err := os.ReadFile(filepath.Join(a.cfg.Dir, PreemptionFile))
 	if err != nil {
@@ -293,7 +301,7 @@
 	return a.clock() + time.Until(time.UnixMilli(ms)), true
 }
 
-// sendHeartbeat sends a heartbeat; the lock is held.
+// sendHeartbeat sends a heartbeat to a controller; the lock is held.
 func (a *Agent) sendHeartbeat(s *HeartbeatSend) {
 	a.stats.Heartbeats++
 	a.inputs.heartbeatSent()
@@ -301,7 +309,7 @@
 		Done: func(r *transport.Response, _ bool, err error) {
 			a.step(func() Effects {
 				if err != nil {
-					a.log.Debug("report not answered", "node", s.Controller.Name, "error", err)
+					a.log.Debug("heartbeat not answered", "node", s.Controller.Name, "error", err)
 					return a.worker.Answered(a.clock(), s, 0, nil)
 				}
 				if r.Status == http.StatusOK {
@@ -313,14 +321,14 @@
 		}})
 }
 
-// endAllTasks ends the epoch's tasks and begins the next agent epoch.
+// endAllTasks kills all tasks of the current agent epoch and begins the next one.
 func (a *Agent) endAllTasks() {
-	a.runner.endAll()
+	a.runner.clear()
 	err := a.replaceWatchdog()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.shutdown.begun {
-		go a.endWatchdog() // Run may have looked before it was started
+		go a.endWatchdog() // Run may have called it before this watchdog started
 		return
 	}
 	if err != nil {
@@ -336,9 +344,9 @@
 	}
 }
 
-// Serve takes a request; the server holds the lock.
+// Serve handles a request; the server holds the lock.
 func (a *Agent) Serve(id uint64, r *transport.Request) {
-	problem := func(status int, why string) {
+	answerError := func(status int, why string) {
 		retry := 0
 		if status == http.StatusServiceUnavailable {
 			retry = 1
@@ -355,7 +363,7 @@
 		body, e, err := a.worker.Status(a.clock())
 		a.perform(e)
 		if err != nil {
-			problem(http.StatusServiceUnavailable, err.Error())
+			answerError(http.StatusServiceUnavailable, err.Error())
 			return
 		}
 		a.server.Answer(id, http.StatusOK, body, 0)
@@ -363,25 +371,25 @@
 		jobID, attempt, _ := strings.Cut(r.Path[len(pathGang):], "/")
 		n, err := strconv.Atoi(attempt)
 		if err != nil || !protocol.ValidJobID(jobID) {
-			problem(http.StatusBadRequest, "the path must name a job and an attempt")
+			answerError(http.StatusBadRequest, "the path must name a job and an attempt")
 			return
 		}
 		a.server.Answer(id, http.StatusOK, protocol.Encode(a.worker.Gang(jobID, n)), 0)
 	case a.inputs.serve(id, r.Method, r.Path):
 	case a.Extra != nil && a.Extra(id, r.Method, r.Path):
 	case r.Path == protocol.PathCommands || r.Path == protocol.PathStatus:
-		problem(http.StatusMethodNotAllowed, "method not allowed")
+		answerError(http.StatusMethodNotAllowed, "method not allowed")
 	default:
-		problem(http.StatusNotFound, "no such path")
+		answerError(http.StatusNotFound, "no such path")
 	}
 }
 
-// AnswerAs answers a request of Extra; the lock must be held.
+// AnswerAs answers a request that Extra accepted; the lock must be held.
 func (a *Agent) AnswerAs(id uint64, contentType string, body []byte) {
 	a.server.AnswerAs(id, contentType, body)
 }
 
-// Stats returns the counters; the lock must be held, as it is in Extra.
+// Stats returns the agent's statistics; the lock must be held, as it is in Extra.
 func (a *Agent) Stats() Stats {
 	s := a.stats
 	s.Tasks, s.Live = a.worker.Count()
--- a/internal/agent/agent_effects.go
+++ b/internal/agent/agent_effects.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// perform carries out effects; the lock is held.
+// perform carries out the effects of a step; the lock is held.
 func (a *Agent) perform(e Effects) {
 	if e.Token > a.persisted.FencingToken {
 		a.persisted.FencingToken = e.Token
@@ -41,8 +41,8 @@
 	}
 }
 
-// fetchWanted asks for descriptions and images, and gives up the fetches that no
-// task waits for any more; the lock is held.
+// fetchWanted starts fetching job descriptions and images, and cancels the fetches of
+// images that no task waits for any more; the lock is held.
 func (a *Agent) fetchWanted(e Effects) {
 	for _, name := range e.Leave {
 		a.images.cancelFetch(name)
@@ -54,26 +54,26 @@
 		a.log.Debug("fetching", "image", name)
 		a.images.fetch(name, func(err error) {
 			if err != nil {
-				a.log.Error("image can't be had", "image", name, "error", err)
+				a.log.Error("image can't be fetched", "image", name, "error", err)
 			}
 			a.step(func() Effects { return a.worker.Fetched(a.clock(), name, err) })
 		})
 	}
 }
 
-// fetchInputs has the store of data sets carry out what concerns it, or refuses
-// inputs on a machine without one; the lock is held.
+// fetchInputs has the store of data sets carry out the effects that concern it, and fails
+// the inputs of attempts on a machine without a store; the lock is held.
 func (a *Agent) fetchInputs(e Effects) {
 	if a.inputs == nil {
-		for _, k := range e.FetchInputs { // of a site that has data sets
+		for _, k := range e.FetchInputs { // the site has data sets, this machine has no store
 			go a.step(func() Effects { return a.worker.InputsFetched(a.clock(), k, errNoStore, false) })
 		}
 	}
 	a.inputs.apply(e)
 }
 
-// startTasks starts attempts, and asks how the other tasks of gangs are; the lock
-// is held.
+// startTasks starts attempts, and queries the states of the other tasks of gangs;
+// the lock is held.
 func (a *Agent) startTasks(e Effects) {
 	for _, k := range e.Start {
 		a.stats.Launched++
@@ -85,7 +85,7 @@
 	}
 }
 
-// forget drops the records of attempts that the controllers know to be over; the
+// forget deletes the records of attempts whose end the controllers have recorded; the
 // lock is held.
 func (a *Agent) forget(attempts []TaskAttempt) {
 	for _, k := range attempts {
@@ -97,8 +97,8 @@
 	}
 }
 
-// rescheduleTick sets the timer to when the worker must look at the clock again;
-// the lock is held.
+// rescheduleTick sets the timer to the time of the worker's next tick; the lock is
+// held.
 func (a *Agent) rescheduleTick() {
 	if a.schedule.timer == nil || a.shutdown.begun {
 		return
@@ -107,10 +107,10 @@
 	a.schedule.timer.Reset(max(next, time.Millisecond))
 }
 
-// sweepPeriod is the time between two looks at memory, inputs and connections.
+// sweepPeriod returns the time between two checks of memory, inputs and connections.
 func (a *Agent) sweepPeriod() time.Duration { return seconds(a.cfg.Workers.Heartbeat / 6) }
 
-// step feeds an event to the worker and carries out what follows.
+// step passes an event to the worker and carries out its effects.
 func (a *Agent) step(event func() Effects) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -26,8 +26,8 @@
 	"silvergate/internal/protocol"
 )
 
-// The test binary stands in for the program: it is started again for tasks, as a
-// watchdog, and as an agent that can be killed.
+// TestMain makes the test binary act as the agent's program: tests start it again as a task's
+// process, as a watchdog, and as an agent that can be killed.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 {
 		var err error
@@ -51,7 +51,7 @@
 			os.Exit(1)
 		}
 	}
-	// Generated inputs come from a fixed seed, so that a verdict repeats.
+	// Generated inputs come from a fixed seed, so that results are reproducible.
 	_ = flag.Set("rapid.seed", "20261201")
 	_ = flag.Set("rapid.checks", "1000")
 	os.Exit(m.Run())
@@ -59,8 +59,8 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// fakeController is a stand-in: it answers heartbeats with whatever commands are due and
-// keeps the last heartbeat.
+// fakeController answers heartbeats with the queued commands, serves job descriptions, and
+// records the last heartbeat and the causes of ended attempts.
 type fakeController struct {
 	t           *testing.T
 	srv         *httptest.Server
@@ -68,7 +68,7 @@
 	commands    []protocol.Command
 	jobs        map[string]protocol.JobDescription
 	last        protocol.Heartbeat
-	causes      map[string]string // by "load#try"
+	causes      map[string]string // by "task#attempt"
 	unavailable bool
 	onHeartbeat func(r protocol.Heartbeat)
 }
@@ -120,25 +120,25 @@
 	c.commands = append(c.commands, o...)
 }
 
-// await waits until a condition holds, and names it when it never does.
+// await waits until a condition holds, and fails the test after 20 seconds without it.
 func (c *fakeController) await(what string, ok func() bool) {
 	c.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		c.mu.Lock()
-		good := ok()
+		holds := ok()
 		c.mu.Unlock()
-		if good {
+		if holds {
 			return
 		}
 		if time.Now().After(until) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.t.Fatalf("%s: never; causes %v, last report %+v", what, c.causes, c.last)
+			c.t.Fatalf("%s: did not happen; causes %v, last heartbeat %+v", what, c.causes, c.last)
 		}
 	}
 }
 
-func (c *fakeController) addJob(id, script string, change func(*protocol.JobDescription)) {
+func (c *fakeController) add(id, script string, change func(*protocol.JobDescription)) {
 	d := protocol.JobDescription{ID: id, Shape: job.Array, Tasks: 9, CPUs: 0.1, MemoryGB: 0.5, Image: "sh", Priority: "idle",
 		Extra: &job.Extra{Command: []string{"/bin/sh", "-c", script}}}
 	if change != nil {
@@ -181,28 +181,29 @@
 }
 
 // TestTasksRunAndEndWhole runs real programs: one that succeeds, one that
-// fails, one that takes too much memory, one whose children leave its group, one
-// that saves, and one that nobody can start.
+// fails, one that uses too much memory, one whose child leaves its process group,
+// one that saves a checkpoint, and one that doesn't exist. It also launches a task
+// with an unknown image and one of an unknown job.
 func TestTasksRunAndEndWhole(t *testing.T) {
 	c := newFakeController(t)
 	cfg := testConfig(t, c)
-	c.addJob("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.JobDescription) { d.Extra.Env = map[string]string{"WORD": "hello"} })
-	c.addJob("wk-000002", `exit 3`, nil)
-	c.addJob("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.JobDescription) { d.MemoryGB = 0.1 })
-	c.addJob("wk-000004", `setsid sleep 1000 & echo $! > left; sleep 1000 & wait`, nil)
-	c.addJob("wk-000005", `trap 'echo saved > $SILVERGATE_CHECKPOINTS/7; touch $SILVERGATE_CHECKPOINTS/7.complete; exit 0' TERM; echo ready; while :; do sleep 0.05; done`,
+	c.add("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.JobDescription) { d.Extra.Env = map[string]string{"WORD": "hello"} })
+	c.add("wk-000002", `exit 3`, nil)
+	c.add("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.JobDescription) { d.MemoryGB = 0.1 })
+	c.add("wk-000004", `setsid sleep 1000 & echo $! > left; sleep 1000 & wait`, nil)
+	c.add("wk-000005", `trap 'echo saved > $SILVERGATE_CHECKPOINTS/7; touch $SILVERGATE_CHECKPOINTS/7.complete; exit 0' TERM; echo ready; while :; do sleep 0.05; done`,
 		func(d *protocol.JobDescription) { d.CheckpointIntervalS, d.CheckpointSaveS = 100, 1 })
-	c.addJob("wk-000006", ``, func(d *protocol.JobDescription) { d.Extra.Command = []string{"no-such-program"} })
-	c.addJob("wk-000007", ``, func(d *protocol.JobDescription) { d.Image = "unknown" })
+	c.add("wk-000006", ``, func(d *protocol.JobDescription) { d.Extra.Command = []string{"no-such-program"} })
+	c.add("wk-000007", ``, func(d *protocol.JobDescription) { d.Image = "unknown" })
 	runAgent(t, cfg)
-	for i := 1; i <= 8; i++ { // the last is of a job that nobody knows
+	for i := 1; i <= 8; i++ { // the controller doesn't know the job of the last one
 		c.send(launch(fmt.Sprintf("wk-%06d", i), 0))
 	}
 	file := func(i int, name string) string {
 		b, _ := os.ReadFile(filepath.Join(cfg.Dir, tasksDir, fmt.Sprintf("wk-%06d.0.1", i), name))
 		return string(b)
 	}
-	c.await("the first endings", func() bool { return len(c.causes) == 6 })
+	c.await("the ends of the first tasks", func() bool { return len(c.causes) == 6 })
 	for i, want := range []string{"", "done", "error", "error", "", "", "error", "error", "unknown"} {
 		if got := c.causes[fmt.Sprintf("wk-%06d/0#1", i)]; got != want {
 			t.Errorf("job %d: %q, expected %q", i, got, want)
@@ -212,9 +213,9 @@
 		t.Errorf("output: %q", out)
 	}
 	if !strings.Contains(file(6, stderr), "no-such-program") {
-		t.Errorf("why it was not started: %q", file(6, stderr))
+		t.Errorf("the reason why the program was not started is missing: %q", file(6, stderr))
 	}
-	c.await("the program's child", func() bool { return file(4, workDir+"/left") != "" && strings.Contains(file(5, stdout), "ready") })
+	c.await("the program's child process", func() bool { return file(4, workDir+"/left") != "" && strings.Contains(file(5, stdout), "ready") })
 	left, _ := strconv.Atoi(strings.TrimSpace(file(4, workDir+"/left")))
 	id, err := proc.Identify(left)
 	if err != nil {
@@ -224,12 +225,12 @@
 	c.send(protocol.Command{Verb: "kill", Task: "wk-000004/0", Attempt: 1}, protocol.Command{Verb: "kill", Task: "wk-000005/0", Attempt: 1, GracePeriodS: &grace})
 	c.await("the kills", func() bool { return len(c.causes) == 8 })
 	if c.causes["wk-000004/0#1"] != "stopped" || id.Alive() {
-		t.Errorf("%s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
+		t.Errorf("killed task: cause %s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
 	}
 	if c.causes["wk-000005/0#1"] != "stopped+saved" || (sharedStore{cfg.OutsideDir}).resume("wk-000005", 0, 9, false) != 7 {
-		t.Errorf("saved: %s", c.causes["wk-000005/0#1"])
+		t.Errorf("task that saved a checkpoint: cause %s", c.causes["wk-000005/0#1"])
 	}
-	// The result is kept: the same task started again does not run again.
+	// The result is stored: when the same task is launched again, its program does not run again.
 	c.send(protocol.Command{Verb: "forget", Task: "wk-000001/0", Attempt: 1}, protocol.Command{Verb: "launch", Task: "wk-000001/0", Attempt: 2})
 	c.await("the repeated task", func() bool { return c.causes["wk-000001/0#2"] == "done" })
 	if exists(filepath.Join(cfg.Dir, tasksDir, "wk-000001.0.2", execFile)) {
@@ -237,15 +238,16 @@
 	}
 }
 
-// TestNoTaskOutlivesItsAgentOrLease kills an agent, and stops another, with
-// tasks that run, and demands that these end: at once, and with the lease.
+// TestNoTaskOutlivesItsAgentOrLease kills an agent, and suspends another one, while
+// a task is running. The task must end at once in the first case, and with the lease
+// in the second.
 func TestNoTaskOutlivesItsAgentOrLease(t *testing.T) {
 	for _, how := range []string{"killed", "hangs"} {
 		t.Run(how, func(t *testing.T) {
 			c := newFakeController(t)
 			cfg := testConfig(t, c)
 			cfg.Workers.Lease = 1.5
-			c.addJob("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
+			c.add("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
 			raw, _ := json.Marshal(cfg)
 			file := filepath.Join(t.TempDir(), "agent.json")
 			if err := os.WriteFile(file, raw, 0o600); err != nil {
@@ -274,7 +276,7 @@
 				}
 				return err == nil && len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning
 			})
-			// From now on a heartbeat of another agent epoch is evidence.
+			// From now on a heartbeat of a later agent epoch is evidence that the task is gone.
 			early := false
 			c.mu.Lock()
 			epoch := c.last.AgentEpoch
@@ -289,16 +291,17 @@
 				c.await("the end of the task whose agent hangs", func() bool { return !id.Alive() })
 				cmd.Process.Signal(syscall.SIGCONT)
 			}
-			c.await("a new session without tasks", func() bool { return c.last.AgentEpoch > epoch && len(c.last.Tasks) == 0 })
+			c.await("a new epoch without tasks", func() bool { return c.last.AgentEpoch > epoch && len(c.last.Tasks) == 0 })
 			if id.Alive() || early {
-				t.Fatalf("the task runs on: %v; told too early: %v", id.Alive(), early)
+				t.Fatalf("the task is still running: %v; a new epoch was reported while it was running: %v", id.Alive(), early)
 			}
 		})
 	}
 }
 
-// TestImagesStayInside unpacks archives whose names lead out, and demands that
-// nothing appears, neither there nor as an image.
+// TestImagesStayInside unpacks archives that would write outside the image, are too
+// large, contain other things than files, folders and symbolic links, or are missing.
+// None may leave a file behind, neither outside nor as an image.
 func TestImagesStayInside(t *testing.T) {
 	archive := func(headers ...tar.Header) string {
 		path := filepath.Join(t.TempDir(), "image.tar")
@@ -343,13 +346,13 @@
 		got := make(chan error, 1)
 		c.fetch("x", func(err error) { got <- err })
 		if err := <-got; err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: fetched without an error", name)
 		}
 		if _, _, ok := c.folder("x"); ok || exists(out) {
-			t.Errorf("%s: visible", name)
+			t.Errorf("%s: the image, or a file outside it, exists", name)
 		}
 		if left, _ := os.ReadDir(dir); len(left) > 0 {
-			t.Errorf("%s: left behind %v", name, left)
+			t.Errorf("%s: left behind in the cache: %v", name, left)
 		}
 	}
 	good := archive(tar.Header{Name: "bin/run", Typeflag: tar.TypeReg})
@@ -366,12 +369,12 @@
 	}
 }
 
-// TestConformsToProtocol plays the protocol's sentences.
+// TestConformsToProtocol runs the protocol's conformance cases for workers against an agent.
 func TestConformsToProtocol(t *testing.T) {
 	conformance.Run(t, conformance.Worker, true, func(t *testing.T) conformance.Target {
 		c := newFakeController(t)
-		c.unavailable = true // the table gives the commands
-		c.addJob("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
+		c.unavailable = true // the conformance cases send the commands
+		c.add("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
 		cfg := testConfig(t, c)
 		cfg.Workers.Lease = 60
 		a := runAgent(t, cfg)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -16,15 +16,15 @@
 	MachineType string `yaml:"rig"`
 	Zone        string `yaml:"depot"`
 	Spot        bool   `yaml:"casual"`
-	// Listen is the address for direct commands; with port 0 the system
-	// chooses one, which is kept as long as the machine exists.
+	// Listen is the address for direct commands. With port 0 the system
+	// chooses a port, which the agent reuses as long as the machine exists.
 	Listen string `yaml:"listen"`
 	// Dir is the machine's folder. It must be absolute.
 	Dir         string       `yaml:"dir"`
 	Controllers []Controller `yaml:"controllers"`
 	Workers     Periods      `yaml:"workers"`
 	Room        Room         `yaml:"room"`
-	LocalGB     float64      `yaml:"localGb"` // room for images
+	LocalGB     float64      `yaml:"localGb"` // disk space for images
 	Images      []Image      `yaml:"images"`
 	OutsideDir  string       `yaml:"outside"` // folder that all machines share
 	Nice        NiceLevels   `yaml:"nice"`
@@ -33,14 +33,14 @@
 	Environment []string     `yaml:"environment"` // NAME=value, for every task
 	// Staging switches the store of data sets on; nil: off.
 	Staging *Staging `yaml:"staging,omitempty"`
-	// Archive has what tasks write kept; nil: off.
+	// Archive configures the archiving of task output; nil: off.
 	Archive *ship.Config `yaml:"archive,omitempty"`
-	// GiveUpS is how long after its last answered heartbeat the agent ends, in
-	// seconds; 0: never.
+	// GiveUpS is the time in seconds after the last answered heartbeat at which
+	// the agent shuts down; 0: never.
 	GiveUpS float64 `yaml:"give_up_s"`
 }
 
-// NiceLevels is the nice level of tasks by urgency.
+// NiceLevels holds the nice level of tasks by priority.
 type NiceLevels struct {
 	Prod     int `yaml:"prod"`
 	Urgent   int `yaml:"urgent"`
@@ -48,8 +48,8 @@
 	Idle     int `yaml:"idle"`
 }
 
-func (n NiceLevels) forPriority(urgency string) int {
-	switch urgency {
+func (n NiceLevels) forPriority(priority string) int {
+	switch priority {
 	case "prod":
 		return n.Prod
 	case "urgent":
@@ -60,12 +60,12 @@
 	return n.Idle
 }
 
-// DefaultConfig returns what holds for fields that a file does not name.
+// DefaultConfig returns the defaults for fields that a settings file does not set.
 func DefaultConfig() Config {
 	return Config{Listen: "127.0.0.1:0", Workers: Periods{3, 18, 35, 4}, LocalGB: 10, Nice: NiceLevels{0, 0, 5, 15}, OpenFiles: 4096}
 }
 
-// Check names the first field that can't be.
+// Check returns an error that names the first invalid field.
 func (c *Config) Check() error {
 	switch {
 	case !protocol.ValidName(c.Worker):
@@ -113,17 +113,17 @@
 	return CheckImages(c.Images)
 }
 
-// Files of a machine's folder that others read.
+// Files in a machine's folder.
 const (
 	// AddressFile holds the address for direct commands once it is known.
 	AddressFile = "address"
-	// PreemptionFile holds the time, in milliseconds of the day's clock, at which
+	// PreemptionFile holds the time, in milliseconds since the Unix epoch, at which
 	// the cloud takes the machine back. The provider writes it.
 	PreemptionFile = "recall"
 	stateFile      = "worker.json"
 )
 
-// persistedState is what an agent must know after it was killed.
+// persistedState is the state that an agent needs again after it was killed.
 type persistedState struct {
 	Epoch        uint64 `json:"shift"`
 	FencingToken uint64 `json:"baton"`
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -25,11 +25,11 @@
 	"silvergate/internal/goldentest"
 )
 
-// The golden folders were left behind by an agent of an earlier build: the machine's,
-// and the one that all machines share. Attempt 1 of task 0 of job wk-000001 has
-// completed; that of wk-000002 has saved checkpoint 7 and failed. Only the root of the
-// paths and the boot's identifier have been replaced since. The tests speak to
-// agents in the forms of the wire and of the settings' file.
+// The golden folders were written by an agent of an earlier build: the machine's folder and
+// the folder that all machines share. Attempt 1 of task 0 of job wk-000001 has completed;
+// that of wk-000002 has saved checkpoint 7 and failed. Only the root of the paths and the
+// boot ID have been replaced since. The tests use the wire format of messages and the
+// format of the settings file literally.
 const (
 	goldenMachine = "testdata/golden/machine"
 	goldenOutside = "testdata/golden/outside"
@@ -42,7 +42,7 @@
 	goldenSaving: "echo resumed from $SILVERGATE_RESUME; [ -n \"$SILVERGATE_RESUME\" ] || { touch $SILVERGATE_CHECKPOINTS/7.complete; exit 3; }",
 }
 
-// wireController answers heartbeats with commands, and tells of jobs.
+// wireController answers heartbeats with the queued commands and serves job descriptions.
 type wireController struct {
 	mu       sync.Mutex
 	commands []string
@@ -78,7 +78,7 @@
 	c.commands = nil
 }
 
-// launch has an attempt of a job's task 0 started and returns what became of it.
+// launch launches an attempt of a job's task 0 and returns the cause of its end.
 func (c *wireController) launch(t *testing.T, id string, attempt int) string {
 	t.Helper()
 	c.mu.Lock()
@@ -97,7 +97,7 @@
 	return ""
 }
 
-// startWireAgent runs an agent in a machine's folder until the returned function is
+// startWireAgent runs an agent in a machine's folder until the returned function stop is
 // called.
 func startWireAgent(t *testing.T, dir, outside string) (c *wireController, stop func()) {
 	t.Helper()
@@ -126,8 +126,8 @@
 	return c, stop
 }
 
-// copyGolden copies the golden folders to where they may be written to, and gives the
-// agent a port that is free.
+// copyGolden copies the golden folders to temporary folders and writes a free port to the
+// agent's stored state. It returns the folders and that state.
 func copyGolden(t *testing.T) (dir, outside, state string) {
 	t.Helper()
 	root := t.TempDir()
@@ -159,18 +159,18 @@
 	}
 	c, stop := startWireAgent(t, dir, outside)
 	if cause := c.launch(t, goldenJob, 2); cause != "done" {
-		t.Errorf("a task that has completed before ends as %s", cause)
+		t.Errorf("a task that has completed before ended with cause %s", cause)
 	}
 	if cause := c.launch(t, goldenSaving, 2); cause != "done" {
-		t.Errorf("a task that has saved ends as %s", cause)
+		t.Errorf("a task that has saved a checkpoint ended with cause %s", cause)
 	}
 	stop()
 	if c.last["shift"] != 2.0 || c.last["baton"] != 9.0 || !strings.HasSuffix(state, fmt.Sprintf(":%s}", c.last["address"].(string)[len("127.0.0.1:"):])) {
-		t.Errorf("the heartbeat says %v, and the state said %s", c.last, state)
+		t.Errorf("the heartbeat is %v, which does not match the golden state %s", c.last, state)
 	}
 	want := strings.Replace(state, `"shift":1`, `"shift":2`, 1)
 	if got, err := os.ReadFile(filepath.Join(dir, "worker.json")); err != nil || string(got) != want {
-		t.Errorf("the state is written as %s, not %s: %v", got, want, err)
+		t.Errorf("the stored state is %s, not %s: %v", got, want, err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "tasks", goldenJob+".0.2", "exec.json")); err == nil {
 		t.Error("a task that has completed before ran again")
@@ -180,16 +180,16 @@
 			t.Errorf("%s is %q, not %q: %v", name, got, want, err)
 		}
 	}
-	// The attempt's folder is of the same form.
+	// The new attempt's files have the same fields as the golden ones.
 	for _, name := range []string{"exec.json", "process.json"} {
 		got, want := jsonNames(t, filepath.Join(dir, "tasks", goldenSaving+".0.2", name)), jsonNames(t, filepath.Join(goldenMachine, "tasks", goldenSaving+".0.1", name))
 		if !slices.Equal(got, want) {
-			t.Errorf("%s has the names %v, not %v", name, got, want)
+			t.Errorf("%s has the fields %v, not %v", name, got, want)
 		}
 	}
 }
 
-// jsonNames lists the names in the object in a file, in order.
+// jsonNames returns the field names of the JSON object in a file, in order.
 func jsonNames(t *testing.T, path string) (names []string) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -209,8 +209,8 @@
 	return names
 }
 
-// TestGoldenProcessIsFound has a process that is on record in the golden form ended:
-// an agent ends so what an earlier one left behind.
+// TestGoldenProcessIsFound records a running process in the golden format and has EndTasks
+// kill it, as an agent does with the processes that an earlier agent left behind.
 func TestGoldenProcessIsFound(t *testing.T) {
 	dir, _, _ := copyGolden(t)
 	sleep := exec.Command("/bin/sleep", "60")
@@ -231,9 +231,9 @@
 	}
 	path := filepath.Join("tasks", goldenJob+".0.1", "process.json")
 	if names, want := jsonNames(t, filepath.Join(goldenMachine, path)), []string{"pid", "start", "boot"}; !reflect.DeepEqual(names, want) {
-		t.Fatalf("the record has the names %v, not %v", names, want)
+		t.Fatalf("the golden record has the fields %v, not %v", names, want)
 	}
-	// The start is the 22nd of the fields, the second ends with a bracket.
+	// The start time is the 22nd field; the second field ends with a parenthesis.
 	start := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))[19]
 	record := fmt.Sprintf(`{"pid":%d,"start":%s,"boot":%q}`, sleep.Process.Pid, start, strings.TrimSpace(string(boot)))
 	if err := os.WriteFile(filepath.Join(dir, path), []byte(record), 0o600); err != nil {
@@ -243,6 +243,6 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the process on record goes on")
+		t.Error("the recorded process is still running")
 	}
 }
--- a/internal/agent/images.go
+++ b/internal/agent/images.go
@@ -21,15 +21,15 @@
 	"silvergate/internal/protocol"
 )
 
-// Image is an image that operators offer: a folder, or an archive (.tar,
-// .tar.gz, .tgz, .tar.zst), and the command that it is for.
+// Image is an image that the operators' settings offer: a folder or an archive (.tar,
+// .tar.gz, .tgz, .tar.zst), and the default command of its tasks.
 type Image struct {
 	Name    string   `yaml:"name"`
 	Path    string   `yaml:"path"`
 	Command []string `yaml:"command"`
 }
 
-// CheckImages names the first image that can't be.
+// CheckImages returns an error that names the first invalid image.
 func CheckImages(list []Image) error {
 	seen := map[string]bool{}
 	for i, m := range list {
@@ -47,13 +47,13 @@
 	return nil
 }
 
-// imageStore is a machine's cache of images. An image is visible when it is whole
-// and on disk; what a crash leaves behind is thrown away.
+// imageStore is a machine's cache of images. An image becomes visible only when it is
+// complete and on disk; partial images left by a crash are deleted.
 type imageStore struct {
 	dir      string
 	capacity int64 // bytes
 	offered  map[string]Image
-	// needed tells whether an image may not be evicted.
+	// needed reports whether an image must not be evicted.
 	needed  func(name string) bool
 	onEvict func(name string)
 
@@ -71,7 +71,7 @@
 	for _, m := range list {
 		c.offered[m.Name] = m
 	}
-	// Whole images have names without a leading dot; the rest is debris.
+	// Complete images have names without a leading dot; the rest are partial images.
 	old, err := os.ReadDir(dir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
@@ -86,10 +86,11 @@
 	return c, os.MkdirAll(dir, 0o700)
 }
 
-// ErrNoImage is an image that nobody offers.
+// ErrNoImage is returned for an image that the settings don't offer.
 var ErrNoImage = errors.New("no such image is offered in the settings")
 
-// fetch gets an image and then calls done, unless leave was called before.
+// fetch installs an image in the background and then calls done, unless cancelFetch was called
+// before.
 func (c *imageStore) fetch(name string, done func(error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
@@ -116,7 +117,7 @@
 	}()
 }
 
-// cancelFetch gives a fetch up.
+// cancelFetch cancels the fetch of an image.
 func (c *imageStore) cancelFetch(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +132,8 @@
 	c.lastUse[name] = c.useCount
 }
 
-// folder is where an image is; it counts as a use.
+// folder returns the folder and the settings of an image, and whether it is present. The call counts
+// as a use of the image.
 func (c *imageStore) folder(name string) (string, Image, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +142,8 @@
 	return f, c.offered[name], ok
 }
 
-// evict makes room by the images that were used longest ago.
+// evict removes the least recently used images until the cache is within its capacity. It removes
+// neither the image keep nor images that are needed.
 func (c *imageStore) evict(keep string) {
 	c.mu.Lock()
 	total := int64(0)
@@ -171,14 +174,14 @@
 	}
 }
 
-// install copies an image to this machine, unless the same one is here already.
+// install copies an image to this machine, unless the same version of it is already present.
 func (c *imageStore) install(ctx context.Context, name string) (folder string, size int64, err error) {
 	m, ok := c.offered[name]
 	if !ok {
 		return "", 0, ErrNoImage
 	}
 	if m.Path == "" {
-		return "", 0, nil // an image of nothing but a command
+		return "", 0, nil // an image that consists only of a command
 	}
 	info, err := os.Stat(m.Path)
 	if err != nil {
@@ -216,7 +219,7 @@
 	return folder, c.capacity - w.remaining, nil
 }
 
-// syncTree makes what was written below a folder durable.
+// syncTree flushes everything written below a folder to disk.
 func syncTree(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -245,10 +248,10 @@
 	remaining int64 // bytes that may still be written
 }
 
-// maxFiles bounds the files of an image, as bytes alone don't.
+// maxFiles bounds the number of files in an image, which a limit on bytes alone does not.
 const maxFiles = 1_000_000
 
-var errTooLarge = errors.New("larger than the machine's room for images (localGb)")
+var errTooLarge = errors.New("larger than the machine's disk space for images (localGb)")
 
 func (u *unpacker) writeFile(name string, mode fs.FileMode, r io.Reader) error {
 	if err := u.root.MkdirAll(filepath.Dir(name), 0o755); err != nil {
@@ -351,14 +354,14 @@
 	}
 }
 
-// writeEntry writes one writeEntry of a tar stream, whose contents r has.
+// writeEntry writes one entry of a tar stream; r holds the entry's contents.
 func (u *unpacker) writeEntry(h *tar.Header, r io.Reader) error {
 	name := filepath.Clean(strings.TrimSuffix(h.Name, "/"))
 	if name == "." {
 		return nil
 	}
 	if !filepath.IsLocal(name) {
-		return fmt.Errorf("%q leads out of the image", h.Name)
+		return fmt.Errorf("%q leads outside the image", h.Name)
 	}
 	switch h.Typeflag {
 	case tar.TypeReg:
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -17,18 +17,18 @@
 // Staging configures an agent's store of data sets.
 type Staging struct {
 	CapacityGB float64 `yaml:"capacity_gb"`
-	// FetchMBPerS and ServeMBPerS bound what is fetched, and served to other
-	// machines; 0: unbounded.
+	// FetchMBPerS and ServeMBPerS limit the rates at which data is fetched, and
+	// served to other machines; 0: unlimited.
 	FetchMBPerS float64 `yaml:"fetch_mb_per_s"`
 	ServeMBPerS float64 `yaml:"serve_mb_per_s"`
-	// Streams is how many chunks are fetched at a time, Serving how many are
-	// served.
+	// Streams is the number of chunks fetched at a time, Serving the number of
+	// chunks served at a time.
 	Streams int `yaml:"streams"`
 	Serving int `yaml:"serving"`
-	// PatienceS is how long a source may say nothing.
+	// PatienceS is the time in seconds for which a source may send nothing.
 	PatienceS float64 `yaml:"patience_s"`
-	// Trace has what happens to data written to events.jsonl in the store's
-	// folder, for whoever checks it.
+	// Trace enables the log of data events, events.jsonl in the store's folder,
+	// for programs that check it.
 	Trace bool `yaml:"trace"`
 }
 
@@ -44,25 +44,26 @@
 	return nil
 }
 
-// inputStore is the seam between the agent and its store: it has the inputs of
-// attempts brought here and pinned, carries out staging commands, and tells what the
-// store holds. A nil one is a machine without a store. The agent's lock guards
-// it.
+// inputStore connects the agent to its store of data sets: it has the inputs of
+// attempts fetched and pinned, carries out staging commands, and reports what the
+// store holds. A nil inputStore stands for a machine without a store. The agent's
+// lock guards it.
 type inputStore struct {
 	agent      *Agent
 	store      *datastore.Store
 	pinned     map[TaskAttempt][]dataset.ID
 	staged     map[dataset.ID]bool
-	failed     map[dataset.ID]bool // since the last heartbeat
-	sentDigest string              // as in the last heartbeat
-	listCopies bool                // the next heartbeat lists all
+	failed     map[dataset.ID]bool // fetches that failed since the last heartbeat
+	sentDigest string              // the store's digest at the last heartbeat
+	listCopies bool                // the next heartbeat lists all copies
 	trace      *tracer             // nil: off
 }
 
 var errNoStore = errors.New("this machine has no store of data sets (staging is off)")
 
-// A heartbeat's list of copies and of fetches: with the tasks they must fit into a
-// request. Copies beyond are covered by the digest alone, and only cost a hint.
+// Limits of the copies and of the fetches that a heartbeat lists: with the tasks they must
+// fit into a request. Further copies are covered by the digest alone, which only costs the
+// controllers a hint.
 const (
 	maxListedCopies  = 500
 	maxListedFetches = 32
@@ -93,7 +94,7 @@
 	}
 }
 
-// parseWant reads a version's record.
+// parseWant checks the record of a data set's version and returns the request to the store for it.
 func parseWant(v *protocol.DataSet, urgent bool) (datastore.Want, error) {
 	if err := v.Check(); err != nil {
 		return datastore.Want{}, err
@@ -106,7 +107,7 @@
 	return w, err
 }
 
-// apply carries out what concerns data; the lock is held.
+// apply carries out the effects that concern data sets; the lock is held.
 func (d *inputStore) apply(e Effects) {
 	if d == nil {
 		return
@@ -127,24 +128,24 @@
 	}
 }
 
-// fetchInputs has an attempt's inputs fetched and pinned.
+// fetchInputs pins an attempt's inputs and starts fetching them.
 func (d *inputStore) fetchInputs(k TaskAttempt, desc *protocol.JobDescription) {
 	if desc == nil {
 		return
 	}
 	urgent := protocol.IsUrgent(desc.Priority)
 	var wants []datastore.Want
-	var broken error
+	var invalid error
 	for i := range desc.Inputs {
 		w, err := parseWant(&desc.Inputs[i].DataSet, urgent)
-		broken = errors.Join(broken, err)
+		invalid = errors.Join(invalid, err)
 		wants = append(wants, w)
 	}
-	if broken != nil {
-		go d.reportInputs(k, broken)
+	if invalid != nil {
+		go d.reportInputs(k, invalid)
 		return
 	}
-	left := len(wants)
+	remaining := len(wants)
 	for _, w := range wants {
 		d.pinned[k] = append(d.pinned[k], w.ID)
 		d.store.Pin(w.ID)
@@ -157,16 +158,16 @@
 				d.agent.mu.Lock()
 				live := d.agent.worker.Live(k) && !d.agent.shutdown.begun
 				if err == nil {
-					left--
+					remaining--
 				}
-				last := left == 0
+				last := remaining == 0
 				d.agent.mu.Unlock()
 				switch {
 				case !live:
 				case err == nil && last, errors.Is(err, datastore.ErrFull):
 					d.reportInputs(k, err)
 				case err != nil:
-					// Sources come back; the task waits as long as it is wanted.
+					// Sources may become available again; the task waits until it is ended.
 					time.AfterFunc(pause, func() { fetch(min(2*pause, seconds(d.agent.cfg.Workers.Lease))) })
 				}
 			})
@@ -178,13 +179,14 @@
 func (d *inputStore) reportInputs(k TaskAttempt, err error) {
 	d.agent.step(func() Effects {
 		if err != nil {
-			d.agent.log.Error("inputs can't be had", "task", k.TaskName(), "error", err)
+			d.agent.log.Error("inputs can't be fetched", "task", k.TaskName(), "error", err)
 		}
 		return d.agent.worker.InputsFetched(d.agent.clock(), k, err, errors.Is(err, datastore.ErrFull))
 	})
 }
 
-// stage carries out a controller's wishes, which are whole.
+// stage carries out a controller's staging commands. They list all data sets to be staged: fetches
+// that they don't list any more are cancelled.
 func (d *inputStore) stage(o *protocol.StoreOrders) {
 	d.listCopies = d.listCopies || o.List
 	wanted := map[dataset.ID]bool{}
@@ -192,7 +194,7 @@
 		f := &o.Fetch[i]
 		w, err := parseWant(&f.DataSet, f.Urgent)
 		if err != nil {
-			d.agent.log.Error("a stage order can't be read", "error", err)
+			d.agent.log.Error("invalid staging command", "error", err)
 			continue
 		}
 		wanted[w.ID] = true
@@ -223,7 +225,8 @@
 	}
 }
 
-// refreshReport has the heartbeats say what the store holds; the lock is held.
+// refreshReport updates what heartbeats report about the store. If soon is set, or if the store's
+// copies have changed, the next heartbeat is sent early. The lock is held.
 func (d *inputStore) refreshReport(soon bool) {
 	if d == nil || d.agent.worker == nil || d.agent.shutdown.begun {
 		return
@@ -255,7 +258,7 @@
 	d.agent.worker.SetStoreReport(r, soon)
 }
 
-// heartbeatSent takes that a heartbeat has left.
+// heartbeatSent records that a heartbeat with the current report is being sent.
 func (d *inputStore) heartbeatSent() {
 	if d != nil {
 		d.listCopies = false
@@ -264,7 +267,7 @@
 	}
 }
 
-// place puts an attempt's inputs into its working directory, whole, before its
+// place puts an attempt's complete inputs into its working directory, before its
 // program starts.
 func (d *inputStore) place(dir string, list []protocol.InputCopy, wanted int) error {
 	if wanted != len(list) || d == nil && wanted > 0 {
@@ -273,7 +276,7 @@
 	for i := range list {
 		w, err := parseWant(&list[i].DataSet, false)
 		if err == nil && !protocol.ValidRelativePath(list[i].Path) {
-			err = errors.New("not a path inside")
+			err = errors.New("not a path inside the working directory")
 		}
 		if err == nil {
 			err = d.store.Place(w.ID, filepath.Join(dir, filepath.FromSlash(list[i].Path)))
@@ -285,7 +288,8 @@
 	return nil
 }
 
-// serve serves chunks to other machines; false if path is none of them.
+// serve answers another machine's request for a chunk. It returns false if the request is not for
+// a chunk.
 func (d *inputStore) serve(id uint64, method, path string) bool {
 	name, ok := strings.CutPrefix(path, dataset.ChunkPath)
 	if d == nil || !ok || method != http.MethodGet {
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -11,9 +11,9 @@
 	"silvergate/internal/protocol"
 )
 
-// outputShipper is the seam between the agent and the archive's shipper: it says which
-// attempts there are and how they ended. Whatever the archive does, tasks start,
-// run and end as without it. A nil one is a machine without an archive.
+// outputShipper connects the agent to the archive's shipper: it announces attempts and
+// reports how they ended. Tasks start, run and end the same way whatever the archive
+// does. A nil outputShipper stands for a machine without an archive.
 type outputShipper struct {
 	agent   *Agent
 	shipper *ship.Shipper
@@ -24,80 +24,81 @@
 	if err != nil {
 		return nil, fmt.Errorf("archive: %w", err)
 	}
-	k := &outputShipper{a, s}
+	o := &outputShipper{a, s}
 	if a.inputs != nil {
 		s.Urgent = a.inputs.store.Urgent
 	}
-	return k, nil
+	return o, nil
 }
 
-func (k *outputShipper) attempt(key TaskAttempt) archive.Attempt {
-	return archive.Attempt{Job: key.Job, Task: key.Index, Try: key.Attempt, Machine: k.agent.cfg.Worker}
+func (o *outputShipper) attempt(key TaskAttempt) archive.Attempt {
+	return archive.Attempt{Job: key.Job, Task: key.Index, Try: key.Attempt, Machine: o.agent.cfg.Worker}
 }
 
-// open begins to ship; what an earlier agent left, whose processes are gone now, is
-// shipped too.
-func (k *outputShipper) open() {
-	if k == nil {
+// open starts shipping. It includes the output that an earlier agent left behind, whose
+// tasks' processes are gone by now.
+func (o *outputShipper) open() {
+	if o == nil {
 		return
 	}
-	dirs, err := os.ReadDir(filepath.Join(k.agent.cfg.Dir, tasksDir))
+	dirs, err := os.ReadDir(filepath.Join(o.agent.cfg.Dir, tasksDir))
 	if err != nil {
-		k.agent.log.Error("what earlier tasks wrote can't be found", "error", err)
+		o.agent.log.Error("the folders of earlier tasks can't be listed", "error", err)
 	}
 	for _, d := range dirs {
-		if key, ok := parseTaskAttempt(d.Name()); ok && exists(filepath.Join(k.agent.runner.folder(key), execFile)) {
-			if err := k.shipper.Resume(k.attempt(key), k.agent.runner.folder(key)); err != nil {
-				k.agent.log.Error("what an earlier task wrote can't be kept", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
+		if key, ok := parseTaskAttempt(d.Name()); ok && exists(filepath.Join(o.agent.runner.folder(key), execFile)) {
+			if err := o.shipper.Resume(o.attempt(key), o.agent.runner.folder(key)); err != nil {
+				o.agent.log.Error("the output of an earlier task can't be archived", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 				continue
 			}
-			k.shipper.Ended(k.attempt(key), "lost with its agent", -1)
+			o.shipper.Ended(o.attempt(key), "lost with its agent", -1)
 		}
 	}
-	k.shipper.Start()
+	o.shipper.Start()
 }
 
-func (k *outputShipper) close() {
-	if k != nil {
-		k.shipper.Stop()
+func (o *outputShipper) close() {
+	if o != nil {
+		o.shipper.Stop()
 	}
 }
 
-// begin follows an attempt whose folder is there, before its program starts. Without
-// the archive's grant, the program starts all the same.
-func (k *outputShipper) begin(key TaskAttempt, d *protocol.JobDescription) {
-	if k == nil {
+// begin starts shipping the output of an attempt. It is called after the attempt's folder is
+// created and before its program starts. Without an archive grant nothing is shipped, and the
+// program starts all the same.
+func (o *outputShipper) begin(key TaskAttempt, d *protocol.JobDescription) {
+	if o == nil {
 		return
 	}
-	k.agent.mu.Lock()
-	grant := k.agent.worker.Grant(key)
-	k.agent.mu.Unlock()
+	o.agent.mu.Lock()
+	grant := o.agent.worker.Grant(key)
+	o.agent.mu.Unlock()
 	if grant == "" || d.Grant == "" {
-		k.agent.log.Warn("what a task writes can't be kept: its controller has no archive.grant_key", "task", key.TaskName(), "attempt", key.Attempt)
+		o.agent.log.Warn("the output of a task can't be archived: its controller has no archive.grant_key", "task", key.TaskName(), "attempt", key.Attempt)
 		return
 	}
-	g := archive.Grant{Attempt: k.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: grant, TermsSeal: d.Grant}
-	if err := k.shipper.Begin(g, k.agent.runner.folder(key)); err != nil {
-		k.agent.log.Error("what a task writes can't be kept", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
+	g := archive.Grant{Attempt: o.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: grant, TermsSeal: d.Grant}
+	if err := o.shipper.Begin(g, o.agent.runner.folder(key)); err != nil {
+		o.agent.log.Error("the output of a task can't be archived", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 	}
 }
 
-// ended says that an attempt's processes are gone.
-func (k *outputShipper) ended(key TaskAttempt, cause string, code int) {
-	if k != nil {
-		k.shipper.Ended(k.attempt(key), cause, code)
+// ended tells the shipper that an attempt's processes are gone.
+func (o *outputShipper) ended(key TaskAttempt, cause string, code int) {
+	if o != nil {
+		o.shipper.Ended(o.attempt(key), cause, code)
 	}
 }
 
-// unshipped is how many attempts that are over have something to ship.
-func (k *outputShipper) unshipped() int {
-	if k == nil {
+// unshipped returns the number of ended attempts whose output is not completely shipped.
+func (o *outputShipper) unshipped() int {
+	if o == nil {
 		return 0
 	}
-	return k.shipper.Left()
+	return o.shipper.Left()
 }
 
-// needsFolder tells whether an attempt's folder is still needed.
-func (k *outputShipper) needsFolder(key TaskAttempt) bool {
-	return k != nil && k.shipper.Holds(k.attempt(key))
+// needsFolder reports whether the archive still needs an attempt's folder.
+func (o *outputShipper) needsFolder(key TaskAttempt) bool {
+	return o != nil && o.shipper.Holds(o.attempt(key))
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -29,10 +29,11 @@
 	workDir        = "work"
 	procFile       = "process.json"
 	execFile       = "exec.json"
-	maxKeptFolders = 200 // folders of attempts that are over
+	maxKeptFolders = 200 // folders of ended attempts
 )
 
-// program is what is run for an attempt.
+// program describes the process of an attempt: its command, environment, working directory and
+// limits.
 type program struct {
 	Argv  []string `json:"argv"`
 	Env   []string `json:"env"`
@@ -41,9 +42,9 @@
 	Files uint64   `json:"files"`
 }
 
-// ExecTask is what a task's process does first: it waits until its agent has
-// written down who it is, takes its limits on and becomes the program described
-// in the file at path. It returns only if that fails.
+// ExecTask runs first in a task's process: it waits until the agent has recorded
+// the process's identity, applies the limits and replaces itself by the program
+// described in the file at path. It returns only if that fails.
 func ExecTask(path string) error {
 	if err := proc.Hold(); err != nil {
 		return err
@@ -59,63 +60,63 @@
 	if err := syscall.Setpriority(syscall.PRIO_PROCESS, 0, p.Nice); err != nil && p.Nice != 0 {
 		return fmt.Errorf("nice level %d: %w", p.Nice, err)
 	}
-	// A dump of a task's memory is nobody's to read, and would fill the disk.
+	// Core dumps are disabled: nobody may read a task's memory, and dumps would fill the disk.
 	if err := syscall.Setrlimit(unix.RLIMIT_CORE, &syscall.Rlimit{}); err != nil {
-		return fmt.Errorf("limit of core files: %w", err)
+		return fmt.Errorf("setting the limit of core files: %w", err)
 	}
 	if p.Files > 0 {
 		if err := syscall.Setrlimit(unix.RLIMIT_NOFILE, &syscall.Rlimit{Cur: p.Files, Max: p.Files}); err != nil {
-			return fmt.Errorf("limit of open files: %w", err)
+			return fmt.Errorf("setting the limit of open files: %w", err)
 		}
 	}
 	if err := os.Chdir(p.Dir); err != nil {
 		return err
 	}
 	if err := proc.KeepOrphans(); err != nil {
-		return fmt.Errorf("descendants: %w", err)
+		return fmt.Errorf("adopting orphaned descendants: %w", err)
 	}
 	return fmt.Errorf("%s: %w", p.Argv[0], syscall.Exec(p.Argv[0], p.Argv, p.Env))
 }
 
-// runner owns the processes of a machine: it starts programs as process groups,
-// watches their memory and ends them whole.
+// runner owns the processes of a machine's tasks: it starts programs as process
+// groups, enforces their memory limits and kills all processes of a task at its end.
 type runner struct {
-	dir         string // of the machine
-	taskCommand []string
-	log         *slog.Logger
+	dir  string // the machine's folder
+	exec []string
+	log  *slog.Logger
 	// exited is called when all processes of an attempt are gone.
-	exited func(k TaskAttempt, code int, memory bool)
-	// needsFolder tells of attempts whose folders are still needed; nil: none are.
+	exited func(k TaskAttempt, code int, memoryExceeded bool)
+	// needsFolder reports whether an attempt's folder must not be removed yet; nil: none is needed.
 	needsFolder func(k TaskAttempt) bool
 
 	mu        sync.Mutex
 	tasks     map[TaskAttempt]*task
-	epoch     uint64     // whose tasks may be started
-	starting  int        // being started
-	decreased *sync.Cond // tells that there are fewer of tasks or starting; nil before anyone waits
+	epoch     uint64     // the agent epoch whose tasks may be started; 0: none
+	starting  int        // number of tasks being started
+	decreased *sync.Cond // signals that tasks or starting decreased; nil until the first waiter
 }
 
-var errWrongEpoch = errors.New("its session is over")
+var errWrongEpoch = errors.New("the attempt's agent epoch is over")
 
 type task struct {
 	id             proc.ID
 	memoryLimit    uint64 // bytes; 0: no limit
-	memoryExceeded bool   // ended for its memory
+	memoryExceeded bool   // killed because it exceeded its memory limit
 }
 
 func (r *runner) folder(k TaskAttempt) string { return filepath.Join(r.dir, tasksDir, k.String()) }
 
 func (r *runner) processMarker(k TaskAttempt) string { return r.dir + "/" + k.String() }
 
-// setEpoch allows the tasks of an agent epoch to be started, and of no other.
+// setEpoch allows only tasks of the given agent epoch to be started.
 func (r *runner) setEpoch(epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch = epoch
 }
 
-// start starts a program. Its output goes to files, so that what it wrote
-// outlives it and the agent.
+// start starts an attempt's program. Its output goes to files, which outlive both
+// the program and the agent.
 func (r *runner) start(epoch uint64, k TaskAttempt, p program, ramGB float64) error {
 	r.mu.Lock()
 	if r.epoch != epoch {
@@ -159,7 +160,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, nil, err
 	}
-	cmd := exec.Command(r.taskCommand[0], append(r.taskCommand[1:len(r.taskCommand):len(r.taskCommand)], path)...)
+	cmd := exec.Command(r.exec[0], append(r.exec[1:len(r.exec):len(r.exec)], path)...)
 	cmd.Env = append(os.Environ(), proc.MarkEnv+"="+r.processMarker(k))
 	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, errs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -168,28 +169,29 @@
 	return t, cmd, err
 }
 
-// wait waits until a program has ended, and ends what it left behind.
+// wait waits until a program has ended, kills the processes that it left behind and calls
+// r.exited.
 func (r *runner) wait(k TaskAttempt, t *task, cmd *exec.Cmd) {
 	if err := proc.AwaitEnd(t.id.PID); err != nil {
-		r.log.Error("a program's end can't be waited for", "task", k.String(), "error", err)
+		r.log.Error("waiting for the end of a program failed", "task", k.String(), "error", err)
 	}
-	// The program is not waited for before all is gone: until then its group's number
-	// means its group.
+	// The program is reaped only after all its processes are gone, because until then the
+	// number of its process group can't be reused for another group.
 	log := r.log.With("task", k.String())
 	endUntilGone(proc.Owner{Mark: r.processMarker(k), Leaders: []proc.ID{t.id}, Since: t.id.Start}, log)
-	// A program keeps its orphans while it runs, so those that the agent was handed are of
-	// programs that have ended, this one or another.
+	// A running program adopts its own orphans, so the orphans that the agent has adopted
+	// belong to programs that have ended, this one or another.
 	retryUntilGone(log, proc.EndOrphans)
 	code := exitCode(cmd.Wait())
 	r.mu.Lock()
 	delete(r.tasks, k)
-	memory := t.memoryExceeded
+	memoryExceeded := t.memoryExceeded
 	r.signalDecrease()
 	r.mu.Unlock()
-	r.exited(k, code, memory)
+	r.exited(k, code, memoryExceeded)
 }
 
-// exitCode is how a program ended; -1 if it was ended by a signal.
+// exitCode returns a program's exit code, or -1 if a signal ended it.
 func exitCode(err error) int {
 	var exit *exec.ExitError
 	switch {
@@ -211,11 +213,12 @@
 	}
 }
 
-// kill ends an attempt whole. Its end is announced by exited.
+// kill sends SIGKILL to an attempt's process group. The runner calls exited when all processes of
+// the attempt are gone.
 func (r *runner) kill(k TaskAttempt) { r.signal(k, syscall.SIGKILL) }
 
-// checkMemory ends the attempts that hold more memory than they asked for, and
-// returns what all hold.
+// checkMemory kills the attempts that use more memory than they requested, and returns
+// the usage of all attempts together.
 func (r *runner) checkMemory() (total proc.Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,23 +231,23 @@
 		total.RSS, total.CPU, total.Members = total.RSS+u.RSS, total.CPU+u.CPU, total.Members+u.Members
 		if t.memoryLimit > 0 && u.RSS > t.memoryLimit && !t.memoryExceeded {
 			t.memoryExceeded = true
-			r.log.Info("task ended for its memory", "task", k.String(), "resident_bytes", u.RSS, "limit_bytes", t.memoryLimit)
+			r.log.Info("task killed: it exceeded its memory limit", "task", k.String(), "resident_bytes", u.RSS, "limit_bytes", t.memoryLimit)
 			_ = proc.KillGroup(t.id, syscall.SIGKILL)
 		}
 	}
 	return total
 }
 
-// endAll ends everything on the machine, also what an earlier agent started.
-// Nothing is started from then on, until open allows it.
-func (r *runner) endAll() {
+// clear kills all tasks on the machine, including those that an earlier agent started.
+// No task can start from then on until setEpoch allows it.
+func (r *runner) clear() {
 	r.setEpoch(0)
 	r.awaitCondition(func() bool { return r.starting == 0 })
 	endUntilGone(taskOwner(r.dir, r.log), r.log)
 	r.awaitCondition(func() bool { return len(r.tasks) == 0 })
 }
 
-// awaitCondition waits until a condition on tasks or starting holds.
+// awaitCondition waits until a condition on r.tasks or r.starting holds.
 func (r *runner) awaitCondition(holds func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,14 +259,14 @@
 	}
 }
 
-// signalDecrease wakes who waits in awaitFewer; the lock is held.
+// signalDecrease wakes the goroutines in awaitCondition; the lock is held.
 func (r *runner) signalDecrease() {
 	if r.decreased != nil {
 		r.decreased.Broadcast()
 	}
 }
 
-// prune removes the oldest folders of attempts that are over.
+// prune removes the oldest folders of ended attempts until maxKeptFolders are left.
 func (r *runner) prune() {
 	root := filepath.Join(r.dir, tasksDir)
 	dirs, err := os.ReadDir(root)
@@ -290,7 +293,7 @@
 	}
 }
 
-// parseTaskAttempt undoes TaskAttempt.String.
+// parseTaskAttempt parses the result of TaskAttempt.String.
 func parseTaskAttempt(s string) (TaskAttempt, bool) {
 	f := strings.Split(s, ".")
 	if len(f) != 3 {
@@ -301,7 +304,7 @@
 	return TaskAttempt{f[0], index, attempt}, err1 == nil && err2 == nil
 }
 
-// exists tells whether there is a file.
+// exists reports whether there is a file at path, and returns true if that can't be determined.
 func exists(path string) bool {
 	_, err := os.Lstat(path)
 	return !errors.Is(err, fs.ErrNotExist)
--- a/internal/agent/record_test.go
+++ b/internal/agent/record_test.go
@@ -13,9 +13,9 @@
 	"silvergate/internal/proc"
 )
 
-// TestDamagedRecordsAreNamed reads records of processes that were cut off or filled with
-// nonsense: each is named with its file and field, and none names a process that could
-// be ended.
+// TestDamagedRecordsAreNamed reads process records that were cut off or filled with
+// nonsense. Each error must name the file and the fault, and no record may identify a process
+// that could be killed.
 func TestDamagedRecordsAreNamed(t *testing.T) {
 	const whole = `{"pid":4711,"start":99,"boot":"b"}`
 	for name, c := range map[string]struct{ text, want string }{
@@ -56,13 +56,13 @@
 		})
 	}
 	if _, err := proc.ReadRecord(filepath.Join(t.TempDir(), procFile)); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no record: %v", err)
+		t.Errorf("a missing record: %v", err)
 	}
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, watchdogFile), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := endEarlierWatchdog(dir); err == nil || !strings.Contains(err.Error(), watchdogFile) {
-		t.Errorf("a watchdog that is not known: %v", err)
+		t.Errorf("a damaged record of a watchdog: %v", err)
 	}
 }
--- a/internal/agent/sweep_test.go
+++ b/internal/agent/sweep_test.go
@@ -20,12 +20,13 @@
 	"silvergate/internal/protocol"
 )
 
-// slowEndEnv has the test binary stand in for a program that takes long to end.
+// slowEndEnv is the environment variable that makes the test binary act as a program that takes
+// long to end.
 const slowEndEnv = "AGENT_TEST_SLOW_END"
 
 // A program that holds inotify instances with watches stays in state D for some tenths of
-// a second after a SIGKILL, with its memory and so its environment gone, as one does that
-// holds the memory of an accelerator.
+// a second after SIGKILL. Its memory, and with it its environment, is already gone then. A
+// program that holds memory of an accelerator behaves in the same way.
 func init() {
 	if os.Getenv(slowEndEnv) == "" {
 		return
@@ -33,7 +34,7 @@
 	for range 60 {
 		fd, err := unix.InotifyInit()
 		if err != nil {
-			break // the user's limit; fewer do, too
+			break // the user's limit is reached; fewer instances suffice
 		}
 		if _, err := unix.InotifyAddWatch(fd, os.TempDir(), unix.IN_CREATE); err != nil {
 			break
@@ -43,7 +44,7 @@
 	time.Sleep(time.Hour)
 }
 
-// agentProcess is an agent that runs as a process of its own, so that it can be killed.
+// agentProcess is an agent that runs as a separate process, so that it can be killed.
 type agentProcess struct {
 	t          *testing.T
 	cfg        Config
@@ -82,21 +83,22 @@
 	_ = p.cmd.Wait()
 }
 
-// taskFile is a file in an attempt's folder.
+// taskFile returns the path of a file in an attempt's folder.
 func (p *agentProcess) taskFile(attempt, name string) string {
 	return filepath.Join(p.cfg.Dir, tasksDir, attempt, name)
 }
 
-// awaitOutput waits until a task has written that it is ready.
+// awaitOutput waits until a task has written "ready".
 func (p *agentProcess) awaitOutput(attempt string) {
 	p.t.Helper()
-	p.controller.await("the program's word", func() bool {
+	p.controller.await("the program's output", func() bool {
 		raw, _ := os.ReadFile(p.taskFile(attempt, stdout))
 		return strings.Contains(string(raw), "ready")
 	})
 }
 
-// awaitProcess waits until a task has written the number of a process, and identifies it.
+// awaitProcess waits until a task has written the number of a process to a file, and returns the
+// process's identity.
 func (p *agentProcess) awaitProcess(path string) (id proc.ID) {
 	p.t.Helper()
 	p.controller.await(path, func() bool {
@@ -111,7 +113,7 @@
 	return id
 }
 
-// watchdog finds the process that guards the agent's tasks.
+// watchdog returns the identity of the agent's watchdog process.
 func (p *agentProcess) watchdog() proc.ID {
 	p.t.Helper()
 	names, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -134,8 +136,8 @@
 	return proc.ID{}
 }
 
-// processState is what the kernel shows of a process of which a thread is left; empty
-// when it is over.
+// processState describes a process of which at least one thread is alive. It returns an empty
+// string if the process is over.
 func processState(pid int) string {
 	tasks, _ := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	for _, task := range tasks {
@@ -157,28 +159,28 @@
 	return path
 }
 
-// An agent is killed while its task holds what the kernel takes long to close. The
-// watchdog or the next agent sends SIGKILL, the process lets go of its memory, and from
-// then on /proc/PID/environ shows no mark while /proc/PID/stat shows state D. The sweep
-// took that for the end, and the next agent epoch's first heartbeat, which is evidence
-// that nothing of the epoch before runs, came while the process still held its files.
-// Beside load any program is in that state for long enough: of 640 runs of
-// TestNoTaskOutlivesItsAgentOrLease beside 14 busy processes two failed so.
+// An agent is killed while its task holds files that the kernel takes long to close. The
+// watchdog or the next agent sends SIGKILL, the kernel releases the process's memory, and
+// from then on /proc/PID/environ shows no mark while /proc/PID/stat shows state D. The sweep
+// took that for the end of the process. The first heartbeat of the next agent epoch, which is
+// evidence that nothing of the previous epoch runs, was sent while the process still held its
+// files. On a loaded machine any program is in that state for long enough: 2 of 640 runs of
+// TestNoTaskOutlivesItsAgentOrLease beside 14 busy processes failed for this reason.
 func TestTheNextEpochWaitsForAnEndingTask(t *testing.T) {
 	c := newFakeController(t)
-	c.addJob("wk-000001", `echo $$ > pid; exec env `+slowEndEnv+`=1 `+testBinary(t), nil)
+	c.add("wk-000001", `echo $$ > pid; exec env `+slowEndEnv+`=1 `+testBinary(t), nil)
 	p := newAgentProcess(t, c, testConfig(t, c))
 	c.send(launch("wk-000001", 0))
 	id := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	p.awaitOutput("wk-000001.0.1")
 	c.await("the running task", func() bool { return len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning })
 	var early string
-	var toldAt, goneAt time.Time
+	var reportedAt, goneAt time.Time
 	c.mu.Lock()
 	epoch := c.last.AgentEpoch
 	c.onHeartbeat = func(r protocol.Heartbeat) {
-		if r.AgentEpoch > epoch && toldAt.IsZero() {
-			toldAt = time.Now()
+		if r.AgentEpoch > epoch && reportedAt.IsZero() {
+			reportedAt = time.Now()
 			early = processState(id.PID)
 		}
 	}
@@ -189,22 +191,22 @@
 		if goneAt.IsZero() && processState(id.PID) == "" {
 			goneAt = time.Now()
 		}
-		return !goneAt.IsZero() && !toldAt.IsZero()
+		return !goneAt.IsZero() && !reportedAt.IsZero()
 	})
 	if early != "" {
-		t.Fatalf("the next epoch was told, and the process lived for %v more: %s", goneAt.Sub(toldAt), early)
+		t.Fatalf("the next epoch was reported, and the process lived for another %v: %s", goneAt.Sub(reportedAt), early)
 	}
 }
 
-// A program ends and leaves a child outside its group that takes long to end. The sweep
-// after the task's end took the dying child for gone, as above: the ending was announced
-// while the child was there, and the task's room could be given to another.
+// A program ends and leaves a child outside its process group that takes long to end. The
+// sweep after the program's end took the dying child for gone, as above: the end of the task was
+// announced while the child still existed, and its resources could be given to another task.
 func TestAnEndingIsAnnouncedWhenTheChildrenAreGone(t *testing.T) {
 	k := TaskAttempt{"wk-000001", 0, 1}
 	dir := t.TempDir()
 	pidFile := filepath.Join(dir, "pid")
 	exited := make(chan string, 1)
-	r := &runner{dir: dir, taskCommand: []string{os.Args[0], "task-exec"}, log: discardLog, tasks: map[TaskAttempt]*task{}}
+	r := &runner{dir: dir, exec: []string{os.Args[0], "task-exec"}, log: discardLog, tasks: map[TaskAttempt]*task{}}
 	r.exited = func(TaskAttempt, int, bool) {
 		raw, _ := os.ReadFile(pidFile)
 		pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
@@ -223,22 +225,22 @@
 		t.Fatal(err)
 	}
 	if state := <-exited; state != "" {
-		t.Fatalf("announced while a child was there: %s", state)
+		t.Fatalf("the end was announced while a child still existed: %s", state)
 	}
 }
 
-// An agent is killed, and its watchdog does not notice until the next agent has begun an
-// epoch and runs a task, as when it gets no processor. Then it finds its pipe closed and
-// ended all tasks that carry the machine's mark: those of the new epoch, which nobody had
-// told to end. They were reported with cause "error", as if their programs had failed.
-// (The test holds the pipe open: a watchdog that is stopped gets SIGHUP with its parent's
-// end.)
+// An agent is killed, and its watchdog does not notice that until the next agent has begun an
+// epoch and runs a task, for example because the watchdog gets no CPU time. The watchdog then
+// found its pipe closed and killed all tasks that carry the machine's mark: those of the new
+// epoch, which nobody had asked to end. They were reported with cause "error", as if their
+// programs had failed. (The test delays the watchdog by holding the pipe open, because a stopped
+// watchdog would get SIGHUP at the end of its parent.)
 func TestALateWatchdogLeavesTheNextEpochAlone(t *testing.T) {
 	c := newFakeController(t)
-	c.addJob("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
-	c.addJob("wk-000002", `echo $$ > pid; exec sleep 1000`, nil)
+	c.add("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
+	c.add("wk-000002", `echo $$ > pid; exec sleep 1000`, nil)
 	cfg := testConfig(t, c)
-	cfg.Workers.Lease = 60 // the watchdog's own clock has no part in this
+	cfg.Workers.Lease = 60 // so that the watchdog's deadline has no effect
 	p := newAgentProcess(t, c, cfg)
 	c.send(launch("wk-000001", 0))
 	first := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
@@ -254,41 +256,41 @@
 	p.start()
 	c.await("the next epoch", func() bool { return c.last.AgentEpoch > epoch })
 	if state := processState(first.PID); state != "" {
-		t.Errorf("a task of the epoch before: %s", state)
+		t.Errorf("a task of the previous epoch still runs: %s", state)
 	}
 	c.send(launch("wk-000002", 0))
 	second := p.awaitProcess(p.taskFile("wk-000002.0.1", workDir+"/pid"))
 	pipe.Close()
 	time.Sleep(time.Second) // several sweeps long
 	if !second.Alive() {
-		t.Error("the watchdog of the epoch before ended a task of this one")
+		t.Error("the watchdog of the previous epoch killed a task of the current one")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.causes) > 0 {
-		t.Errorf("endings: %v", c.causes)
+		t.Errorf("tasks have ended: %v", c.causes)
 	}
 }
 
-// An agent stands still for a moment between the answer to a heartbeat, which prolongs its
-// lease, and the line that tells the watchdog so. The watchdog ends the tasks at the end
-// of the lease that it knows. The agent wakes within its own lease and goes on with the
-// epoch: it reported the tasks with cause "error", as if their programs had failed. Of 640
-// runs of TestNoTaskOutlivesItsAgentOrLease beside load two failed so: "a new session
-// without tasks: never; causes map[wk-000001/0#1:error]", 33 heartbeats of the same epoch
-// later. The test holds the agent's lock in that moment.
+// An agent is suspended for a moment between the answer to a heartbeat, which extends its
+// lease, and the line that sends the new deadline to the watchdog. The watchdog kills the tasks
+// at the end of the lease that it knows. The agent wakes up within its own lease and continued
+// the epoch: it reported the tasks with cause "error", as if their programs had failed. On a
+// loaded machine 2 of 640 runs of TestNoTaskOutlivesItsAgentOrLease failed for this reason: the
+// causes were map[wk-000001/0#1:error], and no new epoch had begun 33 heartbeats later. The test
+// holds the agent's lock at that moment.
 func TestAnEpochWhoseTasksTheWatchdogEndedIsOver(t *testing.T) {
 	c := newFakeController(t)
 	cfg := testConfig(t, c)
 	cfg.Workers.Lease = 1.5
-	c.addJob("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
+	c.add("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
 	a := runAgent(t, cfg)
 	c.send(launch("wk-000001", 0))
 	p := &agentProcess{t: t, cfg: cfg, controller: c}
 	id := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	c.await("the running task", func() bool { return len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning })
 	for a.mu.Lock(); a.clock()-a.worker.epoch.answeredAt < 300*time.Millisecond; a.mu.Lock() {
-		a.mu.Unlock() // until the watchdog's deadline is well ahead of a new lease's end
+		a.mu.Unlock() // until the watchdog's deadline is well before the end of a renewed lease
 		time.Sleep(10 * time.Millisecond)
 	}
 	epoch := a.worker.epoch.number
@@ -297,25 +299,25 @@
 		time.Sleep(time.Millisecond)
 	}
 	if id.Alive() {
-		t.Error("the watchdog ended nothing")
+		t.Error("the watchdog did not kill the task")
 	}
-	a.worker.epoch.answeredAt = sentAt // as of an answer that had just come
+	a.worker.epoch.answeredAt = sentAt // as if an answer had just arrived
 	a.perform(a.worker.takeEffects())
 	a.mu.Unlock()
 	c.await("a new epoch without tasks", func() bool { return c.last.AgentEpoch > epoch && len(c.last.Tasks) == 0 })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.causes) > 0 {
-		t.Errorf("told of a task that the watchdog ended: %v", c.causes)
+		t.Errorf("a task that the watchdog killed was reported: %v", c.causes)
 	}
 }
 
-// checkProcessEndsWithEpoch runs a task whose script writes the number of a process, starts the agent anew,
-// and demands that the process is gone when the next epoch is told.
+// checkProcessEndsWithEpoch runs a task whose script writes the number of a process, restarts the
+// agent, and requires that the process is gone when the next epoch is reported.
 func checkProcessEndsWithEpoch(t *testing.T, script string) {
 	t.Helper()
 	c := newFakeController(t)
-	c.addJob("wk-000001", script, nil)
+	c.add("wk-000001", script, nil)
 	p := newAgentProcess(t, c, testConfig(t, c))
 	c.send(launch("wk-000001", 0))
 	id := p.awaitProcess(p.taskFile("wk-000001.0.1", workDir+"/pid"))
@@ -328,36 +330,38 @@
 	p.start()
 	c.await("the next epoch", func() bool { return c.last.AgentEpoch > epoch })
 	if state := processState(id.PID); state != "" {
-		t.Fatalf("the next epoch was told, and it runs on: %s", state)
+		t.Fatalf("the next epoch was reported, and the process still runs: %s", state)
 	}
 }
 
-// A program leaves its process group and drops its environment, as daemons do: neither its
-// group nor a mark tells whose it is. The sweep passed it over, the next epoch was reported,
-// and it ran on ("S 1 18174 18174", a child of process 1 in a session of its own).
+// A program leaves its process group and drops its environment, as daemons do, so that neither
+// its group nor a mark shows which task it belongs to. The sweep missed it, and the next epoch was
+// reported while it was still running ("S 1 18174 18174", a child of process 1 in a session of
+// its own).
 func TestAProgramThatDropsGroupAndEnvironmentEnds(t *testing.T) {
 	checkProcessEndsWithEpoch(t, `setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid; wait`)
 }
 
-// The same program is started twice removed: its parent has ended, so that its agent's
-// next life can't tell from its parents either, unless the task's program was handed it.
+// The same program is started by a parent that has ended, so that the restarted agent can't
+// find it by its parents either, unless the task's program has adopted it.
 func TestAnOrphanThatDropsGroupAndEnvironmentEnds(t *testing.T) {
 	checkProcessEndsWithEpoch(t, `(setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid); exec sleep 1000`)
 }
 
-// A task's program ends by itself and leaves such a process, beside another task that runs
-// and has one, too. The first is gone when its task's ending is told; the other lives.
+// A task's program ends by itself and leaves such a process behind, while another task is
+// running that has one, too. The first process must be gone when the end of its task is
+// reported; the other one must stay alive.
 func TestWhatAnEndedProgramLeavesEnds(t *testing.T) {
 	c := newFakeController(t)
 	const leaves = `(setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid)`
-	c.addJob("wk-000001", leaves, nil)
-	c.addJob("wk-000002", leaves+`; exec sleep 1000`, nil)
+	c.add("wk-000001", leaves, nil)
+	c.add("wk-000002", leaves+`; exec sleep 1000`, nil)
 	p := newAgentProcess(t, c, testConfig(t, c))
 	c.send(launch("wk-000002", 0))
 	other := p.awaitProcess(p.taskFile("wk-000002.0.1", workDir+"/pid"))
 	defer func() { _ = other.Signal(syscall.SIGKILL) }()
 	c.send(launch("wk-000001", 0))
-	c.await("the ending", func() bool { return c.causes["wk-000001/0#1"] != "" })
+	c.await("the end of the task", func() bool { return c.causes["wk-000001/0#1"] != "" })
 	raw, err := os.ReadFile(p.taskFile("wk-000001.0.1", workDir+"/pid"))
 	if err != nil {
 		t.Fatal(err)
@@ -367,7 +371,7 @@
 		t.Fatal(err)
 	}
 	if state := processState(pid); state != "" {
-		t.Errorf("the ending was told, and it runs on: %s", state)
+		t.Errorf("the end of the task was reported, and its process still runs: %s", state)
 		_ = syscall.Kill(pid, syscall.SIGKILL)
 	}
 	if cause := c.causes["wk-000001/0#1"]; cause != protocol.CauseDone || !other.Alive() {
@@ -375,11 +379,11 @@
 	}
 }
 
-// An agent that is started again listens where it did before, so that controllers reach it
-// there. While it was away another process may have got that port, for a connection
-// of its own that lasts a moment. The agent ended at once: "a new session without tasks: never;
-// causes map[]", no heartbeat after its end, once in 320 runs of
-// TestNoTaskOutlivesItsAgentOrLease beside load, and here each time.
+// A restarted agent listens on its previous port, so that controllers reach it there. While
+// it was down, another process may have got that port for a short-lived connection of its own.
+// The agent then exited at once, and no heartbeat followed. This happened in 1 of 320 runs of
+// TestNoTaskOutlivesItsAgentOrLease on a loaded machine (no new epoch, causes map[]), and in
+// each run of this test.
 func TestAnAgentWaitsForItsPort(t *testing.T) {
 	c := newFakeController(t)
 	p := newAgentProcess(t, c, testConfig(t, c))
@@ -398,6 +402,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last.Address != address {
-		t.Errorf("listens at %s, where no controller looks for it; before at %s", c.last.Address, address)
+		t.Errorf("the agent listens at %s, where controllers don't look for it; before at %s", c.last.Address, address)
 	}
 }
--- a/internal/agent/task_program.go
+++ b/internal/agent/task_program.go
@@ -21,12 +21,14 @@
 	"silvergate/internal/transport"
 )
 
-// fetchDescription asks one controller after the other for a job's description. The
-// first asked is the one that the worker sends heartbeats to.
+// fetchDescription requests a job's description from one controller after the other,
+// beginning with the one that the worker sends heartbeats to. asked is the number of
+// controllers that were asked before.
 func (a *Agent) fetchDescription(id string, asked int) {
 	n := len(a.cfg.Controllers)
-	node := a.cfg.Controllers[(a.worker.heartbeats.controller+asked)%n]
-	a.pool.Start(transport.Call{Addr: node.Address, Method: http.MethodGet, Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: answerTimeout,
+	controller := a.cfg.Controllers[(a.worker.heartbeats.controller+asked)%n]
+	a.pool.Start(transport.Call{Addr: controller.Address, Method: http.MethodGet,
+		Target: protocol.PathJobs + "/" + id + "/" + protocol.PathDescription, Timeout: answerTimeout,
 		Done: func(r *transport.Response, _ bool, err error) {
 			var d protocol.JobDescription
 			switch {
@@ -41,7 +43,7 @@
 					a.fetchDescription(id, asked+1)
 				}
 			default:
-				a.log.Info("a job's description can't be had now", "job", id)
+				a.log.Info("no controller has returned the job's description; retrying", "job", id)
 				time.AfterFunc(seconds(a.cfg.Workers.Heartbeat/4), func() {
 					a.step(func() Effects { return a.worker.Described(a.clock(), id, nil, false) })
 				})
@@ -49,13 +51,13 @@
 		}})
 }
 
-// startTask starts an attempt's program.
+// startTask starts an attempt's program, unless the task has already been done.
 func (a *Agent) startTask(epoch uint64, k TaskAttempt, d *protocol.JobDescription) {
 	if d == nil {
 		return
 	}
 	if d.Shape == job.Array && a.shared.done(k.Job, k.Index) {
-		a.log.Info("done before", "task", k.TaskName(), "attempt", k.Attempt)
+		a.log.Info("the task was already done", "task", k.TaskName(), "attempt", k.Attempt)
 		a.programEnded(k, Exit{})
 		return
 	}
@@ -75,7 +77,7 @@
 		return
 	}
 	a.log.Info("started", "task", k.TaskName(), "attempt", k.Attempt, "command", p.Argv[0])
-	// A command that came while the process was being made found nobody.
+	// A kill that arrived while the process was being started found no process to signal.
 	a.mu.Lock()
 	task := a.worker.tasks[k]
 	late := task == nil || task.phase != running
@@ -85,7 +87,7 @@
 	}
 }
 
-// taskProgram makes an attempt's folder and says what is to be run in it.
+// taskProgram creates an attempt's folder and returns the program to run in it.
 func (a *Agent) taskProgram(k TaskAttempt, d *protocol.JobDescription) (p program, err error) {
 	folder, image, ok := a.images.folder(d.Image)
 	if !ok {
@@ -123,17 +125,17 @@
 	for name, value := range x.Env {
 		env[name] = value
 	}
-	own := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Attempt), "LOADS": strconv.Itoa(d.Tasks),
+	reserved := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Attempt), "LOADS": strconv.Itoa(d.Tasks),
 		"IMAGE": folder, "MACHINE": a.cfg.Worker, "ZONE": a.cfg.Zone, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.MemoryGB)}
 	if d.CheckpointIntervalS > 0 && a.cfg.OutsideDir != "" {
-		if own["CHECKPOINTS"], err = a.shared.prepare(k.Job, k.Index); err != nil {
+		if reserved["CHECKPOINTS"], err = a.shared.prepare(k.Job, k.Index); err != nil {
 			return p, err
 		}
 		if n := a.shared.resume(k.Job, k.Index, d.Tasks, d.Shape == job.Gang); n > 0 {
-			own["RESUME"] = strconv.Itoa(n)
+			reserved["RESUME"] = strconv.Itoa(n)
 		}
 	}
-	for name, value := range own {
+	for name, value := range reserved {
 		env[protocol.ReservedEnv+name] = value
 	}
 	env[proc.MarkEnv] = a.runner.processMarker(k)
@@ -143,7 +145,8 @@
 	return p, nil
 }
 
-// findProgram looks a program up: in the image, then where the agent finds its own.
+// findProgram returns the path of a program, which it looks up in the image first and then in the agent's
+// PATH.
 func findProgram(name, image string) (string, error) {
 	if filepath.IsAbs(name) {
 		return name, nil
@@ -161,28 +164,29 @@
 	return exec.LookPath(name)
 }
 
-// taskExited takes that an attempt's processes are gone.
-func (a *Agent) taskExited(k TaskAttempt, code int, memory bool) {
+// taskExited handles the end of all processes of an attempt: it determines how the program ended,
+// and stores that an array's task is done.
+func (a *Agent) taskExited(k TaskAttempt, code int, memoryExceeded bool) {
 	a.mu.Lock()
-	d, before := a.worker.Description(k.Job), a.attempts.lastCheckpoints[k]
+	d, lastCheckpoint := a.worker.Description(k.Job), a.attempts.lastCheckpoints[k]
 	a.mu.Unlock()
-	x := Exit{Code: code, Saved: a.shared.dir != "" && a.shared.last(k.Job, k.Index) > before}
-	if memory {
+	x := Exit{Code: code, Saved: a.shared.dir != "" && a.shared.last(k.Job, k.Index) > lastCheckpoint}
+	if memoryExceeded {
 		x.Code = -1
 	}
 	if d != nil && d.Shape == job.Array && x.Code == 0 && a.shared.dir != "" {
-		// Durable before it is reported: otherwise a lost heartbeat would have the
-		// task run again.
+		// The result is durable before it is reported: otherwise the task would run
+		// again if a heartbeat were lost.
 		if a.isRunning(k) {
 			if err := a.shared.complete(k.Job, k.Index); err != nil {
-				a.log.Error("a result can't be kept", "task", k.TaskName(), "error", err)
+				a.log.Error("the result of a task can't be stored", "task", k.TaskName(), "error", err)
 			}
 		}
 	}
 	a.programEnded(k, x)
 }
 
-// isRunning tells whether an attempt was left to complete.
+// isRunning reports whether an attempt is in phase running, that is, was not asked to stop.
 func (a *Agent) isRunning(k TaskAttempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -204,29 +208,29 @@
 	})
 }
 
-// askGangMembers asks the agents of a gang's other tasks how they are.
+// askGangMembers queries the states of a gang's other tasks from their agents.
 func (a *Agent) askGangMembers(k TaskAttempt, d *protocol.JobDescription) {
 	if d == nil {
 		return
 	}
 	a.mu.Lock()
-	places := a.attempts.gangMembers[k]
-	node := a.cfg.Controllers[a.worker.heartbeats.controller]
+	members := a.attempts.gangMembers[k]
+	controller := a.cfg.Controllers[a.worker.heartbeats.controller]
 	states := a.worker.Gang(k.Job, k.Attempt)
 	a.mu.Unlock()
 	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Attempt)
-	limit := seconds(a.cfg.Workers.GangPeer / 2)
-	// Before it runs, a gang can still get a task on another machine.
-	if len(places) < d.Tasks || !a.isRunning(k) {
-		if r, _, err := a.pool.Do(node.Address, http.MethodGet, path, nil, limit); err == nil && r.Status == http.StatusOK {
+	timeout := seconds(a.cfg.Workers.GangPeer / 2)
+	// Until this attempt runs, its gang can still get a task on another machine.
+	if len(members) < d.Tasks || !a.isRunning(k) {
+		if r, _, err := a.pool.Do(controller.Address, http.MethodGet, path, nil, timeout); err == nil && r.Status == http.StatusOK {
 			var p protocol.GangMembers
-			if protocol.Decode(r.Body, &p) == nil && len(p.Members) >= len(places) {
-				places = p.Members
+			if protocol.Decode(r.Body, &p) == nil && len(p.Members) >= len(members) {
+				members = p.Members
 			}
 		}
 	}
 	addresses := map[string]bool{}
-	for _, p := range places {
+	for _, p := range members {
 		if p.Machine != a.cfg.Worker && p.Address != "" {
 			addresses[p.Address] = true
 		}
@@ -237,15 +241,15 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			r, _, err := a.pool.Do(address, http.MethodGet, fmt.Sprintf("%s%s/%d", pathGang, k.Job, k.Attempt), nil, limit)
+			r, _, err := a.pool.Do(address, http.MethodGet, fmt.Sprintf("%s%s/%d", pathGang, k.Job, k.Attempt), nil, timeout)
 			if err != nil || r.Status != http.StatusOK {
 				return
 			}
-			var theirs map[int]string
-			if json.Unmarshal(r.Body, &theirs) == nil {
+			var peerStates map[int]string
+			if json.Unmarshal(r.Body, &peerStates) == nil {
 				mu.Lock()
 				defer mu.Unlock()
-				for i, s := range theirs {
+				for i, s := range peerStates {
 					states[i] = s
 				}
 			}
@@ -253,10 +257,11 @@
 	}
 	wait.Wait()
 	a.step(func() Effects {
-		a.attempts.gangMembers[k] = places
+		a.attempts.gangMembers[k] = members
 		return a.worker.Peers(a.clock(), k, states)
 	})
 }
 
-// pathGang is where agents ask one another about a gang's attempt.
+// pathGang is the path prefix of the requests by which agents query one another about an attempt
+// of a gang.
 const pathGang = "/gang/"
--- a/internal/agent/task_state.go
+++ b/internal/agent/task_state.go
@@ -9,32 +9,32 @@
 	"silvergate/internal/protocol"
 )
 
-// TaskAttempt names an attempt of a task on this machine.
+// TaskAttempt identifies an attempt of a task.
 type TaskAttempt struct {
 	Job     string
 	Index   int
 	Attempt int
 }
 
-// TaskName is the wire name of the task.
+// TaskName returns the task's name in the protocol.
 func (k TaskAttempt) TaskName() string { return job.TaskName(k.Job, k.Index) }
 
-// String is the key as job.index.attempt, which also names the attempt's folder.
+// String returns job.index.attempt, which is also the name of the attempt's folder.
 func (k TaskAttempt) String() string { return fmt.Sprintf("%s.%d.%d", k.Job, k.Index, k.Attempt) }
 
-// phase is where an attempt stands. The first ones are reported as they are
-// named in the protocol.
+// phase is the state of an attempt. reportedStates gives the state of the protocol
+// that each phase is reported as.
 type phase int
 
 const (
-	describing phase = iota // its job's description is being asked for
-	fetching                // its image is
+	describing phase = iota // its job's description is being fetched
+	fetching                // its image and inputs are being fetched
 	waiting                 // for the other tasks of its gang
 	running
-	finished      // gang: its program completed, those of others did not yet
-	checkpointing // asked to stop, and may save a checkpoint
-	checkpointed  // gang: it has saved, others have not yet
-	ending        // asked to end; its processes are not gone yet
+	finished      // gang: its program has completed, programs of other tasks have not yet
+	checkpointing // asked to stop, and may save a checkpoint before
+	checkpointed  // gang: it has saved a checkpoint, other tasks have not yet
+	ending        // killed; its processes are not all gone yet
 	ended
 )
 
@@ -44,24 +44,24 @@
 	phase            phase
 	cause            string
 	checkpointed     bool
-	phaseSince       time.Duration // of the phase
-	stopRequestedAt  time.Duration // first asked to stop
-	killAt           time.Duration // checkpointing: when it is ended all the same
-	finalCause       string        // ending: the cause to report when it is gone
-	gangCompleteAt   time.Duration // gang: when all of it was last seen as it should be
-	nextGangCheckAt  time.Duration // gang: when the others are asked next
-	nextCheckpointAt time.Duration // when it is to save by itself
-	needsInputs      bool          // inputs that are not here yet
-	grant            string        // that came with the launch; for the archive
+	phaseSince       time.Duration // when the phase began
+	stopRequestedAt  time.Duration // when the attempt was first asked to stop
+	killAt           time.Duration // checkpointing: when the attempt is killed even if it has not saved
+	finalCause       string        // ending: the cause to report when the processes are gone
+	gangCompleteAt   time.Duration // gang: when all tasks were last seen in an expected state
+	nextGangCheckAt  time.Duration // gang: when the other tasks' agents are queried next
+	nextCheckpointAt time.Duration // when the next periodic checkpoint is requested; 0: never
+	needsInputs      bool          // some inputs are not present yet
+	grant            string        // archive grant that came with the launch
 	peerStates       map[int]string
 }
 
-// hasProcess tells whether the attempt has a program that runs.
+// hasProcess reports whether the attempt has a process.
 func (task *taskState) hasProcess() bool {
 	return task.phase == running || task.phase == checkpointing || task.phase == ending
 }
 
-// allPeersIn tells whether every other task of the gang is in one of the states.
+// allPeersIn reports whether every other task of the gang is in one of the states.
 func (task *taskState) allPeersIn(states ...string) bool {
 	for i := range task.description.Tasks {
 		if i != task.id.Index && !slices.Contains(states, task.peerStates[i]) {
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// EventsFile is where a machine's store writes its events, a line each.
+// EventsFile is the file to which a machine's store appends its events, one JSON object per line.
 const EventsFile = "events.jsonl"
 
-// Event is something that happened to data on a machine. Kinds are those of
-// datastore.Event, and "needed": an attempt that was launched needs a copy.
+// Event is an event of the data sets on a machine. Its kinds are those of
+// datastore.Event, and "needed": a launched attempt needs a copy.
 type Event struct {
 	At      time.Time `json:"at"`
 	Machine string    `json:"machine"`
@@ -22,7 +22,7 @@
 	Urgent  bool      `json:"urgent,omitempty"`
 }
 
-// tracer writes events; a nil one writes none.
+// tracer appends events to a file; a nil tracer writes none.
 type tracer struct {
 	mu      sync.Mutex
 	file    *os.File
--- a/internal/agent/watchdog.go
+++ b/internal/agent/watchdog.go
@@ -18,29 +18,29 @@
 	"silvergate/internal/proc"
 )
 
-// watchdogFile holds the identity of the process that guards a machine's tasks.
+// watchdogFile holds the identity of a machine's watchdog process.
 const watchdogFile = "watchdog.json"
 
-// watchdogPeriod is the longest time for which a watchdog does not look at the clock, and
-// the time between two sweeps after a lease's end.
+// watchdogPeriod is the maximum time between two checks of the clock by a watchdog, and the
+// time between two sweeps after the end of a lease.
 const watchdogPeriod = time.Second
 
-// watchdogState is the watchdog process itself.
+// watchdogState is the state of a watchdog process.
 type watchdogState struct {
 	dir         string
-	deadlineFD  int           // carries the deadlines
-	partialLine []byte        // the beginning of a line
-	deadline    time.Duration // boot clock; 0: none was told yet
-	sweptAt     time.Time     // for this deadline
+	deadlineFD  int           // the pipe that carries the deadlines
+	partialLine []byte        // the part of a line that was read so far
+	deadline    time.Duration // on the boot clock; 0: none was received yet
+	sweptAt     time.Time     // time of the last sweep for this deadline
 }
 
-// Watchdog ends all tasks of a machine when its agent's lease is over or the
-// agent is gone: an agent that hangs can't do that itself. deadlines carries
-// times of the boot clock, in nanoseconds, a line each.
+// Watchdog kills all tasks of a machine when its agent's lease expires or the
+// agent dies: an agent that hangs can't do that itself. deadlines carries times of
+// the boot clock, in nanoseconds, one per line.
 //
-// A deadline that was written before the one ahead of it had passed is heeded, however
-// late this process gets to read it. The agent counts on that: when it was late itself, it
-// takes the tasks to be ended (Agent.extendWatchdog).
+// A deadline that was written before the previous one passed always takes effect, however
+// late this process reads it. The agent relies on that: only if it wrote a deadline late
+// does it assume that the tasks have been killed (Agent.extendWatchdog).
 func Watchdog(dir string, deadlines *os.File) error {
 	if err := proc.Hold(); err != nil {
 		return err
@@ -58,10 +58,10 @@
 	}
 }
 
-// step waits for a line or the deadline, whichever is first. It returns false when the
+// step waits for a line or the deadline, whichever comes first. It returns false when the
 // agent is gone.
 func (g *watchdogState) step() (open bool, err error) {
-	// The clock is read before the pipe: what was written before the deadline is there.
+	// The clock is read before the pipe, so that a line written before the deadline is found.
 	late := g.deadline > 0 && bootClock() >= g.deadline
 	readable, err := g.poll(g.wait(late))
 	switch {
@@ -71,14 +71,14 @@
 		return g.read()
 	case late && time.Since(g.sweptAt) >= watchdogPeriod:
 		if err := EndTasks(g.dir); err != nil {
-			slog.Error("the lease is over, and processes can't be ended", "error", err)
+			slog.Error("the lease has expired, but processes can't be ended", "error", err)
 		}
 		g.sweptAt = time.Now()
 	}
 	return true, nil
 }
 
-// wait is how long the watchdog may wait for the next line.
+// wait returns how long the watchdog may wait for the next line.
 func (g *watchdogState) wait(late bool) time.Duration {
 	switch {
 	case late:
@@ -91,7 +91,7 @@
 
 func (g *watchdogState) poll(wait time.Duration) (readable bool, err error) {
 	if wait > 0 {
-		wait += time.Millisecond // poll counts whole ones
+		wait += time.Millisecond // poll takes whole milliseconds
 	}
 	watched := []unix.PollFd{{Fd: int32(g.deadlineFD), Events: unix.POLLIN}}
 	n, err := unix.Poll(watched, int(max(0, wait)/time.Millisecond))
@@ -101,7 +101,8 @@
 	return n > 0, err
 }
 
-// read takes what the pipe holds. The last line counts.
+// read reads from the pipe. The last complete line sets the deadline. It returns false when the
+// agent has closed the pipe.
 func (g *watchdogState) read() (open bool, err error) {
 	chunk := make([]byte, 4096)
 	n, err := unix.Read(g.deadlineFD, chunk)
@@ -117,38 +118,38 @@
 		g.partialLine = rest
 		nanoseconds, err := strconv.ParseInt(string(line), 10, 64)
 		if err != nil {
-			slog.Error("a deadline is passed over, the one before stays", "error", err)
+			slog.Error("ignoring an invalid deadline; the previous one remains", "error", err)
 			continue
 		}
 		g.deadline, g.sweptAt = time.Duration(nanoseconds), time.Time{}
 	}
 }
 
-// bootClock is a steady clock that goes on while the machine sleeps: others
-// take a lease to be over then, too.
+// bootClock returns the time of a monotonic clock that also advances while the machine
+// sleeps, because for the controllers a lease expires during that time, too.
 func bootClock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // the kernel has had it since 2011
+		panic(err) // Linux has had this clock since 2011
 	}
 	return time.Duration(t.Nano())
 }
 
-// watchdogProcess is the agent's side of a watchdog. Each agent epoch has a watchdog of its
-// own, and the one before is gone before the epoch begins: a watchdog that is late can't end
-// tasks of an epoch that it does not know.
+// watchdogProcess is the agent's handle of its watchdog. Each agent epoch has a watchdog of
+// its own, and the previous watchdog is gone before the epoch begins: a delayed watchdog can't
+// kill tasks of an epoch that it does not know.
 type watchdogProcess struct {
 	id       proc.ID
-	pipe     *os.File      // carries the deadlines to it
-	leaseEnd time.Duration // that was told last, by the worker's clock
-	deadline time.Duration // the same by the boot clock, with the delay; 0: none was told yet
-	ended    chan struct{} // closed when it is over and its end was heeded
+	pipe     *os.File      // carries the deadlines to the watchdog
+	leaseEnd time.Duration // the lease's end that was sent last, on the worker's clock
+	deadline time.Duration // the corresponding deadline on the boot clock, with the delay; 0: none was sent yet
+	ended    chan struct{} // closed when the process has ended and watchdogEnded has returned
 }
 
-// deadlinePassed tells whether the watchdog may have ended the tasks.
+// deadlinePassed reports whether the deadline has passed, so that the watchdog may have killed the tasks.
 func (w *watchdogProcess) deadlinePassed() bool { return w.deadline > 0 && bootClock() >= w.deadline }
 
-// startWatchdog starts the watchdog of the present epoch.
+// startWatchdog starts the watchdog of the current agent epoch.
 func (a *Agent) startWatchdog() error {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -163,36 +164,36 @@
 		w.Close()
 		return err
 	}
-	dog := &watchdogProcess{id: id, pipe: w, ended: make(chan struct{})}
+	watchdog := &watchdogProcess{id: id, pipe: w, ended: make(chan struct{})}
 	a.mu.Lock()
-	a.watchdog = dog
+	a.watchdog = watchdog
 	a.mu.Unlock()
 	go func() {
-		defer close(dog.ended)
+		defer close(watchdog.ended)
 		_ = cmd.Wait()
-		a.watchdogEnded(dog, cmd.ProcessState.Exited())
+		a.watchdogEnded(watchdog, cmd.ProcessState.Exited())
 	}()
 	return nil
 }
 
-// watchdogEnded starts another watchdog in place of one that is gone though it is needed.
-// One that ended by itself has ended the tasks before.
-func (a *Agent) watchdogEnded(dog *watchdogProcess, byItself bool) {
+// watchdogEnded handles the end of a watchdog process. If the watchdog is still needed, it starts
+// another one. A watchdog that exited by itself has killed the tasks before that.
+func (a *Agent) watchdogEnded(watchdog *watchdogProcess, byItself bool) {
 	a.mu.Lock()
-	needed := a.watchdog == dog && !a.shutdown.begun
+	needed := a.watchdog == watchdog && !a.shutdown.begun
 	if needed {
 		a.watchdog = nil
-		if byItself || dog.deadlinePassed() {
-			a.endEpoch("the watchdog is gone and may have ended the tasks")
+		if byItself || watchdog.deadlinePassed() {
+			a.endEpoch("the watchdog is gone and may have killed the tasks")
 		}
 	}
 	a.mu.Unlock()
-	dog.pipe.Close()
+	watchdog.pipe.Close()
 	if !needed {
 		return
 	}
-	// Guards against tasks that nobody would end if the agent hung.
-	a.log.Error("the watchdog is gone; another is started")
+	// Guards against tasks that would keep running if the agent hung.
+	a.log.Error("the watchdog is gone; starting another one")
 	time.Sleep(100 * time.Millisecond)
 	if err := a.startWatchdog(); err != nil {
 		a.mu.Lock()
@@ -201,75 +202,75 @@
 	}
 }
 
-// replaceWatchdog ends the watchdog of the epoch that is over, and starts one for the
-// next. There are no tasks at that time.
+// replaceWatchdog kills the watchdog of the agent epoch that is over, and starts one for the
+// next epoch. No tasks exist at that time.
 func (a *Agent) replaceWatchdog() error {
 	a.mu.Lock()
-	dog := a.watchdog
+	watchdog := a.watchdog
 	a.watchdog = nil
 	a.mu.Unlock()
-	if dog != nil {
-		if err := dog.id.Signal(syscall.SIGKILL); err != nil {
+	if watchdog != nil {
+		if err := watchdog.id.Signal(syscall.SIGKILL); err != nil {
 			return err
 		}
-		<-dog.ended
+		<-watchdog.ended
 	}
 	return a.startWatchdog()
 }
 
-// endWatchdog has the watchdog of an agent that stops end, too.
+// endWatchdog ends the watchdog of an agent that is shutting down, by closing its pipe.
 func (a *Agent) endWatchdog() {
 	a.mu.Lock()
-	dog := a.watchdog
+	watchdog := a.watchdog
 	a.watchdog = nil
 	a.mu.Unlock()
-	if dog != nil {
-		dog.pipe.Close()
+	if watchdog != nil {
+		watchdog.pipe.Close()
 	}
 }
 
-// endEarlierWatchdog ends the watchdog that an earlier agent process left, and returns
-// when it is gone.
+// endEarlierWatchdog kills the watchdog that an earlier agent process left behind, and returns
+// when that watchdog is gone.
 func endEarlierWatchdog(dir string) error {
 	id, err := proc.ReadRecord(filepath.Join(dir, watchdogFile))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return nil
 	case err != nil:
-		return fmt.Errorf("%w; remove it once no process guards the machine", err)
+		return fmt.Errorf("%w; remove the file once no watchdog of this machine is running", err)
 	}
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
 	if !id.Await(time.Now().Add(sweepTimeout)) {
-		return fmt.Errorf("process %d of an earlier agent: %s", id.PID, proc.ReasonRunning)
+		return fmt.Errorf("watchdog process %d of an earlier agent: %s", id.PID, proc.ReasonRunning)
 	}
 	return nil
 }
 
-// extendWatchdog tells the watchdog a new end of the lease; the lock is held.
+// extendWatchdog sends a new end of the lease to the watchdog; the lock is held.
 func (a *Agent) extendWatchdog(leaseEnd time.Duration) {
-	dog := a.watchdog
-	if dog == nil || leaseEnd == dog.leaseEnd {
+	watchdog := a.watchdog
+	if watchdog == nil || leaseEnd == watchdog.leaseEnd {
 		return
 	}
-	// The worker itself ends tasks at this moment; the watchdog is for
-	// when it can't, a little later. It must not hold the agent up.
+	// The worker itself ends the tasks at the end of the lease. The watchdog does so
+	// slightly later, in case the worker can't. The write must not block the agent.
 	deadline := a.schedule.startedAt + leaseEnd + seconds(a.cfg.Workers.Lease/100)
-	_ = dog.pipe.SetWriteDeadline(time.Now().Add(minHeartbeatInterval))
-	if _, err := fmt.Fprintf(dog.pipe, "%d\n", int64(deadline)); err != nil {
-		a.log.Error("the watchdog does not read; it is ended", "error", err)
-		_ = dog.id.Signal(syscall.SIGKILL) // watchdogEnded starts another
+	_ = watchdog.pipe.SetWriteDeadline(time.Now().Add(minHeartbeatInterval))
+	if _, err := fmt.Fprintf(watchdog.pipe, "%d\n", int64(deadline)); err != nil {
+		a.log.Error("the watchdog does not read its pipe; killing it", "error", err)
+		_ = watchdog.id.Signal(syscall.SIGKILL) // watchdogEnded starts another
 		return
 	}
-	if dog.deadlinePassed() {
-		a.endEpoch("the watchdog was told of the lease too late")
+	if watchdog.deadlinePassed() {
+		a.endEpoch("the new end of the lease was sent to the watchdog too late")
 	}
-	dog.leaseEnd, dog.deadline = leaseEnd, deadline
+	watchdog.leaseEnd, watchdog.deadline = leaseEnd, deadline
 }
 
-// endEpoch ends the agent epoch though its lease runs, because the watchdog may have ended its
-// tasks: to report these would name their programs as the cause. The lock is held.
+// endEpoch ends the agent epoch although its lease is still valid, because the watchdog may have
+// killed its tasks: reporting these would blame their programs. The lock is held.
 func (a *Agent) endEpoch(why string) {
 	if a.worker != nil && a.worker.EndEpoch() {
 		a.log.Info("agent epoch ended", "epoch", a.worker.Epoch(), "reason", why)
@@ -277,8 +278,8 @@
 	}
 }
 
-// checkWatchdog ends the epoch if the watchdog's deadline has passed unnoticed; the lock
-// is held.
+// checkWatchdog ends the agent epoch if the watchdog's deadline has passed without the agent
+// having noticed; the lock is held.
 func (a *Agent) checkWatchdog() {
 	if a.watchdog != nil && a.watchdog.deadlinePassed() {
 		a.endEpoch("the watchdog's deadline has passed")
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -11,16 +11,17 @@
 	"silvergate/internal/protocol"
 )
 
-// reportedStates is how each phase is reported. One that is ending still takes its room.
+// reportedStates maps each phase to the state that heartbeats report. An ending attempt is
+// reported as running because it still occupies its resources.
 var reportedStates = [...]protocol.TaskState{describing: protocol.TaskPulling, fetching: protocol.TaskPulling, waiting: protocol.TaskWaiting,
 	running: protocol.TaskRunning, finished: protocol.TaskRunning, checkpointing: protocol.TaskCheckpointing, checkpointed: protocol.TaskCheckpointing,
 	ending: protocol.TaskRunning, ended: protocol.TaskEnded}
 
-// gangStateNames is how each phase is shown to the agents of a gang's other tasks.
+// gangStateNames maps each phase to the state that the agents of a gang's other tasks see.
 var gangStateNames = [...]string{describing: "pulling", fetching: "pulling", waiting: "waiting", running: "running", finished: "finished",
 	checkpointing: "saving", checkpointed: "saved", ending: "ending", ended: "ended"}
 
-// gangDone is shown for a task of a gang that is complete.
+// gangDone is the state that other agents see for a gang task whose whole gang has completed.
 const gangDone = "done"
 
 // Controller names a controller and where it listens for workers.
@@ -29,15 +30,15 @@
 	Address string `yaml:"address"`
 }
 
-// Room is what a machine has: processors, accelerators and memory in GB.
+// Room is the capacity of a machine: processors, accelerators and memory in GB.
 type Room struct {
 	CPUs float64 `yaml:"cpus"`
 	GPUs float64 `yaml:"accelerators"`
 	RAM  float64 `yaml:"ramGb"`
 }
 
-// Periods are the workers' periods in seconds, as the controllers' settings give
-// them.
+// Periods are the intervals and timeouts of workers, in seconds, as set in the
+// controllers' settings.
 type Periods struct {
 	Heartbeat float64 `yaml:"report_s"`
 	Lease     float64 `yaml:"lease_s"`
@@ -47,16 +48,16 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Intervals of the protocol that no setting changes.
+// Constants of the protocol that no setting changes.
 const (
 	minHeartbeatInterval = 500 * time.Millisecond // between two heartbeats
-	answerTimeout        = 4 * time.Second        // for the answer to a heartbeat
+	answerTimeout        = 4 * time.Second        // for the answer to a request, such as a heartbeat
 	controllerRetryDelay = time.Second            // before the next controller is tried
-	maxHeartbeatBytes    = 40 << 10               // of a heartbeat's tasks, in bytes; a request may have 64 KiB, the store's part too
-	maxTaskStatusBytes   = 120                    // of a task in a heartbeat, at the most
+	maxHeartbeatBytes    = 40 << 10               // for the tasks in a heartbeat, in bytes; a request is limited to 64 KiB, which includes the store report
+	maxTaskStatusBytes   = 120                    // upper bound for one task in a heartbeat
 )
 
-// HeartbeatSend is a heartbeat to be sent.
+// HeartbeatSend is a heartbeat to be sent to a controller.
 type HeartbeatSend struct {
 	Controller Controller
 	Body       []byte
@@ -64,29 +65,30 @@
 	SentAt     time.Duration
 }
 
-// Effects are what a step wants done.
+// Effects are the actions that a step requests from its caller.
 type Effects struct {
 	Heartbeat       *HeartbeatSend
-	Describe        []string      // jobs whose descriptions are to be asked for
-	Fetch           []string      // images wanted, by name
-	Leave           []string      // images that no task waits for any more
-	FetchInputs     []TaskAttempt // attempts whose inputs are to be brought here
+	Describe        []string      // jobs whose descriptions are to be fetched
+	Fetch           []string      // names of images to be fetched
+	Leave           []string      // names of images whose fetch is to be cancelled: no task waits for them any more
+	FetchInputs     []TaskAttempt // attempts whose inputs are to be fetched
 	Start           []TaskAttempt
-	Checkpoint      []TaskAttempt // to save a checkpoint and go on
+	Checkpoint      []TaskAttempt // to save a checkpoint and continue
 	Stop            []TaskAttempt // to save a checkpoint and end
-	Kill            []TaskAttempt // to be ended at once, whole
-	AskGang         []TaskAttempt // gang tasks whose others are to be asked
+	Kill            []TaskAttempt // to be killed at once, with all their processes
+	AskGang         []TaskAttempt // gang tasks whose peers are to be queried
 	Forget          []TaskAttempt
-	EndAll          bool   // all tasks are to be ended; EpochEnded is called when they are gone
-	Token           uint64 // a higher fencing token than ever before, to be kept
+	EndAll          bool   // all tasks are to be killed; the caller then calls EpochEnded
+	Token           uint64 // a new highest fencing token, to be persisted; 0: none
 	StagingCommands *protocol.StoreOrders
 	LeaseEnd        time.Duration
 }
 
-// Worker is a worker's side of the protocol: a state machine without I/O. Time
-// and events go in, Effects come out. It owns the attempts on its machine.
+// Worker is a worker's side of the protocol: a state machine without I/O. Its
+// methods take the time and an event, and return Effects. It owns the attempts on
+// its machine.
 type Worker struct {
-	identity    protocol.Heartbeat // the fields that stay
+	identity    protocol.Heartbeat // the heartbeat fields that never change
 	room        Room
 	periods     Periods
 	controllers []Controller
@@ -97,7 +99,7 @@
 	epoch          agentEpoch
 	sequence       uint64 // of the last heartbeat written
 	fencingToken   uint64
-	tokenChangedAt time.Duration // when a higher token last counted as a change
+	tokenChangedAt time.Duration // when a higher token last caused an early heartbeat
 	preemption     preemptionNotice
 	heartbeats     heartbeatSchedule
 
@@ -110,8 +112,8 @@
 	doneAt map[TaskAttempt]time.Duration
 }
 
-// agentEpoch is the present agent epoch: the time in which tasks run under one
-// unbroken lease.
+// agentEpoch is the current agent epoch: the period in which tasks run under one
+// uninterrupted lease.
 type agentEpoch struct {
 	number     uint64
 	startedAt  time.Duration
@@ -119,43 +121,42 @@
 	ending     bool          // the epoch is over; its tasks are being ended
 }
 
-// preemptionNotice is the cloud's notice that it takes the machine back.
+// preemptionNotice is the cloud's notice that it will take the machine back.
 type preemptionNotice struct {
 	at       time.Duration
 	received bool
 }
 
-// heartbeatSchedule says when the next heartbeat leaves, and to whom.
+// heartbeatSchedule determines when the next heartbeat is sent, and to which controller.
 type heartbeatSchedule struct {
 	controller int // index of the controller that is tried next
 	inflight   bool
 	nextAt     time.Duration
 	lastAt     time.Duration
-	sent       bool // there was a heartbeat before
-	changed    bool // something changed since the last one
+	sent       bool // a heartbeat was sent before
+	changed    bool // the state to report changed since the last heartbeat
 }
 
-// jobDescriptions are the descriptions of jobs of which attempts are here.
+// jobDescriptions holds the descriptions of the jobs that have attempts on this machine.
 type jobDescriptions struct {
 	descriptions map[string]*protocol.JobDescription
-	describing   map[string]bool // being asked for
+	describing   map[string]bool // jobs whose description is being fetched
 }
 
-// imageStates are the images on the machine, by name.
+// imageStates records, by name, which images are on the machine and which are being fetched.
 type imageStates struct {
 	present  map[string]bool
 	fetching map[string]bool
 }
 
-// NewWorker makes a worker that begins the given agent epoch. fencingToken is the
-// highest one
-// that an earlier process on this machine has kept.
-func NewWorker(me protocol.Heartbeat, room Room, p Periods, nodes []Controller, epoch, fencingToken uint64, rnd *rand.Rand) *Worker {
-	me.Tasks = nil
+// NewWorker returns a worker that begins the given agent epoch. fencingToken is the
+// highest token that an earlier process on this machine has persisted.
+func NewWorker(identity protocol.Heartbeat, room Room, p Periods, controllers []Controller, epoch, fencingToken uint64, random *rand.Rand) *Worker {
+	identity.Tasks = nil
 	return &Worker{
-		identity: me, room: room, periods: p, controllers: nodes, random: rnd,
+		identity: identity, room: room, periods: p, controllers: controllers, random: random,
 		epoch: agentEpoch{number: epoch}, fencingToken: fencingToken,
-		heartbeats: heartbeatSchedule{controller: rnd.IntN(len(nodes))},
+		heartbeats: heartbeatSchedule{controller: random.IntN(len(controllers))},
 		tasks:      map[TaskAttempt]*taskState{},
 		jobs:       jobDescriptions{descriptions: map[string]*protocol.JobDescription{}, describing: map[string]bool{}},
 		images:     imageStates{present: map[string]bool{}, fetching: map[string]bool{}},
@@ -165,7 +166,7 @@
 
 func (w *Worker) lease() time.Duration { return seconds(w.periods.Lease) }
 
-// leaseEnd is when the agent epoch ends unless a heartbeat is answered.
+// leaseEnd returns the time at which the agent epoch ends unless a heartbeat is answered before.
 func (w *Worker) leaseEnd() time.Duration {
 	return max(w.epoch.startedAt, w.epoch.answeredAt) + w.lease()
 }
@@ -194,7 +195,7 @@
 	return out
 }
 
-// Due is when the worker must look at the clock again.
+// Due returns the time by which Tick must be called next.
 func (w *Worker) Due() time.Duration {
 	next := w.leaseEnd() + 1
 	if w.epoch.ending {
@@ -223,7 +224,7 @@
 	return max(next, w.now+time.Millisecond)
 }
 
-// heartbeatTime is when the next heartbeat is to be sent.
+// heartbeatTime returns the time at which the next heartbeat is to be sent.
 func (w *Worker) heartbeatTime() time.Duration {
 	if w.heartbeats.changed && w.heartbeats.sent {
 		return min(w.heartbeats.nextAt, max(w.heartbeats.lastAt+minHeartbeatInterval, w.now))
@@ -231,7 +232,7 @@
 	return w.heartbeats.nextAt
 }
 
-// Tick lets time pass.
+// Tick advances the worker's clock to now.
 func (w *Worker) Tick(now time.Duration) Effects {
 	w.advance(now)
 	return w.takeEffects()
@@ -243,9 +244,9 @@
 		return
 	}
 	if w.now > w.leaseEnd() {
-		// Nobody may count on what is here from now on. The new epoch
-		// begins when all of it is gone, and not before: its first heartbeat is
-		// the evidence of that.
+		// From now on nobody may rely on the tasks of this epoch. The new epoch
+		// must not begin before all of them are gone, because its first heartbeat
+		// is the evidence that they are.
 		w.epoch.ending = true
 		w.effects.EndAll = true
 		return
@@ -263,7 +264,7 @@
 	}
 }
 
-// advanceTask lets time pass for one attempt.
+// advanceTask performs the transitions of one attempt that are due at the current time.
 func (w *Worker) advanceTask(task *taskState) {
 	if task.phase == checkpointing && w.now >= task.killAt {
 		w.endProcess(task, protocol.CauseStopped)
@@ -287,7 +288,7 @@
 	w.heartbeats.changed = true
 }
 
-// endWithoutProcess ends an attempt that has no process.
+// endWithoutProcess marks an attempt without a running process as ended.
 func (w *Worker) endWithoutProcess(task *taskState, cause string) {
 	task.cause = cause
 	w.setPhase(task, ended)
@@ -298,7 +299,7 @@
 	w.cancelUnusedFetch(task)
 }
 
-// cancelUnusedFetch gives a fetch up that no task waits for any more.
+// cancelUnusedFetch cancels the fetch of an attempt's image if no task waits for the image any more.
 func (w *Worker) cancelUnusedFetch(task *taskState) {
 	if task.description == nil || !w.images.fetching[task.description.Image] {
 		return
@@ -309,8 +310,8 @@
 		}
 	}
 	delete(w.images.fetching, task.description.Image)
-	// What one step begins and gives up again is not begun at all: effects of
-	// a step have no order among kinds.
+	// A fetch that is both requested and cancelled in one step is not started at
+	// all, because the kinds of effects of a step have no order among them.
 	if i := slices.Index(w.effects.Fetch, task.description.Image); i >= 0 {
 		w.effects.Fetch = slices.Delete(w.effects.Fetch, i, i+1)
 		return
@@ -318,7 +319,8 @@
 	w.effects.Leave = append(w.effects.Leave, task.description.Image)
 }
 
-// endProcess ends an attempt that has a process; it is over when that is gone.
+// endProcess kills an attempt that has a process; the attempt is over when all its processes
+// are gone.
 func (w *Worker) endProcess(task *taskState, cause string) {
 	task.finalCause = cause
 	w.setPhase(task, ending)
@@ -334,7 +336,9 @@
 	w.effects.Start = append(w.effects.Start, task.id)
 }
 
-// applyDescription goes on with an attempt whose job is known now.
+// applyDescription stores the description of an attempt's job and starts fetching its image and
+// inputs. It ends the attempt if the index is not one of the job's or the resources don't
+// suffice.
 func (w *Worker) applyDescription(task *taskState, d *protocol.JobDescription) {
 	if task.id.Index >= d.Tasks {
 		w.endWithoutProcess(task, protocol.CauseUnknown)
@@ -346,8 +350,8 @@
 			used = Room{used.CPUs + o.description.CPUs, used.GPUs + o.description.GPUs, used.RAM + o.description.MemoryGB}
 		}
 	}
-	const eps = 1e-6 // sums of decimal amounts
-	if used.CPUs+d.CPUs > w.room.CPUs+eps || used.GPUs+d.GPUs > w.room.GPUs+eps || used.RAM+d.MemoryGB > w.room.RAM+eps {
+	const tolerance = 1e-6 // for rounding errors in sums of decimal amounts
+	if used.CPUs+d.CPUs > w.room.CPUs+tolerance || used.GPUs+d.GPUs > w.room.GPUs+tolerance || used.RAM+d.MemoryGB > w.room.RAM+tolerance {
 		w.endWithoutProcess(task, protocol.CauseNoRoom)
 		return
 	}
@@ -361,20 +365,21 @@
 	} else if !w.images.fetching[d.Image] {
 		w.images.fetching[d.Image] = true
 		if i := slices.Index(w.effects.Leave, d.Image); i >= 0 {
-			w.effects.Leave = slices.Delete(w.effects.Leave, i, i+1) // it goes on
+			w.effects.Leave = slices.Delete(w.effects.Leave, i, i+1) // the fetch that was about to be cancelled continues
 			return
 		}
 		w.effects.Fetch = append(w.effects.Fetch, d.Image)
 	}
 }
 
-// Live tells whether an attempt is here and not over.
+// Live reports whether an attempt is on this machine and not over.
 func (w *Worker) Live(k TaskAttempt) bool {
 	task := w.tasks[k]
 	return task != nil && task.phase != ended && !w.epoch.ending
 }
 
-// startIfReady goes on with an attempt whose image is here.
+// startIfReady starts an attempt whose image is present, unless inputs are still missing. An
+// attempt of a completed job ends as done, and a gang's waits for the other tasks.
 func (w *Worker) startIfReady(task *taskState) {
 	switch {
 	case task.needsInputs:
@@ -388,7 +393,7 @@
 	}
 }
 
-// NeedsImage tells whether a task that is not over needs an image.
+// NeedsImage reports whether a task that is not over needs an image.
 func (w *Worker) NeedsImage(image string) bool {
 	for _, task := range w.tasks {
 		if task.description != nil && task.description.Image == image && task.phase != ended {
@@ -398,18 +403,18 @@
 	return false
 }
 
-// Epoch is the number of the present agent epoch.
+// Epoch returns the number of the current agent epoch.
 func (w *Worker) Epoch() uint64 { return w.epoch.number }
 
-// Description is the job's, nil if no attempt of it is here.
+// Description returns a job's description, or nil if none of its attempts is on this machine.
 func (w *Worker) Description(id string) *protocol.JobDescription { return w.jobs.descriptions[id] }
 
-// Descriptions lists the jobs of which attempts are here, in no order.
+// Descriptions returns, in no order, the jobs that have attempts on this machine.
 func (w *Worker) Descriptions() []*protocol.JobDescription {
 	return slices.Collect(maps.Values(w.jobs.descriptions))
 }
 
-// Attempts lists the attempts of a job that are here, in no order.
+// Attempts returns, in no order, the attempts of a job on this machine.
 func (w *Worker) Attempts(id string) (out []TaskAttempt) {
 	for k := range w.tasks {
 		if k.Job == id {
@@ -419,7 +424,7 @@
 	return out
 }
 
-// Count tells how many attempts are here and how many of them are not over.
+// Count returns the number of attempts on this machine and how many of them are not over.
 func (w *Worker) Count() (all, live int) {
 	for _, task := range w.tasks {
 		if task.phase != ended {
--- a/internal/agent/worker_commands.go
+++ b/internal/agent/worker_commands.go
@@ -10,8 +10,8 @@
 	"silvergate/internal/protocol"
 )
 
-// ErrEndingEpoch is returned while the tasks of an agent epoch that is over are
-// being ended: any answer would say too much or too little.
+// ErrEndingEpoch is returned after the end of an agent epoch while its tasks are still being
+// killed: any status would report too many or too few of them.
 var ErrEndingEpoch = errors.New("the session has ended; its tasks are being stopped")
 
 // Status answers GET /status.
@@ -23,7 +23,7 @@
 	return protocol.Encode(w.buildHeartbeat()), w.takeEffects(), nil
 }
 
-// Direct answers POST /orders: commands that come from a controller directly.
+// Direct answers POST /orders, which carries commands sent directly by a controller.
 func (w *Worker) Direct(now time.Duration, body []byte) (status int, answer []byte, e Effects) {
 	w.advance(now)
 	var d struct {
@@ -52,7 +52,7 @@
 	return http.StatusOK, protocol.Encode(w.buildHeartbeat()), w.takeEffects()
 }
 
-// execute executes commands one after the other.
+// execute carries out commands in order.
 func (w *Worker) execute(commands []protocol.Command) {
 	for _, command := range commands {
 		id, index, err := job.ParseTaskName(command.Task)
@@ -79,7 +79,7 @@
 	}
 }
 
-// dropDescription forgets a job's description with its last attempt.
+// dropDescription deletes a job's description if the job has no attempts on this machine any more.
 func (w *Worker) dropDescription(id string) {
 	for k := range w.tasks {
 		if k.Job == id {
@@ -91,9 +91,9 @@
 
 func (w *Worker) launch(k TaskAttempt, grant string) {
 	if (len(w.tasks)+1)*maxTaskStatusBytes > maxHeartbeatBytes {
-		// Guards against a heartbeat that no request could carry: refusals are
-		// listed too. What is not listed is launched again with a later
-		// answer, when others were forgotten.
+		// Guards against a heartbeat that exceeds the size of a request: refused
+		// attempts are listed too. The controller repeats the launch of an attempt
+		// that is not listed in a later answer, when others were forgotten.
 		return
 	}
 	task := &taskState{id: k, phaseSince: w.now, grant: grant}
@@ -122,9 +122,9 @@
 	case describing, fetching, waiting:
 		w.endWithoutProcess(task, protocol.CauseStopped)
 	case finished:
-		// Guards against a gang of which some tasks are done and one was
-		// stopped: its program has completed, and the others may have seen so.
-		// What becomes of it shows within gang_peer_s.
+		// Guards against a gang in which some tasks are done and one is stopped:
+		// this task's program has completed, and the other agents may have seen
+		// that. The outcome is known within gang_peer_s.
 	case checkpointed:
 		if grace == 0 {
 			w.endWithoutProcess(task, protocol.CauseStopped)
--- a/internal/agent/worker_events.go
+++ b/internal/agent/worker_events.go
@@ -7,8 +7,8 @@
 	"silvergate/internal/protocol"
 )
 
-// InputsFetched takes that an attempt's inputs are all here, whole, or can't be had;
-// full says that there is no room for them.
+// InputsFetched records that all inputs of an attempt are present and complete, or that
+// fetching them failed with err. full reports that there is no space for them.
 func (w *Worker) InputsFetched(now time.Duration, k TaskAttempt, err error, full bool) Effects {
 	w.advance(now)
 	task := w.tasks[k]
@@ -27,14 +27,14 @@
 	return w.takeEffects()
 }
 
-// SetStoreReport takes what the heartbeats are to say of the store; soon has the next one
-// sent early.
+// SetStoreReport sets the part of the heartbeats about the store of data sets. If soon is
+// set, the next heartbeat is sent early.
 func (w *Worker) SetStoreReport(r *protocol.StoreReport, soon bool) {
 	w.storeReport = r
 	w.heartbeats.changed = w.heartbeats.changed || soon
 }
 
-// Grant is what came with an attempt's launch for the archive.
+// Grant returns the archive grant that came with an attempt's launch.
 func (w *Worker) Grant(k TaskAttempt) string {
 	if task := w.tasks[k]; task != nil {
 		return task.grant
@@ -42,11 +42,11 @@
 	return ""
 }
 
-// SetUnshipped takes how many attempts that are over have output which is not shipped.
+// SetUnshipped sets the number of ended attempts whose output is not yet shipped to the archive.
 func (w *Worker) SetUnshipped(n int) { w.unshipped = n }
 
-// Described takes a job's description; a nil one with unknown set when no
-// controller knows the job. A nil one without it is asked for again.
+// Described records the result of fetching a job's description. If d is nil, unknown reports
+// that no controller knows the job; otherwise the description is requested again.
 func (w *Worker) Described(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
 	w.advance(now)
 	delete(w.jobs.describing, id)
@@ -72,7 +72,7 @@
 	return w.takeEffects()
 }
 
-// Fetched takes that an image is here, or can't be had.
+// Fetched records that an image is present, or that fetching it failed with err.
 func (w *Worker) Fetched(now time.Duration, image string, err error) Effects {
 	w.advance(now)
 	delete(w.images.fetching, image)
@@ -97,16 +97,16 @@
 	return w.takeEffects()
 }
 
-// ImageEvicted takes that an image is not here any more.
+// ImageEvicted records that an image is no longer on this machine.
 func (w *Worker) ImageEvicted(image string) { delete(w.images.present, image) }
 
-// Exit is how an attempt's program ended.
+// Exit describes how an attempt's program ended.
 type Exit struct {
 	Code  int  // 0: success
-	Saved bool // a checkpoint was completed after it was asked to stop
+	Saved bool // a checkpoint was completed after the program was asked to stop
 }
 
-// Exited takes that all processes of an attempt are gone.
+// Exited records that all processes of an attempt are gone.
 func (w *Worker) Exited(now time.Duration, k TaskAttempt, x Exit) Effects {
 	w.advance(now)
 	task := w.tasks[k]
@@ -123,7 +123,7 @@
 		task.checkpointed = x.Saved
 		w.endWithoutProcess(task, protocol.CauseStopped)
 	case task.description.Shape == job.Service || x.Code != 0:
-		w.endWithoutProcess(task, protocol.CauseError) // replicas have no end of their own
+		w.endWithoutProcess(task, protocol.CauseError) // replicas of a service never end by themselves
 	case w.hasGangPeers(task):
 		w.setPhase(task, finished)
 		task.gangCompleteAt, task.nextGangCheckAt = w.now, w.now
@@ -133,7 +133,7 @@
 	return w.takeEffects()
 }
 
-// Preempt takes the cloud's notice: the machine is taken at that time.
+// Preempt records the cloud's notice that it takes the machine back at the given time.
 func (w *Worker) Preempt(now, at time.Duration) Effects {
 	w.now = max(w.now, now)
 	if !w.preemption.received {
@@ -144,8 +144,8 @@
 	return w.takeEffects()
 }
 
-// EndEpoch ends the agent epoch as if its lease were over, and tells whether it went on until
-// now. All tasks have to be ended then; EpochEnded follows.
+// EndEpoch ends the agent epoch as if its lease had expired, and reports whether the epoch was
+// still running. If so, the caller must kill all tasks and then call EpochEnded.
 func (w *Worker) EndEpoch() bool {
 	if w.epoch.ending {
 		return false
@@ -154,8 +154,8 @@
 	return true
 }
 
-// EpochEnded takes that nothing of the last agent epoch runs any more. The
-// caller has made the new epoch's number durable.
+// EpochEnded records that no process of the last agent epoch is running any more, and begins
+// the next epoch. The caller has persisted the new epoch's number.
 func (w *Worker) EpochEnded(now time.Duration) Effects {
 	w.now = max(w.now, now)
 	if w.epoch.ending {
@@ -173,7 +173,7 @@
 	return w.takeEffects()
 }
 
-// Restarted begins the next agent epoch as a restarted agent does: all that ran is gone.
+// Restarted begins the next agent epoch as a restarted agent does: all earlier tasks are gone.
 func (w *Worker) Restarted(now time.Duration) Effects {
 	w.epoch.ending = true
 	return w.EpochEnded(now)
--- a/internal/agent/worker_gang.go
+++ b/internal/agent/worker_gang.go
@@ -7,14 +7,14 @@
 	"silvergate/internal/protocol"
 )
 
-// hasGangPeers tells whether the attempt has others that it depends on.
+// hasGangPeers reports whether the attempt belongs to a gang with other tasks.
 func (w *Worker) hasGangPeers(task *taskState) bool {
 	return task.description != nil && task.description.Shape == job.Gang && task.description.Tasks > 1
 }
 
-// advanceGangTask decides what a gang's task does next, from what is known of the others.
+// advanceGangTask performs the transitions of a gang's task that follow from the states of the other tasks.
 func (w *Worker) advanceGangTask(task *taskState) {
-	peer := seconds(w.periods.GangPeer)
+	peerTimeout := seconds(w.periods.GangPeer)
 	switch task.phase {
 	case waiting:
 		switch {
@@ -26,7 +26,7 @@
 	case running:
 		if task.allPeersIn("waiting", "running", "finished", "saving", "saved", gangDone) {
 			task.gangCompleteAt = w.now
-		} else if w.now-task.gangCompleteAt > peer {
+		} else if w.now-task.gangCompleteAt > peerTimeout {
 			w.endProcess(task, protocol.CauseGangMemberLost)
 		}
 	case finished:
@@ -35,7 +35,7 @@
 			w.endWithoutProcess(task, protocol.CauseDone)
 		case task.allPeersIn("running", "finished", gangDone):
 			task.gangCompleteAt = w.now
-		case w.now-task.gangCompleteAt > peer:
+		case w.now-task.gangCompleteAt > peerTimeout:
 			w.endWithoutProcess(task, protocol.CauseGangMemberLost)
 		}
 	case checkpointed:
@@ -44,13 +44,13 @@
 			task.checkpointed = true
 			w.endWithoutProcess(task, protocol.CauseStopped)
 		case task.allPeersIn("saving", "saved", "ended") && w.now < task.killAt:
-		case w.now-task.stopRequestedAt > peer:
+		case w.now-task.stopRequestedAt > peerTimeout:
 			w.endWithoutProcess(task, protocol.CauseGangMemberLost)
 		}
 	}
 }
 
-// Peers takes what the agents of a gang's other tasks say.
+// Peers records the states that the agents of a gang's other tasks have returned.
 func (w *Worker) Peers(now time.Duration, k TaskAttempt, states map[int]string) Effects {
 	w.now = max(w.now, now)
 	if task := w.tasks[k]; task != nil && task.phase != ended && !w.epoch.ending {
@@ -60,7 +60,8 @@
 	return w.takeEffects()
 }
 
-// Gang lists the attempts of a gang on this machine, for the others' agents.
+// Gang returns, by task index, the states of a gang's attempts on this machine, for the agents of
+// its other tasks.
 func (w *Worker) Gang(id string, attempt int) map[int]string {
 	out := map[int]string{}
 	for k := range w.doneAt {
--- a/internal/agent/worker_heartbeat.go
+++ b/internal/agent/worker_heartbeat.go
@@ -8,7 +8,7 @@
 	"silvergate/internal/protocol"
 )
 
-// buildHeartbeat writes the heartbeat as things stand.
+// buildHeartbeat returns a heartbeat with the current state and the next sequence number.
 func (w *Worker) buildHeartbeat() protocol.Heartbeat {
 	w.sequence++
 	r := w.identity
@@ -20,7 +20,8 @@
 	}
 	r.Tasks = make([]protocol.TaskStatus, 0, len(w.tasks))
 	for _, task := range w.sortedTasks() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.id.TaskName(), Attempt: task.id.Attempt, Status: reportedStates[task.phase], Cause: task.cause, Checkpointed: task.checkpointed})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.id.TaskName(), Attempt: task.id.Attempt,
+			Status: reportedStates[task.phase], Cause: task.cause, Checkpointed: task.checkpointed})
 	}
 	return r
 }
@@ -28,10 +29,11 @@
 func (w *Worker) sendHeartbeat() {
 	w.heartbeats.inflight, w.heartbeats.sent, w.heartbeats.changed = true, true, false
 	w.heartbeats.lastAt = w.now
-	w.effects.Heartbeat = &HeartbeatSend{Controller: w.controllers[w.heartbeats.controller], Body: protocol.Encode(w.buildHeartbeat()), Epoch: w.epoch.number, SentAt: w.now}
+	w.effects.Heartbeat = &HeartbeatSend{Controller: w.controllers[w.heartbeats.controller], Body: protocol.Encode(w.buildHeartbeat()),
+		Epoch: w.epoch.number, SentAt: w.now}
 }
 
-// Answered takes what came of a heartbeat: status 0 when no answer came in time.
+// Answered records the outcome of a heartbeat; status is 0 if no answer came in time.
 func (w *Worker) Answered(now time.Duration, s *HeartbeatSend, status int, body []byte) Effects {
 	w.advance(now)
 	w.heartbeats.inflight = false
@@ -39,8 +41,9 @@
 	case http.StatusOK:
 		w.heartbeats.nextAt = w.now + seconds(w.periods.Heartbeat*(0.75+0.5*w.random.Float64()))
 		var a protocol.HeartbeatResponse
-		if s.Epoch != w.epoch.number || w.epoch.ending || w.now-s.SentAt > answerTimeout || protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.fencingToken {
-			break // dropped: neither obeyed nor renewing
+		if s.Epoch != w.epoch.number || w.epoch.ending || w.now-s.SentAt > answerTimeout ||
+			protocol.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.fencingToken {
+			break // dropped: its commands are not carried out, and it does not renew the lease
 		}
 		w.epoch.answeredAt = max(w.epoch.answeredAt, s.SentAt)
 		w.acceptToken(a.FencingToken)
@@ -67,7 +70,7 @@
 	w.heartbeats.nextAt = w.now + controllerRetryDelay
 }
 
-// acceptToken takes a fencing token that is no lower than any before.
+// acceptToken records a fencing token that is no lower than any before.
 func (w *Worker) acceptToken(token uint64) {
 	if token == w.fencingToken {
 		return
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -21,38 +21,38 @@
 	testRoom        = Room{CPUs: 4, GPUs: 0, RAM: 3}
 )
 
-// workerHarness drives a worker as an agent would, with a world that draws what happens.
+// workerHarness drives a worker as an agent would; the tests draw the events at random.
 type workerHarness struct {
 	worker              *Worker
 	now                 time.Duration
 	heartbeat           *HeartbeatSend
-	alive               map[TaskAttempt]bool // attempts whose processes run
+	alive               map[TaskAttempt]bool // attempts whose processes are running
 	fetches             map[string]bool
 	descriptionRequests []string
-	ending              bool
+	clear               bool
 	started             map[TaskAttempt]int // in this agent epoch
 	fail                func(format string, args ...any)
 }
 
 func newWorkerHarness(fail func(string, ...any)) *workerHarness {
-	me := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
-	return &workerHarness{worker: NewWorker(me, testRoom, testPeriods, testControllers, 1, 0, rand.New(rand.NewPCG(1, 2))),
+	identity := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
+	return &workerHarness{worker: NewWorker(identity, testRoom, testPeriods, testControllers, 1, 0, rand.New(rand.NewPCG(1, 2))),
 		alive: map[TaskAttempt]bool{}, fetches: map[string]bool{}, started: map[TaskAttempt]int{}, fail: fail}
 }
 
-// apply does what a step wants done.
+// apply carries out the effects of a step and checks them.
 func (b *workerHarness) apply(e Effects) {
 	if e.Heartbeat != nil {
 		if b.heartbeat != nil {
-			b.fail("two reports in flight")
+			b.fail("two heartbeats in flight")
 		}
-		if b.ending {
-			b.fail("a report while the last session's tasks are being ended")
+		if b.clear {
+			b.fail("a heartbeat while the tasks of the last epoch are being killed")
 		}
 		b.heartbeat = e.Heartbeat
 	}
 	if e.EndAll {
-		b.ending = true
+		b.clear = true
 	}
 	for _, k := range e.Start {
 		if b.alive[k] || b.started[k] > 0 && b.worker.tasks[k] != nil && b.started[k] > 1 {
@@ -68,7 +68,7 @@
 	}
 	for _, k := range e.Forget {
 		delete(b.started, k)
-		if b.alive[k] && !b.ending {
+		if b.alive[k] && !b.clear {
 			b.fail("%v forgotten while its processes run", k)
 		}
 	}
@@ -85,7 +85,7 @@
 	used := Room{}
 	for k, task := range b.worker.tasks {
 		if task.phase == ended && b.alive[k] {
-			b.fail("%v reported over (%s) while its processes run", k, task.cause)
+			b.fail("%v reported as ended (%s) while its processes run", k, task.cause)
 		}
 		if task.description != nil && task.phase != ended {
 			used.CPUs += task.description.CPUs
@@ -93,7 +93,7 @@
 		}
 	}
 	if used.CPUs > testRoom.CPUs || used.RAM > testRoom.RAM {
-		b.fail("more in use than there is: %+v", used)
+		b.fail("more resources in use than the machine has: %+v", used)
 	}
 }
 
@@ -112,8 +112,8 @@
 	return &protocol.JobDescription{ID: id, Shape: shape, Tasks: loads, CPUs: 1, MemoryGB: 1, Image: "img", Priority: "standard"}
 }
 
-// TestWorkerKeepsProtocolInvariants draws commands, answers, ends, pauses and lost
-// messages, and checks after each step what must always hold.
+// TestWorkerKeepsProtocolInvariants draws random commands, answers, process ends, pauses
+// and lost messages, and checks the protocol's invariants after each step.
 func TestWorkerKeepsProtocolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newWorkerHarness(t.Fatalf)
@@ -151,8 +151,8 @@
 				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= answerTimeout && !b.worker.epoch.ending; {
 				case taken:
 					highest, answeredAt = token, max(answeredAt, r.SentAt)
-				case fmt.Sprint(b.worker.Count()) != before && !b.ending:
-					t.Fatalf("an answer under token %d of %d was obeyed", token, highest)
+				case fmt.Sprint(b.worker.Count()) != before && !b.clear:
+					t.Fatalf("an answer with token %d was carried out, while the highest token is %d", token, highest)
 				}
 			case 4:
 				if b.heartbeat != nil {
@@ -164,7 +164,7 @@
 				st, _, e := b.worker.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
 				b.apply(e)
 				if want := token >= highest && epoch == currentEpoch && !b.worker.epoch.ending; (st == 200) != want {
-					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, epoch, currentEpoch)
+					t.Fatalf("direct commands: status %d, token %d of %d, epoch %d of %d", st, token, highest, epoch, currentEpoch)
 				}
 				if st == 200 {
 					highest = token
@@ -200,27 +200,27 @@
 					b.apply(b.worker.Exited(b.now, k, Exit{Code: rapid.IntRange(0, 1).Draw(t, "code"), Saved: rapid.Bool().Draw(t, "saved")}))
 				}
 			case 9:
-				if b.ending {
+				if b.clear {
 					clear(b.alive)
 					clear(b.started)
-					b.ending = false
+					b.clear = false
 					currentEpoch++
 					b.apply(b.worker.EpochEnded(b.now))
 					answeredAt = b.now
 				}
 			}
 			if over := b.now - answeredAt; over > b.worker.lease() != b.worker.epoch.ending && over > b.worker.lease() {
-				t.Fatalf("the lease is over since %v and the session goes on", over-b.worker.lease())
+				t.Fatalf("the lease expired %v ago and the epoch has not ended", over-b.worker.lease())
 			}
 			if b.worker.Epoch() != currentEpoch {
-				t.Fatalf("session %d, expected %d", b.worker.Epoch(), currentEpoch)
+				t.Fatalf("epoch %d, expected %d", b.worker.Epoch(), currentEpoch)
 			}
 		}
 	})
 }
 
-// TestNewEpochStartsAfterOldTasksEnd demands that no heartbeat of a new agent epoch leaves before
-// the old one's processes are gone.
+// TestNewEpochStartsAfterOldTasksEnd requires that no heartbeat of a new agent epoch is
+// sent before the processes of the old epoch are gone.
 func TestNewEpochStartsAfterOldTasksEnd(t *testing.T) {
 	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
@@ -228,31 +228,32 @@
 	b.apply(b.worker.Described(b.now, "wk-000001", jobDescription("wk-000001", job.Array, 1), false))
 	b.apply(b.worker.Fetched(b.now, "img", nil))
 	if len(b.alive) != 1 {
-		t.Fatal("not started")
+		t.Fatal("the task was not started")
 	}
 	b.tick(19 * time.Second)
-	if !b.ending {
-		t.Fatal("the lease did not end")
+	if !b.clear {
+		t.Fatal("the lease did not expire")
 	}
 	if _, _, err := b.worker.Status(b.now); err == nil {
-		t.Fatal("a status was given while tasks were being ended")
+		t.Fatal("a status was returned while tasks were being killed")
 	}
 	if st, _, _ := b.worker.Direct(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
-		t.Fatalf("orders were taken while tasks were being ended: %d", st)
+		t.Fatalf("direct commands were accepted while tasks were being killed: status %d", st)
 	}
 	b.heartbeat = nil
-	b.tick(time.Minute) // bench fails on a heartbeat
+	b.tick(time.Minute) // the harness fails on a heartbeat
 	clear(b.alive)
-	b.ending = false
+	b.clear = false
 	b.apply(b.worker.EpochEnded(b.now))
 	b.tick(0)
 	var r protocol.Heartbeat
 	if b.heartbeat == nil || json.Unmarshal(b.heartbeat.Body, &r) != nil || r.AgentEpoch != 2 || len(r.Tasks) != 0 || r.FencingToken != 7 {
-		t.Fatalf("first report of the new session: %+v", r)
+		t.Fatalf("first heartbeat of the new epoch: %+v", r)
 	}
 }
 
-// TestAnswerToEarlierEpochIsDropped delays an answer past the lease's end.
+// TestAnswerToEarlierEpochIsDropped delays the answer to a heartbeat past the end of the lease, and
+// requires that the next epoch does not carry it out.
 func TestAnswerToEarlierEpochIsDropped(t *testing.T) {
 	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
@@ -260,32 +261,32 @@
 	b.tick(17 * time.Second)
 	late := b.heartbeat
 	b.tick(1100 * time.Millisecond)
-	if late == nil || !b.ending {
-		t.Fatal("no report under way at the end of the lease")
+	if late == nil || !b.clear {
+		t.Fatal("no heartbeat in flight at the end of the lease")
 	}
-	b.ending = false
+	b.clear = false
 	b.apply(b.worker.EpochEnded(b.now))
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 6, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
 	if all, _ := b.worker.Count(); all != 0 || b.worker.fencingToken != 5 {
-		t.Fatalf("%d attempts, token %d", all, b.worker.fencingToken)
+		t.Fatalf("the answer was carried out: %d attempts, token %d", all, b.worker.fencingToken)
 	}
 }
 
-// TestGangsStartAndEndTogether runs a gang of three on three workers that hear
-// of one another with delay, and lets a member go at drawn moments.
+// TestGangsStartAndEndTogether runs a gang of three on three workers that learn
+// one another's states with a delay, and loses one of the workers at a random time.
 func TestGangsStartAndEndTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
 		id := "wk-000009"
 		d := jobDescription(id, job.Gang, n)
 		d.CheckpointIntervalS, d.CheckpointSaveS = 10, 1
-		var bs []*workerHarness
+		var harnesses []*workerHarness
 		for i := range n {
 			b := newWorkerHarness(t.Fatalf)
 			b.tick(0)
 			b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{{Verb: "launch", Task: fmt.Sprintf("%s/%d", id, i), Attempt: 4}}})
 			b.apply(b.worker.Described(b.now, id, d, false))
-			bs = append(bs, b)
+			harnesses = append(harnesses, b)
 		}
 		imageAt := []int{}
 		for range n {
@@ -301,7 +302,7 @@
 		stopAt := rapid.IntRange(0, 200).Draw(t, "stop")
 		startedAt := -1
 		for q := range 300 {
-			for i, b := range bs {
+			for i, b := range harnesses {
 				if q == imageAt[i] {
 					b.apply(b.worker.Fetched(b.now, "img", nil))
 				}
@@ -335,9 +336,9 @@
 					ran++
 					b.apply(b.worker.Exited(b.now, k, Exit{}))
 				}
-				if q%2 == 0 { // what the others say arrives every half second
+				if q%2 == 0 { // the states of the others arrive every half second
 					states := map[int]string{}
-					for j, o := range bs {
+					for j, o := range harnesses {
 						if j == lost && q >= lostAt && lostAt < 100 {
 							continue
 						}
@@ -354,7 +355,7 @@
 			}
 		}
 		causes := map[string]int{}
-		for i, b := range bs {
+		for i, b := range harnesses {
 			if i == lost && lostAt < 100 {
 				continue
 			}
@@ -368,25 +369,26 @@
 			}
 			causes[c]++
 		}
-		// One that is done, or has saved, means that all are or have.
+		// If one task is done, or has saved a checkpoint, all of them must have.
 		for _, c := range []string{protocol.CauseDone, "stopped+saved"} {
-			// Whoever is lost after its program completed or saved was seen by
-			// some and not by others. What holds is judged by what is there.
+			// Other workers may or may not have seen that the program of a lost worker
+			// completed or saved, so this is checked only if no worker is lost.
 			if causes[c] > 0 && len(causes) > 1 && lostAt >= 100 {
-				t.Fatalf("causes %v (lost %d at %d, stop at %d, start at %d, runs %v)", causes, lost, lostAt, stopAt, startedAt, runs)
+				t.Fatalf("the tasks ended with different causes: %v (lost %d at %d, stop at %d, start at %d, runs %v)", causes, lost, lostAt, stopAt, startedAt, runs)
 			}
 		}
 		if causes[protocol.CauseDone] > 0 && ran < n {
 			t.Fatalf("done when %d of %d programs had completed", ran, n)
 		}
 		if lostAt >= 100 && stopAt >= 199 && causes[protocol.CauseDone] != n {
-			t.Fatalf("nothing happened, and yet: %v", causes)
+			t.Fatalf("no worker was lost and no task was stopped, but the causes are %v", causes)
 		}
 	})
 }
 
 // TestLargestHeartbeatFitsIntoARequest fills a machine with as many attempts as it
-// takes, and its store's part with the most that is reported.
+// accepts and the store report with as many entries as it may list, and requires that the
+// heartbeat fits into a request.
 func TestLargestHeartbeatFitsIntoARequest(t *testing.T) {
 	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
@@ -410,6 +412,6 @@
 	}
 	var r protocol.Heartbeat
 	if json.Unmarshal(b.heartbeat.Body, &r) != nil || len(r.Tasks) < 300 {
-		t.Fatalf("%d attempts are told", len(r.Tasks))
+		t.Fatalf("only %d attempts are listed", len(r.Tasks))
 	}
 }
