--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -26,8 +26,8 @@
 	"silvergate/internal/protocol"
 )
 
-// The test binary stands in for the program: it is started again for tasks, as a
-// watchdog, and as an agent that can be killed.
+// TestMain makes the test binary act as the agent's program: tests start it again as a task's
+// process, as a watchdog, and as an agent that can be killed.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 {
 		var err error
@@ -41,7 +41,7 @@
 			raw, _ := os.ReadFile(os.Args[2])
 			if err = json.Unmarshal(raw, &cfg); err == nil {
 				var a *Agent
-				if a, err = New(cfg, os.Args[0], quiet); err == nil {
+				if a, err = New(cfg, os.Args[0], discardLog); err == nil {
 					err = a.Run()
 				}
 			}
@@ -51,36 +51,36 @@
 			os.Exit(1)
 		}
 	}
-	// Generated inputs come from a fixed seed, so that a verdict repeats.
+	// Generated inputs come from a fixed seed, so that results are reproducible.
 	_ = flag.Set("rapid.seed", "20261201")
 	_ = flag.Set("rapid.checks", "1000")
 	os.Exit(m.Run())
 }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// controller is a stand-in: it answers heartbeats with whatever commands are due and
-// keeps the last heartbeat.
-type controller struct {
-	t        *testing.T
-	srv      *httptest.Server
-	mu       sync.Mutex
-	commands []protocol.Command
-	jobs     map[string]protocol.JobDescription
-	last     protocol.Heartbeat
-	causes   map[string]string // by "load#try"
-	silent   bool
-	each     func(r protocol.Heartbeat)
+// fakeController answers heartbeats with the queued commands, serves job descriptions, and
+// records the last heartbeat and the causes of ended attempts.
+type fakeController struct {
+	t           *testing.T
+	srv         *httptest.Server
+	mu          sync.Mutex
+	commands    []protocol.Command
+	jobs        map[string]protocol.JobDescription
+	last        protocol.Heartbeat
+	causes      map[string]string // by "task#attempt"
+	unavailable bool
+	onHeartbeat func(r protocol.Heartbeat)
 }
 
-func newController(t *testing.T) *controller {
-	c := &controller{t: t, jobs: map[string]protocol.JobDescription{}, causes: map[string]string{}}
+func newFakeController(t *testing.T) *fakeController {
+	c := &fakeController{t: t, jobs: map[string]protocol.JobDescription{}, causes: map[string]string{}}
 	c.srv = httptest.NewServer(http.HandlerFunc(c.serve))
 	t.Cleanup(c.srv.Close)
 	return c
 }
 
-func (c *controller) serve(w http.ResponseWriter, r *http.Request) {
+func (c *fakeController) serve(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ref, ok := strings.CutPrefix(r.URL.Path, protocol.PathJobs+"/"); ok {
@@ -94,8 +94,8 @@
 	var rep protocol.Heartbeat
 	_ = json.NewDecoder(r.Body).Decode(&rep)
 	c.last = rep
-	if c.each != nil {
-		c.each(rep)
+	if c.onHeartbeat != nil {
+		c.onHeartbeat(rep)
 	}
 	for _, task := range rep.Tasks {
 		if task.Status == protocol.TaskEnded {
@@ -106,7 +106,7 @@
 			c.causes[fmt.Sprintf("%s#%d", task.Task, task.Attempt)] = cause
 		}
 	}
-	if c.silent {
+	if c.unavailable {
 		w.WriteHeader(503)
 		return
 	}
@@ -114,31 +114,31 @@
 	c.commands = nil
 }
 
-func (c *controller) order(o ...protocol.Command) {
+func (c *fakeController) send(o ...protocol.Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.commands = append(c.commands, o...)
 }
 
-// await waits until a condition holds, and names it when it never does.
-func (c *controller) await(what string, ok func() bool) {
+// await waits until a condition holds, and fails the test after 20 seconds without it.
+func (c *fakeController) await(what string, ok func() bool) {
 	c.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		c.mu.Lock()
-		good := ok()
+		holds := ok()
 		c.mu.Unlock()
-		if good {
+		if holds {
 			return
 		}
 		if time.Now().After(until) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.t.Fatalf("%s: never; causes %v, last report %+v", what, c.causes, c.last)
+			c.t.Fatalf("%s: did not happen; causes %v, last heartbeat %+v", what, c.causes, c.last)
 		}
 	}
 }
 
-func (c *controller) job(id, script string, change func(*protocol.JobDescription)) {
+func (c *fakeController) add(id, script string, change func(*protocol.JobDescription)) {
 	d := protocol.JobDescription{ID: id, Shape: job.Array, Tasks: 9, CPUs: 0.1, MemoryGB: 0.5, Image: "sh", Priority: "idle",
 		Extra: &job.Extra{Command: []string{"/bin/sh", "-c", script}}}
 	if change != nil {
@@ -149,7 +149,7 @@
 	c.jobs[id] = d
 }
 
-func testConfig(t *testing.T, c *controller) Config {
+func testConfig(t *testing.T, c *fakeController) Config {
 	cfg := DefaultConfig()
 	cfg.Worker, cfg.MachineType, cfg.Zone = "i-1", "r", "z"
 	cfg.Dir, cfg.OutsideDir = filepath.Join(t.TempDir(), "m"), t.TempDir()
@@ -165,7 +165,7 @@
 }
 
 func runAgent(t *testing.T, cfg Config) *Agent {
-	a, err := New(cfg, os.Args[0], quiet)
+	a, err := New(cfg, os.Args[0], discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,28 +181,29 @@
 }
 
 // TestTasksRunAndEndWhole runs real programs: one that succeeds, one that
-// fails, one that takes too much memory, one whose children leave its group, one
-// that saves, and one that nobody can start.
+// fails, one that uses too much memory, one whose child leaves its process group,
+// one that saves a checkpoint, and one that doesn't exist. It also launches a task
+// with an unknown image and one of an unknown job.
 func TestTasksRunAndEndWhole(t *testing.T) {
-	c := newController(t)
+	c := newFakeController(t)
 	cfg := testConfig(t, c)
-	c.job("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.JobDescription) { d.Extra.Env = map[string]string{"WORD": "hello"} })
-	c.job("wk-000002", `exit 3`, nil)
-	c.job("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.JobDescription) { d.MemoryGB = 0.1 })
-	c.job("wk-000004", `setsid sleep 1000 & echo $! > left; sleep 1000 & wait`, nil)
-	c.job("wk-000005", `trap 'echo saved > $SILVERGATE_CHECKPOINTS/7; touch $SILVERGATE_CHECKPOINTS/7.complete; exit 0' TERM; echo ready; while :; do sleep 0.05; done`,
+	c.add("wk-000001", `echo "task $SILVERGATE_TASK says $WORD"; pwd`, func(d *protocol.JobDescription) { d.Extra.Env = map[string]string{"WORD": "hello"} })
+	c.add("wk-000002", `exit 3`, nil)
+	c.add("wk-000003", `exec awk 'BEGIN { s = "x"; while (length(s) < 400000000) s = s s; while (1) {} }'`, func(d *protocol.JobDescription) { d.MemoryGB = 0.1 })
+	c.add("wk-000004", `setsid sleep 1000 & echo $! > left; sleep 1000 & wait`, nil)
+	c.add("wk-000005", `trap 'echo saved > $SILVERGATE_CHECKPOINTS/7; touch $SILVERGATE_CHECKPOINTS/7.complete; exit 0' TERM; echo ready; while :; do sleep 0.05; done`,
 		func(d *protocol.JobDescription) { d.CheckpointIntervalS, d.CheckpointSaveS = 100, 1 })
-	c.job("wk-000006", ``, func(d *protocol.JobDescription) { d.Extra.Command = []string{"no-such-program"} })
-	c.job("wk-000007", ``, func(d *protocol.JobDescription) { d.Image = "unknown" })
+	c.add("wk-000006", ``, func(d *protocol.JobDescription) { d.Extra.Command = []string{"no-such-program"} })
+	c.add("wk-000007", ``, func(d *protocol.JobDescription) { d.Image = "unknown" })
 	runAgent(t, cfg)
-	for i := 1; i <= 8; i++ { // the last is of a job that nobody knows
-		c.order(launch(fmt.Sprintf("wk-%06d", i), 0))
+	for i := 1; i <= 8; i++ { // the controller doesn't know the job of the last one
+		c.send(launch(fmt.Sprintf("wk-%06d", i), 0))
 	}
 	file := func(i int, name string) string {
 		b, _ := os.ReadFile(filepath.Join(cfg.Dir, tasksDir, fmt.Sprintf("wk-%06d.0.1", i), name))
 		return string(b)
 	}
-	c.await("the first endings", func() bool { return len(c.causes) == 6 })
+	c.await("the ends of the first tasks", func() bool { return len(c.causes) == 6 })
 	for i, want := range []string{"", "done", "error", "error", "", "", "error", "error", "unknown"} {
 		if got := c.causes[fmt.Sprintf("wk-%06d/0#1", i)]; got != want {
 			t.Errorf("job %d: %q, expected %q", i, got, want)
@@ -212,40 +213,41 @@
 		t.Errorf("output: %q", out)
 	}
 	if !strings.Contains(file(6, stderr), "no-such-program") {
-		t.Errorf("why it was not started: %q", file(6, stderr))
+		t.Errorf("the reason why the program was not started is missing: %q", file(6, stderr))
 	}
-	c.await("the program's child", func() bool { return file(4, workDir+"/left") != "" && strings.Contains(file(5, stdout), "ready") })
+	c.await("the program's child process", func() bool { return file(4, workDir+"/left") != "" && strings.Contains(file(5, stdout), "ready") })
 	left, _ := strconv.Atoi(strings.TrimSpace(file(4, workDir+"/left")))
 	id, err := proc.Identify(left)
 	if err != nil {
 		t.Fatal(err)
 	}
 	grace := 10.0
-	c.order(protocol.Command{Verb: "kill", Task: "wk-000004/0", Attempt: 1}, protocol.Command{Verb: "kill", Task: "wk-000005/0", Attempt: 1, GracePeriodS: &grace})
+	c.send(protocol.Command{Verb: "kill", Task: "wk-000004/0", Attempt: 1}, protocol.Command{Verb: "kill", Task: "wk-000005/0", Attempt: 1, GracePeriodS: &grace})
 	c.await("the kills", func() bool { return len(c.causes) == 8 })
 	if c.causes["wk-000004/0#1"] != "stopped" || id.Alive() {
-		t.Errorf("%s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
+		t.Errorf("killed task: cause %s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
 	}
-	if c.causes["wk-000005/0#1"] != "stopped+saved" || (outsideStore{cfg.OutsideDir}).resume("wk-000005", 0, 9, false) != 7 {
-		t.Errorf("saved: %s", c.causes["wk-000005/0#1"])
+	if c.causes["wk-000005/0#1"] != "stopped+saved" || (sharedStore{cfg.OutsideDir}).resume("wk-000005", 0, 9, false) != 7 {
+		t.Errorf("task that saved a checkpoint: cause %s", c.causes["wk-000005/0#1"])
 	}
-	// The result is kept: the same task started again does not run again.
-	c.order(protocol.Command{Verb: "forget", Task: "wk-000001/0", Attempt: 1}, protocol.Command{Verb: "launch", Task: "wk-000001/0", Attempt: 2})
+	// The result is stored: when the same task is launched again, its program does not run again.
+	c.send(protocol.Command{Verb: "forget", Task: "wk-000001/0", Attempt: 1}, protocol.Command{Verb: "launch", Task: "wk-000001/0", Attempt: 2})
 	c.await("the repeated task", func() bool { return c.causes["wk-000001/0#2"] == "done" })
 	if exists(filepath.Join(cfg.Dir, tasksDir, "wk-000001.0.2", execFile)) {
 		t.Error("a task that was done ran again")
 	}
 }
 
-// TestNoTaskOutlivesItsAgentOrLease kills an agent, and stops another, with
-// tasks that run, and demands that these end: at once, and with the lease.
+// TestNoTaskOutlivesItsAgentOrLease kills an agent, and suspends another one, while
+// a task is running. The task must end at once in the first case, and with the lease
+// in the second.
 func TestNoTaskOutlivesItsAgentOrLease(t *testing.T) {
 	for _, how := range []string{"killed", "hangs"} {
 		t.Run(how, func(t *testing.T) {
-			c := newController(t)
+			c := newFakeController(t)
 			cfg := testConfig(t, c)
 			cfg.Workers.Lease = 1.5
-			c.job("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
+			c.add("wk-000001", `echo $$ > pid; exec sleep 1000`, nil)
 			raw, _ := json.Marshal(cfg)
 			file := filepath.Join(t.TempDir(), "agent.json")
 			if err := os.WriteFile(file, raw, 0o600); err != nil {
@@ -264,7 +266,7 @@
 				cmd.Wait()
 				EndTasks(cfg.Dir)
 			}()
-			c.order(launch("wk-000001", 0))
+			c.send(launch("wk-000001", 0))
 			var id proc.ID
 			c.await("the task", func() bool {
 				b, _ := os.ReadFile(filepath.Join(cfg.Dir, tasksDir, "wk-000001.0.1", workDir, "pid"))
@@ -274,11 +276,11 @@
 				}
 				return err == nil && len(c.last.Tasks) == 1 && c.last.Tasks[0].Status == protocol.TaskRunning
 			})
-			// From now on a heartbeat of another agent epoch is evidence.
+			// From now on a heartbeat of a later agent epoch is evidence that the task is gone.
 			early := false
 			c.mu.Lock()
 			epoch := c.last.AgentEpoch
-			c.each = func(r protocol.Heartbeat) { early = early || r.AgentEpoch > epoch && id.Alive() }
+			c.onHeartbeat = func(r protocol.Heartbeat) { early = early || r.AgentEpoch > epoch && id.Alive() }
 			c.mu.Unlock()
 			if how == "killed" {
 				cmd.Process.Kill()
@@ -289,16 +291,17 @@
 				c.await("the end of the task whose agent hangs", func() bool { return !id.Alive() })
 				cmd.Process.Signal(syscall.SIGCONT)
 			}
-			c.await("a new session without tasks", func() bool { return c.last.AgentEpoch > epoch && len(c.last.Tasks) == 0 })
+			c.await("a new epoch without tasks", func() bool { return c.last.AgentEpoch > epoch && len(c.last.Tasks) == 0 })
 			if id.Alive() || early {
-				t.Fatalf("the task runs on: %v; told too early: %v", id.Alive(), early)
+				t.Fatalf("the task is still running: %v; a new epoch was reported while it was running: %v", id.Alive(), early)
 			}
 		})
 	}
 }
 
-// TestImagesStayInside unpacks archives whose names lead out, and demands that
-// nothing appears, neither there nor as an image.
+// TestImagesStayInside unpacks archives that would write outside the image, are too
+// large, contain other things than files, folders and symbolic links, or are missing.
+// None may leave a file behind, neither outside nor as an image.
 func TestImagesStayInside(t *testing.T) {
 	archive := func(headers ...tar.Header) string {
 		path := filepath.Join(t.TempDir(), "image.tar")
@@ -339,39 +342,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.wanted, c.evicted = func(string) bool { return true }, func(string) {}
+		c.needed, c.onEvict = func(string) bool { return true }, func(string) {}
 		got := make(chan error, 1)
 		c.fetch("x", func(err error) { got <- err })
 		if err := <-got; err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: fetched without an error", name)
 		}
 		if _, _, ok := c.folder("x"); ok || exists(out) {
-			t.Errorf("%s: visible", name)
+			t.Errorf("%s: the image, or a file outside it, exists", name)
 		}
 		if left, _ := os.ReadDir(dir); len(left) > 0 {
-			t.Errorf("%s: left behind %v", name, left)
+			t.Errorf("%s: left behind in the cache: %v", name, left)
 		}
 	}
 	good := archive(tar.Header{Name: "bin/run", Typeflag: tar.TypeReg})
 	c, _ := newImageStore(t.TempDir(), 100, []Image{{Name: "x", Path: good}})
-	c.wanted, c.evicted = func(string) bool { return true }, func(string) {}
+	c.needed, c.onEvict = func(string) bool { return true }, func(string) {}
 	got := make(chan error, 1)
 	c.fetch("x", func(err error) { got <- err })
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
 	folder, _, _ := c.folder("x")
-	if p, err := find("run", folder); err != nil || !strings.HasPrefix(p, folder) {
+	if p, err := findProgram("run", folder); err != nil || !strings.HasPrefix(p, folder) {
 		t.Errorf("program of the image: %s %v", p, err)
 	}
 }
 
-// TestConformsToProtocol plays the protocol's sentences.
+// TestConformsToProtocol runs the protocol's conformance cases for workers against an agent.
 func TestConformsToProtocol(t *testing.T) {
 	conformance.Run(t, conformance.Worker, true, func(t *testing.T) conformance.Target {
-		c := newController(t)
-		c.silent = true // the table gives the commands
-		c.job("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
+		c := newFakeController(t)
+		c.unavailable = true // the conformance cases send the commands
+		c.add("wk-000001", "exec sleep 1000", func(d *protocol.JobDescription) { d.CPUs = 4 })
 		cfg := testConfig(t, c)
 		cfg.Workers.Lease = 60
 		a := runAgent(t, cfg)
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -16,38 +16,38 @@
 )
 
 var (
-	testPeriods = Periods{Heartbeat: 3, Lease: 18, GangWait: 35, GangPeer: 4}
-	testNodes   = []Controller{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
-	testRoom    = Room{CPUs: 4, GPUs: 0, RAM: 3}
+	testPeriods     = Periods{Heartbeat: 3, Lease: 18, GangWait: 35, GangPeer: 4}
+	testControllers = []Controller{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
+	testRoom        = Room{CPUs: 4, GPUs: 0, RAM: 3}
 )
 
-// bench drives a worker as an agent would, with a world that draws what happens.
-type bench struct {
-	w         *Worker
-	now       time.Duration
-	heartbeat *HeartbeatSend
-	alive     map[TaskAttempt]bool // attempts whose processes run
-	pulls     map[string]bool
-	asked     []string
-	clear     bool
-	started   map[TaskAttempt]int // in this agent epoch
-	fail      func(format string, args ...any)
+// workerHarness drives a worker as an agent would; the tests draw the events at random.
+type workerHarness struct {
+	worker              *Worker
+	now                 time.Duration
+	heartbeat           *HeartbeatSend
+	alive               map[TaskAttempt]bool // attempts whose processes are running
+	fetches             map[string]bool
+	descriptionRequests []string
+	clear               bool
+	started             map[TaskAttempt]int // in this agent epoch
+	fail                func(format string, args ...any)
 }
 
-func newBench(fail func(string, ...any)) *bench {
-	me := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
-	return &bench{w: NewWorker(me, testRoom, testPeriods, testNodes, 1, 0, rand.New(rand.NewPCG(1, 2))),
-		alive: map[TaskAttempt]bool{}, pulls: map[string]bool{}, started: map[TaskAttempt]int{}, fail: fail}
+func newWorkerHarness(fail func(string, ...any)) *workerHarness {
+	identity := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
+	return &workerHarness{worker: NewWorker(identity, testRoom, testPeriods, testControllers, 1, 0, rand.New(rand.NewPCG(1, 2))),
+		alive: map[TaskAttempt]bool{}, fetches: map[string]bool{}, started: map[TaskAttempt]int{}, fail: fail}
 }
 
-// take does what a step wants done.
-func (b *bench) take(e Effects) {
+// apply carries out the effects of a step and checks them.
+func (b *workerHarness) apply(e Effects) {
 	if e.Heartbeat != nil {
 		if b.heartbeat != nil {
-			b.fail("two reports in flight")
+			b.fail("two heartbeats in flight")
 		}
 		if b.clear {
-			b.fail("a report while the last session's tasks are being ended")
+			b.fail("a heartbeat while the tasks of the last epoch are being killed")
 		}
 		b.heartbeat = e.Heartbeat
 	}
@@ -55,7 +55,7 @@
 		b.clear = true
 	}
 	for _, k := range e.Start {
-		if b.alive[k] || b.started[k] > 0 && b.w.tasks[k] != nil && b.started[k] > 1 {
+		if b.alive[k] || b.started[k] > 0 && b.worker.tasks[k] != nil && b.started[k] > 1 {
 			b.fail("%v started twice", k)
 		}
 		for o := range b.alive {
@@ -73,19 +73,19 @@
 		}
 	}
 	for _, n := range e.Fetch {
-		if b.pulls[n] {
+		if b.fetches[n] {
 			b.fail("image %s fetched twice at once", n)
 		}
-		b.pulls[n] = true
+		b.fetches[n] = true
 	}
 	for _, n := range e.Leave {
-		delete(b.pulls, n)
+		delete(b.fetches, n)
 	}
-	b.asked = append(b.asked, e.Describe...)
+	b.descriptionRequests = append(b.descriptionRequests, e.Describe...)
 	used := Room{}
-	for k, task := range b.w.tasks {
+	for k, task := range b.worker.tasks {
 		if task.phase == ended && b.alive[k] {
-			b.fail("%v reported over (%s) while its processes run", k, task.cause)
+			b.fail("%v reported as ended (%s) while its processes run", k, task.cause)
 		}
 		if task.description != nil && task.phase != ended {
 			used.CPUs += task.description.CPUs
@@ -93,31 +93,31 @@
 		}
 	}
 	if used.CPUs > testRoom.CPUs || used.RAM > testRoom.RAM {
-		b.fail("more in use than there is: %+v", used)
+		b.fail("more resources in use than the machine has: %+v", used)
 	}
 }
 
-func (b *bench) tick(d time.Duration) {
+func (b *workerHarness) tick(d time.Duration) {
 	b.now += d
-	b.take(b.w.Tick(b.now))
+	b.apply(b.worker.Tick(b.now))
 }
 
-func (b *bench) answer(status int, v any) {
+func (b *workerHarness) answer(status int, v any) {
 	r := b.heartbeat
 	b.heartbeat = nil
-	b.take(b.w.Answered(b.now, r, status, protocol.Encode(v)))
+	b.apply(b.worker.Answered(b.now, r, status, protocol.Encode(v)))
 }
 
-func describe(id string, shape job.Shape, loads int) *protocol.JobDescription {
+func jobDescription(id string, shape job.Shape, loads int) *protocol.JobDescription {
 	return &protocol.JobDescription{ID: id, Shape: shape, Tasks: loads, CPUs: 1, MemoryGB: 1, Image: "img", Priority: "standard"}
 }
 
-// TestWorkerKeepsTheProtocolsRules draws commands, answers, ends, pauses and lost
-// messages, and checks after each step what must always hold.
-func TestWorkerKeepsTheProtocolsRules(t *testing.T) {
+// TestWorkerKeepsProtocolInvariants draws random commands, answers, process ends, pauses
+// and lost messages, and checks the protocol's invariants after each step.
+func TestWorkerKeepsProtocolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t.Fatalf)
-		jobs := map[string]*protocol.JobDescription{"wk-000001": describe("wk-000001", job.Array, 3), "wk-000002": describe("wk-000002", job.Service, 2)}
+		b := newWorkerHarness(t.Fatalf)
+		jobs := map[string]*protocol.JobDescription{"wk-000001": jobDescription("wk-000001", job.Array, 3), "wk-000002": jobDescription("wk-000002", job.Service, 2)}
 		jobs["wk-000001"].CheckpointIntervalS, jobs["wk-000001"].CheckpointSaveS = 5, 1
 		highest, currentEpoch := uint64(0), uint64(1)
 		answeredAt := time.Duration(0)
@@ -133,7 +133,7 @@
 		}
 		b.tick(0)
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
-			before := fmt.Sprint(b.w.Count())
+			before := fmt.Sprint(b.worker.Count())
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
 				b.tick(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
@@ -145,14 +145,14 @@
 					continue
 				}
 				token := rapid.SampledFrom([]uint64{0, highest, highest, highest + 1, highest / 2}).Draw(t, "token")
-				r, epoch := b.heartbeat, b.w.Epoch()
+				r, epoch := b.heartbeat, b.worker.Epoch()
 				o := commands()
 				b.answer(200, protocol.HeartbeatResponse{FencingToken: token, Commands: o})
-				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= patience && !b.w.epoch.ending; {
+				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= answerTimeout && !b.worker.epoch.ending; {
 				case taken:
 					highest, answeredAt = token, max(answeredAt, r.SentAt)
-				case fmt.Sprint(b.w.Count()) != before && !b.clear:
-					t.Fatalf("an answer under token %d of %d was obeyed", token, highest)
+				case fmt.Sprint(b.worker.Count()) != before && !b.clear:
+					t.Fatalf("an answer with token %d was carried out, while the highest token is %d", token, highest)
 				}
 			case 4:
 				if b.heartbeat != nil {
@@ -161,32 +161,32 @@
 			case 5:
 				token := rapid.SampledFrom([]uint64{highest, highest + 1, highest / 2}).Draw(t, "token")
 				epoch := rapid.SampledFrom([]uint64{currentEpoch, currentEpoch, currentEpoch + 1}).Draw(t, "shift")
-				st, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
-				b.take(e)
-				if want := token >= highest && epoch == currentEpoch && !b.w.epoch.ending; (st == 200) != want {
-					t.Fatalf("direct orders: %d, token %d of %d, session %d of %d", st, token, highest, epoch, currentEpoch)
+				st, _, e := b.worker.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
+				b.apply(e)
+				if want := token >= highest && epoch == currentEpoch && !b.worker.epoch.ending; (st == 200) != want {
+					t.Fatalf("direct commands: status %d, token %d of %d, epoch %d of %d", st, token, highest, epoch, currentEpoch)
 				}
 				if st == 200 {
 					highest = token
 				}
 			case 6:
-				asked := b.asked
-				b.asked = nil
+				asked := b.descriptionRequests
+				b.descriptionRequests = nil
 				for _, id := range asked {
 					if rapid.IntRange(0, 3).Draw(t, "described") == 0 {
-						b.take(b.w.Described(b.now, id, nil, false))
+						b.apply(b.worker.Described(b.now, id, nil, false))
 					} else {
-						b.take(b.w.Described(b.now, id, jobs[id], jobs[id] == nil))
+						b.apply(b.worker.Described(b.now, id, jobs[id], jobs[id] == nil))
 					}
 				}
 			case 7:
-				for n := range b.pulls {
-					delete(b.pulls, n)
+				for n := range b.fetches {
+					delete(b.fetches, n)
 					var err error
 					if rapid.IntRange(0, 4).Draw(t, "fetched") == 0 {
 						err = errors.New("no")
 					}
-					b.take(b.w.Fetched(b.now, n, err))
+					b.apply(b.worker.Fetched(b.now, n, err))
 				}
 			case 8:
 				var live []TaskAttempt
@@ -197,7 +197,7 @@
 				if len(live) > 0 {
 					k := rapid.SampledFrom(live).Draw(t, "exits")
 					delete(b.alive, k)
-					b.take(b.w.Exited(b.now, k, Exit{Code: rapid.IntRange(0, 1).Draw(t, "code"), Saved: rapid.Bool().Draw(t, "saved")}))
+					b.apply(b.worker.Exited(b.now, k, Exit{Code: rapid.IntRange(0, 1).Draw(t, "code"), Saved: rapid.Bool().Draw(t, "saved")}))
 				}
 			case 9:
 				if b.clear {
@@ -205,87 +205,88 @@
 					clear(b.started)
 					b.clear = false
 					currentEpoch++
-					b.take(b.w.EpochEnded(b.now))
+					b.apply(b.worker.EpochEnded(b.now))
 					answeredAt = b.now
 				}
 			}
-			if over := b.now - answeredAt; over > b.w.lease() != b.w.epoch.ending && over > b.w.lease() {
-				t.Fatalf("the lease is over since %v and the session goes on", over-b.w.lease())
+			if over := b.now - answeredAt; over > b.worker.lease() != b.worker.epoch.ending && over > b.worker.lease() {
+				t.Fatalf("the lease expired %v ago and the epoch has not ended", over-b.worker.lease())
 			}
-			if b.w.Epoch() != currentEpoch {
-				t.Fatalf("session %d, expected %d", b.w.Epoch(), currentEpoch)
+			if b.worker.Epoch() != currentEpoch {
+				t.Fatalf("epoch %d, expected %d", b.worker.Epoch(), currentEpoch)
 			}
 		}
 	})
 }
 
-// TestNewSessionIsEvidence demands that no heartbeat of a new agent epoch leaves before
-// the old one's processes are gone.
-func TestNewSessionIsEvidence(t *testing.T) {
-	b := newBench(t.Fatalf)
+// TestNewEpochStartsAfterOldTasksEnd requires that no heartbeat of a new agent epoch is
+// sent before the processes of the old epoch are gone.
+func TestNewEpochStartsAfterOldTasksEnd(t *testing.T) {
+	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 7, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
-	b.take(b.w.Described(b.now, "wk-000001", describe("wk-000001", job.Array, 1), false))
-	b.take(b.w.Fetched(b.now, "img", nil))
+	b.apply(b.worker.Described(b.now, "wk-000001", jobDescription("wk-000001", job.Array, 1), false))
+	b.apply(b.worker.Fetched(b.now, "img", nil))
 	if len(b.alive) != 1 {
-		t.Fatal("not started")
+		t.Fatal("the task was not started")
 	}
 	b.tick(19 * time.Second)
 	if !b.clear {
-		t.Fatal("the lease did not end")
+		t.Fatal("the lease did not expire")
 	}
-	if _, _, err := b.w.Status(b.now); err == nil {
-		t.Fatal("a status was given while tasks were being ended")
+	if _, _, err := b.worker.Status(b.now); err == nil {
+		t.Fatal("a status was returned while tasks were being killed")
 	}
-	if st, _, _ := b.w.Direct(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
-		t.Fatalf("orders were taken while tasks were being ended: %d", st)
+	if st, _, _ := b.worker.Direct(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
+		t.Fatalf("direct commands were accepted while tasks were being killed: status %d", st)
 	}
 	b.heartbeat = nil
-	b.tick(time.Minute) // bench fails on a heartbeat
+	b.tick(time.Minute) // the harness fails on a heartbeat
 	clear(b.alive)
 	b.clear = false
-	b.take(b.w.EpochEnded(b.now))
+	b.apply(b.worker.EpochEnded(b.now))
 	b.tick(0)
 	var r protocol.Heartbeat
 	if b.heartbeat == nil || json.Unmarshal(b.heartbeat.Body, &r) != nil || r.AgentEpoch != 2 || len(r.Tasks) != 0 || r.FencingToken != 7 {
-		t.Fatalf("first report of the new session: %+v", r)
+		t.Fatalf("first heartbeat of the new epoch: %+v", r)
 	}
 }
 
-// TestAnswerOfAnEarlierSessionIsDropped delays an answer past the lease's end.
-func TestAnswerOfAnEarlierSessionIsDropped(t *testing.T) {
-	b := newBench(t.Fatalf)
+// TestAnswerToEarlierEpochIsDropped delays the answer to a heartbeat past the end of the lease, and
+// requires that the next epoch does not carry it out.
+func TestAnswerToEarlierEpochIsDropped(t *testing.T) {
+	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 5})
 	b.tick(17 * time.Second)
 	late := b.heartbeat
 	b.tick(1100 * time.Millisecond)
 	if late == nil || !b.clear {
-		t.Fatal("no report under way at the end of the lease")
+		t.Fatal("no heartbeat in flight at the end of the lease")
 	}
 	b.clear = false
-	b.take(b.w.EpochEnded(b.now))
+	b.apply(b.worker.EpochEnded(b.now))
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 6, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
-	if all, _ := b.w.Count(); all != 0 || b.w.fencingToken != 5 {
-		t.Fatalf("%d attempts, token %d", all, b.w.fencingToken)
+	if all, _ := b.worker.Count(); all != 0 || b.worker.fencingToken != 5 {
+		t.Fatalf("the answer was carried out: %d attempts, token %d", all, b.worker.fencingToken)
 	}
 }
 
-// TestGangsStartAndEndTogether runs a gang of three on three workers that hear
-// of one another with delay, and lets a member go at drawn moments.
+// TestGangsStartAndEndTogether runs a gang of three on three workers that learn
+// one another's states with a delay, and loses one of the workers at a random time.
 func TestGangsStartAndEndTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
 		id := "wk-000009"
-		d := describe(id, job.Gang, n)
+		d := jobDescription(id, job.Gang, n)
 		d.CheckpointIntervalS, d.CheckpointSaveS = 10, 1
-		var bs []*bench
+		var harnesses []*workerHarness
 		for i := range n {
-			b := newBench(t.Fatalf)
+			b := newWorkerHarness(t.Fatalf)
 			b.tick(0)
 			b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{{Verb: "launch", Task: fmt.Sprintf("%s/%d", id, i), Attempt: 4}}})
-			b.take(b.w.Described(b.now, id, d, false))
-			bs = append(bs, b)
+			b.apply(b.worker.Described(b.now, id, d, false))
+			harnesses = append(harnesses, b)
 		}
 		imageAt := []int{}
 		for range n {
@@ -301,20 +302,20 @@
 		stopAt := rapid.IntRange(0, 200).Draw(t, "stop")
 		startedAt := -1
 		for q := range 300 {
-			for i, b := range bs {
+			for i, b := range harnesses {
 				if q == imageAt[i] {
-					b.take(b.w.Fetched(b.now, "img", nil))
+					b.apply(b.worker.Fetched(b.now, "img", nil))
 				}
 				k := TaskAttempt{id, i, 4}
 				if q == stopAt && (i != lost || q < lostAt) {
 					grace := 8.0
-					_, _, e := b.w.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.TaskName(), Attempt: 4, GracePeriodS: &grace}}}))
-					b.take(e)
+					_, _, e := b.worker.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.TaskName(), Attempt: 4, GracePeriodS: &grace}}}))
+					b.apply(e)
 				}
 				if i == lost && q >= lostAt && lostAt < 100 {
 					continue
 				}
-				task := b.w.tasks[k]
+				task := b.worker.tasks[k]
 				if b.alive[k] && startedAt < 0 {
 					startedAt = q
 					for j, at := range imageAt {
@@ -326,26 +327,26 @@
 				switch {
 				case b.alive[k] && task.phase == ending:
 					delete(b.alive, k)
-					b.take(b.w.Exited(b.now, k, Exit{Code: -1}))
+					b.apply(b.worker.Exited(b.now, k, Exit{Code: -1}))
 				case b.alive[k] && task.phase == checkpointing && q >= stopAt+4:
 					delete(b.alive, k)
-					b.take(b.w.Exited(b.now, k, Exit{Saved: true}))
+					b.apply(b.worker.Exited(b.now, k, Exit{Saved: true}))
 				case b.alive[k] && task.phase == running && startedAt >= 0 && q >= startedAt+runs[i]:
 					delete(b.alive, k)
 					ran++
-					b.take(b.w.Exited(b.now, k, Exit{}))
+					b.apply(b.worker.Exited(b.now, k, Exit{}))
 				}
-				if q%2 == 0 { // what the others say arrives every half second
+				if q%2 == 0 { // the states of the others arrive every half second
 					states := map[int]string{}
-					for j, o := range bs {
+					for j, o := range harnesses {
 						if j == lost && q >= lostAt && lostAt < 100 {
 							continue
 						}
-						for i, s := range o.w.Gang(id, 4) {
+						for i, s := range o.worker.Gang(id, 4) {
 							states[i] = s
 						}
 					}
-					b.take(b.w.Peers(b.now, k, states))
+					b.apply(b.worker.Peers(b.now, k, states))
 				}
 				if b.heartbeat != nil {
 					b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{}})
@@ -354,11 +355,11 @@
 			}
 		}
 		causes := map[string]int{}
-		for i, b := range bs {
+		for i, b := range harnesses {
 			if i == lost && lostAt < 100 {
 				continue
 			}
-			task := b.w.tasks[TaskAttempt{id, i, 4}]
+			task := b.worker.tasks[TaskAttempt{id, i, 4}]
 			if task == nil || task.phase != ended {
 				t.Fatalf("task %d is not over: %+v", i, task)
 			}
@@ -368,27 +369,28 @@
 			}
 			causes[c]++
 		}
-		// One that is done, or has saved, means that all are or have.
+		// If one task is done, or has saved a checkpoint, all of them must have.
 		for _, c := range []string{protocol.CauseDone, "stopped+saved"} {
-			// Whoever is lost after its program completed or saved was seen by
-			// some and not by others. What holds is judged by what is there.
+			// Other workers may or may not have seen that the program of a lost worker
+			// completed or saved, so this is checked only if no worker is lost.
 			if causes[c] > 0 && len(causes) > 1 && lostAt >= 100 {
-				t.Fatalf("causes %v (lost %d at %d, stop at %d, start at %d, runs %v)", causes, lost, lostAt, stopAt, startedAt, runs)
+				t.Fatalf("the tasks ended with different causes: %v (lost %d at %d, stop at %d, start at %d, runs %v)", causes, lost, lostAt, stopAt, startedAt, runs)
 			}
 		}
 		if causes[protocol.CauseDone] > 0 && ran < n {
 			t.Fatalf("done when %d of %d programs had completed", ran, n)
 		}
 		if lostAt >= 100 && stopAt >= 199 && causes[protocol.CauseDone] != n {
-			t.Fatalf("nothing happened, and yet: %v", causes)
+			t.Fatalf("no worker was lost and no task was stopped, but the causes are %v", causes)
 		}
 	})
 }
 
-// TestLargestReportFitsIntoARequest fills a machine with as many attempts as it
-// takes, and its store's part with the most that is reported.
-func TestLargestReportFitsIntoARequest(t *testing.T) {
-	b := newBench(t.Fatalf)
+// TestLargestHeartbeatFitsIntoARequest fills a machine with as many attempts as it
+// accepts and the store report with as many entries as it may list, and requires that the
+// heartbeat fits into a request.
+func TestLargestHeartbeatFitsIntoARequest(t *testing.T) {
+	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
 	var commands []protocol.Command
 	for i := range 5000 {
@@ -396,20 +398,20 @@
 	}
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 1 << 60, Commands: commands})
 	s := &protocol.StoreReport{Digest: "0123456789abcdef", Listed: true}
-	for range listed {
+	for range maxListedCopies {
 		s.Copies = append(s.Copies, "0123456789abcdef0123456789abcdef")
 	}
-	for range pulling {
+	for range maxListedFetches {
 		s.Pulls = append(s.Pulls, protocol.StorePull{Copy: s.Copies[0], Done: 1 << 50, Total: 1 << 50, Rate: 123456789.123})
 		s.Failed = append(s.Failed, s.Copies[0])
 	}
-	b.w.Stored(s, true)
+	b.worker.SetStoreReport(s, true)
 	b.tick(time.Second)
 	if b.heartbeat == nil || len(b.heartbeat.Body) > protocol.MaxBody {
 		t.Fatalf("%d bytes", len(b.heartbeat.Body))
 	}
 	var r protocol.Heartbeat
 	if json.Unmarshal(b.heartbeat.Body, &r) != nil || len(r.Tasks) < 300 {
-		t.Fatalf("%d attempts are told", len(r.Tasks))
+		t.Fatalf("only %d attempts are listed", len(r.Tasks))
 	}
 }
