--- a/internal/proc/benchmark_test.go
+++ b/internal/proc/benchmark_test.go
@@ -28,7 +28,7 @@
 			}
 			b.Run("machine", func(b *testing.B) {
 				for b.Loop() {
-					if _, err := (Owner{Mark: "nobody's mark"}).End(patience); err != nil {
+					if _, err := (Owner{Mark: "nobody's mark"}).End(sweepTimeout); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -36,10 +36,10 @@
 			})
 			b.Run("task", func(b *testing.B) {
 				for b.Loop() {
-					if _, err := (Owner{Mark: "nobody's mark", Since: self.Start + 1<<30}).End(patience); err != nil {
+					if _, err := (Owner{Mark: "nobody's mark", Since: self.Start + 1<<30}).End(sweepTimeout); err != nil {
 						b.Fatal(err)
 					}
-					if err := EndOrphans(patience); err != nil {
+					if err := EndOrphans(sweepTimeout); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -49,7 +49,7 @@
 }
 
 func countProcesses(b *testing.B) int {
-	pids, err := processes()
+	pids, err := listPIDs()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/proc/descendants.go
+++ b/internal/proc/descendants.go
@@ -32,19 +32,19 @@
 	if len(running) == 0 {
 		return nil
 	}
-	s.look = func(pid int) sighting {
-		return examine(pid, func(s stat, seen *sighting) {
-			seen.verdict = foreign
-			if !leads(running, s.group) && descends(pid, running) {
-				seen.verdict = member
+	s.classify = func(pid int) observation {
+		return examine(pid, func(s stat, seen *observation) {
+			seen.class = foreign
+			if !leadsGroup(running, s.group) && descendsFrom(pid, running) {
+				seen.class = member
 			}
 		})
 	}
 	return s.endFound()
 }
 
-// leads tells whether one of the leaders has the number of a group.
-func leads(leaders []ID, group int) bool {
+// leadsGroup tells whether one of the leaders has the number of a group.
+func leadsGroup(leaders []ID, group int) bool {
 	for _, leader := range leaders {
 		if leader.PID == group {
 			return true
@@ -53,9 +53,9 @@
 	return false
 }
 
-// descends tells whether a process's parents lead to one of the leaders. When one of them
+// descendsFrom tells whether a process's parents lead to one of the leaders. When one of them
 // ends on the way, its children are handed to another, and the way begins anew.
-func descends(pid int, leaders []ID) bool {
+func descendsFrom(pid int, leaders []ID) bool {
 	for at := pid; ; {
 		s, err := readStat(at)
 		switch {
@@ -88,8 +88,8 @@
 // EndOrphans ends the processes that were handed to this one as their parents ended
 // (KeepOrphans), and returns when they are gone. Children that Start started, and those in
 // this process's own group, are left alone.
-func EndOrphans(patience time.Duration) error {
-	until := time.Now().Add(patience)
+func EndOrphans(timeout time.Duration) error {
+	until := time.Now().Add(timeout)
 	for {
 		orphans, err := listOrphans()
 		if err != nil || len(orphans) == 0 {
@@ -118,7 +118,7 @@
 func listOrphans() ([]ID, error) {
 	started.Lock()
 	defer started.Unlock()
-	pids, err := processes()
+	pids, err := listPIDs()
 	if err != nil {
 		return nil, err
 	}
@@ -146,9 +146,9 @@
 	}
 }
 
-// noteStarted keeps a child that Start has started; the lock of started is held. Those
+// registerChild keeps a child that Start has started; the lock of started is held. Those
 // that are gone are dropped.
-func noteStarted(child ID) {
+func registerChild(child ID) {
 	if started.children == nil {
 		started.children = map[int]uint64{}
 	}
--- a/internal/proc/group.go
+++ b/internal/proc/group.go
@@ -27,7 +27,7 @@
 func Groups() map[int]Usage {
 	out := map[int]Usage{}
 	page := uint64(os.Getpagesize())
-	pids, err := processes()
+	pids, err := listPIDs()
 	if err != nil {
 		return out
 	}
--- a/internal/proc/owner.go
+++ b/internal/proc/owner.go
@@ -27,7 +27,7 @@
 	Signalled int           // were sent SIGKILL, each as often as it was found
 	Looks     int           // at processes
 	Passes    int           // over all processes
-	Took      time.Duration // until all were gone, or patience was over
+	Took      time.Duration // until all were gone, or timeout was over
 }
 
 // LogValue groups the figures of a sweep in a log line.
@@ -69,27 +69,27 @@
 var ErrStillForking = errors.New("processes are started faster than they can be looked at")
 
 // End ends all processes of the owner. It returns no error once all of them are
-// known to be gone, and otherwise, when patience is over, says what is left and why.
-func (o Owner) End(patience time.Duration) (SweepReport, error) {
+// known to be gone, and otherwise, when timeout is over, says what is left and why.
+func (o Owner) End(timeout time.Duration) (SweepReport, error) {
 	began := time.Now()
-	s := sweep{owner: o, until: began.Add(patience)}
+	s := sweep{owner: o, until: began.Add(timeout)}
 	err := s.run()
 	s.report.Took = time.Since(began)
 	return s.report, err
 }
 
 // Count tells how many processes of the owner there are, threads apart, and signals none.
-func (o Owner) Count(patience time.Duration) (int, error) {
-	s := sweep{owner: o, look: o.look, until: time.Now().Add(patience), spares: true}
+func (o Owner) Count(timeout time.Duration) (int, error) {
+	s := sweep{owner: o, classify: o.classify, until: time.Now().Add(timeout), countOnly: true}
 	err := s.pass()
 	return len(s.found), err
 }
 
 // KillMarked ends all processes that carry a mark, or one below it, and waits
-// until they are gone, but no longer than patience. It returns how many are
+// until they are gone, but no longer than timeout. It returns how many are
 // not known to be gone.
-func KillMarked(mark string, patience time.Duration) (left int) {
-	_, err := Owner{Mark: mark}.End(patience)
+func KillMarked(mark string, timeout time.Duration) (left int) {
+	_, err := Owner{Mark: mark}.End(timeout)
 	var remaining *RemainingError
 	switch {
 	case errors.As(err, &remaining):
@@ -102,21 +102,21 @@
 
 // CountMarked tells how many processes carry a mark, or one below it, and have not ended.
 func CountMarked(mark string) int {
-	const patience = time.Second
-	n, _ := Owner{Mark: mark}.Count(patience)
+	const timeout = time.Second
+	n, _ := Owner{Mark: mark}.Count(timeout)
 	return n
 }
 
 // sweep is one run of Owner.End.
 type sweep struct {
-	owner  Owner
-	look   func(pid int) sighting
-	until  time.Time
-	spares bool // signals nobody
-	report SweepReport
+	owner     Owner
+	classify  func(pid int) observation
+	until     time.Time
+	countOnly bool // signals nobody
+	report    SweepReport
 
-	found     []ID       // in this pass, the owner's
-	undecided []sighting // in this pass, to be looked at again
+	found     []ID          // in this pass, the owner's
+	undecided []observation // in this pass, to be looked at again
 }
 
 func (s *sweep) run() error {
@@ -124,7 +124,7 @@
 		return err
 	}
 	s.killGroups()
-	s.look = s.owner.look
+	s.classify = s.owner.classify
 	return s.endFound()
 }
 
@@ -175,33 +175,33 @@
 func (s *sweep) pass() error {
 	s.report.Passes++
 	s.found, s.undecided = nil, nil
-	newest, err := newestNumber()
+	newest, err := newestPID()
 	if err != nil {
 		return err
 	}
-	listed, err := processes()
+	listed, err := listPIDs()
 	if err != nil {
 		return err
 	}
 	for _, pid := range listed {
-		s.visit(pid)
+		s.visitListed(pid)
 	}
 	for {
-		if newest, err = s.chase(newest); err != nil || len(s.undecided) == 0 {
+		if newest, err = s.catchUp(newest); err != nil || len(s.undecided) == 0 {
 			return err
 		}
 		// What is decided only now may have forked meanwhile, so the chase goes on after it.
-		if err := s.decide(); err != nil {
+		if err := s.resolveUndecided(); err != nil {
 			return err
 		}
 	}
 }
 
-// chase looks at every number that was given after the given one, until there is none. It
+// catchUp looks at every number that was given after the given one, until there is none. It
 // returns the last number.
-func (s *sweep) chase(seen int) (int, error) {
+func (s *sweep) catchUp(seen int) (int, error) {
 	for {
-		newest, err := newestNumber()
+		newest, err := newestPID()
 		switch {
 		case err != nil:
 			return 0, err
@@ -213,30 +213,30 @@
 		for seen < newest {
 			seen++
 			if seen != os.Getpid() {
-				s.visitNew(seen)
+				s.visitNewPID(seen)
 			}
 		}
 	}
 }
 
-// visit looks at a process that /proc lists, and ends it if it is the owner's.
-func (s *sweep) visit(pid int) {
+// visitListed looks at a process that /proc lists, and ends it if it is the owner's.
+func (s *sweep) visitListed(pid int) {
 	s.report.Looks++
-	s.take(s.look(pid))
+	s.apply(s.classify(pid))
 }
 
-// visitNew looks at the process or thread of a number that was given just now.
-func (s *sweep) visitNew(number int) {
+// visitNewPID looks at the process or thread of a number that was given just now.
+func (s *sweep) visitNewPID(number int) {
 	s.report.Looks++
-	seen := s.look(number)
-	if seen.verdict != gone && seen.verdict != foreign && isThread(number) {
+	seen := s.classify(number)
+	if seen.class != gone && seen.class != foreign && isThread(number) {
 		return
 	}
-	s.take(seen)
+	s.apply(seen)
 }
 
-func (s *sweep) take(seen sighting) {
-	switch seen.verdict {
+func (s *sweep) apply(seen observation) {
+	switch seen.class {
 	case member:
 		s.report.Members++
 		s.end(seen.id)
@@ -252,25 +252,25 @@
 
 func (s *sweep) end(id ID) {
 	s.found = append(s.found, id)
-	if s.spares {
+	if s.countOnly {
 		return
 	}
 	s.report.Signalled++
 	_ = id.Signal(syscall.SIGKILL) // whether it ends is what awaitFound sees
 }
 
-// decide looks again at what could not be told, until it can be told or is over.
-func (s *sweep) decide() error {
+// resolveUndecided looks again at what could not be told, until it can be told or is over.
+func (s *sweep) resolveUndecided() error {
 	var left []Remaining
-	again := s.undecided
+	pending := s.undecided
 	s.undecided = nil
-	for _, seen := range again {
-		seen = s.lookUntilDecided(seen)
-		if seen.verdict == undecided {
+	for _, seen := range pending {
+		seen = s.examineUntilDecided(seen)
+		if seen.class == undecided {
 			left = append(left, Remaining{seen.id, seen.reason, seen.err})
 			continue
 		}
-		s.take(seen)
+		s.apply(seen)
 	}
 	if len(left) > 0 {
 		return &RemainingError{left}
@@ -278,13 +278,13 @@
 	return nil
 }
 
-// lookUntilDecided looks at a process until it shows whose it is, or is over, or patience
+// examineUntilDecided looks at a process until it shows whose it is, or is over, or timeout
 // is. It does not sleep longer than the process lives.
-func (s *sweep) lookUntilDecided(seen sighting) sighting {
+func (s *sweep) examineUntilDecided(seen observation) observation {
 	const first, longest = time.Millisecond, 16 * time.Millisecond
-	for pause := first; seen.verdict == undecided && time.Now().Before(s.until); pause = min(2*pause, longest) {
+	for pause := first; seen.class == undecided && time.Now().Before(s.until); pause = min(2*pause, longest) {
 		s.report.Looks++
-		if seen = s.look(seen.id.PID); seen.verdict == undecided {
+		if seen = s.classify(seen.id.PID); seen.class == undecided {
 			seen.id.Await(time.Now().Add(pause))
 		}
 	}
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -62,12 +62,12 @@
 	return ID{pid, s.start, boot()}, err
 }
 
-// thisBoot tells whether the identity can belong to a process at all.
-func (id ID) thisBoot() bool { return id.PID > 0 && id.Boot == boot() }
+// fromThisBoot tells whether the identity can belong to a process at all.
+func (id ID) fromThisBoot() bool { return id.PID > 0 && id.Boot == boot() }
 
 // exists tells whether the process is there, if only as one that was not waited for.
 func (id ID) exists() bool {
-	if !id.thisBoot() {
+	if !id.fromThisBoot() {
 		return false
 	}
 	s, err := readStat(id.PID)
@@ -77,16 +77,16 @@
 // Alive tells whether the process still runs, in any of its threads. One that has ended
 // and was not waited for does not.
 func (id ID) Alive() bool {
-	if !id.thisBoot() {
+	if !id.fromThisBoot() {
 		return false
 	}
 	s, err := readStat(id.PID)
-	return err == nil && s.start == id.Start && !s.over()
+	return err == nil && s.start == id.Start && !s.ended()
 }
 
 // Signal sends a signal to the process, and does nothing if it is gone.
 func (id ID) Signal(sig syscall.Signal) error {
-	if !id.thisBoot() {
+	if !id.fromThisBoot() {
 		return nil
 	}
 	// A descriptor of the process can't come to mean another one between the
@@ -107,7 +107,7 @@
 
 // Await returns when the process is over, or at the given time; it tells whether it is over.
 func (id ID) Await(until time.Time) bool {
-	if !id.thisBoot() {
+	if !id.fromThisBoot() {
 		return true
 	}
 	fd, err := unix.PidfdOpen(id.PID, 0)
--- a/internal/proc/proc_test.go
+++ b/internal/proc/proc_test.go
@@ -16,15 +16,15 @@
 	"time"
 )
 
-// patience is how long a test lets a sweep take.
-const patience = 20 * time.Second
+// sweepTimeout is how long a test lets a sweep take.
+const sweepTimeout = 20 * time.Second
 
 var markCount atomic.Int64
 
 // newMark returns a mark that no other process carries, and ends what is left of it.
 func newMark(t *testing.T) string {
 	mark := fmt.Sprintf("%s/%d/%d", t.Name(), os.Getpid(), markCount.Add(1))
-	t.Cleanup(func() { KillMarked(mark, patience) })
+	t.Cleanup(func() { KillMarked(mark, sweepTimeout) })
 	return mark
 }
 
@@ -103,7 +103,7 @@
 
 // endOwner ends all processes of an owner, or says why they are not gone.
 func endOwner(mark string, leaders ...ID) error {
-	_, err := Owner{Mark: mark, Leaders: leaders}.End(patience)
+	_, err := Owner{Mark: mark, Leaders: leaders}.End(sweepTimeout)
 	return err
 }
 
@@ -119,7 +119,7 @@
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(patience); ; {
+	for until := time.Now().Add(sweepTimeout); ; {
 		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/environ", id.PID))
 		if len(raw) == 0 {
 			break
@@ -200,7 +200,7 @@
 			}
 			return info.Size()
 		}
-		for until := time.Now().Add(patience); size() < 20 && time.Now().Before(until); {
+		for until := time.Now().Add(sweepTimeout); size() < 20 && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		if err := endOwner(mark); err != nil {
@@ -251,7 +251,7 @@
 // awaitPID waits until a file holds a process number and tells whose it is.
 func awaitPID(t *testing.T, path string) ID {
 	t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(sweepTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			continue
@@ -270,9 +270,9 @@
 	return ID{}
 }
 
-// TestAReusedNumberIsLeftAlone signals identities whose number belongs to another process
+// TestAReusedPIDIsLeftAlone signals identities whose number belongs to another process
 // now, or to another boot.
-func TestAReusedNumberIsLeftAlone(t *testing.T) {
+func TestAReusedPIDIsLeftAlone(t *testing.T) {
 	id := shell(t, newMark(t), "exec sleep 1000")
 	earlier, otherBoot := id, id
 	earlier.Start--
@@ -290,9 +290,9 @@
 	}
 }
 
-// TestOthersDoNotHoldASweepUp sweeps beside kernel threads, zombies, processes without an
+// TestForeignProcessesDoNotDelayASweep sweeps beside kernel threads, zombies, processes without an
 // environment, processes in a loop of execve and of fork, and leaves all of them alone.
-func TestOthersDoNotHoldASweepUp(t *testing.T) {
+func TestForeignProcessesDoNotDelayASweep(t *testing.T) {
 	others := newMark(t)
 	zombie := exec.Command("/bin/true")
 	if err := zombie.Start(); err != nil {
@@ -312,7 +312,7 @@
 	if err := endOwner(mark, own); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took > patience/4 {
+	if took := time.Since(began); took > sweepTimeout/4 {
 		t.Errorf("held up for %v", took)
 	}
 	if own.Alive() {
@@ -340,7 +340,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(sweepTimeout); ; time.Sleep(time.Millisecond) {
 		if _, alive := threadsAlive(pid); !alive {
 			return
 		}
@@ -350,9 +350,9 @@
 	}
 }
 
-// TestStartTellsWhoRuns starts a held process that is let go on, and one whose identity
+// TestStartReportsTheIdentity starts a held process that is let go on, and one whose identity
 // can't be kept.
-func TestStartTellsWhoRuns(t *testing.T) {
+func TestStartReportsTheIdentity(t *testing.T) {
 	cmd := helperCommand("held", newMark(t))
 	var kept ID
 	id, err := Start(cmd, func(id ID) error { kept = id; return nil })
@@ -372,10 +372,10 @@
 	}
 }
 
-// TestDrawnTreesEnd draws trees of processes that leave their group, replace their
+// TestRandomProcessTreesEnd draws trees of processes that leave their group, replace their
 // program, fork and end, some with a leader on record, and ends them at a drawn moment of
 // their growth.
-func TestDrawnTreesEnd(t *testing.T) {
+func TestRandomProcessTreesEnd(t *testing.T) {
 	seed := uint64(20261203)
 	random := rand.New(rand.NewPCG(seed, seed))
 	steps := []string{"sleep 1000", "setsid sleep 1000 & sleep 1000", `(sleep 1000 &) ; exec sleep 1000`, "sleep 0.0%d", `setsid sh -c "sleep 1000 & exec sleep 1000" &`,
--- a/internal/proc/sighting.go
+++ b/internal/proc/sighting.go
@@ -16,15 +16,15 @@
 // can be found when its process group can't tell.
 const MarkEnv = "SILVERGATE_MARK"
 
-// verdict is what a look at a process says of whose it is.
-type verdict int
+// class is what a look at a process says of whose it is.
+type class int
 
 const (
-	gone      verdict = iota // there is no such process, or all its threads have ended
-	foreign                  // not the owner's
-	member                   // the owner's, by its group
-	marked                   // the owner's, by its mark
-	undecided                // what it shows can't tell; look again
+	gone      class = iota // there is no such process, or all its threads have ended
+	foreign                // not the owner's
+	member                 // the owner's, by its group
+	marked                 // the owner's, by its mark
+	undecided              // what it shows can't tell; look again
 )
 
 // Reason is why a process is not known to be gone.
@@ -38,53 +38,53 @@
 	ReasonUnreadable Reason = "/proc can't be read"
 )
 
-// sighting is what one look at a process saw.
-type sighting struct {
-	id      ID
-	verdict verdict
-	reason  Reason // why it is undecided
-	err     error  // with ReasonUnreadable
+// observation is what one look at a process saw.
+type observation struct {
+	id     ID
+	class  class
+	reason Reason // why it is undecided
+	err    error  // with ReasonUnreadable
 }
 
-// look looks at the process of a number.
-func (o Owner) look(pid int) sighting { return examine(pid, o.judge) }
+// classify looks at the process of a number.
+func (o Owner) classify(pid int) observation { return examine(pid, o.classifyRunning) }
 
 // examine looks at the process of a number, and has judge tell whose a program is that
 // runs.
-func examine(pid int, judge func(s stat, seen *sighting)) sighting {
-	seen := sighting{id: ID{PID: pid, Boot: boot()}}
+func examine(pid int, judge func(s stat, seen *observation)) observation {
+	seen := observation{id: ID{PID: pid, Boot: boot()}}
 	s, err := readStat(pid)
 	seen.id.Start = s.start
 	switch {
 	case isAbsent(err):
-		seen.verdict = gone
+		seen.class = gone
 	case err != nil:
-		seen.verdict, seen.reason, seen.err = undecided, ReasonUnreadable, err
-	case s.over():
-		seen.verdict = gone
+		seen.class, seen.reason, seen.err = undecided, ReasonUnreadable, err
+	case s.ended():
+		seen.class = gone
 	case s.flags&flagKernelThread != 0:
-		seen.verdict = foreign
+		seen.class = foreign
 	default:
 		judge(s, &seen)
 	}
 	return seen
 }
 
-// judge decides by start time, group and mark.
-func (o Owner) judge(s stat, seen *sighting) {
+// classifyRunning decides by start time, group and mark.
+func (o Owner) classifyRunning(s stat, seen *observation) {
 	switch {
 	case s.start < o.Since:
-		seen.verdict = foreign
-	case o.leads(s.group):
-		seen.verdict = member
+		seen.class = foreign
+	case o.ownsGroup(s.group):
+		seen.class = member
 	default:
-		o.judgeByMark(seen)
+		o.classifyByMark(seen)
 	}
 }
 
-// leads tells whether a process group is one on record. Its number can mean no other
+// ownsGroup tells whether a process group is one on record. Its number can mean no other
 // group while its leader is there.
-func (o Owner) leads(group int) bool {
+func (o Owner) ownsGroup(group int) bool {
 	for _, leader := range o.Leaders {
 		if leader.PID == group && leader.exists() {
 			return true
@@ -93,39 +93,39 @@
 	return false
 }
 
-// judgeByMark decides by the environment of a process whose group does not tell.
-func (o Owner) judgeByMark(seen *sighting) {
+// classifyByMark decides by the environment of a process whose group does not tell.
+func (o Owner) classifyByMark(seen *observation) {
 	raw, err := readEnvironment(seen.id.PID)
 	switch {
 	case len(raw) > 0:
-		seen.verdict = foreign
+		seen.class = foreign
 		if o.hasMark(raw) {
-			seen.verdict = marked
+			seen.class = marked
 		}
 	case errors.Is(err, fs.ErrPermission):
-		seen.verdict = foreign // another user's, or one that has made itself unreadable
+		seen.class = foreign // another user's, or one that has made itself unreadable
 	case err != nil && !isAbsent(err):
-		seen.verdict, seen.reason, seen.err = undecided, ReasonUnreadable, err
+		seen.class, seen.reason, seen.err = undecided, ReasonUnreadable, err
 	default:
-		judgeWithoutEnvironment(seen)
+		classifyWithoutEnvironment(seen)
 	}
 }
 
-// judgeWithoutEnvironment tells a process that has no environment from one that does not
+// classifyWithoutEnvironment tells a process that has no environment from one that does not
 // show it at the moment.
-func judgeWithoutEnvironment(seen *sighting) {
+func classifyWithoutEnvironment(seen *observation) {
 	s, err := readStat(seen.id.PID)
 	switch {
-	case isAbsent(err) || err == nil && (s.start != seen.id.Start || s.over()):
-		seen.verdict = gone
+	case isAbsent(err) || err == nil && (s.start != seen.id.Start || s.ended()):
+		seen.class = gone
 	case err != nil:
-		seen.verdict, seen.reason, seen.err = undecided, ReasonUnreadable, err
+		seen.class, seen.reason, seen.err = undecided, ReasonUnreadable, err
 	case s.withoutEnvironment():
-		seen.verdict = foreign
+		seen.class = foreign
 	case s.flags&flagExiting != 0:
-		seen.verdict, seen.reason = undecided, ReasonEnding
+		seen.class, seen.reason = undecided, ReasonEnding
 	default:
-		seen.verdict, seen.reason = undecided, ReasonReplacing
+		seen.class, seen.reason = undecided, ReasonReplacing
 	}
 }
 
--- a/internal/proc/start.go
+++ b/internal/proc/start.go
@@ -29,7 +29,7 @@
 	}
 	cmd.Env = append(cmd.Env, holdEnv+"=1")
 	cmd.ExtraFiles = append([]*os.File{r}, cmd.ExtraFiles...)
-	id, err := startNoted(cmd)
+	id, err := startRegistered(cmd)
 	r.Close()
 	if cmd.Process == nil {
 		return ID{}, err
@@ -49,15 +49,15 @@
 	return id, nil
 }
 
-// startNoted starts a command so that it is not taken for an orphan.
-func startNoted(cmd *exec.Cmd) (ID, error) {
+// startRegistered starts a command so that it is not taken for an orphan.
+func startRegistered(cmd *exec.Cmd) (ID, error) {
 	started.Lock()
 	defer started.Unlock()
 	if err := cmd.Start(); err != nil {
 		return ID{}, err
 	}
 	id, err := Identify(cmd.Process.Pid)
-	noteStarted(id)
+	registerChild(id)
 	return id, err
 }
 
--- a/internal/proc/stat.go
+++ b/internal/proc/stat.go
@@ -56,9 +56,9 @@
 	return s.endCode != 0 && s.envStart != 0 && s.envStart == s.envEnd
 }
 
-// over tells whether all threads of the process have ended. One whose main thread
+// ended tells whether all threads of the process have ended. One whose main thread
 // alone has ended shows the state of a zombie, too.
-func (s stat) over() bool {
+func (s stat) ended() bool {
 	return s.state == 'X' || s.state == 'Z' && s.threads <= 1
 }
 
@@ -104,8 +104,8 @@
 	return s, errors.Join(errs...)
 }
 
-// processes lists the numbers of all processes but this one.
-func processes() ([]int, error) {
+// listPIDs lists the numbers of all listPIDs but this one.
+func listPIDs() ([]int, error) {
 	dir, err := os.Open("/proc")
 	if err != nil {
 		return nil, err
@@ -124,8 +124,8 @@
 	return out, nil
 }
 
-// newestNumber is the number that a process or thread was given last.
-func newestNumber() (int, error) {
+// newestPID is the number that a process or thread was given last.
+func newestPID() (int, error) {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0, err
--- a/internal/provider/agents.go
+++ b/internal/provider/agents.go
@@ -18,14 +18,14 @@
 	"silvergate/internal/proc"
 )
 
-// endPatience is how long an agent that was ended may take to be gone.
-const endPatience = 5 * time.Second
+// killTimeout is how long an agent that was ended may take to be gone.
+const killTimeout = 5 * time.Second
 
 // endAgent ends an agent and returns when it is gone.
 func endAgent(id proc.ID) {
 	for {
 		_ = id.Signal(syscall.SIGKILL)
-		if id.Await(time.Now().Add(endPatience)) {
+		if id.Await(time.Now().Add(killTimeout)) {
 			return
 		}
 	}
@@ -59,7 +59,7 @@
 	return err
 }
 
-func (p *Provider) address(name string) string {
+func (p *Provider) readAddress(name string) string {
 	raw, err := os.ReadFile(filepath.Join(p.dir(name), agent.AddressFile))
 	if err != nil {
 		return ""
@@ -67,8 +67,8 @@
 	return string(raw)
 }
 
-// lookPeriod is the time between two looks at the agents.
-const lookPeriod = 250 * time.Millisecond
+// checkPeriod is the time between two looks at the agents.
+const checkPeriod = 250 * time.Millisecond
 
 func (p *Provider) tick() {
 	p.mu.Lock()
@@ -80,22 +80,22 @@
 	p.server.Sweep(now)
 	for n, id := range p.agents {
 		switch x := p.market.machines[n]; {
-		case x == nil || x.Leaving:
+		case x == nil || x.Ending:
 		case !id.Alive():
 			delete(p.agents, n)
 			p.log.Info("agent is gone", "machine", n, "pid", id.PID)
 			p.stats.Restarted++
-			p.perform(p.market.Died(now, n))
+			p.perform(p.market.AgentDied(now, n))
 		case x.address == "":
-			p.market.Up(n, p.address(n))
+			p.market.Up(n, p.readAddress(n))
 		}
 	}
 	p.perform(p.market.Tick(now))
-	if now.Sub(p.certified) > time.Hour {
-		p.certified = now
-		go p.recertify()
+	if now.Sub(p.certsCheckedAt) > time.Hour {
+		p.certsCheckedAt = now
+		go p.renewCertificates()
 	}
-	p.timer.Reset(lookPeriod)
+	p.timer.Reset(checkPeriod)
 }
 
 // agent is the configuration of a machine's agent.
@@ -125,8 +125,8 @@
 	return a.Ensure(identity.Identity{Kind: identity.Agent, Name: name}, filepath.Join(dir, certsDir))
 }
 
-// recertify renews the certificates of all machines that are there.
-func (p *Provider) recertify() {
+// renewCertificates renews the certificates of all machines that are there.
+func (p *Provider) renewCertificates() {
 	p.mu.Lock()
 	var names []string
 	for n := range p.agents {
@@ -146,7 +146,7 @@
 func (p *Provider) start(name string) {
 	p.mu.Lock()
 	x := p.market.machines[name]
-	if x == nil || x.Leaving || p.closed {
+	if x == nil || x.Ending || p.closed {
 		p.mu.Unlock()
 		return
 	}
@@ -161,7 +161,7 @@
 	defer p.mu.Unlock()
 	if err != nil {
 		p.log.Error("an agent can't be started", "machine", name, "error", err)
-		p.perform(p.market.Died(time.Now(), name))
+		p.perform(p.market.AgentDied(time.Now(), name))
 		return
 	}
 	p.agents[name] = id
@@ -193,7 +193,7 @@
 		return proc.ID{}, err
 	}
 	defer log.Close()
-	cmd := exec.Command(p.self, "agent", "--settings", path)
+	cmd := exec.Command(p.executable, "agent", "--settings", path)
 	cmd.Dir, cmd.Stderr = dir, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	id, err := proc.Start(cmd, proc.Record(filepath.Join(dir, agentFile)))
@@ -208,14 +208,14 @@
 func (p *Provider) end(name string) {
 	dir := p.dir(name)
 	for !p.endRecordedAgent(name) {
-		time.Sleep(endPatience)
+		time.Sleep(killTimeout)
 	}
 	// The watchdog does the same; whoever is first.
 	for p.endTasks(name) != nil {
-		time.Sleep(lookPeriod)
+		time.Sleep(checkPeriod)
 	}
 	if exists(dir) {
-		p.keepFolder(name, dir)
+		p.retainFolder(name, dir)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -241,9 +241,9 @@
 	return err == nil
 }
 
-// keepFolder keeps the folders of the machines that ended last, for whoever asks why
+// retainFolder keeps the folders of the machines that ended last, for whoever asks why
 // a task failed.
-func (p *Provider) keepFolder(name, dir string) {
+func (p *Provider) retainFolder(name, dir string) {
 	for _, large := range []string{"images", "data/copies", "data/partial"} {
 		_ = os.RemoveAll(filepath.Join(dir, large))
 	}
@@ -252,7 +252,7 @@
 		_ = os.RemoveAll(dir)
 	}
 	old, err := os.ReadDir(root)
-	for i := 0; err == nil && i < len(old)-keptEnded; i++ {
+	for i := 0; err == nil && i < len(old)-maxEndedFolders; i++ {
 		_ = os.RemoveAll(filepath.Join(root, old[i].Name()))
 	}
 }
--- a/internal/provider/database.go
+++ b/internal/provider/database.go
@@ -16,19 +16,19 @@
 
 // Names in the provider's folder.
 const (
-	fileName    = "provider.db"
-	machinesDir = "machines"
-	endedDir    = "ended"
-	agentFile   = "agent.json"
-	configFile  = "agent.yaml"
-	logFile     = "agent.log"
-	certsDir    = "certs"
-	keptEnded   = 50 // folders of machines that are gone
+	fileName        = "provider.db"
+	machinesDir     = "machines"
+	endedDir        = "ended"
+	agentFile       = "agent.json"
+	configFile      = "agent.yaml"
+	logFile         = "agent.log"
+	certsDir        = "certs"
+	maxEndedFolders = 50 // folders of machines that are gone
 )
 
-// create makes an empty file. It gets its name when it is complete: one that is
+// createFile makes an empty file. It gets its name when it is complete: one that is
 // there is never taken for an unfinished one.
-func create(path string) error {
+func createFile(path string) error {
 	tmp := path + ".new"
 	if err := os.RemoveAll(tmp); err != nil {
 		return err
@@ -43,12 +43,12 @@
 	return os.Rename(tmp, path)
 }
 
-// check reads all of the file before it is opened for writing: damage is named,
+// checkFile reads all of the file before it is opened for writing: damage is named,
 // and nothing is written over it. If there is none, one is made.
-func check(path string) error {
+func checkFile(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return create(path)
+		return createFile(path)
 	}
 	if err != nil {
 		return err
@@ -95,11 +95,11 @@
 				return err
 			}
 		}
-		read := func(bucket []byte, take func(raw []byte) error) error {
+		read := func(bucket []byte, decode func(raw []byte) error) error {
 			return tx.Bucket(bucket).ForEach(func(k, v []byte) error {
 				raw, ok := checksum.Open(k, v)
 				if ok {
-					ok = take(raw) == nil
+					ok = decode(raw) == nil
 				}
 				if !ok {
 					return fmt.Errorf("%s is damaged: record %q does not match its checksum; it was left as it is", path, k)
@@ -114,9 +114,9 @@
 				return json.Unmarshal(raw, x)
 			}),
 			read(bucketRentals, func(raw []byte) error {
-				h := &RentalRecord{}
-				rentals = append(rentals, h)
-				return json.Unmarshal(raw, h)
+				rental := &RentalRecord{}
+				rentals = append(rentals, rental)
+				return json.Unmarshal(raw, rental)
 			}),
 			read(bucketNext, func(raw []byte) error { return json.Unmarshal(raw, &next) }))
 	})
--- a/internal/provider/golden_test.go
+++ b/internal/provider/golden_test.go
@@ -68,13 +68,13 @@
 	return lines.String()
 }
 
-// wireProvider is a provider that serves a folder.
-type wireProvider struct {
+// runningProvider is a provider that serves a folder.
+type runningProvider struct {
 	url  string
 	stop func()
 }
 
-func startGoldenProvider(t *testing.T, dir string) *wireProvider {
+func startGoldenProvider(t *testing.T, dir string) *runningProvider {
 	t.Helper()
 	p, err := Open(goldenConfig(t, dir), os.Args[0], slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 	ready, ended := make(chan string, 1), make(chan error, 1)
 	go func() { ended <- p.Run(func(address net.Addr) { ready <- address.String() }) }()
-	w := &wireProvider{stop: sync.OnceFunc(func() {
+	w := &runningProvider{stop: sync.OnceFunc(func() {
 		p.Stop()
 		if err := <-ended; err != nil {
 			t.Error(err)
@@ -99,7 +99,7 @@
 }
 
 // ask sends a request and returns the answer; with a body it is a POST.
-func (w *wireProvider) ask(t *testing.T, path, body string) string {
+func (w *runningProvider) ask(t *testing.T, path, body string) string {
 	t.Helper()
 	method := http.MethodGet
 	if body != "" {
@@ -132,8 +132,8 @@
 	return dir, path
 }
 
-// withoutTaken drops the machine that is being taken from a dump: a provider ends it.
-func withoutTaken(dump string) string {
+// withoutPreempted drops the machine that is being taken from a dump: a provider ends it.
+func withoutPreempted(dump string) string {
 	lines := strings.SplitAfter(dump, "\n")
 	return strings.Join(slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, "machines i-00000005 ") }), "")
 }
@@ -176,13 +176,13 @@
 	// The answer comes when nothing of it is left.
 	w.ask(t, "/rentals/delete", `{"stokers":["i-00000005"]}`)
 	w.stop()
-	if got, want := goldenDump(t, path), withoutTaken(stored); got != want {
+	if got, want := goldenDump(t, path), withoutPreempted(stored); got != want {
 		t.Errorf("the file holds\n%s, not\n%s", got, want)
 	}
 }
 
-// TestGoldenRecordsAreWrittenAlike reads each record and writes it again.
-func TestGoldenRecordsAreWrittenAlike(t *testing.T) {
+// TestGoldenRecordsRoundTrip reads each record and writes it again.
+func TestGoldenRecordsRoundTrip(t *testing.T) {
 	counts := map[string]int{}
 	for line := range strings.Lines(string(goldentest.Read(t, goldenRecords))) {
 		fields := strings.Fields(line)
@@ -208,9 +208,9 @@
 	}
 }
 
-// TestGoldenProviderIsWrittenAlike has machines rented that were not, and one that was
+// TestGoldenProviderWritesTheSameFormat has machines rented that were not, and one that was
 // told of its end, which writes its record anew.
-func TestGoldenProviderIsWrittenAlike(t *testing.T) {
+func TestGoldenProviderWritesTheSameFormat(t *testing.T) {
 	dir, path := copyGoldenFile(t)
 	w := startGoldenProvider(t, dir)
 	before := time.Now().UnixMilli()
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -50,8 +50,8 @@
 	PreemptionMS int64   `json:"recallMs,omitempty"` // when it is taken back; 0: never
 	Noticed      bool    `json:"noticed,omitempty"`
 	Failed       bool    `json:"failed,omitempty"`
-	Leaving      bool    `json:"leaving,omitempty"` // deleted or taken; being ended
-	Taken        bool    `json:"taken,omitempty"`   // by the cloud: stays away from the list
+	Ending       bool    `json:"leaving,omitempty"` // deleted or taken; being ended
+	Preempted    bool    `json:"taken,omitempty"`   // by the cloud: stays away from the list
 	Hourly       float64 `json:"hourly"`
 
 	address string
@@ -69,12 +69,12 @@
 )
 
 // An agent that keeps dying makes its machine a failed one: deathLimit times
-// within deathSpan. Before that it is started again, each time after twice as
+// within deathWindow. Before that it is started again, each time after twice as
 // long a pause.
 const (
-	deathLimit = 5
-	deathSpan  = time.Minute
-	firstPause = 250 * time.Millisecond
+	deathLimit     = 5
+	deathWindow    = time.Minute
+	initialBackoff = 250 * time.Millisecond
 )
 
 // Effects are what a step wants done, in this order: store, then the rest.
@@ -89,26 +89,26 @@
 // Market decides on rentals. It owns the machines' records and does no I/O; the
 // day's clock and chance come with the inputs.
 type Market struct {
-	types    map[string]*MachineType
-	spot     Spot
-	rps      float64
-	random   *rand.Rand
-	machines map[string]*Machine
-	rentals  map[string]*RentalRecord
-	next     uint64
-	level    float64
-	filled   time.Time
-	paid     float64 // for machines that are gone
+	types      map[string]*MachineType
+	spot       Spot
+	rps        float64
+	random     *rand.Rand
+	machines   map[string]*Machine
+	rentals    map[string]*RentalRecord
+	next       uint64
+	tokens     float64
+	refilledAt time.Time
+	paid       float64 // for machines that are gone
 }
 
 // NewMarket makes a market of what is stored. It owns the records from then on.
 func NewMarket(types []MachineType, spot Spot, rps float64, rentals []*RentalRecord, machines []*Machine, next uint64, rnd *rand.Rand) *Market {
-	m := &Market{types: map[string]*MachineType{}, spot: spot, rps: rps, random: rnd, machines: map[string]*Machine{}, rentals: map[string]*RentalRecord{}, next: next, level: 2 * rps}
+	m := &Market{types: map[string]*MachineType{}, spot: spot, rps: rps, random: rnd, machines: map[string]*Machine{}, rentals: map[string]*RentalRecord{}, next: next, tokens: 2 * rps}
 	for i := range types {
 		m.types[types[i].Name] = &types[i]
 	}
-	for _, h := range rentals {
-		m.rentals[h.Name] = h
+	for _, rental := range rentals {
+		m.rentals[rental.Name] = rental
 	}
 	for _, x := range machines {
 		m.machines[x.Name] = x
@@ -147,38 +147,38 @@
 // Admit tells whether a request is within the rate; bursts of two seconds'
 // worth are.
 func (m *Market) Admit(now time.Time) bool {
-	if !m.filled.IsZero() {
-		m.level = min(2*m.rps, m.level+m.rps*max(0, now.Sub(m.filled).Seconds()))
+	if !m.refilledAt.IsZero() {
+		m.tokens = min(2*m.rps, m.tokens+m.rps*max(0, now.Sub(m.refilledAt).Seconds()))
 	}
-	m.filled = now
-	if m.level < 1 {
+	m.refilledAt = now
+	if m.tokens < 1 {
 		return false
 	}
-	m.level--
+	m.tokens--
 	return true
 }
 
 // MachineTypes is the catalogue, in the order of names.
 func (m *Market) MachineTypes() protocol.MachineTypes {
-	f := protocol.MachineTypes{MachineTypes: []protocol.MachineType{}}
+	catalogue := protocol.MachineTypes{MachineTypes: []protocol.MachineType{}}
 	for _, t := range m.types {
 		zones := []string{}
 		for z := range t.Zones {
 			zones = append(zones, z)
 		}
 		slices.Sort(zones)
-		f.MachineTypes = append(f.MachineTypes, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, LocalGB: t.LocalGB, ImagePullGBPerS: t.ImagePullGBPerS,
+		catalogue.MachineTypes = append(catalogue.MachineTypes, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, LocalGB: t.LocalGB, ImagePullGBPerS: t.ImagePullGBPerS,
 			OnDemandPrice: t.OnDemandPrice, SpotPrice: t.SpotPrice, StartupS: t.StartupS, Zones: zones})
 	}
-	slices.SortFunc(f.MachineTypes, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
-	return f
+	slices.SortFunc(catalogue.MachineTypes, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
+	return catalogue
 }
 
 // ErrNoCapacity is the refusal of a rental that may succeed later.
 var ErrNoCapacity = errors.New("no capacity")
 
-// taken counts the machines of a type and zone that are there.
-func (m *Market) taken(machineType, zone string) (n int) {
+// occupied counts the machines of a type and zone that are there.
+func (m *Market) occupied(machineType, zone string) (n int) {
 	for _, x := range m.machines {
 		if x.MachineType == machineType && x.Zone == zone && !x.Failed {
 			n++
@@ -191,22 +191,22 @@
 // ErrNoCapacity when the same request may succeed later.
 func (m *Market) Rent(now time.Time, r protocol.RentalRequest) ([]string, Effects, error) {
 	var e Effects
-	if h := m.rentals[r.RequestID]; h != nil {
-		return h.Machines, e, nil
+	if rental := m.rentals[r.RequestID]; rental != nil {
+		return rental.Machines, e, nil
 	}
 	t := m.types[r.MachineType]
 	if t == nil {
 		return nil, e, fmt.Errorf("rig: no type %q", r.MachineType)
 	}
-	room, ok := t.Zones[r.Zone]
+	capacity, ok := t.Zones[r.Zone]
 	if !ok {
 		return nil, e, fmt.Errorf("depot: type %s can't be had in %q", r.MachineType, r.Zone)
 	}
-	n := min(r.Count, room-m.taken(r.MachineType, r.Zone))
+	n := min(r.Count, capacity-m.occupied(r.MachineType, r.Zone))
 	if n <= 0 {
 		return nil, e, ErrNoCapacity
 	}
-	h := &RentalRecord{Name: r.RequestID, Machines: []string{}}
+	rental := &RentalRecord{Name: r.RequestID, Machines: []string{}}
 	price := t.OnDemandPrice
 	if r.Spot {
 		price = t.SpotPrice
@@ -218,12 +218,12 @@
 			x.PreemptionMS = now.UnixMilli() + int64(m.random.ExpFloat64()*m.spot.MeanLifetimeS*1000)
 		}
 		m.machines[x.Name] = x
-		h.Machines = append(h.Machines, x.Name)
+		rental.Machines = append(rental.Machines, x.Name)
 		e.Store = append(e.Store, x)
 	}
-	m.rentals[h.Name] = h
-	e.Rental = h
-	return h.Machines, e, nil
+	m.rentals[rental.Name] = rental
+	e.Rental = rental
+	return rental.Machines, e, nil
 }
 
 // Delete has machines ended. Unknown names are ignored; those that are being
@@ -235,8 +235,8 @@
 			continue
 		}
 		wait = append(wait, n)
-		if !x.Leaving {
-			x.Leaving = true
+		if !x.Ending {
+			x.Ending = true
 			e.Store = append(e.Store, x)
 			e.End = append(e.End, n)
 		}
@@ -271,7 +271,7 @@
 // Preempt has the cloud take machines back after a notice.
 func (m *Market) Preempt(now time.Time, names []string, notice time.Duration) (e Effects) {
 	for _, n := range names {
-		if x := m.machines[n]; x != nil && !x.Leaving {
+		if x := m.machines[n]; x != nil && !x.Ending {
 			x.PreemptionMS, x.Noticed = now.Add(notice).UnixMilli(), true
 			e.Store = append(e.Store, x)
 			e.Notice = append(e.Notice, n)
@@ -287,9 +287,9 @@
 	for _, n := range m.names() {
 		x := m.machines[n]
 		switch {
-		case x.Leaving || x.Failed:
+		case x.Ending || x.Failed:
 		case x.PreemptionMS > 0 && ms >= x.PreemptionMS:
-			x.Leaving, x.Taken = true, true
+			x.Ending, x.Preempted = true, true
 			e.Store = append(e.Store, x)
 			e.End = append(e.End, n)
 		case x.PreemptionMS > 0 && !x.Noticed && ms >= x.PreemptionMS-int64(m.spot.NoticeS*1000):
@@ -327,18 +327,18 @@
 	}
 }
 
-// Died takes that a machine's agent is gone without having been stopped by the provider.
-func (m *Market) Died(now time.Time, name string) (e Effects) {
+// AgentDied takes that a machine's agent is gone without having been stopped by the provider.
+func (m *Market) AgentDied(now time.Time, name string) (e Effects) {
 	x := m.machines[name]
-	if x == nil || x.Leaving || x.Failed || !x.started {
+	if x == nil || x.Ending || x.Failed || !x.started {
 		return e
 	}
 	x.started = false
 	x.deaths = append(x.deaths, now)
-	for len(x.deaths) > 0 && now.Sub(x.deaths[0]) > deathSpan {
+	for len(x.deaths) > 0 && now.Sub(x.deaths[0]) > deathWindow {
 		x.deaths = x.deaths[1:]
 	}
-	x.retryAt = now.Add(firstPause << len(x.deaths))
+	x.retryAt = now.Add(initialBackoff << len(x.deaths))
 	if len(x.deaths) >= deathLimit {
 		x.Failed = true
 		e.Store = append(e.Store, x)
@@ -351,7 +351,7 @@
 	out := protocol.RentalList{Machines: []protocol.RentedMachine{}}
 	for _, n := range m.names() {
 		x := m.machines[n]
-		if n <= from || x.Taken {
+		if n <= from || x.Preempted {
 			continue
 		}
 		if len(out.Machines) == page {
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -89,11 +89,11 @@
 
 // Provider is a running cloud.
 type Provider struct {
-	cfg    Config
-	self   string
-	log    *slog.Logger
-	db     *bolt.DB
-	server *transport.Server
+	cfg        Config
+	executable string
+	log        *slog.Logger
+	db         *bolt.DB
+	server     *transport.Server
 	// Extra answers paths that are not the protocol's, such as /metrics.
 	Extra func(id uint64, method, path string) bool
 
@@ -105,8 +105,8 @@
 	closed  bool
 	failed  error
 	stats   Stats
-	// certified is when the machines' certificates were last looked at.
-	certified time.Time
+	// certsCheckedAt is when the machines' certificates were last looked at.
+	certsCheckedAt time.Time
 }
 
 // Stats counts what a provider did.
@@ -118,7 +118,7 @@
 
 // Open opens the provider's file, or makes one, and takes up the machines that
 // are there. self is this program, which is started again for each agent.
-func Open(cfg Config, self string, log *slog.Logger) (*Provider, error) {
+func Open(cfg Config, executable string, log *slog.Logger) (*Provider, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
@@ -128,14 +128,14 @@
 		}
 	}
 	path := filepath.Join(cfg.Dir, fileName)
-	if err := check(path); err != nil {
+	if err := checkFile(path); err != nil {
 		return nil, err
 	}
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	p := &Provider{cfg: cfg, self: self, log: log, db: db, agents: map[string]proc.ID{}, waiting: map[string][]func(){}}
+	p := &Provider{cfg: cfg, executable: executable, log: log, db: db, agents: map[string]proc.ID{}, waiting: map[string][]func(){}}
 	if err := p.load(path); err != nil {
 		return nil, errors.Join(err, db.Close())
 	}
@@ -189,10 +189,10 @@
 		}
 		if err == nil && id.Alive() {
 			p.agents[n] = id
-			p.market.Up(n, p.address(n))
+			p.market.Up(n, p.readAddress(n))
 			p.log.Info("agent found again", "machine", n, "pid", id.PID)
 		}
-		if x.Leaving { // its end was under way
+		if x.Ending { // its end was under way
 			go p.end(n)
 		}
 	}
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -71,15 +71,15 @@
 	return c
 }
 
-// TestMarketKeepsItsWord draws rentals, deletions, deaths and restarts.
-func TestMarketKeepsItsWord(t *testing.T) {
+// TestMarketInvariants draws rentals, deletions, deaths and restarts.
+func TestMarketInvariants(t *testing.T) {
 	types := testConfig("/").Types
 	types[0].StartupS = 1
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1e12)
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		spot := Spot{MeanLifetimeS: 20, NoticeS: 5}
-		hires, machines := map[string]RentalRecord{}, map[string]Machine{} // as stored
+		rentals, machines := map[string]RentalRecord{}, map[string]Machine{} // as stored
 		next := uint64(0)
 		m := NewMarket(types, spot, 5, nil, nil, 0, rnd)
 		answers, names := map[string][]string{}, map[string]bool{}
@@ -89,7 +89,7 @@
 				machines[x.Name] = *x
 			}
 			if e.Rental != nil {
-				hires[e.Rental.Name], next = *e.Rental, m.next
+				rentals[e.Rental.Name], next = *e.Rental, m.next
 			}
 			for _, n := range e.Start {
 				if started[n] || ending[n] {
@@ -152,14 +152,14 @@
 			case 4:
 				if len(all) > 0 {
 					n := rapid.SampledFrom(all).Draw(t, "name")
-					store(m.Died(now, n))
+					store(m.AgentDied(now, n))
 					if !ending[n] {
 						delete(started, n)
 					}
 				}
 			case 5: // the provider was killed: only what is stored is left
 				var hs []*RentalRecord
-				for _, h := range hires {
+				for _, h := range rentals {
 					hs = append(hs, &h)
 				}
 				var ms []*Machine
@@ -173,7 +173,7 @@
 			}
 			store(m.Tick(now))
 			for z, room := range types[0].Zones {
-				if n := m.taken("t", z); n > room {
+				if n := m.occupied("t", z); n > room {
 					t.Fatalf("%d machines in %s, which has %d", n, z, room)
 				}
 			}
@@ -328,9 +328,9 @@
 	})
 }
 
-// TestDamageIsNamed changes the provider's file and demands that it is refused by
+// TestDamagedFileIsReportedAndKept changes the provider's file and demands that it is refused by
 // name and left alone.
-func TestDamageIsNamed(t *testing.T) {
+func TestDamagedFileIsReportedAndKept(t *testing.T) {
 	dir := t.TempDir()
 	p, err := Open(testConfig(dir), os.Args[0], quiet)
 	if err != nil {
--- a/internal/site/certs.go
+++ b/internal/site/certs.go
@@ -46,16 +46,16 @@
 	for i := range s.cfg.Archive.Nodes {
 		parties = append(parties, identity.Identity{Kind: identity.Node, Name: archiveName(i)})
 	}
-	for _, who := range parties {
-		if err := a.Ensure(who, filepath.Join(s.Dir, CertsDir, who.Name)); err != nil {
+	for _, party := range parties {
+		if err := a.Ensure(party, filepath.Join(s.Dir, CertsDir, party.Name)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// keepCerts renews what is issued to the site's own parts while it runs.
-func (s *Site) keepCerts(ctx context.Context) {
+// renewCerts renews what is issued to the site's own parts while it runs.
+func (s *Site) renewCerts(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -115,8 +115,8 @@
 	if c.Controllers < 1 || c.Controllers > maxNodes {
 		return fmt.Errorf("controllers: must be from 1 to %d", maxNodes)
 	}
-	if c.OutsideKeepS != 0 && !(c.OutsideKeepS >= leastKeep.Seconds()) {
-		return fmt.Errorf("outside_keep_s: must be 0 or at least %v", leastKeep.Seconds())
+	if c.OutsideKeepS != 0 && !(c.OutsideKeepS >= minOutsideKeep.Seconds()) {
+		return fmt.Errorf("outside_keep_s: must be 0 or at least %v", minOutsideKeep.Seconds())
 	}
 	if len(c.Zones) == 0 {
 		return errors.New("zones: missing")
@@ -237,9 +237,9 @@
 		}
 		p = &Ports{}
 	}
-	var held []net.Listener
+	var listeners []net.Listener
 	defer func() {
-		for _, l := range held {
+		for _, l := range listeners {
 			l.Close()
 		}
 	}()
@@ -252,7 +252,7 @@
 		if err != nil {
 			return err
 		}
-		held = append(held, l)
+		listeners = append(listeners, l)
 		*port = l.Addr().(*net.TCPAddr).Port
 		changed = true
 		return nil
--- a/internal/site/outside.go
+++ b/internal/site/outside.go
@@ -25,10 +25,10 @@
 	// removalPrefix marks a folder that is being removed, so that a removal that was
 	// cut short is gone on with.
 	removalPrefix = ".gone-"
-	// leastKeep is the least time to keep them: commands come minutes late.
-	leastKeep = 10 * time.Minute
-	// sweepAtMost bounds the jobs that one sweep asks about.
-	sweepAtMost = 200
+	// minOutsideKeep is the least time to keep them: commands come minutes late.
+	minOutsideKeep = 10 * time.Minute
+	// maxFoldersPerSweep bounds the jobs that one sweep asks about.
+	maxFoldersPerSweep = 200
 )
 
 // sweepOutside removes the folders of jobs that are over and in which nothing has
@@ -50,7 +50,7 @@
 		case strings.HasPrefix(e.Name(), removalPrefix):
 			errs = append(errs, os.RemoveAll(filepath.Join(dir, e.Name())))
 		case e.IsDir() && protocol.ValidJobID(e.Name()):
-			at, err := newest(filepath.Join(dir, e.Name()))
+			at, err := lastChange(filepath.Join(dir, e.Name()))
 			if err == nil && now.Sub(at) > keep {
 				old = append(old, folder{e.Name(), at})
 			}
@@ -58,7 +58,7 @@
 	}
 	sort.Slice(old, func(i, j int) bool { return old[i].at.Before(old[j].at) })
 	var removed []string
-	for _, f := range old[:min(len(old), sweepAtMost)] {
+	for _, f := range old[:min(len(old), maxFoldersPerSweep)] {
 		if !over(f.jobID) {
 			continue
 		}
@@ -73,8 +73,8 @@
 	return removed, errors.Join(errs...)
 }
 
-// newest is when something last changed in a folder.
-func newest(dir string) (at time.Time, err error) {
+// lastChange is when something last changed in a folder.
+func lastChange(dir string) (at time.Time, err error) {
 	err = filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -91,8 +91,8 @@
 	return at, err
 }
 
-// keepOutside sweeps now and then until ctx ends.
-func (s *Site) keepOutside(ctx context.Context) {
+// sweepOutsideRegularly sweeps now and then until ctx ends.
+func (s *Site) sweepOutsideRegularly(ctx context.Context) {
 	keep := time.Duration(s.cfg.OutsideKeepS * float64(time.Second))
 	if keep <= 0 {
 		return
@@ -105,7 +105,7 @@
 		case <-time.After(max(time.Minute, keep/20)):
 		}
 		removed, err := sweepOutside(filepath.Join(s.Dir, outsideDir), keep, time.Now(), func(jobID string) bool {
-			return ctx.Err() == nil && s.over(pool, jobID)
+			return ctx.Err() == nil && s.isFinished(pool, jobID)
 		})
 		if len(removed) > 0 {
 			s.log.Info("results of jobs that are over were removed", "jobs", len(removed))
@@ -116,11 +116,11 @@
 	}
 }
 
-// over asks the controllers whether a job is done or cancelled, which never
+// isFinished asks the controllers whether a job is done or cancelled, which never
 // changes. No answer, and a job that they don't know, are no.
-func (s *Site) over(pool *transport.Pool, jobID string) bool {
+func (s *Site) isFinished(pool *transport.Pool, jobID string) bool {
 	for _, a := range s.Ports.Addresses() {
-		r := ask(pool, a, protocol.PathJobs+"/"+jobID)
+		r := get(pool, a, protocol.PathJobs+"/"+jobID)
 		var st protocol.JobState
 		if r != nil && json.Unmarshal(r.Body, &st) == nil && st.ID == jobID {
 			return st.Status == string(job.Done) || st.Status == string(job.Cancelled)
--- a/internal/site/outside_test.go
+++ b/internal/site/outside_test.go
@@ -33,9 +33,9 @@
 	make(removalPrefix+"wk-000005", 0) // a removal was cut short
 	make("notes", 2*time.Hour)         // no job's
 	asked := map[string]bool{}
-	removed, err := sweepOutside(dir, time.Hour, now, func(ref string) bool {
-		asked[ref] = true
-		return ref == "wk-000001" || ref == "wk-000003"
+	removed, err := sweepOutside(dir, time.Hour, now, func(jobID string) bool {
+		asked[jobID] = true
+		return jobID == "wk-000001" || jobID == "wk-000003"
 	})
 	if err != nil || strings.Join(removed, " ") != "wk-000001" || asked["wk-000003"] || asked["notes"] {
 		t.Errorf("removed %v, asked %v: %v", removed, asked, err)
--- a/internal/site/up.go
+++ b/internal/site/up.go
@@ -30,17 +30,17 @@
 
 // Site is a site that runs on this machine. Open takes it, Start and Stop run it.
 type Site struct {
-	Dir   string
-	Ports *Ports
-	cfg   *Config
-	self  string
-	log   *slog.Logger
-	lock  *os.File
-	parts []*part
-	start chan func() // to the one thread that starts processes
-	fatal chan error
-	stop  context.CancelFunc
-	wait  sync.WaitGroup
+	Dir           string
+	Ports         *Ports
+	cfg           *Config
+	executable    string
+	log           *slog.Logger
+	lock          *os.File
+	parts         []*part
+	startRequests chan func() // to the one thread that starts processes
+	fatal         chan error
+	stop          context.CancelFunc
+	wait          sync.WaitGroup
 }
 
 // part is a process of the site.
@@ -50,12 +50,12 @@
 	log  io.WriteCloser
 }
 
-// patience is how long a part that was asked to end may take.
-const patience = 10 * time.Second
+// stopTimeout is how long a part that was asked to end may take.
+const stopTimeout = 10 * time.Second
 
 // Open takes the site in a folder, or makes one of settings; nil settings are
 // those of deploy/up.yaml. Processes that an earlier owner left are ended.
-func Open(dir string, settings []byte, self string, log *slog.Logger) (*Site, error) {
+func Open(dir string, settings []byte, executable string, log *slog.Logger) (*Site, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 	}
-	s := &Site{Dir: dir, self: self, log: log, start: make(chan func()), fatal: make(chan error, 1)}
+	s := &Site{Dir: dir, executable: executable, log: log, startRequests: make(chan func()), fatal: make(chan error, 1)}
 	if s.lock, err = os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 	if err := s.endLeftovers(); err != nil {
 		return nil, err
 	}
-	return s, s.write()
+	return s, s.writeConfigs()
 }
 
 // endLeftovers ends the parts of an earlier run, by what was written down of
@@ -124,7 +124,7 @@
 			if err := id.Signal(syscall.SIGKILL); err != nil {
 				return err
 			}
-			if !id.Await(time.Now().Add(patience)) {
+			if !id.Await(time.Now().Add(stopTimeout)) {
 				return fmt.Errorf("process %d of an earlier run can't be ended", id.PID)
 			}
 		}
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// write writes each part's configuration.
-func (s *Site) write() error {
+// writeConfigs writes each part's configuration.
+func (s *Site) writeConfigs() error {
 	l := layout{s.Dir, s.Ports}
 	yamlFile := func(name string, v any) (string, error) {
 		raw, err := yaml.Marshal(v)
@@ -196,18 +196,18 @@
 		// The parts end with the thread that started them, so that one killed
 		// silvergate up leaves none behind: this thread stays.
 		runtime.LockOSThread()
-		for do := range s.start {
+		for do := range s.startRequests {
 			do()
 		}
 	}()
 	s.wait.Add(2)
 	go func() {
 		defer s.wait.Done()
-		s.keepOutside(ctx)
+		s.sweepOutsideRegularly(ctx)
 	}()
 	go func() {
 		defer s.wait.Done()
-		s.keepCerts(ctx)
+		s.renewCerts(ctx)
 	}()
 	for _, p := range s.parts {
 		s.wait.Add(1)
@@ -262,13 +262,13 @@
 
 // run runs a part until it ends, or ends it when ctx does.
 func (s *Site) run(ctx context.Context, p *part) error {
-	cmd := exec.Command(s.self, p.args...)
+	cmd := exec.Command(s.executable, p.args...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = s.Dir, p.log, p.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
 	var id proc.ID
 	select {
-	case s.start <- func() {
+	case s.startRequests <- func() {
 		var err error
 		id, err = proc.Start(cmd, proc.Record(filepath.Join(s.Dir, runDir, p.name+".json")))
 		started <- err
@@ -290,7 +290,7 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(patience):
+	case <-time.After(stopTimeout):
 		s.log.Error("a part did not end when told; it is killed", "part", p.name)
 		_ = id.Signal(syscall.SIGKILL)
 		return <-ended
@@ -310,7 +310,7 @@
 func (s *Site) Stop() {
 	s.stop()
 	s.wait.Wait()
-	close(s.start)
+	close(s.startRequests)
 	for _, p := range s.parts {
 		p.log.Close()
 		_ = os.Remove(filepath.Join(s.Dir, runDir, p.name+".json"))
@@ -323,7 +323,7 @@
 	pool := transport.NewPool(4)
 	for {
 		for _, a := range s.Ports.Addresses() {
-			if ask(pool, a, protocol.PathHealth) != nil {
+			if get(pool, a, protocol.PathHealth) != nil {
 				return nil
 			}
 		}
@@ -337,9 +337,9 @@
 	}
 }
 
-// ask gets a path from a controller and gives up after a second; nil is any answer
+// get gets a path from a controller and gives up after a second; nil is any answer
 // but 200, and none.
-func ask(pool *transport.Pool, address, path string) *transport.Response {
+func get(pool *transport.Pool, address, path string) *transport.Response {
 	stop := time.AfterFunc(time.Second, func() { pool.Expire(time.Now().Add(time.Minute)) })
 	defer stop.Stop()
 	r, _, err := pool.Do(address, "GET", path, nil, time.Second)
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -25,49 +25,49 @@
 // readRevision reads the state service's revision and demands that it has not gone back.
 func (s *soak) readRevision() {
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?page=1", nil)
+		st, body := s.request(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?page=1", nil)
 		var p protocol.KeyValuePage
 		if st != 200 || json.Unmarshal(body, &p) != nil {
 			continue
 		}
 		if p.Revision < s.revision {
-			s.broke("the ledger went back from %d to %d", s.revision, p.Revision)
+			s.reportViolation("the ledger went back from %d to %d", s.revision, p.Revision)
 		}
 		s.revision = p.Revision
 		return
 	}
-	s.broke("the state service did not come back")
+	s.reportViolation("the state service did not come back")
 }
 
-// judge compares what was accepted with what ran and what the records say.
-func (s *soak) judge() {
+// verify compares what was accepted with what ran and what the records say.
+func (s *soak) verify() {
 	f, err := os.Open(s.trace)
 	if err != nil {
-		s.broke("the trace can't be read: %v", err)
+		s.reportViolation("the trace can't be read: %v", err)
 		return
 	}
 	defer f.Close()
 	ran := map[string]int{}
-	var wrote []string
+	var records []string
 	for sc := bufio.NewScanner(f); sc.Scan(); {
 		task, _, _ := strings.Cut(sc.Text(), " ")
 		ran[task]++
-		wrote = append(wrote, sc.Text())
+		records = append(records, sc.Text())
 		s.result.Effects++
 	}
-	if err := s.judgeOutput(wrote); err != nil {
-		s.broke("the archive can't be read: %v", err)
+	if err := s.verifyOutput(records); err != nil {
+		s.reportViolation("the archive can't be read: %v", err)
 	}
-	finished := s.finished()
+	finished := s.finishedByJob()
 	for id, tasks := range s.tasks {
 		s.result.Tasks += tasks
 		if finished[id] != tasks {
-			s.broke("%s: the records hold %d finished tasks of %d", id, finished[id], tasks)
+			s.reportViolation("%s: the records hold %d finished tasks of %d", id, finished[id], tasks)
 		}
 		for i := range tasks {
 			switch n := ran[fmt.Sprintf("%s/%d", id, i)]; {
 			case n == 0:
-				s.broke("%s/%d is reported done and never ran", id, i)
+				s.reportViolation("%s/%d is reported done and never ran", id, i)
 			case n > 1:
 				s.result.Repeated++
 			}
@@ -77,10 +77,10 @@
 
 func customer(n int) string { return fmt.Sprint("customer-", n%3) }
 
-// judgeOutput compares what each attempt that came to its end wrote with what its
+// verifyOutput compares what each attempt that came to its end wrote with what its
 // customer reads, and has another customer read it in vain. An attempt that was killed half-way
 // must have the beginning of its lines, or nothing.
-func (s *soak) judgeOutput(ran []string) error {
+func (s *soak) verifyOutput(records []string) error {
 	members, _, err := site.ReadArchive(s.options.Dir)
 	if err != nil {
 		return err
@@ -102,9 +102,9 @@
 		}
 		readers[customer(n)] = reader.New(k, members, 5*time.Second)
 	}
-	whole := map[string]bool{} // attempts that wrote all their lines
-	for _, record := range ran {
-		whole[record] = true
+	complete := map[string]bool{} // attempts that wrote all their lines
+	for _, record := range records {
+		complete[record] = true
 	}
 	ctx := context.Background()
 	// What ended last is shipped within the bound, and a file after that.
@@ -115,34 +115,34 @@
 			continue
 		}
 		for {
-			bad := s.judgeJob(ctx, readers[customer(n)], id, whole)
-			if bad == "" {
+			problem := s.verifyJobOutput(ctx, readers[customer(n)], id, complete)
+			if problem == "" {
 				break
 			}
 			if time.Now().After(until) {
-				s.broke("%s: %s", id, bad)
+				s.reportViolation("%s: %s", id, problem)
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		if got, _, err := readers[customer(n+1)].Attempts(ctx, reader.Query{Job: id}); err != nil || len(got) > 0 {
-			s.broke("%s: another customer is told of %d attempts: %v", id, len(got), err)
+			s.reportViolation("%s: another customer is told of %d attempts: %v", id, len(got), err)
 		}
 	}
 	return nil
 }
 
-// judgeJob reads a job's output; it returns what is wrong, "" if nothing is.
-func (s *soak) judgeJob(ctx context.Context, r *reader.Client, id string, whole map[string]bool) string {
+// verifyJobOutput reads a job's output; it returns what is wrong, "" if nothing is.
+func (s *soak) verifyJobOutput(ctx context.Context, r *reader.Client, id string, complete map[string]bool) string {
 	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: id, Files: true})
 	if err != nil || !answered.Whole {
 		return fmt.Sprintf("%v silent: %v", answered.Silent, err)
 	}
-	met, lines := map[string]bool{}, 0
+	seen, lines := map[string]bool{}, 0
 	for i := range attempts {
 		a := &attempts[i]
 		name := fmt.Sprintf("%s/%d %d %s", a.Job, a.Task, a.Try, a.Machine)
-		met[name] = true
+		seen[name] = true
 		n := 0
 		for u := r.Open(a.Attempt, archive.Stdout); ; u.Next() {
 			l, err := u.Peek(ctx)
@@ -161,14 +161,14 @@
 		lines += n
 		switch {
 		case s.lost[a.Machine]: // what its disk had
-		case whole[name] && n != 5:
+		case complete[name] && n != 5:
 			return fmt.Sprintf("%s wrote 5 lines, and %d are kept", name, n)
-		case whole[name] && (a.End == nil || len(a.Files) != 1 || a.Files[0].Path != "out/result"):
+		case complete[name] && (a.End == nil || len(a.Files) != 1 || a.Files[0].Path != "out/result"):
 			return fmt.Sprintf("%s came to its end, and that or its file is not kept: %+v, %+v", name, a.End, a.Files)
 		}
 	}
-	for name := range whole {
-		if machine := name[strings.LastIndex(name, " ")+1:]; strings.HasPrefix(name, id+"/") && !met[name] && !s.lost[machine] {
+	for name := range complete {
+		if machine := name[strings.LastIndex(name, " ")+1:]; strings.HasPrefix(name, id+"/") && !seen[name] && !s.lost[machine] {
 			return name + " came to its end, and nothing of it is kept"
 		}
 	}
@@ -176,16 +176,16 @@
 	return ""
 }
 
-// finished counts the finished tasks of each job in the records, as the state
+// finishedByJob counts the finishedByJob tasks of each job in the records, as the state
 // service has them.
-func (s *soak) finished() map[string]int {
+func (s *soak) finishedByJob() map[string]int {
 	out := map[string]int{}
 	from := ""
 	for {
-		st, body := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?under="+stateclient.MirroredPrefix+"p/&from="+url.QueryEscape(from), nil)
+		st, body := s.request(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?under="+stateclient.MirroredPrefix+"p/&from="+url.QueryEscape(from), nil)
 		var p protocol.KeyValuePage
 		if st != 200 || json.Unmarshal(body, &p) != nil {
-			s.broke("the records can't be read: %d", st)
+			s.reportViolation("the records can't be read: %d", st)
 			return out
 		}
 		for _, e := range p.KeyValues {
@@ -193,7 +193,7 @@
 			id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, stateclient.MirroredPrefix+"p/"), "/")
 			n, err := countFinished(e.Value)
 			if err != nil {
-				s.broke("%s: %v", e.Key, err)
+				s.reportViolation("%s: %v", e.Key, err)
 			}
 			out[id] += n
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -62,21 +62,21 @@
 	ports    *site.Ports
 	trace    string
 	tasks    map[string]int    // of accepted jobs, by job
-	state    map[string]string // of jobs, as last seen
+	status   map[string]string // of jobs, as last seen
 	revision uint64            // the state service's, as last read
 	lost     map[string]bool   // machines taken away without notice
 	result   Result
 }
 
-// broke notes a promise that the site has broken.
-func (s *soak) broke(format string, args ...any) {
+// reportViolation notes a promise that the site has broken.
+func (s *soak) reportViolation(format string, args ...any) {
 	if len(s.result.Broken) < maxBroken {
 		s.result.Broken = append(s.result.Broken, fmt.Sprintf(format, args...))
 	}
 }
 
-// say prints progress.
-func (s *soak) say(format string, args ...any) {
+// printProgress prints progress.
+func (s *soak) printProgress(format string, args ...any) {
 	if s.options.Out != nil {
 		fmt.Fprintf(s.options.Out, format+"\n", args...)
 	}
@@ -85,7 +85,7 @@
 // Run runs a site and kills it as the options say. The error says that the run
 // itself failed; what the site did wrong is in Result.Broken.
 func Run(o Options) (Result, error) {
-	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), pool: transport.NewPool(8), tasks: map[string]int{}, state: map[string]string{}, lost: map[string]bool{}}
+	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), pool: transport.NewPool(8), tasks: map[string]int{}, status: map[string]string{}, lost: map[string]bool{}}
 	begun := time.Now()
 	dir, err := filepath.Abs(o.Dir)
 	if err != nil {
@@ -119,7 +119,7 @@
 		}
 		s.kill()
 		s.result.Kills++
-		s.say("kill %d of %d: %d jobs accepted, revision %d", kill+1, o.Kills, len(s.tasks), s.revision)
+		s.printProgress("kill %d of %d: %d jobs accepted, revision %d", kill+1, o.Kills, len(s.tasks), s.revision)
 		if err := s.start(); err != nil {
 			return s.result, err
 		}
@@ -133,12 +133,12 @@
 		if left := s.poll(); left == 0 && submitted == o.Jobs {
 			break
 		} else if time.Now().After(limit) {
-			s.broke("%d jobs are not done, and %d of %d were accepted, %s after the last kill", left, submitted, o.Jobs, o.Limit)
+			s.reportViolation("%d jobs are not done, and %d of %d were accepted, %s after the last kill", left, submitted, o.Jobs, o.Limit)
 			break
 		}
 	}
 	s.readRevision()
-	s.judge()
+	s.verify()
 	s.result.Accepted, s.result.Revision, s.result.Took = len(s.tasks), s.revision, time.Since(begun)
 	return s.result, nil
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// endPatience is how long a killed agent may take to be gone.
-const endPatience = 5 * time.Second
+// killTimeout is how long a killed agent may take to be gone.
+const killTimeout = 5 * time.Second
 
 // kill ends every process of the site at once: the one that holds it together,
 // its parts, the machines and the tasks.
@@ -195,21 +195,21 @@
 	for _, m := range machines {
 		if id, err := proc.ReadRecord(filepath.Join(m, "agent.json")); err == nil {
 			_ = id.Signal(syscall.SIGKILL)
-			id.Await(time.Now().Add(endPatience))
+			id.Await(time.Now().Add(killTimeout))
 		}
 		if err := agent.EndTasks(m); err != nil {
-			s.broke("tasks of %s outlive the site: %v", filepath.Base(m), err)
+			s.reportViolation("tasks of %s outlive the site: %v", filepath.Base(m), err)
 		}
 	}
 }
 
-// do asks one controller, chosen at random.
-func (s *soak) do(method, path string, body []byte) (int, []byte) {
+// requestAny asks one controller, chosen at random.
+func (s *soak) requestAny(method, path string, body []byte) (int, []byte) {
 	all := s.ports.Addresses()
-	return s.ask(all[s.random.IntN(len(all))], method, path, body)
+	return s.request(all[s.random.IntN(len(all))], method, path, body)
 }
 
-func (s *soak) ask(addr, method, path string, body []byte) (int, []byte) {
+func (s *soak) request(addr, method, path string, body []byte) (int, []byte) {
 	const patience = 2 * time.Second
 	stop := time.AfterFunc(patience, func() { s.pool.Expire(time.Now().Add(patience)) })
 	defer stop.Stop()
@@ -239,13 +239,13 @@
 	if err != nil {
 		panic(err) // only our own types are written
 	}
-	st, answer := s.do("POST", protocol.PathJobs, body)
+	st, answer := s.requestAny("POST", protocol.PathJobs, body)
 	switch st {
 	case 200, 201:
 		s.tasks[jobID(n)] = tasks
 		return true
 	case 400, 422:
-		s.broke("%s was refused: %d %s", jobID(n), st, answer)
+		s.reportViolation("%s was refused: %d %s", jobID(n), st, answer)
 		return true
 	}
 	s.result.Refused++
@@ -257,27 +257,27 @@
 func (s *soak) poll() (left int) {
 	asked := 0
 	for id := range s.tasks {
-		if s.state[id] == "done" && s.random.IntN(20) > 0 {
+		if s.status[id] == "done" && s.random.IntN(20) > 0 {
 			continue
 		}
-		if s.state[id] != "done" {
+		if s.status[id] != "done" {
 			left++
 		}
 		if asked++; asked > 10 {
 			continue
 		}
-		st, body := s.do("GET", protocol.PathJobs+"/"+id, nil)
+		st, body := s.requestAny("GET", protocol.PathJobs+"/"+id, nil)
 		var r protocol.JobState
 		switch {
 		case st == 404:
-			s.broke("%s was accepted and is not known", id)
+			s.reportViolation("%s was accepted and is not known", id)
 		case st != 200 || json.Unmarshal(body, &r) != nil:
-		case s.state[id] == "done" && r.Status != "done":
-			s.broke("%s went back from done to %s", id, r.Status)
+		case s.status[id] == "done" && r.Status != "done":
+			s.reportViolation("%s went back from done to %s", id, r.Status)
 		case r.Status == "done" && *r.Done != s.tasks[id]:
-			s.broke("%s is done with %d of %d tasks", id, *r.Done, s.tasks[id])
+			s.reportViolation("%s is done with %d of %d tasks", id, *r.Done, s.tasks[id])
 		default:
-			s.state[id] = r.Status
+			s.status[id] = r.Status
 		}
 	}
 	return left
@@ -285,15 +285,15 @@
 
 // loseMachine has the cloud take a random machine back, without notice.
 func (s *soak) loseMachine() {
-	there, _ := filepath.Glob(filepath.Join(s.options.Dir, "cloud/machines/*"))
-	if len(there) == 0 {
+	folders, _ := filepath.Glob(filepath.Join(s.options.Dir, "cloud/machines/*"))
+	if len(folders) == 0 {
 		return
 	}
-	name := filepath.Base(there[s.random.IntN(len(there))])
+	name := filepath.Base(folders[s.random.IntN(len(folders))])
 	body, _ := json.Marshal(map[string]any{"stokers": []string{name}, "noticeS": 0})
 	// It counts as lost whether or not the answer came.
 	s.lost[name] = true
-	if st, _ := s.ask(fmt.Sprintf("127.0.0.1:%d", s.ports.Provider), "POST", provider.PathPreemptions, body); st == 200 {
+	if st, _ := s.request(fmt.Sprintf("127.0.0.1:%d", s.ports.Provider), "POST", provider.PathPreemptions, body); st == 200 {
 		s.result.Lost++
 		time.Sleep(200 * time.Millisecond)
 	}
