--- a/internal/proc/benchmark_test.go
+++ b/internal/proc/benchmark_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// BenchmarkEnd measures sweeps of which nothing is left to end, beside as many foreign
-// processes as there are, and more: one over a machine, and those after a task's end.
+// BenchmarkEnd measures sweeps that find no process to end, with the foreign processes that
+// already run and with 300 more: the sweep of a whole machine, and the sweeps after a task
+// has ended.
 func BenchmarkEnd(b *testing.B) {
 	for _, more := range []int{0, 300} {
 		b.Run(strconv.Itoa(more), func(b *testing.B) {
--- a/internal/proc/descendants.go
+++ b/internal/proc/descendants.go
@@ -9,23 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// KeepOrphans has this process, and the program that it becomes by execve, be the parent of
-// all that it starts, directly or not, when the parents in between end. Whoever is
-// looked for by its parents is then found as long as this process lives, whatever group it
-// went to and whatever its environment is.
+// KeepOrphans makes this process a child subreaper: when the parent of one of its
+// descendants ends, the kernel makes this process the new parent. The setting survives
+// execve. As long as this process lives, each of its descendants can then be found by its
+// parents, whatever process group or environment it has moved to.
 func KeepOrphans() error {
 	return unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0)
 }
 
-// endDescendants ends all descendants of the leaders on record that still run, outside
-// their groups. The groups are stopped, so that nothing new comes from them, and are ended
-// when nothing is left that only they lead to.
+// endDescendants ends all processes outside the leaders' groups that descend from a recorded
+// leader that still runs. It first stops those groups (SIGSTOP), so that they start nothing
+// new. The groups themselves are ended later, when no process is left that can be found
+// only through them.
 func (s *sweep) endDescendants() error {
 	var running []ID
 	for _, leader := range s.owner.Leaders {
 		if leader.Alive() {
 			running = append(running, leader)
-			_ = KillGroup(leader, syscall.SIGSTOP) // one that has just ended leads to nobody
+			_ = KillGroup(leader, syscall.SIGSTOP) // a leader that has just ended has no descendants
 		}
 	}
 	s.report.Leaders = len(running)
@@ -43,7 +44,7 @@
 	return s.endFound()
 }
 
-// leadsGroup tells whether one of the leaders has the number of a group.
+// leadsGroup reports whether the number of a process group is the PID of one of the leaders.
 func leadsGroup(leaders []ID, group int) bool {
 	for _, leader := range leaders {
 		if leader.PID == group {
@@ -53,8 +54,8 @@
 	return false
 }
 
-// descendsFrom tells whether a process's parents lead to one of the leaders. When one of them
-// ends on the way, its children are handed to another, and the way begins anew.
+// descendsFrom reports whether one of the leaders is an ancestor of a process. If an ancestor
+// ends during the walk, its children get another parent, so the walk starts again from pid.
 func descendsFrom(pid int, leaders []ID) bool {
 	for at := pid; ; {
 		s, err := readStat(at)
@@ -77,17 +78,16 @@
 	}
 }
 
-// started holds the children that Start has started, so that they can be told from
-// orphans that were handed to this process. Its lock is held while a child is
-// started.
+// started holds the children that Start has started, to distinguish them from orphans that
+// were reparented to this process. Its lock is held while a child is started.
 var started struct {
 	sync.Mutex
-	children map[int]uint64 // start times by number
+	children map[int]uint64 // start times by PID
 }
 
-// EndOrphans ends the processes that were handed to this one as their parents ended
-// (KeepOrphans), and returns when they are gone. Children that Start started, and those in
-// this process's own group, are left alone.
+// EndOrphans ends the processes that were reparented to this one when their parents ended
+// (KeepOrphans), and returns when they are gone. It leaves alone the children that Start
+// started and all children in this process's own group.
 func EndOrphans(timeout time.Duration) error {
 	until := time.Now().Add(timeout)
 	for {
@@ -97,7 +97,7 @@
 		}
 		var left []Remaining
 		for _, id := range orphans {
-			_ = id.Signal(syscall.SIGKILL) // whether it ends is seen next
+			_ = id.Signal(syscall.SIGKILL) // Await below shows whether it ends
 			if !id.Await(until) {
 				left = append(left, Remaining{ID: id, Reason: ReasonRunning})
 				continue
@@ -113,8 +113,8 @@
 	}
 }
 
-// listOrphans lists the children of this process that it did not start, those that have
-// ended too.
+// listOrphans lists the children that this process did not start, including those that have
+// ended and were not waited for.
 func listOrphans() ([]ID, error) {
 	started.Lock()
 	defer started.Unlock()
@@ -136,7 +136,7 @@
 	return out, nil
 }
 
-// reap takes the end of a child that has ended.
+// reap waits for a child that has ended, which removes its zombie.
 func reap(pid int) {
 	for {
 		_, err := unix.Wait4(pid, nil, unix.WNOHANG, nil)
@@ -146,8 +146,8 @@
 	}
 }
 
-// registerChild keeps a child that Start has started; the lock of started is held. Those
-// that are gone are dropped.
+// registerChild adds a child that Start has started to started, and removes children that
+// are gone. The caller holds the lock of started.
 func registerChild(child ID) {
 	if started.children == nil {
 		started.children = map[int]uint64{}
--- a/internal/proc/group.go
+++ b/internal/proc/group.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// KillGroup sends a signal to a process group whose leader is there, if only as
-// one that has ended and was not waited for. Without its leader the number may
-// have come to mean another group: what is left of it is found by its mark.
+// KillGroup sends a signal to a process group if its leader still exists, at least as a
+// zombie. Once the leader is gone, the group's number may belong to another group, so
+// nothing is sent; the remaining members can be found by their mark.
 func KillGroup(leader ID, sig syscall.Signal) error {
 	if leader.PID <= 1 || !leader.exists() {
 		return nil
@@ -16,14 +16,14 @@
 	return ignoreGone(syscall.Kill(-leader.PID, sig))
 }
 
-// Usage is what process groups hold and have used.
+// Usage is the memory, processor time and number of processes of a process group.
 type Usage struct {
-	RSS     uint64        // bytes of memory that are resident
+	RSS     uint64        // resident memory in bytes
 	CPU     time.Duration // processor time of the processes that still run
 	Members int
 }
 
-// Groups sums up the resident memory of process groups in one look at /proc.
+// Groups returns the usage of every process group by its number, from one scan of /proc.
 func Groups() map[int]Usage {
 	out := map[int]Usage{}
 	page := uint64(os.Getpagesize())
@@ -34,7 +34,7 @@
 	for _, pid := range pids {
 		s, err := readStat(pid)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // the process has ended meanwhile
 		}
 		usage := out[s.group]
 		usage.RSS += s.resident * page
--- a/internal/proc/helper_test.go
+++ b/internal/proc/helper_test.go
@@ -13,10 +13,11 @@
 	"silvergate/internal/proptest"
 )
 
-// helperEnv selects what the test binary does in place of running tests.
+// helperEnv names the helper that the test binary runs instead of the tests.
 const helperEnv = "PROC_TEST_HELPER"
 
-// TestMain lets the test binary stand in for the programs that the tests start.
+// TestMain runs a helper instead of the tests if helperEnv is set: the tests start the test
+// binary again as the programs that they need.
 func TestMain(m *testing.M) {
 	if name := os.Getenv(helperEnv); name != "" {
 		helper(name)
@@ -42,14 +43,14 @@
 	}
 }
 
-// endSlowly holds what the kernel takes long to close: each inotify instance with a
-// watch waits for a grace period. Its process stays in state D for up to a second after a
-// SIGKILL, with its memory and so its environment gone.
+// endSlowly opens inotify instances with a watch each, which the kernel is slow to close: each
+// one waits for a grace period. After a SIGKILL the process stays in state D for up to a
+// second, and its memory, with its environment, is already gone.
 func endSlowly() {
 	for range 60 {
 		fd, err := unix.InotifyInit()
 		if err != nil {
-			break // the user's limit; fewer do, too
+			break // the user's limit is reached; fewer instances are enough
 		}
 		if _, err := unix.InotifyAddWatch(fd, os.TempDir(), unix.IN_CREATE); err != nil {
 			break
@@ -59,7 +60,7 @@
 	time.Sleep(time.Hour)
 }
 
-// endMainThread ends the thread that the process is named after, and goes on in others.
+// endMainThread ends the main thread, whose ID is the PID, while other threads go on.
 func endMainThread() {
 	go func() {
 		time.Sleep(50 * time.Millisecond)
@@ -69,10 +70,10 @@
 	unix.RawSyscall(unix.SYS_EXIT, 0, 0, 0)
 }
 
-// The main goroutine keeps to the main thread, for endMainThread.
+// The main goroutine is locked to the main thread, as endMainThread needs it.
 func init() { runtime.LockOSThread() }
 
-// startHeldAndDie starts a held process, says its number and dies before it lets it go on.
+// startHeldAndDie starts a held process, prints its PID and exits before it releases the process.
 func startHeldAndDie() {
 	cmd := helperCommand("held", "")
 	cmd.Stdout = os.Stdout
--- a/internal/proc/owner.go
+++ b/internal/proc/owner.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// Owner names all processes that belong to something: those of the process groups on
-// record, and those that carry its mark.
+// Owner identifies a set of processes that belong together, such as those of a task: the
+// members of its recorded process groups and the processes that carry its mark.
 type Owner struct {
-	Mark    string // they carry it, or one that begins with it and a slash
-	Leaders []ID   // of its process groups, as far as they are on record
-	Since   uint64 // none of them started earlier, in ticks since the boot; 0 if that is not known
+	Mark    string // its processes carry this mark, or one that begins with it and a slash
+	Leaders []ID   // recorded leaders of its process groups
+	Since   uint64 // none of its processes started earlier, in ticks since the boot; 0 if not known
 }
 
-// SweepReport is what a sweep of an owner's processes saw and did.
+// SweepReport counts what a sweep of an owner's processes found and did.
 type SweepReport struct {
-	Leaders   int           // that were on record and alive
-	Members   int           // found by their group or their parents
-	Marked    int           // found by their mark
-	Undecided int           // could not be told at the first look
-	Signalled int           // were sent SIGKILL, each as often as it was found
-	Looks     int           // at processes
-	Passes    int           // over all processes
-	Took      time.Duration // until all were gone, or timeout was over
+	Leaders   int           // recorded leaders that were alive
+	Members   int           // processes found by their group or their parents
+	Marked    int           // processes found by their mark
+	Undecided int           // processes that the first look could not classify
+	Signalled int           // SIGKILLs sent; a process counts each time it is found
+	Looks     int           // number of times a process was examined
+	Passes    int           // passes over all processes
+	Took      time.Duration // until all processes were gone or the timeout expired
 }
 
-// LogValue groups the figures of a sweep in a log line.
+// LogValue returns the figures of a sweep as one group of log attributes.
 func (r SweepReport) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int("leaders", r.Leaders), slog.Int("members", r.Members), slog.Int("marked", r.Marked), slog.Int("undecided", r.Undecided),
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("process %d: %s", r.ID.PID, r.Reason)
 }
 
-// RemainingError tells which processes of an owner are left, or may be.
+// RemainingError lists the processes of an owner that are, or may be, still there.
 type RemainingError struct {
 	Left []Remaining
 }
@@ -65,11 +65,11 @@
 	return fmt.Sprintf("%d processes are not known to be gone: %s", len(e.Left), strings.Join(parts, "; "))
 }
 
-// ErrStillForking says that a sweep had no end of new processes to look at.
-var ErrStillForking = errors.New("processes are started faster than they can be looked at")
+// ErrStillForking is returned when new processes appear faster than a sweep can examine them.
+var ErrStillForking = errors.New("processes are started faster than they can be examined")
 
-// End ends all processes of the owner. It returns no error once all of them are
-// known to be gone, and otherwise, when timeout is over, says what is left and why.
+// End ends all processes of the owner. It returns without an error once all of them are known
+// to be gone. After the timeout it returns an error that says what is left and why.
 func (o Owner) End(timeout time.Duration) (SweepReport, error) {
 	began := time.Now()
 	s := sweep{owner: o, until: began.Add(timeout)}
@@ -78,16 +78,16 @@
 	return s.report, err
 }
 
-// Count tells how many processes of the owner there are, threads apart, and signals none.
+// Count returns the number of processes of the owner, not counting threads. It signals none.
 func (o Owner) Count(timeout time.Duration) (int, error) {
 	s := sweep{owner: o, classify: o.classify, until: time.Now().Add(timeout), countOnly: true}
 	err := s.pass()
 	return len(s.found), err
 }
 
-// KillMarked ends all processes that carry a mark, or one below it, and waits
-// until they are gone, but no longer than timeout. It returns how many are
-// not known to be gone.
+// KillMarked ends all processes that carry a mark, or one that begins with it and a slash. It
+// waits until they are gone, but no longer than timeout, and returns how many are not known
+// to be gone.
 func KillMarked(mark string, timeout time.Duration) (left int) {
 	_, err := Owner{Mark: mark}.End(timeout)
 	var remaining *RemainingError
@@ -100,23 +100,24 @@
 	return 0
 }
 
-// CountMarked tells how many processes carry a mark, or one below it, and have not ended.
+// CountMarked returns the number of processes that have not ended and carry a mark, or one that
+// begins with it and a slash.
 func CountMarked(mark string) int {
 	const timeout = time.Second
 	n, _ := Owner{Mark: mark}.Count(timeout)
 	return n
 }
 
-// sweep is one run of Owner.End.
+// sweep is one run of Owner.End or Owner.Count.
 type sweep struct {
 	owner     Owner
 	classify  func(pid int) observation
 	until     time.Time
-	countOnly bool // signals nobody
+	countOnly bool // no process is signalled
 	report    SweepReport
 
-	found     []ID          // in this pass, the owner's
-	undecided []observation // in this pass, to be looked at again
+	found     []ID          // the owner's processes that this pass found
+	undecided []observation // processes that this pass has to examine again
 }
 
 func (s *sweep) run() error {
@@ -128,7 +129,7 @@
 	return s.endFound()
 }
 
-// endFound ends what passes find, until one finds nothing.
+// endFound runs passes, which end the processes they find, until a pass finds none.
 func (s *sweep) endFound() error {
 	for {
 		err := s.pass()
@@ -149,14 +150,14 @@
 	}
 }
 
-// killGroups ends the process groups on record whose leaders are there, each as a whole.
+// killGroups ends each recorded process group whose leader still exists, as a whole.
 func (s *sweep) killGroups() {
 	for _, leader := range s.owner.Leaders {
-		_ = KillGroup(leader, syscall.SIGKILL) // what it could not end is found by the passes
+		_ = KillGroup(leader, syscall.SIGKILL) // the passes find the processes that remain
 	}
 }
 
-// awaitFound waits until what the pass found is over.
+// awaitFound waits until the processes that the pass found have ended.
 func (s *sweep) awaitFound() error {
 	var left []Remaining
 	for _, id := range s.found {
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// pass looks at every process and signals those of the owner. See the package's comment
-// for why a pass that finds none proves that there is none.
+// pass examines every process and signals those of the owner. The package's comment explains
+// why a pass that finds none proves that there is none.
 func (s *sweep) pass() error {
 	s.report.Passes++
 	s.found, s.undecided = nil, nil
@@ -190,15 +191,15 @@
 		if newest, err = s.catchUp(newest); err != nil || len(s.undecided) == 0 {
 			return err
 		}
-		// What is decided only now may have forked meanwhile, so the chase goes on after it.
+		// A process that is classified only now may have forked meanwhile, so catchUp runs again.
 		if err := s.resolveUndecided(); err != nil {
 			return err
 		}
 	}
 }
 
-// catchUp looks at every number that was given after the given one, until there is none. It
-// returns the last number.
+// catchUp examines every number that the kernel has assigned after seen, until there are no
+// newer ones. It returns the last number.
 func (s *sweep) catchUp(seen int) (int, error) {
 	for {
 		newest, err := newestPID()
@@ -207,7 +208,7 @@
 			return 0, err
 		case newest == seen:
 			return seen, nil
-		case newest < seen || !time.Now().Before(s.until): // the numbers began anew: so must the pass
+		case newest < seen || !time.Now().Before(s.until): // numbers wrapped around, so the pass must start again; or timed out
 			return 0, ErrStillForking
 		}
 		for seen < newest {
@@ -219,13 +220,14 @@
 	}
 }
 
-// visitListed looks at a process that /proc lists, and ends it if it is the owner's.
+// visitListed examines a process that /proc lists, and ends it if it is the owner's.
 func (s *sweep) visitListed(pid int) {
 	s.report.Looks++
 	s.apply(s.classify(pid))
 }
 
-// visitNewPID looks at the process or thread of a number that was given just now.
+// visitNewPID examines the process with a number that was just assigned. The number may be a
+// thread's, which is skipped.
 func (s *sweep) visitNewPID(number int) {
 	s.report.Looks++
 	seen := s.classify(number)
@@ -235,6 +237,7 @@
 	s.apply(seen)
 }
 
+// apply counts an observation and ends the process, or notes it as undecided.
 func (s *sweep) apply(seen observation) {
 	switch seen.class {
 	case member:
@@ -250,16 +253,17 @@
 	}
 }
 
+// end notes a process of the owner as found and, unless the sweep only counts, kills it.
 func (s *sweep) end(id ID) {
 	s.found = append(s.found, id)
 	if s.countOnly {
 		return
 	}
 	s.report.Signalled++
-	_ = id.Signal(syscall.SIGKILL) // whether it ends is what awaitFound sees
+	_ = id.Signal(syscall.SIGKILL) // awaitFound sees whether it ends
 }
 
-// resolveUndecided looks again at what could not be told, until it can be told or is over.
+// resolveUndecided examines the undecided processes again, until each is classified or has ended.
 func (s *sweep) resolveUndecided() error {
 	var left []Remaining
 	pending := s.undecided
@@ -278,8 +282,8 @@
 	return nil
 }
 
-// examineUntilDecided looks at a process until it shows whose it is, or is over, or timeout
-// is. It does not sleep longer than the process lives.
+// examineUntilDecided examines a process until it can be classified, has ended, or the timeout
+// expires. The pause between two looks is cut short when the process ends.
 func (s *sweep) examineUntilDecided(seen observation) observation {
 	const first, longest = time.Millisecond, 16 * time.Millisecond
 	for pause := first; seen.class == undecided && time.Now().Before(s.until); pause = min(2*pause, longest) {
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -1,33 +1,37 @@
-// Package proc starts processes that can be found again after whoever started
-// them was killed, and ends them whole. Linux only: it reads /proc.
+// Package proc starts processes that can be found again after their starter was killed,
+// and ends them together with everything they started. Linux only: it reads /proc.
 //
-// A process is known by its number, its start time and the boot it belongs to (ID),
-// never by its name. It is started held (Start): it runs nothing of its own until its
-// starter has written down who it is, and ends by itself if the starter dies
-// before.
+// A process is identified by its PID, its start time and the boot it belongs to (ID),
+// never by its name. It is started held (Start): it does no work of its own until its
+// starter has recorded its identity, and exits by itself if the starter dies
+// before that.
 //
-// What a process starts in turn belongs to the same Owner. It is found by its process
-// group, as long as the group's leader is there; by its parents, as long as the leader runs
-// and keeps its orphans (KeepOrphans); or by a mark in its environment. What outlives its
-// leader is handed to whoever started that, if it keeps orphans, too (EndOrphans).
-// Owner.End ends all of it and answers one question: is everything of this owner gone? Its
-// yes rests on what it saw, and on nothing that it did not see:
+// The processes that a process starts belong to the same Owner. They are found by their
+// process group, as long as the group's leader exists; by their parents, as long as the
+// leader runs and adopts its orphans (KeepOrphans); or by a mark in their environment. A
+// process that outlives its leader is reparented to the leader's starter, if the starter
+// adopts orphans too (EndOrphans).
 //
-//   - What was found is awaited until the kernel says that the process is over, with all
-//     of its threads. That a signal was sent is no evidence.
-//   - A leader that runs is stopped, and ended only after all that descends from it.
-//   - A process that shows neither a mark nor an environment without one is undecided: it is
-//     replacing its program, or ending with its memory already gone. It is looked at again
-//     until it is decided or over.
-//   - The last pass found nothing, and it looked at every process: first at all that /proc
-//     lists, then at each number given since, until it reached the last one. At
-//     that moment every living process was looked at after it got its number. Whoever
-//     was still in fork then has a parent that was looked at as well, and that was
-//     the owner's. So one pass that finds nothing is enough.
+// Owner.End ends all processes of an owner and returns without an error only if all of them
+// are gone. That result rests on positive evidence alone:
 //
-// That rests on three things: a program that leaves its group and drops its environment does
-// not outlive, unseen, both its leader and the leader's starter; other users' processes are not the
-// owner's; and the kernel gives a number again only after it has given all others.
+//   - Each process found is awaited until the kernel says that it has ended, with all of
+//     its threads. A signal that was sent is no evidence.
+//   - A leader that runs is stopped first, and ended only after all its descendants.
+//   - A process is undecided if it shows neither a mark nor an environment without one: it
+//     is replacing its program, or ending with its memory already gone. It is examined
+//     again until it is classified or has ended.
+//   - The last pass found nothing, and it examined every process: first all that /proc
+//     lists, then each number assigned since, until it reached the newest one. At that
+//     moment every living process had been examined after it got its number. If a process
+//     of the owner was still in fork then, its parent was the owner's and had been
+//     examined as well, so the pass would have found the parent. So one pass that finds
+//     nothing is enough.
+//
+// The argument depends on three conditions: a program that leaves its group and drops its
+// environment does not outlive, unseen, both its leader and the leader's starter; other
+// users' processes are not the owner's; and the kernel reuses a number only after it has
+// assigned all others.
 package proc
 
 import (
@@ -41,7 +45,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ID names a process for ever.
+// ID identifies a process for ever: no other process, before or after it, has the same ID.
 type ID struct {
 	PID   int    `json:"pid"`
 	Start uint64 `json:"start"` // ticks since the boot
@@ -56,16 +60,16 @@
 	return strings.TrimSpace(string(b))
 })
 
-// Identify tells who runs under a number now.
+// Identify returns the ID of the process that has a PID now.
 func Identify(pid int) (ID, error) {
 	s, err := readStat(pid)
 	return ID{pid, s.start, boot()}, err
 }
 
-// fromThisBoot tells whether the identity can belong to a process at all.
+// fromThisBoot reports whether the ID can belong to a process of the current boot.
 func (id ID) fromThisBoot() bool { return id.PID > 0 && id.Boot == boot() }
 
-// exists tells whether the process is there, if only as one that was not waited for.
+// exists reports whether the process exists, at least as a zombie.
 func (id ID) exists() bool {
 	if !id.fromThisBoot() {
 		return false
@@ -74,8 +78,8 @@
 	return err == nil && s.start == id.Start
 }
 
-// Alive tells whether the process still runs, in any of its threads. One that has ended
-// and was not waited for does not.
+// Alive reports whether any thread of the process still runs. A zombie, which has ended but
+// was not waited for, is not alive.
 func (id ID) Alive() bool {
 	if !id.fromThisBoot() {
 		return false
@@ -89,8 +93,8 @@
 	if !id.fromThisBoot() {
 		return nil
 	}
-	// A descriptor of the process can't come to mean another one between the
-	// look at its start time and the signal.
+	// A PID could be reused between the check of the start time and the signal; a process
+	// descriptor always refers to the same process.
 	fd, err := unix.PidfdOpen(id.PID, 0)
 	if err != nil {
 		if isGone(err) || !id.Alive() {
@@ -105,7 +109,8 @@
 	return ignoreGone(unix.PidfdSendSignal(fd, sig, nil, 0))
 }
 
-// Await returns when the process is over, or at the given time; it tells whether it is over.
+// Await waits until the process has ended, or until the given time. It reports whether the
+// process has ended.
 func (id ID) Await(until time.Time) bool {
 	if !id.fromThisBoot() {
 		return true
@@ -128,7 +133,7 @@
 	return true
 }
 
-// poll does what Await does where the kernel has no descriptors of processes to give.
+// poll does the same as Await when the kernel can't provide a process descriptor.
 func (id ID) poll(until time.Time) bool {
 	const period = time.Millisecond
 	for ; id.Alive(); time.Sleep(period) {
@@ -139,7 +144,7 @@
 	return true
 }
 
-// isGone tells whether the kernel has no process of that number, or only a thread.
+// isGone reports whether an error means that no process has the PID, or only a thread does.
 func isGone(err error) bool {
 	return errors.Is(err, unix.ESRCH) || errors.Is(err, unix.EINVAL) || errors.Is(err, unix.ENOENT)
 }
--- a/internal/proc/proc_test.go
+++ b/internal/proc/proc_test.go
@@ -16,12 +16,13 @@
 	"time"
 )
 
-// sweepTimeout is how long a test lets a sweep take.
+// sweepTimeout is how long a test lets a sweep take at most.
 const sweepTimeout = 20 * time.Second
 
 var markCount atomic.Int64
 
-// newMark returns a mark that no other process carries, and ends what is left of it.
+// newMark returns a mark that no other process carries. When the test ends, all processes that
+// still carry it are killed.
 func newMark(t *testing.T) string {
 	mark := fmt.Sprintf("%s/%d/%d", t.Name(), os.Getpid(), markCount.Add(1))
 	t.Cleanup(func() { KillMarked(mark, sweepTimeout) })
@@ -37,8 +38,9 @@
 	return cmd
 }
 
-// start starts a command in a process group of its own and returns its identity once it
-// has written a line, if it writes any. It is waited for, so that no zombie stays.
+// start starts a command in a process group of its own and returns its ID. With saysReady it
+// first waits for a line of output. When the test ends, the process is killed and waited for,
+// so that no zombie stays.
 func start(t *testing.T, cmd *exec.Cmd, saysReady bool) ID {
 	t.Helper()
 	var out *bufio.Reader
@@ -69,14 +71,14 @@
 	return id
 }
 
-// shell starts a marked shell script.
+// shell starts a shell script with a mark.
 func shell(t *testing.T, mark, script string) ID {
 	cmd := exec.Command("/bin/sh", "-c", script)
 	cmd.Env = append(os.Environ(), MarkEnv+"="+mark)
 	return start(t, cmd, false)
 }
 
-// script writes a program that can start itself again.
+// script writes an executable shell script, which can start itself again, and returns its path.
 func script(t *testing.T, body string) string {
 	path := filepath.Join(t.TempDir(), "program")
 	if err := os.WriteFile(path, []byte("#!/bin/sh\n"+body+"\n"), 0o700); err != nil {
@@ -85,8 +87,8 @@
 	return path
 }
 
-// threadsAlive tells whether any thread of a process is left, as the kernel shows them,
-// and describes what is.
+// threadsAlive reports whether /proc shows a thread of a process that has not ended, and
+// returns the stat line of the first such thread.
 func threadsAlive(pid int) (description string, alive bool) {
 	tasks, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
@@ -101,18 +103,19 @@
 	return "", false
 }
 
-// endOwner ends all processes of an owner, or says why they are not gone.
+// endOwner ends all processes of an owner; the error says why some are not known to be gone.
 func endOwner(mark string, leaders ...ID) error {
 	_, err := Owner{Mark: mark, Leaders: leaders}.End(sweepTimeout)
 	return err
 }
 
-// A process that was sent SIGKILL is still there, and holds its files and devices, for as
-// long as the kernel takes to close them. It has let go of its memory by then:
-// /proc/PID/environ gives "no such process" (or nothing, with older kernels) while
-// /proc/PID/stat shows state D or R. The sweep took such a process for one without a mark
-// and said that nothing was left. Seen with this helper on Linux 6.18: 17,576 looks in
-// 789 ms showed state D and no environment.
+// Guards against a sweep that reports a process as gone while it is still ending. A process
+// that was sent SIGKILL still exists, and holds its files and devices, for as long as the
+// kernel takes to close them, but its memory is already released: /proc/PID/environ gives
+// "no such process" (or nothing, with older kernels) while /proc/PID/stat shows state D or R.
+// The sweep took such a process for one without a mark and reported that nothing was left.
+// Seen with this helper on Linux 6.18: 17,576 looks in 789 ms showed state D and no
+// environment.
 func TestAnEndingProcessIsNotGone(t *testing.T) {
 	mark := newMark(t)
 	id := start(t, helperCommand("slow-end", mark), true)
@@ -125,28 +128,30 @@
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("it does not begin to end")
+			t.Fatal("after SIGKILL the process still shows its environment")
 		}
 	}
 	if err := endOwner(mark); err != nil {
 		t.Fatal(err)
 	}
 	if state, alive := threadsAlive(id.PID); alive {
-		t.Fatalf("told to be gone, and still there: %s", state)
+		t.Fatalf("reported as gone, but still there: %s", state)
 	}
 }
 
-// While a process replaces its program, from its new memory on until its environment is
-// in place, /proc/PID/environ is empty, without an error. Processes that do so without
-// pause, outside their task's group, were passed over at that moment; when no other was
-// left, the sweep ended and they ran on. Seen on Linux 6.18: 1,529 of 31,300 looks at a
-// process in a loop of execve showed nothing.
+// Guards against a sweep that misses processes while they replace their program. From the
+// moment a process gets its new memory until its environment is in place, /proc/PID/environ
+// is empty, without an error. Processes outside their task's group that call execve without
+// pause were skipped at that moment; when no other process was left, the sweep ended and they
+// ran on. Seen on Linux 6.18: 1,529 of 31,300 looks at a process in a loop of execve showed
+// no environment.
 func TestProcessesBetweenTwoProgramsAreFound(t *testing.T) {
 	endProgramsThatReplaceThemselves(t, 40)
 }
 
-// endProgramsThatReplaceThemselves ends, in each round, twelve processes in a loop of
-// execve, with further variables ahead of the mark.
+// endProgramsThatReplaceThemselves starts twelve processes in each round that call execve in a
+// loop, ends them, and checks that none runs on. The given variables precede the mark in their
+// environment.
 func endProgramsThatReplaceThemselves(t *testing.T, rounds int, variables ...string) {
 	t.Helper()
 	program := script(t, `exec "$0"`)
@@ -163,26 +168,28 @@
 		}
 		for _, id := range ids {
 			if state, alive := threadsAlive(id.PID); alive {
-				t.Fatalf("round %d: told to be gone, and runs on: %s", round, state)
+				t.Fatalf("round %d: reported as gone, but still runs: %s", round, state)
 			}
 		}
 	}
 }
 
-// An environment that was read in pieces ended early when its process replaced its program
-// between two of them: the later pieces come back empty, without an error. The mark was in
-// none of the first 512 bytes, and the process passed for another's. And while the kernel
-// writes the pointers to a program's variables, /proc/PID/stat shows an environment of
-// length zero (fields 50 and 51 are the same, 27 is still 0): it passed for a process that
-// was started without one. Seen once in 1,280 rounds of the test above beside load, and here
-// in four of six copies at a time: "told to be gone, and runs on".
+// Guards against two faults with a large environment. An environment that was read in pieces
+// ended early if the process replaced its program between two reads: the later pieces come
+// back empty, without an error. The mark was not in the first 512 bytes, so the process was
+// taken for a foreign one. And while the kernel writes the pointers to a program's variables,
+// /proc/PID/stat shows an environment of length zero (fields 50 and 51 are the same, 27 is
+// still 0), so the process was taken for one that was started without an environment. Both
+// showed as a process that was reported as gone but still ran: once in 1,280 rounds of the
+// test above under load, and here in four of six copies that ran at a time.
 func TestALargeEnvironmentIsReadWhole(t *testing.T) {
 	endProgramsThatReplaceThemselves(t, 10, "PADDING="+strings.Repeat("x", 60<<10))
 }
 
-// A process that forks and ends, again and again, is another one each time /proc is
-// read: a pass that reads its parent's number too late and its child's too early sees
-// neither, and a pass that saw nothing ended the sweep.
+// Guards against a sweep that misses a chain of processes, each of which forks its successor
+// and ends. Each time /proc is read, another process of the chain runs: a pass that reads the
+// parent's number too late and the child's too early sees neither, and a pass that saw nothing
+// ended the sweep.
 func TestAChainOfForksIsEnded(t *testing.T) {
 	for round := range 20 {
 		mark := newMark(t)
@@ -209,13 +216,14 @@
 		at := size()
 		time.Sleep(20 * time.Millisecond)
 		if more := size() - at; more > 0 {
-			t.Fatalf("round %d: told to be gone, and forked %d times more", round, more)
+			t.Fatalf("round %d: reported as gone, but forked %d times more", round, more)
 		}
 	}
 }
 
-// A process whose main thread has ended is shown in state Z and without an environment,
-// while its other threads run on: it was taken for one that is over.
+// Guards against a sweep that ignores a process whose main thread has ended. /proc shows such
+// a process in state Z and without an environment while its other threads still run, and it
+// was taken for one that has ended.
 func TestThreadsOutliveTheMainThread(t *testing.T) {
 	mark := newMark(t)
 	id := start(t, helperCommand("main-thread-ends", mark), true)
@@ -223,18 +231,19 @@
 		t.Fatal("this system ends the process with its main thread")
 	}
 	if !id.Alive() {
-		t.Error("told to be dead while its threads run")
+		t.Error("reported as not alive while its threads run")
 	}
 	if err := endOwner(mark); err != nil {
 		t.Fatal(err)
 	}
 	if state, alive := threadsAlive(id.PID); alive {
-		t.Fatalf("told to be gone, and runs on: %s", state)
+		t.Fatalf("reported as gone, but still runs: %s", state)
 	}
 }
 
-// TestUnmarkedMembersOfAGroupEnd ends a program that drops its environment and stays in
-// its group, in every order in which it and its leader can be seen.
+// TestUnmarkedMembersOfAGroupEnd checks that a program that drops its environment, and so its
+// mark, but stays in its leader's process group is ended, in whichever order the sweep sees
+// the two.
 func TestUnmarkedMembersOfAGroupEnd(t *testing.T) {
 	mark := newMark(t)
 	pidFile := filepath.Join(t.TempDir(), "pid")
@@ -244,11 +253,11 @@
 		t.Fatal(err)
 	}
 	if state, alive := threadsAlive(member.PID); alive {
-		t.Fatalf("told to be gone, and runs on: %s", state)
+		t.Fatalf("reported as gone, but still runs: %s", state)
 	}
 }
 
-// awaitPID waits until a file holds a process number and tells whose it is.
+// awaitPID waits until a file holds a PID and returns the ID of that process.
 func awaitPID(t *testing.T, path string) ID {
 	t.Helper()
 	for until := time.Now().Add(sweepTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -266,12 +275,12 @@
 		}
 		return id
 	}
-	t.Fatalf("%s: never written", path)
+	t.Fatalf("%s: not written in time", path)
 	return ID{}
 }
 
-// TestAReusedPIDIsLeftAlone signals identities whose number belongs to another process
-// now, or to another boot.
+// TestAReusedPIDIsLeftAlone checks that an ID whose PID belongs to another process now, or that
+// is from another boot, is not alive and that no process is signalled in its place.
 func TestAReusedPIDIsLeftAlone(t *testing.T) {
 	id := shell(t, newMark(t), "exec sleep 1000")
 	earlier, otherBoot := id, id
@@ -286,12 +295,13 @@
 		}
 	}
 	if !id.Alive() {
-		t.Error("ended in place of an earlier process")
+		t.Error("the process was ended in place of one with the same PID")
 	}
 }
 
-// TestForeignProcessesDoNotDelayASweep sweeps beside kernel threads, zombies, processes without an
-// environment, processes in a loop of execve and of fork, and leaves all of them alone.
+// TestForeignProcessesDoNotDelayASweep runs a sweep while kernel threads, zombies, processes
+// without an environment and processes in a loop of execve or fork are present. The sweep must
+// neither wait for them nor end them.
 func TestForeignProcessesDoNotDelayASweep(t *testing.T) {
 	others := newMark(t)
 	zombie := exec.Command("/bin/true")
@@ -313,20 +323,20 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took > sweepTimeout/4 {
-		t.Errorf("held up for %v", took)
+		t.Errorf("the sweep took %v", took)
 	}
 	if own.Alive() {
-		t.Error("the owner's process runs on")
+		t.Error("the owner's process still runs")
 	}
 	for i, id := range ids {
 		if !id.Alive() {
-			t.Errorf("other process %d was ended", i)
+			t.Errorf("foreign process %d was ended", i)
 		}
 	}
 }
 
-// TestHeldProcessEndsWithItsStarter kills a starter between the start and its word: the
-// held process must end without having done anything.
+// TestHeldProcessEndsWithItsStarter starts a held process whose starter exits before it
+// releases the process: the process must end without having done anything.
 func TestHeldProcessEndsWithItsStarter(t *testing.T) {
 	out, err := helperCommand("starter", newMark(t)).Output() // returns when the held process has ended, too
 	if err != nil {
@@ -334,7 +344,7 @@
 	}
 	lines := strings.Fields(string(out))
 	if len(lines) != 1 {
-		t.Fatalf("expected the held process's number alone: %q", out)
+		t.Fatalf("expected only the PID of the held process: %q", out)
 	}
 	pid, err := strconv.Atoi(lines[0])
 	if err != nil {
@@ -345,13 +355,13 @@
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatal("the held process runs on")
+			t.Fatal("the held process still runs")
 		}
 	}
 }
 
-// TestStartReportsTheIdentity starts a held process that is let go on, and one whose identity
-// can't be kept.
+// TestStartReportsTheIdentity checks that Start passes the ID of a held process to keep and
+// returns it, and that Start fails if keep can't store the ID.
 func TestStartReportsTheIdentity(t *testing.T) {
 	cmd := helperCommand("held", newMark(t))
 	var kept ID
@@ -360,7 +370,7 @@
 		t.Fatal(err)
 	}
 	if id != kept || !id.Alive() || id.PID != cmd.Process.Pid {
-		t.Errorf("started %+v, kept %+v, process %d", id, kept, cmd.Process.Pid)
+		t.Errorf("Start returned %+v, keep got %+v, the process is %d", id, kept, cmd.Process.Pid)
 	}
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		t.Error(err)
@@ -368,13 +378,13 @@
 	_ = cmd.Wait()
 	refused := errors.New("the disk is full")
 	if _, err := Start(helperCommand("held", newMark(t)), func(ID) error { return refused }); !errors.Is(err, refused) {
-		t.Errorf("not kept: %v", err)
+		t.Errorf("the identity could not be stored, and Start returned: %v", err)
 	}
 }
 
-// TestRandomProcessTreesEnd draws trees of processes that leave their group, replace their
-// program, fork and end, some with a leader on record, and ends them at a drawn moment of
-// their growth.
+// TestRandomProcessTreesEnd starts random trees of processes that leave their group, replace
+// their program, fork and end, some of them with a recorded leader. It ends each tree at a
+// random moment while the tree grows.
 func TestRandomProcessTreesEnd(t *testing.T) {
 	seed := uint64(20261203)
 	random := rand.New(rand.NewPCG(seed, seed))
@@ -402,7 +412,7 @@
 			t.Fatal(err)
 		}
 		if n := CountMarked(mark); n > 0 {
-			t.Fatalf("seed %d, round %d: %d processes run on", seed, round, n)
+			t.Fatalf("seed %d, round %d: %d processes still run", seed, round, n)
 		}
 	}
 }
--- a/internal/proc/record.go
+++ b/internal/proc/record.go
@@ -9,11 +9,11 @@
 	"github.com/google/renameio/v2"
 )
 
-// ErrNoProcess says that a field of a record can't be a process's.
+// ErrNoProcess is the error for a record with a field that no process can have.
 var ErrNoProcess = errors.New("names no process")
 
-// Record returns a function for Start that writes down who a process is. A reader
-// of the file finds all of it or nothing.
+// Record returns a function for Start that writes the identity of a process to a file. The
+// file is replaced atomically: a reader finds a whole record or none.
 func Record(path string) func(ID) error {
 	return func(id ID) error {
 		raw, err := json.Marshal(id)
@@ -24,8 +24,8 @@
 	}
 }
 
-// ReadRecord reads who a process is. The error of a damaged file names the file and the field; that
-// of a file that is not there is fs.ErrNotExist.
+// ReadRecord reads the identity that Record wrote. The error for a damaged file names the file
+// and, if a value is impossible, the field; the error for a missing file is fs.ErrNotExist.
 func ReadRecord(path string) (ID, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/proc/sighting.go
+++ b/internal/proc/sighting.go
@@ -12,25 +12,25 @@
 	"syscall"
 )
 
-// MarkEnv is the variable that marks all that belongs to something, so that it
-// can be found when its process group can't tell.
+// MarkEnv is the environment variable that holds the mark of a process's owner. The mark
+// identifies processes whose process group does not show their owner.
 const MarkEnv = "SILVERGATE_MARK"
 
-// class is what a look at a process says of whose it is.
+// class says whether a process belongs to the owner, as far as one look at it shows.
 type class int
 
 const (
 	gone      class = iota // there is no such process, or all its threads have ended
 	foreign                // not the owner's
-	member                 // the owner's, by its group
+	member                 // the owner's, by its group or its parents
 	marked                 // the owner's, by its mark
-	undecided              // what it shows can't tell; look again
+	undecided              // not visible at the moment; look again
 )
 
 // Reason is why a process is not known to be gone.
 type Reason string
 
-// Reasons.
+// Reasons why a process is not known to be gone.
 const (
 	ReasonReplacing  Reason = "it is replacing its program"
 	ReasonEnding     Reason = "it is ending"
@@ -38,7 +38,7 @@
 	ReasonUnreadable Reason = "/proc can't be read"
 )
 
-// observation is what one look at a process saw.
+// observation is the result of one look at a process.
 type observation struct {
 	id     ID
 	class  class
@@ -46,12 +46,12 @@
 	err    error  // with ReasonUnreadable
 }
 
-// classify looks at the process of a number.
+// classify examines the process with the given PID.
 func (o Owner) classify(pid int) observation { return examine(pid, o.classifyRunning) }
 
-// examine looks at the process of a number, and has judge tell whose a program is that
-// runs.
-func examine(pid int, judge func(s stat, seen *observation)) observation {
+// examine reads the state of the process with the given PID. It calls classify to decide about
+// a process that runs a program.
+func examine(pid int, classify func(s stat, seen *observation)) observation {
 	seen := observation{id: ID{PID: pid, Boot: boot()}}
 	s, err := readStat(pid)
 	seen.id.Start = s.start
@@ -65,12 +65,12 @@
 	case s.flags&flagKernelThread != 0:
 		seen.class = foreign
 	default:
-		judge(s, &seen)
+		classify(s, &seen)
 	}
 	return seen
 }
 
-// classifyRunning decides by start time, group and mark.
+// classifyRunning classifies a running process by its start time, group and mark.
 func (o Owner) classifyRunning(s stat, seen *observation) {
 	switch {
 	case s.start < o.Since:
@@ -82,8 +82,8 @@
 	}
 }
 
-// ownsGroup tells whether a process group is one on record. Its number can mean no other
-// group while its leader is there.
+// ownsGroup reports whether a process group is one of the recorded groups and its leader still
+// exists. While the leader exists, no other group can have the number.
 func (o Owner) ownsGroup(group int) bool {
 	for _, leader := range o.Leaders {
 		if leader.PID == group && leader.exists() {
@@ -93,7 +93,7 @@
 	return false
 }
 
-// classifyByMark decides by the environment of a process whose group does not tell.
+// classifyByMark classifies a process by the mark in its environment.
 func (o Owner) classifyByMark(seen *observation) {
 	raw, err := readEnvironment(seen.id.PID)
 	switch {
@@ -103,7 +103,7 @@
 			seen.class = marked
 		}
 	case errors.Is(err, fs.ErrPermission):
-		seen.class = foreign // another user's, or one that has made itself unreadable
+		seen.class = foreign // another user's process, or one that has made itself unreadable
 	case err != nil && !isAbsent(err):
 		seen.class, seen.reason, seen.err = undecided, ReasonUnreadable, err
 	default:
@@ -111,8 +111,8 @@
 	}
 }
 
-// classifyWithoutEnvironment tells a process that has no environment from one that does not
-// show it at the moment.
+// classifyWithoutEnvironment distinguishes a process that has no environment from one whose
+// environment can't be seen at the moment.
 func classifyWithoutEnvironment(seen *observation) {
 	s, err := readStat(seen.id.PID)
 	switch {
@@ -129,8 +129,8 @@
 	}
 }
 
-// readEnvironment reads the environment of a process, from another of its threads if the
-// main thread has ended. It may come back empty without an error.
+// readEnvironment reads the environment of a process. If the main thread has ended, it reads
+// the environment from another thread. The result may be empty without an error.
 func readEnvironment(pid int) ([]byte, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	raw, err := readAtOnce(dir + "/environ")
@@ -150,11 +150,12 @@
 	return nil, nil
 }
 
-// environmentSize is room for most environments, so that they take one read.
+// environmentSize is the size of the first read buffer in bytes; most environments fit into it.
 const environmentSize = 16 << 10
 
-// readAtOnce reads a file of /proc by one call. What a process shows in pieces may end after
-// any of them, without an error: when it replaces its program, what is left is empty.
+// readAtOnce reads a file of /proc with a single read. If it were read in pieces, it could end
+// early after any of them without an error: once the process replaces its program, the rest
+// reads as empty.
 func readAtOnce(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -173,8 +174,8 @@
 	}
 }
 
-// hasMark tells whether an environment carries the owner's mark, or one that begins with
-// it and goes on with a slash.
+// hasMark reports whether an environment carries the owner's mark, or one that begins with it
+// and a slash.
 func (o Owner) hasMark(environment []byte) bool {
 	for variable := range bytes.SplitSeq(environment, []byte{0}) {
 		mark, ok := strings.CutPrefix(string(variable), MarkEnv+"=")
@@ -185,14 +186,14 @@
 	return false
 }
 
-// isThread tells whether a number belongs to a thread that its process is not named after.
-// Such a thread is not listed; its process is.
+// isThread reports whether a number belongs to a thread other than its process's main thread.
+// /proc does not list such a thread, only its process.
 func isThread(pid int) bool {
 	raw, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	return err == nil && !bytes.Contains(raw, fmt.Appendf(nil, "\nTgid:\t%d\n", pid))
 }
 
-// isAbsent tells whether /proc says that there is no such process, or no memory of it.
+// isAbsent reports whether an error from /proc means that the process, or its memory, is gone.
 func isAbsent(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ESRCH)
 }
--- a/internal/proc/start.go
+++ b/internal/proc/start.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// holdFD is where a held process waits for its starter's word.
+// holdFD is the file descriptor from which a held process reads its starter's release.
 const holdFD = 3
 
-// holdEnv tells a process that it is held.
+// holdEnv is the environment variable that tells a process that it was started held.
 const holdEnv = "SILVERGATE_HELD"
 
-// Start starts a command held. keep is called with its identity and must write
-// it down; if it fails, or this process dies meanwhile, the command ends
-// without having done anything. The command must call Hold first.
+// Start starts a command held and releases it after keep has stored its identity. If keep
+// fails, or this process dies before the release, the command ends without having done
+// anything. The command must call Hold first.
 func Start(cmd *exec.Cmd, keep func(ID) error) (ID, error) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -41,7 +41,7 @@
 		_, err = w.Write([]byte{1})
 	}
 	if err != nil {
-		w.Close() // lets it end
+		w.Close() // makes Hold fail, so that the command ends
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 		return ID{}, err
@@ -49,7 +49,8 @@
 	return id, nil
 }
 
-// startRegistered starts a command so that it is not taken for an orphan.
+// startRegistered starts a command and registers it as a child, so that EndOrphans does not
+// take it for an orphan.
 func startRegistered(cmd *exec.Cmd) (ID, error) {
 	started.Lock()
 	defer started.Unlock()
@@ -61,8 +62,8 @@
 	return id, err
 }
 
-// Hold waits for the word of a starter, in a process that was started held; in
-// any other it returns at once. It returns an error when the starter is gone.
+// Hold blocks until the starter releases this process, if the process was started held by
+// Start; otherwise it returns at once. It returns an error if the starter is gone.
 func Hold() error {
 	if os.Getenv(holdEnv) == "" {
 		return nil
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// AwaitEnd returns when a child has ended, without taking its end: it stays
-// there, and its group's number with it, until it is waited for.
+// AwaitEnd returns when a child has ended, but does not reap it: the child stays a zombie,
+// and its group's number stays in use, until it is waited for.
 func AwaitEnd(pid int) error {
 	for {
 		err := unix.Waitid(unix.P_PID, pid, nil, unix.WEXITED|unix.WNOWAIT, nil)
--- a/internal/proc/stat.go
+++ b/internal/proc/stat.go
@@ -16,8 +16,8 @@
 	flagKernelThread = 0x00200000 // PF_KTHREAD
 )
 
-// Fields of /proc/PID/stat after the name in brackets, counted from zero (proc(5)
-// counts from the number, which is 1; the state is 3).
+// Fields of /proc/PID/stat after the name in brackets, counted from zero (proc(5) counts
+// the PID as field 1 and the state as field 3).
 const (
 	fieldState    = 0
 	fieldParent   = 1
@@ -35,7 +35,7 @@
 
 var errStat = errors.New("unreadable state")
 
-// stat is what /proc says of a process, or of one of its threads.
+// stat holds the fields of /proc/PID/stat of a process, or of one of its threads.
 type stat struct {
 	state    byte
 	parent   int
@@ -45,19 +45,21 @@
 	start    uint64        // ticks since the boot
 	cpu      time.Duration // processor time
 	resident uint64        // pages
-	// Where the program's code ends and where its environment is in memory; 0 while there is
-	// none. The kernel writes the end of the code last when it replaces a program.
+	// Memory addresses of the end of the program's code and of the start and end of its
+	// environment; 0 while there is none. When the kernel replaces a program, it writes the
+	// end of the code last.
 	endCode, envStart, envEnd uint64
 }
 
-// withoutEnvironment tells whether the process was started with an empty environment. While
-// a program is being replaced, start and end are the same, too.
+// withoutEnvironment reports whether the process was started with an empty environment. The
+// environment's start and end are also equal while a program is being replaced, so the end of
+// the code must be set as well.
 func (s stat) withoutEnvironment() bool {
 	return s.endCode != 0 && s.envStart != 0 && s.envStart == s.envEnd
 }
 
-// ended tells whether all threads of the process have ended. One whose main thread
-// alone has ended shows the state of a zombie, too.
+// ended reports whether all threads of the process have ended. The state alone is not enough:
+// a process whose main thread has ended is shown as a zombie while its other threads run.
 func (s stat) ended() bool {
 	return s.state == 'X' || s.state == 'Z' && s.threads <= 1
 }
@@ -75,7 +77,7 @@
 }
 
 func parseStat(raw []byte) (stat, error) {
-	// The name is in brackets and may hold anything, brackets too.
+	// The name is in brackets and may contain any character, including brackets.
 	name := bytes.LastIndexByte(raw, ')')
 	fields := strings.Fields(string(raw[name+1:]))
 	if name < 0 || len(fields) <= fieldEnvEnd {
@@ -104,7 +106,7 @@
 	return s, errors.Join(errs...)
 }
 
-// listPIDs lists the numbers of all listPIDs but this one.
+// listPIDs lists the PIDs of all processes except this one.
 func listPIDs() ([]int, error) {
 	dir, err := os.Open("/proc")
 	if err != nil {
@@ -124,7 +126,7 @@
 	return out, nil
 }
 
-// newestPID is the number that a process or thread was given last.
+// newestPID returns the number that the kernel assigned last, to a process or a thread.
 func newestPID() (int, error) {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
