--- a/internal/provider/agents.go
+++ b/internal/provider/agents.go
@@ -18,10 +18,10 @@
 	"silvergate/internal/proc"
 )
 
-// killTimeout is how long an agent that was ended may take to be gone.
+// killTimeout is how long to wait for a killed agent to be gone before it is signalled again.
 const killTimeout = 5 * time.Second
 
-// endAgent ends an agent and returns when it is gone.
+// endAgent kills an agent, again after each killTimeout, and returns when it is gone.
 func endAgent(id proc.ID) {
 	for {
 		_ = id.Signal(syscall.SIGKILL)
@@ -31,12 +31,13 @@
 	}
 }
 
-// readAgent reads who a machine's agent is. A machine that has none yet has no record.
+// readAgent reads the recorded identity of a machine's agent. A machine whose agent was never
+// started has no record.
 func (p *Provider) readAgent(name string) (proc.ID, error) {
 	return proc.ReadRecord(filepath.Join(p.dir(name), agentFile))
 }
 
-// endRecordedAgent ends a machine's agent, and tells whether it is known to be gone.
+// endRecordedAgent ends a machine's agent and reports whether the agent is known to be gone.
 func (p *Provider) endRecordedAgent(name string) bool {
 	id, err := p.readAgent(name)
 	switch {
@@ -50,15 +51,16 @@
 	return true
 }
 
-// endTasks ends what an agent that is gone has left on its machine.
+// endTasks ends the tasks on a machine whose agent is gone.
 func (p *Provider) endTasks(name string) error {
 	err := agent.EndTasks(p.dir(name))
 	if err != nil {
-		p.log.Error("processes of a machine can't be ended", "machine", name, "error", err)
+		p.log.Error("tasks of a machine can't be ended", "machine", name, "error", err)
 	}
 	return err
 }
 
+// readAddress returns the address that a machine's agent has written, or "" if there is none.
 func (p *Provider) readAddress(name string) string {
 	raw, err := os.ReadFile(filepath.Join(p.dir(name), agent.AddressFile))
 	if err != nil {
@@ -67,9 +69,11 @@
 	return string(raw)
 }
 
-// checkPeriod is the time between two looks at the agents.
+// checkPeriod is the time between two checks of the agents.
 const checkPeriod = 250 * time.Millisecond
 
+// tick notes agents that have died or have an address now, and carries out what the market
+// wants done at this time.
 func (p *Provider) tick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +102,7 @@
 	p.timer.Reset(checkPeriod)
 }
 
-// agent is the configuration of a machine's agent.
+// agent returns the configuration of a machine's agent.
 func (c *Config) agent(x *Machine, t *MachineType) agent.Config {
 	a := c.Agent
 	a.Worker, a.MachineType, a.Zone, a.Spot = x.Name, x.MachineType, x.Zone, x.Spot
@@ -113,7 +117,7 @@
 	return a
 }
 
-// certify gives a machine a certificate of its own, or a new one in good time.
+// certify issues a certificate for a machine, or renews it before it expires.
 func (p *Provider) certify(name, dir string) error {
 	if p.cfg.Authority == "" {
 		return nil
@@ -125,7 +129,7 @@
 	return a.Ensure(identity.Identity{Kind: identity.Agent, Name: name}, filepath.Join(dir, certsDir))
 }
 
-// renewCertificates renews the certificates of all machines that are there.
+// renewCertificates renews the certificates of all machines whose agents run.
 func (p *Provider) renewCertificates() {
 	p.mu.Lock()
 	var names []string
@@ -142,7 +146,7 @@
 	}
 }
 
-// start starts a machine's agent. Before it runs, who it is is on disk.
+// start starts a machine's agent. The agent's identity is on disk before the agent runs.
 func (p *Provider) start(name string) {
 	p.mu.Lock()
 	x := p.market.machines[name]
@@ -153,7 +157,7 @@
 	t := p.market.types[x.MachineType]
 	p.mu.Unlock()
 	var id proc.ID
-	err := fmt.Errorf("type %s is not offered any more", x.MachineType)
+	err := fmt.Errorf("machine type %s is no longer offered", x.MachineType)
 	if t != nil {
 		id, err = p.spawn(x, t)
 	}
@@ -165,13 +169,15 @@
 		return
 	}
 	p.agents[name] = id
-	if p.closed && p.cfg.SwitchOff { // it came up while the others were switched off
+	if p.closed && p.cfg.SwitchOff { // it started while Stop was ending the others
 		endAgent(id)
 		return
 	}
 	p.log.Info("agent started", "machine", name, "pid", id.PID)
 }
 
+// spawn writes the configuration of a machine's agent and starts the agent held until its
+// identity is recorded.
 func (p *Provider) spawn(x *Machine, t *MachineType) (proc.ID, error) {
 	dir := p.dir(x.Name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -203,14 +209,14 @@
 	return id, err
 }
 
-// end ends a machine with everything on it. Its agent's lease may be running:
-// the tasks are gone when the record is, and not later.
+// end ends a machine with everything on it. Its agent's lease may still be valid, so
+// the machine's record is deleted only after the tasks are gone.
 func (p *Provider) end(name string) {
 	dir := p.dir(name)
 	for !p.endRecordedAgent(name) {
 		time.Sleep(killTimeout)
 	}
-	// The watchdog does the same; whoever is first.
+	// The watchdog ends the tasks too; either of them may be first.
 	for p.endTasks(name) != nil {
 		time.Sleep(checkPeriod)
 	}
@@ -241,8 +247,9 @@
 	return err == nil
 }
 
-// retainFolder keeps the folders of the machines that ended last, for whoever asks why
-// a task failed.
+// retainFolder moves the folder of an ended machine to the folder of ended machines, without
+// its large contents, so that a user can find out why a task failed. Only the last
+// maxEndedFolders are retained.
 func (p *Provider) retainFolder(name, dir string) {
 	for _, large := range []string{"images", "data/copies", "data/partial"} {
 		_ = os.RemoveAll(filepath.Join(dir, large))
--- a/internal/provider/database.go
+++ b/internal/provider/database.go
@@ -23,11 +23,11 @@
 	configFile      = "agent.yaml"
 	logFile         = "agent.log"
 	certsDir        = "certs"
-	maxEndedFolders = 50 // folders of machines that are gone
+	maxEndedFolders = 50 // folders of ended machines that are retained
 )
 
-// createFile makes an empty file. It gets its name when it is complete: one that is
-// there is never taken for an unfinished one.
+// createFile creates an empty database file. The file gets its name only when it is complete,
+// so a file under that name is never an unfinished one.
 func createFile(path string) error {
 	tmp := path + ".new"
 	if err := os.RemoveAll(tmp); err != nil {
@@ -43,8 +43,8 @@
 	return os.Rename(tmp, path)
 }
 
-// checkFile reads all of the file before it is opened for writing: damage is named,
-// and nothing is written over it. If there is none, one is made.
+// checkFile reads the whole database before it is opened for writing, so that damage is
+// reported and never written over. If there is no file, checkFile creates one.
 func checkFile(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -54,10 +54,10 @@
 		return err
 	}
 	damaged := func(format string, args ...any) error {
-		return fmt.Errorf("%s is %w: %s; it was left as it is: move it away and the cloud begins without machines", path, checksum.ErrDamaged, fmt.Sprintf(format, args...))
+		return fmt.Errorf("%s is %w: %s; it was left as it is; if you move it away, the cloud starts without machines", path, checksum.ErrDamaged, fmt.Sprintf(format, args...))
 	}
 	if info.Size() < 4*int64(os.Getpagesize()) {
-		return damaged("it has %d bytes only", info.Size())
+		return damaged("it has only %d bytes", info.Size())
 	}
 	return checksum.Guard(path, func() error {
 		db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true})
@@ -84,7 +84,7 @@
 	})
 }
 
-// load reads the records.
+// load reads the records and makes the market of them.
 func (p *Provider) load(path string) error {
 	var rentals []*RentalRecord
 	var machines []*Machine
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// store makes what a step changed durable, and deletes the records of machines
-// that have ended.
+// store writes the records in e durably, and deletes the records of machines that
+// have ended.
 func (p *Provider) store(e Effects, ended ...string) error {
 	if len(e.Store) == 0 && e.Rental == nil && len(ended) == 0 {
 		return nil
--- a/internal/provider/golden_test.go
+++ b/internal/provider/golden_test.go
@@ -21,18 +21,19 @@
 	"silvergate/internal/goldentest"
 )
 
-// The golden file was written by an earlier build's provider: the rental "first" has
-// the machines 1 to 3, of which 3 is a failed one, "second" the spot machines 4, which
-// is told of its end, and 5, which is being taken. records.txt lists what it holds.
-// The tests speak to providers in the forms of the wire and of the settings' file.
+// The golden file was written by the provider of an earlier build. The rental "first" has
+// machines 1 to 3, of which 3 has failed. The rental "second" has the spot machines 4, which
+// has got notice of its preemption, and 5, which is being preempted. records.txt lists the
+// records. The tests use literal requests and settings, so that a change of either format fails.
 const (
 	goldenFile    = "testdata/golden/provider.db"
 	goldenRecords = "testdata/golden/records.txt"
-	// goldenRented is when the machines were rented, in milliseconds of the day's clock.
+	// goldenRented is when the machines were rented, in milliseconds of the wall clock.
 	goldenRented = 1_700_000_000_000
 )
 
-// goldenConfig is for a provider whose machines take thirty years to come up.
+// goldenConfig returns the configuration of a provider whose machines take thirty years to
+// come up.
 func goldenConfig(t *testing.T, dir string) Config {
 	t.Helper()
 	cfg := DefaultConfig()
@@ -44,7 +45,7 @@
 	return cfg
 }
 
-// goldenDump lists the records in a provider's file: bucket, key, value and checksum.
+// goldenDump returns the records in a provider's file, one a line: bucket, key, value and checksum.
 func goldenDump(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true})
@@ -68,7 +69,7 @@
 	return lines.String()
 }
 
-// runningProvider is a provider that serves a folder.
+// runningProvider is a provider that serves at url until stop is called.
 type runningProvider struct {
 	url  string
 	stop func()
@@ -93,12 +94,12 @@
 	case address := <-ready:
 		w.url = "http://" + address
 	case <-time.After(10 * time.Second):
-		t.Fatal("the provider does not serve")
+		t.Fatal("the provider does not serve in time")
 	}
 	return w
 }
 
-// ask sends a request and returns the answer; with a body it is a POST.
+// ask sends a GET, or a POST if there is a body, and returns the body of the answer.
 func (w *runningProvider) ask(t *testing.T, path, body string) string {
 	t.Helper()
 	method := http.MethodGet
@@ -121,7 +122,7 @@
 	return string(text)
 }
 
-// copyGoldenFile copies the file into a provider's folder.
+// copyGoldenFile copies the golden file into a new folder for a provider.
 func copyGoldenFile(t *testing.T) (dir, path string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -132,12 +133,15 @@
 	return dir, path
 }
 
-// withoutPreempted drops the machine that is being taken from a dump: a provider ends it.
+// withoutPreempted removes the machine that is being preempted from a dump: a provider that
+// starts with the file ends that machine.
 func withoutPreempted(dump string) string {
 	lines := strings.SplitAfter(dump, "\n")
 	return strings.Join(slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, "machines i-00000005 ") }), "")
 }
 
+// TestGoldenProvider opens the golden file, and checks that the machines are listed, that a
+// repeated rental gets the same machines, and that the file keeps its other records.
 func TestGoldenProvider(t *testing.T) {
 	dir, path := copyGoldenFile(t)
 	stored := string(goldentest.Read(t, goldenRecords))
@@ -168,12 +172,12 @@
 		t.Errorf("listed\n%q, not\n%q", listed, want)
 	}
 
-	// A request that was granted before is answered as it was, and rents nothing.
+	// A request that was granted before gets the same answer and rents nothing.
 	again := w.ask(t, "/rentals", `{"hire":"first","rig":"small","depot":"north","casual":false,"number":3}`)
 	if want := `{"stokers":["i-00000001","i-00000002","i-00000003"]}`; again != want {
-		t.Errorf("the rental is answered by %s, not %s", again, want)
+		t.Errorf("the repeated rental got %s, not %s", again, want)
 	}
-	// The answer comes when nothing of it is left.
+	// The request is answered when nothing of the machine is left.
 	w.ask(t, "/rentals/delete", `{"stokers":["i-00000005"]}`)
 	w.stop()
 	if got, want := goldenDump(t, path), withoutPreempted(stored); got != want {
@@ -181,7 +185,8 @@
 	}
 }
 
-// TestGoldenRecordsRoundTrip reads each record and writes it again.
+// TestGoldenRecordsRoundTrip checks that each record, decoded and encoded again, has the same
+// bytes.
 func TestGoldenRecordsRoundTrip(t *testing.T) {
 	counts := map[string]int{}
 	for line := range strings.Lines(string(goldentest.Read(t, goldenRecords))) {
@@ -200,7 +205,7 @@
 			t.Fatal(err)
 		}
 		if again, err := json.Marshal(record); err != nil || string(again) != fields[2] {
-			t.Errorf("%s is written as\n%s, not\n%s: %v", fields[1], again, fields[2], err)
+			t.Errorf("%s is encoded as\n%s, not\n%s: %v", fields[1], again, fields[2], err)
 		}
 	}
 	if counts["hires"] != 2 || counts["machines"] != 5 {
@@ -208,8 +213,8 @@
 	}
 }
 
-// TestGoldenProviderWritesTheSameFormat has machines rented that were not, and one that was
-// told of its end, which writes its record anew.
+// TestGoldenProviderWritesTheSameFormat rents a new machine and preempts an old one, which
+// rewrites its record, and checks the records that the provider writes.
 func TestGoldenProviderWritesTheSameFormat(t *testing.T) {
 	dir, path := copyGoldenFile(t)
 	w := startGoldenProvider(t, dir)
@@ -235,7 +240,7 @@
 			found = err == nil && at >= before && at <= before+3000_000+60_000 && strings.HasPrefix(rest, fmt.Sprint(at)+tail)
 		}
 		if !found {
-			t.Errorf("the file holds\n%s, and not %s", dump, want)
+			t.Errorf("the file holds\n%s, which lacks %s", dump, want)
 		}
 	}
 }
--- a/internal/provider/http.go
+++ b/internal/provider/http.go
@@ -13,7 +13,7 @@
 	"silvergate/internal/transport"
 )
 
-// Serve takes a request; the server holds the lock.
+// Serve handles a request; the server holds the lock.
 func (p *Provider) Serve(id uint64, r *transport.Request) {
 	if p.Extra != nil && p.Extra(id, r.Method, r.Path) {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// refuse answers with an error; the lock is held.
+// refuse answers a request with an error; the lock is held.
 func (p *Provider) refuse(id uint64, status int, format string, args ...any) {
 	retryAfterS := 0
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
@@ -81,7 +81,7 @@
 	}
 }
 
-// preempt has the machines that an operator names taken back; the lock is held.
+// preempt handles an operator's request to preempt machines; the lock is held.
 func (p *Provider) preempt(id uint64, now time.Time, body []byte) {
 	names, err := readNames(body)
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// delete answers when nothing of the machines is left.
+// delete ends machines and answers the request when all of them are gone; the lock is held.
 func (p *Provider) delete(id uint64, names []string) {
 	wait, e := p.market.Delete(names)
 	left := len(wait)
@@ -170,7 +170,7 @@
 	return q.Get("from"), min(page, maxPage), nil
 }
 
-// AnswerAs answers a request of Extra; the lock must be held.
+// AnswerAs answers a request that Extra has accepted; the lock must be held.
 func (p *Provider) AnswerAs(id uint64, contentType string, body []byte) {
 	p.server.AnswerAs(id, contentType, body)
 }
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -23,40 +23,40 @@
 	OnDemandPrice   float64        `yaml:"hourly"`
 	SpotPrice       float64        `yaml:"spotPrice"`
 	StartupS        float64        `yaml:"startupS"`
-	Zones           map[string]int `yaml:"depots"` // zone -> machines that can be had
+	Zones           map[string]int `yaml:"depots"` // zone -> machines on offer
 }
 
-// Spot says how spot machines are taken back.
+// Spot says when spot machines are preempted.
 type Spot struct {
-	// MeanLifetimeS is how many seconds one is left, on average; 0: for ever.
+	// MeanLifetimeS is the mean time until a spot machine is preempted, in seconds; 0: never.
 	MeanLifetimeS float64 `yaml:"mean_life_s"`
-	// NoticeS is how many seconds before that its agent gets notice.
+	// NoticeS is how many seconds before the preemption the machine's agent gets notice.
 	NoticeS float64 `yaml:"notice_s"`
 }
 
-// RentalRecord is a request for machines that was granted. Its answer never changes.
+// RentalRecord is a granted request for machines. A repeated request gets the same machines.
 type RentalRecord struct {
 	Name     string   `json:"name"`
 	Machines []string `json:"stokers"`
 }
 
-// Machine is a rented machine. It is stored as it stands.
+// Machine is a rented machine. Its exported fields are stored.
 type Machine struct {
 	Name         string  `json:"name"`
 	MachineType  string  `json:"rig"`
 	Zone         string  `json:"depot"`
 	Spot         bool    `json:"casual"`
-	RentedMS     int64   `json:"rentedMs"`           // the day's clock
-	PreemptionMS int64   `json:"recallMs,omitempty"` // when it is taken back; 0: never
+	RentedMS     int64   `json:"rentedMs"`           // wall clock
+	PreemptionMS int64   `json:"recallMs,omitempty"` // when it is preempted; 0: never
 	Noticed      bool    `json:"noticed,omitempty"`
 	Failed       bool    `json:"failed,omitempty"`
-	Ending       bool    `json:"leaving,omitempty"` // deleted or taken; being ended
-	Preempted    bool    `json:"taken,omitempty"`   // by the cloud: stays away from the list
+	Ending       bool    `json:"leaving,omitempty"` // deleted or preempted; being ended
+	Preempted    bool    `json:"taken,omitempty"`   // by the cloud; not listed any more
 	Hourly       float64 `json:"hourly"`
 
 	address string
 	started bool
-	deaths  []time.Time // of its agent, the latest ones
+	deaths  []time.Time // of its agent, within deathWindow
 	retryAt time.Time
 }
 
@@ -68,26 +68,25 @@
 	minPaidS  = 60
 )
 
-// An agent that keeps dying makes its machine a failed one: deathLimit times
-// within deathWindow. Before that it is started again, each time after twice as
-// long a pause.
+// A machine fails when its agent dies deathLimit times within deathWindow. Before that the
+// agent is started again, each time after a pause twice as long.
 const (
 	deathLimit     = 5
 	deathWindow    = time.Minute
 	initialBackoff = 250 * time.Millisecond
 )
 
-// Effects are what a step wants done, in this order: store, then the rest.
+// Effects are what the caller of a step has to carry out, in this order: store, then the rest.
 type Effects struct {
 	Store  []*Machine
 	Rental *RentalRecord
 	Start  []string // machines whose agent is to be started
 	Notice []string // machines that get notice of their end
-	End    []string // machines to be ended whole; Ended is called then
+	End    []string // machines to be ended with all their tasks; Ended is called then
 }
 
 // Market decides on rentals. It owns the machines' records and does no I/O; the
-// day's clock and chance come with the inputs.
+// wall clock and the source of random numbers are inputs.
 type Market struct {
 	types      map[string]*MachineType
 	spot       Spot
@@ -98,10 +97,10 @@
 	next       uint64
 	tokens     float64
 	refilledAt time.Time
-	paid       float64 // for machines that are gone
+	paid       float64 // cost of the machines that are gone
 }
 
-// NewMarket makes a market of what is stored. It owns the records from then on.
+// NewMarket returns a market with the stored records, which it owns from then on.
 func NewMarket(types []MachineType, spot Spot, rps float64, rentals []*RentalRecord, machines []*Machine, next uint64, rnd *rand.Rand) *Market {
 	m := &Market{types: map[string]*MachineType{}, spot: spot, rps: rps, random: rnd, machines: map[string]*Machine{}, rentals: map[string]*RentalRecord{}, next: next, tokens: 2 * rps}
 	for i := range types {
@@ -116,7 +115,7 @@
 	return m
 }
 
-// CheckTypes names the first field that can't be.
+// CheckTypes returns an error that names the first field with an impossible value.
 func CheckTypes(types []MachineType) error {
 	if len(types) == 0 {
 		return errors.New("types: missing")
@@ -144,8 +143,8 @@
 	return nil
 }
 
-// Admit tells whether a request is within the rate; bursts of two seconds'
-// worth are.
+// Admit reports whether a request is within the rate. Bursts of up to two seconds'
+// worth of requests are admitted.
 func (m *Market) Admit(now time.Time) bool {
 	if !m.refilledAt.IsZero() {
 		m.tokens = min(2*m.rps, m.tokens+m.rps*max(0, now.Sub(m.refilledAt).Seconds()))
@@ -158,7 +157,7 @@
 	return true
 }
 
-// MachineTypes is the catalogue, in the order of names.
+// MachineTypes returns the machine types on offer, sorted by name.
 func (m *Market) MachineTypes() protocol.MachineTypes {
 	catalogue := protocol.MachineTypes{MachineTypes: []protocol.MachineType{}}
 	for _, t := range m.types {
@@ -174,10 +173,10 @@
 	return catalogue
 }
 
-// ErrNoCapacity is the refusal of a rental that may succeed later.
+// ErrNoCapacity refuses a rental that may succeed later.
 var ErrNoCapacity = errors.New("no capacity")
 
-// occupied counts the machines of a type and zone that are there.
+// occupied returns the number of machines of a type in a zone, without failed ones.
 func (m *Market) occupied(machineType, zone string) (n int) {
 	for _, x := range m.machines {
 		if x.MachineType == machineType && x.Zone == zone && !x.Failed {
@@ -187,8 +186,8 @@
 	return n
 }
 
-// Rent grants a request, or repeats what it answered before. The error is
-// ErrNoCapacity when the same request may succeed later.
+// Rent grants a request, or repeats the answer if it has granted the request before. The
+// error is ErrNoCapacity when the same request may succeed later.
 func (m *Market) Rent(now time.Time, r protocol.RentalRequest) ([]string, Effects, error) {
 	var e Effects
 	if rental := m.rentals[r.RequestID]; rental != nil {
@@ -226,8 +225,8 @@
 	return rental.Machines, e, nil
 }
 
-// Delete has machines ended. Unknown names are ignored; those that are being
-// ended already are waited for too.
+// Delete ends machines and returns those to wait for, which include machines that are being
+// ended already. Unknown names are ignored.
 func (m *Market) Delete(names []string) (wait []string, e Effects) {
 	for _, n := range names {
 		x := m.machines[n]
@@ -244,7 +243,7 @@
 	return wait, e
 }
 
-// Ended takes that nothing of a machine is left.
+// Ended records that nothing of a machine is left.
 func (m *Market) Ended(now time.Time, name string) {
 	if x := m.machines[name]; x != nil {
 		m.paid += m.cost(x, now)
@@ -252,6 +251,7 @@
 	}
 }
 
+// cost is what a machine has cost so far. At least minPaidS is charged; a failed machine is free.
 func (m *Market) cost(x *Machine, now time.Time) float64 {
 	if x.Failed {
 		return 0
@@ -259,7 +259,7 @@
 	return x.Hourly / 3600 * max(minPaidS, float64(now.UnixMilli()-x.RentedMS)/1000)
 }
 
-// Paid is what all machines have cost so far, in the currency of the hourly prices.
+// Paid returns what all machines have cost so far, in the currency of the hourly prices.
 func (m *Market) Paid(now time.Time) float64 {
 	sum := m.paid
 	for _, x := range m.machines {
@@ -268,7 +268,7 @@
 	return sum
 }
 
-// Preempt has the cloud take machines back after a notice.
+// Preempt gives machines notice now; Tick ends them when the notice is over.
 func (m *Market) Preempt(now time.Time, names []string, notice time.Duration) (e Effects) {
 	for _, n := range names {
 		if x := m.machines[n]; x != nil && !x.Ending {
@@ -280,8 +280,8 @@
 	return e
 }
 
-// Tick lets time pass: machines come up, agents that died are started again,
-// spot machines get notice of their end and are taken.
+// Tick returns what is due now: machines come up, agents that died are started again, and
+// machines get notice of their preemption and are ended.
 func (m *Market) Tick(now time.Time) (e Effects) {
 	ms := now.UnixMilli()
 	for _, n := range m.names() {
@@ -320,14 +320,15 @@
 	return out
 }
 
-// Up takes that a machine's agent runs; address is empty until it is known.
+// Up records that a machine's agent runs; address is empty until it is known.
 func (m *Market) Up(name, address string) {
 	if x := m.machines[name]; x != nil {
 		x.started, x.address = true, address
 	}
 }
 
-// AgentDied takes that a machine's agent is gone without having been stopped by the provider.
+// AgentDied records that a machine's agent is gone although the provider did not end it, or
+// could not be started.
 func (m *Market) AgentDied(now time.Time, name string) (e Effects) {
 	x := m.machines[name]
 	if x == nil || x.Ending || x.Failed || !x.started {
@@ -346,7 +347,7 @@
 	return e
 }
 
-// List is a page of the machines in the order of their names, after from.
+// List returns the page of machines, sorted by name, whose names come after from.
 func (m *Market) List(now time.Time, from string, page int) protocol.RentalList {
 	out := protocol.RentalList{Machines: []protocol.RentedMachine{}}
 	for _, n := range m.names() {
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -1,12 +1,13 @@
-// Package provider is a cloud of machines that are agent processes on this
-// machine: it rents them by the protocol's cloud interface, starts and watches
-// their agents, takes spot machines back and ends machines whole.
+// Package provider is a local cloud whose machines are agent processes on this
+// machine. It rents them out through the protocol's cloud interface, starts and
+// watches their agents, preempts spot machines and ends machines with all their
+// tasks.
 //
-// Market decides and owns the records; Provider keeps them in a file (bbolt)
-// before it answers, and does the rest. A request's name is remembered for
-// ever, so a repeated one rents nothing, also after a restart. Agents are found
-// again by process number and start time; one that can't be is ended with all
-// its tasks before another takes its place.
+// Market decides and owns the records; Provider stores them in a file (bbolt)
+// before it answers, and does all other I/O. A request's name is stored for
+// ever, so a repeated request rents nothing, even after a restart. After a
+// restart, agents are found again by PID and start time; an agent that can't be
+// found is ended with all its tasks before another takes its place.
 package provider
 
 import (
@@ -37,23 +38,23 @@
 	RPS    float64       `yaml:"rps"`
 	Types  []MachineType `yaml:"types"`
 	Spot   Spot          `yaml:"spot"`
-	// Agent is every machine's agent configuration, but for what differs.
+	// Agent is the agent configuration of every machine, except for the fields that differ.
 	Agent   agent.Config `yaml:"agent"`
 	Metrics bool         `yaml:"metrics"`
-	// SwitchOff has the machines switched off when the provider is
-	// stopped. They are rented still, and come up again with it.
+	// SwitchOff switches the machines off when the provider is stopped. They
+	// stay rented, and come up again with the provider.
 	SwitchOff bool `yaml:"switch_off"`
 	// Authority is the folder of the site's authority, which issues each machine's
 	// certificate; "": machines have none.
 	Authority string `yaml:"authority,omitempty"`
 }
 
-// DefaultConfig returns what holds for fields that a file does not name.
+// DefaultConfig returns the values of fields that a configuration file does not set.
 func DefaultConfig() Config {
 	return Config{Listen: "127.0.0.1:8443", RPS: 20, Spot: Spot{NoticeS: 30}, Agent: agent.DefaultConfig()}
 }
 
-// Check names the first field that can't be.
+// Check returns an error that names the first field with an impossible value.
 func (c *Config) Check() error {
 	if !filepath.IsAbs(c.Dir) {
 		return errors.New("dir: must be absolute")
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// PathPreemptions is where an operator has machines taken back: POST
+// PathPreemptions is the path at which an operator preempts machines: POST
 // {"stokers":[...],"noticeS":30}. It is not part of the protocol.
 const PathPreemptions = "/recalls"
 
@@ -81,7 +82,7 @@
 	bucketNext     = []byte("next")
 )
 
-// Bounds of the provider's server.
+// Limits of the provider's server.
 const (
 	requestTimeout = 10 * time.Second
 	maxConnections = 256
@@ -100,24 +101,24 @@
 	mu      sync.Mutex
 	market  *Market
 	agents  map[string]proc.ID
-	waiting map[string][]func() // for a machine's end
+	waiting map[string][]func() // by machine: called when it has ended
 	timer   *time.Timer
 	closed  bool
 	failed  error
 	stats   Stats
-	// certsCheckedAt is when the machines' certificates were last looked at.
+	// certsCheckedAt is when the machines' certificates were last checked for renewal.
 	certsCheckedAt time.Time
 }
 
-// Stats counts what a provider did.
+// Stats counts what a provider has done.
 type Stats struct {
 	Requests, Refused, Rented, Ended, Restarted uint64
 	Machines                                    map[string]int // by status
 	Paid                                        float64
 }
 
-// Open opens the provider's file, or makes one, and takes up the machines that
-// are there. self is this program, which is started again for each agent.
+// Open opens the provider's file, or creates one, and loads the machines in it. executable is
+// the path of this program, which is started again for each agent.
 func Open(cfg Config, executable string, log *slog.Logger) (*Provider, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -143,7 +144,7 @@
 	return p, nil
 }
 
-// fail ends the provider: what could not be stored must not be answered.
+// fail stops the provider: a result that could not be stored must not be answered.
 func (p *Provider) fail(err error) {
 	if p.failed == nil {
 		p.failed = err
@@ -152,8 +153,8 @@
 	}
 }
 
-// perform stores and carries out effects; it returns false when nothing may be
-// answered. The lock is held.
+// perform stores and carries out effects. It returns false if they could not be stored, so that
+// the request must not be answered. The lock is held.
 func (p *Provider) perform(e Effects) bool {
 	if err := p.store(e); err != nil {
 		p.fail(err)
@@ -163,7 +164,7 @@
 		at := p.market.machines[n].PreemptionMS
 		p.log.Info("machine preempted", "machine", n, "at", time.UnixMilli(at))
 		if err := renameio.WriteFile(filepath.Join(p.dir(n), agent.PreemptionFile), []byte(strconv.FormatInt(at, 10)), 0o600); err != nil && !errors.Is(err, os.ErrNotExist) {
-			p.log.Error("a notice can't be given", "machine", n, "error", err)
+			p.log.Error("the preemption notice of a machine can't be written", "machine", n, "error", err)
 		}
 	}
 	for _, n := range e.End {
@@ -177,22 +178,22 @@
 
 func (p *Provider) dir(name string) string { return filepath.Join(p.cfg.Dir, machinesDir, name) }
 
-// Run serves until Stop is called or the disk or the network fails. Machines
-// stay when it ends: they are the cloud's, not this process's.
+// Run serves until Stop is called or the disk or the network fails. Machines keep running when
+// it returns: they belong to the cloud, not to this process.
 func (p *Provider) Run(ready func(net.Addr)) error {
 	p.mu.Lock()
 	for _, n := range p.market.names() {
 		x := p.market.machines[n]
 		id, err := p.readAgent(n)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
-			p.log.Error("a machine's agent is not known", "machine", n, "error", err)
+			p.log.Error("the record of a machine's agent can't be read", "machine", n, "error", err)
 		}
 		if err == nil && id.Alive() {
 			p.agents[n] = id
 			p.market.Up(n, p.readAddress(n))
 			p.log.Info("agent found again", "machine", n, "pid", id.PID)
 		}
-		if x.Ending { // its end was under way
+		if x.Ending { // the previous run did not finish ending it
 			go p.end(n)
 		}
 	}
@@ -226,7 +227,7 @@
 			go func() {
 				defer wait.Done()
 				endAgent(id)
-				_ = p.endTasks(n) // what is left is in the log; the next start ends it
+				_ = p.endTasks(n) // an error is in the log; the next start ends the remaining tasks
 			}()
 		}
 		wait.Wait()
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -30,8 +30,8 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// The test binary stands in for the program: for agents, which here only say
-// where they are and wait, and for a provider that can be killed.
+// TestMain also runs the test binary as the program under test: as an agent, which here only
+// writes its address and waits, or as a provider that a test can kill.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "agent" {
 		if proc.Hold() != nil {
@@ -59,7 +59,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	_ = flag.Set("rapid.seed", "20261201") // so that a verdict repeats
+	_ = flag.Set("rapid.seed", "20261201") // so that a result can be reproduced
 	os.Exit(m.Run())
 }
 
@@ -71,7 +71,9 @@
 	return c
 }
 
-// TestMarketInvariants draws rentals, deletions, deaths and restarts.
+// TestMarketInvariants plays random rentals, deletions, agent deaths and restarts. No name may be
+// used twice, no machine may be started or ended twice, start too early or outlive its
+// preemption, no zone may exceed its capacity, and a repeated request gets the same answer.
 func TestMarketInvariants(t *testing.T) {
 	types := testConfig("/").Types
 	types[0].StartupS = 1
@@ -93,10 +95,10 @@
 			}
 			for _, n := range e.Start {
 				if started[n] || ending[n] {
-					t.Fatalf("%s started twice, or while it is being ended", n)
+					t.Fatalf("%s started twice, or while being ended", n)
 				}
 				if x := machines[n]; now.UnixMilli() < x.RentedMS+1000 {
-					t.Fatalf("%s came up before its time", n)
+					t.Fatalf("%s started before its startup time was over", n)
 				}
 				started[n] = true
 			}
@@ -127,7 +129,7 @@
 				case err == nil:
 					for _, n := range got {
 						if names[n] {
-							t.Fatalf("name %s given out again", n)
+							t.Fatalf("name %s was used twice", n)
 						}
 						names[n] = true
 					}
@@ -157,7 +159,7 @@
 						delete(started, n)
 					}
 				}
-			case 5: // the provider was killed: only what is stored is left
+			case 5: // the provider was killed: only the stored records are left
 				var hs []*RentalRecord
 				for _, h := range rentals {
 					hs = append(hs, &h)
@@ -174,25 +176,25 @@
 			store(m.Tick(now))
 			for z, room := range types[0].Zones {
 				if n := m.occupied("t", z); n > room {
-					t.Fatalf("%d machines in %s, which has %d", n, z, room)
+					t.Fatalf("%d machines in zone %s, which has capacity for %d", n, z, room)
 				}
 			}
 			for n, x := range machines {
 				if x.PreemptionMS > 0 && now.UnixMilli() >= x.PreemptionMS && !ending[n] && !x.Failed {
-					t.Fatalf("%s was to be taken", n)
+					t.Fatalf("%s is past its preemption and is not being ended", n)
 				}
 			}
 			l := m.List(now, "", 1<<20)
 			if !slices.IsSortedFunc(l.Machines, func(a, b protocol.RentedMachine) int { return strings.Compare(a.Name, b.Name) }) {
-				t.Fatal("the list is not in order")
+				t.Fatal("the list is not sorted by name")
 			}
 		}
 	})
 }
 
-// TestKilledProviderFindsItsMachines kills a provider with machines up and
-// coming up, and demands that the next one finds the same agents, rents nothing
-// for a repeated request, and ends what a deletion had begun.
+// TestKilledProviderFindsItsMachines kills a provider while machines are up or coming up. The
+// next provider must find the same agents, rent nothing for a repeated request, and finish a
+// deletion that had begun.
 func TestKilledProviderFindsItsMachines(t *testing.T) {
 	dir := t.TempDir()
 	pool := transport.NewPool(4)
@@ -200,7 +202,7 @@
 	start := func() string {
 		cmd = exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "PROVIDER_DIR="+dir)
-		cmd.Stderr = os.Stderr // why it did not start
+		cmd.Stderr = os.Stderr // shows why it did not start
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -277,12 +279,12 @@
 	if now := agents(); !slices.Equal(now, before) {
 		t.Fatalf("agents %v, before %v", now, before)
 	}
-	// One agent dies while nobody looks: another takes its place.
+	// An agent that dies while no provider runs is replaced.
 	kill()
 	endAgent(before[0])
 	addr = start()
 	running(addr, 2)
-	// A deletion is asked for and the provider killed at once.
+	// The provider is killed right after a deletion is requested.
 	var names protocol.MachineNames
 	_ = json.Unmarshal([]byte(first), &names)
 	go do(addr, "POST", protocol.PathRentalsDelete, names)
@@ -307,7 +309,7 @@
 	}
 }
 
-// TestConformsToProtocol plays the protocol's sentences.
+// TestConformsToProtocol runs the conformance tests of the protocol's cloud interface.
 func TestConformsToProtocol(t *testing.T) {
 	conformance.Run(t, conformance.Cloud, true, func(t *testing.T) conformance.Target {
 		cfg := testConfig(t.TempDir())
@@ -328,8 +330,8 @@
 	})
 }
 
-// TestDamagedFileIsReportedAndKept changes the provider's file and demands that it is refused by
-// name and left alone.
+// TestDamagedFileIsReportedAndKept damages the provider's file in several ways. Open must return
+// an error that names the file, and must not change the file.
 func TestDamagedFileIsReportedAndKept(t *testing.T) {
 	dir := t.TempDir()
 	p, err := Open(testConfig(dir), os.Args[0], quiet)
@@ -352,7 +354,7 @@
 	}
 	at := strings.Index(string(good), `"stokers"`)
 	if at < 0 {
-		t.Fatal("no record is found in the file")
+		t.Fatal("the file holds no record")
 	}
 	for name, raw := range map[string][]byte{
 		"changed": append(append(slices.Clone(good[:at]), 'X'), good[at+1:]...),
@@ -360,7 +362,7 @@
 		"cut":     good[:os.Getpagesize()],
 		"empty":   nil,
 	} {
-		// Into a folder of its own: what a panic leaves mapped keeps a lock.
+		// Each case has a folder of its own: a file that a panic leaves mapped stays locked.
 		other := t.TempDir()
 		file := filepath.Join(other, fileName)
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
