--- a/internal/site/certs.go
+++ b/internal/site/certs.go
@@ -15,11 +15,12 @@
 	"silvergate/internal/identity"
 )
 
-// siteName is the name of a site on one machine in its certificates.
+// siteName is the name of a single-machine site in its certificates.
 const siteName = "site"
 
-// certify has the site's authority, the key of grants and the parts' certificates
-// there, each made once and renewed in good time.
+// certify creates the site's authority, the key for grants and the parts' certificates, if
+// they don't exist, and renews certificates before they expire. Without an archive it does
+// nothing.
 func (s *Site) certify() error {
 	if s.cfg.Archive == nil {
 		return nil
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// renewCerts renews what is issued to the site's own parts while it runs.
+// renewCerts renews the certificates of the site's own parts every hour until ctx ends.
 func (s *Site) renewCerts(ctx context.Context) {
 	for {
 		select {
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -1,7 +1,7 @@
 // Package site runs a whole silvergate on one machine, on loopback: the state
-// service, the cloud of local machines and the controllers, each a process of
-// its own, started, watched and ended by one that holds them together. With the
-// same folder it goes on after any end.
+// service, the cloud of local machines and the controllers. Each is a process of
+// its own, which one supervising process starts, watches and ends. A site that is
+// started again with the same folder continues, however its last run ended.
 package site
 
 import (
@@ -27,7 +27,7 @@
 	"silvergate/internal/statestore"
 )
 
-// Config is a site, in YAML.
+// Config is the configuration of a site, in YAML.
 type Config struct {
 	Controllers int                    `yaml:"controllers"`
 	Zones       []string               `yaml:"zones"`
@@ -46,55 +46,56 @@
 	GiveUpS     float64                `yaml:"give_up_s"`
 	Environment []string               `yaml:"environment"`
 	Staging     *Staging               `yaml:"staging"`
-	// Archive has what tasks write kept; nil: off.
+	// Archive switches on the archive, which keeps the output of tasks; nil: off.
 	Archive *Archive `yaml:"archive"`
-	// OutsideKeepS is how long results and checkpoints of jobs that are over are
-	// kept, in seconds; 0: for ever.
+	// OutsideKeepS is how long results and checkpoints of finished jobs are kept, in
+	// seconds; 0: for ever.
 	OutsideKeepS float64 `yaml:"outside_keep_s"`
 }
 
-// Staging switches data sets on: the controllers' budgets and the machines'
-// stores.
+// Staging switches on data sets. It holds the controllers' budgets and the settings of the
+// machines' stores.
 type Staging struct {
 	Budgets config.Staging `yaml:"budgets"`
 	Store   agent.Staging  `yaml:"store"`
 }
 
-// Archive switches the archive on: nodes, and what machines ship to them.
+// Archive switches on the archive. It configures the archive nodes and what machines ship to
+// them.
 type Archive struct {
 	Nodes     int               `yaml:"nodes"`
 	Replicas  int               `yaml:"replicas"`
 	Retention archive.Retention `yaml:"retention"`
-	// The rest is each machine's: see ship.Config.
+	// The following fields apply to each machine: see ship.Config.
 	BoundS       float64 `yaml:"bound_s"`
 	RateMBPerS   float64 `yaml:"rate_mb_per_s"`
 	UrgentMBPerS float64 `yaml:"urgent_mb_per_s"`
 	SpoolMB      float64 `yaml:"spool_mb"`
 	FileMB       float64 `yaml:"file_mb"`
 	FilesMax     int     `yaml:"files_max"`
-	// HoldS is the controllers': see config.Archive.
+	// HoldS applies to the controllers: see config.Archive.
 	HoldS float64 `yaml:"hold_s"`
-	// The rest is each node's: see node.Config.
+	// The following fields apply to each archive node: see node.Config.
 	SyncS       float64 `yaml:"sync_s"`
 	SyncMBPerS  float64 `yaml:"sync_mb_per_s"`
 	ScrubMBPerS float64 `yaml:"scrub_mb_per_s"`
 	TombstoneS  float64 `yaml:"tombstone_s"`
 }
 
-// Controller bounds each controller's process.
+// Controller holds the limits and the log level of each controller's process.
 type Controller struct {
 	CPU        float64 `yaml:"cpu"`
 	RAMMB      float64 `yaml:"ram_mb"`
 	MaxSockets int     `yaml:"max_sockets"`
 	LogLevel   string  `yaml:"log_level"`
-	// RecordMB is what each controller's recordings may take; 0: off.
+	// RecordMB is the most disk space for each controller's recordings, in MB; 0: off.
 	RecordMB float64 `yaml:"record_mb"`
 }
 
-// maxNodes bounds the controllers and the archive nodes of a site.
+// maxNodes is the most controllers, and the most archive nodes, of a site.
 const maxNodes = 9
 
-// Parse reads a site and names the first field that can't be.
+// Parse reads a site's configuration. The error names the first field with an impossible value.
 func Parse(raw []byte) (*Config, error) {
 	c := &Config{}
 	if err := config.DecodeYAML(raw, c); err != nil {
@@ -103,14 +104,14 @@
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	// Each part's own check names what is wrong with its share.
+	// Each part checks its own share of the configuration.
 	if err := c.checkParts(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// check judges the fields that are the site's own.
+// check checks the fields that belong to the site as a whole.
 func (c *Config) check() error {
 	if c.Controllers < 1 || c.Controllers > maxNodes {
 		return fmt.Errorf("controllers: must be from 1 to %d", maxNodes)
@@ -134,8 +135,8 @@
 	return nil
 }
 
-// checkParts has each part's own check judge its configuration, with ports that
-// stand for those chosen later.
+// checkParts checks the configuration of each part with the part's own check. It uses
+// placeholders for the ports, which are chosen later.
 func (c *Config) checkParts() error {
 	l := layout{dir: "/", ports: &Ports{State: 1, Provider: 1, Controllers: make([]int, c.Controllers), Back: make([]int, c.Controllers)}}
 	if c.Archive != nil {
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// Ports are the ports of a site's parts, kept as long as it exists.
+// Ports are the ports of a site's parts. They stay the same as long as the site exists.
 type Ports struct {
 	State       int   `json:"state"`
 	Provider    int   `json:"provider"`
@@ -200,11 +201,11 @@
 
 func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// ReadPorts tells where the parts of the site in a folder listen.
+// ReadPorts reads the ports of the site in a folder.
 func ReadPorts(dir string) (*Ports, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, portsFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s is no site's folder, or the site was never started: %w", dir, err)
+		return nil, fmt.Errorf("%s is not a site's folder, or the site was never started: %w", dir, err)
 	}
 	p := &Ports{}
 	if err := json.Unmarshal(raw, p); err != nil {
@@ -227,8 +228,8 @@
 	return out
 }
 
-// choosePorts has the system choose the ports that are missing, all at once so
-// that they differ, and keeps them.
+// choosePorts lets the system choose the ports that are missing and stores them. It holds all
+// new ports open at the same time, so that they differ.
 func choosePorts(dir string, controllers, nodes int) (*Ports, error) {
 	p, err := ReadPorts(dir)
 	if err != nil {
@@ -285,7 +286,7 @@
 	return p, nil
 }
 
-// layout makes the configuration of each part of a site.
+// layout derives the configuration of each part of a site from the folder and the ports.
 type layout struct {
 	dir   string // absolute
 	ports *Ports
@@ -321,7 +322,7 @@
 	return p
 }
 
-// ArchiveNodes lists a site's archive nodes.
+// ArchiveNodes returns the names and addresses of a site's first n archive nodes.
 func (p *Ports) ArchiveNodes(n int) (out []node.Member) {
 	for i, port := range p.Archive[:min(n, len(p.Archive))] {
 		out = append(out, node.Member{Name: archiveName(i), Address: address(port)})
@@ -331,7 +332,7 @@
 
 func archiveName(i int) string { return fmt.Sprintf("archive-%d", i) }
 
-// archiveNode is the configuration of an archive node.
+// archiveNode returns the configuration of archive node i.
 func (l layout) archiveNode(c *Config, i int) node.Config {
 	x, n := c.Archive, node.DefaultConfig()
 	n.Name, n.Listen, n.Members, n.Replicas = archiveName(i), address(l.ports.Archive[i]), l.ports.ArchiveNodes(x.Nodes), x.Replicas
@@ -342,8 +343,8 @@
 	return n
 }
 
-// ReadArchive tells who keeps what the tasks of the site in a folder write, and
-// where its operator's certificate is.
+// ReadArchive returns the archive nodes of the site in a folder, which keep the output of its
+// tasks, and the folder of its operator's certificate.
 func ReadArchive(dir string) (members []node.Member, certs string, err error) {
 	p, err := ReadPorts(dir)
 	if err != nil {
@@ -358,12 +359,12 @@
 		return nil, "", err
 	}
 	if c.Archive == nil {
-		return nil, "", errors.New("this site keeps no output of tasks: it has no archive in site.yaml")
+		return nil, "", errors.New("this site does not keep the output of tasks: its site.yaml configures no archive")
 	}
 	return p.ArchiveNodes(c.Archive.Nodes), filepath.Join(dir, CertsDir, operatorName), nil
 }
 
-// operatorName is the identity that silvergate up makes for whoever runs it.
+// operatorName is the name in the certificate that silvergate up issues to its user.
 const operatorName = "operator"
 
 func nodeName(i int) string { return fmt.Sprintf("stoker-%d", i) }
--- a/internal/site/outside.go
+++ b/internal/site/outside.go
@@ -16,25 +16,25 @@
 	"silvergate/internal/transport"
 )
 
-// The folder outside keeps what must outlive machines: checkpoints, and that a
-// task is done. When a job is over they are of use for a while only: a launch that
-// is carried out late finds that its task is done, and a person may want to look.
+// The folder "outside" holds files that must outlive machines: checkpoints, and markers that
+// say that a task is done. After a job has finished they are needed only for a while: a late
+// launch command must find that its task is done, and a user may want to look at them.
 
 const (
 	outsideDir = "outside"
-	// removalPrefix marks a folder that is being removed, so that a removal that was
-	// cut short is gone on with.
+	// removalPrefix starts the name of a folder that is being removed, so that the next
+	// sweep continues a removal that was interrupted.
 	removalPrefix = ".gone-"
-	// minOutsideKeep is the least time to keep them: commands come minutes late.
+	// minOutsideKeep is the shortest time to keep them: commands may come minutes late.
 	minOutsideKeep = 10 * time.Minute
-	// maxFoldersPerSweep bounds the jobs that one sweep asks about.
+	// maxFoldersPerSweep is the most jobs whose state one sweep asks for.
 	maxFoldersPerSweep = 200
 )
 
-// sweepOutside removes the folders of jobs that are over and in which nothing has
-// changed for keep. over tells whether a job is; what it does not know to be over stays. It
-// returns the jobs whose folders it has removed.
-func sweepOutside(dir string, keep time.Duration, now time.Time, over func(jobID string) bool) ([]string, error) {
+// sweepOutside removes the folders of finished jobs in which nothing has changed for longer
+// than keep. finished reports whether a job is known to be finished; the folders of other
+// jobs stay. sweepOutside returns the jobs whose folders it has removed.
+func sweepOutside(dir string, keep time.Duration, now time.Time, finished func(jobID string) bool) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	sort.Slice(old, func(i, j int) bool { return old[i].at.Before(old[j].at) })
 	var removed []string
 	for _, f := range old[:min(len(old), maxFoldersPerSweep)] {
-		if !over(f.jobID) {
+		if !finished(f.jobID) {
 			continue
 		}
 		removal := filepath.Join(dir, removalPrefix+f.jobID)
@@ -73,7 +73,7 @@
 	return removed, errors.Join(errs...)
 }
 
-// lastChange is when something last changed in a folder.
+// lastChange returns the latest modification time in a folder and all below it.
 func lastChange(dir string) (at time.Time, err error) {
 	err = filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
 		if err != nil {
@@ -91,7 +91,8 @@
 	return at, err
 }
 
-// sweepOutsideRegularly sweeps now and then until ctx ends.
+// sweepOutsideRegularly runs sweepOutside every 20th part of the time to keep, but at most once
+// a minute, until ctx ends. It does nothing if results are kept for ever.
 func (s *Site) sweepOutsideRegularly(ctx context.Context) {
 	keep := time.Duration(s.cfg.OutsideKeepS * float64(time.Second))
 	if keep <= 0 {
@@ -108,16 +109,16 @@
 			return ctx.Err() == nil && s.isFinished(pool, jobID)
 		})
 		if len(removed) > 0 {
-			s.log.Info("results of jobs that are over were removed", "jobs", len(removed))
+			s.log.Info("results of finished jobs were removed", "jobs", len(removed))
 		}
 		if err != nil {
-			s.log.Error("results of jobs that are over can't be removed", "error", err)
+			s.log.Error("results of finished jobs can't be removed", "error", err)
 		}
 	}
 }
 
-// isFinished asks the controllers whether a job is done or cancelled, which never
-// changes. No answer, and a job that they don't know, are no.
+// isFinished asks the controllers whether a job is done or cancelled; both states are final. It
+// returns false if no controller answers or knows the job.
 func (s *Site) isFinished(pool *transport.Pool, jobID string) bool {
 	for _, a := range s.Ports.Addresses() {
 		r := get(pool, a, protocol.PathJobs+"/"+jobID)
--- a/internal/site/outside_test.go
+++ b/internal/site/outside_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestResultsOfFinishedJobsAreRemoved: those alone that are over and old enough,
-// and what a removal left that was cut short; what can't be told stays.
+// TestResultsOfFinishedJobsAreRemoved checks that a sweep removes the folders of jobs that
+// finished long enough ago, and what an interrupted removal has left. All other folders stay,
+// including those of jobs whose state is not known.
 func TestResultsOfFinishedJobsAreRemoved(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	make := func(name string, age time.Duration) {
@@ -26,12 +27,12 @@
 			}
 		}
 	}
-	make("wk-000001", 2*time.Hour)     // over
-	make("wk-000002", 2*time.Hour)     // runs
-	make("wk-000003", 5*time.Minute)   // over, but not for long
-	make("wk-000004", 2*time.Hour)     // nobody can tell
-	make(removalPrefix+"wk-000005", 0) // a removal was cut short
-	make("notes", 2*time.Hour)         // no job's
+	make("wk-000001", 2*time.Hour)     // finished
+	make("wk-000002", 2*time.Hour)     // running
+	make("wk-000003", 5*time.Minute)   // finished, but not long ago
+	make("wk-000004", 2*time.Hour)     // state not known
+	make(removalPrefix+"wk-000005", 0) // left by an interrupted removal
+	make("notes", 2*time.Hour)         // not a job's folder
 	asked := map[string]bool{}
 	removed, err := sweepOutside(dir, time.Hour, now, func(jobID string) bool {
 		asked[jobID] = true
--- a/internal/site/up.go
+++ b/internal/site/up.go
@@ -28,7 +28,7 @@
 	"silvergate/internal/transport"
 )
 
-// Site is a site that runs on this machine. Open takes it, Start and Stop run it.
+// Site is a site on this machine. Open locks and prepares it, Start runs it and Stop ends it.
 type Site struct {
 	Dir           string
 	Ports         *Ports
@@ -43,18 +43,19 @@
 	wait          sync.WaitGroup
 }
 
-// part is a process of the site.
+// part is one process of the site, such as a controller.
 type part struct {
 	name string
 	args []string
 	log  io.WriteCloser
 }
 
-// stopTimeout is how long a part that was asked to end may take.
+// stopTimeout is how long a part may take to end after a signal.
 const stopTimeout = 10 * time.Second
 
-// Open takes the site in a folder, or makes one of settings; nil settings are
-// those of deploy/up.yaml. Processes that an earlier owner left are ended.
+// Open locks and prepares the site in a folder, which it creates if there is none. Settings that
+// are not nil replace those of the site; a new site without settings gets those of
+// deploy/up.yaml. Processes that an earlier run left are ended.
 func Open(dir string, settings []byte, executable string, log *slog.Logger) (*Site, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -106,8 +107,8 @@
 	return s, s.writeConfigs()
 }
 
-// endLeftovers ends the parts of an earlier run, by what was written down of
-// them. Machines are not among them: the provider finds those itself.
+// endLeftovers ends the parts that an earlier run left, as their records identify them.
+// Machines have no records here: the provider finds them itself.
 func (s *Site) endLeftovers() error {
 	old, err := os.ReadDir(filepath.Join(s.Dir, runDir))
 	if err != nil {
@@ -117,7 +118,7 @@
 		path := filepath.Join(s.Dir, runDir, e.Name())
 		id, err := proc.ReadRecord(path)
 		if err != nil && filepath.Ext(path) == ".json" {
-			s.log.Error("a process of an earlier run is not known", "error", err)
+			s.log.Error("the record of a process of an earlier run can't be read", "error", err)
 		}
 		if err == nil && id.Alive() {
 			s.log.Info("ending a process of an earlier run", "part", strings.TrimSuffix(e.Name(), ".json"), "pid", id.PID)
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// writeConfigs writes each part's configuration.
+// writeConfigs writes each part's configuration and adds the part.
 func (s *Site) writeConfigs() error {
 	l := layout{s.Dir, s.Ports}
 	yamlFile := func(name string, v any) (string, error) {
@@ -193,8 +194,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
 	go func() {
-		// The parts end with the thread that started them, so that one killed
-		// silvergate up leaves none behind: this thread stays.
+		// The kernel kills a part when the thread that started it ends (Pdeathsig), so
+		// that no part outlives a killed silvergate up. So one thread starts all parts
+		// and lives as long as the site runs.
 		runtime.LockOSThread()
 		for do := range s.startRequests {
 			do()
@@ -218,11 +220,11 @@
 	}
 }
 
-// Fatal tells what the site can't go on after.
+// Fatal returns the channel for an error after which the site can't continue.
 func (s *Site) Fatal() <-chan error { return s.fatal }
 
-// watch runs a part again whenever it ends, after longer and longer pauses; one
-// that ran for a while is started again soon.
+// watch runs a part, and starts it again whenever it ends, with exponential backoff. The
+// backoff is reset if the part has run for a while.
 func (s *Site) watch(ctx context.Context, p *part) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = 200*time.Millisecond, 8*time.Second
@@ -234,8 +236,8 @@
 		}
 		var x *exec.ExitError
 		if errors.As(err, &x) && x.ExitCode() == ExitDamaged {
-			// Guards against starting a damaged store again and again: only a
-			// person can say what is to become of it.
+			// A damaged store is not started again and again: an operator has to
+			// decide what to do with it.
 			select {
 			case s.fatal <- fmt.Errorf("%s: its storage is %w; see %s", p.name, statestore.ErrDamaged, s.LogFile(p.name)):
 			default:
@@ -246,7 +248,7 @@
 			b.Reset()
 		}
 		pause := b.NextBackOff()
-		s.log.Error("a part ended; it is started again", "part", p.name, "error", err, "after", pause.Round(time.Millisecond), "log", s.LogFile(p.name))
+		s.log.Error("a part ended and will be started again", "part", p.name, "error", err, "after", pause.Round(time.Millisecond), "log", s.LogFile(p.name))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
@@ -257,10 +259,10 @@
 // ExitDamaged is the exit status of a part whose storage is damaged.
 const ExitDamaged = 3
 
-// LogFile is where a part's log is.
+// LogFile returns the path of a part's log.
 func (s *Site) LogFile(part string) string { return filepath.Join(s.Dir, logsDir, part+".log") }
 
-// run runs a part until it ends, or ends it when ctx does.
+// run starts a part and waits until it ends. When ctx ends, run stops the part.
 func (s *Site) run(ctx context.Context, p *part) error {
 	cmd := exec.Command(s.executable, p.args...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = s.Dir, p.log, p.log
@@ -291,13 +293,13 @@
 	case err := <-ended:
 		return err
 	case <-time.After(stopTimeout):
-		s.log.Error("a part did not end when told; it is killed", "part", p.name)
+		s.log.Error("a part did not end after SIGTERM and is killed", "part", p.name)
 		_ = id.Signal(syscall.SIGKILL)
 		return <-ended
 	}
 }
 
-// PID is the process of a part, for tests that kill it; 0 if it does not run.
+// PID returns the PID of a part, for tests that kill it; 0 if the part does not run.
 func (s *Site) PID(part string) int {
 	id, err := proc.ReadRecord(filepath.Join(s.Dir, runDir, part+".json"))
 	if err != nil || !id.Alive() {
@@ -306,7 +308,7 @@
 	return id.PID
 }
 
-// Stop ends all parts and the machines. The site can be opened again.
+// Stop ends all parts and switches the machines off. The site can be opened again.
 func (s *Site) Stop() {
 	s.stop()
 	s.wait.Wait()
@@ -318,7 +320,7 @@
 	s.lock.Close()
 }
 
-// Ready waits until a controller serves.
+// Ready waits until a controller serves. It returns an error when ctx ends or the site fails.
 func (s *Site) Ready(ctx context.Context) error {
 	pool := transport.NewPool(4)
 	for {
@@ -329,7 +331,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the site is not up in time: %w; see %s", ctx.Err(), filepath.Join(s.Dir, logsDir))
+			return fmt.Errorf("the site did not come up in time: %w; see %s", ctx.Err(), filepath.Join(s.Dir, logsDir))
 		case err := <-s.fatal:
 			return err
 		case <-time.After(50 * time.Millisecond):
@@ -337,8 +339,8 @@
 	}
 }
 
-// get gets a path from a controller and gives up after a second; nil is any answer
-// but 200, and none.
+// get requests a path from a controller, with a timeout of one second. It returns nil if there
+// is no answer or its status is not 200.
 func get(pool *transport.Pool, address, path string) *transport.Response {
 	stop := time.AfterFunc(time.Second, func() { pool.Expire(time.Now().Add(time.Minute)) })
 	defer stop.Stop()
@@ -349,11 +351,11 @@
 	return r
 }
 
-// StateFile is the state service's file.
+// StateFile returns the path of the state service's file.
 func (s *Site) StateFile() string { return filepath.Join(s.Dir, "state", statestore.FileName) }
 
-// Outputs lists what the tasks of a job have written, on machines that are there
-// and on those that ended last: one file for each attempt.
+// Outputs lists the files with the standard output of a job's tasks, one for each attempt, on
+// running machines and on machines that ended recently.
 func (s *Site) Outputs(jobID string) ([]string, error) {
 	var out []string
 	for _, where := range []string{"machines", "ended"} {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -22,7 +22,7 @@
 	"silvergate/internal/stateclient"
 )
 
-// readRevision reads the state service's revision and demands that it has not gone back.
+// readRevision reads the state service's revision and checks that it has not gone back.
 func (s *soak) readRevision() {
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		st, body := s.request(fmt.Sprintf("127.0.0.1:%d", s.ports.State), "GET", protocol.PathKeys+"?page=1", nil)
@@ -39,7 +39,8 @@
 	s.reportViolation("the state service did not come back")
 }
 
-// verify compares what was accepted with what ran and what the records say.
+// verify compares the accepted jobs with the trace of what ran and with the records of the state
+// service.
 func (s *soak) verify() {
 	f, err := os.Open(s.trace)
 	if err != nil {
@@ -77,9 +78,9 @@
 
 func customer(n int) string { return fmt.Sprint("customer-", n%3) }
 
-// verifyOutput compares what each attempt that came to its end wrote with what its
-// customer reads, and has another customer read it in vain. An attempt that was killed half-way
-// must have the beginning of its lines, or nothing.
+// verifyOutput checks that its customer can read everything that each completed attempt wrote,
+// and that another customer can read none of it. For an attempt that was killed half-way, the
+// archive must have the beginning of its lines, or nothing.
 func (s *soak) verifyOutput(records []string) error {
 	members, _, err := site.ReadArchive(s.options.Dir)
 	if err != nil {
@@ -107,7 +108,7 @@
 		complete[record] = true
 	}
 	ctx := context.Background()
-	// What ended last is shipped within the bound, and a file after that.
+	// The last output is shipped within the configured bound, and files after that.
 	until := time.Now().Add(30 * time.Second)
 	for n := range s.options.Jobs {
 		id := jobID(n)
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// verifyJobOutput reads a job's output; it returns what is wrong, "" if nothing is.
+// verifyJobOutput reads a job's output from the archive and returns the first problem, or "".
 func (s *soak) verifyJobOutput(ctx context.Context, r *reader.Client, id string, complete map[string]bool) string {
 	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: id, Files: true})
 	if err != nil || !answered.Whole {
@@ -160,7 +161,7 @@
 		}
 		lines += n
 		switch {
-		case s.lost[a.Machine]: // what its disk had
+		case s.lost[a.Machine]: // output not yet shipped was lost with the machine's disk
 		case complete[name] && n != 5:
 			return fmt.Sprintf("%s wrote 5 lines, and %d are kept", name, n)
 		case complete[name] && (a.End == nil || len(a.Files) != 1 || a.Files[0].Path != "out/result"):
@@ -176,8 +177,8 @@
 	return ""
 }
 
-// finishedByJob counts the finishedByJob tasks of each job in the records, as the state
-// service has them.
+// finishedByJob returns the number of finished tasks of each job in the records of the state
+// service.
 func (s *soak) finishedByJob() map[string]int {
 	out := map[string]int{}
 	from := ""
@@ -203,8 +204,9 @@
 	}
 }
 
-// countFinished counts the finished tasks of a page's record: a field for each
-// task, d for finished, *n for n alike.
+// countFinished returns the number of finished tasks in the record of a page of tasks. The record
+// has a field for each task, which starts with d if the task is finished; the suffix *n stands
+// for n equal fields.
 func countFinished(data []byte) (n int, err error) {
 	var words string
 	if json.Unmarshal(data, &words) != nil {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs a whole site, submits jobs that leave a trace outside, kills
-// every process of the site at random moments and starts it again. At the end it
-// compares what was accepted, what ran and what was reported.
+// Package soak runs a whole site and submits jobs that leave a trace in a file outside the
+// site. At random moments it kills every process of the site and starts the site again. At
+// the end it compares what was accepted, what ran and what was reported.
 package soak
 
 import (
@@ -22,11 +22,11 @@
 	"silvergate/internal/transport"
 )
 
-// Options say where a run happens, and how much of it.
+// Options say where a run happens and how long it is.
 type Options struct {
-	Self  string   // the program; started with Args... up --dir Dir
+	Self  string   // path of the program, which is started with up --dir Dir
 	Env   []string // added to its environment
-	Dir   string   // a folder that is empty or not there
+	Dir   string   // a folder that is empty or does not exist
 	Jobs  int
 	Kills int
 	Seed  uint64
@@ -37,23 +37,24 @@
 	Out   io.Writer // progress; may be nil
 }
 
-// Result is what happened in a run. Broken is empty if all is well.
+// Result is the result of a run. Broken is empty if the site has kept all its promises.
 type Result struct {
 	Accepted, Tasks, Effects, Repeated, Kills int
-	// Kept is how many attempts' output was read back and compared, Lost how many
-	// machines were taken away without notice, with their disks.
+	// Kept is the number of attempts whose output was read back and compared, Lines the
+	// number of their lines. Lost is the number of machines that were taken away without
+	// notice, with their disks.
 	Kept, Lines, Lost int
-	Refused           int // submissions tried again
-	// Revision is the state service's at the end.
+	Refused           int // submissions that were refused or not answered, and tried again
+	// Revision is the state service's revision at the end.
 	Revision uint64 `json:"Ledger"`
 	Took     time.Duration
 	Broken   []string
 }
 
-// maxBroken bounds the broken promises that are described.
+// maxBroken is the most broken promises that a result describes.
 const maxBroken = 20
 
-// soak is a run under way.
+// soak is the state of a run.
 type soak struct {
 	options  Options
 	random   *rand.Rand
@@ -61,29 +62,29 @@
 	pool     *transport.Pool
 	ports    *site.Ports
 	trace    string
-	tasks    map[string]int    // of accepted jobs, by job
-	status   map[string]string // of jobs, as last seen
-	revision uint64            // the state service's, as last read
+	tasks    map[string]int    // number of tasks, by accepted job
+	status   map[string]string // last seen status, by job
+	revision uint64            // the state service's revision, as last read
 	lost     map[string]bool   // machines taken away without notice
 	result   Result
 }
 
-// reportViolation notes a promise that the site has broken.
+// reportViolation records a promise that the site has broken, up to maxBroken.
 func (s *soak) reportViolation(format string, args ...any) {
 	if len(s.result.Broken) < maxBroken {
 		s.result.Broken = append(s.result.Broken, fmt.Sprintf(format, args...))
 	}
 }
 
-// printProgress prints progress.
+// printProgress prints a line of progress to Options.Out, if it is set.
 func (s *soak) printProgress(format string, args ...any) {
 	if s.options.Out != nil {
 		fmt.Fprintf(s.options.Out, format+"\n", args...)
 	}
 }
 
-// Run runs a site and kills it as the options say. The error says that the run
-// itself failed; what the site did wrong is in Result.Broken.
+// Run runs a site and kills it as the options say. It returns an error only if the run itself
+// fails; the site's faults are in Result.Broken.
 func Run(o Options) (Result, error) {
 	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), pool: transport.NewPool(8), tasks: map[string]int{}, status: map[string]string{}, lost: map[string]bool{}}
 	begun := time.Now()
@@ -143,7 +144,7 @@
 	return s.result, nil
 }
 
-// start starts the site and waits until its ports are known.
+// start starts the site and waits until its ports can be read.
 func (s *soak) start() error {
 	log, err := os.OpenFile(filepath.Join(s.options.Dir, "up.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -169,8 +170,8 @@
 // killTimeout is how long a killed agent may take to be gone.
 const killTimeout = 5 * time.Second
 
-// kill ends every process of the site at once: the one that holds it together,
-// its parts, the machines and the tasks.
+// kill kills every process of the site at once: the supervising process, its parts, the
+// machines and the tasks.
 func (s *soak) kill() {
 	if s.cmd == nil {
 		return
@@ -190,7 +191,7 @@
 	}
 	_ = s.cmd.Wait()
 	s.cmd = nil
-	// A machine that was being started is written down by now, or ends itself.
+	// A machine that was being started has its record by now, or ends by itself.
 	machines, _ := filepath.Glob(filepath.Join(s.options.Dir, "cloud/machines/*"))
 	for _, m := range machines {
 		if id, err := proc.ReadRecord(filepath.Join(m, "agent.json")); err == nil {
@@ -203,12 +204,13 @@
 	}
 }
 
-// requestAny asks one controller, chosen at random.
+// requestAny sends a request to a random controller.
 func (s *soak) requestAny(method, path string, body []byte) (int, []byte) {
 	all := s.ports.Addresses()
 	return s.request(all[s.random.IntN(len(all))], method, path, body)
 }
 
+// request sends a request and returns the status and body of the answer; 0 if there is none.
 func (s *soak) request(addr, method, path string, body []byte) (int, []byte) {
 	const patience = 2 * time.Second
 	stop := time.AfterFunc(patience, func() { s.pool.Expire(time.Now().Add(patience)) })
@@ -222,7 +224,8 @@
 
 func jobID(n int) string { return fmt.Sprintf("wk-%06d", n) }
 
-// submit submits job n; false if it is not known to be accepted.
+// submit submits job n. It returns false if the job must be submitted again because it is not
+// known to be accepted.
 func (s *soak) submit(n int) bool {
 	tasks := 1 + n%4
 	body, err := json.Marshal(map[string]any{
@@ -237,7 +240,7 @@
 		"keep":     []string{"out"},
 	})
 	if err != nil {
-		panic(err) // only our own types are written
+		panic(err) // can't happen: all values can be encoded
 	}
 	st, answer := s.requestAny("POST", protocol.PathJobs, body)
 	switch st {
@@ -252,8 +255,8 @@
 	return false
 }
 
-// poll asks for a few jobs that are not known to be done, and returns how many
-// are left.
+// poll asks for the status of a few jobs, mostly ones that are not known to be done, and returns
+// the number of jobs that were not known to be done.
 func (s *soak) poll() (left int) {
 	asked := 0
 	for id := range s.tasks {
@@ -283,7 +286,7 @@
 	return left
 }
 
-// loseMachine has the cloud take a random machine back, without notice.
+// loseMachine preempts a random machine without notice.
 func (s *soak) loseMachine() {
 	folders, _ := filepath.Glob(filepath.Join(s.options.Dir, "cloud/machines/*"))
 	if len(folders) == 0 {
@@ -291,7 +294,7 @@
 	}
 	name := filepath.Base(folders[s.random.IntN(len(folders))])
 	body, _ := json.Marshal(map[string]any{"stokers": []string{name}, "noticeS": 0})
-	// It counts as lost whether or not the answer came.
+	// The machine may be gone even if no answer comes.
 	s.lost[name] = true
 	if st, _ := s.request(fmt.Sprintf("127.0.0.1:%d", s.ports.Provider), "POST", provider.PathPreemptions, body); st == 200 {
 		s.result.Lost++
