--- a/internal/proc/benchmark_test.go
+++ b/internal/proc/benchmark_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// BenchmarkEnd measures sweeps of which nothing is left to end, beside as many foreign
-// processes as there are, and more: one over a machine, and those after a task's end.
+// BenchmarkEnd measures sweeps that find no process to end, with the foreign processes that
+// already run and with 300 more: the sweep of a whole machine, and the sweeps after a task
+// has ended.
 func BenchmarkEnd(b *testing.B) {
 	for _, more := range []int{0, 300} {
 		b.Run(strconv.Itoa(more), func(b *testing.B) {
@@ -28,7 +29,7 @@
 			}
 			b.Run("machine", func(b *testing.B) {
 				for b.Loop() {
-					if _, err := (Owner{Mark: "nobody's mark"}).End(patience); err != nil {
+					if _, err := (Owner{Mark: "nobody's mark"}).End(sweepTimeout); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -36,10 +37,10 @@
 			})
 			b.Run("task", func(b *testing.B) {
 				for b.Loop() {
-					if _, err := (Owner{Mark: "nobody's mark", Since: self.Start + 1<<30}).End(patience); err != nil {
+					if _, err := (Owner{Mark: "nobody's mark", Since: self.Start + 1<<30}).End(sweepTimeout); err != nil {
 						b.Fatal(err)
 					}
-					if err := EndOrphans(patience); err != nil {
+					if err := EndOrphans(sweepTimeout); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -49,7 +50,7 @@
 }
 
 func countProcesses(b *testing.B) int {
-	pids, err := processes()
+	pids, err := listPIDs()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/provider/database.go
+++ b/internal/provider/database.go
@@ -16,19 +16,19 @@
 
 // Names in the provider's folder.
 const (
-	fileName    = "provider.db"
-	machinesDir = "machines"
-	endedDir    = "ended"
-	agentFile   = "agent.json"
-	configFile  = "agent.yaml"
-	logFile     = "agent.log"
-	certsDir    = "certs"
-	keptEnded   = 50 // folders of machines that are gone
+	fileName        = "provider.db"
+	machinesDir     = "machines"
+	endedDir        = "ended"
+	agentFile       = "agent.json"
+	configFile      = "agent.yaml"
+	logFile         = "agent.log"
+	certsDir        = "certs"
+	maxEndedFolders = 50 // folders of ended machines that are retained
 )
 
-// create makes an empty file. It gets its name when it is complete: one that is
-// there is never taken for an unfinished one.
-func create(path string) error {
+// createFile creates an empty database file. The file gets its name only when it is complete,
+// so a file under that name is never an unfinished one.
+func createFile(path string) error {
 	tmp := path + ".new"
 	if err := os.RemoveAll(tmp); err != nil {
 		return err
@@ -43,21 +43,21 @@
 	return os.Rename(tmp, path)
 }
 
-// check reads all of the file before it is opened for writing: damage is named,
-// and nothing is written over it. If there is none, one is made.
-func check(path string) error {
+// checkFile reads the whole database before it is opened for writing, so that damage is
+// reported and never written over. If there is no file, checkFile creates one.
+func checkFile(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return create(path)
+		return createFile(path)
 	}
 	if err != nil {
 		return err
 	}
 	damaged := func(format string, args ...any) error {
-		return fmt.Errorf("%s is %w: %s; it was left as it is: move it away and the cloud begins without machines", path, checksum.ErrDamaged, fmt.Sprintf(format, args...))
+		return fmt.Errorf("%s is %w: %s; it was left as it is; if you move it away, the cloud starts without machines", path, checksum.ErrDamaged, fmt.Sprintf(format, args...))
 	}
 	if info.Size() < 4*int64(os.Getpagesize()) {
-		return damaged("it has %d bytes only", info.Size())
+		return damaged("it has only %d bytes", info.Size())
 	}
 	return checksum.Guard(path, func() error {
 		db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true})
@@ -84,7 +84,7 @@
 	})
 }
 
-// load reads the records.
+// load reads the records and makes the market of them.
 func (p *Provider) load(path string) error {
 	var rentals []*RentalRecord
 	var machines []*Machine
@@ -95,11 +95,11 @@
 				return err
 			}
 		}
-		read := func(bucket []byte, take func(raw []byte) error) error {
+		read := func(bucket []byte, decode func(raw []byte) error) error {
 			return tx.Bucket(bucket).ForEach(func(k, v []byte) error {
 				raw, ok := checksum.Open(k, v)
 				if ok {
-					ok = take(raw) == nil
+					ok = decode(raw) == nil
 				}
 				if !ok {
 					return fmt.Errorf("%s is damaged: record %q does not match its checksum; it was left as it is", path, k)
@@ -114,9 +114,9 @@
 				return json.Unmarshal(raw, x)
 			}),
 			read(bucketRentals, func(raw []byte) error {
-				h := &RentalRecord{}
-				rentals = append(rentals, h)
-				return json.Unmarshal(raw, h)
+				rental := &RentalRecord{}
+				rentals = append(rentals, rental)
+				return json.Unmarshal(raw, rental)
 			}),
 			read(bucketNext, func(raw []byte) error { return json.Unmarshal(raw, &next) }))
 	})
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// store makes what a step changed durable, and deletes the records of machines
-// that have ended.
+// store writes the records in e durably, and deletes the records of machines that
+// have ended.
 func (p *Provider) store(e Effects, ended ...string) error {
 	if len(e.Store) == 0 && e.Rental == nil && len(ended) == 0 {
 		return nil
--- a/internal/site/certs.go
+++ b/internal/site/certs.go
@@ -15,11 +15,12 @@
 	"silvergate/internal/identity"
 )
 
-// siteName is the name of a site on one machine in its certificates.
+// siteName is the name of a single-machine site in its certificates.
 const siteName = "site"
 
-// certify has the site's authority, the key of grants and the parts' certificates
-// there, each made once and renewed in good time.
+// certify creates the site's authority, the key for grants and the parts' certificates, if
+// they don't exist, and renews certificates before they expire. Without an archive it does
+// nothing.
 func (s *Site) certify() error {
 	if s.cfg.Archive == nil {
 		return nil
@@ -46,16 +47,16 @@
 	for i := range s.cfg.Archive.Nodes {
 		parties = append(parties, identity.Identity{Kind: identity.Node, Name: archiveName(i)})
 	}
-	for _, who := range parties {
-		if err := a.Ensure(who, filepath.Join(s.Dir, CertsDir, who.Name)); err != nil {
+	for _, party := range parties {
+		if err := a.Ensure(party, filepath.Join(s.Dir, CertsDir, party.Name)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// keepCerts renews what is issued to the site's own parts while it runs.
-func (s *Site) keepCerts(ctx context.Context) {
+// renewCerts renews the certificates of the site's own parts every hour until ctx ends.
+func (s *Site) renewCerts(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/site/up.go
+++ b/internal/site/up.go
@@ -28,34 +28,35 @@
 	"silvergate/internal/transport"
 )
 
-// Site is a site that runs on this machine. Open takes it, Start and Stop run it.
+// Site is a site on this machine. Open locks and prepares it, Start runs it and Stop ends it.
 type Site struct {
-	Dir   string
-	Ports *Ports
-	cfg   *Config
-	self  string
-	log   *slog.Logger
-	lock  *os.File
-	parts []*part
-	start chan func() // to the one thread that starts processes
-	fatal chan error
-	stop  context.CancelFunc
-	wait  sync.WaitGroup
+	Dir           string
+	Ports         *Ports
+	cfg           *Config
+	executable    string
+	log           *slog.Logger
+	lock          *os.File
+	parts         []*part
+	startRequests chan func() // to the one thread that starts processes
+	fatal         chan error
+	stop          context.CancelFunc
+	wait          sync.WaitGroup
 }
 
-// part is a process of the site.
+// part is one process of the site, such as a controller.
 type part struct {
 	name string
 	args []string
 	log  io.WriteCloser
 }
 
-// patience is how long a part that was asked to end may take.
-const patience = 10 * time.Second
+// stopTimeout is how long a part may take to end after a signal.
+const stopTimeout = 10 * time.Second
 
-// Open takes the site in a folder, or makes one of settings; nil settings are
-// those of deploy/up.yaml. Processes that an earlier owner left are ended.
-func Open(dir string, settings []byte, self string, log *slog.Logger) (*Site, error) {
+// Open locks and prepares the site in a folder, which it creates if there is none. Settings that
+// are not nil replace those of the site; a new site without settings gets those of
+// deploy/up.yaml. Processes that an earlier run left are ended.
+func Open(dir string, settings []byte, executable string, log *slog.Logger) (*Site, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return nil, err
@@ -65,7 +66,7 @@
 			return nil, err
 		}
 	}
-	s := &Site{Dir: dir, self: self, log: log, start: make(chan func()), fatal: make(chan error, 1)}
+	s := &Site{Dir: dir, executable: executable, log: log, startRequests: make(chan func()), fatal: make(chan error, 1)}
 	if s.lock, err = os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
@@ -103,11 +104,11 @@
 	if err := s.endLeftovers(); err != nil {
 		return nil, err
 	}
-	return s, s.write()
+	return s, s.writeConfigs()
 }
 
-// endLeftovers ends the parts of an earlier run, by what was written down of
-// them. Machines are not among them: the provider finds those itself.
+// endLeftovers ends the parts that an earlier run left, as their records identify them.
+// Machines have no records here: the provider finds them itself.
 func (s *Site) endLeftovers() error {
 	old, err := os.ReadDir(filepath.Join(s.Dir, runDir))
 	if err != nil {
@@ -117,14 +118,14 @@
 		path := filepath.Join(s.Dir, runDir, e.Name())
 		id, err := proc.ReadRecord(path)
 		if err != nil && filepath.Ext(path) == ".json" {
-			s.log.Error("a process of an earlier run is not known", "error", err)
+			s.log.Error("the record of a process of an earlier run can't be read", "error", err)
 		}
 		if err == nil && id.Alive() {
 			s.log.Info("ending a process of an earlier run", "part", strings.TrimSuffix(e.Name(), ".json"), "pid", id.PID)
 			if err := id.Signal(syscall.SIGKILL); err != nil {
 				return err
 			}
-			if !id.Await(time.Now().Add(patience)) {
+			if !id.Await(time.Now().Add(stopTimeout)) {
 				return fmt.Errorf("process %d of an earlier run can't be ended", id.PID)
 			}
 		}
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// write writes each part's configuration.
-func (s *Site) write() error {
+// writeConfigs writes each part's configuration and adds the part.
+func (s *Site) writeConfigs() error {
 	l := layout{s.Dir, s.Ports}
 	yamlFile := func(name string, v any) (string, error) {
 		raw, err := yaml.Marshal(v)
@@ -193,21 +194,22 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
 	go func() {
-		// The parts end with the thread that started them, so that one killed
-		// silvergate up leaves none behind: this thread stays.
+		// The kernel kills a part when the thread that started it ends (Pdeathsig), so
+		// that no part outlives a killed silvergate up. So one thread starts all parts
+		// and lives as long as the site runs.
 		runtime.LockOSThread()
-		for do := range s.start {
+		for do := range s.startRequests {
 			do()
 		}
 	}()
 	s.wait.Add(2)
 	go func() {
 		defer s.wait.Done()
-		s.keepOutside(ctx)
+		s.sweepOutsideRegularly(ctx)
 	}()
 	go func() {
 		defer s.wait.Done()
-		s.keepCerts(ctx)
+		s.renewCerts(ctx)
 	}()
 	for _, p := range s.parts {
 		s.wait.Add(1)
@@ -218,11 +220,11 @@
 	}
 }
 
-// Fatal tells what the site can't go on after.
+// Fatal returns the channel for an error after which the site can't continue.
 func (s *Site) Fatal() <-chan error { return s.fatal }
 
-// watch runs a part again whenever it ends, after longer and longer pauses; one
-// that ran for a while is started again soon.
+// watch runs a part, and starts it again whenever it ends, with exponential backoff. The
+// backoff is reset if the part has run for a while.
 func (s *Site) watch(ctx context.Context, p *part) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = 200*time.Millisecond, 8*time.Second
@@ -234,8 +236,8 @@
 		}
 		var x *exec.ExitError
 		if errors.As(err, &x) && x.ExitCode() == ExitDamaged {
-			// Guards against starting a damaged store again and again: only a
-			// person can say what is to become of it.
+			// A damaged store is not started again and again: an operator has to
+			// decide what to do with it.
 			select {
 			case s.fatal <- fmt.Errorf("%s: its storage is %w; see %s", p.name, statestore.ErrDamaged, s.LogFile(p.name)):
 			default:
@@ -246,7 +248,7 @@
 			b.Reset()
 		}
 		pause := b.NextBackOff()
-		s.log.Error("a part ended; it is started again", "part", p.name, "error", err, "after", pause.Round(time.Millisecond), "log", s.LogFile(p.name))
+		s.log.Error("a part ended and will be started again", "part", p.name, "error", err, "after", pause.Round(time.Millisecond), "log", s.LogFile(p.name))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
@@ -257,18 +259,18 @@
 // ExitDamaged is the exit status of a part whose storage is damaged.
 const ExitDamaged = 3
 
-// LogFile is where a part's log is.
+// LogFile returns the path of a part's log.
 func (s *Site) LogFile(part string) string { return filepath.Join(s.Dir, logsDir, part+".log") }
 
-// run runs a part until it ends, or ends it when ctx does.
+// run starts a part and waits until it ends. When ctx ends, run stops the part.
 func (s *Site) run(ctx context.Context, p *part) error {
-	cmd := exec.Command(s.self, p.args...)
+	cmd := exec.Command(s.executable, p.args...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = s.Dir, p.log, p.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
 	var id proc.ID
 	select {
-	case s.start <- func() {
+	case s.startRequests <- func() {
 		var err error
 		id, err = proc.Start(cmd, proc.Record(filepath.Join(s.Dir, runDir, p.name+".json")))
 		started <- err
@@ -290,14 +292,14 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(patience):
-		s.log.Error("a part did not end when told; it is killed", "part", p.name)
+	case <-time.After(stopTimeout):
+		s.log.Error("a part did not end after SIGTERM and is killed", "part", p.name)
 		_ = id.Signal(syscall.SIGKILL)
 		return <-ended
 	}
 }
 
-// PID is the process of a part, for tests that kill it; 0 if it does not run.
+// PID returns the PID of a part, for tests that kill it; 0 if the part does not run.
 func (s *Site) PID(part string) int {
 	id, err := proc.ReadRecord(filepath.Join(s.Dir, runDir, part+".json"))
 	if err != nil || !id.Alive() {
@@ -306,11 +308,11 @@
 	return id.PID
 }
 
-// Stop ends all parts and the machines. The site can be opened again.
+// Stop ends all parts and switches the machines off. The site can be opened again.
 func (s *Site) Stop() {
 	s.stop()
 	s.wait.Wait()
-	close(s.start)
+	close(s.startRequests)
 	for _, p := range s.parts {
 		p.log.Close()
 		_ = os.Remove(filepath.Join(s.Dir, runDir, p.name+".json"))
@@ -318,18 +320,18 @@
 	s.lock.Close()
 }
 
-// Ready waits until a controller serves.
+// Ready waits until a controller serves. It returns an error when ctx ends or the site fails.
 func (s *Site) Ready(ctx context.Context) error {
 	pool := transport.NewPool(4)
 	for {
 		for _, a := range s.Ports.Addresses() {
-			if ask(pool, a, protocol.PathHealth) != nil {
+			if get(pool, a, protocol.PathHealth) != nil {
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the site is not up in time: %w; see %s", ctx.Err(), filepath.Join(s.Dir, logsDir))
+			return fmt.Errorf("the site did not come up in time: %w; see %s", ctx.Err(), filepath.Join(s.Dir, logsDir))
 		case err := <-s.fatal:
 			return err
 		case <-time.After(50 * time.Millisecond):
@@ -337,9 +339,9 @@
 	}
 }
 
-// ask gets a path from a controller and gives up after a second; nil is any answer
-// but 200, and none.
-func ask(pool *transport.Pool, address, path string) *transport.Response {
+// get requests a path from a controller, with a timeout of one second. It returns nil if there
+// is no answer or its status is not 200.
+func get(pool *transport.Pool, address, path string) *transport.Response {
 	stop := time.AfterFunc(time.Second, func() { pool.Expire(time.Now().Add(time.Minute)) })
 	defer stop.Stop()
 	r, _, err := pool.Do(address, "GET", path, nil, time.Second)
@@ -349,11 +351,11 @@
 	return r
 }
 
-// StateFile is the state service's file.
+// StateFile returns the path of the state service's file.
 func (s *Site) StateFile() string { return filepath.Join(s.Dir, "state", statestore.FileName) }
 
-// Outputs lists what the tasks of a job have written, on machines that are there
-// and on those that ended last: one file for each attempt.
+// Outputs lists the files with the standard output of a job's tasks, one for each attempt, on
+// running machines and on machines that ended recently.
 func (s *Site) Outputs(jobID string) ([]string, error) {
 	var out []string
 	for _, where := range []string{"machines", "ended"} {
