--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -43,8 +43,8 @@
 	authorityLifetime = 10 * 365 * 24 * time.Hour
 	// DefaultLifetime is a certificate's lifetime unless another is asked for.
 	DefaultLifetime = 30 * 24 * time.Hour
-	// Skew is how much earlier than issued a certificate holds: clocks differ.
-	Skew = 5 * time.Minute
+	// ClockSkew is how much earlier than issued a certificate holds: clocks differ.
+	ClockSkew = 5 * time.Minute
 )
 
 // Authority issues a site's certificates. Its folder must be nobody else's to
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	t := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "silvergate authority of " + site, Organization: []string{site}},
-		NotBefore: now.Add(-Skew), NotAfter: now.Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+		NotBefore: now.Add(-ClockSkew), NotAfter: now.Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, pub, key)
 	if err != nil {
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	a.Now = func() time.Time { return now }
-	err = a.writeRevoked(nil, 1)
+	err = a.writeRevocationList(nil, 1)
 	a.Now = time.Now
 	return a, err
 }
@@ -165,7 +165,7 @@
 		return Issued{}, err
 	}
 	// On record before it can be used: what is not on record can't be revoked.
-	if err := a.note(issued); err != nil {
+	if err := a.appendIssued(issued); err != nil {
 		return Issued{}, err
 	}
 	if err := a.writeParty(to, der, key); err != nil {
@@ -188,7 +188,7 @@
 	template := &x509.Certificate{
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: who.String(), Organization: []string{who.Site}},
-		NotBefore:             now.Add(-Skew),
+		NotBefore:             now.Add(-ClockSkew),
 		NotAfter:              minTime(now.Add(lifetime), a.cert.NotAfter),
 		KeyUsage:              x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
@@ -237,7 +237,7 @@
 func (a *Authority) Ensure(who Identity, to string) error {
 	who.Site = a.Site()
 	if c, err := readCert(filepath.Join(to, certFile)); err == nil {
-		i, err := identityOf(c)
+		i, err := certIdentity(c)
 		if err == nil && i == who && c.CheckSignatureFrom(a.cert) == nil && c.NotAfter.Sub(a.Now())*3 > c.NotAfter.Sub(c.NotBefore) {
 			return nil
 		}
@@ -246,8 +246,8 @@
 	return err
 }
 
-// note appends a line to the list of what was issued, and syncs it.
-func (a *Authority) note(rec Issued) error {
+// appendIssued appends a line to the list of what was issued, and syncs it.
+func (a *Authority) appendIssued(rec Issued) error {
 	raw, err := json.Marshal(rec)
 	if err != nil {
 		return err
@@ -276,7 +276,7 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	l, err := a.revoked()
+	l, err := a.readRevocationList()
 	if err != nil {
 		return nil, err
 	}
@@ -310,7 +310,7 @@
 	if err != nil {
 		return 0, err
 	}
-	old, err := a.revoked()
+	old, err := a.readRevocationList()
 	if err != nil {
 		return 0, err
 	}
@@ -332,23 +332,23 @@
 	if added == 0 {
 		return 0, nil
 	}
-	return added, a.writeRevoked(list, old.Number.Int64()+1)
+	return added, a.writeRevocationList(list, old.Number.Int64()+1)
 }
 
-// RevokedList returns the newest signed list of revocations.
-func (a *Authority) RevokedList() ([]byte, error) {
+// RevocationList returns the newest signed list of revocations.
+func (a *Authority) RevocationList() ([]byte, error) {
 	return os.ReadFile(filepath.Join(a.dir, revokedFile))
 }
 
-func (a *Authority) revoked() (*x509.RevocationList, error) {
-	raw, err := a.RevokedList()
+func (a *Authority) readRevocationList() (*x509.RevocationList, error) {
+	raw, err := a.RevocationList()
 	if err != nil {
 		return nil, err
 	}
-	return parseRevoked(raw, a.cert)
+	return parseRevocationList(raw, a.cert)
 }
 
-func (a *Authority) writeRevoked(list []x509.RevocationListEntry, number int64) error {
+func (a *Authority) writeRevocationList(list []x509.RevocationListEntry, number int64) error {
 	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{RevokedCertificateEntries: list, Number: big.NewInt(number),
 		ThisUpdate: a.Now(), NextUpdate: a.cert.NotAfter}, a.cert, a.key)
 	if err != nil {
@@ -357,7 +357,7 @@
 	return renameio.WriteFile(filepath.Join(a.dir, revokedFile), der, 0o644)
 }
 
-func parseRevoked(raw []byte, by *x509.Certificate) (*x509.RevocationList, error) {
+func parseRevocationList(raw []byte, by *x509.Certificate) (*x509.RevocationList, error) {
 	l, err := x509.ParseRevocationList(raw)
 	if err != nil {
 		return nil, fmt.Errorf("list of revocations: %w", err)
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -119,14 +119,14 @@
 	if added, err := authority.Revoke(list[0].Serial); err != nil || added != 1 {
 		t.Fatalf("%d revoked: %v", added, err)
 	}
-	revocations, err := authority.RevokedList()
+	revocations, err := authority.RevocationList()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if newer, err := keeper.Learn(revocations); err != nil || !newer {
 		t.Errorf("the new list is newer: %v, %v", newer, err)
 	}
-	if _, err := keeper.Judge(goldenCertificate(t, goldenNode)); !errors.Is(err, ErrRevoked) {
+	if _, err := keeper.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, ErrRevoked) {
 		t.Errorf("a certificate that is revoked now: %v", err)
 	}
 }
@@ -136,7 +136,7 @@
 	if me := keeper.Me().String(); me != "node/one" {
 		t.Errorf("its certificate is of %s", me)
 	}
-	who, err := keeper.Judge(goldenCertificate(t, goldenNode))
+	who, err := keeper.Verify(goldenCertificate(t, goldenNode))
 	if err != nil || who != keeper.Me() {
 		t.Errorf("its certificate is judged as %s: %v", who, err)
 	}
@@ -145,13 +145,13 @@
 	}
 	// The party's own list is older than the revocation.
 	revoked := goldenCertificate(t, goldenRevoked)
-	if who, err := keeper.Judge(revoked); err != nil || who.String() != "customer/office/baker" {
+	if who, err := keeper.Verify(revoked); err != nil || who.String() != "customer/office/baker" {
 		t.Errorf("before the revocation is known: %s, %v", who, err)
 	}
 	if newer, err := keeper.Learn(goldentest.Read(t, goldenAuthority+"/revoked.crl")); err != nil || !newer {
 		t.Errorf("the authority's list is newer: %v, %v", newer, err)
 	}
-	if _, err := keeper.Judge(revoked); !errors.Is(err, ErrRevoked) {
+	if _, err := keeper.Verify(revoked); !errors.Is(err, ErrRevoked) {
 		t.Errorf("when the revocation is known: %v", err)
 	}
 	for _, test := range []struct {
@@ -159,13 +159,13 @@
 		now  time.Time
 		want error
 	}{
-		{"too early", goldenTime.Add(-6 * time.Minute), ErrNotYet},
+		{"too early", goldenTime.Add(-6 * time.Minute), ErrNotYetValid},
 		{"first moment", goldenTime.Add(-5 * time.Minute), nil},
 		{"last moment", goldenTime.Add(30 * 24 * time.Hour), nil},
 		{"too late", goldenTime.Add(30*24*time.Hour + time.Second), ErrExpired},
 	} {
 		keeper.Now = func() time.Time { return test.now }
-		if _, err := keeper.Judge(goldenCertificate(t, goldenNode)); !errors.Is(err, test.want) {
+		if _, err := keeper.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, test.want) {
 			t.Errorf("%s: %v, not %v", test.name, err, test.want)
 		}
 	}
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -23,20 +23,20 @@
 	"pgregory.net/rapid"
 )
 
-var begin = time.Date(2026, 1, 5, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 5, 6, 0, 0, 0, time.UTC)
 
-func authority(t *testing.T, site string) *Authority {
+func newAuthority(t *testing.T, site string) *Authority {
 	t.Helper()
-	a, err := Init(filepath.Join(t.TempDir(), "authority"), site, begin)
+	a, err := Init(filepath.Join(t.TempDir(), "authority"), site, startTime)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Now = func() time.Time { return begin }
+	a.Now = func() time.Time { return startTime }
 	return a
 }
 
-// party issues a certificate and opens it.
-func party(t *testing.T, a *Authority, who string, log io.Writer) *Keeper {
+// newParty issues a certificate and opens it.
+func newParty(t *testing.T, a *Authority, who string, log io.Writer) *Keeper {
 	t.Helper()
 	i, err := Parse(a.Site(), who)
 	if err != nil {
@@ -50,12 +50,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.Now = func() time.Time { return begin.Add(time.Minute) }
+	k.Now = func() time.Time { return startTime.Add(time.Minute) }
 	return k
 }
 
-// server answers who asks.
-func server(t *testing.T, k *Keeper) string {
+// startServer answers who asks.
+func startServer(t *testing.T, k *Keeper) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -91,21 +91,21 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: cfg}, Timeout: 10 * time.Second}
 }
 
-// TestWhoIsRefused guards against connections of anybody who is not of the site
+// TestRefusedCertificates guards against connections of anybody who is not of the site
 // now, and against answers that say why.
-func TestWhoIsRefused(t *testing.T) {
-	a, other := authority(t, "valley"), authority(t, "valley") // the same name, another key
+func TestRefusedCertificates(t *testing.T) {
+	a, other := newAuthority(t, "valley"), newAuthority(t, "valley") // the same name, another key
 	var log bytes.Buffer
-	node := party(t, a, "node/one", &log)
-	url := server(t, node)
-	good := party(t, a, "customer/office/baker", io.Discard)
+	node := newParty(t, a, "node/one", &log)
+	url := startServer(t, node)
+	good := newParty(t, a, "customer/office/baker", io.Discard)
 	if who, err := get(client(good.Dial(Node, "one")), url); err != nil || who != "customer/office/baker" {
 		t.Fatalf("%q, %v", who, err)
 	}
 	forged := func(change func(c *x509.Certificate)) *tls.Config { // signed by the site's authority, for something it would not issue
 		pub, key, _ := ed25519.GenerateKey(rand.Reader)
-		u, _ := url2("silvergate://valley/operator/eve")
-		c := &x509.Certificate{SerialNumber: big.NewInt(7), NotBefore: begin.Add(-time.Hour), NotAfter: begin.Add(time.Hour),
+		u, _ := parseURIs("silvergate://valley/operator/eve")
+		c := &x509.Certificate{SerialNumber: big.NewInt(7), NotBefore: startTime.Add(-time.Hour), NotAfter: startTime.Add(time.Hour),
 			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}, URIs: u}
 		change(c)
 		der, err := x509.CreateCertificate(rand.Reader, c, a.cert, pub, a.key)
@@ -114,11 +114,11 @@
 		}
 		return &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}}
 	}
-	revoked := party(t, a, "operator/gone", io.Discard)
+	revoked := newParty(t, a, "operator/gone", io.Discard)
 	if n, err := a.Revoke("operator/gone"); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	list, _ := a.RevokedList()
+	list, _ := a.RevocationList()
 	if newer, err := node.Learn(list); !newer || err != nil {
 		t.Fatal(newer, err)
 	}
@@ -128,17 +128,17 @@
 		reason error
 	}{
 		{"no certificate", &tls.Config{InsecureSkipVerify: true}, nil},
-		{"another authority of the same name", party(t, other, "operator/eve", io.Discard).Dial(Node, ""), ErrForeign},
-		{"expired", forged(func(c *x509.Certificate) { c.NotAfter = begin }), ErrExpired},
-		{"not yet valid", forged(func(c *x509.Certificate) { c.NotBefore = begin.Add(30 * time.Minute) }), ErrNotYet},
+		{"another authority of the same name", newParty(t, other, "operator/eve", io.Discard).Dial(Node, ""), ErrForeign},
+		{"expired", forged(func(c *x509.Certificate) { c.NotAfter = startTime }), ErrExpired},
+		{"not yet valid", forged(func(c *x509.Certificate) { c.NotBefore = startTime.Add(30 * time.Minute) }), ErrNotYetValid},
 		{"revoked", revoked.Dial(Node, ""), ErrRevoked},
 		{"two names", forged(func(c *x509.Certificate) {
-			u, _ := url2("silvergate://valley/node/one")
+			u, _ := parseURIs("silvergate://valley/node/one")
 			c.URIs = append(c.URIs, u...)
 		}), ErrMalformed},
 		{"no name", forged(func(c *x509.Certificate) { c.URIs = nil }), ErrMalformed},
-		{"another spelling", forged(func(c *x509.Certificate) { c.URIs, _ = url2("silvergate://valley/operator/e%76e") }), ErrMalformed},
-		{"another site", forged(func(c *x509.Certificate) { c.URIs, _ = url2("silvergate://hill/operator/eve") }), ErrForeign},
+		{"another spelling", forged(func(c *x509.Certificate) { c.URIs, _ = parseURIs("silvergate://valley/operator/e%76e") }), ErrMalformed},
+		{"another site", forged(func(c *x509.Certificate) { c.URIs, _ = parseURIs("silvergate://hill/operator/eve") }), ErrForeign},
 		{"for something else", forged(func(c *x509.Certificate) { c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageCodeSigning} }), ErrForeign},
 	} {
 		log.Reset()
@@ -171,7 +171,7 @@
 	}
 }
 
-func url2(s string) ([]*url.URL, error) {
+func parseURIs(s string) ([]*url.URL, error) {
 	u, err := url.Parse(s)
 	return []*url.URL{u}, err
 }
@@ -179,10 +179,10 @@
 // TestRevocationEndsConnections guards against a connection that goes on after
 // what it was accepted with was revoked, or has expired.
 func TestRevocationEndsConnections(t *testing.T) {
-	a := authority(t, "valley")
-	node := party(t, a, "node/one", io.Discard)
-	c := client(party(t, a, "operator/ann", io.Discard).Dial(Node, ""))
-	url := server(t, node)
+	a := newAuthority(t, "valley")
+	node := newParty(t, a, "node/one", io.Discard)
+	c := client(newParty(t, a, "operator/ann", io.Discard).Dial(Node, ""))
+	url := startServer(t, node)
 	if _, err := get(c, url); err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 	if _, err := get(c, url); err != nil { // not heard of yet
 		t.Fatal(err)
 	}
-	list, _ := a.RevokedList()
+	list, _ := a.RevocationList()
 	if _, err := node.Learn(list); err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 	if n, err := a.Revoke("node/one"); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	list, _ = a.RevokedList()
+	list, _ = a.RevocationList()
 	if newer, err := node.Learn(list); !newer || err != nil {
 		t.Fatal(newer, err)
 	}
@@ -225,12 +225,12 @@
 	if err != nil || !bytes.Equal(again.Revocations(), list) {
 		t.Error("what was learnt is not kept", err)
 	}
-	late := client(party(t, a, "operator/cat", io.Discard).Dial(Node, ""))
+	late := client(newParty(t, a, "operator/cat", io.Discard).Dial(Node, ""))
 	late.Transport.(*http.Transport).TLSClientConfig.VerifyConnection = nil
 	if _, err := get(late, url); err != nil {
 		t.Fatal(err)
 	}
-	node.Now = func() time.Time { return begin.Add(2 * time.Hour) }
+	node.Now = func() time.Time { return startTime.Add(2 * time.Hour) }
 	if _, err := get(late, url); err == nil {
 		t.Error("an expired certificate is served on its old connection")
 	}
@@ -239,17 +239,17 @@
 // TestRenewal guards against a renewal that needs a restart, and against another
 // party's certificate in its place.
 func TestRenewal(t *testing.T) {
-	a := authority(t, "valley")
-	node := party(t, a, "node/one", io.Discard)
+	a := newAuthority(t, "valley")
+	node := newParty(t, a, "node/one", io.Discard)
 	first := node.own.Load().Leaf.SerialNumber
 	touch := func(kind Kind, name string) {
 		t.Helper()
 		if _, err := a.Issue(Identity{Kind: kind, Name: name}, node.dir, time.Hour); err != nil {
 			t.Fatal(err)
 		}
-		node.looked = time.Time{}
-		node.seen = map[string]time.Time{}
-		node.look()
+		node.lastCheck = time.Time{}
+		node.modTimes = map[string]time.Time{}
+		node.reloadChanged()
 	}
 	touch(Node, "one")
 	second := node.own.Load().Leaf.SerialNumber
@@ -268,21 +268,21 @@
 	}
 }
 
-// TestAuthoritysFolder guards against a second authority in a folder, against
+// TestAuthorityFolder guards against a second authority in a folder, against
 // what a crash leaves in the list, and against certificates that aren't on it.
-func TestAuthoritysFolder(t *testing.T) {
-	a := authority(t, "valley")
-	if _, err := Init(a.dir, "valley", begin); !errors.Is(err, os.ErrExist) {
+func TestAuthorityFolder(t *testing.T) {
+	a := newAuthority(t, "valley")
+	if _, err := Init(a.dir, "valley", startTime); !errors.Is(err, os.ErrExist) {
 		t.Errorf("made twice: %v", err)
 	}
-	party(t, a, "agent/m-1", io.Discard)
+	newParty(t, a, "agent/m-1", io.Discard)
 	f, err := os.OpenFile(filepath.Join(a.dir, issuedFile), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = f.WriteString(`{"serial":"ab`)
 	f.Close()
-	party(t, a, "agent/m-2", io.Discard)
+	newParty(t, a, "agent/m-2", io.Discard)
 	all, err := a.List()
 	if err != nil || len(all) != 2 || all[1].Identity != "agent/m-2" {
 		t.Errorf("%v, %v", all, err)
@@ -290,7 +290,7 @@
 	if _, err := a.Issue(Identity{Site: "hill", Kind: Node, Name: "x"}, t.TempDir(), 0); err == nil {
 		t.Error("issued for another site")
 	}
-	b := authority(t, "hill")
+	b := newAuthority(t, "hill")
 	raw, _ := os.ReadFile(filepath.Join(b.dir, authorityKey))
 	if err := os.WriteFile(filepath.Join(a.dir, authorityKey), raw, 0o600); err != nil {
 		t.Fatal(err)
@@ -345,17 +345,17 @@
 
 // FuzzCertificate has certificates read from damaged files.
 func FuzzCertificate(f *testing.F) {
-	a, err := Init(filepath.Join(f.TempDir(), "authority"), "valley", begin)
+	a, err := Init(filepath.Join(f.TempDir(), "authority"), "valley", startTime)
 	if err != nil {
 		f.Fatal(err)
 	}
-	list, _ := a.RevokedList()
+	list, _ := a.RevocationList()
 	f.Add(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), list)
 	f.Fuzz(func(t *testing.T, cert, list []byte) {
 		if c, err := parseCert(cert); err == nil {
-			_, _ = identityOf(c)
+			_, _ = certIdentity(c)
 		}
-		if l, err := parseRevoked(list, a.cert); err == nil && l.CheckSignatureFrom(a.cert) != nil {
+		if l, err := parseRevocationList(list, a.cert); err == nil && l.CheckSignatureFrom(a.cert) != nil {
 			t.Error("a list that is not signed is taken")
 		}
 	})
--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -19,22 +19,22 @@
 // Reasons for which Judge, and with it every connection and request, refuses
 // somebody. They are logged and not sent to the other end.
 var (
-	// ErrNone is returned when the other end has shown no certificate.
-	ErrNone = errors.New("no certificate")
+	// ErrNoCertificate is returned when the other end has shown no certificate.
+	ErrNoCertificate = errors.New("no certificate")
 	// ErrForeign is returned for a certificate that another authority has signed,
 	// or that names another site.
 	ErrForeign = errors.New("its certificate is not of this site's authority")
 	// ErrExpired is returned for a certificate after its time.
 	ErrExpired = errors.New("its certificate is expired")
-	// ErrNotYet is returned for a certificate before its time.
-	ErrNotYet = errors.New("its certificate does not hold yet")
+	// ErrNotYetValid is returned for a certificate before its time.
+	ErrNotYetValid = errors.New("its certificate does not hold yet")
 	// ErrRevoked is returned for a certificate on the list of revocations.
 	ErrRevoked = errors.New("its certificate is revoked")
 	// ErrMalformed is returned for a certificate without exactly one identity.
 	ErrMalformed = errors.New("its certificate names nobody")
-	// ErrRole is returned by a connection to a party of another kind or name than
+	// ErrWrongParty is returned by a connection to a party of another kind or name than
 	// was dialled.
-	ErrRole = errors.New("it is not what is expected here")
+	ErrWrongParty = errors.New("it is not what is expected here")
 )
 
 // Keeper holds one party's certificate and what it must know to judge others'.
@@ -42,9 +42,9 @@
 type Keeper struct {
 	dir  string
 	log  *slog.Logger
-	me   Identity
+	self   Identity
 	root *x509.Certificate
-	pool *x509.CertPool
+	roots *x509.CertPool
 	// Now is the day's clock.
 	Now func() time.Time
 
@@ -52,23 +52,23 @@
 	revoked atomic.Pointer[revocations]
 
 	mu     sync.Mutex // of reading again
-	looked time.Time
-	seen   map[string]time.Time // times of change, by file
+	lastCheck time.Time
+	modTimes   map[string]time.Time // times of change, by file
 }
 
 type revocations struct {
 	raw    []byte
 	number int64
-	serial map[string]bool
+	serials map[string]bool
 }
 
-// lookEvery is how often the files are looked at: a renewal and a revocation
+// reloadInterval is how often the files are looked at: a renewal and a revocation
 // that comes by file are effective within it.
-const lookEvery = time.Second
+const reloadInterval = time.Second
 
 // NewKeeper takes the certificate in a folder that Authority.Issue wrote.
 func NewKeeper(dir string, log *slog.Logger) (*Keeper, error) {
-	k := &Keeper{dir: dir, log: log, Now: time.Now, seen: map[string]time.Time{}}
+	k := &Keeper{dir: dir, log: log, Now: time.Now, modTimes: map[string]time.Time{}}
 	raw, err := os.ReadFile(filepath.Join(dir, authorityFile))
 	if err != nil {
 		return nil, fmt.Errorf("certificates: %w", err)
@@ -79,8 +79,8 @@
 	if len(k.root.Subject.Organization) != 1 {
 		return nil, fmt.Errorf("%s: not an authority's certificate", filepath.Join(dir, authorityFile))
 	}
-	k.pool = x509.NewCertPool()
-	k.pool.AddCert(k.root)
+	k.roots = x509.NewCertPool()
+	k.roots.AddCert(k.root)
 	if err := k.readOwn(); err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 }
 
 // Me is whose certificate it is.
-func (k *Keeper) Me() Identity { return k.me }
+func (k *Keeper) Me() Identity { return k.self }
 
 func (k *Keeper) readOwn() error {
 	path := filepath.Join(k.dir, certFile)
@@ -108,14 +108,14 @@
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	who, err := identityOf(c.Leaf)
+	who, err := certIdentity(c.Leaf)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if k.me != (Identity{}) && who != k.me {
-		return fmt.Errorf("%s: it was %s and is now %s", path, k.me, who)
+	if k.self != (Identity{}) && who != k.self {
+		return fmt.Errorf("%s: it was %s and is now %s", path, k.self, who)
 	}
-	k.me = who
+	k.self = who
 	k.own.Store(&c)
 	return nil
 }
@@ -125,19 +125,19 @@
 	if err != nil {
 		return fmt.Errorf("certificates: %w", err)
 	}
-	_, err = k.take(raw)
+	_, err = k.updateRevocations(raw)
 	return err
 }
 
-// take goes on with a list of revocations if it is newer than what is known.
-func (k *Keeper) take(raw []byte) (newer bool, err error) {
-	l, err := parseRevoked(raw, k.root)
+// updateRevocations goes on with a list of revocations if it is newer than what is known.
+func (k *Keeper) updateRevocations(raw []byte) (newer bool, err error) {
+	l, err := parseRevocationList(raw, k.root)
 	if err != nil {
 		return false, err
 	}
-	r := &revocations{raw: raw, number: l.Number.Int64(), serial: map[string]bool{}}
+	r := &revocations{raw: raw, number: l.Number.Int64(), serials: map[string]bool{}}
 	for _, e := range l.RevokedCertificateEntries {
-		r.serial[e.SerialNumber.Text(16)] = true
+		r.serials[e.SerialNumber.Text(16)] = true
 	}
 	for {
 		old := k.revoked.Load()
@@ -153,7 +153,7 @@
 // Revocations is the newest list that is known, for others: it is signed, so it
 // does not matter from whom one has it.
 func (k *Keeper) Revocations() []byte {
-	k.look()
+	k.reloadChanged()
 	return k.revoked.Load().raw
 }
 
@@ -166,25 +166,25 @@
 	if len(raw) > MaxRevocations {
 		return false, fmt.Errorf("list of revocations: larger than %d bytes", MaxRevocations)
 	}
-	newer, err = k.take(raw)
+	newer, err = k.updateRevocations(raw)
 	if !newer || err != nil {
 		return newer, err
 	}
-	k.log.Info("newer list of revocations", "number", k.revoked.Load().number, "revoked", len(k.revoked.Load().serial))
+	k.log.Info("newer list of revocations", "number", k.revoked.Load().number, "revoked", len(k.revoked.Load().serials))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return true, renameio.WriteFile(filepath.Join(k.dir, revokedFile), raw, 0o644)
 }
 
-// look reads files again that have changed.
-func (k *Keeper) look() {
+// reloadChanged reads files again that have changed.
+func (k *Keeper) reloadChanged() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if now.Sub(k.looked) < lookEvery {
+	if now.Sub(k.lastCheck) < reloadInterval {
 		return
 	}
-	k.looked = now
+	k.lastCheck = now
 	for _, f := range []struct {
 		name string
 		read func() error
@@ -193,18 +193,18 @@
 		if err != nil {
 			continue // what was read before holds
 		}
-		if was, ok := k.seen[f.name]; ok && was.Equal(info.ModTime()) {
+		if was, ok := k.modTimes[f.name]; ok && was.Equal(info.ModTime()) {
 			continue
 		}
-		k.seen[f.name] = info.ModTime()
+		k.modTimes[f.name] = info.ModTime()
 		if err := f.read(); err != nil {
 			k.log.Error("a certificate's file can't be used; the earlier one holds", "file", f.name, "error", err)
 		}
 	}
 }
 
-// identityOf reads who a certificate was issued to.
-func identityOf(c *x509.Certificate) (Identity, error) {
+// certIdentity reads who a certificate was issued to.
+func certIdentity(c *x509.Certificate) (Identity, error) {
 	if len(c.URIs) != 1 {
 		return Identity{}, ErrMalformed
 	}
@@ -215,60 +215,60 @@
 	return i, nil
 }
 
-// Judge says who a certificate belongs to, or why it counts for nothing now. It
+// Verify says who a certificate belongs to, or why it counts for nothing now. It
 // is the one place where that is decided.
-func (k *Keeper) Judge(c *x509.Certificate) (Identity, error) {
+func (k *Keeper) Verify(c *x509.Certificate) (Identity, error) {
 	if c == nil {
-		return Identity{}, ErrNone
+		return Identity{}, ErrNoCertificate
 	}
 	now := k.Now()
 	switch {
 	case now.Before(c.NotBefore):
-		return Identity{}, ErrNotYet
+		return Identity{}, ErrNotYetValid
 	case now.After(c.NotAfter):
 		return Identity{}, ErrExpired
 	}
 	// The time is judged above, each way with its own reason.
-	if _, err := c.Verify(x509.VerifyOptions{Roots: k.pool, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}); err != nil {
+	if _, err := c.Verify(x509.VerifyOptions{Roots: k.roots, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}); err != nil {
 		return Identity{}, fmt.Errorf("%w: %w", ErrForeign, err)
 	}
-	k.look()
-	if k.revoked.Load().serial[c.SerialNumber.Text(16)] {
+	k.reloadChanged()
+	if k.revoked.Load().serials[c.SerialNumber.Text(16)] {
 		return Identity{}, ErrRevoked
 	}
-	who, err := identityOf(c)
-	if err == nil && who.Site != k.me.Site {
+	who, err := certIdentity(c)
+	if err == nil && who.Site != k.self.Site {
 		err = ErrForeign
 	}
 	return who, err
 }
 
-// judge judges the other end of a connection.
-func (k *Keeper) judge(s *tls.ConnectionState) (Identity, error) {
+// verifyConnection judges the other end of a connection.
+func (k *Keeper) verifyConnection(s *tls.ConnectionState) (Identity, error) {
 	if s == nil || len(s.PeerCertificates) == 0 {
-		return Identity{}, ErrNone
+		return Identity{}, ErrNoCertificate
 	}
-	return k.Judge(s.PeerCertificates[0])
+	return k.Verify(s.PeerCertificates[0])
 }
 
-// config is what both ends share. The library's own check of the chain is not
+// tlsConfig is what both ends share. The library's own check of the chain is not
 // used: it would tell the other end what is wrong with its certificate.
-func (k *Keeper) config(check func(Identity) error, where string) *tls.Config {
+func (k *Keeper) tlsConfig(check func(Identity) error, where string) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		ClientAuth:             tls.RequireAnyClientCert,
 		InsecureSkipVerify:     true, // VerifyConnection verifies
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			k.look()
+			k.reloadChanged()
 			return k.own.Load(), nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			k.look()
+			k.reloadChanged()
 			return k.own.Load(), nil
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
-			who, err := k.judge(&s)
+			who, err := k.verifyConnection(&s)
 			if err == nil {
 				err = check(who)
 			}
@@ -285,15 +285,15 @@
 
 // Serve is the TLS configuration of a server that talks to everybody of the site.
 func (k *Keeper) Serve() *tls.Config {
-	return k.config(func(Identity) error { return nil }, "a client")
+	return k.tlsConfig(func(Identity) error { return nil }, "a client")
 }
 
 // Dial is that of a client which wants to reach a party of that kind; with a
 // name, that one and no other.
 func (k *Keeper) Dial(kind Kind, name string) *tls.Config {
-	return k.config(func(who Identity) error {
+	return k.tlsConfig(func(who Identity) error {
 		if who.Kind != kind || name != "" && who.Name != name {
-			return fmt.Errorf("%w: %s/%s", ErrRole, kind, name)
+			return fmt.Errorf("%w: %s/%s", ErrWrongParty, kind, name)
 		}
 		return nil
 	}, string(kind)+"/"+name)
@@ -302,7 +302,7 @@
 // Who says who sent a request, as of now: a connection outlives what it was
 // accepted with. The reason for a refusal is logged.
 func (k *Keeper) Who(r *http.Request) (Identity, bool) {
-	who, err := k.judge(r.TLS)
+	who, err := k.verifyConnection(r.TLS)
 	if err != nil {
 		k.log.Warn("request refused", "from", r.RemoteAddr, "who", who.String(), "reason", err)
 	}
@@ -315,7 +315,7 @@
 	if err != nil {
 		return Identity{}, err
 	}
-	return identityOf(c)
+	return certIdentity(c)
 }
 
 func readCert(path string) (*x509.Certificate, error) {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -16,10 +16,10 @@
 const (
 	Detect Step = iota // last heard of until evidence: the protocol's, but for a cloud's answer that was asked for late
 	Commit             // evidence until its end is committed: the state service's budget
-	Room               // until there is a machine for it: room, or work that went before
+	Placement               // until there is a machine for it: room, or work that went before
 	Bind               // until that is committed: the state service's budget
-	Tell               // until the machine is told
-	Image              // until it is seen running: image, inputs, and the wait for the heartbeat
+	Dispatch               // until the machine is told
+	Startup              // until it is seen running: image, inputs, and the wait for the heartbeat
 	Steps  = 6
 )
 
@@ -37,7 +37,7 @@
 type Loss struct {
 	Task, Class, Reason string
 	Priority            int
-	At                  time.Duration        // last heard of
+	LastHeard                  time.Duration        // last heard of
 	Took                [Steps]time.Duration // by step
 	Restarted           bool                 // it runs again; else the log ends, or the job, before
 	// Confirmed: something followed from the evidence. A controller that is cut off
@@ -45,19 +45,19 @@
 	Confirmed bool
 }
 
-// Until is when the task ran again, or when it was last heard of here.
-func (l *Loss) Until() time.Duration {
-	until := l.At
+// End is when the task ran again, or when it was last heard of here.
+func (l *Loss) End() time.Duration {
+	until := l.LastHeard
 	for _, took := range l.Took {
 		until += took
 	}
 	return until
 }
 
-// Least is when the task would have run again had its end and its start been
+// EarliestRestart is when the task would have run again had its end and its start been
 // committed, and room been there, at once: what is left is the evidence that the
 // protocol asks for and the image on the machine that it got.
-func (l *Loss) Least() time.Duration { return l.At + l.Took[Detect] + l.Took[Image] }
+func (l *Loss) EarliestRestart() time.Duration { return l.LastHeard + l.Took[Detect] + l.Took[Startup] }
 
 // Reader takes lines and keeps the losses. Use NewReader.
 type Reader struct {
@@ -65,14 +65,14 @@
 	recovering map[string]*recovery // by task
 	lost       []*Loss
 	lines      int
-	last       time.Duration // of all events
+	lastEvent       time.Duration // of all events
 }
 
 // recovery is the way back of a lost task that does not run yet.
 type recovery struct {
 	loss  *Loss
 	step  Step          // the one under way
-	since time.Duration // when that began
+	stepStart time.Duration // when that began
 }
 
 // advance ends the step under way and begins another that comes after it.
@@ -80,20 +80,20 @@
 	if w.step < Commit || w.step >= to {
 		return
 	}
-	w.loss.Took[w.step] += max(0, at-w.since)
-	w.step, w.since, w.loss.Confirmed = to, at, true
+	w.loss.Took[w.step] += max(0, at-w.stepStart)
+	w.step, w.stepStart, w.loss.Confirmed = to, at, true
 }
 
 // NewReader makes a Reader that has read nothing.
 func NewReader() *Reader { return &Reader{recovering: map[string]*recovery{}} }
 
 // nextSteps is the step that begins with a message.
-var nextSteps = map[string]Step{Ended: Room, Placing: Bind, Bound: Tell, Launch: Image, Began: Steps}
+var nextSteps = map[string]Step{Ended: Placement, Placing: Bind, Bound: Dispatch, Launch: Startup, Began: Steps}
 
 // Add takes an event. Events of several controllers may come in any order that
 // keeps each task's own.
 func (r *Reader) Add(e Event) {
-	r.last = max(r.last, e.At)
+	r.lastEvent = max(r.lastEvent, e.At)
 	if e.Msg == Evidence {
 		r.addEvidence(e)
 		return
@@ -122,8 +122,8 @@
 	if w := r.recovering[e.Task]; w != nil && w.step == Commit {
 		return // told again
 	}
-	loss := &Loss{Task: e.Task, Class: e.Class, Reason: e.Reason, Priority: e.Priority, At: e.At - e.Silent}
+	loss := &Loss{Task: e.Task, Class: e.Class, Reason: e.Reason, Priority: e.Priority, LastHeard: e.At - e.Silent}
 	loss.Took[Detect] = e.Silent
 	r.lost = append(r.lost, loss)
-	r.recovering[e.Task] = &recovery{loss: loss, step: Commit, since: e.At}
+	r.recovering[e.Task] = &recovery{loss: loss, step: Commit, stepStart: e.At}
 }
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -74,7 +74,7 @@
 			if len(got) != 2 || got[0].Class != "svc" || got[0].Lost != 1 || got[0].Restarted != 1 || got[1].Reason != LeaseExpired || got[1].Restarted != 0 {
 				t.Fatalf("%+v", got)
 			}
-			want := [Steps]float64{Detect: 4, Commit: 1, Room: 2, Bind: 0.5, Tell: 0.1, Image: 10}
+			want := [Steps]float64{Detect: 4, Commit: 1, Placement: 2, Bind: 0.5, Dispatch: 0.1, Startup: 10}
 			if fmt.Sprintf("%.3f", got[0].Seconds) != fmt.Sprintf("%.3f", want) {
 				t.Errorf("steps %v, not %v", got[0].Seconds, want)
 			}
@@ -137,7 +137,7 @@
 			want = append(want, h)
 		}
 		for i, l := range r.lost {
-			if !l.Restarted || l.At != want[i].from || l.Until() != want[i].to {
+			if !l.Restarted || l.LastHeard != want[i].from || l.End() != want[i].to {
 				rt.Fatalf("%+v, not %+v", l, want[i])
 			}
 		}
@@ -154,7 +154,7 @@
 			t.Fatal(err)
 		}
 		for _, l := range r.lost {
-			if l.Until() < l.At {
+			if l.End() < l.LastHeard {
 				t.Fatalf("%+v", l)
 			}
 		}
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -26,7 +26,7 @@
 	type key struct{ class, reason string }
 	groups := map[key][]*Loss{}
 	for _, l := range r.lost {
-		if l.Confirmed && l.At >= from {
+		if l.Confirmed && l.LastHeard >= from {
 			k := key{l.Class, l.Reason}
 			groups[k] = append(groups[k], l)
 		}
@@ -65,7 +65,7 @@
 // Worst is the span of the given length in which most of a class's time was
 // lost, how many task-seconds that were, and how many at the least (see Loss.Least).
 func (r *Reader) Worst(class string, span time.Duration) (from time.Duration, seconds, least float64) {
-	for at := time.Duration(0); at <= r.last; at += time.Second {
+	for at := time.Duration(0); at <= r.lastEvent; at += time.Second {
 		lost, atLeast := r.lostWithin(class, at, at+span)
 		if lost > seconds {
 			from, seconds, least = at, lost, atLeast
@@ -81,13 +81,13 @@
 		if l.Class != class || !l.Confirmed {
 			continue
 		}
-		until := l.Until()
+		until := l.End()
 		if !l.Restarted {
-			until = r.last
+			until = r.lastEvent
 		}
-		overlap := func(until time.Duration) float64 { return max(0, (min(until, to) - max(l.At, from)).Seconds()) }
+		overlap := func(until time.Duration) float64 { return max(0, (min(until, to) - max(l.LastHeard, from)).Seconds()) }
 		seconds += overlap(until)
-		least += overlap(l.Least())
+		least += overlap(l.EarliestRestart())
 	}
 	return seconds, least
 }
--- a/internal/losses/step_test.go
+++ b/internal/losses/step_test.go
@@ -4,7 +4,7 @@
 
 // TestStepNames: the names are columns of the command's report.
 func TestStepNames(t *testing.T) {
-	for step, want := range map[Step]string{Detect: "evidence", Commit: "commit ending", Room: "room", Bind: "commit start", Tell: "tell", Image: "image", Steps: "unknown", -1: "unknown"} {
+	for step, want := range map[Step]string{Detect: "evidence", Commit: "commit ending", Placement: "room", Bind: "commit start", Dispatch: "tell", Startup: "image", Steps: "unknown", -1: "unknown"} {
 		t.Run(want, func(t *testing.T) {
 			if got := step.String(); got != want {
 				t.Errorf("step %d is %q", int(step), got)
--- a/internal/recorder/golden_test.go
+++ b/internal/recorder/golden_test.go
@@ -85,8 +85,8 @@
 	return data
 }
 
-// frames takes a segment apart without the package's reader: the frames' contents.
-func frames(t *testing.T, data []byte) (out [][]byte) {
+// decodeFrames takes a segment apart without the package's reader: the decodeFrames' contents.
+func decodeFrames(t *testing.T, data []byte) (out [][]byte) {
 	t.Helper()
 	const magic = "silvergate recording\n"
 	rest, found := bytes.CutPrefix(data, []byte(magic))
@@ -130,7 +130,7 @@
 	if kinds := []Kind{Tick, Request, Reply, Peer}; !reflect.DeepEqual(kinds, []Kind{1, 2, 3, 4}) {
 		t.Errorf("the kinds' numbers are %d", kinds)
 	}
-	if want, got := frames(t, data), frames(t, writeSegments(t)); !reflect.DeepEqual(got, want) {
+	if want, got := decodeFrames(t, data), decodeFrames(t, writeSegments(t)); !reflect.DeepEqual(got, want) {
 		t.Errorf("written as\n%q\nnot\n%q", got, want)
 	}
 }
@@ -138,7 +138,7 @@
 // TestFrozenSegment reads the golden segment with the frozen types: it holds a value for
 // every field of them, and the present types have no field beside those.
 func TestFrozenSegment(t *testing.T) {
-	contents := frames(t, goldentest.Read(t, goldenPath))
+	contents := decodeFrames(t, goldentest.Read(t, goldenPath))
 	if len(contents) != 2 {
 		t.Fatalf("%d frames", len(contents))
 	}
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -14,23 +14,23 @@
 	"pgregory.net/rapid"
 )
 
-// drawn draws an input.
-func drawn(t *rapid.T) Input {
+// genInput draws an input.
+func genInput(t *rapid.T) Input {
 	return Input{Kind: Kind(rapid.IntRange(1, 4).Draw(t, "kind")), Steady: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "steady")),
 		Wall: rapid.Int64().Draw(t, "wall"), ID: rapid.Uint64().Draw(t, "id"), Method: rapid.SampledFrom([]string{"", http.MethodGet, http.MethodPost}).Draw(t, "method"),
 		Path: rapid.String().Draw(t, "path"), Status: rapid.IntRange(0, 599).Draw(t, "status"), Sent: rapid.Bool().Draw(t, "sent"),
 		From: rapid.StringN(0, 8, 16).Draw(t, "from"), Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body"), Effects: rapid.Uint64().Draw(t, "effects")}
 }
 
-func same(a, b Input) bool {
+func equalInputs(a, b Input) bool {
 	x, y := a, b
 	x.Body, y.Body = nil, nil
 	return bytes.Equal(a.Body, b.Body) && x.Kind == y.Kind && x.Steady == y.Steady && x.Wall == y.Wall && x.ID == y.ID && x.Method == y.Method &&
 		x.Path == y.Path && x.Status == y.Status && x.Sent == y.Sent && x.From == y.From && x.Effects == y.Effects
 }
 
-// read reads a recording up to its end or an error.
-func read(raw []byte) (out []Input, err error) {
+// readAll reads a recording up to its end or an error.
+func readAll(raw []byte) (out []Input, err error) {
 	r, err := NewReader(bytes.NewReader(raw))
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 // that was not.
 func TestARecordingIsReadUpToItsLastWholeFrame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		inputs := rapid.SliceOfN(rapid.Custom(drawn), 1, 12).Draw(t, "inputs")
+		inputs := rapid.SliceOfN(rapid.Custom(genInput), 1, 12).Draw(t, "inputs")
 		var out bytes.Buffer
 		w := NewMemory(&out, Header{Node: "n0", Life: 7})
 		for i := range inputs {
@@ -64,24 +64,24 @@
 		raw := out.Bytes()
 		beginning := func(got []Input, what string, n int) {
 			for i := range got {
-				if i >= len(inputs) || !same(got[i], inputs[i]) {
+				if i >= len(inputs) || !equalInputs(got[i], inputs[i]) {
 					t.Fatalf("%s at byte %d: input %d was not recorded", what, n, i)
 				}
 			}
 		}
-		got, err := read(raw)
+		got, err := readAll(raw)
 		if beginning(got, "whole", 0); !errors.Is(err, io.EOF) || len(got) != len(inputs) {
 			t.Fatalf("%d of %d inputs are read: %v", len(got), len(inputs), err)
 		}
 		for n := range raw {
-			got, err := read(raw[:n])
+			got, err := readAll(raw[:n])
 			if beginning(got, "cut", n); err == nil {
 				t.Fatalf("cut at byte %d: no end", n)
 			}
 			if n%7 == 0 {
 				damaged := bytes.Clone(raw)
 				damaged[n] ^= 0x20
-				got, err = read(damaged)
+				got, err = readAll(damaged)
 				if beginning(got, "damaged", n); errors.Is(err, io.EOF) {
 					t.Fatalf("damaged at byte %d: not noticed", n)
 				}
@@ -90,8 +90,8 @@
 	})
 }
 
-// TestRecordingsKeepToTheirBound guards against a disk that fills up.
-func TestRecordingsKeepToTheirBound(t *testing.T) {
+// TestSegmentsStayWithinSizeLimit guards against a disk that fills up.
+func TestSegmentsStayWithinSizeLimit(t *testing.T) {
 	dir := t.TempDir()
 	o := Options{Dir: dir, Max: 40 << 10, Segment: 8 << 10, Flush: time.Nanosecond}
 	for incarnation := int64(1); incarnation <= 2; incarnation++ {
@@ -155,7 +155,7 @@
 	}
 	out.Close()
 	<-copied
-	got, _ := read(raw.Bytes())
+	got, _ := readAll(raw.Bytes())
 	for i := range got {
 		if got[i].ID != uint64(i) {
 			t.Fatalf("input %d is followed by %d", i-1, got[i].ID)
@@ -172,7 +172,7 @@
 	f.Add(out.Bytes())
 	f.Add([]byte(Magic))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		got, err := read(raw)
+		got, err := readAll(raw)
 		if err == nil || len(got) > 1<<20 {
 			t.Errorf("%d inputs without an end", len(got))
 		}
--- a/internal/recorder/segments.go
+++ b/internal/recorder/segments.go
@@ -26,7 +26,7 @@
 	}
 	var segments []string
 	for _, file := range files {
-		if name, ok := nodeOf(file); ok && (node == "" || name == node) {
+		if name, ok := segmentNode(file); ok && (node == "" || name == node) {
 			segments = append(segments, file)
 		}
 	}
@@ -34,8 +34,8 @@
 	return segments, nil
 }
 
-// nodeOf is the node in a segment's file name; false if it is the name of no segment.
-func nodeOf(file string) (string, bool) {
+// segmentNode is the node in a segment's file name; false if it is the name of no segment.
+func segmentNode(file string) (string, bool) {
 	parts := strings.Split(strings.TrimSuffix(filepath.Base(file), extension), "-")
 	if len(parts) < 3 {
 		return "", false
--- a/internal/recorder/writer.go
+++ b/internal/recorder/writer.go
@@ -69,16 +69,16 @@
 // Close ends the goroutine that writes.
 func NewMemory(out io.Writer, h Header) *Writer {
 	w := newWriter(Options{Segment: 1 << 40, Flush: time.Hour}, h)
-	w.openSegment = func(int) (io.WriteCloser, error) { return unclosed{out}, nil }
+	w.openSegment = func(int) (io.WriteCloser, error) { return nopCloser{out}, nil }
 	w.removeOldest = func() error { return nil }
 	go w.run()
 	return w
 }
 
-// unclosed is a writer whose Close does nothing.
-type unclosed struct{ io.Writer }
+// nopCloser is a writer whose Close does nothing.
+type nopCloser struct{ io.Writer }
 
-func (unclosed) Close() error { return nil }
+func (nopCloser) Close() error { return nil }
 
 func newWriter(o Options, h Header) *Writer {
 	h.Version = version
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -36,7 +36,7 @@
 	options   Options
 	node      string
 	core      *coordination.Core
-	known     []string        // what the core knew last, for each of the names
+	lastKnown     []string        // what the core knew last, for each of the names
 	txns      map[uint64]bool // calls that are transactions without a reply yet
 	events    []Event
 	described bool // what is known at options.At
@@ -47,7 +47,7 @@
 		options: o,
 		node:    node,
 		core:    core,
-		known:   make([]string, len(o.Names)),
+		lastKnown:   make([]string, len(o.Names)),
 		txns:    map[uint64]bool{},
 	}
 }
@@ -81,7 +81,7 @@
 		CommittedRevision: x.committedRevision(in),
 	}
 	x.noteTransactions(effects)
-	texts := x.textsOf(in, effects)
+	texts := x.describeStep(in, effects)
 	if len(texts) == 0 {
 		return
 	}
@@ -115,15 +115,15 @@
 	}
 }
 
-func (x *explainer) textsOf(in *recorder.Input, effects *coordination.Effects) []string {
+func (x *explainer) describeStep(in *recorder.Input, effects *coordination.Effects) []string {
 	var texts []string
 	for i, name := range x.options.Names {
 		if text := inputText(in, name); text != "" {
 			texts = append(texts, text)
 		}
 		texts = append(texts, effectTexts(effects, name)...)
-		if known := x.core.Known(name); known != x.known[i] {
-			x.known[i] = known
+		if known := x.core.Known(name); known != x.lastKnown[i] {
+			x.lastKnown[i] = known
 			texts = append(texts, "now knows of "+name+": "+known)
 		}
 	}
--- a/internal/replay/merge.go
+++ b/internal/replay/merge.go
@@ -4,40 +4,40 @@
 // by the wall clocks, which may differ; where a node knows of a revision that another
 // node's transaction made, its event comes after that transaction's.
 func Merge(stories ...[]Event) []Event {
-	m := merger{stories: stories, next: make([]int, len(stories))}
+	m := merger{timelines: stories, next: make([]int, len(stories))}
 	var merged []Event
 	for {
-		story := m.choose()
+		story := m.chooseTimeline()
 		if story < 0 {
 			return merged
 		}
-		merged = append(merged, *m.head(story))
+		merged = append(merged, *m.nextEvent(story))
 		m.next[story]++
 	}
 }
 
 // merger is a merge under way.
 type merger struct {
-	stories [][]Event
+	timelines [][]Event
 	next    []int // each story's first event that is not merged yet
 }
 
-// head is a story's next event.
-func (m *merger) head(story int) *Event { return &m.stories[story][m.next[story]] }
+// nextEvent is a story's next event.
+func (m *merger) nextEvent(story int) *Event { return &m.timelines[story][m.next[story]] }
 
-// choose is the story whose next event comes first, -1 if all have ended. Among those
+// chooseTimeline is the story whose next event comes first, -1 if all have ended. Among those
 // that do not come too early it is the one with the earliest wall clock. If the clocks or
 // lost recordings leave only events that do, their wall clocks decide.
-func (m *merger) choose() int {
+func (m *merger) chooseTimeline() int {
 	best, bestTooEarly := -1, false
-	for i := range m.stories {
-		if m.next[i] == len(m.stories[i]) {
+	for i := range m.timelines {
+		if m.next[i] == len(m.timelines[i]) {
 			continue
 		}
 		tooEarly := m.tooEarly(i)
 		switch {
 		case best < 0, bestTooEarly && !tooEarly:
-		case bestTooEarly == tooEarly && m.head(i).Wall.Before(m.head(best).Wall):
+		case bestTooEarly == tooEarly && m.nextEvent(i).Wall.Before(m.nextEvent(best).Wall):
 		default:
 			continue
 		}
@@ -49,8 +49,8 @@
 // tooEarly tells whether a story's next event knows of a revision whose transaction is
 // still to come in another story.
 func (m *merger) tooEarly(story int) bool {
-	known := m.head(story).AppliedRevision
-	for other := range m.stories {
+	known := m.nextEvent(story).AppliedRevision
+	for other := range m.timelines {
 		if other == story {
 			continue
 		}
@@ -63,7 +63,7 @@
 
 // pendingRevision is the next revision that a story's transactions make, 0 if none.
 func (m *merger) pendingRevision(story int) uint64 {
-	for _, event := range m.stories[story][m.next[story]:] {
+	for _, event := range m.timelines[story][m.next[story]:] {
 		if event.CommittedRevision > 0 {
 			return event.CommittedRevision
 		}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -28,7 +28,7 @@
 // Open groups recordings by incarnation. Folders stand for the recordings in them. An
 // incarnation whose first segment is missing can't be replayed: it is named in the error.
 func Open(paths []string) ([]Incarnation, error) {
-	files, err := segmentsOf(paths)
+	files, err := listSegments(paths)
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	return incarnations, nil
 }
 
-// segmentsOf lists the files that paths name, with those in folders, by name.
-func segmentsOf(paths []string) ([]string, error) {
+// listSegments lists the files that paths name, with those in folders, by name.
+func listSegments(paths []string) ([]string, error) {
 	var files []string
 	for _, path := range paths {
 		info, err := os.Stat(path)
@@ -149,13 +149,13 @@
 			break
 		}
 	}
-	p.explainer.describeAt(endOfTime, &result) // a time after the last input: what is known last
+	p.explainer.describeAt(maxTime, &result) // a time after the last input: what is known last
 	result.Story = p.explainer.events
 	return result, nil
 }
 
-// endOfTime is after every input.
-var endOfTime = time.Unix(1<<40, 0)
+// maxTime is after every input.
+var maxTime = time.Unix(1<<40, 0)
 
 // player is a replay under way.
 type player struct {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -19,10 +19,10 @@
 	"silvergate/internal/recorder"
 )
 
-// TestMergedStoriesGoByRevisions draws the events of several nodes whose clocks differ:
+// TestMergeOrdersEventsByRevision draws the events of several nodes whose clocks differ:
 // the merged story keeps each node's order, and none knows of a revision before it is
 // made.
-func TestMergedStoriesGoByRevisions(t *testing.T) {
+func TestMergeOrdersEventsByRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 4).Draw(t, "nodes")
 		stories := make([][]Event, nodes)
@@ -66,9 +66,9 @@
 	})
 }
 
-// recorded makes a recording of a controller that claims a machine and tells it to kill a
+// writeRecording makes a recording of a controller that claims a machine and tells it to kill a
 // task that no record knows, against replies written here.
-func recorded(t *testing.T, o recorder.Options) {
+func writeRecording(t *testing.T, o recorder.Options) {
 	t.Helper()
 	cfg := &config.Settings{Node: "n0", Zone: "a", Operator: config.DefaultOperator()}
 	cfg.Facts = config.Facts{Count: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "blue"}},
@@ -132,11 +132,11 @@
 	}
 }
 
-// TestStoryOfAMachineAndATask replays a recording of several segments and looks for what
+// TestExplainMachineAndTask replays a recording of several segments and looks for what
 // the story must say of a machine and of a task that no record knows.
-func TestStoryOfAMachineAndATask(t *testing.T) {
+func TestExplainMachineAndTask(t *testing.T) {
 	dir := t.TempDir()
-	recorded(t, recorder.Options{Dir: dir, Max: 1 << 20, Segment: 2 << 10, Flush: 2 * time.Second})
+	writeRecording(t, recorder.Options{Dir: dir, Max: 1 << 20, Segment: 2 << 10, Flush: 2 * time.Second})
 	incarnations, err := Open([]string{dir})
 	if err != nil || len(incarnations) != 1 || len(incarnations[0].Files) < 2 {
 		t.Fatalf("%v: %v", incarnations, err)
@@ -200,8 +200,8 @@
 	}
 }
 
-// TestOtherFilesAreNamed opens a file that is no recording.
-func TestOtherFilesAreNamed(t *testing.T) {
+// TestOpenNamesInvalidFile opens a file that is no recording.
+func TestOpenNamesInvalidFile(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "x.rec")
 	if err := os.WriteFile(f, []byte("something else, and long enough for a header"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -38,8 +38,8 @@
 	return l
 }
 
-// feed takes what arrived on the link and hands the handler each whole message.
-func (l *inLink) feed(in []byte, h PeerHandler) error {
+// receive takes what arrived on the link and hands the handler each whole message.
+func (l *inLink) receive(in []byte, h PeerHandler) error {
 	l.buf = append(l.buf, in...)
 	for len(l.buf) >= frameHead {
 		n := int(binary.BigEndian.Uint32(l.buf))
@@ -128,7 +128,7 @@
 				return err
 			}
 		}
-		rest, err := writeNow(c, buf.Bytes())
+		rest, err := writeNonblocking(c, buf.Bytes())
 		if err == nil && len(rest) > 0 {
 			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			_, err = c.Write(rest)
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -76,7 +76,7 @@
 func (p *Pool) Start(call Call) {
 	now := time.Now()
 	p.mu.Lock()
-	k, ok := p.take(call.Addr, now)
+	k, ok := p.acquire(call.Addr, now)
 	switch {
 	case !ok:
 		p.mu.Unlock()
@@ -148,7 +148,7 @@
 			}
 			return
 		}
-		p.put(k)
+		p.release(k)
 		p.mu.Unlock()
 		call.Done(r, true, nil)
 	}
@@ -163,7 +163,7 @@
 // latest by Expire.
 func (k *outConn) send(call *Call) {
 	k.requestBuffer = AppendRequest(k.requestBuffer[:0], call.Method, call.Target, call.Addr, call.Body)
-	rest, err := writeNow(k.conn, k.requestBuffer)
+	rest, err := writeNonblocking(k.conn, k.requestBuffer)
 	switch {
 	case err != nil:
 		k.conn.Close()
@@ -182,8 +182,8 @@
 	}
 }
 
-// writeNow writes what the socket takes without waiting and returns the rest.
-func writeNow(c net.Conn, b []byte) (rest []byte, err error) {
+// writeNonblocking writes what the socket takes without waiting and returns the rest.
+func writeNonblocking(c net.Conn, b []byte) (rest []byte, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		_, err = c.Write(b)
@@ -230,7 +230,7 @@
 
 // drop closes a connection, whatever it does.
 func (p *Pool) drop(k *outConn) {
-	p.unlist(k)
+	p.removeIdle(k)
 	delete(p.conns, k)
 	if k.conn != nil {
 		k.conn.Close()
@@ -239,13 +239,13 @@
 	}
 }
 
-// take returns an idle connection, or room for a new one (nil, true); when the
+// acquire returns an idle connection, or room for a new one (nil, true); when the
 // limit is reached, the one that has been idle longest makes room.
-func (p *Pool) take(addr string, now time.Time) (k *outConn, ok bool) {
+func (p *Pool) acquire(addr string, now time.Time) (k *outConn, ok bool) {
 	for q := p.idle[addr]; len(q) > 0; q = p.idle[addr] {
 		k := q[len(q)-1].Value.(*outConn)
 		if now.Sub(k.usedAt) < maxIdle {
-			p.unlist(k)
+			p.removeIdle(k)
 			return k, true
 		}
 		p.drop(k)
@@ -256,8 +256,8 @@
 	return nil, len(p.conns) < p.limit
 }
 
-// unlist takes a connection out of the idle lists.
-func (p *Pool) unlist(k *outConn) {
+// removeIdle takes a connection out of the idle lists.
+func (p *Pool) removeIdle(k *outConn) {
 	if k.idleElement == nil {
 		return
 	}
@@ -277,9 +277,9 @@
 	k.idleElement = nil
 }
 
-// put keeps a connection for later, and closes those that were of no use for
+// release keeps a connection for later, and closes those that were of no use for
 // long.
-func (p *Pool) put(k *outConn) {
+func (p *Pool) release(k *outConn) {
 	k.usedAt = time.Now()
 	k.idleElement = p.idleByUse.PushFront(k)
 	p.idle[k.addr] = append(p.idle[k.addr], k.idleElement)
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -21,15 +21,15 @@
 // ReadResponse reads one response; interim responses before it are skipped.
 func ReadResponse(br *bufio.Reader) (*Response, error) {
 	for {
-		r, err := readInterim(br)
+		r, err := readOneResponse(br)
 		if err != nil || r.Status >= http.StatusOK {
 			return r, err
 		}
 	}
 }
 
-// readInterim reads one response, which may be an interim one.
-func readInterim(br *bufio.Reader) (*Response, error) {
+// readOneResponse reads one response, which may be an interim one.
+func readOneResponse(br *bufio.Reader) (*Response, error) {
 	r, err := readStatusLine(br)
 	if err != nil {
 		return nil, err
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -69,7 +69,7 @@
 	closing    bool
 	counted    bool // the limiter counts it
 	class      connlimit.Class
-	since      time.Time // when the pending or the last request began to arrive
+	lastRequestStart      time.Time // when the pending or the last request began to arrive
 }
 
 // idleFactor is how many times longer than a slow request a connection may
@@ -138,7 +138,7 @@
 	if s.stopping {
 		return nil, evio.Options{}, evio.Shutdown
 	}
-	k := &conn{ev: c, since: time.Now()}
+	k := &conn{ev: c, lastRequestStart: time.Now()}
 	c.SetContext(k)
 	s.open[k] = true
 	if c.AddrIndex() == peerAddrIndex {
@@ -175,7 +175,7 @@
 	if k.peer == nil {
 		return s.handleData(k, in)
 	}
-	if err := k.peer.feed(in, s.peers); err != nil {
+	if err := k.peer.receive(in, s.peers); err != nil {
 		return nil, evio.Close
 	}
 	return nil, evio.None
@@ -209,11 +209,11 @@
 	for k := range s.open {
 		switch {
 		case k.peer != nil || k.busy || k.closing:
-		case len(k.in) > 0 && now.Sub(k.since) > s.requestTimeout:
+		case len(k.in) > 0 && now.Sub(k.lastRequestStart) > s.requestTimeout:
 			k.out = AppendResponse(k.out, http.StatusRequestTimeout, []byte(`{"error":"request too slow"}`), 0, true)
 			k.closing = true
 			k.ev.Wake()
-		case now.Sub(k.since) > s.Idle[k.class]:
+		case now.Sub(k.lastRequestStart) > s.Idle[k.class]:
 			// Guards against connections whose other end failed without closing
 			// them: they would fill the limit in time.
 			k.closing = true
@@ -228,7 +228,7 @@
 	k.inData = true
 	if len(in) > 0 && !k.closing {
 		if len(k.in) == 0 {
-			k.since = time.Now()
+			k.lastRequestStart = time.Now()
 		}
 		k.in = append(k.in, in...)
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -19,13 +19,13 @@
 type echo struct {
 	server *Server
 	mu     sync.Mutex
-	got    chan string
-	later  chan uint64
+	received    chan string
+	deferredIDs  chan uint64
 }
 
 func (e *echo) Serve(id uint64, r *Request) {
 	if r.Path == "/later" {
-		e.later <- id
+		e.deferredIDs <- id
 		return
 	}
 	e.server.Answer(id, 200, []byte(r.Method+r.Path+string(r.Body)), 0)
@@ -35,7 +35,7 @@
 	err := dec.Decode(&s)
 	return s, err
 }
-func (e *echo) Message(from string, m any) { e.got <- fmt.Sprint(from, ":", m) }
+func (e *echo) Message(from string, m any) { e.received <- fmt.Sprint(from, ":", m) }
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
@@ -60,7 +60,7 @@
 
 // startEcho serves until the test process ends: evio has no stop from outside.
 func startEcho(t *testing.T, patience time.Duration, conns int) (e *echo, httpAddr, peerAddr string) {
-	e = &echo{got: make(chan string, 64), later: make(chan uint64, 1)}
+	e = &echo{received: make(chan string, 64), deferredIDs: make(chan uint64, 1)}
 	e.server = NewServer(&e.mu, e, patience, conns)
 	httpAddr, peerAddr = freeAddr(t), freeAddr(t)
 	go e.server.Run(httpAddr, peerAddr)
@@ -103,7 +103,7 @@
 		}
 		done <- string(r.Body)
 	}()
-	id := <-e.later
+	id := <-e.deferredIDs
 	e.mu.Lock()
 	e.server.Answer(id, 200, []byte("late"), 0)
 	e.mu.Unlock()
@@ -156,18 +156,18 @@
 		l.Send(fmt.Sprint("m", i))
 	}
 	for i := 0; i < 20; i++ {
-		if got, want := <-e.got, fmt.Sprint("me:m", i); got != want {
+		if got, want := <-e.received, fmt.Sprint("me:m", i); got != want {
 			t.Fatalf("got %q, want %q", got, want)
 		}
 	}
 }
 
-type collect struct {
+type collector struct {
 	echo
-	all []string
+	messages []string
 }
 
-func (c *collect) Message(from string, m any) { c.all = append(c.all, fmt.Sprint(from, ":", m)) }
+func (c *collector) Message(from string, m any) { c.messages = append(c.messages, fmt.Sprint(from, ":", m)) }
 
 func TestInLinkSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -182,33 +182,33 @@
 			_ = binary.Write(&wire, binary.BigEndian, uint32(buf.Len()))
 			wire.Write(buf.Bytes())
 		}
-		c := &collect{}
+		c := &collector{}
 		l := newInLink()
 		for b := wire.Bytes(); len(b) > 0; {
 			n := rapid.IntRange(1, len(b)).Draw(t, "piece")
-			if err := l.feed(b[:n], c); err != nil {
+			if err := l.receive(b[:n], c); err != nil {
 				t.Fatal(err)
 			}
 			b = b[n:]
 		}
-		if len(c.all) != len(msgs) {
-			t.Fatalf("%d of %d messages came", len(c.all), len(msgs))
+		if len(c.messages) != len(msgs) {
+			t.Fatalf("%d of %d messages came", len(c.messages), len(msgs))
 		}
 		for i, m := range msgs {
-			if c.all[i] != "peer:"+m {
-				t.Fatalf("message %d is %q", i, c.all[i])
+			if c.messages[i] != "peer:"+m {
+				t.Fatalf("message %d is %q", i, c.messages[i])
 			}
 		}
-		if err := newInLink().feed([]byte{0xff, 0xff, 0xff, 0xff, 1}, c); err == nil {
+		if err := newInLink().receive([]byte{0xff, 0xff, 0xff, 0xff, 1}, c); err == nil {
 			t.Fatal("a huge frame passed")
 		}
 	})
 }
 
-// TestPoolGivesUpWhenTold guards the pool's lack of a clock: a request that
+// TestPoolExpireEndsOverdueCalls guards the pool's lack of a clock: a request that
 // gets no answer ends when its time is over and Expire is called, and not
 // before, and says that it may have been executed.
-func TestPoolGivesUpWhenTold(t *testing.T) {
+func TestPoolExpireEndsOverdueCalls(t *testing.T) {
 	e, addr, _ := startEcho(t, time.Minute, 100)
 	p := NewPool(1)
 	type outcome struct {
@@ -220,7 +220,7 @@
 	call := Call{Addr: addr, Method: "GET", Target: "/later", Timeout: time.Hour,
 		Done: func(_ *Response, sent bool, err error) { done <- outcome{sent, err} }}
 	p.Start(call)
-	<-e.later
+	<-e.deferredIDs
 	if next := p.Expire(start.Add(59 * time.Minute)); next.Before(start.Add(time.Hour)) {
 		t.Errorf("the request is said to end at %v", next.Sub(start))
 	}
