--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -247,8 +247,8 @@
 }
 
 // appendIssued appends a line to the list of what was issued, and syncs it.
-func (a *Authority) appendIssued(rec Issued) error {
-	raw, err := json.Marshal(rec)
+func (a *Authority) appendIssued(issued Issued) error {
+	raw, err := json.Marshal(issued)
 	if err != nil {
 		return err
 	}
@@ -357,12 +357,12 @@
 	return renameio.WriteFile(filepath.Join(a.dir, revokedFile), der, 0o644)
 }
 
-func parseRevocationList(raw []byte, by *x509.Certificate) (*x509.RevocationList, error) {
+func parseRevocationList(raw []byte, issuer *x509.Certificate) (*x509.RevocationList, error) {
 	l, err := x509.ParseRevocationList(raw)
 	if err != nil {
 		return nil, fmt.Errorf("list of revocations: %w", err)
 	}
-	if err := l.CheckSignatureFrom(by); err != nil {
+	if err := l.CheckSignatureFrom(issuer); err != nil {
 		return nil, fmt.Errorf("list of revocations: %w", err)
 	}
 	if l.Number == nil || !l.Number.IsInt64() {
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	// The list is written as it was, but for the revocation, which is of another file.
-	var again bytes.Buffer
+	var rewritten bytes.Buffer
 	for i, want := range []struct {
 		identity string
 		life     time.Duration
@@ -103,10 +103,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again.Write(append(raw, '\n'))
+		rewritten.Write(append(raw, '\n'))
 	}
-	if stored := goldentest.Read(t, goldenAuthority+"/issued.jsonl"); !bytes.Equal(again.Bytes(), stored) {
-		t.Errorf("the list is written as\n%s, not\n%s", again.Bytes(), stored)
+	if stored := goldentest.Read(t, goldenAuthority+"/issued.jsonl"); !bytes.Equal(rewritten.Bytes(), stored) {
+		t.Errorf("the list is written as\n%s, not\n%s", rewritten.Bytes(), stored)
 	}
 	for i, from := range []string{goldenNode, goldenRevoked} {
 		if serial := goldenCertificate(t, from).SerialNumber.Text(16); list[i].Serial != serial {
@@ -133,8 +133,8 @@
 
 func TestGoldenParty(t *testing.T) {
 	keeper := openKeeper(t, goldenNode)
-	if me := keeper.Me().String(); me != "node/one" {
-		t.Errorf("its certificate is of %s", me)
+	if self := keeper.Me().String(); self != "node/one" {
+		t.Errorf("its certificate is of %s", self)
 	}
 	who, err := keeper.Verify(goldenCertificate(t, goldenNode))
 	if err != nil || who != keeper.Me() {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -221,8 +221,8 @@
 	if _, err := node.Learn(bad); err == nil {
 		t.Error("a list with another signature is taken")
 	}
-	again, err := NewKeeper(node.dir, node.log)
-	if err != nil || !bytes.Equal(again.Revocations(), list) {
+	reopened, err := NewKeeper(node.dir, node.log)
+	if err != nil || !bytes.Equal(reopened.Revocations(), list) {
 		t.Error("what was learnt is not kept", err)
 	}
 	late := client(newParty(t, a, "operator/cat", io.Discard).Dial(Node, ""))
@@ -242,7 +242,7 @@
 	a := newAuthority(t, "valley")
 	node := newParty(t, a, "node/one", io.Discard)
 	first := node.own.Load().Leaf.SerialNumber
-	touch := func(kind Kind, name string) {
+	reissue := func(kind Kind, name string) {
 		t.Helper()
 		if _, err := a.Issue(Identity{Kind: kind, Name: name}, node.dir, time.Hour); err != nil {
 			t.Fatal(err)
@@ -251,12 +251,12 @@
 		node.modTimes = map[string]time.Time{}
 		node.reloadChanged()
 	}
-	touch(Node, "one")
+	reissue(Node, "one")
 	second := node.own.Load().Leaf.SerialNumber
 	if second.Cmp(first) == 0 {
 		t.Error("the new certificate is not used")
 	}
-	touch(Node, "two")
+	reissue(Node, "two")
 	if node.own.Load().Leaf.SerialNumber.Cmp(second) != 0 || node.Me().Name != "one" {
 		t.Error("it has become somebody else")
 	}
--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -40,10 +40,10 @@
 // Keeper holds one party's certificate and what it must know to judge others'.
 // It is safe for concurrent use.
 type Keeper struct {
-	dir  string
-	log  *slog.Logger
-	self   Identity
-	root *x509.Certificate
+	dir   string
+	log   *slog.Logger
+	self  Identity
+	root  *x509.Certificate
 	roots *x509.CertPool
 	// Now is the day's clock.
 	Now func() time.Time
@@ -51,14 +51,14 @@
 	own     atomic.Pointer[tls.Certificate]
 	revoked atomic.Pointer[revocations]
 
-	mu     sync.Mutex // of reading again
+	mu        sync.Mutex // of reading again
 	lastCheck time.Time
-	modTimes   map[string]time.Time // times of change, by file
+	modTimes  map[string]time.Time // times of change, by file
 }
 
 type revocations struct {
-	raw    []byte
-	number int64
+	raw     []byte
+	number  int64
 	serials map[string]bool
 }
 
--- a/internal/losses/golden_test.go
+++ b/internal/losses/golden_test.go
@@ -36,13 +36,13 @@
 		at += time.Second
 		events = append(events, e)
 	}
-	for index, why := range []string{"done", "error", "stopped", "peers", "session", "absent", "lease", "cloud"} {
+	for index, reason := range []string{"done", "error", "stopped", "peers", "session", "absent", "lease", "cloud"} {
 		task := fmt.Sprintf("wk-000042/%d", index)
 		silent := 25 * time.Second
-		if why == "lease" {
+		if reason == "lease" {
 			silent = 7 * time.Second
 		}
-		end := Event{Task: task, Attempt: 1, Class: "night run", Reason: why, Done: why == "done", Silent: silent, Priority: 3}
+		end := Event{Task: task, Attempt: 1, Class: "night run", Reason: reason, Done: reason == "done", Silent: silent, Priority: 3}
 		for _, msg := range []string{"evidence", "ended"} {
 			end.Msg = msg
 			add(end)
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -14,13 +14,13 @@
 
 // Steps, in their order, and what bounds each of them. Steps is how many there are.
 const (
-	Detect Step = iota // last heard of until evidence: the protocol's, but for a cloud's answer that was asked for late
-	Commit             // evidence until its end is committed: the state service's budget
-	Placement               // until there is a machine for it: room, or work that went before
-	Bind               // until that is committed: the state service's budget
-	Dispatch               // until the machine is told
-	Startup              // until it is seen running: image, inputs, and the wait for the heartbeat
-	Steps  = 6
+	Detect    Step = iota // last heard of until evidence: the protocol's, but for a cloud's answer that was asked for late
+	Commit                // evidence until its end is committed: the state service's budget
+	Placement             // until there is a machine for it: room, or work that went before
+	Bind                  // until that is committed: the state service's budget
+	Dispatch              // until the machine is told
+	Startup               // until it is seen running: image, inputs, and the wait for the heartbeat
+	Steps     = 6
 )
 
 var stepNames = [Steps]string{"evidence", "commit ending", "room", "commit start", "tell", "image"}
@@ -37,7 +37,7 @@
 type Loss struct {
 	Task, Class, Reason string
 	Priority            int
-	LastHeard                  time.Duration        // last heard of
+	LastHeard           time.Duration        // last heard of
 	Took                [Steps]time.Duration // by step
 	Restarted           bool                 // it runs again; else the log ends, or the job, before
 	// Confirmed: something followed from the evidence. A controller that is cut off
@@ -65,13 +65,13 @@
 	recovering map[string]*recovery // by task
 	lost       []*Loss
 	lines      int
-	lastEvent       time.Duration // of all events
+	lastEvent  time.Duration // of all events
 }
 
 // recovery is the way back of a lost task that does not run yet.
 type recovery struct {
-	loss  *Loss
-	step  Step          // the one under way
+	loss      *Loss
+	step      Step          // the one under way
 	stepStart time.Duration // when that began
 }
 
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -87,23 +87,23 @@
 
 // TestWorstSpan: the service's task is lost from 6 s on and runs again at 23.6 s.
 func TestWorstSpan(t *testing.T) {
-	const anyLeast = -1
+	const unchecked = -1
 	for _, c := range []struct {
-		name           string
-		span           time.Duration
-		seconds, least float64
+		name                string
+		span                time.Duration
+		seconds, minSeconds float64
 	}{
-		{"shorter than the loss", 10 * time.Second, 10, anyLeast},
+		{"shorter than the loss", 10 * time.Second, 10, unchecked},
 		{"longer than the loss", 30 * time.Second, 17.6, 14},
 	} {
 		for _, withOffset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, offset %v", c.name, withOffset), func(t *testing.T) {
-				_, seconds, least := readExample(t, withOffset).Worst("svc", c.span)
+				_, seconds, minSeconds := readExample(t, withOffset).Worst("svc", c.span)
 				if !near(seconds, c.seconds) {
 					t.Errorf("%v task-seconds, want %v", seconds, c.seconds)
 				}
-				if c.least != anyLeast && !near(least, c.least) {
-					t.Errorf("%v task-seconds at the least, want %v", least, c.least)
+				if c.minSeconds != unchecked && !near(minSeconds, c.minSeconds) {
+					t.Errorf("%v task-seconds at the least, want %v", minSeconds, c.minSeconds)
 				}
 			})
 		}
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -50,33 +50,33 @@
 		}
 	}
 	for step := range Step(Steps) {
-		took := make([]time.Duration, 0, len(losses))
+		durations := make([]time.Duration, 0, len(losses))
 		for _, l := range losses {
 			s.Seconds[step] += l.Took[step].Seconds()
-			took = append(took, l.Took[step])
+			durations = append(durations, l.Took[step])
 		}
-		slices.Sort(took)
-		s.Median[step] = took[len(took)/2].Seconds()
-		s.P95[step] = took[min(len(took)-1, len(took)*95/100)].Seconds()
+		slices.Sort(durations)
+		s.Median[step] = durations[len(durations)/2].Seconds()
+		s.P95[step] = durations[min(len(durations)-1, len(durations)*95/100)].Seconds()
 	}
 	return s
 }
 
 // Worst is the span of the given length in which most of a class's time was
 // lost, how many task-seconds that were, and how many at the least (see Loss.Least).
-func (r *Reader) Worst(class string, span time.Duration) (from time.Duration, seconds, least float64) {
+func (r *Reader) Worst(class string, span time.Duration) (from time.Duration, seconds, minSeconds float64) {
 	for at := time.Duration(0); at <= r.lastEvent; at += time.Second {
-		lost, atLeast := r.lostWithin(class, at, at+span)
+		lost, minLost := r.lostWithin(class, at, at+span)
 		if lost > seconds {
-			from, seconds, least = at, lost, atLeast
+			from, seconds, minSeconds = at, lost, minLost
 		}
 	}
-	return from, seconds, least
+	return from, seconds, minSeconds
 }
 
 // lostWithin is how many task-seconds of a class were lost between two times, and how many at
 // the least.
-func (r *Reader) lostWithin(class string, from, to time.Duration) (seconds, least float64) {
+func (r *Reader) lostWithin(class string, from, to time.Duration) (seconds, minSeconds float64) {
 	for _, l := range r.lost {
 		if l.Class != class || !l.Confirmed {
 			continue
@@ -87,7 +87,7 @@
 		}
 		overlap := func(until time.Duration) float64 { return max(0, (min(until, to) - max(l.LastHeard, from)).Seconds()) }
 		seconds += overlap(until)
-		least += overlap(l.EarliestRestart())
+		minSeconds += overlap(l.EarliestRestart())
 	}
-	return seconds, least
+	return seconds, minSeconds
 }
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 		raw := out.Bytes()
-		beginning := func(got []Input, what string, n int) {
+		checkPrefix := func(got []Input, what string, n int) {
 			for i := range got {
 				if i >= len(inputs) || !equalInputs(got[i], inputs[i]) {
 					t.Fatalf("%s at byte %d: input %d was not recorded", what, n, i)
@@ -70,19 +70,19 @@
 			}
 		}
 		got, err := readAll(raw)
-		if beginning(got, "whole", 0); !errors.Is(err, io.EOF) || len(got) != len(inputs) {
+		if checkPrefix(got, "whole", 0); !errors.Is(err, io.EOF) || len(got) != len(inputs) {
 			t.Fatalf("%d of %d inputs are read: %v", len(got), len(inputs), err)
 		}
 		for n := range raw {
 			got, err := readAll(raw[:n])
-			if beginning(got, "cut", n); err == nil {
+			if checkPrefix(got, "cut", n); err == nil {
 				t.Fatalf("cut at byte %d: no end", n)
 			}
 			if n%7 == 0 {
 				damaged := bytes.Clone(raw)
 				damaged[n] ^= 0x20
 				got, err = readAll(damaged)
-				if beginning(got, "damaged", n); errors.Is(err, io.EOF) {
+				if checkPrefix(got, "damaged", n); errors.Is(err, io.EOF) {
 					t.Fatalf("damaged at byte %d: not noticed", n)
 				}
 			}
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -36,7 +36,7 @@
 	options   Options
 	node      string
 	core      *coordination.Core
-	lastKnown     []string        // what the core knew last, for each of the names
+	lastKnown []string        // what the core knew last, for each of the names
 	txns      map[uint64]bool // calls that are transactions without a reply yet
 	events    []Event
 	described bool // what is known at options.At
@@ -44,11 +44,11 @@
 
 func newExplainer(o Options, node string, core *coordination.Core) *explainer {
 	return &explainer{
-		options: o,
-		node:    node,
-		core:    core,
-		lastKnown:   make([]string, len(o.Names)),
-		txns:    map[uint64]bool{},
+		options:   o,
+		node:      node,
+		core:      core,
+		lastKnown: make([]string, len(o.Names)),
+		txns:      map[uint64]bool{},
 	}
 }
 
--- a/internal/replay/merge.go
+++ b/internal/replay/merge.go
@@ -3,27 +3,27 @@
 // Merge makes one story of several, each of one incarnation and in its order. Events go
 // by the wall clocks, which may differ; where a node knows of a revision that another
 // node's transaction made, its event comes after that transaction's.
-func Merge(stories ...[]Event) []Event {
-	m := merger{timelines: stories, next: make([]int, len(stories))}
+func Merge(timelines ...[]Event) []Event {
+	m := merger{timelines: timelines, next: make([]int, len(timelines))}
 	var merged []Event
 	for {
-		story := m.chooseTimeline()
-		if story < 0 {
+		timeline := m.chooseTimeline()
+		if timeline < 0 {
 			return merged
 		}
-		merged = append(merged, *m.nextEvent(story))
-		m.next[story]++
+		merged = append(merged, *m.nextEvent(timeline))
+		m.next[timeline]++
 	}
 }
 
 // merger is a merge under way.
 type merger struct {
 	timelines [][]Event
-	next    []int // each story's first event that is not merged yet
+	next      []int // each story's first event that is not merged yet
 }
 
 // nextEvent is a story's next event.
-func (m *merger) nextEvent(story int) *Event { return &m.timelines[story][m.next[story]] }
+func (m *merger) nextEvent(timeline int) *Event { return &m.timelines[timeline][m.next[timeline]] }
 
 // chooseTimeline is the story whose next event comes first, -1 if all have ended. Among those
 // that do not come too early it is the one with the earliest wall clock. If the clocks or
@@ -48,10 +48,10 @@
 
 // tooEarly tells whether a story's next event knows of a revision whose transaction is
 // still to come in another story.
-func (m *merger) tooEarly(story int) bool {
-	known := m.nextEvent(story).AppliedRevision
+func (m *merger) tooEarly(timeline int) bool {
+	known := m.nextEvent(timeline).AppliedRevision
 	for other := range m.timelines {
-		if other == story {
+		if other == timeline {
 			continue
 		}
 		if revision := m.pendingRevision(other); revision > 0 && known >= revision {
@@ -62,8 +62,8 @@
 }
 
 // pendingRevision is the next revision that a story's transactions make, 0 if none.
-func (m *merger) pendingRevision(story int) uint64 {
-	for _, event := range m.timelines[story][m.next[story]:] {
+func (m *merger) pendingRevision(timeline int) uint64 {
+	for _, event := range m.timelines[timeline][m.next[timeline]:] {
 		if event.CommittedRevision > 0 {
 			return event.CommittedRevision
 		}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -25,42 +25,42 @@
 func TestMergeOrdersEventsByRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 4).Draw(t, "nodes")
-		stories := make([][]Event, nodes)
-		applied, off := make([]uint64, nodes), make([]time.Duration, nodes)
-		for i := range off {
-			off[i] = time.Duration(rapid.IntRange(-20, 20).Draw(t, "off")) * time.Millisecond
+		timelines := make([][]Event, nodes)
+		applied, clockOffsets := make([]uint64, nodes), make([]time.Duration, nodes)
+		for i := range clockOffsets {
+			clockOffsets[i] = time.Duration(rapid.IntRange(-20, 20).Draw(t, "off")) * time.Millisecond
 		}
 		rev := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "lines") {
 			n := rapid.IntRange(0, nodes-1).Draw(t, "node")
-			l := Event{Wall: time.Unix(0, 0).Add(time.Duration(i)*time.Millisecond + off[n]), Node: fmt.Sprint(n), Text: fmt.Sprint(i)}
+			event := Event{Wall: time.Unix(0, 0).Add(time.Duration(i)*time.Millisecond + clockOffsets[n]), Node: fmt.Sprint(n), Text: fmt.Sprint(i)}
 			if rapid.Bool().Draw(t, "commits") {
 				rev++
-				l.CommittedRevision = rev
+				event.CommittedRevision = rev
 			}
 			applied[n] = max(applied[n], uint64(rapid.IntRange(0, int(rev)).Draw(t, "applied")))
-			if l.AppliedRevision = applied[n]; l.CommittedRevision > 0 && l.AppliedRevision >= l.CommittedRevision {
-				l.AppliedRevision, applied[n] = l.CommittedRevision-1, l.CommittedRevision-1
+			if event.AppliedRevision = applied[n]; event.CommittedRevision > 0 && event.AppliedRevision >= event.CommittedRevision {
+				event.AppliedRevision, applied[n] = event.CommittedRevision-1, event.CommittedRevision-1
 			}
-			stories[n] = append(stories[n], l)
+			timelines[n] = append(timelines[n], event)
 		}
-		out := Merge(stories...)
-		at := make([]int, nodes)
+		merged := Merge(timelines...)
+		next := make([]int, nodes)
 		made := uint64(0)
-		for _, l := range out {
-			n := int(l.Node[0] - '0')
-			if stories[n][at[n]] != l {
-				t.Fatalf("node %d's event %d is %v", n, at[n], l)
+		for _, event := range merged {
+			n := int(event.Node[0] - '0')
+			if timelines[n][next[n]] != event {
+				t.Fatalf("node %d's event %d is %v", n, next[n], event)
 			}
-			at[n]++
-			if l.AppliedRevision > made {
-				t.Fatalf("%v comes before revision %d is made", l, made+1)
+			next[n]++
+			if event.AppliedRevision > made {
+				t.Fatalf("%v comes before revision %d is made", event, made+1)
 			}
-			made = max(made, l.CommittedRevision)
+			made = max(made, event.CommittedRevision)
 		}
-		for n := range stories {
-			if at[n] != len(stories[n]) {
-				t.Fatalf("%d of node %d's %d events are merged", at[n], n, len(stories[n]))
+		for n := range timelines {
+			if next[n] != len(timelines[n]) {
+				t.Fatalf("%d of node %d's %d events are merged", next[n], n, len(timelines[n]))
 			}
 		}
 	})
@@ -93,20 +93,20 @@
 	clock := func() coordination.Timestamp {
 		return coordination.Timestamp{Steady: at, Wall: time.Unix(1000, 0).Add(at)}
 	}
-	var todo []protocol.Call
+	var pending []protocol.Call
 	var sequence, token uint64
 	for i := range 600 {
 		at += 50 * time.Millisecond
-		todo = append(todo, recordedCore.Tick(clock()).Calls...)
+		pending = append(pending, recordedCore.Tick(clock()).Calls...)
 		if i%20 == 10 {
 			sequence++
 			r := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: token,
 				Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}}}
-			todo = append(todo, recordedCore.Request(clock(), sequence, http.MethodPost, protocol.PathHeartbeat, protocol.Encode(r)).Calls...)
+			pending = append(pending, recordedCore.Request(clock(), sequence, http.MethodPost, protocol.PathHeartbeat, protocol.Encode(r)).Calls...)
 		}
-		for len(todo) > 0 && rnd.IntN(3) > 0 {
-			k := todo[0]
-			todo = todo[1:]
+		for len(pending) > 0 && rnd.IntN(3) > 0 {
+			k := pending[0]
+			pending = pending[1:]
 			reply := protocol.Reply{ID: k.ID, Status: http.StatusOK, Sent: true, Body: []byte(`{}`)}
 			switch {
 			case strings.HasPrefix(k.Path, protocol.PathKeys+"?"):
@@ -124,7 +124,7 @@
 			default:
 				reply.Status = http.StatusServiceUnavailable
 			}
-			todo = append(todo, recordedCore.Reply(clock(), reply).Calls...)
+			pending = append(pending, recordedCore.Reply(clock(), reply).Calls...)
 		}
 	}
 	if err := w.Close(); err != nil {
@@ -153,8 +153,8 @@
 		t.Errorf("%+v", r)
 	}
 	var text string
-	for _, l := range r.Story {
-		text += l.String() + "\n"
+	for _, event := range r.Story {
+		text += event.String() + "\n"
 	}
 	for _, want := range []string{"hears i-000001, session 1, tally 1, token 0: attempt 1 running", "sends a transaction on it", "i-000001 is ours, token",
 		"its transaction made revision", "kill attempt 1"} {
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -104,7 +104,7 @@
 	var buf bytes.Buffer
 	// Each value gets a frame of its own; all that waits is written at once, so
 	// that the peer is woken once.
-	put := func(m any) error {
+	encodeFrame := func(m any) error {
 		head := buf.Len()
 		buf.Write(make([]byte, frameHead))
 		if err := enc.Encode(m); err != nil {
@@ -113,7 +113,7 @@
 		binary.BigEndian.PutUint32(buf.Bytes()[head:], uint32(buf.Len()-head-frameHead))
 		return nil
 	}
-	send := func(q []any) error {
+	send := func(messages []any) error {
 		buf.Reset()
 		if c == nil {
 			var err error
@@ -121,10 +121,10 @@
 				return err
 			}
 			enc = gob.NewEncoder(&buf)
-			q = append([]any{l.self}, q...)
+			messages = append([]any{l.self}, messages...)
 		}
-		for _, m := range q {
-			if err := put(m); err != nil {
+		for _, m := range messages {
+			if err := encodeFrame(m); err != nil {
 				return err
 			}
 		}
@@ -138,10 +138,10 @@
 	}
 	for range l.wake {
 		l.mu.Lock()
-		q := l.queue
+		queued := l.queue
 		l.queue = nil
 		l.mu.Unlock()
-		if err := send(q); err != nil && c != nil {
+		if err := send(queued); err != nil && c != nil {
 			c.Close()
 			c = nil
 		}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -58,18 +58,18 @@
 
 // conn is an open connection.
 type conn struct {
-	ev         evio.Conn
-	id         uint64 // the id of the request being served, or 0
-	in         []byte
-	out        []byte
-	peer       *inLink
-	inData     bool // the loop is in this connection's Data call
-	busy       bool
-	closeAfter bool // close after the answer
-	closing    bool
-	counted    bool // the limiter counts it
-	class      connlimit.Class
-	lastRequestStart      time.Time // when the pending or the last request began to arrive
+	ev               evio.Conn
+	id               uint64 // the id of the request being served, or 0
+	in               []byte
+	out              []byte
+	peer             *inLink
+	inData           bool // the loop is in this connection's Data call
+	busy             bool
+	closeAfter       bool // close after the answer
+	closing          bool
+	counted          bool // the limiter counts it
+	class            connlimit.Class
+	lastRequestStart time.Time // when the pending or the last request began to arrive
 }
 
 // idleFactor is how many times longer than a slow request a connection may
@@ -186,10 +186,10 @@
 func (s *Server) Stop() {
 	s.mu.Lock()
 	s.stopping = true
-	addrs, began := s.addrs, s.startedAt
+	addrs, startedAt := s.addrs, s.startedAt
 	s.mu.Unlock()
 	if len(addrs) > 0 {
-		time.Sleep(minServeTime - time.Since(began))
+		time.Sleep(minServeTime - time.Since(startedAt))
 		if c, err := net.DialTimeout("tcp4", addrs[0].String(), time.Second); err == nil {
 			c.Close()
 		}
@@ -246,9 +246,9 @@
 		k.id, k.busy = s.lastID, true
 		s.conns[k.id] = k
 		k.closeAfter = r.Close
-		if is := s.Classify(r); is != k.class {
-			s.ConnLimiter.Use(k.class, is)
-			k.class = is
+		if class := s.Classify(r); class != k.class {
+			s.ConnLimiter.Use(k.class, class)
+			k.class = class
 		}
 		s.handler.Serve(k.id, r)
 		k.in = append(k.in[:0], k.in[n:]...)
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -17,10 +17,10 @@
 )
 
 type echo struct {
-	server *Server
-	mu     sync.Mutex
+	server      *Server
+	mu          sync.Mutex
 	received    chan string
-	deferredIDs  chan uint64
+	deferredIDs chan uint64
 }
 
 func (e *echo) Serve(id uint64, r *Request) {
@@ -59,9 +59,9 @@
 }
 
 // startEcho serves until the test process ends: evio has no stop from outside.
-func startEcho(t *testing.T, patience time.Duration, conns int) (e *echo, httpAddr, peerAddr string) {
+func startEcho(t *testing.T, requestTimeout time.Duration, conns int) (e *echo, httpAddr, peerAddr string) {
 	e = &echo{received: make(chan string, 64), deferredIDs: make(chan uint64, 1)}
-	e.server = NewServer(&e.mu, e, patience, conns)
+	e.server = NewServer(&e.mu, e, requestTimeout, conns)
 	httpAddr, peerAddr = freeAddr(t), freeAddr(t)
 	go e.server.Run(httpAddr, peerAddr)
 	go func() {
@@ -167,7 +167,9 @@
 	messages []string
 }
 
-func (c *collector) Message(from string, m any) { c.messages = append(c.messages, fmt.Sprint(from, ":", m)) }
+func (c *collector) Message(from string, m any) {
+	c.messages = append(c.messages, fmt.Sprint(from, ":", m))
+}
 
 func TestInLinkSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
