--- a/internal/transport/benchmark_test.go
+++ b/internal/transport/benchmark_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// requestText is a request as workers send it, with a body of 100 bytes.
+// requestText returns a request like those that workers send, with a body of 100 bytes.
 func requestText() []byte {
 	head := "POST /v2/reports?x=1 HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nContent-Type: application/json\r\n" +
 		"User-Agent: agent/1\r\nConnection: keep-alive\r\nContent-Length: 100\r\n\r\n"
 	return append([]byte(head), bytes.Repeat([]byte("x"), 100)...)
 }
 
-// BenchmarkParseRequest parses a whole request with its body.
+// BenchmarkParseRequest parses a complete request with its body.
 func BenchmarkParseRequest(b *testing.B) {
 	text := requestText()
 	b.ReportAllocs()
@@ -26,7 +26,7 @@
 	}
 }
 
-// BenchmarkReadResponse reads responses with a known length and with chunks.
+// BenchmarkReadResponse reads a response with a known length and a chunked one.
 func BenchmarkReadResponse(b *testing.B) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nDate: Mon, 01 Jan 2026 00:00:00 GMT\r\nConnection: keep-alive\r\n"
 	for _, c := range []struct{ name, text string }{
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -1,5 +1,6 @@
-// Package transport moves bytes: an evio loop that serves HTTP/1.1 and peer
-// links, pools of outgoing connections, and nothing that knows what is carried.
+// Package transport sends and receives bytes. It has a server with an evio event loop for
+// HTTP/1.1 and peer links, and pools of outgoing connections. It does not interpret the
+// requests and messages that it carries.
 package transport
 
 import (
@@ -7,13 +8,14 @@
 	"strconv"
 )
 
-// AppendResponse appends a response with a JSON body to dst. retryAfter is in seconds, 0:
-// none; closing announces that the connection is closed after it.
+// AppendResponse appends a response with a JSON body to dst. retryAfter is in seconds; 0
+// means no Retry-After field. closing announces that the connection is closed after the
+// response.
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
 	return appendResponse(dst, status, "application/json", body, retryAfter, closing)
 }
 
-// appendResponse is AppendResponse for a body of any type.
+// appendResponse is AppendResponse for a body of any content type.
 func appendResponse(dst []byte, status int, contentType string, body []byte, retryAfter int, closing bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -45,7 +45,7 @@
 		}
 		r, n, err := ParseRequest(append(append([]byte(nil), wire...), "GET / HT"...))
 		if err != nil || n != len(wire) {
-			t.Fatalf("took %d of %d bytes, error %v", n, len(wire), err)
+			t.Fatalf("parsed %d of %d bytes, error %v", n, len(wire), err)
 		}
 		if r.Method != want.Method || r.Path != want.Path || r.Query != want.Query || !bytes.Equal(r.Body, want.Body) || r.Close != want.Close {
 			t.Fatalf("got %+v, want %+v", r, want)
@@ -91,7 +91,7 @@
 			t.Fatalf("inconsistent result: %v %d %v", r, n, err)
 		}
 		if r != nil && len(r.Body) > maxBody {
-			t.Fatalf("a body of %d bytes passed", len(r.Body))
+			t.Fatalf("a body of %d bytes was accepted", len(r.Body))
 		}
 	})
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// A peer link carries gob values one way, each in a frame with its length in
-// front. One encoder and one decoder serve a link as long as it is open, so that
-// type descriptions are sent once. The first frame is a greeting with the
-// sender's name.
+// A peer link carries gob values in one direction. Each value is in a frame that begins
+// with its length. A link has one encoder and one decoder for as long as it is open, so
+// that type descriptions are sent once. The first frame is a greeting with the sender's
+// name.
 
 const (
-	frameHead      = 4        // bytes of a frame's length
+	frameHead      = 4        // bytes that hold a frame's length
 	maxFrame       = 1 << 20  // bytes
-	maxQueued      = 256      // messages that wait to be sent on a link
-	maxFrameBuffer = 64 << 10 // bytes of the largest buffer that a link keeps
+	maxQueued      = 256      // messages waiting to be sent on a link
+	maxFrameBuffer = 64 << 10 // bytes of the largest buffer that a link reuses
 	writeTimeout   = 2 * time.Second
 	dialTimeout    = time.Second
 )
@@ -38,7 +38,7 @@
 	return l
 }
 
-// receive takes what arrived on the link and hands the handler each whole message.
+// receive buffers bytes that arrived on the link and passes each complete message to h.
 func (l *inLink) receive(in []byte, h PeerHandler) error {
 	l.buf = append(l.buf, in...)
 	for len(l.buf) >= frameHead {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// OutLink is the sending side of a peer link. It connects when there is something to send,
-// and drops what it can't send: peer messages only save time.
+// OutLink is the sending side of a peer link. It connects when there is a message to send,
+// and drops messages that it can't send: peer messages only save time.
 type OutLink struct {
 	self, addr string
 	mu         sync.Mutex
@@ -76,15 +76,15 @@
 	wake       chan struct{}
 }
 
-// NewOutLink starts a link from self to the peer at addr. Its goroutine runs as long as the
-// process: a link has no end.
+// NewOutLink starts a link from self to the peer at addr. A link is never closed: its
+// goroutine runs as long as the process.
 func NewOutLink(self, addr string) *OutLink {
 	l := &OutLink{self: self, addr: addr, wake: make(chan struct{}, 1)}
 	go l.run()
 	return l
 }
 
-// Send queues a message, unless too many wait already. It does not block.
+// Send queues a message, or drops it if the queue is full. It does not block.
 func (l *OutLink) Send(m any) {
 	l.mu.Lock()
 	if len(l.queue) < maxQueued {
@@ -97,13 +97,13 @@
 	}
 }
 
-// run sends what is queued, as long as the process runs.
+// run sends the queued messages. It never returns.
 func (l *OutLink) run() {
 	var c net.Conn
 	var enc *gob.Encoder
 	var buf bytes.Buffer
-	// Each value gets a frame of its own; all that waits is written at once, so
-	// that the peer is woken once.
+	// Each value gets a frame of its own. All queued frames are written together, so
+	// that the peer wakes up once.
 	encodeFrame := func(m any) error {
 		head := buf.Len()
 		buf.Write(make([]byte, frameHead))
@@ -132,7 +132,7 @@
 		if err == nil && len(rest) > 0 {
 			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			_, err = c.Write(rest)
-			_ = c.SetWriteDeadline(time.Time{}) // one timer less to wake for
+			_ = c.SetWriteDeadline(time.Time{}) // stops the timer, which would wake the process
 		}
 		return err
 	}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// Pool keeps outgoing connections and sends one request at a time on each. It
-// never has more than its limit open, over all addresses: a socket that the
-// process needs to accept a connection must not be spent on an idle one.
+// Pool keeps outgoing connections and sends one request at a time on each. It never has
+// more connections open than its limit, over all addresses: an idle connection must not
+// use up a socket that the process needs to accept a connection.
 //
-// Each connection has a goroutine that reads. Requests are written by whoever
-// starts them, as far as the socket takes them at once: to have them written by
-// a goroutine would cost another change of threads for each.
+// Each connection has a goroutine that reads. The caller of Start writes the request, as
+// far as the socket accepts it without blocking: writing it in another goroutine would
+// cost another thread switch for each request.
 //
-// A pool has no clock: its owner calls Expire now and then. A timer for each
-// request would wake the process for requests that were answered long before.
+// A pool has no timers: its owner calls Expire regularly. A timer for each request would
+// wake the process for requests that were answered long before.
 type Pool struct {
 	mu        sync.Mutex
 	limit     int
-	conns     map[*outConn]bool          // all that are open or being opened
-	idle      map[string][]*list.Element // by address, the latest used last
-	idleByUse *list.List                 // of idle *outConn, the latest used first
+	conns     map[*outConn]bool          // all connections that are open or being opened
+	idle      map[string][]*list.Element // by address, most recently used last
+	idleByUse *list.List                 // idle *outConn of all addresses, most recently used first
 }
 
-// Call is a request. Done is called once with its outcome, a response or an error, by
-// another goroutine. sent is false when the request certainly was not sent, true when it
-// may have been executed. A request is never sent twice: one that timed out may still be
-// executed much later, and the caller has to know that.
+// Call is a request. Another goroutine calls Done once with the outcome, a response or an
+// error. sent is false if the request was certainly not sent, and true if it may have been
+// executed. A request is never sent twice. A request that timed out may still be executed
+// much later, which its caller must allow for.
 type Call struct {
 	Addr, Method, Target string
 	Body                 []byte
@@ -45,21 +45,21 @@
 type outConn struct {
 	addr          string
 	conn          net.Conn           // nil while it is being opened
-	cancel        context.CancelFunc // ends that
+	cancel        context.CancelFunc // cancels the opening
 	reader        *bufio.Reader
 	requestBuffer []byte
 	usedAt        time.Time
-	call          *Call       // under way
-	deadline      time.Time   // when that is given up
-	timedOut      bool        // it was
-	writing       atomic.Bool // of its request is still being written
+	call          *Call       // in progress; nil if idle
+	deadline      time.Time   // of the call
+	timedOut      bool        // Expire ended the call after its deadline
+	writing       atomic.Bool // a goroutine is still writing the rest of the request
 	idleElement   *list.Element
 }
 
-// maxIdle is how long a connection without requests is kept.
+// maxIdle is how long a connection is kept without requests.
 const maxIdle = 30 * time.Second
 
-// NewPool makes a pool of at most limit connections.
+// NewPool returns a pool of at most limit connections.
 func NewPool(limit int) *Pool {
 	return &Pool{limit: max(1, limit), conns: map[*outConn]bool{}, idle: map[string][]*list.Element{}, idleByUse: list.New()}
 }
@@ -69,7 +69,7 @@
 	errTimeout = errors.New("no answer in time")
 )
 
-// Connections are checked by using them, so keep-alive probes would be in vain.
+// dialer sends no keep-alive probes: broken connections are noticed when they are used.
 var dialer = net.Dialer{KeepAlive: -1}
 
 // Start sends a request. It does not block.
@@ -105,15 +105,15 @@
 	return r, sent, err
 }
 
-// open connects, sends the first request and then reads as long as the
-// connection lives. Its goroutine ends with the connection: after an error, after an
-// answer with which the connection can't be kept, or when the pool drops it.
+// open connects, sends the first request and then reads responses until the connection is
+// closed. Its goroutine ends with the connection: after an error, after a response that
+// does not allow the connection to be reused, or when the pool drops the connection.
 func (p *Pool) open(ctx context.Context, k *outConn) {
 	c, err := dialer.DialContext(ctx, "tcp4", k.addr)
 	k.cancel()
 	p.mu.Lock()
 	call := k.call
-	if err == nil && !p.conns[k] { // expired at the last moment
+	if err == nil && !p.conns[k] { // Expire dropped it while the dial succeeded
 		c.Close()
 		err = context.Canceled
 	}
@@ -135,8 +135,8 @@
 		call := k.call
 		k.call = nil
 		open := p.conns[k]
-		// A response that comes before the whole request was written leaves
-		// the connection in no state to be used again.
+		// A connection can't be reused if the response came before the whole request
+		// was written.
 		if err != nil || r.Close || call == nil || !open || k.writing.Load() {
 			if err != nil && k.timedOut {
 				err = errTimeout
@@ -154,13 +154,13 @@
 	}
 }
 
-// maxKeptBuffer is the size of the largest request buffer that a connection keeps.
+// maxKeptBuffer is the size in bytes of the largest request buffer that a connection reuses.
 const maxKeptBuffer = 16 << 10
 
-// send writes a request. Should the socket not take it at once, another
-// goroutine writes the rest; an error ends the connection, which its reader
-// notices. That goroutine ends when all is written or the connection is closed, at the
-// latest by Expire.
+// send writes a request. If the socket does not accept all of it without blocking, another
+// goroutine writes the rest. That goroutine ends when all is written or the connection is
+// closed, at the latest by Expire. After an error send closes the connection, which the
+// reading goroutine notices.
 func (k *outConn) send(call *Call) {
 	k.requestBuffer = AppendRequest(k.requestBuffer[:0], call.Method, call.Target, call.Addr, call.Body)
 	rest, err := writeNonblocking(k.conn, k.requestBuffer)
@@ -182,7 +182,8 @@
 	}
 }
 
-// writeNonblocking writes what the socket takes without waiting and returns the rest.
+// writeNonblocking writes as much of b as the socket accepts without blocking and returns
+// the rest.
 func writeNonblocking(c net.Conn, b []byte) (rest []byte, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -210,8 +211,8 @@
 	return b[n:], nil
 }
 
-// Expire ends the calls whose time is over. It returns when the next one's will be, or
-// the zero time.
+// Expire ends the calls whose deadline has passed. It returns the earliest deadline of the
+// other calls, or the zero time if there are none.
 func (p *Pool) Expire(now time.Time) (next time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +221,7 @@
 		case k.call == nil:
 		case now.After(k.deadline):
 			k.timedOut = true
-			p.drop(k) // its goroutine ends the call
+			p.drop(k) // the connection's goroutine then ends the call
 		case next.IsZero() || k.deadline.Before(next):
 			next = k.deadline
 		}
@@ -228,7 +229,7 @@
 	return next
 }
 
-// drop closes a connection, whatever it does.
+// drop closes a connection, even one that is being opened or has a call in progress.
 func (p *Pool) drop(k *outConn) {
 	p.removeIdle(k)
 	delete(p.conns, k)
@@ -239,8 +240,9 @@
 	}
 }
 
-// acquire returns an idle connection, or room for a new one (nil, true); when the
-// limit is reached, the one that has been idle longest makes room.
+// acquire returns an idle connection to addr, or nil and true if a new one may be opened.
+// At the limit it first drops the connection that has been idle longest, of any address. ok
+// is false if the limit is reached and no connection is idle.
 func (p *Pool) acquire(addr string, now time.Time) (k *outConn, ok bool) {
 	for q := p.idle[addr]; len(q) > 0; q = p.idle[addr] {
 		k := q[len(q)-1].Value.(*outConn)
@@ -256,7 +258,7 @@
 	return nil, len(p.conns) < p.limit
 }
 
-// removeIdle takes a connection out of the idle lists.
+// removeIdle removes a connection from the idle lists.
 func (p *Pool) removeIdle(k *outConn) {
 	if k.idleElement == nil {
 		return
@@ -277,8 +279,8 @@
 	k.idleElement = nil
 }
 
-// release keeps a connection for later, and closes those that were of no use for
-// long.
+// release makes a connection available for other requests, and drops connections that have
+// been idle for longer than maxIdle.
 func (p *Pool) release(k *outConn) {
 	k.usedAt = time.Now()
 	k.idleElement = p.idleByUse.PushFront(k)
--- a/internal/transport/request.go
+++ b/internal/transport/request.go
@@ -11,12 +11,12 @@
 
 // Limits of requests and responses, in bytes.
 const (
-	maxHead         = 16 << 10 // of a request or a response
-	maxBody         = 64 << 10 // of a request
+	maxHead         = 16 << 10 // start line and header fields of a request or a response
+	maxBody         = 64 << 10 // body of a request
 	maxResponseBody = 64 << 20
 )
 
-// lineEnd ends each line of a head, and headEnd the head.
+// lineEnd ends each line of a request's head, and headEnd ends the head.
 var (
 	lineEnd = []byte("\r\n")
 	headEnd = []byte("\r\n\r\n")
@@ -27,26 +27,26 @@
 	Method string
 	Path   string
 	Query  string // without the question mark
-	Body   []byte // aliases the buffer that was parsed
+	Body   []byte // aliases the parsed buffer
 	Close  bool   // the connection is to be closed after the response
 }
 
-// StatusError is a request that can't be served, with the status that says so.
-// The connection is closed after it, as its framing can't be trusted.
+// StatusError is the error for a request that can't be served, with the HTTP status to
+// answer. The connection is closed after the answer because its framing can't be trusted.
 type StatusError struct {
 	Status int
 	Reason string
 }
 
-// Error is the status and the reason.
+// Error returns the status and the reason.
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
 func statusError(status int, reason string) *StatusError {
 	return &StatusError{Status: status, Reason: reason}
 }
 
-// ParseRequest reads one request from the front of buf. It returns how many
-// bytes it took, or 0 when more bytes are needed. The body aliases buf.
+// ParseRequest parses the first request in buf. It returns the number of bytes that the
+// request takes, or 0 if more bytes are needed. The request's body aliases buf.
 func ParseRequest(buf []byte) (*Request, int, *StatusError) {
 	skipped := strayLineEnds(buf)
 	b := buf[skipped:]
@@ -73,10 +73,11 @@
 	return r, skipped + total, nil
 }
 
-// maxStrayLineEnds is how many bytes of line ends after an earlier body are tolerated.
+// maxStrayLineEnds is how many bytes of line ends are skipped before a request, after the
+// body of an earlier one.
 const maxStrayLineEnds = 4
 
-// strayLineEnds counts the bytes of line ends in front of a request.
+// strayLineEnds returns the number of bytes of line ends before a request.
 func strayLineEnds(buf []byte) int {
 	n := 0
 	for n < len(buf) && n < maxStrayLineEnds && (buf[n] == '\r' || buf[n] == '\n') {
@@ -85,7 +86,7 @@
 	return n
 }
 
-// findHeadEnd is the length of the head, -1 if more bytes are needed.
+// findHeadEnd returns the length of the head, or -1 if more bytes are needed.
 func findHeadEnd(b []byte) (int, *StatusError) {
 	end := bytes.Index(b, headEnd)
 	switch {
@@ -97,7 +98,7 @@
 	return end, nil
 }
 
-// cutLine splits off the first line.
+// cutLine splits b after its first line.
 func cutLine(b []byte) (line, rest []byte) {
 	if i := bytes.Index(b, lineEnd); i >= 0 {
 		return b[:i], b[i+len(lineEnd):]
@@ -105,8 +106,8 @@
 	return b, nil
 }
 
-// parseRequestLine reads the method, the target and the version; http10 tells that it is
-// HTTP/1.0, whose connections are closed unless the client asks otherwise.
+// parseRequestLine parses the method, the target and the version. http10 reports whether
+// the version is HTTP/1.0, whose connections are closed unless the client asks otherwise.
 func (r *Request) parseRequestLine(line []byte) (http10 bool, err *StatusError) {
 	parts := bytes.Split(line, []byte(" "))
 	if len(parts) != 3 {
@@ -134,7 +135,7 @@
 	return http10, nil
 }
 
-// parseFields reads the header fields and returns the length of the body.
+// parseFields parses the header fields and returns the length of the body.
 func (r *Request) parseFields(fields []byte, http10 bool) (int, *StatusError) {
 	length := -1
 	for len(fields) > 0 {
@@ -163,8 +164,8 @@
 	return max(0, length), nil
 }
 
-// parseContentLength reads a Content-Length; earlier is that of an earlier field, which
-// must be the same, -1 if there was none.
+// parseContentLength parses the value of a Content-Length field. earlier is the length from
+// an earlier such field, or -1 if there was none; the two must be equal.
 func parseContentLength(value string, earlier int) (int, *StatusError) {
 	n, err := parseLength(value)
 	if err != nil || (earlier >= 0 && n != earlier) {
@@ -176,7 +177,7 @@
 	return n, nil
 }
 
-// parseConnection reads the options of a Connection field.
+// parseConnection parses the options of a Connection field.
 func (r *Request) parseConnection(value string, http10 bool) {
 	for _, option := range strings.Split(value, ",") {
 		switch strings.ToLower(strings.TrimSpace(option)) {
@@ -190,10 +191,10 @@
 	}
 }
 
-// maxMethod is the length of the longest method that may still be incomplete.
+// maxMethod is the length of the longest method, in bytes, that couldBecomeRequest accepts.
 const maxMethod = 16
 
-// couldBecomeRequest tells whether an incomplete head can still become a request.
+// couldBecomeRequest reports whether an incomplete head can still become a request.
 func couldBecomeRequest(b []byte) bool {
 	for i, c := range b {
 		if c == ' ' {
@@ -206,11 +207,12 @@
 	return true
 }
 
-// maxLengthDigits is how many digits are read; what has more is too large in any case.
+// maxLengthDigits is the largest number of digits in a Content-Length that parseLength
+// converts. A length with more digits is too large in any case.
 const maxLengthDigits = 9
 
-// parseLength reads a length in decimal digits. One that is too large for an int is
-// returned as one that is too large for a body.
+// parseLength parses a length in decimal digits. For more than maxLengthDigits digits it
+// returns a length that is too large for a body.
 func parseLength(s string) (int, error) {
 	if s == "" || len(s) > maxLengthDigits {
 		if len(s) > maxLengthDigits && strings.Trim(s, "0123456789") == "" {
@@ -226,12 +228,12 @@
 	return strconv.Atoi(s)
 }
 
-// isTokenByte tells whether c may be in a token of RFC 9110.
+// isTokenByte reports whether c may be in a token of RFC 9110.
 func isTokenByte(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
 }
 
-// isToken tells whether b is a token of RFC 9110.
+// isToken reports whether b is a token of RFC 9110.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !isTokenByte(c) {
@@ -241,7 +243,8 @@
 	return len(b) > 0
 }
 
-// equalFold tells whether b is lower in any case of ASCII letters.
+// equalFold reports whether b equals lower, which is in lower case, without regard to the
+// case of ASCII letters.
 func equalFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -15,10 +15,10 @@
 	Status     int
 	RetryAfter int // seconds; 0: none
 	Body       []byte
-	Close      bool // the connection can't be used again
+	Close      bool // the connection can't be reused
 }
 
-// ReadResponse reads one response; interim responses before it are skipped.
+// ReadResponse reads one response. It skips interim (1xx) responses.
 func ReadResponse(br *bufio.Reader) (*Response, error) {
 	for {
 		r, err := readOneResponse(br)
@@ -59,8 +59,8 @@
 	return &Response{Status: status, Close: line[7] == '0'}, nil
 }
 
-// readFields reads the header fields, and returns the length of the body, -1 if it is not
-// known.
+// readFields reads the header fields and returns the length of the body, -1 if the header
+// does not give it, and whether the body is chunked.
 func (r *Response) readFields(br *bufio.Reader) (length int, chunked bool, err error) {
 	length = -1
 	total := 0
@@ -99,7 +99,7 @@
 	}
 }
 
-// readBody reads the body. One without a known length ends with the connection.
+// readBody reads the body. A body without a known length ends with the connection.
 func (r *Response) readBody(br *bufio.Reader, length int, chunked bool) (err error) {
 	switch {
 	case r.Status < http.StatusOK || r.Status == http.StatusNoContent || r.Status == http.StatusNotModified:
@@ -117,7 +117,7 @@
 	return err
 }
 
-// readLine reads a line without its end.
+// readLine reads a line and returns it without the line end.
 func readLine(br *bufio.Reader) (string, error) {
 	line, err := br.ReadSlice('\n')
 	if err != nil {
@@ -126,7 +126,7 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-// readChunks reads a chunked body with its trailers, which are dropped.
+// readChunks reads a chunked body and skips its trailers.
 func readChunks(br *bufio.Reader) ([]byte, error) {
 	var body []byte
 	for {
@@ -157,7 +157,7 @@
 	}
 }
 
-// skipTrailers reads up to the empty line after a chunked body's trailers.
+// skipTrailers skips the trailers of a chunked body and the empty line after them.
 func skipTrailers(br *bufio.Reader) error {
 	for {
 		if line, err := readLine(br); err != nil || line == "" {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -13,31 +13,32 @@
 	"silvergate/internal/connlimit"
 )
 
-// Handler is what the server calls, always with the server's lock held.
+// Handler handles the requests of a server. The server calls it with its lock held.
 type Handler interface {
-	// Serve takes a request; its answer goes to Server.Answer under id, at
-	// once or later.
+	// Serve handles a request. The handler passes the response to Server.Answer with the
+	// same id, during this call or later.
 	Serve(id uint64, r *Request)
 }
 
-// PeerHandler is a Handler that also takes peer links.
+// PeerHandler is a Handler that also handles messages from peer links.
 type PeerHandler interface {
 	Handler
 	// Decode reads one message from a peer link's gob stream.
 	Decode(dec *gob.Decoder) (any, error)
-	// Message takes a message from a peer link.
+	// Message handles a message from the peer named from.
 	Message(from string, m any)
 }
 
-// Server is one evio loop with two addresses: HTTP and peer links. Everything
-// it calls runs under one lock, shared with whoever steps the core.
+// Server is an evio loop that listens at two addresses, one for HTTP and one for peer
+// links. It calls its handler and its hooks with one lock held, which it shares with the
+// code that drives the controller's core.
 type Server struct {
 	mu             *sync.Mutex
 	handler        Handler
-	peers          PeerHandler // the handler, if it takes peer links
+	peers          PeerHandler // the handler, if it is a PeerHandler
 	requestTimeout time.Duration
-	open           map[*conn]bool
-	conns          map[uint64]*conn
+	open           map[*conn]bool   // all open connections
+	conns          map[uint64]*conn // connections whose request has no answer yet, by request id
 	lastID         uint64
 	stopping       bool
 	addrs          []net.Addr
@@ -45,39 +46,40 @@
 	// ConnLimiter decides which HTTP connections may be open. It may be replaced
 	// before Run.
 	ConnLimiter *connlimit.Limiter
-	// Classify tells the class of a connection from a request on it. It may be
+	// Classify returns the class of a connection, given a request on it. It may be
 	// replaced before Run.
 	Classify func(*Request) connlimit.Class
 	// Idle is how long a connection of each class may stay open without requests. It
 	// may be changed before Run.
 	Idle [connlimit.Classes]time.Duration
-	// Ready, if set before Run, is called once with the addresses that the
-	// server listens at; a port of 0 in them was chosen by the system.
+	// Ready, if set before Run, is called once with the addresses that the server
+	// listens at. They hold the actual port where port 0 was asked for.
 	Ready func(addrs []net.Addr)
 }
 
 // conn is an open connection.
 type conn struct {
 	ev               evio.Conn
-	id               uint64 // the id of the request being served, or 0
+	id               uint64 // of the last request, or 0 if there was none
 	in               []byte
 	out              []byte
 	peer             *inLink
-	inData           bool // the loop is in this connection's Data call
-	busy             bool
-	closeAfter       bool // close after the answer
-	closing          bool
+	inData           bool // handleData is running for this connection
+	busy             bool // a request is being served
+	closeAfter       bool // close after the response
+	closing          bool // the loop closes it, or has closed it
 	counted          bool // the limiter counts it
 	class            connlimit.Class
-	lastRequestStart time.Time // when the pending or the last request began to arrive
+	lastRequestStart time.Time // when the pending or the last request began to arrive; before the first, when it was opened
 }
 
-// idleFactor is how many times longer than a slow request a connection may
-// stay open without any, if Server.Idle does not say otherwise.
+// idleFactor times the request timeout is how long a connection may stay open without
+// requests, unless Server.Idle is changed.
 const idleFactor = 60
 
-// NewServer makes a server. Requests that have not arrived whole after
-// requestTimeout are refused, and HTTP connections beyond maxConns are closed on arrival.
+// NewServer returns a server that calls h with mu held. It refuses requests that have not
+// arrived completely after requestTimeout, and closes new HTTP connections beyond maxConns
+// at once.
 func NewServer(mu *sync.Mutex, h Handler, requestTimeout time.Duration, maxConns int) *Server {
 	peers, _ := h.(PeerHandler)
 	s := &Server{mu: mu, handler: h, peers: peers, requestTimeout: requestTimeout, ConnLimiter: connlimit.New(connlimit.Limits{Total: maxConns}),
@@ -88,11 +90,11 @@
 	return s
 }
 
-// Run serves until the loop fails or Stop is called. Without a peerAddr there
-// are no peer links; with one the handler must be a PeerHandler.
+// Run serves until the loop fails or Stop is called. If peerAddr is empty, the server has
+// no peer links; otherwise its handler must be a PeerHandler.
 func (s *Server) Run(httpAddr, peerAddr string) error {
 	if peerAddr != "" && s.peers == nil {
-		return errors.New("the handler takes no peer links")
+		return errors.New("the handler does not support peer links")
 	}
 	addrs := []string{"tcp4://" + httpAddr}
 	if peerAddr != "" {
@@ -114,13 +116,14 @@
 	case err != nil:
 		return err
 	}
-	return errors.New("event loop ended")
+	return errors.New("the event loop ended without an error")
 }
 
-// peerAddrIndex is the index of the address for peer links among those of Run.
+// peerAddrIndex is the index of the peer links' address among the addresses that Run
+// listens at.
 const peerAddrIndex = 1
 
-// onServing is called by the loop when it listens.
+// onServing is called by the loop once it listens.
 func (s *Server) onServing(e evio.Server) evio.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +170,7 @@
 	return evio.None
 }
 
-// onData is called by the loop when a connection has data, or was woken.
+// onData is called by the loop when a connection has data, or after a call of its Wake.
 func (s *Server) onData(c evio.Conn, in []byte) ([]byte, evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,8 +184,8 @@
 	return nil, evio.None
 }
 
-// Stop ends Run. evio's loop wakes only when something arrives, so Stop opens a connection
-// to it.
+// Stop ends Run. evio's loop wakes up only when something arrives, so Stop opens a
+// connection to it.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	s.stopping = true
@@ -196,15 +199,16 @@
 	}
 }
 
-// minServeTime is how long a server has served at least when it is stopped.
+// minServeTime is the shortest time that a server runs before Stop ends it.
 //
-// Guards against a Run that never returns: evio v1.0.8 starts its loop and then waits for
-// the loop's signal that it has ended. A loop that ends before the wait has begun, on a
-// very busy machine, is waited for for ever. (A test run of ten minutes, docs/incidents.)
+// It guards against a Run that never returns. evio v1.0.8 starts its loop and then waits
+// for the loop's signal that it has ended. On a very busy machine the loop can end before
+// this wait has begun, and then evio waits forever. (A test run of ten minutes,
+// docs/incidents.)
 const minServeTime = 100 * time.Millisecond
 
-// Sweep cuts off slow senders and connections that nobody uses. It is to be
-// called about once a second, with the lock held.
+// Sweep closes connections whose request arrives too slowly, and idle connections. It must
+// be called about once a second, with the lock held.
 func (s *Server) Sweep(now time.Time) {
 	for k := range s.open {
 		switch {
@@ -215,15 +219,16 @@
 			k.ev.Wake()
 		case now.Sub(k.lastRequestStart) > s.Idle[k.class]:
 			// Guards against connections whose other end failed without closing
-			// them: they would fill the limit in time.
+			// them: over time they would use up the connection limit.
 			k.closing = true
 			k.ev.Wake()
 		}
 	}
 }
 
-// handleData takes what arrived on an HTTP connection and serves the requests in it. It returns
-// the responses that are ready. The loop calls it without data after a Wake.
+// handleData buffers bytes that arrived on an HTTP connection and serves the complete
+// requests among them. It returns the responses that are ready. After a Wake the loop calls
+// it without data.
 func (s *Server) handleData(k *conn, in []byte) ([]byte, evio.Action) {
 	k.inData = true
 	if len(in) > 0 && !k.closing {
@@ -257,7 +262,7 @@
 		}
 	}
 	if k.busy && len(k.in) > maxHead+maxBody {
-		k.closing = true // floods while a request is being served
+		k.closing = true // the client sends too much while its request is being served
 	}
 	k.inData = false
 	out := k.out
@@ -273,15 +278,15 @@
 	s.AnswerFor(id, status, body, retryAfter, false)
 }
 
-// AnswerFor is Answer for one whose connection is given up after others: urgent
-// work depends on it.
+// AnswerFor is Answer with urgent, which tells the connection limiter that urgent work
+// depends on the connection: it is kept in preference to others.
 func (s *Server) AnswerFor(id uint64, status int, body []byte, retryAfter int, urgent bool) {
 	s.answer(id, status == http.StatusOK, urgent, func(dst []byte, closing bool) []byte {
 		return AppendResponse(dst, status, body, retryAfter, closing)
 	})
 }
 
-// AnswerAs answers request id with status 200 and a body that is not JSON. The
+// AnswerAs answers request id with status 200 and a body of the given content type. The
 // server's lock must be held.
 func (s *Server) AnswerAs(id uint64, contentType string, body []byte) {
 	s.answer(id, true, false, func(dst []byte, closing bool) []byte {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -58,7 +58,8 @@
 	return c
 }
 
-// startEcho serves until the test process ends: evio has no stop from outside.
+// startEcho starts a server that runs until the test process ends: evio can't be stopped
+// from outside.
 func startEcho(t *testing.T, requestTimeout time.Duration, conns int) (e *echo, httpAddr, peerAddr string) {
 	e = &echo{received: make(chan string, 64), deferredIDs: make(chan uint64, 1)}
 	e.server = NewServer(&e.mu, e, requestTimeout, conns)
@@ -110,12 +111,12 @@
 	if got := <-done; got != "late" {
 		t.Fatal(got)
 	}
-	// Two requests at once are served one after the other.
+	// Two requests that arrive together are served one after the other.
 	c := dial(t, addr)
 	fmt.Fprintf(c, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\nConnection: close\r\n\r\n")
 	all, _ := io.ReadAll(c)
 	if i, j := bytes.Index(all, []byte("GET/1")), bytes.Index(all, []byte("GET/2")); i < 0 || j < i {
-		t.Fatalf("%q", all)
+		t.Fatalf("two requests sent together were answered with %q", all)
 	}
 }
 
@@ -145,7 +146,7 @@
 	_, addr, _ := startEcho(t, 2*time.Millisecond, 10)
 	c := dial(t, addr)
 	if all, err := io.ReadAll(c); err != nil || len(all) != 0 {
-		t.Fatalf("%q %v", all, err)
+		t.Fatalf("an idle connection ended with %q, %v; want no data and no error", all, err)
 	}
 }
 
@@ -194,7 +195,7 @@
 			b = b[n:]
 		}
 		if len(c.messages) != len(msgs) {
-			t.Fatalf("%d of %d messages came", len(c.messages), len(msgs))
+			t.Fatalf("%d of %d messages arrived", len(c.messages), len(msgs))
 		}
 		for i, m := range msgs {
 			if c.messages[i] != "peer:"+m {
@@ -202,14 +203,14 @@
 			}
 		}
 		if err := newInLink().receive([]byte{0xff, 0xff, 0xff, 0xff, 1}, c); err == nil {
-			t.Fatal("a huge frame passed")
+			t.Fatal("a frame larger than maxFrame was accepted")
 		}
 	})
 }
 
-// TestPoolExpireEndsOverdueCalls guards the pool's lack of a clock: a request that
-// gets no answer ends when its time is over and Expire is called, and not
-// before, and says that it may have been executed.
+// TestPoolExpireEndsOverdueCalls guards against unanswered requests that never end, or end
+// too early: the pool has no timers of its own. Expire ends a request after its timeout and
+// not before, and reports that the request may have been executed.
 func TestPoolExpireEndsOverdueCalls(t *testing.T) {
 	e, addr, _ := startEcho(t, time.Minute, 100)
 	p := NewPool(1)
@@ -224,29 +225,29 @@
 	p.Start(call)
 	<-e.deferredIDs
 	if next := p.Expire(start.Add(59 * time.Minute)); next.Before(start.Add(time.Hour)) {
-		t.Errorf("the request is said to end at %v", next.Sub(start))
+		t.Errorf("Expire returned a deadline %v after the request, want at least 1h", next.Sub(start))
 	}
 	select {
 	case o := <-done:
-		t.Fatalf("it ended too soon: %v", o)
+		t.Fatalf("the request ended before its timeout: %v", o)
 	default:
 	}
 	if next := p.Expire(time.Now().Add(2 * time.Hour)); !next.IsZero() {
-		t.Errorf("another request is said to end at %v", next)
+		t.Errorf("Expire returned a deadline at %v, but there is no other request", next)
 	}
 	if o := <-done; o.err != errTimeout || !o.sent {
-		t.Errorf("%+v", o)
+		t.Errorf("the request ended with %+v, want errTimeout and sent", o)
 	}
-	// Its connection is closed and counts no more.
+	// The request's connection is closed and no longer counts towards the limit.
 	r, _, err := p.Do(addr, "GET", "/x", nil, time.Hour)
 	if err != nil || r.Status != 200 {
-		t.Errorf("%v, %v", r, err)
+		t.Errorf("the next request ended with %v, %v", r, err)
 	}
 }
 
-// TestPoolUsesConnectionsAgain makes a thousand requests in a row and at once,
-// over no more connections than allowed, and none is left when the other side
-// is gone.
+// TestPoolUsesConnectionsAgain sends 500 requests one after another and then 500 at once. It
+// guards against a pool that opens more connections than its limit, and against
+// connections that are neither in use nor idle after their last response.
 func TestPoolUsesConnectionsAgain(t *testing.T) {
 	_, addr, _ := startEcho(t, time.Minute, 100)
 	p := NewPool(4)
@@ -255,10 +256,10 @@
 	start := func() {
 		p.Start(Call{Addr: addr, Method: "POST", Target: "/x", Body: body, Timeout: time.Minute, Done: func(r *Response, sent bool, err error) {
 			if err == nil && len(r.Body) != len(body)+len("POST/x") {
-				err = fmt.Errorf("%d bytes came back", len(r.Body))
+				err = fmt.Errorf("the response has %d bytes", len(r.Body))
 			}
 			if err == errFull && sent {
-				err = errors.New("said to be sent, without a connection")
+				err = errors.New("a request without a connection was reported as sent")
 			}
 			done <- err
 		}})
@@ -285,12 +286,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if served < 4 || len(p.conns) > 4 || p.idleByUse.Len() != len(p.conns) {
-		t.Errorf("%d served at once, %d connections, %d of them idle", served, len(p.conns), p.idleByUse.Len())
+		t.Errorf("%d requests served at once, %d connections, %d of them idle", served, len(p.conns), p.idleByUse.Len())
 	}
 }
 
-// TestPoolNoticesClosedConnections guards against requests lost on a connection
-// that the other side closed while nobody used it.
+// TestPoolNoticesClosedConnections guards against requests that are lost because they are
+// sent on an idle connection that the other side has closed.
 func TestPoolNoticesClosedConnections(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -319,7 +320,7 @@
 	p := NewPool(2)
 	for range 3 {
 		if r, _, err := p.Do(l.Addr().String(), "GET", "/", nil, time.Minute); err != nil || r.Status != 200 {
-			t.Fatalf("%v, %v", r, err)
+			t.Fatalf("a request ended with %v, %v", r, err)
 		}
 		(<-accepted).Close()
 		for i := 0; ; i++ {
@@ -330,7 +331,7 @@
 				break
 			}
 			if i > 1000 {
-				t.Fatal("the closed connection is still kept")
+				t.Fatal("the pool still holds a connection that the other side closed")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
