--- a/internal/recorder/frames.go
+++ b/internal/recorder/frames.go
@@ -8,14 +8,14 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// segmentWriter writes frames into segments. It belongs to the goroutine of a Writer.
+// segmentWriter writes frames into segments. Only the goroutine of its Writer uses it.
 type segmentWriter struct {
 	writer  *Writer
 	encoder *zstd.Encoder
-	out     io.WriteCloser // of the segment under way; nil: none yet
-	written int64          // bytes in it
+	out     io.WriteCloser // the current segment; nil: none yet
+	written int64          // bytes in the current segment
 	next    int            // number of the next segment
-	frame   []byte         // buffer
+	frame   []byte         // encoding buffer
 }
 
 // run writes frames until the recording is closed.
@@ -28,7 +28,7 @@
 	s := &segmentWriter{writer: w, encoder: encoder}
 	for raw := range w.frames {
 		if w.Err() != nil {
-			continue // a recording with a hole can't be replayed
+			continue // a recording with missing inputs can't be replayed
 		}
 		if err := s.write(raw); err != nil {
 			w.fail(fmt.Errorf("recorder.dir: %w", err))
@@ -43,7 +43,8 @@
 	s.close()
 }
 
-// newEncoder compresses for speed and little memory: it runs beside the core.
+// newEncoder returns an encoder tuned for speed and low memory use, because it runs beside
+// the core.
 func newEncoder() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil,
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -60,7 +61,7 @@
 	w.storedBytes += int64(stored)
 }
 
-// write writes a frame, in a new segment if the present one is full.
+// write writes a frame, in a new segment if the current one is full.
 func (s *segmentWriter) write(raw []byte) error {
 	if s.out == nil || s.written > s.writer.options.Segment {
 		s.close()
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// begin begins a segment with its header, and removes old segments.
+// begin opens a new segment, writes its header, and removes old segments.
 func (s *segmentWriter) begin() error {
 	header := s.writer.header
 	header.Segment = s.next
@@ -98,8 +99,8 @@
 	return s.writer.removeOldest()
 }
 
-// close closes the segment under way. An error is not told: each frame's write was
-// checked, and a torn end is noticed by its reader.
+// close closes the current segment. It ignores errors: each frame's write was checked, and
+// a reader detects a frame that is cut off.
 func (s *segmentWriter) close() {
 	if s.out != nil {
 		_ = s.out.Close()
--- a/internal/recorder/golden_test.go
+++ b/internal/recorder/golden_test.go
@@ -17,8 +17,8 @@
 	"silvergate/internal/goldentest"
 )
 
-// frozenHeader and frozenInput are a copy of the types of recordings that exist. They
-// change only with the format's version, never with the code.
+// frozenHeader and frozenInput are copies of the types that existing recordings were written
+// with. They change only with the format's version, never with the code.
 
 type frozenHeader struct {
 	Version  int
@@ -47,7 +47,7 @@
 	Effects uint64
 }
 
-// The golden segment is the second of its life, so that its number is not 0.
+// The golden segment is the second of its incarnation, so that its number is not 0.
 const (
 	goldenSegment = "north-0-00000000000000000007-000001.rec"
 	goldenPath    = "testdata/" + goldenSegment
@@ -62,8 +62,8 @@
 		Retry: 13, From: "north-1", Body: []byte(`{"ledger":14}`), Effects: 1 << 63}
 }
 
-// writeSegments records the golden input twice, each in a segment of its own, and returns
-// the second one.
+// writeSegments records the golden input twice, each time in a segment of its own, and
+// returns the second segment.
 func writeSegments(t *testing.T) []byte {
 	dir := t.TempDir()
 	w, err := NewWriter(Options{Dir: dir, Max: 1 << 20, Segment: 1, Flush: time.Second}, goldenHeader())
@@ -85,13 +85,14 @@
 	return data
 }
 
-// decodeFrames takes a segment apart without the package's reader: the decodeFrames' contents.
+// decodeFrames returns the contents of a segment's frames. It does not use the package's
+// reader.
 func decodeFrames(t *testing.T, data []byte) (out [][]byte) {
 	t.Helper()
 	const magic = "silvergate recording\n"
 	rest, found := bytes.CutPrefix(data, []byte(magic))
 	if !found {
-		t.Fatalf("begins with %q", data[:min(len(data), len(magic))])
+		t.Fatalf("the segment begins with %q", data[:min(len(data), len(magic))])
 	}
 	z, err := zstd.NewReader(nil)
 	if err != nil {
@@ -109,8 +110,9 @@
 	return out
 }
 
-// TestGoldenSegment reads a segment of an earlier build, and compares what is written now
-// with it, frame by frame: how zstd compresses may change with its version.
+// TestGoldenSegment guards against builds that can't read the segments of earlier builds, or
+// that write other contents. It compares decompressed frames because the compressed bytes
+// may change with the version of zstd.
 func TestGoldenSegment(t *testing.T) {
 	data := goldentest.File(t, goldenPath, func() []byte { return writeSegments(t) })
 	r, err := NewReader(bytes.NewReader(data))
@@ -118,29 +120,30 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(r.Header, goldenHeader()) {
-		t.Errorf("header %+v, not %+v", r.Header, goldenHeader())
+		t.Errorf("the header is %+v, want %+v", r.Header, goldenHeader())
 	}
 	var in Input
 	if err := r.Next(&in); err != nil || !reflect.DeepEqual(in, goldenInput()) {
-		t.Errorf("input %+v, not %+v: %v", in, goldenInput(), err)
+		t.Errorf("the input is %+v, want %+v: %v", in, goldenInput(), err)
 	}
 	if err := r.Next(&in); err != io.EOF {
-		t.Errorf("after the last input: %v", err)
+		t.Errorf("reading after the last input returned %v, want io.EOF", err)
 	}
 	if kinds := []Kind{Tick, Request, Reply, Peer}; !reflect.DeepEqual(kinds, []Kind{1, 2, 3, 4}) {
 		t.Errorf("the kinds' numbers are %d", kinds)
 	}
 	if want, got := decodeFrames(t, data), decodeFrames(t, writeSegments(t)); !reflect.DeepEqual(got, want) {
-		t.Errorf("written as\n%q\nnot\n%q", got, want)
+		t.Errorf("the frames are written as\n%q\nwant\n%q", got, want)
 	}
 }
 
-// TestFrozenSegment reads the golden segment with the frozen types: it holds a value for
-// every field of them, and the present types have no field beside those.
+// TestFrozenSegment guards against fields that are renamed, added or removed without a new
+// format version. It reads the golden segment with the frozen types, which must get a value
+// for every field, and the current types must have the same number of fields.
 func TestFrozenSegment(t *testing.T) {
 	contents := decodeFrames(t, goldentest.Read(t, goldenPath))
 	if len(contents) != 2 {
-		t.Fatalf("%d frames", len(contents))
+		t.Fatalf("the segment has %d frames, want 2", len(contents))
 	}
 	var h frozenHeader
 	var in frozenInput
@@ -154,9 +157,9 @@
 		goldentest.RequireNoZeroFields(t, fmt.Sprintf("%T", v), v)
 	}
 	if n, m := reflect.TypeFor[Header]().NumField(), reflect.TypeFor[frozenHeader]().NumField(); n != m {
-		t.Errorf("a header has %d fields, not %d", n, m)
+		t.Errorf("Header has %d fields, want %d", n, m)
 	}
 	if n, m := reflect.TypeFor[Input]().NumField(), reflect.TypeFor[frozenInput]().NumField(); n != m {
-		t.Errorf("an input has %d fields, not %d", n, m)
+		t.Errorf("Input has %d fields, want %d", n, m)
 	}
 }
--- a/internal/recorder/reader.go
+++ b/internal/recorder/reader.go
@@ -16,11 +16,12 @@
 	Header  Header
 	source  io.Reader
 	zstd    *zstd.Decoder
-	decoder *cbor.Decoder // of the frame under way; nil: the next one is to be read
-	offset  int64         // of the next frame
+	decoder *cbor.Decoder // of the current frame; nil: the next frame must be read first
+	offset  int64         // of the next frame, in bytes
 }
 
-// NewReader reads a segment's header from r, which the caller closes.
+// NewReader returns a Reader for the segment in r and reads the segment's header. The caller
+// closes r.
 func NewReader(r io.Reader) (*Reader, error) {
 	magic := make([]byte, len(Magic))
 	if _, err := io.ReadFull(r, magic); err != nil || string(magic) != Magic {
@@ -44,8 +45,8 @@
 	return s, nil
 }
 
-// readFrame reads the next frame's items; io.EOF when there is none, ErrTorn when it is
-// cut off.
+// readFrame returns the decompressed items of the next frame. The error is io.EOF if there
+// is no further frame, and ErrTorn if the frame is cut off.
 func (s *Reader) readFrame() ([]byte, error) {
 	var head [frameHead]byte
 	switch n, err := io.ReadFull(s.source, head[:]); {
@@ -74,7 +75,7 @@
 }
 
 // Next reads the next input into in, whose body belongs to the caller. It returns io.EOF
-// after the last input, and ErrTorn if what follows the last whole frame is cut off.
+// after the last input, and ErrTorn if the last frame is cut off.
 func (s *Reader) Next(in *Input) error {
 	for {
 		if s.decoder != nil {
@@ -95,7 +96,8 @@
 	}
 }
 
-// bytesReader is bytes.Reader with no method but Read: the decoder would use the others.
+// bytesReader is a bytes.Reader without methods other than Read, which the decoder would
+// use.
 type bytesReader struct{ rest []byte }
 
 func (r *bytesReader) Read(p []byte) (int, error) {
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,14 +1,14 @@
-// Package recorder records the inputs of a controller's core, so that they can be replayed
-// through a core: every input with its time, and a digest of its effects.
+// Package recorder records the inputs of a controller's core, each with its time and a
+// digest of its effects, so that they can be replayed through a core.
 //
-// A recording is a sequence of segments, one file each, of frames. A frame is a length, a
-// checksum, and zstd-compressed CBOR items; the first frame of a segment is its header.
-// After kill -9 a recording is readable up to the last whole frame, and the inputs of
-// less than the flush interval are missing. Recordings are for finding causes; nothing is
-// read from them in service.
+// A recording is a sequence of segments. A segment is a file of frames. A frame consists of
+// a length, a checksum, and zstd-compressed CBOR items; the first frame of a segment holds
+// its header. After kill -9 a recording is readable up to the last complete frame, and the
+// inputs of less than the flush interval are missing. Recordings are for finding the causes
+// of faults; a running controller never reads them.
 //
-// The names of the header's fields and the order of an input's are stored: they change
-// only with the format's version.
+// The names of the header's fields and the order of an input's fields are part of the
+// stored format: they change only with the format's version.
 package recorder
 
 import (
@@ -24,7 +24,7 @@
 // Kind is the kind of an input.
 type Kind uint8
 
-// Kinds of inputs, as the core takes them.
+// Kinds of inputs, one for each method of the core that handles inputs.
 const (
 	Tick Kind = iota + 1
 	Request
@@ -34,7 +34,7 @@
 
 var kindNames = [...]string{"?", "tick", "request", "reply", "peer"}
 
-// String is the kind's name, "?" of an unknown kind.
+// String returns the kind's name, or "?" for an unknown kind.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -43,25 +43,25 @@
 }
 
 // Input is one input of a core. Its kind decides which fields are used; the others are
-// empty and take a byte each. It is stored as an array, by the order of the fields.
+// empty and take one byte each. It is stored as an array, in the order of the fields.
 type Input struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    Kind
 	Steady  time.Duration // since the process began
 	Wall    int64         // wall clock, Unix nanoseconds
-	ID      uint64        // of the request, or of the call that is answered
+	ID      uint64        // of the request, or of the call that the reply answers
 	Method  string        // of a request
 	Path    string        // of a request
 	Status  int           // of a reply
-	Sent    bool          // whether the call of a reply was sent
+	Sent    bool          // of a reply: whether its call was sent
 	Retry   int           // of a reply: its Retry-After in seconds
-	From    string        // node of the peer
-	Body    []byte        // of the request or the reply; a peer's message
+	From    string        // node name of the peer
+	Body    []byte        // of the request or the reply, or a peer's message
 	Effects uint64        // digest of the effects; 0: none
 }
 
-// Header is a segment's first item: what is needed to make the core that was recorded. It
-// is stored by the names of its fields.
+// Header is the first item of a segment. It holds all that is needed to construct the
+// recorded core. It is stored as a map, under the names of its fields.
 type Header struct {
 	Version  int       // of the format
 	Build    string    // of the program
@@ -76,20 +76,20 @@
 // version is the version of the format.
 const version = 1
 
-// Magic begins a segment.
+// Magic is the text at the beginning of each segment.
 const Magic = "silvergate recording\n"
 
-// frameHead is the length of what precedes a frame's items: their compressed length and
-// their checksum, four bytes each.
+// frameHead is the number of bytes before a frame's items: their compressed length and their
+// checksum, four bytes each.
 const frameHead = 8
 
-// maxFrame bounds a frame's length in bytes, raw and compressed: a damaged length must
-// not exhaust the memory.
+// maxFrame is the largest length of a frame in bytes, both decompressed and compressed. It
+// keeps a damaged length from exhausting memory.
 const maxFrame = 8 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// modes are how items are encoded and decoded.
+// modes holds the CBOR modes that encode and decode items.
 var modes = struct {
 	enc cbor.UserBufferEncMode
 	dec cbor.DecMode
@@ -100,12 +100,12 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // constant options
+		panic(err) // can't happen: the options are constant
 	}
 	return v
 }
 
-// appendFrame adds a frame with the items to out.
+// appendFrame appends a frame with the items to out.
 func appendFrame(enc *zstd.Encoder, out, items []byte) []byte {
 	head := len(out)
 	body := head + frameHead
@@ -116,5 +116,6 @@
 	return out
 }
 
-// ErrTorn is returned when a segment ends in the middle of a frame: its process was killed.
+// ErrTorn is returned when a segment ends in the middle of a frame because the recording
+// process was killed.
 var ErrTorn = errors.New("the last frame is not whole")
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// genInput draws an input.
+// genInput returns a random input.
 func genInput(t *rapid.T) Input {
 	return Input{Kind: Kind(rapid.IntRange(1, 4).Draw(t, "kind")), Steady: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "steady")),
 		Wall: rapid.Int64().Draw(t, "wall"), ID: rapid.Uint64().Draw(t, "id"), Method: rapid.SampledFrom([]string{"", http.MethodGet, http.MethodPost}).Draw(t, "method"),
@@ -29,7 +29,7 @@
 		x.Path == y.Path && x.Status == y.Status && x.Sent == y.Sent && x.From == y.From && x.Effects == y.Effects
 }
 
-// readAll reads a recording up to its end or an error.
+// readAll returns the inputs of a recording up to its end or an error.
 func readAll(raw []byte) (out []Input, err error) {
 	r, err := NewReader(bytes.NewReader(raw))
 	if err != nil {
@@ -44,9 +44,10 @@
 	}
 }
 
-// TestARecordingIsReadUpToItsLastWholeFrame cuts a recording at every byte, as a kill
-// may, and damages each: what is read is a beginning of what was recorded, and nothing
-// that was not.
+// TestARecordingIsReadUpToItsLastWholeFrame guards against inputs that are read but were
+// never recorded, after a kill that cuts off a recording or after damage to it. It cuts a
+// recording at every byte and damages every seventh one: the inputs that are read must be a
+// prefix of the recorded ones.
 func TestARecordingIsReadUpToItsLastWholeFrame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		inputs := rapid.SliceOfN(rapid.Custom(genInput), 1, 12).Draw(t, "inputs")
@@ -65,32 +66,33 @@
 		checkPrefix := func(got []Input, what string, n int) {
 			for i := range got {
 				if i >= len(inputs) || !equalInputs(got[i], inputs[i]) {
-					t.Fatalf("%s at byte %d: input %d was not recorded", what, n, i)
+					t.Fatalf("%s at byte %d: input %d differs from the recorded one", what, n, i)
 				}
 			}
 		}
 		got, err := readAll(raw)
 		if checkPrefix(got, "whole", 0); !errors.Is(err, io.EOF) || len(got) != len(inputs) {
-			t.Fatalf("%d of %d inputs are read: %v", len(got), len(inputs), err)
+			t.Fatalf("read %d of %d inputs: %v", len(got), len(inputs), err)
 		}
 		for n := range raw {
 			got, err := readAll(raw[:n])
 			if checkPrefix(got, "cut", n); err == nil {
-				t.Fatalf("cut at byte %d: no end", n)
+				t.Fatalf("cut at byte %d: no error", n)
 			}
 			if n%7 == 0 {
 				damaged := bytes.Clone(raw)
 				damaged[n] ^= 0x20
 				got, err = readAll(damaged)
 				if checkPrefix(got, "damaged", n); errors.Is(err, io.EOF) {
-					t.Fatalf("damaged at byte %d: not noticed", n)
+					t.Fatalf("damaged at byte %d: the damage was not detected", n)
 				}
 			}
 		}
 	})
 }
 
-// TestSegmentsStayWithinSizeLimit guards against a disk that fills up.
+// TestSegmentsStayWithinSizeLimit guards against recordings that fill the disk: old segments
+// must be removed, also those of earlier incarnations.
 func TestSegmentsStayWithinSizeLimit(t *testing.T) {
 	dir := t.TempDir()
 	o := Options{Dir: dir, Max: 40 << 10, Segment: 8 << 10, Flush: time.Nanosecond}
@@ -102,7 +104,7 @@
 		x := uint64(incarnation)
 		for i := range 3000 {
 			body := make([]byte, 64)
-			for j := range body { // what can't be compressed
+			for j := range body { // pseudorandom bytes, which can't be compressed
 				x = x*6364136223846793005 + 1442695040888963407
 				body[j] = byte(x >> 56)
 			}
@@ -117,7 +119,7 @@
 	}
 	files, err := Segments(dir, "north-0")
 	if err != nil || len(files) < 3 {
-		t.Fatalf("%d segments: %v", len(files), err)
+		t.Fatalf("found %d segments, want at least 3: %v", len(files), err)
 	}
 	total := int64(0)
 	for _, f := range files {
@@ -128,15 +130,15 @@
 		total += st.Size()
 	}
 	if total > o.Max+2*o.Segment {
-		t.Errorf("the segments take %d bytes, with a bound of %d", total, o.Max)
+		t.Errorf("the segments take %d bytes, with a limit of %d", total, o.Max)
 	}
 	if !strings.Contains(filepath.Base(files[0]), "-00000000000000000002-") {
-		t.Errorf("the oldest that is kept is %s, of the earlier incarnation", files[0])
+		t.Errorf("the oldest remaining segment is %s, of the earlier incarnation", files[0])
 	}
 }
 
-// TestASlowDiskEndsTheRecording guards against a core that waits for its recorder, and
-// against a recording with a hole.
+// TestASlowDiskEndsTheRecording guards against a core that waits for a slow disk, and against
+// a recording in which inputs are missing between others.
 func TestASlowDiskEndsTheRecording(t *testing.T) {
 	in, out := io.Pipe()
 	w := NewMemory(out, Header{Node: "n0"})
@@ -145,25 +147,25 @@
 		w.endFrame()
 	}
 	if err := w.Err(); err == nil || !strings.Contains(err.Error(), "too slow") {
-		t.Errorf("the recording goes on: %v", err)
+		t.Errorf("the recording did not end because of the slow disk: %v", err)
 	}
 	var raw bytes.Buffer
 	copied := make(chan struct{})
 	go func() { _, _ = io.Copy(&raw, in); close(copied) }()
 	if w.Close() == nil {
-		t.Error("its end does not tell why")
+		t.Error("Close returned no error")
 	}
 	out.Close()
 	<-copied
 	got, _ := readAll(raw.Bytes())
 	for i := range got {
 		if got[i].ID != uint64(i) {
-			t.Fatalf("input %d is followed by %d", i-1, got[i].ID)
+			t.Fatalf("input %d is followed by input %d", i-1, got[i].ID)
 		}
 	}
 }
 
-// FuzzReader reads arbitrary files.
+// FuzzReader guards against panics and endless reads on arbitrary files.
 func FuzzReader(f *testing.F) {
 	var out bytes.Buffer
 	w := NewMemory(&out, Header{Node: "n0", Life: 7})
@@ -174,7 +176,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		got, err := readAll(raw)
 		if err == nil || len(got) > 1<<20 {
-			t.Errorf("%d inputs without an end", len(got))
+			t.Errorf("read %d inputs without reaching an end", len(got))
 		}
 	})
 }
--- a/internal/recorder/segments.go
+++ b/internal/recorder/segments.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// extension ends the names of segments.
+// extension is the file name extension of segments.
 const extension = ".rec"
 
-// segmentName is a segment's file name; the names of a node's segments sort by time.
+// segmentName returns a segment's file name. The names of a node's segments sort by time.
 func segmentName(node string, incarnation int64, segment int) string {
 	return fmt.Sprintf("%s-%020d-%06d%s", node, incarnation, segment, extension)
 }
 
-// Segments lists the files of a node's recordings in a folder, oldest first; of all
-// nodes if node is "".
+// Segments returns the paths of a node's segments in a folder, oldest first. If node is "",
+// it returns those of all nodes, sorted by node.
 func Segments(dir, node string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*"+extension))
 	if err != nil {
@@ -34,7 +34,8 @@
 	return segments, nil
 }
 
-// segmentNode is the node in a segment's file name; false if it is the name of no segment.
+// segmentNode returns the node in a segment's file name, and whether the file has the name
+// of a segment.
 func segmentNode(file string) (string, bool) {
 	parts := strings.Split(strings.TrimSuffix(filepath.Base(file), extension), "-")
 	if len(parts) < 3 {
@@ -48,8 +49,8 @@
 	return strings.Join(parts[:len(parts)-2], "-"), true
 }
 
-// removeOldest removes a node's oldest segments until the rest takes no more than limit
-// bytes. It keeps the last one, which is being written.
+// removeOldest removes a node's oldest segments until the rest take no more than limit
+// bytes. It keeps the newest one, which is being written.
 func removeOldest(dir, node string, limit int64) error {
 	files, err := Segments(dir, node)
 	if err != nil {
--- a/internal/recorder/writer.go
+++ b/internal/recorder/writer.go
@@ -10,36 +10,38 @@
 	"time"
 )
 
-// Options bound a recording.
+// Options say where a recording is stored and how large it may become.
 type Options struct {
-	Dir     string        // of the segments
-	Max     int64         // bytes that all segments of a node may take; the oldest are removed
-	Segment int64         // bytes after which a new segment is begun
-	Flush   time.Duration // how long an input may wait until it is written
+	Dir     string        // folder of the segments
+	Max     int64         // bytes that all segments of a node may take; beyond it the oldest are removed
+	Segment int64         // bytes after which a new segment begins
+	Flush   time.Duration // how long an input may wait before it is written
 }
 
-// frameBytes is how many raw bytes end a frame, if the flush interval does not.
+// frameBytes is the size of the buffer, before compression, at which a frame ends, unless
+// the flush interval ends it earlier.
 const frameBytes = 256 << 10
 
-// maxWaitingFrames is how many frames may wait for the disk.
+// maxWaitingFrames is the number of frames that may wait to be written to disk.
 const maxWaitingFrames = 16
 
-// Writer records one incarnation of a core. Put is called under the core's lock: it
-// encodes into a buffer. A goroutine of the writer compresses and writes, so that a slow
-// disk does not delay the core; one that is too slow for long ends the recording.
+// Writer records one incarnation of a core. Put is called with the core's lock held and only
+// encodes the input into a buffer. A goroutine of the writer compresses the frames and
+// writes them, so that a slow disk does not delay the core. If the disk is too slow for
+// long, the recording ends.
 //
 // Put and Close must not be called concurrently; Err and Size may be called at any time.
 type Writer struct {
 	options     Options
 	header      Header
 	buffer      bytes.Buffer  // of the next frame
-	bufferSince time.Duration // when its first input came
+	bufferSince time.Duration // steady time of the first input in the buffer
 	inputs      uint64
 	closed      bool
 
-	frames chan []byte   // to the goroutine that writes
-	spare  chan []byte   // from it: a buffer to be used again
-	done   chan struct{} // closed when it has ended
+	frames chan []byte   // to the writing goroutine
+	spare  chan []byte   // from the writing goroutine: a buffer to reuse
+	done   chan struct{} // closed when the writing goroutine has ended
 
 	mu          sync.Mutex
 	err         error
@@ -47,11 +49,12 @@
 	storedBytes int64
 
 	openSegment  func(segment int) (io.WriteCloser, error)
-	removeOldest func() error // keeps to Options.Max
+	removeOldest func() error // enforces Options.Max
 }
 
-// NewWriter records into files in o.Dir, which is made if it is missing. The caller
-// closes the writer after the last input, which ends the goroutine that writes.
+// NewWriter returns a Writer that records into files in o.Dir, which it creates if it is
+// missing. The caller closes the writer after the last input, which ends the writing
+// goroutine.
 func NewWriter(o Options, h Header) (*Writer, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recorder.dir: %w", err)
@@ -65,8 +68,8 @@
 	return w, nil
 }
 
-// NewMemory records into out as one segment without bounds, for tests. As with NewWriter,
-// Close ends the goroutine that writes.
+// NewMemory returns a Writer that records into out as one segment of unlimited size, for
+// tests. As with NewWriter, Close ends the writing goroutine.
 func NewMemory(out io.Writer, h Header) *Writer {
 	w := newWriter(Options{Segment: 1 << 40, Flush: time.Hour}, h)
 	w.openSegment = func(int) (io.WriteCloser, error) { return nopCloser{out}, nil }
@@ -75,7 +78,7 @@
 	return w
 }
 
-// nopCloser is a writer whose Close does nothing.
+// nopCloser is an io.WriteCloser whose Close does nothing.
 type nopCloser struct{ io.Writer }
 
 func (nopCloser) Close() error { return nil }
@@ -91,8 +94,8 @@
 	}
 }
 
-// Put records an input. The bytes of its body are copied. After a failure, which Err tells
-// of, nothing more is recorded.
+// Put records an input. It copies the bytes of the body. After a failure, which Err returns,
+// nothing more is recorded.
 func (w *Writer) Put(in *Input) {
 	if w.closed {
 		return
@@ -110,7 +113,8 @@
 	}
 }
 
-// endFrame hands the buffer over as a frame.
+// endFrame passes the buffer to the writing goroutine as a frame. If too many frames are
+// waiting, it ends the recording.
 func (w *Writer) endFrame() {
 	if w.buffer.Len() == 0 {
 		return
@@ -129,7 +133,7 @@
 	}
 }
 
-// fail ends the recording with the first failure.
+// fail ends the recording. Err returns the error of the first call.
 func (w *Writer) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,21 +142,22 @@
 	}
 }
 
-// Err tells why the recording has ended, nil while it goes on.
+// Err returns why the recording has failed, or nil if it has not.
 func (w *Writer) Err() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.err
 }
 
-// Size is how many bytes were recorded, before and after compression.
+// Size returns the number of recorded bytes, before and after compression.
 func (w *Writer) Size() (raw, stored int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rawBytes, w.storedBytes
 }
 
-// Close writes what waits, ends the recording and returns Err. It may be called again.
+// Close writes the waiting frames, ends the recording and returns Err. It may be called more
+// than once.
 func (w *Writer) Close() error {
 	if !w.closed {
 		w.closed = true
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -12,34 +12,34 @@
 	"silvergate/internal/recorder"
 )
 
-// clockFormat is how texts show the time of day.
+// clockFormat is the format of the time of day in texts.
 const clockFormat = "15:04:05.000"
 
-// Event is one line of a story: an input that concerned what is explained, and what came
-// of it. Its JSON is what silvergate replay prints: the names in it stay.
+// Event is one line of a timeline: an input that concerned one of the names to explain, and
+// its consequences. silvergate replay prints it as JSON, so its JSON names must not change.
 type Event struct {
 	Wall              time.Time `json:"wall"`
 	Node              string    `json:"node"`
-	AppliedRevision   uint64    `json:"ledger"`            // up to which the node's mirror was complete
-	CommittedRevision uint64    `json:"commits,omitempty"` // made by a transaction of the node, as it learnt in this step; 0: none
+	AppliedRevision   uint64    `json:"ledger"`            // revision up to which the node's mirror was complete
+	CommittedRevision uint64    `json:"commits,omitempty"` // revision of the node's transaction whose reply is this input; 0: none
 	Text              string    `json:"text"`
 }
 
-// String is the event as people read it: the time of day, the node, its revision and the
-// text.
+// String returns the event as text for people: the time of day, the node, its applied
+// revision and the text.
 func (e Event) String() string {
 	return fmt.Sprintf("%s %s at %d: %s", e.Wall.UTC().Format(clockFormat), e.Node, e.AppliedRevision, e.Text)
 }
 
-// explainer collects the events that concern the names of its options.
+// explainer collects the events that concern the names in its options.
 type explainer struct {
 	options   Options
 	node      string
 	core      *coordination.Core
-	lastKnown []string        // what the core knew last, for each of the names
-	txns      map[uint64]bool // calls that are transactions without a reply yet
+	lastKnown []string        // for each name, what the core knew of it after the last step
+	txns      map[uint64]bool // ids of transactions without a reply yet
 	events    []Event
-	described bool // what is known at options.At
+	described bool // describeAt has added what is known at options.At
 }
 
 func newExplainer(o Options, node string, core *coordination.Core) *explainer {
@@ -52,8 +52,8 @@
 	}
 }
 
-// describeAt adds to the result what is known at the time asked for, once wall has
-// reached it.
+// describeAt adds to the result, once, what the core knows of each name. It does so when
+// wall has reached options.At.
 func (x *explainer) describeAt(wall time.Time, result *Result) {
 	if x.described || x.options.At.IsZero() || wall.Before(x.options.At) {
 		return
@@ -68,8 +68,8 @@
 	}
 }
 
-// observe adds an event if a step concerns one of the names: by its input, by its
-// effects, or by what the core knows after it.
+// observe adds an event if a step concerns one of the names: if the input or its effects
+// mention the name, or if the step changed what the core knows of it.
 func (x *explainer) observe(in *recorder.Input, effects *coordination.Effects) {
 	if len(x.options.Names) == 0 {
 		return
@@ -92,8 +92,8 @@
 	x.events = append(x.events, event)
 }
 
-// committedRevision is the revision that a transaction of the node made, if the input is
-// the reply that tells of it; 0 otherwise.
+// committedRevision returns the revision that a transaction of the node made if the input is
+// the successful reply to that transaction, and 0 otherwise.
 func (x *explainer) committedRevision(in *recorder.Input) uint64 {
 	if in.Kind != recorder.Reply || !x.txns[in.ID] {
 		return 0
@@ -106,7 +106,8 @@
 	return result.Revision
 }
 
-// noteTransactions notes the calls whose replies tell of revisions.
+// noteTransactions remembers the transactions among the calls: their replies contain
+// revisions.
 func (x *explainer) noteTransactions(effects *coordination.Effects) {
 	for i := range effects.Calls {
 		if call := &effects.Calls[i]; call.Path == protocol.PathTxn {
@@ -130,7 +131,8 @@
 	return texts
 }
 
-// inputText is what an input says about a name, "" if nothing.
+// inputText describes what an input says about a name. It returns "" if the input does not
+// concern the name.
 func inputText(in *recorder.Input, name string) string {
 	if in.Kind != recorder.Request || !strings.Contains(string(in.Body), quoted(name)) && !strings.Contains(in.Path, name) {
 		return ""
@@ -151,7 +153,7 @@
 	return text
 }
 
-// effectTexts are what effects say about a name.
+// effectTexts describes what effects say about a name.
 func effectTexts(effects *coordination.Effects, name string) (texts []string) {
 	for i := range effects.Responses {
 		body := effects.Responses[i].Body
@@ -168,7 +170,8 @@
 	return texts
 }
 
-// callText is what a call says about a name, "" if nothing.
+// callText describes what a call says about a name. It returns "" if the call does not
+// concern the name.
 func callText(call *protocol.Call, name string) string {
 	body := string(call.Body)
 	switch {
@@ -185,10 +188,10 @@
 	return ""
 }
 
-// quoted is a name as JSON texts hold it.
+// quoted returns a name as a JSON string.
 func quoted(name string) string { return `"` + name + `"` }
 
-// commandsText says which of the commands concern a task.
+// commandsText describes the commands that concern a task.
 func commandsText(how string, token uint64, commands []protocol.Command, task string) string {
 	text := fmt.Sprintf("%s token %d", how, token)
 	for _, command := range commands {
--- a/internal/replay/golden_test.go
+++ b/internal/replay/golden_test.go
@@ -2,14 +2,15 @@
 
 import "testing"
 
-// TestGoldenRecordingsPlay plays recordings of an earlier build, found by their folder.
+// TestGoldenRecordingsPlay guards against a build that can't replay the recordings of an
+// earlier one with the same effects. It opens the recordings by their folder.
 func TestGoldenRecordingsPlay(t *testing.T) {
 	incarnations, err := Open([]string{"../coordination/testdata/recordings"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(incarnations) != 4 {
-		t.Errorf("%d lives", len(incarnations))
+		t.Errorf("the folder has %d incarnations, want 4", len(incarnations))
 	}
 	for _, incarnation := range incarnations {
 		r, err := incarnation.Play(Options{})
--- a/internal/replay/merge.go
+++ b/internal/replay/merge.go
@@ -1,8 +1,9 @@
 package replay
 
-// Merge makes one story of several, each of one incarnation and in its order. Events go
-// by the wall clocks, which may differ; where a node knows of a revision that another
-// node's transaction made, its event comes after that transaction's.
+// Merge merges several timelines, each of one incarnation and in its order, into one. It
+// orders events by their wall clocks, which may differ between nodes. An event whose node
+// knows of a revision that another node's transaction made comes after the event of that
+// transaction.
 func Merge(timelines ...[]Event) []Event {
 	m := merger{timelines: timelines, next: make([]int, len(timelines))}
 	var merged []Event
@@ -16,18 +17,19 @@
 	}
 }
 
-// merger is a merge under way.
+// merger is the state of a merge.
 type merger struct {
 	timelines [][]Event
-	next      []int // each story's first event that is not merged yet
+	next      []int // for each timeline, the index of its first event that is not merged yet
 }
 
-// nextEvent is a story's next event.
+// nextEvent returns the next event of a timeline.
 func (m *merger) nextEvent(timeline int) *Event { return &m.timelines[timeline][m.next[timeline]] }
 
-// chooseTimeline is the story whose next event comes first, -1 if all have ended. Among those
-// that do not come too early it is the one with the earliest wall clock. If the clocks or
-// lost recordings leave only events that do, their wall clocks decide.
+// chooseTimeline returns the index of the timeline whose next event comes first, or -1 if
+// all have ended. It chooses the event with the earliest wall clock among those that are not
+// too early. If all are too early, because clocks differ or recordings are lost, it chooses
+// the one with the earliest wall clock.
 func (m *merger) chooseTimeline() int {
 	best, bestTooEarly := -1, false
 	for i := range m.timelines {
@@ -46,8 +48,8 @@
 	return best
 }
 
-// tooEarly tells whether a story's next event knows of a revision whose transaction is
-// still to come in another story.
+// tooEarly reports whether the next event of a timeline knows of a revision whose
+// transaction is still to come in another timeline.
 func (m *merger) tooEarly(timeline int) bool {
 	known := m.nextEvent(timeline).AppliedRevision
 	for other := range m.timelines {
@@ -61,7 +63,8 @@
 	return false
 }
 
-// pendingRevision is the next revision that a story's transactions make, 0 if none.
+// pendingRevision returns the next revision that the remaining events of a timeline commit,
+// or 0 if there is none.
 func (m *merger) pendingRevision(timeline int) uint64 {
 	for _, event := range m.timelines[timeline][m.next[timeline]:] {
 		if event.CommittedRevision > 0 {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,7 +1,7 @@
-// Package replay puts recordings of controllers (internal/recorder) through cores again.
-// It compares the effects with those that were recorded, and explains what happened to a
-// task, a job or a machine: what each controller knew of it, which inputs concerned it,
-// and what was sent. The events of several controllers are merged into one story.
+// Package replay replays recordings of controllers (internal/recorder) through cores. It
+// compares the effects with the recorded ones, and explains what happened to a task, a job
+// or a machine: what each controller knew of it, which inputs concerned it, and what was
+// sent. It merges the events of several controllers into one timeline.
 package replay
 
 import (
@@ -17,16 +17,17 @@
 	"silvergate/internal/recorder"
 )
 
-// Incarnation is the recording of one incarnation of one controller: of one process, from
-// its start to its end.
+// Incarnation is the recording of one incarnation of a controller: one process, from its
+// start to its end.
 type Incarnation struct {
-	Header recorder.Header // of its first segment
-	Files  []string        // its segments in order
-	Begin  time.Time       // of the first input
+	Header recorder.Header // of the first segment
+	Files  []string        // the segments in order
+	Begin  time.Time       // wall time of the first input
 }
 
-// Open groups recordings by incarnation. Folders stand for the recordings in them. An
-// incarnation whose first segment is missing can't be replayed: it is named in the error.
+// Open groups the segments in paths by incarnation. A path is a segment or a folder of
+// segments. An incarnation whose first segment is missing can't be replayed: Open then
+// returns an error that names it.
 func Open(paths []string) ([]Incarnation, error) {
 	files, err := listSegments(paths)
 	if err != nil {
@@ -42,7 +43,7 @@
 			incarnations = append(incarnations, Incarnation{Header: h, Files: []string{file}, Begin: begin})
 			continue
 		}
-		// The names of segments sort by node, incarnation and number.
+		// Sorted by name, segments are in the order of node, incarnation and number.
 		last := len(incarnations) - 1
 		if last < 0 || !incarnations[last].continuedBy(&h) {
 			return nil, fmt.Errorf("%s: segment %d of %s, life %d, but what came before it is not here: a life is replayed from its beginning (raise recorder.max_mb to keep more)",
@@ -53,7 +54,8 @@
 	return incarnations, nil
 }
 
-// listSegments lists the files that paths name, with those in folders, by name.
+// listSegments returns the files among paths and the segments in the folders among them,
+// sorted by path.
 func listSegments(paths []string) ([]string, error) {
 	var files []string
 	for _, path := range paths {
@@ -78,12 +80,13 @@
 	return files, nil
 }
 
-// continuedBy tells whether h is the header of the incarnation's next segment.
+// continuedBy reports whether h is the header of the incarnation's next segment.
 func (i *Incarnation) continuedBy(h *recorder.Header) bool {
 	return i.Header.Node == h.Node && i.Header.Life == h.Life && len(i.Files) == h.Segment
 }
 
-// readHeader reads a segment's header, and the time of its first input.
+// readHeader reads a segment's header and the wall time of its first input, which is zero if
+// the segment has no complete input.
 func readHeader(file string) (h recorder.Header, begin time.Time, err error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -103,32 +106,32 @@
 	return r.Header, begin, nil
 }
 
-// Options say what a replay explains, and where it stops.
+// Options say what a replay explains and where it stops.
 type Options struct {
-	Names []string     // tasks, jobs and machines that are explained
-	At    time.Time    // when to say what is known of them; zero: not
-	Until time.Time    // where to stop; zero: at the end
+	Names []string     // tasks, jobs and machines to explain
+	At    time.Time    // time at which to describe what is known of the names; zero: never
+	Until time.Time    // time of the last input to replay; zero: replay all
 	Log   *slog.Logger // of the core; nil: none
 }
 
-// Result is the result of an incarnation's replay. Its JSON is what silvergate replay
-// prints: the names in it stay.
+// Result is the result of an incarnation's replay. silvergate replay prints it as JSON, so
+// its JSON names must not change.
 type Result struct {
 	Node        string    `json:"node"`
 	Incarnation int64     `json:"life"`
 	Build       string    `json:"build"`
 	Inputs      int       `json:"inputs"`
-	Different   int       `json:"different"`       // inputs whose effects differ
-	First       string    `json:"first,omitempty"` // of them
-	Torn        bool      `json:"torn,omitempty"`  // the last frame is not whole: the process was killed
+	Different   int       `json:"different"`       // number of inputs whose effects differ
+	First       string    `json:"first,omitempty"` // the first input whose effects differ
+	Torn        bool      `json:"torn,omitempty"`  // the last frame is incomplete: the process was killed
 	From        time.Time `json:"from"`
 	To          time.Time `json:"to"`
-	Known       []string  `json:"known,omitempty"` // at the time asked for
+	Known       []string  `json:"known,omitempty"` // what is known of each name at Options.At
 	Story       []Event   `json:"-"`
 }
 
-// Play puts an incarnation's inputs through a core. What was read until an error is in
-// the result.
+// Play replays an incarnation's inputs through a new core. After an error the result covers
+// the inputs that were read before it.
 func (i *Incarnation) Play(o Options) (Result, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -149,15 +152,15 @@
 			break
 		}
 	}
-	p.explainer.describeAt(maxTime, &result) // a time after the last input: what is known last
+	p.explainer.describeAt(maxTime, &result) // if options.At is after the last input: describes the end
 	result.Story = p.explainer.events
 	return result, nil
 }
 
-// maxTime is after every input.
+// maxTime is a time after every input.
 var maxTime = time.Unix(1<<40, 0)
 
-// player is a replay under way.
+// player is the state of a replay.
 type player struct {
 	options   Options
 	core      *coordination.Core
@@ -165,7 +168,8 @@
 	result    *Result
 }
 
-// playSegment plays one file; ended tells that nothing after it is to be played.
+// playSegment replays one file. ended reports whether the replay ends here, without the
+// files after it.
 func (p *player) playSegment(file string) (ended bool, err error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -197,7 +201,8 @@
 	}
 }
 
-// playInput puts one input through the core and compares its effects.
+// playInput replays one input through the core and compares its effects with the recorded
+// digest.
 func (p *player) playInput(in *recorder.Input, wall time.Time) error {
 	result := p.result
 	result.Inputs++
@@ -220,8 +225,8 @@
 	return nil
 }
 
-// ParseTime reads a point in time: RFC 3339, or a duration after the first input, which
-// came at first. "" is the zero time.
+// ParseTime parses a point in time: a time in RFC 3339, or a duration after first, the time
+// of the first input. "" is the zero time.
 func ParseTime(s string, first time.Time) (time.Time, error) {
 	if s == "" {
 		return time.Time{}, nil
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -19,9 +19,10 @@
 	"silvergate/internal/recorder"
 )
 
-// TestMergeOrdersEventsByRevision draws the events of several nodes whose clocks differ:
-// the merged story keeps each node's order, and none knows of a revision before it is
-// made.
+// TestMergeOrdersEventsByRevision guards against merged timelines in which effects precede
+// their causes because the nodes' clocks differ. With random events of several nodes, the
+// merged timeline must keep each node's order, and no event may know of a revision before
+// the event that committed it.
 func TestMergeOrdersEventsByRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 4).Draw(t, "nodes")
@@ -54,7 +55,7 @@
 			}
 			next[n]++
 			if event.AppliedRevision > made {
-				t.Fatalf("%v comes before revision %d is made", event, made+1)
+				t.Fatalf("%v comes before revision %d is committed", event, made+1)
 			}
 			made = max(made, event.CommittedRevision)
 		}
@@ -66,8 +67,8 @@
 	})
 }
 
-// writeRecording makes a recording of a controller that claims a machine and tells it to kill a
-// task that no record knows, against replies written here.
+// writeRecording records a controller that claims a machine and tells it to kill a task that
+// has no record. The replies to the controller's calls are made up here.
 func writeRecording(t *testing.T, o recorder.Options) {
 	t.Helper()
 	cfg := &config.Settings{Node: "n0", Zone: "a", Operator: config.DefaultOperator()}
@@ -132,8 +133,9 @@
 	}
 }
 
-// TestExplainMachineAndTask replays a recording of several segments and looks for what
-// the story must say of a machine and of a task that no record knows.
+// TestExplainMachineAndTask replays a recording of several segments. The explanation must
+// cover a machine and a task that has no record. The replay must also work without the end
+// of the recording, and Open must refuse a recording without its beginning.
 func TestExplainMachineAndTask(t *testing.T) {
 	dir := t.TempDir()
 	writeRecording(t, recorder.Options{Dir: dir, Max: 1 << 20, Segment: 2 << 10, Flush: 2 * time.Second})
@@ -150,7 +152,7 @@
 		t.Fatal(err)
 	}
 	if r.Inputs < 600 || r.Different > 0 || r.Torn {
-		t.Errorf("%+v", r)
+		t.Errorf("the replay returned %+v", r)
 	}
 	var text string
 	for _, event := range r.Story {
@@ -159,14 +161,15 @@
 	for _, want := range []string{"hears i-000001, session 1, tally 1, token 0: attempt 1 running", "sends a transaction on it", "i-000001 is ours, token",
 		"its transaction made revision", "kill attempt 1"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the story lacks %q:\n%s", want, text)
+			t.Errorf("the timeline lacks %q:\n%s", want, text)
 		}
 	}
 	if len(r.Known) != 2 || !strings.Contains(r.Known[1], "nothing is known") {
-		t.Errorf("known then: %q", r.Known)
+		t.Errorf("known at 1s: %q", r.Known)
 	}
 
-	// The process was killed while it wrote the last frame; then the beginning is lost.
+	// First the last frame is cut off, as if the process was killed while it wrote the frame.
+	// Then the first segment is lost.
 	last := incarnations[0].Files[len(incarnations[0].Files)-1]
 	raw, err := os.ReadFile(last)
 	if err != nil {
@@ -177,36 +180,37 @@
 	}
 	torn, err := incarnations[0].Play(Options{})
 	if err != nil || !torn.Torn || torn.Inputs >= r.Inputs || torn.Different > 0 {
-		t.Errorf("after a kill: %+v, %v", torn, err)
+		t.Errorf("with the last frame cut off: %+v, %v", torn, err)
 	}
 	if err := os.Remove(incarnations[0].Files[0]); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open([]string{dir}); err == nil || !strings.Contains(err.Error(), "from its beginning") {
-		t.Errorf("without a beginning: %v", err)
+		t.Errorf("without the first segment Open returned %v", err)
 	}
 }
 
-// TestParseTime reads what operators may write.
+// TestParseTime parses the times that operators may write.
 func TestParseTime(t *testing.T) {
 	first := time.Unix(1000, 0)
 	for in, want := range map[string]time.Time{"": {}, "90.5s": first.Add(90500 * time.Millisecond), "2026-12-01T06:00:00Z": time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)} {
 		if got, err := ParseTime(in, first); err != nil || !got.Equal(want) {
-			t.Errorf("%q is %v, %v", in, got, err)
+			t.Errorf("%q is parsed as %v, %v", in, got, err)
 		}
 	}
 	if _, err := ParseTime("yesterday", first); err == nil {
-		t.Error("yesterday is a time")
+		t.Error("\"yesterday\" was accepted as a time")
 	}
 }
 
-// TestOpenNamesInvalidFile opens a file that is no recording.
+// TestOpenNamesInvalidFile guards against an error that does not name the file that is not a
+// recording.
 func TestOpenNamesInvalidFile(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "x.rec")
 	if err := os.WriteFile(f, []byte("something else, and long enough for a header"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open([]string{f}); err == nil || !strings.Contains(err.Error(), f) {
-		t.Errorf("%v", err)
+		t.Errorf("Open returned %v", err)
 	}
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -138,10 +138,10 @@
 	}
 	for range l.wake {
 		l.mu.Lock()
-		queued := l.queue
+		messages := l.queue
 		l.queue = nil
 		l.mu.Unlock()
-		if err := send(queued); err != nil && c != nil {
+		if err := send(messages); err != nil && c != nil {
 			c.Close()
 			c = nil
 		}
