--- a/internal/losses/event.go
+++ b/internal/losses/event.go
@@ -11,32 +11,32 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Messages of the log lines that tell the steps of an attempt.
+// Messages of the log lines that mark the steps of an attempt.
 const (
-	Evidence = "evidence" // its end is known; the reason says how
-	Ended    = "ended"    // its end is committed
+	Evidence = "evidence" // the attempt's end is known; the reason says how
+	Ended    = "ended"    // the end is committed
 	Placing  = "placing"  // the task has a machine
-	Bound    = "bound"    // that is committed
-	Launch   = "launch"   // the machine is told
-	Began    = "began"    // the first heartbeat that shows it running
+	Bound    = "bound"    // the placement is committed
+	Launch   = "launch"   // the command to start the task goes to the machine
+	Began    = "began"    // the first heartbeat shows the task running
 )
 
-// Reasons of an end beside those that workers report: the proofs of internal/fencing.
+// Reasons of an end that workers don't report: the proofs of internal/fencing.
 const (
-	LeaseExpired   = "lease"   // the lease ran out after our last answer
+	LeaseExpired   = "lease"   // the lease expired after the controller's last answer
 	NewerEpoch     = "session" // the machine reports a later epoch
 	MachineDeleted = "cloud"   // the machine is deleted, or listed as failed
-	NotListed      = "absent"  // a newer heartbeat lacks what is not wanted any more
+	NotListed      = "absent"  // a newer heartbeat does not list an attempt that is no longer wanted
 )
 
-// Reasons that workers report of a loss.
+// Reasons of a loss that workers report.
 const (
 	reasonError = "error" // the task failed
 	reasonPeers = "peers" // another member of its gang was lost
 )
 
-// isLoss tells whether the reason of an end is no act of ours and no completion of the task:
-// what is stopped or done is not lost.
+// isLoss reports whether an attempt that ended for a reason is lost. An attempt that
+// completed or that the controllers stopped is not lost.
 func isLoss(reason string) bool {
 	switch reason {
 	case LeaseExpired, NewerEpoch, MachineDeleted, reasonError, reasonPeers:
@@ -45,24 +45,25 @@
 	return false
 }
 
-// Event is a line of a log that matters here.
+// Event is a log line that marks a step of an attempt.
 type Event struct {
-	At       time.Duration // from the first line on, or as the line's own offset says
+	At       time.Duration // since the first line, or the offset in front of the line
 	Msg      string
 	Task     string // job/index
 	Attempt  int
 	Class    string
 	Reason   string
-	Done     bool          // it completed
-	Silent   time.Duration // since the machine was last heard
+	Done     bool          // the task completed
+	Silent   time.Duration // since the machine's last heartbeat
 	Priority int
 }
 
-// maxLine is the longest line that is looked at, in bytes; longer ones are passed over.
+// maxLine is the length of the longest line that is parsed, in bytes. Longer lines are
+// skipped.
 const maxLine = 1 << 20
 
-// Read takes a log. Lines that it does not know are passed over. The error is that of
-// in, with the line at which it came.
+// Read reads a log and adds its events. It skips other lines. It returns read errors of in
+// with the number of the line.
 func (r *Reader) Read(in io.Reader) error {
 	buffered := bufio.NewReaderSize(in, 64<<10)
 	for {
@@ -79,7 +80,7 @@
 	}
 }
 
-// readLine reads a line; it is "" if the line is too long.
+// readLine reads a line. It returns "" for a line that is longer than maxLine.
 func readLine(in *bufio.Reader) (string, error) {
 	var line []byte
 	tooLong := false
@@ -102,9 +103,9 @@
 	}
 }
 
-// Parse reads a line: slog's text, with or without an offset in seconds and the
-// controller's name in front. ok is whether it is an event. Earlier versions named the
-// attributes otherwise; both names are read.
+// Parse parses a line in slog's text format, which an offset in seconds and the controller's
+// name may precede. ok reports whether the line is an event. Parse also accepts the attribute
+// names of earlier versions.
 func (r *Reader) Parse(line string) (e Event, ok bool) {
 	r.lines++
 	offset, record, hasOffset := cutOffset(line)
@@ -132,10 +133,12 @@
 	return e, d.Err() == nil && e.Task != "" && e.Msg != ""
 }
 
-// maxOffset is the largest number in front of a line, in seconds, that is taken for an offset.
+// maxOffset bounds the offset in front of a line, in seconds. A larger number is not an
+// offset.
 const maxOffset = 1e9
 
-// cutOffset splits a line into the offset in front of it, if it has one, and slog's record.
+// cutOffset splits a line into the offset in front of it and slog's record. ok reports
+// whether the line has an offset.
 func cutOffset(line string) (offset time.Duration, record string, ok bool) {
 	record = strings.TrimSpace(line)
 	if fields := strings.Fields(record); len(fields) > 0 {
@@ -150,10 +153,11 @@
 	return offset, record, ok
 }
 
-// maxSilentMS bounds the silence that a line tells, in milliseconds.
+// maxSilentMS is the longest silence that a line may give, in milliseconds.
 const maxSilentMS = 1e9
 
-// setAttribute takes an attribute of a line, by its name or that of earlier versions.
+// setAttribute sets the field for an attribute of a line. It also knows the attribute names
+// of earlier versions.
 func (e *Event) setAttribute(key, value string) {
 	switch key {
 	case "msg":
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,31 +1,32 @@
-// Package losses tells where the time of lost tasks went: from the moment a task
-// was last heard of until it runs again, step by step, out of the controllers'
-// debug logs. It answers, after an incident, how much of that time was
-// the protocol's, the machines' and the images', and how much was ours.
+// Package losses computes from the controllers' debug logs how long lost tasks took to run
+// again: the time from when a task was last heard of until it runs again, split into steps.
+// After an incident it shows how much of that time was due to the protocol, the machines and
+// the images, and how much to the controllers.
 //
-// It holds what it has read and nothing else: logs go in line by line, a report comes
-// out. The steps' names are the messages that the core writes.
+// A Reader reads logs line by line and makes a report. It uses no other data. The steps are
+// marked by log messages of the controller's core.
 package losses
 
 import "time"
 
-// Step is a part of the way from a loss to the next start.
+// Step is a part of the time between a loss and the task's next start.
 type Step int
 
-// Steps, in their order, and what bounds each of them. Steps is how many there are.
+// Steps in their order, with what each one waits for and what bounds it. Steps is the number
+// of steps.
 const (
-	Detect    Step = iota // last heard of until evidence: the protocol's, but for a cloud's answer that was asked for late
-	Commit                // evidence until its end is committed: the state service's budget
-	Placement             // until there is a machine for it: room, or work that went before
-	Bind                  // until that is committed: the state service's budget
-	Dispatch              // until the machine is told
-	Startup               // until it is seen running: image, inputs, and the wait for the heartbeat
+	Detect    Step = iota // from last heard of to evidence of the end: the protocol, unless the cloud was asked late
+	Commit                // until the end is committed: the state service's budget
+	Placement             // until there is a machine for the task: room, or work that goes first
+	Bind                  // until the placement is committed: the state service's budget
+	Dispatch              // until the command to start the task goes to the machine
+	Startup               // until the task is seen running: image, inputs, and the wait for the heartbeat
 	Steps     = 6
 )
 
 var stepNames = [Steps]string{"evidence", "commit ending", "room", "commit start", "tell", "image"}
 
-// String is the step's name in reports, "unknown" for a value that is none.
+// String returns the step's name in reports, or "unknown" for a value that is not a step.
 func (s Step) String() string {
 	if s < 0 || s >= Steps {
 		return "unknown"
@@ -33,19 +34,19 @@
 	return stepNames[s]
 }
 
-// Loss is one lost attempt and its way back.
+// Loss is one lost attempt and the steps until its task ran again.
 type Loss struct {
 	Task, Class, Reason string
 	Priority            int
-	LastHeard           time.Duration        // last heard of
-	Took                [Steps]time.Duration // by step
-	Restarted           bool                 // it runs again; else the log ends, or the job, before
-	// Confirmed: something followed from the evidence. A controller that is cut off
-	// judges leases that peers keep up, and can't commit what it finds.
+	LastHeard           time.Duration        // when the task was last heard of
+	Took                [Steps]time.Duration // duration of each step
+	Restarted           bool                 // the task ran again before the log or the job ended
+	// Confirmed reports whether another step followed the evidence. A controller that is
+	// cut off sees leases expire that its peers keep renewed, but can't commit the ends.
 	Confirmed bool
 }
 
-// End is when the task ran again, or when it was last heard of here.
+// End returns when the task ran again or, if it did not, when its last completed step ended.
 func (l *Loss) End() time.Duration {
 	until := l.LastHeard
 	for _, took := range l.Took {
@@ -54,28 +55,29 @@
 	return until
 }
 
-// EarliestRestart is when the task would have run again had its end and its start been
-// committed, and room been there, at once: what is left is the evidence that the
-// protocol asks for and the image on the machine that it got.
+// EarliestRestart returns when the task would have run again if there had been room at once,
+// and if its end and its start had been committed at once. What remains is the time to get
+// the evidence that the protocol requires, and the time to start on the assigned machine.
 func (l *Loss) EarliestRestart() time.Duration { return l.LastHeard + l.Took[Detect] + l.Took[Startup] }
 
-// Reader takes lines and keeps the losses. Use NewReader.
+// Reader reads log lines and collects the losses. Use NewReader.
 type Reader struct {
-	first      time.Time            // of the first line
+	first      time.Time            // time of the first line
 	recovering map[string]*recovery // by task
 	lost       []*Loss
-	lines      int
-	lastEvent  time.Duration // of all events
+	lines      int           // number of lines read
+	lastEvent  time.Duration // time of the latest event
 }
 
-// recovery is the way back of a lost task that does not run yet.
+// recovery is the state of a lost task that does not run again yet.
 type recovery struct {
 	loss      *Loss
-	step      Step          // the one under way
-	stepStart time.Duration // when that began
+	step      Step          // the current step
+	stepStart time.Duration // when the current step began
 }
 
-// advance ends the step under way and begins another that comes after it.
+// advance ends the current step at the given time and begins step to. It does nothing if to
+// is not after the current step.
 func (w *recovery) advance(to Step, at time.Duration) {
 	if w.step < Commit || w.step >= to {
 		return
@@ -84,14 +86,14 @@
 	w.step, w.stepStart, w.loss.Confirmed = to, at, true
 }
 
-// NewReader makes a Reader that has read nothing.
+// NewReader returns a Reader that has read nothing.
 func NewReader() *Reader { return &Reader{recovering: map[string]*recovery{}} }
 
-// nextSteps is the step that begins with a message.
+// nextSteps maps each message to the step that begins with it.
 var nextSteps = map[string]Step{Ended: Placement, Placing: Bind, Bound: Dispatch, Launch: Startup, Began: Steps}
 
-// Add takes an event. Events of several controllers may come in any order that
-// keeps each task's own.
+// Add adds an event. Events of several controllers may be added in any order that keeps the
+// order of each task's events.
 func (r *Reader) Add(e Event) {
 	r.lastEvent = max(r.lastEvent, e.At)
 	if e.Msg == Evidence {
@@ -110,7 +112,7 @@
 	}
 }
 
-// addEvidence takes that an attempt's end is known.
+// addEvidence handles an event that says that an attempt's end is known.
 func (r *Reader) addEvidence(e Event) {
 	if e.Done {
 		delete(r.recovering, e.Task)
@@ -120,7 +122,7 @@
 		return
 	}
 	if w := r.recovering[e.Task]; w != nil && w.step == Commit {
-		return // told again
+		return // the same evidence again
 	}
 	loss := &Loss{Task: e.Task, Class: e.Class, Reason: e.Reason, Priority: e.Priority, LastHeard: e.At - e.Silent}
 	loss.Took[Detect] = e.Silent
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// logLine writes a line as a controller does, at so many milliseconds, with the offset
-// of a bench in front if wanted.
+// logLine returns a log line as a controller writes it ms milliseconds after the start of the
+// log. withOffset puts an offset in front, as benchmarks do.
 func logLine(ms int, withOffset bool, rest string) string {
 	at := time.Date(2026, 1, 1, 6, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
 	line := fmt.Sprintf("time=%s level=DEBUG node=n1 %s\n", at, rest)
@@ -21,8 +21,9 @@
 	return line
 }
 
-// exampleLog has a service's task that is lost and runs again, and a batch job's tasks of which
-// one is done, one stopped, one lost for good, and one whose loss is never committed.
+// exampleLog returns a log of a service's task that is lost and runs again, and of four tasks
+// of a batch job: one completes, one is stopped, one is lost and never runs again, and one is
+// lost but its end is never committed.
 func exampleLog(withOffset bool) string {
 	var out strings.Builder
 	out.WriteString(logLine(0, withOffset, "msg=serving"))
@@ -40,7 +41,7 @@
 		{20_000, `msg=evidence load=wk-000009/1 try=1 stoker=i-3 class=arr urgency=0 why=stopped done=false silentMs=0`},
 		{21_000, `msg=evidence load=wk-000009/2 try=1 stoker=i-3 class=arr urgency=0 why=lease done=false silentMs=500`},
 		{21_500, `msg=ended load=wk-000009/2 try=1 stoker=i-3 class=arr urgency=0 why=lease done=false silentMs=500`},
-		{22_000, `msg=evidence load=wk-000009/3 try=1 stoker=i-3 class=arr urgency=0 why=lease done=false silentMs=500`}, // by one that is cut off
+		{22_000, `msg=evidence load=wk-000009/3 try=1 stoker=i-3 class=arr urgency=0 why=lease done=false silentMs=500`}, // by a controller that is cut off
 		{23_600, `msg=began load=wk-000001/2 try=2 stoker=i-2`},
 	} {
 		out.WriteString(logLine(line.ms, withOffset, line.rest))
@@ -76,16 +77,17 @@
 			}
 			want := [Steps]float64{Detect: 4, Commit: 1, Placement: 2, Bind: 0.5, Dispatch: 0.1, Startup: 10}
 			if fmt.Sprintf("%.3f", got[0].Seconds) != fmt.Sprintf("%.3f", want) {
-				t.Errorf("steps %v, not %v", got[0].Seconds, want)
+				t.Errorf("the steps take %v, want %v", got[0].Seconds, want)
 			}
 			if later := r.Report(15 * time.Second); len(later) != 1 || later[0].Class != "arr" {
-				t.Errorf("from 15 s on: %+v", later)
+				t.Errorf("the report from 15 s on is %+v", later)
 			}
 		})
 	}
 }
 
-// TestWorstSpan: the service's task is lost from 6 s on and runs again at 23.6 s.
+// TestWorstSpan looks for the worst window of the example log, in which the service's task is
+// lost at 6 s and runs again at 23.6 s.
 func TestWorstSpan(t *testing.T) {
 	const unchecked = -1
 	for _, c := range []struct {
@@ -100,10 +102,10 @@
 			t.Run(fmt.Sprintf("%s, offset %v", c.name, withOffset), func(t *testing.T) {
 				_, seconds, minSeconds := readExample(t, withOffset).Worst("svc", c.span)
 				if !near(seconds, c.seconds) {
-					t.Errorf("%v task-seconds, want %v", seconds, c.seconds)
+					t.Errorf("%v task-seconds lost, want %v", seconds, c.seconds)
 				}
 				if c.minSeconds != unchecked && !near(minSeconds, c.minSeconds) {
-					t.Errorf("%v task-seconds at the least, want %v", minSeconds, c.minSeconds)
+					t.Errorf("%v task-seconds lost with the earliest restart, want %v", minSeconds, c.minSeconds)
 				}
 			})
 		}
@@ -112,8 +114,9 @@
 
 func near(got, want float64) bool { return math.Abs(got-want) < 0.1 }
 
-// TestStepsAddUp draws histories: however many steps a log shows, and which it
-// lacks, a loss that came back took as long as from when it was last heard of to its start.
+// TestStepsAddUp guards against time that no step counts, or that two steps count, when a log
+// lacks lines. In random histories the steps of a loss whose task ran again must add up to
+// the time from when the task was last heard of to its restart.
 func TestStepsAddUp(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := NewReader()
@@ -138,7 +141,7 @@
 		}
 		for i, l := range r.lost {
 			if !l.Restarted || l.LastHeard != want[i].from || l.End() != want[i].to {
-				rt.Fatalf("%+v, not %+v", l, want[i])
+				rt.Fatalf("the loss is %+v, want %+v", l, want[i])
 			}
 		}
 	})
@@ -155,7 +158,7 @@
 		}
 		for _, l := range r.lost {
 			if l.End() < l.LastHeard {
-				t.Fatalf("%+v", l)
+				t.Fatalf("the loss ends before it begins: %+v", l)
 			}
 		}
 		r.Report(0)
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -6,22 +6,21 @@
 	"time"
 )
 
-// Summary is a class and reason in the report. Seconds are summed over its losses; all
-// three lists go by step.
+// Summary summarizes the losses of one class for one reason. Seconds are summed over the
+// losses. Seconds, Median and P95 are indexed by step.
 type Summary struct {
 	Class     string         `json:"class"`
 	Reason    string         `json:"why"`
 	Priority  int            `json:"urgency"`
 	Lost      int            `json:"lost"`
-	Restarted int            `json:"back"` // run again
+	Restarted int            `json:"back"` // number of lost tasks that ran again
 	Seconds   [Steps]float64 `json:"seconds"`
 	Median    [Steps]float64 `json:"median"`
 	P95       [Steps]float64 `json:"p95"`
 }
 
-// Report sums up, the highest priority first. Losses from the time on alone are
-// counted, and only such as are confirmed; those that never ran again count as they
-// stand.
+// Report summarizes the confirmed losses of tasks that were last heard of at or after from,
+// highest priority first. For tasks that did not run again it counts the completed steps.
 func (r *Reader) Report(from time.Duration) []Summary {
 	type key struct{ class, reason string }
 	groups := map[key][]*Loss{}
@@ -41,7 +40,7 @@
 	return summaries
 }
 
-// summarize sums up the losses of a class for a reason, of which there is one at least.
+// summarize summarizes the losses of a class for a reason. There must be at least one.
 func summarize(class, reason string, losses []*Loss) Summary {
 	s := Summary{Class: class, Reason: reason, Priority: losses[0].Priority, Lost: len(losses)}
 	for _, l := range losses {
@@ -62,8 +61,9 @@
 	return s
 }
 
-// Worst is the span of the given length in which most of a class's time was
-// lost, how many task-seconds that were, and how many at the least (see Loss.Least).
+// Worst finds the time window of length span in which a class lost the most task-seconds. It
+// returns the window's start, the task-seconds lost in it, and minSeconds, those that would
+// have been lost in it with the earliest possible restarts (see Loss.EarliestRestart).
 func (r *Reader) Worst(class string, span time.Duration) (from time.Duration, seconds, minSeconds float64) {
 	for at := time.Duration(0); at <= r.lastEvent; at += time.Second {
 		lost, minLost := r.lostWithin(class, at, at+span)
@@ -74,8 +74,8 @@
 	return from, seconds, minSeconds
 }
 
-// lostWithin is how many task-seconds of a class were lost between two times, and how many at
-// the least.
+// lostWithin returns how many task-seconds of a class were lost between two times, and how
+// many would have been lost with the earliest possible restarts.
 func (r *Reader) lostWithin(class string, from, to time.Duration) (seconds, minSeconds float64) {
 	for _, l := range r.lost {
 		if l.Class != class || !l.Confirmed {
