--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -24,7 +24,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Names in an authority's folder, and in a party's.
+// File names in an authority's folder and in a party's.
 const (
 	authorityKey  = "authority.key"
 	authorityFile = "authority.crt"
@@ -34,30 +34,31 @@
 	certFile      = "cert.pem"
 )
 
-// RevokedFile is the list of revocations in an authority's folder, and in a
+// RevokedFile is the file name of the list of revocations in an authority's folder and in a
 // party's.
 const RevokedFile = "revoked.crl"
 
-// Lifetimes of what is issued.
+// Validity of certificates.
 const (
 	authorityLifetime = 10 * 365 * 24 * time.Hour
-	// DefaultLifetime is a certificate's lifetime unless another is asked for.
+	// DefaultLifetime is a certificate's lifetime if Issue is called without one.
 	DefaultLifetime = 30 * 24 * time.Hour
-	// ClockSkew is how much earlier than issued a certificate holds: clocks differ.
+	// ClockSkew is how long before its issue a certificate becomes valid, because clocks
+	// differ.
 	ClockSkew = 5 * time.Minute
 )
 
-// Authority issues a site's certificates. Its folder must be nobody else's to
-// read; whoever holds the key can be anyone on the site.
+// Authority issues a site's certificates. Nobody but its owner may be able to read its
+// folder: with the key in it one can take any identity of the site.
 type Authority struct {
 	dir  string
 	cert *x509.Certificate
 	key  crypto.Signer
-	// Now is the day's clock.
+	// Now returns the time of day.
 	Now func() time.Time
 }
 
-// Issued is a certificate on record.
+// Issued is the record of an issued certificate.
 type Issued struct {
 	Serial    string    `json:"serial"`
 	Identity  string    `json:"identity"`
@@ -66,8 +67,8 @@
 	Revoked   bool      `json:"revoked,omitempty"`
 }
 
-// Init makes a site's authority in a folder that has none; the error is
-// fs.ErrExist if it has one.
+// Init creates a site's authority in a folder. The error wraps fs.ErrExist if the folder has
+// an authority already.
 func Init(dir, site string, now time.Time) (*Authority, error) {
 	if !ValidName(site) {
 		return nil, fmt.Errorf("site %.40q: not a name of letters, digits, '-', '_' and '.'", site)
@@ -81,7 +82,7 @@
 	}
 	defer unlock()
 	if _, err := os.Stat(filepath.Join(dir, authorityFile)); err == nil {
-		return nil, fmt.Errorf("%s has an authority already: %w", dir, fs.ErrExist)
+		return nil, fmt.Errorf("%s already has an authority: %w", dir, fs.ErrExist)
 	}
 	pub, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -98,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The certificate is last: a folder without it has no authority yet.
+	// The certificate is written last: a folder without it has no authority yet.
 	if err := writeKey(filepath.Join(dir, authorityKey), key); err != nil {
 		return nil, err
 	}
@@ -115,11 +116,11 @@
 	return a, err
 }
 
-// Open takes the authority in a folder.
+// Open opens the authority in a folder.
 func Open(dir string) (*Authority, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, authorityFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s has no authority; make one with silvergate certs init: %w", dir, err)
+		return nil, fmt.Errorf("%s has no authority; create one with silvergate certs init: %w", dir, err)
 	}
 	cert, err := parseCert(raw)
 	if err != nil {
@@ -130,18 +131,18 @@
 		return nil, err
 	}
 	if pub, ok := key.Public().(ed25519.PublicKey); !ok || !pub.Equal(cert.PublicKey) {
-		return nil, fmt.Errorf("%s: not the key of %s", filepath.Join(dir, authorityKey), authorityFile)
+		return nil, fmt.Errorf("%s: the key does not belong to %s", filepath.Join(dir, authorityKey), authorityFile)
 	}
 	return &Authority{dir: dir, cert: cert, key: key, Now: time.Now}, nil
 }
 
-// Site is the name of the site whose authority it is.
+// Site returns the name of the authority's site.
 func (a *Authority) Site() string { return a.cert.Subject.Organization[0] }
 
-// Issue writes a new certificate and key for a party into a folder, beside the
-// site's own certificate and its revocations. What was there is replaced: the
-// party goes on with the new one without a restart. It says nothing of addresses:
-// who serves is judged by identity. A lifetime of 0 is DefaultLifetime.
+// Issue writes a new certificate and key for a party into a folder, together with the
+// authority's certificate and the list of revocations. It replaces older files: a running
+// party uses the new certificate without a restart. The certificate contains no addresses:
+// clients verify a server by its identity. A lifetime of 0 means DefaultLifetime.
 func (a *Authority) Issue(who Identity, to string, lifetime time.Duration) (Issued, error) {
 	if who.Site == "" {
 		who.Site = a.Site()
@@ -150,7 +151,7 @@
 		return Issued{}, err
 	}
 	if who.Site != a.Site() {
-		return Issued{}, fmt.Errorf("this is the authority of %s, not of %s", a.Site(), who.Site)
+		return Issued{}, fmt.Errorf("the authority is for site %s, not for site %s", a.Site(), who.Site)
 	}
 	if lifetime <= 0 {
 		lifetime = DefaultLifetime
@@ -164,7 +165,8 @@
 	if err != nil {
 		return Issued{}, err
 	}
-	// On record before it can be used: what is not on record can't be revoked.
+	// The certificate is recorded before it can be used: one without a record can't be
+	// revoked.
 	if err := a.appendIssued(issued); err != nil {
 		return Issued{}, err
 	}
@@ -174,7 +176,7 @@
 	return issued, nil
 }
 
-// sign makes a key and a certificate for a party, in DER.
+// sign makes a key for a party and a signed certificate, in DER.
 func (a *Authority) sign(who Identity, lifetime time.Duration) (issued Issued, der []byte, key ed25519.PrivateKey, err error) {
 	pub, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -203,8 +205,8 @@
 	return issued, der, key, nil
 }
 
-// writeParty writes a party's files: the site's certificate, the revocations, and
-// the party's own certificate with its key.
+// writeParty writes a party's files: the authority's certificate, the list of revocations,
+// and the party's own certificate with its key.
 func (a *Authority) writeParty(to string, der []byte, key ed25519.PrivateKey) error {
 	if err := os.MkdirAll(to, 0o700); err != nil {
 		return err
@@ -213,8 +215,8 @@
 	if err != nil {
 		return err
 	}
-	// Key and certificate are one file's contents, so that no reader ever sees
-	// the one without the other.
+	// Key and certificate go into one file, so that no reader ever sees a key without its
+	// certificate, or the reverse.
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
@@ -232,8 +234,8 @@
 	return nil
 }
 
-// Ensure issues a certificate into a folder unless one is there that has more than
-// a third of its lifetime left.
+// Ensure issues a certificate into a folder, unless the folder has one for the same identity
+// with more than a third of its lifetime left.
 func (a *Authority) Ensure(who Identity, to string) error {
 	who.Site = a.Site()
 	if c, err := readCert(filepath.Join(to, certFile)); err == nil {
@@ -246,7 +248,7 @@
 	return err
 }
 
-// appendIssued appends a line to the list of what was issued, and syncs it.
+// appendIssued appends a record to the list of issued certificates and syncs the file.
 func (a *Authority) appendIssued(issued Issued) error {
 	raw, err := json.Marshal(issued)
 	if err != nil {
@@ -257,7 +259,7 @@
 		return err
 	}
 	defer f.Close()
-	// A line that a crash cut off has no end; the next must not continue it.
+	// If a crash cut off the last line, the new record must not continue that line.
 	if end, err := f.Seek(0, 2); err == nil && end > 0 {
 		last := make([]byte, 1)
 		if _, err := f.ReadAt(last, end-1); err == nil && last[0] != '\n' {
@@ -270,7 +272,7 @@
 	return f.Sync()
 }
 
-// List tells what was issued, the oldest first.
+// List returns the issued certificates, oldest first.
 func (a *Authority) List() ([]Issued, error) {
 	raw, err := os.ReadFile(filepath.Join(a.dir, issuedFile))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -287,7 +289,7 @@
 	out := []Issued{}
 	for sc := bufio.NewScanner(bytes.NewReader(raw)); sc.Scan(); {
 		var i Issued
-		if json.Unmarshal(sc.Bytes(), &i) == nil { // a cut line was never used
+		if json.Unmarshal(sc.Bytes(), &i) == nil { // the certificate of a line that was cut off was never handed out
 			i.Revoked = revoked[i.Serial]
 			out = append(out, i)
 		}
@@ -295,11 +297,11 @@
 	return out, nil
 }
 
-// ErrUnknown is returned for a certificate that was never issued here.
-var ErrUnknown = errors.New("no such certificate was issued here")
+// ErrUnknown is returned for a certificate that the authority never issued.
+var ErrUnknown = errors.New("the authority issued no such certificate")
 
-// Revoke puts certificates on the list of revocations: the one with that serial
-// number, or all of the identity with that name. It returns how many were added.
+// Revoke adds certificates to the list of revocations: the one with the given serial number,
+// or all of the given identity. It returns how many it added.
 func (a *Authority) Revoke(serialOrIdentity string) (int, error) {
 	unlock, err := lock(a.dir)
 	if err != nil {
@@ -366,7 +368,7 @@
 		return nil, fmt.Errorf("list of revocations: %w", err)
 	}
 	if l.Number == nil || !l.Number.IsInt64() {
-		return nil, errors.New("list of revocations: it has no number")
+		return nil, errors.New("list of revocations: its number is missing or too large")
 	}
 	return l, nil
 }
@@ -374,7 +376,7 @@
 func parseCert(raw []byte) (*x509.Certificate, error) {
 	b, _ := pem.Decode(raw)
 	if b == nil || b.Type != "CERTIFICATE" {
-		return nil, errors.New("no certificate in it")
+		return nil, errors.New("the file contains no PEM certificate")
 	}
 	return x509.ParseCertificate(b.Bytes)
 }
@@ -406,7 +408,7 @@
 	return writePEM(path, "PRIVATE KEY", der, 0o600)
 }
 
-// readKey reads a key and refuses one that others can read.
+// readKey reads a private key. It refuses a file that others can read.
 func readKey(path string) (crypto.Signer, error) {
 	raw, err := ReadPrivate(path)
 	if err != nil {
@@ -414,7 +416,7 @@
 	}
 	b, _ := pem.Decode(raw)
 	if b == nil {
-		return nil, fmt.Errorf("%s: no key in it", path)
+		return nil, fmt.Errorf("%s: the file contains no PEM key", path)
 	}
 	k, err := x509.ParsePKCS8PrivateKey(b.Bytes)
 	if err != nil {
@@ -422,12 +424,13 @@
 	}
 	s, ok := k.(crypto.Signer)
 	if !ok {
-		return nil, fmt.Errorf("%s: not a key that signs", path)
+		return nil, fmt.Errorf("%s: the key can't sign", path)
 	}
 	return s, nil
 }
 
-// ReadPrivate reads a file, up to a megabyte, that must be its owner's alone.
+// ReadPrivate reads a file, at most its first megabyte. It refuses a file to which others
+// than its owner have access.
 func ReadPrivate(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -439,7 +442,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: others can read it (mode %o); make it 0600", path, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: others than the owner have access (mode %o); set its mode to 0600", path, info.Mode().Perm())
 	}
 	raw := make([]byte, min(info.Size(), 1<<20))
 	n, err := f.ReadAt(raw, 0)
@@ -449,7 +452,8 @@
 	return raw, nil
 }
 
-// lock keeps two commands from changing an authority at once.
+// lock locks an authority's folder, so that two commands can't change it at once. The
+// returned function unlocks it.
 func lock(dir string) (func(), error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -15,9 +15,9 @@
 	"silvergate/internal/goldentest"
 )
 
-// The golden folders were written by an earlier build: a site's authority, which has
-// issued three certificates at goldenTime and revoked one, and the folders of two
-// parties. The keys in them are those of no site.
+// The golden folders were written by an earlier build: the folder of a site's authority,
+// which issued three certificates at goldenTime and revoked one, and the folders of two
+// parties. No real site uses the keys in them.
 const (
 	goldenAuthority = "testdata/golden/authority"
 	goldenNode      = "testdata/golden/node"    // node/one
@@ -26,8 +26,8 @@
 
 var goldenTime = time.Date(2026, 1, 5, 6, 0, 0, 0, time.UTC)
 
-// copyPrivate copies a folder and makes its files their owner's alone, as they were
-// written: a checkout does not keep that.
+// copyPrivate copies a folder and makes the files readable by their owner only, as they were
+// written. A checkout does not keep these modes.
 func copyPrivate(t *testing.T, from string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), filepath.Base(from))
@@ -78,13 +78,14 @@
 	}
 	authority.Now = func() time.Time { return goldenTime.Add(time.Minute) }
 	if authority.Site() != "valley" {
-		t.Errorf("the site is %s", authority.Site())
+		t.Errorf("the site is %s, want valley", authority.Site())
 	}
 	list, err := authority.List()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The list is written as it was, but for the revocation, which is of another file.
+	// The records must be encoded as in the golden list. Revoked is reset first because
+	// revocations are stored in another file.
 	var rewritten bytes.Buffer
 	for i, want := range []struct {
 		identity string
@@ -92,7 +93,7 @@
 		revoked  bool
 	}{{"node/one", 30 * 24 * time.Hour, false}, {"customer/office/baker", time.Hour, true}, {"agent/machine-9", 2 * time.Hour, false}} {
 		if i >= len(list) {
-			t.Fatalf("%d certificates are listed", len(list))
+			t.Fatalf("%d certificates are listed, want 3", len(list))
 		}
 		issued := list[i]
 		if issued.Identity != want.identity || issued.Revoked != want.revoked || !issued.NotBefore.Equal(goldenTime.Add(-5*time.Minute)) || !issued.NotAfter.Equal(goldenTime.Add(want.life)) {
@@ -106,53 +107,53 @@
 		rewritten.Write(append(raw, '\n'))
 	}
 	if stored := goldentest.Read(t, goldenAuthority+"/issued.jsonl"); !bytes.Equal(rewritten.Bytes(), stored) {
-		t.Errorf("the list is written as\n%s, not\n%s", rewritten.Bytes(), stored)
+		t.Errorf("the list is written as\n%s, want\n%s", rewritten.Bytes(), stored)
 	}
 	for i, from := range []string{goldenNode, goldenRevoked} {
 		if serial := goldenCertificate(t, from).SerialNumber.Text(16); list[i].Serial != serial {
-			t.Errorf("the serial number is listed as %s, not %s", list[i].Serial, serial)
+			t.Errorf("the serial number is listed as %s, want %s", list[i].Serial, serial)
 		}
 	}
 
-	// It goes on: what it revokes now is known to who has the earlier list.
+	// The authority can still revoke: a party that has the earlier list accepts the new one.
 	keeper := openKeeper(t, goldenNode)
 	if added, err := authority.Revoke(list[0].Serial); err != nil || added != 1 {
-		t.Fatalf("%d revoked: %v", added, err)
+		t.Fatalf("%d certificates revoked, want 1: %v", added, err)
 	}
 	revocations, err := authority.RevocationList()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if newer, err := keeper.Learn(revocations); err != nil || !newer {
-		t.Errorf("the new list is newer: %v, %v", newer, err)
+		t.Errorf("Learn of the new list returned %v, %v", newer, err)
 	}
 	if _, err := keeper.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, ErrRevoked) {
-		t.Errorf("a certificate that is revoked now: %v", err)
+		t.Errorf("Verify of a certificate that is now revoked returned %v", err)
 	}
 }
 
 func TestGoldenParty(t *testing.T) {
 	keeper := openKeeper(t, goldenNode)
 	if self := keeper.Me().String(); self != "node/one" {
-		t.Errorf("its certificate is of %s", self)
+		t.Errorf("the certificate is of %s, want node/one", self)
 	}
 	who, err := keeper.Verify(goldenCertificate(t, goldenNode))
 	if err != nil || who != keeper.Me() {
-		t.Errorf("its certificate is judged as %s: %v", who, err)
+		t.Errorf("Verify of the own certificate returned %s, %v", who, err)
 	}
 	if who, err := ReadIdentity(goldenRevoked); err != nil || who.String() != "customer/office/baker" {
-		t.Errorf("the other certificate is of %s: %v", who, err)
+		t.Errorf("ReadIdentity of the other folder returned %s, %v", who, err)
 	}
 	// The party's own list is older than the revocation.
 	revoked := goldenCertificate(t, goldenRevoked)
 	if who, err := keeper.Verify(revoked); err != nil || who.String() != "customer/office/baker" {
-		t.Errorf("before the revocation is known: %s, %v", who, err)
+		t.Errorf("before the revocation is known Verify returned %s, %v", who, err)
 	}
 	if newer, err := keeper.Learn(goldentest.Read(t, goldenAuthority+"/revoked.crl")); err != nil || !newer {
-		t.Errorf("the authority's list is newer: %v, %v", newer, err)
+		t.Errorf("Learn of the authority's list returned %v, %v", newer, err)
 	}
 	if _, err := keeper.Verify(revoked); !errors.Is(err, ErrRevoked) {
-		t.Errorf("when the revocation is known: %v", err)
+		t.Errorf("when the revocation is known Verify returned %v", err)
 	}
 	for _, test := range []struct {
 		name string
@@ -166,7 +167,7 @@
 	} {
 		keeper.Now = func() time.Time { return test.now }
 		if _, err := keeper.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, not %v", test.name, err, test.want)
+			t.Errorf("%s: Verify returned %v, want %v", test.name, err, test.want)
 		}
 	}
 }
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,12 +1,13 @@
-// Package identity is a site's small authority: it issues certificates to the
-// parts and people of a site, and says of a connection who is at its other end.
+// Package identity is a site's small certificate authority. It issues certificates to the
+// components and users of a site, and authenticates the other end of a connection.
 //
-// An Identity is who somebody is; it is the one URI in a certificate's subject
-// alternative names. An Authority owns a folder with the site's key, the list of
-// what was issued and the revocations. A Keeper owns one party's certificate: it
-// reads it again when it changes on disk, keeps the newest revocations it hears
-// of, and makes TLS configurations that accept nobody without a certificate of
-// the site. A refusal is logged with its reason, and answered without.
+// An Identity names a party, a component or a user. It is the only URI in the subject
+// alternative names of the party's certificate. An Authority manages a folder with the
+// site's key, the list of issued certificates and the list of revocations. A Keeper manages
+// one party's certificate: it rereads the certificate when the file changes, keeps the newest
+// list of revocations that it receives, and makes TLS configurations that accept only parties
+// with a certificate of the site. A refusal is logged with its reason, but the other end does
+// not learn the reason.
 package identity
 
 import (
@@ -16,7 +17,7 @@
 	"strings"
 )
 
-// Kind is what somebody is to a site.
+// Kind is the role of a party in a site.
 type Kind string
 
 // Kinds of parties.
@@ -24,27 +25,27 @@
 	Node     Kind = "node"     // an archive node
 	Agent    Kind = "agent"    // a machine's agent, by the machine's name
 	Operator Kind = "operator" // a person who may read everything
-	Team     Kind = "team"     // whoever may read what belongs to a team
+	Team     Kind = "team"     // a reader of all that belongs to a team
 	Customer Kind = "customer" // a customer of a team
 )
 
-// Scheme is the scheme of identities' URIs.
+// Scheme is the scheme of identity URIs.
 const Scheme = "silvergate"
 
-// Identity is who a certificate was issued to.
+// Identity is the party that a certificate was issued to.
 type Identity struct {
 	Site string
 	Kind Kind
-	// Name is the party's own; a team's and a customer's is the team's name.
+	// Name is the party's name. For a team and for a customer it is the team's name.
 	Name string
-	// Customer is the customer's name within the team, for customers alone.
+	// Customer is the customer's name within the team, for customers only.
 	Customer string
 }
 
-// maxName bounds names: they stand in keys and file names.
+// maxName is the largest length of a name in bytes: names are used in keys and file names.
 const maxName = 100
 
-// ValidName tells whether s can name a site, a party, a team or a customer.
+// ValidName reports whether s is a valid name for a site, a party, a team or a customer.
 func ValidName(s string) bool {
 	if s == "" || len(s) > maxName || s[0] == '.' || s[0] == '-' {
 		return false
@@ -58,7 +59,7 @@
 	return true
 }
 
-// Check names the first part that can't be.
+// Check returns an error that names the first invalid part, or nil if the identity is valid.
 func (i Identity) Check() error {
 	switch {
 	case !ValidName(i.Site):
@@ -69,7 +70,7 @@
 	switch i.Kind {
 	case Node, Agent, Operator, Team:
 		if i.Customer != "" {
-			return fmt.Errorf("a %s has no customer's name", i.Kind)
+			return fmt.Errorf("a %s must not have a customer's name", i.Kind)
 		}
 	case Customer:
 		if !ValidName(i.Customer) {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// URI is how the identity stands in a certificate.
+// URI returns the identity as it is written in a certificate.
 func (i Identity) URI() *url.URL {
 	p := "/" + string(i.Kind) + "/" + i.Name
 	if i.Kind == Customer {
@@ -90,12 +91,12 @@
 	return &url.URL{Scheme: Scheme, Host: i.Site, Path: p}
 }
 
-// String is kind/name, or customer/team/customer: how people write it.
+// String returns the identity as people write it: KIND/NAME, or customer/TEAM/CUSTOMER.
 func (i Identity) String() string { return strings.TrimPrefix(i.URI().Path, "/") }
 
-var errURI = errors.New("not an identity: it has the form " + Scheme + "://SITE/KIND/NAME")
+var errURI = errors.New("not an identity, which has the form " + Scheme + "://SITE/KIND/NAME")
 
-// ParseURI reads an identity; there is one way to write each.
+// ParseURI parses the URI of an identity. Each identity has only one valid spelling.
 func ParseURI(u *url.URL) (Identity, error) {
 	var i Identity
 	if u == nil {
@@ -112,14 +113,14 @@
 	if err := i.Check(); err != nil {
 		return Identity{}, err
 	}
-	// Guards against a second spelling: escapes, a user, a query, a fragment.
+	// Guards against other spellings: with escapes, a user, a query or a fragment.
 	if i.URI().String() != u.String() || u.User != nil || u.RawPath != "" {
 		return Identity{}, errURI
 	}
 	return i, nil
 }
 
-// Parse reads what String wrote, for a site.
+// Parse parses an identity of a site in the form that String returns.
 func Parse(site, s string) (Identity, error) {
 	f := strings.Split(s, "/")
 	if len(f) < 2 || len(f) > 3 {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -35,7 +35,7 @@
 	return a
 }
 
-// newParty issues a certificate and opens it.
+// newParty issues a certificate and returns a Keeper for it.
 func newParty(t *testing.T, a *Authority, who string, log io.Writer) *Keeper {
 	t.Helper()
 	i, err := Parse(a.Site(), who)
@@ -54,7 +54,8 @@
 	return k
 }
 
-// startServer answers who asks.
+// startServer starts a server that answers each request with the identity of its sender. It
+// returns the server's URL.
 func startServer(t *testing.T, k *Keeper) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -91,8 +92,8 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: cfg}, Timeout: 10 * time.Second}
 }
 
-// TestRefusedCertificates guards against connections of anybody who is not of the site
-// now, and against answers that say why.
+// TestRefusedCertificates guards against accepted connections of clients without a currently
+// valid certificate of the site, and against refusals that tell the client the reason.
 func TestRefusedCertificates(t *testing.T) {
 	a, other := newAuthority(t, "valley"), newAuthority(t, "valley") // the same name, another key
 	var log bytes.Buffer
@@ -102,7 +103,7 @@
 	if who, err := get(client(good.Dial(Node, "one")), url); err != nil || who != "customer/office/baker" {
 		t.Fatalf("%q, %v", who, err)
 	}
-	forged := func(change func(c *x509.Certificate)) *tls.Config { // signed by the site's authority, for something it would not issue
+	forged := func(change func(c *x509.Certificate)) *tls.Config { // signed with the authority's key, but not as Issue would
 		pub, key, _ := ed25519.GenerateKey(rand.Reader)
 		u, _ := parseURIs("silvergate://valley/operator/eve")
 		c := &x509.Certificate{SerialNumber: big.NewInt(7), NotBefore: startTime.Add(-time.Hour), NotAfter: startTime.Add(time.Hour),
@@ -143,30 +144,30 @@
 	} {
 		log.Reset()
 		cfg := c.cfg.Clone()
-		cfg.VerifyConnection = nil // this client takes any server
+		cfg.VerifyConnection = nil // this client accepts any server
 		_, err := get(client(cfg), url)
 		if err == nil {
-			t.Errorf("%s: answered", c.name)
+			t.Errorf("%s: the request was answered", c.name)
 			continue
 		}
 		for _, word := range []string{"expired", "revoked", "authority", "certificate holds", "silvergate"} {
 			if strings.Contains(err.Error(), word) {
-				t.Errorf("%s: the answer says why: %v", c.name, err)
+				t.Errorf("%s: the client learns the reason: %v", c.name, err)
 			}
 		}
 		if c.reason != nil && !strings.Contains(log.String(), c.reason.Error()) {
-			t.Errorf("%s: not in the log: %s", c.name, log.String())
+			t.Errorf("%s: the reason is not in the log: %s", c.name, log.String())
 		}
 	}
 	if _, err := http.Get(strings.Replace(url, "https:", "http:", 1)); err == nil {
 		if r, _ := http.Get(strings.Replace(url, "https:", "http:", 1)); r.StatusCode != http.StatusBadRequest {
-			t.Errorf("a plain connection is answered: %s", r.Status)
+			t.Errorf("a request without TLS is answered with %s", r.Status)
 		}
 	}
-	// A client wants the party that it asked for.
+	// A client accepts only the party that it asked for.
 	for _, d := range []*tls.Config{good.Dial(Node, "two"), good.Dial(Agent, "one")} {
 		if _, err := get(client(d), url); err == nil {
-			t.Error("the wrong party is taken")
+			t.Error("the client accepts another party than it asked for")
 		}
 	}
 }
@@ -176,8 +177,9 @@
 	return []*url.URL{u}, err
 }
 
-// TestRevocationEndsConnections guards against a connection that goes on after
-// what it was accepted with was revoked, or has expired.
+// TestRevocationEndsConnections guards against connections that are still served after the
+// client's certificate was revoked or has expired, and against lists of revocations that are
+// old, badly signed or lost at a restart.
 func TestRevocationEndsConnections(t *testing.T) {
 	a := newAuthority(t, "valley")
 	node := newParty(t, a, "node/one", io.Discard)
@@ -195,7 +197,7 @@
 	if _, err := a.Revoke("operator/bob"); !errors.Is(err, ErrUnknown) {
 		t.Fatal(err)
 	}
-	if _, err := get(c, url); err != nil { // not heard of yet
+	if _, err := get(c, url); err != nil { // the node does not know of the revocation yet
 		t.Fatal(err)
 	}
 	list, _ := a.RevocationList()
@@ -214,16 +216,16 @@
 		t.Fatal(newer, err)
 	}
 	if newer, err := node.Learn(old); newer || err != nil {
-		t.Error("an older list replaces a newer one", newer, err)
+		t.Error("an older list replaced a newer one", newer, err)
 	}
 	bad := bytes.Clone(list)
 	bad[len(bad)-1] ^= 1
 	if _, err := node.Learn(bad); err == nil {
-		t.Error("a list with another signature is taken")
+		t.Error("a list with a wrong signature was accepted")
 	}
 	reopened, err := NewKeeper(node.dir, node.log)
 	if err != nil || !bytes.Equal(reopened.Revocations(), list) {
-		t.Error("what was learnt is not kept", err)
+		t.Error("the list of revocations was not written to disk", err)
 	}
 	late := client(newParty(t, a, "operator/cat", io.Discard).Dial(Node, ""))
 	late.Transport.(*http.Transport).TLSClientConfig.VerifyConnection = nil
@@ -236,8 +238,8 @@
 	}
 }
 
-// TestRenewal guards against a renewal that needs a restart, and against another
-// party's certificate in its place.
+// TestRenewal guards against a renewal that needs a restart, and against a party that takes
+// over another identity, or uses a key that others can read.
 func TestRenewal(t *testing.T) {
 	a := newAuthority(t, "valley")
 	node := newParty(t, a, "node/one", io.Discard)
@@ -258,22 +260,23 @@
 	}
 	reissue(Node, "two")
 	if node.own.Load().Leaf.SerialNumber.Cmp(second) != 0 || node.Me().Name != "one" {
-		t.Error("it has become somebody else")
+		t.Error("the node uses another party's certificate")
 	}
 	if err := os.Chmod(filepath.Join(node.dir, certFile), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := NewKeeper(node.dir, node.log); err == nil || !strings.Contains(err.Error(), "0600") {
-		t.Errorf("a key that others can read is taken: %v", err)
+		t.Errorf("a key that others can read was accepted: %v", err)
 	}
 }
 
-// TestAuthorityFolder guards against a second authority in a folder, against
-// what a crash leaves in the list, and against certificates that aren't on it.
+// TestAuthorityFolder guards against a second authority in a folder, against records that are
+// lost because a crash cut off the line before them, against certificates for other sites,
+// and against an authority with another one's key.
 func TestAuthorityFolder(t *testing.T) {
 	a := newAuthority(t, "valley")
 	if _, err := Init(a.dir, "valley", startTime); !errors.Is(err, os.ErrExist) {
-		t.Errorf("made twice: %v", err)
+		t.Errorf("a second Init returned %v", err)
 	}
 	newParty(t, a, "agent/m-1", io.Discard)
 	f, err := os.OpenFile(filepath.Join(a.dir, issuedFile), os.O_APPEND|os.O_WRONLY, 0)
@@ -285,10 +288,10 @@
 	newParty(t, a, "agent/m-2", io.Discard)
 	all, err := a.List()
 	if err != nil || len(all) != 2 || all[1].Identity != "agent/m-2" {
-		t.Errorf("%v, %v", all, err)
+		t.Errorf("List returned %v, %v", all, err)
 	}
 	if _, err := a.Issue(Identity{Site: "hill", Kind: Node, Name: "x"}, t.TempDir(), 0); err == nil {
-		t.Error("issued for another site")
+		t.Error("a certificate for another site was issued")
 	}
 	b := newAuthority(t, "hill")
 	raw, _ := os.ReadFile(filepath.Join(b.dir, authorityKey))
@@ -296,12 +299,12 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(a.dir); err == nil {
-		t.Error("an authority with another's key is opened")
+		t.Error("an authority with another authority's key was opened")
 	}
 }
 
-// TestIdentitiesHaveOneSpelling draws identities and checks that they are read as
-// they were written.
+// TestIdentitiesHaveOneSpelling guards against identities that are parsed differently than
+// they were written, with random identities.
 func TestIdentitiesHaveOneSpelling(t *testing.T) {
 	name := rapid.StringMatching(`[a-zA-Z0-9_][a-zA-Z0-9_.-]{0,30}`)
 	rapid.Check(t, func(t *rapid.T) {
@@ -314,16 +317,16 @@
 			t.Fatal(err)
 		}
 		if got, err := ParseURI(u); err != nil || got != i {
-			t.Fatalf("%s: %+v, %v", u, got, err)
+			t.Fatalf("%s is parsed as %+v, %v", u, got, err)
 		}
 		if got, err := Parse(i.Site, i.String()); err != nil || got != i {
-			t.Fatalf("%s: %+v, %v", i, got, err)
+			t.Fatalf("%s is parsed as %+v, %v", i, got, err)
 		}
 	})
 }
 
-// FuzzIdentity guards against certificates whose names read as two parties: what
-// is read must be written the same way.
+// FuzzIdentity guards against two spellings of one identity: a URI that ParseURI accepts must
+// be the one that the identity is written as.
 func FuzzIdentity(f *testing.F) {
 	for _, s := range []string{"silvergate://a/node/b", "silvergate://a/customer/b/c", "silvergate://a/operator/b?x", "silvergate://u@a/node/b", "silvergate://a/node/b/../c", "silvergate://a/node/%62", "SILVERGATE://a/node/b"} {
 		f.Add(s)
@@ -338,12 +341,13 @@
 			return
 		}
 		if i.Check() != nil || i.URI().String() != u.String() {
-			t.Errorf("%q is read as %+v", s, i)
+			t.Errorf("%q is parsed as %+v", s, i)
 		}
 	})
 }
 
-// FuzzCertificate has certificates read from damaged files.
+// FuzzCertificate guards against panics on damaged certificates and lists of revocations, and
+// against lists without a valid signature.
 func FuzzCertificate(f *testing.F) {
 	a, err := Init(filepath.Join(f.TempDir(), "authority"), "valley", startTime)
 	if err != nil {
@@ -356,7 +360,7 @@
 			_, _ = certIdentity(c)
 		}
 		if l, err := parseRevocationList(list, a.cert); err == nil && l.CheckSignatureFrom(a.cert) != nil {
-			t.Error("a list that is not signed is taken")
+			t.Error("a list without a valid signature was accepted")
 		}
 	})
 }
--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -16,44 +16,45 @@
 	"github.com/google/renameio/v2"
 )
 
-// Reasons for which Judge, and with it every connection and request, refuses
-// somebody. They are logged and not sent to the other end.
+// Reasons for which Verify, and with it each connection and request, refuses the other end.
+// They are logged and not sent to the other end.
 var (
-	// ErrNoCertificate is returned when the other end has shown no certificate.
+	// ErrNoCertificate is returned when the other end has sent no certificate.
 	ErrNoCertificate = errors.New("no certificate")
 	// ErrForeign is returned for a certificate that another authority has signed,
 	// or that names another site.
-	ErrForeign = errors.New("its certificate is not of this site's authority")
-	// ErrExpired is returned for a certificate after its time.
-	ErrExpired = errors.New("its certificate is expired")
-	// ErrNotYetValid is returned for a certificate before its time.
-	ErrNotYetValid = errors.New("its certificate does not hold yet")
+	ErrForeign = errors.New("the certificate is not from this site's authority")
+	// ErrExpired is returned for a certificate that is no longer valid.
+	ErrExpired = errors.New("the certificate is expired")
+	// ErrNotYetValid is returned for a certificate that is not valid yet.
+	ErrNotYetValid = errors.New("the certificate is not valid yet")
 	// ErrRevoked is returned for a certificate on the list of revocations.
-	ErrRevoked = errors.New("its certificate is revoked")
-	// ErrMalformed is returned for a certificate without exactly one identity.
-	ErrMalformed = errors.New("its certificate names nobody")
-	// ErrWrongParty is returned by a connection to a party of another kind or name than
-	// was dialled.
-	ErrWrongParty = errors.New("it is not what is expected here")
+	ErrRevoked = errors.New("the certificate is revoked")
+	// ErrMalformed is returned for a certificate without exactly one valid identity.
+	ErrMalformed = errors.New("the certificate does not name one valid identity")
+	// ErrWrongParty is returned for a connection to a party of another kind or name than the
+	// client asked for.
+	ErrWrongParty = errors.New("the other end is not the expected party")
 )
 
-// Keeper holds one party's certificate and what it must know to judge others'.
-// It is safe for concurrent use.
+// Keeper holds one party's certificate, and the authority's certificate and the list of
+// revocations with which it verifies other parties' certificates. It is safe for concurrent
+// use.
 type Keeper struct {
 	dir   string
 	log   *slog.Logger
 	self  Identity
 	root  *x509.Certificate
 	roots *x509.CertPool
-	// Now is the day's clock.
+	// Now returns the time of day.
 	Now func() time.Time
 
 	own     atomic.Pointer[tls.Certificate]
 	revoked atomic.Pointer[revocations]
 
-	mu        sync.Mutex // of reading again
+	mu        sync.Mutex // held while files are reread or written
 	lastCheck time.Time
-	modTimes  map[string]time.Time // times of change, by file
+	modTimes  map[string]time.Time // modification times, by file
 }
 
 type revocations struct {
@@ -62,11 +63,11 @@
 	serials map[string]bool
 }
 
-// reloadInterval is how often the files are looked at: a renewal and a revocation
-// that comes by file are effective within it.
+// reloadInterval is the shortest time between two checks for changed files. A renewed
+// certificate or a list of revocations in a file takes effect within it.
 const reloadInterval = time.Second
 
-// NewKeeper takes the certificate in a folder that Authority.Issue wrote.
+// NewKeeper returns a Keeper for the certificate in a folder that Authority.Issue wrote.
 func NewKeeper(dir string, log *slog.Logger) (*Keeper, error) {
 	k := &Keeper{dir: dir, log: log, Now: time.Now, modTimes: map[string]time.Time{}}
 	raw, err := os.ReadFile(filepath.Join(dir, authorityFile))
@@ -77,7 +78,7 @@
 		return nil, fmt.Errorf("%s: %w", filepath.Join(dir, authorityFile), err)
 	}
 	if len(k.root.Subject.Organization) != 1 {
-		return nil, fmt.Errorf("%s: not an authority's certificate", filepath.Join(dir, authorityFile))
+		return nil, fmt.Errorf("%s: not a certificate of an authority", filepath.Join(dir, authorityFile))
 	}
 	k.roots = x509.NewCertPool()
 	k.roots.AddCert(k.root)
@@ -90,7 +91,7 @@
 	return k, nil
 }
 
-// Me is whose certificate it is.
+// Me returns the identity that the certificate was issued to.
 func (k *Keeper) Me() Identity { return k.self }
 
 func (k *Keeper) readOwn() error {
@@ -113,7 +114,7 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	if k.self != (Identity{}) && who != k.self {
-		return fmt.Errorf("%s: it was %s and is now %s", path, k.self, who)
+		return fmt.Errorf("%s: the identity changed from %s to %s", path, k.self, who)
 	}
 	k.self = who
 	k.own.Store(&c)
@@ -129,7 +130,8 @@
 	return err
 }
 
-// updateRevocations goes on with a list of revocations if it is newer than what is known.
+// updateRevocations replaces the list of revocations by raw if that is newer. newer reports
+// whether it is.
 func (k *Keeper) updateRevocations(raw []byte) (newer bool, err error) {
 	l, err := parseRevocationList(raw, k.root)
 	if err != nil {
@@ -150,18 +152,18 @@
 	}
 }
 
-// Revocations is the newest list that is known, for others: it is signed, so it
-// does not matter from whom one has it.
+// Revocations returns the newest known list of revocations, to be sent to other parties. The
+// list is signed, so it does not matter which party it comes from.
 func (k *Keeper) Revocations() []byte {
 	k.reloadChanged()
 	return k.revoked.Load().raw
 }
 
-// MaxRevocations bounds a list of revocations, in bytes.
+// MaxRevocations is the largest size of a list of revocations, in bytes.
 const MaxRevocations = 4 << 20
 
-// Learn takes a list of revocations from anybody, and keeps it on disk if it is
-// newer than what was known.
+// Learn replaces the list of revocations by raw, which any party may have sent, and writes it
+// to disk if it is newer than the known one. newer reports whether it is.
 func (k *Keeper) Learn(raw []byte) (newer bool, err error) {
 	if len(raw) > MaxRevocations {
 		return false, fmt.Errorf("list of revocations: larger than %d bytes", MaxRevocations)
@@ -170,13 +172,13 @@
 	if !newer || err != nil {
 		return newer, err
 	}
-	k.log.Info("newer list of revocations", "number", k.revoked.Load().number, "revoked", len(k.revoked.Load().serials))
+	k.log.Info("received a newer list of revocations", "number", k.revoked.Load().number, "revoked", len(k.revoked.Load().serials))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return true, renameio.WriteFile(filepath.Join(k.dir, revokedFile), raw, 0o644)
 }
 
-// reloadChanged reads files again that have changed.
+// reloadChanged rereads the files that have changed, at most once in reloadInterval.
 func (k *Keeper) reloadChanged() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -191,19 +193,19 @@
 	}{{certFile, k.readOwn}, {revokedFile, k.readRevoked}} {
 		info, err := os.Stat(filepath.Join(k.dir, f.name))
 		if err != nil {
-			continue // what was read before holds
+			continue // the contents that were read before stay in use
 		}
 		if was, ok := k.modTimes[f.name]; ok && was.Equal(info.ModTime()) {
 			continue
 		}
 		k.modTimes[f.name] = info.ModTime()
 		if err := f.read(); err != nil {
-			k.log.Error("a certificate's file can't be used; the earlier one holds", "file", f.name, "error", err)
+			k.log.Error("reading a changed certificate file failed; its earlier contents stay in use", "file", f.name, "error", err)
 		}
 	}
 }
 
-// certIdentity reads who a certificate was issued to.
+// certIdentity returns the identity that a certificate was issued to.
 func certIdentity(c *x509.Certificate) (Identity, error) {
 	if len(c.URIs) != 1 {
 		return Identity{}, ErrMalformed
@@ -215,8 +217,8 @@
 	return i, nil
 }
 
-// Verify says who a certificate belongs to, or why it counts for nothing now. It
-// is the one place where that is decided.
+// Verify returns the identity that a certificate belongs to, or why the certificate is not
+// accepted now. All such decisions are made here.
 func (k *Keeper) Verify(c *x509.Certificate) (Identity, error) {
 	if c == nil {
 		return Identity{}, ErrNoCertificate
@@ -228,7 +230,7 @@
 	case now.After(c.NotAfter):
 		return Identity{}, ErrExpired
 	}
-	// The time is judged above, each way with its own reason.
+	// The validity period is checked above, where each side has an error of its own.
 	if _, err := c.Verify(x509.VerifyOptions{Roots: k.roots, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}); err != nil {
 		return Identity{}, fmt.Errorf("%w: %w", ErrForeign, err)
 	}
@@ -243,7 +245,7 @@
 	return who, err
 }
 
-// verifyConnection judges the other end of a connection.
+// verifyConnection verifies the certificate of the other end of a connection.
 func (k *Keeper) verifyConnection(s *tls.ConnectionState) (Identity, error) {
 	if s == nil || len(s.PeerCertificates) == 0 {
 		return Identity{}, ErrNoCertificate
@@ -251,8 +253,10 @@
 	return k.Verify(s.PeerCertificates[0])
 }
 
-// tlsConfig is what both ends share. The library's own check of the chain is not
-// used: it would tell the other end what is wrong with its certificate.
+// tlsConfig returns the TLS configuration that clients and servers share. check decides
+// whether a verified identity is accepted, and where describes the other end in logs. The
+// library's verification of the certificate chain is not used: it would tell the other end
+// what is wrong with its certificate.
 func (k *Keeper) tlsConfig(check func(Identity) error, where string) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -283,13 +287,13 @@
 
 var errRefused = errors.New("refused")
 
-// Serve is the TLS configuration of a server that talks to everybody of the site.
+// Serve returns the TLS configuration of a server that accepts all parties of the site.
 func (k *Keeper) Serve() *tls.Config {
 	return k.tlsConfig(func(Identity) error { return nil }, "a client")
 }
 
-// Dial is that of a client which wants to reach a party of that kind; with a
-// name, that one and no other.
+// Dial returns the TLS configuration of a client that accepts only servers of the given kind
+// and, if name is not empty, only the server with that name.
 func (k *Keeper) Dial(kind Kind, name string) *tls.Config {
 	return k.tlsConfig(func(who Identity) error {
 		if who.Kind != kind || name != "" && who.Name != name {
@@ -299,8 +303,9 @@
 	}, string(kind)+"/"+name)
 }
 
-// Who says who sent a request, as of now: a connection outlives what it was
-// accepted with. The reason for a refusal is logged.
+// Who returns the identity that sent a request, and whether its certificate is valid now. It
+// verifies the certificate again because a connection may outlive the certificate with which
+// it was accepted. It logs the reason for a refusal.
 func (k *Keeper) Who(r *http.Request) (Identity, bool) {
 	who, err := k.verifyConnection(r.TLS)
 	if err != nil {
@@ -309,7 +314,7 @@
 	return who, err == nil
 }
 
-// ReadIdentity reads who the certificate in a folder was issued to.
+// ReadIdentity returns the identity that the certificate in a folder was issued to.
 func ReadIdentity(dir string) (Identity, error) {
 	c, err := readCert(filepath.Join(dir, certFile))
 	if err != nil {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -103,7 +103,8 @@
 			sequence++
 			r := protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000", MachineType: "small", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: token,
 				Tasks: []protocol.TaskStatus{{Task: "wk-700000/0", Attempt: 1, Status: protocol.TaskRunning}}}
-			pending = append(pending, recordedCore.Request(clock(), sequence, http.MethodPost, protocol.PathHeartbeat, protocol.Encode(r)).Calls...)
+			pending = append(pending,
+				recordedCore.Request(clock(), sequence, http.MethodPost, protocol.PathHeartbeat, protocol.Encode(r)).Calls...)
 		}
 		for len(pending) > 0 && rnd.IntN(3) > 0 {
 			k := pending[0]
