--- a/internal/replay/merge.go
+++ b/internal/replay/merge.go
@@ -1,43 +1,45 @@
 package replay
 
-// Merge makes one story of several, each of one incarnation and in its order. Events go
-// by the wall clocks, which may differ; where a node knows of a revision that another
-// node's transaction made, its event comes after that transaction's.
-func Merge(stories ...[]Event) []Event {
-	m := merger{stories: stories, next: make([]int, len(stories))}
+// Merge merges several timelines, each of one incarnation and in its order, into one. It
+// orders events by their wall clocks, which may differ between nodes. An event whose node
+// knows of a revision that another node's transaction made comes after the event of that
+// transaction.
+func Merge(timelines ...[]Event) []Event {
+	m := merger{timelines: timelines, next: make([]int, len(timelines))}
 	var merged []Event
 	for {
-		story := m.choose()
-		if story < 0 {
+		timeline := m.chooseTimeline()
+		if timeline < 0 {
 			return merged
 		}
-		merged = append(merged, *m.head(story))
-		m.next[story]++
+		merged = append(merged, *m.nextEvent(timeline))
+		m.next[timeline]++
 	}
 }
 
-// merger is a merge under way.
+// merger is the state of a merge.
 type merger struct {
-	stories [][]Event
-	next    []int // each story's first event that is not merged yet
+	timelines [][]Event
+	next      []int // for each timeline, the index of its first event that is not merged yet
 }
 
-// head is a story's next event.
-func (m *merger) head(story int) *Event { return &m.stories[story][m.next[story]] }
+// nextEvent returns the next event of a timeline.
+func (m *merger) nextEvent(timeline int) *Event { return &m.timelines[timeline][m.next[timeline]] }
 
-// choose is the story whose next event comes first, -1 if all have ended. Among those
-// that do not come too early it is the one with the earliest wall clock. If the clocks or
-// lost recordings leave only events that do, their wall clocks decide.
-func (m *merger) choose() int {
+// chooseTimeline returns the index of the timeline whose next event comes first, or -1 if
+// all have ended. It chooses the event with the earliest wall clock among those that are not
+// too early. If all are too early, because clocks differ or recordings are lost, it chooses
+// the one with the earliest wall clock.
+func (m *merger) chooseTimeline() int {
 	best, bestTooEarly := -1, false
-	for i := range m.stories {
-		if m.next[i] == len(m.stories[i]) {
+	for i := range m.timelines {
+		if m.next[i] == len(m.timelines[i]) {
 			continue
 		}
 		tooEarly := m.tooEarly(i)
 		switch {
 		case best < 0, bestTooEarly && !tooEarly:
-		case bestTooEarly == tooEarly && m.head(i).Wall.Before(m.head(best).Wall):
+		case bestTooEarly == tooEarly && m.nextEvent(i).Wall.Before(m.nextEvent(best).Wall):
 		default:
 			continue
 		}
@@ -46,12 +48,12 @@
 	return best
 }
 
-// tooEarly tells whether a story's next event knows of a revision whose transaction is
-// still to come in another story.
-func (m *merger) tooEarly(story int) bool {
-	known := m.head(story).AppliedRevision
-	for other := range m.stories {
-		if other == story {
+// tooEarly reports whether the next event of a timeline knows of a revision whose
+// transaction is still to come in another timeline.
+func (m *merger) tooEarly(timeline int) bool {
+	known := m.nextEvent(timeline).AppliedRevision
+	for other := range m.timelines {
+		if other == timeline {
 			continue
 		}
 		if revision := m.pendingRevision(other); revision > 0 && known >= revision {
@@ -61,9 +63,10 @@
 	return false
 }
 
-// pendingRevision is the next revision that a story's transactions make, 0 if none.
-func (m *merger) pendingRevision(story int) uint64 {
-	for _, event := range m.stories[story][m.next[story]:] {
+// pendingRevision returns the next revision that the remaining events of a timeline commit,
+// or 0 if there is none.
+func (m *merger) pendingRevision(timeline int) uint64 {
+	for _, event := range m.timelines[timeline][m.next[timeline]:] {
 		if event.CommittedRevision > 0 {
 			return event.CommittedRevision
 		}
