--- a/internal/stagebench/placement.go
+++ b/internal/stagebench/placement.go
@@ -11,23 +11,23 @@
 
 // schedule stages ahead and places the tasks that wait.
 func (s *sim) schedule() {
-	if s.way == Staging {
-		s.ahead()
-		if s.now >= s.tickAt {
-			s.tickAt = s.now + 1
-			s.planner.Tick(s.clock())
+	if s.strategy == Staging {
+		s.stageAnnounced()
+		if s.now >= s.nextTick {
+			s.nextTick = s.now + 1
+			s.planner.Tick(s.nowDuration())
 		}
 	}
-	s.urgent = s.drain(s.urgent)
-	s.other = s.drain(s.other)
+	s.waitingUrgent = s.placeWaiting(s.waitingUrgent)
+	s.waitingOther = s.placeWaiting(s.waitingOther)
 }
 
-// drain places what can be placed, the oldest first.
-func (s *sim) drain(q []*task) []*task {
+// placeWaiting places what can be placed, the oldest first.
+func (s *sim) placeWaiting(q []*task) []*task {
 	var rest []*task
 	misses := 0
 	for i, t := range q {
-		if misses > look { // nothing is free
+		if misses > maxCompared { // nothing is free
 			return append(rest, q[i:]...)
 		}
 		if !s.place(t) {
@@ -40,12 +40,12 @@
 
 // candidates are the machines that one decision compares for a task.
 type candidates struct {
-	free      *node         // has a free slot; nil: none
-	fetch     time.Duration // expected until the data is on it
-	lower     *node         // has a task that can be stopped; nil: none
-	lowerHere *node         // the same, and holds the data
-	wait      time.Duration // until a task ends on a machine that holds the data
-	stop      time.Duration // to stop a task on lowerHere
+	freeNode          *node         // has a free slot; nil: none
+	fetch             time.Duration // expected until the data is on it
+	preemptible       *node         // has a task that can be stopped; nil: none
+	preemptibleHolder *node         // the same, and holds the data
+	wait              time.Duration // until a task ends on a machine that holds the data
+	stop              time.Duration // to stop a task on lowerHere
 }
 
 // stopTime is how long it takes to stop a task.
@@ -54,33 +54,33 @@
 // place finds a machine for a task among those that one decision compares.
 func (s *sim) place(t *task) bool {
 	c := s.compare(t)
-	if s.way == Blind || s.way == Oracle || c.free != nil && c.fetch == 0 {
+	if s.strategy == Blind || s.strategy == Oracle || c.freeNode != nil && c.fetch == 0 {
 		return s.placeAnywhere(t, &c)
 	}
 	// Machines that hold the data may be better than a free one.
 	s.compareHolders(t, &c)
-	if c.free != nil && c.fetch == 0 {
-		s.begin(t, c.free, s.now)
+	if c.freeNode != nil && c.fetch == 0 {
+		s.assign(t, c.freeNode, s.now)
 		return true
 	}
 	fetch := c.fetch
-	if c.free == nil {
-		if fetch = staging.Never; c.lower != nil {
-			fetch = s.planner.Expect(s.clock(), c.lower.id, []staging.ID{t.copy}) + stopTime
+	if c.freeNode == nil {
+		if fetch = staging.Never; c.preemptible != nil {
+			fetch = s.planner.Expect(s.nowDuration(), c.preemptible.id, []staging.ID{t.input}) + stopTime
 		}
 	}
-	if t.since == 0 {
-		t.since = s.now
+	if t.waitingSince == 0 {
+		t.waitingSince = s.now
 	}
-	switch staging.Choose(fetch, c.wait, c.stop, time.Duration((s.now-t.since)*float64(time.Second))) {
+	switch staging.Choose(fetch, c.wait, c.stop, time.Duration((s.now-t.waitingSince)*float64(time.Second))) {
 	case staging.ClearThere:
-		s.evict(c.lowerHere)
-		s.begin(t, c.lowerHere, s.now+stopS)
+		s.preempt(c.preemptibleHolder)
+		s.assign(t, c.preemptibleHolder, s.now+stopS)
 		return true
 	case staging.WaitThere:
 		return false
 	}
-	if c.free == nil && fetch >= staging.Never {
+	if c.freeNode == nil && fetch >= staging.Never {
 		return false
 	}
 	return s.placeAnywhere(t, &c)
@@ -90,23 +90,23 @@
 // shortest fetch, and for a task that can be stopped.
 func (s *sim) compare(t *task) candidates {
 	c := candidates{fetch: staging.Never, wait: staging.Never, stop: staging.Never}
-	ids := []staging.ID{t.copy}
+	ids := []staging.ID{t.input}
 	start := s.random.IntN(len(s.nodes))
-	for i := 0; i < len(s.nodes) && i < look; i++ {
+	for i := 0; i < len(s.nodes) && i < maxCompared; i++ {
 		n := s.nodes[(start+i)%len(s.nodes)]
 		if len(n.tasks) < slots {
 			cost := time.Duration(0)
-			if s.way == Locality || s.way == Staging {
-				cost = s.planner.Expect(s.clock(), n.id, ids)
+			if s.strategy == Locality || s.strategy == Staging {
+				cost = s.planner.Expect(s.nowDuration(), n.id, ids)
 			}
-			if c.free == nil || cost < c.fetch {
-				c.free, c.fetch = n, cost
+			if c.freeNode == nil || cost < c.fetch {
+				c.freeNode, c.fetch = n, cost
 			}
 			if cost == 0 {
 				break
 			}
-		} else if t.urgent && c.lower == nil && victim(n) >= 0 {
-			c.lower = n
+		} else if t.urgent && c.preemptible == nil && cheapestVictim(n) >= 0 {
+			c.preemptible = n
 		}
 	}
 	return c
@@ -114,17 +114,17 @@
 
 // compareHolders looks at the machines that hold a task's data.
 func (s *sim) compareHolders(t *task, c *candidates) {
-	s.planner.Some(t.copy, func(id string) bool {
+	s.planner.Some(t.input, func(id string) bool {
 		n := s.byName[id]
 		if len(n.tasks) < slots {
-			c.free, c.fetch, c.wait = n, 0, 0
+			c.freeNode, c.fetch, c.wait = n, 0, 0
 			return false
 		}
-		if t.urgent && c.lowerHere == nil && victim(n) >= 0 {
-			c.lowerHere, c.stop = n, stopTime
+		if t.urgent && c.preemptibleHolder == nil && cheapestVictim(n) >= 0 {
+			c.preemptibleHolder, c.stop = n, stopTime
 		}
 		for _, o := range n.tasks {
-			c.wait = min(c.wait, time.Duration(o.left*float64(time.Second)))
+			c.wait = min(c.wait, time.Duration(o.remainingS*float64(time.Second)))
 		}
 		return true
 	})
@@ -133,44 +133,44 @@
 // placeAnywhere takes a free slot, or stops a task for one.
 func (s *sim) placeAnywhere(t *task, c *candidates) bool {
 	switch {
-	case c.free != nil:
-		s.begin(t, c.free, s.now)
-	case c.lower != nil:
-		s.evict(c.lower)
-		s.begin(t, c.lower, s.now+stopS)
+	case c.freeNode != nil:
+		s.assign(t, c.freeNode, s.now)
+	case c.preemptible != nil:
+		s.preempt(c.preemptible)
+		s.assign(t, c.preemptible, s.now+stopS)
 	default:
 		return false
 	}
 	return true
 }
 
-// victim is the task on a machine that loses least by being stopped, -1 if there
+// cheapestVictim is the task on a machine that loses least by being stopped, -1 if there
 // is none to stop.
-func victim(n *node) int {
+func cheapestVictim(n *node) int {
 	at := -1
 	for i, t := range n.tasks {
-		if !t.urgent && (at < 0 || t.run-t.left < n.tasks[at].run-n.tasks[at].left) {
+		if !t.urgent && (at < 0 || t.runS-t.remainingS < n.tasks[at].runS-n.tasks[at].remainingS) {
 			at = i
 		}
 	}
 	return at
 }
 
-func (s *sim) evict(n *node) {
-	i := victim(n)
+func (s *sim) preempt(n *node) {
+	i := cheapestVictim(n)
 	t := n.tasks[i]
 	n.tasks = slices.Delete(n.tasks, i, i+1)
-	s.other = append([]*task{t}, s.other...)
+	s.waitingOther = append([]*task{t}, s.waitingOther...)
 }
 
-// ahead stages for what was announced: the newest version, for as many machines
+// stageAnnounced stages for what was announced: the newest version, for as many machines
 // as its tasks will keep busy.
-func (s *sim) ahead() {
+func (s *sim) stageAnnounced() {
 	id := staging.ID(fmt.Sprintf("new-%d", s.data.version))
-	by := s.data.published[id] + lead
-	want := int(math.Ceil(spare * 0.1 * float64(s.options.Machines)))
+	by := s.data.published[id] + announceLeadS
+	want := int(math.Ceil(stagedPerNeeded * 0.1 * float64(s.options.Machines)))
 	a := staging.Announcement{Copy: id, By: time.Duration(by * float64(time.Second)), Machines: want}
-	if s.now > by+every/2 || s.clock() < a.Begin(copyBytes, machineBps, 2) {
+	if s.now > by+publishPeriodS/2 || s.nowDuration() < a.Begin(copyBytes, machineBps, 2) {
 		return
 	}
 	held, coming := s.planner.Holders(id)
@@ -179,15 +179,15 @@
 	}
 	var list []staging.Candidate
 	start := s.random.IntN(len(s.nodes))
-	for i := 0; i < len(s.nodes) && len(list) < look; i++ {
+	for i := 0; i < len(s.nodes) && len(list) < maxCompared; i++ {
 		n := s.nodes[(start+i)%len(s.nodes)]
-		if _, ok := n.held[id]; !ok && n.pulls[id] == nil {
+		if _, ok := n.copies[id]; !ok && n.fetches[id] == nil {
 			list = append(list, staging.Candidate{Machine: n.id})
 		}
 	}
-	for _, m := range staging.Place(list, want-held-coming, func(m string) time.Duration { return s.planner.Expect(s.clock(), m, []staging.ID{id}) }, func(string) bool { return false }) {
-		s.planner.Promise(s.clock(), m, id, staging.Urgent, "team", a.By)
+	for _, m := range staging.Place(list, want-held-coming, func(m string) time.Duration { return s.planner.Expect(s.nowDuration(), m, []staging.ID{id}) }, func(string) bool { return false }) {
+		s.planner.Promise(s.nowDuration(), m, id, staging.Urgent, "team", a.By)
 		n := s.byName[m]
-		n.wants[id], s.active[n] = true, true
+		n.ordered[id], s.active[n] = true, true
 	}
 }
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -42,22 +42,22 @@
 
 // Model figures, ratios to one another: a copy takes copyS at a machine's rate.
 const (
-	slots      = 4
-	machineBps = 100e6
-	copyBytes  = 1e9
-	serverBps  = 1.2e9
-	perServer  = 50   // machines for each file server; there are two at least
-	sets       = 60   // data sets that the others read
-	keeps      = 12   // copies that a machine holds
-	step       = 0.1  // seconds
-	stopS      = 0.5  // to stop a task
-	urgentRunS = 8.0  // mean run time of an urgent task
-	otherRunS  = 60.0 // and of the others
-	every      = 90.0 // seconds between two publications
-	lead       = 40.0 // from an announcement to the first task
-	aim        = 5.0  // seconds in which urgent tasks are to start
-	look       = 64   // machines that one decision compares
-	spare      = 2.0  // machines that are to hold what is announced, for each that its tasks fill
+	slots             = 4
+	machineBps        = 100e6
+	copyBytes         = 1e9
+	serverBps         = 1.2e9
+	machinesPerServer = 50   // machines for each file server; there are two at least
+	sets              = 60   // data sets that the others read
+	copiesPerMachine  = 12   // copies that a machine holds
+	stepS             = 0.1  // seconds
+	stopS             = 0.5  // to stop a task
+	urgentRunS        = 8.0  // mean run time of an urgent task
+	otherRunS         = 60.0 // and of the others
+	publishPeriodS    = 90.0 // seconds between two publications
+	announceLeadS     = 40.0 // from an announcement to the first task
+	startGoalS        = 5.0  // seconds in which urgent tasks are to start
+	maxCompared       = 64   // machines that one decision compares
+	stagedPerNeeded   = 2.0  // machines that are to hold what is announced, for each that its tasks fill
 )
 
 // Result is what came of a run.
@@ -76,53 +76,53 @@
 
 // task is a task that waits or runs.
 type task struct {
-	urgent  bool
-	copy    staging.ID
-	arrived float64
-	run     float64
-	left    float64
-	m       *node
-	ready   float64 // slot can be used from then on
-	started bool
-	since   float64
+	urgent       bool
+	input        staging.ID
+	arrivedAt    float64
+	runS         float64
+	remainingS   float64
+	node         *node
+	readyAt      float64 // slot can be used from then on
+	started      bool
+	waitingSince float64
 }
 
 // node is a machine.
 type node struct {
-	id    string
-	tasks []*task
-	held  map[staging.ID]float64 // last use
-	pulls map[staging.ID]*flow
-	wants map[staging.ID]bool // of the planner, until they are here
-	at    int
+	id      string
+	tasks   []*task
+	copies  map[staging.ID]float64 // last use
+	fetches map[staging.ID]*transfer
+	ordered map[staging.ID]bool // of the planner, until they are here
+	index   int
 }
 
-// flow is a fetch under way.
-type flow struct {
-	id     staging.ID
-	m      *node
-	left   float64
-	peer   *node
-	server int // -1: none
+// transfer is a fetch under way.
+type transfer struct {
+	id             staging.ID
+	node           *node
+	remainingBytes float64
+	peer           *node
+	server         int // -1: none
 }
 
 // sim is a simulated cluster.
 type sim struct {
-	options  Options
-	way      Way
-	random   *rand.Rand
-	now      float64
-	nodes    []*node
-	byName   map[string]*node
-	byAddr   map[string]*node
-	planner  *staging.Planner
-	urgent   []*task // that wait, the oldest first
-	other    []*task // that wait, the oldest first
-	flows    []*flow
-	active   map[*node]bool // with fetches of the planner
-	tickAt   float64        // when the planner's clock is next advanced
-	data     dataSets
-	measured measurements
+	options       Options
+	strategy      Way
+	random        *rand.Rand
+	now           float64
+	nodes         []*node
+	byName        map[string]*node
+	byAddress     map[string]*node
+	planner       *staging.Planner
+	waitingUrgent []*task // that wait, the oldest first
+	waitingOther  []*task // that wait, the oldest first
+	transfers     []*transfer
+	active        map[*node]bool // with fetches of the planner
+	nextTick      float64        // when the planner's clock is next advanced
+	data          dataSets
+	measured      measurements
 }
 
 // dataSets are the data sets of a simulation.
@@ -145,8 +145,8 @@
 // Run simulates one way.
 func Run(way Way, o Options) Result {
 	s := &sim{
-		options: o, way: way, random: rand.New(rand.NewPCG(o.Seed, 7)),
-		byName: map[string]*node{}, byAddr: map[string]*node{}, active: map[*node]bool{},
+		options: o, strategy: way, random: rand.New(rand.NewPCG(o.Seed, 7)),
+		byName: map[string]*node{}, byAddress: map[string]*node{}, active: map[*node]bool{},
 		data: dataSets{published: map[staging.ID]float64{}, servers: map[staging.ID][2]int{}},
 	}
 	cfg := staging.Config{Controllers: 1, ServerStreams: int(serverBps / machineBps), PeerStreams: 2, MachineStreams: 1, Rate: machineBps, Report: time.Second}
@@ -155,9 +155,9 @@
 	}
 	s.planner = staging.New(cfg, func([]staging.ID) string { return "" }, rand.New(rand.NewPCG(o.Seed, 8)))
 	for i := range o.Machines {
-		n := &node{id: fmt.Sprintf("m%05d", i), held: map[staging.ID]float64{}, pulls: map[staging.ID]*flow{}, wants: map[staging.ID]bool{}, at: i}
+		n := &node{id: fmt.Sprintf("m%05d", i), copies: map[staging.ID]float64{}, fetches: map[staging.ID]*transfer{}, ordered: map[staging.ID]bool{}, index: i}
 		s.nodes = append(s.nodes, n)
-		s.byName[n.id], s.byAddr["a"+n.id] = n, n
+		s.byName[n.id], s.byAddress["a"+n.id] = n, n
 		s.planner.Join(n.id, "z", "a"+n.id)
 	}
 	for i := range sets {
@@ -170,15 +170,15 @@
 	}
 	// Some copies are there at the start, as they would be.
 	for _, n := range s.nodes {
-		for range keeps / 2 {
-			s.arrive(n, s.pick())
+		for range copiesPerMachine / 2 {
+			s.addCopy(n, s.randomSet())
 		}
 	}
 	s.measured.bytes, s.measured.peerBytes = 0, 0
-	for s.now = 0; s.now < o.Seconds; s.now += step {
-		s.arrivals()
-		s.flow()
-		s.progress()
+	for s.now = 0; s.now < o.Seconds; s.now += stepS {
+		s.addArrivals()
+		s.moveBytes()
+		s.runTasks()
 		at := time.Now()
 		s.schedule()
 		s.measured.decisionTime += time.Since(at)
@@ -191,17 +191,17 @@
 func (s *sim) publish(id staging.ID) {
 	s.data.published[id] = s.now
 	// Two file servers have each version.
-	a := s.random.IntN(s.servers())
-	b := (a + 1 + s.random.IntN(s.servers()-1)) % s.servers()
+	a := s.random.IntN(s.serverCount())
+	b := (a + 1 + s.random.IntN(s.serverCount()-1)) % s.serverCount()
 	s.data.servers[id] = [2]int{a, b}
-	s.planner.SetCopy(s.clock(), staging.Copy{ID: id, Bytes: copyBytes, Servers: []string{fmt.Sprint("s", a), fmt.Sprint("s", b)}})
+	s.planner.SetCopy(s.nowDuration(), staging.Copy{ID: id, Bytes: copyBytes, Servers: []string{fmt.Sprint("s", a), fmt.Sprint("s", b)}})
 }
 
-func (s *sim) servers() int { return max(2, s.options.Machines/perServer) }
+func (s *sim) serverCount() int { return max(2, s.options.Machines/machinesPerServer) }
 
-func (s *sim) clock() time.Duration { return time.Duration(s.now * float64(time.Second)) }
+func (s *sim) nowDuration() time.Duration { return time.Duration(s.now * float64(time.Second)) }
 
-func (s *sim) pick() staging.ID {
+func (s *sim) randomSet() staging.ID {
 	total := 0.0
 	for _, w := range s.data.popularity {
 		total += w
@@ -222,38 +222,38 @@
 	return n
 }
 
-// arrivals has jobs and versions arrive. The others fill some 80 % of all slots;
+// addArrivals has jobs and versions arrive. The others fill some 80 % of all slots;
 // urgent tasks come in the second half of each period, for a tenth of them.
-func (s *sim) arrivals() {
+func (s *sim) addArrivals() {
 	all := float64(slots * s.options.Machines)
-	for range s.poisson(0.8 * all / otherRunS * step) {
-		s.other = append(s.other, &task{copy: s.pick(), arrived: s.now, run: otherRunS * (0.5 + s.random.Float64())})
+	for range s.poisson(0.8 * all / otherRunS * stepS) {
+		s.waitingOther = append(s.waitingOther, &task{input: s.randomSet(), arrivedAt: s.now, runS: otherRunS * (0.5 + s.random.Float64())})
 	}
-	if phase := math.Mod(s.now, every); phase < step {
+	if phase := math.Mod(s.now, publishPeriodS); phase < stepS {
 		s.data.version++
 		id := staging.ID(fmt.Sprintf("new-%d", s.data.version))
 		s.publish(id)
-	} else if phase > lead {
-		for range s.poisson(0.1 * all / urgentRunS * step) {
-			s.urgent = append(s.urgent, &task{urgent: true, copy: staging.ID(fmt.Sprintf("new-%d", s.data.version)), arrived: s.now, run: urgentRunS * (0.5 + s.random.Float64())})
+	} else if phase > announceLeadS {
+		for range s.poisson(0.1 * all / urgentRunS * stepS) {
+			s.waitingUrgent = append(s.waitingUrgent, &task{urgent: true, input: staging.ID(fmt.Sprintf("new-%d", s.data.version)), arrivedAt: s.now, runS: urgentRunS * (0.5 + s.random.Float64())})
 		}
 	}
 }
 
-// progress runs the tasks.
-func (s *sim) progress() {
+// runTasks runs the tasks.
+func (s *sim) runTasks() {
 	for _, n := range s.nodes {
 		rest := n.tasks[:0]
 		for _, t := range n.tasks {
-			if !t.started && s.now >= t.ready && s.here(n, t.copy) {
+			if !t.started && s.now >= t.readyAt && s.dataReady(n, t.input) {
 				t.started = true
 				if t.urgent {
-					s.measured.delays = append(s.measured.delays, s.now-t.arrived)
+					s.measured.delays = append(s.measured.delays, s.now-t.arrivedAt)
 				}
 			}
 			if t.started {
-				n.held[t.copy] = s.now
-				if t.left -= step; t.left <= 0 {
+				n.copies[t.input] = s.now
+				if t.remainingS -= stepS; t.remainingS <= 0 {
 					continue
 				}
 			}
@@ -263,11 +263,11 @@
 	}
 }
 
-// here tells whether a task can read its data. The oracle's is there as soon as
+// dataReady tells whether a task can read its data. The oracle's is there as soon as
 // it can have been: one machine's fetch after it was published.
-func (s *sim) here(n *node, id staging.ID) bool {
-	if s.way == Oracle {
-		if _, ok := n.held[id]; ok {
+func (s *sim) dataReady(n *node, id staging.ID) bool {
+	if s.strategy == Oracle {
+		if _, ok := n.copies[id]; ok {
 			return true
 		}
 		// Each machine that holds a copy passes it on as fast as it can, and
@@ -277,26 +277,26 @@
 			return false
 		}
 		s.measured.bytes += copyBytes
-		s.arrive(n, id)
+		s.addCopy(n, id)
 		return true
 	}
-	_, ok := n.held[id]
+	_, ok := n.copies[id]
 	return ok
 }
 
-// begin binds a task to a machine.
-func (s *sim) begin(t *task, n *node, ready float64) {
-	t.m, t.left, t.ready, t.started = n, t.run, ready, false
+// assign binds a task to a machine.
+func (s *sim) assign(t *task, n *node, ready float64) {
+	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, ready, false
 	n.tasks = append(n.tasks, t)
 	s.measured.placements++
-	if _, ok := n.held[t.copy]; ok || s.way == Oracle {
+	if _, ok := n.copies[t.input]; ok || s.strategy == Oracle {
 		return
 	}
-	if s.way == Blind {
-		if n.pulls[t.copy] == nil {
-			f := &flow{id: t.copy, m: n, left: copyBytes, server: s.data.servers[t.copy][s.random.IntN(2)]}
-			n.pulls[t.copy] = f
-			s.flows = append(s.flows, f)
+	if s.strategy == Blind {
+		if n.fetches[t.input] == nil {
+			f := &transfer{id: t.input, node: n, remainingBytes: copyBytes, server: s.data.servers[t.input][s.random.IntN(2)]}
+			n.fetches[t.input] = f
+			s.transfers = append(s.transfers, f)
 		}
 		return
 	}
@@ -304,23 +304,23 @@
 	if t.urgent {
 		class = staging.Urgent
 	}
-	s.want(n, t.copy, class)
+	s.requestFetch(n, t.input, class)
 }
 
-func (s *sim) want(n *node, id staging.ID, class staging.Class) {
-	s.planner.Want(s.clock(), n.id, id, class, "team", 0)
-	n.wants[id], s.active[n] = true, true
+func (s *sim) requestFetch(n *node, id staging.ID, class staging.Class) {
+	s.planner.Want(s.nowDuration(), n.id, id, class, "team", 0)
+	n.ordered[id], s.active[n] = true, true
 }
 
 func (s *sim) result() Result {
-	r := Result{Way: s.way, Machines: s.options.Machines, Zipf: s.options.Zipf, Urgent: len(s.measured.delays), MovedGB: s.measured.bytes / 1e9, Placements: s.measured.placements}
-	for _, t := range s.urgent { // still waiting: at least so long
-		s.measured.delays = append(s.measured.delays, s.now-t.arrived)
+	r := Result{Way: s.strategy, Machines: s.options.Machines, Zipf: s.options.Zipf, Urgent: len(s.measured.delays), MovedGB: s.measured.bytes / 1e9, Placements: s.measured.placements}
+	for _, t := range s.waitingUrgent { // still waiting: at least so long
+		s.measured.delays = append(s.measured.delays, s.now-t.arrivedAt)
 	}
 	for _, n := range s.nodes {
 		for _, t := range n.tasks {
 			if t.urgent && !t.started {
-				s.measured.delays = append(s.measured.delays, s.now-t.arrived)
+				s.measured.delays = append(s.measured.delays, s.now-t.arrivedAt)
 			}
 		}
 	}
@@ -329,7 +329,7 @@
 		r.P50, r.P99 = s.measured.delays[n/2], s.measured.delays[n*99/100]
 		in := 0
 		for _, d := range s.measured.delays {
-			if d <= aim {
+			if d <= startGoalS {
 				in++
 			}
 		}
--- a/internal/stagebench/transfer.go
+++ b/internal/stagebench/transfer.go
@@ -8,107 +8,109 @@
 	"silvergate/internal/staging"
 )
 
-// flow moves bytes: each fetch gets the smaller share of its two ends.
-func (s *sim) flow() {
-	if s.way != Blind && s.way != Oracle {
+// moveBytes moves bytes: each fetch gets the smaller share of its two ends.
+func (s *sim) moveBytes() {
+	if s.strategy != Blind && s.strategy != Oracle {
 		for _, n := range s.nodes {
 			if s.active[n] {
-				s.sync(n)
+				s.applyOrders(n)
 			}
 		}
 	}
-	srv, in, out := make([]int, s.servers()), map[*node]int{}, map[*node]int{}
-	for _, f := range s.flows {
-		in[f.m]++
+	srv, in, out := make([]int, s.serverCount()), map[*node]int{}, map[*node]int{}
+	for _, f := range s.transfers {
+		in[f.node]++
 		if f.peer != nil {
 			out[f.peer]++
 		} else {
 			srv[f.server]++
 		}
 	}
-	var done []*flow
-	rest := s.flows[:0]
-	for _, f := range s.flows {
-		rate := machineBps / float64(in[f.m])
+	var done []*transfer
+	rest := s.transfers[:0]
+	for _, f := range s.transfers {
+		rate := machineBps / float64(in[f.node])
 		if f.peer != nil {
 			rate = min(rate, machineBps/float64(out[f.peer]))
-			s.measured.peerBytes += min(f.left, rate*step)
+			s.measured.peerBytes += min(f.remainingBytes, rate*stepS)
 		} else {
 			rate = min(rate, serverBps/float64(srv[f.server]))
 		}
-		s.measured.bytes += min(f.left, rate*step)
-		if f.left -= rate * step; f.left <= 0 {
+		s.measured.bytes += min(f.remainingBytes, rate*stepS)
+		if f.remainingBytes -= rate * stepS; f.remainingBytes <= 0 {
 			done = append(done, f)
 		} else {
 			rest = append(rest, f)
 		}
 	}
-	s.flows = rest
-	slices.SortFunc(done, func(a, b *flow) int { return cmp.Or(cmp.Compare(a.m.at, b.m.at), cmp.Compare(a.id, b.id)) })
+	s.transfers = rest
+	slices.SortFunc(done, func(a, b *transfer) int {
+		return cmp.Or(cmp.Compare(a.node.index, b.node.index), cmp.Compare(a.id, b.id))
+	})
 	for _, f := range done {
-		delete(f.m.pulls, f.id)
-		s.arrive(f.m, f.id)
+		delete(f.node.fetches, f.id)
+		s.addCopy(f.node, f.id)
 	}
 }
 
-// sync makes a machine's fetches what the planner wants.
-func (s *sim) sync(n *node) {
+// applyOrders makes a machine's fetches what the planner wants.
+func (s *sim) applyOrders(n *node) {
 	fetches := s.planner.Orders(n.id)
 	going := map[staging.ID]bool{}
 	for _, o := range fetches {
 		going[o.ID] = true
-		f := n.pulls[o.ID]
+		f := n.fetches[o.ID]
 		if f == nil {
-			f = &flow{id: o.ID, m: n, left: copyBytes, server: -1}
-			n.pulls[o.ID] = f
-			s.flows = append(s.flows, f)
+			f = &transfer{id: o.ID, node: n, remainingBytes: copyBytes, server: -1}
+			n.fetches[o.ID] = f
+			s.transfers = append(s.transfers, f)
 		}
-		if f.peer, f.server = s.byAddr[o.Peer], -1; f.peer == nil {
+		if f.peer, f.server = s.byAddress[o.Peer], -1; f.peer == nil {
 			_, _ = fmt.Sscanf(o.Server, "s%d", &f.server)
 		}
-		s.planner.Held(s.clock(), n.id, staging.Report{Digest: "", Pulls: []staging.Pull{{ID: o.ID, Done: int64(copyBytes - f.left), Total: copyBytes}}})
+		s.planner.Held(s.nowDuration(), n.id, staging.Report{Digest: "", Pulls: []staging.Pull{{ID: o.ID, Done: int64(copyBytes - f.remainingBytes), Total: copyBytes}}})
 	}
-	for id, f := range n.pulls {
+	for id, f := range n.fetches {
 		if !going[id] { // displaced: what it has is kept in this model's next fetch
-			if i := slices.Index(s.flows, f); i >= 0 {
-				s.flows = slices.Delete(s.flows, i, i+1)
+			if i := slices.Index(s.transfers, f); i >= 0 {
+				s.transfers = slices.Delete(s.transfers, i, i+1)
 			}
-			delete(n.pulls, id)
+			delete(n.fetches, id)
 		}
 	}
-	if len(n.wants) == 0 {
+	if len(n.ordered) == 0 {
 		delete(s.active, n)
 	}
 }
 
-// arrive makes a copy visible, and room for it.
-func (s *sim) arrive(n *node, id staging.ID) {
-	n.held[id] = s.now
-	delete(n.wants, id)
-	for len(n.held) > keeps {
+// addCopy makes a copy visible, and room for it.
+func (s *sim) addCopy(n *node, id staging.ID) {
+	n.copies[id] = s.now
+	delete(n.ordered, id)
+	for len(n.copies) > copiesPerMachine {
 		oldest := staging.ID("")
-		for h, at := range n.held {
-			if !n.uses(h) && h != id && (oldest == "" || at < n.held[oldest] || at == n.held[oldest] && h < oldest) {
+		for h, at := range n.copies {
+			if !n.usesCopy(h) && h != id && (oldest == "" || at < n.copies[oldest] || at == n.copies[oldest] && h < oldest) {
 				oldest = h
 			}
 		}
 		if oldest == "" {
 			break
 		}
-		delete(n.held, oldest)
+		delete(n.copies, oldest)
 		var list []staging.ID
-		for h := range n.held {
+		for h := range n.copies {
 			list = append(list, h)
 		}
 		slices.Sort(list)
-		s.planner.Held(s.clock(), n.id, staging.Report{List: list, Listed: true})
+		s.planner.Held(s.nowDuration(), n.id, staging.Report{List: list, Listed: true})
 	}
-	s.planner.Arrived(s.clock(), n.id, id)
+	s.planner.CopyArrived(s.nowDuration(), n.id, id)
 }
 
-func (n *node) uses(id staging.ID) bool {
+func (n *node) usesCopy(id staging.ID) bool {
 	for _, t := range n.tasks {
-		if t.copy == id {
+		if t.input == id {
 			return true
 		}
 	}
--- a/internal/staging/choose.go
+++ b/internal/staging/choose.go
@@ -2,33 +2,36 @@
 
 import "time"
 
-// Option is a way for a task to start: how long until then, as far as is known.
+// Option is one of the ways in which a waiting task can be started.
 type Option int
 
-// Options, in the order that breaks ties: what disturbs nobody goes first.
+// Options, in the order that breaks ties: those that disturb no other task come first.
 const (
-	FetchHere  Option = iota // take the free room and fetch the inputs
-	WaitThere                // wait until a machine that holds them is free
-	ClearThere               // stop lower work on one that holds them
+	FetchHere  Option = iota // start on a machine with free room and fetch the inputs to it
+	WaitThere                // wait until a machine that holds the inputs is free
+	ClearThere               // stop lower-priority work on a machine that holds the inputs
 )
 
-// Never is an option that there is not.
+// Never is the time of an option that is not available.
 const Never = time.Duration(1<<63 - 1)
 
-// Choose picks what a task does that could have free room on a machine without
-// its inputs, while machines that hold them are busy: whatever starts it
-// earliest. Waiting has a bound: a task waits for locality no longer, all in
-// all, than the next best way takes, as room that is about to be free may go to
-// another. waited is how long it has already. Stopping others is for tasks that
-// may (stop is Never for the rest).
+// Choose picks the option that starts a task earliest, when the machines with
+// free room lack its inputs and the machines that hold them are busy. fetch, free
+// and stop are the expected times until the task starts by FetchHere, WaitThere
+// and ClearThere; stop is Never for a task that may not stop others. waited is
+// how long the task has waited already. The total wait for locality is bounded by
+// the time of the next best option, because room that is about to be free may go
+// to another task.
 //
-// Delay scheduling skips a fixed number of offers; the bound here follows from
-// what is to be gained, so a small set is not waited for and a large one is.
+// Delay scheduling skips a fixed number of offers. The bound here follows from
+// the time that a fetch would take, so a task waits for a large data set but not
+// for a small one.
 func Choose(fetch, free, stop, waited time.Duration) Option {
 	best, bound := FetchHere, fetch
 	if stop < fetch {
-		// Stopping is sure and soon, and room that is about to be free may go
-		// to another: it is waited for only where that costs next to nothing.
+		// Stopping a task frees room for certain and soon, whereas room that is
+		// about to be free may go to another task: wait for it only if that takes
+		// at most an eighth of the time.
 		best, bound = ClearThere, stop/8
 	}
 	if free < bound && waited+free <= bound {
@@ -37,17 +40,18 @@
 	return best
 }
 
-// Candidate is a machine on which waiting tasks of a job may run, and when it
-// will have room for one.
+// Candidate is a machine on which waiting tasks of a job may run, with the time
+// until it has room for one.
 type Candidate struct {
 	Machine string
 	Free    time.Duration // from now
 }
 
-// Place picks up to n machines to bring a copy to: those on which a task can
-// start earliest, counting both the room and the fetch. Those that hold the
-// copies, or fetch them, count among the n. cost is the expected time until a
-// machine holds them.
+// Place picks the n machines on which a task can start earliest, counting both
+// the time until there is room and the time of the fetch, and returns those of
+// them to which the copies must still be brought. cost returns the expected time
+// until a machine holds the copies; there reports whether a machine holds or
+// fetches them already.
 func Place(list []Candidate, n int, cost func(machine string) time.Duration, there func(machine string) bool) (bring []string) {
 	type choice struct {
 		c  Candidate
@@ -78,18 +82,19 @@
 	return bring
 }
 
-// Announcement is work that will come: as many machines as it needs are to hold
-// the copy by a time.
+// Announcement describes future work: Machines machines are to hold the copy by
+// the time By.
 type Announcement struct {
 	Copy     ID
 	By       time.Duration
 	Machines int
-	Zone     string // "" is any
+	Zone     string // "": any zone
 }
 
-// Begin is when fetching for an announcement is to start: early enough that
-// copies spread from machine to machine, each of which serves others once it
-// has one, and half as long again to spare.
+// Begin returns when fetching for an announcement must start. It allows for the
+// rounds in which copies spread from machine to machine, as each machine that has
+// the copy serves fan others, and adds half of that time as a margin. rate is
+// the bytes per second of one fetch.
 func (a Announcement) Begin(bytes int64, rate float64, fan int) time.Duration {
 	if rate <= 0 {
 		return 0
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -1,14 +1,16 @@
-// Package staging decides which machine fetches which data, from whom and when:
-// a state machine without I/O. Reports and records go in with the time; stage
-// orders and expected times come out.
+// Package staging decides which machine fetches which data, from which source
+// and when. It is a state machine without I/O: its inputs are the machines'
+// reports and the versions' records, each with the current time, and its outputs
+// are fetch orders and expected times.
 //
-// It owns what is known of copies on machines and the budgets of their sources.
-// Nothing in it is truth: a controller that takes over rebuilds it from reports,
-// and a machine that is told nothing fetches what its tasks need by itself. An
-// order is a hint of when and from whom.
+// It keeps track of which machines hold which copies, and of the budgets of
+// their sources. This is soft state: a controller that takes over rebuilds it
+// from reports, and a machine without orders fetches the inputs of its tasks by
+// itself. An order is only a hint of when to fetch and from which source.
 //
-// Urgent fetches go first and take a budget from others at once. Within a class,
-// teams take turns by the bytes they were given, so none starves another.
+// Urgent fetches go first and take budget from the others at once. Within a
+// class, teams take turns by the bytes that were granted to them, so that none
+// starves another.
 package staging
 
 import (
@@ -18,60 +20,61 @@
 	"time"
 )
 
-// ID names a copy: a version of a data set.
+// ID identifies a copy of one version of a data set.
 type ID string
 
-// Class orders fetches; the larger goes first.
+// Class is the priority class of a fetch; a higher class goes first.
 type Class int
 
 // Classes.
 const (
-	Ahead  Class = iota // for work that is announced or may come
-	Normal              // for tasks that wait
-	Urgent              // for urgent tasks that wait
+	Prefetch Class = iota // for work that is announced or may come
+	Normal                // for tasks that wait
+	Urgent                // for urgent tasks that wait
 )
 
-// Copy is what is known of a version.
+// Copy describes a version of a data set.
 type Copy struct {
 	ID      ID
 	Bytes   int64
-	Servers []string // addresses of file servers that have it
+	Servers []string // addresses of the file servers that have the version
 }
 
-// Config are the planner's settings.
+// Config holds the planner's settings.
 type Config struct {
-	// Controllers share the budgets equally.
+	// Controllers is the number of controllers; they share the budgets equally.
 	Controllers int
 	// ServerStreams is how many copies are fetched from one file server at a
-	// time, over all controllers; PeerStreams how many from one machine;
-	// MachineStreams how many one machine fetches at a time that are not
-	// urgent.
+	// time, over all controllers. PeerStreams is how many are fetched from one
+	// machine at a time. MachineStreams is how many non-urgent copies one
+	// machine fetches at a time.
 	ServerStreams, PeerStreams, MachineStreams int
-	// Rate is the bytes a second of one fetch, until some are measured.
+	// Rate is the assumed rate of one fetch, in bytes per second, until rates
+	// are measured.
 	Rate float64
 	// Report is the workers' report period.
 	Report time.Duration
 }
 
-// Order is a fetch that a machine is to have under way.
+// Order tells a machine to have a fetch under way. One of Peer and Server is set.
 type Order struct {
 	ID      ID
 	Urgent  bool
-	Peer    string // address of a machine to fetch from, or
-	Server  string // of a file server
+	Peer    string // address of the machine to fetch from
+	Server  string // address of the file server to fetch from
 	Servers []string
 }
 
-// Report is what a machine says of its store.
+// Report is a machine's report of its store.
 type Report struct {
-	Digest string // of the copies that it holds
-	List   []ID   // all of them, if Listed
+	Digest string // of the list of copies that the machine holds
+	List   []ID   // all copies that the machine holds, if Listed is set
 	Listed bool
 	Pulls  []Pull
-	Failed []ID // fetches that failed, or for which there is no room
+	Failed []ID // fetches that failed, also for want of room
 }
 
-// Pull is a fetch that a machine has under way.
+// Pull is a machine's report of a fetch that it has under way.
 type Pull struct {
 	ID    ID
 	Done  int64
@@ -82,119 +85,121 @@
 type machine struct {
 	id, zone, address string
 	digest            string
-	known             bool // its list is
-	held              map[*data]bool
-	pulls             map[*data]*pull
-	serving           int     // copies that others fetch from it
-	running           int     // its own fetches that are not urgent and under way
-	parked            []*pull // that wait for one of these to end
+	listed            bool // the machine has listed its copies
+	held              map[*copyState]bool
+	pulls             map[*copyState]*pull
+	serving           int     // fetches that other machines have under way from this one
+	running           int     // its own non-urgent fetches under way
+	parked            []*pull // non-urgent fetches that wait until one of the running ones ends
 	rate              float64
-	at                int // place in the list of all
+	index             int // in Planner.machineList
 }
 
-type data struct {
+type copyState struct {
 	Copy
-	holders []*machine
-	where   map[*machine]int // place in holders
-	coming  int              // machines that are to fetch it
+	holders     []*machine
+	holderIndex map[*machine]int // index in holders
+	fetching    int              // number of machines that are to fetch the copy
 }
 
-// pull is a copy that a machine is to fetch.
+// pull is the fetch of a copy that a machine is to make.
 type pull struct {
-	m      *machine
-	d      *data
-	class  Class
-	team   string
-	by     time.Duration // when it should be there; 0: as soon as can be
-	rise   Class         // what it becomes when it would be late otherwise
-	since  time.Duration
-	going  bool
-	start  time.Duration // of going
-	seen   time.Duration // when the machine last reported it
-	done   int64
-	rate   float64
-	peer   *machine
-	server string
-	avoid  map[string]bool // sources that failed, by address
-	hold   time.Duration   // not before
-	fails  int
+	machine       *machine
+	copy          *copyState
+	class         Class
+	team          string
+	deadline      time.Duration // when the copy should be there; 0: as soon as possible
+	deadlineClass Class         // the class to which mustRise raises the fetch so that it meets the deadline
+	wantedAt      time.Duration
+	active        bool
+	startedAt     time.Duration // when the fetch became active
+	reportedAt    time.Duration // when the machine last reported it
+	doneBytes     int64
+	rate          float64
+	peer          *machine
+	server        string
+	avoid         map[string]bool // addresses of sources that failed
+	notBefore     time.Duration   // the fetch is not started before this time
+	failures      int
 }
 
-// Planner is the state machine.
+// Planner decides which copies the machines of one controller fetch.
 type Planner struct {
-	cfg      Config
-	rnd      *rand.Rand
-	digest   func([]ID) string
-	machines map[string]*machine
-	all      []*machine
-	copies   map[ID]*data
-	servers  map[string]int // fetches under way from each
-	given    map[string]float64
-	waiting  [Urgent + 1][]*pull
-	users    map[string][]*pull // fetches under way that are not urgent, by server
-	rate     float64            // of a fetch, smoothed over all machines
-	// Stats counts what was decided.
+	cfg           Config
+	random        *rand.Rand
+	digest        func([]ID) string
+	machines      map[string]*machine
+	machineList   []*machine
+	copies        map[ID]*copyState
+	serverFetches map[string]int // fetches under way from each file server
+	givenBytes    map[string]float64
+	waiting       [Urgent + 1][]*pull
+	displaceable  map[string][]*pull // non-urgent fetches under way, by file server
+	rate          float64            // bytes per second of one fetch, smoothed over all machines
+	// Stats counts the planner's decisions.
 	Stats Stats
 }
 
-// Stats counts decisions.
+// Stats counts the decisions of a planner.
 type Stats struct {
 	Wanted, Withdrawn, Started, Finished, Displaced, Failed uint64
 	FromPeers, FromServers                                  uint64
 }
 
-// New makes a planner. digest is how machines sum up the list of their copies.
+// New returns a planner. digest is the function by which machines compute the
+// digest of the list of their copies.
 func New(cfg Config, digest func([]ID) string, rnd *rand.Rand) *Planner {
-	return &Planner{cfg: cfg, rnd: rnd, digest: digest, machines: map[string]*machine{}, copies: map[ID]*data{}, servers: map[string]int{},
-		given: map[string]float64{}, users: map[string][]*pull{}, rate: cfg.Rate}
+	return &Planner{cfg: cfg, random: rnd, digest: digest, machines: map[string]*machine{}, copies: map[ID]*copyState{}, serverFetches: map[string]int{},
+		givenBytes: map[string]float64{}, displaceable: map[string][]*pull{}, rate: cfg.Rate}
 }
 
-// perServer is this controller's share of a file server's streams.
-func (p *Planner) perServer() int {
+// streamsPerServer returns this controller's share of a file server's streams.
+func (p *Planner) streamsPerServer() int {
 	return max(1, p.cfg.ServerStreams/max(1, p.cfg.Controllers))
 }
 
-// SetCopy takes a version's record.
+// SetCopy adds a version or updates its record.
 func (p *Planner) SetCopy(now time.Duration, c Copy) {
 	if d := p.copies[c.ID]; d != nil {
 		d.Copy = c
 		p.dispatch(now)
 		return
 	}
-	p.copies[c.ID] = &data{Copy: c, where: map[*machine]int{}}
+	p.copies[c.ID] = &copyState{Copy: c, holderIndex: map[*machine]int{}}
 }
 
-// Join makes a machine of this controller known.
+// Join adds a machine of this controller or updates its zone and address.
 func (p *Planner) Join(id, zone, address string) {
 	m := p.machines[id]
 	if m == nil {
-		m = &machine{id: id, held: map[*data]bool{}, pulls: map[*data]*pull{}, at: len(p.all)}
+		m = &machine{id: id, held: map[*copyState]bool{}, pulls: map[*copyState]*pull{}, index: len(p.machineList)}
 		p.machines[id] = m
-		p.all = append(p.all, m)
+		p.machineList = append(p.machineList, m)
 	}
 	m.zone, m.address = zone, address
 }
 
-// Lost forgets a machine, with all that it fetches and serves.
+// Lost removes a machine with its fetches. Machines that fetched from it are
+// given other sources.
 func (p *Planner) Lost(now time.Duration, id string) {
 	m := p.machines[id]
 	if m == nil {
 		return
 	}
 	for _, x := range p.sortedPulls(m) {
-		p.drop(x)
+		p.removePull(x)
 	}
 	for d := range m.held {
-		p.unhold(m, d)
+		p.removeHolder(m, d)
 	}
 	delete(p.machines, id)
-	last := p.all[len(p.all)-1]
-	p.all[m.at], last.at = last, m.at
-	p.all = p.all[:len(p.all)-1]
-	for _, o := range p.all { // whoever fetched from it looks elsewhere
+	last := p.machineList[len(p.machineList)-1]
+	p.machineList[m.index], last.index = last, m.index
+	p.machineList = p.machineList[:len(p.machineList)-1]
+	for _, o := range p.machineList { // fetches from the removed machine wait for another source
 		for _, x := range p.sortedPulls(o) {
 			if x.peer == m {
-				p.halt(x)
+				p.stopPull(x)
 				p.enqueue(x)
 			}
 		}
@@ -202,57 +207,58 @@
 	p.dispatch(now)
 }
 
-func (p *Planner) holds(m *machine, d *data) {
+func (p *Planner) addHolder(m *machine, d *copyState) {
 	if m.held[d] {
 		return
 	}
 	m.held[d] = true
-	d.where[m] = len(d.holders)
+	d.holderIndex[m] = len(d.holders)
 	d.holders = append(d.holders, m)
 }
 
-func (p *Planner) unhold(m *machine, d *data) {
+func (p *Planner) removeHolder(m *machine, d *copyState) {
 	delete(m.held, d)
-	at, ok := d.where[m]
+	at, ok := d.holderIndex[m]
 	if !ok {
 		return
 	}
 	last := d.holders[len(d.holders)-1]
-	d.holders[at], d.where[last] = last, at
+	d.holders[at], d.holderIndex[last] = last, at
 	d.holders = d.holders[:len(d.holders)-1]
-	delete(d.where, m)
+	delete(d.holderIndex, m)
 }
 
-// Held takes a machine's report of its store. It returns true when the machine
-// is to list its copies, as its digest is not that of what is known.
+// Held processes a machine's report of its store. It returns true if the machine
+// must list its copies because its digest differs from the one that came with its
+// last list.
 func (p *Planner) Held(now time.Duration, id string, r Report) (list bool) {
 	m := p.machines[id]
 	if m == nil {
 		return false
 	}
 	if r.Listed {
-		here := map[*data]bool{}
+		here := map[*copyState]bool{}
 		for _, c := range r.List {
 			d := p.copies[c]
-			if d == nil { // its record has not come yet
-				d = &data{Copy: Copy{ID: c}, where: map[*machine]int{}}
+			if d == nil { // the version's record has not arrived yet
+				d = &copyState{Copy: Copy{ID: c}, holderIndex: map[*machine]int{}}
 				p.copies[c] = d
 			}
 			here[d] = true
-			p.holds(m, d)
+			p.addHolder(m, d)
 		}
 		for _, d := range sortedData(m.held) {
 			if !here[d] {
-				p.unhold(m, d)
+				p.removeHolder(m, d)
 			}
 		}
-		m.digest, m.known = r.Digest, true
-	} else if r.Digest != m.digest || !m.known {
+		m.digest, m.listed = r.Digest, true
+	} else if r.Digest != m.digest || !m.listed {
 		list = true
 	}
 	for _, d := range sortedData(m.held) {
 		if x := m.pulls[d]; x != nil {
-			p.finish(now, x)
+			p.finishPull(now, x)
 		}
 	}
 	for _, q := range r.Pulls {
@@ -264,7 +270,7 @@
 			d.Bytes = q.Total
 		}
 		if x := m.pulls[d]; x != nil {
-			x.done, x.seen = max(x.done, q.Done), now
+			x.doneBytes, x.reportedAt = max(x.doneBytes, q.Done), now
 			if q.Rate > 0 {
 				x.rate = q.Rate
 				p.rate += (q.Rate - p.rate) / 64
@@ -277,37 +283,37 @@
 	}
 	for _, c := range r.Failed {
 		if d := p.copies[c]; d != nil && m.pulls[d] != nil {
-			p.fail(now, m.pulls[d])
+			p.failPull(now, m.pulls[d])
 		}
 	}
 	p.dispatch(now)
 	return list
 }
 
-func sortedData(m map[*data]bool) []*data {
-	out := make([]*data, 0, len(m))
+func sortedData(m map[*copyState]bool) []*copyState {
+	out := make([]*copyState, 0, len(m))
 	for d := range m {
 		out = append(out, d)
 	}
-	slices.SortFunc(out, func(a, b *data) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b *copyState) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Arrived takes that a machine holds a copy, ahead of its list.
-func (p *Planner) Arrived(now time.Duration, id string, c ID) {
+// CopyArrived records that a machine holds a copy before the machine lists it.
+func (p *Planner) CopyArrived(now time.Duration, id string, c ID) {
 	m, d := p.machines[id], p.copies[c]
 	if m == nil || d == nil {
 		return
 	}
-	p.holds(m, d)
+	p.addHolder(m, d)
 	if x := m.pulls[d]; x != nil {
-		p.finish(now, x)
+		p.finishPull(now, x)
 	}
-	p.dispatch(now) // others may fetch from it
+	p.dispatch(now) // other machines may now fetch from this one
 }
 
-// Want has a machine fetch a copy for a team, unless it holds it. Wanted again
-// by a higher class, it rises to that.
+// Want requests that a machine fetches a copy for a team, unless the machine holds
+// it. A further request with a higher class raises the fetch to that class.
 func (p *Planner) Want(now time.Duration, id string, c ID, class Class, team string, by time.Duration) {
 	m, d := p.machines[id], p.copies[c]
 	if m == nil || d == nil || m.held[d] {
@@ -316,85 +322,87 @@
 	x := m.pulls[d]
 	switch {
 	case x == nil:
-		x = &pull{m: m, d: d, class: class, team: team, by: by, since: now}
+		x = &pull{machine: m, copy: d, class: class, team: team, deadline: by, wantedAt: now}
 		m.pulls[d] = x
-		d.coming++
+		d.fetching++
 		p.Stats.Wanted++
 		p.enqueue(x)
 	case class > x.class:
-		if x.going {
+		if x.active {
 			if x.class < Urgent && class == Urgent {
 				m.running--
 				p.unpark(m)
-				if i := slices.Index(p.users[x.server], x); i >= 0 {
-					p.users[x.server] = slices.Delete(p.users[x.server], i, i+1)
+				if i := slices.Index(p.displaceable[x.server], x); i >= 0 {
+					p.displaceable[x.server] = slices.Delete(p.displaceable[x.server], i, i+1)
 				}
 			}
 			x.class = class
 		} else {
 			p.dequeue(x)
-			x.class, x.hold = class, 0
+			x.class, x.notBefore = class, 0
 			p.enqueue(x)
 		}
-		x.team, x.by = team, by
+		x.team, x.deadline = team, by
 	default:
 		return
 	}
 	p.dispatch(now)
 }
 
-// Promise has a machine fetch a copy ahead of work that is announced for a time.
-// It goes behind all that waits already, until there is just time enough left:
-// then it rises to the class of the work.
+// Promise requests that a machine fetches a copy for work that is announced for
+// the time by. The fetch has the lowest class until just enough time is left, and
+// then rises to the class of the work.
 func (p *Planner) Promise(now time.Duration, id string, c ID, rise Class, team string, by time.Duration) {
-	p.Want(now, id, c, Ahead, team, by)
+	p.Want(now, id, c, Prefetch, team, by)
 	if m, d := p.machines[id], p.copies[c]; m != nil && d != nil {
-		if x := m.pulls[d]; x != nil && x.by > 0 {
-			x.rise = max(x.rise, rise)
+		if x := m.pulls[d]; x != nil && x.deadline > 0 {
+			x.deadlineClass = max(x.deadlineClass, rise)
 		}
 	}
 }
 
-// due tells whether a fetch must go first now to be in time: twice what is left
-// of it is the margin.
-func (p *Planner) due(now time.Duration, x *pull) bool {
-	return x.by > 0 && x.class < x.rise && p.rate > 0 && now >= x.by-time.Duration(2*float64(x.d.Bytes-x.done)/p.rate*float64(time.Second))
+// mustRise reports whether a fetch must be raised to its deadlineClass now to meet
+// its deadline. It allows twice the time that the remaining bytes take.
+func (p *Planner) mustRise(now time.Duration, x *pull) bool {
+	return x.deadline > 0 && x.class < x.deadlineClass && p.rate > 0 &&
+		now >= x.deadline-time.Duration(2*float64(x.copy.Bytes-x.doneBytes)/p.rate*float64(time.Second))
 }
 
-// Unwant gives a fetch up that nothing needs any more.
+// Unwant cancels a fetch that is no longer needed.
 func (p *Planner) Unwant(now time.Duration, id string, c ID) {
 	m, d := p.machines[id], p.copies[c]
 	if m == nil || d == nil || m.pulls[d] == nil {
 		return
 	}
-	p.drop(m.pulls[d])
+	p.removePull(m.pulls[d])
 	p.Stats.Withdrawn++
 	p.dispatch(now)
 }
 
-// Tick lets time pass: fetches that a machine does not mention are started
-// anew, and those whose pause is over go on.
+// Tick advances the planner's time: it restarts fetches that their machine no
+// longer reports, raises those that would miss their deadline, and starts those
+// whose pause is over.
 func (p *Planner) Tick(now time.Duration) {
-	for _, m := range p.all {
+	for _, m := range p.machineList {
 		if len(m.pulls) == 0 {
 			continue
 		}
 		for _, x := range p.sortedPulls(m) {
-			// Guards against orders that were lost with an answer, and
-			// against machines that gave up without a word.
-			if x.going && now-x.seen > 4*p.cfg.Report {
-				p.fail(now, x)
+			// An order can be lost with the answer that carried it, and a
+			// machine can give up a fetch without reporting it.
+			if x.active && now-x.reportedAt > 4*p.cfg.Report {
+				p.failPull(now, x)
 			}
-			if p.due(now, x) {
-				p.Want(now, m.id, x.d.ID, x.rise, x.team, x.by)
+			if p.mustRise(now, x) {
+				p.Want(now, m.id, x.copy.ID, x.deadlineClass, x.team, x.deadline)
 			}
 		}
 	}
 	p.dispatch(now)
 }
 
-// Orders lists the fetches that a machine is to have under way, urgent ones
-// first. Others that it has under way for no task are to stand still.
+// Orders returns the fetches that a machine is to have under way, urgent ones
+// first. The machine must pause any other fetch that no task of it needs.
 func (p *Planner) Orders(id string) []Order {
 	m := p.machines[id]
 	if m == nil || len(m.pulls) == 0 {
@@ -402,10 +410,10 @@
 	}
 	var out []Order
 	for _, x := range p.sortedPulls(m) {
-		if !x.going {
+		if !x.active {
 			continue
 		}
-		o := Order{ID: x.d.ID, Urgent: x.class == Urgent, Server: x.server, Servers: x.d.Servers}
+		o := Order{ID: x.copy.ID, Urgent: x.class == Urgent, Server: x.server, Servers: x.copy.Servers}
 		if x.peer != nil {
 			o.Peer = x.peer.address
 		}
@@ -423,8 +431,9 @@
 	return out
 }
 
-// Expect is how long it will be until a machine holds all of the copies, as far
-// as is known: what is left of them at the machine's rate, one after the other.
+// Expect returns the expected time until a machine holds all of the copies: the
+// time to fetch their remaining bytes at the machine's rate, one copy after the
+// other.
 func (p *Planner) Expect(now time.Duration, id string, copies []ID) time.Duration {
 	if len(copies) == 0 {
 		return 0
@@ -441,10 +450,10 @@
 		}
 		left += float64(d.Bytes)
 		if m != nil {
-			if x := m.pulls[d]; x != nil && x.going {
-				left -= float64(x.done)
-				if x.rate > 0 && now > x.seen {
-					left -= min(float64(d.Bytes-x.done), x.rate*(now-x.seen).Seconds())
+			if x := m.pulls[d]; x != nil && x.active {
+				left -= float64(x.doneBytes)
+				if x.rate > 0 && now > x.reportedAt {
+					left -= min(float64(d.Bytes-x.doneBytes), x.rate*(now-x.reportedAt).Seconds())
 				}
 			}
 		}
@@ -459,7 +468,7 @@
 	return time.Duration(left / rate * float64(time.Second))
 }
 
-// Holds tells whether a machine holds all of the copies.
+// Holds reports whether a machine holds all of the copies.
 func (p *Planner) Holds(id string, copies []ID) bool {
 	m := p.machines[id]
 	for _, c := range copies {
@@ -470,23 +479,23 @@
 	return true
 }
 
-// Holders is how many machines hold a copy, and how many fetch it.
+// Holders returns how many machines hold a copy, and how many are to fetch it.
 func (p *Planner) Holders(c ID) (held, coming int) {
 	if d := p.copies[c]; d != nil {
-		return len(d.holders), d.coming
+		return len(d.holders), d.fetching
 	}
 	return 0, 0
 }
 
-// Some calls each for holders of a copy, from a random one on, at most as many
-// as one decision looks at, until it returns false.
+// Some calls each for the holders of a copy, beginning with a random one, until
+// each returns false or maxScanned holders were visited.
 func (p *Planner) Some(c ID, each func(machine string) bool) {
 	d := p.copies[c]
 	if d == nil || len(d.holders) == 0 {
 		return
 	}
-	start := p.rnd.IntN(len(d.holders))
-	for i := range min(len(d.holders), scanned) {
+	start := p.random.IntN(len(d.holders))
+	for i := range min(len(d.holders), maxScanned) {
 		if !each(d.holders[(start+i)%len(d.holders)].id) {
 			return
 		}
--- a/internal/staging/planner_test.go
+++ b/internal/staging/planner_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// Generated inputs come from a fixed seed, so that a verdict repeats.
+// TestMain fixes the seed of the generated inputs, so that results are reproducible.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261201")
 	_ = flag.Set("rapid.checks", "400")
@@ -25,51 +25,51 @@
 	return New(Config{Controllers: 1, ServerStreams: servers, PeerStreams: 2, MachineStreams: 2, Rate: 1e6, Report: time.Second}, digest, rand.New(rand.NewPCG(1, 2)))
 }
 
-// audit demands what holds after every step: accounts match what is under way,
-// budgets are kept, and nothing urgent waits for what is free or held by less
-// urgent work.
-func audit(p *Planner, now time.Duration) error {
+// checkInvariants checks what must hold after every step: the counters match the
+// fetches under way, the budgets are kept, and no urgent fetch waits for a source
+// that is free or that a less urgent fetch uses.
+func checkInvariants(p *Planner, now time.Duration) error {
 	servers, serving, running, users := map[string]int{}, map[*machine]int{}, map[*machine]int{}, map[string]int{}
 	waiting := map[*pull]int{}
 	for class, q := range p.waiting {
 		for _, x := range q {
 			waiting[x]++
 			if x.class != Class(class) {
-				return fmt.Errorf("a fetch of class %d waits among those of %d", x.class, class)
+				return fmt.Errorf("a fetch of class %d is in the queue of class %d", x.class, class)
 			}
 		}
 	}
 	total := 0
-	for _, m := range p.all {
+	for _, m := range p.machineList {
 		for _, x := range m.parked {
-			if waiting[x]++; x.class == Urgent || x.m != m || m.running < p.cfg.MachineStreams {
-				return fmt.Errorf("%s of %s is parked with %d under way", x.d.ID, m.id, m.running)
+			if waiting[x]++; x.class == Urgent || x.machine != m || m.running < p.cfg.MachineStreams {
+				return fmt.Errorf("the fetch of %s by %s is parked with %d fetches under way", x.copy.ID, m.id, m.running)
 			}
 		}
 	}
-	for i, m := range p.all {
-		if m.at != i || p.machines[m.id] != m {
-			return fmt.Errorf("%s is not where it should be", m.id)
+	for i, m := range p.machineList {
+		if m.index != i || p.machines[m.id] != m {
+			return fmt.Errorf("machine %s is not at its index in the list, or not in the map", m.id)
 		}
 		for d, x := range m.pulls {
 			total++
 			if m.held[d] {
 				return fmt.Errorf("%s fetches %s, which it holds", m.id, d.ID)
 			}
-			if x.going == (waiting[x] == 1) || waiting[x] > 1 {
-				return fmt.Errorf("%s of %s: under way %v, in %d queues", d.ID, m.id, x.going, waiting[x])
+			if x.active == (waiting[x] == 1) || waiting[x] > 1 {
+				return fmt.Errorf("the fetch of %s by %s: under way %v, in %d queues", d.ID, m.id, x.active, waiting[x])
 			}
 			delete(waiting, x)
-			if !x.going {
+			if !x.active {
 				continue
 			}
 			if (x.peer == nil) == (x.server == "") {
-				return fmt.Errorf("a fetch with two sources or none")
+				return fmt.Errorf("a fetch has two sources or none")
 			}
 			if x.peer != nil {
 				serving[x.peer]++
 				if p.machines[x.peer.id] != x.peer {
-					return fmt.Errorf("%s fetches from a machine that is gone", m.id)
+					return fmt.Errorf("%s fetches from a machine that was removed", m.id)
 				}
 			} else {
 				servers[x.server]++
@@ -83,37 +83,38 @@
 		}
 	}
 	if len(waiting) > 0 {
-		return fmt.Errorf("%d fetches wait for no machine", len(waiting))
+		return fmt.Errorf("%d queued fetches belong to no machine", len(waiting))
 	}
-	for _, m := range p.all {
+	for _, m := range p.machineList {
 		if m.serving != serving[m] || m.serving > p.cfg.PeerStreams || m.running != running[m] {
-			return fmt.Errorf("%s: serving %d of %d, running %d of %d", m.id, m.serving, serving[m], m.running, running[m])
+			return fmt.Errorf("%s: serving counter %d for %d fetches, running counter %d for %d fetches", m.id, m.serving, serving[m], m.running, running[m])
 		}
 	}
-	for s, n := range p.servers {
-		if n != servers[s] || n > p.perServer() || len(p.users[s]) != users[s] {
-			return fmt.Errorf("%s: %d fetches of %d, %d of %d not urgent", s, n, servers[s], len(p.users[s]), users[s])
+	for s, n := range p.serverFetches {
+		if n != servers[s] || n > p.streamsPerServer() || len(p.displaceable[s]) != users[s] {
+			return fmt.Errorf("%s: fetch counter %d for %d fetches, %d of %d non-urgent ones listed", s, n, servers[s], len(p.displaceable[s]), users[s])
 		}
 	}
 	for _, x := range p.waiting[Urgent] {
-		if now < x.hold {
+		if now < x.notBefore {
 			continue
 		}
-		for _, s := range x.d.Servers {
-			if !x.avoid[s] && (p.servers[s] < p.perServer() || users[s] > 0) {
-				return fmt.Errorf("an urgent fetch waits while %s has %d fetches, %d of them not urgent", s, p.servers[s], users[s])
+		for _, s := range x.copy.Servers {
+			if !x.avoid[s] && (p.serverFetches[s] < p.streamsPerServer() || users[s] > 0) {
+				return fmt.Errorf("an urgent fetch waits while file server %s has %d fetches, %d of them not urgent", s, p.serverFetches[s], users[s])
 			}
 		}
-		for _, m := range x.d.holders {
-			if m.address != "" && m.serving < p.cfg.PeerStreams && !x.avoid[m.address] && len(x.d.holders) <= scanned {
-				return fmt.Errorf("an urgent fetch waits while %s could serve it", m.id)
+		for _, m := range x.copy.holders {
+			if m.address != "" && m.serving < p.cfg.PeerStreams && !x.avoid[m.address] && len(x.copy.holders) <= maxScanned {
+				return fmt.Errorf("an urgent fetch waits while machine %s could serve it", m.id)
 			}
 		}
 	}
 	return nil
 }
 
-// step does one of the things that can happen, chosen by numbers.
+// step applies one event to the planner: op is its kind, m the machine, c the copy
+// and k a parameter of the event.
 func step(p *Planner, now time.Duration, op, m, c, k int) {
 	id, cp := fmt.Sprint("m", m), ID(fmt.Sprint("c", c))
 	switch op {
@@ -124,8 +125,8 @@
 	case 2:
 		p.Want(now, id, cp, Class(k%3), fmt.Sprint("t", k%2), 0)
 	case 3:
-		p.Arrived(now, id, cp)
-	case 4: // a report in full; a crash may have lost a copy
+		p.CopyArrived(now, id, cp)
+	case 4: // the machine lists its copies; a crash may have lost some
 		var list []ID
 		for i := range 4 {
 			if k>>i&1 == 1 {
@@ -137,13 +138,15 @@
 		p.Held(now, id, Report{Digest: "other", Failed: []ID{cp}, Pulls: []Pull{{cp, 10, 100, 5e5}}})
 	case 6:
 		p.Unwant(now, id, cp)
-	case 7: // a version is superseded: another one is known, and wanted
+	case 7: // the version's record changes
 		p.SetCopy(now, Copy{ID: cp, Bytes: 1 << 20, Servers: []string{"s0", fmt.Sprint("s", k%2)}[:1+k%2]})
 	case 8:
 		p.Tick(now)
 	}
 }
 
+// TestBudgetsAndUrgencyHoldUnderAnything checks the invariants after each of many
+// random events.
 func TestBudgetsAndUrgencyHoldUnderAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPlanner(rapid.IntRange(1, 3).Draw(t, "streams"))
@@ -156,16 +159,17 @@
 			step(p, now, rapid.SampledFrom([]int{0, 0, 1, 2, 2, 2, 2, 3, 4, 5, 6, 7, 8}).Draw(t, "op"),
 				rapid.IntRange(0, 5).Draw(t, "machine"), rapid.IntRange(0, 3).Draw(t, "copy"), rapid.IntRange(0, 15).Draw(t, "k"))
 			p.dispatch(now)
-			if err := audit(p, now); err != nil {
+			if err := checkInvariants(p, now); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 }
 
-// TestEveryInterleaving tries all sequences of five events of two machines and
-// two copies: wishes of each class, arrivals, losses, failures, eviction,
-// a crash of either machine, and a version that is superseded.
+// TestEveryInterleaving checks the invariants in all sequences of four events (three
+// with -short) of two machines and two copies: requests of the lowest class and
+// urgent ones, copies that arrive, lost machines, failed fetches, evicted copies, a
+// cancelled fetch, and a version whose record changes.
 func TestEveryInterleaving(t *testing.T) {
 	type event struct{ op, m, c, k int }
 	var events []event
@@ -194,7 +198,7 @@
 			for i, e := range seq {
 				now := time.Duration(i) * 100 * time.Millisecond
 				step(p, now, events[e].op, events[e].m, events[e].c, events[e].k)
-				if err := audit(p, now); err != nil {
+				if err := checkInvariants(p, now); err != nil {
 					t.Fatalf("%v after %v", err, seq[:i+1])
 				}
 			}
@@ -209,8 +213,8 @@
 	t.Logf("%d sequences", runs)
 }
 
-// TestTeamsTakeTurns floods the planner for one team and has another want a few:
-// these must not wait for the flood.
+// TestTeamsTakeTurns guards against a team that starves another: one team requests
+// fifty fetches and another then five, which must not wait for the fifty.
 func TestTeamsTakeTurns(t *testing.T) {
 	p := newPlanner(2)
 	for i := range 60 {
@@ -225,11 +229,11 @@
 	}
 	var order []string
 	for len(order) < 14 {
-		for _, m := range p.all {
+		for _, m := range p.machineList {
 			for _, x := range p.sortedPulls(m) {
-				if x.going {
+				if x.active {
 					order = append(order, x.team)
-					p.Arrived(2*time.Second, m.id, x.d.ID)
+					p.CopyArrived(2*time.Second, m.id, x.copy.ID)
 				}
 			}
 		}
@@ -241,24 +245,24 @@
 		}
 	}
 	if few != 5 {
-		t.Errorf("%d of the five small wishes among the first 14: %v", few, order)
+		t.Errorf("%d of the five fetches of the team with few are among the first 14: %v", few, order)
 	}
 }
 
-// TestPromisesRiseInTime has announced data wait behind a flood, until there is
-// just time enough left.
+// TestPromisesRiseInTime checks that a fetch for announced work waits behind many
+// others until just enough time is left, and then rises.
 func TestPromisesRiseInTime(t *testing.T) {
 	p := newPlanner(1)
 	for i := range 20 {
 		p.Join(fmt.Sprint("m", i), "z", "")
-		p.SetCopy(0, Copy{ID: ID(fmt.Sprint("c", i)), Bytes: 10e6, Servers: []string{"s"}}) // ten seconds each
+		p.SetCopy(0, Copy{ID: ID(fmt.Sprint("c", i)), Bytes: 10e6, Servers: []string{"s"}}) // ten seconds each at 1 MB/s
 		p.Want(0, fmt.Sprint("m", i), ID(fmt.Sprint("c", i)), Normal, "flood", 0)
 	}
 	p.SetCopy(0, Copy{ID: "morning", Bytes: 10e6, Servers: []string{"s"}})
 	p.Promise(0, "m0", "morning", Urgent, "few", 60*time.Second)
 	began := time.Duration(0)
 	for now := time.Duration(0); now < 60*time.Second && began == 0; now += time.Second {
-		for _, m := range p.all {
+		for _, m := range p.machineList {
 			for _, o := range p.Orders(m.id) {
 				p.Held(now, m.id, Report{Pulls: []Pull{{ID: o.ID}}})
 				if o.ID == "morning" {
@@ -273,8 +277,8 @@
 	}
 }
 
-// TestLongQueuesMove guards against a head of the queue that can't start: what is
-// behind it, with another source or machine, must.
+// TestLongQueuesMove guards against a long queue whose head blocks the fetches
+// behind it: those with another source or machine must start.
 func TestLongQueuesMove(t *testing.T) {
 	p := newPlanner(1)
 	p.SetCopy(0, Copy{ID: "stuck", Bytes: 100, Servers: []string{"a"}})
@@ -289,9 +293,9 @@
 		p.Tick(time.Duration(i) * time.Second / 10)
 	}
 	if len(p.Orders("last")) != 1 {
-		t.Error("a fetch whose source is free waits behind others")
+		t.Error("a fetch whose source is free waits behind fetches whose source is busy")
 	}
-	// One machine's many wishes are in nobody's way either.
+	// Many fetches of one machine don't block another machine either.
 	p = newPlanner(1)
 	p.Join("many", "z", "")
 	for i := range 300 {
@@ -302,11 +306,11 @@
 	p.Join("other", "z", "")
 	p.Want(0, "other", "c299", Normal, "t", 0)
 	if len(p.Orders("other")) != 1 || len(p.Orders("many")) != p.cfg.MachineStreams {
-		t.Errorf("%d and %d fetches", len(p.Orders("other")), len(p.Orders("many")))
+		t.Errorf("the other machine has %d fetches and the machine with many requests has %d", len(p.Orders("other")), len(p.Orders("many")))
 	}
 }
 
-// TestChoose checks the rule against the three ways' times.
+// TestChoose checks the choice for given times of the three options.
 func TestChoose(t *testing.T) {
 	s := time.Second
 	for _, c := range []struct {
@@ -314,7 +318,7 @@
 		want                      Option
 	}{
 		{10 * s, 4 * s, Never, 0, WaitThere},
-		{10 * s, 4 * s, Never, 7 * s, FetchHere}, // waited long enough
+		{10 * s, 4 * s, Never, 7 * s, FetchHere}, // has waited long enough
 		{10 * s, 12 * s, Never, 0, FetchHere},
 		{10 * s, 4 * s, 1 * s, 0, ClearThere},
 		{1 * s, 4 * s, 2 * s, 0, FetchHere},
@@ -322,13 +326,13 @@
 		{10 * s, Never, Never, 0, FetchHere},
 		{10 * s, 4 * s, 6 * s, 0, ClearThere},
 		{10 * s, s / 2, 6 * s, 0, WaitThere},
-		{10 * s, s / 2, 6 * s, s, ClearThere}, // what was to be free went to another
+		{10 * s, s / 2, 6 * s, s, ClearThere}, // the room that was about to be free went to another task
 	} {
 		if got := Choose(c.fetch, c.free, c.stop, c.waited); got != c.want {
-			t.Errorf("%+v: %d", c, got)
+			t.Errorf("%+v: chose option %d", c, got)
 		}
 	}
-	// However the offers come, a task waits no longer than a fetch takes.
+	// Whatever times are offered, a task waits no longer than a fetch takes.
 	rapid.Check(t, func(t *rapid.T) {
 		fetch := time.Duration(rapid.IntRange(1, 60).Draw(t, "fetch")) * s
 		waited := time.Duration(0)
@@ -345,7 +349,7 @@
 	})
 }
 
-// TestPlace compares the choice with sorting all.
+// TestPlace compares the chosen machines with those that sorting all machines gives.
 func TestPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Candidate
@@ -373,15 +377,16 @@
 			}
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("%v, expected %v", got, want)
+			t.Fatalf("placed on %v, expected %v", got, want)
 		}
 	})
 }
 
-// TestOnlyHolderIsDrained guards against a task whose inputs are on one machine
-// alone, which is drained while they are fetched from it: as long as it is there
-// it serves; once it is gone the fetch waits, without being given up or counted as
-// under way, and goes on from whoever has the copy next.
+// TestOnlyHolderIsDrained guards against a fetch that is lost because the only
+// machine that holds the copy is drained during the fetch. The machine serves the
+// copy as long as it is there. Once it is gone the fetch waits, without being
+// given up or counted as under way, and continues from the next machine or file
+// server that has the copy.
 func TestOnlyHolderIsDrained(t *testing.T) {
 	p := newPlanner(2)
 	p.SetCopy(0, Copy{ID: "only", Bytes: 10e6})
@@ -397,21 +402,21 @@
 		return out
 	}
 	if got := from(); got != "10.0.0.1:9000" {
-		t.Fatalf("fetches from %q, not from the only holder", got)
+		t.Fatalf("the task's machine fetches from %q, not from the only holder", got)
 	}
-	// Drained, it takes no tasks, but reports on and serves on.
+	// The drained machine takes no tasks, but still reports and serves.
 	p.Held(time.Second, "holder", Report{Digest: "?", Listed: true, List: []ID{"only"}})
 	p.Held(time.Second, "task", Report{Digest: "?", Listed: true, Pulls: []Pull{{ID: "only", Done: 4e6, Total: 10e6, Rate: 1e6}}})
 	p.Tick(time.Second)
 	if got := from(); got != "10.0.0.1:9000" {
-		t.Errorf("fetches from %q while the only holder drains", got)
+		t.Errorf("the task's machine fetches from %q while the only holder drains", got)
 	}
 	p.Lost(2*time.Second, "holder")
 	p.Tick(3 * time.Second)
 	if got := from(); got != "" {
-		t.Errorf("fetches from %q, which is gone", got)
+		t.Errorf("the task's machine fetches from %q, which is gone", got)
 	}
-	if err := audit(p, 3*time.Second); err != nil {
+	if err := checkInvariants(p, 3*time.Second); err != nil {
 		t.Error(err)
 	}
 	// Another machine turns out to hold it, or a file server publishes it again.
@@ -419,12 +424,12 @@
 	p.Held(4*time.Second, "other", Report{Digest: "?", Listed: true, List: []ID{"only"}})
 	p.Tick(4 * time.Second)
 	if got := from(); got != "10.0.0.3:9000" {
-		t.Errorf("fetches from %q when another machine has the copy", got)
+		t.Errorf("the task's machine fetches from %q when another machine has the copy", got)
 	}
 	p.Lost(5*time.Second, "other")
 	p.SetCopy(6*time.Second, Copy{ID: "only", Bytes: 10e6, Servers: []string{"10.9.0.1:80"}})
 	p.Tick(6 * time.Second)
 	if got := from(); got != "10.9.0.1:80" {
-		t.Errorf("fetches from %q when a file server has the copy again", got)
+		t.Errorf("the task's machine fetches from %q when a file server has the copy again", got)
 	}
 }
--- a/internal/staging/pulls.go
+++ b/internal/staging/pulls.go
@@ -11,54 +11,54 @@
 	for _, x := range m.pulls {
 		out = append(out, x)
 	}
-	slices.SortFunc(out, func(a, b *pull) int { return cmp.Compare(a.d.ID, b.d.ID) })
+	slices.SortFunc(out, func(a, b *pull) int { return cmp.Compare(a.copy.ID, b.copy.ID) })
 	return out
 }
 
-func (p *Planner) finish(now time.Duration, x *pull) {
+func (p *Planner) finishPull(now time.Duration, x *pull) {
 	p.Stats.Finished++
-	if x.going && now > x.start {
-		if r := float64(x.d.Bytes) / (now - x.start).Seconds(); x.rate == 0 && r > 0 {
+	if x.active && now > x.startedAt {
+		if r := float64(x.copy.Bytes) / (now - x.startedAt).Seconds(); x.rate == 0 && r > 0 {
 			p.rate += (r - p.rate) / 64
 		}
 	}
-	p.drop(x)
+	p.removePull(x)
 }
 
-// drop forgets a fetch.
-func (p *Planner) drop(x *pull) {
-	p.halt(x)
+// removePull removes a fetch from its machine and from the queues.
+func (p *Planner) removePull(x *pull) {
+	p.stopPull(x)
 	p.dequeue(x)
-	if x.m.pulls[x.d] == x {
-		delete(x.m.pulls, x.d)
-		x.d.coming--
+	if x.machine.pulls[x.copy] == x {
+		delete(x.machine.pulls, x.copy)
+		x.copy.fetching--
 	}
 }
 
-// halt gives back what a fetch takes of budgets.
-func (p *Planner) halt(x *pull) {
-	if !x.going {
+// stopPull makes a fetch inactive and returns its share of the budgets.
+func (p *Planner) stopPull(x *pull) {
+	if !x.active {
 		return
 	}
-	x.going = false
+	x.active = false
 	if x.peer != nil {
 		x.peer.serving--
 		x.peer = nil
 	}
 	if x.server != "" {
-		p.servers[x.server]--
-		if i := slices.Index(p.users[x.server], x); i >= 0 {
-			p.users[x.server] = slices.Delete(p.users[x.server], i, i+1)
+		p.serverFetches[x.server]--
+		if i := slices.Index(p.displaceable[x.server], x); i >= 0 {
+			p.displaceable[x.server] = slices.Delete(p.displaceable[x.server], i, i+1)
 		}
 		x.server = ""
 	}
 	if x.class < Urgent {
-		x.m.running--
-		p.unpark(x.m)
+		x.machine.running--
+		p.unpark(x.machine)
 	}
 }
 
-// unpark has a machine's fetches wait for sources again.
+// unpark moves a machine's parked fetches back to the queues of their classes.
 func (p *Planner) unpark(m *machine) {
 	for _, x := range m.parked {
 		p.enqueue(x)
@@ -66,13 +66,15 @@
 	m.parked = nil
 }
 
-// Pauses after a fetch that failed, in report periods: the first, doubling.
-const maxFails = 6
+// The pause after a failed fetch is at first one report period and doubles with
+// each further failure, at most maxPauseDoublings times.
+const maxPauseDoublings = 6
 
-// fail has a fetch tried again later, from another source if there is one.
-func (p *Planner) fail(now time.Duration, x *pull) {
+// failPull schedules a retry of a failed fetch after a pause, from another source
+// if there is one.
+func (p *Planner) failPull(now time.Duration, x *pull) {
 	p.Stats.Failed++
-	if x.going {
+	if x.active {
 		if x.avoid == nil {
 			x.avoid = map[string]bool{}
 		}
@@ -81,12 +83,12 @@
 		} else if x.server != "" {
 			x.avoid[x.server] = true
 		}
-		p.halt(x)
+		p.stopPull(x)
 		p.enqueue(x)
 	}
-	pause := p.cfg.Report << min(x.fails, maxFails)
-	x.fails++
-	x.hold = now + pause/2 + time.Duration(p.rnd.Float64()*float64(pause/2))
+	pause := p.cfg.Report << min(x.failures, maxPauseDoublings)
+	x.failures++
+	x.notBefore = now + pause/2 + time.Duration(p.random.Float64()*float64(pause/2))
 }
 
 func (p *Planner) enqueue(x *pull) {
@@ -97,90 +99,94 @@
 	if i := slices.Index(p.waiting[x.class], x); i >= 0 {
 		p.waiting[x.class] = slices.Delete(p.waiting[x.class], i, i+1)
 	}
-	if i := slices.Index(x.m.parked, x); i >= 0 {
-		x.m.parked = slices.Delete(x.m.parked, i, i+1)
+	if i := slices.Index(x.machine.parked, x); i >= 0 {
+		x.machine.parked = slices.Delete(x.machine.parked, i, i+1)
 	}
 }
 
-// scanned bounds how many waiting fetches, and how many holders, one decision
-// looks at.
-const scanned = 64
+// maxScanned bounds how many waiting fetches, and how many holders, one decision
+// considers.
+const maxScanned = 64
 
-// dispatch starts what budgets allow: urgent ones first, then by turns of teams.
+// dispatch starts as many waiting fetches as the budgets allow: higher classes
+// first, and within a class by turns of the teams.
 func (p *Planner) dispatch(now time.Duration) {
-	for class := Urgent; class >= Ahead; class-- {
-		for p.startOne(now, class) {
+	for class := Urgent; class >= Prefetch; class-- {
+		for p.startNext(now, class) {
 		}
 	}
 }
 
-// startOne starts the fetch of a class whose turn it is.
-func (p *Planner) startOne(now time.Duration, class Class) bool {
+// startNext starts the next fetch of a class that has a source, and reports
+// whether there was one.
+func (p *Planner) startNext(now time.Duration, class Class) bool {
 	var best *pull
 	var peer *machine
 	server := ""
 	q := p.waiting[class]
 	seen := 0
-	for i := 0; i < len(q) && seen < scanned; {
+	for i := 0; i < len(q) && seen < maxScanned; {
 		x := q[i]
-		if class < Urgent && x.m.running >= p.cfg.MachineStreams {
-			// It waits with its machine, out of the others' way.
+		if class < Urgent && x.machine.running >= p.cfg.MachineStreams {
+			// Park the fetch with its machine, so that it doesn't count towards
+			// maxScanned in the queue.
 			q = slices.Delete(q, i, i+1)
-			x.m.parked = append(x.m.parked, x)
+			x.machine.parked = append(x.machine.parked, x)
 			continue
 		}
 		i++
 		seen++
-		if now < x.hold {
+		if now < x.notBefore {
 			continue
 		}
-		if best != nil && !p.earlier(x, best) {
+		if best != nil && !p.precedes(x, best) {
 			continue
 		}
-		if from, s, ok := p.source(x); ok {
+		if from, s, ok := p.chooseSource(x); ok {
 			best, peer, server = x, from, s
 		}
 	}
 	p.waiting[class] = q
 	if best == nil {
-		// Guards against a long queue whose head can't start, for want of a
-		// source: the next look begins behind it.
+		// If no source is free for the fetches at the head of a long queue, move
+		// them to its end, so that the next scan begins behind them.
 		if seen < len(q) {
 			p.waiting[class] = append(q[seen:len(q):len(q)], q[:seen]...)
 		}
 		return false
 	}
 	p.dequeue(best)
-	best.going, best.start, best.seen = true, now, now
+	best.active, best.startedAt, best.reportedAt = true, now, now
 	best.peer, best.server = peer, server
 	if peer != nil {
 		peer.serving++
 		p.Stats.FromPeers++
 	} else {
-		p.servers[server]++
+		p.serverFetches[server]++
 		p.Stats.FromServers++
 		if class < Urgent {
-			p.users[server] = append(p.users[server], best)
+			p.displaceable[server] = append(p.displaceable[server], best)
 		}
 	}
 	if class < Urgent {
-		best.m.running++
+		best.machine.running++
 	}
-	p.given[best.team] = max(p.given[best.team], p.floor()) + float64(best.d.Bytes-best.done)
+	p.givenBytes[best.team] = max(p.givenBytes[best.team], p.leastGiven()) + float64(best.copy.Bytes-best.doneBytes)
 	p.Stats.Started++
 	return true
 }
 
-// floor is what the team that was given least has; one that comes new begins
-// there, or it would be owed all that others were given before it came.
-func (p *Planner) floor() float64 {
+// leastGiven returns the bytes granted to the waiting team that was granted least.
+// A new team's account starts at this value: from 0, it would go first until it
+// had caught up with all that the others were granted before.
+func (p *Planner) leastGiven() float64 {
 	low := -1.0
 	for class := range p.waiting {
 		for i, x := range p.waiting[class] {
-			if g, ok := p.given[x.team]; ok && (low < 0 || g < low) {
+			if g, ok := p.givenBytes[x.team]; ok && (low < 0 || g < low) {
 				low = g
 			}
-			if i > scanned {
+			if i > maxScanned {
 				break
 			}
 		}
@@ -188,28 +194,29 @@
 	return max(low, 0)
 }
 
-func (p *Planner) earlier(a, b *pull) bool {
-	if x, y := p.given[a.team], p.given[b.team]; a.team != b.team && x != y {
+func (p *Planner) precedes(a, b *pull) bool {
+	if x, y := p.givenBytes[a.team], p.givenBytes[b.team]; a.team != b.team && x != y {
 		return x < y
 	}
-	if a.by != b.by {
-		return b.by == 0 || a.by != 0 && a.by < b.by
+	if a.deadline != b.deadline {
+		return b.deadline == 0 || a.deadline != 0 && a.deadline < b.deadline
 	}
-	return a.since < b.since
+	return a.wantedAt < b.wantedAt
 }
 
-// source picks whom a fetch is to ask: a machine of its zone that holds the
-// copy, or any, or a file server; an urgent one takes another's place there.
-func (p *Planner) source(x *pull) (peer *machine, server string, ok bool) {
-	if n := len(x.d.holders); n > 0 {
-		start := p.rnd.IntN(n)
-		for i := range min(n, scanned) {
-			m := x.d.holders[(start+i)%n]
+// chooseSource picks the source of a fetch: preferably a machine of its zone that
+// holds the copy, then a machine of another zone, then a file server. An urgent
+// fetch displaces a non-urgent one from a file server that has no free stream.
+func (p *Planner) chooseSource(x *pull) (peer *machine, server string, ok bool) {
+	if n := len(x.copy.holders); n > 0 {
+		start := p.random.IntN(n)
+		for i := range min(n, maxScanned) {
+			m := x.copy.holders[(start+i)%n]
 			if m.address == "" || m.serving >= p.cfg.PeerStreams || x.avoid[m.address] {
 				continue
 			}
-			if peer == nil || m.zone == x.m.zone && peer.zone != x.m.zone {
-				if peer = m; m.zone == x.m.zone {
+			if peer == nil || m.zone == x.machine.zone && peer.zone != x.machine.zone {
+				if peer = m; m.zone == x.machine.zone {
 					break
 				}
 			}
@@ -219,34 +226,35 @@
 		}
 	}
 	tried := 0
-	for _, s := range x.d.Servers {
+	for _, s := range x.copy.Servers {
 		if x.avoid[s] {
 			tried++
 			continue
 		}
-		if p.servers[s] < p.perServer() && (server == "" || p.servers[s] < p.servers[server]) {
+		if p.serverFetches[s] < p.streamsPerServer() && (server == "" || p.serverFetches[s] < p.serverFetches[server]) {
 			server = s
 		}
 	}
 	if server != "" {
 		return nil, server, true
 	}
-	if tried > 0 && tried == len(x.d.Servers) {
-		x.avoid = nil // all failed once: from the beginning
-		return p.source(x)
+	if tried > 0 && tried == len(x.copy.Servers) {
+		x.avoid = nil // every file server failed once: try all sources again
+		return p.chooseSource(x)
 	}
 	if x.class < Urgent {
 		return nil, "", false
 	}
-	for _, s := range x.d.Servers {
-		if users := p.users[s]; len(users) > 0 {
-			// The one that has got least loses least: what is there is kept,
-			// but its place in the line is not.
+	for _, s := range x.copy.Servers {
+		if users := p.displaceable[s]; len(users) > 0 {
+			// Displace the fetch that has the fewest bytes, as it loses least:
+			// its machine keeps the bytes, but the fetch goes to the end of
+			// the queue.
 			least := slices.MinFunc(users, func(a, b *pull) int {
-				return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.done, b.done), cmp.Compare(a.m.id, b.m.id))
+				return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.doneBytes, b.doneBytes), cmp.Compare(a.machine.id, b.machine.id))
 			})
 			p.Stats.Displaced++
-			p.halt(least)
+			p.stopPull(least)
 			p.enqueue(least)
 			return nil, s, true
 		}
