--- a/internal/datastore/disk.go
+++ b/internal/datastore/disk.go
@@ -9,15 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk is what tests let fail as on a full disk: every write of a store goes through
-// it.
+// disk does every write of a store, so that tests can simulate a full disk.
 type disk interface {
-	// WriteAt writes a part of a copy.
+	// WriteAt writes a part of a file of a copy.
 	WriteAt(f *os.File, b []byte, off int64) error
-	// Replace writes a small file whole or not at all, durably.
+	// Replace writes a small file atomically and durably.
 	Replace(path string, b []byte) error
-	// Sync makes all that was written in a folder's file system durable, which is
-	// when some file systems first find out that they are full.
+	// Sync makes all data durable that was written to the file system of a folder.
+	// Some file systems report only then that they are full.
 	Sync(dir *os.File) error
 }
 
@@ -32,7 +31,7 @@
 
 func (osDisk) Sync(dir *os.File) error { return unix.Syncfs(int(dir.Fd())) }
 
-// isDiskFull tells whether an error means that the disk is full.
+// isDiskFull reports whether an error means that the disk is full.
 func isDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
--- a/internal/datastore/evict.go
+++ b/internal/datastore/evict.go
@@ -10,7 +10,8 @@
 	"silvergate/internal/dataset"
 )
 
-// trash takes a folder out of sight in one step and then removes it.
+// trash removes a copy's folder below where: it first moves the folder into the trash
+// folder by one rename, so that a crash leaves no partly removed copy.
 func (s *Store) trash(where string, id dataset.ID) error {
 	trash := filepath.Join(s.cfg.Dir, trashDir)
 	if err := os.MkdirAll(trash, 0o700); err != nil {
@@ -29,7 +30,8 @@
 	return os.RemoveAll(to)
 }
 
-// used returns how many bytes copies and fetches take; the lock is held.
+// used returns how many bytes the copies take and the fetches have reserved. The
+// caller holds the lock.
 func (s *Store) used() (n int64) {
 	for _, h := range s.copies {
 		n += h.bytes
@@ -40,8 +42,9 @@
 	return n
 }
 
-// makeRoom evicts copies until there is room for more bytes, or returns an error that
-// wraps ErrFull; the lock is held.
+// makeRoom evicts the least recently used unpinned copies until there is room for more
+// bytes. If that isn't possible, it returns an error that wraps ErrFull. The caller
+// holds the lock.
 func (s *Store) makeRoom(more int64) error {
 	for s.used()+more > s.cfg.Capacity {
 		var oldest dataset.ID
@@ -61,7 +64,7 @@
 	return nil
 }
 
-// evict removes a copy; the lock is held.
+// evict removes a copy. The caller holds the lock.
 func (s *Store) evict(id dataset.ID) error {
 	s.removeCopy(id)
 	s.stats.Evicted++
@@ -69,22 +72,22 @@
 	return s.trash(copiesDir, id)
 }
 
-// Here tells whether the store has the whole copy.
-func (s *Store) Here(id dataset.ID) bool {
+// Has reports whether the store has the whole copy.
+func (s *Store) Has(id dataset.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.copies[id] != nil
 }
 
-// Pin keeps a copy, and a fetch of it, from being removed until Unpin was called as
-// often as Pin. The copy need not be there yet.
+// Pin protects a copy and the fetch of it from being removed until Unpin was called as
+// often as Pin. The store need not have the copy yet.
 func (s *Store) Pin(id dataset.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pins[id]++
 }
 
-// Unpin undoes a Pin.
+// Unpin undoes one call of Pin.
 func (s *Store) Unpin(id dataset.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,8 +96,8 @@
 	}
 }
 
-// Drop removes a copy that no task uses, and ends a fetch that no task waits
-// for. It returns false if it is in use.
+// Drop removes a copy and ends the fetch of it, unless the copy is pinned. It reports
+// whether the copy was not pinned.
 func (s *Store) Drop(id dataset.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,12 +105,12 @@
 		return false
 	}
 	if f := s.fetches[id]; f != nil {
-		f.end(ErrDropped)
+		f.abort(ErrDropped)
 	}
 	if s.copies[id] != nil {
 		s.emit(Event{Kind: "drop", ID: id})
 		if err := s.evict(id); err != nil {
-			s.log.Error("a copy can't be removed", "copy", id, "error", err)
+			s.log.Error("a dropped copy can't be removed from the disk", "copy", id, "error", err)
 		}
 	}
 	return true
--- a/internal/datastore/fetch.go
+++ b/internal/datastore/fetch.go
@@ -14,42 +14,42 @@
 	"silvergate/internal/dataset"
 )
 
-// fetching is a copy that is being fetched. The store's lock guards what changes of it.
+// fetching is the state of a fetch. The store's lock guards the fields that change.
 type fetching struct {
 	want          Want
 	waiters       []func(error) // called when the fetch has finished
 	reservedBytes int64
 	totalBytes    int64
-	verifiedBytes int64 // those found here included
+	verifiedBytes int64 // including those found on this machine
 	fetchedBytes  int64 // from sources
-	began         time.Time
+	startedAt     time.Time
 	plan          *fetchPlan
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
-	// pause ends the requests of a fetch that must wait for an urgent one.
+	// pause cancels the requests of a fetch that must wait for an urgent one.
 	pause    context.CancelFunc
-	wakeup   chan struct{}
+	wakeups  chan struct{}
 	finished chan struct{}
 }
 
-// end ends a fetch for a reason; the store's lock may be held.
-func (f *fetching) end(why error) { f.cancel(why) }
+// abort ends a fetch with the error why. The caller may hold the store's lock.
+func (f *fetching) abort(why error) { f.cancel(why) }
 
-// wake lets the fetch look again at what it may do.
+// wake makes the fetch check again which requests it may send.
 func (f *fetching) wake() {
 	select {
-	case f.wakeup <- struct{}{}:
+	case f.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// Fetch has a copy fetched in the background, unless the store has it, and then calls
-// done from a goroutine of the store, once. A copy that is wanted again meanwhile is
-// fetched once; sources are added, and it becomes urgent if any Want is. done may be
-// nil: what is staged has nobody who waits. It gets nil if the store has the copy, an
-// error that wraps ErrFull if there is no room, ErrDropped if the fetch was given up
-// or the store is closed, and another error if no source has the copy or this
-// machine's disk fails.
+// Fetch fetches a copy in the background, unless the store has it, and then calls done
+// once from a goroutine of the store. If the copy is already being fetched, Fetch joins
+// that fetch: it adds the sources of w, and makes the fetch urgent if w is urgent. done
+// may be nil, as nobody waits for a copy that is staged ahead. done is called with nil
+// if the store has the copy, with an error that wraps ErrFull if there is no room, with
+// ErrDropped if the fetch was cancelled or the store is closed, and with another error
+// if no source has the copy or this machine's disk fails.
 func (s *Store) Fetch(w Want, done func(error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,8 +66,8 @@
 	}
 	f := s.fetches[w.ID]
 	if f != nil && f.ctx.Err() != nil {
-		// Guards against joining a fetch that was just given up: whoever wants
-		// the copy now would be told that nobody does.
+		// The fetch was just cancelled: joining it would end this request with
+		// ErrDropped. Start a new fetch once it has finished.
 		go func() {
 			<-f.finished
 			s.Fetch(w, done)
@@ -75,31 +75,33 @@
 		return
 	}
 	if f == nil {
-		f = &fetching{want: w, began: time.Now(), wakeup: make(chan struct{}, 1), finished: make(chan struct{})}
+		f = &fetching{want: w, startedAt: time.Now(), wakeups: make(chan struct{}, 1), finished: make(chan struct{})}
 		f.ctx, f.cancel = context.WithCancelCause(context.Background())
 		s.fetches[w.ID] = f
 		s.emit(Event{Kind: "begin", ID: w.ID, Urgent: w.Urgent})
 		if w.Urgent {
-			s.setUrgent(1)
+			s.addUrgent(1)
 		}
-		go s.run(f)
+		go s.runFetch(f)
 	} else {
-		f.want.Sources = merge(f.want.Sources, w.Sources)
+		f.want.Sources = mergeSources(f.want.Sources, w.Sources)
 		if f.plan != nil {
-			f.plan.add(w.Sources)
+			f.plan.addSources(w.Sources)
 		}
 		if w.Urgent && !f.want.Urgent {
 			f.want.Urgent = true
 			s.emit(Event{Kind: "begin", ID: w.ID, Urgent: true})
-			s.setUrgent(1)
+			s.addUrgent(1)
 		}
 		f.wake()
 	}
 	f.waiters = append(f.waiters, done)
 }
 
-// setUrgent counts the urgent fetches. The first one pauses all others at once, and the last one lets them go on; the lock is held.
-func (s *Store) setUrgent(d int) {
+// addUrgent adds d to the number of urgent fetches. The first urgent fetch pauses all
+// non-urgent ones at once, and the end of the last one resumes them. The caller holds
+// the lock.
+func (s *Store) addUrgent(d int) {
 	was := s.urgent > 0
 	s.urgent += d
 	if is := s.urgent > 0; is == was {
@@ -121,13 +123,13 @@
 	}
 }
 
-// run fetches a copy and calls those who wait for it.
-func (s *Store) run(f *fetching) {
+// runFetch fetches a copy and then calls the functions that wait for it.
+func (s *Store) runFetch(f *fetching) {
 	err := s.fetchCopy(f)
 	s.mu.Lock()
 	delete(s.fetches, f.want.ID)
 	if f.want.Urgent {
-		s.setUrgent(-1)
+		s.addUrgent(-1)
 	}
 	waiters := f.waiters
 	switch {
@@ -144,7 +146,7 @@
 	}
 }
 
-// fetchCopy makes room for a copy, fetches what is missing of it and publishes it.
+// fetchCopy makes room for a copy, fetches its missing chunks and publishes it.
 func (s *Store) fetchCopy(f *fetching) error {
 	m, raw, err := s.fetchManifest(f)
 	if err != nil {
@@ -164,7 +166,7 @@
 	}
 	t := &target{store: s, fetch: f, manifest: m}
 	if err := s.disk.Replace(s.manifestPath(id), raw); err != nil {
-		return t.failed(err)
+		return t.wrapDiskFull(err)
 	}
 	missing, err := t.prepare()
 	if err != nil {
@@ -173,7 +175,7 @@
 	s.mu.Lock()
 	f.plan = newFetchPlan(missing, f.want.Sources)
 	for i := range missing {
-		_, _, n := t.at(missing[i])
+		_, _, n := t.locate(missing[i])
 		f.verifiedBytes -= int64(n)
 	}
 	f.verifiedBytes += size
@@ -186,9 +188,9 @@
 	return t.publish()
 }
 
-// fetchManifest reads the copy's manifest from this disk or a source, and asks the
-// sources again until one has it, all lack it, or the fetch ends. The digest says
-// whether it is the right one, so any source will do.
+// fetchManifest reads the copy's manifest from this disk or from a source. It asks the
+// sources again until one has the manifest, all lack it, or the fetch ends. Any source
+// will do, because the digest shows whether the manifest is the right one.
 func (s *Store) fetchManifest(f *fetching) (*dataset.Manifest, []byte, error) {
 	if raw, err := os.ReadFile(s.manifestPath(f.want.ID)); err == nil {
 		if m, err := dataset.Decode(raw, f.want.Digest); err == nil {
@@ -200,7 +202,7 @@
 		from := append([]Source(nil), f.want.Sources...)
 		s.mu.Unlock()
 		if len(from) == 0 {
-			return nil, nil, errors.New("no source is known")
+			return nil, nil, errors.New("no source of the copy is known")
 		}
 		absent := 0
 		wait := longestPause
@@ -229,21 +231,22 @@
 	}
 }
 
-// manifestReply is what came of asking a source for a manifest.
+// manifestReply is the result of asking a source for a manifest.
 type manifestReply struct {
-	asked    bool // false: the source must not be asked yet
+	asked    bool // false: the source's back-off was not over, so it was not asked
 	outcome  Outcome
 	wait     time.Duration // until the source may be asked again
 	manifest *dataset.Manifest
 	raw      []byte
 }
 
-// askManifest asks a source for the copy's manifest, unless it backs off.
+// askManifest asks a source for the copy's manifest, unless the source's back-off is
+// not over.
 func (s *Store) askManifest(f *fetching, source Source) manifestReply {
 	s.mu.Lock()
-	backOff := s.sources.of(source.Address).notBefore - s.now()
+	backOff := s.sources.get(source.Address).notBefore - s.now()
 	if backOff <= 0 {
-		s.sources.begin(source.Address)
+		s.sources.beginRequest(source.Address)
 	}
 	s.mu.Unlock()
 	if backOff > 0 {
@@ -254,7 +257,7 @@
 		path = dataset.ChunkPath + "manifest/" + string(f.want.ID)
 	}
 	reply := manifestReply{asked: true}
-	reply.raw, reply.outcome = s.ask(f.ctx, source, path, "", dataset.MaxManifest)
+	reply.raw, reply.outcome = s.request(f.ctx, source, path, "", dataset.MaxManifest)
 	if reply.outcome == Good {
 		var err error
 		if reply.manifest, err = dataset.Decode(reply.raw, f.want.Digest); err != nil {
@@ -263,12 +266,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sources.end(s.now(), source.Address, reply.outcome, 0, 0)
-	reply.wait = max(0, s.sources.of(source.Address).notBefore-s.now())
+	s.sources.endRequest(s.now(), source.Address, reply.outcome, 0, 0)
+	reply.wait = max(0, s.sources.get(source.Address).notBefore-s.now())
 	return reply
 }
 
-// sleep waits, until something about the fetch changes or it is ended.
+// sleep waits for d, or until the fetch is woken or ends. It returns an error if the
+// fetch has ended.
 func (s *Store) sleep(f *fetching, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -276,14 +280,14 @@
 	case <-f.ctx.Done():
 		return context.Cause(f.ctx)
 	case <-t.C:
-	case <-f.wakeup:
+	case <-f.wakeups:
 	}
 	return nil
 }
 
-// ask sends one request and reads at most limit bytes of its answer. It gives
-// up when nothing comes for as long as the store's patience.
-func (s *Store) ask(ctx context.Context, src Source, path, byteRange string, limit int) ([]byte, Outcome) {
+// request sends one request and reads at most limit bytes of the answer. It gives up
+// if the source sends nothing for Config.Patience.
+func (s *Store) request(ctx context.Context, src Source, path, byteRange string, limit int) ([]byte, Outcome) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	quiet := time.AfterFunc(s.cfg.Patience, cancel)
@@ -315,7 +319,7 @@
 		if n > 0 {
 			quiet.Reset(s.cfg.Patience)
 			if data = append(data, buf[:n]...); len(data) > limit {
-				return nil, Failed // it lies about its length
+				return nil, Failed // the body is longer than it may be
 			}
 			if s.fetchLimit.WaitN(ctx, n) != nil {
 				return nil, Failed
@@ -330,20 +334,20 @@
 	}
 }
 
-// result is what came of asking for a chunk. err is a failure of this machine.
-type result struct {
+// chunkResult is the result of fetching a chunk. err is a failure of this machine.
+type chunkResult struct {
 	chunk   int
 	from    Source
 	outcome Outcome
 	err     error
 }
 
-// fetchChunks fetches the missing chunks, a few at a time.
+// fetchChunks fetches the missing chunks, at most Config.Streams at a time.
 func (s *Store) fetchChunks(f *fetching, t *target) error {
-	results := make(chan result, s.cfg.Streams)
+	results := make(chan chunkResult, s.cfg.Streams)
 	flying := 0
 	defer func() {
-		f.end(ErrDropped) // has no effect on a fetch that is over
+		f.abort(ErrDropped) // has no effect if the fetch was aborted before
 		for ; flying > 0; flying-- {
 			<-results
 		}
@@ -357,7 +361,7 @@
 				ctx, f.pause = context.WithCancel(f.ctx)
 			}
 			for flying < s.cfg.Streams {
-				chunk, from, w, ok := f.plan.next(s.now(), s.sources)
+				chunk, from, w, ok := f.plan.nextRequest(s.now(), s.sources)
 				if !ok {
 					if w > 0 {
 						wait = w
@@ -368,10 +372,10 @@
 				go s.fetchChunk(ctx, t, chunk, from, results)
 			}
 		}
-		hopeless := f.plan.hopeless()
+		hopeless := f.plan.exhausted()
 		s.mu.Unlock()
 		if hopeless {
-			return fmt.Errorf("no source has all of version %s of data set %s", f.want.Version, f.want.Set)
+			return fmt.Errorf("no source has all chunks of version %s of data set %s", f.want.Version, f.want.Set)
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -391,52 +395,52 @@
 				timer.Stop()
 				return nil
 			}
-		case <-f.wakeup:
+		case <-f.wakeups:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// fetchChunk asks a source for the chunk with number n over all files, verifies it
-// and writes it.
-func (s *Store) fetchChunk(ctx context.Context, t *target, n int, from Source, results chan<- result) {
-	file, chunk, size := t.at(n)
+// fetchChunk fetches chunk n, counted over all files, from a source, verifies it and
+// writes it.
+func (s *Store) fetchChunk(ctx context.Context, t *target, n int, from Source, results chan<- chunkResult) {
+	file, chunk, size := t.locate(n)
 	f := &t.manifest.Files[file]
 	want := f.Chunks[chunk]
 	began := time.Now()
 	var data []byte
 	var o Outcome
 	if from.Peer {
-		data, o = s.ask(ctx, from, dataset.ChunkPath+want.String(), "", size)
+		data, o = s.request(ctx, from, dataset.ChunkPath+want.String(), "", size)
 	} else {
 		path := dataset.SetsPath + url.PathEscape(t.manifest.Set) + "/" + url.PathEscape(t.manifest.Version) + "/" + dataset.FilesDir
 		for _, part := range strings.Split(f.Path, "/") {
 			path += "/" + url.PathEscape(part)
 		}
 		at := int64(chunk) * dataset.ChunkSize
-		data, o = s.ask(ctx, from, path, fmt.Sprintf("bytes=%d-%d", at, at+int64(size)-1), size)
+		data, o = s.request(ctx, from, path, fmt.Sprintf("bytes=%d-%d", at, at+int64(size)-1), size)
 	}
 	switch {
 	case o == Good && (len(data) != size || dataset.Sum(data) != want):
 		o = Damaged
 		if len(data) < size {
-			o = Failed // cut off; what came may be right
+			o = Failed // the answer was cut off; the bytes so far may be right
 		}
 	case o != Good && ctx.Err() != nil:
 		o = Stopped
 	}
 	var err error
 	if o == Good {
-		err = t.write(n, data)
+		err = t.writeChunk(n, data)
 	}
 	s.mu.Lock()
 	if o == Good && ctx.Err() != nil {
-		// It came while an urgent fetch stopped this one: an order to stand
-		// still is kept to the letter, and the chunk is asked for again.
+		// The chunk arrived while an urgent fetch paused this one. A paused fetch
+		// must take no chunk, so the chunk is fetched again later.
 		o = Stopped
 	}
-	s.sources.end(s.now(), from.Address, o, len(data), time.Since(began))
+	s.sources.endRequest(s.now(), from.Address, o, len(data), time.Since(began))
 	switch o {
 	case Good:
 		t.fetch.verifiedBytes += int64(size)
@@ -449,5 +453,5 @@
 		s.stats.Retries++
 	}
 	s.mu.Unlock()
-	results <- result{n, from, o, err}
+	results <- chunkResult{n, from, o, err}
 }
--- a/internal/datastore/golden_test.go
+++ b/internal/datastore/golden_test.go
@@ -16,15 +16,15 @@
 	"silvergate/internal/goldentest"
 )
 
-// The golden folder is a store that an earlier build left behind: it holds one version
-// whole, and of another its manifest and one of two files. Both were published on the
-// file server whose folder is beside it.
+// The golden folder goldenStore is a store that an earlier build wrote. It holds one whole
+// version, and of another version its manifest and one of its two files. Both versions
+// were published on the file server whose folder is goldenServer.
 const (
 	goldenStore  = "testdata/golden/store"
 	goldenServer = "testdata/golden/server"
 )
 
-// goldenWant returns a version on the golden server.
+// goldenWant returns a version on the golden server and its manifest.
 func goldenWant(t *testing.T, version string) (Want, *dataset.Manifest) {
 	t.Helper()
 	raw := goldentest.Read(t, goldenServer+"/sets/prices/"+version+"/manifest.json")
@@ -36,7 +36,7 @@
 	return Want{ID: dataset.IDOf(digest), Digest: digest, Set: "prices", Version: version}, manifest
 }
 
-// copyGoldenStore copies the store to where it may be written to.
+// copyGoldenStore copies the golden store to a temporary folder, as tests write to it.
 func copyGoldenStore(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "store")
@@ -57,8 +57,8 @@
 	return s
 }
 
-// fetchFromGoldenServer serves the golden file server's folder and has a version
-// fetched from there.
+// fetchFromGoldenServer serves the golden file server's folder and fetches a version from
+// it.
 func fetchFromGoldenServer(t *testing.T, s *Store, want Want) {
 	t.Helper()
 	source := httptest.NewServer(http.FileServer(http.Dir(goldenServer)))
@@ -72,11 +72,11 @@
 			t.Fatal(err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Fatal("not fetched in time")
+		t.Fatal("the version was not fetched within 30 s")
 	}
 }
 
-// requirePlaced places a copy in a task's folder and compares it with its manifest.
+// requirePlaced places a copy in a task's folder and checks the files by its manifest.
 func requirePlaced(t *testing.T, s *Store, want Want, manifest *dataset.Manifest) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "task", "in")
@@ -88,13 +88,15 @@
 	}
 }
 
+// TestGoldenStore guards against a build that can't read the store of an earlier build,
+// or that fetches the file again which a partial copy already has.
 func TestGoldenStore(t *testing.T) {
 	whole, wholeManifest := goldenWant(t, "1")
 	partial, partialManifest := goldenWant(t, "2")
 	dir := copyGoldenStore(t)
 	s := openStore(t, dir)
 	if held := s.Held(); !reflect.DeepEqual(held, []dataset.ID{whole.ID}) {
-		t.Fatalf("held: %v, not %v", held, whole.ID)
+		t.Fatalf("the store holds %v, not %v", held, whole.ID)
 	}
 	if raw, ok := s.Manifest(whole.ID); !ok || dataset.Sum(raw) != whole.Digest {
 		t.Errorf("the copy's manifest is %s", raw)
@@ -104,19 +106,19 @@
 	}
 	requirePlaced(t, s, whole, wholeManifest)
 
-	// The file that is there is not fetched again.
+	// Only the missing file is fetched.
 	fetchFromGoldenServer(t, s, partial)
 	if missing := int64(len("of the second version")); s.Stats().Fetched != missing {
-		t.Errorf("%d bytes were fetched, and %d were missing", s.Stats().Fetched, missing)
+		t.Errorf("%d bytes were fetched, but %d were missing", s.Stats().Fetched, missing)
 	}
 	requirePlaced(t, s, partial, partialManifest)
 	if left, err := os.ReadDir(filepath.Join(dir, "partial")); err != nil || len(left) > 0 {
-		t.Errorf("left of the fetch: %v, %v", left, err)
+		t.Errorf("the fetch left partial copies: %v, %v", left, err)
 	}
 }
 
-// TestGoldenStoreIsWrittenAlike fetches the whole version anew and compares the
-// store's files with those of the golden one.
+// TestGoldenStoreIsWrittenAlike guards against a changed form of the files on disk: it
+// fetches the whole version into a new store and compares its files with the golden ones.
 func TestGoldenStoreIsWrittenAlike(t *testing.T) {
 	whole, _ := goldenWant(t, "1")
 	dir := t.TempDir()
@@ -137,6 +139,6 @@
 		return files
 	}
 	if got, want := of(dir), of(goldenStore); !reflect.DeepEqual(got, want) || len(want) != 3 {
-		t.Errorf("written\n%q, not\n%q", got, want)
+		t.Errorf("the store wrote\n%q, not\n%q", got, want)
 	}
 }
--- a/internal/datastore/held.go
+++ b/internal/datastore/held.go
@@ -15,24 +15,24 @@
 	"silvergate/internal/dataset"
 )
 
-// heldCopy is a copy that the store has.
+// heldCopy is a whole copy in the store.
 type heldCopy struct {
-	manifest *dataset.Manifest
-	bytes    int64
-	lastUse  uint64
-	modTimes []time.Time // of the files, when they were verified
+	manifest     *dataset.Manifest
+	bytes        int64
+	lastUse      uint64
+	fileModTimes []time.Time // modification times of the files when they were verified
 }
 
-// chunkPlace is where a chunk lies: in which file of which copy, and the number of
-// the chunk in the file.
-type chunkPlace struct {
+// chunkLocation says where a chunk is stored: the copy, the file's index in its manifest
+// and the chunk's index in the file.
+type chunkLocation struct {
 	id    dataset.ID
 	file  int
 	chunk int
 }
 
-// load reads what is on disk: copies were whole when they got their names. Copies that
-// can't be used are removed.
+// load reads the copies on disk, which were whole when they were renamed into the copies
+// folder. It removes copies that can't be used.
 func (s *Store) load() error {
 	names, err := os.ReadDir(filepath.Join(s.cfg.Dir, copiesDir))
 	if err != nil {
@@ -48,7 +48,7 @@
 		id := dataset.ID(e.Name())
 		h, err := s.readHeld(id)
 		if err != nil {
-			s.log.Error("a copy can't be used and is thrown away", "copy", id, "error", err)
+			s.log.Error("a copy on disk can't be used and is removed", "copy", id, "error", err)
 			if err := s.trash(copiesDir, id); err != nil {
 				return err
 			}
@@ -62,8 +62,8 @@
 	}
 	slices.SortFunc(found, func(a, b old) int { return a.at.Compare(b.at) })
 	for _, f := range found {
-		s.useCount++
-		f.h.lastUse = s.useCount
+		s.useCounter++
+		f.h.lastUse = s.useCounter
 		s.addCopy(f.id, f.h)
 	}
 	return nil
@@ -72,30 +72,30 @@
 // readHeld reads a copy's manifest and checks that its files are there.
 func (s *Store) readHeld(id dataset.ID) (*heldCopy, error) {
 	if !dataset.ValidID(string(id)) {
-		return nil, errors.New("not a copy's name")
+		return nil, errors.New("the folder's name is not a copy's ID")
 	}
 	raw, err := os.ReadFile(s.manifestPath(id))
 	if err != nil {
 		return nil, err
 	}
 	if dataset.IDOf(dataset.Sum(raw)) != id {
-		return nil, errors.New("its manifest is damaged")
+		return nil, errors.New("the manifest does not match the copy's ID")
 	}
 	m, err := dataset.Parse(raw)
 	if err != nil {
 		return nil, err
 	}
 	h := &heldCopy{manifest: m, bytes: m.Bytes()}
-	h.modTimes, err = s.modTimes(copiesDir, id, m)
+	h.fileModTimes, err = s.modTimes(copiesDir, id, m)
 	return h, err
 }
 
-// modTimes returns the files' times of change, or an error unless all are there with
-// their sizes.
+// modTimes returns the modification times of a copy's files. It returns an error unless
+// all files exist and have the sizes of the manifest.
 func (s *Store) modTimes(where string, id dataset.ID, m *dataset.Manifest) ([]time.Time, error) {
 	var out []time.Time
 	for i := range m.Files {
-		info, err := os.Stat(s.file(where, id, &m.Files[i]))
+		info, err := os.Stat(s.filePath(where, id, &m.Files[i]))
 		if err != nil {
 			return nil, err
 		}
@@ -107,7 +107,7 @@
 	return out, nil
 }
 
-// Held lists the copies that the store has, the most recently used first.
+// Held returns the IDs of the copies in the store, the most recently used first.
 func (s *Store) Held() []dataset.ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,15 +124,15 @@
 	return out
 }
 
-// Digest returns a digest of which copies the store has: two stores with the same
-// copies have the same.
+// Digest returns a digest of the set of copies in the store: stores with the same copies
+// have the same digest.
 func (s *Store) Digest() string {
 	ids := s.Held()
 	slices.Sort(ids)
 	return DigestOf(ids)
 }
 
-// DigestOf returns the digest of a sorted list of copies, 16 hexadecimal digits.
+// DigestOf returns the digest of a sorted list of copies as 16 hexadecimal digits.
 func DigestOf(ids []dataset.ID) string {
 	h := xxhash.New()
 	for _, id := range ids {
@@ -141,22 +141,22 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Progress is how far a fetch is, in bytes.
+// Progress is the progress of a fetch, in bytes.
 type Progress struct {
 	ID    dataset.ID
 	Done  int64
-	Total int64   // 0 while the manifest is not here
-	Rate  float64 // bytes a second from sources, since the fetch began
+	Total int64   // 0 until the manifest is there
+	Rate  float64 // bytes per second from sources, since the fetch began
 }
 
-// Pulls lists the fetches that are under way, in the order of their copies' names.
+// Pulls returns the progress of the fetches under way, ordered by ID.
 func (s *Store) Pulls() []Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Progress
 	for id, f := range s.fetches {
 		p := Progress{ID: id, Done: f.verifiedBytes, Total: f.totalBytes}
-		if d := time.Since(f.began).Seconds(); d > 0 {
+		if d := time.Since(f.startedAt).Seconds(); d > 0 {
 			p.Rate = float64(f.fetchedBytes) / d
 		}
 		out = append(out, p)
@@ -165,12 +165,12 @@
 	return out
 }
 
-// Place puts a copy's files into a folder, which it makes and which must not exist. Files are
-// cloned where the file system can, so that a task that writes to its inputs
-// changes its own; elsewhere they are linked, and a copy whose files were written
-// to is noticed before its next use and removed: then, and if
-// the store does not have the copy, the error wraps ErrNotHere. The folder is the
-// caller's, also what is in it after an error.
+// Place puts a copy's files into a folder, which must not exist and which Place creates.
+// Files are cloned where the file system supports it, so that a task that writes to its
+// inputs changes only its own files. Elsewhere files are hard-linked, and Place checks
+// before each use whether a task has written to the copy's files; it then removes the
+// copy. In this case, and if the store does not have the copy, the error wraps
+// ErrNotHere. The folder belongs to the caller, who also removes it after an error.
 func (s *Store) Place(id dataset.ID, dir string) error {
 	s.mu.Lock()
 	h := s.copies[id]
@@ -178,21 +178,21 @@
 		s.mu.Unlock()
 		return ErrNotHere
 	}
-	s.useCount++
-	h.lastUse = s.useCount
+	s.useCounter++
+	h.lastUse = s.useCounter
 	s.pins[id]++
 	s.mu.Unlock()
 	defer s.Unpin(id)
 	now := time.Now()
 	_ = os.Chtimes(filepath.Join(s.cfg.Dir, copiesDir, string(id)), now, now)
 	times, err := s.modTimes(copiesDir, id, h.manifest)
-	if err == nil && !slices.EqualFunc(times, h.modTimes, time.Time.Equal) {
-		err = errors.New("its files were written to")
+	if err == nil && !slices.EqualFunc(times, h.fileModTimes, time.Time.Equal) {
+		err = errors.New("a task has written to its files")
 	}
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.log.Error("a copy is not what it was and is thrown away", "copy", id, "error", err)
+		s.log.Error("a copy has changed on disk and is removed", "copy", id, "error", err)
 		return errors.Join(ErrNotHere, s.evict(id))
 	}
 	if err := os.MkdirAll(filepath.Dir(dir), 0o700); err != nil {
@@ -207,14 +207,14 @@
 		if err := os.MkdirAll(filepath.Dir(to), 0o700); err != nil {
 			return err
 		}
-		if err := cloneOrLink(s.file(copiesDir, id, f), to); err != nil {
+		if err := cloneOrLink(s.filePath(copiesDir, id, f), to); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cloneOrLink clones a file, or links it where the file system can't clone.
+// cloneOrLink clones a file, or hard-links it if the file system can't clone.
 func cloneOrLink(from, to string) error {
 	src, err := os.Open(from)
 	if err != nil {
--- a/internal/datastore/plan.go
+++ b/internal/datastore/plan.go
@@ -7,76 +7,77 @@
 	"time"
 )
 
-// Source is where chunks can be fetched from: a file server, or with Peer another
-// machine. Address is a host with a port.
+// Source is a source of chunks: another machine if Peer is set, else a file server.
+// Address is a host with a port.
 type Source struct {
 	Address string
 	Peer    bool
 }
 
-// Outcome is what came of asking a source for a chunk.
+// Outcome is the outcome of a request to a source.
 type Outcome int
 
 // Outcomes of a request.
 const (
 	Good    Outcome = iota
-	Missing         // the source does not have it: another machine may have dropped it
-	Busy            // it has too many requests, and said so
+	Missing         // the source lacks the chunk or manifest; another machine may have dropped the copy
+	Busy            // the source answered that it has too many requests
 	Failed          // an error, a stall, a wrong length
-	Damaged         // the bytes are not the chunk's
-	Stopped         // this store gave the request up
+	Damaged         // the bytes don't match the hash
+	Stopped         // this store cancelled the request
 )
 
-// Back-off of a source after a failure: from the first pause on, twice as long
-// each time up to the longest, and as much again by chance, so that machines
-// that failed together do not come back together.
+// Back-off of a source after a failure: it begins with firstPause, doubles with each
+// further failure up to longestPause, and a random time of at most the same length is
+// added, so that machines whose requests failed together do not retry together.
 const (
 	firstPause   = 100 * time.Millisecond
 	longestPause = 10 * time.Second
-	// asideFor is how long a source that served damaged bytes is put aside.
-	asideFor = 5 * time.Minute
-	// perSource is how many chunks are asked of one source at a time.
-	perSource = 2
+	// setAsideDuration is how long a source that served damaged bytes is put aside.
+	setAsideDuration = 5 * time.Minute
+	// maxRequestsPerSource is how many chunks are requested from one source at a time.
+	maxRequestsPerSource = 2
 )
 
-// sources is what is known of all sources, over all fetches of a machine. It does
-// no I/O; time and chance come with the calls.
+// sources holds the state of all sources, over all fetches of a machine. It does no
+// I/O: callers pass the time, and newSources is given the random numbers.
 type sources struct {
 	random     *rand.Rand
-	all        map[string]*source
+	byAddress  map[string]*source
 	onSetAside func(address string) // called when a source is put aside
 }
 
-// source is what is known of a source.
+// source is the state of one source.
 type source struct {
-	busy      int
+	requests  int
 	failures  int
-	notBefore time.Duration // not before
-	rate      float64       // bytes a second, of one chunk, smoothed
+	notBefore time.Duration // no request is sent to the source before this time
+	rate      float64       // bytes per second of one request, smoothed
 }
 
-// newSources returns that nothing is known of any source yet.
+// newSources returns a sources without any source.
 func newSources(rnd *rand.Rand, onSetAside func(string)) *sources {
-	return &sources{random: rnd, all: map[string]*source{}, onSetAside: onSetAside}
+	return &sources{random: rnd, byAddress: map[string]*source{}, onSetAside: onSetAside}
 }
 
-// of returns what is known of a source.
-func (s *sources) of(address string) *source {
-	x := s.all[address]
+// get returns the state of a source, which it adds if needed.
+func (s *sources) get(address string) *source {
+	x := s.byAddress[address]
 	if x == nil {
 		x = &source{}
-		s.all[address] = x
+		s.byAddress[address] = x
 	}
 	return x
 }
 
-// begin notes that a request to a source begins.
-func (s *sources) begin(address string) { s.of(address).busy++ }
+// beginRequest records that a request to a source begins.
+func (s *sources) beginRequest(address string) { s.get(address).requests++ }
 
-// end notes what came of a request: so many bytes, and how long it took.
-func (s *sources) end(now time.Duration, address string, o Outcome, bytes int, took time.Duration) {
-	x := s.of(address)
-	x.busy--
+// endRequest records the outcome of a request, how many bytes it brought and how long
+// it took.
+func (s *sources) endRequest(now time.Duration, address string, o Outcome, bytes int, took time.Duration) {
+	x := s.get(address)
+	x.requests--
 	switch o {
 	case Good:
 		x.failures = 0
@@ -88,49 +89,49 @@
 			x.rate += (rate - x.rate) / 8
 		}
 	case Damaged:
-		x.notBefore = now + asideFor
+		x.notBefore = now + setAsideDuration
 		s.onSetAside(address)
 	case Failed, Busy:
 		pause := min(firstPause<<min(x.failures, 10), longestPause)
 		x.failures++
 		x.notBefore = max(x.notBefore, now+pause+time.Duration(s.random.Float64()*float64(pause)))
 	}
-	// What is not asked any more need not be remembered.
-	if len(s.all) > 1000 {
-		for a, x := range s.all {
-			if x.busy == 0 && now > x.notBefore+asideFor {
-				delete(s.all, a)
+	// Forget sources that were not used for a while.
+	if len(s.byAddress) > 1000 {
+		for a, x := range s.byAddress {
+			if x.requests == 0 && now > x.notBefore+setAsideDuration {
+				delete(s.byAddress, a)
 			}
 		}
 	}
 }
 
-// fetchPlan is the plan of one copy's fetch: which chunks are missing, and where each
-// was asked for.
+// fetchPlan is the plan of one copy's fetch: which chunks are missing, and which source
+// was asked for each.
 type fetchPlan struct {
-	sources   []Source
-	missing   []int                  // chunks that are not being asked for, the next last
-	inFlight  map[int]string         // source of each chunk that is being asked for
-	absent    map[string]bool        // peers that lack the copy
-	failures  map[int]map[string]int // failures of a chunk by source
-	remaining int                    // chunks not here yet
+	sources    []Source
+	missing    []int                  // chunks to request, the next one last
+	inFlight   map[int]string         // source of each chunk that is being requested
+	absent     map[string]bool        // peers that lack the copy
+	failures   map[int]map[string]int // by chunk and source
+	unverified int                    // number of chunks not fetched yet
 }
 
-// newFetchPlan plans the fetch of chunks; it keeps from.
+// newFetchPlan returns a plan to fetch chunks from sources. The plan owns from.
 func newFetchPlan(chunks []int, from []Source) *fetchPlan {
-	p := &fetchPlan{sources: from, inFlight: map[int]string{}, absent: map[string]bool{}, failures: map[int]map[string]int{}, remaining: len(chunks)}
+	p := &fetchPlan{sources: from, inFlight: map[int]string{}, absent: map[string]bool{}, failures: map[int]map[string]int{}, unverified: len(chunks)}
 	p.missing = append(p.missing, chunks...)
 	sort.Sort(sort.Reverse(sort.IntSlice(p.missing)))
 	return p
 }
 
-// add adds sources that are not known yet.
-func (p *fetchPlan) add(from []Source) {
-	p.sources = merge(p.sources, from)
+// addSources adds the sources that the plan lacks.
+func (p *fetchPlan) addSources(from []Source) {
+	p.sources = mergeSources(p.sources, from)
 }
 
-// merge appends the sources of b that a lacks.
-func merge(a, b []Source) []Source {
+// mergeSources appends to a the sources of b that a lacks.
+func mergeSources(a, b []Source) []Source {
 	for _, s := range b {
 		if !slices.Contains(a, s) {
 			a = append(a, s)
@@ -139,22 +140,23 @@
 	return a
 }
 
-// next says which chunk to ask of which source; or, with ok false, when to look again:
-// 0 when nothing can be done before a request ends.
-func (p *fetchPlan) next(now time.Duration, all *sources) (chunk int, from Source, wait time.Duration, ok bool) {
+// nextRequest returns the chunk to request next and its source. If ok is false there is
+// none now, and wait is the time until a source's back-off ends, or 0 if nothing can be
+// requested before a request under way ends.
+func (p *fetchPlan) nextRequest(now time.Duration, all *sources) (chunk int, from Source, wait time.Duration, ok bool) {
 	if len(p.missing) == 0 {
 		return 0, from, 0, false
 	}
 	chunk = p.missing[len(p.missing)-1]
-	// File servers are many machines' source: where another machine will do,
-	// they are left to those that have none.
+	// Many machines share the file servers: don't use them if another machine can
+	// serve the chunk, so that they stay free for machines without such a source.
 	machine := false
 	for _, s := range p.sources {
-		machine = machine || s.Peer && !p.absent[s.Address] && now >= all.of(s.Address).notBefore && p.failures[chunk][s.Address] == 0
+		machine = machine || s.Peer && !p.absent[s.Address] && now >= all.get(s.Address).notBefore && p.failures[chunk][s.Address] == 0
 	}
 	var best *source
 	for _, s := range p.sources {
-		x := all.of(s.Address)
+		x := all.get(s.Address)
 		if p.absent[s.Address] || machine && !s.Peer {
 			continue
 		}
@@ -164,13 +166,13 @@
 			}
 			continue
 		}
-		if x.busy >= perSource {
+		if x.requests >= maxRequestsPerSource {
 			continue
 		}
-		// Machines before file servers, as there are many of them; then the
-		// one that failed least for this chunk, is asked least, and is
-		// fastest.
-		if best == nil || better(p.failures[chunk][s.Address], s, x, p.failures[chunk][from.Address], from, best) {
+		// The source with the fewest failures for this chunk is best; then a
+		// machine before a file server, as there are many machines; then the
+		// source with the fewest requests under way; then the fastest.
+		if best == nil || preferred(p.failures[chunk][s.Address], s, x, p.failures[chunk][from.Address], from, best) {
 			best, from = x, s
 		}
 	}
@@ -179,30 +181,31 @@
 	}
 	p.missing = p.missing[:len(p.missing)-1]
 	p.inFlight[chunk] = from.Address
-	all.begin(from.Address)
+	all.beginRequest(from.Address)
 	return chunk, from, 0, true
 }
 
-// better tells whether the first source is to be asked rather than the second.
-func better(tried int, s Source, x *source, tried2 int, s2 Source, x2 *source) bool {
+// preferred reports whether the first source is better than the second for a chunk.
+// tried and tried2 are their failures for the chunk.
+func preferred(tried int, s Source, x *source, tried2 int, s2 Source, x2 *source) bool {
 	switch {
 	case tried != tried2:
 		return tried < tried2
 	case s.Peer != s2.Peer:
 		return s.Peer
-	case x.busy != x2.busy:
-		return x.busy < x2.busy
+	case x.requests != x2.requests:
+		return x.requests < x2.requests
 	}
 	return x.rate > x2.rate
 }
 
-// finishRequest notes what came of a request. It returns true when the fetch is
+// finishRequest records the outcome of a request. It returns true when the fetch is
 // complete.
 func (p *fetchPlan) finishRequest(chunk int, from Source, o Outcome) bool {
 	delete(p.inFlight, chunk)
 	if o == Good {
-		p.remaining--
-		return p.remaining == 0
+		p.unverified--
+		return p.unverified == 0
 	}
 	p.missing = append(p.missing, chunk)
 	switch o {
@@ -220,8 +223,9 @@
 	return false
 }
 
-// hopeless tells whether a chunk was refused by every source as not there.
-func (p *fetchPlan) hopeless() bool {
+// exhausted reports whether chunks are missing although all sources are machines that
+// lack the copy and no request is under way.
+func (p *fetchPlan) exhausted() bool {
 	if len(p.inFlight) > 0 || len(p.missing) == 0 {
 		return false
 	}
--- a/internal/datastore/serve.go
+++ b/internal/datastore/serve.go
@@ -9,8 +9,8 @@
 )
 
 // Answer serves a chunk, or a copy's manifest, by its name below dataset.ChunkPath. It
-// returns an HTTP status, and the bytes or what is wrong. If too many requests are
-// being served it refuses at once: there are other sources.
+// returns an HTTP status with the bytes or an error text. If too many requests are being
+// served it refuses at once, because the other machine can use another source.
 func Answer(ctx context.Context, s *Store, name string) (status int, body []byte) {
 	if id, ok := strings.CutPrefix(name, "manifest/"); ok {
 		if !dataset.ValidID(id) {
@@ -35,12 +35,12 @@
 	return http.StatusOK, data
 }
 
-// Cancel ends a fetch of a copy that is not pinned. What was fetched stays, for another
-// time.
+// Cancel ends the fetch of a copy that is not pinned. The chunks that were fetched stay
+// on disk for a later fetch.
 func (s *Store) Cancel(id dataset.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.fetches[id]; f != nil && s.pins[id] == 0 {
-		f.end(ErrDropped)
+		f.abort(ErrDropped)
 	}
 }
--- a/internal/datastore/store_test.go
+++ b/internal/datastore/store_test.go
@@ -26,10 +26,10 @@
 	"silvergate/internal/fakeserver"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// publish makes a version of drawn files in a server's root.
-func publish(t testing.TB, root, set, version string, files map[string][]byte) (*dataset.Manifest, Want) {
+// publishVersion publishes files as a version in a file server's root.
+func publishVersion(t testing.TB, root, set, version string, files map[string][]byte) (*dataset.Manifest, Want) {
 	t.Helper()
 	dir := t.TempDir()
 	for name, data := range files {
@@ -49,14 +49,14 @@
 	return m, Want{ID: dataset.IDOf(digest), Digest: digest, Set: set, Version: version}
 }
 
-func random(seed uint64, n int) []byte {
+func randomBytes(seed uint64, n int) []byte {
 	b := make([]byte, n)
 	c := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
 	_, _ = c.Read(b)
 	return b
 }
 
-func server(t testing.TB, root string, x fakeserver.Faults) *fakeserver.FileServer {
+func startServer(t testing.TB, root string, x fakeserver.Faults) *fakeserver.FileServer {
 	f, err := fakeserver.Serve("127.0.0.1:0", root, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +66,8 @@
 	return f
 }
 
-func open(t testing.TB, dir string, capacity int64) *Store {
-	s, err := Open(Config{Dir: dir, Capacity: capacity, Patience: 300 * time.Millisecond}, quiet)
+func openTestStore(t testing.TB, dir string, capacity int64) *Store {
+	s, err := Open(Config{Dir: dir, Capacity: capacity, Patience: 300 * time.Millisecond}, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,34 +75,35 @@
 	return s
 }
 
-func get(s *Store, w Want) error {
+func fetchAndWait(s *Store, w Want) error {
 	got := make(chan error, 1)
 	s.Fetch(w, func(err error) { got <- err })
 	select {
 	case err := <-got:
 		return err
 	case <-time.After(time.Minute):
-		return errors.New("no end in a minute")
+		return errors.New("the fetch did not end within a minute")
 	}
 }
 
-// from gives a wish its sources.
-func from(w Want, sources ...Source) Want {
+// withSources returns w with sources.
+func withSources(w Want, sources ...Source) Want {
 	w.Sources = sources
 	return w
 }
 
-// TestFetchThroughFaults fetches from a server that does all that a bad one can,
-// and one that is slow; whatever is placed must be what was published.
+// TestFetchThroughFaults guards against damaged copies from bad sources. It fetches from
+// a server that damages, cuts, fails and stalls answers, from one that doesn't answer and
+// from one that is slow; the placed files must be as published.
 func TestFetchThroughFaults(t *testing.T) {
 	root := t.TempDir()
-	bad := server(t, root, fakeserver.Faults{Damage: 0.1, Short: 0.15, Lie: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
-	slow := server(t, root, fakeserver.Faults{BytesPerS: 60e6})
-	dark := server(t, root, fakeserver.Faults{})
+	bad := startServer(t, root, fakeserver.Faults{Damage: 0.1, Short: 0.15, Lie: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
+	slow := startServer(t, root, fakeserver.Faults{BytesPerS: 60e6})
+	dark := startServer(t, root, fakeserver.Faults{})
 	dark.SetUnresponsive(true)
 	for i := range 4 {
-		m, w := publish(t, root, "set", fmt.Sprint(i), map[string][]byte{"a/one": random(uint64(i), 3<<20+17), "empty": nil, "two": random(uint64(i)+100, 5<<20)})
-		s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
+		m, w := publishVersion(t, root, "set", fmt.Sprint(i), map[string][]byte{"a/one": randomBytes(uint64(i), 3<<20+17), "empty": nil, "two": randomBytes(uint64(i)+100, 5<<20)})
+		s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 		var mu sync.Mutex
 		aside := map[string]bool{}
 		s.Observe = func(e Event) {
@@ -112,10 +113,10 @@
 				aside[e.Source] = true
 			}
 			if e.Kind == "chunk" && aside[e.Source] {
-				t.Errorf("a chunk of %s was taken after it had served damaged bytes", e.Source)
+				t.Errorf("a chunk from %s was accepted after that source had served damaged bytes", e.Source)
 			}
 		}
-		if err := get(s, from(w, Source{bad.Address(), false}, Source{dark.Address(), false}, Source{slow.Address(), false})); err != nil {
+		if err := fetchAndWait(s, withSources(w, Source{bad.Address(), false}, Source{dark.Address(), false}, Source{slow.Address(), false})); err != nil {
 			t.Fatal(err)
 		}
 		place := filepath.Join(t.TempDir(), "task", "in")
@@ -126,56 +127,58 @@
 			t.Fatal(err)
 		}
 	}
-	// All sources lie for good: the fetch goes on looking, and nothing appears.
+	// The only source always serves damaged bytes: the fetch keeps trying, and no copy
+	// becomes visible.
 	bad.Set(fakeserver.Faults{Damage: 1})
-	_, w := publish(t, root, "set", "x", map[string][]byte{"f": random(9, 2<<20)})
-	s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
+	_, w := publishVersion(t, root, "set", "x", map[string][]byte{"f": randomBytes(9, 2<<20)})
+	s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 	failed := make(chan error, 1)
-	s.Fetch(from(w, Source{bad.Address(), false}), func(err error) { failed <- err })
+	s.Fetch(withSources(w, Source{bad.Address(), false}), func(err error) { failed <- err })
 	select {
 	case err := <-failed:
-		t.Fatalf("ended: %v", err)
+		t.Fatalf("a fetch whose only source is damaged ended: %v", err)
 	case <-time.After(300 * time.Millisecond):
 	}
-	if s.Here(w.ID) || s.Place(w.ID, filepath.Join(t.TempDir(), "x")) == nil {
+	if s.Has(w.ID) || s.Place(w.ID, filepath.Join(t.TempDir(), "x")) == nil {
 		t.Fatal("a damaged copy is visible")
 	}
-	// A good source is named: it is taken up.
-	s.Fetch(from(w, Source{slow.Address(), false}), nil)
+	// A good source is added to the fetch, which then succeeds.
+	s.Fetch(withSources(w, Source{slow.Address(), false}), nil)
 	if err := <-failed; err != nil {
 		t.Fatal(err)
 	}
-	if err := get(open(t, filepath.Join(t.TempDir(), "s"), 1<<30), from(Want{ID: w.ID, Digest: w.Digest, Set: "none", Version: "1"}, Source{slow.Address(), false})); err == nil {
+	if err := fetchAndWait(openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30), withSources(Want{ID: w.ID, Digest: w.Digest, Set: "none", Version: "1"}, Source{slow.Address(), false})); err == nil {
 		t.Fatal("a version that no source has was fetched")
 	}
 }
 
-// The test binary fetches when it is told a folder, so that it can be killed.
+// TestMain makes the test binary fetch DATASTORE_WANT into DATASTORE_DIR if they are set,
+// so that a test can run the fetch in a process of its own and kill it.
 func TestMain(m *testing.M) {
 	if raw := os.Getenv("DATASTORE_WANT"); raw != "" {
 		var w Want
 		_ = json.Unmarshal([]byte(raw), &w)
-		s, err := Open(Config{Dir: os.Getenv("DATASTORE_DIR"), Capacity: 1 << 30}, quiet)
+		s, err := Open(Config{Dir: os.Getenv("DATASTORE_DIR"), Capacity: 1 << 30}, discardLog)
 		if err == nil {
-			err = get(s, w)
+			err = fetchAndWait(s, w)
 		}
 		fmt.Println(err)
 		time.Sleep(time.Minute)
 	}
-	_ = flag.Set("rapid.seed", "20261201") // so that a verdict repeats
+	_ = flag.Set("rapid.seed", "20261201") // so that results are reproducible
 	_ = flag.Set("rapid.checks", "60")
 	os.Exit(m.Run())
 }
 
-// TestKilledAtAnyMoment kills a fetch at drawn moments, changes some of what it
-// left, and demands that nothing is visible but what is right, and that what
-// was right is not fetched again.
+// TestKilledAtAnyMoment kills a fetch at random moments and overwrites some of the bytes
+// that it left, as a power cut does. It guards against a visible copy that differs from
+// the published version, and against fetching correct chunks again.
 func TestKilledAtAnyMoment(t *testing.T) {
 	root, dir := t.TempDir(), filepath.Join(t.TempDir(), "s")
-	srv := server(t, root, fakeserver.Faults{BytesPerS: 100e6})
+	srv := startServer(t, root, fakeserver.Faults{BytesPerS: 100e6})
 	const size = 24 << 20
-	m, w := publish(t, root, "set", "1", map[string][]byte{"a": random(1, size/2), "b": random(2, size/2)})
-	w = from(w, Source{srv.Address(), false})
+	m, w := publishVersion(t, root, "set", "1", map[string][]byte{"a": randomBytes(1, size/2), "b": randomBytes(2, size/2)})
+	w = withSources(w, Source{srv.Address(), false})
 	raw, _ := json.Marshal(w)
 	rnd := rand.New(rand.NewPCG(5, 6))
 	for range 8 {
@@ -187,14 +190,14 @@
 		time.Sleep(time.Duration(10+rnd.IntN(60)) * time.Millisecond)
 		cmd.Process.Kill()
 		cmd.Wait()
-		s := open(t, dir, 1<<30)
-		if s.Here(w.ID) {
+		s := openTestStore(t, dir, 1<<30)
+		if s.Has(w.ID) {
 			if err := dataset.VerifyTree(filepath.Join(dir, copiesDir, string(w.ID)), m); err != nil {
 				t.Fatal(err)
 			}
 		}
 		s.Close()
-		// A power cut leaves pages that were never written.
+		// A power cut can leave pages that were never written to the disk.
 		for _, f := range []string{"a", "b"} {
 			path := filepath.Join(dir, partialDir, string(w.ID), f)
 			if h, err := os.OpenFile(path, os.O_WRONLY, 0); err == nil && rnd.IntN(3) == 0 {
@@ -203,8 +206,8 @@
 			}
 		}
 	}
-	s := open(t, dir, 1<<30)
-	if err := get(s, w); err != nil {
+	s := openTestStore(t, dir, 1<<30)
+	if err := fetchAndWait(s, w); err != nil {
 		t.Fatal(err)
 	}
 	place := filepath.Join(t.TempDir(), "in")
@@ -214,20 +217,21 @@
 	if err := dataset.VerifyTree(place, m); err != nil {
 		t.Fatal(err)
 	}
-	// Each kill loses what was under way, four chunks, and each damage one.
+	// Each kill loses the four chunks under way, and each overwritten page one chunk.
 	if sent := srv.Sent.Load(); sent > size+8*(4+2)*dataset.ChunkSize {
-		t.Errorf("%d bytes were sent for %d: what was there was fetched again", sent, size)
+		t.Errorf("%d bytes were sent for %d: correct chunks were fetched again", sent, size)
 	}
 }
 
-// TestUrgentFetchDisplacesOthersAtOnce watches the events of a store on which a
-// background fetch is met by an urgent one.
+// TestUrgentFetchDisplacesOthersAtOnce guards against an urgent fetch that shares the rate
+// with a background fetch: it checks the events of a store where an urgent fetch begins
+// during a background one.
 func TestUrgentFetchDisplacesOthersAtOnce(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, fakeserver.Faults{BytesPerS: 60e6})
-	_, back := publish(t, root, "back", "1", map[string][]byte{"a": random(1, 20<<20)})
-	_, fast := publish(t, root, "fast", "1", map[string][]byte{"a": random(2, 6<<20)})
-	s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
+	srv := startServer(t, root, fakeserver.Faults{BytesPerS: 60e6})
+	_, back := publishVersion(t, root, "back", "1", map[string][]byte{"a": randomBytes(1, 20<<20)})
+	_, fast := publishVersion(t, root, "fast", "1", map[string][]byte{"a": randomBytes(2, 6<<20)})
+	s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 	var mu sync.Mutex
 	var events []Event
 	s.Observe = func(e Event) {
@@ -236,10 +240,10 @@
 		events = append(events, e)
 	}
 	slow := make(chan error, 1)
-	s.Fetch(from(back, Source{srv.Address(), false}), func(err error) { slow <- err })
+	s.Fetch(withSources(back, Source{srv.Address(), false}), func(err error) { slow <- err })
 	time.Sleep(50 * time.Millisecond)
 	fast.Urgent = true
-	if err := get(s, from(fast, Source{srv.Address(), false})); err != nil {
+	if err := fetchAndWait(s, withSources(fast, Source{srv.Address(), false})); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-slow; err != nil {
@@ -255,28 +259,28 @@
 		case e.Kind == "resume":
 			paused = false
 		case e.Kind == "chunk" && e.ID == back.ID && paused:
-			t.Error("a chunk of the background fetch was taken while an urgent one ran")
+			t.Error("a chunk of the background fetch was accepted during an urgent fetch")
 		case e.Kind == "visible":
 			order = append(order, string(e.ID))
 		}
 	}
 	if !slices.Equal(order, []string{string(fast.ID), string(back.ID)}) {
-		t.Errorf("visible in the order %v", order)
+		t.Errorf("the copies became visible in the order %v", order)
 	}
 }
 
-// TestGivenUpFetchIsTold guards against an urgent fetch that ends without a word:
-// whoever reads the events took it for one that still has all others stand still.
+// TestGivenUpFetchIsTold guards against a cancelled urgent fetch that ends without an
+// event: a reader of the events would think that it still pauses all other fetches.
 func TestGivenUpFetchIsTold(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, fakeserver.Faults{BytesPerS: 1e6})
-	_, w := publish(t, root, "back", "1", map[string][]byte{"a": random(1, 8<<20)})
-	s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
+	srv := startServer(t, root, fakeserver.Faults{BytesPerS: 1e6})
+	_, w := publishVersion(t, root, "back", "1", map[string][]byte{"a": randomBytes(1, 8<<20)})
+	s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 	told := make(chan Event, 100)
 	s.Observe = func(e Event) { told <- e }
 	w.Urgent = true
 	ended := make(chan error, 1)
-	s.Fetch(from(w, Source{srv.Address(), false}), func(err error) { ended <- err })
+	s.Fetch(withSources(w, Source{srv.Address(), false}), func(err error) { ended <- err })
 	s.Cancel(w.ID)
 	if err := <-ended; !errors.Is(err, ErrDropped) {
 		t.Fatal(err)
@@ -286,46 +290,48 @@
 		kinds = append(kinds, (<-told).Kind)
 	}
 	if len(kinds) < 2 || kinds[0] != "begin" || kinds[len(kinds)-1] != "quit" {
-		t.Errorf("told %v", kinds)
+		t.Errorf("the events are %v", kinds)
 	}
 }
 
-// TestRoomPinsAndSharing fills a small store.
+// TestRoomPinsAndSharing fills a small store. It guards against evicting copies in use,
+// fetching chunks that another copy has, and using a copy that a task has written to.
 func TestRoomPinsAndSharing(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, fakeserver.Faults{})
+	srv := startServer(t, root, fakeserver.Faults{})
 	src := Source{srv.Address(), false}
-	common := random(50, 2<<20)
+	common := randomBytes(50, 2<<20)
 	var ws []Want
 	for i := range 4 {
-		_, w := publish(t, root, "set", fmt.Sprint(i), map[string][]byte{"common": common, "own": random(uint64(i), 1<<20)})
-		ws = append(ws, from(w, src))
+		_, w := publishVersion(t, root, "set", fmt.Sprint(i), map[string][]byte{"common": common, "own": randomBytes(uint64(i), 1<<20)})
+		ws = append(ws, withSources(w, src))
 	}
-	s := open(t, filepath.Join(t.TempDir(), "s"), 7<<20) // two copies of 3 MiB
+	s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 7<<20) // two copies of 3 MiB
 	for _, w := range ws[:2] {
-		if err := get(s, w); err != nil {
+		if err := fetchAndWait(s, w); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if st := s.Stats(); st.Fetched != 4<<20 || st.Shared != 2<<20 {
-		t.Errorf("%+v: what two versions share was fetched twice", st)
+		t.Errorf("%+v: the file that two versions share was fetched twice", st)
 	}
 	s.Pin(ws[0].ID)
-	if err := get(s, ws[2]); err != nil || !s.Here(ws[0].ID) || s.Here(ws[1].ID) {
-		t.Errorf("the copy in use did not stay, or the other did: %v %v", err, s.Held())
+	if err := fetchAndWait(s, ws[2]); err != nil || !s.Has(ws[0].ID) || s.Has(ws[1].ID) {
+		t.Errorf("the copy in use was evicted, or the unused one was not: %v %v", err, s.Held())
 	}
 	s.Pin(ws[2].ID)
-	if err := get(s, ws[3]); !errors.Is(err, ErrFull) {
-		t.Errorf("a third copy with two in use: %v", err)
+	if err := fetchAndWait(s, ws[3]); !errors.Is(err, ErrFull) {
+		t.Errorf("fetching a third copy with two in use: %v, not ErrFull", err)
 	}
-	if s.Drop(ws[0].ID) || !s.Here(ws[0].ID) {
+	if s.Drop(ws[0].ID) || !s.Has(ws[0].ID) {
 		t.Error("a copy in use was dropped")
 	}
 	s.Unpin(ws[0].ID)
-	if !s.Drop(ws[0].ID) || s.Here(ws[0].ID) {
-		t.Error("a copy was not dropped")
+	if !s.Drop(ws[0].ID) || s.Has(ws[0].ID) {
+		t.Error("a copy that is not in use was not dropped")
 	}
-	// Whoever writes to what was linked into its folder spoils it for nobody.
+	// A task that writes to a file that was linked into its folder must not change the
+	// inputs of other tasks.
 	place := filepath.Join(t.TempDir(), "in")
 	if err := s.Place(ws[2].ID, place); err != nil {
 		t.Fatal(err)
@@ -341,19 +347,19 @@
 		if raw, _ := m.Encode(); dataset.Sum(raw) != ws[2].Digest {
 			t.Error("a changed copy was placed")
 		}
-	} else if !errors.Is(err, ErrNotHere) || s.Here(ws[2].ID) {
-		t.Errorf("a changed copy: %v", err)
+	} else if !errors.Is(err, ErrNotHere) || s.Has(ws[2].ID) {
+		t.Errorf("placing a changed copy: %v", err)
 	}
 }
 
-// TestMachinesServeOneAnother has one machine fetch from the server and the
-// others from machines.
+// TestMachinesServeOneAnother lets one machine fetch from the file server and three others
+// from that machine. It guards against using the file server where a machine can serve.
 func TestMachinesServeOneAnother(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, fakeserver.Faults{})
-	_, w := publish(t, root, "set", "1", map[string][]byte{"a": random(1, 8<<20)})
-	first := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
-	if err := get(first, from(w, Source{srv.Address(), false})); err != nil {
+	srv := startServer(t, root, fakeserver.Faults{})
+	_, w := publishVersion(t, root, "set", "1", map[string][]byte{"a": randomBytes(1, 8<<20)})
+	first := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
+	if err := fetchAndWait(first, withSources(w, Source{srv.Address(), false})); err != nil {
 		t.Fatal(err)
 	}
 	before := srv.Sent.Load()
@@ -364,18 +370,18 @@
 	}))
 	defer peer.Close()
 	for range 3 {
-		s := open(t, filepath.Join(t.TempDir(), "s"), 1<<30)
-		if err := get(s, from(w, Source{strings.TrimPrefix(peer.URL, "http://"), true}, Source{srv.Address(), false})); err != nil {
+		s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
+		if err := fetchAndWait(s, withSources(w, Source{strings.TrimPrefix(peer.URL, "http://"), true}, Source{srv.Address(), false})); err != nil {
 			t.Fatal(err)
 		}
 		if first.Digest() != s.Digest() {
 			t.Error("the same copies have different digests")
 		}
 	}
-	// Manifests and chunks came from the machine, but for those it was too
-	// busy for.
+	// Manifests and chunks came from the machine, except for requests that it refused
+	// because it was busy.
 	if more := srv.Sent.Load() - before; more > 4<<20 {
-		t.Errorf("the server sent %d bytes more", more)
+		t.Errorf("the file server sent %d more bytes", more)
 	}
 	for path, want := range map[string]int{"/chunks/xyz": 400, "/chunks/" + strings.Repeat("0", 64): 404, "/chunks/manifest/x": 400, "/chunks/manifest/" + strings.Repeat("0", 32): 404} {
 		r, err := http.Get(peer.URL + path)
@@ -385,29 +391,29 @@
 		r.Body.Close()
 	}
 	if _, ok, _ := first.Chunk(context.Background(), dataset.Sum([]byte("x"))); ok {
-		t.Error("a chunk that is not there was served")
+		t.Error("a chunk that the store does not have was served")
 	}
 }
 
-// TestInterleavings draws fetches, crashes, evictions, uses and superseding
-// versions, and demands after each that what is visible is what was published,
-// that what is in use stays, and that the account of the room holds.
+// TestInterleavings makes random fetches, cancellations, crashes, drops and uses of copies
+// of two versions of two sets. After each it checks that visible copies are as published,
+// that copies in use stay, and that the copies fit into the capacity.
 func TestInterleavings(t *testing.T) {
 	root := t.TempDir()
-	srv := server(t, root, fakeserver.Faults{})
+	srv := startServer(t, root, fakeserver.Faults{})
 	var ms []*dataset.Manifest
 	var ws []Want
 	for i := range 4 { // two sets with two versions each, which share a file
-		m, w := publish(t, root, fmt.Sprint("set", i%2), fmt.Sprint(i/2), map[string][]byte{"shared": random(uint64(i%2), 3000), "own": random(uint64(10+i), 2000+i)})
-		ms, ws = append(ms, m), append(ws, from(w, Source{srv.Address(), false}))
+		m, w := publishVersion(t, root, fmt.Sprint("set", i%2), fmt.Sprint(i/2), map[string][]byte{"shared": randomBytes(uint64(i%2), 3000), "own": randomBytes(uint64(10+i), 2000+i)})
+		ms, ws = append(ms, m), append(ws, withSources(w, Source{srv.Address(), false}))
 	}
 	base := t.TempDir()
 	run := 0
 	rapid.Check(t, func(t *rapid.T) {
 		run++
 		dir := filepath.Join(base, fmt.Sprint(run))
-		cfg := Config{Dir: dir, Capacity: 11_000, Patience: time.Second} // two of 5,000
-		s, err := Open(cfg, quiet)
+		cfg := Config{Dir: dir, Capacity: 11_000, Patience: time.Second} // two copies of 5,000 bytes
+		s, err := Open(cfg, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -418,10 +424,10 @@
 			id := ws[i].ID
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1:
-				err := get(s, ws[i])
+				err := fetchAndWait(s, ws[i])
 				inUse := 0
 				for j, n := range pins {
-					if n > 0 && j != i && s.Here(ws[j].ID) {
+					if n > 0 && j != i && s.Has(ws[j].ID) {
 						inUse++
 					}
 				}
@@ -429,7 +435,7 @@
 					t.Fatal(err)
 				}
 			case 2:
-				if s.Here(id) {
+				if s.Has(id) {
 					s.Pin(id)
 					pins[i]++
 				}
@@ -438,40 +444,40 @@
 					s.Unpin(id)
 					pins[i]--
 				}
-			case 4: // a fetch that is given up in the middle
+			case 4: // a fetch is cancelled
 				s.Fetch(ws[i], nil)
 				s.Cancel(id)
 			case 5: // the agent is killed: tasks and their pins are gone
 				s.Close()
-				if s, err = Open(cfg, quiet); err != nil {
+				if s, err = Open(cfg, discardLog); err != nil {
 					t.Fatal(err)
 				}
 				pins = map[int]int{}
 			case 6:
 				if dropped := s.Drop(id); dropped == (pins[i] > 0) {
-					t.Fatalf("dropped %v with %d uses", dropped, pins[i])
+					t.Fatalf("dropped: %v, with %d pins", dropped, pins[i])
 				}
 			}
 			for j := range ws {
-				if !s.Here(ws[j].ID) {
+				if !s.Has(ws[j].ID) {
 					if pins[j] > 0 {
-						t.Fatalf("version %d is in use and gone", j)
+						t.Fatalf("the copy of version %d is pinned, but the store does not have it", j)
 					}
 					continue
 				}
 				place := filepath.Join(dir, "task", fmt.Sprint(step, "-", j))
 				if err := s.Place(ws[j].ID, place); err != nil {
-					if s.Here(ws[j].ID) {
+					if s.Has(ws[j].ID) {
 						t.Fatal(err)
 					}
-					continue // evicted between the two
+					continue // evicted between Has and Place
 				}
 				if err := dataset.VerifyTree(place, ms[j]); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if st := s.Stats(); st.Bytes > cfg.Capacity {
-				t.Fatalf("%d bytes of %d", st.Bytes, cfg.Capacity)
+				t.Fatalf("the copies take %d bytes of %d", st.Bytes, cfg.Capacity)
 			}
 		}
 	})
--- a/internal/datastore/target.go
+++ b/internal/datastore/target.go
@@ -9,47 +9,49 @@
 	"silvergate/internal/dataset"
 )
 
-// target is the folder into which a copy is fetched.
+// target writes a copy that is being fetched into its folder of partial copies.
 type target struct {
 	store    *Store
 	fetch    *fetching
 	manifest *dataset.Manifest
-	// starts is the number of each file's first chunk, over all files.
-	starts []int
+	// firstChunks holds for each file the number of its first chunk, counted over all
+	// files.
+	firstChunks []int
 }
 
-// path is the path of the file with number i.
-func (t *target) path(i int) string {
-	return t.store.file(partialDir, t.fetch.want.ID, &t.manifest.Files[i])
+// filePath returns the path of file i.
+func (t *target) filePath(i int) string {
+	return t.store.filePath(partialDir, t.fetch.want.ID, &t.manifest.Files[i])
 }
 
-// at finds a chunk by its number over all files.
-func (t *target) at(n int) (file, chunk, size int) {
-	lo, hi := 0, len(t.starts)
+// locate returns the file, the index in the file and the size of chunk n, counted over
+// all files.
+func (t *target) locate(n int) (file, chunk, size int) {
+	lo, hi := 0, len(t.firstChunks)
 	for hi-lo > 1 {
-		if mid := (lo + hi) / 2; t.starts[mid] <= n {
+		if mid := (lo + hi) / 2; t.firstChunks[mid] <= n {
 			lo = mid
 		} else {
 			hi = mid
 		}
 	}
-	// Empty files have no chunks and share their start with the next one.
-	for len(t.manifest.Files[lo].Chunks) <= n-t.starts[lo] {
+	// An empty file has no chunks and the same first chunk number as the next file.
+	for len(t.manifest.Files[lo].Chunks) <= n-t.firstChunks[lo] {
 		lo++
 	}
-	return lo, n - t.starts[lo], chunkLen(&t.manifest.Files[lo], n-t.starts[lo])
+	return lo, n - t.firstChunks[lo], chunkLen(&t.manifest.Files[lo], n-t.firstChunks[lo])
 }
 
-// prepare makes the files, keeps what an earlier fetch left that is right, takes
-// what other copies hold, and returns the chunks that must be fetched.
+// prepare creates the files, keeps the correct chunks that an earlier fetch left, takes
+// chunks from other copies, and returns the numbers of the chunks that must be fetched.
 func (t *target) prepare() (missing []int, err error) {
 	n := 0
 	for i := range t.manifest.Files {
 		f := &t.manifest.Files[i]
-		t.starts = append(t.starts, n)
-		path := t.path(i)
+		t.firstChunks = append(t.firstChunks, n)
+		path := t.filePath(i)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
-			return nil, t.failed(err)
+			return nil, t.wrapDiskFull(err)
 		}
 		if t.linkShared(i) {
 			n += len(f.Chunks)
@@ -61,7 +63,7 @@
 		}
 		file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, mode)
 		if err != nil {
-			return nil, t.failed(err)
+			return nil, t.wrapDiskFull(err)
 		}
 		old, err := file.Stat()
 		if err == nil && old.Size() != f.Size {
@@ -69,12 +71,12 @@
 		}
 		if err != nil {
 			file.Close()
-			return nil, t.failed(err)
+			return nil, t.wrapDiskFull(err)
 		}
 		for k, want := range f.Chunks {
 			buf := make([]byte, chunkLen(f, k))
 			at := int64(k) * dataset.ChunkSize
-			// What was never written is a hole and reads as zeros.
+			// A part that was never written is a hole and reads as zeros.
 			if old.Size() > at {
 				if _, err := file.ReadAt(buf, at); err == nil && dataset.Sum(buf) == want {
 					n++
@@ -84,7 +86,7 @@
 			if data := t.localChunk(want); data != nil {
 				if err := t.store.disk.WriteAt(file, data, at); err != nil {
 					file.Close()
-					return nil, t.failed(err)
+					return nil, t.wrapDiskFull(err)
 				}
 			} else {
 				missing = append(missing, n)
@@ -98,10 +100,11 @@
 	return missing, nil
 }
 
-// linkShared clones or links a file that another copy holds whole.
+// linkShared clones or links file i from another copy that has the same file. It
+// reports whether it did.
 func (t *target) linkShared(i int) bool {
 	f := &t.manifest.Files[i]
-	if len(f.Chunks) == 0 || exists(t.path(i)) {
+	if len(f.Chunks) == 0 || exists(t.filePath(i)) {
 		return false
 	}
 	t.store.mu.Lock()
@@ -123,22 +126,22 @@
 		return false
 	}
 	defer t.store.Unpin(p.id)
-	from := t.store.file(copiesDir, p.id, &h.manifest.Files[p.file])
+	from := t.store.filePath(copiesDir, p.id, &h.manifest.Files[p.file])
 	for k, want := range f.Chunks {
 		if readChunk(from, f, k, want) == nil {
 			return false
 		}
 	}
-	return cloneOrLink(from, t.path(i)) == nil
+	return cloneOrLink(from, t.filePath(i)) == nil
 }
 
-// exists tells whether there is anything at a path.
+// exists reports whether there is anything at a path.
 func exists(path string) bool {
 	_, err := os.Lstat(path)
 	return err == nil
 }
 
-// localChunk reads a chunk from another copy.
+// localChunk reads a chunk from another copy. It returns nil if no copy has the chunk.
 func (t *target) localChunk(h dataset.Hash) []byte {
 	t.store.mu.Lock()
 	p, c := t.store.findChunk(h)
@@ -146,7 +149,7 @@
 	if c == nil {
 		return nil
 	}
-	data := readChunk(t.store.file(copiesDir, p.id, &c.manifest.Files[p.file]), &c.manifest.Files[p.file], p.chunk, h)
+	data := readChunk(t.store.filePath(copiesDir, p.id, &c.manifest.Files[p.file]), &c.manifest.Files[p.file], p.chunk, h)
 	if data == nil {
 		return nil
 	}
@@ -156,9 +159,10 @@
 	return data
 }
 
-// failed adds ErrFull to an error of a full disk, and counts it: others can fill the
-// disk although the store is within its capacity.
-func (t *target) failed(err error) error {
+// wrapDiskFull wraps an error of a full disk in ErrFull and counts it as a refused copy;
+// it returns other errors unchanged. Other programs can fill the disk although the store
+// is within its capacity.
+func (t *target) wrapDiskFull(err error) error {
 	if !isDiskFull(err) {
 		return err
 	}
@@ -168,11 +172,12 @@
 	return fmt.Errorf("%w: %w", ErrFull, err)
 }
 
-// write writes a chunk that was verified.
-func (t *target) write(n int, data []byte) error {
-	file, chunk, _ := t.at(n)
+// writeChunk writes verified chunk n. If the disk is full, it evicts one copy and tries
+// once more.
+func (t *target) writeChunk(n int, data []byte) error {
+	file, chunk, _ := t.locate(n)
 	for try := 0; ; try++ {
-		f, err := os.OpenFile(t.path(file), os.O_WRONLY, 0)
+		f, err := os.OpenFile(t.filePath(file), os.O_WRONLY, 0)
 		if err != nil {
 			return err
 		}
@@ -181,10 +186,10 @@
 			return nil
 		}
 		if !isDiskFull(err) || try > 0 {
-			return t.failed(err)
+			return t.wrapDiskFull(err)
 		}
-		// Somebody else fills the disk: one copy that is not in use makes
-		// room, once.
+		// Another program fills the disk: evict one copy that is not in use, and
+		// try once more.
 		t.store.mu.Lock()
 		err = t.store.makeRoom(t.store.cfg.Capacity - t.store.used() + 1)
 		t.store.mu.Unlock()
@@ -194,7 +199,7 @@
 	}
 }
 
-// publish makes the copy durable and then visible.
+// publish makes the copy durable and then visible to the store's users.
 func (t *target) publish() error {
 	id := t.fetch.want.ID
 	from := filepath.Join(t.store.cfg.Dir, partialDir, string(id))
@@ -204,7 +209,7 @@
 	}
 	err = errors.Join(t.store.disk.Sync(d), d.Close())
 	if err != nil {
-		return t.failed(err)
+		return t.wrapDiskFull(err)
 	}
 	times, err := t.store.modTimes(partialDir, id, t.manifest)
 	if err != nil {
@@ -216,8 +221,8 @@
 		return err
 	}
 	t.fetch.reservedBytes = 0
-	t.store.useCount++
-	t.store.addCopy(id, &heldCopy{manifest: t.manifest, bytes: t.manifest.Bytes(), lastUse: t.store.useCount, modTimes: times})
+	t.store.useCounter++
+	t.store.addCopy(id, &heldCopy{manifest: t.manifest, bytes: t.manifest.Bytes(), lastUse: t.store.useCounter, fileModTimes: times})
 	t.store.emit(Event{Kind: "visible", ID: id, Urgent: t.fetch.want.Urgent})
 	return nil
 }
