--- a/internal/dataset/golden_test.go
+++ b/internal/dataset/golden_test.go
@@ -8,15 +8,16 @@
 	"silvergate/internal/goldentest"
 )
 
-// The golden manifest was published by an earlier build. Its digest names the version
-// in controllers' records and the copies on machines.
+// The golden manifest was published by an earlier build. Its digest identifies the version
+// in controllers' records and its copies on machines.
 
 const (
 	goldenManifest = "testdata/golden/manifest.json"
 	goldenDigest   = "testdata/golden/digest.txt"
 )
 
-// goldenVersion is what the manifest says, without the fields' names.
+// goldenVersion returns the contents of the golden manifest. Its literals have no field
+// names, so that they don't depend on them.
 func goldenVersion() *Manifest {
 	return &Manifest{"prices", "2026-01", []File{
 		{"bin/convert", 9, true, []Hash{Sum([]byte("#!/bin/sh"))}},
@@ -25,6 +26,8 @@
 	}}
 }
 
+// TestGoldenManifest guards against a build that reads or writes manifests in another form
+// than an earlier build, or that derives other digests or IDs.
 func TestGoldenManifest(t *testing.T) {
 	stored := goldentest.Read(t, goldenManifest)
 	digest, err := ParseHash(string(bytes.TrimSpace(goldentest.Read(t, goldenDigest))))
@@ -36,12 +39,12 @@
 		t.Fatal(err)
 	}
 	if want := goldenVersion(); !reflect.DeepEqual(got, want) {
-		t.Errorf("read\n%+v, not\n%+v", got, want)
+		t.Errorf("the manifest reads as\n%+v, not\n%+v", got, want)
 	}
 	if again, err := goldenVersion().Encode(); err != nil || !bytes.Equal(again, stored) {
-		t.Errorf("written as\n%s, not\n%s: %v", again, stored, err)
+		t.Errorf("the manifest is written as\n%s, not\n%s: %v", again, stored, err)
 	}
 	if id := string(IDOf(digest)); id != digest.String()[:32] || !ValidID(id) {
-		t.Errorf("the version's copies are named %s", id)
+		t.Errorf("the version's copies have the ID %s", id)
 	}
 }
--- a/internal/dataset/manifest.go
+++ b/internal/dataset/manifest.go
@@ -1,10 +1,11 @@
-// Package dataset is the form of data sets: a name with immutable versions, each
-// a manifest of files whose chunks are named by their BLAKE3 hashes. It decides
-// nothing about who holds or fetches them.
+// Package dataset defines the format of data sets. A data set has a name and
+// immutable versions. Each version is a manifest of files whose chunks are named
+// by their BLAKE3 hashes. The package doesn't decide which machine holds or
+// fetches a version.
 //
-// A manifest is JSON in one form only, and its own hash is the version's digest:
-// whoever has the digest, from the records, can check the manifest, and with it
-// every chunk. So no source needs to be trusted.
+// A manifest is JSON in a single canonical form, and its hash is the version's
+// digest. A reader that has the digest from the records can verify the manifest,
+// and every chunk by the manifest, so no source needs to be trusted.
 package dataset
 
 import (
@@ -28,9 +29,10 @@
 
 // Limits of a manifest.
 const (
-	// ChunkSize is the size of all chunks of a file but the last.
+	// ChunkSize is the size in bytes of all chunks of a file except the last.
 	ChunkSize = 1 << 20
-	// MaxFiles and MaxManifest bound what an agent will hold of one version.
+	// MaxFiles and MaxManifest bound the number of files and the manifest's size in
+	// bytes that an agent accepts for one version.
 	MaxFiles    = 100_000
 	MaxManifest = 32 << 20
 )
@@ -38,16 +40,16 @@
 // Hash is a BLAKE3-256 hash.
 type Hash [32]byte
 
-// Sum hashes data.
+// Sum returns the hash of data.
 func Sum(data []byte) Hash { return blake3.Sum256(data) }
 
-// String is the hash in hexadecimal.
+// String returns the hash in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// MarshalText writes the hash in hexadecimal.
+// MarshalText returns the hash in hexadecimal.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText reads 64 hexadecimal digits in lower case.
+// UnmarshalText reads a hash from 64 hexadecimal digits in lower case.
 func (h *Hash) UnmarshalText(b []byte) error {
 	if len(b) != 64 || bytes.ContainsAny(b, "ABCDEF") {
 		return errors.New("a hash has 64 hexadecimal digits in lower case")
@@ -56,55 +58,57 @@
 	return err
 }
 
-// ParseHash reads a hash.
+// ParseHash reads a hash from 64 hexadecimal digits in lower case.
 func ParseHash(s string) (h Hash, err error) {
 	err = h.UnmarshalText([]byte(s))
 	return h, err
 }
 
-// File is a file of a version.
+// File describes a file of a version.
 type File struct {
 	Path string `json:"path"`
 	Size int64  `json:"size"`
 	Exec bool   `json:"exec,omitempty"`
-	// Chunks are the hashes of its chunks, in order.
+	// Chunks are the hashes of the file's chunks, in order.
 	Chunks []Hash `json:"chunks"`
 }
 
-// Manifest is a version of a data set.
+// Manifest describes a version of a data set.
 type Manifest struct {
 	Set     string `json:"set"`
 	Version string `json:"version"`
-	Files   []File `json:"files"` // by path
+	Files   []File `json:"files"` // sorted by path
 }
 
-// ID names a copy of a version on machines: the version's digest, shortened.
+// ID identifies the copies of a version on machines. It is the beginning of the
+// version's digest.
 type ID string
 
-// idLen is enough that no two versions of a site share an ID by chance.
+// idLen is the length of an ID in hexadecimal digits: enough that no two versions of a
+// site have the same ID by chance.
 const idLen = 32
 
-// IDOf is the ID of a version with a digest.
+// IDOf returns the ID of the version with a digest.
 func IDOf(digest Hash) ID { return ID(digest.String()[:idLen]) }
 
-// ValidID tells whether s has the form of an ID.
+// ValidID reports whether s has the form of an ID.
 func ValidID(s string) bool {
 	return len(s) == idLen && strings.Trim(s, "0123456789abcdef") == ""
 }
 
-// Encode writes a manifest in its one form.
+// Encode checks a manifest and returns its canonical form.
 func (m *Manifest) Encode() ([]byte, error) {
 	if err := m.Check(); err != nil {
 		return nil, err
 	}
 	b, err := json.Marshal(m)
 	if err == nil && len(b) > MaxManifest {
-		err = fmt.Errorf("the manifest is larger than %d bytes; make several data sets of it", MaxManifest)
+		err = fmt.Errorf("the manifest is larger than %d bytes; split the data set into several", MaxManifest)
 	}
 	return b, err
 }
 
-// Bytes is the size of all files.
+// Bytes returns the total size of the files.
 func (m *Manifest) Bytes() (n int64) {
 	for i := range m.Files {
 		n += m.Files[i].Size
@@ -112,7 +116,7 @@
 	return n
 }
 
-// Check names what can't be in a manifest.
+// Check returns an error that names the first invalid part of a manifest, or nil.
 func (m *Manifest) Check() error {
 	if !protocol.ValidName(m.Set) {
 		return errors.New("set: missing or not a name")
@@ -121,21 +125,21 @@
 		return errors.New("version: missing, not a name, or latest")
 	}
 	if len(m.Files) == 0 || len(m.Files) > MaxFiles {
-		return fmt.Errorf("files: none, or more than %d", MaxFiles)
+		return fmt.Errorf("files: there are none, or more than %d", MaxFiles)
 	}
 	for i := range m.Files {
 		f := &m.Files[i]
 		if !protocol.ValidRelativePath(f.Path) {
-			return fmt.Errorf("files[%d].path: not a path inside", i)
+			return fmt.Errorf("files[%d].path: not a relative path inside the data set", i)
 		}
 		if i > 0 && m.Files[i-1].Path >= f.Path {
-			return fmt.Errorf("files[%d].path: not after the one before", i)
+			return fmt.Errorf("files[%d].path: not sorted after the path before it", i)
 		}
 		if f.Size < 0 || f.Size > 1<<50 || int64(len(f.Chunks)) != (f.Size+ChunkSize-1)/ChunkSize {
 			return fmt.Errorf("files[%d]: %d chunks for %d bytes", i, len(f.Chunks), f.Size)
 		}
 	}
-	// A file can't be where another needs a folder.
+	// No file's path may be the folder of another file.
 	paths := map[string]bool{}
 	for i := range m.Files {
 		paths[m.Files[i].Path] = true
@@ -143,21 +147,20 @@
 	for i := range m.Files {
 		for p := filepath.Dir(m.Files[i].Path); p != "."; p = filepath.Dir(p) {
 			if paths[p] {
-				return fmt.Errorf("files[%d].path: below a file", i)
+				return fmt.Errorf("files[%d].path: one of its folders is a file", i)
 			}
 		}
 	}
 	return nil
 }
 
-// Latest stands for the newest version, where a job names one.
+// Latest is what a job writes in place of a version to get the newest one.
 const Latest = "latest"
 
-// ValidVersion tells whether s can name a version.
+// ValidVersion reports whether s can be the name of a version.
 func ValidVersion(s string) bool { return protocol.ValidName(s) && s != Latest }
 
-// Decode reads a manifest and checks that it has the digest, and so is in its
-// one form.
+// Decode reads a manifest and checks its digest and its canonical form.
 func Decode(raw []byte, digest Hash) (*Manifest, error) {
 	if len(raw) > MaxManifest {
 		return nil, fmt.Errorf("the manifest is larger than %d bytes", MaxManifest)
@@ -168,7 +171,7 @@
 	return Parse(raw)
 }
 
-// Parse reads a manifest and checks its form.
+// Parse reads a manifest and checks that it is valid and in its canonical form.
 func Parse(raw []byte) (*Manifest, error) {
 	m := &Manifest{}
 	if err := json.Unmarshal(raw, m); err != nil {
@@ -179,13 +182,13 @@
 		return nil, fmt.Errorf("manifest: %w", err)
 	}
 	if !bytes.Equal(again, raw) {
-		return nil, errors.New("manifest: not in its one form")
+		return nil, errors.New("manifest: not in canonical form")
 	}
 	return m, nil
 }
 
-// Build makes the manifest of a folder's files. progress, if not nil, is told
-// the bytes read so far.
+// Build returns the manifest of a folder's files. It calls progress, if not nil, with
+// the number of bytes read so far.
 func Build(dir, set, version string, progress func(int64)) (*Manifest, error) {
 	m := &Manifest{Set: set, Version: version}
 	read := int64(0)
@@ -199,7 +202,7 @@
 			return err
 		}
 		if !d.Type().IsRegular() {
-			return fmt.Errorf("%s: neither a file nor a folder", name)
+			return fmt.Errorf("%s: neither a regular file nor a folder", name)
 		}
 		f, err := os.Open(path)
 		if err != nil {
@@ -237,9 +240,10 @@
 	return m, m.Check()
 }
 
-// Paths of a file server: below SetsPath/SET/VERSION are ManifestName and the
-// files, which can be read by ranges. A machine that holds chunks serves them
-// by hash below ChunkPath.
+// Paths on file servers and machines. A file server has the manifest at
+// SetsPath/SET/VERSION/ManifestName and the files below SetsPath/SET/VERSION/FilesDir,
+// and serves ranges of them. A machine that holds chunks serves them by hash below
+// ChunkPath.
 const (
 	SetsPath     = "/sets/"
 	ManifestName = "manifest.json"
@@ -247,8 +251,8 @@
 	ChunkPath    = "/chunks/"
 )
 
-// Publish copies a folder into a file server's root as a version. It appears
-// whole or not at all; a version that exists is never changed.
+// Publish copies a folder into a file server's root as a version. The version appears
+// whole or not at all, and a version that exists is never changed.
 func Publish(dir, root string, m *Manifest) (digest Hash, err error) {
 	raw, err := m.Encode()
 	if err != nil {
@@ -296,8 +300,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// copyFile copies a file and checks on the way that it has not changed since the
-// manifest was made.
+// copyFile copies a file and checks that it has not changed since the manifest was
+// built.
 func copyFile(from, to string, want *File) error {
 	if err := os.MkdirAll(filepath.Dir(to), 0o755); err != nil {
 		return err
@@ -343,8 +347,8 @@
 	return errors.Join(dst.Sync(), dst.Close())
 }
 
-// VerifyTree reads a version's files below dir and names the first that differs
-// from the manifest.
+// VerifyTree reads a version's files below dir and returns an error that names the
+// first file that differs from the manifest, or nil.
 func VerifyTree(dir string, m *Manifest) error {
 	buf := make([]byte, ChunkSize)
 	for i := range m.Files {
@@ -365,7 +369,7 @@
 				}
 			}
 			if n, _ := src.Read(buf[:1]); n > 0 {
-				return errors.New("it is longer")
+				return errors.New("the file is longer than in the manifest")
 			}
 			return nil
 		}()
--- a/internal/dataset/manifest_test.go
+++ b/internal/dataset/manifest_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestPublishedVersionsNeverChange publishes a folder, tries to change it, and
-// notices a file that changes while it is copied.
+// TestPublishedVersionsNeverChange guards against publishing other contents under an
+// existing version, against publishing a file that has changed since the manifest was
+// built, and against changes that VerifyTree doesn't notice.
 func TestPublishedVersionsNeverChange(t *testing.T) {
 	dir, root := t.TempDir(), t.TempDir()
 	write := func(name, data string) {
@@ -32,26 +33,26 @@
 		t.Fatal(err)
 	}
 	if again, err := Publish(dir, root, m); err != nil || again != digest {
-		t.Errorf("the same again: %v", err)
+		t.Errorf("publishing the same contents again: %v", err)
 	}
 	if err := VerifyTree(filepath.Join(root, "sets/set/1", FilesDir), m); err != nil {
 		t.Error(err)
 	}
 	write("a/b", "two")
 	if _, err := Publish(dir, t.TempDir(), m); err == nil || !strings.Contains(err.Error(), "changed") {
-		t.Errorf("a file that changed meanwhile: %v", err)
+		t.Errorf("publishing a file that has changed since the manifest was built: %v", err)
 	}
 	other, _ := Build(dir, "set", "1", nil)
 	if _, err := Publish(dir, root, other); err == nil || !strings.Contains(err.Error(), "never change") {
-		t.Errorf("other contents under the same version: %v", err)
+		t.Errorf("publishing other contents under the same version: %v", err)
 	}
 	if err := VerifyTree(dir, m); err == nil || !strings.Contains(err.Error(), "a/b") {
-		t.Errorf("a changed tree: %v", err)
+		t.Errorf("verifying a changed tree: %v", err)
 	}
 }
 
-// FuzzManifest demands that whatever is read as a manifest is in its one form and
-// leads nowhere but inside.
+// FuzzManifest checks that every manifest that Parse accepts is in canonical form and has
+// only paths inside the data set and sizes that are not negative.
 func FuzzManifest(f *testing.F) {
 	m := &Manifest{Set: "s", Version: "1", Files: []File{{Path: "a/b", Size: 3, Chunks: []Hash{Sum([]byte("one"))}}, {Path: "c", Chunks: []Hash{}}}}
 	raw, err := m.Encode()
@@ -59,7 +60,8 @@
 		f.Fatal(err)
 	}
 	f.Add(raw)
-	for _, bad := range []string{`{}`, `{"set":"s","version":"latest","files":[]}`, strings.Replace(string(raw), "a/b", "../b", 1), strings.Replace(string(raw), `"size":3`, `"size":-3`, 1), string(raw) + " "} {
+	for _, bad := range []string{`{}`, `{"set":"s","version":"latest","files":[]}`,
+		strings.Replace(string(raw), "a/b", "../b", 1), strings.Replace(string(raw), `"size":3`, `"size":-3`, 1), string(raw) + " "} {
 		f.Add([]byte(bad))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -68,15 +70,15 @@
 			return
 		}
 		if again, err := m.Encode(); err != nil || string(again) != string(raw) {
-			t.Fatalf("another form: %s %v", again, err)
+			t.Fatalf("not in canonical form: it is written as %s, error %v", again, err)
 		}
 		for _, x := range m.Files {
 			if !filepath.IsLocal(x.Path) || x.Size < 0 {
-				t.Fatalf("%+v", x)
+				t.Fatalf("a file with a path outside the data set or a negative size: %+v", x)
 			}
 		}
 		if !json.Valid(raw) {
-			t.Fatal("not JSON")
+			t.Fatal("the manifest is not JSON")
 		}
 	})
 }
--- a/internal/datastore/fetch.go
+++ b/internal/datastore/fetch.go
@@ -101,9 +101,9 @@
 // addUrgent adds d to the number of urgent fetches. The first urgent fetch pauses all
 // non-urgent ones at once, and the end of the last one resumes them. The caller holds
 // the lock.
-func (s *Store) addUrgent(d int) {
+func (s *Store) addUrgent(delta int) {
 	was := s.urgent > 0
-	s.urgent += d
+	s.urgent += delta
 	if is := s.urgent > 0; is == was {
 		return
 	}
@@ -290,8 +290,8 @@
 func (s *Store) request(ctx context.Context, src Source, path, byteRange string, limit int) ([]byte, Outcome) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	quiet := time.AfterFunc(s.cfg.Patience, cancel)
-	defer quiet.Stop()
+	stallTimer := time.AfterFunc(s.cfg.Patience, cancel)
+	defer stallTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+src.Address+path, nil)
 	if err != nil {
 		return nil, Failed
@@ -317,7 +317,7 @@
 	for {
 		n, err := r.Body.Read(buf)
 		if n > 0 {
-			quiet.Reset(s.cfg.Patience)
+			stallTimer.Reset(s.cfg.Patience)
 			if data = append(data, buf[:n]...); len(data) > limit {
 				return nil, Failed // the body is longer than it may be
 			}
@@ -345,10 +345,10 @@
 // fetchChunks fetches the missing chunks, at most Config.Streams at a time.
 func (s *Store) fetchChunks(f *fetching, t *target) error {
 	results := make(chan chunkResult, s.cfg.Streams)
-	flying := 0
+	inFlight := 0
 	defer func() {
 		f.abort(ErrDropped) // has no effect if the fetch was aborted before
-		for ; flying > 0; flying-- {
+		for ; inFlight > 0; inFlight-- {
 			<-results
 		}
 	}()
@@ -360,7 +360,7 @@
 			if ctx == nil || ctx.Err() != nil {
 				ctx, f.pause = context.WithCancel(f.ctx)
 			}
-			for flying < s.cfg.Streams {
+			for inFlight < s.cfg.Streams {
 				chunk, from, w, ok := f.plan.nextRequest(s.now(), s.sources)
 				if !ok {
 					if w > 0 {
@@ -368,7 +368,7 @@
 					}
 					break
 				}
-				flying++
+				inFlight++
 				go s.fetchChunk(ctx, t, chunk, from, results)
 			}
 		}
@@ -383,7 +383,7 @@
 			timer.Stop()
 			return context.Cause(f.ctx)
 		case r := <-results:
-			flying--
+			inFlight--
 			if r.err != nil {
 				timer.Stop()
 				return r.err
--- a/internal/datastore/plan.go
+++ b/internal/datastore/plan.go
@@ -148,16 +148,16 @@
 		return 0, from, 0, false
 	}
 	chunk = p.missing[len(p.missing)-1]
-	// Many machines share the file servers: don't use them if another machine can
+	// Many machines share the file servers: don't use them if another peerUsable can
 	// serve the chunk, so that they stay free for machines without such a source.
-	machine := false
+	peerUsable := false
 	for _, s := range p.sources {
-		machine = machine || s.Peer && !p.absent[s.Address] && now >= all.get(s.Address).notBefore && p.failures[chunk][s.Address] == 0
+		peerUsable = peerUsable || s.Peer && !p.absent[s.Address] && now >= all.get(s.Address).notBefore && p.failures[chunk][s.Address] == 0
 	}
 	var best *source
 	for _, s := range p.sources {
 		x := all.get(s.Address)
-		if p.absent[s.Address] || machine && !s.Peer {
+		if p.absent[s.Address] || peerUsable && !s.Peer {
 			continue
 		}
 		if now < x.notBefore {
--- a/internal/datastore/store_test.go
+++ b/internal/datastore/store_test.go
@@ -99,10 +99,11 @@
 	root := t.TempDir()
 	bad := startServer(t, root, fakeserver.Faults{Damage: 0.1, Short: 0.15, Lie: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
 	slow := startServer(t, root, fakeserver.Faults{BytesPerS: 60e6})
-	dark := startServer(t, root, fakeserver.Faults{})
-	dark.SetUnresponsive(true)
+	unresponsive := startServer(t, root, fakeserver.Faults{})
+	unresponsive.SetUnresponsive(true)
 	for i := range 4 {
-		m, w := publishVersion(t, root, "set", fmt.Sprint(i), map[string][]byte{"a/one": randomBytes(uint64(i), 3<<20+17), "empty": nil, "two": randomBytes(uint64(i)+100, 5<<20)})
+		m, w := publishVersion(t, root, "set", fmt.Sprint(i),
+			map[string][]byte{"a/one": randomBytes(uint64(i), 3<<20+17), "empty": nil, "two": randomBytes(uint64(i)+100, 5<<20)})
 		s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 		var mu sync.Mutex
 		aside := map[string]bool{}
@@ -116,7 +117,7 @@
 				t.Errorf("a chunk from %s was accepted after that source had served damaged bytes", e.Source)
 			}
 		}
-		if err := fetchAndWait(s, withSources(w, Source{bad.Address(), false}, Source{dark.Address(), false}, Source{slow.Address(), false})); err != nil {
+		if err := fetchAndWait(s, withSources(w, Source{bad.Address(), false}, Source{unresponsive.Address(), false}, Source{slow.Address(), false})); err != nil {
 			t.Fatal(err)
 		}
 		place := filepath.Join(t.TempDir(), "task", "in")
@@ -147,7 +148,8 @@
 	if err := <-failed; err != nil {
 		t.Fatal(err)
 	}
-	if err := fetchAndWait(openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30), withSources(Want{ID: w.ID, Digest: w.Digest, Set: "none", Version: "1"}, Source{slow.Address(), false})); err == nil {
+	if err := fetchAndWait(openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30),
+		withSources(Want{ID: w.ID, Digest: w.Digest, Set: "none", Version: "1"}, Source{slow.Address(), false})); err == nil {
 		t.Fatal("a version that no source has was fetched")
 	}
 }
@@ -276,8 +278,8 @@
 	srv := startServer(t, root, fakeserver.Faults{BytesPerS: 1e6})
 	_, w := publishVersion(t, root, "back", "1", map[string][]byte{"a": randomBytes(1, 8<<20)})
 	s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
-	told := make(chan Event, 100)
-	s.Observe = func(e Event) { told <- e }
+	events := make(chan Event, 100)
+	s.Observe = func(e Event) { events <- e }
 	w.Urgent = true
 	ended := make(chan error, 1)
 	s.Fetch(withSources(w, Source{srv.Address(), false}), func(err error) { ended <- err })
@@ -286,8 +288,8 @@
 		t.Fatal(err)
 	}
 	var kinds []string
-	for len(told) > 0 {
-		kinds = append(kinds, (<-told).Kind)
+	for len(events) > 0 {
+		kinds = append(kinds, (<-events).Kind)
 	}
 	if len(kinds) < 2 || kinds[0] != "begin" || kinds[len(kinds)-1] != "quit" {
 		t.Errorf("the events are %v", kinds)
@@ -383,7 +385,8 @@
 	if more := srv.Sent.Load() - before; more > 4<<20 {
 		t.Errorf("the file server sent %d more bytes", more)
 	}
-	for path, want := range map[string]int{"/chunks/xyz": 400, "/chunks/" + strings.Repeat("0", 64): 404, "/chunks/manifest/x": 400, "/chunks/manifest/" + strings.Repeat("0", 32): 404} {
+	for path, want := range map[string]int{"/chunks/xyz": 400, "/chunks/" + strings.Repeat("0", 64): 404,
+		"/chunks/manifest/x": 400, "/chunks/manifest/" + strings.Repeat("0", 32): 404} {
 		r, err := http.Get(peer.URL + path)
 		if err != nil || r.StatusCode != want {
 			t.Errorf("%s: %v %v", path, r, err)
@@ -404,7 +407,8 @@
 	var ms []*dataset.Manifest
 	var ws []Want
 	for i := range 4 { // two sets with two versions each, which share a file
-		m, w := publishVersion(t, root, fmt.Sprint("set", i%2), fmt.Sprint(i/2), map[string][]byte{"shared": randomBytes(uint64(i%2), 3000), "own": randomBytes(uint64(10+i), 2000+i)})
+		m, w := publishVersion(t, root, fmt.Sprint("set", i%2), fmt.Sprint(i/2),
+			map[string][]byte{"shared": randomBytes(uint64(i%2), 3000), "own": randomBytes(uint64(10+i), 2000+i)})
 		ms, ws = append(ms, m), append(ws, withSources(w, Source{srv.Address(), false}))
 	}
 	base := t.TempDir()
--- a/internal/stagebench/placement.go
+++ b/internal/stagebench/placement.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/staging"
 )
 
-// schedule stages ahead and places the tasks that wait.
+// schedule stages announced data and places waiting tasks.
 func (s *sim) schedule() {
 	if s.strategy == Staging {
 		s.stageAnnounced()
@@ -22,12 +22,13 @@
 	s.waitingOther = s.placeWaiting(s.waitingOther)
 }
 
-// placeWaiting places what can be placed, the oldest first.
+// placeWaiting places the tasks of a queue that can be placed, the oldest first, and
+// returns the rest.
 func (s *sim) placeWaiting(q []*task) []*task {
 	var rest []*task
 	misses := 0
 	for i, t := range q {
-		if misses > maxCompared { // nothing is free
+		if misses > maxCompared { // probably no machine has a free slot
 			return append(rest, q[i:]...)
 		}
 		if !s.place(t) {
@@ -40,24 +41,25 @@
 
 // candidates are the machines that one decision compares for a task.
 type candidates struct {
-	freeNode          *node         // has a free slot; nil: none
-	fetch             time.Duration // expected until the data is on it
-	preemptible       *node         // has a task that can be stopped; nil: none
-	preemptibleHolder *node         // the same, and holds the data
+	freeNode          *node         // has a free slot; nil: there is none
+	fetch             time.Duration // expected time until freeNode holds the data
+	preemptible       *node         // has a task that can be stopped; nil: there is none
+	preemptibleHolder *node         // has a task that can be stopped, and holds the data; nil: there is none
 	wait              time.Duration // until a task ends on a machine that holds the data
-	stop              time.Duration // to stop a task on lowerHere
+	stop              time.Duration // to stop a task on preemptibleHolder
 }
 
-// stopTime is how long it takes to stop a task.
+// stopTime is the time that it takes to stop a task.
 const stopTime = time.Duration(stopS * float64(time.Second))
 
-// place finds a machine for a task among those that one decision compares.
+// place finds a machine for a task among those that one decision compares, and assigns
+// the task to it. It reports whether it did.
 func (s *sim) place(t *task) bool {
 	c := s.compare(t)
 	if s.strategy == Blind || s.strategy == Oracle || c.freeNode != nil && c.fetch == 0 {
 		return s.placeAnywhere(t, &c)
 	}
-	// Machines that hold the data may be better than a free one.
+	// A machine that holds the data may be better than a free one that doesn't.
 	s.compareHolders(t, &c)
 	if c.freeNode != nil && c.fetch == 0 {
 		s.assign(t, c.freeNode, s.now)
@@ -86,8 +88,8 @@
 	return s.placeAnywhere(t, &c)
 }
 
-// compare looks at machines from a random one on: for a free slot with the
-// shortest fetch, and for a task that can be stopped.
+// compare considers maxCompared machines, beginning with a random one. It looks for a
+// free slot with the shortest fetch, and for a task that can be stopped.
 func (s *sim) compare(t *task) candidates {
 	c := candidates{fetch: staging.Never, wait: staging.Never, stop: staging.Never}
 	ids := []staging.ID{t.input}
@@ -112,7 +114,7 @@
 	return c
 }
 
-// compareHolders looks at the machines that hold a task's data.
+// compareHolders considers machines that hold a task's data.
 func (s *sim) compareHolders(t *task, c *candidates) {
 	s.planner.Some(t.input, func(id string) bool {
 		n := s.byName[id]
@@ -130,7 +132,8 @@
 	})
 }
 
-// placeAnywhere takes a free slot, or stops a task for one.
+// placeAnywhere assigns a task to a free slot, or stops another task to free one. It
+// reports whether it did.
 func (s *sim) placeAnywhere(t *task, c *candidates) bool {
 	switch {
 	case c.freeNode != nil:
@@ -144,8 +147,8 @@
 	return true
 }
 
-// cheapestVictim is the task on a machine that loses least by being stopped, -1 if there
-// is none to stop.
+// cheapestVictim returns the index of the non-urgent task on a machine that loses the
+// least run time if it is stopped, or -1 if there is none.
 func cheapestVictim(n *node) int {
 	at := -1
 	for i, t := range n.tasks {
@@ -163,8 +166,8 @@
 	s.waitingOther = append([]*task{t}, s.waitingOther...)
 }
 
-// stageAnnounced stages for what was announced: the newest version, for as many machines
-// as its tasks will keep busy.
+// stageAnnounced stages the newest announced version on stagedPerNeeded times as many
+// machines as its tasks will keep busy.
 func (s *sim) stageAnnounced() {
 	id := staging.ID(fmt.Sprintf("new-%d", s.data.version))
 	by := s.data.published[id] + announceLeadS
@@ -185,9 +188,11 @@
 			list = append(list, staging.Candidate{Machine: n.id})
 		}
 	}
-	for _, m := range staging.Place(list, want-held-coming, func(m string) time.Duration { return s.planner.Expect(s.nowDuration(), m, []staging.ID{id}) }, func(string) bool { return false }) {
+	for _, m := range staging.Place(list, want-held-coming, func(m string) time.Duration {
+		return s.planner.Expect(s.nowDuration(), m, []staging.ID{id})
+	}, func(string) bool { return false }) {
 		s.planner.Promise(s.nowDuration(), m, id, staging.Urgent, "team", a.By)
 		n := s.byName[m]
-		n.ordered[id], s.active[n] = true, true
+		n.requested[id], s.active[n] = true, true
 	}
 }
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -1,10 +1,11 @@
 // Package stagebench compares ways of bringing data to tasks in a simulated
-// cluster: its figures are simulated. The decisions are the product's own
-// (internal/staging); machines, file servers and jobs are modelled.
+// cluster, so its figures are simulated. The decisions are made by the real
+// code (internal/staging); machines, file servers and jobs are modelled.
 //
-// Data sets are read by jobs that come at random; urgent ones read the newest
-// version of a set that is published every now and then, is cold everywhere,
-// and is announced when it is published.
+// Jobs arrive at random and read data sets. Urgent jobs read the newest version
+// of one set, of which a new version is published every publishPeriodS seconds.
+// No machine holds the new version at first, and it is announced when it is
+// published.
 package stagebench
 
 import (
@@ -20,61 +21,62 @@
 // Way is a way of bringing data to tasks.
 type Way string
 
-// Ways, from the least to the most that is known.
+// Ways, in the order of how much they know.
 const (
-	Blind    Way = "blind"    // any machine with room; it fetches when the task is there
-	Locality Way = "locality" // machines that hold the data first
-	Staging  Way = "staging"  // and data is brought ahead, from machine to machine
-	Oracle   Way = "oracle"   // knows every task and its machine: data moves when it exists
+	Blind    Way = "blind"    // any machine with room, which fetches the data once the task is assigned to it
+	Locality Way = "locality" // machines that hold the data are preferred
+	Staging  Way = "staging"  // like Locality, and data is staged ahead, also from machine to machine
+	Oracle   Way = "oracle"   // knows every task and its machine in advance: data moves as soon as it exists
 )
 
 // Ways lists all ways.
 var Ways = []Way{Blind, Locality, Staging, Oracle}
 
-// Options say what is simulated. Equal options give equal results, but for
-// Result.DecisionUS.
+// Options are the parameters of a simulation. Equal options give equal results,
+// except for Result.DecisionUS.
 type Options struct {
 	Machines int
-	Zipf     bool // popular sets are asked for more often
+	Zipf     bool // the sets' popularity follows Zipf's law; otherwise all are equally popular
 	Seed     uint64
 	Seconds  float64
 }
 
-// Model figures, ratios to one another: a copy takes copyS at a machine's rate.
+// Parameters of the model. Only their ratios matter: a copy takes copyBytes /
+// machineBps seconds at a machine's rate.
 const (
 	slots             = 4
 	machineBps        = 100e6
 	copyBytes         = 1e9
 	serverBps         = 1.2e9
-	machinesPerServer = 50   // machines for each file server; there are two at least
-	sets              = 60   // data sets that the others read
-	copiesPerMachine  = 12   // copies that a machine holds
-	stepS             = 0.1  // seconds
-	stopS             = 0.5  // to stop a task
+	machinesPerServer = 50   // machines for each file server; there are at least two file servers
+	sets              = 60   // data sets that non-urgent tasks read
+	copiesPerMachine  = 12   // copies that a machine can hold
+	stepS             = 0.1  // length of a simulation step
+	stopS             = 0.5  // time to stop a task
 	urgentRunS        = 8.0  // mean run time of an urgent task
-	otherRunS         = 60.0 // and of the others
-	publishPeriodS    = 90.0 // seconds between two publications
-	announceLeadS     = 40.0 // from an announcement to the first task
-	startGoalS        = 5.0  // seconds in which urgent tasks are to start
+	otherRunS         = 60.0 // mean run time of a non-urgent task
+	publishPeriodS    = 90.0 // time between two publications
+	announceLeadS     = 40.0 // time from an announcement to its first task
+	startGoalS        = 5.0  // time within which urgent tasks should start
 	maxCompared       = 64   // machines that one decision compares
-	stagedPerNeeded   = 2.0  // machines that are to hold what is announced, for each that its tasks fill
+	stagedPerNeeded   = 2.0  // machines that are to hold an announced copy, for each machine that its tasks fill
 )
 
-// Result is what came of a run.
+// Result holds the figures of a run.
 type Result struct {
 	Way        Way
 	Machines   int
 	Zipf       bool
 	Urgent     int
 	P50, P99   float64 // start delay of urgent tasks, seconds
-	Share      float64 // of them that started within the aim
+	Share      float64 // share of urgent tasks that started within startGoalS
 	MovedGB    float64
-	FromPeers  float64 // share of bytes
-	DecisionUS float64 // of processor time for each placement, measured
+	FromPeers  float64 // share of the moved bytes that came from other machines
+	DecisionUS float64 // measured time for each placement, in microseconds
 	Placements int
 }
 
-// task is a task that waits or runs.
+// task is a waiting or running task.
 type task struct {
 	urgent       bool
 	input        staging.ID
@@ -82,22 +84,22 @@
 	runS         float64
 	remainingS   float64
 	node         *node
-	readyAt      float64 // slot can be used from then on
+	readyAt      float64 // when the slot can be used
 	started      bool
 	waitingSince float64
 }
 
-// node is a machine.
+// node is a simulated machine.
 type node struct {
-	id      string
-	tasks   []*task
-	copies  map[staging.ID]float64 // last use
-	fetches map[staging.ID]*transfer
-	ordered map[staging.ID]bool // of the planner, until they are here
-	index   int
+	id        string
+	tasks     []*task
+	copies    map[staging.ID]float64 // by ID, with the time of the last use
+	fetches   map[staging.ID]*transfer
+	requested map[staging.ID]bool // copies requested from the planner that have not arrived yet
+	index     int
 }
 
-// transfer is a fetch under way.
+// transfer is a fetch under way from a machine or a file server.
 type transfer struct {
 	id             staging.ID
 	node           *node
@@ -116,10 +118,10 @@
 	byName        map[string]*node
 	byAddress     map[string]*node
 	planner       *staging.Planner
-	waitingUrgent []*task // that wait, the oldest first
-	waitingOther  []*task // that wait, the oldest first
+	waitingUrgent []*task // the oldest first
+	waitingOther  []*task // the oldest first
 	transfers     []*transfer
-	active        map[*node]bool // with fetches of the planner
+	active        map[*node]bool // nodes that have fetches of the planner
 	nextTick      float64        // when the planner's clock is next advanced
 	data          dataSets
 	measured      measurements
@@ -127,22 +129,22 @@
 
 // dataSets are the data sets of a simulation.
 type dataSets struct {
-	popularity []float64 // weights of the sets that the others read
-	version    int       // the newest of the set that urgent tasks read
+	popularity []float64 // weights of the sets that non-urgent tasks read
+	version    int       // newest version of the set that urgent tasks read
 	published  map[staging.ID]float64
-	servers    map[staging.ID][2]int // the file servers that have a version
+	servers    map[staging.ID][2]int // the two file servers that have a version
 }
 
-// measurements are what a simulation has measured so far.
+// measurements holds the figures of a simulation so far.
 type measurements struct {
 	delays       []float64 // start delays of urgent tasks, in seconds
-	bytes        float64   // moved
-	peerBytes    float64   // of these, from machine to machine
+	bytes        float64   // bytes moved
+	peerBytes    float64   // bytes moved from machine to machine, included in bytes
 	decisionTime time.Duration
 	placements   int
 }
 
-// Run simulates one way.
+// Run simulates one way of bringing data to tasks.
 func Run(way Way, o Options) Result {
 	s := &sim{
 		options: o, strategy: way, random: rand.New(rand.NewPCG(o.Seed, 7)),
@@ -155,7 +157,7 @@
 	}
 	s.planner = staging.New(cfg, func([]staging.ID) string { return "" }, rand.New(rand.NewPCG(o.Seed, 8)))
 	for i := range o.Machines {
-		n := &node{id: fmt.Sprintf("m%05d", i), copies: map[staging.ID]float64{}, fetches: map[staging.ID]*transfer{}, ordered: map[staging.ID]bool{}, index: i}
+		n := &node{id: fmt.Sprintf("m%05d", i), copies: map[staging.ID]float64{}, fetches: map[staging.ID]*transfer{}, requested: map[staging.ID]bool{}, index: i}
 		s.nodes = append(s.nodes, n)
 		s.byName[n.id], s.byAddress["a"+n.id] = n, n
 		s.planner.Join(n.id, "z", "a"+n.id)
@@ -168,7 +170,7 @@
 		s.data.popularity = append(s.data.popularity, w)
 		s.publish(setID(i))
 	}
-	// Some copies are there at the start, as they would be.
+	// Machines hold some copies at the start, as they would in a running cluster.
 	for _, n := range s.nodes {
 		for range copiesPerMachine / 2 {
 			s.addCopy(n, s.randomSet())
@@ -222,8 +224,9 @@
 	return n
 }
 
-// addArrivals has jobs and versions arrive. The others fill some 80 % of all slots;
-// urgent tasks come in the second half of each period, for a tenth of them.
+// addArrivals adds the tasks and versions that arrive in a step. Non-urgent tasks fill
+// about 80 % of all slots. Urgent tasks arrive from announceLeadS after each
+// publication to the next one, and fill a tenth of all slots.
 func (s *sim) addArrivals() {
 	all := float64(slots * s.options.Machines)
 	for range s.poisson(0.8 * all / otherRunS * stepS) {
@@ -235,12 +238,14 @@
 		s.publish(id)
 	} else if phase > announceLeadS {
 		for range s.poisson(0.1 * all / urgentRunS * stepS) {
-			s.waitingUrgent = append(s.waitingUrgent, &task{urgent: true, input: staging.ID(fmt.Sprintf("new-%d", s.data.version)), arrivedAt: s.now, runS: urgentRunS * (0.5 + s.random.Float64())})
+			s.waitingUrgent = append(s.waitingUrgent, &task{urgent: true, input: staging.ID(fmt.Sprintf("new-%d", s.data.version)), arrivedAt: s.now,
+				runS: urgentRunS * (0.5 + s.random.Float64())})
 		}
 	}
 }
 
-// runTasks runs the tasks.
+// runTasks starts the assigned tasks whose slot and data are ready, advances the running
+// ones by a step and removes those that end.
 func (s *sim) runTasks() {
 	for _, n := range s.nodes {
 		rest := n.tasks[:0]
@@ -263,15 +268,16 @@
 	}
 }
 
-// dataReady tells whether a task can read its data. The oracle's is there as soon as
-// it can have been: one machine's fetch after it was published.
+// dataReady reports whether a task can read its data on a machine. With Oracle the data
+// is there at the earliest possible time: once one machine could have fetched it since it
+// was published.
 func (s *sim) dataReady(n *node, id staging.ID) bool {
 	if s.strategy == Oracle {
 		if _, ok := n.copies[id]; ok {
 			return true
 		}
-		// Each machine that holds a copy passes it on as fast as it can, and
-		// the file servers give all they have.
+		// Each machine that holds a copy passes it on at its full rate, and the
+		// file servers send at their full rate.
 		age := (s.now - s.data.published[id]) * machineBps / copyBytes
 		if held, _ := s.planner.Holders(id); age < 1 || float64(held) >= 2*serverBps/machineBps*(math.Exp2(age)-1) {
 			return false
@@ -284,7 +290,8 @@
 	return ok
 }
 
-// assign binds a task to a machine.
+// assign assigns a task to a machine, whose slot can be used at readyAt, and requests the
+// fetch of its data.
 func (s *sim) assign(t *task, n *node, ready float64) {
 	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, ready, false
 	n.tasks = append(n.tasks, t)
@@ -309,12 +316,13 @@
 
 func (s *sim) requestFetch(n *node, id staging.ID, class staging.Class) {
 	s.planner.Want(s.nowDuration(), n.id, id, class, "team", 0)
-	n.ordered[id], s.active[n] = true, true
+	n.requested[id], s.active[n] = true, true
 }
 
 func (s *sim) result() Result {
-	r := Result{Way: s.strategy, Machines: s.options.Machines, Zipf: s.options.Zipf, Urgent: len(s.measured.delays), MovedGB: s.measured.bytes / 1e9, Placements: s.measured.placements}
-	for _, t := range s.waitingUrgent { // still waiting: at least so long
+	r := Result{Way: s.strategy, Machines: s.options.Machines, Zipf: s.options.Zipf, Urgent: len(s.measured.delays),
+		MovedGB: s.measured.bytes / 1e9, Placements: s.measured.placements}
+	for _, t := range s.waitingUrgent { // tasks that still wait: their delay is at least this long
 		s.measured.delays = append(s.measured.delays, s.now-t.arrivedAt)
 	}
 	for _, n := range s.nodes {
--- a/internal/stagebench/stagebench_test.go
+++ b/internal/stagebench/stagebench_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestEachWayKnowsMore holds the ways to their order at a size that takes a
-// moment, and equal seeds to equal figures.
+// TestEachWayKnowsMore guards against a way that is not better than one that knows less,
+// in a small cluster that takes a moment to simulate, and against runs with equal seeds
+// that give different figures.
 func TestEachWayKnowsMore(t *testing.T) {
 	p99, share := map[Way]float64{}, map[Way]float64{}
 	for _, w := range Ways {
@@ -14,11 +15,11 @@
 		p99[w], share[w] = r.P99, r.Share
 	}
 	if !(p99[Blind] > 2*p99[Locality] && p99[Locality] > 2*p99[Staging] && p99[Staging] >= p99[Oracle]) || share[Staging] < 0.99 {
-		t.Errorf("p99 %v, within the aim %v", p99, share)
+		t.Errorf("p99 delays %v, shares of tasks that started within the goal %v", p99, share)
 	}
 	a, b := Run(Staging, Options{Machines: 20, Seed: 3, Seconds: 120}), Run(Staging, Options{Machines: 20, Seed: 3, Seconds: 120})
-	a.DecisionUS, b.DecisionUS = 0, 0 // processor time
+	a.DecisionUS, b.DecisionUS = 0, 0 // measured time, which differs between runs
 	if a != b {
-		t.Errorf("equal seeds: %+v and %+v", a, b)
+		t.Errorf("runs with equal seeds differ: %+v and %+v", a, b)
 	}
 }
--- a/internal/stagebench/transfer.go
+++ b/internal/stagebench/transfer.go
@@ -8,7 +8,8 @@
 	"silvergate/internal/staging"
 )
 
-// moveBytes moves bytes: each fetch gets the smaller share of its two ends.
+// moveBytes advances all transfers by a step. The transfers at an end share its rate
+// equally, and each transfer moves at the lower of the rates that its two ends give it.
 func (s *sim) moveBytes() {
 	if s.strategy != Blind && s.strategy != Oracle {
 		for _, n := range s.nodes {
@@ -53,7 +54,8 @@
 	}
 }
 
-// applyOrders makes a machine's fetches what the planner wants.
+// applyOrders starts and ends a machine's transfers by the planner's orders, and reports
+// them to the planner.
 func (s *sim) applyOrders(n *node) {
 	fetches := s.planner.Orders(n.id)
 	going := map[staging.ID]bool{}
@@ -68,25 +70,27 @@
 		if f.peer, f.server = s.byAddress[o.Peer], -1; f.peer == nil {
 			_, _ = fmt.Sscanf(o.Server, "s%d", &f.server)
 		}
-		s.planner.Held(s.nowDuration(), n.id, staging.Report{Digest: "", Pulls: []staging.Pull{{ID: o.ID, Done: int64(copyBytes - f.remainingBytes), Total: copyBytes}}})
+		s.planner.Held(s.nowDuration(), n.id, staging.Report{Digest: "", Pulls: []staging.Pull{
+			{ID: o.ID, Done: int64(copyBytes - f.remainingBytes), Total: copyBytes}}})
 	}
 	for id, f := range n.fetches {
-		if !going[id] { // displaced: what it has is kept in this model's next fetch
+		if !going[id] { // displaced; in this model a new transfer starts from the beginning
 			if i := slices.Index(s.transfers, f); i >= 0 {
 				s.transfers = slices.Delete(s.transfers, i, i+1)
 			}
 			delete(n.fetches, id)
 		}
 	}
-	if len(n.ordered) == 0 {
+	if len(n.requested) == 0 {
 		delete(s.active, n)
 	}
 }
 
-// addCopy makes a copy visible, and room for it.
+// addCopy adds a copy to a machine, evicts the least recently used copies that no task
+// uses beyond copiesPerMachine, and tells the planner.
 func (s *sim) addCopy(n *node, id staging.ID) {
 	n.copies[id] = s.now
-	delete(n.ordered, id)
+	delete(n.requested, id)
 	for len(n.copies) > copiesPerMachine {
 		oldest := staging.ID("")
 		for h, at := range n.copies {
--- a/internal/stagecheck/stagecheck.go
+++ b/internal/stagecheck/stagecheck.go
@@ -1,6 +1,6 @@
-// Package stagecheck judges what happened to data on a site's machines: whether
-// urgent tasks ever waited for a fetch that could have started earlier, and
-// whether a program ever read anything but what was published.
+// Package stagecheck checks the staging of data on a site's machines: whether an
+// urgent task waited for a fetch that could have started earlier, and whether a
+// program read data that differs from the published data.
 package stagecheck
 
 import (
@@ -15,7 +15,8 @@
 	"silvergate/internal/agent"
 )
 
-// Read reads events from files; a line that a kill cut off is passed over.
+// Read reads the agents' events from files and sorts them by time. It skips lines
+// that are cut off because the agent was killed.
 func Read(files []string) ([]agent.Event, error) {
 	var out []agent.Event
 	for _, path := range files {
@@ -35,63 +36,63 @@
 	return out, nil
 }
 
-// Starts demands that each copy that an urgent attempt needs is there, or is
-// being fetched as urgent, within a period of the moment at which its fetch
-// could have started: when the job is known on the machine that was chosen. An
-// urgent fetch waits for no budget, since it takes one from others at once; so
-// while it runs, no other fetch may take a chunk on its machine. It returns what
-// is wrong, how many needs were judged, and how late the latest was.
+// Starts checks that each copy that an urgent attempt needs is held, or fetched as
+// urgent, within period after the fetch could have started, which is when the
+// chosen machine knows the job. An urgent fetch doesn't wait for a budget, since
+// it takes budget from other fetches at once; so while it runs, no other fetch on
+// its machine may accept a chunk. Starts returns the violations, how many needs
+// it checked, and the longest delay of a fetch.
 func Starts(events []agent.Event, period time.Duration) (wrong []string, judged int, latest time.Duration) {
-	type place struct{ machine, copy string }
+	type copyOnMachine struct{ machine, copy string }
 	type need struct {
 		at   time.Time
 		load string
 	}
-	here, urgent := map[place]bool{}, map[place]bool{}
-	open := map[place][]need{}
-	running := map[string]int{} // urgent fetches by machine
-	settle := func(p place, at time.Time) {
-		for _, n := range open[p] {
-			late := at.Sub(n.at)
-			if latest = max(latest, late); late > period {
-				wrong = append(wrong, fmt.Sprintf("%s on %s: the fetch of %s began %v after it could have", n.load, p.machine, p.copy, late))
+	held, fetchedUrgently := map[copyOnMachine]bool{}, map[copyOnMachine]bool{}
+	unmet := map[copyOnMachine][]need{}
+	running := map[string]int{} // number of urgent fetches by machine
+	settleNeeds := func(p copyOnMachine, at time.Time) {
+		for _, n := range unmet[p] {
+			delay := at.Sub(n.at)
+			if latest = max(latest, delay); delay > period {
+				wrong = append(wrong, fmt.Sprintf("%s on %s: the fetch of %s began %v after it could have", n.load, p.machine, p.copy, delay))
 			}
 		}
-		delete(open, p)
+		delete(unmet, p)
 	}
 	for _, e := range events {
-		p := place{e.Machine, e.Copy}
+		p := copyOnMachine{e.Machine, e.Copy}
 		switch e.Kind {
 		case "needed":
 			if e.Urgent {
 				judged++
-				if !here[p] && !urgent[p] {
-					open[p] = append(open[p], need{e.At, e.Load})
+				if !held[p] && !fetchedUrgently[p] {
+					unmet[p] = append(unmet[p], need{e.At, e.Load})
 				}
 			}
 		case "begin":
-			if e.Urgent && !urgent[p] {
-				urgent[p] = true
+			if e.Urgent && !fetchedUrgently[p] {
+				fetchedUrgently[p] = true
 				running[e.Machine]++
-				settle(p, e.At)
+				settleNeeds(p, e.At)
 			}
 		case "chunk":
 			if !e.Urgent && running[e.Machine] > 0 {
-				wrong = append(wrong, fmt.Sprintf("on %s a chunk of %s was taken while an urgent fetch ran", e.Machine, e.Copy))
+				wrong = append(wrong, fmt.Sprintf("%s accepted a chunk of %s during an urgent fetch", e.Machine, e.Copy))
 			}
 		case "visible", "fail", "quit":
-			if urgent[p] {
-				delete(urgent, p)
+			if fetchedUrgently[p] {
+				delete(fetchedUrgently, p)
 				running[e.Machine]--
 			}
-			if here[p] = e.Kind == "visible"; here[p] {
-				settle(p, e.At)
+			if held[p] = e.Kind == "visible"; held[p] {
+				settleNeeds(p, e.At)
 			}
 		case "evict", "drop":
-			here[p] = false
+			held[p] = false
 		}
 	}
-	for p, all := range open {
+	for p, all := range unmet {
 		for _, n := range all {
 			wrong = append(wrong, fmt.Sprintf("%s on %s: the fetch of %s never began", n.load, p.machine, p.copy))
 		}
@@ -99,14 +100,14 @@
 	return wrong, judged, latest
 }
 
-// Reads compares what programs read with what was published: each line names a
-// version, a file and its hash. It returns what is wrong and how many reads
-// were judged.
+// Reads compares the data that programs read with the published data. Each line
+// has a version, a file and the hash that was read; want maps "VERSION FILE" to the
+// published hash. Reads returns the violations and how many reads it checked.
 func Reads(lines []string, want map[string]string) (wrong []string, judged int) {
 	for _, l := range lines {
 		f := strings.Fields(l)
 		if len(f) != 3 {
-			wrong = append(wrong, fmt.Sprintf("not a read: %q", l))
+			wrong = append(wrong, fmt.Sprintf("not a line with a version, a file and a hash: %q", l))
 			continue
 		}
 		judged++
@@ -114,7 +115,7 @@
 		case !ok:
 			wrong = append(wrong, fmt.Sprintf("%s of version %s was never published", f[1], f[0]))
 		case h != f[2]:
-			wrong = append(wrong, fmt.Sprintf("%s of version %s was read as %s", f[1], f[0], f[2]))
+			wrong = append(wrong, fmt.Sprintf("%s of version %s was read with the wrong hash %s", f[1], f[0], f[2]))
 		}
 	}
 	return wrong, judged
--- a/internal/stagecheck/stagecheck_test.go
+++ b/internal/stagecheck/stagecheck_test.go
@@ -7,8 +7,8 @@
 	"silvergate/internal/agent"
 )
 
-// TestCheckersCatchWhatTheyAreFor gives both checkers traces that are right, and
-// the same with one thing wrong.
+// TestCheckersCatchWhatTheyAreFor guards against checkers that miss a violation or report
+// one that is none: it gives both checkers correct input, and input with one fault.
 func TestCheckersCatchWhatTheyAreFor(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	e := func(ms int, machine, kind, copy string, urgent bool) agent.Event {
@@ -19,7 +19,7 @@
 		e(20, "a", "needed", "y", true), e(21, "a", "begin", "y", true), e(30, "a", "chunk", "y", true), e(40, "b", "chunk", "x", false),
 		e(50, "a", "visible", "y", true), e(60, "a", "chunk", "x", false), e(70, "a", "needed", "x", true), e(80, "a", "begin", "x", true),
 		e(90, "a", "visible", "x", true), e(95, "a", "needed", "x", true), e(99, "a", "needed", "z", false),
-		// The urgent task is stopped, its fetch given up; others go on.
+		// The urgent task is stopped and its fetch cancelled, so other fetches go on.
 		e(100, "a", "needed", "q", true), e(101, "a", "begin", "q", true), e(110, "a", "quit", "q", false), e(111, "a", "chunk", "z", false),
 	}
 	if wrong, n, latest := Starts(good, time.Second); len(wrong) > 0 || n != 4 || latest != 10*time.Millisecond {
@@ -34,7 +34,7 @@
 		"other machine": {e(0, "a", "needed", "y", true), e(1, "b", "begin", "y", true)},
 	} {
 		if wrong, _, _ := Starts(bad, time.Second); len(wrong) == 0 {
-			t.Errorf("%s: nothing was found", name)
+			t.Errorf("%s: no violation was found", name)
 		}
 	}
 	want := map[string]string{"1 a": "h1", "2 a": "h2"}
@@ -43,7 +43,7 @@
 	}
 	for _, bad := range []string{"1 a h2", "1 a e3b0", "3 a h1", "1 b h1", "1 a"} {
 		if wrong, _ := Reads([]string{bad}, want); len(wrong) != 1 {
-			t.Errorf("%q: %v", bad, wrong)
+			t.Errorf("%q: expected one violation, got %v", bad, wrong)
 		}
 	}
 }
--- a/internal/staging/choose.go
+++ b/internal/staging/choose.go
@@ -50,15 +50,15 @@
 // Place picks the n machines on which a task can start earliest, counting both
 // the time until there is room and the time of the fetch, and returns those of
 // them to which the copies must still be brought. cost returns the expected time
-// until a machine holds the copies; there reports whether a machine holds or
+// until a machine holds the copies; holds reports whether a machine holds or
 // fetches them already.
-func Place(list []Candidate, n int, cost func(machine string) time.Duration, there func(machine string) bool) (bring []string) {
+func Place(candidates []Candidate, n int, cost func(machine string) time.Duration, holds func(machine string) bool) (toFetch []string) {
 	type choice struct {
 		c  Candidate
 		at time.Duration
 	}
 	picked := make([]choice, 0, n+1)
-	for _, c := range list {
+	for _, c := range candidates {
 		x := choice{c, max(c.Free, cost(c.Machine))}
 		i := len(picked)
 		for i > 0 && (x.at < picked[i-1].at || x.at == picked[i-1].at && x.c.Machine < picked[i-1].c.Machine) {
@@ -75,11 +75,11 @@
 		}
 	}
 	for _, x := range picked {
-		if !there(x.c.Machine) {
-			bring = append(bring, x.c.Machine)
+		if !holds(x.c.Machine) {
+			toFetch = append(toFetch, x.c.Machine)
 		}
 	}
-	return bring
+	return toFetch
 }
 
 // Announcement describes future work: Machines machines are to hold the copy by
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -247,7 +247,7 @@
 			here[d] = true
 			p.addHolder(m, d)
 		}
-		for _, d := range sortedData(m.held) {
+		for _, d := range sortedCopies(m.held) {
 			if !here[d] {
 				p.removeHolder(m, d)
 			}
@@ -256,7 +256,7 @@
 	} else if r.Digest != m.digest || !m.listed {
 		list = true
 	}
-	for _, d := range sortedData(m.held) {
+	for _, d := range sortedCopies(m.held) {
 		if x := m.pulls[d]; x != nil {
 			p.finishPull(now, x)
 		}
@@ -290,7 +290,7 @@
 	return list
 }
 
-func sortedData(m map[*copyState]bool) []*copyState {
+func sortedCopies(m map[*copyState]bool) []*copyState {
 	out := make([]*copyState, 0, len(m))
 	for d := range m {
 		out = append(out, d)
