--- a/internal/staging/planner_test.go
+++ b/internal/staging/planner_test.go
@@ -22,7 +22,8 @@
 func digest(ids []ID) string { return fmt.Sprint(ids) }
 
 func newPlanner(servers int) *Planner {
-	return New(Config{Controllers: 1, ServerStreams: servers, PeerStreams: 2, MachineStreams: 2, Rate: 1e6, Report: time.Second}, digest, rand.New(rand.NewPCG(1, 2)))
+	return New(Config{Controllers: 1, ServerStreams: servers, PeerStreams: 2, MachineStreams: 2, Rate: 1e6, Report: time.Second},
+		digest, rand.New(rand.NewPCG(1, 2)))
 }
 
 // checkInvariants checks what must hold after every step: the counters match the
