--- a/internal/stagebench/placement.go
+++ b/internal/stagebench/placement.go
@@ -68,7 +68,7 @@
 	fetch := c.fetch
 	if c.freeNode == nil {
 		if fetch = staging.Never; c.preemptible != nil {
-			fetch = s.planner.Expect(s.nowDuration(), c.preemptible.id, []staging.ID{t.input}) + stopTime
+			fetch = s.planner.Expect(s.nowDuration(), c.preemptible.id, []staging.ID{t.copy}) + stopTime
 		}
 	}
 	if t.waitingSince == 0 {
@@ -92,7 +92,7 @@
 // free slot with the shortest fetch, and for a task that can be stopped.
 func (s *sim) compare(t *task) candidates {
 	c := candidates{fetch: staging.Never, wait: staging.Never, stop: staging.Never}
-	ids := []staging.ID{t.input}
+	ids := []staging.ID{t.copy}
 	start := s.random.IntN(len(s.nodes))
 	for i := 0; i < len(s.nodes) && i < maxCompared; i++ {
 		n := s.nodes[(start+i)%len(s.nodes)]
@@ -116,7 +116,7 @@
 
 // compareHolders considers machines that hold a task's data.
 func (s *sim) compareHolders(t *task, c *candidates) {
-	s.planner.Some(t.input, func(id string) bool {
+	s.planner.Some(t.copy, func(id string) bool {
 		n := s.byName[id]
 		if len(n.tasks) < slots {
 			c.freeNode, c.fetch, c.wait = n, 0, 0
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -79,7 +79,7 @@
 // task is a waiting or running task.
 type task struct {
 	urgent       bool
-	input        staging.ID
+	copy         staging.ID
 	arrivedAt    float64
 	runS         float64
 	remainingS   float64
@@ -230,7 +230,7 @@
 func (s *sim) addArrivals() {
 	all := float64(slots * s.options.Machines)
 	for range s.poisson(0.8 * all / otherRunS * stepS) {
-		s.waitingOther = append(s.waitingOther, &task{input: s.randomSet(), arrivedAt: s.now, runS: otherRunS * (0.5 + s.random.Float64())})
+		s.waitingOther = append(s.waitingOther, &task{copy: s.randomSet(), arrivedAt: s.now, runS: otherRunS * (0.5 + s.random.Float64())})
 	}
 	if phase := math.Mod(s.now, publishPeriodS); phase < stepS {
 		s.data.version++
@@ -238,7 +238,7 @@
 		s.publish(id)
 	} else if phase > announceLeadS {
 		for range s.poisson(0.1 * all / urgentRunS * stepS) {
-			s.waitingUrgent = append(s.waitingUrgent, &task{urgent: true, input: staging.ID(fmt.Sprintf("new-%d", s.data.version)), arrivedAt: s.now,
+			s.waitingUrgent = append(s.waitingUrgent, &task{urgent: true, copy: staging.ID(fmt.Sprintf("new-%d", s.data.version)), arrivedAt: s.now,
 				runS: urgentRunS * (0.5 + s.random.Float64())})
 		}
 	}
@@ -250,14 +250,14 @@
 	for _, n := range s.nodes {
 		rest := n.tasks[:0]
 		for _, t := range n.tasks {
-			if !t.started && s.now >= t.readyAt && s.dataReady(n, t.input) {
+			if !t.started && s.now >= t.readyAt && s.dataReady(n, t.copy) {
 				t.started = true
 				if t.urgent {
 					s.measured.delays = append(s.measured.delays, s.now-t.arrivedAt)
 				}
 			}
 			if t.started {
-				n.copies[t.input] = s.now
+				n.copies[t.copy] = s.now
 				if t.remainingS -= stepS; t.remainingS <= 0 {
 					continue
 				}
@@ -296,13 +296,13 @@
 	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, ready, false
 	n.tasks = append(n.tasks, t)
 	s.measured.placements++
-	if _, ok := n.copies[t.input]; ok || s.strategy == Oracle {
+	if _, ok := n.copies[t.copy]; ok || s.strategy == Oracle {
 		return
 	}
 	if s.strategy == Blind {
-		if n.fetches[t.input] == nil {
-			f := &transfer{id: t.input, node: n, remainingBytes: copyBytes, server: s.data.servers[t.input][s.random.IntN(2)]}
-			n.fetches[t.input] = f
+		if n.fetches[t.copy] == nil {
+			f := &transfer{id: t.copy, node: n, remainingBytes: copyBytes, server: s.data.servers[t.copy][s.random.IntN(2)]}
+			n.fetches[t.copy] = f
 			s.transfers = append(s.transfers, f)
 		}
 		return
@@ -311,7 +311,7 @@
 	if t.urgent {
 		class = staging.Urgent
 	}
-	s.requestFetch(n, t.input, class)
+	s.requestFetch(n, t.copy, class)
 }
 
 func (s *sim) requestFetch(n *node, id staging.ID, class staging.Class) {
--- a/internal/stagebench/transfer.go
+++ b/internal/stagebench/transfer.go
@@ -114,7 +114,7 @@
 
 func (n *node) usesCopy(id staging.ID) bool {
 	for _, t := range n.tasks {
-		if t.input == id {
+		if t.copy == id {
 			return true
 		}
 	}
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -105,7 +105,7 @@
 // pull is the fetch of a copy that a machine is to make.
 type pull struct {
 	machine       *machine
-	copy          *copyState
+	copyState     *copyState
 	class         Class
 	team          string
 	deadline      time.Duration // when the copy should be there; 0: as soon as possible
@@ -237,18 +237,18 @@
 		return false
 	}
 	if r.Listed {
-		here := map[*copyState]bool{}
+		listedNow := map[*copyState]bool{}
 		for _, c := range r.List {
 			d := p.copies[c]
 			if d == nil { // the version's record has not arrived yet
 				d = &copyState{Copy: Copy{ID: c}, holderIndex: map[*machine]int{}}
 				p.copies[c] = d
 			}
-			here[d] = true
+			listedNow[d] = true
 			p.addHolder(m, d)
 		}
 		for _, d := range sortedCopies(m.held) {
-			if !here[d] {
+			if !listedNow[d] {
 				p.removeHolder(m, d)
 			}
 		}
@@ -322,7 +322,7 @@
 	x := m.pulls[d]
 	switch {
 	case x == nil:
-		x = &pull{machine: m, copy: d, class: class, team: team, deadline: by, wantedAt: now}
+		x = &pull{machine: m, copyState: d, class: class, team: team, deadline: by, wantedAt: now}
 		m.pulls[d] = x
 		d.fetching++
 		p.Stats.Wanted++
@@ -365,7 +365,7 @@
 // its deadline. It allows twice the time that the remaining bytes take.
 func (p *Planner) mustRise(now time.Duration, x *pull) bool {
 	return x.deadline > 0 && x.class < x.deadlineClass && p.rate > 0 &&
-		now >= x.deadline-time.Duration(2*float64(x.copy.Bytes-x.doneBytes)/p.rate*float64(time.Second))
+		now >= x.deadline-time.Duration(2*float64(x.copyState.Bytes-x.doneBytes)/p.rate*float64(time.Second))
 }
 
 // Unwant cancels a fetch that is no longer needed.
@@ -394,7 +394,7 @@
 				p.failPull(now, x)
 			}
 			if p.mustRise(now, x) {
-				p.Want(now, m.id, x.copy.ID, x.deadlineClass, x.team, x.deadline)
+				p.Want(now, m.id, x.copyState.ID, x.deadlineClass, x.team, x.deadline)
 			}
 		}
 	}
@@ -413,7 +413,7 @@
 		if !x.active {
 			continue
 		}
-		o := Order{ID: x.copy.ID, Urgent: x.class == Urgent, Server: x.server, Servers: x.copy.Servers}
+		o := Order{ID: x.copyState.ID, Urgent: x.class == Urgent, Server: x.server, Servers: x.copyState.Servers}
 		if x.peer != nil {
 			o.Peer = x.peer.address
 		}
--- a/internal/staging/planner_test.go
+++ b/internal/staging/planner_test.go
@@ -44,7 +44,7 @@
 	for _, m := range p.machineList {
 		for _, x := range m.parked {
 			if waiting[x]++; x.class == Urgent || x.machine != m || m.running < p.cfg.MachineStreams {
-				return fmt.Errorf("the fetch of %s by %s is parked with %d fetches under way", x.copy.ID, m.id, m.running)
+				return fmt.Errorf("the fetch of %s by %s is parked with %d fetches under way", x.copyState.ID, m.id, m.running)
 			}
 		}
 	}
@@ -100,13 +100,13 @@
 		if now < x.notBefore {
 			continue
 		}
-		for _, s := range x.copy.Servers {
+		for _, s := range x.copyState.Servers {
 			if !x.avoid[s] && (p.serverFetches[s] < p.streamsPerServer() || users[s] > 0) {
 				return fmt.Errorf("an urgent fetch waits while file server %s has %d fetches, %d of them not urgent", s, p.serverFetches[s], users[s])
 			}
 		}
-		for _, m := range x.copy.holders {
-			if m.address != "" && m.serving < p.cfg.PeerStreams && !x.avoid[m.address] && len(x.copy.holders) <= maxScanned {
+		for _, m := range x.copyState.holders {
+			if m.address != "" && m.serving < p.cfg.PeerStreams && !x.avoid[m.address] && len(x.copyState.holders) <= maxScanned {
 				return fmt.Errorf("an urgent fetch waits while machine %s could serve it", m.id)
 			}
 		}
@@ -234,7 +234,7 @@
 			for _, x := range p.sortedPulls(m) {
 				if x.active {
 					order = append(order, x.team)
-					p.CopyArrived(2*time.Second, m.id, x.copy.ID)
+					p.CopyArrived(2*time.Second, m.id, x.copyState.ID)
 				}
 			}
 		}
--- a/internal/staging/pulls.go
+++ b/internal/staging/pulls.go
@@ -11,14 +11,14 @@
 	for _, x := range m.pulls {
 		out = append(out, x)
 	}
-	slices.SortFunc(out, func(a, b *pull) int { return cmp.Compare(a.copy.ID, b.copy.ID) })
+	slices.SortFunc(out, func(a, b *pull) int { return cmp.Compare(a.copyState.ID, b.copyState.ID) })
 	return out
 }
 
 func (p *Planner) finishPull(now time.Duration, x *pull) {
 	p.Stats.Finished++
 	if x.active && now > x.startedAt {
-		if r := float64(x.copy.Bytes) / (now - x.startedAt).Seconds(); x.rate == 0 && r > 0 {
+		if r := float64(x.copyState.Bytes) / (now - x.startedAt).Seconds(); x.rate == 0 && r > 0 {
 			p.rate += (r - p.rate) / 64
 		}
 	}
@@ -29,9 +29,9 @@
 func (p *Planner) removePull(x *pull) {
 	p.stopPull(x)
 	p.dequeue(x)
-	if x.machine.pulls[x.copy] == x {
-		delete(x.machine.pulls, x.copy)
-		x.copy.fetching--
+	if x.machine.pulls[x.copyState] == x {
+		delete(x.machine.pulls, x.copyState)
+		x.copyState.fetching--
 	}
 }
 
@@ -171,7 +171,7 @@
 	if class < Urgent {
 		best.machine.running++
 	}
-	p.givenBytes[best.team] = max(p.givenBytes[best.team], p.leastGiven()) + float64(best.copy.Bytes-best.doneBytes)
+	p.givenBytes[best.team] = max(p.givenBytes[best.team], p.leastGiven()) + float64(best.copyState.Bytes-best.doneBytes)
 	p.Stats.Started++
 	return true
 }
@@ -208,10 +208,10 @@
 // holds the copy, then a machine of another zone, then a file server. An urgent
 // fetch displaces a non-urgent one from a file server that has no free stream.
 func (p *Planner) chooseSource(x *pull) (peer *machine, server string, ok bool) {
-	if n := len(x.copy.holders); n > 0 {
+	if n := len(x.copyState.holders); n > 0 {
 		start := p.random.IntN(n)
 		for i := range min(n, maxScanned) {
-			m := x.copy.holders[(start+i)%n]
+			m := x.copyState.holders[(start+i)%n]
 			if m.address == "" || m.serving >= p.cfg.PeerStreams || x.avoid[m.address] {
 				continue
 			}
@@ -226,7 +226,7 @@
 		}
 	}
 	tried := 0
-	for _, s := range x.copy.Servers {
+	for _, s := range x.copyState.Servers {
 		if x.avoid[s] {
 			tried++
 			continue
@@ -238,14 +238,14 @@
 	if server != "" {
 		return nil, server, true
 	}
-	if tried > 0 && tried == len(x.copy.Servers) {
+	if tried > 0 && tried == len(x.copyState.Servers) {
 		x.avoid = nil // every file server failed once: try all sources again
 		return p.chooseSource(x)
 	}
 	if x.class < Urgent {
 		return nil, "", false
 	}
-	for _, s := range x.copy.Servers {
+	for _, s := range x.copyState.Servers {
 		if users := p.displaceable[s]; len(users) > 0 {
 			// Displace the fetch that has the fewest bytes, as it loses least:
 			// its machine keeps the bytes, but the fetch goes to the end of
