--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -16,7 +16,7 @@
 	"silvergate/internal/identity"
 )
 
-var one = Attempt{"wk-000001", 3, 1, "m-1"}
+var testAttempt = Attempt{"wk-000001", 3, 1, "m-1"}
 
 func drawAttempt(t *rapid.T) Attempt {
 	return Attempt{fmt.Sprintf("wk-%06d", rapid.IntRange(0, 9).Draw(t, "job")), rapid.IntRange(0, 3).Draw(t, "task"), rapid.IntRange(0, 2).Draw(t, "try"),
@@ -41,10 +41,10 @@
 	return NewRecord(Files(a.Job), KindChunk, "", data)
 }
 
-// TestFramesCarryRecords draws records and checks that they are read as they were
+// TestFrameRoundTrip draws records and checks that they are read as they were
 // written, that no cut and no changed byte goes unnoticed, and that keys order
 // attempts.
-func TestFramesCarryRecords(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, next := drawRecord(t), drawRecord(t)
 		if err := r.Check(); err != nil {
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		cut := rapid.IntRange(1, FrameSize(&r)-1).Draw(t, "cut")
-		if _, err := ReadFrame(bytes.NewReader(raw[:cut])); !errors.Is(err, ErrCut) {
+		if _, err := ReadFrame(bytes.NewReader(raw[:cut])); !errors.Is(err, ErrTruncated) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		bad := bytes.Clone(raw[:FrameSize(&r)])
@@ -96,16 +96,16 @@
 		t.Error("a segment of 64 MiB is taken")
 	}
 	// A frame that claims ten bytes and unpacks to a hundred thousand.
-	lie := packer.EncodeAll(make([]byte, 100_000), []byte{1, 10, 2, 10})
+	lie := zstdEncoder.EncodeAll(make([]byte, 100_000), []byte{1, 10, 2, 10})
 	if _, err := DecodeSegment(lie); err == nil {
 		t.Error("a segment that is longer than it says is taken")
 	}
 }
 
-// TestStreamsAreWhole draws how an agent cuts a stream, is killed and cuts anew,
+// TestAssembleStreams draws how an agent cuts a stream, is killed and cuts anew,
 // which cuts arrive, and what is lost with and without a word. Each byte must come
 // once, from the right place, or be told as what it is.
-func TestStreamsAreWhole(t *testing.T) {
+func TestAssembleStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.Int64Range(0, 200).Draw(t, "size")
 		state := make([]string, size) // of each byte
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestPlacesMoveLittle draws members and checks that each unit has its copies, that
+// TestPlacementMovesLittle draws members and checks that each unit has its copies, that
 // a node that joins takes only what becomes its own, and about its share.
-func TestPlacesMoveLittle(t *testing.T) {
+func TestPlacementMovesLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Members{Replicas: rapid.IntRange(1, 4).Draw(t, "replicas")}
 		for i := range rapid.IntRange(1, 8).Draw(t, "nodes") {
@@ -198,7 +198,7 @@
 			unit := Unit(Attempt{Job: fmt.Sprintf("wk-%06d", i), Task: i % 7})
 			was, is := m.Of(unit), more.Of(unit)
 			slices.Sort(was)
-			if len(slices.Compact(slices.Clone(was))) != m.copies() || !m.Keeps(was[0], unit) {
+			if len(slices.Compact(slices.Clone(was))) != m.copies() || !m.IsReplica(was[0], unit) {
 				t.Fatal(was)
 			}
 			for _, n := range is {
@@ -216,7 +216,7 @@
 			t.Fatalf("the new node has %d of a share of %d", own, share)
 		}
 		// A quorum and whatever may be missing must meet.
-		if q := m.Quorum(); 2*q <= m.copies() || q > m.copies() || m.Whole(len(m.Names)-q) || !m.Whole(len(m.Names)-q+1) {
+		if q := m.Quorum(); 2*q <= m.copies() || q > m.copies() || m.Complete(len(m.Names)-q) || !m.Complete(len(m.Names)-q+1) {
 			t.Fatalf("a quorum of %d of %d", m.Quorum(), m.copies())
 		}
 	})
@@ -249,7 +249,7 @@
 		found := 0
 		for _, i := range Differ(a.Branches(), b.Branches()) {
 			for _, k := range Differ(a.Branch(i), b.Branch(i)) {
-				if differ[i*Fan+k] == 0 {
+				if differ[i*Fanout+k] == 0 {
 					t.Fatal("leaves differ though the sets don't")
 				}
 				found++
@@ -261,9 +261,9 @@
 	})
 }
 
-// TestWhoMayWhat is the whole table of kinds of identities against requests, for
+// TestAccessMatrix is the whole table of kinds of identities against requests, for
 // their own and for others'.
-func TestWhoMayWhat(t *testing.T) {
+func TestAccessMatrix(t *testing.T) {
 	own := Owner{"office", "baker"}
 	for _, c := range []struct {
 		who   identity.Identity
@@ -294,11 +294,11 @@
 	}
 }
 
-// TestGrantsCantBeMade guards against grants that an agent made or changed.
-func TestGrantsCantBeMade(t *testing.T) {
+// TestForgedGrantsAreRejected guards against grants that an agent made or changed.
+func TestForgedGrantsAreRejected(t *testing.T) {
 	key, other := GrantKey(bytes.Repeat([]byte{1}, KeySize)), GrantKey(bytes.Repeat([]byte{2}, KeySize))
-	g := key.Sign(Grant{Attempt: one, Terms: Terms{Owner: Owner{"office", "baker"}, Class: "quoter", Keep: []string{"out/*.csv"}}})
-	if got, err := key.Open(Encode(g)); err != nil || got.Owner != g.Owner {
+	g := key.Sign(Grant{Attempt: testAttempt, Terms: Terms{Owner: Owner{"office", "baker"}, Class: "quoter", Keep: []string{"out/*.csv"}}})
+	if got, err := key.Verify(Encode(g)); err != nil || got.Owner != g.Owner {
 		t.Fatal(err)
 	}
 	change := []func(g *Grant){
@@ -309,7 +309,7 @@
 	for i, f := range change {
 		x := g
 		f(&x)
-		if _, err := key.Open(Encode(x)); err == nil {
+		if _, err := key.Verify(Encode(x)); err == nil {
 			t.Errorf("change %d: taken", i)
 		}
 	}
@@ -322,7 +322,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	r := Retention{Rules: []Rule{{Class: "chatty", KeepS: 60}, {Team: "office", KeepS: 3600, MaxMB: 1}}}
 	at := func(ago time.Duration) time.Time { return now.Add(-ago) }
-	got := r.Decide(now, []Use{
+	got := r.Decide(now, []Usage{
 		{Attempt{"wk-000001", 0, 1, "m"}, Owner{"office", "a"}, "x", 10, at(2 * time.Hour), true},
 		{Attempt{"wk-000002", 0, 1, "m"}, Owner{"office", "a"}, "chatty", 10, at(2 * time.Minute), true},
 		{Attempt{"wk-000003", 0, 1, "m"}, Owner{"office", "a"}, "x", 10, at(2 * time.Minute), true},
@@ -336,10 +336,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		r := Retention{Rules: []Rule{{Team: "office", MaxMB: 0.001}}} // 1,000 bytes
-		var all []Use
+		var all []Usage
 		sums := map[Owner]int64{}
 		for i := range rapid.IntRange(0, 30).Draw(t, "attempts") {
-			u := Use{Attempt{"wk-000001", i, 1, "m"}, Owner{"office", fmt.Sprint("c", rnd.IntN(4))}, "x", 1 + rnd.Int64N(400), at(time.Duration(rnd.IntN(1000)) * time.Second), rnd.IntN(2) == 0}
+			u := Usage{Attempt{"wk-000001", i, 1, "m"}, Owner{"office", fmt.Sprint("c", rnd.IntN(4))}, "x", 1 + rnd.Int64N(400), at(time.Duration(rnd.IntN(1000)) * time.Second), rnd.IntN(2) == 0}
 			all, sums[u.Owner] = append(all, u), sums[u.Owner]+u.Bytes
 		}
 		left := map[Owner]int64{}
@@ -350,12 +350,12 @@
 		for _, d := range drops {
 			u := all[d.Attempt.Task]
 			n := u.Bytes
-			if d.Head > 0 {
-				n = d.Head
+			if d.HeadBytes > 0 {
+				n = d.HeadBytes
 			}
 			left[u.Owner] -= n
 			for _, v := range all {
-				if v.Owner == u.Owner && v.Last.Before(u.Last) && !slices.ContainsFunc(drops, func(x Drop) bool { return x.Attempt == v.Attempt }) {
+				if v.Owner == u.Owner && v.LastStored.Before(u.LastStored) && !slices.ContainsFunc(drops, func(x Drop) bool { return x.Attempt == v.Attempt }) {
 					t.Fatal("an older attempt of the same customer stays")
 				}
 			}
@@ -373,9 +373,9 @@
 	})
 }
 
-// TestNamesAreData guards against names of files that lead elsewhere and output
+// TestUnsafePathsAndOutput guards against names of files that lead elsewhere and output
 // that steers a terminal.
-func TestNamesAreData(t *testing.T) {
+func TestUnsafePathsAndOutput(t *testing.T) {
 	for _, p := range []string{"", ".", "..", "../x", "a/../../x", "/etc/passwd", "a//b", "a/", "a\\b", "a\x00b", "\xff", strings.Repeat("x", 256), strings.Repeat("x/", 600) + "x", "./a"} {
 		if SafePath(p) {
 			t.Errorf("%.40q is taken", p)
@@ -397,8 +397,8 @@
 // way, and its payload be readable within bounds.
 func FuzzFrame(f *testing.F) {
 	s := Segment{WriteTimes: []WriteTime{{5, 1}}, Data: []byte("hello")}
-	for _, r := range []Record{NewRecord(one, KindSegment, At(Stdout, 0, 5), s.Encode()), NewRecord(one, KindGrant, "", Encode(Grant{Attempt: one})), NewRecord(Files(one.Job), KindChunk, "", []byte("x")),
-		NewRecord(one, KindGap, At(Stderr, 7, 0), Encode(Gap{From: 7, To: 9, Reason: GapCut})), NewRecord(one, KindFile, "", Encode(File{Path: "a"}))} {
+	for _, r := range []Record{NewRecord(testAttempt, KindSegment, At(Stdout, 0, 5), s.Encode()), NewRecord(testAttempt, KindGrant, "", Encode(Grant{Attempt: testAttempt})), NewRecord(Files(testAttempt.Job), KindChunk, "", []byte("x")),
+		NewRecord(testAttempt, KindGap, At(Stderr, 7, 0), Encode(Gap{From: 7, To: 9, Reason: GapCut})), NewRecord(testAttempt, KindFile, "", Encode(File{Path: "a"}))} {
 		f.Add(AppendFrame(nil, &r))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/archive/golden_test.go
+++ b/internal/archive/golden_test.go
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	stored := goldentest.Read(t, goldenDir+"grant.json")
-	got, err := key.Open(stored)
+	got, err := key.Verify(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 		if bytes.Equal(changed, stored) {
 			t.Fatalf("the grant does not hold %s", change.from)
 		}
-		if _, err := key.Open(changed); err == nil {
+		if _, err := key.Verify(changed); err == nil {
 			t.Errorf("%s can be changed", change.name)
 		}
 	}
--- a/internal/archive/grant.go
+++ b/internal/archive/grant.go
@@ -101,28 +101,28 @@
 	return g
 }
 
-var errGrant = errors.New("not a grant of this site's controllers")
+var errInvalidGrant = errors.New("not a grant of this site's controllers")
 
-// Open reads a grant and checks its seals. A grant that is not valid is an error.
-func (k GrantKey) Open(raw []byte) (Grant, error) {
+// Verify reads a grant and checks its seals. A grant that is not valid is an error.
+func (k GrantKey) Verify(raw []byte) (Grant, error) {
 	var g Grant
 	if err := decode(raw, &g); err != nil {
-		return g, errGrant
+		return g, errInvalidGrant
 	}
 	if !hmac.Equal([]byte(g.LaunchSeal), []byte(k.SealLaunch(g.Attempt))) || !hmac.Equal([]byte(g.TermsSeal), []byte(k.SealTerms(g.Job, g.Terms))) {
-		return g, errGrant
+		return g, errInvalidGrant
 	}
 	if err := g.Attempt.Check(); err != nil {
 		return g, err
 	}
-	if !ownerOK(g.Owner) {
-		return g, fmt.Errorf("%w: its owner has no name", errGrant)
+	if !validOwner(g.Owner) {
+		return g, fmt.Errorf("%w: its owner has no name", errInvalidGrant)
 	}
 	return g, nil
 }
 
-// ownerOK tells whether an owner can have a certificate; a team whose name can't
+// validOwner tells whether an owner can have a certificate; a team whose name can't
 // stand in one is read by operators alone.
-func ownerOK(o Owner) bool {
+func validOwner(o Owner) bool {
 	return o.Team != "" && len(o.Team) <= 200 && (o.Customer == "" || identity.ValidName(o.Customer))
 }
--- a/internal/archive/node/attempts.go
+++ b/internal/archive/node/attempts.go
@@ -55,7 +55,7 @@
 	}
 	switch r.Key.Kind {
 	case archive.KindGrant:
-		if g, err := n.grantKey.Open(payload); err == nil {
+		if g, err := n.grantKey.Verify(payload); err == nil {
 			s.grant = &g
 		}
 	case archive.KindEnd:
@@ -71,7 +71,7 @@
 		}
 	case archive.KindGap:
 		var g archive.Gap
-		if stream, _, _, err := r.Key.Place(); err == nil && json.Unmarshal(payload, &g) == nil && !slices.Contains(s.gaps[stream], g) {
+		if stream, _, _, err := r.Key.StreamPosition(); err == nil && json.Unmarshal(payload, &g) == nil && !slices.Contains(s.gaps[stream], g) {
 			s.gaps[stream] = append(s.gaps[stream], g)
 		}
 	case archive.KindFile:
@@ -120,7 +120,7 @@
 			}
 			for stream, ranges := range row.Cover {
 				for _, r := range ranges {
-					s.cover[stream] = archive.Join(s.cover[stream], r)
+					s.cover[stream] = archive.AddRange(s.cover[stream], r)
 				}
 			}
 		}
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -97,7 +97,7 @@
 }
 
 // decidableUsage lists the usage of each attempt that this node decides about.
-func (n *Node) decidableUsage() (out []archive.Use, err error) {
+func (n *Node) decidableUsage() (out []archive.Usage, err error) {
 	type entry struct {
 		name string
 		u    attemptUsage
@@ -125,7 +125,7 @@
 			}
 			n.mu.Unlock()
 		}
-		out = append(out, archive.Use{Attempt: a, Owner: e.u.owner.Owner, Class: e.u.owner.Class, Bytes: e.u.bytes, Last: e.u.lastStored, Over: e.u.ended})
+		out = append(out, archive.Usage{Attempt: a, Owner: e.u.owner.Owner, Class: e.u.owner.Class, Bytes: e.u.bytes, LastStored: e.u.lastStored, Ended: e.u.ended})
 	}
 	return out, nil
 }
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil
 	}
-	g, err := n.grantKey.Open(r.Payload)
+	g, err := n.grantKey.Verify(r.Payload)
 	if err != nil {
 		return nil
 	}
@@ -150,12 +150,12 @@
 // expiryFor returns the expiry record for a drop: all of the attempt, or its streams
 // up to where enough is freed.
 func (n *Node) expiryFor(d archive.Drop, now time.Time) (archive.Expired, error) {
-	e := archive.Expired{At: now.UnixMilli(), Reason: d.Reason, All: d.Head == 0}
+	e := archive.Expired{At: now.UnixMilli(), Reason: d.Reason, All: d.HeadBytes == 0}
 	if e.All {
 		return e, nil
 	}
 	e.Upto = map[string]int64{}
-	left := d.Head
+	left := d.HeadBytes
 	// The streams lose their oldest segments in turn, as their keys order them.
 	for _, stream := range archive.Streams {
 		for from := ""; left > 0; {
@@ -165,7 +165,7 @@
 			}
 			for _, i := range infos {
 				from = i.Key.String()
-				if _, at, size, err := i.Key.Place(); err == nil && left > 0 {
+				if _, at, size, err := i.Key.StreamPosition(); err == nil && left > 0 {
 					e.Upto[stream], left = max(e.Upto[stream], at+int64(size)), left-i.Bytes
 				}
 			}
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -115,7 +115,7 @@
 		if records[i].Key.Kind != archive.KindGrant {
 			continue
 		}
-		g, err := n.grantKey.Open(records[i].Payload)
+		g, err := n.grantKey.Verify(records[i].Payload)
 		if err != nil {
 			return err
 		}
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -72,8 +72,8 @@
 			from = i.Key.String()
 			switch i.Key.Kind {
 			case archive.KindSegment:
-				if stream, at, size, err := i.Key.Place(); err == nil {
-					row.Cover[stream] = archive.Join(row.Cover[stream], archive.Range{From: at, To: at + int64(size)})
+				if stream, at, size, err := i.Key.StreamPosition(); err == nil {
+					row.Cover[stream] = archive.AddRange(row.Cover[stream], archive.Range{From: at, To: at + int64(size)})
 				}
 			case archive.KindGrant, archive.KindEnd, archive.KindExpired, archive.KindGap, archive.KindFile:
 				if r, err := n.vault.Get(i.Key); err == nil {
@@ -138,6 +138,6 @@
 	go ask(n.cfg.Name, own)
 	wait.Wait()
 	slices.Sort(a.Silent)
-	a.Whole = n.members.Whole(len(n.members.Names) - len(a.Silent))
+	a.Whole = n.members.Complete(len(n.members.Names) - len(a.Silent))
 	return a
 }
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -53,7 +53,7 @@
 		return out, err
 	}
 	for _, i := range infos {
-		if _, at, size, err := i.Key.Place(); err == nil && at+int64(size) > from {
+		if _, at, size, err := i.Key.StreamPosition(); err == nil && at+int64(size) > from {
 			out.Keys = append(out.Keys, i.Key.String())
 		}
 	}
@@ -192,7 +192,7 @@
 		if err != nil {
 			continue
 		}
-		_, at, size, err := key.Place()
+		_, at, size, err := key.StreamPosition()
 		if err != nil || g.horizon >= 0 && at >= g.horizon {
 			more = true
 			continue
@@ -248,7 +248,7 @@
 	for _, key := range c.Keys {
 		g.holders[key] = append(g.holders[key], name)
 		if k, err := archive.ParseKey(key); err == nil {
-			_, last, _, _ = k.Place()
+			_, last, _, _ = k.StreamPosition()
 		}
 	}
 	if c.More && last >= 0 && (g.horizon < 0 || last < g.horizon) {
@@ -306,7 +306,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, begin, _, err := k.Place()
+	_, begin, _, err := k.StreamPosition()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		unit := archive.Unit(a)
-		if leaves[archive.Leaf(unit)] && n.members.Keeps(peer, unit) && n.members.Keeps(n.cfg.Name, unit) {
+		if leaves[archive.Leaf(unit)] && n.members.IsReplica(peer, unit) && n.members.IsReplica(n.cfg.Name, unit) {
 			names = append(names, name)
 		}
 	}
@@ -147,7 +147,7 @@
 		n.mu.Unlock()
 		var names []string
 		for _, l := range differ {
-			names = append(names, strconv.Itoa(b*archive.Fan+l))
+			names = append(names, strconv.Itoa(b*archive.Fanout+l))
 		}
 		if len(names) == 0 {
 			continue
@@ -215,7 +215,7 @@
 		for i := range records {
 			size += archive.FrameSize(&records[i])
 			if records[i].Key.Kind == archive.KindGrant {
-				if _, err := n.grantKey.Open(records[i].Payload); err != nil {
+				if _, err := n.grantKey.Verify(records[i].Payload); err != nil {
 					return fmt.Errorf("%s: %s: %w", p.name, records[i].Key, err)
 				}
 			}
@@ -291,7 +291,7 @@
 			batch, size = nil, 0
 		}
 		for _, k := range keys {
-			if !n.members.Keeps(owner, archive.Unit(k.Attempt)) {
+			if !n.members.IsReplica(owner, archive.Unit(k.Attempt)) {
 				continue
 			}
 			outstanding[k.String()]++
--- a/internal/archive/place.go
+++ b/internal/archive/place.go
@@ -53,12 +53,12 @@
 	return out
 }
 
-// Keeps tells whether a node is one of those that keep a unit's records.
-func (m Members) Keeps(node, unit string) bool { return slices.Contains(m.Of(unit), node) }
+// IsReplica tells whether a node is one of those that keep a unit's records.
+func (m Members) IsReplica(node, unit string) bool { return slices.Contains(m.Of(unit), node) }
 
-// Whole tells whether what the nodes that answered have is all that was ever
+// Complete tells whether what the nodes that answered have is all that was ever
 // acknowledged, for any unit: not enough nodes are silent to have a quorum among
 // themselves.
-func (m Members) Whole(answered int) bool {
+func (m Members) Complete(answered int) bool {
 	return len(m.Names)-answered < m.Quorum()
 }
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -153,7 +153,7 @@
 	}
 	switch k.Kind {
 	case KindSegment, KindGap:
-		if _, _, n, err := k.Place(); err != nil || (n == 0) != (k.Kind == KindGap) {
+		if _, _, n, err := k.StreamPosition(); err != nil || (n == 0) != (k.Kind == KindGap) {
 			return bad()
 		}
 	default:
@@ -183,9 +183,9 @@
 	return fmt.Sprintf("%s.%016x.%05x", stream, offset, n)
 }
 
-// Place reads the stream, the offset and the length, in bytes, out of a segment's or
+// StreamPosition reads the stream, the offset and the length, in bytes, out of a segment's or
 // a gap's key. Other keys are an error.
-func (k Key) Place() (stream string, from int64, n int, err error) {
+func (k Key) StreamPosition() (stream string, from int64, n int, err error) {
 	f := strings.Split(k.Name, ".")
 	if len(f) == 3 && (f[0] == Stdout || f[0] == Stderr) {
 		at, err1 := strconv.ParseUint(f[1], 16, 62)
@@ -230,7 +230,7 @@
 	case KindSegment:
 		var s *Segment
 		if s, err = DecodeSegment(r.Payload); err == nil {
-			if _, _, n, _ := r.Key.Place(); n != len(s.Data) {
+			if _, _, n, _ := r.Key.StreamPosition(); n != len(s.Data) {
 				err = errors.New("its length is another")
 			}
 		}
@@ -267,11 +267,11 @@
 const (
 	magic      = 0x53474131 // "SGA1"
 	headerSize = 10
-	frameExtra = headerSize + 8
+	frameOverhead = headerSize + 8
 )
 
 // FrameSize returns the length of a record's frame in bytes.
-func FrameSize(r *Record) int { return frameExtra + len(r.Key.String()) + len(r.Payload) }
+func FrameSize(r *Record) int { return frameOverhead + len(r.Key.String()) + len(r.Payload) }
 
 // AppendFrame appends a record's frame to b and returns the result.
 func AppendFrame(b []byte, r *Record) []byte {
@@ -285,10 +285,10 @@
 
 // Errors of frames.
 var (
-	// ErrCut says that a frame ends before it is whole.
-	ErrCut = errors.New("a frame is cut off")
-	// ErrFrame says that a frame is damaged, or is none at all.
-	ErrFrame = errors.New("not a frame, or a damaged one")
+	// ErrTruncated says that a frame ends before it is whole.
+	ErrTruncated = errors.New("a frame is cut off")
+	// ErrCorrupt says that a frame is damaged, or is none at all.
+	ErrCorrupt = errors.New("not a frame, or a damaged one")
 )
 
 // ReadFrame reads the next record. At the end of r it returns io.EOF; otherwise its
@@ -301,32 +301,32 @@
 		if n == 0 && err == io.EOF {
 			return Record{}, io.EOF
 		}
-		return Record{}, cut(err)
+		return Record{}, asTruncated(err)
 	}
 	keyLen, size := int(binary.BigEndian.Uint16(h[4:])), int64(binary.BigEndian.Uint32(h[6:]))
 	if binary.BigEndian.Uint32(h[:]) != magic || keyLen > maxKey || size > MaxPayload {
-		return Record{}, ErrFrame
+		return Record{}, ErrCorrupt
 	}
 	body := make([]byte, keyLen+int(size)+8)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return Record{}, cut(err)
+		return Record{}, asTruncated(err)
 	}
 	sum := xxhash.New()
 	_, _ = sum.Write(h[:])
 	_, _ = sum.Write(body[:len(body)-8])
 	if sum.Sum64() != binary.BigEndian.Uint64(body[len(body)-8:]) {
-		return Record{}, ErrFrame
+		return Record{}, ErrCorrupt
 	}
 	k, err := ParseKey(string(body[:keyLen]))
 	if err != nil {
-		return Record{}, fmt.Errorf("%w: %w", ErrFrame, err)
+		return Record{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return Record{k, body[keyLen : len(body)-8 : len(body)-8]}, nil
 }
 
-func cut(err error) error {
+func asTruncated(err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return ErrCut
+		return ErrTruncated
 	}
 	return err
 }
@@ -350,8 +350,8 @@
 const maxWriteTimes = 256
 
 var (
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxSegment+1<<16))
+	zstdEncoder, _   = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
+	zstdDecoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxSegment+1<<16))
 )
 
 // Encode returns the segment's payload: the write times and the compressed
@@ -365,17 +365,17 @@
 		to, at = m.To, m.At
 	}
 	b = binary.AppendUvarint(b, uint64(len(s.Data)))
-	return packer.EncodeAll(s.Data, b)
+	return zstdEncoder.EncodeAll(s.Data, b)
 }
 
-var errSegment = errors.New("not a segment")
+var errInvalidSegment = errors.New("not a segment")
 
 // DecodeSegment reads a payload that Segment.Encode made, or returns an error. The
 // memory it takes is bounded, whatever the payload claims.
 func DecodeSegment(b []byte) (*Segment, error) {
 	n, b, err := uvarint(b, maxWriteTimes)
 	if err != nil || n == 0 {
-		return nil, errSegment
+		return nil, errInvalidSegment
 	}
 	s := &Segment{WriteTimes: make([]WriteTime, n)}
 	to, at := uint64(0), int64(0)
@@ -386,20 +386,20 @@
 		}
 		v, k := binary.Varint(b)
 		if k <= 0 {
-			return nil, errSegment
+			return nil, errInvalidSegment
 		}
 		b, to, at = b[k:], to+d, at+v
 		s.WriteTimes[i] = WriteTime{int(min(to, MaxSegment+1)), at}
 	}
 	size, b, err := uvarint(b, MaxSegment)
 	if err != nil || size == 0 || to != size {
-		return nil, errSegment
+		return nil, errInvalidSegment
 	}
-	if s.Data, err = unpacker.DecodeAll(b, make([]byte, 0, size)); err != nil {
-		return nil, fmt.Errorf("%w: %w", errSegment, err)
+	if s.Data, err = zstdDecoder.DecodeAll(b, make([]byte, 0, size)); err != nil {
+		return nil, fmt.Errorf("%w: %w", errInvalidSegment, err)
 	}
 	if uint64(len(s.Data)) != size {
-		return nil, errSegment
+		return nil, errInvalidSegment
 	}
 	return s, nil
 }
@@ -407,7 +407,7 @@
 func uvarint(b []byte, limit uint64) (uint64, []byte, error) {
 	v, k := binary.Uvarint(b)
 	if k <= 0 || v > limit {
-		return 0, nil, errSegment
+		return 0, nil, errInvalidSegment
 	}
 	return v, b[k:], nil
 }
@@ -428,7 +428,7 @@
 )
 
 func (g *Gap) check(k Key) error {
-	_, from, _, err := k.Place()
+	_, from, _, err := k.StreamPosition()
 	if err != nil || g.From != from || g.To >= 0 && g.To < g.From || g.To < -1 || g.Reason == "" || len(g.Reason) > 200 {
 		return errors.New("not a gap")
 	}
--- a/internal/archive/retain.go
+++ b/internal/archive/retain.go
@@ -26,16 +26,16 @@
 	MaxMB float64 `yaml:"max_mb"`
 }
 
-// Use is what an attempt takes on a node.
-type Use struct {
+// Usage is what an attempt takes on a node.
+type Usage struct {
 	Attempt Attempt
 	Owner   Owner
 	Class   string
 	Bytes   int64
-	Last    time.Time // when its newest record was stored
-	// Over tells that the attempt's end is on record. Of others only the output so
+	LastStored    time.Time // when its newest record was stored
+	// Ended tells that the attempt's end is on record. Of others only the output so
 	// far is dropped: a service that was quiet for long can write again.
-	Over bool
+	Ended bool
 }
 
 // Expired says what was dropped, so that it differs from what never was. Its JSON is
@@ -58,23 +58,23 @@
 // Drop is an attempt that is to be dropped, or the start of its streams.
 type Drop struct {
 	Attempt Attempt
-	// Head is how many bytes are to be dropped from its streams' start; 0: all of it.
-	Head   int64
+	// HeadBytes is how many bytes are to be dropped from its streams' start; 0: all of it.
+	HeadBytes   int64
 	Reason string
 }
 
 // drop returns the drop of all that there is of an attempt.
-func (u *Use) drop(reason string) Drop {
+func (u *Usage) drop(reason string) Drop {
 	d := Drop{Attempt: u.Attempt, Reason: reason}
-	if !u.Over {
-		d.Head = u.Bytes
+	if !u.Ended {
+		d.HeadBytes = u.Bytes
 	}
 	return d
 }
 
-// rule returns the first rule that fits an attempt, or with quota the first of those
+// matchingRule returns the first matchingRule that fits an attempt, or with quota the first of those
 // that have one; nil if there is none.
-func (r *Retention) rule(u *Use, quota bool) *Rule {
+func (r *Retention) matchingRule(u *Usage, quota bool) *Rule {
 	for i := range r.Rules {
 		x := &r.Rules[i]
 		if (x.Team == "" || x.Team == u.Owner.Team) && (x.Class == "" || x.Class == u.Class) && (!quota || x.MaxMB > 0 && x.Class == "") {
@@ -87,7 +87,7 @@
 // teamUsage is what a team with a quota has on a node.
 type teamUsage struct {
 	quota  int64 // bytes
-	owners map[Owner][]Use
+	owners map[Owner][]Usage
 }
 
 // Decide returns what is to be dropped at a time. Age goes first. Of a team that has
@@ -95,24 +95,24 @@
 // their oldest attempts first: what one customer writes never costs another's
 // output. An attempt that is alone above the share loses its start. The caller keeps
 // all, which is not changed.
-func (r *Retention) Decide(now time.Time, all []Use) (drops []Drop) {
+func (r *Retention) Decide(now time.Time, all []Usage) (drops []Drop) {
 	teams := map[string]*teamUsage{}
 	var names []string
 	for i := range all {
 		u := &all[i]
 		if r.tooOld(u, now) {
-			if u.Bytes > 0 || u.Over {
+			if u.Bytes > 0 || u.Ended {
 				drops = append(drops, u.drop(ExpiredAge))
 			}
 			continue
 		}
-		rule := r.rule(u, true)
+		rule := r.matchingRule(u, true)
 		if rule == nil {
 			continue
 		}
 		team := teams[u.Owner.Team]
 		if team == nil {
-			team = &teamUsage{quota: int64(rule.MaxMB * bytesPerMB), owners: map[Owner][]Use{}}
+			team = &teamUsage{quota: int64(rule.MaxMB * bytesPerMB), owners: map[Owner][]Usage{}}
 			teams[u.Owner.Team] = team
 			names = append(names, u.Owner.Team)
 		}
@@ -126,9 +126,9 @@
 }
 
 // tooOld tells whether the rule for an attempt does not keep it any longer.
-func (r *Retention) tooOld(u *Use, now time.Time) bool {
-	rule := r.rule(u, false)
-	return rule != nil && rule.KeepS > 0 && now.Sub(u.Last).Seconds() > rule.KeepS
+func (r *Retention) tooOld(u *Usage, now time.Time) bool {
+	rule := r.matchingRule(u, false)
+	return rule != nil && rule.KeepS > 0 && now.Sub(u.LastStored).Seconds() > rule.KeepS
 }
 
 // overQuota returns what the team's customers lose to its quota, customer by
@@ -144,7 +144,7 @@
 		owners = append(owners, owner)
 		amounts = append(amounts, sums[owner])
 	}
-	level := share(t.quota, amounts)
+	level := fairShare(t.quota, amounts)
 	slices.SortFunc(owners, func(a, b Owner) int { return cmp.Compare(a.Customer, b.Customer) })
 	for _, owner := range owners {
 		drops = append(drops, dropOldest(t.owners[owner], sums[owner]-level)...)
@@ -154,9 +154,9 @@
 
 // dropOldest drops attempts, the oldest first, until excess bytes are freed. Of the
 // last one only the start goes if that is enough. It sorts uses.
-func dropOldest(uses []Use, excess int64) (drops []Drop) {
-	slices.SortFunc(uses, func(a, b Use) int {
-		if c := a.Last.Compare(b.Last); c != 0 {
+func dropOldest(uses []Usage, excess int64) (drops []Drop) {
+	slices.SortFunc(uses, func(a, b Usage) int {
+		if c := a.LastStored.Compare(b.LastStored); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.Attempt.String(), b.Attempt.String())
@@ -167,7 +167,7 @@
 		}
 		u := &uses[i]
 		if i == len(uses)-1 && excess < u.Bytes {
-			drops = append(drops, Drop{Attempt: u.Attempt, Head: excess, Reason: ExpiredQuota})
+			drops = append(drops, Drop{Attempt: u.Attempt, HeadBytes: excess, Reason: ExpiredQuota})
 		} else if u.Bytes > 0 {
 			drops = append(drops, u.drop(ExpiredQuota))
 		}
@@ -176,9 +176,9 @@
 	return drops
 }
 
-// share is the level at which amounts are cut so that together they fit: whoever
+// fairShare is the level at which amounts are cut so that together they fit: whoever
 // has less keeps all. Without need it is the largest amount.
-func share(quota int64, amounts []int64) int64 {
+func fairShare(quota int64, amounts []int64) int64 {
 	a := slices.Clone(amounts)
 	slices.Sort(a)
 	left := quota
--- a/internal/archive/stream.go
+++ b/internal/archive/stream.go
@@ -204,7 +204,7 @@
 		switch {
 		case r == '\t' || r == '\n':
 			b.WriteRune(r)
-		case r == utf8.RuneError && n == 1, r < 0x20, r >= 0x7f && r < 0xa0, hidden(r):
+		case r == utf8.RuneError && n == 1, r < 0x20, r >= 0x7f && r < 0xa0, isInvisible(r):
 			for _, c := range []byte(text[i : i+n]) {
 				b.WriteString(`\x`)
 				b.WriteByte(hex[c>>4])
@@ -218,9 +218,9 @@
 	return b.String()
 }
 
-// hidden tells of characters that turn the direction of what follows, or show
+// isInvisible tells of characters that turn the direction of what follows, or show
 // nothing: a line can look like another with them.
-func hidden(r rune) bool {
+func isInvisible(r rune) bool {
 	return r >= 0x200b && r <= 0x200f || r >= 0x202a && r <= 0x202e || r >= 0x2060 && r <= 0x206f || r == 0xfeff || r >= 0xe0000 && r <= 0xe0fff
 }
 
@@ -230,9 +230,9 @@
 	To   int64 `json:"to"`
 }
 
-// Join adds a range to ranges that are in order and apart, and keeps them so. It may
+// AddRange adds a range to ranges that are in order and apart, and keeps them so. It may
 // change all in place; only the result is to be used.
-func Join(all []Range, r Range) []Range {
+func AddRange(all []Range, r Range) []Range {
 	i, _ := slices.BinarySearchFunc(all, r.From, func(x Range, from int64) int { return cmp.Compare(x.To, from) })
 	k := i
 	for k < len(all) && all[k].From <= r.To {
@@ -268,6 +268,6 @@
 	if e.All {
 		return k.Kind != KindEnd
 	}
-	stream, from, n, err := k.Place()
+	stream, from, n, err := k.StreamPosition()
 	return (k.Kind == KindSegment || k.Kind == KindGap) && err == nil && from+int64(n) <= e.Upto[stream] && from < e.Upto[stream]
 }
--- a/internal/archive/tree.go
+++ b/internal/archive/tree.go
@@ -16,24 +16,24 @@
 // The shape of a tree.
 const (
 	Leaves = 4096 // of the whole tree
-	Fan    = 64   // branches of the root, and leaves of each branch
+	Fanout    = 64   // branches of the root, and leaves of each branch
 )
 
 // Leaf returns the leaf that a unit's records fall into, from 0 to Leaves-1.
 func Leaf(unit string) int { return int(xxhash.Sum64String("leaf\x00"+unit) % Leaves) }
 
-// weight is what a record adds to its leaf's digest.
-func weight(key string) uint64 { return xxhash.Sum64String(key) | 1 }
+// recordHash is what a record adds to its leaf's digest.
+func recordHash(key string) uint64 { return xxhash.Sum64String(key) | 1 }
 
 // Add adds the record with a key to a leaf.
 func (t *Tree) Add(leaf int, key string) {
-	t.leaves[leaf] += weight(key)
+	t.leaves[leaf] += recordHash(key)
 	t.counts[leaf]++
 }
 
 // Remove removes a record that was added to a leaf.
 func (t *Tree) Remove(leaf int, key string) {
-	t.leaves[leaf] -= weight(key)
+	t.leaves[leaf] -= recordHash(key)
 	t.counts[leaf]--
 }
 
@@ -47,10 +47,10 @@
 
 // Branches returns the digests of the root's branches, a new slice.
 func (t *Tree) Branches() []uint64 {
-	out := make([]uint64, Leaves/Fan)
+	out := make([]uint64, Leaves/Fanout)
 	for i, v := range t.leaves {
 		// Not a plain sum: a record moved between leaves must show.
-		out[i/Fan] += v * (2*uint64(i%Fan) + 1)
+		out[i/Fanout] += v * (2*uint64(i%Fanout) + 1)
 	}
 	return out
 }
@@ -58,11 +58,11 @@
 // Branch returns the digests of a branch's leaves, a new slice; nil if there is no
 // such branch.
 func (t *Tree) Branch(i int) []uint64 {
-	if i < 0 || i >= Leaves/Fan {
+	if i < 0 || i >= Leaves/Fanout {
 		return nil
 	}
-	out := make([]uint64, Fan)
-	copy(out, t.leaves[i*Fan:])
+	out := make([]uint64, Fanout)
+	copy(out, t.leaves[i*Fanout:])
 	return out
 }
 
