--- a/internal/archive/node/attempts.go
+++ b/internal/archive/node/attempts.go
@@ -100,11 +100,11 @@
 	return v
 }
 
-// page reads a page of attempts from all nodes, before anything is judged.
-func (n *Node) page(ctx context.Context, job, label, from string, files bool) (states map[string]*attemptState, last string, a Answered) {
+// gatherPage reads a gatherPage of attempts from all nodes, before anything is judged.
+func (n *Node) gatherPage(ctx context.Context, job, label, from string, files bool) (states map[string]*attemptState, last string, a Answered) {
 	q := url.Values{"job": {job}, "label": {label}, "from": {from}, "files": {strconv.FormatBool(files)}}
 	states = map[string]*attemptState{}
-	a = gather(ctx, n, PathRows+"?"+q.Encode(), func() (Rows, error) { return n.rows(job, label, from, files) }, func(_ string, page Rows) {
+	a = gather(ctx, n, PathRows+"?"+q.Encode(), func() (Rows, error) { return n.listRows(job, label, from, files) }, func(_ string, page Rows) {
 		if page.Last != "" && (last == "" || page.Last < last) {
 			last = page.Last
 		}
@@ -145,10 +145,10 @@
 		}
 	}
 	if !ok {
-		refuse(w, http.StatusBadRequest, "job, team, customer, class, machine, day or from is not what it should be")
+		writeError(w, http.StatusBadRequest, "job, team, customer, class, machine, day or from is not what it should be")
 		return
 	}
-	states, last, a := n.page(r.Context(), job, label, from, q.Get("files") == "true")
+	states, last, a := n.gatherPage(r.Context(), job, label, from, q.Get("files") == "true")
 	out := Attempts{Answered: a, Attempts: []Attempt{}, Next: last}
 	for name, s := range states {
 		if s.grant == nil {
@@ -170,7 +170,7 @@
 		what = strings.ReplaceAll(label, "\x00", "/")
 	}
 	n.log.Info("access", "who", who.String(), "verb", string(archive.Read), "what", what, "found", len(out.Attempts))
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 // searchLabel chooses the label under which to look. A customer's and a team's own
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -9,8 +9,8 @@
 	"silvergate/internal/archive"
 )
 
-// learnExpiry applies an expiry record: it drops the records that it covers.
-func (n *Node) learnExpiry(k archive.Key) {
+// applyExpiry applies an expiry record: it drops the records that it covers.
+func (n *Node) applyExpiry(k archive.Key) {
 	r, err := n.vault.Get(k)
 	var e archive.Expired
 	if err != nil || json.Unmarshal(r.Payload, &e) != nil {
@@ -56,7 +56,7 @@
 
 // expireAll applies the retention rules again and again.
 func (n *Node) expireAll() {
-	n.every(expireEvery, func() {
+	n.runEvery(expireEvery, func() {
 		if err := n.Expire(n.ctx); err != nil {
 			n.log.Error("retention", "error", err)
 		}
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -111,19 +111,19 @@
 		n.fetchLimit = rate.NewLimiter(rate.Limit(cfg.SyncMBPerS*1e6), 4*archive.MaxPayload)
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	if n.vault, err = vault.Open(vault.Config{Dir: filepath.Join(cfg.Dir, "vault"), Labels: labels, Added: n.recordAdded, Removed: n.recordRemoved}, log); err != nil {
+	if n.vault, err = vault.Open(vault.Config{Dir: filepath.Join(cfg.Dir, "vault"), Labels: grantLabels, Added: n.recordAdded, Removed: n.recordRemoved}, log); err != nil {
 		n.stop()
 		return nil, err
 	}
 	for _, k := range n.derived.unreadExpiry {
-		n.learnExpiry(k)
+		n.applyExpiry(k)
 	}
 	n.derived.unreadExpiry = nil
 	return n, nil
 }
 
-// labels are the names under which an attempt is found again.
-func labels(r *archive.Record) []string {
+// grantLabels are the names under which an attempt is found again.
+func grantLabels(r *archive.Record) []string {
 	var g archive.Grant
 	if r.Key.Kind != archive.KindGrant || r.Key.Attempt == archive.Files(r.Key.Attempt.Job) || json.Unmarshal(r.Payload, &g) != nil {
 		return nil
@@ -171,8 +171,8 @@
 	do(&n.stats)
 }
 
-// every calls do each period until the node stops.
-func (n *Node) every(period time.Duration, do func()) {
+// runEvery calls do each period until the node stops.
+func (n *Node) runEvery(period time.Duration, do func()) {
 	for {
 		select {
 		case <-n.ctx.Done():
@@ -183,10 +183,10 @@
 	}
 }
 
-// revocations brings the newest list here: from the authority's folder, when it can
+// refreshRevocations brings the newest list here: from the authority's folder, when it can
 // be read, and from the other nodes, whoever of them is there.
-func (n *Node) revocations() {
-	n.every(RevocationsEvery, func() {
+func (n *Node) refreshRevocations() {
+	n.runEvery(RevocationsEvery, func() {
 		if n.cfg.Revocations != "" {
 			if raw, err := os.ReadFile(n.cfg.Revocations); err == nil {
 				if _, err := n.certificates.Learn(raw); err != nil {
--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -34,8 +34,8 @@
 func TestMain(m *testing.M) { proptest.Main(m) }
 
 var (
-	quiet   = slog.New(slog.NewTextHandler(io.Discard, nil))
-	testKey = archive.GrantKey(bytes.Repeat([]byte{3}, archive.KeySize))
+	discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+	testKey    = archive.GrantKey(bytes.Repeat([]byte{3}, archive.KeySize))
 )
 
 // site makes certificates and nodes that are called directly, without a network.
@@ -46,7 +46,7 @@
 	certs map[string]*x509.Certificate
 }
 
-func newSite(t *testing.T) *testSite {
+func newTestSite(t *testing.T) *testSite {
 	dir := t.TempDir()
 	a, err := identity.Init(filepath.Join(dir, "authority"), "valley", time.Now())
 	if err != nil {
@@ -58,7 +58,7 @@
 	return &testSite{t, dir, a, map[string]*x509.Certificate{}}
 }
 
-func (s *testSite) folder(who string) string {
+func (s *testSite) certDir(who string) string {
 	dir := filepath.Join(s.dir, "certs", strings.ReplaceAll(who, "/", "."))
 	if _, err := os.Stat(dir); err == nil {
 		return dir
@@ -77,7 +77,7 @@
 	if c := s.certs[who]; c != nil {
 		return c
 	}
-	raw, err := os.ReadFile(filepath.Join(s.folder(who), "cert.pem"))
+	raw, err := os.ReadFile(filepath.Join(s.certDir(who), "cert.pem"))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -92,11 +92,11 @@
 
 func (s *testSite) node(name string, members []Member, config func(*Config)) *Node {
 	c := DefaultConfig()
-	c.Name, c.Dir, c.Certs, c.GrantKey, c.Members = name, filepath.Join(s.dir, name), s.folder("node/"+name), filepath.Join(s.dir, "key"), members
+	c.Name, c.Dir, c.Certs, c.GrantKey, c.Members = name, filepath.Join(s.dir, name), s.certDir("node/"+name), filepath.Join(s.dir, "key"), members
 	if config != nil {
 		config(&c)
 	}
-	n, err := Open(c, quiet)
+	n, err := Open(c, discardLog)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -117,8 +117,8 @@
 	return testKey.Sign(archive.Grant{Attempt: a, Terms: archive.Terms{Owner: archive.Owner{Team: team, Customer: customer}, Class: "forecast", Urgency: "prod"}, At: at})
 }
 
-// output is an attempt's records: its grant, some output, a file and its end.
-func output(a archive.Attempt, g archive.Grant, text string) []archive.Record {
+// attemptRecords is an attempt's records: its grant, some attemptRecords, a file and its end.
+func attemptRecords(a archive.Attempt, g archive.Grant, text string) []archive.Record {
 	seg := archive.Segment{WriteTimes: []archive.WriteTime{{To: len(text), At: 1000}}, Data: []byte(text)}
 	chunk := archive.NewRecord(archive.Files(a.Job), archive.KindChunk, "", []byte("file of "+text))
 	f := archive.File{Path: "out/result", Size: int64(len("file of " + text)), Digest: chunk.Key.Digest, Chunks: []string{chunk.Key.Digest}}
@@ -128,20 +128,20 @@
 		archive.NewRecord(a, archive.KindEnd, "", archive.Encode(archive.End{Cause: "done", Sizes: map[string]int64{archive.Stdout: int64(len(text))}, Files: 1}))}
 }
 
-func frames(records []archive.Record) (b []byte) {
+func encodeFrames(records []archive.Record) (b []byte) {
 	for i := range records {
 		b = archive.AppendFrame(b, &records[i])
 	}
 	return b
 }
 
-// TestNobodyReadsOthers draws identities, requests and moments: jobs come, move,
+// TestReadersSeeOnlyTheirOwn draws identities, requests and moments: jobs come, move,
 // end and expire while all kinds of readers ask for them, by name, by guess, by
 // prefix, by label and by a page's token. Nobody may be told of what is not theirs,
 // and what is denied must be answered, byte for byte, as what is not there. ACCESS
 // sets how many requests are drawn; some thousand without it.
-func TestNobodyReadsOthers(t *testing.T) {
-	s := newSite(t)
+func TestReadersSeeOnlyTheirOwn(t *testing.T) {
+	s := newTestSite(t)
 	n := s.node("one", []Member{{"one", "127.0.0.1:1"}}, nil)
 	h := n.handler()
 	teams, customers := []string{"office", "guests"}, []string{"baker", "miller", ""}
@@ -185,7 +185,7 @@
 						a.Machine = pick([]string{"m-0", "m-1"}, "machine")
 					}
 					g := grantOf(a, o.Team, o.Customer, 1_700_000_000_000)
-					body := frames(output(a, g, text(a, o)))
+					body := encodeFrames(attemptRecords(a, g, text(a, o)))
 					if st, why := s.call(h, "agent/"+a.Machine, "POST", PathRecords, body); st != 200 {
 						t.Fatalf("its own machine may not write %s: %d %s", a, st, why)
 					}
@@ -258,15 +258,15 @@
 	}
 }
 
-// TestWhoMayWrite guards against records of attempts that are not bound to the
+// TestWriteAuthorization guards against records of attempts that are not bound to the
 // machine that brings them, by its grant.
-func TestWhoMayWrite(t *testing.T) {
-	s := newSite(t)
+func TestWriteAuthorization(t *testing.T) {
+	s := newTestSite(t)
 	n := s.node("one", []Member{{"one", "127.0.0.1:1"}}, nil)
 	h := n.handler()
 	a := archive.Attempt{Job: "wk-000001", Task: 0, Try: 2, Machine: "m-0"}
 	g := grantOf(a, "office", "baker", 1)
-	good := output(a, g, "hello")
+	good := attemptRecords(a, g, "hello")
 	other := a
 	other.Try = 1
 	foreign := archive.Attempt{Job: "wk-000002", Task: 0, Try: 1, Machine: "m-0"}
@@ -274,23 +274,23 @@
 	forged.Customer = "miller"
 	mark := archive.NewRecord(a, archive.KindExpired, "", archive.Encode(archive.Expired{All: true, Reason: "x"}))
 	big := make([]byte, MaxPut+1)
-	cut := frames(good)
+	cut := encodeFrames(good)
 	for _, c := range []struct {
 		name, who string
 		body      []byte
 		want      int
 	}{
-		{"its own", "agent/m-0", frames(good), 200},
-		{"again", "agent/m-0", frames(good), 200},
-		{"another machine", "agent/m-1", frames(good), 403},
-		{"an operator", "operator/ann", frames(good), 403},
-		{"the customer", "customer/office/baker", frames(good), 403},
-		{"another node", "node/two", frames(good), 200},
-		{"without a grant", "agent/m-0", frames(good[2:3]), 403},
-		{"another attempt under its grant", "agent/m-0", frames(append(output(other, g, "x")[2:3], good[0])), 403},
-		{"another job's files", "agent/m-0", frames(append(output(foreign, g, "x")[3:4], good[0])), 403},
-		{"a forged grant", "agent/m-0", frames([]archive.Record{archive.NewRecord(a, archive.KindGrant, "", archive.Encode(forged))}), 403},
-		{"a mark of expiry", "agent/m-0", frames([]archive.Record{good[0], mark}), 403},
+		{"its own", "agent/m-0", encodeFrames(good), 200},
+		{"again", "agent/m-0", encodeFrames(good), 200},
+		{"another machine", "agent/m-1", encodeFrames(good), 403},
+		{"an operator", "operator/ann", encodeFrames(good), 403},
+		{"the customer", "customer/office/baker", encodeFrames(good), 403},
+		{"another node", "node/two", encodeFrames(good), 200},
+		{"without a grant", "agent/m-0", encodeFrames(good[2:3]), 403},
+		{"another attempt under its grant", "agent/m-0", encodeFrames(append(attemptRecords(other, g, "x")[2:3], good[0])), 403},
+		{"another job's files", "agent/m-0", encodeFrames(append(attemptRecords(foreign, g, "x")[3:4], good[0])), 403},
+		{"a forged grant", "agent/m-0", encodeFrames([]archive.Record{archive.NewRecord(a, archive.KindGrant, "", archive.Encode(forged))}), 403},
+		{"a mark of expiry", "agent/m-0", encodeFrames([]archive.Record{good[0], mark}), 403},
 		{"nothing", "agent/m-0", nil, 400},
 		{"cut off", "agent/m-0", cut[:len(cut)-3], 400},
 		{"garbage", "agent/m-0", []byte("hello"), 400},
@@ -301,24 +301,24 @@
 		}
 	}
 	n.pendingBytes = int64(n.cfg.PendingMB * (1 << 20))
-	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, frames(good)); st != 503 {
+	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, encodeFrames(good)); st != 503 {
 		t.Errorf("beyond what may be written at a time: %d", st)
 	}
 }
 
-// TestWhatExpiredStaysAway guards against records that come back from another node,
+// TestExpiredRecordsStayDropped guards against records that come back from another node,
 // or from an agent that ships again, after they expired; and against an expiry that
 // nobody is told of.
-func TestWhatExpiredStaysAway(t *testing.T) {
-	s := newSite(t)
+func TestExpiredRecordsStayDropped(t *testing.T) {
+	s := newTestSite(t)
 	n := s.node("one", []Member{{"one", "127.0.0.1:1"}}, func(c *Config) {
 		c.Retention = archive.Retention{Rules: []archive.Rule{{Class: "forecast", KeepS: 60}}}
 		c.TombstoneS = 3600
 	})
 	h := n.handler()
 	a := archive.Attempt{Job: "wk-000001", Task: 0, Try: 1, Machine: "m-0"}
-	records := output(a, grantOf(a, "office", "baker", 1), "hello")
-	if st, body := s.call(h, "agent/m-0", "POST", PathRecords, frames(records)); st != 200 {
+	records := attemptRecords(a, grantOf(a, "office", "baker", 1), "hello")
+	if st, body := s.call(h, "agent/m-0", "POST", PathRecords, encodeFrames(records)); st != 200 {
 		t.Fatal(st, body)
 	}
 	read := func() Attempts {
@@ -346,7 +346,7 @@
 		if n.vault.Has(records[2].Key) || n.vault.Has(records[3].Key) {
 			t.Fatal("output or a chunk is still here")
 		}
-		if st, body := s.call(h, "agent/m-0", "POST", PathRecords, frames(records)); st != 200 {
+		if st, body := s.call(h, "agent/m-0", "POST", PathRecords, encodeFrames(records)); st != 200 {
 			t.Fatal(st, body)
 		}
 	}
@@ -358,7 +358,7 @@
 	n.Stop()
 	n = s.node("one", n.cfg.Members, func(c *Config) { c.Retention, c.TombstoneS = n.cfg.Retention, 3600 })
 	h = n.handler()
-	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, frames(records)); st != 200 || n.vault.Has(records[2].Key) {
+	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, encodeFrames(records)); st != 200 || n.vault.Has(records[2].Key) {
 		t.Error("it came back with another life of the node")
 	}
 	n.Now = func() time.Time { return later.Add(2 * time.Hour) }
@@ -370,7 +370,7 @@
 // TestStoppedBeforeItServes guards against a node that keeps its listener, and its
 // port with it, when it is stopped between its opening and its serving.
 func TestStoppedBeforeItServes(t *testing.T) {
-	s := newSite(t)
+	s := newTestSite(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -389,7 +389,7 @@
 // asked for its list, and has no more: what came was once kept as a record of nothing,
 // and the node's index was damaged by it.
 func TestMendingWhatIsGone(t *testing.T) {
-	s := newSite(t)
+	s := newTestSite(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -398,7 +398,7 @@
 	one, two := s.node("one", members, nil), s.node("two", members, nil)
 	go func() { _ = two.Serve(l) }()
 	a := archive.Attempt{Job: "wk-000001", Task: 0, Try: 1, Machine: "m-0"}
-	records := output(a, grantOf(a, "office", "baker", 1), "hello")
+	records := attemptRecords(a, grantOf(a, "office", "baker", 1), "hello")
 	ctx := context.Background()
 	if err := two.store(ctx, records); err != nil {
 		t.Fatal(err)
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -39,11 +39,11 @@
 // put stores the records in a request's body and answers when they are on disk.
 func (n *Node) put(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	if r.ContentLength < 0 || r.ContentLength > MaxPut {
-		refuse(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("the length must be given and be at most %d bytes", MaxPut))
+		writeError(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("the length must be given and be at most %d bytes", MaxPut))
 		return
 	}
 	if !n.reserve(r.ContentLength) {
-		refuse(w, http.StatusServiceUnavailable, "too much is being written now")
+		writeError(w, http.StatusServiceUnavailable, "too much is being written now")
 		return
 	}
 	defer func() {
@@ -53,30 +53,30 @@
 	}()
 	raw, err := readAll(w, r, MaxPut)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "the body was cut off")
+		writeError(w, http.StatusBadRequest, "the body was cut off")
 		return
 	}
 	records, err := parseRecords(raw)
 	if err != nil {
 		n.count(func(s *Stats) { s.Refused++ })
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if err := n.mayWrite(who, records); err != nil {
+	if err := n.authorizeWrite(who, records); err != nil {
 		n.count(func(s *Stats) { s.Refused++ })
 		n.log.Warn("records refused", "from", who.String(), "records", len(records), "reason", err)
 		n.audit(who, archive.Write, records[0].Key.Attempt.String(), false)
-		refuse(w, http.StatusForbidden, "refused")
+		writeError(w, http.StatusForbidden, "refused")
 		return
 	}
 	switch err := n.store(r.Context(), records); {
 	case err == nil:
-		answer(w, map[string]int{"kept": len(records)})
+		writeJSON(w, map[string]int{"kept": len(records)})
 	case errors.Is(err, vault.ErrFull):
-		refuse(w, http.StatusInsufficientStorage, "the disk is full")
+		writeError(w, http.StatusInsufficientStorage, "the disk is full")
 	default:
 		n.log.Error("records can't be kept", "error", err)
-		refuse(w, http.StatusServiceUnavailable, "records can't be kept now")
+		writeError(w, http.StatusServiceUnavailable, "records can't be kept now")
 	}
 }
 
@@ -102,13 +102,13 @@
 }
 
 var (
-	errNoGrant = errors.New("records of an attempt without its grant")
-	errKind    = errors.New("a record that only nodes make")
+	errNoGrant      = errors.New("records of an attempt without its grant")
+	errNodeOnlyKind = errors.New("a record that only nodes make")
 )
 
-// mayWrite decides whether somebody may have records kept: a node any, an agent
+// authorizeWrite decides whether somebody may have records kept: a node any, an agent
 // those of attempts for which it brings a grant.
-func (n *Node) mayWrite(who identity.Identity, records []archive.Record) error {
+func (n *Node) authorizeWrite(who identity.Identity, records []archive.Record) error {
 	node := archive.Access(who, archive.Sync, archive.Owner{}, "")
 	granted, jobs := map[archive.Attempt]bool{}, map[string]bool{}
 	for i := range records {
@@ -131,7 +131,7 @@
 		k := records[i].Key
 		switch {
 		case k.Kind == archive.KindExpired:
-			return errKind
+			return errNodeOnlyKind
 		case k.Attempt == archive.Files(k.Attempt.Job):
 			if !jobs[k.Attempt.Job] {
 				return errNoGrant
@@ -163,7 +163,7 @@
 	}
 	for i := range fresh {
 		if fresh[i].Key.Kind == archive.KindExpired {
-			n.learnExpiry(fresh[i].Key)
+			n.applyExpiry(fresh[i].Key)
 		}
 	}
 	return nil
@@ -175,18 +175,18 @@
 	http          *http.Client
 }
 
-// peerPatience is how long another node may take for an answer, and readPatience
+// peerTimeout is how long another node may take for an answer, and readTimeout
 // while somebody waits for it.
 const (
-	peerPatience = 30 * time.Second
-	readPatience = 2 * time.Second
+	peerTimeout = 30 * time.Second
+	readTimeout = 2 * time.Second
 )
 
 // newPeer returns a client of a node.
 func newPeer(k *identity.Keeper, m Member) *peer {
 	t := &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 4, MaxConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
 		TLSHandshakeTimeout: 5 * time.Second, DisableCompression: true}
-	return &peer{m.Name, m.Address, &http.Client{Transport: t, Timeout: peerPatience}}
+	return &peer{m.Name, m.Address, &http.Client{Transport: t, Timeout: peerTimeout}}
 }
 
 // do sends a request and returns the body of its answer, of at most limit bytes. A
@@ -222,8 +222,8 @@
 // maxAnswer bounds a peer's answer in JSON, in bytes.
 const maxAnswer = 32 << 20
 
-// ask reads a path and decodes its JSON into v.
-func (p *peer) ask(ctx context.Context, target string, v any) error {
+// getJSON reads a path and decodes its JSON into v.
+func (p *peer) getJSON(ctx context.Context, target string, v any) error {
 	raw, err := p.get(ctx, target, maxAnswer)
 	if err != nil {
 		return err
@@ -253,14 +253,14 @@
 		err = json.Unmarshal(raw, &keys)
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "not a list of keys")
+		writeError(w, http.StatusBadRequest, "not a list of keys")
 		return
 	}
 	var out []byte
 	for _, s := range keys {
 		k, err := archive.ParseKey(s)
 		if err != nil {
-			refuse(w, http.StatusBadRequest, err.Error())
+			writeError(w, http.StatusBadRequest, err.Error())
 			return
 		}
 		record, err := n.vault.Get(k)
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -33,10 +33,10 @@
 // rowsPage bounds a page, in attempts.
 const rowsPage = 200
 
-// rows lists attempts here that have a label, of a job if it is named, after an
+// listRows lists attempts here that have a label, of a job if it is named, after an
 // attempt. A reader's label is their own: what belongs to others is not even looked
 // at for them, and takes as long as what is not there.
-func (n *Node) rows(job, label, from string, files bool) (out Rows, err error) {
+func (n *Node) listRows(job, label, from string, files bool) (out Rows, err error) {
 	out.Rows = []Row{}
 	prefix := ""
 	if job != "" {
@@ -47,7 +47,7 @@
 		return out, err
 	}
 	for _, name := range names {
-		row, err := n.row(name, files)
+		row, err := n.readRow(name, files)
 		if err != nil {
 			return out, err
 		}
@@ -59,8 +59,8 @@
 	return out, nil
 }
 
-// row reads what is here of an attempt.
-func (n *Node) row(name string, files bool) (Row, error) {
+// readRow reads what is here of an attempt.
+func (n *Node) readRow(name string, files bool) (Row, error) {
 	row := Row{Attempt: name, Cover: map[string][]archive.Range{}}
 	from := ""
 	for {
@@ -92,15 +92,15 @@
 	}
 }
 
-// localRows answers another node with a page of rows.
-func (n *Node) localRows(w http.ResponseWriter, r *http.Request, _ string) {
+// serveRows answers another node with a page of rows.
+func (n *Node) serveRows(w http.ResponseWriter, r *http.Request, _ string) {
 	q := r.URL.Query()
-	rows, err := n.rows(q.Get("job"), q.Get("label"), q.Get("from"), q.Get("files") == "true")
+	rows, err := n.listRows(q.Get("job"), q.Get("label"), q.Get("from"), q.Get("files") == "true")
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "the index can't be read now")
+		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
 	}
-	answer(w, rows)
+	writeJSON(w, rows)
 }
 
 // Answered tells how complete an answer is.
@@ -113,7 +113,7 @@
 
 // gather asks all nodes, this one too, and hands each answer on.
 func gather[T any](ctx context.Context, n *Node, target string, own func() (T, error), take func(from string, v T)) Answered {
-	ctx, cancel := context.WithTimeout(ctx, readPatience)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -132,7 +132,7 @@
 	}
 	for name, p := range n.peers {
 		wait.Add(1)
-		go ask(name, func() (v T, err error) { return v, p.ask(ctx, target, &v) })
+		go ask(name, func() (v T, err error) { return v, p.getJSON(ctx, target, &v) })
 	}
 	wait.Add(1)
 	go ask(n.cfg.Name, own)
--- a/internal/archive/node/server.go
+++ b/internal/archive/node/server.go
@@ -44,7 +44,7 @@
 
 // tasks are what a node does in the background while it serves.
 func (n *Node) tasks() []func() {
-	return []func(){n.syncAll, n.repairAll, n.scrub, n.expireAll, n.revocations}
+	return []func(){n.syncAll, n.repairAll, n.scrub, n.expireAll, n.refreshRevocations}
 }
 
 // Paths of the requests that a node answers. Those from PathGet to PathCuts are for
@@ -71,7 +71,7 @@
 			who, ok := n.certificates.Who(r)
 			if !ok {
 				w.Header().Set("Connection", "close")
-				refuse(w, http.StatusForbidden, "refused")
+				writeError(w, http.StatusForbidden, "refused")
 				return
 			}
 			do(w, r, who)
@@ -101,10 +101,10 @@
 			_, err = n.certificates.Learn(raw)
 		}
 		if err != nil {
-			refuse(w, http.StatusBadRequest, "not a list of revocations of this site's authority")
+			writeError(w, http.StatusBadRequest, "not a list of revocations of this site's authority")
 			return
 		}
-		answer(w, struct{}{})
+		writeJSON(w, struct{}{})
 	})
 	with("GET "+PathStats, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 		if !archive.Access(who, archive.Admin, archive.Owner{}, "") {
@@ -112,13 +112,13 @@
 			notFound(w)
 			return
 		}
-		answer(w, n.Stats())
+		writeJSON(w, n.Stats())
 	})
 	sync("POST "+PathGet, n.getRecords)
 	sync("GET "+PathTree, n.tree)
 	sync("GET "+PathLeaf, n.leaf)
-	sync("GET "+PathRows, n.localRows)
-	sync("GET "+PathCuts, n.localCuts)
+	sync("GET "+PathRows, n.serveRows)
+	sync("GET "+PathCuts, n.serveSegments)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { notFound(w) })
 	return mux
 }
@@ -131,15 +131,15 @@
 	n.log.Info("access", "who", who.String(), "verb", string(verb), "what", what, "allowed", allowed)
 }
 
-// answer writes v as JSON.
-func answer(w http.ResponseWriter, v any) {
+// writeJSON writes v as JSON.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// refuse answers with a status and its reason. Callers may try again after a second
+// writeError answers with a status and its reason. Callers may try again after a second
 // where waiting helps.
-func refuse(w http.ResponseWriter, status int, why string) {
+func writeError(w http.ResponseWriter, status int, why string) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable || status == http.StatusInsufficientStorage {
 		w.Header().Set("Retry-After", "1")
@@ -149,4 +149,4 @@
 }
 
 // notFound is the answer for what is not there, and for what somebody may not see.
-func notFound(w http.ResponseWriter) { refuse(w, http.StatusNotFound, "no such thing") }
+func notFound(w http.ResponseWriter) { writeError(w, http.StatusNotFound, "no such thing") }
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -13,23 +13,23 @@
 	"silvergate/internal/identity"
 )
 
-// Cuts is what a node has of a stream from an offset on: the keys of its segments, in
+// SegmentList is what a node has of a stream from an offset on: the keys of its segments, in
 // order. More tells that there are others after them.
-type Cuts struct {
+type SegmentList struct {
 	Keys    []string    `json:"keys"`
 	Records []RawRecord `json:"records"` // the attempt's small ones
 	More    bool        `json:"more"`
 }
 
-// cutsPage bounds a list of segments; pageBytes what a reader is given at a time.
+// segmentsPage bounds a list of segments; pageBytes what a reader is given at a time.
 const (
-	cutsPage  = 500
-	pageBytes = 1 << 20
+	segmentsPage = 500
+	pageBytes    = 1 << 20
 )
 
-// cuts lists what this node has of a stream from an offset on.
-func (n *Node) cuts(a archive.Attempt, label, stream string, from int64) (Cuts, error) {
-	out := Cuts{Keys: []string{}}
+// listSegments lists what this node has of a stream from an offset on.
+func (n *Node) listSegments(a archive.Attempt, label, stream string, from int64) (SegmentList, error) {
+	out := SegmentList{Keys: []string{}}
 	name := a.String()
 	if !n.vault.Labelled(label, name) {
 		return out, nil
@@ -48,7 +48,7 @@
 	// A segment that begins earlier can reach so far.
 	begin := max(0, from-archive.MaxSegment)
 	prefix := name + "/s/" + stream + "."
-	infos, more, err := n.vault.Keys(prefix, name+"/s/"+archive.At(stream, begin, 0), cutsPage)
+	infos, more, err := n.vault.Keys(prefix, name+"/s/"+archive.At(stream, begin, 0), segmentsPage)
 	if err != nil {
 		return out, err
 	}
@@ -61,19 +61,19 @@
 	return out, nil
 }
 
-// localCuts answers another node with what this one has of a stream.
-func (n *Node) localCuts(w http.ResponseWriter, r *http.Request, _ string) {
+// serveSegments answers another node with what this one has of a stream.
+func (n *Node) serveSegments(w http.ResponseWriter, r *http.Request, _ string) {
 	a, stream, from, ok := parseStreamQuery(r.URL.Query())
 	if !ok {
-		refuse(w, http.StatusBadRequest, "not a place in a stream")
+		writeError(w, http.StatusBadRequest, "not a place in a stream")
 		return
 	}
-	cuts, err := n.cuts(a, r.URL.Query().Get("label"), stream, from)
+	cuts, err := n.listSegments(a, r.URL.Query().Get("label"), stream, from)
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "the index can't be read now")
+		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
 	}
-	answer(w, cuts)
+	writeJSON(w, cuts)
 }
 
 // parseStreamQuery reads what a request for a stream names.
@@ -108,11 +108,11 @@
 
 // gatheredStream is what the nodes that answered have of an attempt's stream.
 type gatheredStream struct {
-	state    *attemptState
-	holders  map[string][]string // nodes that have a segment, by its key
-	missing  map[string][]string // nodes that should have it and do not, by its key
-	horizon  int64               // if not -1, some node may have more from this offset on
-	answered Answered
+	state          *attemptState
+	holders        map[string][]string // nodes that have a segment, by its key
+	missing        map[string][]string // nodes that should have it and do not, by its key
+	incompleteFrom int64               // if not -1, some node may have more from this offset on
+	answered       Answered
 }
 
 // stream answers with a page of a stream. What a reader may not see is answered as
@@ -120,10 +120,10 @@
 func (n *Node) stream(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	a, stream, from, ok := parseStreamQuery(r.URL.Query())
 	if !ok {
-		refuse(w, http.StatusBadRequest, "attempt, stream or from is not what it should be")
+		writeError(w, http.StatusBadRequest, "attempt, stream or from is not what it should be")
 		return
 	}
-	g := n.gatherCuts(r.Context(), a, readableLabel(who), stream, from)
+	g := n.gatherSegments(r.Context(), a, readableLabel(who), stream, from)
 	grant := g.state.grant
 	if grant == nil || !archive.Access(who, archive.Read, grant.Owner, "") {
 		n.audit(who, archive.Read, a.String(), grant == nil)
@@ -135,10 +135,10 @@
 	n.repairLater(g.missing)
 	out, err := n.streamPage(r.Context(), g, stream, from)
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "a part of it can't be read now")
+		writeError(w, http.StatusServiceUnavailable, "a part of it can't be read now")
 		return
 	}
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 // streamPage reads a page of a gathered stream from an offset on: about pageBytes of
@@ -159,7 +159,7 @@
 			break
 		}
 		if p.What != archive.PieceData {
-			if g.maybeOnItsWay(p, parts) {
+			if g.mayStillArrive(p, parts) {
 				break
 			}
 			out.Pieces = append(out.Pieces, Piece{Piece: p})
@@ -193,7 +193,7 @@
 			continue
 		}
 		_, at, size, err := key.StreamPosition()
-		if err != nil || g.horizon >= 0 && at >= g.horizon {
+		if err != nil || g.incompleteFrom >= 0 && at >= g.incompleteFrom {
 			more = true
 			continue
 		}
@@ -208,7 +208,7 @@
 func (g *gatheredStream) assemble(parts []archive.Part, stream string) []archive.Piece {
 	s := g.state
 	size := int64(-1)
-	if s.end != nil && g.horizon < 0 {
+	if s.end != nil && g.incompleteFrom < 0 {
 		size = s.end.Sizes[stream]
 	}
 	upto := s.expired.Upto[stream]
@@ -218,20 +218,20 @@
 	return archive.Assemble(parts, s.gaps[stream], upto, s.expired.Reason, size)
 }
 
-// maybeOnItsWay tells whether a piece is the missing tail of an attempt that still
+// mayStillArrive tells whether a piece is the missing tail of an attempt that still
 // runs: it may only not have come yet.
-func (g *gatheredStream) maybeOnItsWay(p archive.Piece, parts []archive.Part) bool {
+func (g *gatheredStream) mayStillArrive(p archive.Piece, parts []archive.Part) bool {
 	return p.What == archive.PieceMissing && g.state.end == nil &&
 		!slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To })
 }
 
-// gatherCuts asks all nodes for an attempt's stream from an offset on.
-func (n *Node) gatherCuts(ctx context.Context, a archive.Attempt, label, stream string, from int64) *gatheredStream {
-	g := &gatheredStream{state: newAttemptState(), holders: map[string][]string{}, horizon: -1}
+// gatherSegments asks all nodes for an attempt's stream from an offset on.
+func (n *Node) gatherSegments(ctx context.Context, a archive.Attempt, label, stream string, from int64) *gatheredStream {
+	g := &gatheredStream{state: newAttemptState(), holders: map[string][]string{}, incompleteFrom: -1}
 	q := url.Values{"attempt": {a.String()}, "label": {label}, "stream": {stream}, "from": {strconv.FormatInt(from, 10)}}
 	var answered []string
-	local := func() (Cuts, error) { return n.cuts(a, label, stream, from) }
-	g.answered = gather(ctx, n, PathCuts+"?"+q.Encode(), local, func(name string, c Cuts) {
+	local := func() (SegmentList, error) { return n.listSegments(a, label, stream, from) }
+	g.answered = gather(ctx, n, PathCuts+"?"+q.Encode(), local, func(name string, c SegmentList) {
 		answered = append(answered, name)
 		g.add(n, name, c)
 	})
@@ -240,7 +240,7 @@
 }
 
 // add adds what a node has of the stream.
-func (g *gatheredStream) add(n *Node, name string, c Cuts) {
+func (g *gatheredStream) add(n *Node, name string, c SegmentList) {
 	for _, r := range c.Records {
 		g.state.add(n, r.Key, r.Payload)
 	}
@@ -251,8 +251,8 @@
 			_, last, _, _ = k.StreamPosition()
 		}
 	}
-	if c.More && last >= 0 && (g.horizon < 0 || last < g.horizon) {
-		g.horizon = last
+	if c.More && last >= 0 && (g.incompleteFrom < 0 || last < g.incompleteFrom) {
+		g.incompleteFrom = last
 	}
 }
 
@@ -328,10 +328,10 @@
 	a, err := archive.ParseAttempt(q.Get("attempt"))
 	from, err2 := strconv.Atoi(q.Get("chunk"))
 	if err != nil || err2 != nil || from < 0 || len(q.Get("path")) > 2000 {
-		refuse(w, http.StatusBadRequest, "attempt, path or chunk is not what it should be")
+		writeError(w, http.StatusBadRequest, "attempt, path or chunk is not what it should be")
 		return
 	}
-	states, _, _ := n.page(r.Context(), a.Job, readableLabel(who), "", true)
+	states, _, _ := n.gatherPage(r.Context(), a.Job, readableLabel(who), "", true)
 	s := states[a.String()]
 	if s == nil || s.grant == nil || !archive.Access(who, archive.Read, s.grant.Owner, "") {
 		n.audit(who, archive.Read, a.String(), s == nil || s.grant == nil)
@@ -350,7 +350,7 @@
 			record, err := n.readRecord(r.Context(), k, n.members.Of(archive.Unit(k.Attempt)))
 			if err != nil {
 				n.log.Error("a chunk can't be read", "key", k.String(), "error", err)
-				refuse(w, http.StatusServiceUnavailable, "a part of it can't be read now")
+				writeError(w, http.StatusServiceUnavailable, "a part of it can't be read now")
 				return
 			}
 			out = append(out, record.Payload...)
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -33,7 +33,7 @@
 		notFound(w)
 		return
 	}
-	answer(w, row)
+	writeJSON(w, row)
 }
 
 // leafPage bounds a page of keys.
@@ -57,14 +57,14 @@
 	}
 	keys, err := n.leafKeys(who, leaves)
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "the index can't be read now")
+		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
 	}
 	at, _ := slices.BinarySearch(keys, q.Get("from"))
 	if at < len(keys) && keys[at] == q.Get("from") {
 		at++
 	}
-	answer(w, keys[at:min(len(keys), at+leafPage)])
+	writeJSON(w, keys[at:min(len(keys), at+leafPage)])
 }
 
 // leafKeys lists the keys here of some leaves that both nodes keep. The attempts
@@ -106,9 +106,9 @@
 // syncAll compares with one node after the other, and brings here what is missing.
 func (n *Node) syncAll() {
 	period := time.Duration(n.cfg.SyncS * float64(time.Second))
-	n.every(period/2+rand.N(period/2), func() {
+	n.runEvery(period/2+rand.N(period/2), func() {
 		for _, p := range n.peers {
-			if err := n.level(n.ctx, p); err != nil {
+			if err := n.syncWith(n.ctx, p); err != nil {
 				n.log.Info("not level with a node", "node", p.name, "error", err)
 			}
 		}
@@ -121,17 +121,17 @@
 func (n *Node) Level(ctx context.Context) error {
 	var all error
 	for _, p := range n.peers {
-		all = errors.Join(all, n.level(ctx, p))
+		all = errors.Join(all, n.syncWith(ctx, p))
 	}
 	n.handOverStrays()
 	return all
 }
 
-// level brings here what another node has that both keep.
-func (n *Node) level(ctx context.Context, p *peer) error {
+// syncWith brings here what another node has that both keep.
+func (n *Node) syncWith(ctx context.Context, p *peer) error {
 	defer n.count(func(s *Stats) { s.Rounds++ })
 	var theirs []uint64
-	if err := p.ask(ctx, PathTree, &theirs); err != nil {
+	if err := p.getJSON(ctx, PathTree, &theirs); err != nil {
 		return err
 	}
 	n.mu.Lock()
@@ -139,7 +139,7 @@
 	n.mu.Unlock()
 	for _, b := range branches {
 		var leaves []uint64
-		if err := p.ask(ctx, fmt.Sprintf("%s?branch=%d", PathTree, b), &leaves); err != nil {
+		if err := p.getJSON(ctx, fmt.Sprintf("%s?branch=%d", PathTree, b), &leaves); err != nil {
 			return err
 		}
 		n.mu.Lock()
@@ -152,19 +152,19 @@
 		if len(names) == 0 {
 			continue
 		}
-		if err := n.levelLeaves(ctx, p, strings.Join(names, ",")); err != nil {
+		if err := n.syncLeaves(ctx, p, strings.Join(names, ",")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// levelLeaves brings here what another node has in some leaves of a branch.
-func (n *Node) levelLeaves(ctx context.Context, p *peer, leaves string) error {
+// syncLeaves brings here what another node has in some leaves of a branch.
+func (n *Node) syncLeaves(ctx context.Context, p *peer, leaves string) error {
 	for from := ""; ; {
 		var keys []string
 		q := url.Values{"leaf": {leaves}, "from": {from}}
-		if err := p.ask(ctx, PathLeaf+"?"+q.Encode(), &keys); err != nil {
+		if err := p.getJSON(ctx, PathLeaf+"?"+q.Encode(), &keys); err != nil {
 			return err
 		}
 		if len(keys) == 0 {
@@ -200,7 +200,7 @@
 // fetchMissing fetches records from another node, at the budgeted rate, and stores
 // them. Expiry records come first: what they cover is not stored.
 func (n *Node) fetchMissing(ctx context.Context, p *peer, keys []string) error {
-	slices.SortStableFunc(keys, func(a, b string) int { return expiryFirst(a) - expiryFirst(b) })
+	slices.SortStableFunc(keys, func(a, b string) int { return expiryRank(a) - expiryRank(b) })
 	for len(keys) > 0 {
 		batch := keys[:min(len(keys), 256)]
 		records, err := p.fetch(ctx, batch)
@@ -220,7 +220,7 @@
 				}
 			}
 		}
-		if err := n.pace(ctx, size); err != nil {
+		if err := n.throttle(ctx, size); err != nil {
 			return err
 		}
 		if err := n.store(ctx, records); err != nil {
@@ -241,16 +241,16 @@
 	return nil
 }
 
-// expiryFirst sorts the keys of expiry records before others.
-func expiryFirst(key string) int {
+// expiryRank sorts the keys of expiry records before others.
+func expiryRank(key string) int {
 	if k, err := archive.ParseKey(key); err == nil && k.Kind == archive.KindExpired {
 		return 0
 	}
 	return 1
 }
 
-// pace waits until so many bytes may have been fetched.
-func (n *Node) pace(ctx context.Context, size int) error {
+// throttle waits until so many bytes may have been fetched.
+func (n *Node) throttle(ctx context.Context, size int) error {
 	for size > 0 {
 		part := min(size, 2*archive.MaxPayload)
 		if err := n.fetchLimit.WaitN(ctx, part); err != nil {
@@ -330,7 +330,7 @@
 	for i := range records {
 		body = archive.AppendFrame(body, &records[i])
 	}
-	if err := n.pace(ctx, len(body)); err != nil {
+	if err := n.throttle(ctx, len(body)); err != nil {
 		return err
 	}
 	_, err := p.do(ctx, http.MethodPost, PathRecords, body, 1<<10)
@@ -391,7 +391,7 @@
 		return
 	}
 	from := ""
-	n.every(time.Second, func() {
+	n.runEvery(time.Second, func() {
 		last, checked, damaged, err := n.vault.Scrub(from, int64(n.cfg.ScrubMBPerS*1e6))
 		if err != nil {
 			n.log.Error("scrubbing stopped", "error", err)
--- a/internal/archive/reader/reader.go
+++ b/internal/archive/reader/reader.go
@@ -54,7 +54,7 @@
 func (c *Client) get(ctx context.Context, path string, q url.Values) ([]byte, error) {
 	var last error
 	for _, m := range c.members {
-		raw, status, err := c.getOne(ctx, m, http.MethodGet, path+"?"+q.Encode(), nil)
+		raw, status, err := c.requestNode(ctx, m, http.MethodGet, path+"?"+q.Encode(), nil)
 		switch {
 		case err == nil && status == http.StatusOK:
 			return raw, nil
@@ -77,8 +77,8 @@
 	return nil, last
 }
 
-// getOne asks one node and returns the body and the status of its answer.
-func (c *Client) getOne(ctx context.Context, m node.Member, method, target string, body []byte) ([]byte, int, error) {
+// requestNode asks one node and returns the body and the status of its answer.
+func (c *Client) requestNode(ctx context.Context, m node.Member, method, target string, body []byte) ([]byte, int, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "https://"+m.Address+target, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
@@ -96,7 +96,7 @@
 // the node did not answer with status 200; it is for what each knows of itself.
 func (c *Client) Each(ctx context.Context, method, path string, body []byte, take func(name string, raw []byte, err error)) {
 	for _, m := range c.members {
-		raw, status, err := c.getOne(ctx, m, method, path, body)
+		raw, status, err := c.requestNode(ctx, m, method, path, body)
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("status %d: %s", status, bytes.TrimSpace(raw))
 		}
@@ -204,7 +204,7 @@
 	client  *Client
 	Attempt archive.Attempt
 	Stream  string
-	Over    bool // the attempt has ended and all was read
+	Ended   bool // the attempt has ended and all was read
 	Whole   bool // all that was acknowledged was there to be read
 
 	nextOffset  int64 // from which the next page is asked for
@@ -230,13 +230,13 @@
 		}
 		u.Whole = u.Whole && p.Whole
 		for _, x := range p.Pieces {
-			u.add(&x)
+			u.addPiece(&x)
 		}
 		u.nextOffset = p.Next
 		if !p.More {
-			u.exhausted, u.Over = true, p.Over
+			u.exhausted, u.Ended = true, p.Over
 			if p.Over {
-				u.flush(true)
+				u.endLine(true)
 			}
 		}
 	}
@@ -250,20 +250,20 @@
 func (u *Cursor) Next() { u.lines = u.lines[1:] }
 
 // Again lets Peek ask for more, after there was none.
-func (u *Cursor) Again() { u.exhausted = u.Over }
+func (u *Cursor) Again() { u.exhausted = u.Ended }
 
-// flush ends the line that is being read.
-func (u *Cursor) flush(cut bool) {
+// endLine ends the line that is being read.
+func (u *Cursor) endLine(cut bool) {
 	if len(u.partial) > 0 {
 		u.lines = append(u.lines, Line{Attempt: u.Attempt, Stream: u.Stream, At: u.partialAt, From: u.partialFrom, Text: string(u.partial), Cut: cut})
 		u.partial = nil
 	}
 }
 
-// add adds the lines of a piece.
-func (u *Cursor) add(x *node.Piece) {
+// addPiece adds the lines of a piece.
+func (u *Cursor) addPiece(x *node.Piece) {
 	if x.What != archive.PieceData {
-		u.flush(true)
+		u.endLine(true)
 		note := x.What
 		if x.Reason != "" {
 			note += ": " + x.Reason
@@ -289,7 +289,7 @@
 		if n < 0 {
 			u.partial = append(u.partial, data...)
 			if len(u.partial) >= maxLine {
-				u.flush(true)
+				u.endLine(true)
 			}
 			return
 		}
--- a/internal/archive/reader/reader_test.go
+++ b/internal/archive/reader/reader_test.go
@@ -20,11 +20,11 @@
 // before a gap, or that grow without bound.
 func TestLines(t *testing.T) {
 	u := &Cursor{Stream: archive.Stdout}
-	u.add(data(0, 1000, "one\ntw"))
-	u.add(data(6, 2000, "o\nhalf"))
-	u.add(&node.Piece{Piece: archive.Piece{From: 12, To: 20, What: archive.PieceGap, Reason: archive.GapQuota}})
-	u.add(data(20, 3000, "rest\n\nend"))
-	u.flush(true)
+	u.addPiece(data(0, 1000, "one\ntw"))
+	u.addPiece(data(6, 2000, "o\nhalf"))
+	u.addPiece(&node.Piece{Piece: archive.Piece{From: 12, To: 20, What: archive.PieceGap, Reason: archive.GapQuota}})
+	u.addPiece(data(20, 3000, "rest\n\nend"))
+	u.endLine(true)
 	var got []string
 	for _, l := range u.lines {
 		got = append(got, fmt.Sprintf("%d@%d %q %s %v", l.From, l.At.UnixMilli(), l.Text, l.Note, l.Cut))
@@ -36,7 +36,7 @@
 	}
 	u = &Cursor{Stream: archive.Stdout}
 	for i := range 5 {
-		u.add(data(int64(i)*40_000, 1, strings.Repeat("x", 40_000)))
+		u.addPiece(data(int64(i)*40_000, 1, strings.Repeat("x", 40_000)))
 	}
 	if len(u.lines) == 0 || len(u.partial) > 2*maxLine {
 		t.Errorf("a line without an end: %d lines, %d bytes held", len(u.lines), len(u.partial))
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -265,8 +265,8 @@
 //
 // in big endian.
 const (
-	magic      = 0x53474131 // "SGA1"
-	headerSize = 10
+	magic         = 0x53474131 // "SGA1"
+	headerSize    = 10
 	frameOverhead = headerSize + 8
 )
 
@@ -350,7 +350,7 @@
 const maxWriteTimes = 256
 
 var (
-	zstdEncoder, _   = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
+	zstdEncoder, _ = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	zstdDecoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxSegment+1<<16))
 )
 
--- a/internal/archive/retain.go
+++ b/internal/archive/retain.go
@@ -28,11 +28,11 @@
 
 // Usage is what an attempt takes on a node.
 type Usage struct {
-	Attempt Attempt
-	Owner   Owner
-	Class   string
-	Bytes   int64
-	LastStored    time.Time // when its newest record was stored
+	Attempt    Attempt
+	Owner      Owner
+	Class      string
+	Bytes      int64
+	LastStored time.Time // when its newest record was stored
 	// Ended tells that the attempt's end is on record. Of others only the output so
 	// far is dropped: a service that was quiet for long can write again.
 	Ended bool
@@ -59,8 +59,8 @@
 type Drop struct {
 	Attempt Attempt
 	// HeadBytes is how many bytes are to be dropped from its streams' start; 0: all of it.
-	HeadBytes   int64
-	Reason string
+	HeadBytes int64
+	Reason    string
 }
 
 // drop returns the drop of all that there is of an attempt.
--- a/internal/archive/tree.go
+++ b/internal/archive/tree.go
@@ -16,7 +16,7 @@
 // The shape of a tree.
 const (
 	Leaves = 4096 // of the whole tree
-	Fanout    = 64   // branches of the root, and leaves of each branch
+	Fanout = 64   // branches of the root, and leaves of each branch
 )
 
 // Leaf returns the leaf that a unit's records fall into, from 0 to Leaves-1.
