--- a/internal/archive/access.go
+++ b/internal/archive/access.go
@@ -2,20 +2,21 @@
 
 import "silvergate/internal/identity"
 
-// Verb is what somebody asks of the archive. Verbs are part of the access log.
+// Verb is a kind of operation on the archive. Verbs appear in the access log.
 type Verb string
 
-// Verbs that Access decides about.
+// Verbs that Access knows.
 const (
 	Read  Verb = "read"  // a job's output, files, index and history
 	Write Verb = "write" // an attempt's records
-	Sync  Verb = "sync"  // what nodes exchange with each other
-	Admin Verb = "admin" // a node's figures, scrubs, revocations
+	Sync  Verb = "sync"  // synchronization between nodes
+	Admin Verb = "admin" // a node's statistics, scrubs, revocations
 )
 
-// Access decides who may do what with what belongs to an owner; machine is where
-// the attempt was bound. It is the only place where that is decided. What it
-// denies is answered as if it did not exist.
+// Access reports whether an identity may perform an operation on records that belong to
+// an owner. machine is the machine that the attempt was bound to. Access makes every
+// authorization decision of the archive. A denied request gets the same response as a
+// request for something that does not exist.
 func Access(who identity.Identity, verb Verb, owner Owner, machine string) bool {
 	switch who.Kind {
 	case identity.Node:
@@ -23,8 +24,8 @@
 	case identity.Operator:
 		return verb == Read || verb == Admin
 	case identity.Agent:
-		// Only for its own attempts, and it reads nothing, its own included: a
-		// machine that was taken over must not tell what it ran before.
+		// An agent writes only its own attempts' records and reads nothing, not even
+		// its own: a compromised machine must not reveal what it ran before.
 		return verb == Write && machine != "" && who.Name == machine
 	case identity.Team:
 		return verb == Read && owner.Team != "" && who.Name == owner.Team
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -41,9 +41,8 @@
 	return NewRecord(Files(a.Job), KindChunk, "", data)
 }
 
-// TestFrameRoundTrip draws records and checks that they are read as they were
-// written, that no cut and no changed byte goes unnoticed, and that keys order
-// attempts.
+// TestFrameRoundTrip encodes random records and checks that they are decoded unchanged, that
+// truncation and any changed byte are detected, and that keys sort in the order of tasks.
 func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, next := drawRecord(t), drawRecord(t)
@@ -52,12 +51,12 @@
 		}
 		raw := AppendFrame(AppendFrame(nil, &r), &next)
 		if len(raw) != FrameSize(&r)+FrameSize(&next) {
-			t.Fatal("FrameSize is wrong")
+			t.Fatal("FrameSize differs from the length of the encoded frames")
 		}
 		in := bytes.NewReader(raw)
 		for _, want := range []Record{r, next} {
 			if got, err := ReadFrame(in); err != nil || got.Key != want.Key || !bytes.Equal(got.Payload, want.Payload) {
-				t.Fatalf("%v: %v, %v", want.Key, got.Key, err)
+				t.Fatalf("%v is read as %v: %v", want.Key, got.Key, err)
 			}
 		}
 		if _, err := ReadFrame(in); err != io.EOF {
@@ -65,25 +64,26 @@
 		}
 		cut := rapid.IntRange(1, FrameSize(&r)-1).Draw(t, "cut")
 		if _, err := ReadFrame(bytes.NewReader(raw[:cut])); !errors.Is(err, ErrTruncated) {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated at byte %d: %v, want ErrTruncated", cut, err)
 		}
 		bad := bytes.Clone(raw[:FrameSize(&r)])
 		bad[rapid.IntRange(0, len(bad)-1).Draw(t, "byte")] ^= byte(rapid.IntRange(1, 255).Draw(t, "change"))
 		if _, err := ReadFrame(bytes.NewReader(bad)); err == nil {
-			t.Fatal("a changed frame is taken")
+			t.Fatal("a changed frame is accepted")
 		}
 		b := drawAttempt(t)
 		if (r.Key.Attempt.String() < b.String()) && r.Key.Attempt.Job == b.Job && r.Key.Attempt.Task > b.Task && r.Key.Kind != KindChunk {
-			t.Fatal("keys are not in the order of tasks")
+			t.Fatal("keys do not sort in the order of tasks")
 		}
 		r.Payload = append(bytes.Clone(r.Payload), 'x')
 		if r.Check() == nil {
-			t.Fatal("a payload that is not its key's is taken")
+			t.Fatal("a payload that does not match the digest in its key is accepted")
 		}
 	})
 }
 
-// TestSegmentsAreBounded guards against segments that unpack to more than they say.
+// TestSegmentsAreBounded guards against segments that decompress to more bytes than their header
+// claims or than MaxSegment.
 func TestSegmentsAreBounded(t *testing.T) {
 	s := Segment{WriteTimes: []WriteTime{{1 << 10, 5}, {MaxSegment, 9}}, Data: make([]byte, MaxSegment)}
 	got, err := DecodeSegment(s.Encode())
@@ -93,22 +93,23 @@
 	bomb := Segment{WriteTimes: []WriteTime{{10, 1}}, Data: make([]byte, 64<<20)}
 	raw := bomb.Encode()
 	if _, err := DecodeSegment(raw); err == nil {
-		t.Error("a segment of 64 MiB is taken")
+		t.Error("a segment of 64 MiB is accepted")
 	}
-	// A frame that claims ten bytes and unpacks to a hundred thousand.
+	// A payload that claims 10 bytes and decompresses to 100,000.
 	lie := zstdEncoder.EncodeAll(make([]byte, 100_000), []byte{1, 10, 2, 10})
 	if _, err := DecodeSegment(lie); err == nil {
-		t.Error("a segment that is longer than it says is taken")
+		t.Error("a segment that is longer than it claims is accepted")
 	}
 }
 
-// TestAssembleStreams draws how an agent cuts a stream, is killed and cuts anew,
-// which cuts arrive, and what is lost with and without a word. Each byte must come
-// once, from the right place, or be told as what it is.
+// TestAssembleStreams draws how an agent cuts a stream into segments, again at other offsets
+// after each time it is killed, which of the segments arrive, which gaps are recorded and
+// how much expired. Each byte must be covered by one piece: data from the right segment, or
+// the right reason why it is absent.
 func TestAssembleStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.Int64Range(0, 200).Draw(t, "size")
-		state := make([]string, size) // of each byte
+		state := make([]string, size) // expected Piece.What of each byte
 		for i := range state {
 			state[i] = PieceMissing
 		}
@@ -152,39 +153,40 @@
 		pos := int64(0)
 		for _, p := range Assemble(parts, gaps, upto, ExpiredAge, end) {
 			if p.From != pos || p.To <= p.From {
-				t.Fatalf("%+v begins at %d, not at %d", p, p.From, pos)
+				t.Fatalf("%+v begins at %d, want %d", p, p.From, pos)
 			}
 			for i := p.From; i < p.To; i++ {
 				if state[i] != p.What {
-					t.Fatalf("byte %d is %q, and told as %q", i, state[i], p.What)
+					t.Fatalf("byte %d is %q, but its piece is %q", i, state[i], p.What)
 				}
 			}
 			if p.What == PieceData && (parts[p.Ref].From > p.From || parts[p.Ref].To < p.To) {
-				t.Fatalf("%+v is not in its part", p)
+				t.Fatalf("%+v is not within the part that it refers to", p)
 			}
 			pos = p.To
 		}
 		if known && pos != size {
-			t.Fatalf("ends at %d of %d", pos, size)
+			t.Fatalf("the pieces end at %d, the stream at %d", pos, size)
 		}
 		if !known && slices.Contains(state[pos:], PieceData) {
-			t.Fatal("data behind the end")
+			t.Fatal("there is data after the last piece")
 		}
 	})
 }
 
-// TestGapsOfUnknownLength guards against a loss that nobody could measure and that
-// is not told.
+// TestGapsOfUnknownLength guards against assembled streams that omit gaps of unknown
+// length.
 func TestGapsOfUnknownLength(t *testing.T) {
 	got := Assemble([]Part{{0, 5, 0}, {5, 9, 1}}, []Gap{{From: 5, To: 5, Reason: GapCut}, {From: 9, To: -1, Reason: GapUnread}}, 0, "", -1)
 	want := []Piece{{From: 0, To: 5}, {From: 5, To: 5, What: PieceGap, Reason: GapCut}, {From: 5, To: 9, Ref: 1}, {From: 9, To: -1, What: PieceGap, Reason: GapUnread}}
 	if !slices.Equal(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("assembled %+v", got)
 	}
 }
 
-// TestPlacementMovesLittle draws members and checks that each unit has its copies, that
-// a node that joins takes only what becomes its own, and about its share.
+// TestPlacementMovesLittle draws members and checks that each unit has its replicas, that
+// when a node joins, units move only to that node, and that it takes about its fair
+// share of them.
 func TestPlacementMovesLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Members{Replicas: rapid.IntRange(1, 4).Draw(t, "replicas")}
@@ -210,20 +212,20 @@
 			}
 		}
 		if moved > 0 {
-			t.Fatalf("%d copies move between nodes that were there", moved)
+			t.Fatalf("%d replicas moved between nodes that were already members", moved)
 		}
 		if share := units * more.copies() / len(more.Names); own < share/2-20 || own > 2*share+20 {
-			t.Fatalf("the new node has %d of a share of %d", own, share)
+			t.Fatalf("the new node has %d replicas, its fair share is %d", own, share)
 		}
-		// A quorum and whatever may be missing must meet.
+		// Two quorums must overlap, and fewer silent nodes than a quorum must be tolerated.
 		if q := m.Quorum(); 2*q <= m.copies() || q > m.copies() || m.Complete(len(m.Names)-q) || !m.Complete(len(m.Names)-q+1) {
-			t.Fatalf("a quorum of %d of %d", m.Quorum(), m.copies())
+			t.Fatalf("quorum is %d of %d replicas", m.Quorum(), m.copies())
 		}
 	})
 }
 
-// TestTreesDiffer draws two sets and checks that the trees differ in just the
-// leaves in which the sets do.
+// TestTreesDiffer draws two sets of records and checks that their trees differ in exactly the
+// leaves in which the sets differ.
 func TestTreesDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a, b Tree
@@ -250,24 +252,24 @@
 		for _, i := range Differ(a.Branches(), b.Branches()) {
 			for _, k := range Differ(a.Branch(i), b.Branch(i)) {
 				if differ[i*Fanout+k] == 0 {
-					t.Fatal("leaves differ though the sets don't")
+					t.Fatal("two leaves differ although their records are the same")
 				}
 				found++
 			}
 		}
 		if found != len(differ) {
-			t.Fatalf("%d of %d ranges found", found, len(differ))
+			t.Fatalf("found %d of %d differing leaves", found, len(differ))
 		}
 	})
 }
 
-// TestAccessMatrix is the whole table of kinds of identities against requests, for
-// their own and for others'.
+// TestAccessMatrix checks each kind of identity against each verb, for its own records and
+// for those of others.
 func TestAccessMatrix(t *testing.T) {
 	own := Owner{"office", "baker"}
 	for _, c := range []struct {
 		who   identity.Identity
-		verbs string // that are allowed for own, on machine m-1
+		verbs string // those allowed on own's records of machine m-1
 	}{
 		{identity.Identity{Kind: identity.Node, Name: "n"}, "read sync"},
 		{identity.Identity{Kind: identity.Operator, Name: "ann"}, "read admin"},
@@ -284,17 +286,17 @@
 	} {
 		for _, v := range []Verb{Read, Write, Sync, Admin, "other"} {
 			if got, want := Access(c.who, v, own, "m-1"), slices.Contains(strings.Fields(c.verbs), string(v)); got != want {
-				t.Errorf("%s may %s: %v", c.who, v, got)
+				t.Errorf("Access: %s may %s: %v, want the opposite", c.who, v, got)
 			}
 		}
 	}
-	// A team's own work is none of its customers'.
+	// A team's own work must not be readable by its customers.
 	if Access(identity.Identity{Kind: identity.Customer, Name: "office"}, Read, Owner{Team: "office"}, "") {
-		t.Error("a customer without a name reads the team's own")
+		t.Error("a customer without a name may read the team's own records")
 	}
 }
 
-// TestForgedGrantsAreRejected guards against grants that an agent made or changed.
+// TestForgedGrantsAreRejected guards against accepting grants that an agent made or changed.
 func TestForgedGrantsAreRejected(t *testing.T) {
 	key, other := GrantKey(bytes.Repeat([]byte{1}, KeySize)), GrantKey(bytes.Repeat([]byte{2}, KeySize))
 	g := key.Sign(Grant{Attempt: testAttempt, Terms: Terms{Owner: Owner{"office", "baker"}, Class: "quoter", Keep: []string{"out/*.csv"}}})
@@ -310,14 +312,14 @@
 		x := g
 		f(&x)
 		if _, err := key.Verify(Encode(x)); err == nil {
-			t.Errorf("change %d: taken", i)
+			t.Errorf("a grant with change %d is accepted", i)
 		}
 	}
 }
 
-// TestRetention checks what goes, on drawn uses: what is too old, and of a team
-// that has too much, those customers' who have more than an equal share. What one
-// customer writes never costs another's output.
+// TestRetention checks which attempts are dropped: those that are too old and, with random
+// usage of a team above its quota, those of customers above an equal share, oldest first.
+// One customer's output must never displace another's.
 func TestRetention(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	r := Retention{Rules: []Rule{{Class: "chatty", KeepS: 60}, {Team: "office", KeepS: 3600, MaxMB: 1}}}
@@ -356,7 +358,7 @@
 			left[u.Owner] -= n
 			for _, v := range all {
 				if v.Owner == u.Owner && v.LastStored.Before(u.LastStored) && !slices.ContainsFunc(drops, func(x Drop) bool { return x.Attempt == v.Attempt }) {
-					t.Fatal("an older attempt of the same customer stays")
+					t.Fatal("an older attempt of the same customer is kept")
 				}
 			}
 		}
@@ -364,37 +366,37 @@
 		for o, n := range left {
 			total += n
 			if sums[o] <= fair && n < sums[o] {
-				t.Fatalf("%v has %d of %d bytes, below its share of %d, and loses some", o, n, sums[o], fair)
+				t.Fatalf("%v keeps %d of its %d bytes, although it was within its share of %d", o, n, sums[o], fair)
 			}
 		}
 		if total > 1000 {
-			t.Fatalf("%d bytes are left", total)
+			t.Fatalf("%d bytes are left, the quota is 1000", total)
 		}
 	})
 }
 
-// TestUnsafePathsAndOutput guards against names of files that lead elsewhere and output
-// that steers a terminal.
+// TestUnsafePathsAndOutput guards against file names that lead out of their directory and
+// output that controls a terminal.
 func TestUnsafePathsAndOutput(t *testing.T) {
 	for _, p := range []string{"", ".", "..", "../x", "a/../../x", "/etc/passwd", "a//b", "a/", "a\\b", "a\x00b", "\xff", strings.Repeat("x", 256), strings.Repeat("x/", 600) + "x", "./a"} {
 		if SafePath(p) {
-			t.Errorf("%.40q is taken", p)
+			t.Errorf("%.40q is accepted as a safe path", p)
 		}
 	}
 	for _, p := range []string{"a", "a/b.csv", "..a", "ünï/…", "-rf"} {
 		if !SafePath(p) {
-			t.Errorf("%q is refused", p)
+			t.Errorf("%q is rejected as an unsafe path", p)
 		}
 	}
 	for in, want := range map[string]string{"plain\ttext": "plain\ttext", "\x1b[2Jx": `\x1b[2Jx`, "a\rb": `a\x0db`, "ü": "ü", "\xff": `\xff`, "\u202egnp.exe": `\xe2\x80\xaegnp.exe`, "\u009b1m": `\xc2\x9b1m`} {
 		if got := Visible(in); got != want {
-			t.Errorf("%q is shown as %q", in, got)
+			t.Errorf("%q is escaped as %q", in, got)
 		}
 	}
 }
 
-// FuzzFrame has frames read from anything: what is taken must be written the same
-// way, and its payload be readable within bounds.
+// FuzzFrame reads frames from arbitrary input. A frame that is accepted must encode to the same
+// bytes, and its payload, if valid, must decode within its limits.
 func FuzzFrame(f *testing.F) {
 	s := Segment{WriteTimes: []WriteTime{{5, 1}}, Data: []byte("hello")}
 	for _, r := range []Record{NewRecord(testAttempt, KindSegment, At(Stdout, 0, 5), s.Encode()), NewRecord(testAttempt, KindGrant, "", Encode(Grant{Attempt: testAttempt})), NewRecord(Files(testAttempt.Job), KindChunk, "", []byte("x")),
@@ -407,23 +409,23 @@
 			return
 		}
 		if again := AppendFrame(nil, &r); !bytes.Equal(again, raw[:len(again)]) {
-			t.Error("a record is written otherwise than it was read")
+			t.Error("a record is encoded differently from the frame that it was read from")
 		}
 		if r.Check() == nil && r.Key.Kind == KindSegment {
 			if s, err := DecodeSegment(r.Payload); err != nil || len(s.Data) > MaxSegment {
-				t.Error("a checked segment can't be read")
+				t.Error("a segment that passed Check can't be decoded, or exceeds MaxSegment")
 			}
 		}
 	})
 }
 
-// FuzzSegment has segments read from anything.
+// FuzzSegment decodes segments from arbitrary input. One that is accepted must be within its limits.
 func FuzzSegment(f *testing.F) {
 	s := Segment{WriteTimes: []WriteTime{{2, 1}, {5, 9}}, Data: []byte("hello")}
 	f.Add(s.Encode())
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := DecodeSegment(raw); err == nil && (len(s.Data) > MaxSegment || len(s.Data) != s.WriteTimes[len(s.WriteTimes)-1].To) {
-			t.Error("a segment beyond its bounds is taken")
+			t.Error("a segment that exceeds its limits is accepted")
 		}
 	})
 }
--- a/internal/archive/golden_test.go
+++ b/internal/archive/golden_test.go
@@ -17,9 +17,9 @@
 )
 
 // The golden files were written by an earlier build, which stored the values of
-// goldenPayloads. Machines and archive nodes hold such records for years. Values are
-// written without the fields' names, so that they say which value is stored where
-// whatever the fields are called.
+// goldenPayloads. Machines and archive nodes keep such records for years. The literals here
+// have no field names, so that they state which value is stored where even if the Go fields
+// are renamed.
 
 const goldenDir = "testdata/golden/"
 
@@ -29,7 +29,7 @@
 	goldenSegment = Segment{[]WriteTime{{6, 1_700_000_000_100}, {17, 1_700_000_000_250}}, []byte("first\nsecond line")}
 )
 
-// goldenPayload is a payload that is stored as JSON, and what it says.
+// goldenPayload is a payload stored as JSON and the value that it encodes.
 type goldenPayload struct {
 	file  string
 	value any
@@ -49,8 +49,8 @@
 	}
 }
 
-// goldenFrames lists the records of frames.bin: which file holds the payload, and
-// which attempt, kind and name the key has.
+// goldenFrames lists the records of frames.bin: the file that holds the payload, and the
+// attempt, the kind and the name in the key.
 var goldenFrames = []struct {
 	file    string
 	attempt Attempt
@@ -77,10 +77,10 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, test.value) {
-				t.Errorf("read\n%+v, not\n%+v", got, test.value)
+				t.Errorf("decoded\n%+v, want\n%+v", got, test.value)
 			}
 			if again := protocol.Encode(test.value); !bytes.Equal(again, stored) {
-				t.Errorf("written as\n%s, not\n%s", again, stored)
+				t.Errorf("encoded as\n%s, want\n%s", again, stored)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	if want := goldenPayloads()[0].value; !reflect.DeepEqual(&got, want) {
-		t.Errorf("opened\n%+v, not\n%+v", got, want)
+		t.Errorf("verified grant is\n%+v, want\n%+v", got, want)
 	}
 	for _, change := range []struct{ name, from, to string }{
 		{"the attempt", `"try":2`, `"try":3`},
@@ -109,10 +109,10 @@
 	} {
 		changed := bytes.Replace(stored, []byte(change.from), []byte(change.to), 1)
 		if bytes.Equal(changed, stored) {
-			t.Fatalf("the grant does not hold %s", change.from)
+			t.Fatalf("the stored grant does not contain %s", change.from)
 		}
 		if _, err := key.Verify(changed); err == nil {
-			t.Errorf("%s can be changed", change.name)
+			t.Errorf("a grant is accepted after a change of %s", change.name)
 		}
 	}
 }
@@ -124,19 +124,19 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(*got, goldenSegment) {
-		t.Errorf("read %+v, not %+v", *got, goldenSegment)
+		t.Errorf("decoded %+v, want %+v", *got, goldenSegment)
 	}
-	// The compressed data may differ with the compressor's version; what stands
-	// before it may not.
+	// The compressed data may differ with the compressor's version; the bytes before it
+	// may not.
 	head := func(payload []byte) []byte {
 		before, _, found := bytes.Cut(payload, []byte{0x28, 0xb5, 0x2f, 0xfd})
 		if !found {
-			t.Fatalf("no compressed data in %x", payload)
+			t.Fatalf("found no zstd frame in %x", payload)
 		}
 		return before
 	}
 	if again := goldenSegment.Encode(); !bytes.Equal(head(again), head(stored)) {
-		t.Errorf("the marks are written as %x, not %x", head(again), head(stored))
+		t.Errorf("the write times are encoded as %x, want %x", head(again), head(stored))
 	}
 }
 
@@ -144,7 +144,7 @@
 	stored := goldentest.Read(t, goldenDir+"frames.bin")
 	keys := strings.Fields(string(goldentest.Read(t, goldenDir+"keys.txt")))
 	if len(keys) != len(goldenFrames) {
-		t.Fatalf("%d keys for %d records", len(keys), len(goldenFrames))
+		t.Fatalf("keys.txt has %d keys, frames.bin should have %d records", len(keys), len(goldenFrames))
 	}
 	in := bytes.NewReader(stored)
 	var again []byte
@@ -158,11 +158,11 @@
 			t.Errorf("%s: %v", want.file, err)
 		}
 		if made := NewRecord(want.attempt, want.kind, want.name, payload); !reflect.DeepEqual(record, made) {
-			t.Errorf("%s: read\n%+v, not\n%+v", want.file, record, made)
+			t.Errorf("%s: decoded\n%+v, want\n%+v", want.file, record, made)
 		}
 		parsed, err := ParseKey(keys[i])
 		if err != nil || parsed != record.Key || parsed.String() != keys[i] {
-			t.Errorf("key %s is read as %s: %v", keys[i], parsed, err)
+			t.Errorf("key %s is parsed as %s: %v", keys[i], parsed, err)
 		}
 		if !strings.HasPrefix(keys[i], want.attempt.String()+"/") {
 			t.Errorf("key %s does not begin with the attempt %s", keys[i], want.attempt)
@@ -170,12 +170,12 @@
 		again = AppendFrame(again, &record)
 	}
 	if _, err := ReadFrame(in); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the last frame: %v", err)
+		t.Errorf("after the last frame: %v, want io.EOF", err)
 	}
 	if !bytes.Equal(again, stored) {
-		t.Error("the frames are written otherwise than they were")
+		t.Error("the frames are encoded differently from the golden file")
 	}
 	if !slices.IsSorted([]string{keys[0], keys[4], keys[2], keys[5], keys[1], keys[7]}) {
-		t.Error("an attempt's keys are not in the order of their kinds: grant, end, gap, file, segment, expired")
+		t.Error("an attempt's keys do not sort by kind in the order grant, end, gap, file, segment, expired")
 	}
 }
--- a/internal/archive/grant.go
+++ b/internal/archive/grant.go
@@ -12,40 +12,41 @@
 	"silvergate/internal/protocol"
 )
 
-// Owner is the team and the customer that a job belongs to; fixed when the job is
+// Owner is the team and the customer that a job belongs to. It is fixed when the job is
 // accepted.
 type Owner struct {
 	Team string `json:"team"`
-	// Customer is the customer within the team; "" is the team's own work.
+	// Customer is the customer within the team, or "" for the team's own work.
 	Customer string `json:"customer,omitempty"`
 }
 
-// Grant is a controller's sealed statement that an attempt was bound to a machine, and
-// whose its job is. An agent can't make one: both halves are sealed with a key that
-// controllers and archive nodes share. The one half comes with the launch, which
-// only the claim's holder sends and only after the commit; the other with the job's
-// description. A grant holds for as long as the attempt's output is worth shipping,
-// also after the agent epoch in which it was launched has ended.
+// Grant is a controller's sealed statement that an attempt was bound to a machine and that
+// its job belongs to an owner. An agent can't forge one: both of its seals are made with a
+// key that only controllers and archive nodes share. LaunchSeal comes with the launch, which
+// only the claim's holder sends and only after the commit; TermsSeal comes with the job's
+// description. A grant does not expire: it stays valid while the attempt's output is still
+// to be shipped, even after the agent epoch of the launch has ended.
 type Grant struct {
 	Attempt
 	Terms
-	At int64 `json:"atMs"` // when the machine began with it, Unix time in milliseconds by its own clock: not sealed
-	// LaunchSeal is over the attempt, TermsSeal over the job and the terms.
+	At int64 `json:"atMs"` // when the machine started the attempt, Unix time in milliseconds by its own clock; not sealed
+	// LaunchSeal covers the attempt; TermsSeal covers the job and the terms.
 	LaunchSeal string `json:"launchSeal"`
 	TermsSeal  string `json:"termsSeal"`
 }
 
-// Terms are what a job's description says of all its attempts that the archive needs.
+// Terms are the parts of a job's description that the archive needs for each of its
+// attempts.
 type Terms struct {
 	Owner
 	Class   string `json:"class"`
 	Urgency string `json:"urgency"`
 	Shape   string `json:"shape"`
-	// Keep are patterns of files to keep, relative to a task's working directory.
+	// Keep lists patterns of the files to archive, relative to a task's working directory.
 	Keep []string `json:"keep,omitempty"`
 }
 
-// TermsOf returns the terms of the job that a description describes.
+// TermsOf returns the terms in a job's description.
 func TermsOf(d *protocol.JobDescription) Terms {
 	t := Terms{Owner: Owner{Team: d.Team}, Class: d.Class, Urgency: d.Priority, Shape: protocol.ShapeName(d.Shape)}
 	if x := d.Extra; x != nil {
@@ -54,15 +55,15 @@
 	return t
 }
 
-// GrantKey is the key that controllers and archive nodes share to seal grants and to
-// check them.
+// GrantKey is the secret key that controllers and archive nodes share to seal and verify
+// grants.
 type GrantKey []byte
 
-// KeySize is the least length of a grant key, in bytes.
+// KeySize is the minimum length of a grant key, in bytes.
 const KeySize = 32
 
-// LoadGrantKey reads a key: 64 or more hexadecimal digits in a file that only its
-// owner may read. Anything else is an error.
+// LoadGrantKey reads a key from a file that must be readable by its owner only and hold 64
+// or more hexadecimal digits. Anything else is an error.
 func LoadGrantKey(path string) (GrantKey, error) {
 	raw, err := identity.ReadPrivate(path)
 	if err != nil {
@@ -75,10 +76,11 @@
 	return key, nil
 }
 
-// seal is the keyed sum over what is sealed; what says which half it is.
-func (k GrantKey) seal(what string, v ...any) string {
+// seal returns a truncated HMAC-SHA-256 over the values. domain separates the seals of
+// launches from those of terms.
+func (k GrantKey) seal(domain string, v ...any) string {
 	m := hmac.New(sha256.New, k)
-	m.Write([]byte(what))
+	m.Write([]byte(domain))
 	for _, x := range v {
 		m.Write([]byte{0})
 		m.Write(Encode(x))
@@ -86,7 +88,8 @@
 	return hex.EncodeToString(m.Sum(nil)[:sealSize])
 }
 
-// sealSize is how much of a sum a seal is, in bytes: it travels with each launch.
+// sealSize is the length of a seal in bytes. The HMAC is truncated because a seal is sent
+// with each launch.
 const sealSize = 16
 
 // SealLaunch returns the seal of an attempt's launch, in hexadecimal.
@@ -103,7 +106,8 @@
 
 var errInvalidGrant = errors.New("not a grant of this site's controllers")
 
-// Verify reads a grant and checks its seals. A grant that is not valid is an error.
+// Verify decodes a grant and checks its seals, its attempt and its owner. It returns an
+// error if the grant is not valid.
 func (k GrantKey) Verify(raw []byte) (Grant, error) {
 	var g Grant
 	if err := decode(raw, &g); err != nil {
@@ -116,13 +120,13 @@
 		return g, err
 	}
 	if !validOwner(g.Owner) {
-		return g, fmt.Errorf("%w: its owner has no name", errInvalidGrant)
+		return g, fmt.Errorf("%w: its team or customer is invalid", errInvalidGrant)
 	}
 	return g, nil
 }
 
-// validOwner tells whether an owner can have a certificate; a team whose name can't
-// stand in one is read by operators alone.
+// validOwner reports whether a grant may name the owner. The team may have a name that
+// can't be in a certificate: only operators can read such a team's records.
 func validOwner(o Owner) bool {
 	return o.Team != "" && len(o.Team) <= 200 && (o.Customer == "" || identity.ValidName(o.Customer))
 }
--- a/internal/archive/place.go
+++ b/internal/archive/place.go
@@ -8,25 +8,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Members are the archive's nodes, as the settings name them.
+// Members are the archive's nodes, as the settings list them.
 type Members struct {
 	Names    []string
-	Replicas int // how many nodes keep a record
+	Replicas int // how many nodes store each record
 }
 
 // Quorum returns how many nodes must have a record on disk before it is acknowledged:
-// more than half of those that keep it, so that whoever reads from so many meets
-// one that has it.
+// more than half of its replicas, so that reading from a quorum reaches at least one node
+// that has the record.
 func (m Members) Quorum() int { return m.copies()/2 + 1 }
 
-// copies is how many nodes keep a record: no more than there are.
+// copies returns how many nodes store a record: Replicas, but no more than there are nodes.
 func (m Members) copies() int { return max(1, min(m.Replicas, len(m.Names))) }
 
-// Unit returns the name of what is placed as a whole: a task's attempts are together, the tasks of
-// a large job are not.
+// Unit returns the name of the placement unit of an attempt. All attempts of a task are one
+// unit and are stored on the same nodes; the tasks of a large job are spread over the nodes.
 func Unit(a Attempt) string { return a.Job + "/" + strconv.Itoa(a.Task) }
 
-// Of lists the nodes that keep a unit's records, the first choice first. It is
+// Of returns the nodes that store a unit's records, in the order of preference. It uses
 // rendezvous hashing: a node that joins or leaves moves only its own share.
 func (m Members) Of(unit string) []string {
 	type scored struct {
@@ -53,12 +53,12 @@
 	return out
 }
 
-// IsReplica tells whether a node is one of those that keep a unit's records.
+// IsReplica reports whether a node is one of those that store a unit's records.
 func (m Members) IsReplica(node, unit string) bool { return slices.Contains(m.Of(unit), node) }
 
-// Complete tells whether what the nodes that answered have is all that was ever
-// acknowledged, for any unit: not enough nodes are silent to have a quorum among
-// themselves.
+// Complete reports whether the nodes that answered, given their number, have together every
+// acknowledged record of every unit. They do if the nodes that did not answer are too few
+// to form a quorum.
 func (m Members) Complete(answered int) bool {
 	return len(m.Names)-answered < m.Quorum()
 }
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -1,18 +1,20 @@
-// Package archive says what is kept of a task's output and files, where, for
-// whom and how long. It is decisions and formats alone, without I/O or a clock:
+// Package archive decides which of a task's output and files are archived, on which nodes,
+// for whom and how long. It holds only decisions and formats and uses no clock; apart from
+// LoadGrantKey it does no I/O:
 //
 //   - record.go: records, their keys and their frames on the wire and on disk;
-//   - grant.go: a controller's sealed statement that an attempt runs on a machine, and
-//     whose it is;
-//   - access.go: who may do what, in one function;
-//   - place.go: which nodes keep a task's records, and when a record counts as kept;
-//   - tree.go: digests by which two nodes find what the other lacks;
-//   - stream.go: a stream's segments, gaps and end put together again;
-//   - retain.go: what is dropped when.
+//   - grant.go: a controller's sealed statement that an attempt runs on a machine and
+//     belongs to an owner;
+//   - access.go: authorization, in one function;
+//   - place.go: which nodes store a task's records, and how many must before a record is
+//     acknowledged;
+//   - tree.go: digests by which two nodes find the records that one of them lacks;
+//   - stream.go: assembly of a stream from its segments, gaps and end;
+//   - retain.go: retention, which decides what to drop and when.
 //
-// All records are immutable and named by what they are of and a digest of what
-// they hold. So the archive is a set that only grows until something expires: two
-// nodes agree as soon as each has what the other has, in whatever order it came.
+// Records are immutable. A record's key names its attempt and holds a digest of its payload. So
+// the archive is a set that only grows until records expire: two nodes agree as soon as each has
+// the other's records, in whatever order they arrived.
 package archive
 
 import (
@@ -32,7 +34,7 @@
 	"silvergate/internal/protocol"
 )
 
-// Attempt is one start of a task on a machine.
+// Attempt is one execution of a task on a machine.
 type Attempt struct {
 	Job     string `json:"job"`
 	Task    int    `json:"task"`
@@ -40,26 +42,27 @@
 	Machine string `json:"machine"`
 }
 
-// Bounds of what a record may hold.
+// Limits on the contents of records.
 const (
 	maxNumber = 99_999_999
-	// MaxSegment is how much output a segment holds at the most, in bytes.
+	// MaxSegment is the maximum length of a segment's output, in bytes.
 	MaxSegment = 256 << 10
-	// ChunkSize is the length in bytes of the chunks that files are cut into; the
-	// last is shorter.
+	// ChunkSize is the length in bytes of the chunks that files are cut into; a file's last
+	// chunk may be shorter.
 	ChunkSize = 1 << 20
-	// MaxPayload is the length in bytes of a record's largest payload: a chunk that
+	// MaxPayload is the maximum length of a record's payload, in bytes: that of a chunk that
 	// does not compress.
 	MaxPayload = ChunkSize + 64<<10
 	maxKey     = 400
 )
 
-// Files returns the attempt under which the chunks of a job's files are kept: not with an attempt, so
-// that equal ones are stored once for all tasks of the job. They are not shared
-// between jobs: whether a file had to be sent would tell who else has it.
+// Files returns the pseudo-attempt under which the chunks of a job's files are stored. Chunks are
+// not stored under the attempts that wrote them, so that equal chunks are stored once for
+// all tasks of the job. They are not shared between jobs: whether a chunk had to be sent
+// would reveal that another job already has it.
 func Files(job string) Attempt { return Attempt{job, maxNumber, 0, "files"} }
 
-// String returns the attempt's name; names order as attempts do.
+// String returns the attempt's name. Names sort in the order of attempts.
 func (a Attempt) String() string {
 	return fmt.Sprintf("%s/%08d/%08d/%s", a.Job, a.Task, a.Try, a.Machine)
 }
@@ -72,7 +75,7 @@
 	return nil
 }
 
-// ParseAttempt reads a name that Attempt.String made. It accepts no other form.
+// ParseAttempt parses a name made by Attempt.String. It accepts no other form.
 func ParseAttempt(s string) (Attempt, error) {
 	f := strings.Split(s, "/")
 	if len(f) != 4 {
@@ -87,18 +90,18 @@
 	return a, nil
 }
 
-// Kind is what a record holds.
+// Kind is the type of a record.
 type Kind byte
 
-// Kinds of records. They are part of stored keys.
+// Kinds of records, as they appear in stored keys.
 const (
-	KindGrant    Kind = 'a' // whose attempt it is: a Grant
+	KindGrant    Kind = 'a' // who owns the attempt: a Grant
 	KindSegment  Kind = 's' // output: a Segment
-	KindGap      Kind = 'g' // output that is lost, and why: a Gap
+	KindGap      Kind = 'g' // a range of output that is lost, and why: a Gap
 	KindEnd      Kind = 'e' // how the attempt ended: an End
-	KindFile     Kind = 'm' // a file that was kept: a File
-	KindChunk    Kind = 'c' // a piece of files
-	KindExpired  Kind = 'x' // what was dropped, and why: an Expired
+	KindFile     Kind = 'm' // an archived file: a File
+	KindChunk    Kind = 'c' // a chunk of one or more files
+	KindExpired  Kind = 'x' // which records were dropped, and why: an Expired
 	kindsInOrder      = "acegmsx"
 )
 
@@ -106,18 +109,18 @@
 type Key struct {
 	Attempt Attempt
 	Kind    Kind
-	// Name is a segment's or a gap's place in its stream, as At writes it; other
-	// kinds have none.
+	// Name is the position of a segment or a gap in its stream, as At formats it; it is
+	// empty for other kinds.
 	Name string
-	// Digest is the payload's, as DigestOf returns it.
+	// Digest is the digest of the payload, as DigestOf returns it.
 	Digest string
 }
 
-// digestLen is how much of a payload's BLAKE3 stands in its key, in hexadecimal.
-// A chunk's key has all of it.
+// digestLen is the number of hexadecimal digits of a payload's BLAKE3 digest in a record's
+// key. A chunk's key holds the whole digest.
 const digestLen = 32
 
-// DigestOf returns the digest that a record of a kind has in its key.
+// DigestOf returns the digest of a payload for the key of a record of the given kind.
 func DigestOf(kind Kind, payload []byte) string {
 	sum := blake3.Sum256(payload)
 	d := hex.EncodeToString(sum[:])
@@ -127,12 +130,12 @@
 	return d[:digestLen]
 }
 
-// String returns the key as it is stored: all keys of an attempt are together.
+// String returns the key as it is stored. All keys of an attempt sort together.
 func (k Key) String() string {
 	return k.Attempt.String() + "/" + string(rune(k.Kind)) + "/" + k.Name + "/" + k.Digest
 }
 
-// ParseKey reads a key that Key.String made. It accepts no other form.
+// ParseKey parses a key made by Key.String. It accepts no other form.
 func ParseKey(s string) (Key, error) {
 	bad := func() (Key, error) { return Key{}, fmt.Errorf("no record's key: %.100q", s) }
 	f := strings.Split(s, "/")
@@ -161,30 +164,31 @@
 			return bad()
 		}
 	}
-	// With the chunks stand the grants under which they came, and their expiry.
+	// Chunks are stored only under Files, along with the grants that they were sent with
+	// and their expiry records.
 	if shared := k.Attempt == Files(k.Attempt.Job); shared != (k.Kind == KindChunk) && !(shared && (k.Kind == KindGrant || k.Kind == KindExpired)) {
 		return bad()
 	}
 	return k, nil
 }
 
-// Streams that a task writes.
+// Names of a task's output streams.
 const (
 	Stdout = "stdout"
 	Stderr = "stderr"
 )
 
-// Streams lists the streams; it is not to be changed.
+// Streams lists the names of the streams. It must not be modified.
 var Streams = []string{Stdout, Stderr}
 
-// At returns the name of a segment of a stream from an offset on, with its length n,
-// both in bytes; a gap's length stands in its payload, and is 0 here.
+// At returns the Key.Name of a segment that begins at an offset of a stream and has length
+// n, both in bytes. For a gap, n is 0, because its length is in its payload.
 func At(stream string, offset int64, n int) string {
 	return fmt.Sprintf("%s.%016x.%05x", stream, offset, n)
 }
 
-// StreamPosition reads the stream, the offset and the length, in bytes, out of a segment's or
-// a gap's key. Other keys are an error.
+// StreamPosition returns the stream, and the offset and the length in bytes, from the key of
+// a segment or a gap. Other keys are an error.
 func (k Key) StreamPosition() (stream string, from int64, n int, err error) {
 	f := strings.Split(k.Name, ".")
 	if len(f) == 3 && (f[0] == Stdout || f[0] == Stderr) {
@@ -197,19 +201,19 @@
 	return "", 0, 0, fmt.Errorf("no place in a stream: %.40q", k.Name)
 }
 
-// Record is a payload with its key. Records are immutable.
+// Record is a key and its payload. Records are immutable.
 type Record struct {
 	Key     Key
 	Payload []byte
 }
 
-// NewRecord returns the record of a payload, which it does not copy.
+// NewRecord returns a record with the given payload, which it does not copy.
 func NewRecord(a Attempt, kind Kind, name string, payload []byte) Record {
 	return Record{Key{a, kind, name, DigestOf(kind, payload)}, payload}
 }
 
-// Check returns an error unless the key is valid, the payload has the key's digest,
-// and it can be read as what the kind says.
+// Check returns an error unless the key is valid, the payload matches the key's digest, and
+// the payload can be decoded as the key's kind.
 func (r *Record) Check() error {
 	if _, err := ParseKey(r.Key.String()); err != nil {
 		return err
@@ -259,18 +263,16 @@
 	return nil
 }
 
-// Frames: on the wire and in a node's volumes a record is
+// On the wire and in a node's volumes, a record is encoded as a frame of big-endian fields:
 //
-//	magic, length of the key (2 bytes), of the payload (4), key, payload, xxHash64 of all before
-//
-// in big endian.
+//	magic (4 bytes), length of the key (2), length of the payload (4), key, payload, xxHash64 of all preceding bytes (8)
 const (
 	magic         = 0x53474131 // "SGA1"
 	headerSize    = 10
 	frameOverhead = headerSize + 8
 )
 
-// FrameSize returns the length of a record's frame in bytes.
+// FrameSize returns the length of a record's frame, in bytes.
 func FrameSize(r *Record) int { return frameOverhead + len(r.Key.String()) + len(r.Payload) }
 
 // AppendFrame appends a record's frame to b and returns the result.
@@ -283,18 +285,19 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b[from:]))
 }
 
-// Errors of frames.
+// Errors of ReadFrame.
 var (
-	// ErrTruncated says that a frame ends before it is whole.
+	// ErrTruncated means that the input ends within a frame.
 	ErrTruncated = errors.New("a frame is cut off")
-	// ErrCorrupt says that a frame is damaged, or is none at all.
+	// ErrCorrupt means that a frame is damaged, or that the input is not a frame.
 	ErrCorrupt = errors.New("not a frame, or a damaged one")
 )
 
 // ReadFrame reads the next record. At the end of r it returns io.EOF; otherwise its
-// errors wrap ErrCut or ErrFrame, or are those of r. It never holds more than one
-// frame, whatever a length claims. The caller owns the result. The payload's digest is
-// not compared: see Check.
+// errors wrap ErrTruncated or ErrCorrupt, or are those of r. It never holds more than one
+// frame of the maximum size, whatever lengths the header claims. The caller owns the
+// result. ReadFrame does not compare the payload with the digest in the key: see
+// Record.Check.
 func ReadFrame(r io.Reader) (Record, error) {
 	var h [headerSize]byte
 	if n, err := io.ReadFull(r, h[:]); err != nil {
@@ -331,22 +334,22 @@
 	return err
 }
 
-// Segment is a piece of a stream: its bytes and when they were written.
+// Segment is a contiguous part of a stream: its bytes and when they were written.
 type Segment struct {
-	// WriteTimes tell when what was written: up to which byte of the segment, and
-	// when the agent saw it.
+	// WriteTimes tells when the agent saw each part of Data. It is sorted by offset and its
+	// last entry ends at the end of Data.
 	WriteTimes []WriteTime
 	Data       []byte
 }
 
-// WriteTime is when the bytes of a segment up to an offset were written; they begin
-// where those of the write time before it end.
+// WriteTime is when the bytes of a segment from the end of the previous WriteTime up to an
+// offset were written.
 type WriteTime struct {
-	To int   // bytes of the segment, from its start
+	To int   // offset in the segment, in bytes
 	At int64 // Unix time in milliseconds, by the machine's clock
 }
 
-// maxWriteTimes bounds the write times of a segment.
+// maxWriteTimes is the maximum number of write times of a segment.
 const maxWriteTimes = 256
 
 var (
@@ -354,7 +357,7 @@
 	zstdDecoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxSegment+1<<16))
 )
 
-// Encode returns the segment's payload: the write times and the compressed
+// Encode returns the payload of the segment's record: the write times and the compressed
 // data.
 func (s *Segment) Encode() []byte {
 	b := binary.AppendUvarint(nil, uint64(len(s.WriteTimes)))
@@ -370,8 +373,8 @@
 
 var errInvalidSegment = errors.New("not a segment")
 
-// DecodeSegment reads a payload that Segment.Encode made, or returns an error. The
-// memory it takes is bounded, whatever the payload claims.
+// DecodeSegment decodes a payload made by Segment.Encode. The memory that it uses is bounded,
+// whatever lengths the payload claims.
 func DecodeSegment(b []byte) (*Segment, error) {
 	n, b, err := uvarint(b, maxWriteTimes)
 	if err != nil || n == 0 {
@@ -412,10 +415,10 @@
 	return v, b[k:], nil
 }
 
-// Gap is a part of a stream that is lost. Offsets are in bytes.
+// Gap is a range of a stream that is lost. Offsets are in bytes.
 type Gap struct {
 	From   int64  `json:"from"`
-	To     int64  `json:"to"` // From: nobody knows how much; -1: what else there was, if anything
+	To     int64  `json:"to"` // equal to From: the length is unknown; -1: everything after From, if there was any
 	At     int64  `json:"atMs"`
 	Reason string `json:"reason"`
 }
@@ -435,7 +438,7 @@
 	return nil
 }
 
-// End is how an attempt ended, and how much it wrote. Times are Unix times in
+// End records how an attempt ended and how much it wrote. Times are Unix times in
 // milliseconds, by the machine's clock.
 type End struct {
 	Cause string           `json:"cause"`
@@ -443,7 +446,7 @@
 	Sizes map[string]int64 `json:"sizes"` // bytes, by stream
 	Began int64            `json:"beganMs,omitempty"`
 	At    int64            `json:"atMs"`
-	Files int              `json:"files"` // how many files of it are kept
+	Files int              `json:"files"` // how many of its files are archived
 }
 
 func (e *End) check() error {
--- a/internal/archive/retain.go
+++ b/internal/archive/retain.go
@@ -6,43 +6,45 @@
 	"time"
 )
 
-// bytesPerMB is a megabyte as the settings mean it.
+// bytesPerMB is the number of bytes in a megabyte of the settings.
 const bytesPerMB = 1e6
 
-// Retention says how long attempts are kept, and how much of them. The first rule
-// that fits an attempt holds; a rule's zero fields are unbounded.
+// Retention configures how long attempts are kept, and how much of their output. The first
+// rule that matches an attempt applies; a zero field of a rule means no limit.
 type Retention struct {
 	Rules []Rule `yaml:"rules"`
 }
 
-// Rule bounds what is kept of a team, a class, or both; an empty name fits all.
+// Rule limits what is kept for a team, a class, or both; an empty name matches all.
 type Rule struct {
 	Team  string `yaml:"team"`
 	Class string `yaml:"class"`
-	// KeepS is how long records are kept after the attempt's last, in seconds.
+	// KeepS is how long an attempt is kept after its newest record was stored, in seconds.
 	KeepS float64 `yaml:"keep_s"`
-	// MaxMB is what the team may have on a node, in megabytes; rules for a class
-	// alone have none.
+	// MaxMB is the team's quota on a node, in megabytes; a rule with a class can't
+	// have one.
 	MaxMB float64 `yaml:"max_mb"`
 }
 
-// Usage is what an attempt takes on a node.
+// Usage is the space that an attempt takes on a node.
 type Usage struct {
 	Attempt    Attempt
 	Owner      Owner
 	Class      string
 	Bytes      int64
 	LastStored time.Time // when its newest record was stored
-	// Ended tells that the attempt's end is on record. Of others only the output so
-	// far is dropped: a service that was quiet for long can write again.
+	// Ended reports whether the attempt's end is on record. Of an attempt that has not
+	// ended, only the output so far is dropped: a service that was idle for a long time
+	// can write again.
 	Ended bool
 }
 
-// Expired says what was dropped, so that it differs from what never was. Its JSON is
-// the payload of a record of KindExpired.
+// Expired describes which records of an attempt were dropped by retention, so that readers
+// can tell them from records that never existed. Its JSON is the payload of a record of
+// KindExpired.
 type Expired struct {
-	// All tells that the whole attempt was dropped. Otherwise Upto is the offset in
-	// bytes up to which each stream was.
+	// All reports whether the whole attempt was dropped. Otherwise Upto holds, for each
+	// stream, the offset in bytes up to which it was dropped.
 	All    bool             `json:"all,omitempty"`
 	Upto   map[string]int64 `json:"upto,omitempty"`
 	At     int64            `json:"atMs"` // Unix time in milliseconds
@@ -55,15 +57,16 @@
 	ExpiredQuota = "its owner's quota was full"
 )
 
-// Drop is an attempt that is to be dropped, or the start of its streams.
+// Drop is a decision to drop a whole attempt, or the start of its streams.
 type Drop struct {
 	Attempt Attempt
-	// HeadBytes is how many bytes are to be dropped from its streams' start; 0: all of it.
+	// HeadBytes is how many bytes to drop from the start of its streams; 0: drop the
+	// whole attempt.
 	HeadBytes int64
 	Reason    string
 }
 
-// drop returns the drop of all that there is of an attempt.
+// drop returns the decision to drop everything that is stored of an attempt.
 func (u *Usage) drop(reason string) Drop {
 	d := Drop{Attempt: u.Attempt, Reason: reason}
 	if !u.Ended {
@@ -72,8 +75,8 @@
 	return d
 }
 
-// matchingRule returns the first matchingRule that fits an attempt, or with quota the first of those
-// that have one; nil if there is none.
+// matchingRule returns the first rule that matches an attempt, or nil if there is none. With
+// quota it considers only rules that set a team's quota.
 func (r *Retention) matchingRule(u *Usage, quota bool) *Rule {
 	for i := range r.Rules {
 		x := &r.Rules[i]
@@ -84,17 +87,17 @@
 	return nil
 }
 
-// teamUsage is what a team with a quota has on a node.
+// teamUsage is the usage of a team with a quota on a node.
 type teamUsage struct {
 	quota  int64 // bytes
 	owners map[Owner][]Usage
 }
 
-// Decide returns what is to be dropped at a time. Age goes first. Of a team that has
-// more than its quota, those customers lose who have more than an equal share of it,
-// their oldest attempts first: what one customer writes never costs another's
-// output. An attempt that is alone above the share loses its start. The caller keeps
-// all, which is not changed.
+// Decide returns what to drop at the given time. It drops attempts that are too old first.
+// If a team exceeds its quota, the customers that use more than an equal share of the quota
+// lose their oldest attempts first, so one customer's output never displaces another's. A
+// customer's newest attempt loses only its start if that is enough. Decide does not modify
+// all.
 func (r *Retention) Decide(now time.Time, all []Usage) (drops []Drop) {
 	teams := map[string]*teamUsage{}
 	var names []string
@@ -125,14 +128,14 @@
 	return drops
 }
 
-// tooOld tells whether the rule for an attempt does not keep it any longer.
+// tooOld reports whether an attempt is older than its rule allows.
 func (r *Retention) tooOld(u *Usage, now time.Time) bool {
 	rule := r.matchingRule(u, false)
 	return rule != nil && rule.KeepS > 0 && now.Sub(u.LastStored).Seconds() > rule.KeepS
 }
 
-// overQuota returns what the team's customers lose to its quota, customer by
-// customer in the order of their names.
+// overQuota returns what to drop so that the team fits its quota, ordered by the
+// customers' names.
 func (t *teamUsage) overQuota() (drops []Drop) {
 	sums := map[Owner]int64{}
 	owners := make([]Owner, 0, len(t.owners))
@@ -144,16 +147,17 @@
 		owners = append(owners, owner)
 		amounts = append(amounts, sums[owner])
 	}
-	level := fairShare(t.quota, amounts)
+	limit := fairShare(t.quota, amounts)
 	slices.SortFunc(owners, func(a, b Owner) int { return cmp.Compare(a.Customer, b.Customer) })
 	for _, owner := range owners {
-		drops = append(drops, dropOldest(t.owners[owner], sums[owner]-level)...)
+		drops = append(drops, dropOldest(t.owners[owner], sums[owner]-limit)...)
 	}
 	return drops
 }
 
-// dropOldest drops attempts, the oldest first, until excess bytes are freed. Of the
-// last one only the start goes if that is enough. It sorts uses.
+// dropOldest returns drops of attempts, the oldest first, that free at least excess bytes.
+// If the newest attempt has to be dropped, too, and dropping its start is enough, it loses
+// only its start. dropOldest sorts uses.
 func dropOldest(uses []Usage, excess int64) (drops []Drop) {
 	slices.SortFunc(uses, func(a, b Usage) int {
 		if c := a.LastStored.Compare(b.LastStored); c != 0 {
@@ -176,8 +180,9 @@
 	return drops
 }
 
-// fairShare is the level at which amounts are cut so that together they fit: whoever
-// has less keeps all. Without need it is the largest amount.
+// fairShare returns the limit to apply to each of the amounts so that their sum fits the
+// quota; an amount below the limit stays whole. If the amounts already fit, the limit is
+// the largest of them.
 func fairShare(quota int64, amounts []int64) int64 {
 	a := slices.Clone(amounts)
 	slices.Sort(a)
@@ -195,7 +200,7 @@
 	return a[len(a)-1]
 }
 
-// Check says what is wrong with the first invalid rule; "" if all are valid.
+// Check returns what is wrong with the first invalid rule, or "" if all are valid.
 func (r *Retention) Check() (field string) {
 	for i := range r.Rules {
 		x := &r.Rules[i]
@@ -203,7 +208,7 @@
 			return "must not be negative"
 		}
 		if x.Class != "" && x.MaxMB > 0 {
-			return "max_mb is a team's: a rule with a class has none"
+			return "a rule with a class can't have max_mb, which is a team's quota"
 		}
 	}
 	return ""
--- a/internal/archive/stream.go
+++ b/internal/archive/stream.go
@@ -10,37 +10,37 @@
 	"silvergate/internal/protocol"
 )
 
-// Part is a segment's range of its stream, in bytes, as its key tells it.
+// Part is the range of a stream that a segment covers, in bytes, as given by its key.
 type Part struct {
 	From int64
 	To   int64
-	// Ref is what the caller knows the segment by.
+	// Ref is the caller's reference to the segment.
 	Ref int
 }
 
-// What a piece of a stream is.
+// Values of Piece.What.
 const (
 	PieceData    = ""        // bytes of a segment
-	PieceGap     = "gap"     // lost, with the reason
-	PieceExpired = "expired" // was here, and was dropped
-	PieceMissing = "missing" // not here, and nobody said why: on its way, or lost with its machine
+	PieceGap     = "gap"     // lost, for a known reason
+	PieceExpired = "expired" // was stored, and was dropped by retention
+	PieceMissing = "missing" // not stored, with no gap record: still to be shipped, or lost with its machine
 )
 
-// Piece is a range of a stream in bytes and what became of it.
+// Piece is a range of a stream, in bytes, and its state.
 type Piece struct {
 	From   int64  `json:"from"`
-	To     int64  `json:"to"` // -1: nobody knows
+	To     int64  `json:"to"` // -1: unknown
 	What   string `json:"what,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	Ref    int    `json:"-"` // of data: the part's Ref
+	Ref    int    `json:"-"` // for PieceData: the Ref of its part
 }
 
-// Assemble puts a stream together: each byte once, in order, and each that is not
-// there with what is known of it. Parts may overlap, as an agent that was killed
-// cuts anew, and may come in any order. upto is the offset up to which the stream's
-// start expired, and expired the reason; size is the stream's length, or -1 if the
-// attempt's end is not known. Offsets and lengths are in bytes. parts and gaps are
-// not changed.
+// Assemble returns the pieces of a stream in order. They cover each byte once; pieces without
+// data say what is known of their range. Parts may come in any order, and may overlap, because
+// an agent that restarts after being killed can cut the stream into segments at other offsets.
+// upto is the offset up to which the start of the stream expired, and expired the
+// reason; size is the stream's length, or -1 if the attempt's end is not known. Offsets
+// and lengths are in bytes. Assemble does not modify parts and gaps.
 func Assemble(parts []Part, gaps []Gap, upto int64, expired string, size int64) []Piece {
 	a := assembly{gaps: sortedGaps(gaps)}
 	if expired != "" && upto > 0 {
@@ -68,16 +68,16 @@
 	return a.pieces
 }
 
-// assembly is a stream that is being put together: its pieces up to an offset.
+// assembly is the state of Assemble: the pieces of a stream up to an offset.
 type assembly struct {
-	gaps      []Gap // by their start
+	gaps      []Gap // sorted by their start
 	pieces    []Piece
-	offset    int64 // up to which the stream is put together
-	pointGaps int   // how many of the gaps addPointGaps has dealt with
+	offset    int64 // end of the pieces so far
+	pointGaps int   // how many of the gaps addPointGaps has processed
 }
 
-// sortedParts returns a copy of parts in order; of those that begin at the same
-// offset the longest is first.
+// sortedParts returns a copy of parts, sorted by their start; of parts that begin at the
+// same offset, the longest comes first.
 func sortedParts(parts []Part) []Part {
 	parts = slices.Clone(parts)
 	slices.SortFunc(parts, func(a, b Part) int {
@@ -92,20 +92,20 @@
 	return parts
 }
 
-// sortedGaps returns a copy of gaps in the order of their start.
+// sortedGaps returns a copy of gaps, sorted by their start.
 func sortedGaps(gaps []Gap) []Gap {
 	gaps = slices.Clone(gaps)
 	slices.SortFunc(gaps, func(a, b Gap) int { return cmp.Compare(a.From, b.From) })
 	return gaps
 }
 
-// add adds a piece without data up to an offset.
+// add appends a piece without data that extends to an offset.
 func (a *assembly) add(to int64, what, reason string) {
 	a.pieces = append(a.pieces, Piece{From: a.offset, To: to, What: what, Reason: reason})
 	a.offset = to
 }
 
-// addHole adds what is known of the range up to an offset, which has no data.
+// addHole appends gaps and missing pieces for the range up to an offset, which has no data.
 func (a *assembly) addHole(to int64) {
 	for _, g := range a.gaps {
 		if g.To >= 0 && g.To <= a.offset || g.From >= to || a.offset >= to {
@@ -125,7 +125,7 @@
 	}
 }
 
-// addPointGaps adds the gaps of unknown length that lie at the offset.
+// addPointGaps appends the gaps of unknown length at the current offset.
 func (a *assembly) addPointGaps() {
 	for ; a.pointGaps < len(a.gaps) && a.gaps[a.pointGaps].From <= a.offset; a.pointGaps++ {
 		if g := a.gaps[a.pointGaps]; g.To == g.From && g.From == a.offset {
@@ -134,7 +134,7 @@
 	}
 }
 
-// addOpenGap adds the first gap that says that all after it is lost.
+// addOpenGap appends the first gap with an unknown end, after which everything is lost.
 func (a *assembly) addOpenGap() {
 	for _, g := range a.gaps {
 		if g.To < 0 && g.From >= a.offset {
@@ -144,21 +144,21 @@
 	}
 }
 
-// File is a file that an attempt left behind. It is there whole or not at all: its
-// record comes after all its chunks are kept.
+// File describes an archived file of an attempt. A file is archived whole or not at all: its
+// record is stored after all of its chunks.
 type File struct {
-	// Path is relative to the task's working directory, with slashes. It is
-	// whatever the program chose, and nothing but data.
+	// Path is relative to the task's working directory, with slashes. It is untrusted
+	// input: the program chose it.
 	Path   string   `json:"path"`
 	Size   int64    `json:"size"`
-	Digest string   `json:"digest"` // BLAKE3 of the whole, in hexadecimal
+	Digest string   `json:"digest"` // BLAKE3 of the whole file, in hexadecimal
 	Chunks []string `json:"chunks"` // digests of its chunks, in order
 	Mode   uint32   `json:"mode"`
-	At     int64    `json:"atMs"` // when it was last changed, Unix time in milliseconds
+	At     int64    `json:"atMs"` // when the file was last modified, Unix time in milliseconds
 }
 
-// MaxFile is how large a file may be that is kept, in bytes: its list of chunks
-// must fit into a record.
+// MaxFile is the maximum size of an archived file, in bytes: its list of chunks must fit
+// into a record.
 const MaxFile = 8 << 30
 
 // Check returns an error that says what is wrong with the file, or nil.
@@ -177,15 +177,15 @@
 	return nil
 }
 
-// SafePath tells whether a file's name leads nowhere but below the folder that it
-// is relative to, on any machine that it may be written to later.
+// SafePath reports whether a relative path stays inside the directory that it is relative to,
+// on any machine that the file may be written to later.
 func SafePath(p string) bool {
 	return protocol.ValidRelativePath(p) && !slices.ContainsFunc(strings.Split(p, "/"), func(e string) bool { return len(e) > 255 })
 }
 
-// Visible makes output safe to print on a terminal: control characters but the
-// line's end and the tab are written out, so that no line moves a cursor, sets a
-// title or hides another.
+// Visible makes output safe to print on a terminal. It escapes control characters, except
+// newline and tab, and invisible ones, so that no line can move the cursor, set the title or hide
+// another line.
 func Visible(text string) string {
 	ok := true
 	for i := 0; i < len(text); i++ {
@@ -218,20 +218,21 @@
 	return b.String()
 }
 
-// isInvisible tells of characters that turn the direction of what follows, or show
-// nothing: a line can look like another with them.
+// isInvisible reports whether a character has no visible form or changes the direction of the text
+// after it. Such characters can make a line look like another one.
 func isInvisible(r rune) bool {
 	return r >= 0x200b && r <= 0x200f || r >= 0x202a && r <= 0x202e || r >= 0x2060 && r <= 0x206f || r == 0xfeff || r >= 0xe0000 && r <= 0xe0fff
 }
 
-// Range is a part of a stream from an offset up to another, in bytes.
+// Range is the part of a stream from offset From up to offset To, in bytes.
 type Range struct {
 	From int64 `json:"from"`
 	To   int64 `json:"to"`
 }
 
-// AddRange adds a range to ranges that are in order and apart, and keeps them so. It may
-// change all in place; only the result is to be used.
+// AddRange adds a range to a sorted list of disjoint ranges, merges it with those that it
+// overlaps or touches, and returns the list. It may modify all in place, so the caller must
+// use only the result.
 func AddRange(all []Range, r Range) []Range {
 	i, _ := slices.BinarySearchFunc(all, r.From, func(x Range, from int64) int { return cmp.Compare(x.To, from) })
 	k := i
@@ -242,8 +243,8 @@
 	return slices.Replace(all, i, k, r)
 }
 
-// MergeExpired returns what expired according to two records together, with the time
-// and the reason of the later.
+// MergeExpired returns the union of two expiry records, with the time and the reason of the
+// later one.
 func MergeExpired(a, b Expired) Expired {
 	if b.At > a.At || a.Reason == "" {
 		a.At, a.Reason = b.At, b.Reason
@@ -259,8 +260,8 @@
 	return a
 }
 
-// Covers tells whether a record is among what expired. Grants and the
-// expiry records themselves stay: they tell whose it was.
+// Covers reports whether a record has expired. Grants and expiry records are never covered:
+// they are kept because they tell whose attempt it was.
 func (e Expired) Covers(k Key) bool {
 	if e.Reason == "" || k.Kind == KindExpired || k.Kind == KindGrant {
 		return false
--- a/internal/archive/tree.go
+++ b/internal/archive/tree.go
@@ -4,40 +4,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tree is a digest of a set of records in ranges of their units: two nodes compare
-// the root, then the branches that differ, and list only the leaves that do. It
-// is a sum, so that a record is added and taken away in one step. The zero value is
-// the tree of no records. It is not safe for concurrent use.
+// Tree is a digest tree over a set of records, which are assigned to leaves by their
+// placement units. To find differences, two nodes compare the branches of the root, then the
+// leaves of the branches that differ, and list the keys of only the leaves that differ.
+// Digests are sums, so adding or removing a record is one step. The zero value is an
+// empty tree. A Tree is not safe for concurrent use.
 type Tree struct {
 	leaves [Leaves]uint64
 	counts [Leaves]uint32
 }
 
-// The shape of a tree.
+// The dimensions of a tree.
 const (
-	Leaves = 4096 // of the whole tree
-	Fanout = 64   // branches of the root, and leaves of each branch
+	Leaves = 4096 // leaves of the whole tree
+	Fanout = 64   // leaves of each branch; the root has Leaves/Fanout branches
 )
 
-// Leaf returns the leaf that a unit's records fall into, from 0 to Leaves-1.
+// Leaf returns the index of the leaf that holds a unit's records, from 0 to Leaves-1.
 func Leaf(unit string) int { return int(xxhash.Sum64String("leaf\x00"+unit) % Leaves) }
 
-// recordHash is what a record adds to its leaf's digest.
+// recordHash returns the value that a record adds to its leaf's digest.
 func recordHash(key string) uint64 { return xxhash.Sum64String(key) | 1 }
 
-// Add adds the record with a key to a leaf.
+// Add adds the record with the given key to a leaf.
 func (t *Tree) Add(leaf int, key string) {
 	t.leaves[leaf] += recordHash(key)
 	t.counts[leaf]++
 }
 
-// Remove removes a record that was added to a leaf.
+// Remove removes a record from the leaf that it was added to.
 func (t *Tree) Remove(leaf int, key string) {
 	t.leaves[leaf] -= recordHash(key)
 	t.counts[leaf]--
 }
 
-// Count returns how many records the tree has.
+// Count returns the number of records in the tree.
 func (t *Tree) Count() (n int) {
 	for _, c := range t.counts {
 		n += int(c)
@@ -45,17 +46,18 @@
 	return n
 }
 
-// Branches returns the digests of the root's branches, a new slice.
+// Branches returns the digests of the root's branches in a new slice.
 func (t *Tree) Branches() []uint64 {
 	out := make([]uint64, Leaves/Fanout)
 	for i, v := range t.leaves {
-		// Not a plain sum: a record moved between leaves must show.
+		// Each leaf has its own factor: with a plain sum, moving a record between leaves
+		// would not change the branch's digest.
 		out[i/Fanout] += v * (2*uint64(i%Fanout) + 1)
 	}
 	return out
 }
 
-// Branch returns the digests of a branch's leaves, a new slice; nil if there is no
+// Branch returns the digests of a branch's leaves in a new slice, or nil if there is no
 // such branch.
 func (t *Tree) Branch(i int) []uint64 {
 	if i < 0 || i >= Leaves/Fanout {
@@ -66,8 +68,8 @@
 	return out
 }
 
-// Differ returns the indices at which two lists of digests differ, as far as both
-// go.
+// Differ returns the indices at which two lists of digests differ, up to the length of
+// the shorter list.
 func Differ(a, b []uint64) (out []int) {
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
