--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -155,12 +155,12 @@
 		}
 	}
 	who = append(who, "operator/ann", "node/one", "agent/m-0", "agent/m-1", "agent/office")
-	type thing struct {
+	type storedAttempt struct {
 		a     archive.Attempt
 		owner archive.Owner
 		gone  bool
 	}
-	var all []thing
+	var all []storedAttempt
 	asked, told, denied := 0, 0, 0
 	limit := 3000
 	if v, err := strconv.Atoi(os.Getenv("ACCESS")); err == nil {
@@ -189,7 +189,7 @@
 					if st, why := s.call(h, "agent/"+a.Machine, "POST", PathRecords, body); st != 200 {
 						t.Fatalf("its own machine may not write %s: %d %s", a, st, why)
 					}
-					all = append(all, thing{a, o, false})
+					all = append(all, storedAttempt{a, o, false})
 				case k == 1 && rapid.IntRange(0, 3).Draw(t, "expire") == 0:
 					x := &all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
 					record := archive.NewRecord(x.a, archive.KindExpired, "", archive.Encode(archive.Expired{All: true, At: 5, Reason: archive.ExpiredAge}))
@@ -200,8 +200,8 @@
 				default:
 					asked++
 					x := all[rapid.IntRange(0, len(all)-1).Draw(t, "of")]
-					me := pick(who, "who")
-					id, _ := identity.Parse("valley", me)
+					reader := pick(who, "who")
+					id, _ := identity.Parse("valley", reader)
 					may := archive.Access(id, archive.Read, x.owner, "")
 					absent := x.a
 					absent.Job = "wk-99999999"
@@ -230,22 +230,22 @@
 							may = false
 						}
 					}
-					st, got := s.call(h, me, "GET", target, nil)
+					st, got := s.call(h, reader, "GET", target, nil)
 					for _, y := range all {
 						if !archive.Access(id, archive.Read, y.owner, "") && (strings.Contains(got, text(y.a, y.owner)) || strings.Contains(got, y.a.Job+"/") || strings.Contains(got, `"`+y.a.Job+`"`)) {
-							t.Fatalf("%s asks %s and is told of %s of %v: %.300s", me, target, y.a, y.owner, got)
+							t.Fatalf("%s asks %s and is told of %s of %v: %.300s", reader, target, y.a, y.owner, got)
 						}
 					}
 					switch {
 					case nothing != "" && !may:
 						denied++
-						if st2, got2 := s.call(h, me, "GET", nothing, nil); st2 != st || got2 != got {
-							t.Fatalf("%s asks %s: %d %.200s; for what is not there: %d %.200s", me, target, st, got, st2, got2)
+						if st2, got2 := s.call(h, reader, "GET", nothing, nil); st2 != st || got2 != got {
+							t.Fatalf("%s asks %s: %d %.200s; for what is not there: %d %.200s", reader, target, st, got, st2, got2)
 						}
 					case nothing != "" && may && !x.gone:
 						told++
 						if st != 200 || strings.Contains(target, PathFile) && got != "file of "+text(x.a, x.owner) {
-							t.Fatalf("%s may read %s, and %s is answered %d %.200s", me, x.a, target, st, got)
+							t.Fatalf("%s may read %s, and %s is answered %d %.200s", reader, x.a, target, st, got)
 						}
 					}
 				}
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -112,7 +112,7 @@
 }
 
 // gather asks all nodes, this one too, and hands each answer on.
-func gather[T any](ctx context.Context, n *Node, target string, own func() (T, error), take func(from string, v T)) Answered {
+func gather[T any](ctx context.Context, n *Node, target string, local func() (T, error), handle func(from string, v T)) Answered {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -128,14 +128,14 @@
 			a.Silent = append(a.Silent, name)
 			return
 		}
-		take(name, v)
+		handle(name, v)
 	}
 	for name, p := range n.peers {
 		wait.Add(1)
 		go ask(name, func() (v T, err error) { return v, p.getJSON(ctx, target, &v) })
 	}
 	wait.Add(1)
-	go ask(n.cfg.Name, own)
+	go ask(n.cfg.Name, local)
 	wait.Wait()
 	slices.Sort(a.Silent)
 	a.Whole = n.members.Complete(len(n.members.Names) - len(a.Silent))
--- a/internal/archive/node/server.go
+++ b/internal/archive/node/server.go
@@ -66,7 +66,7 @@
 // handler routes requests. Each is refused if its certificate does not hold any more.
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
-	with := func(pattern string, do func(w http.ResponseWriter, r *http.Request, who identity.Identity)) {
+	handle := func(pattern string, do func(w http.ResponseWriter, r *http.Request, who identity.Identity)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			who, ok := n.certificates.Who(r)
 			if !ok {
@@ -77,8 +77,8 @@
 			do(w, r, who)
 		})
 	}
-	sync := func(pattern string, do func(w http.ResponseWriter, r *http.Request, peer string)) {
-		with(pattern, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
+	handleNode := func(pattern string, do func(w http.ResponseWriter, r *http.Request, peer string)) {
+		handle(pattern, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 			if !archive.Access(who, archive.Sync, archive.Owner{}, "") {
 				n.audit(who, archive.Sync, r.URL.Path, false)
 				notFound(w)
@@ -87,14 +87,14 @@
 			do(w, r, who.Name)
 		})
 	}
-	with("POST "+PathRecords, n.put)
-	with("GET "+PathAttempts, n.attempts)
-	with("GET "+PathStream, n.stream)
-	with("GET "+PathFile, n.file)
-	with("GET "+PathRevocations, func(w http.ResponseWriter, _ *http.Request, _ identity.Identity) {
+	handle("POST "+PathRecords, n.put)
+	handle("GET "+PathAttempts, n.attempts)
+	handle("GET "+PathStream, n.stream)
+	handle("GET "+PathFile, n.file)
+	handle("GET "+PathRevocations, func(w http.ResponseWriter, _ *http.Request, _ identity.Identity) {
 		_, _ = w.Write(n.certificates.Revocations())
 	})
-	with("POST "+PathRevocations, func(w http.ResponseWriter, r *http.Request, _ identity.Identity) {
+	handle("POST "+PathRevocations, func(w http.ResponseWriter, r *http.Request, _ identity.Identity) {
 		// Signed by the authority: it does not matter who brings it.
 		raw, err := readAll(w, r, identity.MaxRevocations)
 		if err == nil {
@@ -106,7 +106,7 @@
 		}
 		writeJSON(w, struct{}{})
 	})
-	with("GET "+PathStats, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
+	handle("GET "+PathStats, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 		if !archive.Access(who, archive.Admin, archive.Owner{}, "") {
 			n.audit(who, archive.Admin, r.URL.Path, false)
 			notFound(w)
@@ -114,11 +114,11 @@
 		}
 		writeJSON(w, n.Stats())
 	})
-	sync("POST "+PathGet, n.getRecords)
-	sync("GET "+PathTree, n.tree)
-	sync("GET "+PathLeaf, n.leaf)
-	sync("GET "+PathRows, n.serveRows)
-	sync("GET "+PathCuts, n.serveSegments)
+	handleNode("POST "+PathGet, n.getRecords)
+	handleNode("GET "+PathTree, n.tree)
+	handleNode("GET "+PathLeaf, n.leaf)
+	handleNode("GET "+PathRows, n.serveRows)
+	handleNode("GET "+PathCuts, n.serveSegments)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { notFound(w) })
 	return mux
 }
--- a/internal/archive/reader/reader.go
+++ b/internal/archive/reader/reader.go
@@ -94,13 +94,13 @@
 
 // Each asks every node in turn and calls take with each answer, or with an error if
 // the node did not answer with status 200; it is for what each knows of itself.
-func (c *Client) Each(ctx context.Context, method, path string, body []byte, take func(name string, raw []byte, err error)) {
+func (c *Client) Each(ctx context.Context, method, path string, body []byte, handle func(name string, raw []byte, err error)) {
 	for _, m := range c.members {
 		raw, status, err := c.requestNode(ctx, m, method, path, body)
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("status %d: %s", status, bytes.TrimSpace(raw))
 		}
-		take(m.Name, raw, err)
+		handle(m.Name, raw, err)
 	}
 }
 
