--- a/internal/archive/node/attempts.go
+++ b/internal/archive/node/attempts.go
@@ -14,29 +14,29 @@
 	"silvergate/internal/identity"
 )
 
-// Attempt is what a reader learns about an attempt. Its JSON is what PathAttempts
-// answers with.
+// Attempt is a reader's view of an attempt. Its JSON is part of the response at
+// PathAttempts.
 type Attempt struct {
 	archive.Attempt
 	archive.Owner
 	Class   string                     `json:"class"`
 	Urgency string                     `json:"urgency"`
-	At      int64                      `json:"atMs"` // when it was granted, Unix time in milliseconds
+	At      int64                      `json:"atMs"` // the time in its grant: when the machine started it, Unix time in milliseconds
 	End     *archive.End               `json:"end,omitempty"`
 	Expired *archive.Expired           `json:"expired,omitempty"`
 	Cover   map[string][]archive.Range `json:"cover,omitempty"`
 	Files   []archive.File             `json:"files,omitempty"`
 }
 
-// Attempts is a page of attempts in the order of their names. The next
-// page is asked for from Next on, which is not in it; "" if this is the last.
+// Attempts is a page of attempts, sorted by their names. The next page begins after the
+// attempt Next, which is "" if this is the last page.
 type Attempts struct {
 	Answered
 	Attempts []Attempt `json:"attempts"`
 	Next     string    `json:"next,omitempty"`
 }
 
-// attemptState is what all nodes together know of an attempt.
+// attemptState is the merged state of an attempt from the answers of all nodes.
 type attemptState struct {
 	grant   *archive.Grant
 	end     *archive.End
@@ -46,7 +46,7 @@
 	files   map[string]archive.File // by key
 }
 
-// add adds a record. One that is not valid is passed over.
+// add merges a record into the state. It ignores invalid records.
 func (s *attemptState) add(n *Node, key string, payload []byte) {
 	r := archive.Record{Payload: payload}
 	var err error
@@ -60,7 +60,7 @@
 		}
 	case archive.KindEnd:
 		var e archive.End
-		// Of two, as after an agent that was killed, the later is the one that counts.
+		// There can be two, for example after an agent was killed: the later one counts.
 		if json.Unmarshal(payload, &e) == nil && (s.end == nil || e.At > s.end.At) {
 			s.end = &e
 		}
@@ -82,12 +82,12 @@
 	}
 }
 
-// newAttemptState returns the state of an attempt that nothing is known of.
+// newAttemptState returns an empty state.
 func newAttemptState() *attemptState {
 	return &attemptState{gaps: map[string][]archive.Gap{}, cover: map[string][]archive.Range{}, files: map[string]archive.File{}}
 }
 
-// view is what a reader learns about the attempt, whose grant must be known.
+// view returns a reader's view of the attempt. The grant must be known.
 func (s *attemptState) view(a archive.Attempt) Attempt {
 	v := Attempt{Attempt: a, Owner: s.grant.Owner, Class: s.grant.Class, Urgency: s.grant.Urgency, At: s.grant.At, End: s.end, Cover: s.cover}
 	if s.expired.Reason != "" {
@@ -100,7 +100,7 @@
 	return v
 }
 
-// gatherPage reads a gatherPage of attempts from all nodes, before anything is judged.
+// gatherPage reads a page of attempts from all nodes and merges it, without checking access.
 func (n *Node) gatherPage(ctx context.Context, job, label, from string, files bool) (states map[string]*attemptState, last string, a Answered) {
 	q := url.Values{"job": {job}, "label": {label}, "from": {from}, "files": {strconv.FormatBool(files)}}
 	states = map[string]*attemptState{}
@@ -125,7 +125,7 @@
 			}
 		}
 	})
-	for name := range states { // beyond the shortest page others may have more
+	for name := range states { // after the end of the shortest page, states may be incomplete
 		if last != "" && name > last {
 			delete(states, name)
 		}
@@ -133,8 +133,9 @@
 	return states, last, a
 }
 
-// attempts lists what a reader may see. Everything is gathered first and judged
-// after, so that what is denied takes as long as what is not there.
+// attempts responds with the attempts that a reader may see. It gathers the page first and
+// checks access afterwards, so that a denied request takes as long as one for something that
+// does not exist.
 func (n *Node) attempts(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	q := r.URL.Query()
 	job, from := q.Get("job"), q.Get("from")
@@ -173,8 +174,9 @@
 	writeJSON(w, out)
 }
 
-// searchLabel chooses the label under which to look. A customer's and a team's own
-// narrows the most; nothing of others is looked at for them.
+// searchLabel returns the label to search by, and whether the query is valid. It prefers the
+// most selective label. Customers and teams always search by a label of their own, so
+// others' attempts are not even looked up for them.
 func searchLabel(who identity.Identity, q url.Values) (label string, ok bool) {
 	for _, f := range []string{"job", "team", "customer", "class", "machine", "day"} {
 		if v := q.Get(f); len(v) > 200 || strings.ContainsAny(v, "\x00/") {
@@ -206,7 +208,7 @@
 	return "all", true
 }
 
-// readableLabel is the label of all that somebody may read.
+// readableLabel returns the label of all attempts that an identity may read.
 func readableLabel(who identity.Identity) string {
 	switch who.Kind {
 	case identity.Customer:
@@ -219,7 +221,7 @@
 	return "nothing"
 }
 
-// matchesQuery tells whether an attempt is among those that a query asks for.
+// matchesQuery reports whether an attempt's grant matches the filters of a query.
 func matchesQuery(g *archive.Grant, q url.Values) bool {
 	for f, v := range map[string]string{"team": g.Team, "customer": g.Customer, "class": g.Class, "machine": g.Machine, "day": time.UnixMilli(g.At).UTC().Format("2006-01-02")} {
 		if want := q.Get(f); want != "" && want != v {
--- a/internal/archive/node/config.go
+++ b/internal/archive/node/config.go
@@ -9,33 +9,35 @@
 	"silvergate/internal/identity"
 )
 
-// Config holds the settings of a node, as its YAML file has them.
+// Config holds the settings of a node, in the form of its YAML file.
 type Config struct {
-	// Name is the node's among Members; Listen the address that it serves at.
+	// Name is the node's name among Members; Listen is the address that it listens on.
 	Name   string `yaml:"name"`
 	Listen string `yaml:"listen"`
-	// Dir is the vault's folder; Certs that of the node's certificate.
+	// Dir is the data directory, which holds the vault; Certs is the directory of the node's
+	// certificate.
 	Dir   string `yaml:"dir"`
 	Certs string `yaml:"certs"`
-	// GrantKey is the file with the key that controllers seal grants with.
+	// GrantKey is the path of the file with the key that controllers seal grants with.
 	GrantKey string   `yaml:"grant_key"`
-	Members  []Member `yaml:"members"`  // all nodes, this one too
-	Replicas int      `yaml:"replicas"` // nodes that keep each record
-	// Revocations is the path of the authority's list, if this machine can read it.
+	Members  []Member `yaml:"members"`  // all nodes, including this one
+	Replicas int      `yaml:"replicas"` // number of nodes that store each record
+	// Revocations is the path of the authority's list of revocations, if this machine can
+	// read it.
 	Revocations string `yaml:"revocations"`
 	// SyncS is the time between two comparisons with another node, in seconds;
-	// SyncMBPerS bounds what is exchanged to fill gaps, in megabytes a second; 0:
-	// unbounded.
+	// SyncMBPerS limits the exchange of missing records, in megabytes per second; 0: no
+	// limit.
 	SyncS      float64 `yaml:"sync_s"`
 	SyncMBPerS float64 `yaml:"sync_mb_per_s"`
 	// ScrubMBPerS is the rate at which stored records are read and checked, in
-	// megabytes a second; 0: never.
+	// megabytes per second; 0: never.
 	ScrubMBPerS float64 `yaml:"scrub_mb_per_s"`
-	// PendingMB bounds what is being written at a time, in units of 1 MiB; requests
-	// beyond it are answered with 503.
+	// PendingMB limits the requests whose records are being written at a time, in units of
+	// 1 MiB; requests beyond it get status 503.
 	PendingMB float64           `yaml:"pending_mb"`
 	Retention archive.Retention `yaml:"retention"`
-	// TombstoneS is how long it is remembered that an attempt expired, in seconds.
+	// TombstoneS is how long the last records of an expired attempt are kept, in seconds.
 	TombstoneS float64 `yaml:"tombstone_s"`
 }
 
@@ -45,7 +47,7 @@
 	Address string `yaml:"address"`
 }
 
-// DefaultConfig returns the values of the settings that a file does not name.
+// DefaultConfig returns the default values of the settings that a file may omit.
 func DefaultConfig() Config {
 	return Config{Replicas: 3, SyncS: 10, SyncMBPerS: 20, ScrubMBPerS: 2, PendingMB: 64, TombstoneS: 90 * 24 * 3600}
 }
--- a/internal/archive/node/derived.go
+++ b/internal/archive/node/derived.go
@@ -7,16 +7,16 @@
 	"silvergate/internal/archive/vault"
 )
 
-// derived is what a node derives from the records in its vault.
+// derived is the state that a node derives from the records in its vault.
 type derived struct {
-	trees        map[string]*archive.Tree   // by peer: the records that both keep
+	trees        map[string]*archive.Tree   // by peer: the records that both nodes should store
 	usage        map[string]*attemptUsage   // by attempt
 	expired      map[string]archive.Expired // by attempt
-	strays       map[string]bool            // keys of records that only other nodes should keep
-	unreadExpiry []archive.Key              // of expiry records met before the vault was open
+	strays       map[string]bool            // keys of records that only other nodes should store
+	unreadExpiry []archive.Key              // keys of expiry records read before the vault was open
 }
 
-// newDerived returns what holds for an empty vault.
+// newDerived returns the state for an empty vault.
 func newDerived() derived {
 	return derived{
 		trees:   map[string]*archive.Tree{},
@@ -26,17 +26,18 @@
 	}
 }
 
-// attemptUsage is what an attempt takes on this node.
+// attemptUsage is the space that an attempt takes on this node.
 type attemptUsage struct {
 	bytes      int64
 	records    int
 	lastStored time.Time
-	ended      bool           // its end is on record, or it stands for a job's files
-	owner      *archive.Grant // nil: not read yet
+	ended      bool           // its end is on record, or it is the pseudo-attempt of a job's files
+	owner      *archive.Grant // nil: grant not read yet
 }
 
-// recordAdded keeps what is derived level with the vault, which calls it. Open has no
-// vault yet while its records are read: expiry records are put aside until then.
+// recordAdded updates the derived state. The vault calls it for each record that it adds or
+// finds when it opens. While it opens, Open has no vault yet, so the keys of expiry records
+// are collected and applied afterwards.
 func (n *Node) recordAdded(i vault.Info) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +58,7 @@
 	u.ended = u.ended || i.Key.Kind == archive.KindEnd || i.Key.Attempt == archive.Files(i.Key.Attempt.Job)
 }
 
-// recordRemoved is recordAdded's counterpart.
+// recordRemoved updates the derived state. The vault calls it for each record that it removes.
 func (n *Node) recordRemoved(i vault.Info) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,8 +72,9 @@
 	}
 }
 
-// updateTrees enters a key into the trees that it belongs to, or takes it out. A key
-// that this node should not keep is a stray instead.
+// updateTrees adds a key to the trees of the peers that should store the record, too, or
+// removes it from them. If this node should not store the record, it updates the strays
+// instead.
 func (n *Node) updateTrees(k archive.Key, in bool) {
 	unit, key := archive.Unit(k.Attempt), k.String()
 	owners := n.members.Of(unit)
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -9,7 +9,8 @@
 	"silvergate/internal/archive"
 )
 
-// applyExpiry applies an expiry record: it drops the records that it covers.
+// applyExpiry merges an expiry record into the derived state and drops the records that it
+// covers.
 func (n *Node) applyExpiry(k archive.Key) {
 	r, err := n.vault.Get(k)
 	var e archive.Expired
@@ -22,11 +23,11 @@
 	n.derived.expired[name] = e
 	n.mu.Unlock()
 	if err := n.dropCovered(n.ctx, name, e); err != nil {
-		n.log.Error("what expired can't be dropped", "attempt", name, "error", err)
+		n.log.Error("can't drop expired records", "attempt", name, "error", err)
 	}
 }
 
-// dropCovered drops the records of an attempt that have expired.
+// dropCovered drops the records of an attempt that e covers.
 func (n *Node) dropCovered(ctx context.Context, name string, e archive.Expired) error {
 	var keys []string
 	for from := ""; ; {
@@ -51,10 +52,10 @@
 	return n.vault.Drop(ctx, keys)
 }
 
-// expireEvery is how often a node looks for what is to expire.
+// expireEvery is the interval at which a node applies the retention rules.
 const expireEvery = 10 * time.Second
 
-// expireAll applies the retention rules again and again.
+// expireAll applies the retention rules periodically until the node stops.
 func (n *Node) expireAll() {
 	n.runEvery(expireEvery, func() {
 		if err := n.Expire(n.ctx); err != nil {
@@ -63,11 +64,11 @@
 	})
 }
 
-// Expire drops what the retention rules say, and the last records of what expired
-// longer ago than Config.TombstoneS. The first of an attempt's nodes decides for it;
-// the others learn of it from the expiry record that it stores, which is a record
-// like any other. So two nodes never drop what each takes the other to have. An error
-// is one of reading or writing the vault.
+// Expire applies the retention rules, and drops the last records of attempts that expired
+// longer ago than Config.TombstoneS. Only the first of an attempt's nodes decides for it: it
+// stores an expiry record, which is replicated like any other record and applied by the
+// other nodes. So two nodes never both drop a record in the belief that the other still has
+// it. Expire returns the errors of reading and writing the vault.
 func (n *Node) Expire(ctx context.Context) error {
 	if err := n.dropTombstones(ctx); err != nil || len(n.cfg.Retention.Rules) == 0 {
 		return err
@@ -78,7 +79,7 @@
 	}
 	r := archive.Retention{Rules: slices.Clone(n.cfg.Retention.Rules)}
 	for i := range r.Rules {
-		// Each node keeps its share of a team's whole.
+		// The quota covers all nodes together, so each node applies its share.
 		r.Rules[i].MaxMB /= float64(len(n.members.Names))
 	}
 	now := n.Now()
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// decidableUsage lists the usage of each attempt that this node decides about.
+// decidableUsage returns the usage of each attempt that this node decides about: those that
+// it is the first node of, that have not expired entirely and whose grant is here.
 func (n *Node) decidableUsage() (out []archive.Usage, err error) {
 	type entry struct {
 		name string
@@ -117,7 +119,7 @@
 		}
 		if e.u.owner == nil {
 			if e.u.owner = n.grantOf(e.name); e.u.owner == nil {
-				continue // its grant has not come yet
+				continue // its grant has not arrived yet
 			}
 			n.mu.Lock()
 			if u := n.derived.usage[e.name]; u != nil {
@@ -130,7 +132,7 @@
 	return out, nil
 }
 
-// grantOf reads an attempt's grant; nil if it is not here or not valid.
+// grantOf returns an attempt's grant, or nil if it is not stored here or not valid.
 func (n *Node) grantOf(name string) *archive.Grant {
 	infos, _, err := n.vault.Keys(name+"/a/", "", 1)
 	if err != nil || len(infos) == 0 {
@@ -147,8 +149,8 @@
 	return &g
 }
 
-// expiryFor returns the expiry record for a drop: all of the attempt, or its streams
-// up to where enough is freed.
+// expiryFor returns the expiry record for a drop. It covers the whole attempt, or its streams
+// up to the offsets at which enough bytes are freed.
 func (n *Node) expiryFor(d archive.Drop, now time.Time) (archive.Expired, error) {
 	e := archive.Expired{At: now.UnixMilli(), Reason: d.Reason, All: d.HeadBytes == 0}
 	if e.All {
@@ -156,7 +158,7 @@
 	}
 	e.Upto = map[string]int64{}
 	left := d.HeadBytes
-	// The streams lose their oldest segments in turn, as their keys order them.
+	// One stream after the other loses its oldest segments, in the order of their keys.
 	for _, stream := range archive.Streams {
 		for from := ""; left > 0; {
 			infos, more, err := n.vault.Keys(d.Attempt.String()+"/s/"+stream+".", from, 1000)
@@ -177,7 +179,8 @@
 	return e, nil
 }
 
-// dropTombstones drops the last records of what expired long ago.
+// dropTombstones drops the last records of attempts that expired longer ago than
+// Config.TombstoneS.
 func (n *Node) dropTombstones(ctx context.Context) error {
 	limit := n.Now().Add(-time.Duration(n.cfg.TombstoneS * float64(time.Second))).UnixMilli()
 	var names []string
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -1,15 +1,17 @@
-// Package node is an archive node: it keeps records for a site's agents, brings
-// other nodes and itself level, lets things expire, and answers whoever may read.
+// Package node implements an archive node. A node stores records for a site's agents,
+// synchronizes its records with the other nodes, drops expired records, and serves readers.
 //
-// A Node owns a vault and what is derived from it in memory: a digest tree for each
-// other node, what expired, and what each attempt takes. All connections are mutual
-// TLS 1.3; who may do what is archive.Access's to say. What somebody may not see is
-// answered as what is not there.
+// A Node owns a vault and state derived from it in memory: a digest tree for each
+// other node, the expiry of attempts, and the space that each attempt takes. All connections
+// use mutual TLS 1.3. archive.Access makes the authorization decisions. A request for
+// something that the caller may not see gets the same response as one for something that
+// does not exist.
 //
-// config.go holds the settings; node.go opens and stops a node; derived.go keeps what
-// is derived from the vault; server.go routes requests; put.go stores records and
-// talks to other nodes; read.go lists what is here; attempts.go and stream.go answer
-// readers; sync.go fills gaps; expire.go drops.
+// config.go holds the settings; node.go opens and stops a node; derived.go maintains the
+// state derived from the vault; server.go routes requests; put.go stores records and has
+// the client for other nodes; read.go lists local records and gathers those of all nodes;
+// attempts.go and stream.go serve readers; sync.go fetches missing records; expire.go
+// applies retention.
 package node
 
 import (
@@ -30,21 +32,21 @@
 	"silvergate/internal/identity"
 )
 
-// Stats counts what a node did since it was opened. Its fields' names are those of
-// the JSON at PathStats.
+// Stats holds a node's counters since it was opened. The field names are the keys of the
+// JSON at PathStats.
 type Stats struct {
 	vault.Stats
 	Puts, Refused, Busy int64
 	Reads, Denied       int64
-	Mended, Pulled      int64 // records that readers found missing and that were restored; records fetched by comparisons
+	Mended, Pulled      int64 // records found missing by readers and restored; records fetched after comparisons
 	PulledBytes         int64
 	Expired             int64 // records dropped by retention
-	Strays              int64 // records here that only other nodes should keep
+	Strays              int64 // records stored here that only other nodes should store
 	Rounds              int64 // comparisons with another node
 }
 
-// Node is an archive node. Open makes one, Serve lets it take requests, and whoever
-// opened it ends it with Stop. It is safe for concurrent use.
+// Node is an archive node. Open creates it, Serve makes it handle requests, and the caller of
+// Open ends it with Stop. It is safe for concurrent use.
 type Node struct {
 	cfg          Config
 	log          *slog.Logger
@@ -53,28 +55,30 @@
 	members      archive.Members
 	vault        *vault.Vault
 	peers        map[string]*peer // by name; all members but this one
-	fetchLimit   *rate.Limiter    // bytes a second that are exchanged with other nodes
-	// Now returns the time that expiry goes by. It may be replaced before Serve.
+	fetchLimit   *rate.Limiter    // bytes per second exchanged with other nodes
+	// Now returns the current time for expiry. It may be replaced before Serve.
 	Now func() time.Time
 
 	repairs chan repair
-	ctx     context.Context // ends with Stop
+	ctx     context.Context // canceled by Stop
 	stop    context.CancelFunc
 	wait    sync.WaitGroup // the background tasks
 
-	mu           sync.Mutex // guards the below
+	mu           sync.Mutex // guards the fields below
 	server       *http.Server
 	derived      derived
-	pendingBytes int64 // of requests whose records are being written
+	pendingBytes int64 // total body size of the requests whose records are being written
 	stats        Stats
 }
 
-// queuedRepairs is how many repairs wait before more are left to the comparisons.
+// queuedRepairs is the capacity of the repair queue. Further repairs are left to the
+// comparisons between nodes.
 const queuedRepairs = 256
 
 // Open opens a node's vault and reads its certificate and its grant key. It returns
-// an error if the settings are invalid, the certificate is not the node's, or the
-// vault can't be opened. Serve starts the node; the caller ends it with Stop.
+// an error if the settings are invalid, the certificate is not the node's, the grant key
+// can't be loaded, or the vault can't be opened. Serve starts the node; the caller ends it
+// with Stop.
 func Open(cfg Config, log *slog.Logger) (*Node, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -122,7 +126,8 @@
 	return n, nil
 }
 
-// grantLabels are the names under which an attempt is found again.
+// grantLabels returns the labels under which the vault indexes an attempt, if the record is
+// its grant.
 func grantLabels(r *archive.Record) []string {
 	var g archive.Grant
 	if r.Key.Kind != archive.KindGrant || r.Key.Attempt == archive.Files(r.Key.Attempt.Job) || json.Unmarshal(r.Payload, &g) != nil {
@@ -131,8 +136,8 @@
 	return []string{"all", labelTeam(g.Team), labelCustomer(g.Team, g.Customer), "class\x00" + g.Class, "machine\x00" + g.Machine, labelDay(time.UnixMilli(g.At))}
 }
 
-// labelTeam and the other functions of this kind make the labels of what can be
-// searched for.
+// labelTeam, labelCustomer and labelDay return the index labels of a team, a customer and a
+// day.
 func labelTeam(team string) string               { return "team\x00" + team }
 func labelCustomer(team, customer string) string { return "customer\x00" + team + "\x00" + customer }
 func labelDay(t time.Time) string                { return "day\x00" + t.UTC().Format("2006-01-02") }
@@ -164,14 +169,14 @@
 	return s
 }
 
-// count changes the counters under the lock.
+// count updates the counters under the lock.
 func (n *Node) count(do func(s *Stats)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do(&n.stats)
 }
 
-// runEvery calls do each period until the node stops.
+// runEvery calls do after each period until the node stops.
 func (n *Node) runEvery(period time.Duration, do func()) {
 	for {
 		select {
@@ -183,14 +188,14 @@
 	}
 }
 
-// refreshRevocations brings the newest list here: from the authority's folder, when it can
-// be read, and from the other nodes, whoever of them is there.
+// refreshRevocations periodically updates the list of revocations from the authority's file,
+// if this machine can read it, and from the other nodes that answer.
 func (n *Node) refreshRevocations() {
 	n.runEvery(RevocationsEvery, func() {
 		if n.cfg.Revocations != "" {
 			if raw, err := os.ReadFile(n.cfg.Revocations); err == nil {
 				if _, err := n.certificates.Learn(raw); err != nil {
-					n.log.Error("the authority's list of revocations can't be used", "file", n.cfg.Revocations, "error", err)
+					n.log.Error("can't apply the authority's list of revocations", "file", n.cfg.Revocations, "error", err)
 				}
 			}
 		}
@@ -200,12 +205,12 @@
 				_, err = n.certificates.Learn(raw)
 			}
 			if err != nil {
-				n.log.Debug("no list of revocations", "from", p.name, "error", err)
+				n.log.Debug("can't get a node's list of revocations", "from", p.name, "error", err)
 			}
 		}
 	})
 }
 
-// RevocationsEvery is how often nodes and agents ask for revocations: one is
-// effective everywhere within three such times of the first node hearing of it.
+// RevocationsEvery is the interval at which nodes and agents ask for revocations. A
+// revocation takes effect everywhere within three intervals of the first node learning of it.
 const RevocationsEvery = 5 * time.Second
--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -38,7 +38,7 @@
 	testKey    = archive.GrantKey(bytes.Repeat([]byte{3}, archive.KeySize))
 )
 
-// site makes certificates and nodes that are called directly, without a network.
+// testSite creates certificates, and nodes whose handlers tests call directly, without a network.
 type testSite struct {
 	t     *testing.T
 	dir   string
@@ -104,7 +104,7 @@
 	return n
 }
 
-// call sends a request as somebody.
+// call sends a request with the certificate of who.
 func (s *testSite) call(h http.Handler, who, method, target string, body []byte) (int, string) {
 	r := httptest.NewRequest(method, target, bytes.NewReader(body))
 	r.TLS = &tls.ConnectionState{PeerCertificates: []*x509.Certificate{s.cert(who)}}
@@ -117,7 +117,7 @@
 	return testKey.Sign(archive.Grant{Attempt: a, Terms: archive.Terms{Owner: archive.Owner{Team: team, Customer: customer}, Class: "forecast", Urgency: "prod"}, At: at})
 }
 
-// attemptRecords is an attempt's records: its grant, some attemptRecords, a file and its end.
+// attemptRecords returns the records of an attempt: its grant, some output, a file and its end.
 func attemptRecords(a archive.Attempt, g archive.Grant, text string) []archive.Record {
 	seg := archive.Segment{WriteTimes: []archive.WriteTime{{To: len(text), At: 1000}}, Data: []byte(text)}
 	chunk := archive.NewRecord(archive.Files(a.Job), archive.KindChunk, "", []byte("file of "+text))
@@ -135,11 +135,12 @@
 	return b
 }
 
-// TestReadersSeeOnlyTheirOwn draws identities, requests and moments: jobs come, move,
-// end and expire while all kinds of readers ask for them, by name, by guess, by
-// prefix, by label and by a page's token. Nobody may be told of what is not theirs,
-// and what is denied must be answered, byte for byte, as what is not there. ACCESS
-// sets how many requests are drawn; some thousand without it.
+// TestReadersSeeOnlyTheirOwn guards against readers that learn of others' attempts. It draws
+// identities, requests and their order: jobs begin, move and expire while all kinds of
+// readers ask for them by name or guess, by prefix, by label and by the token of a page. No response
+// may mention an attempt that the reader may not see, and the response to a denied request
+// must equal, byte for byte, the one for something that does not exist. ACCESS sets the
+// number of requests; the default is 3000.
 func TestReadersSeeOnlyTheirOwn(t *testing.T) {
 	s := newTestSite(t)
 	n := s.node("one", []Member{{"one", "127.0.0.1:1"}}, nil)
@@ -175,7 +176,7 @@
 			pick := func(list []string, label string) string { return rapid.SampledFrom(list).Draw(t, label) }
 			for range 30 {
 				switch k := rapid.IntRange(0, 19).Draw(t, "step"); {
-				case len(all) == 0 || k == 0 && len(all) < 300: // a job begins, or moves
+				case len(all) == 0 || k == 0 && len(all) < 300: // a job begins or moves to another machine
 					a := archive.Attempt{Job: fmt.Sprintf("wk-%06d", len(all)), Task: rapid.IntRange(0, 2).Draw(t, "task"), Try: 1, Machine: pick([]string{"m-0", "m-1"}, "machine")}
 					o := archive.Owner{Team: pick(teams, "team"), Customer: pick(customers, "customer")}
 					if len(all) > 0 && rapid.Bool().Draw(t, "moves") {
@@ -187,7 +188,7 @@
 					g := grantOf(a, o.Team, o.Customer, 1_700_000_000_000)
 					body := encodeFrames(attemptRecords(a, g, text(a, o)))
 					if st, why := s.call(h, "agent/"+a.Machine, "POST", PathRecords, body); st != 200 {
-						t.Fatalf("its own machine may not write %s: %d %s", a, st, why)
+						t.Fatalf("the attempt's machine can't write %s: %d %s", a, st, why)
 					}
 					all = append(all, storedAttempt{a, o, false})
 				case k == 1 && rapid.IntRange(0, 3).Draw(t, "expire") == 0:
@@ -218,11 +219,11 @@
 						target, nothing = PathStream+"?stream=stdout&attempt="+url.QueryEscape(x.a.String()), PathStream+"?stream=stdout&attempt="+url.QueryEscape(absent.String())
 					case 3:
 						target, nothing = PathFile+"?path=out/result&chunk=0&attempt="+url.QueryEscape(x.a.String()), PathFile+"?path=out/result&chunk=0&attempt="+url.QueryEscape(absent.String())
-					case 4: // lists by label, its own and others'
+					case 4: // a list by label, the reader's own or another's
 						target = PathAttempts + "?" + url.Values{pick([]string{"team", "customer", "class", "machine", "day"}, "by"): {pick([]string{x.owner.Team, x.owner.Customer, "forecast", "m-0", "2023-11-14", "all"}, "value")}}.Encode()
-					case 5: // a prefix
+					case 5: // a prefix of a job's name
 						target = PathAttempts + "?job=" + x.a.Job[:rapid.IntRange(0, len(x.a.Job)).Draw(t, "prefix")]
-					case 6: // what only nodes may ask
+					case 6: // a request that only nodes may make
 						q := url.Values{"job": {x.a.Job}, "label": {"all"}, "attempt": {x.a.String()}, "stream": {"stdout"}, "leaf": {"1"}}
 						target = pick([]string{PathRows, PathCuts, PathTree, PathLeaf}, "inner") + "?" + q.Encode()
 						if id.Kind != identity.Node {
@@ -233,33 +234,33 @@
 					st, got := s.call(h, reader, "GET", target, nil)
 					for _, y := range all {
 						if !archive.Access(id, archive.Read, y.owner, "") && (strings.Contains(got, text(y.a, y.owner)) || strings.Contains(got, y.a.Job+"/") || strings.Contains(got, `"`+y.a.Job+`"`)) {
-							t.Fatalf("%s asks %s and is told of %s of %v: %.300s", reader, target, y.a, y.owner, got)
+							t.Fatalf("%s requests %s, and the response mentions %s of %v: %.300s", reader, target, y.a, y.owner, got)
 						}
 					}
 					switch {
 					case nothing != "" && !may:
 						denied++
 						if st2, got2 := s.call(h, reader, "GET", nothing, nil); st2 != st || got2 != got {
-							t.Fatalf("%s asks %s: %d %.200s; for what is not there: %d %.200s", reader, target, st, got, st2, got2)
+							t.Fatalf("%s requests %s: %d %.200s; for something that does not exist: %d %.200s", reader, target, st, got, st2, got2)
 						}
 					case nothing != "" && may && !x.gone:
 						told++
 						if st != 200 || strings.Contains(target, PathFile) && got != "file of "+text(x.a, x.owner) {
-							t.Fatalf("%s may read %s, and %s is answered %d %.200s", reader, x.a, target, st, got)
+							t.Fatalf("%s may read %s, but the response to %s is %d %.200s", reader, x.a, target, st, got)
 						}
 					}
 				}
 			}
 		})
 	}
-	t.Logf("%d requests of %d attempts: %d told, %d denied", asked, len(all), told, denied)
+	t.Logf("%d requests for %d attempts: %d allowed, %d denied", asked, len(all), told, denied)
 	if told == 0 || denied == 0 {
-		t.Error("nothing was told, or nothing denied")
+		t.Error("no request was allowed, or none was denied")
 	}
 }
 
-// TestWriteAuthorization guards against records of attempts that are not bound to the
-// machine that brings them, by its grant.
+// TestWriteAuthorization guards against accepting records of an attempt from anybody but the
+// machine that its grant names, or another node.
 func TestWriteAuthorization(t *testing.T) {
 	s := newTestSite(t)
 	n := s.node("one", []Member{{"one", "127.0.0.1:1"}}, nil)
@@ -302,13 +303,13 @@
 	}
 	n.pendingBytes = int64(n.cfg.PendingMB * (1 << 20))
 	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, encodeFrames(good)); st != 503 {
-		t.Errorf("beyond what may be written at a time: %d", st)
+		t.Errorf("with the limit of pending writes reached: status %d, want 503", st)
 	}
 }
 
-// TestExpiredRecordsStayDropped guards against records that come back from another node,
-// or from an agent that ships again, after they expired; and against an expiry that
-// nobody is told of.
+// TestExpiredRecordsStayDropped guards against expired records that are stored again when
+// another node or an agent sends them again, and against readers that are not told of the
+// expiry.
 func TestExpiredRecordsStayDropped(t *testing.T) {
 	s := newTestSite(t)
 	n := s.node("one", []Member{{"one", "127.0.0.1:1"}}, func(c *Config) {
@@ -344,7 +345,7 @@
 			t.Fatalf("%+v", p)
 		}
 		if n.vault.Has(records[2].Key) || n.vault.Has(records[3].Key) {
-			t.Fatal("output or a chunk is still here")
+			t.Fatal("expired output or an expired chunk is still stored")
 		}
 		if st, body := s.call(h, "agent/m-0", "POST", PathRecords, encodeFrames(records)); st != 200 {
 			t.Fatal(st, body)
@@ -352,23 +353,23 @@
 	}
 	_, body := s.call(h, "customer/office/baker", "GET", PathStream+"?stream=stdout&attempt="+url.QueryEscape(a.String()), nil)
 	if !strings.Contains(body, archive.ExpiredAge) {
-		t.Errorf("a reader of the stream is told %s", body)
+		t.Errorf("the stream's response does not give the reason of the expiry: %s", body)
 	}
-	// And with another life of the node.
+	// The same after the node restarts.
 	n.Stop()
 	n = s.node("one", n.cfg.Members, func(c *Config) { c.Retention, c.TombstoneS = n.cfg.Retention, 3600 })
 	h = n.handler()
 	if st, _ := s.call(h, "agent/m-0", "POST", PathRecords, encodeFrames(records)); st != 200 || n.vault.Has(records[2].Key) {
-		t.Error("it came back with another life of the node")
+		t.Error("the records were stored again after the node restarted")
 	}
 	n.Now = func() time.Time { return later.Add(2 * time.Hour) }
 	if err := n.Expire(ctx); err != nil || len(read().Attempts) != 0 {
-		t.Errorf("%v: long after, it is still remembered: %+v", err, read())
+		t.Errorf("%v: the tombstone is still kept after TombstoneS: %+v", err, read())
 	}
 }
 
-// TestStoppedBeforeItServes guards against a node that keeps its listener, and its
-// port with it, when it is stopped between its opening and its serving.
+// TestStoppedBeforeItServes guards against a node that leaves its listener, and so its port,
+// open when Stop is called between Open and Serve.
 func TestStoppedBeforeItServes(t *testing.T) {
 	s := newTestSite(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -381,13 +382,13 @@
 		t.Error(err)
 	}
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("its listener is open: %v", err)
+		t.Errorf("the listener is still open: %v", err)
 	}
 }
 
-// TestMendingWhatIsGone guards against mending a record that a node had when it was
-// asked for its list, and has no more: what came was once kept as a record of nothing,
-// and the node's index was damaged by it.
+// TestMendingWhatIsGone guards against the repair of a record that a node listed but no longer
+// has when it is fetched: the empty response was once stored as an empty record, which
+// damaged the storing node's index.
 func TestMendingWhatIsGone(t *testing.T) {
 	s := newTestSite(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -406,14 +407,14 @@
 	if r, err := one.readRecord(ctx, records[2].Key, []string{"two"}); err != nil || r.Check() != nil {
 		t.Fatalf("%v %v", r.Key, err)
 	}
-	// What a reader finds missing at a node that should have it is brought there.
+	// A record that a reader finds missing on a node is restored there.
 	go one.repairAll()
 	one.repairLater(map[string][]string{records[2].Key.String(): {"one"}})
 	for until := time.Now().Add(30 * time.Second); one.Stats().Mended == 0 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	if !one.vault.Has(records[2].Key) {
-		t.Error("not mended")
+		t.Error("the missing record was not restored")
 	}
 	for _, n := range []*Node{one, two} {
 		if err := n.vault.Drop(ctx, []string{records[2].Key.String()}); err != nil {
@@ -421,18 +422,19 @@
 		}
 	}
 	if r, err := one.readRecord(ctx, records[2].Key, []string{"two"}); err == nil {
-		t.Fatalf("a record that nobody has: %v", r)
+		t.Fatalf("read a record that no node has: %v", r)
 	}
 	one.repairLater(map[string][]string{records[2].Key.String(): {"one"}})
 	if err := one.Level(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if got := one.Stats().Records; got != int64(len(records)-1) {
-		t.Errorf("%d records of %d", got, len(records)-1)
+		t.Errorf("%d records are stored, want %d", got, len(records)-1)
 	}
 }
 
-// FuzzRequests has readers ask anything.
+// FuzzRequests parses arbitrary queries of readers. What is accepted must be valid, and a customer
+// must always search by its own label.
 func FuzzRequests(f *testing.F) {
 	f.Add(PathAttempts, "job=wk-000001&from=x")
 	f.Add(PathStream, "attempt=wk-000001%2F00000000%2F00000001%2Fm&stream=stdout&from=9223372036854775807")
@@ -443,10 +445,10 @@
 			return
 		}
 		if a, stream, from, ok := parseStreamQuery(q); ok && (a.Check() != nil || stream == "" || from < 0) {
-			t.Errorf("%q names a place that can't be", query)
+			t.Errorf("%q is accepted but names an invalid position in a stream", query)
 		}
 		if label, ok := searchLabel(identity.Identity{Kind: identity.Customer, Name: "office", Customer: "baker"}, q); ok && label != labelCustomer("office", "baker") {
-			t.Errorf("%q has a customer look under %q", query, label)
+			t.Errorf("%q makes a customer search by label %q", query, label)
 		}
 	})
 }
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -15,16 +15,16 @@
 	"silvergate/internal/identity"
 )
 
-// MaxPut is how large a request with records may be, in bytes.
+// MaxPut is the maximum size of a request with records, in bytes.
 const MaxPut = 8 << 20
 
-// readAll reads a request's body of at most limit bytes.
+// readAll reads a request's body. A body of more than limit bytes is an error.
 func readAll(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 }
 
-// reserve reserves size bytes of what may be written at a time; false if there are
-// too many already.
+// reserve reserves size bytes of the limit on pending writes and reports whether they were
+// available.
 func (n *Node) reserve(size int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,7 +36,7 @@
 	return true
 }
 
-// put stores the records in a request's body and answers when they are on disk.
+// put stores the records in a request's body and responds when they are on disk.
 func (n *Node) put(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	if r.ContentLength < 0 || r.ContentLength > MaxPut {
 		writeError(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("the length must be given and be at most %d bytes", MaxPut))
@@ -64,7 +64,7 @@
 	}
 	if err := n.authorizeWrite(who, records); err != nil {
 		n.count(func(s *Stats) { s.Refused++ })
-		n.log.Warn("records refused", "from", who.String(), "records", len(records), "reason", err)
+		n.log.Warn("records rejected", "from", who.String(), "records", len(records), "reason", err)
 		n.audit(who, archive.Write, records[0].Key.Attempt.String(), false)
 		writeError(w, http.StatusForbidden, "refused")
 		return
@@ -75,12 +75,12 @@
 	case errors.Is(err, vault.ErrFull):
 		writeError(w, http.StatusInsufficientStorage, "the disk is full")
 	default:
-		n.log.Error("records can't be kept", "error", err)
+		n.log.Error("can't store records", "error", err)
 		writeError(w, http.StatusServiceUnavailable, "records can't be kept now")
 	}
 }
 
-// parseRecords reads and checks the records of a body.
+// parseRecords decodes and checks the records in a body. A body without records is an error.
 func parseRecords(raw []byte) (records []archive.Record, err error) {
 	for in := bytes.NewReader(raw); ; {
 		r, err := archive.ReadFrame(in)
@@ -102,12 +102,13 @@
 }
 
 var (
-	errNoGrant      = errors.New("records of an attempt without its grant")
-	errNodeOnlyKind = errors.New("a record that only nodes make")
+	errNoGrant      = errors.New("the request has records of an attempt or a job without a grant for it")
+	errNodeOnlyKind = errors.New("only nodes may write expiry records")
 )
 
-// authorizeWrite decides whether somebody may have records kept: a node any, an agent
-// those of attempts for which it brings a grant.
+// authorizeWrite returns an error if the caller may not write the records. A node may write
+// any records with valid grants; an agent may write those of attempts whose grants are in
+// the same request.
 func (n *Node) authorizeWrite(who identity.Identity, records []archive.Record) error {
 	node := archive.Access(who, archive.Sync, archive.Owner{}, "")
 	granted, jobs := map[archive.Attempt]bool{}, map[string]bool{}
@@ -120,7 +121,7 @@
 			return err
 		}
 		if !node && !archive.Access(who, archive.Write, g.Owner, g.Machine) {
-			return fmt.Errorf("%s is granted to %s", g.Attempt, g.Machine)
+			return fmt.Errorf("the grant of %s is for machine %s", g.Attempt, g.Machine)
 		}
 		granted[g.Attempt], jobs[g.Job] = true, true
 	}
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// store puts the records that have not expired into the vault, and applies those that
-// tell of expiry.
+// store stores the records that have not expired in the vault and applies the expiry records
+// among them.
 func (n *Node) store(ctx context.Context, records []archive.Record) error {
 	n.mu.Lock()
 	fresh := make([]archive.Record, 0, len(records))
@@ -169,14 +170,14 @@
 	return nil
 }
 
-// peer is another node.
+// peer is a client of another node.
 type peer struct {
 	name, address string
 	http          *http.Client
 }
 
-// peerTimeout is how long another node may take for an answer, and readTimeout
-// while somebody waits for it.
+// peerTimeout is the timeout of a request to another node; readTimeout applies instead
+// while a reader waits for the answer.
 const (
 	peerTimeout = 30 * time.Second
 	readTimeout = 2 * time.Second
@@ -189,8 +190,8 @@
 	return &peer{m.Name, m.Address, &http.Client{Transport: t, Timeout: peerTimeout}}
 }
 
-// do sends a request and returns the body of its answer, of at most limit bytes. A
-// status other than 200 is an error.
+// do sends a request and returns the body of the response. A body of more than limit bytes
+// and a status other than 200 are errors.
 func (p *peer) do(ctx context.Context, method, target string, body []byte, limit int64) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "https://"+p.address+target, bytes.NewReader(body))
 	if err != nil {
@@ -209,20 +210,20 @@
 		return nil, fmt.Errorf("%s: %s: %.200s", p.name, a.Status, raw)
 	}
 	if int64(len(raw)) > limit {
-		return nil, fmt.Errorf("%s: an answer of more than %d bytes", p.name, limit)
+		return nil, fmt.Errorf("%s: the response is larger than %d bytes", p.name, limit)
 	}
 	return raw, nil
 }
 
-// get reads a path.
+// get sends a GET request and returns the body of the response.
 func (p *peer) get(ctx context.Context, target string, limit int64) ([]byte, error) {
 	return p.do(ctx, http.MethodGet, target, nil, limit)
 }
 
-// maxAnswer bounds a peer's answer in JSON, in bytes.
+// maxAnswer is the maximum size of another node's JSON response, in bytes.
 const maxAnswer = 32 << 20
 
-// getJSON reads a path and decodes its JSON into v.
+// getJSON sends a GET request and decodes the JSON response into v.
 func (p *peer) getJSON(ctx context.Context, target string, v any) error {
 	raw, err := p.get(ctx, target, maxAnswer)
 	if err != nil {
@@ -231,8 +232,8 @@
 	return json.Unmarshal(raw, v)
 }
 
-// fetch reads records from another node and checks them. Those that the node does not
-// have, or that did not fit into its answer, are not among them.
+// fetch gets records by their keys from another node and checks them. The result lacks
+// records that the node does not have or that did not fit in its response.
 func (p *peer) fetch(ctx context.Context, keys []string) ([]archive.Record, error) {
 	body, err := json.Marshal(keys)
 	if err != nil {
@@ -245,7 +246,8 @@
 	return parseRecords(raw)
 }
 
-// getRecords answers with those of the keys that are here, as far as they fit.
+// getRecords responds with the requested records that are stored here, as many as fit in a
+// response.
 func (n *Node) getRecords(w http.ResponseWriter, r *http.Request, _ string) {
 	raw, err := readAll(w, r, 4<<20)
 	var keys []string
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -9,8 +9,8 @@
 	"silvergate/internal/archive"
 )
 
-// Row is what a node has of an attempt: its small records, and which ranges of its
-// streams. Its JSON is that of PathRows.
+// Row describes what a node stores of an attempt: its small records, and the ranges that it
+// has of each stream. Its JSON is part of the response at PathRows.
 type Row struct {
 	Attempt string                     `json:"attempt"`
 	Records []RawRecord                `json:"records,omitempty"`
@@ -18,24 +18,26 @@
 	Files   []RawRecord                `json:"files,omitempty"`
 }
 
-// RawRecord is a record's key and payload as JSON carries them.
+// RawRecord is a record's key and payload in JSON.
 type RawRecord struct {
 	Key     string `json:"key"`
 	Payload []byte `json:"payload"`
 }
 
-// Rows is a page of rows in the order of their attempts' names.
+// Rows is a page of rows, sorted by their attempts' names. Its JSON is the response at
+// PathRows.
 type Rows struct {
 	Rows []Row  `json:"rows"`
-	Last string `json:"last,omitempty"` // the page ends after it; "": the last page
+	Last string `json:"last,omitempty"` // name of the page's last attempt; "" if this is the last page
 }
 
-// rowsPage bounds a page, in attempts.
+// rowsPage is the maximum number of attempts on a page.
 const rowsPage = 200
 
-// listRows lists attempts here that have a label, of a job if it is named, after an
-// attempt. A reader's label is their own: what belongs to others is not even looked
-// at for them, and takes as long as what is not there.
+// listRows returns a page of the attempts stored here that have a label, after the attempt
+// from. If job is not empty, it returns only attempts of that job. A reader's label covers
+// only their own attempts: others' attempts are not even looked up, so a request for them takes
+// as long as one for attempts that don't exist.
 func (n *Node) listRows(job, label, from string, files bool) (out Rows, err error) {
 	out.Rows = []Row{}
 	prefix := ""
@@ -59,7 +61,8 @@
 	return out, nil
 }
 
-// readRow reads what is here of an attempt.
+// readRow reads what this node stores of an attempt. It includes file records only with
+// files.
 func (n *Node) readRow(name string, files bool) (Row, error) {
 	row := Row{Attempt: name, Cover: map[string][]archive.Range{}}
 	from := ""
@@ -92,7 +95,7 @@
 	}
 }
 
-// serveRows answers another node with a page of rows.
+// serveRows responds to another node with a page of rows.
 func (n *Node) serveRows(w http.ResponseWriter, r *http.Request, _ string) {
 	q := r.URL.Query()
 	rows, err := n.listRows(q.Get("job"), q.Get("label"), q.Get("from"), q.Get("files") == "true")
@@ -103,15 +106,16 @@
 	writeJSON(w, rows)
 }
 
-// Answered tells how complete an answer is.
+// Answered describes how complete a response is.
 type Answered struct {
-	// Whole is false when so many nodes are silent that what they acknowledged may
-	// be missing here.
+	// Whole is false if so many nodes did not answer that acknowledged records may be
+	// missing from the response. Silent lists the nodes that did not answer.
 	Whole  bool     `json:"whole"`
 	Silent []string `json:"silent,omitempty"`
 }
 
-// gather asks all nodes, this one too, and hands each answer on.
+// gather calls local for this node and requests target from all other nodes, concurrently,
+// and calls handle with each answer, one at a time.
 func gather[T any](ctx context.Context, n *Node, target string, local func() (T, error), handle func(from string, v T)) Answered {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -124,7 +128,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			n.log.Debug("a node does not answer", "node", name, "error", err)
+			n.log.Debug("a node did not answer", "node", name, "error", err)
 			a.Silent = append(a.Silent, name)
 			return
 		}
--- a/internal/archive/node/server.go
+++ b/internal/archive/node/server.go
@@ -12,9 +12,9 @@
 	"silvergate/internal/identity"
 )
 
-// Serve takes requests at a listener, and compares, expires and scrubs in the
-// background, until Stop. It closes the listener, and returns nil after Stop and the
-// listener's error otherwise. It is called once.
+// Serve handles requests on a listener and runs the background tasks until Stop. It closes
+// the listener. It returns nil after Stop, and the listener's error otherwise. It is called
+// once.
 func (n *Node) Serve(l net.Listener) error {
 	server := &http.Server{Handler: n.handler(), TLSConfig: n.certificates.Serve(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 60 * time.Second,
 		WriteTimeout: 120 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10,
@@ -22,7 +22,7 @@
 	server.TLSConfig.NextProtos = []string{"http/1.1"}
 	n.mu.Lock()
 	if n.ctx.Err() != nil {
-		// Guards against a listener that stays when the node was stopped just before.
+		// The node was stopped before it served, so nothing else closes the listener.
 		n.mu.Unlock()
 		return l.Close()
 	}
@@ -42,15 +42,15 @@
 	return nil
 }
 
-// tasks are what a node does in the background while it serves.
+// tasks returns the tasks that run in the background while the node serves.
 func (n *Node) tasks() []func() {
 	return []func(){n.syncAll, n.repairAll, n.scrub, n.expireAll, n.refreshRevocations}
 }
 
-// Paths of the requests that a node answers. Those from PathGet to PathCuts are for
-// other nodes.
+// Paths of the requests that a node serves. Those from PathGet to PathCuts are for
+// other nodes only.
 const (
-	PathRecords     = "/v1/records" // POST: records to be kept
+	PathRecords     = "/v1/records" // POST: records to store
 	PathGet         = "/v1/get"     // POST: keys; nodes only
 	PathTree        = "/v1/tree"    // nodes only
 	PathLeaf        = "/v1/leaf"
@@ -63,7 +63,8 @@
 	PathStats       = "/v1/stats"
 )
 
-// handler routes requests. Each is refused if its certificate does not hold any more.
+// handler returns the handler of all requests. It refuses requests whose certificate is no
+// longer valid.
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, do func(w http.ResponseWriter, r *http.Request, who identity.Identity)) {
@@ -95,7 +96,7 @@
 		_, _ = w.Write(n.certificates.Revocations())
 	})
 	handle("POST "+PathRevocations, func(w http.ResponseWriter, r *http.Request, _ identity.Identity) {
-		// Signed by the authority: it does not matter who brings it.
+		// The authority signs the list, so any caller may send it.
 		raw, err := readAll(w, r, identity.MaxRevocations)
 		if err == nil {
 			_, err = n.certificates.Learn(raw)
@@ -123,7 +124,7 @@
 	return mux
 }
 
-// audit records a decision on access.
+// audit logs an authorization decision and counts denials.
 func (n *Node) audit(who identity.Identity, verb archive.Verb, what string, allowed bool) {
 	if !allowed {
 		n.count(func(s *Stats) { s.Denied++ })
@@ -131,14 +132,14 @@
 	n.log.Info("access", "who", who.String(), "verb", string(verb), "what", what, "allowed", allowed)
 }
 
-// writeJSON writes v as JSON.
+// writeJSON writes v as the JSON body of a response.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// writeError answers with a status and its reason. Callers may try again after a second
-// where waiting helps.
+// writeError writes an error response. With status 503 or 507, where waiting may help, it
+// asks the client to retry after a second.
 func writeError(w http.ResponseWriter, status int, why string) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable || status == http.StatusInsufficientStorage {
@@ -148,5 +149,5 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"error": why})
 }
 
-// notFound is the answer for what is not there, and for what somebody may not see.
+// notFound writes the response for what does not exist and for what the caller may not see.
 func notFound(w http.ResponseWriter) { writeError(w, http.StatusNotFound, "no such thing") }
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -13,21 +13,23 @@
 	"silvergate/internal/identity"
 )
 
-// SegmentList is what a node has of a stream from an offset on: the keys of its segments, in
-// order. More tells that there are others after them.
+// SegmentList is what a node stores of a stream from an offset on: the keys of its segments,
+// in order. More reports whether there are further segments. Its JSON is the response at PathCuts.
 type SegmentList struct {
 	Keys    []string    `json:"keys"`
-	Records []RawRecord `json:"records"` // the attempt's small ones
+	Records []RawRecord `json:"records"` // the attempt's grants, ends, expiry records and gaps
 	More    bool        `json:"more"`
 }
 
-// segmentsPage bounds a list of segments; pageBytes what a reader is given at a time.
+// segmentsPage is the maximum number of segments in a list; pageBytes is about the number
+// of bytes in a page for a reader.
 const (
 	segmentsPage = 500
 	pageBytes    = 1 << 20
 )
 
-// listSegments lists what this node has of a stream from an offset on.
+// listSegments lists what this node stores of a stream from an offset on. The list is empty
+// if the attempt does not have the label.
 func (n *Node) listSegments(a archive.Attempt, label, stream string, from int64) (SegmentList, error) {
 	out := SegmentList{Keys: []string{}}
 	name := a.String()
@@ -45,7 +47,7 @@
 			}
 		}
 	}
-	// A segment that begins earlier can reach so far.
+	// A segment that begins up to MaxSegment bytes earlier can extend past the offset.
 	begin := max(0, from-archive.MaxSegment)
 	prefix := name + "/s/" + stream + "."
 	infos, more, err := n.vault.Keys(prefix, name+"/s/"+archive.At(stream, begin, 0), segmentsPage)
@@ -61,7 +63,7 @@
 	return out, nil
 }
 
-// serveSegments answers another node with what this one has of a stream.
+// serveSegments responds to another node with what this one stores of a stream.
 func (n *Node) serveSegments(w http.ResponseWriter, r *http.Request, _ string) {
 	a, stream, from, ok := parseStreamQuery(r.URL.Query())
 	if !ok {
@@ -76,7 +78,8 @@
 	writeJSON(w, cuts)
 }
 
-// parseStreamQuery reads what a request for a stream names.
+// parseStreamQuery parses the attempt, the stream and the offset of a request. ok reports
+// whether they are valid.
 func parseStreamQuery(q url.Values) (a archive.Attempt, stream string, from int64, ok bool) {
 	a, err := archive.ParseAttempt(q.Get("attempt"))
 	stream = q.Get("stream")
@@ -89,34 +92,34 @@
 	return a, stream, from, err == nil && from >= 0 && slices.Contains(archive.Streams, stream)
 }
 
-// Piece is a piece of a stream as a reader gets it. At is when its bytes were
-// written, Unix time in milliseconds.
+// Piece is a piece of a stream with its data. At is when its bytes were written, Unix time
+// in milliseconds.
 type Piece struct {
 	archive.Piece
 	At   int64  `json:"atMs,omitempty"`
 	Data []byte `json:"data,omitempty"`
 }
 
-// Stream is a page of a stream, as PathStream answers with it.
+// Stream is a page of a stream. Its JSON is the response at PathStream.
 type Stream struct {
 	Answered
 	Pieces []Piece `json:"pieces"`
-	Next   int64   `json:"next"` // the offset in bytes from which to go on
-	More   bool    `json:"more"` // there is more now
-	Over   bool    `json:"over"` // the attempt has ended, and this is all
+	Next   int64   `json:"next"` // the offset of the next page, in bytes
+	More   bool    `json:"more"` // more of the stream is available now
+	Over   bool    `json:"over"` // the attempt has ended, and this is the last page
 }
 
-// gatheredStream is what the nodes that answered have of an attempt's stream.
+// gatheredStream is what the nodes that answered have of an attempt's stream, merged.
 type gatheredStream struct {
 	state          *attemptState
 	holders        map[string][]string // nodes that have a segment, by its key
-	missing        map[string][]string // nodes that should have it and do not, by its key
-	incompleteFrom int64               // if not -1, some node may have more from this offset on
+	missing        map[string][]string // nodes that should have a segment and do not, by its key
+	incompleteFrom int64               // if not -1, some node may have unlisted segments from this offset on
 	answered       Answered
 }
 
-// stream answers with a page of a stream. What a reader may not see is answered as
-// what is not there.
+// stream responds with a page of a stream. A reader without access gets the same response as
+// for a stream that does not exist.
 func (n *Node) stream(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	a, stream, from, ok := parseStreamQuery(r.URL.Query())
 	if !ok {
@@ -141,9 +144,9 @@
 	writeJSON(w, out)
 }
 
-// streamPage reads a page of a gathered stream from an offset on: about pageBytes of
-// data. It fails if the page's first segment can't be read; one that can't be read
-// later ends the page before it.
+// streamPage returns a page of a gathered stream from an offset on, with about pageBytes of
+// data. If a segment can't be read, the page ends before it; if the page would then be empty,
+// streamPage returns an error.
 func (n *Node) streamPage(ctx context.Context, g *gatheredStream, stream string, from int64) (Stream, error) {
 	out := Stream{Answered: g.answered, Pieces: []Piece{}, Next: from}
 	parts, keys, more := g.parts()
@@ -184,8 +187,8 @@
 	return out, nil
 }
 
-// parts lists the gathered segments before the horizon, and their keys, to which
-// each part's Ref points. more tells that others were left out.
+// parts returns the gathered segments that begin before incompleteFrom, and their keys, which
+// are indexed by the Ref of each part. more reports whether segments were left out.
 func (g *gatheredStream) parts() (parts []archive.Part, keys []archive.Key, more bool) {
 	for name := range g.holders {
 		key, err := archive.ParseKey(name)
@@ -203,8 +206,8 @@
 	return parts, keys, more
 }
 
-// assemble puts the stream together out of its parts and what is known of the rest.
-// The stream's length is known if the attempt has ended and nothing was left out.
+// assemble returns the pieces of the stream, from its parts, its gaps and its expiry. The
+// stream's length is known if the attempt has ended and no segments were left out.
 func (g *gatheredStream) assemble(parts []archive.Part, stream string) []archive.Piece {
 	s := g.state
 	size := int64(-1)
@@ -218,14 +221,14 @@
 	return archive.Assemble(parts, s.gaps[stream], upto, s.expired.Reason, size)
 }
 
-// mayStillArrive tells whether a piece is the missing tail of an attempt that still
-// runs: it may only not have come yet.
+// mayStillArrive reports whether a piece is the missing tail of an attempt that is still
+// running, whose segments may not have been shipped yet.
 func (g *gatheredStream) mayStillArrive(p archive.Piece, parts []archive.Part) bool {
 	return p.What == archive.PieceMissing && g.state.end == nil &&
 		!slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To })
 }
 
-// gatherSegments asks all nodes for an attempt's stream from an offset on.
+// gatherSegments asks all nodes for their segments of a stream from an offset on.
 func (n *Node) gatherSegments(ctx context.Context, a archive.Attempt, label, stream string, from int64) *gatheredStream {
 	g := &gatheredStream{state: newAttemptState(), holders: map[string][]string{}, incompleteFrom: -1}
 	q := url.Values{"attempt": {a.String()}, "label": {label}, "stream": {stream}, "from": {strconv.FormatInt(from, 10)}}
@@ -239,7 +242,7 @@
 	return g
 }
 
-// add adds what a node has of the stream.
+// add merges what a node has of the stream.
 func (g *gatheredStream) add(n *Node, name string, c SegmentList) {
 	for _, r := range c.Records {
 		g.state.add(n, r.Key, r.Payload)
@@ -256,7 +259,7 @@
 	}
 }
 
-// missingAt lists, by segment, which of the owners answered and lack it.
+// missingAt returns, by segment, the owners that answered and lack it.
 func (g *gatheredStream) missingAt(answered, owners []string) map[string][]string {
 	missing := map[string][]string{}
 	for _, owner := range owners {
@@ -272,7 +275,7 @@
 	return missing
 }
 
-// readRecord reads a record from here, or from one of those that have it.
+// readRecord reads a record from the local vault, or else from one of the nodes in has.
 func (n *Node) readRecord(ctx context.Context, k archive.Key, has []string) (archive.Record, error) {
 	r, err := n.vault.Get(k)
 	for _, name := range has {
@@ -288,15 +291,15 @@
 			return records[0], nil
 		}
 		if err == nil {
-			// Guards against a record made of nothing: a node that has lost it since
-			// it was asked answers with none, and that was once kept as a record.
+			// The node lost the record after listing it and returned none. Without this
+			// error, an empty record would be returned and stored, which once happened.
 			err = fmt.Errorf("%s: %w", name, vault.ErrNotHere)
 		}
 	}
 	return r, err
 }
 
-// segmentPieces reads the part p of a segment, cut at its write times.
+// segmentPieces reads the range of p from a segment and splits it at the segment's write times.
 func (n *Node) segmentPieces(ctx context.Context, k archive.Key, has []string, p archive.Piece) (out []Piece, err error) {
 	r, err := n.readRecord(ctx, k, has)
 	if err != nil {
@@ -322,7 +325,7 @@
 	return out, nil
 }
 
-// file answers with a piece of a kept file: whole chunks, as bytes.
+// file responds with the bytes of up to 8 whole chunks of an archived file.
 func (n *Node) file(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	q := r.URL.Query()
 	a, err := archive.ParseAttempt(q.Get("attempt"))
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -15,8 +15,8 @@
 	"silvergate/internal/archive"
 )
 
-// tree answers with the digests of what this node and the one that asks both keep:
-// the branches, or the leaves of one.
+// tree responds with digests of the records that both this node and the requesting one
+// should store: those of the branches, or those of the leaves of one branch.
 func (n *Node) tree(w http.ResponseWriter, r *http.Request, who string) {
 	n.mu.Lock()
 	t := n.derived.trees[who]
@@ -36,10 +36,11 @@
 	writeJSON(w, row)
 }
 
-// leafPage bounds a page of keys.
+// leafPage is the maximum number of keys on a page.
 const leafPage = 10_000
 
-// leaf lists the keys of some leaves that both keep, a page after a key.
+// leaf responds with a page of the keys in some leaves, after a key, of the records that
+// both nodes should store.
 func (n *Node) leaf(w http.ResponseWriter, r *http.Request, who string) {
 	q := r.URL.Query()
 	leaves := map[int]bool{}
@@ -67,8 +68,8 @@
 	writeJSON(w, keys[at:min(len(keys), at+leafPage)])
 }
 
-// leafKeys lists the keys here of some leaves that both nodes keep. The attempts
-// come out of memory, their records out of the index.
+// leafKeys returns the keys stored here in some leaves, of the records that both nodes should
+// store. It finds the attempts in memory and their records in the vault's index.
 func (n *Node) leafKeys(peer string, leaves map[int]bool) ([]string, error) {
 	n.mu.Lock()
 	var names []string
@@ -103,21 +104,22 @@
 	return keys, nil
 }
 
-// syncAll compares with one node after the other, and brings here what is missing.
+// syncAll periodically fetches missing records from the other nodes, one after the other, and
+// hands over strays.
 func (n *Node) syncAll() {
 	period := time.Duration(n.cfg.SyncS * float64(time.Second))
 	n.runEvery(period/2+rand.N(period/2), func() {
 		for _, p := range n.peers {
 			if err := n.syncWith(n.ctx, p); err != nil {
-				n.log.Info("not level with a node", "node", p.name, "error", err)
+				n.log.Info("synchronization with a node failed", "node", p.name, "error", err)
 			}
 		}
 		n.handOverStrays()
 	})
 }
 
-// Level fetches what other nodes have and this one lacks, once, and hands over
-// strays: for tests and tools. Its error joins those of the nodes that failed.
+// Level fetches the records that other nodes have and this one lacks, once, and hands over
+// strays. It is for tests and tools. The error joins those of the nodes that failed.
 func (n *Node) Level(ctx context.Context) error {
 	var all error
 	for _, p := range n.peers {
@@ -127,7 +129,8 @@
 	return all
 }
 
-// syncWith brings here what another node has that both keep.
+// syncWith fetches the records that another node has and this one lacks, of those that both
+// should store.
 func (n *Node) syncWith(ctx context.Context, p *peer) error {
 	defer n.count(func(s *Stats) { s.Rounds++ })
 	var theirs []uint64
@@ -159,7 +162,8 @@
 	return nil
 }
 
-// syncLeaves brings here what another node has in some leaves of a branch.
+// syncLeaves fetches the records that another node has and this one lacks in some leaves of a
+// branch.
 func (n *Node) syncLeaves(ctx context.Context, p *peer, leaves string) error {
 	for from := ""; ; {
 		var keys []string
@@ -190,15 +194,15 @@
 	}
 }
 
-// hasExpired tells whether a record has expired here.
+// hasExpired reports whether a record has expired, as far as this node knows.
 func (n *Node) hasExpired(k archive.Key) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.derived.expired[k.Attempt.String()].Covers(k)
 }
 
-// fetchMissing fetches records from another node, at the budgeted rate, and stores
-// them. Expiry records come first: what they cover is not stored.
+// fetchMissing fetches records from another node, at the configured rate, and stores them.
+// Expiry records come first, so that the records that they cover are not stored.
 func (n *Node) fetchMissing(ctx context.Context, p *peer, keys []string) error {
 	slices.SortStableFunc(keys, func(a, b string) int { return expiryRank(a) - expiryRank(b) })
 	for len(keys) > 0 {
@@ -208,7 +212,7 @@
 			return err
 		}
 		if len(records) == 0 {
-			keys = keys[len(batch):] // no longer there
+			keys = keys[len(batch):] // the other node no longer has them
 			continue
 		}
 		size := 0
@@ -231,7 +235,7 @@
 		for i := range records {
 			got[records[i].Key.String()] = true
 		}
-		// What did not fit into the answer is asked for again.
+		// Request the records again that did not fit in the response.
 		rest := slices.DeleteFunc(slices.Clone(batch), func(k string) bool { return got[k] })
 		keys = append(rest, keys[len(batch):]...)
 		if len(got) == 0 {
@@ -241,7 +245,7 @@
 	return nil
 }
 
-// expiryRank sorts the keys of expiry records before others.
+// expiryRank returns a sort rank that puts the keys of expiry records before others.
 func expiryRank(key string) int {
 	if k, err := archive.ParseKey(key); err == nil && k.Kind == archive.KindExpired {
 		return 0
@@ -249,7 +253,7 @@
 	return 1
 }
 
-// throttle waits until so many bytes may have been fetched.
+// throttle waits until the configured rate allows size more bytes to be exchanged.
 func (n *Node) throttle(ctx context.Context, size int) error {
 	for size > 0 {
 		part := min(size, 2*archive.MaxPayload)
@@ -261,8 +265,9 @@
 	return nil
 }
 
-// handOverStrays sends records that are here, and that other nodes keep, to all of those,
-// and drops them when each has them: after the members have changed.
+// handOverStrays sends strays, which are records stored here that only other nodes should
+// store, to all of those nodes, and drops each once all of them have it. Strays arise when
+// the members change.
 func (n *Node) handOverStrays() {
 	n.mu.Lock()
 	var keys []archive.Key
@@ -315,12 +320,12 @@
 	}
 	if len(done) > 0 {
 		if err := n.vault.Drop(n.ctx, done); err != nil {
-			n.log.Error("records that others keep can't be dropped", "error", err)
+			n.log.Error("can't drop strays that other nodes have", "error", err)
 		}
 	}
 }
 
-// send has another node store records, at the budgeted rate.
+// send sends records to another node, which stores them, at the configured rate.
 func (n *Node) send(ctx context.Context, to string, records []archive.Record) error {
 	p := n.peers[to]
 	if p == nil {
@@ -337,14 +342,14 @@
 	return err
 }
 
-// repair is a record that a reader found missing at a node.
+// repair is a request to restore a record that a reader found missing on a node.
 type repair struct {
 	key  string
 	node string
 }
 
-// repairLater queues what a reader found missing at nodes to be restored there; what
-// exceeds the queue is left to the comparisons.
+// repairLater queues repairs of the records that a reader found missing, with the nodes that
+// lack each. Repairs that don't fit in the queue are left to the comparisons between nodes.
 func (n *Node) repairLater(missing map[string][]string) {
 	for key, nodes := range missing {
 		for _, at := range nodes {
@@ -357,7 +362,7 @@
 	}
 }
 
-// repairAll restores missing records until the node stops.
+// repairAll processes the queued repairs until the node stops.
 func (n *Node) repairAll() {
 	for {
 		var m repair
@@ -377,15 +382,15 @@
 			err = n.send(n.ctx, m.node, []archive.Record{r})
 		}
 		if err != nil {
-			n.log.Debug("not mended", "key", m.key, "at", m.node, "error", err)
+			n.log.Debug("can't restore a missing record", "key", m.key, "at", m.node, "error", err)
 			continue
 		}
 		n.count(func(s *Stats) { s.Mended++ })
 	}
 }
 
-// scrub reads all that lies here, again and again, at a steady rate: damage is
-// found before the other copies are.
+// scrub reads and checks all stored records, over and over, at a steady rate, so that damage
+// is found before the other replicas are damaged, too.
 func (n *Node) scrub() {
 	if n.cfg.ScrubMBPerS <= 0 {
 		return
@@ -394,7 +399,7 @@
 	n.runEvery(time.Second, func() {
 		last, checked, damaged, err := n.vault.Scrub(from, int64(n.cfg.ScrubMBPerS*1e6))
 		if err != nil {
-			n.log.Error("scrubbing stopped", "error", err)
+			n.log.Error("scrub failed", "error", err)
 		}
 		if damaged > 0 {
 			n.log.Error("damaged records found", "records", damaged, "of", checked)
--- a/internal/archive/reader/reader.go
+++ b/internal/archive/reader/reader.go
@@ -1,5 +1,5 @@
-// Package reader reads the archive for people: it asks one node after the other,
-// follows pages, and merges a job's output in the order of time.
+// Package reader is the archive's client for users. It asks one node after the other until
+// one answers, follows pages, and merges a job's output in the order of time.
 package reader
 
 import (
@@ -26,14 +26,15 @@
 	"silvergate/internal/identity"
 )
 
-// Client reads with a party's certificate. It is safe for concurrent use.
+// Client reads from the archive with one identity's certificate. It is safe for concurrent
+// use.
 type Client struct {
 	members []node.Member
 	http    map[string]*http.Client
 }
 
-// New makes a client of the nodes that connects with the certificate of k, which
-// stays the caller's. timeout bounds each request.
+// New returns a client of the nodes that connects with the certificate of k, which the caller
+// still owns. timeout limits each request.
 func New(k *identity.Keeper, members []node.Member, timeout time.Duration) *Client {
 	c := &Client{members: members, http: map[string]*http.Client{}}
 	for _, m := range members {
@@ -43,14 +44,14 @@
 	return c
 }
 
-// ErrNotFound says that something does not exist, or that whoever asks may not see
+// ErrNotFound means that something does not exist, or that the client's identity may not see
 // it.
-var ErrNotFound = errors.New("no such thing, or not yours to read")
+var ErrNotFound = errors.New("not found, or not readable with this certificate")
 
-// maxAnswer bounds an answer, in bytes.
+// maxAnswer is the maximum size of a response, in bytes.
 const maxAnswer = 64 << 20
 
-// get asks one node after the other until one answers.
+// get requests a path from one node after the other until one answers with status 200, 400 or 404.
 func (c *Client) get(ctx context.Context, path string, q url.Values) ([]byte, error) {
 	var last error
 	for _, m := range c.members {
@@ -77,7 +78,8 @@
 	return nil, last
 }
 
-// requestNode asks one node and returns the body and the status of its answer.
+// requestNode sends a request to one node and returns the body and the status of the
+// response.
 func (c *Client) requestNode(ctx context.Context, m node.Member, method, target string, body []byte) ([]byte, int, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "https://"+m.Address+target, bytes.NewReader(body))
 	if err != nil {
@@ -92,8 +94,9 @@
 	return raw, a.StatusCode, err
 }
 
-// Each asks every node in turn and calls take with each answer, or with an error if
-// the node did not answer with status 200; it is for what each knows of itself.
+// Each sends a request to every node in turn and calls handle with each response, or with an
+// error if the node did not respond with status 200. It is for requests about the nodes
+// themselves.
 func (c *Client) Each(ctx context.Context, method, path string, body []byte, handle func(name string, raw []byte, err error)) {
 	for _, m := range c.members {
 		raw, status, err := c.requestNode(ctx, m, method, path, body)
@@ -104,16 +107,16 @@
 	}
 }
 
-// Query says which attempts are wanted; empty fields fit all. Day is a date in UTC such
+// Query selects attempts; an empty field matches all. Day is a date in UTC such
 // as 2006-01-02. With Files the attempts come with their files.
 type Query struct {
 	Job, Team, Customer, Class, Machine, Day string
 	Files                                    bool
 }
 
-// Attempts lists attempts, in the order of jobs, tasks and attempts. answered tells
-// whether all that was acknowledged could be read. An error is that of the nodes, none
-// of which answered; what was read before it is returned, too.
+// Attempts lists attempts, sorted by job, task and try. answered reports whether all
+// acknowledged records could be read. An error means that no node answered a request, or
+// that one rejected it; what was read before the error is returned, too.
 func (c *Client) Attempts(ctx context.Context, q Query) (out []node.Attempt, answered node.Answered, err error) {
 	answered.Whole = true
 	v := url.Values{"job": {q.Job}, "team": {q.Team}, "customer": {q.Customer}, "class": {q.Class}, "machine": {q.Machine}, "day": {q.Day}, "files": {strconv.FormatBool(q.Files)}}
@@ -136,7 +139,7 @@
 	}
 }
 
-// mergeAnswered returns how complete two answers are together.
+// mergeAnswered returns how complete two responses are together.
 func mergeAnswered(a, b node.Answered) node.Answered {
 	a.Whole = a.Whole && b.Whole
 	for _, s := range b.Silent {
@@ -147,7 +150,7 @@
 	return a
 }
 
-// Page reads a stream's page from an offset in bytes on. It returns ErrNotFound if the
+// Page reads the page of a stream that begins at an offset in bytes. It returns ErrNotFound if the
 // attempt does not exist or may not be read, and an error if no node answers.
 func (c *Client) Page(ctx context.Context, a archive.Attempt, stream string, from int64) (p node.Stream, err error) {
 	raw, err := c.get(ctx, node.PathStream, url.Values{"attempt": {a.String()}, "stream": {stream}, "from": {strconv.FormatInt(from, 10)}})
@@ -157,8 +160,8 @@
 	return p, json.Unmarshal(raw, &p)
 }
 
-// File reads a kept file, writes it to a writer, and compares it with its digest. After
-// an error, what was written is not to be used.
+// File reads an archived file, writes it to a writer, and compares it with its digest. After
+// an error, the caller must not use what was written.
 func (c *Client) File(ctx context.Context, a archive.Attempt, f *archive.File, to io.Writer) error {
 	sum := blake3.New()
 	for chunk := 0; chunk < len(f.Chunks); {
@@ -167,7 +170,7 @@
 			return err
 		}
 		if len(raw) == 0 || len(raw)%archive.ChunkSize != 0 && chunk+len(raw)/archive.ChunkSize+1 != len(f.Chunks) {
-			return fmt.Errorf("%s: a node sent %d bytes of it", f.Path, len(raw))
+			return fmt.Errorf("%s: a node sent %d bytes, which are not whole chunks", f.Path, len(raw))
 		}
 		_, _ = sum.Write(raw)
 		if _, err := to.Write(raw); err != nil {
@@ -176,12 +179,12 @@
 		chunk += (len(raw) + archive.ChunkSize - 1) / archive.ChunkSize
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != f.Digest {
-		return fmt.Errorf("%s: what was read is not what was kept", f.Path)
+		return fmt.Errorf("%s: the contents do not match the digest", f.Path)
 	}
 	return nil
 }
 
-// Line is a line of output, or what is known of a part that is not there.
+// Line is a line of output, or a note about a range of missing output.
 type Line struct {
 	archive.Attempt
 	Stream string    `json:"stream"`
@@ -190,38 +193,38 @@
 	Text   string    `json:"text"`
 	// Note is set, and Text empty, where output is missing.
 	Note string `json:"note,omitempty"`
-	// Cut tells that the line has no end: it is longer than a Line may be, or the
-	// stream is interrupted or ended there.
+	// Cut reports whether the line has no newline: it is longer than maxLine, or the
+	// stream is interrupted or ends there.
 	Cut bool `json:"cut,omitempty"`
 }
 
-// maxLine is the length in bytes from which a line is returned in parts.
+// maxLine is the length in bytes from which a line is returned in several parts.
 const maxLine = 64 << 10
 
-// Cursor reads one stream line by line. It is not safe for concurrent use. It need not
-// be closed.
+// Cursor reads a stream line by line. It is not safe for concurrent use. It need not be
+// closed.
 type Cursor struct {
 	client  *Client
 	Attempt archive.Attempt
 	Stream  string
-	Ended   bool // the attempt has ended and all was read
-	Whole   bool // all that was acknowledged was there to be read
+	Ended   bool // the attempt has ended and the whole stream was read
+	Whole   bool // every acknowledged record could be read
 
-	nextOffset  int64 // from which the next page is asked for
+	nextOffset  int64 // offset of the next page
 	partial     []byte
-	partialAt   time.Time // of partial
-	partialFrom int64     // of partial
+	partialAt   time.Time // when partial was written
+	partialFrom int64     // offset of partial
 	lines       []Line
-	exhausted   bool // the stream has no more now
+	exhausted   bool // the stream has no further data now
 }
 
-// Open returns a cursor at the start of a stream. It asks no node yet.
+// Open returns a cursor at the start of a stream. It sends no request.
 func (c *Client) Open(a archive.Attempt, stream string) *Cursor {
 	return &Cursor{client: c, Attempt: a, Stream: stream, Whole: true}
 }
 
-// Peek returns the next line without taking it, or nil if there is none now. The line
-// is the cursor's and holds until Next. Its errors are those of Page.
+// Peek returns the next line without advancing, or nil if there is none now. The line belongs
+// to the cursor and is valid until Next. Its errors are those of Page.
 func (u *Cursor) Peek(ctx context.Context) (*Line, error) {
 	for len(u.lines) == 0 && !u.exhausted {
 		p, err := u.client.Page(ctx, u.Attempt, u.Stream, u.nextOffset)
@@ -246,13 +249,13 @@
 	return &u.lines[0], nil
 }
 
-// Next takes the line that Peek returned; there must be one.
+// Next advances past the line that Peek returned. Peek must have returned one.
 func (u *Cursor) Next() { u.lines = u.lines[1:] }
 
-// Again lets Peek ask for more, after there was none.
+// Again makes Peek request more lines after it returned none, unless the stream has ended.
 func (u *Cursor) Again() { u.exhausted = u.Ended }
 
-// endLine ends the line that is being read.
+// endLine ends the partial line, if any, and queues it. cut becomes its Cut.
 func (u *Cursor) endLine(cut bool) {
 	if len(u.partial) > 0 {
 		u.lines = append(u.lines, Line{Attempt: u.Attempt, Stream: u.Stream, At: u.partialAt, From: u.partialFrom, Text: string(u.partial), Cut: cut})
@@ -260,7 +263,7 @@
 	}
 }
 
-// addPiece adds the lines of a piece.
+// addPiece queues the lines of a piece, or a note for a piece without data.
 func (u *Cursor) addPiece(x *node.Piece) {
 	if x.What != archive.PieceData {
 		u.endLine(true)
@@ -300,7 +303,7 @@
 	}
 }
 
-// cursorHeap orders cursors by their next line.
+// cursorHeap is a heap of cursors, ordered by the time of their next line.
 type cursorHeap []*Cursor
 
 func (m cursorHeap) Len() int { return len(m) }
@@ -322,9 +325,9 @@
 	return x
 }
 
-// Merge calls each with the lines of streams in the order of time; within a stream they stay
-// in their own order, whatever a machine's clock did. It ends when no stream has
-// more now, or with the first error of a cursor or of each. The line is only to be used
+// Merge calls each with the lines of all streams in the order of time. Lines of one stream stay in
+// their order even if the machine's clock stepped back. Merge returns when no stream has
+// further lines now, or with the first error of a cursor or of each. The line is valid only
 // until each returns.
 func Merge(ctx context.Context, all []*Cursor, each func(*Line) error) error {
 	var m cursorHeap
--- a/internal/archive/reader/reader_test.go
+++ b/internal/archive/reader/reader_test.go
@@ -16,8 +16,8 @@
 	return &node.Piece{Piece: archive.Piece{From: from, To: from + int64(len(text))}, At: at, Data: []byte(text)}
 }
 
-// TestLines guards against lines that are torn where segments meet, that vanish
-// before a gap, or that grow without bound.
+// TestLines guards against lines that are split where segments meet, lost before a gap, or
+// buffered without a limit.
 func TestLines(t *testing.T) {
 	u := &Cursor{Stream: archive.Stdout}
 	u.addPiece(data(0, 1000, "one\ntw"))
@@ -39,12 +39,12 @@
 		u.addPiece(data(int64(i)*40_000, 1, strings.Repeat("x", 40_000)))
 	}
 	if len(u.lines) == 0 || len(u.partial) > 2*maxLine {
-		t.Errorf("a line without an end: %d lines, %d bytes held", len(u.lines), len(u.partial))
+		t.Errorf("a stream without newlines: %d lines, %d bytes buffered", len(u.lines), len(u.partial))
 	}
 }
 
-// TestMergeKeepsOrder guards against lines of a stream that change places when a
-// machine's clock steps back, and checks the order between streams.
+// TestMergeKeepsOrder guards against reordering the lines of a stream when a machine's clock
+// steps back, and checks the order between streams.
 func TestMergeKeepsOrder(t *testing.T) {
 	at := func(ms int64) time.Time { return time.UnixMilli(ms) }
 	stream := func(task int, times ...int64) *Cursor {
