--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -15,16 +15,16 @@
 	"silvergate/internal/identity"
 )
 
-// MaxPut is how large a request with records may be, in bytes.
+// MaxPut is the maximum size of a request with records, in bytes.
 const MaxPut = 8 << 20
 
-// readAll reads a request's body of at most limit bytes.
+// readAll reads a request's body. A body of more than limit bytes is an error.
 func readAll(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 }
 
-// reserve reserves size bytes of what may be written at a time; false if there are
-// too many already.
+// reserve reserves size bytes of the limit on pending writes and reports whether they were
+// available.
 func (n *Node) reserve(size int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,14 +36,14 @@
 	return true
 }
 
-// put stores the records in a request's body and answers when they are on disk.
+// put stores the records in a request's body and responds when they are on disk.
 func (n *Node) put(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	if r.ContentLength < 0 || r.ContentLength > MaxPut {
-		refuse(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("the length must be given and be at most %d bytes", MaxPut))
+		writeError(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("the length must be given and be at most %d bytes", MaxPut))
 		return
 	}
 	if !n.reserve(r.ContentLength) {
-		refuse(w, http.StatusServiceUnavailable, "too much is being written now")
+		writeError(w, http.StatusServiceUnavailable, "too much is being written now")
 		return
 	}
 	defer func() {
@@ -53,34 +53,34 @@
 	}()
 	raw, err := readAll(w, r, MaxPut)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "the body was cut off")
+		writeError(w, http.StatusBadRequest, "the body was cut off")
 		return
 	}
 	records, err := parseRecords(raw)
 	if err != nil {
 		n.count(func(s *Stats) { s.Refused++ })
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if err := n.mayWrite(who, records); err != nil {
+	if err := n.authorizeWrite(who, records); err != nil {
 		n.count(func(s *Stats) { s.Refused++ })
-		n.log.Warn("records refused", "from", who.String(), "records", len(records), "reason", err)
+		n.log.Warn("records rejected", "from", who.String(), "records", len(records), "reason", err)
 		n.audit(who, archive.Write, records[0].Key.Attempt.String(), false)
-		refuse(w, http.StatusForbidden, "refused")
+		writeError(w, http.StatusForbidden, "refused")
 		return
 	}
 	switch err := n.store(r.Context(), records); {
 	case err == nil:
-		answer(w, map[string]int{"kept": len(records)})
+		writeJSON(w, map[string]int{"kept": len(records)})
 	case errors.Is(err, vault.ErrFull):
-		refuse(w, http.StatusInsufficientStorage, "the disk is full")
+		writeError(w, http.StatusInsufficientStorage, "the disk is full")
 	default:
-		n.log.Error("records can't be kept", "error", err)
-		refuse(w, http.StatusServiceUnavailable, "records can't be kept now")
+		n.log.Error("can't store records", "error", err)
+		writeError(w, http.StatusServiceUnavailable, "records can't be kept now")
 	}
 }
 
-// parseRecords reads and checks the records of a body.
+// parseRecords decodes and checks the records in a body. A body without records is an error.
 func parseRecords(raw []byte) (records []archive.Record, err error) {
 	for in := bytes.NewReader(raw); ; {
 		r, err := archive.ReadFrame(in)
@@ -102,25 +102,26 @@
 }
 
 var (
-	errNoGrant = errors.New("records of an attempt without its grant")
-	errKind    = errors.New("a record that only nodes make")
+	errNoGrant      = errors.New("the request has records of an attempt or a job without a grant for it")
+	errNodeOnlyKind = errors.New("only nodes may write expiry records")
 )
 
-// mayWrite decides whether somebody may have records kept: a node any, an agent
-// those of attempts for which it brings a grant.
-func (n *Node) mayWrite(who identity.Identity, records []archive.Record) error {
+// authorizeWrite returns an error if the caller may not write the records. A node may write
+// any records with valid grants; an agent may write those of attempts whose grants are in
+// the same request.
+func (n *Node) authorizeWrite(who identity.Identity, records []archive.Record) error {
 	node := archive.Access(who, archive.Sync, archive.Owner{}, "")
 	granted, jobs := map[archive.Attempt]bool{}, map[string]bool{}
 	for i := range records {
 		if records[i].Key.Kind != archive.KindGrant {
 			continue
 		}
-		g, err := n.grantKey.Open(records[i].Payload)
+		g, err := n.grantKey.Verify(records[i].Payload)
 		if err != nil {
 			return err
 		}
 		if !node && !archive.Access(who, archive.Write, g.Owner, g.Machine) {
-			return fmt.Errorf("%s is granted to %s", g.Attempt, g.Machine)
+			return fmt.Errorf("the grant of %s is for machine %s", g.Attempt, g.Machine)
 		}
 		granted[g.Attempt], jobs[g.Job] = true, true
 	}
@@ -131,7 +132,7 @@
 		k := records[i].Key
 		switch {
 		case k.Kind == archive.KindExpired:
-			return errKind
+			return errNodeOnlyKind
 		case k.Attempt == archive.Files(k.Attempt.Job):
 			if !jobs[k.Attempt.Job] {
 				return errNoGrant
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// store puts the records that have not expired into the vault, and applies those that
-// tell of expiry.
+// store stores the records that have not expired in the vault and applies the expiry records
+// among them.
 func (n *Node) store(ctx context.Context, records []archive.Record) error {
 	n.mu.Lock()
 	fresh := make([]archive.Record, 0, len(records))
@@ -163,34 +164,34 @@
 	}
 	for i := range fresh {
 		if fresh[i].Key.Kind == archive.KindExpired {
-			n.learnExpiry(fresh[i].Key)
+			n.applyExpiry(fresh[i].Key)
 		}
 	}
 	return nil
 }
 
-// peer is another node.
+// peer is a client of another node.
 type peer struct {
 	name, address string
 	http          *http.Client
 }
 
-// peerPatience is how long another node may take for an answer, and readPatience
-// while somebody waits for it.
+// peerTimeout is the timeout of a request to another node; readTimeout applies instead
+// while a reader waits for the answer.
 const (
-	peerPatience = 30 * time.Second
-	readPatience = 2 * time.Second
+	peerTimeout = 30 * time.Second
+	readTimeout = 2 * time.Second
 )
 
 // newPeer returns a client of a node.
 func newPeer(k *identity.Keeper, m Member) *peer {
 	t := &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 4, MaxConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
 		TLSHandshakeTimeout: 5 * time.Second, DisableCompression: true}
-	return &peer{m.Name, m.Address, &http.Client{Transport: t, Timeout: peerPatience}}
+	return &peer{m.Name, m.Address, &http.Client{Transport: t, Timeout: peerTimeout}}
 }
 
-// do sends a request and returns the body of its answer, of at most limit bytes. A
-// status other than 200 is an error.
+// do sends a request and returns the body of the response. A body of more than limit bytes
+// and a status other than 200 are errors.
 func (p *peer) do(ctx context.Context, method, target string, body []byte, limit int64) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "https://"+p.address+target, bytes.NewReader(body))
 	if err != nil {
@@ -209,21 +210,21 @@
 		return nil, fmt.Errorf("%s: %s: %.200s", p.name, a.Status, raw)
 	}
 	if int64(len(raw)) > limit {
-		return nil, fmt.Errorf("%s: an answer of more than %d bytes", p.name, limit)
+		return nil, fmt.Errorf("%s: the response is larger than %d bytes", p.name, limit)
 	}
 	return raw, nil
 }
 
-// get reads a path.
+// get sends a GET request and returns the body of the response.
 func (p *peer) get(ctx context.Context, target string, limit int64) ([]byte, error) {
 	return p.do(ctx, http.MethodGet, target, nil, limit)
 }
 
-// maxAnswer bounds a peer's answer in JSON, in bytes.
+// maxAnswer is the maximum size of another node's JSON response, in bytes.
 const maxAnswer = 32 << 20
 
-// ask reads a path and decodes its JSON into v.
-func (p *peer) ask(ctx context.Context, target string, v any) error {
+// getJSON sends a GET request and decodes the JSON response into v.
+func (p *peer) getJSON(ctx context.Context, target string, v any) error {
 	raw, err := p.get(ctx, target, maxAnswer)
 	if err != nil {
 		return err
@@ -231,8 +232,8 @@
 	return json.Unmarshal(raw, v)
 }
 
-// fetch reads records from another node and checks them. Those that the node does not
-// have, or that did not fit into its answer, are not among them.
+// fetch gets records by their keys from another node and checks them. The result lacks
+// records that the node does not have or that did not fit in its response.
 func (p *peer) fetch(ctx context.Context, keys []string) ([]archive.Record, error) {
 	body, err := json.Marshal(keys)
 	if err != nil {
@@ -245,7 +246,8 @@
 	return parseRecords(raw)
 }
 
-// getRecords answers with those of the keys that are here, as far as they fit.
+// getRecords responds with the requested records that are stored here, as many as fit in a
+// response.
 func (n *Node) getRecords(w http.ResponseWriter, r *http.Request, _ string) {
 	raw, err := readAll(w, r, 4<<20)
 	var keys []string
@@ -253,14 +255,14 @@
 		err = json.Unmarshal(raw, &keys)
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "not a list of keys")
+		writeError(w, http.StatusBadRequest, "not a list of keys")
 		return
 	}
 	var out []byte
 	for _, s := range keys {
 		k, err := archive.ParseKey(s)
 		if err != nil {
-			refuse(w, http.StatusBadRequest, err.Error())
+			writeError(w, http.StatusBadRequest, err.Error())
 			return
 		}
 		record, err := n.vault.Get(k)
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -9,8 +9,8 @@
 	"silvergate/internal/archive"
 )
 
-// Row is what a node has of an attempt: its small records, and which ranges of its
-// streams. Its JSON is that of PathRows.
+// Row describes what a node stores of an attempt: its small records, and the ranges that it
+// has of each stream. Its JSON is part of the response at PathRows.
 type Row struct {
 	Attempt string                     `json:"attempt"`
 	Records []RawRecord                `json:"records,omitempty"`
@@ -18,25 +18,27 @@
 	Files   []RawRecord                `json:"files,omitempty"`
 }
 
-// RawRecord is a record's key and payload as JSON carries them.
+// RawRecord is a record's key and payload in JSON.
 type RawRecord struct {
 	Key     string `json:"key"`
 	Payload []byte `json:"payload"`
 }
 
-// Rows is a page of rows in the order of their attempts' names.
+// Rows is a page of rows, sorted by their attempts' names. Its JSON is the response at
+// PathRows.
 type Rows struct {
 	Rows []Row  `json:"rows"`
-	Last string `json:"last,omitempty"` // the page ends after it; "": the last page
+	Last string `json:"last,omitempty"` // name of the page's last attempt; "" if this is the last page
 }
 
-// rowsPage bounds a page, in attempts.
+// rowsPage is the maximum number of attempts on a page.
 const rowsPage = 200
 
-// rows lists attempts here that have a label, of a job if it is named, after an
-// attempt. A reader's label is their own: what belongs to others is not even looked
-// at for them, and takes as long as what is not there.
-func (n *Node) rows(job, label, from string, files bool) (out Rows, err error) {
+// listRows returns a page of the attempts stored here that have a label, after the attempt
+// from. If job is not empty, it returns only attempts of that job. A reader's label covers
+// only their own attempts: others' attempts are not even looked up, so a request for them takes
+// as long as one for attempts that don't exist.
+func (n *Node) listRows(job, label, from string, files bool) (out Rows, err error) {
 	out.Rows = []Row{}
 	prefix := ""
 	if job != "" {
@@ -47,7 +49,7 @@
 		return out, err
 	}
 	for _, name := range names {
-		row, err := n.row(name, files)
+		row, err := n.readRow(name, files)
 		if err != nil {
 			return out, err
 		}
@@ -59,8 +61,9 @@
 	return out, nil
 }
 
-// row reads what is here of an attempt.
-func (n *Node) row(name string, files bool) (Row, error) {
+// readRow reads what this node stores of an attempt. It includes file records only with
+// files.
+func (n *Node) readRow(name string, files bool) (Row, error) {
 	row := Row{Attempt: name, Cover: map[string][]archive.Range{}}
 	from := ""
 	for {
@@ -72,8 +75,8 @@
 			from = i.Key.String()
 			switch i.Key.Kind {
 			case archive.KindSegment:
-				if stream, at, size, err := i.Key.Place(); err == nil {
-					row.Cover[stream] = archive.Join(row.Cover[stream], archive.Range{From: at, To: at + int64(size)})
+				if stream, at, size, err := i.Key.StreamPosition(); err == nil {
+					row.Cover[stream] = archive.AddRange(row.Cover[stream], archive.Range{From: at, To: at + int64(size)})
 				}
 			case archive.KindGrant, archive.KindEnd, archive.KindExpired, archive.KindGap, archive.KindFile:
 				if r, err := n.vault.Get(i.Key); err == nil {
@@ -92,28 +95,29 @@
 	}
 }
 
-// localRows answers another node with a page of rows.
-func (n *Node) localRows(w http.ResponseWriter, r *http.Request, _ string) {
+// serveRows responds to another node with a page of rows.
+func (n *Node) serveRows(w http.ResponseWriter, r *http.Request, _ string) {
 	q := r.URL.Query()
-	rows, err := n.rows(q.Get("job"), q.Get("label"), q.Get("from"), q.Get("files") == "true")
+	rows, err := n.listRows(q.Get("job"), q.Get("label"), q.Get("from"), q.Get("files") == "true")
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "the index can't be read now")
+		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
 	}
-	answer(w, rows)
+	writeJSON(w, rows)
 }
 
-// Answered tells how complete an answer is.
+// Answered describes how complete a response is.
 type Answered struct {
-	// Whole is false when so many nodes are silent that what they acknowledged may
-	// be missing here.
+	// Whole is false if so many nodes did not answer that acknowledged records may be
+	// missing from the response. Silent lists the nodes that did not answer.
 	Whole  bool     `json:"whole"`
 	Silent []string `json:"silent,omitempty"`
 }
 
-// gather asks all nodes, this one too, and hands each answer on.
-func gather[T any](ctx context.Context, n *Node, target string, own func() (T, error), take func(from string, v T)) Answered {
-	ctx, cancel := context.WithTimeout(ctx, readPatience)
+// gather calls local for this node and requests target from all other nodes, concurrently,
+// and calls handle with each answer, one at a time.
+func gather[T any](ctx context.Context, n *Node, target string, local func() (T, error), handle func(from string, v T)) Answered {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -124,20 +128,20 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			n.log.Debug("a node does not answer", "node", name, "error", err)
+			n.log.Debug("a node did not answer", "node", name, "error", err)
 			a.Silent = append(a.Silent, name)
 			return
 		}
-		take(name, v)
+		handle(name, v)
 	}
 	for name, p := range n.peers {
 		wait.Add(1)
-		go ask(name, func() (v T, err error) { return v, p.ask(ctx, target, &v) })
+		go ask(name, func() (v T, err error) { return v, p.getJSON(ctx, target, &v) })
 	}
 	wait.Add(1)
-	go ask(n.cfg.Name, own)
+	go ask(n.cfg.Name, local)
 	wait.Wait()
 	slices.Sort(a.Silent)
-	a.Whole = n.members.Whole(len(n.members.Names) - len(a.Silent))
+	a.Whole = n.members.Complete(len(n.members.Names) - len(a.Silent))
 	return a
 }
--- a/internal/archive/node/server.go
+++ b/internal/archive/node/server.go
@@ -12,9 +12,9 @@
 	"silvergate/internal/identity"
 )
 
-// Serve takes requests at a listener, and compares, expires and scrubs in the
-// background, until Stop. It closes the listener, and returns nil after Stop and the
-// listener's error otherwise. It is called once.
+// Serve handles requests on a listener and runs the background tasks until Stop. It closes
+// the listener. It returns nil after Stop, and the listener's error otherwise. It is called
+// once.
 func (n *Node) Serve(l net.Listener) error {
 	server := &http.Server{Handler: n.handler(), TLSConfig: n.certificates.Serve(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 60 * time.Second,
 		WriteTimeout: 120 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10,
@@ -22,7 +22,7 @@
 	server.TLSConfig.NextProtos = []string{"http/1.1"}
 	n.mu.Lock()
 	if n.ctx.Err() != nil {
-		// Guards against a listener that stays when the node was stopped just before.
+		// The node was stopped before it served, so nothing else closes the listener.
 		n.mu.Unlock()
 		return l.Close()
 	}
@@ -42,15 +42,15 @@
 	return nil
 }
 
-// tasks are what a node does in the background while it serves.
+// tasks returns the tasks that run in the background while the node serves.
 func (n *Node) tasks() []func() {
-	return []func(){n.syncAll, n.repairAll, n.scrub, n.expireAll, n.revocations}
+	return []func(){n.syncAll, n.repairAll, n.scrub, n.expireAll, n.refreshRevocations}
 }
 
-// Paths of the requests that a node answers. Those from PathGet to PathCuts are for
-// other nodes.
+// Paths of the requests that a node serves. Those from PathGet to PathCuts are for
+// other nodes only.
 const (
-	PathRecords     = "/v1/records" // POST: records to be kept
+	PathRecords     = "/v1/records" // POST: records to store
 	PathGet         = "/v1/get"     // POST: keys; nodes only
 	PathTree        = "/v1/tree"    // nodes only
 	PathLeaf        = "/v1/leaf"
@@ -63,22 +63,23 @@
 	PathStats       = "/v1/stats"
 )
 
-// handler routes requests. Each is refused if its certificate does not hold any more.
+// handler returns the handler of all requests. It refuses requests whose certificate is no
+// longer valid.
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
-	with := func(pattern string, do func(w http.ResponseWriter, r *http.Request, who identity.Identity)) {
+	handle := func(pattern string, do func(w http.ResponseWriter, r *http.Request, who identity.Identity)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			who, ok := n.certificates.Who(r)
 			if !ok {
 				w.Header().Set("Connection", "close")
-				refuse(w, http.StatusForbidden, "refused")
+				writeError(w, http.StatusForbidden, "refused")
 				return
 			}
 			do(w, r, who)
 		})
 	}
-	sync := func(pattern string, do func(w http.ResponseWriter, r *http.Request, peer string)) {
-		with(pattern, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
+	handleNode := func(pattern string, do func(w http.ResponseWriter, r *http.Request, peer string)) {
+		handle(pattern, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 			if !archive.Access(who, archive.Sync, archive.Owner{}, "") {
 				n.audit(who, archive.Sync, r.URL.Path, false)
 				notFound(w)
@@ -87,43 +88,43 @@
 			do(w, r, who.Name)
 		})
 	}
-	with("POST "+PathRecords, n.put)
-	with("GET "+PathAttempts, n.attempts)
-	with("GET "+PathStream, n.stream)
-	with("GET "+PathFile, n.file)
-	with("GET "+PathRevocations, func(w http.ResponseWriter, _ *http.Request, _ identity.Identity) {
+	handle("POST "+PathRecords, n.put)
+	handle("GET "+PathAttempts, n.attempts)
+	handle("GET "+PathStream, n.stream)
+	handle("GET "+PathFile, n.file)
+	handle("GET "+PathRevocations, func(w http.ResponseWriter, _ *http.Request, _ identity.Identity) {
 		_, _ = w.Write(n.certificates.Revocations())
 	})
-	with("POST "+PathRevocations, func(w http.ResponseWriter, r *http.Request, _ identity.Identity) {
-		// Signed by the authority: it does not matter who brings it.
+	handle("POST "+PathRevocations, func(w http.ResponseWriter, r *http.Request, _ identity.Identity) {
+		// The authority signs the list, so any caller may send it.
 		raw, err := readAll(w, r, identity.MaxRevocations)
 		if err == nil {
 			_, err = n.certificates.Learn(raw)
 		}
 		if err != nil {
-			refuse(w, http.StatusBadRequest, "not a list of revocations of this site's authority")
+			writeError(w, http.StatusBadRequest, "not a list of revocations of this site's authority")
 			return
 		}
-		answer(w, struct{}{})
+		writeJSON(w, struct{}{})
 	})
-	with("GET "+PathStats, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
+	handle("GET "+PathStats, func(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 		if !archive.Access(who, archive.Admin, archive.Owner{}, "") {
 			n.audit(who, archive.Admin, r.URL.Path, false)
 			notFound(w)
 			return
 		}
-		answer(w, n.Stats())
+		writeJSON(w, n.Stats())
 	})
-	sync("POST "+PathGet, n.getRecords)
-	sync("GET "+PathTree, n.tree)
-	sync("GET "+PathLeaf, n.leaf)
-	sync("GET "+PathRows, n.localRows)
-	sync("GET "+PathCuts, n.localCuts)
+	handleNode("POST "+PathGet, n.getRecords)
+	handleNode("GET "+PathTree, n.tree)
+	handleNode("GET "+PathLeaf, n.leaf)
+	handleNode("GET "+PathRows, n.serveRows)
+	handleNode("GET "+PathCuts, n.serveSegments)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { notFound(w) })
 	return mux
 }
 
-// audit records a decision on access.
+// audit logs an authorization decision and counts denials.
 func (n *Node) audit(who identity.Identity, verb archive.Verb, what string, allowed bool) {
 	if !allowed {
 		n.count(func(s *Stats) { s.Denied++ })
@@ -131,15 +132,15 @@
 	n.log.Info("access", "who", who.String(), "verb", string(verb), "what", what, "allowed", allowed)
 }
 
-// answer writes v as JSON.
-func answer(w http.ResponseWriter, v any) {
+// writeJSON writes v as the JSON body of a response.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// refuse answers with a status and its reason. Callers may try again after a second
-// where waiting helps.
-func refuse(w http.ResponseWriter, status int, why string) {
+// writeError writes an error response. With status 503 or 507, where waiting may help, it
+// asks the client to retry after a second.
+func writeError(w http.ResponseWriter, status int, why string) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable || status == http.StatusInsufficientStorage {
 		w.Header().Set("Retry-After", "1")
@@ -148,5 +149,5 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"error": why})
 }
 
-// notFound is the answer for what is not there, and for what somebody may not see.
-func notFound(w http.ResponseWriter) { refuse(w, http.StatusNotFound, "no such thing") }
+// notFound writes the response for what does not exist and for what the caller may not see.
+func notFound(w http.ResponseWriter) { writeError(w, http.StatusNotFound, "no such thing") }
