--- a/internal/archive/ship/files.go
+++ b/internal/archive/ship/files.go
@@ -20,7 +20,7 @@
 // storeTogether has a quorum store records that belong together. It returns
 // errRefused if one of them is refused, and another error if too few nodes store one.
 func (s *Shipper) storeTogether(records []archive.Record) error {
-	if err := s.pace(sizeOf(records)); err != nil {
+	if err := s.waitForRate(totalFrameSize(records)); err != nil {
 		return err
 	}
 	kept, refused := s.writer.Put(s.ctx, records)
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	done := slices.Clone(f.progress.Files)
 	s.mu.Unlock()
-	files, err := s.keepFiles(f, done)
+	files, err := s.shipFiles(f, done)
 	if err == nil {
 		s.mu.Lock()
 		end := *f.progress.End
@@ -68,9 +68,9 @@
 	delete(s.attempts, f.attempt)
 }
 
-// keepFiles ships the files that match the job's patterns. What the program left
+// shipFiles ships the files that match the job's patterns. What the program left
 // is data: links are not followed, and only regular files are read.
-func (s *Shipper) keepFiles(f *followedAttempt, done []archive.File) ([]archive.File, error) {
+func (s *Shipper) shipFiles(f *followedAttempt, done []archive.File) ([]archive.File, error) {
 	if len(f.grant.Keep) == 0 {
 		return nil, nil
 	}
@@ -104,7 +104,7 @@
 		if slices.ContainsFunc(done, func(x archive.File) bool { return x.Path == name }) {
 			continue
 		}
-		file, err := s.keepFile(f, root, name)
+		file, err := s.shipFile(f, root, name)
 		if err != nil {
 			return done, err
 		}
@@ -138,9 +138,9 @@
 	return false
 }
 
-// keepFile ships a file's chunks and then its record; nil is a file that is not
+// shipFile ships a file's chunks and then its record; nil is a file that is not
 // kept.
-func (s *Shipper) keepFile(f *followedAttempt, root *os.Root, name string) (*archive.File, error) {
+func (s *Shipper) shipFile(f *followedAttempt, root *os.Root, name string) (*archive.File, error) {
 	in, err := root.Open(name)
 	if err != nil {
 		return nil, nil
--- a/internal/archive/ship/golden_test.go
+++ b/internal/archive/ship/golden_test.go
@@ -29,8 +29,8 @@
 // other two need nothing any more.
 const (
 	shippingFolder = "testdata/golden/shipping"
-	wholeFolder    = "testdata/golden/whole"
-	goneFolder     = "testdata/golden/gone"
+	completeFolder    = "testdata/golden/whole"
+	givenUpFolder     = "testdata/golden/gone"
 )
 
 var goldenAttempt = archive.Attempt{Job: "wk-000042", Task: 7, Try: 2, Machine: "machine-9"}
@@ -73,11 +73,11 @@
 	return dir
 }
 
-func TestGoldenAccountsAreWrittenAlike(t *testing.T) {
+func TestGoldenProgressIsWrittenIdentically(t *testing.T) {
 	for _, test := range []struct {
 		folder string
 		left   int
-	}{{shippingFolder, 1}, {wholeFolder, 0}, {goneFolder, 0}} {
+	}{{shippingFolder, 1}, {completeFolder, 0}, {givenUpFolder, 0}} {
 		t.Run(filepath.Base(test.folder), func(t *testing.T) {
 			s, _ := goldenShipper(t, "127.0.0.1:1")
 			dir := copyFolder(t, test.folder)
@@ -98,13 +98,13 @@
 	}
 }
 
-// storingNode is an archive node that keeps records in memory.
-type storingNode struct {
+// memoryNode is an archive node that keeps records in memory.
+type memoryNode struct {
 	mu      sync.Mutex
 	records map[string]archive.Record
 }
 
-func (n *storingNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *memoryNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,13 +123,13 @@
 }
 
 // serveNode serves a node at the listener with the certificate in a folder.
-func serveNode(t *testing.T, listener net.Listener, certs string) *storingNode {
+func serveNode(t *testing.T, listener net.Listener, certs string) *memoryNode {
 	t.Helper()
 	keeper, err := identity.NewKeeper(certs, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &storingNode{records: map[string]archive.Record{}}
+	n := &memoryNode{records: map[string]archive.Record{}}
 	server := &http.Server{Handler: n, TLSConfig: keeper.Serve()}
 	go func() { _ = server.ServeTLS(listener, "", "") }()
 	t.Cleanup(func() { _ = server.Close() })
@@ -138,7 +138,7 @@
 
 // summary lists the records by what they are, without their digests and with what a
 // segment, a gap, a file or an end says.
-func (n *storingNode) summary(t *testing.T) []string {
+func (n *memoryNode) summary(t *testing.T) []string {
 	t.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/archive/ship/plan.go
+++ b/internal/archive/ship/plan.go
@@ -115,32 +115,32 @@
 	}
 }
 
-// shipNeed is what an attempt has to ship, as the plan sees it.
-type shipNeed struct {
+// attemptBacklog is what an attempt has to ship, as the plan sees it.
+type attemptBacklog struct {
 	attempt   archive.Attempt
 	urgent    bool
 	ended     bool
-	since     int64 // when the oldest unshipped byte was observed, 0: none
+	oldestAt     int64 // when the oldest unshipped byte was observed, 0: none
 	unshipped int64
 }
 
 // due decides which attempts are shipped now: those with enough for a whole
 // segment, with something older than the bound, or that are over; urgent ones
 // first, then the oldest.
-func due(all []shipNeed, now, bound int64) (out []shipNeed) {
+func due(all []attemptBacklog, now, bound int64) (out []attemptBacklog) {
 	for _, w := range all {
-		if w.unshipped >= archive.MaxSegment || w.since > 0 && now-w.since >= bound || w.ended {
+		if w.unshipped >= archive.MaxSegment || w.oldestAt > 0 && now-w.oldestAt >= bound || w.ended {
 			out = append(out, w)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b shipNeed) int {
+	slices.SortStableFunc(out, func(a, b attemptBacklog) int {
 		if a.urgent != b.urgent {
 			if a.urgent {
 				return -1
 			}
 			return 1
 		}
-		if c := cmp.Compare(a.since, b.since); c != 0 {
+		if c := cmp.Compare(a.oldestAt, b.oldestAt); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.attempt.String(), b.attempt.String())
@@ -148,10 +148,10 @@
 	return out
 }
 
-// spill decides what a full spool gives up: of attempts that are over first, those
+// bytesToDrop decides what a full spool gives up: of attempts that are over first, those
 // that are not urgent before those that are, the oldest first; then of running
 // ones. It returns how many bytes of each, in the order of all.
-func spill(all []shipNeed, quota int64) []int64 {
+func bytesToDrop(all []attemptBacklog, quota int64) []int64 {
 	out := make([]int64, len(all))
 	over := -quota
 	for _, w := range all {
@@ -161,7 +161,7 @@
 	for i := range order {
 		order[i] = i
 	}
-	rank := func(w shipNeed) int {
+	rank := func(w attemptBacklog) int {
 		r := 0
 		if !w.ended {
 			r += 2
@@ -175,7 +175,7 @@
 		if c := cmp.Compare(rank(all[a]), rank(all[b])); c != 0 {
 			return c
 		}
-		return cmp.Compare(all[a].since, all[b].since)
+		return cmp.Compare(all[a].oldestAt, all[b].oldestAt)
 	})
 	for _, i := range order {
 		if over <= 0 {
--- a/internal/archive/ship/plan_test.go
+++ b/internal/archive/ship/plan_test.go
@@ -13,11 +13,11 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// TestStreamsAreCutOnce draws a program that writes and shortens its file, looks at
+// TestEachByteIsShippedOrGivenUpOnce draws a program that writes and shortens its file, looks at
 // it, cuts, acknowledgements, a full spool and an agent that starts again with its
 // last account. What is cut must be what lies in the file there, each byte of the
 // stream must be cut or given up, in order, and every loss must be told.
-func TestStreamsAreCutOnce(t *testing.T) {
+func TestEachByteIsShippedOrGivenUpOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &streamFollower{}
 		var file []byte
@@ -105,17 +105,17 @@
 	})
 }
 
-// TestWhatGoesFirst draws needs and checks the order: whatever is due goes, urgent
+// TestShippingAndDroppingOrder draws needs and checks the order: whatever is due goes, urgent
 // ones before others, older ones before younger; and a full spool takes no more than
 // it must, of finished tasks before running ones, of others before urgent ones.
-func TestWhatGoesFirst(t *testing.T) {
+func TestShippingAndDroppingOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []shipNeed
+		var all []attemptBacklog
 		for i := range rapid.IntRange(0, 12).Draw(t, "attempts") {
-			w := shipNeed{attempt: archive.Attempt{Job: fmt.Sprintf("wk-%06d", i)}, urgent: rapid.Bool().Draw(t, "urgent"), ended: rapid.Bool().Draw(t, "over"),
+			w := attemptBacklog{attempt: archive.Attempt{Job: fmt.Sprintf("wk-%06d", i)}, urgent: rapid.Bool().Draw(t, "urgent"), ended: rapid.Bool().Draw(t, "over"),
 				unshipped: rapid.SampledFrom([]int64{0, 0, 10, 5000, archive.MaxSegment, 3 * archive.MaxSegment}).Draw(t, "left")}
 			if w.unshipped > 0 {
-				w.since = rapid.Int64Range(1, 1000).Draw(t, "since")
+				w.oldestAt = rapid.Int64Range(1, 1000).Draw(t, "since")
 			}
 			all = append(all, w)
 		}
@@ -126,19 +126,19 @@
 			in[w.attempt] = true
 			if i > 0 {
 				p := out[i-1]
-				if w.urgent && !p.urgent || w.urgent == p.urgent && w.since < p.since {
+				if w.urgent && !p.urgent || w.urgent == p.urgent && w.oldestAt < p.oldestAt {
 					t.Fatalf("%+v comes after %+v", w, p)
 				}
 			}
 		}
 		for _, w := range all {
-			must := w.ended || w.unshipped >= archive.MaxSegment || w.unshipped > 0 && now-w.since >= bound
+			must := w.ended || w.unshipped >= archive.MaxSegment || w.unshipped > 0 && now-w.oldestAt >= bound
 			if must != in[w.attempt] {
 				t.Fatalf("%+v is due: %v", w, in[w.attempt])
 			}
 		}
 		quota := rapid.Int64Range(0, 5*archive.MaxSegment).Draw(t, "quota")
-		drops := spill(all, quota)
+		drops := bytesToDrop(all, quota)
 		total, left := int64(0), int64(0)
 		for i, w := range all {
 			if drops[i] < 0 || drops[i] > w.unshipped {
@@ -162,8 +162,8 @@
 	})
 }
 
-// TestPatterns checks which files are kept.
-func TestPatterns(t *testing.T) {
+// TestKeepPatterns checks which files are kept.
+func TestKeepPatterns(t *testing.T) {
 	for _, c := range []struct {
 		pattern, path string
 		want          bool
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -24,11 +24,11 @@
 type Writer struct {
 	log     *slog.Logger
 	members archive.Members
-	nodes   []*remote
+	nodes   []*nodeClient
 }
 
-// remote is an archive node as an agent sees it.
-type remote struct {
+// nodeClient is an archive node as an agent sees it.
+type nodeClient struct {
 	name, address string
 	http          *http.Client
 
@@ -50,16 +50,16 @@
 		b := backoff.NewExponentialBackOff()
 		b.InitialInterval, b.MaxInterval = 100*time.Millisecond, 5*time.Second
 		w.members.Names = append(w.members.Names, m.Name)
-		w.nodes = append(w.nodes, &remote{name: m.Name, address: m.Address, backOff: b, http: &http.Client{Timeout: putPatience,
+		w.nodes = append(w.nodes, &nodeClient{name: m.Name, address: m.Address, backOff: b, http: &http.Client{Timeout: putTimeout,
 			Transport: &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute,
 				TLSHandshakeTimeout: 3 * time.Second, DisableCompression: true}}})
 	}
 	return w
 }
 
-// putPatience is how long a node may take to keep records: a slow disk must not
+// putTimeout is how long a node may take to keep records: a slow disk must not
 // hold up what the others have kept.
-const putPatience = 5 * time.Second
+const putTimeout = 5 * time.Second
 
 // errBackingOff says that a node is not asked now: it failed just before, or has
 // maxInFlight requests.
@@ -69,7 +69,7 @@
 var errRefused = errors.New("refused")
 
 // post has the node store records, unless it is not to be asked now.
-func (r *remote) post(ctx context.Context, body []byte) error {
+func (r *nodeClient) post(ctx context.Context, body []byte) error {
 	r.mu.Lock()
 	if time.Until(r.notBefore) > 0 || r.inFlight == maxInFlight {
 		r.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 	r.inFlight++
 	r.mu.Unlock()
-	err := r.try(ctx, body)
+	err := r.sendRecords(ctx, body)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight--
@@ -90,8 +90,8 @@
 	return err
 }
 
-// try sends one request with records.
-func (r *remote) try(ctx context.Context, body []byte) error {
+// sendRecords sends one request with records.
+func (r *nodeClient) sendRecords(ctx context.Context, body []byte) error {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+r.address+node.PathRecords, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -173,7 +173,7 @@
 }
 
 // get reads a path, at most identity.MaxRevocations bytes.
-func (r *remote) get(ctx context.Context, path string) ([]byte, error) {
+func (r *nodeClient) get(ctx context.Context, path string) ([]byte, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+r.address+path, nil)
 	if err != nil {
 		return nil, err
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -44,7 +44,7 @@
 	}
 	s.mu.Unlock()
 	now := nowMS()
-	var needs []shipNeed
+	var needs []attemptBacklog
 	for _, f := range all {
 		s.mu.Lock()
 		ended := f.progress.End != nil
@@ -68,9 +68,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range all {
-		needs = append(needs, f.need())
+		needs = append(needs, f.backlog())
 	}
-	for i, n := range spill(needs, int64(s.cfg.SpoolMB*1e6)) {
+	for i, n := range bytesToDrop(needs, int64(s.cfg.SpoolMB*1e6)) {
 		for _, name := range archive.Streams {
 			follower := all[i].streams[name]
 			k := min(n, follower.unshipped())
@@ -91,13 +91,13 @@
 	}
 }
 
-// need is what the attempt has to ship; the lock is held.
-func (f *followedAttempt) need() shipNeed {
-	w := shipNeed{attempt: f.attempt, urgent: f.urgent, ended: f.progress.End != nil}
+// backlog is what the attempt has to ship; the lock is held.
+func (f *followedAttempt) backlog() attemptBacklog {
+	w := attemptBacklog{attempt: f.attempt, urgent: f.urgent, ended: f.progress.End != nil}
 	for _, follower := range f.streams {
 		w.unshipped += follower.unshipped()
-		if at := follower.oldestUnshipped(); at > 0 && (w.since == 0 || at < w.since) {
-			w.since = at
+		if at := follower.oldestUnshipped(); at > 0 && (w.oldestAt == 0 || at < w.oldestAt) {
+			w.oldestAt = at
 		}
 	}
 	return w
@@ -137,7 +137,7 @@
 			s.finish(f)
 		}()
 	}
-	records, sent := s.readCuts(cuts)
+	records, sent := s.makeRecords(cuts)
 	if len(records) == 0 {
 		return false
 	}
@@ -149,9 +149,9 @@
 func (s *Shipper) selectDue() (cuts []streamCut, ended []*followedAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var needs []shipNeed
+	var needs []attemptBacklog
 	for _, f := range s.attempts {
-		needs = append(needs, f.need())
+		needs = append(needs, f.backlog())
 	}
 	size := int64(0)
 	bound := int64(s.cfg.BoundS * 1000)
@@ -182,9 +182,9 @@
 	return cuts, ended
 }
 
-// readCuts makes the records of a batch and says what follows from each: the grant
+// makeRecords makes the records of a batch and says what follows from each: the grant
 // of each attempt before its first record, and each stream's gaps before its segment.
-func (s *Shipper) readCuts(cuts []streamCut) (records []archive.Record, sent []sentRecord) {
+func (s *Shipper) makeRecords(cuts []streamCut) (records []archive.Record, sent []sentRecord) {
 	granted := map[*followedAttempt]bool{}
 	for i := range cuts {
 		c := &cuts[i]
@@ -201,10 +201,10 @@
 		if c.bytes == 0 {
 			continue
 		}
-		data, err := readPart(filepath.Join(c.attempt.dir, c.stream), c.fileOffset, c.bytes)
+		data, err := readRange(filepath.Join(c.attempt.dir, c.stream), c.fileOffset, c.bytes)
 		if err != nil {
 			s.log.Error("output can't be read", "attempt", c.attempt.attempt.String(), "stream", c.stream, "error", err)
-			s.giveUpUnread(c)
+			s.giveUpUnreadable(c)
 			continue
 		}
 		segment := archive.Segment{WriteTimes: c.writeTimes, Data: data}
@@ -215,9 +215,9 @@
 	return records, sent
 }
 
-// giveUpUnread gives up output of an ended attempt that can't be read. Of one that
+// giveUpUnreadable gives up output of an ended attempt that can't be read. Of one that
 // runs it is read again.
-func (s *Shipper) giveUpUnread(c *streamCut) {
+func (s *Shipper) giveUpUnreadable(c *streamCut) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ended := c.attempt.progress.End != nil; ended {
@@ -226,8 +226,8 @@
 	}
 }
 
-// readPart reads n bytes of a file from an offset on.
-func readPart(path string, from, n int64) ([]byte, error) {
+// readRange reads n bytes of a file from an offset on.
+func readRange(path string, from, n int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -240,8 +240,8 @@
 	return buf, nil
 }
 
-// pace waits until so many bytes may go out.
-func (s *Shipper) pace(size int) error {
+// waitForRate waits until so many bytes may go out.
+func (s *Shipper) waitForRate(size int) error {
 	r := s.cfg.RateMBPerS
 	if s.Urgent() && (r == 0 || s.cfg.UrgentMBPerS < r) {
 		r = s.cfg.UrgentMBPerS
@@ -261,8 +261,8 @@
 	return nil
 }
 
-// sizeOf returns the length of records' frames in bytes.
-func sizeOf(records []archive.Record) (n int) {
+// totalFrameSize returns the length of records' frames in bytes.
+func totalFrameSize(records []archive.Record) (n int) {
 	for i := range records {
 		n += archive.FrameSize(&records[i])
 	}
@@ -272,8 +272,8 @@
 // send has records stored by a quorum and notes those that are, or that are refused;
 // anyStored tells whether something was.
 func (s *Shipper) send(records []archive.Record, sent []sentRecord) (anyStored bool) {
-	size := sizeOf(records)
-	if s.pace(size) != nil {
+	size := totalFrameSize(records)
+	if s.waitForRate(size) != nil {
 		return false
 	}
 	kept, refused := s.writer.Put(s.ctx, records)
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -156,7 +156,7 @@
 	}()
 	go func() {
 		defer s.wait.Done()
-		s.revocations()
+		s.pollRevocations()
 	}()
 }
 
@@ -319,8 +319,8 @@
 	}
 }
 
-// revocations asks one node after the other for the newest list of revocations.
-func (s *Shipper) revocations() {
+// pollRevocations asks one node after the other for the newest list of pollRevocations.
+func (s *Shipper) pollRevocations() {
 	for i := 0; ; i++ {
 		select {
 		case <-s.ctx.Done():
--- a/internal/archive/vault/commit.go
+++ b/internal/archive/vault/commit.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// commitAll is the one writer: it commits changes until the vault is closed. Those
+// commitLoop is the one writer: it commits changes until the vault is closed. Those
 // that wait in the queue share a commit, up to commitBytes.
-func (v *Vault) commitAll() {
+func (v *Vault) commitLoop() {
 	defer close(v.done)
 	for {
 		var first *change
@@ -82,11 +82,11 @@
 		case <-v.stop:
 			return
 		}
-		group, size := []*change{first}, sizeOf(first)
+		group, size := []*change{first}, changeBytes(first)
 		for more := true; more && size < commitBytes; {
 			select {
 			case p := <-v.queue:
-				group, size = append(group, p), size+sizeOf(p)
+				group, size = append(group, p), size+changeBytes(p)
 			default:
 				more = false
 			}
@@ -101,16 +101,16 @@
 	}
 }
 
-// sizeOf returns the bytes that a change writes.
-func sizeOf(p *change) (n int) {
+// changeBytes returns the bytes that a change writes.
+func changeBytes(p *change) (n int) {
 	for i := range p.records {
 		n += archive.FrameSize(&p.records[i])
 	}
 	return n
 }
 
-// written is a record that a commit appends to a volume.
-type written struct {
+// appendedRecord is a record that a commit appends to a volume.
+type appendedRecord struct {
 	record    *archive.Record
 	location  recordLocation
 	movedFrom *recordLocation // moved from there
@@ -122,9 +122,9 @@
 	location recordLocation
 }
 
-// dropping is a record that is to be taken out of the index. record holds its
+// pendingDrop is a record that is to be taken out of the index. record holds its
 // payload if its labels must go too, and has none otherwise.
-type dropping struct {
+type pendingDrop struct {
 	key    string
 	record archive.Record
 }
@@ -133,7 +133,7 @@
 func (v *Vault) commit(group []*change) error {
 	begun := time.Now()
 	added := v.selectNew(group)
-	if err := v.write(added); err != nil {
+	if err := v.appendRecords(added); err != nil {
 		return err
 	}
 	drops, err := v.readDropped(group)
@@ -143,7 +143,7 @@
 	removed, err := v.updateIndex(added, drops)
 	if err != nil {
 		// No index entry refers to the volume's tail now.
-		return errors.Join(wrapDiskFull(err), v.rewind())
+		return errors.Join(wrapDiskFull(err), v.discardTail())
 	}
 	v.countCommit(added, removed, begun)
 	v.notify(added, removed)
@@ -153,7 +153,7 @@
 // selectNew returns the records of a group that must be written: each key once,
 // without those that are stored already, and of the moved ones those that still
 // lie where the move found them.
-func (v *Vault) selectNew(group []*change) (added []written) {
+func (v *Vault) selectNew(group []*change) (added []appendedRecord) {
 	seen := map[string]bool{}
 	for _, c := range group {
 		for i := range c.records {
@@ -166,13 +166,13 @@
 				if now, err := v.find(key); err != nil || now != old {
 					continue // dropped, or moved, meanwhile
 				}
-				added = append(added, written{record: &c.records[i], movedFrom: &old})
+				added = append(added, appendedRecord{record: &c.records[i], movedFrom: &old})
 				continue
 			}
 			if _, err := v.find(key); err == nil {
 				continue
 			}
-			added = append(added, written{record: &c.records[i]})
+			added = append(added, appendedRecord{record: &c.records[i]})
 		}
 	}
 	return added
@@ -180,7 +180,7 @@
 
 // readDropped returns what a group drops. Grants are read, since their labels come
 // from their payload; one that can't be read leaves its labels behind.
-func (v *Vault) readDropped(group []*change) (drops []dropping, err error) {
+func (v *Vault) readDropped(group []*change) (drops []pendingDrop, err error) {
 	for _, c := range group {
 		for _, key := range c.drop {
 			parsed, err := archive.ParseKey(key)
@@ -193,7 +193,7 @@
 					record = archive.Record{Key: parsed}
 				}
 			}
-			drops = append(drops, dropping{key, record})
+			drops = append(drops, pendingDrop{key, record})
 		}
 	}
 	return drops, nil
@@ -201,7 +201,7 @@
 
 // updateIndex enters and removes records in one transaction. It returns the
 // removed ones that the index had.
-func (v *Vault) updateIndex(added []written, drops []dropping) (removed []removal, err error) {
+func (v *Vault) updateIndex(added []appendedRecord, drops []pendingDrop) (removed []removal, err error) {
 	err = v.db.Update(func(tx *bolt.Tx) error {
 		for i := range added {
 			if err := v.addEntry(tx, added[i].record, added[i].location); err != nil {
@@ -223,7 +223,7 @@
 }
 
 // dropEntry removes a record from the index; found tells whether it was there.
-func (v *Vault) dropEntry(tx *bolt.Tx, d *dropping) (removed removal, found bool, err error) {
+func (v *Vault) dropEntry(tx *bolt.Tx, d *pendingDrop) (removed removal, found bool, err error) {
 	raw := tx.Bucket(bucketRecords).Get([]byte(d.key))
 	if raw == nil {
 		return removal{}, false, nil
@@ -247,7 +247,7 @@
 }
 
 // countCommit adds a commit to the counters and to the volumes' live bytes.
-func (v *Vault) countCommit(added []written, removed []removal, begun time.Time) {
+func (v *Vault) countCommit(added []appendedRecord, removed []removal, begun time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, w := range added {
@@ -273,7 +273,7 @@
 
 // notify calls Config.Added and Config.Removed for what a commit changed. A moved
 // record is neither.
-func (v *Vault) notify(added []written, removed []removal) {
+func (v *Vault) notify(added []appendedRecord, removed []removal) {
 	for _, w := range added {
 		if w.movedFrom == nil {
 			v.cfg.Added(w.location.info(w.record.Key))
@@ -284,8 +284,8 @@
 	}
 }
 
-// write appends records to the volumes and syncs those.
-func (v *Vault) write(add []written) error {
+// appendRecords appends records to the volumes and syncs those.
+func (v *Vault) appendRecords(add []appendedRecord) error {
 	if len(add) == 0 {
 		return nil
 	}
@@ -312,7 +312,7 @@
 				err = v.beginVolume()
 			}
 			if err != nil {
-				return errors.Join(wrapDiskFull(err), v.rewind())
+				return errors.Join(wrapDiskFull(err), v.discardTail())
 			}
 			volume, pos = v.volumes[v.current], 0
 		}
@@ -326,14 +326,14 @@
 		pos += size
 	}
 	if err := flush(); err != nil {
-		return errors.Join(wrapDiskFull(err), v.rewind())
+		return errors.Join(wrapDiskFull(err), v.discardTail())
 	}
 	return nil
 }
 
-// rewind cuts off what was written and not acknowledged. If that fails, it begins
+// discardTail cuts off what was written and not acknowledged. If that fails, it begins
 // another volume.
-func (v *Vault) rewind() error {
+func (v *Vault) discardTail() error {
 	volume := v.volumes[v.current]
 	if err := volume.file.Truncate(volume.size); err != nil {
 		return v.beginVolume()
--- a/internal/archive/vault/golden_test.go
+++ b/internal/archive/vault/golden_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestGoldenVolumesAreWrittenAlike(t *testing.T) {
+func TestGoldenVolumesAreWrittenIdentically(t *testing.T) {
 	dir := t.TempDir()
 	v := openGoldenVault(t, Config{Dir: dir, VolumeBytes: goldenVolumeBytes, Labels: goldenLabels})
 	for _, record := range goldenRecords(t) {
--- a/internal/archive/vault/index.go
+++ b/internal/archive/vault/index.go
@@ -247,12 +247,12 @@
 	}, nil
 }
 
-// view reads the index. Guards against a page that is damaged while it is open,
+// viewIndex reads the index. Guards against a page that is damaged while it is open,
 // which makes bbolt panic.
 //
 // The path is the vault's own and not bbolt's, which clears its as it closes: a node that
 // stops may still be answering a reader.
-func (v *Vault) view(do func(tx *bolt.Tx) error) error {
+func (v *Vault) viewIndex(do func(tx *bolt.Tx) error) error {
 	path := filepath.Join(v.cfg.Dir, indexFile)
 	return checksum.Guard(path, func() error { return v.db.View(do) })
 }
--- a/internal/archive/vault/maintenance.go
+++ b/internal/archive/vault/maintenance.go
@@ -14,13 +14,13 @@
 	"silvergate/internal/checksum"
 )
 
-// tidy removes volumes that hold nothing, and chooses the one to append to: one
+// prepareVolumes removes volumes that hold nothing, and chooses the one to append to: one
 // with a tail that the index does not know is left as it is.
-func (v *Vault) tidy() error {
+func (v *Vault) prepareVolumes() error {
 	for id, volume := range v.volumes {
 		if volume.live == 0 && !volume.damaged {
 			volume.file.Close()
-			if err := os.Remove(v.path(id)); err != nil {
+			if err := os.Remove(v.volumePath(id)); err != nil {
 				return err
 			}
 			delete(v.volumes, id)
@@ -46,8 +46,8 @@
 		}
 		if volume.live == 0 {
 			volume.file.Close()
-			if err := os.Remove(v.path(id)); err != nil {
-				v.log.Error("an empty volume can't be removed", "volume", v.path(id), "error", err)
+			if err := os.Remove(v.volumePath(id)); err != nil {
+				v.log.Error("an empty volume can't be removed", "volume", v.volumePath(id), "error", err)
 				continue
 			}
 			delete(v.volumes, id)
@@ -63,7 +63,7 @@
 	}
 	var keys []string
 	var locations []recordLocation
-	_ = v.view(func(tx *bolt.Tx) error {
+	_ = v.viewIndex(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketRecords).ForEach(func(k, raw []byte) error {
 			if location, err := decodeLocation(k, raw); err == nil && location.volumeID == thin {
 				keys, locations = append(keys, string(k)), append(locations, location)
@@ -85,7 +85,7 @@
 		p.records, p.move[key] = append(p.records, r), locations[i]
 	}
 	if err := v.commit([]*change{p}); err != nil {
-		v.log.Error("a volume can't be emptied now", "volume", v.path(thin), "error", err)
+		v.log.Error("a volume can't be emptied now", "volume", v.volumePath(thin), "error", err)
 		return
 	}
 	v.mu.Lock()
@@ -107,7 +107,7 @@
 // other goes again as the records that say so are there too.
 func (v *Vault) rebuild() error {
 	for _, id := range sortedIDs(v.volumes) {
-		raw, err := os.ReadFile(v.path(id))
+		raw, err := os.ReadFile(v.volumePath(id))
 		if err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 			pos += int(location.size)
 		}
 		if damaged > 0 {
-			v.log.Error("a volume has damaged places, or a tail that was never acknowledged; it is kept as it is", "volume", v.path(id), "places", damaged)
+			v.log.Error("a volume has damaged places, or a tail that was never acknowledged; it is kept as it is", "volume", v.volumePath(id), "places", damaged)
 			v.volumes[id].damaged = true
 		}
 		var fresh []found
--- a/internal/archive/vault/read.go
+++ b/internal/archive/vault/read.go
@@ -15,7 +15,7 @@
 
 // find looks up a record's location, or returns ErrNotHere.
 func (v *Vault) find(key string) (location recordLocation, err error) {
-	err = v.view(func(tx *bolt.Tx) error {
+	err = v.viewIndex(func(tx *bolt.Tx) error {
 		raw := tx.Bucket(bucketRecords).Get([]byte(key))
 		if raw == nil {
 			return ErrNotHere
@@ -77,14 +77,14 @@
 		err = errors.New("another record lies there")
 	}
 	if err != nil {
-		return archive.Record{}, fmt.Errorf("%s at %d of %s is %w: %w", key, location.offset, v.path(location.volumeID), checksum.ErrDamaged, err)
+		return archive.Record{}, fmt.Errorf("%s at %d of %s is %w: %w", key, location.offset, v.volumePath(location.volumeID), checksum.ErrDamaged, err)
 	}
 	return r, nil
 }
 
 // removeDamaged takes a damaged record out of the index and keeps its volume.
 func (v *Vault) removeDamaged(k archive.Key, location recordLocation, why error) {
-	v.log.Error("a record is damaged; it counts as missing and its volume is kept as it is", "key", k.String(), "volume", v.path(location.volumeID), "pos", location.offset, "error", why)
+	v.log.Error("a record is damaged; it counts as missing and its volume is kept as it is", "key", k.String(), "volume", v.volumePath(location.volumeID), "pos", location.offset, "error", why)
 	out := false
 	err := v.db.Update(func(tx *bolt.Tx) error {
 		key := []byte(k.String())
@@ -121,7 +121,7 @@
 // order of their keys, at most limit; more tells whether there are others. An error
 // is one of reading the index.
 func (v *Vault) Keys(prefix, from string, limit int) (out []Info, more bool, err error) {
-	err = v.view(func(tx *bolt.Tx) error {
+	err = v.viewIndex(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketRecords).Cursor()
 		begin := prefix
 		if from > begin {
@@ -155,7 +155,7 @@
 // error is one of reading the index.
 func (v *Vault) Find(label, prefix, from string, limit int) (out []string, more bool, err error) {
 	head := label + "\x00"
-	err = v.view(func(tx *bolt.Tx) error {
+	err = v.viewIndex(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketLabels).Cursor()
 		for k, _ := c.Seek([]byte(head + max(prefix, from))); k != nil && strings.HasPrefix(string(k), head+prefix); k, _ = c.Next() {
 			a := string(k[len(head):])
@@ -176,7 +176,7 @@
 // Labelled tells whether an attempt has a label. It is false also if the index can't
 // be read.
 func (v *Vault) Labelled(label, attempt string) (ok bool) {
-	_ = v.view(func(tx *bolt.Tx) error {
+	_ = v.viewIndex(func(tx *bolt.Tx) error {
 		key := labelKey(label, attempt)
 		k, _ := tx.Bucket(bucketLabels).Cursor().Seek(key)
 		ok = bytes.Equal(k, key)
--- a/internal/archive/vault/vault.go
+++ b/internal/archive/vault/vault.go
@@ -175,7 +175,7 @@
 		v.closeFiles()
 		return nil, err
 	}
-	go v.commitAll()
+	go v.commitLoop()
 	return v, nil
 }
 
@@ -205,7 +205,7 @@
 		}
 		v.stats.Rebuilt = true
 	}
-	return v.tidy()
+	return v.prepareVolumes()
 }
 
 // openVolumes opens all volumes in the folder; the one with the highest number is
@@ -251,26 +251,26 @@
 // volumeName is the name of a volume's file.
 func volumeName(id uint32) string { return fmt.Sprintf("%08d.vol", id) }
 
-// path is the path of a volume's file.
-func (v *Vault) path(id uint32) string {
+// volumePath is the volumePath of a volume's file.
+func (v *Vault) volumePath(id uint32) string {
 	return filepath.Join(v.cfg.Dir, volumesDir, volumeName(id))
 }
 
 // beginVolume makes a new volume and appends to it from then on.
 func (v *Vault) beginVolume() error {
 	id := v.current + 1
-	f, err := os.OpenFile(v.path(id), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
+	f, err := os.OpenFile(v.volumePath(id), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	dir, err := os.Open(filepath.Dir(v.path(id)))
+	dir, err := os.Open(filepath.Dir(v.volumePath(id)))
 	if err == nil {
 		err = dir.Sync()
 		dir.Close()
 	}
 	if err != nil {
 		f.Close()
-		_ = os.Remove(v.path(id))
+		_ = os.Remove(v.volumePath(id))
 		return err
 	}
 	v.mu.Lock()
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -42,35 +42,35 @@
 	return archive.NewRecord(a, archive.KindGrant, "", archive.Encode(archive.Grant{Attempt: a, Terms: archive.Terms{Owner: archive.Owner{Team: "office"}, Class: "x"}}))
 }
 
-// failing is a disk that takes half of what is written and is full, or does not
+// faultyDisk is a disk that takes half of what is written and is full, or does not
 // sync, when told to.
-type failing struct {
+type faultyDisk struct {
 	osDisk
-	write, sync atomic.Bool
+	failWrites, failSyncs atomic.Bool
 }
 
-func (d *failing) WriteAt(f *os.File, b []byte, off int64) error {
-	if d.write.Load() {
+func (d *faultyDisk) WriteAt(f *os.File, b []byte, off int64) error {
+	if d.failWrites.Load() {
 		_, _ = f.WriteAt(b[:len(b)/2], off)
 		return &os.PathError{Op: "write", Path: f.Name(), Err: syscall.ENOSPC}
 	}
 	return d.osDisk.WriteAt(f, b, off)
 }
 
-func (d *failing) Sync(f *os.File) error {
-	if d.sync.Load() {
+func (d *faultyDisk) Sync(f *os.File) error {
+	if d.failSyncs.Load() {
 		return syscall.EDQUOT
 	}
 	return d.osDisk.Sync(f)
 }
 
-// held keeps account of what a vault says it has.
-type held struct {
+// listedKeys keeps account of what a vault says it has.
+type listedKeys struct {
 	mu   sync.Mutex
 	keys map[string]bool
 }
 
-func (h *held) config(dir string) Config {
+func (h *listedKeys) config(dir string) Config {
 	h.keys = map[string]bool{}
 	return Config{Dir: dir, VolumeBytes: 4 << 10,
 		Labels: func(r *archive.Record) []string {
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		h, d := &held{}, &failing{}
+		h, d := &listedKeys{}, &faultyDisk{}
 		v, err := open(h.config(dir), quiet, d)
 		if err != nil {
 			t.Fatal(err)
@@ -166,7 +166,7 @@
 			},
 			"put on a full disk": func(t *rapid.T) {
 				records := draw()
-				which := rapid.SampledFrom([]*atomic.Bool{&d.write, &d.sync}).Draw(t, "which")
+				which := rapid.SampledFrom([]*atomic.Bool{&d.failWrites, &d.failSyncs}).Draw(t, "which")
 				fresh := slices.ContainsFunc(records, func(r archive.Record) bool { return !v.Has(r.Key) })
 				which.Store(true)
 				err := v.Put(ctx, records)
@@ -200,7 +200,7 @@
 				raw := archive.AppendFrame(nil, &r)
 				cut := rapid.IntRange(1, len(raw)).Draw(t, "cut")
 				maybe[r.Key.String()] = true
-				path := v.path(v.current)
+				path := v.volumePath(v.current)
 				reopen(func() {
 					f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 					if err != nil {
@@ -241,10 +241,10 @@
 	})
 }
 
-// TestDamageIsNamedAndKept guards against a changed byte that is served, or written
+// TestDamagedRecordIsReportedAndVolumeKept guards against a changed byte that is served, or written
 // over: the record counts as missing, can be put again, and the volume stays.
-func TestDamageIsNamedAndKept(t *testing.T) {
-	h, dir := &held{}, t.TempDir()
+func TestDamagedRecordIsReportedAndVolumeKept(t *testing.T) {
+	h, dir := &listedKeys{}, t.TempDir()
 	v, err := Open(h.config(dir), quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -261,7 +261,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := os.OpenFile(v.path(location.volumeID), os.O_RDWR, 0)
+	f, err := os.OpenFile(v.volumePath(location.volumeID), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -289,7 +289,7 @@
 	if err := v.Drop(context.Background(), keys); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(v.path(location.volumeID)); err != nil {
+	if _, err := os.Stat(v.volumePath(location.volumeID)); err != nil {
 		t.Error("the damaged volume is gone", err)
 	}
 	// A volume that is gone is found at the start.
@@ -297,7 +297,7 @@
 		t.Fatal(err)
 	}
 	location, _ = v.find(records[0].Key.String())
-	gone := v.path(location.volumeID)
+	gone := v.volumePath(location.volumeID)
 	v.Close()
 	if err := os.Remove(gone); err != nil {
 		t.Fatal(err)
@@ -316,7 +316,7 @@
 // TestNothingWithoutAName guards against a record whose key the next start would take
 // for damage of the whole index.
 func TestNothingWithoutAName(t *testing.T) {
-	h, dir := &held{}, t.TempDir()
+	h, dir := &listedKeys{}, t.TempDir()
 	v, err := Open(h.config(dir), quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -334,10 +334,10 @@
 	v.Close()
 }
 
-// TestRoomComesBack guards against volumes that stay when most of what they held
+// TestCompactionFreesSpace guards against volumes that stay when most of what they held
 // is dropped, and against labels of attempts that are gone.
-func TestRoomComesBack(t *testing.T) {
-	h := &held{}
+func TestCompactionFreesSpace(t *testing.T) {
+	h := &listedKeys{}
 	v, err := Open(h.config(t.TempDir()), quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -395,7 +395,7 @@
 		var records []archive.Record
 		for range 64 {
 			n++
-			records = append(records, raw(n))
+			records = append(records, incompressibleRecord(n))
 			size += archive.FrameSize(&records[len(records)-1])
 		}
 		if err := v.Put(context.Background(), records); err != nil {
@@ -405,8 +405,8 @@
 	b.SetBytes(int64(size / b.N))
 }
 
-// raw is a record that does not compress.
-func raw(n int) archive.Record {
+// incompressibleRecord is a record that does not compress.
+func incompressibleRecord(n int) archive.Record {
 	p := make([]byte, 16<<10)
 	x := uint64(n)*0x9e3779b97f4a7c15 + 1
 	for i := range p {
@@ -429,7 +429,7 @@
 		var buf []byte
 		for range 64 {
 			n++
-			r := raw(n)
+			r := incompressibleRecord(n)
 			buf = archive.AppendFrame(buf, &r)
 		}
 		if _, err := f.WriteAt(buf, pos); err != nil {
