--- a/internal/archive/history/draw.go
+++ b/internal/archive/history/draw.go
@@ -35,20 +35,20 @@
 
 // attempt is one attempt of a history.
 type attempt struct {
-	written *Written
-	machine string
-	writes  bool // its program writes
+	expected *Expected
+	machine  string
+	running  bool // its program writes
 }
 
-// drawing is a history that is being drawn.
-type drawing struct {
+// randomRun is a history that is being drawn.
+type randomRun struct {
 	*Site
-	random   *rand.Rand
-	machines map[string]*Machine
-	attempts []*attempt
-	jobs     int
-	added    int // machines that took the place of lost ones
-	sum      Drawn
+	random       *rand.Rand
+	machines     map[string]*Machine
+	attempts     []*attempt
+	jobs         int
+	replacements int // machines that took the place of lost ones
+	summary      Drawn
 }
 
 // Draw plays a history of some rounds and judges it: machines run attempts that
@@ -63,59 +63,59 @@
 		return Drawn{}, err
 	}
 	defer s.Close()
-	d := &drawing{Site: s, random: rand.New(rand.NewPCG(seed, 14)), machines: map[string]*Machine{}}
+	d := &randomRun{Site: s, random: rand.New(rand.NewPCG(seed, 14)), machines: map[string]*Machine{}}
 	defer d.stopMachines()
-	err = d.play(rounds)
-	return d.sum, err
+	err = d.run(rounds)
+	return d.summary, err
 }
 
-func (d *drawing) stopMachines() {
+func (d *randomRun) stopMachines() {
 	for _, m := range d.machines {
 		m.Stop()
 	}
 }
 
-func (d *drawing) play(rounds int) error {
+func (d *randomRun) run(rounds int) error {
 	for i := range machinesAtStart {
 		if err := d.startMachine(machineName(i)); err != nil {
 			return err
 		}
 	}
 	for range rounds {
-		if err := d.round(); err != nil {
+		if err := d.playRound(); err != nil {
 			return err
 		}
 	}
 	if err := d.finish(); err != nil {
 		return err
 	}
-	if err := d.read(); err != nil {
+	if err := d.checkReads(); err != nil {
 		return err
 	}
-	return d.countNodes()
+	return d.addNodeStats()
 }
 
-func (d *drawing) round() error {
-	if err := d.beginSome(); err != nil {
+func (d *randomRun) playRound() error {
+	if err := d.startJobs(); err != nil {
 		return err
 	}
 	// Attempts that go on elsewhere are appended, and write from the next round on.
 	for i, a := range d.attempts {
-		if err := d.write(i, a); err != nil {
+		if err := d.writeOutput(i, a); err != nil {
 			return err
 		}
 	}
-	if err := d.trouble(); err != nil {
+	if err := d.injectFault(); err != nil {
 		return err
 	}
 	time.Sleep(time.Duration(d.random.IntN(30)) * time.Millisecond)
 	return nil
 }
 
-// addMachine starts a machine in the place of one that was lost.
-func (d *drawing) addMachine() error {
-	d.added++
-	return d.startMachine(machineName(machinesAtStart + d.added))
+// startReplacement starts a machine in the place of one that was lost.
+func (d *randomRun) startReplacement() error {
+	d.replacements++
+	return d.startMachine(machineName(machinesAtStart + d.replacements))
 }
 
 // machinesAtStart is how many machines a history begins with.
@@ -123,59 +123,59 @@
 
 func machineName(number int) string { return fmt.Sprint("m-", number) }
 
-func (d *drawing) startMachine(name string) error {
-	m, err := d.Machine(name, ownerOf, nil)
+func (d *randomRun) startMachine(name string) error {
+	m, err := d.StartMachine(name, ownerOf, nil)
 	d.machines[name] = m
 	return err
 }
 
-// live are the machines that there are, by name.
-func (d *drawing) live() []string { return slices.Sorted(maps.Keys(d.machines)) }
+// machineNames are the machines that there are, by name.
+func (d *randomRun) machineNames() []string { return slices.Sorted(maps.Keys(d.machines)) }
 
-func (d *drawing) begin(machine string, a archive.Attempt) error {
-	w := &Written{Attempt: a, Owner: ownerOf(a.Job), Files: map[string]string{}}
+func (d *randomRun) startAttempt(machine string, a archive.Attempt) error {
+	w := &Expected{Attempt: a, Owner: ownerOf(a.Job), Files: map[string]string{}}
 	d.attempts = append(d.attempts, &attempt{w, machine, true})
-	d.sum.Attempts++
-	return d.machines[machine].Run(a)
+	d.summary.Attempts++
+	return d.machines[machine].StartAttempt(a)
 }
 
-// beginSome has each machine begin something now and then.
-func (d *drawing) beginSome() error {
-	for _, name := range d.live() {
+// startJobs has each machine begin something now and then.
+func (d *randomRun) startJobs() error {
+	for _, name := range d.machineNames() {
 		if d.random.IntN(3) != 0 {
 			continue
 		}
 		d.jobs++
 		a := archive.Attempt{Job: fmt.Sprintf("wk-%06d", d.jobs), Task: d.random.IntN(3), Try: 1, Machine: name}
-		if err := d.begin(name, a); err != nil {
+		if err := d.startAttempt(name, a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// write has an attempt write some lines, and end now and then.
-func (d *drawing) write(i int, a *attempt) error {
+// writeOutput has an attempt writeOutput some lines, and end now and then.
+func (d *randomRun) writeOutput(i int, a *attempt) error {
 	m := d.machines[a.machine]
-	if !a.writes || m == nil {
+	if !a.running || m == nil {
 		return nil
 	}
-	text := d.lines(a)
-	if err := m.Write(a.written.Attempt, archive.Stdout, text); err != nil {
+	text := d.randomOutput(a)
+	if err := m.Write(a.expected.Attempt, archive.Stdout, text); err != nil {
 		return err
 	}
-	a.written.Out += text
-	d.sum.Bytes += len(text)
+	a.expected.Output += text
+	d.summary.Bytes += len(text)
 	if d.random.IntN(8) != 0 {
 		return nil
 	}
-	return d.end(i, a, m)
+	return d.endAttempt(i, a, m)
 }
 
-func (d *drawing) lines(a *attempt) string {
+func (d *randomRun) randomOutput(a *attempt) string {
 	var text strings.Builder
 	for range d.random.IntN(20) {
-		fmt.Fprintf(&text, "line %d of %s %s\n", len(a.written.Out)+text.Len(), a.written.Attempt, strings.Repeat("x", d.random.IntN(200)))
+		fmt.Fprintf(&text, "line %d of %s %s\n", len(a.expected.Output)+text.Len(), a.expected.Attempt, strings.Repeat("x", d.random.IntN(200)))
 	}
 	if d.random.IntN(15) == 0 {
 		text.WriteString(strings.Repeat("a long line ", 30_000))
@@ -183,32 +183,32 @@
 	return text.String()
 }
 
-// end ends an attempt, which may leave a file, and may have been killed for urgent work
+// endAttempt ends an attempt, which may leave a file, and may have been killed for urgent work
 // and go on elsewhere.
-func (d *drawing) end(i int, a *attempt, m *Machine) error {
+func (d *randomRun) endAttempt(i int, a *attempt, m *Machine) error {
 	if d.random.IntN(2) == 0 {
 		body := strings.Repeat(fmt.Sprint("result ", i%3), 1+d.random.IntN(200_000))
-		path := filepath.Join(m.Folder(a.written.Attempt), ship.WorkDir, "out", "result.csv")
+		path := filepath.Join(m.Folder(a.expected.Attempt), ship.WorkDir, "out", "result.csv")
 		if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
 			return err
 		}
-		a.written.Files["out/result.csv"] = body
-		d.sum.Files++
+		a.expected.Files["out/result.csv"] = body
+		d.summary.Files++
 	}
-	a.writes, a.written.Ended = false, true
-	m.Ended(a.written.Attempt, "done", 0)
-	to := d.live()
+	a.running, a.expected.Ended = false, true
+	m.Ended(a.expected.Attempt, "done", 0)
+	to := d.machineNames()
 	if d.random.IntN(3) != 0 {
 		return nil
 	}
-	next := a.written.Attempt
+	next := a.expected.Attempt
 	next.Try++
 	next.Machine = to[d.random.IntN(len(to))]
-	return d.begin(next.Machine, next)
+	return d.startAttempt(next.Machine, next)
 }
 
-// trouble stops or loses a node or a machine, or does nothing.
-func (d *drawing) trouble() error {
+// injectFault stops or loses a node or a machine, or does nothing.
+func (d *randomRun) injectFault() error {
 	name := d.Members[d.random.IntN(3)].Name
 	switch d.random.IntN(9) {
 	case 0:
@@ -226,20 +226,20 @@
 }
 
 // stopNode has a node be away for a while.
-func (d *drawing) stopNode(name string) {
+func (d *randomRun) stopNode(name string) {
 	if len(d.Nodes) == 3 {
-		d.Stop(name)
-		d.sum.NodeStops++
+		d.StopNode(name)
+		d.summary.NodeStops++
 	}
 }
 
 // startNodes brings back the nodes that are away.
-func (d *drawing) startNodes() error {
+func (d *randomRun) startNodes() error {
 	for _, m := range d.Members {
 		if d.Nodes[m.Name] != nil {
 			continue
 		}
-		if err := d.Start(m.Name); err != nil {
+		if err := d.StartNode(m.Name); err != nil {
 			return err
 		}
 	}
@@ -247,33 +247,33 @@
 }
 
 // loseNodeDisk has a node lose its disk, when the others are level.
-func (d *drawing) loseNodeDisk(name string) error {
+func (d *randomRun) loseNodeDisk(name string) error {
 	if len(d.Nodes) != 3 || d.random.IntN(2) != 0 {
 		return nil
 	}
-	if err := d.level(name); err != nil {
+	if err := d.waitReplicated(name); err != nil {
 		return err
 	}
 	if err := d.LoseDisk(name); err != nil {
 		return err
 	}
-	if err := d.Start(name); err != nil {
+	if err := d.StartNode(name); err != nil {
 		return err
 	}
-	d.sum.DisksLost++
+	d.summary.DisksLost++
 	return nil
 }
 
 // killAgent kills an agent, which starts again, sometimes with old progress; its programs
 // have ended.
-func (d *drawing) killAgent() error {
-	list := d.live()
+func (d *randomRun) killAgent() error {
+	list := d.machineNames()
 	name := list[d.random.IntN(len(list))]
 	d.machines[name].Stop()
-	d.sum.AgentStops++
+	d.summary.AgentStops++
 	if d.random.IntN(3) == 0 {
 		for _, a := range d.attemptsOn(name) {
-			_ = os.Remove(filepath.Join(d.machines[name].Folder(a.written.Attempt), ship.AccountFile))
+			_ = os.Remove(filepath.Join(d.machines[name].Folder(a.expected.Attempt), ship.AccountFile))
 		}
 	}
 	if err := d.startMachine(name); err != nil {
@@ -281,16 +281,16 @@
 	}
 	m := d.machines[name]
 	for _, a := range d.attemptsOn(name) {
-		if err := m.Resume(a.written.Attempt, m.Folder(a.written.Attempt)); err != nil {
+		if err := m.Resume(a.expected.Attempt, m.Folder(a.expected.Attempt)); err != nil {
 			return err
 		}
-		a.writes, a.written.Ended = false, true
-		m.Ended(a.written.Attempt, "lost with its agent", -1)
+		a.running, a.expected.Ended = false, true
+		m.Ended(a.expected.Attempt, "lost with its agent", -1)
 	}
 	return nil
 }
 
-func (d *drawing) attemptsOn(machine string) (on []*attempt) {
+func (d *randomRun) attemptsOn(machine string) (on []*attempt) {
 	for _, a := range d.attempts {
 		if a.machine == machine {
 			on = append(on, a)
@@ -300,8 +300,8 @@
 }
 
 // loseMachine loses a machine with its disk; another takes its place.
-func (d *drawing) loseMachine() error {
-	list := d.live()
+func (d *randomRun) loseMachine() error {
+	list := d.machineNames()
 	if len(d.Nodes) != 3 || d.random.IntN(2) != 0 {
 		return nil
 	}
@@ -309,19 +309,19 @@
 	m, on := d.machines[name], d.attemptsOn(name)
 	promised := make([]int, len(on))
 	for i, a := range on {
-		promised[i] = len(a.written.Out)
+		promised[i] = len(a.expected.Output)
 	}
 	// What was written a bound ago is kept; how long this takes on a busy
 	// machine is not the promise, so what was shipped is waited for.
-	if err := settle(m, false); err != nil {
+	if err := waitShipped(m, false); err != nil {
 		return err
 	}
 	for i, a := range on {
-		a.written.Promised = promised[i]
-		if a.writes {
-			_ = m.Write(a.written.Attempt, archive.Stdout, "and this may be lost\n")
-			a.written.Out += "and this may be lost\n"
-			a.writes = false
+		a.expected.Promised = promised[i]
+		if a.running {
+			_ = m.Write(a.expected.Attempt, archive.Stdout, "and this may be lost\n")
+			a.expected.Output += "and this may be lost\n"
+			a.running = false
 		}
 	}
 	m.Stop()
@@ -329,12 +329,12 @@
 		return err
 	}
 	delete(d.machines, name)
-	d.sum.MachinesLost++
-	return d.addMachine()
+	d.summary.MachinesLost++
+	return d.startReplacement()
 }
 
 // finish ends all attempts, has all that was written shipped, and may lose one node for good.
-func (d *drawing) finish() error {
+func (d *randomRun) finish() error {
 	if err := d.startNodes(); err != nil {
 		return err
 	}
@@ -343,18 +343,18 @@
 		if m == nil {
 			continue
 		}
-		a.written.Promised = len(a.written.Out)
-		if a.writes {
-			a.writes, a.written.Ended = false, true
-			m.Ended(a.written.Attempt, "done", 0)
+		a.expected.Promised = len(a.expected.Output)
+		if a.running {
+			a.running, a.expected.Ended = false, true
+			m.Ended(a.expected.Attempt, "done", 0)
 		}
 	}
-	for _, name := range d.live() {
-		if err := settle(d.machines[name], true); err != nil {
+	for _, name := range d.machineNames() {
+		if err := waitShipped(d.machines[name], true); err != nil {
 			return err
 		}
 	}
-	if err := d.level(""); err != nil {
+	if err := d.waitReplicated(""); err != nil {
 		return err
 	}
 	if d.random.IntN(2) != 0 {
@@ -363,44 +363,44 @@
 	return d.LoseDisk(d.Members[d.random.IntN(3)].Name)
 }
 
-// read reads every attempt as its customer and as another.
-func (d *drawing) read() error {
+// checkReads reads every attempt as its customer and as another.
+func (d *randomRun) checkReads() error {
 	ctx := context.Background()
 	for _, a := range d.attempts {
-		customer := a.written.Owner.Customer
-		mine, err := d.Reader("customer/office/" + customer)
+		customer := a.expected.Owner.Customer
+		mine, err := d.NewReader("customer/office/" + customer)
 		if err != nil {
 			return err
 		}
-		got, err := Collect(ctx, mine, a.written.Attempt)
+		got, err := ReadAttempt(ctx, mine, a.expected.Attempt)
 		if err != nil {
-			return fmt.Errorf("%s: %w", a.written.Attempt, err)
+			return fmt.Errorf("%s: %w", a.expected.Attempt, err)
 		}
-		d.sum.Reads++
+		d.summary.Reads++
 		if d.machines[a.machine] == nil { // lost: its end and files may be
-			a.written.Ended = false
+			a.expected.Ended = false
 		}
-		if err := Judge(a.written, got); err != nil {
+		if err := CheckRead(a.expected, got); err != nil {
 			return err
 		}
-		other, err := d.Reader("customer/office/" + customers[(slices.Index(customers, customer)+1)%3])
+		other, err := d.NewReader("customer/office/" + customers[(slices.Index(customers, customer)+1)%3])
 		if err != nil {
 			return err
 		}
-		if err := Closed(ctx, other, a.written.Attempt); err != nil {
+		if err := CheckDenied(ctx, other, a.expected.Attempt); err != nil {
 			return err
 		}
-		d.sum.Denied++
+		d.summary.Denied++
 	}
 	return nil
 }
 
-// countNodes sums up what the nodes did, and fails if one found damage.
-func (d *drawing) countNodes() error {
+// addNodeStats sums up what the nodes did, and fails if one found damage.
+func (d *randomRun) addNodeStats() error {
 	for _, n := range d.Nodes {
 		st := n.Stats()
-		d.sum.Mended += st.Mended
-		d.sum.Pulled += st.Pulled
+		d.summary.Mended += st.Mended
+		d.summary.Pulled += st.Pulled
 		if st.Rebuilt || st.Damaged > 0 {
 			return fmt.Errorf("a node found damage that nobody did: %+v", st.Stats)
 		}
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -27,21 +27,21 @@
 
 // Site is an archive with its authority.
 type Site struct {
-	Dir     string
-	Auth    *identity.Authority
-	Key     archive.GrantKey
-	Members []node.Member
-	Nodes   map[string]*node.Node
-	Log     *slog.Logger
-	// Config is changed before nodes start.
-	Config func(*node.Config)
+	Dir       string
+	Authority *identity.Authority
+	Key       archive.GrantKey
+	Members   []node.Member
+	Nodes     map[string]*node.Node
+	Log       *slog.Logger
+	// Configure is changed before nodes start.
+	Configure func(*node.Config)
 }
 
 // New makes a site of so many nodes, and starts them.
 func New(dir string, nodes int, log *slog.Logger, config func(*node.Config)) (*Site, error) {
-	s := &Site{Dir: dir, Nodes: map[string]*node.Node{}, Log: log, Config: config}
+	s := &Site{Dir: dir, Nodes: map[string]*node.Node{}, Log: log, Configure: config}
 	var err error
-	if s.Auth, err = identity.Init(filepath.Join(dir, "authority"), "valley", time.Now()); err != nil {
+	if s.Authority, err = identity.Init(filepath.Join(dir, "authority"), "valley", time.Now()); err != nil {
 		return nil, err
 	}
 	s.Key = bytes.Repeat([]byte{7}, archive.KeySize)
@@ -50,9 +50,9 @@
 	}
 	for port := firstPort; len(s.Members) < nodes; port++ {
 		if port == firstPort+1000 {
-			return nil, errors.New("no free ports on " + loopback())
+			return nil, errors.New("no free ports on " + loopbackAddress())
 		}
-		l, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", loopback(), port))
+		l, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", loopbackAddress(), port))
 		if err != nil {
 			continue
 		}
@@ -60,7 +60,7 @@
 		l.Close()
 	}
 	for _, m := range s.Members {
-		if err := s.Start(m.Name); err != nil {
+		if err := s.StartNode(m.Name); err != nil {
 			return nil, err
 		}
 	}
@@ -73,37 +73,37 @@
 // another history, hence an address for each process, or by an outgoing connection.
 const firstPort = 20_000
 
-// loopback is this process's own address.
-func loopback() string {
+// loopbackAddress is this process's own address.
+func loopbackAddress() string {
 	p := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+p>>8&0x7f, p&0xff)
 }
 
-// Certs issues a certificate and returns its folder.
-func (s *Site) Certs(who string) (string, error) {
+// IssueCertificate issues a certificate and returns its folder.
+func (s *Site) IssueCertificate(who string) (string, error) {
 	dir := filepath.Join(s.Dir, "certs", strings.ReplaceAll(who, "/", "."))
 	if _, err := os.Stat(dir); err == nil {
 		return dir, nil
 	}
-	i, err := identity.Parse(s.Auth.Site(), who)
+	i, err := identity.Parse(s.Authority.Site(), who)
 	if err != nil {
 		return "", err
 	}
-	_, err = s.Auth.Issue(i, dir, 0)
+	_, err = s.Authority.Issue(i, dir, 0)
 	return dir, err
 }
 
-// Start starts a node.
-func (s *Site) Start(name string) error {
-	certs, err := s.Certs("node/" + name)
+// StartNode starts a node.
+func (s *Site) StartNode(name string) error {
+	certs, err := s.IssueCertificate("node/" + name)
 	if err != nil {
 		return err
 	}
 	c := node.DefaultConfig()
 	c.Name, c.Dir, c.Certs, c.GrantKey, c.Members = name, filepath.Join(s.Dir, name), certs, filepath.Join(s.Dir, "grant.key"), s.Members
 	c.SyncS = 0.2
-	if s.Config != nil {
-		s.Config(&c)
+	if s.Configure != nil {
+		s.Configure(&c)
 	}
 	n, err := node.Open(c, s.Log.With("node", name))
 	if err != nil {
@@ -134,8 +134,8 @@
 	}
 }
 
-// Stop stops a node.
-func (s *Site) Stop(name string) {
+// StopNode stops a node.
+func (s *Site) StopNode(name string) {
 	if n := s.Nodes[name]; n != nil {
 		n.Stop()
 		delete(s.Nodes, name)
@@ -144,20 +144,20 @@
 
 // LoseDisk stops a node and removes all that it kept.
 func (s *Site) LoseDisk(name string) error {
-	s.Stop(name)
+	s.StopNode(name)
 	return os.RemoveAll(filepath.Join(s.Dir, name))
 }
 
 // Close stops all nodes.
 func (s *Site) Close() {
 	for name := range s.Nodes {
-		s.Stop(name)
+		s.StopNode(name)
 	}
 }
 
-// Reader reads as somebody.
-func (s *Site) Reader(who string) (*reader.Client, error) {
-	dir, err := s.Certs(who)
+// NewReader reads as somebody.
+func (s *Site) NewReader(who string) (*reader.Client, error) {
+	dir, err := s.IssueCertificate(who)
 	if err != nil {
 		return nil, err
 	}
@@ -176,9 +176,9 @@
 	grant func(archive.Attempt) archive.Grant
 }
 
-// Machine starts a machine's shipper. Its grants come at once, as owner says.
-func (s *Site) Machine(name string, owner func(job string) archive.Owner, config func(*ship.Config)) (*Machine, error) {
-	certs, err := s.Certs("agent/" + name)
+// StartMachine starts a machine's shipper. Its grants come at once, as owner says.
+func (s *Site) StartMachine(name string, owner func(job string) archive.Owner, config func(*ship.Config)) (*Machine, error) {
+	certs, err := s.IssueCertificate("agent/" + name)
 	if err != nil {
 		return nil, err
 	}
@@ -202,8 +202,8 @@
 	return filepath.Join(m.Dir, a.Job, fmt.Sprintf("%d.%d", a.Task, a.Try))
 }
 
-// Run follows a new attempt.
-func (m *Machine) Run(a archive.Attempt) error {
+// StartAttempt follows a new attempt.
+func (m *Machine) StartAttempt(a archive.Attempt) error {
 	if err := os.MkdirAll(filepath.Join(m.Folder(a), ship.WorkDir, "out"), 0o700); err != nil {
 		return err
 	}
@@ -221,11 +221,11 @@
 	return err
 }
 
-// Written is what a program wrote, for the judge.
-type Written struct {
+// Expected is what a program wrote, for the judge.
+type Expected struct {
 	Attempt archive.Attempt
 	Owner   archive.Owner
-	Out     string            // its stdout
+	Output  string            // its stdout
 	Files   map[string]string // that are to be kept
 	// Promised is how much of Out must be there: all, unless the machine was lost
 	// with its disk; then what was written a bound before.
@@ -234,18 +234,18 @@
 	Ended bool
 }
 
-// Read is what a reader got.
-type Read struct {
-	Found bool
-	Out   []node.Piece
-	Over  bool
-	Files map[string]string
+// ReadResult is what a reader got.
+type ReadResult struct {
+	Found  bool
+	Pieces []node.Piece
+	Ended  bool
+	Files  map[string]string
 }
 
-// Judge compares what a reader got with what was written. It names what breaks the
+// CheckRead compares what a reader got with what was written. It names what breaks the
 // promise: bytes that are not what was written there, are out of order or twice, a
 // loss without a word within what is promised, and files that are not whole.
-func Judge(w *Written, r *Read) error {
+func CheckRead(w *Expected, r *ReadResult) error {
 	if !r.Found {
 		if w.Promised > 0 || w.Ended {
 			return fmt.Errorf("%s: not found", w.Attempt)
@@ -253,7 +253,7 @@
 		return nil
 	}
 	pos := int64(0)
-	for _, p := range r.Out {
+	for _, p := range r.Pieces {
 		if p.From != pos || p.To < p.From {
 			return fmt.Errorf("%s: a piece from %d to %d comes at %d", w.Attempt, p.From, p.To, pos)
 		}
@@ -263,17 +263,17 @@
 			if p.What == archive.PieceMissing && p.From < int64(w.Promised) {
 				return fmt.Errorf("%s: bytes %d to %d are missing without a reason; %d are promised", w.Attempt, p.From, p.To, w.Promised)
 			}
-		case p.To > int64(len(w.Out)) || string(p.Data) != w.Out[p.From:p.To]:
+		case p.To > int64(len(w.Output)) || string(p.Data) != w.Output[p.From:p.To]:
 			return fmt.Errorf("%s: bytes %d to %d are not what was written", w.Attempt, p.From, p.To)
 		}
 	}
 	switch {
 	case pos < int64(w.Promised):
 		return fmt.Errorf("%s: ends at %d; %d bytes are promised", w.Attempt, pos, w.Promised)
-	case w.Ended && !r.Over:
+	case w.Ended && !r.Ended:
 		return fmt.Errorf("%s: its end is not on record", w.Attempt)
-	case w.Ended && pos != int64(len(w.Out)):
-		return fmt.Errorf("%s: %d bytes of %d, though it is over", w.Attempt, pos, len(w.Out))
+	case w.Ended && pos != int64(len(w.Output)):
+		return fmt.Errorf("%s: %d bytes of %d, though it is over", w.Attempt, pos, len(w.Output))
 	}
 	for name, data := range r.Files {
 		if w.Files[name] != data {
@@ -286,9 +286,9 @@
 	return nil
 }
 
-// Collect reads all of an attempt.
-func Collect(ctx context.Context, c *reader.Client, a archive.Attempt) (*Read, error) {
-	out := &Read{Files: map[string]string{}}
+// ReadAttempt reads all of an attempt.
+func ReadAttempt(ctx context.Context, c *reader.Client, a archive.Attempt) (*ReadResult, error) {
+	out := &ReadResult{Files: map[string]string{}}
 	all, answered, err := c.Attempts(ctx, reader.Query{Job: a.Job, Files: true})
 	if err != nil {
 		return nil, err
@@ -317,8 +317,8 @@
 		if err != nil {
 			return nil, err
 		}
-		out.Out = append(out.Out, p.Pieces...)
-		out.Over = p.Over
+		out.Pieces = append(out.Pieces, p.Pieces...)
+		out.Ended = p.Over
 		if !p.More || p.Next <= from {
 			return out, nil
 		}
@@ -326,9 +326,9 @@
 	}
 }
 
-// Closed tells whether a reader is told anything of an attempt.
-func Closed(ctx context.Context, c *reader.Client, a archive.Attempt) error {
-	if got, err := Collect(ctx, c, a); err != nil || got.Found {
+// CheckDenied tells whether a reader is told anything of an attempt.
+func CheckDenied(ctx context.Context, c *reader.Client, a archive.Attempt) error {
+	if got, err := ReadAttempt(ctx, c, a); err != nil || got.Found {
 		return fmt.Errorf("%s: another customer finds it: %v", a, err)
 	}
 	if _, err := c.Page(ctx, a, archive.Stdout, 0); !errors.Is(err, reader.ErrNotFound) {
@@ -340,12 +340,12 @@
 	return nil
 }
 
-// settleFor bounds how long is waited for what must come.
-const settleFor = 60 * time.Second
+// waitTimeout bounds how long is waited for what must come.
+const waitTimeout = 60 * time.Second
 
-// settle waits until a machine has nothing to ship; with ends, the ends too.
-func settle(m *Machine, ends bool) error {
-	for until := time.Now().Add(settleFor); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+// waitShipped waits until a machine has nothing to ship; with ends, the ends too.
+func waitShipped(m *Machine, ends bool) error {
+	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		// Its files must have been looked at after the last write.
 		time.Sleep(60 * time.Millisecond)
 		st := m.Stats()
@@ -356,10 +356,10 @@
 	return fmt.Errorf("%s still has %+v to ship", m.Name, m.Stats())
 }
 
-// level waits until the nodes, but for one, agree.
-func (s *Site) level(but string) error {
+// waitReplicated waits until the nodes, but for one, agree.
+func (s *Site) waitReplicated(but string) error {
 	var last error
-	for until := time.Now().Add(settleFor); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		last = nil
 		count := map[int64]bool{}
 		for name, n := range s.Nodes {
--- a/internal/archive/load/bench.go
+++ b/internal/archive/load/bench.go
@@ -25,18 +25,18 @@
 )
 
 const (
-	// shipper is the name of the shipper's process; the others are nodes.
-	shipper = "ship"
-	// nodes is how many nodes the archive has.
-	nodes = 3
+	// shipperName is the name of the shipperName's process; the others are nodes.
+	shipperName = "ship"
+	// nodeCount is how many nodeCount the archive has.
+	nodeCount = 3
 	// writesPerSecond is how often each task writes.
 	writesPerSecond = 10
-	// settleTime is how long the processes may take to start.
-	settleTime = 2 * time.Second
-	// drainPatience is how long it may take until all output can be read, and
+	// startupDelay is how long the processes may take to start.
+	startupDelay = 2 * time.Second
+	// drainTimeout is how long it may take until all output can be read, and
 	// restorePatience until a lost node has all records again.
-	drainPatience   = 2 * time.Minute
-	restorePatience = 5 * time.Minute
+	drainTimeout   = 2 * time.Minute
+	restoreTimeout = 5 * time.Minute
 )
 
 // bench is a measurement under way.
@@ -54,7 +54,7 @@
 // newBench makes the certificates and keys of an archive; close ends the bench.
 func newBench(o Options) (*bench, error) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	site, err := history.New(o.Dir, nodes, quiet, nil)
+	site, err := history.New(o.Dir, nodeCount, quiet, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 		f.Close()
 	}
 	for _, p := range b.processes {
-		p.kill(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 	}
 }
 
@@ -83,10 +83,10 @@
 		return err
 	}
 	var err error
-	if b.reader, err = b.site.Reader("customer/office/baker"); err != nil {
+	if b.reader, err = b.site.NewReader("customer/office/baker"); err != nil {
 		return err
 	}
-	time.Sleep(settleTime)
+	time.Sleep(startupDelay)
 	if err := b.measureWriting(ctx); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 
 // startNode writes a node's settings and starts its process.
 func (b *bench) startNode(name string) error {
-	certs, err := b.site.Certs("node/" + name)
+	certs, err := b.site.IssueCertificate("node/" + name)
 	if err != nil {
 		return err
 	}
@@ -115,17 +115,17 @@
 	c.Members = b.site.Members
 	c.SyncS = 2
 	c.SyncMBPerS = 0
-	path, err := write(b.options.Dir, name, c)
+	path, err := writeSettings(b.options.Dir, name, c)
 	if err != nil {
 		return err
 	}
-	b.processes[name], err = start(b.options, name, "archive", "serve", "--settings", path)
+	b.processes[name], err = startProcess(b.options, name, "archive", "serve", "--settings", path)
 	return err
 }
 
 // startShipper makes the tasks' folders and starts the process that ships them.
 func (b *bench) startShipper() error {
-	certs, err := b.site.Certs("agent/bench")
+	certs, err := b.site.IssueCertificate("agent/bench")
 	if err != nil {
 		return err
 	}
@@ -139,11 +139,11 @@
 			return err
 		}
 	}
-	path, err := write(b.options.Dir, shipper, settings)
+	path, err := writeSettings(b.options.Dir, shipperName, settings)
 	if err != nil {
 		return err
 	}
-	b.processes[shipper], err = start(b.options, shipper, "archive", "bench-ship", "--settings", path)
+	b.processes[shipperName], err = startProcess(b.options, shipperName, "archive", "bench-ship", "--settings", path)
 	return err
 }
 
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// writtenAt is how long the first task's output was at a time.
-type writtenAt struct {
+// outputSize is how long the first task's output was at a time.
+type outputSize struct {
 	size int64
 	when time.Time
 }
@@ -206,7 +206,7 @@
 // somebody who asks again and again can read them.
 type sampler struct {
 	delays  *hdrhistogram.Histogram // milliseconds
-	written chan writtenAt
+	written chan outputSize
 	stop    chan struct{}
 	done    chan struct{}
 }
@@ -215,7 +215,7 @@
 func (b *bench) startSampler(ctx context.Context) *sampler {
 	s := &sampler{
 		delays:  hdrhistogram.New(1, 600_000, 3),
-		written: make(chan writtenAt, 1<<16),
+		written: make(chan outputSize, 1<<16),
 		stop:    make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -268,7 +268,7 @@
 			b.result.Written += int64(n)
 		}
 		select {
-		case s.written <- writtenAt{b.sizes[0], time.Now()}:
+		case s.written <- outputSize{b.sizes[0], time.Now()}:
 		default:
 		}
 		if wait := time.Until(begun.Add(time.Duration(write+1) * time.Second / writesPerSecond)); wait > 0 {
@@ -284,7 +284,7 @@
 	for name, p := range b.processes {
 		cpu, memory := p.usage()
 		cores, mb := (cpu-before[name]).Seconds()/took.Seconds(), float64(memory)/1e6
-		if name == shipper {
+		if name == shipperName {
 			r.AgentCPU, r.AgentMB = cores, mb
 		} else {
 			r.NodeCPU, r.NodeMB = max(r.NodeCPU, cores), max(r.NodeMB, mb)
@@ -301,7 +301,7 @@
 			i++
 			continue
 		}
-		if time.Since(begun) > drainPatience {
+		if time.Since(begun) > drainTimeout {
 			return fmt.Errorf("task %d: %d bytes can't be read: %w", i, b.sizes[i], err)
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -353,9 +353,9 @@
 // measureRestoring kills a node, removes its disk's contents, starts it again and
 // waits until it has all records.
 func (b *bench) measureRestoring(ctx context.Context) error {
-	lost := b.site.Members[nodes-1].Name
-	b.processes[shipper].kill(syscall.SIGTERM)
-	b.processes[lost].kill(syscall.SIGKILL)
+	lost := b.site.Members[nodeCount-1].Name
+	b.processes[shipperName].stop(syscall.SIGTERM)
+	b.processes[lost].stop(syscall.SIGKILL)
 	if err := os.RemoveAll(filepath.Join(b.options.Dir, lost)); err != nil {
 		return err
 	}
@@ -363,7 +363,7 @@
 	if err := b.startNode(lost); err != nil {
 		return err
 	}
-	operator, err := b.site.Reader("operator/bench")
+	operator, err := b.site.NewReader("operator/bench")
 	if err != nil {
 		return err
 	}
@@ -371,7 +371,7 @@
 		records := recordCounts(ctx, operator)
 		n := records[b.site.Members[0].Name]
 		whole = n > 0 && records[lost] == n
-		if time.Since(begun) > restorePatience {
+		if time.Since(begun) > restoreTimeout {
 			return fmt.Errorf("the lost node does not come level: %v", records)
 		}
 	}
@@ -400,8 +400,8 @@
 	return fmt.Sprintf("%08d INFO forecast step=%06d cell=%016x loss=%08.5f grad=%08.5f msg=\"window advanced\"\n", n, n%100000, x, float64(x%99991)/999, float64(x%7919)/77)
 }
 
-// write writes settings into a YAML file and returns its path.
-func write(dir, name string, v any) (string, error) {
+// writeSettings writes settings into a YAML file and returns its path.
+func writeSettings(dir, name string, v any) (string, error) {
 	raw, err := yaml.Marshal(v)
 	if err != nil {
 		return "", err
--- a/internal/archive/load/process.go
+++ b/internal/archive/load/process.go
@@ -19,8 +19,8 @@
 	id  proc.ID
 }
 
-// start starts the program with arguments; its output goes into a file by its name.
-func start(o Options, name string, args ...string) (*process, error) {
+// startProcess starts the program with arguments; its output goes into a file by its name.
+func startProcess(o Options, name string, args ...string) (*process, error) {
 	log, err := os.Create(filepath.Join(o.Dir, name+".log"))
 	if err != nil {
 		return nil, err
@@ -33,9 +33,9 @@
 	return p, err
 }
 
-// kill sends a signal and waits for the process to end. It does nothing the second
+// stop sends a signal and waits for the process to end. It does nothing the second
 // time, or if p is nil.
-func (p *process) kill(sig syscall.Signal) {
+func (p *process) stop(sig syscall.Signal) {
 	if p != nil && p.cmd != nil {
 		_ = p.id.Signal(sig)
 		_ = p.cmd.Wait()
--- a/internal/archive/ship/golden_test.go
+++ b/internal/archive/ship/golden_test.go
@@ -29,8 +29,8 @@
 // other two need nothing any more.
 const (
 	shippingFolder = "testdata/golden/shipping"
-	completeFolder    = "testdata/golden/whole"
-	givenUpFolder     = "testdata/golden/gone"
+	completeFolder = "testdata/golden/whole"
+	givenUpFolder  = "testdata/golden/gone"
 )
 
 var goldenAttempt = archive.Attempt{Job: "wk-000042", Task: 7, Try: 2, Machine: "machine-9"}
--- a/internal/archive/ship/plan.go
+++ b/internal/archive/ship/plan.go
@@ -120,7 +120,7 @@
 	attempt   archive.Attempt
 	urgent    bool
 	ended     bool
-	oldestAt     int64 // when the oldest unshipped byte was observed, 0: none
+	oldestAt  int64 // when the oldest unshipped byte was observed, 0: none
 	unshipped int64
 }
 
