--- a/internal/archive/vault/close_test.go
+++ b/internal/archive/vault/close_test.go
@@ -6,9 +6,9 @@
 	"silvergate/internal/archive"
 )
 
-// TestReadersWhileClosing reads a record while the vault closes, as a node does that stops
-// with a request in flight: each reader gets the record or an error. The race detector
-// shows what readers and Close must not share.
+// TestReadersWhileClosing reads a record while the vault closes, as a node does when it
+// stops with a request in flight. Each reader must get the record or an error. The race
+// detector finds data that readers and Close share without a lock.
 func TestReadersWhileClosing(t *testing.T) {
 	v, err := Open(Config{Dir: t.TempDir()}, quiet)
 	if err != nil {
--- a/internal/archive/vault/commit.go
+++ b/internal/archive/vault/commit.go
@@ -12,29 +12,29 @@
 	"silvergate/internal/archive"
 )
 
-// change is what one caller wants kept, dropped or moved. The writer commits it
-// whole and sends the result on done, which has room for it.
+// change holds the records that one caller stores, drops or moves. The writer commits
+// a change as a whole and sends the result on done, which has a buffer of one.
 type change struct {
 	records []archive.Record
 	drop    []string
-	move    map[string]recordLocation // records to be written anew, from where they lay
+	move    map[string]recordLocation // the present locations of the records that compaction rewrites
 	done    chan error
 }
 
-// commitBytes is the size in bytes from which a commit takes no more changes.
+// commitBytes is the size in bytes at which the writer stops adding changes to a commit.
 const commitBytes = 16 << 20
 
-// Put stores records. When it returns nil, all of them are synced to disk. Records
-// whose keys are stored already are not written again. The caller has checked the
+// Put stores records. When it returns nil, all of them are synced to disk. Put does
+// not write a record again whose key is already stored. The caller has checked the
 // records and does not change them until Put returns.
 //
 // It returns ErrFull if the disk has no room, ErrClosed if the vault was closed
 // first, and ctx's error if ctx ended before the records were queued; once they are
-// queued, ctx is not looked at.
+// queued, Put ignores ctx.
 func (v *Vault) Put(ctx context.Context, records []archive.Record) error {
 	for i := range records {
-		// Guards against an index that can't be read again: each entry must be one
-		// that the next start takes for whole.
+		// The next Open parses every key in the index, and treats the whole index as
+		// damaged if it can't parse one.
 		if _, err := archive.ParseKey(records[i].Key.String()); err != nil {
 			return err
 		}
@@ -42,28 +42,28 @@
 	return v.submit(ctx, &change{records: records, done: make(chan error, 1)})
 }
 
-// Drop removes the records with these keys; keys that are not stored are passed
-// over. The disk space comes back as volumes are compacted. Its errors are those of
-// Put, and that of a key that can't be parsed.
+// Drop removes the records with these keys and ignores keys that are not stored.
+// Compaction frees the disk space later. Drop returns the errors of Put, and an error
+// if a key can't be parsed.
 func (v *Vault) Drop(ctx context.Context, keys []string) error {
 	return v.submit(ctx, &change{drop: keys, done: make(chan error, 1)})
 }
 
 // submit queues a change and waits for its commit.
-func (v *Vault) submit(ctx context.Context, p *change) error {
+func (v *Vault) submit(ctx context.Context, c *change) error {
 	select {
-	case v.queue <- p:
+	case v.queue <- c:
 	case <-v.stop:
 		return ErrClosed
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case err := <-p.done:
+	case err := <-c.done:
 		return err
 	case <-v.done:
 		select {
-		case err := <-p.done:
+		case err := <-c.done:
 			return err
 		default:
 			return ErrClosed
@@ -71,8 +71,8 @@
 	}
 }
 
-// commitLoop is the one writer: it commits changes until the vault is closed. Those
-// that wait in the queue share a commit, up to commitBytes.
+// commitLoop is the vault's only writer: it commits changes until the vault is closed.
+// Changes that wait in the queue share a commit, up to commitBytes.
 func (v *Vault) commitLoop() {
 	defer close(v.done)
 	for {
@@ -85,15 +85,15 @@
 		group, size := []*change{first}, changeBytes(first)
 		for more := true; more && size < commitBytes; {
 			select {
-			case p := <-v.queue:
-				group, size = append(group, p), size+changeBytes(p)
+			case c := <-v.queue:
+				group, size = append(group, c), size+changeBytes(c)
 			default:
 				more = false
 			}
 		}
 		err := v.commit(group)
-		for _, p := range group {
-			p.done <- err
+		for _, c := range group {
+			c.done <- err
 		}
 		if err == nil {
 			v.compact()
@@ -101,10 +101,10 @@
 	}
 }
 
-// changeBytes returns the bytes that a change writes.
-func changeBytes(p *change) (n int) {
-	for i := range p.records {
-		n += archive.FrameSize(&p.records[i])
+// changeBytes returns how many bytes a change writes.
+func changeBytes(c *change) (n int) {
+	for i := range c.records {
+		n += archive.FrameSize(&c.records[i])
 	}
 	return n
 }
@@ -113,23 +113,23 @@
 type appendedRecord struct {
 	record    *archive.Record
 	location  recordLocation
-	movedFrom *recordLocation // moved from there
+	movedFrom *recordLocation // for a record that compaction moves; otherwise nil
 }
 
-// removal is a record that a commit took out of the index.
+// removal is a record that a commit removed from the index.
 type removal struct {
 	key      archive.Key
 	location recordLocation
 }
 
-// pendingDrop is a record that is to be taken out of the index. record holds its
-// payload if its labels must go too, and has none otherwise.
+// pendingDrop is a record that a commit is about to remove from the index. record has
+// the payload if the record's labels must be removed too, and no payload otherwise.
 type pendingDrop struct {
 	key    string
 	record archive.Record
 }
 
-// commit writes a group's records, syncs them and then the index.
+// commit writes and syncs the records of a group of changes, and then updates the index.
 func (v *Vault) commit(group []*change) error {
 	begun := time.Now()
 	added := v.selectNew(group)
@@ -142,7 +142,7 @@
 	}
 	removed, err := v.updateIndex(added, drops)
 	if err != nil {
-		// No index entry refers to the volume's tail now.
+		// The transaction failed, so no index entry refers to the volume's tail.
 		return errors.Join(wrapDiskFull(err), v.discardTail())
 	}
 	v.countCommit(added, removed, begun)
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// selectNew returns the records of a group that must be written: each key once,
-// without those that are stored already, and of the moved ones those that still
-// lie where the move found them.
+// selectNew returns the records of a group that must be written, each key once. It
+// leaves out records that are already stored, and moved records that are no longer
+// where compaction found them.
 func (v *Vault) selectNew(group []*change) (added []appendedRecord) {
 	seen := map[string]bool{}
 	for _, c := range group {
@@ -164,7 +164,7 @@
 			seen[key] = true
 			if old, ok := c.move[key]; ok {
 				if now, err := v.find(key); err != nil || now != old {
-					continue // dropped, or moved, meanwhile
+					continue // dropped or moved in the meantime
 				}
 				added = append(added, appendedRecord{record: &c.records[i], movedFrom: &old})
 				continue
@@ -178,8 +178,9 @@
 	return added
 }
 
-// readDropped returns what a group drops. Grants are read, since their labels come
-// from their payload; one that can't be read leaves its labels behind.
+// readDropped returns the records that a group drops. It reads the payload of grants,
+// from which their labels are derived; the labels of a grant that can't be read stay
+// in the index.
 func (v *Vault) readDropped(group []*change) (drops []pendingDrop, err error) {
 	for _, c := range group {
 		for _, key := range c.drop {
@@ -199,8 +200,8 @@
 	return drops, nil
 }
 
-// updateIndex enters and removes records in one transaction. It returns the
-// removed ones that the index had.
+// updateIndex adds and removes records in one transaction. It returns the removed
+// records, without those that the index did not list.
 func (v *Vault) updateIndex(added []appendedRecord, drops []pendingDrop) (removed []removal, err error) {
 	err = v.db.Update(func(tx *bolt.Tx) error {
 		for i := range added {
@@ -222,7 +223,7 @@
 	return removed, err
 }
 
-// dropEntry removes a record from the index; found tells whether it was there.
+// dropEntry removes a record from the index. found reports whether the index listed it.
 func (v *Vault) dropEntry(tx *bolt.Tx, d *pendingDrop) (removed removal, found bool, err error) {
 	raw := tx.Bucket(bucketRecords).Get([]byte(d.key))
 	if raw == nil {
@@ -246,7 +247,7 @@
 	return removal{key, location}, true, nil
 }
 
-// countCommit adds a commit to the counters and to the volumes' live bytes.
+// countCommit updates the counters and the volumes' sizes and live bytes after a commit.
 func (v *Vault) countCommit(added []appendedRecord, removed []removal, begun time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -271,8 +272,8 @@
 	v.stats.LastCommitMic = time.Since(begun).Microseconds()
 }
 
-// notify calls Config.Added and Config.Removed for what a commit changed. A moved
-// record is neither.
+// notify calls Config.Added and Config.Removed for the records that a commit added and
+// removed. A moved record counts as neither.
 func (v *Vault) notify(added []appendedRecord, removed []removal) {
 	for _, w := range added {
 		if w.movedFrom == nil {
@@ -284,14 +285,15 @@
 	}
 }
 
-// appendRecords appends records to the volumes and syncs those.
+// appendRecords appends records to the volumes, syncs the volumes and sets the records'
+// locations.
 func (v *Vault) appendRecords(add []appendedRecord) error {
 	if len(add) == 0 {
 		return nil
 	}
 	now := time.Now().UnixMilli()
 	var buf []byte
-	volume := v.volumes[v.current] // only this goroutine changes which volumes there are
+	volume := v.volumes[v.current] // only this goroutine adds and removes volumes, so no lock is needed
 	pos := volume.size
 	flush := func() error {
 		if len(buf) == 0 {
@@ -331,8 +333,8 @@
 	return nil
 }
 
-// discardTail cuts off what was written and not acknowledged. If that fails, it begins
-// another volume.
+// discardTail truncates the current volume to its acknowledged records. If that fails,
+// it begins another volume.
 func (v *Vault) discardTail() error {
 	volume := v.volumes[v.current]
 	if err := volume.file.Truncate(volume.size); err != nil {
@@ -341,7 +343,7 @@
 	return nil
 }
 
-// wrapDiskFull adds ErrFull to an error of a full disk or an exhausted quota.
+// wrapDiskFull wraps an error of a full disk or an exhausted quota in ErrFull.
 func wrapDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
--- a/internal/archive/vault/golden_test.go
+++ b/internal/archive/vault/golden_test.go
@@ -17,18 +17,18 @@
 	"silvergate/internal/goldentest"
 )
 
-// The golden folder is a vault that an earlier build made of the records in the
-// archive's golden frames, each put on its own, of which it dropped the last. Its
-// index listed what index.txt does.
+// The golden folder is a vault from an earlier build. That build stored the records of
+// the archive's golden frames, one Put for each, and dropped the last one. index.txt
+// holds what its index then listed.
 
 const (
 	goldenFolder      = "testdata/golden/vault"
-	goldenVolumeBytes = 600 // so that there are several volumes
+	goldenVolumeBytes = 600 // small enough for several volumes
 )
 
 func goldenLabels(*archive.Record) []string { return []string{"team/office"} }
 
-// goldenRecords returns the records that the vault was made of.
+// goldenRecords returns the records that were stored in the golden vault.
 func goldenRecords(t *testing.T) []archive.Record {
 	t.Helper()
 	var records []archive.Record
@@ -45,7 +45,7 @@
 	}
 }
 
-// copyGoldenVault copies the folder to where it may be written to.
+// copyGoldenVault copies the golden folder into a temporary one and returns its path.
 func copyGoldenVault(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "vault")
@@ -65,22 +65,22 @@
 	return v
 }
 
-// requireRecords reads records and compares them.
+// requireRecords checks that the vault returns each of the records unchanged.
 func requireRecords(t *testing.T, v *Vault, records []archive.Record) {
 	t.Helper()
 	for _, want := range records {
 		if got, err := v.Get(want.Key); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v: %v", want.Key, got, err)
+			t.Errorf("Get(%s) = %+v, %v", want.Key, got, err)
 		}
 	}
 }
 
-// requireLabelled checks that the label leads to a record's attempt first.
+// requireLabelled checks that the first attempt with the label is the record's.
 func requireLabelled(t *testing.T, v *Vault, record archive.Record) {
 	t.Helper()
 	attempt := record.Key.Attempt.String()
 	if found, _, err := v.Find("team/office", "", "", 100); err != nil || len(found) == 0 || found[0] != attempt {
-		t.Errorf("the label leads to %v: %v", found, err)
+		t.Errorf("attempts with the label: %v, error %v", found, err)
 	}
 }
 
@@ -91,28 +91,28 @@
 	kept, dropped := records[:len(records)-1], records[len(records)-1]
 	requireRecords(t, v, kept)
 	if v.Has(dropped.Key) {
-		t.Errorf("%s is there, and was dropped", dropped.Key)
+		t.Errorf("%s is still listed after it was dropped", dropped.Key)
 	}
 	infos, more, err := v.Keys("", "", 100)
 	if err != nil || more {
-		t.Fatalf("more keys: %v, %v", more, err)
+		t.Fatalf("Keys reports more records: %v, error %v", more, err)
 	}
 	var listed strings.Builder
 	for _, info := range infos {
 		fmt.Fprintf(&listed, "%s %d %d\n", info.Key, info.Bytes, info.At.UnixMilli())
 	}
 	if want := string(goldentest.Read(t, "testdata/golden/index.txt")); listed.String() != want {
-		t.Errorf("the index lists\n%s, not\n%s", listed.String(), want)
+		t.Errorf("the index lists\n%s, want\n%s", listed.String(), want)
 	}
 	requireLabelled(t, v, records[0])
 	if _, checked, damaged, err := v.Scrub("", 1<<20); err != nil || checked != len(kept) || damaged != 0 {
-		t.Errorf("%d records checked, %d damaged: %v", checked, damaged, err)
+		t.Errorf("%d records checked, %d damaged, error %v", checked, damaged, err)
 	}
 	if stats := v.Stats(); stats.Damaged != 0 || stats.Rebuilt {
-		t.Errorf("damaged: %d, the index made again: %v", stats.Damaged, stats.Rebuilt)
+		t.Errorf("damaged records: %d, index rebuilt: %v", stats.Damaged, stats.Rebuilt)
 	}
 	if aside, _ := filepath.Glob(filepath.Join(dir, "*damaged*")); len(aside) > 0 {
-		t.Errorf("put aside: %v", aside)
+		t.Errorf("the index was moved aside: %v", aside)
 	}
 }
 
@@ -126,7 +126,7 @@
 	requireRecords(t, v, records[:len(records)-1])
 	requireLabelled(t, v, records[0])
 	if stats := v.Stats(); stats.Damaged != 0 || !stats.Rebuilt {
-		t.Errorf("damaged: %d, the index made again: %v", stats.Damaged, stats.Rebuilt)
+		t.Errorf("damaged records: %d, index rebuilt: %v", stats.Damaged, stats.Rebuilt)
 	}
 }
 
@@ -140,12 +140,12 @@
 	}
 	volumes, err := filepath.Glob(filepath.Join(goldenFolder, "volumes", "*"))
 	if err != nil || len(volumes) < 2 {
-		t.Fatalf("volumes %v: %v", volumes, err)
+		t.Fatalf("golden volumes %v, error %v", volumes, err)
 	}
 	for _, path := range volumes {
 		got, err := os.ReadFile(filepath.Join(dir, "volumes", filepath.Base(path)))
 		if err != nil || !bytes.Equal(got, goldentest.Read(t, path)) {
-			t.Errorf("%s is written otherwise: %v", filepath.Base(path), err)
+			t.Errorf("%s differs from the golden file, error %v", filepath.Base(path), err)
 		}
 	}
 }
--- a/internal/archive/vault/index.go
+++ b/internal/archive/vault/index.go
@@ -17,33 +17,34 @@
 	"silvergate/internal/checksum"
 )
 
-// The index's buckets.
+// The buckets of the index, each with its keys and values.
 var (
-	bucketRecords = []byte("rec") // key: location, with its checksum
-	bucketLabels  = []byte("by")  // label, zero byte, attempt: nothing
-	bucketDamaged = []byte("bad") // key: location of a record that was found damaged
+	bucketRecords = []byte("rec") // record key: location with a checksum
+	bucketLabels  = []byte("by")  // label, zero byte, attempt: empty value
+	bucketDamaged = []byte("bad") // record key: location of a record that was found damaged
 )
 
-// indexOptions are how the index is opened. Opening waits at most a second for
-// another process that has it open.
+// indexOptions returns the options for opening the index. Opening waits at most a
+// second for another process that has the index open.
 func indexOptions(readOnly bool) *bolt.Options {
 	return &bolt.Options{Timeout: time.Second, ReadOnly: readOnly, NoFreelistSync: true, FreelistType: bolt.FreelistMapType}
 }
 
-// minIndexPages is the size of the smallest index that bbolt makes, in pages.
+// minIndexPages is the size in pages of the smallest index that bbolt creates.
 const minIndexPages = 4
 
 // indexBuckets are the buckets that an index must have.
 var indexBuckets = [][]byte{bucketRecords, bucketLabels, bucketDamaged}
 
-// damagedIndex returns an error that wraps checksum.ErrDamaged.
+// damagedIndex returns an error that wraps checksum.ErrDamaged and says what is wrong.
 func damagedIndex(path, format string, args ...any) error {
 	return fmt.Errorf("%s is %w: %.300s", path, checksum.ErrDamaged, fmt.Sprintf(format, args...))
 }
 
-// verifyIndex reads an index whole before it is opened for writing: bbolt itself
-// then walks it in a goroutine of its own, where a damaged page ends the process.
-// An index that does not exist is no error; a damaged one is checksum.ErrDamaged.
+// verifyIndex reads the whole index before it is opened for writing. When bbolt opens a
+// file for writing, it walks the file in its own goroutine, where a damaged page panics
+// and ends the process. verifyIndex returns nil if the index does not exist, and
+// checksum.ErrDamaged if it is damaged.
 func verifyIndex(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -53,7 +54,7 @@
 		return err
 	}
 	if info.Size() < minIndexPages*int64(os.Getpagesize()) {
-		return damagedIndex(path, "it has %d bytes only", info.Size())
+		return damagedIndex(path, "it has only %d bytes", info.Size())
 	}
 	var file *os.File
 	var db *bolt.DB
@@ -76,28 +77,28 @@
 		err = errors.Join(err, checksum.Guard(path, db.Close))
 	}
 	if err != nil && file != nil {
-		// The mapping that a panic leaves behind keeps the lock.
+		// After a panic bbolt's memory mapping stays, and with it the lock on the file.
 		_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN)
 		_ = file.Close()
 	}
 	return err
 }
 
-// verifyBuckets reads every entry of an index file of fileSize bytes and checks
-// that keys are in order.
+// verifyBuckets reads every entry of an index file of fileSize bytes, and checks that
+// no bucket is missing and that keys are in order.
 func verifyBuckets(tx *bolt.Tx, path string, fileSize int64) error {
 	if tx.Size() > fileSize {
-		return damagedIndex(path, "it has %d bytes of %d", fileSize, tx.Size())
+		return damagedIndex(path, "the file has %d bytes of %d", fileSize, tx.Size())
 	}
 	for _, name := range indexBuckets {
 		bucket := tx.Bucket(name)
 		if bucket == nil {
-			return damagedIndex(path, "its part %q is missing", name)
+			return damagedIndex(path, "bucket %q is missing", name)
 		}
 		var last []byte
 		err := bucket.ForEach(func(key, _ []byte) error {
 			if last != nil && bytes.Compare(key, last) <= 0 {
-				return damagedIndex(path, "its keys are out of order")
+				return damagedIndex(path, "the keys are out of order")
 			}
 			last = append(last[:0], key...)
 			return nil
@@ -109,14 +110,15 @@
 	return nil
 }
 
-// indexEntry is a record as the index lists it.
+// indexEntry is a record's entry in the index.
 type indexEntry struct {
 	key      archive.Key
 	location recordLocation
 }
 
-// openIndex opens the index, reads all of it and counts the records. fresh tells
-// that it was made just now; an empty file counts as such, too.
+// openIndex opens the index, reads all of it and counts the records. It removes the
+// entries of records whose volume is missing or too short. fresh reports whether the
+// index was created by this call; an empty file counts as new, too.
 func (v *Vault) openIndex(path string) (fresh bool, err error) {
 	db, err := bolt.Open(path, 0o600, indexOptions(false))
 	if err != nil {
@@ -137,7 +139,7 @@
 	if len(lost) == 0 {
 		return fresh, nil
 	}
-	v.log.Error("records are not where the index has them: a volume is gone or cut off; they count as missing", "records", len(lost), "first", lost[0])
+	v.log.Error("the index lists records whose volume is missing or truncated; they count as missing", "records", len(lost), "first", lost[0])
 	v.stats.Damaged += int64(len(lost))
 	return false, db.Update(func(tx *bolt.Tx) error {
 		for _, key := range lost {
@@ -149,8 +151,8 @@
 	})
 }
 
-// createBuckets makes the buckets that an index lacks. fresh tells that it had none
-// for records.
+// createBuckets creates the buckets that an index lacks. fresh reports whether it had
+// no bucket for records.
 func createBuckets(db *bolt.DB) (fresh bool, err error) {
 	err = db.Update(func(tx *bolt.Tx) error {
 		fresh = tx.Bucket(bucketRecords) == nil
@@ -168,7 +170,7 @@
 }
 
 // readEntries returns all records that the index lists, in the order of their keys.
-// An entry that can't be read is checksum.ErrDamaged.
+// It returns checksum.ErrDamaged if an entry can't be read.
 func readEntries(db *bolt.DB, path string) (entries []indexEntry, err error) {
 	err = db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketRecords).ForEach(func(k, raw []byte) error {
@@ -187,8 +189,8 @@
 	return entries, err
 }
 
-// countEntries counts the listed records and returns the keys of those whose
-// volume is missing or too short.
+// countEntries adds the listed records to the counters, without those whose volume is
+// missing or too short, whose keys it returns.
 func (v *Vault) countEntries(entries []indexEntry) (lost []string) {
 	for _, e := range entries {
 		volume := v.volumes[e.location.volumeID]
@@ -206,7 +208,7 @@
 }
 
 // countStored adds a stored record to its volume's size and to the counters, and
-// calls Config.Added. It takes no lock: only openAll and what it calls use it.
+// calls Config.Added. It takes no lock, as it is only called while the vault is opened.
 func (v *Vault) countStored(k archive.Key, location recordLocation) {
 	volume := v.volumes[location.volumeID]
 	volume.size = max(volume.size, location.offset+location.size)
@@ -216,7 +218,7 @@
 	v.cfg.Added(location.info(k))
 }
 
-// info returns the index's view of the record that lies here.
+// info describes the record with this key and location to callers.
 func (l recordLocation) info(key archive.Key) Info {
 	return Info{Key: key, Bytes: l.size, At: time.UnixMilli(l.storedAt)}
 }
@@ -224,7 +226,7 @@
 // encodedLocationBytes is the length of a stored location, without its checksum.
 const encodedLocationBytes = 24
 
-// encode returns the stored form: volume, offset, size and time, big-endian.
+// encode returns the stored form: volume, offset, size and storage time, big-endian.
 func (l recordLocation) encode() []byte {
 	b := binary.BigEndian.AppendUint32(nil, l.volumeID)
 	b = binary.BigEndian.AppendUint64(b, uint64(l.offset))
@@ -232,8 +234,8 @@
 	return binary.BigEndian.AppendUint64(b, uint64(l.storedAt))
 }
 
-// decodeLocation reads a location as encode and checksum.Append stored it under a
-// key, or returns checksum.ErrDamaged.
+// decodeLocation decodes a location that encode and checksum.Append stored under a
+// key. It returns checksum.ErrDamaged if the checksum or the length is wrong.
 func decodeLocation(key, stored []byte) (recordLocation, error) {
 	b, ok := checksum.Open(key, stored)
 	if !ok || len(b) != encodedLocationBytes {
@@ -247,20 +249,20 @@
 	}, nil
 }
 
-// viewIndex reads the index. Guards against a page that is damaged while it is open,
-// which makes bbolt panic.
+// viewIndex runs read in a read-only transaction of the index. It turns a panic, which
+// bbolt raises for a page that is damaged while the index is open, into an error.
 //
-// The path is the vault's own and not bbolt's, which clears its as it closes: a node that
-// stops may still be answering a reader.
-func (v *Vault) viewIndex(do func(tx *bolt.Tx) error) error {
+// The path comes from the settings and not from bbolt, which clears its own path when it
+// closes: a node that stops may still be answering a reader.
+func (v *Vault) viewIndex(read func(tx *bolt.Tx) error) error {
 	path := filepath.Join(v.cfg.Dir, indexFile)
-	return checksum.Guard(path, func() error { return v.db.View(do) })
+	return checksum.Guard(path, func() error { return v.db.View(read) })
 }
 
-// labelKey is the key under which the index lists an attempt by a label.
+// labelKey returns the key under which the index lists an attempt for a label.
 func labelKey(label, attempt string) []byte { return []byte(label + "\x00" + attempt) }
 
-// addEntry enters a record and its labels into the index.
+// addEntry adds a record and its labels to the index.
 func (v *Vault) addEntry(tx *bolt.Tx, r *archive.Record, location recordLocation) error {
 	key := []byte(r.Key.String())
 	if err := tx.Bucket(bucketRecords).Put(key, checksum.Append(key, location.encode())); err != nil {
@@ -274,7 +276,7 @@
 	return nil
 }
 
-// removeEntry takes a record out of the index, and its labels too if r is not nil.
+// removeEntry removes a record from the index, and its labels too if r is not nil.
 func (v *Vault) removeEntry(tx *bolt.Tx, key string, r *archive.Record) error {
 	if r != nil {
 		for _, label := range v.cfg.Labels(r) {
--- a/internal/archive/vault/maintenance.go
+++ b/internal/archive/vault/maintenance.go
@@ -14,8 +14,9 @@
 	"silvergate/internal/checksum"
 )
 
-// prepareVolumes removes volumes that hold nothing, and chooses the one to append to: one
-// with a tail that the index does not know is left as it is.
+// prepareVolumes removes volumes without live records and chooses the volume to append
+// to. It begins a new volume if the current one is missing, full, or has a tail that the
+// index does not list: such a volume is left unchanged.
 func (v *Vault) prepareVolumes() error {
 	for id, volume := range v.volumes {
 		if volume.live == 0 && !volume.damaged {
@@ -34,11 +35,12 @@
 	return v.beginVolume()
 }
 
-// compact empties one volume of which little is left, and removes those that hold
-// nothing. It runs in the writer.
+// compact removes volumes without live records. It also moves the records of one volume
+// of which less than a quarter is live to the current volume, so that the next compact
+// can remove it. It runs in the writer's goroutine.
 func (v *Vault) compact() {
 	v.mu.Lock()
-	var thin uint32
+	var sparse uint32
 	for _, id := range sortedIDs(v.volumes) {
 		volume := v.volumes[id]
 		if id == v.current || volume.damaged {
@@ -47,31 +49,31 @@
 		if volume.live == 0 {
 			volume.file.Close()
 			if err := os.Remove(v.volumePath(id)); err != nil {
-				v.log.Error("an empty volume can't be removed", "volume", v.volumePath(id), "error", err)
+				v.log.Error("cannot remove an empty volume", "volume", v.volumePath(id), "error", err)
 				continue
 			}
 			delete(v.volumes, id)
 			continue
 		}
-		if thin == 0 && volume.live*4 < volume.size {
-			thin = id
+		if sparse == 0 && volume.live*4 < volume.size {
+			sparse = id
 		}
 	}
 	v.mu.Unlock()
-	if thin == 0 {
+	if sparse == 0 {
 		return
 	}
 	var keys []string
 	var locations []recordLocation
 	_ = v.viewIndex(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketRecords).ForEach(func(k, raw []byte) error {
-			if location, err := decodeLocation(k, raw); err == nil && location.volumeID == thin {
+			if location, err := decodeLocation(k, raw); err == nil && location.volumeID == sparse {
 				keys, locations = append(keys, string(k)), append(locations, location)
 			}
 			return nil
 		})
 	})
-	p := &change{move: map[string]recordLocation{}}
+	moved := &change{move: map[string]recordLocation{}}
 	for i, key := range keys {
 		k, err := archive.ParseKey(key)
 		if err != nil {
@@ -82,10 +84,10 @@
 			v.removeDamaged(k, locations[i], err)
 			continue
 		}
-		p.records, p.move[key] = append(p.records, r), locations[i]
+		moved.records, moved.move[key] = append(moved.records, r), locations[i]
 	}
-	if err := v.commit([]*change{p}); err != nil {
-		v.log.Error("a volume can't be emptied now", "volume", v.volumePath(thin), "error", err)
+	if err := v.commit([]*change{moved}); err != nil {
+		v.log.Error("cannot compact a volume now", "volume", v.volumePath(sparse), "error", err)
 		return
 	}
 	v.mu.Lock()
@@ -93,6 +95,7 @@
 	v.mu.Unlock()
 }
 
+// sortedIDs returns the volumes' numbers in ascending order.
 func sortedIDs(m map[uint32]*volumeFile) []uint32 {
 	out := make([]uint32, 0, len(m))
 	for id := range m {
@@ -102,9 +105,9 @@
 	return out
 }
 
-// rebuild makes the index out of the volumes. What a volume holds that was never
-// acknowledged, or was dropped, comes back with it; the one does no harm, and the
-// other goes again as the records that say so are there too.
+// rebuild builds the index from the volumes. This also restores records that were never
+// acknowledged and records that were dropped. The former do no harm; the latter are
+// dropped again, as the records that say so are restored too.
 func (v *Vault) rebuild() error {
 	for _, id := range sortedIDs(v.volumes) {
 		raw, err := os.ReadFile(v.volumePath(id))
@@ -135,7 +138,7 @@
 			pos += int(location.size)
 		}
 		if damaged > 0 {
-			v.log.Error("a volume has damaged places, or a tail that was never acknowledged; it is kept as it is", "volume", v.volumePath(id), "places", damaged)
+			v.log.Error("a volume has damaged ranges or an unacknowledged tail; it is kept unchanged", "volume", v.volumePath(id), "places", damaged)
 			v.volumes[id].damaged = true
 		}
 		var fresh []found
@@ -161,11 +164,11 @@
 	return nil
 }
 
-// Scrub reads and checks the records after the key from, "" being the start, until
-// about size bytes are read. It returns the last key it read, from which the next
-// call goes on, or "" if it reached the end, and how many records it checked and
-// found damaged. Damaged ones are taken out of the index. An error is one of
-// reading the index.
+// Scrub reads and checks the records after the key from, or from the first record if
+// from is "", until it has read about size bytes. It returns the last key that it read,
+// from which the next call continues, or "" if it reached the end. It also returns how
+// many records it checked and how many of these were damaged. It removes damaged records
+// from the index. It returns an error only if the index can't be read.
 func (v *Vault) Scrub(from string, size int64) (last string, checked, damaged int, err error) {
 	for size > 0 {
 		infos, more, err := v.Keys("", from, 100)
--- a/internal/archive/vault/read.go
+++ b/internal/archive/vault/read.go
@@ -13,7 +13,7 @@
 	"silvergate/internal/checksum"
 )
 
-// find looks up a record's location, or returns ErrNotHere.
+// find returns a record's location, or ErrNotHere if the index does not list the record.
 func (v *Vault) find(key string) (location recordLocation, err error) {
 	err = v.viewIndex(func(tx *bolt.Tx) error {
 		raw := tx.Bucket(bucketRecords).Get([]byte(key))
@@ -26,16 +26,16 @@
 	return location, err
 }
 
-// Has tells whether the index lists a record. It is false also if the index can't be
-// read.
+// Has reports whether the index lists a record. It returns false also if the index
+// can't be read.
 func (v *Vault) Has(k archive.Key) bool {
 	_, err := v.find(k.String())
 	return err == nil
 }
 
 // Get reads a record and checks its frame's checksum. It returns ErrNotHere if the
-// vault does not have the record, and checksum.ErrDamaged if the record is damaged;
-// such a record is taken out of the index. The caller owns the result.
+// vault does not have the record, and checksum.ErrDamaged if the record is damaged, in
+// which case Get removes it from the index. The caller owns the result.
 func (v *Vault) Get(k archive.Key) (archive.Record, error) {
 	key := k.String()
 	for {
@@ -48,7 +48,7 @@
 			return r, nil
 		}
 		if again, err2 := v.find(key); err2 == nil && again != location {
-			continue // moved while it was read
+			continue // compaction moved the record during the read
 		}
 		if !errors.Is(err, checksum.ErrDamaged) {
 			return archive.Record{}, err
@@ -74,7 +74,7 @@
 	}
 	r, err := archive.ReadFrame(bytes.NewReader(buf))
 	if err == nil && r.Key.String() != key {
-		err = errors.New("another record lies there")
+		err = errors.New("the location holds another record")
 	}
 	if err != nil {
 		return archive.Record{}, fmt.Errorf("%s at %d of %s is %w: %w", key, location.offset, v.volumePath(location.volumeID), checksum.ErrDamaged, err)
@@ -82,23 +82,25 @@
 	return r, nil
 }
 
-// removeDamaged takes a damaged record out of the index and keeps its volume.
+// removeDamaged removes a damaged record from the index and marks its volume, so that
+// the volume is never removed.
 func (v *Vault) removeDamaged(k archive.Key, location recordLocation, why error) {
-	v.log.Error("a record is damaged; it counts as missing and its volume is kept as it is", "key", k.String(), "volume", v.volumePath(location.volumeID), "pos", location.offset, "error", why)
-	out := false
+	v.log.Error("a record is damaged; it counts as missing and its volume is kept unchanged",
+		"key", k.String(), "volume", v.volumePath(location.volumeID), "pos", location.offset, "error", why)
+	removed := false
 	err := v.db.Update(func(tx *bolt.Tx) error {
 		key := []byte(k.String())
 		raw := tx.Bucket(bucketRecords).Get(key)
 		if now, err := decodeLocation(key, raw); err != nil || now != location {
 			return nil
 		}
-		out = true
+		removed = true
 		if err := tx.Bucket(bucketDamaged).Put(key, location.encode()); err != nil {
 			return err
 		}
 		return v.removeEntry(tx, k.String(), nil)
 	})
-	if err != nil || !out {
+	if err != nil || !removed {
 		return
 	}
 	v.mu.Lock()
@@ -110,16 +112,16 @@
 	v.cfg.Removed(location.info(k))
 }
 
-// Info is a record as the index has it.
+// Info describes a stored record from its index entry.
 type Info struct {
 	Key   archive.Key
-	Bytes int64     // of its frame
+	Bytes int64     // size of its frame
 	At    time.Time // when it was stored
 }
 
 // Keys lists the records whose keys begin with prefix and come after from, in the
-// order of their keys, at most limit; more tells whether there are others. An error
-// is one of reading the index.
+// order of their keys, at most limit. more reports whether there are others. Keys
+// returns an error only if the index can't be read.
 func (v *Vault) Keys(prefix, from string, limit int) (out []Info, more bool, err error) {
 	err = v.viewIndex(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketRecords).Cursor()
@@ -150,31 +152,31 @@
 	return out, more, err
 }
 
-// Find lists the attempts that have a label, whose names begin with prefix and come
-// after from, in order, at most limit; more tells whether there are others. An
-// error is one of reading the index.
+// Find lists the attempts that have a label and whose names begin with prefix and come
+// after from, in order, at most limit. more reports whether there are others. Find
+// returns an error only if the index can't be read.
 func (v *Vault) Find(label, prefix, from string, limit int) (out []string, more bool, err error) {
 	head := label + "\x00"
 	err = v.viewIndex(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketLabels).Cursor()
 		for k, _ := c.Seek([]byte(head + max(prefix, from))); k != nil && strings.HasPrefix(string(k), head+prefix); k, _ = c.Next() {
-			a := string(k[len(head):])
-			if a == from {
+			attempt := string(k[len(head):])
+			if attempt == from {
 				continue
 			}
 			if len(out) == limit {
 				more = true
 				return nil
 			}
-			out = append(out, a)
+			out = append(out, attempt)
 		}
 		return nil
 	})
 	return out, more, err
 }
 
-// Labelled tells whether an attempt has a label. It is false also if the index can't
-// be read.
+// Labelled reports whether an attempt has a label. It returns false also if the index
+// can't be read.
 func (v *Vault) Labelled(label, attempt string) (ok bool) {
 	_ = v.viewIndex(func(tx *bolt.Tx) error {
 		key := labelKey(label, attempt)
--- a/internal/archive/vault/vault.go
+++ b/internal/archive/vault/vault.go
@@ -1,14 +1,14 @@
 // Package vault is an archive node's storage: a set of records on one disk.
 //
-// It owns a folder. Records lie in volumes, files that are only appended to, each
-// record with its checksum; where each lies stands in an index (bbolt). A record
-// is kept, and may be acknowledged, when the volume is synced and then the index's
-// transaction is: whatever a volume holds that the index does not know was never
-// acknowledged. Changes that come while a sync is under way share the next one.
+// A vault owns a folder. It appends records, each with its checksum, to append-only
+// files called volumes, and keeps the location of each record in an index (bbolt).
+// A record is stored, and may be acknowledged, once the volume is synced and then the
+// index's transaction is synced: a record in a volume that the index does not list was
+// never acknowledged. Changes that arrive during a sync share the next one.
 //
-// What is damaged is named, taken out of the index, so that it counts as missing
-// and comes back from another node, and left on disk as it is. An index that is
-// damaged is put aside and made again out of the volumes.
+// A damaged record is logged and removed from the index, so that it counts as missing
+// and is fetched again from another node; its bytes stay on disk unchanged. A damaged
+// index is moved aside and rebuilt from the volumes.
 package vault
 
 import (
@@ -30,43 +30,43 @@
 
 // Config holds the settings of a vault.
 type Config struct {
-	// Dir is the vault's folder; it is made if it does not exist.
+	// Dir is the vault's folder; Open creates it if it does not exist.
 	Dir string
-	// VolumeBytes is the size in bytes from which a volume is no longer appended to;
-	// 0 means 64 MiB.
+	// VolumeBytes is the size in bytes at which the vault stops appending to a volume
+	// and begins the next; 0 means 64 MiB.
 	VolumeBytes int64
-	// Labels returns the names under which a record's attempt is found again. nil
-	// means none.
+	// Labels returns the labels by which Find lists a record's attempt. nil means
+	// none.
 	Labels func(*archive.Record) []string
-	// Added and Removed are called for each record after the index has it, or has it
-	// no more; nil means that nobody is called. Open calls Added for every record.
+	// Added is called for each record after it was entered into the index, and Removed
+	// after it was removed from it; either may be nil. Open calls Added for every record.
 	// Later calls come from the writer, and Removed also from a reader that finds a
 	// damaged record, so both must be safe for concurrent use.
 	Added, Removed func(Info)
 }
 
-// Errors that callers decide by.
+// Errors that callers check for.
 var (
-	// ErrNotHere says that the vault does not have the record.
+	// ErrNotHere means that the vault does not have the record.
 	ErrNotHere = errors.New("no such record here")
-	// ErrFull says that the disk has no room for what was to be written. Nothing of
-	// it was kept; what was stored before is not affected.
+	// ErrFull means that the disk has no room for a change. Nothing of the change was
+	// stored; records stored before are not affected.
 	ErrFull = errors.New("the disk is full")
-	// ErrClosed says that the vault was closed.
+	// ErrClosed means that the vault was closed.
 	ErrClosed = errors.New("the vault is closed")
 )
 
-// Stats counts what a vault holds and did since it was opened. Its fields' names are
-// those of the JSON that a node serves.
+// Stats counts what a vault holds and what it did since it was opened. A node serves
+// it as JSON under its fields' Go names.
 type Stats struct {
 	Records, Bytes, Volumes  int64
 	Commits, Written         int64 // commits, and the bytes of records that they added
 	Damaged                  int64 // records found damaged since Open
-	Rebuilt                  bool  // Open made the index again out of the volumes
-	Compacted, LastCommitMic int64 // volumes compacted; the last commit's time in microseconds
+	Rebuilt                  bool  // Open rebuilt the index from the volumes
+	Compacted, LastCommitMic int64 // volumes compacted; duration of the last commit in microseconds
 }
 
-// Vault is an open vault. It is safe for concurrent use. Whoever opens it closes it.
+// Vault is an open vault. It is safe for concurrent use. The caller of Open closes it.
 type Vault struct {
 	cfg  Config
 	log  *slog.Logger
@@ -78,22 +78,22 @@
 	done  chan struct{} // closed when the writer has ended
 	stop  chan struct{} // closed by Close
 
-	mu      sync.RWMutex // guards the below; files are opened and removed under it
+	mu      sync.RWMutex // guards the fields below; volume files are opened and removed under it
 	volumes map[uint32]*volumeFile
-	current uint32 // the volume that is appended to
+	current uint32 // the volume that new records are appended to
 	stats   Stats
 }
 
 // volumeFile is an open volume.
 type volumeFile struct {
 	file    *os.File
-	size    int64 // bytes from the start that the index lists
-	live    int64 // bytes of the records that are not dropped
-	damaged bool  // damage was found in it, so it is never removed
+	size    int64 // offset in bytes of the end of the last record that the index lists
+	live    int64 // bytes of the records that were not dropped
+	damaged bool  // the file has a damaged record, so it is never removed
 }
 
-// recordLocation is where a record's frame lies: its volume, the offset and size
-// in it in bytes, and when it was stored.
+// recordLocation is the location of a record's frame: its volume, and its offset and
+// size in that volume in bytes. It also holds when the record was stored.
 type recordLocation struct {
 	volumeID uint32
 	offset   int64
@@ -101,7 +101,7 @@
 	storedAt int64 // Unix time in milliseconds
 }
 
-// disk is the part of the file system that tests let fail.
+// disk holds the file system calls in which tests inject errors.
 type disk interface {
 	WriteAt(f *os.File, b []byte, off int64) error
 	Sync(f *os.File) error
@@ -124,20 +124,20 @@
 )
 
 const (
-	// defaultVolumeBytes is Config.VolumeBytes if it is not set.
+	// defaultVolumeBytes is used if Config.VolumeBytes is not set.
 	defaultVolumeBytes = 64 << 20
-	// queuedChanges is how many changes wait for the writer before Put blocks.
+	// queuedChanges is how many changes can wait for the writer before Put and Drop block.
 	queuedChanges = 64
 )
 
-// Open opens the vault in cfg.Dir, or makes one, and calls cfg.Added for every record
-// in it. A damaged index is put aside and made again out of the volumes. Open fails
+// Open opens the vault in cfg.Dir, or creates one, and calls cfg.Added for every record
+// in it. It moves a damaged index aside and rebuilds it from the volumes. Open fails
 // if another process has the vault open. The caller closes the vault.
 func Open(cfg Config, log *slog.Logger) (*Vault, error) {
 	return open(cfg, log, osDisk{})
 }
 
-// open is Open on a given disk.
+// open is Open with a disk that tests can replace.
 func open(cfg Config, log *slog.Logger, d disk) (*Vault, error) {
 	if cfg.VolumeBytes <= 0 {
 		cfg.VolumeBytes = defaultVolumeBytes
@@ -190,7 +190,8 @@
 	v.lock.Close()
 }
 
-// openAll opens the volumes and the index, and removes or begins volumes as needed.
+// openAll opens the volumes and the index, rebuilds the index if it is missing or
+// damaged, and removes or creates volumes as needed.
 func (v *Vault) openAll() error {
 	if err := v.openVolumes(); err != nil {
 		return err
@@ -201,15 +202,15 @@
 	}
 	if fresh && len(v.volumes) > 0 {
 		if err := v.rebuild(); err != nil {
-			return fmt.Errorf("making the index again: %w", err)
+			return fmt.Errorf("rebuilding the index: %w", err)
 		}
 		v.stats.Rebuilt = true
 	}
 	return v.prepareVolumes()
 }
 
-// openVolumes opens all volumes in the folder; the one with the highest number is
-// the current one.
+// openVolumes opens all volumes in the folder. The volume with the highest number
+// becomes the current one.
 func (v *Vault) openVolumes() error {
 	names, err := os.ReadDir(filepath.Join(v.cfg.Dir, volumesDir))
 	if err != nil {
@@ -230,8 +231,8 @@
 	return nil
 }
 
-// openOrReplaceIndex opens the index. A damaged one is put aside, and an empty one
-// made in its place. fresh tells that the index is new.
+// openOrReplaceIndex opens the index. It moves a damaged index aside and creates an
+// empty one in its place. fresh reports whether the index is new.
 func (v *Vault) openOrReplaceIndex() (fresh bool, err error) {
 	path := filepath.Join(v.cfg.Dir, indexFile)
 	if err = verifyIndex(path); err == nil {
@@ -241,22 +242,22 @@
 		return fresh, err
 	}
 	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-	v.log.Error("the index is damaged; it is put aside and made again out of the volumes", "file", path, "aside", aside, "error", err)
+	v.log.Error("the index is damaged; moved it aside, rebuilding it from the volumes", "file", path, "aside", aside, "error", err)
 	if err := os.Rename(path, aside); err != nil {
 		return false, err
 	}
 	return v.openIndex(path)
 }
 
-// volumeName is the name of a volume's file.
+// volumeName returns the name of a volume's file.
 func volumeName(id uint32) string { return fmt.Sprintf("%08d.vol", id) }
 
-// volumePath is the volumePath of a volume's file.
+// volumePath returns the path of a volume's file.
 func (v *Vault) volumePath(id uint32) string {
 	return filepath.Join(v.cfg.Dir, volumesDir, volumeName(id))
 }
 
-// beginVolume makes a new volume and appends to it from then on.
+// beginVolume creates a volume, to which new records are appended from then on.
 func (v *Vault) beginVolume() error {
 	id := v.current + 1
 	f, err := os.OpenFile(v.volumePath(id), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
@@ -288,9 +289,9 @@
 	return s
 }
 
-// Close waits for the commit under way, closes the files and releases the folder.
-// Changes that were not answered may be kept or not; their callers get ErrClosed.
-// Another Close after it does nothing. It always returns nil.
+// Close waits for the commit in progress, closes the files and releases the folder.
+// A change whose caller has no result yet may be stored or not; its caller gets
+// ErrClosed. Further calls of Close do nothing. It always returns nil.
 func (v *Vault) Close() error {
 	select {
 	case <-v.stop:
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -23,12 +23,14 @@
 )
 
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.checks", "20") // each syncs some hundred times; more by hand: -rapid.checks
+	_ = flag.Set("rapid.checks", "20") // each check syncs a few hundred times; run more by hand with -rapid.checks
 	proptest.Main(m)
 }
 
+// quiet discards log lines.
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
+// segment returns a segment record whose data and key depend on n and size.
 func segment(job, n int, size int) archive.Record {
 	s := archive.Segment{WriteTimes: []archive.WriteTime{{To: size, At: int64(n)}}, Data: make([]byte, size)}
 	for i := range s.Data {
@@ -37,13 +39,15 @@
 	return archive.NewRecord(archive.Attempt{Job: fmt.Sprintf("wk-%06d", job), Task: n % 3, Try: 1, Machine: "m"}, archive.KindSegment, archive.At(archive.Stdout, int64(n)<<20, size), s.Encode())
 }
 
+// grant returns a grant record of the job's first task.
 func grant(job int) archive.Record {
 	a := archive.Attempt{Job: fmt.Sprintf("wk-%06d", job), Task: 0, Try: 1, Machine: "m"}
 	return archive.NewRecord(a, archive.KindGrant, "", archive.Encode(archive.Grant{Attempt: a, Terms: archive.Terms{Owner: archive.Owner{Team: "office"}, Class: "x"}}))
 }
 
-// faultyDisk is a disk that takes half of what is written and is full, or does not
-// sync, when told to.
+// faultyDisk is a disk on which a test can make writes and syncs fail. A failing write
+// stores half of its bytes and reports a full disk; a failing sync reports an exhausted
+// quota.
 type faultyDisk struct {
 	osDisk
 	failWrites, failSyncs atomic.Bool
@@ -64,7 +68,8 @@
 	return d.osDisk.Sync(f)
 }
 
-// listedKeys keeps account of what a vault says it has.
+// listedKeys holds the keys that a vault reported by Config.Added and not by
+// Config.Removed since.
 type listedKeys struct {
 	mu   sync.Mutex
 	keys map[string]bool
@@ -91,9 +96,9 @@
 		}}
 }
 
-// TestNothingAcknowledgedIsLost draws puts, drops, full disks, kills with a volume
-// cut at any byte behind what was acknowledged, and damaged indexes, and compares
-// the vault with what it acknowledged.
+// TestNothingAcknowledgedIsLost guards against losing acknowledged records. It runs random
+// puts, drops, full disks, kills that leave a part of an unacknowledged record at the end of
+// a volume, and damaged indexes, and compares the vault with what it acknowledged.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "vault")
@@ -107,11 +112,11 @@
 			t.Fatal(err)
 		}
 		defer func() { v.Close() }()
-		kept := map[string]archive.Record{}
-		maybe := map[string]bool{} // dropped, and may come back with a new index
+		acknowledged := map[string]archive.Record{}
+		mayExist := map[string]bool{} // dropped or not acknowledged; a rebuilt index may list them
 		ctx := context.Background()
 		n := 0
-		draw := func() (out []archive.Record) {
+		randomRecords := func() (out []archive.Record) {
 			for range rapid.IntRange(1, 5).Draw(t, "records") {
 				n++
 				if rapid.IntRange(0, 4).Draw(t, "grant") == 0 {
@@ -123,7 +128,7 @@
 			return out
 		}
 		check := func() {
-			for key, want := range kept {
+			for key, want := range acknowledged {
 				got, err := v.Get(want.Key)
 				if err != nil || string(got.Payload) != string(want.Payload) {
 					t.Fatalf("%s: %v", key, err)
@@ -134,14 +139,14 @@
 				t.Fatal(err)
 			}
 			for _, i := range all {
-				if _, ok := kept[i.Key.String()]; !ok && !maybe[i.Key.String()] {
-					t.Fatalf("%s is here, and was never acknowledged", i.Key)
+				if _, ok := acknowledged[i.Key.String()]; !ok && !mayExist[i.Key.String()] {
+					t.Fatalf("the vault lists %s, which was never acknowledged", i.Key)
 				}
 			}
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			if len(h.keys) != len(all) || int64(len(all)) != v.Stats().Records {
-				t.Fatalf("%d records, %d told, %d counted", len(all), len(h.keys), v.Stats().Records)
+				t.Fatalf("the index lists %d records, %d were reported as added, %d are counted", len(all), len(h.keys), v.Stats().Records)
 			}
 		}
 		reopen := func(damage func()) {
@@ -156,33 +161,33 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) { check() },
 			"put": func(*rapid.T) {
-				records := draw()
+				records := randomRecords()
 				if err := v.Put(ctx, records); err != nil {
 					t.Fatal(err)
 				}
 				for _, r := range records {
-					kept[r.Key.String()] = r
+					acknowledged[r.Key.String()] = r
 				}
 			},
 			"put on a full disk": func(t *rapid.T) {
-				records := draw()
+				records := randomRecords()
 				which := rapid.SampledFrom([]*atomic.Bool{&d.failWrites, &d.failSyncs}).Draw(t, "which")
 				fresh := slices.ContainsFunc(records, func(r archive.Record) bool { return !v.Has(r.Key) })
 				which.Store(true)
 				err := v.Put(ctx, records)
 				which.Store(false)
 				if fresh && !errors.Is(err, ErrFull) {
-					t.Fatalf("a full disk is told as %v", err)
+					t.Fatalf("Put on a full disk returned %v, want ErrFull", err)
 				}
-				for _, r := range records { // not acknowledged: it may come out of the volumes again
-					if _, ok := kept[r.Key.String()]; !ok {
-						maybe[r.Key.String()] = true
+				for _, r := range records { // not acknowledged: a rebuild may restore it from the volumes
+					if _, ok := acknowledged[r.Key.String()]; !ok {
+						mayExist[r.Key.String()] = true
 					}
 				}
 			},
 			"drop": func(t *rapid.T) {
 				var keys []string
-				for key := range kept {
+				for key := range acknowledged {
 					keys = append(keys, key)
 				}
 				slices.Sort(keys)
@@ -191,15 +196,15 @@
 					t.Fatal(err)
 				}
 				for _, key := range keys {
-					delete(kept, key)
-					maybe[key] = true
+					delete(acknowledged, key)
+					mayExist[key] = true
 				}
 			},
 			"killed while it wrote": func(t *rapid.T) {
 				r := segment(7, 1_000_000+n, 500)
 				raw := archive.AppendFrame(nil, &r)
 				cut := rapid.IntRange(1, len(raw)).Draw(t, "cut")
-				maybe[r.Key.String()] = true
+				mayExist[r.Key.String()] = true
 				path := v.volumePath(v.current)
 				reopen(func() {
 					f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
@@ -223,7 +228,7 @@
 					case 0:
 						raw = raw[:rapid.IntRange(0, len(raw)-1).Draw(t, "cut")]
 					case 1:
-						for i := range min(len(raw), 8192) { // both heads
+						for i := range min(len(raw), 8192) { // both of bbolt's meta pages
 							raw[i] ^= 0x55
 						}
 					case 2:
@@ -241,8 +246,10 @@
 	})
 }
 
-// TestDamagedRecordIsReportedAndVolumeKept guards against a changed byte that is served, or written
-// over: the record counts as missing, can be put again, and the volume stays.
+// TestDamagedRecordIsReportedAndVolumeKept guards against a vault that serves a record with
+// a changed byte, or overwrites it: the record must count as missing, it can be stored
+// again, and its volume must stay, also when all of its records are dropped. The test also
+// checks that Open detects a missing volume.
 func TestDamagedRecordIsReportedAndVolumeKept(t *testing.T) {
 	h, dir := &listedKeys{}, t.TempDir()
 	v, err := Open(h.config(dir), quiet)
@@ -274,7 +281,7 @@
 		t.Fatal(last, checked, damaged, err)
 	}
 	if _, err := v.Get(records[2].Key); !errors.Is(err, ErrNotHere) || h.keys[records[2].Key.String()] {
-		t.Errorf("a damaged record: %v", err)
+		t.Errorf("Get of a damaged record returned %v, want ErrNotHere and a call of Removed", err)
 	}
 	if err := v.Put(context.Background(), records[2:3]); err != nil {
 		t.Fatal(err)
@@ -290,9 +297,9 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(v.volumePath(location.volumeID)); err != nil {
-		t.Error("the damaged volume is gone", err)
+		t.Error("the damaged volume was removed:", err)
 	}
-	// A volume that is gone is found at the start.
+	// Open must detect a missing volume.
 	if err := v.Put(context.Background(), records); err != nil {
 		t.Fatal(err)
 	}
@@ -306,15 +313,15 @@
 		t.Fatal(err)
 	}
 	if _, err := v.Get(records[0].Key); !errors.Is(err, ErrNotHere) || v.Stats().Damaged == 0 {
-		t.Errorf("a record of a lost volume: %v", err)
+		t.Errorf("Get of a record whose volume is missing returned %v, want ErrNotHere and a damaged count above 0", err)
 	}
 	if _, err := v.read(records[0].Key.String(), location); !errors.Is(err, checksum.ErrDamaged) {
 		t.Error(err)
 	}
 }
 
-// TestNothingWithoutAName guards against a record whose key the next start would take
-// for damage of the whole index.
+// TestNothingWithoutAName guards against storing a record whose key can't be parsed: the
+// next Open would treat the whole index as damaged.
 func TestNothingWithoutAName(t *testing.T) {
 	h, dir := &listedKeys{}, t.TempDir()
 	v, err := Open(h.config(dir), quiet)
@@ -322,20 +329,20 @@
 		t.Fatal(err)
 	}
 	if err := v.Put(context.Background(), []archive.Record{{}}); err == nil {
-		t.Error("a record of nothing is kept")
+		t.Error("Put stored a record without a key")
 	}
 	if err := v.Put(context.Background(), []archive.Record{grant(1)}); err != nil {
 		t.Fatal(err)
 	}
 	v.Close()
 	if v, err = Open(h.config(dir), quiet); err != nil || v.Stats().Rebuilt || v.Stats().Records != 1 {
-		t.Fatalf("%v, %+v", err, v.Stats())
+		t.Fatalf("after reopening: error %v, stats %+v", err, v.Stats())
 	}
 	v.Close()
 }
 
-// TestCompactionFreesSpace guards against volumes that stay when most of what they held
-// is dropped, and against labels of attempts that are gone.
+// TestCompactionFreesSpace guards against volumes that stay on disk after most of their
+// records are dropped, and against labels that stay after their attempts are dropped.
 func TestCompactionFreesSpace(t *testing.T) {
 	h := &listedKeys{}
 	v, err := Open(h.config(t.TempDir()), quiet)
@@ -361,18 +368,18 @@
 	if err := v.Drop(ctx, keys); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 30 { // compaction goes on with each change
+	for i := range 30 { // each commit compacts one more volume
 		if err := v.Put(ctx, []archive.Record{grant(100 + i%2)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	after := v.Stats()
 	if after.Volumes*2 > before.Volumes || after.Compacted == 0 {
-		t.Errorf("%d volumes of %d are left, %d emptied", after.Volumes, before.Volumes, after.Compacted)
+		t.Errorf("%d of %d volumes are left, %d were compacted", after.Volumes, before.Volumes, after.Compacted)
 	}
 	found, more, err := v.Find("team/office", "", "", 100)
 	if len(found) != 7 || more || err != nil {
-		t.Errorf("%d attempts found: %v", len(found), err)
+		t.Errorf("Find returned %d attempts, want 7: %v", len(found), err)
 	}
 	for _, i := range []int{0, 8, 32} {
 		if _, err := v.Get(segment(i, i, 1500).Key); err != nil {
@@ -381,8 +388,8 @@
 	}
 }
 
-// BenchmarkPut measures a vault's commits, 64 segments of some 16 KB each, against
-// BenchmarkPlainWrite, the same bytes appended to a file and synced.
+// BenchmarkPut measures a vault's commits of 64 records of about 16 KB each.
+// BenchmarkPlainWrite is the baseline: it appends the same bytes to a file and syncs it.
 func BenchmarkPut(b *testing.B) {
 	v, err := Open(Config{Dir: b.TempDir()}, quiet)
 	if err != nil {
@@ -405,7 +412,7 @@
 	b.SetBytes(int64(size / b.N))
 }
 
-// incompressibleRecord is a record that does not compress.
+// incompressibleRecord returns a record whose payload does not compress.
 func incompressibleRecord(n int) archive.Record {
 	p := make([]byte, 16<<10)
 	x := uint64(n)*0x9e3779b97f4a7c15 + 1
@@ -418,6 +425,7 @@
 	return archive.NewRecord(archive.Files(fmt.Sprintf("wk-%06d", n/64)), archive.KindChunk, "", p)
 }
 
+// BenchmarkPlainWrite measures appending 64 record frames to a file and syncing it.
 func BenchmarkPlainWrite(b *testing.B) {
 	f, err := os.Create(filepath.Join(b.TempDir(), "plain"))
 	if err != nil {
