--- a/internal/archive/ship/files.go
+++ b/internal/archive/ship/files.go
@@ -17,8 +17,8 @@
 	"silvergate/internal/archive"
 )
 
-// storeTogether has a quorum store records that belong together. It returns
-// errRefused if one of them is refused, and another error if too few nodes store one.
+// storeTogether sends records that belong together to their nodes. It returns errRefused
+// if a quorum refuses one of them, and another error if fewer nodes than a quorum store one.
 func (s *Shipper) storeTogether(records []archive.Record) error {
 	if err := s.waitForRate(totalFrameSize(records)); err != nil {
 		return err
@@ -28,13 +28,13 @@
 		return errRefused
 	}
 	if slices.Contains(kept, false) {
-		return errors.New("too few nodes keep it now")
+		return errors.New("fewer nodes than a quorum stored the records")
 	}
 	return nil
 }
 
-// finish ships an ended attempt's files and then its end: with the end on record,
-// all before it is stored.
+// finish ships an ended attempt's files and then its end record. It sends the end last,
+// so that a stored end means that everything before it is stored.
 func (s *Shipper) finish(f *followedAttempt) {
 	s.mu.Lock()
 	done := slices.Clone(f.progress.Files)
@@ -58,18 +58,19 @@
 	case err == nil:
 		f.progress.Complete, f.unsaved = true, true
 	case errors.Is(err, errRefused):
-		s.log.Error("nodes refuse an attempt's end; it is given up", "attempt", f.attempt.String(), "error", err)
+		s.log.Error("nodes refused an attempt's end; the attempt is given up", "attempt", f.attempt.String(), "error", err)
 		f.progress.GivenUp, f.unsaved = "refused by the archive", true
 	default:
-		s.log.Debug("an attempt's end is not kept yet", "attempt", f.attempt.String(), "error", err)
+		s.log.Debug("cannot store an attempt's end yet", "attempt", f.attempt.String(), "error", err)
 		return
 	}
 	s.save(f)
 	delete(s.attempts, f.attempt)
 }
 
-// shipFiles ships the files that match the job's patterns. What the program left
-// is data: links are not followed, and only regular files are read.
+// shipFiles ships the files that match the job's patterns and are not in done, and returns
+// all that are shipped. It does not trust what the program left in its folder: it follows
+// no links and reads only regular files.
 func (s *Shipper) shipFiles(f *followedAttempt, done []archive.File) ([]archive.File, error) {
 	if len(f.grant.Keep) == 0 {
 		return nil, nil
@@ -85,7 +86,7 @@
 	var names []string
 	err = fs.WalkDir(root.FS(), ".", func(p string, d fs.DirEntry, err error) error {
 		if err != nil || !d.Type().IsRegular() || !archive.SafePath(p) {
-			return nil // what can't be read or named is not kept
+			return nil // skip what can't be read, or has an unsafe path
 		}
 		if matches(f.grant.Keep, p) {
 			names = append(names, p)
@@ -97,7 +98,7 @@
 	}
 	slices.Sort(names)
 	if len(names) > s.cfg.FilesMax {
-		s.log.Warn("more files than are kept", "attempt", f.attempt.String(), "files", len(names), "kept", s.cfg.FilesMax)
+		s.log.Warn("an attempt has more files than are stored", "attempt", f.attempt.String(), "files", len(names), "kept", s.cfg.FilesMax)
 		names = names[:s.cfg.FilesMax]
 	}
 	for _, name := range names {
@@ -121,8 +122,8 @@
 	return done, nil
 }
 
-// matches tells whether a path fits one of the patterns: part by part, and a
-// pattern that names a folder takes all in it.
+// matches reports whether a path matches one of the patterns. Patterns are matched
+// element by element, and a pattern that matches a folder matches everything in it.
 func matches(patterns []string, p string) bool {
 	for _, pat := range patterns {
 		if ok, _ := path.Match(pat, p); ok {
@@ -138,8 +139,8 @@
 	return false
 }
 
-// shipFile ships a file's chunks and then its record; nil is a file that is not
-// kept.
+// shipFile ships a file's chunks and then its record. It returns nil and no error for a
+// file that is not shipped: it can't be opened, is not regular or is too large.
 func (s *Shipper) shipFile(f *followedAttempt, root *os.Root, name string) (*archive.File, error) {
 	in, err := root.Open(name)
 	if err != nil {
@@ -151,7 +152,7 @@
 		return nil, nil
 	}
 	if info.Size() > int64(s.cfg.FileMB*1e6) {
-		s.log.Warn("a file is too large to be kept", "attempt", f.attempt.String(), "file", name, "bytes", info.Size())
+		s.log.Warn("a file is too large to be stored", "attempt", f.attempt.String(), "file", name, "bytes", info.Size())
 		return nil, nil
 	}
 	out := &archive.File{Path: name, Size: info.Size(), Mode: uint32(info.Mode().Perm()), At: info.ModTime().UnixMilli()}
@@ -161,7 +162,7 @@
 	for left := out.Size; left > 0; {
 		n := min(left, archive.ChunkSize)
 		if _, err := io.ReadFull(in, buf[:n]); err != nil {
-			return nil, fmt.Errorf("%s: it has changed: %w", name, err)
+			return nil, fmt.Errorf("%s: the file has changed: %w", name, err)
 		}
 		_, _ = sum.Write(buf[:n])
 		chunk := archive.NewRecord(archive.Files(f.attempt.Job), archive.KindChunk, "", buf[:n])
--- a/internal/archive/ship/golden_test.go
+++ b/internal/archive/ship/golden_test.go
@@ -22,21 +22,23 @@
 	"silvergate/internal/identity"
 )
 
-// The golden folders are those of attempts that an earlier build followed. Of the one
-// that is in "shipping", 11 bytes of the standard output were acknowledged, which end
-// at byte 6 of the file since the program shortened it, and 4 of the standard error;
-// there are gaps to be told, one of two files is kept, and the attempt has ended. The
-// other two need nothing any more.
+// The golden folders are folders of attempts that an earlier build followed. The attempt
+// in "shipping" has ended. Of its standard output 11 bytes were acknowledged; they end at
+// byte 6 of the file, since the program shortened the file. Of its standard error 4 bytes
+// were acknowledged. It has gaps that are not stored yet, and one of its two files is
+// stored. The attempt in "whole" was shipped completely and the one in "gone" was given
+// up, so neither is followed any more.
 const (
 	shippingFolder = "testdata/golden/shipping"
 	completeFolder = "testdata/golden/whole"
 	givenUpFolder  = "testdata/golden/gone"
 )
 
+// goldenAttempt is the attempt of all golden folders.
 var goldenAttempt = archive.Attempt{Job: "wk-000042", Task: 7, Try: 2, Machine: "machine-9"}
 
-// goldenShipper returns a shipper of a machine of a new site, and the folder with the
-// site's certificate for a node.
+// goldenShipper returns the shipper of a machine that sends to one node at address, and
+// the folder with that node's certificate. Both certificates are from a new authority.
 func goldenShipper(t *testing.T, address string) (s *Shipper, nodeCerts string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -63,7 +65,7 @@
 	return s, filepath.Join(dir, "node/one")
 }
 
-// copyFolder copies an attempt's folder to where it may be written to.
+// copyFolder copies an attempt's folder into a temporary one and returns its path.
 func copyFolder(t *testing.T, from string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "attempt")
@@ -85,20 +87,20 @@
 				t.Fatal(err)
 			}
 			if s.Holds(goldenAttempt) != (test.left == 1) || s.Left() != test.left {
-				t.Errorf("it is held: %v; %d attempts that are over are left", s.Holds(goldenAttempt), s.Left())
+				t.Errorf("attempt is followed: %v; %d ended attempts are not shipped completely", s.Holds(goldenAttempt), s.Left())
 			}
 			s.Stop()
 			for _, name := range []string{"archive.json", "grant.json"} {
 				got, err := os.ReadFile(filepath.Join(dir, name))
 				if want := goldentest.Read(t, test.folder+"/"+name); err != nil || !bytes.Equal(got, want) {
-					t.Errorf("%s is written as\n%s, not\n%s: %v", name, got, want, err)
+					t.Errorf("%s is written as\n%s, want\n%s, error %v", name, got, want, err)
 				}
 			}
 		})
 	}
 }
 
-// memoryNode is an archive node that keeps records in memory.
+// memoryNode is an archive node that stores records in memory.
 type memoryNode struct {
 	mu      sync.Mutex
 	records map[string]archive.Record
@@ -122,7 +124,7 @@
 	}
 }
 
-// serveNode serves a node at the listener with the certificate in a folder.
+// serveNode serves a node on the listener with the certificate in the folder certs.
 func serveNode(t *testing.T, listener net.Listener, certs string) *memoryNode {
 	t.Helper()
 	keeper, err := identity.NewKeeper(certs, slog.New(slog.DiscardHandler))
@@ -136,8 +138,8 @@
 	return n
 }
 
-// summary lists the records by what they are, without their digests and with what a
-// segment, a gap, a file or an end says.
+// summary returns a sorted line for each record: its attempt, kind, name and content, but
+// not its digest. It leaves out the content of a file's record.
 func (n *memoryNode) summary(t *testing.T) []string {
 	t.Helper()
 	n.mu.Lock()
@@ -152,7 +154,7 @@
 				t.Fatal(err)
 			}
 			text = string(segment.Data)
-		case 'm': // its time of change is the copy's
+		case 'm': // it holds the file's modification time, which copying changes
 			text = ""
 		}
 		lines = append(lines, fmt.Sprintf("%s %c %s %s", record.Key.Attempt, record.Key.Kind, record.Key.Name, text))
@@ -167,7 +169,7 @@
 		t.Fatal(err)
 	}
 	s, certs := goldenShipper(t, listener.Addr().String())
-	kept := serveNode(t, listener, certs)
+	stored := serveNode(t, listener, certs)
 	dir := copyFolder(t, shippingFolder)
 	if err := s.Resume(goldenAttempt, dir); err != nil {
 		t.Fatal(err)
@@ -176,7 +178,7 @@
 	t.Cleanup(s.Stop)
 	for deadline := time.Now().Add(20 * time.Second); s.Holds(goldenAttempt); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not shipped in time; kept so far: %q", kept.summary(t))
+			t.Fatalf("not shipped in time; stored so far: %q", stored.summary(t))
 		}
 	}
 	grant := string(goldentest.Read(t, shippingFolder+"/grant.json"))
@@ -192,7 +194,7 @@
 		files + " a  " + grant,
 		files + " c  b,2\n",
 	}
-	if got := kept.summary(t); !reflect.DeepEqual(got, want) {
-		t.Errorf("kept\n%q, not\n%q", got, want)
+	if got := stored.summary(t); !reflect.DeepEqual(got, want) {
+		t.Errorf("stored\n%q, want\n%q", got, want)
 	}
 }
--- a/internal/archive/ship/plan.go
+++ b/internal/archive/ship/plan.go
@@ -1,15 +1,15 @@
-// Package ship is a machine's side of the archive: it follows what the machine's
-// tasks write into files, cuts it into segments and has archive nodes store them,
-// and does the same with the files that a job wants kept.
+// Package ship is a machine's side of the archive. It follows the files to which the
+// machine's tasks write their output, cuts the output into segments and sends these to
+// archive nodes, which store them. It also ships the files that a job wants kept.
 //
-// plan.go decides, without I/O: where a stream is cut, what is shipped next, what
-// a full spool gives up. ship.go follows attempts; rounds.go has the loop that
-// carries the decisions out; files.go ships files and the end; progress.go saves the
-// progress on disk; put.go has records stored by a quorum.
+// plan.go decides, without I/O, where a stream is cut into segments, what is shipped
+// next, and what is given up when the spool is full. ship.go follows attempts; rounds.go
+// has the loop that carries the decisions out; files.go ships files and the attempt's
+// end; progress.go saves the progress on disk; put.go sends records to a quorum of nodes.
 //
-// What a task wrote is in its files before anything here sees it. Progress that
-// is lost or old costs nothing but shipping some of it again: segments say what
-// they are, and overlaps are put together when they are read.
+// A task's output is in its files before this package reads it. If the saved progress is
+// lost or old, some output is shipped again and nothing else is lost: a segment's key
+// holds its place in the stream, and readers merge segments that overlap.
 package ship
 
 import (
@@ -19,33 +19,35 @@
 	"silvergate/internal/archive"
 )
 
-// Cursor is how far a stream was shipped, in bytes. A program can shorten its own file; then
-// what follows goes on behind what was there before.
+// Cursor is how far a stream was shipped, in bytes. A program can shorten its own file; its
+// further output then continues the stream after what was shipped before.
 type Cursor struct {
-	// Shipped is how much of the stream nodes acknowledged; File is where in the
-	// file that is.
+	// Shipped is the offset in the stream up to which output was acknowledged by nodes or
+	// given up; File is the corresponding offset in the file.
 	Shipped int64 `json:"shipped"`
 	File    int64 `json:"file"`
-	// Gaps are losses that are not stored yet.
+	// Gaps are losses that nodes have not stored yet.
 	Gaps []archive.Gap `json:"gaps,omitempty"`
 }
 
-// observedSize is a size of a file and when it was observed.
+// observedSize is the size of a file at the time when it was observed.
 type observedSize struct {
-	size int64 // of the file
+	size int64 // of the file, in bytes
 	at   int64 // Unix time in milliseconds
 }
 
-// streamFollower decides where a stream is cut.
+// streamFollower follows a stream's file and decides where the stream is cut into
+// segments.
 type streamFollower struct {
 	Cursor
-	sizes []observedSize // rising, all above File
+	sizes []observedSize // in rising order, all above File
 }
 
-// maxObservedSizes bounds the times that are kept of a stream that is not shipped.
+// maxObservedSizes bounds the observations that are held of a stream while it can't be
+// shipped.
 const maxObservedSizes = 200
 
-// observe notes the file's size as it is now.
+// observe records the present size of the file.
 func (f *streamFollower) observe(size, now int64) {
 	last := f.File
 	if n := len(f.sizes); n > 0 {
@@ -53,8 +55,9 @@
 	}
 	switch {
 	case size < last:
-		// The program has shortened the file. What lay behind and was not shipped
-		// is lost, nobody can say how much; what comes goes on behind.
+		// The program has shortened the file. Output beyond the new end that was not
+		// shipped is lost, and its amount is unknown; further output continues the
+		// stream at Shipped.
 		f.Gaps = append(f.Gaps, archive.Gap{From: f.Shipped, To: f.Shipped, At: now, Reason: archive.GapCut})
 		f.sizes = nil
 		f.File = 0
@@ -62,7 +65,7 @@
 			f.sizes = append(f.sizes, observedSize{size, now})
 		}
 	case size > last:
-		if len(f.sizes) == maxObservedSizes { // coarser times rather than more memory
+		if len(f.sizes) == maxObservedSizes { // keep fewer times instead of using more memory
 			f.sizes[maxObservedSizes-1] = observedSize{size, now}
 		} else {
 			f.sizes = append(f.sizes, observedSize{size, now})
@@ -70,7 +73,7 @@
 	}
 }
 
-// unshipped is how many bytes are to be shipped.
+// unshipped returns how many bytes wait to be shipped.
 func (f *streamFollower) unshipped() int64 {
 	if n := len(f.sizes); n > 0 {
 		return f.sizes[n-1].size - f.File
@@ -78,7 +81,8 @@
 	return 0
 }
 
-// oldestUnshipped is when the oldest of them was observed; 0 if there are none.
+// oldestUnshipped returns when the oldest unshipped byte was observed, or 0 if there is
+// none.
 func (f *streamFollower) oldestUnshipped() int64 {
 	if len(f.sizes) == 0 {
 		return 0
@@ -86,28 +90,28 @@
 	return f.sizes[0].at
 }
 
-// nextSegment says what the next segment is: n bytes of the file from File on, with
-// their write times.
-func (f *streamFollower) nextSegment() (n int64, marks []archive.WriteTime) {
+// nextSegment returns the next segment's size n and write times. The segment starts at
+// File in the file.
+func (f *streamFollower) nextSegment() (n int64, times []archive.WriteTime) {
 	n = min(f.unshipped(), archive.MaxSegment)
 	for _, s := range f.sizes {
 		to := min(s.size-f.File, n)
-		marks = append(marks, archive.WriteTime{To: int(to), At: s.at})
+		times = append(times, archive.WriteTime{To: int(to), At: s.at})
 		if to == n {
 			break
 		}
 	}
-	return n, marks
+	return n, times
 }
 
-// advance notes that the next n bytes are stored, or given up.
+// advance moves past the next n bytes, which were stored or given up.
 func (f *streamFollower) advance(n int64) {
 	f.Shipped += n
 	f.File += n
 	f.sizes = slices.DeleteFunc(f.sizes, func(s observedSize) bool { return s.size <= f.File })
 }
 
-// giveUp drops the next n bytes, and notes it.
+// giveUp drops the next n bytes and records the loss as a gap.
 func (f *streamFollower) giveUp(n, now int64, reason string) {
 	if n > 0 {
 		f.Gaps = append(f.Gaps, archive.Gap{From: f.Shipped, To: f.Shipped + n, At: now, Reason: reason})
@@ -115,22 +119,22 @@
 	}
 }
 
-// attemptBacklog is what an attempt has to ship, as the plan sees it.
+// attemptBacklog is how much of an attempt waits to be shipped, for due and bytesToDrop.
 type attemptBacklog struct {
 	attempt   archive.Attempt
 	urgent    bool
 	ended     bool
-	oldestAt  int64 // when the oldest unshipped byte was observed, 0: none
+	oldestAt  int64 // when the oldest unshipped byte was observed; 0 if there is none
 	unshipped int64
 }
 
-// due decides which attempts are shipped now: those with enough for a whole
-// segment, with something older than the bound, or that are over; urgent ones
-// first, then the oldest.
+// due returns the attempts that are shipped now: those with enough output for a full
+// segment, with output that is at least bound milliseconds old, or that have ended.
+// Urgent attempts come first, then those with the oldest output.
 func due(all []attemptBacklog, now, bound int64) (out []attemptBacklog) {
-	for _, w := range all {
-		if w.unshipped >= archive.MaxSegment || w.oldestAt > 0 && now-w.oldestAt >= bound || w.ended {
-			out = append(out, w)
+	for _, backlog := range all {
+		if backlog.unshipped >= archive.MaxSegment || backlog.oldestAt > 0 && now-backlog.oldestAt >= bound || backlog.ended {
+			out = append(out, backlog)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b attemptBacklog) int {
@@ -148,25 +152,26 @@
 	return out
 }
 
-// bytesToDrop decides what a full spool gives up: of attempts that are over first, those
-// that are not urgent before those that are, the oldest first; then of running
-// ones. It returns how many bytes of each, in the order of all.
+// bytesToDrop returns how many bytes of each attempt are given up, in the order of all,
+// when the backlog exceeds quota bytes. It takes from ended attempts before running ones;
+// among these from non-urgent attempts before urgent ones, and then from those with the
+// oldest output first.
 func bytesToDrop(all []attemptBacklog, quota int64) []int64 {
 	out := make([]int64, len(all))
 	over := -quota
-	for _, w := range all {
-		over += w.unshipped
+	for _, backlog := range all {
+		over += backlog.unshipped
 	}
 	order := make([]int, len(all))
 	for i := range order {
 		order[i] = i
 	}
-	rank := func(w attemptBacklog) int {
+	rank := func(backlog attemptBacklog) int {
 		r := 0
-		if !w.ended {
+		if !backlog.ended {
 			r += 2
 		}
-		if w.urgent {
+		if backlog.urgent {
 			r++
 		}
 		return r
--- a/internal/archive/ship/plan_test.go
+++ b/internal/archive/ship/plan_test.go
@@ -13,18 +13,19 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// TestEachByteIsShippedOrGivenUpOnce draws a program that writes and shortens its file, looks at
-// it, cuts, acknowledgements, a full spool and an agent that starts again with its
-// last account. What is cut must be what lies in the file there, each byte of the
-// stream must be cut or given up, in order, and every loss must be told.
+// TestEachByteIsShippedOrGivenUpOnce runs random sequences of a program that writes and
+// shortens its file, observations, segments with and without acknowledgement, a full spool
+// and an agent that restarts with its last progress. Each segment must match the file, each
+// byte of the stream must be shipped or given up once and in order, and each loss must be
+// recorded as a gap.
 func TestEachByteIsShippedOrGivenUpOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &streamFollower{}
 		var file []byte
 		wrote, now := 0, int64(1)
 		var stream []byte // what was acknowledged, with 0 for what was given up
-		lost := 0         // times the file was shortened with something in it that was seen
-		seenSize := int64(0)
+		lost := 0         // times the file was shortened after it was observed with content
+		lastSize := int64(0)
 		next := func(n int) (out []byte) {
 			for range n {
 				wrote++
@@ -36,39 +37,40 @@
 			"write": func(t *rapid.T) { file = append(file, next(rapid.IntRange(1, 500).Draw(t, "n"))...) },
 			"look": func(*rapid.T) {
 				now++
-				if int64(len(file)) < seenSize {
+				if int64(len(file)) < lastSize {
 					lost++
 				}
 				f.observe(int64(len(file)), now)
-				seenSize = int64(len(file))
+				lastSize = int64(len(file))
 			},
 			"shorten": func(t *rapid.T) {
-				// Below what was shipped: a program that empties its file and goes on.
+				// The program empties its file, which is then shorter than what was
+				// shipped, and continues to write.
 				file = file[:0]
 				now++
-				if seenSize > 0 {
+				if lastSize > 0 {
 					lost++
 				}
 				f.observe(0, now)
-				seenSize = 0
+				lastSize = 0
 			},
 			"ship": func(t *rapid.T) {
-				n, marks := f.nextSegment()
+				n, times := f.nextSegment()
 				if n == 0 {
 					return
 				}
-				if marks[len(marks)-1].To != int(n) {
-					t.Fatalf("%d bytes, marks %v", n, marks)
+				if times[len(times)-1].To != int(n) {
+					t.Fatalf("a segment of %d bytes has write times %v", n, times)
 				}
 				at := int64(0)
-				for _, m := range marks {
+				for _, m := range times {
 					if m.At < at || m.At > now {
-						t.Fatalf("times go back: %v", marks)
+						t.Fatalf("write times are not in order: %v", times)
 					}
 					at = m.At
 				}
 				if int64(len(stream)) != f.Shipped {
-					t.Fatalf("the stream has %d bytes, the account says %d", len(stream), f.Shipped)
+					t.Fatalf("%d bytes of the stream were shipped or given up, the cursor says %d", len(stream), f.Shipped)
 				}
 				part := file[f.File : f.File+n]
 				if rapid.Bool().Draw(t, "acknowledged") {
@@ -83,7 +85,7 @@
 			},
 			"start again": func(*rapid.T) {
 				f = &streamFollower{Cursor: Cursor{f.Shipped, f.File, f.Gaps}}
-				seenSize = f.File
+				lastSize = f.File
 			},
 			"": func(t *rapid.T) {
 				cut, given := 0, int64(0)
@@ -95,19 +97,20 @@
 					}
 				}
 				if cut != lost {
-					t.Fatalf("the file was shortened %d times, and %d are told", lost, cut)
+					t.Fatalf("the file was shortened %d times, but %d gaps say so", lost, cut)
 				}
 				if n := strings.Count(string(stream), "\x00"); int64(n) != given {
-					t.Fatalf("%d bytes were given up, %d are told", n, given)
+					t.Fatalf("%d bytes were given up, but gaps cover %d", n, given)
 				}
 			},
 		})
 	})
 }
 
-// TestShippingAndDroppingOrder draws needs and checks the order: whatever is due goes, urgent
-// ones before others, older ones before younger; and a full spool takes no more than
-// it must, of finished tasks before running ones, of others before urgent ones.
+// TestShippingAndDroppingOrder checks due and bytesToDrop with random backlogs. Everything
+// that is due must be shipped, urgent attempts before others and older output before newer.
+// A full spool must give up no more than needed, from ended attempts before running ones and
+// from non-urgent attempts before urgent ones.
 func TestShippingAndDroppingOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []attemptBacklog
@@ -127,14 +130,14 @@
 			if i > 0 {
 				p := out[i-1]
 				if w.urgent && !p.urgent || w.urgent == p.urgent && w.oldestAt < p.oldestAt {
-					t.Fatalf("%+v comes after %+v", w, p)
+					t.Fatalf("due returns %+v after %+v", w, p)
 				}
 			}
 		}
 		for _, w := range all {
 			must := w.ended || w.unshipped >= archive.MaxSegment || w.unshipped > 0 && now-w.oldestAt >= bound
 			if must != in[w.attempt] {
-				t.Fatalf("%+v is due: %v", w, in[w.attempt])
+				t.Fatalf("%+v is due: %v, want the opposite", w, in[w.attempt])
 			}
 		}
 		quota := rapid.Int64Range(0, 5*archive.MaxSegment).Draw(t, "quota")
@@ -142,34 +145,34 @@
 		total, left := int64(0), int64(0)
 		for i, w := range all {
 			if drops[i] < 0 || drops[i] > w.unshipped {
-				t.Fatalf("%d of %d bytes", drops[i], w.unshipped)
+				t.Fatalf("gives up %d of %d bytes", drops[i], w.unshipped)
 			}
 			total += w.unshipped
 			left += w.unshipped - drops[i]
 			if drops[i] == 0 {
 				continue
 			}
-			for k, o := range all { // nobody less important keeps anything
-				worse := o.ended && !w.ended || o.ended == w.ended && !o.urgent && w.urgent
-				if worse && drops[k] < o.unshipped {
-					t.Fatalf("%+v loses %d, and %+v keeps %d", w, drops[i], o, o.unshipped-drops[k])
+			for k, o := range all { // no less important attempt may keep output
+				lessImportant := o.ended && !w.ended || o.ended == w.ended && !o.urgent && w.urgent
+				if lessImportant && drops[k] < o.unshipped {
+					t.Fatalf("%+v gives up %d bytes while %+v keeps %d", w, drops[i], o, o.unshipped-drops[k])
 				}
 			}
 		}
 		if left != min(total, quota) {
-			t.Fatalf("%d of %d bytes stay with a quota of %d", left, total, quota)
+			t.Fatalf("%d of %d bytes are kept with a quota of %d", left, total, quota)
 		}
 	})
 }
 
-// TestKeepPatterns checks which files are kept.
+// TestKeepPatterns checks which paths match a job's patterns for files to keep.
 func TestKeepPatterns(t *testing.T) {
 	for _, c := range []struct {
 		pattern, path string
 		want          bool
 	}{{"out", "out/a/b", true}, {"out", "out", true}, {"out", "outer/a", false}, {"*.csv", "a.csv", true}, {"*.csv", "out/a.csv", false}, {"out/*.csv", "out/a.csv", true}, {"out/*", "out/a/b", true}, {"[", "[", false}} {
 		if got := matches([]string{c.pattern}, c.path); got != c.want {
-			t.Errorf("%q takes %q: %v", c.pattern, c.path, got)
+			t.Errorf("pattern %q matches %q: %v", c.pattern, c.path, got)
 		}
 	}
 }
--- a/internal/archive/ship/progress.go
+++ b/internal/archive/ship/progress.go
@@ -12,26 +12,26 @@
 
 // Names in an attempt's folder.
 const (
-	// AccountFile holds how far an attempt was shipped, grantFile its grant.
+	// AccountFile holds an attempt's progress, grantFile its grant.
 	AccountFile = "archive.json"
 	grantFile   = "grant.json"
 	// WorkDir is the working directory of the attempt's program.
 	WorkDir = "work"
 )
 
-// progress is how far an attempt was shipped, as AccountFile has it. Old or lost, it
-// costs shipping some of it again. Began is a Unix time in milliseconds.
+// progress is how far an attempt was shipped, as AccountFile stores it. If it is old or
+// lost, some of the attempt is shipped again. Began is a Unix time in milliseconds.
 type progress struct {
 	Began    int64              `json:"beganMs"`
 	Streams  map[string]*Cursor `json:"streams"`
 	End      *archive.End       `json:"end,omitempty"`
-	Files    []archive.File     `json:"files,omitempty"` // that are stored
-	Complete bool               `json:"whole,omitempty"` // all is stored, the end too
-	GivenUp  string             `json:"gone,omitempty"`  // why it was given up
+	Files    []archive.File     `json:"files,omitempty"` // files that are stored
+	Complete bool               `json:"whole,omitempty"` // everything is stored, including the end
+	GivenUp  string             `json:"gone,omitempty"`  // why the attempt was given up; empty if it was not
 }
 
-// save writes an attempt's progress; the lock is held. It is not synced: an older
-// one only costs shipping again.
+// save writes an attempt's progress to disk. The caller holds Shipper.mu. save does not
+// sync the file: with older progress some output is only shipped again.
 func (s *Shipper) save(f *followedAttempt) {
 	if !f.unsaved {
 		return
@@ -49,12 +49,12 @@
 		}
 	}
 	if err != nil {
-		s.log.Error("an attempt's account can't be kept", "attempt", f.attempt.String(), "error", err)
+		s.log.Error("cannot save an attempt's progress", "attempt", f.attempt.String(), "error", err)
 		return
 	}
 	f.unsaved, f.lastSaved = false, time.Now()
 }
 
-// saveInterval is how often the progress of an attempt that writes on is saved: after
-// a kill what was shipped since is shipped again.
+// saveInterval is how often the progress of a running attempt is saved. After a kill,
+// output that was shipped since the last save is shipped again.
 const saveInterval = 5 * time.Second
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -19,31 +19,32 @@
 	"silvergate/internal/identity"
 )
 
-// Writer has records stored by a quorum of their nodes. It is safe for concurrent
-// use.
+// Writer sends records to the nodes that keep them, and needs a quorum of these to
+// store each record. It is safe for concurrent use.
 type Writer struct {
 	log     *slog.Logger
 	members archive.Members
 	nodes   []*nodeClient
 }
 
-// nodeClient is an archive node as an agent sees it.
+// nodeClient sends requests to one archive node.
 type nodeClient struct {
 	name, address string
 	http          *http.Client
 
 	mu        sync.Mutex
 	backOff   *backoff.ExponentialBackOff
-	notBefore time.Time // not asked before, after it failed
-	inFlight  int       // requests on their way
+	notBefore time.Time // after a failure, the earliest time of the next request
+	inFlight  int       // requests without an answer yet
 }
 
-// maxInFlight bounds the requests on their way to one node: a slow one must not
-// gather what the others have long stored. It fetches that from them by itself.
+// maxInFlight bounds the requests in flight to one node. Without a bound, requests to a
+// slow node pile up with records that the other nodes have long stored; the node fetches
+// these from them by itself.
 const maxInFlight = 3
 
-// NewWriter makes a writer that connects with the certificate of k, which stays the
-// caller's.
+// NewWriter returns a writer that connects with the certificate of k. The caller still
+// owns k.
 func NewWriter(k *identity.Keeper, members []node.Member, replicas int, log *slog.Logger) *Writer {
 	w := &Writer{log: log, members: archive.Members{Replicas: replicas}}
 	for _, m := range members {
@@ -57,18 +58,19 @@
 	return w
 }
 
-// putTimeout is how long a node may take to keep records: a slow disk must not
-// hold up what the others have kept.
+// putTimeout bounds how long a node may take to store records, so that a node with a slow
+// disk does not delay records that the other nodes have stored.
 const putTimeout = 5 * time.Second
 
-// errBackingOff says that a node is not asked now: it failed just before, or has
-// maxInFlight requests.
-var errBackingOff = errors.New("it did not answer just now")
+// errBackingOff means that no request is sent to a node now: a request to it failed
+// shortly before, or maxInFlight requests are in flight.
+var errBackingOff = errors.New("the node failed shortly before, or has too many requests in flight")
 
-// errRefused says that nodes do not take a record, now or later.
+// errRefused means that nodes refuse a record, and always will.
 var errRefused = errors.New("refused")
 
-// post has the node store records, unless it is not to be asked now.
+// post sends records to the node to store. It returns errBackingOff, without a request,
+// if the node failed shortly before or has maxInFlight requests.
 func (r *nodeClient) post(ctx context.Context, body []byte) error {
 	r.mu.Lock()
 	if time.Until(r.notBefore) > 0 || r.inFlight == maxInFlight {
@@ -90,79 +92,80 @@
 	return err
 }
 
-// sendRecords sends one request with records.
+// sendRecords sends one request with records. It returns errRefused if the node refuses
+// them.
 func (r *nodeClient) sendRecords(ctx context.Context, body []byte) error {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+r.address+node.PathRecords, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+r.address+node.PathRecords, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	a, err := r.http.Do(q)
+	response, err := r.http.Do(request)
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(a.Body, 1<<10))
-	switch a.StatusCode {
+	defer response.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, 1<<10))
+	switch response.StatusCode {
 	case http.StatusOK:
 		return nil
 	case http.StatusForbidden, http.StatusBadRequest:
-		return fmt.Errorf("%w: %s: %s", errRefused, a.Status, bytes.TrimSpace(text))
+		return fmt.Errorf("%w: %s: %s", errRefused, response.Status, bytes.TrimSpace(text))
 	}
-	return fmt.Errorf("%s: %s", a.Status, bytes.TrimSpace(text))
+	return fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(text))
 }
 
-// Put has records stored. kept tells, for each, whether a quorum of its nodes has it
-// on disk; refused whether a quorum says that it never will. A node that is slow is
-// not waited for once each record has its quorum of either. Failures are logged: a
-// record that is neither kept nor refused may be put again. The records are not
-// changed, and may be used again when Put returns.
+// Put sends records to their nodes. kept reports for each record whether a quorum of its
+// nodes has it on disk, and refused whether a quorum refuses it for good. Put returns as
+// soon as each record has a quorum either way, without waiting for slow nodes. It logs
+// failures; the caller may put a record again that is neither kept nor refused. Put does
+// not change the records, and the caller may use them again when it returns.
 func (w *Writer) Put(ctx context.Context, records []archive.Record) (kept, refused []bool) {
 	kept, refused = make([]bool, len(records)), make([]bool, len(records))
-	yes, no := make([]int, len(records)), make([]int, len(records))
-	owners := make([][]string, len(records))
+	accepts, refusals := make([]int, len(records)), make([]int, len(records))
+	replicas := make([][]string, len(records))
 	for i := range records {
-		owners[i] = w.members.Of(archive.Unit(records[i].Key.Attempt))
+		replicas[i] = w.members.Of(archive.Unit(records[i].Key.Attempt))
 	}
 	type result struct {
-		mine []int
-		err  error
+		indices []int // of the records that the node was sent
+		err     error
 	}
 	results := make(chan result, len(w.nodes))
-	asked := 0
+	pending := 0
 	for _, r := range w.nodes {
-		var mine []int
+		var indices []int
 		var body []byte
 		for i := range records {
-			if slices.Contains(owners[i], r.name) {
-				mine, body = append(mine, i), archive.AppendFrame(body, &records[i])
+			if slices.Contains(replicas[i], r.name) {
+				indices, body = append(indices, i), archive.AppendFrame(body, &records[i])
 			}
 		}
-		if len(mine) == 0 {
+		if len(indices) == 0 {
 			continue
 		}
-		asked++
+		pending++
 		go func() {
 			err := r.post(ctx, body)
 			if err != nil && !errors.Is(err, errBackingOff) {
-				w.log.Debug("records not kept", "node", r.name, "records", len(mine), "error", err)
+				w.log.Debug("a node did not store records", "node", r.name, "records", len(indices), "error", err)
 			}
-			results <- result{mine, err}
+			results <- result{indices, err}
 		}()
 	}
-	q := w.members.Quorum()
-	for ; asked > 0; asked-- {
+	quorum := w.members.Quorum()
+	for ; pending > 0; pending-- {
 		res := <-results
 		all := true
-		for _, i := range res.mine {
+		for _, i := range res.indices {
 			switch {
 			case res.err == nil:
-				yes[i]++
+				accepts[i]++
 			case errors.Is(res.err, errRefused):
-				no[i]++
+				refusals[i]++
 			}
 		}
 		for i := range records {
-			kept[i], refused[i] = yes[i] >= q, no[i] >= q
+			kept[i], refused[i] = accepts[i] >= quorum, refusals[i] >= quorum
 			all = all && (kept[i] || refused[i])
 		}
 		if all {
@@ -172,19 +175,20 @@
 	return kept, refused
 }
 
-// get reads a path, at most identity.MaxRevocations bytes.
+// get requests a path of the node and returns at most identity.MaxRevocations bytes of
+// the answer.
 func (r *nodeClient) get(ctx context.Context, path string) ([]byte, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+r.address+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+r.address+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	a, err := r.http.Do(q)
+	response, err := r.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return nil, errors.New(a.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.New(response.Status)
 	}
-	return io.ReadAll(io.LimitReader(a.Body, identity.MaxRevocations))
+	return io.ReadAll(io.LimitReader(response.Body, identity.MaxRevocations))
 }
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -13,19 +13,19 @@
 	"silvergate/internal/archive"
 )
 
-// batchBytes is the size in bytes from which a batch takes no more segments.
+// batchBytes is the size in bytes at which no more segments are added to a batch.
 const batchBytes = 4 << 20
 
-// loop observes the files and ships what is due until Stop.
+// loop observes the files and ships the output that is due, until Stop is called.
 func (s *Shipper) loop() {
 	bound := time.Duration(s.cfg.BoundS * float64(time.Second))
-	t := time.NewTicker(bound / 4)
-	defer t.Stop()
+	ticker := time.NewTicker(bound / 4)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		case <-s.wakeup:
 		}
 		s.observeFiles()
@@ -34,8 +34,9 @@
 	}
 }
 
-// observeFiles notes how long the files are now, gives up what the spool has no room
-// for, and saves the progress of attempts for which that is due.
+// observeFiles records the present sizes of the attempts' files, gives up output that
+// exceeds the spool's quota, and saves the progress of attempts whose last save is older
+// than saveInterval.
 func (s *Shipper) observeFiles() {
 	s.mu.Lock()
 	all := make([]*followedAttempt, 0, len(s.attempts))
@@ -44,7 +45,7 @@
 	}
 	s.mu.Unlock()
 	now := nowMS()
-	var needs []attemptBacklog
+	var backlogs []attemptBacklog
 	for _, f := range all {
 		s.mu.Lock()
 		ended := f.progress.End != nil
@@ -68,20 +69,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range all {
-		needs = append(needs, f.backlog())
+		backlogs = append(backlogs, f.backlog())
 	}
-	for i, n := range bytesToDrop(needs, int64(s.cfg.SpoolMB*1e6)) {
+	for i, n := range bytesToDrop(backlogs, int64(s.cfg.SpoolMB*1e6)) {
 		for _, name := range archive.Streams {
 			follower := all[i].streams[name]
-			k := min(n, follower.unshipped())
-			if k <= 0 {
+			dropped := min(n, follower.unshipped())
+			if dropped <= 0 {
 				continue
 			}
-			follower.giveUp(k, now, archive.GapQuota)
-			n -= k
-			s.stats.GivenUp += k
+			follower.giveUp(dropped, now, archive.GapQuota)
+			n -= dropped
+			s.stats.GivenUp += dropped
 			all[i].unsaved = true
-			s.log.Warn("the spool is full; output is given up", "attempt", all[i].attempt.String(), "stream", name, "bytes", k)
+			s.log.Warn("the spool is full; output is given up", "attempt", all[i].attempt.String(), "stream", name, "bytes", dropped)
 		}
 	}
 	for _, f := range all {
@@ -91,31 +92,32 @@
 	}
 }
 
-// backlog is what the attempt has to ship; the lock is held.
+// backlog returns how much of the attempt waits to be shipped. The caller holds
+// Shipper.mu.
 func (f *followedAttempt) backlog() attemptBacklog {
-	w := attemptBacklog{attempt: f.attempt, urgent: f.urgent, ended: f.progress.End != nil}
+	b := attemptBacklog{attempt: f.attempt, urgent: f.urgent, ended: f.progress.End != nil}
 	for _, follower := range f.streams {
-		w.unshipped += follower.unshipped()
-		if at := follower.oldestUnshipped(); at > 0 && (w.oldestAt == 0 || at < w.oldestAt) {
-			w.oldestAt = at
+		b.unshipped += follower.unshipped()
+		if at := follower.oldestUnshipped(); at > 0 && (b.oldestAt == 0 || at < b.oldestAt) {
+			b.oldestAt = at
 		}
 	}
-	return w
+	return b
 }
 
-// finishRetryInterval is how long after an attempt's end could not be stored it is tried again.
+// finishRetryInterval is the shortest time between two tries to store an attempt's end.
 const finishRetryInterval = time.Second
 
-// sentRecord is what follows for its attempt when a record is stored. The zero value
-// is a record from which nothing follows.
+// sentRecord says which progress of an attempt to record when a sent record is stored.
+// The zero value stands for a record that is no progress, such as a grant.
 type sentRecord struct {
 	attempt *followedAttempt
 	stream  string
-	bytes   int64 // of the stream
+	bytes   int64 // of the stream, for a segment
 	isGap   bool
 }
 
-// streamCut is what is to be shipped of a stream: its gaps and its next segment.
+// streamCut is the part of a stream that a batch ships: the gaps and the next segment.
 type streamCut struct {
 	attempt    *followedAttempt
 	stream     string
@@ -126,8 +128,8 @@
 	gaps       []archive.Gap
 }
 
-// shipBatch ships a batch of what is due; false if nothing was, or nothing was
-// stored.
+// shipBatch ships a batch of the output that is due. It returns false if nothing was due
+// or nothing was stored.
 func (s *Shipper) shipBatch() bool {
 	cuts, ended := s.selectDue()
 	for _, f := range ended {
@@ -144,20 +146,20 @@
 	return s.send(records, sent)
 }
 
-// selectDue returns what is to be shipped now, up to about batchBytes, and the ended
-// attempts whose output is shipped: those are marked as finishing.
+// selectDue returns the output to ship now, up to about batchBytes, and the ended
+// attempts whose output is shipped completely. It marks the latter as finishing.
 func (s *Shipper) selectDue() (cuts []streamCut, ended []*followedAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var needs []attemptBacklog
+	var backlogs []attemptBacklog
 	for _, f := range s.attempts {
-		needs = append(needs, f.backlog())
+		backlogs = append(backlogs, f.backlog())
 	}
 	size := int64(0)
 	bound := int64(s.cfg.BoundS * 1000)
-	for _, need := range due(needs, nowMS(), bound/2) {
-		f := s.attempts[need.attempt]
-		open := false
+	for _, b := range due(backlogs, nowMS(), bound/2) {
+		f := s.attempts[b.attempt]
+		pending := false
 		for _, name := range archive.Streams {
 			follower := f.streams[name]
 			if n, times := follower.nextSegment(); (n > 0 || len(follower.Gaps) > 0) && size < batchBytes {
@@ -172,9 +174,9 @@
 				})
 				size += n
 			}
-			open = open || follower.unshipped() > 0 || len(follower.Gaps) > 0
+			pending = pending || follower.unshipped() > 0 || len(follower.Gaps) > 0
 		}
-		if f.outputFinal && !open && !f.finishing && time.Since(f.lastFinish) > finishRetryInterval {
+		if f.outputFinal && !pending && !f.finishing && time.Since(f.lastFinish) > finishRetryInterval {
 			f.finishing, f.lastFinish = true, time.Now()
 			ended = append(ended, f)
 		}
@@ -182,8 +184,9 @@
 	return cuts, ended
 }
 
-// makeRecords makes the records of a batch and says what follows from each: the grant
-// of each attempt before its first record, and each stream's gaps before its segment.
+// makeRecords reads the segments' data and returns the records of a batch, with a
+// sentRecord for each. Each attempt's grant comes before its other records, and each
+// stream's gaps come before its segment.
 func (s *Shipper) makeRecords(cuts []streamCut) (records []archive.Record, sent []sentRecord) {
 	granted := map[*followedAttempt]bool{}
 	for i := range cuts {
@@ -215,8 +218,8 @@
 	return records, sent
 }
 
-// giveUpUnreadable gives up output of an ended attempt that can't be read. Of one that
-// runs it is read again.
+// giveUpUnreadable gives up output that can't be read if its attempt has ended. Output of
+// a running attempt is read again later.
 func (s *Shipper) giveUpUnreadable(c *streamCut) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +229,7 @@
 	}
 }
 
-// readRange reads n bytes of a file from an offset on.
+// readRange reads n bytes of a file, starting at offset from.
 func readRange(path string, from, n int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -240,17 +243,18 @@
 	return buf, nil
 }
 
-// waitForRate waits until so many bytes may go out.
+// waitForRate waits until the rate limit allows sending size bytes. The limit is lower
+// while inputs of an urgent task are being fetched.
 func (s *Shipper) waitForRate(size int) error {
-	r := s.cfg.RateMBPerS
-	if s.Urgent() && (r == 0 || s.cfg.UrgentMBPerS < r) {
-		r = s.cfg.UrgentMBPerS
+	mbPerS := s.cfg.RateMBPerS
+	if s.Urgent() && (mbPerS == 0 || s.cfg.UrgentMBPerS < mbPerS) {
+		mbPerS = s.cfg.UrgentMBPerS
 	}
-	l := rate.Inf
-	if r > 0 {
-		l = rate.Limit(r * 1e6)
+	limit := rate.Inf
+	if mbPerS > 0 {
+		limit = rate.Limit(mbPerS * 1e6)
 	}
-	s.limit.SetLimit(l)
+	s.limit.SetLimit(limit)
 	for size > 0 {
 		part := min(size, batchBytes)
 		if err := s.limit.WaitN(s.ctx, part); err != nil {
@@ -261,7 +265,7 @@
 	return nil
 }
 
-// totalFrameSize returns the length of records' frames in bytes.
+// totalFrameSize returns the size in bytes of all records' frames.
 func totalFrameSize(records []archive.Record) (n int) {
 	for i := range records {
 		n += archive.FrameSize(&records[i])
@@ -269,8 +273,9 @@
 	return n
 }
 
-// send has records stored by a quorum and notes those that are, or that are refused;
-// anyStored tells whether something was.
+// send sends records to their nodes and updates the progress of their attempts. It gives
+// up attempts whose records a quorum refused. anyStored reports whether a gap or a segment
+// was stored.
 func (s *Shipper) send(records []archive.Record, sent []sentRecord) (anyStored bool) {
 	size := totalFrameSize(records)
 	if s.waitForRate(size) != nil {
@@ -280,30 +285,30 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Packed += int64(size)
-	for i, w := range sent {
-		if w.attempt == nil {
+	for i, r := range sent {
+		if r.attempt == nil {
 			continue
 		}
-		follower := w.attempt.streams[w.stream]
+		follower := r.attempt.streams[r.stream]
 		if refused[i] {
 			s.stats.Refused++
-			s.log.Error("nodes refuse an attempt's output; it is given up", "attempt", w.attempt.attempt.String())
-			w.attempt.progress.GivenUp, w.attempt.unsaved = "refused by the archive", true
-			s.save(w.attempt)
-			delete(s.attempts, w.attempt.attempt)
+			s.log.Error("nodes refused an attempt's output; the attempt is given up", "attempt", r.attempt.attempt.String())
+			r.attempt.progress.GivenUp, r.attempt.unsaved = "refused by the archive", true
+			s.save(r.attempt)
+			delete(s.attempts, r.attempt.attempt)
 			continue
 		}
 		if !kept[i] {
 			continue
 		}
 		anyStored = true
-		w.attempt.unsaved = true
-		if w.isGap {
-			follower.Gaps = follower.Gaps[1:] // in the order in which they went out
+		r.attempt.unsaved = true
+		if r.isGap {
+			follower.Gaps = follower.Gaps[1:] // gaps are sent in the order of follower.Gaps
 			continue
 		}
-		follower.advance(w.bytes)
-		s.stats.Shipped += w.bytes
+		follower.advance(r.bytes)
+		s.stats.Shipped += r.bytes
 	}
 	return anyStored
 }
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -21,29 +21,29 @@
 	"silvergate/internal/protocol"
 )
 
-// Config holds a machine's settings of the archive, as the YAML file has them.
+// Config holds a machine's archive settings, as in the YAML file.
 type Config struct {
-	Members  []node.Member `yaml:"members"`  // all nodes
-	Replicas int           `yaml:"replicas"` // nodes that keep each record
+	Members  []node.Member `yaml:"members"`  // all archive nodes
+	Replicas int           `yaml:"replicas"` // how many nodes store each record
 	// Certs is the folder with the agent's certificate.
 	Certs string `yaml:"certs"`
-	// BoundS is how old output may be before it is shipped, in seconds: a machine
-	// that is lost with its disk costs what came after.
+	// BoundS bounds the age of output that is not shipped, in seconds. If a machine is
+	// lost with its disk, the output written after that bound is lost.
 	BoundS float64 `yaml:"bound_s"`
-	// RateMBPerS bounds what is shipped, in megabytes a second, and UrgentMBPerS
-	// does while inputs of an urgent task are being fetched; 0: unbounded.
+	// RateMBPerS bounds how much is shipped, in megabytes per second. UrgentMBPerS
+	// bounds it while inputs of an urgent task are being fetched. 0 means no bound.
 	RateMBPerS   float64 `yaml:"rate_mb_per_s"`
 	UrgentMBPerS float64 `yaml:"urgent_mb_per_s"`
-	// SpoolMB is how much may wait to be shipped, in megabytes; what is beyond is
-	// given up, and recorded as a gap.
+	// SpoolMB is how much output may wait to be shipped, in megabytes. Output beyond it
+	// is given up and recorded as a gap.
 	SpoolMB float64 `yaml:"spool_mb"`
-	// FileMB is how large a file may be that is kept, in megabytes.
+	// FileMB is the size in megabytes of the largest file that is stored.
 	FileMB float64 `yaml:"file_mb"`
-	// FilesMax is how many files of an attempt are kept.
+	// FilesMax is how many files of an attempt are stored.
 	FilesMax int `yaml:"files_max"`
 }
 
-// DefaultConfig returns the values of the settings that a file does not name.
+// DefaultConfig returns the values of the settings that the YAML file does not set.
 func DefaultConfig() Config {
 	return Config{Replicas: 3, BoundS: 1, RateMBPerS: 50, UrgentMBPerS: 1, SpoolMB: 1000, FileMB: 1000, FilesMax: 1000}
 }
@@ -72,37 +72,38 @@
 	return nil
 }
 
-// followedAttempt is an attempt whose output is followed. Shipper.mu guards it, but
-// for its first four fields, which do not change.
+// followedAttempt is an attempt whose output is followed. Shipper.mu guards its fields
+// except the first four, which do not change.
 type followedAttempt struct {
 	attempt     archive.Attempt
 	dir         string
 	grant       archive.Grant
-	grantRecord archive.Record // the grant, as nodes keep it: it goes with every batch
+	grantRecord archive.Record // the grant as nodes store it; it is sent with every batch
 	progress    progress
 	urgent      bool
 	streams     map[string]*streamFollower
-	unsaved     bool
-	outputFinal bool // its files were looked at after its end
-	finishing   bool // its files are being shipped
-	lastFinish  time.Time
+	unsaved     bool      // progress has changed since it was saved
+	outputFinal bool      // the output files were observed after the attempt's end
+	finishing   bool      // finish is running
+	lastFinish  time.Time // when finish was last started
 	lastSaved   time.Time
 }
 
-// Stats counts what a shipper follows and what it shipped since New.
+// Stats counts what a shipper follows, and what it has shipped since New.
 type Stats struct {
 	Attempts int
 	Left     int64 // bytes that wait to be shipped
-	Shipped  int64 // bytes of output that a quorum has
-	Packed   int64 // bytes that went out for them, to each node
+	Shipped  int64 // bytes of output that a quorum stored
+	Packed   int64 // bytes of records that were sent for this output, to each node
 	Files    int64
-	GivenUp  int64 // bytes
+	GivenUp  int64 // bytes of output
 	Refused  int64 // records
 	OldestMS int64 // age of the oldest output that waits, in milliseconds
 }
 
-// Shipper follows the attempts of a machine. It is safe for concurrent use. Where a
-// method says nothing else, a nil Shipper does nothing. Whoever starts it stops it.
+// Shipper follows the attempts of a machine. It is safe for concurrent use. Unless a
+// method says otherwise, calling it on a nil Shipper does nothing. The caller of Start
+// calls Stop.
 type Shipper struct {
 	cfg          Config
 	log          *slog.Logger
@@ -113,7 +114,7 @@
 	stop         context.CancelFunc
 	wait         sync.WaitGroup
 	wakeup       chan struct{}
-	// Urgent tells whether inputs of an urgent task are being fetched. It may be
+	// Urgent reports whether inputs of an urgent task are being fetched. It may be
 	// replaced before Start.
 	Urgent func() bool
 
@@ -122,21 +123,21 @@
 	stats    Stats
 }
 
-// New makes a shipper. It returns an error if the settings are invalid or the
-// certificate can't be read. Start starts it.
+// New returns a shipper, which Start starts. It returns an error if the settings are
+// invalid or the certificate can't be read.
 func New(cfg Config, log *slog.Logger) (*Shipper, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	k, err := identity.NewKeeper(cfg.Certs, log)
+	keeper, err := identity.NewKeeper(cfg.Certs, log)
 	if err != nil {
 		return nil, err
 	}
 	s := &Shipper{
 		cfg:          cfg,
 		log:          log,
-		certificates: k,
-		writer:       NewWriter(k, cfg.Members, cfg.Replicas, log),
+		certificates: keeper,
+		writer:       NewWriter(keeper, cfg.Members, cfg.Replicas, log),
 		limit:        rate.NewLimiter(rate.Inf, batchBytes),
 		wakeup:       make(chan struct{}, 1),
 		attempts:     map[archive.Attempt]*followedAttempt{},
@@ -146,8 +147,8 @@
 	return s, nil
 }
 
-// Start begins to ship in the background. The shipper must not be nil; Start is
-// called once.
+// Start starts shipping in the background. The shipper must not be nil, and Start must
+// be called only once.
 func (s *Shipper) Start() {
 	s.wait.Add(2)
 	go func() {
@@ -160,8 +161,8 @@
 	}()
 }
 
-// Stop waits for what is under way and saves the progress of all attempts; what was
-// not shipped stays on disk.
+// Stop cancels and awaits the shipping in progress, and saves the progress of all
+// attempts. Output that was not shipped stays on disk.
 func (s *Shipper) Stop() {
 	if s == nil {
 		return
@@ -175,13 +176,13 @@
 	}
 }
 
-// nowMS is the time now, Unix time in milliseconds.
+// nowMS returns the present Unix time in milliseconds.
 func nowMS() int64 { return time.Now().UnixMilli() }
 
-// Begin follows an attempt whose folder exists. The grant is on disk when it
-// returns: it is called before the program starts, so that whatever that writes can
-// be shipped, also when everything is killed at once. Its errors are those of an
-// invalid attempt and of writing the grant.
+// Begin starts following an attempt whose folder exists. The caller calls it before the
+// attempt's program starts. When Begin returns, the grant is on disk, so that all of the
+// program's output can be shipped even if everything is killed at the same time. Begin
+// returns an error if the attempt is invalid or the grant can't be written.
 func (s *Shipper) Begin(g archive.Grant, dir string) error {
 	if s == nil {
 		return nil
@@ -195,9 +196,9 @@
 	return s.Resume(g.Attempt, dir)
 }
 
-// Resume follows an attempt that the agent began with before it was restarted.
-// Without a grant in its folder, or if all is shipped, there is nothing to follow and
-// no error; a grant that can't be read is an error.
+// Resume follows an attempt that the agent began to follow before it was restarted. It
+// does nothing if there is no grant in the attempt's folder, or if the attempt was shipped
+// completely or given up. It returns an error if the grant can't be read.
 func (s *Shipper) Resume(a archive.Attempt, dir string) error {
 	raw, err := os.ReadFile(filepath.Join(dir, grantFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -208,7 +209,7 @@
 		err = json.Unmarshal(raw, &f.grant)
 	}
 	if err == nil && f.grant.Attempt != a {
-		err = errors.New("it is for another attempt")
+		err = errors.New("the grant is for another attempt")
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", filepath.Join(dir, grantFile), err)
@@ -222,8 +223,8 @@
 	}
 	if raw, err = os.ReadFile(filepath.Join(dir, AccountFile)); err == nil {
 		if err := json.Unmarshal(raw, &f.progress); err != nil {
-			// Damaged: everything is shipped again, and put together by readers.
-			s.log.Error("an account is damaged; the attempt is shipped anew", "attempt", a.String(), "error", err)
+			// Everything is shipped again, and readers merge the segments.
+			s.log.Error("an attempt's saved progress is damaged; shipping the whole attempt again", "attempt", a.String(), "error", err)
 			f.progress = progress{}
 		}
 	}
@@ -250,8 +251,8 @@
 	return nil
 }
 
-// Ended says that an attempt's processes have ended and what became of it; nothing
-// is written any more. The attempt is followed until all is stored.
+// Ended records that an attempt's processes have ended, with the cause and the exit code;
+// they write nothing more. The attempt is followed until everything is stored.
 func (s *Shipper) Ended(a archive.Attempt, cause string, code int) {
 	if s == nil {
 		return
@@ -268,7 +269,7 @@
 	s.wake()
 }
 
-// Holds tells whether an attempt is still followed, so that its folder is needed.
+// Holds reports whether an attempt is still followed and its folder therefore needed.
 func (s *Shipper) Holds(a archive.Attempt) bool {
 	if s == nil {
 		return false
@@ -278,7 +279,7 @@
 	return s.attempts[a] != nil
 }
 
-// Left returns how many ended attempts have something to ship.
+// Left returns how many ended attempts are not shipped completely.
 func (s *Shipper) Left() (n int) {
 	if s == nil {
 		return 0
@@ -297,21 +298,21 @@
 func (s *Shipper) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.stats
-	t.Attempts = len(s.attempts)
+	stats := s.stats
+	stats.Attempts = len(s.attempts)
 	now := nowMS()
 	for _, f := range s.attempts {
 		for _, follower := range f.streams {
-			t.Left += follower.unshipped()
+			stats.Left += follower.unshipped()
 			if at := follower.oldestUnshipped(); at > 0 {
-				t.OldestMS = max(t.OldestMS, now-at)
+				stats.OldestMS = max(stats.OldestMS, now-at)
 			}
 		}
 	}
-	return t
+	return stats
 }
 
-// wake lets the loop ship without waiting for its next turn.
+// wake lets the loop ship without waiting for its ticker.
 func (s *Shipper) wake() {
 	select {
 	case s.wakeup <- struct{}{}:
@@ -319,7 +320,8 @@
 	}
 }
 
-// pollRevocations asks one node after the other for the newest list of pollRevocations.
+// pollRevocations asks the nodes in turn for the newest list of revoked certificates,
+// until Stop is called.
 func (s *Shipper) pollRevocations() {
 	for i := 0; ; i++ {
 		select {
@@ -330,7 +332,7 @@
 		r := s.writer.nodes[i%len(s.writer.nodes)]
 		if raw, err := r.get(s.ctx, node.PathRevocations); err == nil {
 			if _, err := s.certificates.Learn(raw); err != nil {
-				s.log.Error("a node's list of revocations can't be used", "node", r.name, "error", err)
+				s.log.Error("cannot use a node's list of revocations", "node", r.name, "error", err)
 			}
 		}
 	}
