--- a/internal/archive/history/draw.go
+++ b/internal/archive/history/draw.go
@@ -17,7 +17,8 @@
 	"silvergate/internal/archive/ship"
 )
 
-// Drawn is what a drawn history did.
+// Drawn counts what happened in a random history. silvergate archive soak prints it
+// under its fields' Go names.
 type Drawn struct {
 	Attempts, Bytes, Files   int
 	NodeStops, DisksLost     int
@@ -26,9 +27,10 @@
 	Mended, Pulled           int64
 }
 
-// customers are whose the attempts are, by the last digit of their jobs.
+// customers own the attempts; ownerOf selects one by the last digit of the job.
 var customers = []string{"baker", "miller", "smith"}
 
+// ownerOf returns the owner of a job.
 func ownerOf(job string) archive.Owner {
 	return archive.Owner{Team: "office", Customer: customers[int(job[len(job)-1]-'0')%len(customers)]}
 }
@@ -37,25 +39,25 @@
 type attempt struct {
 	expected *Expected
 	machine  string
-	running  bool // its program writes
+	running  bool // its program still writes
 }
 
-// randomRun is a history that is being drawn.
+// randomRun is a random history in progress.
 type randomRun struct {
 	*Site
 	random       *rand.Rand
 	machines     map[string]*Machine
 	attempts     []*attempt
 	jobs         int
-	replacements int // machines that took the place of lost ones
+	replacements int // machines that replaced lost ones
 	summary      Drawn
 }
 
-// Draw plays a history of some rounds and judges it: machines run attempts that
-// write; shippers and nodes are stopped and started, at most as many nodes at a
-// time as the quorum allows; nodes and machines are lost with their disks. In the
-// end every attempt is read by its customer, through any node, and by another, who
-// must be told that there is nothing.
+// Draw runs a random history of some rounds and checks it. Machines run attempts that
+// write output. Shippers and nodes are stopped and started, with at most as many nodes
+// stopped at a time as the quorum allows. Nodes and machines are lost with their disks.
+// At the end each attempt is read by its customer, through any node, and by another
+// customer, who must not find it.
 func Draw(dir string, seed uint64, rounds int) (Drawn, error) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	s, err := New(dir, 3, log, nil)
@@ -63,224 +65,230 @@
 		return Drawn{}, err
 	}
 	defer s.Close()
-	d := &randomRun{Site: s, random: rand.New(rand.NewPCG(seed, 14)), machines: map[string]*Machine{}}
-	defer d.stopMachines()
-	err = d.run(rounds)
-	return d.summary, err
+	run := &randomRun{Site: s, random: rand.New(rand.NewPCG(seed, 14)), machines: map[string]*Machine{}}
+	defer run.stopMachines()
+	err = run.run(rounds)
+	return run.summary, err
 }
 
-func (d *randomRun) stopMachines() {
-	for _, m := range d.machines {
+func (r *randomRun) stopMachines() {
+	for _, m := range r.machines {
 		m.Stop()
 	}
 }
 
-func (d *randomRun) run(rounds int) error {
+func (r *randomRun) run(rounds int) error {
 	for i := range machinesAtStart {
-		if err := d.startMachine(machineName(i)); err != nil {
+		if err := r.startMachine(machineName(i)); err != nil {
 			return err
 		}
 	}
 	for range rounds {
-		if err := d.playRound(); err != nil {
+		if err := r.playRound(); err != nil {
 			return err
 		}
 	}
-	if err := d.finish(); err != nil {
+	if err := r.finish(); err != nil {
 		return err
 	}
-	if err := d.checkReads(); err != nil {
+	if err := r.checkReads(); err != nil {
 		return err
 	}
-	return d.addNodeStats()
+	return r.addNodeStats()
 }
 
-func (d *randomRun) playRound() error {
-	if err := d.startJobs(); err != nil {
+func (r *randomRun) playRound() error {
+	if err := r.startJobs(); err != nil {
 		return err
 	}
-	// Attempts that go on elsewhere are appended, and write from the next round on.
-	for i, a := range d.attempts {
-		if err := d.writeOutput(i, a); err != nil {
+	// Attempts that are retried on another machine are appended to r.attempts during this
+	// loop. They write from the next round on.
+	for i, a := range r.attempts {
+		if err := r.writeOutput(i, a); err != nil {
 			return err
 		}
 	}
-	if err := d.injectFault(); err != nil {
+	if err := r.injectFault(); err != nil {
 		return err
 	}
-	time.Sleep(time.Duration(d.random.IntN(30)) * time.Millisecond)
+	time.Sleep(time.Duration(r.random.IntN(30)) * time.Millisecond)
 	return nil
 }
 
-// startReplacement starts a machine in the place of one that was lost.
-func (d *randomRun) startReplacement() error {
-	d.replacements++
-	return d.startMachine(machineName(machinesAtStart + d.replacements))
+// startReplacement starts a machine that replaces a lost one.
+func (r *randomRun) startReplacement() error {
+	r.replacements++
+	return r.startMachine(machineName(machinesAtStart + r.replacements))
 }
 
-// machinesAtStart is how many machines a history begins with.
+// machinesAtStart is how many machines a history starts with.
 const machinesAtStart = 3
 
 func machineName(number int) string { return fmt.Sprint("m-", number) }
 
-func (d *randomRun) startMachine(name string) error {
-	m, err := d.StartMachine(name, ownerOf, nil)
-	d.machines[name] = m
+func (r *randomRun) startMachine(name string) error {
+	m, err := r.StartMachine(name, ownerOf, nil)
+	r.machines[name] = m
 	return err
 }
 
-// machineNames are the machines that there are, by name.
-func (d *randomRun) machineNames() []string { return slices.Sorted(maps.Keys(d.machines)) }
+// machineNames returns the sorted names of the present machines.
+func (r *randomRun) machineNames() []string { return slices.Sorted(maps.Keys(r.machines)) }
 
-func (d *randomRun) startAttempt(machine string, a archive.Attempt) error {
-	w := &Expected{Attempt: a, Owner: ownerOf(a.Job), Files: map[string]string{}}
-	d.attempts = append(d.attempts, &attempt{w, machine, true})
-	d.summary.Attempts++
-	return d.machines[machine].StartAttempt(a)
+// startAttempt starts an attempt on a machine.
+func (r *randomRun) startAttempt(machine string, a archive.Attempt) error {
+	expected := &Expected{Attempt: a, Owner: ownerOf(a.Job), Files: map[string]string{}}
+	r.attempts = append(r.attempts, &attempt{expected, machine, true})
+	r.summary.Attempts++
+	return r.machines[machine].StartAttempt(a)
 }
 
-// startJobs has each machine begin something now and then.
-func (d *randomRun) startJobs() error {
-	for _, name := range d.machineNames() {
-		if d.random.IntN(3) != 0 {
+// startJobs starts a job on each machine with a probability of 1/3.
+func (r *randomRun) startJobs() error {
+	for _, name := range r.machineNames() {
+		if r.random.IntN(3) != 0 {
 			continue
 		}
-		d.jobs++
-		a := archive.Attempt{Job: fmt.Sprintf("wk-%06d", d.jobs), Task: d.random.IntN(3), Try: 1, Machine: name}
-		if err := d.startAttempt(name, a); err != nil {
+		r.jobs++
+		a := archive.Attempt{Job: fmt.Sprintf("wk-%06d", r.jobs), Task: r.random.IntN(3), Try: 1, Machine: name}
+		if err := r.startAttempt(name, a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeOutput has an attempt writeOutput some lines, and end now and then.
-func (d *randomRun) writeOutput(i int, a *attempt) error {
-	m := d.machines[a.machine]
+// writeOutput writes random lines to a running attempt's output, and ends the attempt with
+// a probability of 1/8.
+func (r *randomRun) writeOutput(i int, a *attempt) error {
+	m := r.machines[a.machine]
 	if !a.running || m == nil {
 		return nil
 	}
-	text := d.randomOutput(a)
+	text := r.randomOutput(a)
 	if err := m.Write(a.expected.Attempt, archive.Stdout, text); err != nil {
 		return err
 	}
 	a.expected.Output += text
-	d.summary.Bytes += len(text)
-	if d.random.IntN(8) != 0 {
+	r.summary.Bytes += len(text)
+	if r.random.IntN(8) != 0 {
 		return nil
 	}
-	return d.endAttempt(i, a, m)
+	return r.endAttempt(i, a, m)
 }
 
-func (d *randomRun) randomOutput(a *attempt) string {
+// randomOutput returns up to 19 lines, sometimes followed by one long line.
+func (r *randomRun) randomOutput(a *attempt) string {
 	var text strings.Builder
-	for range d.random.IntN(20) {
-		fmt.Fprintf(&text, "line %d of %s %s\n", len(a.expected.Output)+text.Len(), a.expected.Attempt, strings.Repeat("x", d.random.IntN(200)))
+	for range r.random.IntN(20) {
+		fmt.Fprintf(&text, "line %d of %s %s\n", len(a.expected.Output)+text.Len(), a.expected.Attempt, strings.Repeat("x", r.random.IntN(200)))
 	}
-	if d.random.IntN(15) == 0 {
+	if r.random.IntN(15) == 0 {
 		text.WriteString(strings.Repeat("a long line ", 30_000))
 	}
 	return text.String()
 }
 
-// endAttempt ends an attempt, which may leave a file, and may have been killed for urgent work
-// and go on elsewhere.
-func (d *randomRun) endAttempt(i int, a *attempt, m *Machine) error {
-	if d.random.IntN(2) == 0 {
-		body := strings.Repeat(fmt.Sprint("result ", i%3), 1+d.random.IntN(200_000))
+// endAttempt ends an attempt. The attempt may leave a file. It may also start again as a
+// new try, as if it had been killed for urgent work.
+func (r *randomRun) endAttempt(i int, a *attempt, m *Machine) error {
+	if r.random.IntN(2) == 0 {
+		body := strings.Repeat(fmt.Sprint("result ", i%3), 1+r.random.IntN(200_000))
 		path := filepath.Join(m.Folder(a.expected.Attempt), ship.WorkDir, "out", "result.csv")
 		if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
 			return err
 		}
 		a.expected.Files["out/result.csv"] = body
-		d.summary.Files++
+		r.summary.Files++
 	}
 	a.running, a.expected.Ended = false, true
 	m.Ended(a.expected.Attempt, "done", 0)
-	to := d.machineNames()
-	if d.random.IntN(3) != 0 {
+	names := r.machineNames()
+	if r.random.IntN(3) != 0 {
 		return nil
 	}
 	next := a.expected.Attempt
 	next.Try++
-	next.Machine = to[d.random.IntN(len(to))]
-	return d.startAttempt(next.Machine, next)
+	next.Machine = names[r.random.IntN(len(names))]
+	return r.startAttempt(next.Machine, next)
 }
 
-// injectFault stops or loses a node or a machine, or does nothing.
-func (d *randomRun) injectFault() error {
-	name := d.Members[d.random.IntN(3)].Name
-	switch d.random.IntN(9) {
+// injectFault stops or loses a random node or machine, starts stopped nodes, or does
+// nothing.
+func (r *randomRun) injectFault() error {
+	name := r.Members[r.random.IntN(3)].Name
+	switch r.random.IntN(9) {
 	case 0:
-		d.stopNode(name)
+		r.stopNode(name)
 	case 1:
-		return d.startNodes()
+		return r.startNodes()
 	case 2:
-		return d.loseNodeDisk(name)
+		return r.loseNodeDisk(name)
 	case 3, 4:
-		return d.killAgent()
+		return r.killAgent()
 	case 5:
-		return d.loseMachine()
+		return r.loseMachine()
 	}
 	return nil
 }
 
-// stopNode has a node be away for a while.
-func (d *randomRun) stopNode(name string) {
-	if len(d.Nodes) == 3 {
-		d.StopNode(name)
-		d.summary.NodeStops++
+// stopNode stops a node, if all nodes are running, until startNodes starts it again.
+func (r *randomRun) stopNode(name string) {
+	if len(r.Nodes) == 3 {
+		r.StopNode(name)
+		r.summary.NodeStops++
 	}
 }
 
-// startNodes brings back the nodes that are away.
-func (d *randomRun) startNodes() error {
-	for _, m := range d.Members {
-		if d.Nodes[m.Name] != nil {
+// startNodes starts all stopped nodes.
+func (r *randomRun) startNodes() error {
+	for _, m := range r.Members {
+		if r.Nodes[m.Name] != nil {
 			continue
 		}
-		if err := d.StartNode(m.Name); err != nil {
+		if err := r.StartNode(m.Name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// loseNodeDisk has a node lose its disk, when the others are level.
-func (d *randomRun) loseNodeDisk(name string) error {
-	if len(d.Nodes) != 3 || d.random.IntN(2) != 0 {
+// loseNodeDisk deletes a node's data after the other nodes have the same records, and
+// starts the node again. It does nothing if a node is stopped, or with a probability of 1/2.
+func (r *randomRun) loseNodeDisk(name string) error {
+	if len(r.Nodes) != 3 || r.random.IntN(2) != 0 {
 		return nil
 	}
-	if err := d.waitReplicated(name); err != nil {
+	if err := r.waitReplicated(name); err != nil {
 		return err
 	}
-	if err := d.LoseDisk(name); err != nil {
+	if err := r.LoseDisk(name); err != nil {
 		return err
 	}
-	if err := d.StartNode(name); err != nil {
+	if err := r.StartNode(name); err != nil {
 		return err
 	}
-	d.summary.DisksLost++
+	r.summary.DisksLost++
 	return nil
 }
 
-// killAgent kills an agent, which starts again, sometimes with old progress; its programs
-// have ended.
-func (d *randomRun) killAgent() error {
-	list := d.machineNames()
-	name := list[d.random.IntN(len(list))]
-	d.machines[name].Stop()
-	d.summary.AgentStops++
-	if d.random.IntN(3) == 0 {
-		for _, a := range d.attemptsOn(name) {
-			_ = os.Remove(filepath.Join(d.machines[name].Folder(a.expected.Attempt), ship.AccountFile))
+// killAgent stops a machine's shipper and starts it again, sometimes without its saved
+// progress. The machine's attempts have then ended.
+func (r *randomRun) killAgent() error {
+	names := r.machineNames()
+	name := names[r.random.IntN(len(names))]
+	r.machines[name].Stop()
+	r.summary.AgentStops++
+	if r.random.IntN(3) == 0 {
+		for _, a := range r.attemptsOn(name) {
+			_ = os.Remove(filepath.Join(r.machines[name].Folder(a.expected.Attempt), ship.AccountFile))
 		}
 	}
-	if err := d.startMachine(name); err != nil {
+	if err := r.startMachine(name); err != nil {
 		return err
 	}
-	m := d.machines[name]
-	for _, a := range d.attemptsOn(name) {
+	m := r.machines[name]
+	for _, a := range r.attemptsOn(name) {
 		if err := m.Resume(a.expected.Attempt, m.Folder(a.expected.Attempt)); err != nil {
 			return err
 		}
@@ -290,33 +298,36 @@
 	return nil
 }
 
-func (d *randomRun) attemptsOn(machine string) (on []*attempt) {
-	for _, a := range d.attempts {
+// attemptsOn returns the attempts of a machine.
+func (r *randomRun) attemptsOn(machine string) (attempts []*attempt) {
+	for _, a := range r.attempts {
 		if a.machine == machine {
-			on = append(on, a)
+			attempts = append(attempts, a)
 		}
 	}
-	return on
+	return attempts
 }
 
-// loseMachine loses a machine with its disk; another takes its place.
-func (d *randomRun) loseMachine() error {
-	list := d.machineNames()
-	if len(d.Nodes) != 3 || d.random.IntN(2) != 0 {
+// loseMachine deletes a machine with its disk and starts another in its place. It does
+// nothing if a node is stopped, or with a probability of 1/2.
+func (r *randomRun) loseMachine() error {
+	names := r.machineNames()
+	if len(r.Nodes) != 3 || r.random.IntN(2) != 0 {
 		return nil
 	}
-	name := list[d.random.IntN(len(list))]
-	m, on := d.machines[name], d.attemptsOn(name)
-	promised := make([]int, len(on))
-	for i, a := range on {
+	name := names[r.random.IntN(len(names))]
+	m, attempts := r.machines[name], r.attemptsOn(name)
+	promised := make([]int, len(attempts))
+	for i, a := range attempts {
 		promised[i] = len(a.expected.Output)
 	}
-	// What was written a bound ago is kept; how long this takes on a busy
-	// machine is not the promise, so what was shipped is waited for.
+	// The archive promises output that was written the age bound or longer before the loss.
+	// Shipping may take longer on a busy machine, and its time is not part of the promise,
+	// so wait until everything written up to now is shipped.
 	if err := waitShipped(m, false); err != nil {
 		return err
 	}
-	for i, a := range on {
+	for i, a := range attempts {
 		a.expected.Promised = promised[i]
 		if a.running {
 			_ = m.Write(a.expected.Attempt, archive.Stdout, "and this may be lost\n")
@@ -328,18 +339,19 @@
 	if err := os.RemoveAll(m.Dir); err != nil {
 		return err
 	}
-	delete(d.machines, name)
-	d.summary.MachinesLost++
-	return d.startReplacement()
+	delete(r.machines, name)
+	r.summary.MachinesLost++
+	return r.startReplacement()
 }
 
-// finish ends all attempts, has all that was written shipped, and may lose one node for good.
-func (d *randomRun) finish() error {
-	if err := d.startNodes(); err != nil {
+// finish starts all nodes, ends all attempts, waits until their output is shipped and the
+// nodes have the same records, and deletes one node for good with a probability of 1/2.
+func (r *randomRun) finish() error {
+	if err := r.startNodes(); err != nil {
 		return err
 	}
-	for _, a := range d.attempts {
-		m := d.machines[a.machine]
+	for _, a := range r.attempts {
+		m := r.machines[a.machine]
 		if m == nil {
 			continue
 		}
@@ -349,60 +361,62 @@
 			m.Ended(a.expected.Attempt, "done", 0)
 		}
 	}
-	for _, name := range d.machineNames() {
-		if err := waitShipped(d.machines[name], true); err != nil {
+	for _, name := range r.machineNames() {
+		if err := waitShipped(r.machines[name], true); err != nil {
 			return err
 		}
 	}
-	if err := d.waitReplicated(""); err != nil {
+	if err := r.waitReplicated(""); err != nil {
 		return err
 	}
-	if d.random.IntN(2) != 0 {
+	if r.random.IntN(2) != 0 {
 		return nil
 	}
-	return d.LoseDisk(d.Members[d.random.IntN(3)].Name)
+	return r.LoseDisk(r.Members[r.random.IntN(3)].Name)
 }
 
-// checkReads reads every attempt as its customer and as another.
-func (d *randomRun) checkReads() error {
+// checkReads reads each attempt as its customer, checks the result, and checks that another
+// customer can't read the attempt.
+func (r *randomRun) checkReads() error {
 	ctx := context.Background()
-	for _, a := range d.attempts {
+	for _, a := range r.attempts {
 		customer := a.expected.Owner.Customer
-		mine, err := d.NewReader("customer/office/" + customer)
+		owner, err := r.NewReader("customer/office/" + customer)
 		if err != nil {
 			return err
 		}
-		got, err := ReadAttempt(ctx, mine, a.expected.Attempt)
+		got, err := ReadAttempt(ctx, owner, a.expected.Attempt)
 		if err != nil {
 			return fmt.Errorf("%s: %w", a.expected.Attempt, err)
 		}
-		d.summary.Reads++
-		if d.machines[a.machine] == nil { // lost: its end and files may be
+		r.summary.Reads++
+		if r.machines[a.machine] == nil { // the machine was lost, and its end and files may be lost too
 			a.expected.Ended = false
 		}
 		if err := CheckRead(a.expected, got); err != nil {
 			return err
 		}
-		other, err := d.NewReader("customer/office/" + customers[(slices.Index(customers, customer)+1)%3])
+		other, err := r.NewReader("customer/office/" + customers[(slices.Index(customers, customer)+1)%3])
 		if err != nil {
 			return err
 		}
 		if err := CheckDenied(ctx, other, a.expected.Attempt); err != nil {
 			return err
 		}
-		d.summary.Denied++
+		r.summary.Denied++
 	}
 	return nil
 }
 
-// addNodeStats sums up what the nodes did, and fails if one found damage.
-func (d *randomRun) addNodeStats() error {
-	for _, n := range d.Nodes {
-		st := n.Stats()
-		d.summary.Mended += st.Mended
-		d.summary.Pulled += st.Pulled
-		if st.Rebuilt || st.Damaged > 0 {
-			return fmt.Errorf("a node found damage that nobody did: %+v", st.Stats)
+// addNodeStats adds the nodes' counters to the summary. It returns an error if a node found
+// damage, as nothing damages the nodes' files.
+func (r *randomRun) addNodeStats() error {
+	for _, n := range r.Nodes {
+		stats := n.Stats()
+		r.summary.Mended += stats.Mended
+		r.summary.Pulled += stats.Pulled
+		if stats.Rebuilt || stats.Damaged > 0 {
+			return fmt.Errorf("a node found damage, though nothing damaged its files: %+v", stats.Stats)
 		}
 	}
 	return nil
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -1,7 +1,7 @@
-// Package history runs a small archive in one process, with everything that can
-// happen to it drawn from a seed, and judges what readers get against what was
-// written. The nodes and the machines' shippers are the product's own, on loopback
-// with mutual TLS; only the programs are made up.
+// Package history tests a small archive in one process: it runs a history of writes and
+// faults that is random and determined by a seed, and compares what readers get with what
+// was written. It uses the real nodes and shippers, connected on loopback with mutual TLS;
+// only the programs that write output are simulated.
 package history
 
 import (
@@ -25,7 +25,7 @@
 	"silvergate/internal/identity"
 )
 
-// Site is an archive with its authority.
+// Site is an archive's nodes and its certificate authority.
 type Site struct {
 	Dir       string
 	Authority *identity.Authority
@@ -33,13 +33,13 @@
 	Members   []node.Member
 	Nodes     map[string]*node.Node
 	Log       *slog.Logger
-	// Configure is changed before nodes start.
+	// Configure, if not nil, changes a node's settings before the node is started.
 	Configure func(*node.Config)
 }
 
-// New makes a site of so many nodes, and starts them.
-func New(dir string, nodes int, log *slog.Logger, config func(*node.Config)) (*Site, error) {
-	s := &Site{Dir: dir, Nodes: map[string]*node.Node{}, Log: log, Configure: config}
+// New creates a site in dir with a number of nodes, and starts the nodes.
+func New(dir string, nodes int, log *slog.Logger, configure func(*node.Config)) (*Site, error) {
+	s := &Site{Dir: dir, Nodes: map[string]*node.Node{}, Log: log, Configure: configure}
 	var err error
 	if s.Authority, err = identity.Init(filepath.Join(dir, "authority"), "valley", time.Now()); err != nil {
 		return nil, err
@@ -67,33 +67,36 @@
 	return s, nil
 }
 
-// firstPort is below those that systems give to outgoing connections.
+// firstPort is the first port that New tries. It is below the range from which systems
+// choose ports for outgoing connections.
 //
-// Guards against a stopped node whose port is taken before it starts again: by
-// another history, hence an address for each process, or by an outgoing connection.
+// A stopped node's port must stay free until the node starts again. An outgoing connection
+// can't take it because of firstPort, and another history can't take it because each
+// process uses its own loopback address.
 const firstPort = 20_000
 
-// loopbackAddress is this process's own address.
+// loopbackAddress returns a loopback address derived from the process id.
 func loopbackAddress() string {
-	p := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.1", 1+p>>8&0x7f, p&0xff)
+	pid := os.Getpid()
+	return fmt.Sprintf("127.%d.%d.1", 1+pid>>8&0x7f, pid&0xff)
 }
 
-// IssueCertificate issues a certificate and returns its folder.
+// IssueCertificate issues a certificate for a party, unless one was issued before, and
+// returns its folder.
 func (s *Site) IssueCertificate(who string) (string, error) {
 	dir := filepath.Join(s.Dir, "certs", strings.ReplaceAll(who, "/", "."))
 	if _, err := os.Stat(dir); err == nil {
 		return dir, nil
 	}
-	i, err := identity.Parse(s.Authority.Site(), who)
+	party, err := identity.Parse(s.Authority.Site(), who)
 	if err != nil {
 		return "", err
 	}
-	_, err = s.Authority.Issue(i, dir, 0)
+	_, err = s.Authority.Issue(party, dir, 0)
 	return dir, err
 }
 
-// StartNode starts a node.
+// StartNode starts a node on its address in Members.
 func (s *Site) StartNode(name string) error {
 	certs, err := s.IssueCertificate("node/" + name)
 	if err != nil {
@@ -124,7 +127,8 @@
 	return nil
 }
 
-// listen waits for a port that another has just given back.
+// listen listens on an address. It retries for 5 seconds, as a node that was just stopped
+// may not have released the port yet.
 func listen(address string) (net.Listener, error) {
 	for until := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		l, err := net.Listen("tcp4", address)
@@ -134,7 +138,7 @@
 	}
 }
 
-// StopNode stops a node.
+// StopNode stops a node. It does nothing if the node is not running.
 func (s *Site) StopNode(name string) {
 	if n := s.Nodes[name]; n != nil {
 		n.Stop()
@@ -142,7 +146,7 @@
 	}
 }
 
-// LoseDisk stops a node and removes all that it kept.
+// LoseDisk stops a node and deletes its data.
 func (s *Site) LoseDisk(name string) error {
 	s.StopNode(name)
 	return os.RemoveAll(filepath.Join(s.Dir, name))
@@ -155,20 +159,20 @@
 	}
 }
 
-// NewReader reads as somebody.
+// NewReader returns a client that reads with a certificate of the party who.
 func (s *Site) NewReader(who string) (*reader.Client, error) {
 	dir, err := s.IssueCertificate(who)
 	if err != nil {
 		return nil, err
 	}
-	k, err := identity.NewKeeper(dir, s.Log)
+	keeper, err := identity.NewKeeper(dir, s.Log)
 	if err != nil {
 		return nil, err
 	}
-	return reader.New(k, s.Members, 10*time.Second), nil
+	return reader.New(keeper, s.Members, 10*time.Second), nil
 }
 
-// Machine is a machine's shipper.
+// Machine is a machine with its shipper.
 type Machine struct {
 	*ship.Shipper
 	Name  string
@@ -176,33 +180,35 @@
 	grant func(archive.Attempt) archive.Grant
 }
 
-// StartMachine starts a machine's shipper. Its grants come at once, as owner says.
-func (s *Site) StartMachine(name string, owner func(job string) archive.Owner, config func(*ship.Config)) (*Machine, error) {
+// StartMachine starts a machine's shipper. The machine signs the grants of its attempts
+// itself, with the owner that the function owner returns for the job. configure, if not
+// nil, changes the shipper's settings.
+func (s *Site) StartMachine(name string, owner func(job string) archive.Owner, configure func(*ship.Config)) (*Machine, error) {
 	certs, err := s.IssueCertificate("agent/" + name)
 	if err != nil {
 		return nil, err
 	}
 	c := ship.DefaultConfig()
 	c.Members, c.Certs, c.BoundS = s.Members, certs, 0.1
-	if config != nil {
-		config(&c)
+	if configure != nil {
+		configure(&c)
 	}
-	sh, err := ship.New(c, s.Log.With("machine", name))
+	shipper, err := ship.New(c, s.Log.With("machine", name))
 	if err != nil {
 		return nil, err
 	}
-	sh.Start()
-	return &Machine{sh, name, filepath.Join(s.Dir, "machines", name), func(a archive.Attempt) archive.Grant {
+	shipper.Start()
+	return &Machine{shipper, name, filepath.Join(s.Dir, "machines", name), func(a archive.Attempt) archive.Grant {
 		return s.Key.Sign(archive.Grant{Attempt: a, Terms: archive.Terms{Owner: owner(a.Job), Class: "forecast", Urgency: "standard", Keep: []string{"out"}}, At: time.Now().UnixMilli()})
 	}}, nil
 }
 
-// Folder is an attempt's folder.
+// Folder returns an attempt's folder.
 func (m *Machine) Folder(a archive.Attempt) string {
 	return filepath.Join(m.Dir, a.Job, fmt.Sprintf("%d.%d", a.Task, a.Try))
 }
 
-// StartAttempt follows a new attempt.
+// StartAttempt creates an attempt's folder and starts following the attempt.
 func (m *Machine) StartAttempt(a archive.Attempt) error {
 	if err := os.MkdirAll(filepath.Join(m.Folder(a), ship.WorkDir, "out"), 0o700); err != nil {
 		return err
@@ -210,7 +216,7 @@
 	return m.Begin(m.grant(a), m.Folder(a))
 }
 
-// Write appends to a stream, as a program does.
+// Write appends text to a stream's file, as a program does.
 func (m *Machine) Write(a archive.Attempt, stream, text string) error {
 	f, err := os.OpenFile(filepath.Join(m.Folder(a), stream), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -221,30 +227,31 @@
 	return err
 }
 
-// Expected is what a program wrote, for the judge.
+// Expected is what CheckRead expects a reader to get of an attempt.
 type Expected struct {
 	Attempt archive.Attempt
 	Owner   archive.Owner
-	Output  string            // its stdout
-	Files   map[string]string // that are to be kept
-	// Promised is how much of Out must be there: all, unless the machine was lost
-	// with its disk; then what was written a bound before.
+	Output  string            // what the program wrote to its standard output
+	Files   map[string]string // contents of the files to be stored, by path
+	// Promised is how many bytes of Output a reader must get: all of them, unless the
+	// machine was lost with its disk; then those written the age bound or longer before.
 	Promised int
-	// Ended attempts must have their end and all their files.
+	// Ended says that the attempt's end and all its files must be stored.
 	Ended bool
 }
 
-// ReadResult is what a reader got.
+// ReadResult is what a reader got of an attempt.
 type ReadResult struct {
 	Found  bool
-	Pieces []node.Piece
+	Output []node.Piece
 	Ended  bool
 	Files  map[string]string
 }
 
-// CheckRead compares what a reader got with what was written. It names what breaks the
-// promise: bytes that are not what was written there, are out of order or twice, a
-// loss without a word within what is promised, and files that are not whole.
+// CheckRead compares what a reader got with what was written. It returns an error that
+// names the first violation of the archive's promise: bytes that differ from what was
+// written at their offset, are out of order or come twice; promised bytes that are missing
+// without a recorded reason; a missing end; or files that are missing or differ.
 func CheckRead(w *Expected, r *ReadResult) error {
 	if !r.Found {
 		if w.Promised > 0 || w.Ended {
@@ -253,9 +260,9 @@
 		return nil
 	}
 	pos := int64(0)
-	for _, p := range r.Pieces {
+	for _, p := range r.Output {
 		if p.From != pos || p.To < p.From {
-			return fmt.Errorf("%s: a piece from %d to %d comes at %d", w.Attempt, p.From, p.To, pos)
+			return fmt.Errorf("%s: the piece from %d to %d comes at offset %d", w.Attempt, p.From, p.To, pos)
 		}
 		pos = p.To
 		switch {
@@ -269,11 +276,11 @@
 	}
 	switch {
 	case pos < int64(w.Promised):
-		return fmt.Errorf("%s: ends at %d; %d bytes are promised", w.Attempt, pos, w.Promised)
+		return fmt.Errorf("%s: the output ends at %d; %d bytes are promised", w.Attempt, pos, w.Promised)
 	case w.Ended && !r.Ended:
-		return fmt.Errorf("%s: its end is not on record", w.Attempt)
+		return fmt.Errorf("%s: the attempt's end is not stored", w.Attempt)
 	case w.Ended && pos != int64(len(w.Output)):
-		return fmt.Errorf("%s: %d bytes of %d, though it is over", w.Attempt, pos, len(w.Output))
+		return fmt.Errorf("%s: read %d bytes of %d, though the attempt has ended", w.Attempt, pos, len(w.Output))
 	}
 	for name, data := range r.Files {
 		if w.Files[name] != data {
@@ -281,27 +288,27 @@
 		}
 	}
 	if w.Ended && len(r.Files) != len(w.Files) {
-		return fmt.Errorf("%s: %d files of %d", w.Attempt, len(r.Files), len(w.Files))
+		return fmt.Errorf("%s: read %d files of %d", w.Attempt, len(r.Files), len(w.Files))
 	}
 	return nil
 }
 
-// ReadAttempt reads all of an attempt.
+// ReadAttempt reads an attempt's standard output and files.
 func ReadAttempt(ctx context.Context, c *reader.Client, a archive.Attempt) (*ReadResult, error) {
 	out := &ReadResult{Files: map[string]string{}}
-	all, answered, err := c.Attempts(ctx, reader.Query{Job: a.Job, Files: true})
+	attempts, answered, err := c.Attempts(ctx, reader.Query{Job: a.Job, Files: true})
 	if err != nil {
 		return nil, err
 	}
 	if !answered.Whole {
-		return nil, fmt.Errorf("%v are silent", answered.Silent)
+		return nil, fmt.Errorf("nodes %v did not answer", answered.Silent)
 	}
-	for i := range all {
-		if all[i].Attempt != a {
+	for i := range attempts {
+		if attempts[i].Attempt != a {
 			continue
 		}
 		out.Found = true
-		for _, f := range all[i].Files {
+		for _, f := range attempts[i].Files {
 			var b bytes.Buffer
 			if err := c.File(ctx, a, &f, &b); err != nil {
 				return nil, err
@@ -317,7 +324,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out.Pieces = append(out.Pieces, p.Pieces...)
+		out.Output = append(out.Output, p.Pieces...)
 		out.Ended = p.Over
 		if !p.More || p.Next <= from {
 			return out, nil
@@ -326,44 +333,46 @@
 	}
 }
 
-// CheckDenied tells whether a reader is told anything of an attempt.
+// CheckDenied returns an error unless the archive hides an attempt, its output and its
+// files from a reader.
 func CheckDenied(ctx context.Context, c *reader.Client, a archive.Attempt) error {
 	if got, err := ReadAttempt(ctx, c, a); err != nil || got.Found {
-		return fmt.Errorf("%s: another customer finds it: %v", a, err)
+		return fmt.Errorf("%s: another customer finds the attempt: %v", a, err)
 	}
 	if _, err := c.Page(ctx, a, archive.Stdout, 0); !errors.Is(err, reader.ErrNotFound) {
-		return fmt.Errorf("%s: another customer reads its output: %v", a, err)
+		return fmt.Errorf("%s: another customer reads the output: %v", a, err)
 	}
 	if err := c.File(ctx, a, &archive.File{Path: "out/result.csv", Chunks: []string{""}}, io.Discard); !errors.Is(err, reader.ErrNotFound) {
-		return fmt.Errorf("%s: another customer reads its files: %v", a, err)
+		return fmt.Errorf("%s: another customer reads the files: %v", a, err)
 	}
 	return nil
 }
 
-// waitTimeout bounds how long is waited for what must come.
+// waitTimeout bounds how long waitShipped and waitReplicated wait.
 const waitTimeout = 60 * time.Second
 
-// waitShipped waits until a machine has nothing to ship; with ends, the ends too.
+// waitShipped waits until a machine has shipped all output, and with ends also the files
+// and the ends of its ended attempts.
 func waitShipped(m *Machine, ends bool) error {
 	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		// Its files must have been looked at after the last write.
+		// The shipper must have observed the files after the last write.
 		time.Sleep(60 * time.Millisecond)
-		st := m.Stats()
-		if st.Left == 0 && (!ends || m.Left() == 0) {
+		stats := m.Stats()
+		if stats.Left == 0 && (!ends || m.Left() == 0) {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s still has %+v to ship", m.Name, m.Stats())
+	return fmt.Errorf("machine %s did not ship everything in time: %+v", m.Name, m.Stats())
 }
 
-// waitReplicated waits until the nodes, but for one, agree.
-func (s *Site) waitReplicated(but string) error {
+// waitReplicated waits until all nodes except one have the same number of records.
+func (s *Site) waitReplicated(except string) error {
 	var last error
 	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		last = nil
-		count := map[int64]bool{}
+		counts := map[int64]bool{} // the nodes' numbers of records
 		for name, n := range s.Nodes {
-			if name == but {
+			if name == except {
 				continue
 			}
 			if err := n.Level(context.Background()); err != nil {
@@ -371,18 +380,18 @@
 			}
 		}
 		for name, n := range s.Nodes {
-			if name != but {
-				count[n.Stats().Records] = true
+			if name != except {
+				counts[n.Stats().Records] = true
 			}
 		}
-		if last == nil && len(count) == 1 {
+		if last == nil && len(counts) == 1 {
 			return nil
 		}
 	}
-	return fmt.Errorf("the nodes do not come level: %w", last)
+	return fmt.Errorf("the nodes did not get the same records in time: %w", last)
 }
 
-// Add adds another history's figures.
+// Add adds another history's counts.
 func (d *Drawn) Add(o Drawn) {
 	d.Attempts, d.Bytes, d.Files = d.Attempts+o.Attempts, d.Bytes+o.Bytes, d.Files+o.Files
 	d.NodeStops, d.DisksLost = d.NodeStops+o.NodeStops, d.DisksLost+o.DisksLost
--- a/internal/archive/history/history_test.go
+++ b/internal/archive/history/history_test.go
@@ -14,7 +14,7 @@
 	"silvergate/internal/archive/ship"
 )
 
-// TestRandomHistories plays a few drawn histories; silvergate archive soak plays more.
+// TestRandomHistories runs a few random histories; silvergate archive soak runs more.
 func TestRandomHistories(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		d, err := Draw(t.TempDir(), seed, 40)
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestCheckReadFindsViolations checks the judge on histories that break the promise.
+// TestCheckReadFindsViolations checks that CheckRead accepts correct reads, and rejects
+// reads that violate the archive's promise.
 func TestCheckReadFindsViolations(t *testing.T) {
 	a := archive.Attempt{Job: "wk-000001", Task: 0, Try: 1, Machine: "m"}
 	w := func() *Expected {
@@ -49,33 +50,34 @@
 		{"out of order", nil, &ReadResult{true, []node.Piece{piece(6, 11, "", "world"), piece(0, 6, "", "hello ")}, true, files}, false},
 		{"changed", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello World")}, true, files}, false},
 		{"another's", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world"), piece(11, 13, "", "!!")}, true, files}, false},
-		{"a hole without a word", nil, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, true, files}, false},
-		{"a hole behind what is promised", func(w *Expected) { w.Promised, w.Ended = 6, false }, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, false, nil}, true},
-		{"a gap that is told", nil, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceGap, "")}, true, files}, true},
+		{"bytes missing without a reason", nil, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, true, files}, false},
+		{"bytes missing after the promised ones", func(w *Expected) { w.Promised, w.Ended = 6, false }, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, false, nil}, true},
+		{"a recorded gap", nil, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceGap, "")}, true, files}, true},
 		{"no end", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world")}, false, files}, false},
-		{"a file is not there", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world")}, true, nil}, false},
-		{"a file is half", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world")}, true, map[string]string{"out/a": ""}}, false},
+		{"a missing file", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world")}, true, nil}, false},
+		{"a truncated file", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world")}, true, map[string]string{"out/a": ""}}, false},
 	} {
 		x := w()
 		if c.w != nil {
 			c.w(x)
 		}
 		if err := CheckRead(x, c.r); (err == nil) != c.ok {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: CheckRead returned %v", c.name, err)
 		}
 	}
 }
 
-// TestOutputDuringNodeOutage guards against output that is lost without a word when nodes are
-// away for longer than a machine's spool lasts, and against a full spool that takes
-// more than it must.
+// TestOutputDuringNodeOutage guards against losing output without a recorded gap when a
+// quorum of nodes is down until a machine's spool is full, and against a full spool that
+// gives up more output than needed.
 func TestOutputDuringNodeOutage(t *testing.T) {
 	s, err := New(t.TempDir(), 3, slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	m, err := s.StartMachine("m-1", func(string) archive.Owner { return archive.Owner{Team: "office", Customer: "baker"} }, func(c *ship.Config) { c.SpoolMB = 0.1 })
+	m, err := s.StartMachine("m-1", func(string) archive.Owner { return archive.Owner{Team: "office", Customer: "baker"} },
+		func(c *ship.Config) { c.SpoolMB = 0.1 })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +98,7 @@
 	if err := waitShipped(m, false); err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range s.Members[:2] { // one of three is no quorum
+	for _, n := range s.Members[:2] { // the one that is left is no quorum of three
 		s.StopNode(n.Name)
 	}
 	write(50_000)
@@ -105,7 +107,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if st := m.Stats(); st.GivenUp != 200_000 || st.Left != 100_000 {
-		t.Errorf("%+v", st)
+		t.Errorf("shipper stats during the outage: %+v, want 200000 bytes given up and 100000 left", st)
 	}
 	for _, n := range s.Members[:2] {
 		if err := s.StartNode(n.Name); err != nil {
@@ -129,12 +131,12 @@
 		t.Error(err)
 	}
 	lost := int64(0)
-	for _, p := range got.Pieces {
+	for _, p := range got.Output {
 		if p.What == archive.PieceGap && p.Reason == archive.GapQuota {
 			lost += p.To - p.From
 		}
 	}
 	if lost != 200_000 {
-		t.Errorf("%d bytes are told as given up", lost)
+		t.Errorf("gaps record %d bytes as given up, want 200000", lost)
 	}
 }
