--- a/internal/archive/history/draw.go
+++ b/internal/archive/history/draw.go
@@ -140,7 +140,7 @@
 	expected := &Expected{Attempt: a, Owner: ownerOf(a.Job), Files: map[string]string{}}
 	r.attempts = append(r.attempts, &attempt{expected, machine, true})
 	r.summary.Attempts++
-	return r.machines[machine].StartAttempt(a)
+	return r.machines[machine].Run(a)
 }
 
 // startJobs starts a job on each machine with a probability of 1/3.
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -208,8 +208,8 @@
 	return filepath.Join(m.Dir, a.Job, fmt.Sprintf("%d.%d", a.Task, a.Try))
 }
 
-// StartAttempt creates an attempt's folder and starts following the attempt.
-func (m *Machine) StartAttempt(a archive.Attempt) error {
+// Run creates an attempt's folder and starts following the attempt.
+func (m *Machine) Run(a archive.Attempt) error {
 	if err := os.MkdirAll(filepath.Join(m.Folder(a), ship.WorkDir, "out"), 0o700); err != nil {
 		return err
 	}
--- a/internal/archive/history/history_test.go
+++ b/internal/archive/history/history_test.go
@@ -50,8 +50,8 @@
 		{"out of order", nil, &ReadResult{true, []node.Piece{piece(6, 11, "", "world"), piece(0, 6, "", "hello ")}, true, files}, false},
 		{"changed", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello World")}, true, files}, false},
 		{"another's", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world"), piece(11, 13, "", "!!")}, true, files}, false},
-		{"bytes missing without a reason", nil, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, true, files}, false},
-		{"bytes missing after the promised ones", func(w *Expected) { w.Promised, w.Ended = 6, false }, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, false, nil}, true},
+		{"missing without a reason", nil, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, true, files}, false},
+		{"missing after what is promised", func(w *Expected) { w.Promised, w.Ended = 6, false }, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceMissing, "")}, false, nil}, true},
 		{"a recorded gap", nil, &ReadResult{true, []node.Piece{piece(0, 6, "", "hello "), piece(6, 11, archive.PieceGap, "")}, true, files}, true},
 		{"no end", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world")}, false, files}, false},
 		{"a missing file", nil, &ReadResult{true, []node.Piece{piece(0, 11, "", "hello world")}, true, nil}, false},
@@ -91,7 +91,7 @@
 		}
 		w.Output += text
 	}
-	if err := m.StartAttempt(w.Attempt); err != nil {
+	if err := m.Run(w.Attempt); err != nil {
 		t.Fatal(err)
 	}
 	write(20_000)
--- a/internal/archive/load/bench.go
+++ b/internal/archive/load/bench.go
@@ -25,44 +25,45 @@
 )
 
 const (
-	// shipperName is the name of the shipperName's process; the others are nodes.
+	// shipperName is the name of the shipper's process; all other processes are nodes.
 	shipperName = "ship"
-	// nodeCount is how many nodeCount the archive has.
+	// nodeCount is how many nodes the archive has.
 	nodeCount = 3
 	// writesPerSecond is how often each task writes.
 	writesPerSecond = 10
-	// startupDelay is how long the processes may take to start.
+	// startupDelay is how long the bench waits for the processes to start.
 	startupDelay = 2 * time.Second
-	// drainTimeout is how long it may take until all output can be read, and
-	// restorePatience until a lost node has all records again.
+	// drainTimeout bounds the time until all output can be read, and restoreTimeout the
+	// time until a node that lost its disk has all records again.
 	drainTimeout   = 2 * time.Minute
 	restoreTimeout = 5 * time.Minute
 )
 
-// bench is a measurement under way.
+// bench is a measurement in progress.
 type bench struct {
 	options   Options
 	site      *history.Site
 	processes map[string]*process // by name
-	files     []*os.File          // the tasks' output
-	attempts  []archive.Attempt   // the tasks
+	files     []*os.File          // each task's output file
+	attempts  []archive.Attempt   // each task's attempt
 	sizes     []int64             // bytes that each task wrote
 	reader    *reader.Client
 	result    Result
 }
 
-// newBench makes the certificates and keys of an archive; close ends the bench.
+// newBench creates the certificates and the grant key of an archive. The caller closes the
+// bench.
 func newBench(o Options) (*bench, error) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	site, err := history.New(o.Dir, nodeCount, quiet, nil)
 	if err != nil {
 		return nil, err
 	}
-	site.Close() // the nodes run as processes of their own
+	site.Close() // the bench starts each node as its own process
 	return &bench{options: o, site: site, processes: map[string]*process{}, sizes: make([]int64, o.Tasks)}, nil
 }
 
-// close closes the files and kills the processes.
+// close closes the tasks' output files and kills the processes.
 func (b *bench) close() {
 	for _, f := range b.files {
 		f.Close()
@@ -72,7 +73,7 @@
 	}
 }
 
-// run measures step by step.
+// run starts the processes and takes the measurements one after the other.
 func (b *bench) run(ctx context.Context) error {
 	for _, m := range b.site.Members {
 		if err := b.startNode(m.Name); err != nil {
@@ -102,20 +103,20 @@
 	if err != nil {
 		return err
 	}
-	c := node.DefaultConfig()
+	cfg := node.DefaultConfig()
 	for _, m := range b.site.Members {
 		if m.Name == name {
-			c.Listen = m.Address
+			cfg.Listen = m.Address
 		}
 	}
-	c.Name = name
-	c.Dir = filepath.Join(b.options.Dir, name)
-	c.Certs = certs
-	c.GrantKey = filepath.Join(b.options.Dir, "grant.key")
-	c.Members = b.site.Members
-	c.SyncS = 2
-	c.SyncMBPerS = 0
-	path, err := writeSettings(b.options.Dir, name, c)
+	cfg.Name = name
+	cfg.Dir = filepath.Join(b.options.Dir, name)
+	cfg.Certs = certs
+	cfg.GrantKey = filepath.Join(b.options.Dir, "grant.key")
+	cfg.Members = b.site.Members
+	cfg.SyncS = 2
+	cfg.SyncMBPerS = 0
+	path, err := writeSettings(b.options.Dir, name, cfg)
 	if err != nil {
 		return err
 	}
@@ -123,7 +124,7 @@
 	return err
 }
 
-// startShipper makes the tasks' folders and starts the process that ships them.
+// startShipper creates the tasks' folders, and starts the process that ships their output.
 func (b *bench) startShipper() error {
 	certs, err := b.site.IssueCertificate("agent/bench")
 	if err != nil {
@@ -147,7 +148,7 @@
 	return err
 }
 
-// makeTask makes a task's folder with its grant and its output file.
+// makeTask creates a task's folder with its grant and its output file.
 func (b *bench) makeTask(root string, i int) error {
 	a := archive.Attempt{Job: fmt.Sprintf("wk-%06d", i/100), Task: i % 100, Try: 1, Machine: "bench"}
 	dir := filepath.Join(root, strings.ReplaceAll(a.String(), "/", "+"))
@@ -167,8 +168,9 @@
 	return nil
 }
 
-// measureWriting lets the tasks write and waits until all of it can be read. It
-// measures what the processes take meanwhile, the delays, and what the disk takes.
+// measureWriting writes the tasks' output and waits until all of it can be read. It
+// measures the processes' CPU and memory during the writing, the delays until output can
+// be read, and the compression on disk.
 func (b *bench) measureWriting(ctx context.Context) error {
 	before := map[string]time.Duration{}
 	for name, p := range b.processes {
@@ -188,22 +190,22 @@
 	delays := sampler.end()
 	b.result.DelayP50MS = float64(delays.ValueAtQuantile(50))
 	b.result.DelayP99MS = float64(delays.ValueAtQuantile(99))
-	kept := diskUsage(filepath.Join(b.options.Dir, b.site.Members[0].Name))
-	b.result.Packed = float64(b.result.Written) / float64(kept)
+	stored := diskUsage(filepath.Join(b.options.Dir, b.site.Members[0].Name))
+	b.result.Packed = float64(b.result.Written) / float64(stored)
 	if b.options.Out != nil {
 		fmt.Fprintf(b.options.Out, "%d tasks wrote %d MB\n", b.options.Tasks, b.result.Written/1e6)
 	}
 	return nil
 }
 
-// outputSize is how long the first task's output was at a time.
+// outputSize is the size of the first task's output at a time.
 type outputSize struct {
 	size int64
 	when time.Time
 }
 
-// sampler samples delays: when lines of the first task were written, against when
-// somebody who asks again and again can read them.
+// sampler measures delays: the time between writing lines of the first task's output and
+// reading them by polling.
 type sampler struct {
 	delays  *hdrhistogram.Histogram // milliseconds
 	written chan outputSize
@@ -211,7 +213,7 @@
 	done    chan struct{}
 }
 
-// startSampler begins to read the first task's output.
+// startSampler starts a goroutine that reads the first task's output and records delays.
 func (b *bench) startSampler(ctx context.Context) *sampler {
 	s := &sampler{
 		delays:  hdrhistogram.New(1, 600_000, 3),
@@ -243,7 +245,7 @@
 	return s
 }
 
-// end ends the sampling and returns the delays.
+// end stops the sampler and returns the delays.
 func (s *sampler) end() *hdrhistogram.Histogram {
 	close(s.written)
 	close(s.stop)
@@ -251,10 +253,11 @@
 	return s.delays
 }
 
-// writeOutput writes all tasks' lines at a steady rate and returns how long it took.
+// writeOutput writes the lines of all tasks at a steady rate, tells the sampler the first
+// task's size after each write, and returns how long it took.
 func (b *bench) writeOutput(s *sampler) (time.Duration, error) {
-	begun := time.Now()
-	for write := 0; time.Since(begun) < b.options.For; write++ {
+	start := time.Now()
+	for write := 0; time.Since(start) < b.options.For; write++ {
 		for i, f := range b.files {
 			var text strings.Builder
 			for k := range max(1, b.options.Lines/writesPerSecond) {
@@ -271,14 +274,15 @@
 		case s.written <- outputSize{b.sizes[0], time.Now()}:
 		default:
 		}
-		if wait := time.Until(begun.Add(time.Duration(write+1) * time.Second / writesPerSecond)); wait > 0 {
+		if wait := time.Until(start.Add(time.Duration(write+1) * time.Second / writesPerSecond)); wait > 0 {
 			time.Sleep(wait)
 		}
 	}
-	return time.Since(begun), nil
+	return time.Since(start), nil
 }
 
-// measureUsage measures what the processes took since before, and their memory.
+// measureUsage records the processes' average CPU use over the time took, from the CPU
+// times at its start in before, and their present memory.
 func (b *bench) measureUsage(before map[string]time.Duration, took time.Duration) {
 	r := &b.result
 	for name, p := range b.processes {
@@ -294,25 +298,25 @@
 
 // drain waits until all output can be read.
 func (b *bench) drain(ctx context.Context) error {
-	begun := time.Now()
+	start := time.Now()
 	for i := 0; i < b.options.Tasks; {
 		p, err := b.reader.Page(ctx, b.attempts[i], archive.Stdout, b.sizes[i]-1)
 		if err == nil && p.Next >= b.sizes[i] {
 			i++
 			continue
 		}
-		if time.Since(begun) > drainTimeout {
-			return fmt.Errorf("task %d: %d bytes can't be read: %w", i, b.sizes[i], err)
+		if time.Since(start) > drainTimeout {
+			return fmt.Errorf("task %d: its %d bytes of output can't be read in time: %w", i, b.sizes[i], err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.result.DrainedAfterS = time.Since(begun).Seconds()
+	b.result.DrainedAfterS = time.Since(start).Seconds()
 	return nil
 }
 
-// measureReading reads everything through one node, and searches it.
+// measureReading measures reading and searching all output through one node.
 func (b *bench) measureReading(ctx context.Context) error {
-	begun := time.Now()
+	start := time.Now()
 	total := int64(0)
 	for i := range b.attempts {
 		n, err := b.search(ctx, i)
@@ -322,14 +326,15 @@
 		total += n
 	}
 	if total != b.result.Written {
-		return fmt.Errorf("%d bytes read of %d", total, b.result.Written)
+		return fmt.Errorf("read %d bytes of output, want %d", total, b.result.Written)
 	}
-	b.result.GrepS = time.Since(begun).Seconds()
+	b.result.GrepS = time.Since(start).Seconds()
 	b.result.GrepMBPerS = float64(total) / 1e6 / b.result.GrepS
 	return nil
 }
 
-// search reads a task's output, searches it, and returns how many bytes it has.
+// search reads a task's output, searches it for a text that it does not contain, and
+// returns how many bytes it read.
 func (b *bench) search(ctx context.Context, task int) (total int64, err error) {
 	for from := int64(0); from < b.sizes[task]; {
 		p, err := b.reader.Page(ctx, b.attempts[task], archive.Stdout, from)
@@ -339,19 +344,19 @@
 		for _, piece := range p.Pieces {
 			total += int64(len(piece.Data))
 			if strings.Contains(string(piece.Data), "nothing has this") {
-				return total, errors.New("found what nobody wrote")
+				return total, errors.New("found a text in the output that no task wrote")
 			}
 		}
 		if p.Next <= from {
-			return total, fmt.Errorf("%s: nothing after %d of %d", b.attempts[task], from, b.sizes[task])
+			return total, fmt.Errorf("%s: no output after byte %d of %d", b.attempts[task], from, b.sizes[task])
 		}
 		from = p.Next
 	}
 	return total, nil
 }
 
-// measureRestoring kills a node, removes its disk's contents, starts it again and
-// waits until it has all records.
+// measureRestoring kills a node, deletes its data, starts it again and measures how long
+// it takes until the node has as many records as another.
 func (b *bench) measureRestoring(ctx context.Context) error {
 	lost := b.site.Members[nodeCount-1].Name
 	b.processes[shipperName].stop(syscall.SIGTERM)
@@ -359,7 +364,7 @@
 	if err := os.RemoveAll(filepath.Join(b.options.Dir, lost)); err != nil {
 		return err
 	}
-	begun := time.Now()
+	start := time.Now()
 	if err := b.startNode(lost); err != nil {
 		return err
 	}
@@ -367,20 +372,20 @@
 	if err != nil {
 		return err
 	}
-	for whole := false; !whole; time.Sleep(50 * time.Millisecond) {
+	for restored := false; !restored; time.Sleep(50 * time.Millisecond) {
 		records := recordCounts(ctx, operator)
-		n := records[b.site.Members[0].Name]
-		whole = n > 0 && records[lost] == n
-		if time.Since(begun) > restoreTimeout {
-			return fmt.Errorf("the lost node does not come level: %v", records)
+		want := records[b.site.Members[0].Name]
+		restored = want > 0 && records[lost] == want
+		if time.Since(start) > restoreTimeout {
+			return fmt.Errorf("the lost node was not restored in time; records of each node: %v", records)
 		}
 	}
-	b.result.LevelS = time.Since(begun).Seconds()
+	b.result.LevelS = time.Since(start).Seconds()
 	b.result.LevelMBPerS = float64(diskUsage(filepath.Join(b.options.Dir, lost))) / 1e6 / b.result.LevelS
 	return nil
 }
 
-// recordCounts asks each node that answers how many records it has.
+// recordCounts returns, for each node that answers, how many records the node has.
 func recordCounts(ctx context.Context, operator *reader.Client) map[string]int64 {
 	records := map[string]int64{}
 	operator.Each(ctx, http.MethodGet, node.PathStats, nil, func(name string, raw []byte, err error) {
@@ -392,8 +397,8 @@
 	return records
 }
 
-// outputLine is a line of made-up output, about a hundred bytes, of which a part repeats, as it
-// does in logs.
+// outputLine returns a generated line of output of about a hundred bytes. Part of it is the
+// same in all lines, as in real logs.
 func outputLine(task, n int) string {
 	x := uint64(task+1)*0x9e3779b97f4a7c15 ^ uint64(n)*0xbf58476d1ce4e5b9
 	x ^= x >> 29
@@ -401,8 +406,8 @@
 }
 
 // writeSettings writes settings into a YAML file and returns its path.
-func writeSettings(dir, name string, v any) (string, error) {
-	raw, err := yaml.Marshal(v)
+func writeSettings(dir, name string, settings any) (string, error) {
+	raw, err := yaml.Marshal(settings)
 	if err != nil {
 		return "", err
 	}
@@ -410,7 +415,7 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// diskUsage returns how many bytes the files in a folder take.
+// diskUsage returns the total size in bytes of the files in a folder.
 func diskUsage(dir string) (n int64) {
 	_ = filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
 		if err == nil && d.Type().IsRegular() {
--- a/internal/archive/load/load.go
+++ b/internal/archive/load/load.go
@@ -1,9 +1,9 @@
-// Package load measures an archive on this machine: nodes and a machine's shipper
-// as processes of their own, and made-up tasks that write lines at a steady rate. It
-// measures what each process takes, how late output can be read, and how fast a node
-// that lost its disk has all records again.
+// Package load measures the performance of an archive on this machine. It runs the nodes
+// and a machine's shipper as separate processes, and simulates tasks that write lines at a
+// steady rate. It measures the CPU and memory of each process, the delay until output can
+// be read, and how long it takes to restore all records to a node that lost its disk.
 //
-// load.go has the settings and the results; bench.go the steps of a measurement;
+// load.go has the settings and the results, bench.go has the steps of a measurement, and
 // process.go starts and observes processes.
 package load
 
@@ -20,47 +20,48 @@
 	"silvergate/internal/archive/ship"
 )
 
-// Options say what is measured.
+// Options are the parameters of a measurement.
 type Options struct {
-	Self  string        // path of the silvergate program
-	Dir   string        // an empty folder for all files; it stays the caller's
-	Tasks int           // tasks that write
-	Lines int           // lines a second of each task
-	For   time.Duration // how long they write
-	Out   io.Writer     // gets progress for people; may be nil
+	Self  string        // path of the silvergate executable
+	Dir   string        // an empty folder for all files; the caller removes it
+	Tasks int           // how many tasks write output
+	Lines int           // lines per second of each task
+	For   time.Duration // how long the tasks write
+	Out   io.Writer     // receives progress messages for people; may be nil
 }
 
-// Result is what was measured. Megabytes are 1e6 bytes; times end in their unit.
+// Result holds the measured values. A megabyte is 1e6 bytes; the names of times end in
+// their unit.
 type Result struct {
 	Tasks         int     `json:"tasks"`
 	Written       int64   `json:"written"`  // bytes of output
-	MBPerS        float64 `json:"mbPerS"`   // of output
+	MBPerS        float64 `json:"mbPerS"`   // of output, while the tasks wrote
 	AgentCPU      float64 `json:"agentCpu"` // cores, on average
 	AgentMB       float64 `json:"agentMb"`
-	NodeCPU       float64 `json:"nodeCpu"` // cores, of the busiest node
+	NodeCPU       float64 `json:"nodeCpu"` // cores, on average, of the busiest node
 	NodeMB        float64 `json:"nodeMb"`
-	DelayP50MS    float64 `json:"delayP50Ms"` // from a line's writing until it can be read
+	DelayP50MS    float64 `json:"delayP50Ms"` // from writing a line until it can be read
 	DelayP99MS    float64 `json:"delayP99Ms"`
-	Packed        float64 `json:"packed"` // bytes of output for each byte kept on a node
-	LevelS        float64 `json:"levelS"` // until a node that lost its disk had all again
+	Packed        float64 `json:"packed"` // bytes of output per byte stored on a node
+	LevelS        float64 `json:"levelS"` // until a node that lost its disk had all records again
 	LevelMBPerS   float64 `json:"levelMbPerS"`
-	GrepS         float64 `json:"grepS"` // reading all of it through one node
+	GrepS         float64 `json:"grepS"` // time to read and search all output through one node
 	GrepMBPerS    float64 `json:"grepMbPerS"`
-	DrainedAfterS float64 `json:"drainedAfterS"` // after the last line, until all was kept
+	DrainedAfterS float64 `json:"drainedAfterS"` // from the last line until all output could be read
 }
 
-// Settings are those of the shipper's process: the folder with the attempts' folders,
-// and the shipper's own.
+// Settings are the settings of the shipper's process: the folder that contains the
+// attempts' folders, and the settings of the shipper itself.
 type Settings struct {
 	Dir  string      `yaml:"dir"`
 	Ship ship.Config `yaml:"ship"`
 }
 
-// Ship follows all attempts below a folder until done is closed: the part of an agent
-// that is measured. It returns an error if the settings are invalid or a folder is not
-// an attempt's.
+// Ship follows all attempts in the settings' folder until done is closed. It stands for the
+// part of an agent that is measured. It returns an error if the settings are invalid or a
+// folder is not an attempt's.
 func Ship(s Settings, log *slog.Logger, done <-chan struct{}) error {
-	sh, err := ship.New(s.Ship, log)
+	shipper, err := ship.New(s.Ship, log)
 	if err != nil {
 		return err
 	}
@@ -74,18 +75,19 @@
 		if err != nil {
 			return err
 		}
-		if err := sh.Resume(a, filepath.Join(s.Dir, d.Name())); err != nil {
+		if err := shipper.Resume(a, filepath.Join(s.Dir, d.Name())); err != nil {
 			return err
 		}
 	}
-	sh.Start()
+	shipper.Start()
 	<-done
-	sh.Stop()
+	shipper.Stop()
 	return nil
 }
 
-// Run measures, which takes Options.For and some time more. It ends all processes that
-// it started. After an error the result holds what was measured until then.
+// Run runs a measurement, which takes somewhat longer than Options.For. It ends all
+// processes that it started. If it returns an error, the result holds the values measured
+// before the error.
 func Run(o Options) (Result, error) {
 	b, err := newBench(o)
 	if err != nil {
--- a/internal/archive/load/process.go
+++ b/internal/archive/load/process.go
@@ -19,7 +19,8 @@
 	id  proc.ID
 }
 
-// startProcess starts the program with arguments; its output goes into a file by its name.
+// startProcess starts the silvergate program with arguments, and writes its output into a
+// log file with the given name.
 func startProcess(o Options, name string, args ...string) (*process, error) {
 	log, err := os.Create(filepath.Join(o.Dir, name+".log"))
 	if err != nil {
@@ -33,8 +34,8 @@
 	return p, err
 }
 
-// stop sends a signal and waits for the process to end. It does nothing the second
-// time, or if p is nil.
+// stop sends a signal and waits for the process to end. It does nothing if the process was
+// already stopped or p is nil.
 func (p *process) stop(sig syscall.Signal) {
 	if p != nil && p.cmd != nil {
 		_ = p.id.Signal(sig)
@@ -43,20 +44,20 @@
 	}
 }
 
-// usage returns the process's processor time and its resident memory in bytes; zeros
-// if they can't be read.
+// usage returns the process's CPU time and its resident memory in bytes, or zeros if
+// they can't be read.
 func (p *process) usage() (cpu time.Duration, rss int64) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.id.PID))
 	if err != nil {
 		return 0, 0
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 22 {
+	fields := strings.Fields(rest)
+	if len(fields) < 22 {
 		return 0, 0
 	}
-	u, _ := strconv.ParseInt(f[11], 10, 64)
-	s, _ := strconv.ParseInt(f[12], 10, 64)
-	pages, _ := strconv.ParseInt(f[21], 10, 64)
-	return time.Duration(u+s) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
+	user, _ := strconv.ParseInt(fields[11], 10, 64)
+	system, _ := strconv.ParseInt(fields[12], 10, 64)
+	pages, _ := strconv.ParseInt(fields[21], 10, 64)
+	return time.Duration(user+system) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
 }
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -45,16 +45,16 @@
 	return archive.NewRecord(a, archive.KindGrant, "", archive.Encode(archive.Grant{Attempt: a, Terms: archive.Terms{Owner: archive.Owner{Team: "office"}, Class: "x"}}))
 }
 
-// faultyDisk is a disk on which a test can make writes and syncs fail. A failing write
-// stores half of its bytes and reports a full disk; a failing sync reports an exhausted
-// quota.
+// faultyDisk is a disk on which a test can make writes or syncs fail by setting write or
+// sync. A failing write stores half of its bytes and reports a full disk; a failing sync
+// reports an exhausted quota.
 type faultyDisk struct {
 	osDisk
-	failWrites, failSyncs atomic.Bool
+	write, sync atomic.Bool
 }
 
 func (d *faultyDisk) WriteAt(f *os.File, b []byte, off int64) error {
-	if d.failWrites.Load() {
+	if d.write.Load() {
 		_, _ = f.WriteAt(b[:len(b)/2], off)
 		return &os.PathError{Op: "write", Path: f.Name(), Err: syscall.ENOSPC}
 	}
@@ -62,7 +62,7 @@
 }
 
 func (d *faultyDisk) Sync(f *os.File) error {
-	if d.failSyncs.Load() {
+	if d.sync.Load() {
 		return syscall.EDQUOT
 	}
 	return d.osDisk.Sync(f)
@@ -171,7 +171,7 @@
 			},
 			"put on a full disk": func(t *rapid.T) {
 				records := randomRecords()
-				which := rapid.SampledFrom([]*atomic.Bool{&d.failWrites, &d.failSyncs}).Draw(t, "which")
+				which := rapid.SampledFrom([]*atomic.Bool{&d.write, &d.sync}).Draw(t, "which")
 				fresh := slices.ContainsFunc(records, func(r archive.Record) bool { return !v.Has(r.Key) })
 				which.Store(true)
 				err := v.Put(ctx, records)
