--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -52,12 +52,12 @@
 	// BytesOut and BytesIn are the bodies and about the heads of heartbeats and their answers.
 	BytesOut, BytesIn atomic.Int64
 	Commands          atomic.Int64
-	Epochs            atomic.Int64 // that ended by their lease
+	ExpiredEpochs     atomic.Int64 // that ended by their lease
 	AnswerNanos       atomic.Int64 // time until answers, of answered heartbeats
 }
 
-// headBytes is about what the head of a request or a response takes.
-const headBytes = 110
+// headerBytes is about what the head of a request or a response takes.
+const headerBytes = 110
 
 // heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
@@ -122,7 +122,7 @@
 	if err != nil {
 		return fmt.Errorf("worker %s: %w", m.Name, err)
 	}
-	w := &worker{fleet: f, machine: m, address: listener.Addr().String(), running: map[agent.TaskAttempt]*time.Timer{}, images: map[string]bool{}}
+	w := &worker{fleet: f, machine: m, address: listener.Addr().String(), running: map[agent.TaskAttempt]*time.Timer{}, fetchingImages: map[string]bool{}}
 	me := protocol.Heartbeat{Worker: m.Name, Address: w.address, MachineType: m.Type, Zone: m.Zone, Spot: m.Spot}
 	w.state = agent.NewWorker(me, m.Room, f.periods, f.controllers, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: heartbeatTimeout, ErrorLog: nil}
@@ -199,7 +199,7 @@
 	for _, w := range list {
 		w.mu.Lock()
 		tasks += len(w.running)
-		if w.answered > 0 && w.answered >= since {
+		if w.lastAnsweredAt > 0 && w.lastAnsweredAt >= since {
 			answered++
 		}
 		w.mu.Unlock()
@@ -220,8 +220,8 @@
 	close(f.done)
 }
 
-// join notes that a worker holds a task of a gang's attempt.
-func (f *Fleet) join(w *worker, k agent.TaskAttempt) {
+// joinGang notes that a worker holds a task of a gang's attempt.
+func (f *Fleet) joinGang(w *worker, k agent.TaskAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := gangAttempt{k.Job, k.Attempt}
@@ -231,8 +231,8 @@
 	f.gangs[at][w] = true
 }
 
-// leave notes that it does not any more.
-func (f *Fleet) leave(w *worker, k agent.TaskAttempt) {
+// leaveGang notes that it does not any more.
+func (f *Fleet) leaveGang(w *worker, k agent.TaskAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := gangAttempt{k.Job, k.Attempt}
@@ -241,8 +241,8 @@
 	}
 }
 
-// gang asks the workers of a gang's attempt how its tasks are.
-func (f *Fleet) gang(k agent.TaskAttempt) map[int]string {
+// gangStates asks the workers of a gangStates's attempt how its tasks are.
+func (f *Fleet) gangStates(k agent.TaskAttempt) map[int]string {
 	f.mu.Lock()
 	var list []*worker
 	for w := range f.gangs[gangAttempt{k.Job, k.Attempt}] {
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,13 +15,13 @@
 	"silvergate/internal/protocol"
 )
 
-// scripted is a controller that answers with a fencing token and the launches it is given, and an
+// scriptedController is a controller that answers with a fencing token and the launches it is given, and an
 // observer that counts.
-type scripted struct {
+type scriptedController struct {
 	mu         sync.Mutex
 	silent     bool
 	token      uint64
-	launch     []protocol.Command
+	commands   []protocol.Command
 	heartbeats []protocol.Heartbeat
 	started    int
 	done       int
@@ -29,7 +29,7 @@
 	killed     int
 }
 
-func (s *scripted) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (s *scriptedController) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	var heartbeat protocol.Heartbeat
 	_ = json.Unmarshal(body, &heartbeat)
@@ -40,43 +40,43 @@
 		return
 	}
 	s.heartbeats = append(s.heartbeats, heartbeat)
-	_ = json.NewEncoder(out).Encode(protocol.HeartbeatResponse{FencingToken: s.token, Commands: s.launch})
+	_ = json.NewEncoder(out).Encode(protocol.HeartbeatResponse{FencingToken: s.token, Commands: s.commands})
 }
 
-func (s *scripted) Describe(id string) (*protocol.JobDescription, bool) {
+func (s *scriptedController) Describe(id string) (*protocol.JobDescription, bool) {
 	return &protocol.JobDescription{ID: id, Shape: job.Array, Tasks: 3, CPUs: 1, Image: "img", ImageGB: 0.01}, id == "wk-000001"
 }
 
-func (s *scripted) RunTime(_ string, index int) time.Duration {
+func (s *scriptedController) RunTime(_ string, index int) time.Duration {
 	if index == 0 {
 		return 50 * time.Millisecond
 	}
 	return 0
 }
 
-func (s *scripted) Started(*Machine, agent.TaskAttempt) { s.add(&s.started) }
+func (s *scriptedController) Started(*Machine, agent.TaskAttempt) { s.add(&s.started) }
 
-func (s *scripted) Stopped(_ *Machine, _ agent.TaskAttempt, done bool) {
+func (s *scriptedController) Stopped(_ *Machine, _ agent.TaskAttempt, done bool) {
 	s.add(&s.stopped)
 	if done {
 		s.add(&s.done)
 	}
 }
 
-func (s *scripted) LeaseEnded(_ *Machine, tasks int) {
+func (s *scriptedController) LeaseEnded(_ *Machine, tasks int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.killed += tasks
 }
 
-func (s *scripted) add(n *int) {
+func (s *scriptedController) add(n *int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*n++
 }
 
 // eventually waits until a condition on the script holds.
-func (s *scripted) eventually(t *testing.T, what string, holds func() bool) {
+func (s *scriptedController) eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
@@ -92,7 +92,7 @@
 // A hollow worker starts what it is commanded, reports its end, drops commands under a lower fencing token, and
 // kills everything when its lease ends.
 func TestHollowWorker(t *testing.T) {
-	s := &scripted{token: 7, launch: []protocol.Command{{Verb: protocol.VerbLaunch, Task: "wk-000001/0", Attempt: 1}, {Verb: protocol.VerbLaunch, Task: "wk-000001/1", Attempt: 1}}}
+	s := &scriptedController{token: 7, commands: []protocol.Command{{Verb: protocol.VerbLaunch, Task: "wk-000001/0", Attempt: 1}, {Verb: protocol.VerbLaunch, Task: "wk-000001/1", Attempt: 1}}}
 	controller := httptest.NewServer(s)
 	defer controller.Close()
 	f := NewFleet([]agent.Controller{{Name: "stoker-0", Address: controller.Listener.Addr().String()}}, agent.Periods{Heartbeat: 0.2, Lease: 1.5, GangWait: 5, GangPeer: 1}, "127.0.0.1", 8, s)
@@ -118,7 +118,7 @@
 	s.mu.Unlock()
 	s.eventually(t, "the lease kills the other", func() bool { return s.killed == 1 && s.stopped == 2 })
 	s.mu.Lock()
-	s.silent, s.launch = false, nil
+	s.silent, s.commands = false, nil
 	s.mu.Unlock()
 	s.eventually(t, "the next session", func() bool {
 		last := s.heartbeats[len(s.heartbeats)-1]
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -19,13 +19,13 @@
 	address string
 	server  *http.Server
 
-	mu       sync.Mutex
-	state    *agent.Worker
-	timer    *time.Timer
-	running  map[agent.TaskAttempt]*time.Timer
-	images   map[string]bool // being fetched
-	answered time.Duration   // when a heartbeat was last answered with 200
-	stopped  bool
+	mu             sync.Mutex
+	state          *agent.Worker
+	timer          *time.Timer
+	running        map[agent.TaskAttempt]*time.Timer
+	fetchingImages map[string]bool // being fetched
+	lastAnsweredAt time.Duration   // when a heartbeat was last answered with 200
+	stopped        bool
 }
 
 // step feeds an event to the worker's state machine and carries out what follows.
@@ -33,29 +33,29 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped {
-		w.perform(event(w.fleet.clock()))
+		w.applyEffects(event(w.fleet.clock()))
 	}
 }
 
-// perform carries out effects; the lock is held.
-func (w *worker) perform(e agent.Effects) {
+// applyEffects carries out effects; the lock is held.
+func (w *worker) applyEffects(e agent.Effects) {
 	if e.EndAll {
 		w.leaseExpired()
 	}
 	for _, k := range e.Kill {
-		w.end(k, 0)
+		w.endTask(k, 0)
 	}
 	for _, k := range e.Stop {
-		w.end(k, stopTime)
+		w.endTask(k, checkpointStopTime)
 	}
 	for _, name := range e.Leave {
-		delete(w.images, name)
+		delete(w.fetchingImages, name)
 	}
 	for _, id := range e.Describe {
 		w.describe(id)
 	}
 	for _, name := range e.Fetch {
-		w.fetch(name)
+		w.fetchImage(name)
 	}
 	for _, k := range e.Start {
 		w.start(k)
@@ -66,13 +66,13 @@
 	if e.Heartbeat != nil {
 		w.sendHeartbeat(e.Heartbeat)
 	}
-	w.arm()
+	w.armTimer()
 }
 
-// stopTime is how long a task takes to end that is asked to save a checkpoint.
-const stopTime = 100 * time.Millisecond
+// checkpointStopTime is how long a task takes to end that is asked to save a checkpoint.
+const checkpointStopTime = 100 * time.Millisecond
 
-func (w *worker) arm() {
+func (w *worker) armTimer() {
 	wait := max(w.state.Due()-w.fleet.clock(), time.Millisecond)
 	if w.timer == nil {
 		w.timer = time.AfterFunc(wait, func() { w.step(w.state.Tick) })
@@ -81,42 +81,42 @@
 	w.timer.Reset(wait)
 }
 
-// later steps the worker after a while.
-func (w *worker) later(wait time.Duration, event func(now time.Duration) agent.Effects) *time.Timer {
+// stepAfter steps the worker after a while.
+func (w *worker) stepAfter(wait time.Duration, event func(now time.Duration) agent.Effects) *time.Timer {
 	return time.AfterFunc(wait, func() { w.step(event) })
 }
 
 func (w *worker) describe(id string) {
-	w.later(time.Millisecond, func(now time.Duration) agent.Effects {
+	w.stepAfter(time.Millisecond, func(now time.Duration) agent.Effects {
 		d, known := w.fleet.observer.Describe(id)
 		if known && d.Shape == job.Gang {
-			defer w.joinGangs(id)
+			defer w.registerGangAttempts(id)
 		}
 		return w.state.Described(now, id, d, !known)
 	})
 }
 
-// joinGangs registers the attempts of a gang that have just been described.
-func (w *worker) joinGangs(id string) {
+// registerGangAttempts registers the attempts of a gang that have just been described.
+func (w *worker) registerGangAttempts(id string) {
 	for _, k := range w.state.Attempts(id) {
-		w.fleet.join(w, k)
+		w.fleet.joinGang(w, k)
 	}
 }
 
-func (w *worker) fetch(name string) {
-	w.images[name] = true
-	wait := time.Duration(w.sizeOf(name) / w.machine.PullGBPerS * float64(time.Second))
-	w.later(wait, func(now time.Duration) agent.Effects {
-		if !w.images[name] {
+func (w *worker) fetchImage(name string) {
+	w.fetchingImages[name] = true
+	wait := time.Duration(w.imageSizeGB(name) / w.machine.PullGBPerS * float64(time.Second))
+	w.stepAfter(wait, func(now time.Duration) agent.Effects {
+		if !w.fetchingImages[name] {
 			return w.state.Tick(now)
 		}
-		delete(w.images, name)
+		delete(w.fetchingImages, name)
 		return w.state.Fetched(now, name, nil)
 	})
 }
 
-// sizeOf is the size of an image that a task here waits for, in GB.
-func (w *worker) sizeOf(name string) float64 {
+// imageSizeGB is the size of an image that a task here waits for, in GB.
+func (w *worker) imageSizeGB(name string) float64 {
 	for _, d := range w.state.Descriptions() {
 		if d.Image == name {
 			return d.ImageGB
@@ -128,19 +128,19 @@
 func (w *worker) start(k agent.TaskAttempt) {
 	wait := w.fleet.observer.RunTime(k.Job, k.Index)
 	if wait > 0 {
-		w.running[k] = w.later(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, true) })
+		w.running[k] = w.stepAfter(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, true) })
 	} else {
 		w.running[k] = nil
 	}
 	w.fleet.observer.Started(&w.machine, k)
 }
 
-// end ends a task that was asked to, after a while.
-func (w *worker) end(k agent.TaskAttempt, wait time.Duration) {
+// endTask ends a task that was asked to, after a while.
+func (w *worker) endTask(k agent.TaskAttempt, wait time.Duration) {
 	if t := w.running[k]; t != nil {
 		t.Stop()
 	}
-	w.later(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, false) })
+	w.stepAfter(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, false) })
 }
 
 // exited takes that a task's program has ended; the lock is held.
@@ -155,8 +155,8 @@
 		code = 1
 	}
 	if d := w.state.Description(k.Job); d != nil && d.Shape == job.Gang {
-		defer w.later(time.Duration(w.fleet.periods.GangWait*float64(time.Second)), func(now time.Duration) agent.Effects {
-			w.fleet.leave(w, k)
+		defer w.stepAfter(time.Duration(w.fleet.periods.GangWait*float64(time.Second)), func(now time.Duration) agent.Effects {
+			w.fleet.leaveGang(w, k)
 			return w.state.Tick(now)
 		})
 	}
@@ -164,38 +164,38 @@
 }
 
 func (w *worker) askGang(k agent.TaskAttempt) {
-	states := w.fleet.gang(k)
+	states := w.fleet.gangStates(k)
 	w.step(func(now time.Duration) agent.Effects { return w.state.Peers(now, k, states) })
 }
 
 // leaseExpired ends everything, as the lease has; the lock is held.
 func (w *worker) leaseExpired() {
 	_, live := w.state.Count()
-	w.fleet.Stats.Epochs.Add(1)
+	w.fleet.Stats.ExpiredEpochs.Add(1)
 	if live > 0 {
 		w.fleet.observer.LeaseEnded(&w.machine, live)
 	}
-	w.dropAll()
-	w.later(time.Millisecond, w.state.EpochEnded)
+	w.endAllTasks()
+	w.stepAfter(time.Millisecond, w.state.EpochEnded)
 }
 
-// dropAll ends all tasks at once; the lock is held.
-func (w *worker) dropAll() {
+// endAllTasks ends all tasks at once; the lock is held.
+func (w *worker) endAllTasks() {
 	for k, t := range w.running {
 		if t != nil {
 			t.Stop()
 		}
 		w.fleet.observer.Stopped(&w.machine, k, false)
-		w.fleet.leave(w, k)
+		w.fleet.leaveGang(w, k)
 	}
 	clear(w.running)
-	clear(w.images)
+	clear(w.fetchingImages)
 }
 
 // restart begins the next agent epoch at once.
 func (w *worker) restart() {
 	w.step(func(now time.Duration) agent.Effects {
-		w.dropAll()
+		w.endAllTasks()
 		return w.state.Restarted(now)
 	})
 }
@@ -204,7 +204,7 @@
 func (w *worker) stop() {
 	w.mu.Lock()
 	w.stopped = true
-	w.dropAll()
+	w.endAllTasks()
 	if w.timer != nil {
 		w.timer.Stop()
 	}
@@ -215,7 +215,7 @@
 func (w *worker) sendHeartbeat(s *agent.HeartbeatSend) {
 	stats := &w.fleet.Stats
 	stats.Heartbeats.Add(1)
-	stats.BytesOut.Add(int64(len(s.Body) + headBytes))
+	stats.BytesOut.Add(int64(len(s.Body) + headerBytes))
 	sent := w.fleet.clock()
 	w.fleet.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: heartbeatTimeout,
 		Done: func(r *transport.Response, _ bool, err error) {
@@ -224,12 +224,12 @@
 					stats.Unanswered.Add(1)
 					return w.state.Answered(now, s, 0, nil)
 				}
-				stats.BytesIn.Add(int64(len(r.Body) + headBytes))
+				stats.BytesIn.Add(int64(len(r.Body) + headerBytes))
 				switch r.Status {
 				case http.StatusOK:
 					stats.Answered.Add(1)
 					stats.AnswerNanos.Add(int64(now - sent))
-					w.answered = now
+					w.lastAnsweredAt = now
 				case http.StatusMisdirectedRequest:
 					stats.Redirected.Add(1)
 				default:
@@ -275,6 +275,6 @@
 	default:
 		return problem(http.StatusNotFound, "no such path")
 	}
-	w.perform(e)
+	w.applyEffects(e)
 	return status, answer
 }
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -34,24 +34,24 @@
 
 // agentProcess is a real agent, with what it was last seen to have used.
 type agentProcess struct {
-	cmd    *exec.Cmd
-	began  time.Time
-	uptime time.Duration
-	cpu    time.Duration
+	cmd       *exec.Cmd
+	startedAt time.Time
+	uptime    time.Duration
+	cpu       time.Duration
 }
 
 // cell is what a cell process holds. It is the observer of its fleet.
 type cell struct {
-	scenario *Scenario
-	layout   *cellLayout
-	dir      string
-	self     string
-	log      *slog.Logger
-	begun    time.Time
-	checker  *checker
-	fleet    *hollow.Fleet
-	cloud    *cloud
-	users    *users
+	scenario  *Scenario
+	layout    *cellLayout
+	dir       string
+	self      string
+	log       *slog.Logger
+	startedAt time.Time
+	checker   *checker
+	fleet     *hollow.Fleet
+	cloud     *cloud
+	users     *users
 
 	mu       sync.Mutex
 	measured measurements
@@ -79,8 +79,8 @@
 
 // Intervals of a cell process.
 const (
-	samplePeriod = time.Second
-	drainLook    = 250 * time.Millisecond
+	samplePeriod    = time.Second
+	drainPollPeriod = 250 * time.Millisecond
 )
 
 // realImage is the image of the real agents' jobs; its program sleeps.
@@ -93,12 +93,12 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	c := &cell{scenario: s, dir: settings.Dir, self: self, log: log, begun: time.Now(),
-		layout:   &cellLayout{scenario: s, number: settings.Number, state: settings.State, cloud: settings.Cloud, controllers: settings.Controllers},
-		measured: measurements{acceptance: histogram(), firstStart: map[string]*hdrhistogram.Histogram{}, taskStart: map[string]*hdrhistogram.Histogram{}, started: map[string]map[int]bool{}},
+	c := &cell{scenario: s, dir: settings.Dir, self: self, log: log, startedAt: time.Now(),
+		layout:   &cellLayout{scenario: s, number: settings.Number, statePort: settings.State, cloudPort: settings.Cloud, controllerPorts: settings.Controllers},
+		measured: measurements{acceptance: newHistogram(), firstStart: map[string]*hdrhistogram.Histogram{}, taskStart: map[string]*hdrhistogram.Histogram{}, started: map[string]map[int]bool{}},
 		agents:   agentProcesses{running: map[string]*agentProcess{}}}
 	c.checker = newChecker(s, c.now)
-	c.fleet = hollow.NewFleet(c.layout.nodes(), c.layout.periods(), c.layout.workerIP(), heartbeatConnections(s), c)
+	c.fleet = hollow.NewFleet(c.layout.controllerAddresses(), c.layout.periods(), c.layout.workerIP(), heartbeatConnections(s), c)
 	defer c.fleet.Close()
 	c.cloud = newCloud(s, s.Seed+uint64(settings.Number), log)
 	c.cloud.boot, c.cloud.remove = c.boot, c.remove
@@ -111,20 +111,20 @@
 	if err := c.awaitController(); err != nil {
 		return nil, err
 	}
-	c.play(stop)
+	c.runScenario(stop)
 	return c.result(), nil
 }
 
 // awaitController waits until a controller serves; users begin then.
 func (c *cell) awaitController() error {
-	ctx, cancel := context.WithTimeout(context.Background(), startPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	for _, n := range c.layout.nodes() {
+	for _, n := range c.layout.controllerAddresses() {
 		if err := awaitUp(ctx, n.Address); err != nil {
 			return fmt.Errorf("%s is not up: %w", n.Name, err)
 		}
 	}
-	c.begun = time.Now()
+	c.startedAt = time.Now()
 	return nil
 }
 
@@ -133,13 +133,13 @@
 	return s.Controllers * max(16, s.Controller.MaxSockets/4)
 }
 
-func (c *cell) now() time.Duration { return time.Since(c.begun) }
+func (c *cell) now() time.Duration { return time.Since(c.startedAt) }
 
-// play has users and faults run their time.
-func (c *cell) play(stop <-chan struct{}) {
+// runScenario has users and faults run their time.
+func (c *cell) runScenario(stop <-chan struct{}) {
 	over := make(chan struct{})
 	go c.sample(over)
-	go c.faults(over)
+	go c.scheduleFaults(over)
 	go c.expireCalls(over)
 	submitted := make(chan struct{})
 	go func() {
@@ -151,7 +151,7 @@
 			select {
 			case <-stop:
 				return false
-			case <-time.After(drainLook):
+			case <-time.After(drainPollPeriod):
 			}
 		}
 		return true
@@ -162,14 +162,14 @@
 		wait(end+time.Duration(c.scenario.DrainS*float64(time.Second)), c.drained)
 	}
 	close(over)
-	c.users.wait.Wait()
+	c.users.followers.Wait()
 }
 
 // drained tells whether all jobs but services are over.
 func (c *cell) drained() bool {
 	c.users.mu.Lock()
 	defer c.users.mu.Unlock()
-	for _, s := range c.users.open {
+	for _, s := range c.users.openJobs {
 		if s.Shape != "standing" {
 			return false
 		}
@@ -179,7 +179,7 @@
 
 // expireCalls gives up users' calls that are late.
 func (c *cell) expireCalls(over <-chan struct{}) {
-	ticker := time.NewTicker(drainLook)
+	ticker := time.NewTicker(drainPollPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -199,12 +199,12 @@
 	for {
 		select {
 		case <-ticker.C:
-			c.checker.sweep()
+			c.checker.checkCancelledJobs()
 			tasks, answered := c.fleet.Running()
 			workers := len(c.fleet.Names(""))
 			c.mu.Lock()
 			c.measured.samples = append(c.measured.samples, Sample{AtS: c.now().Seconds(), Starts: c.measured.starts, Running: tasks, Workers: workers, Answered: answered,
-				Reports: c.fleet.Stats.Heartbeats.Load(), LeaseKill: c.measured.leaseKilled})
+				Reports: c.fleet.Stats.Heartbeats.Load(), LeaseKilled: c.measured.leaseKilled})
 			c.measured.workerUptime += float64(workers) * samplePeriod.Seconds()
 			c.measureAgents()
 			c.mu.Unlock()
@@ -219,7 +219,7 @@
 	for _, a := range c.agents.running {
 		if u, ok := readUsage(a.cmd.Process.Pid); ok {
 			c.agents.result.PeakMB = max(c.agents.result.PeakMB, float64(u.rss)/(1<<20))
-			a.uptime, a.cpu = time.Since(a.began), u.cpu
+			a.uptime, a.cpu = time.Since(a.startedAt), u.cpu
 		}
 	}
 }
@@ -236,8 +236,8 @@
 	return c.agents.result
 }
 
-// faults plays those of the workers; the caller of the run plays those of the controllers.
-func (c *cell) faults(over <-chan struct{}) {
+// scheduleFaults plays those of the workers; the caller of the run plays those of the controllers.
+func (c *cell) scheduleFaults(over <-chan struct{}) {
 	for i := range c.scenario.Faults {
 		f := c.scenario.Faults[i]
 		if f.Kind == FaultControllerKill {
@@ -246,21 +246,21 @@
 		go func() {
 			select {
 			case <-time.After(time.Duration(f.AtS*float64(time.Second)) - c.now()):
-				c.fault(f, over)
+				c.injectFault(f, over)
 			case <-over:
 			}
 		}()
 	}
 }
 
-func (c *cell) fault(f Fault, over <-chan struct{}) {
+func (c *cell) injectFault(f Fault, over <-chan struct{}) {
 	names := c.fleet.Names(f.Zone)
 	slices.Sort(names)
 	names = names[:int(float64(len(names))*f.Share)]
 	c.log.Info("fault", "kind", f.Kind, "workers", len(names))
 	if f.Kind == FaultWorkersLost {
 		c.fleet.Remove(names...)
-		c.cloud.died(names)
+		c.cloud.machinesLost(names)
 		return
 	}
 	for i, name := range names {
@@ -287,8 +287,8 @@
 
 // bootAgent starts a real agent as a process. It ends with this one.
 func (c *cell) bootAgent(m provider.Machine) (string, error) {
-	taker := &portTaker{}
-	port, err := taker.take(0)
+	taker := &portAllocator{}
+	port, err := taker.allocate(0)
 	taker.release()
 	if err != nil {
 		return "", err
@@ -297,13 +297,13 @@
 	cfg := agent.DefaultConfig()
 	cfg.Worker, cfg.MachineType, cfg.Zone, cfg.Spot, cfg.Listen = m.Name, m.MachineType, m.Zone, m.Spot, loopback(port)
 	cfg.Dir = filepath.Join(c.dir, "agents", m.Name)
-	cfg.Controllers, cfg.Workers = c.layout.nodes(), c.layout.periods()
+	cfg.Controllers, cfg.Workers = c.layout.controllerAddresses(), c.layout.periods()
 	cfg.Room = agent.Room{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}
 	image := filepath.Join(c.dir, "image") // empty: the program is the system's own
 	if err := os.MkdirAll(image, 0o700); err != nil {
 		return "", err
 	}
-	cfg.Images = []agent.Image{{Name: realImage, Path: image, Command: []string{"sleep", fmt.Sprint(c.realSeconds())}}}
+	cfg.Images = []agent.Image{{Name: realImage, Path: image, Command: []string{"sleep", fmt.Sprint(c.realTaskSeconds())}}}
 	raw, err := yaml.Marshal(cfg)
 	if err != nil {
 		return "", err
@@ -328,15 +328,15 @@
 	}
 	log.Close()
 	c.mu.Lock()
-	a := &agentProcess{cmd: cmd, began: time.Now()}
+	a := &agentProcess{cmd: cmd, startedAt: time.Now()}
 	c.agents.running[m.Name], c.agents.all = a, append(c.agents.all, a)
 	c.agents.result.Count++
 	c.mu.Unlock()
 	return cfg.Listen, nil
 }
 
-// realSeconds is how long a program of the real agents sleeps.
-func (c *cell) realSeconds() float64 {
+// realTaskSeconds is how long a program of the real agents sleeps.
+func (c *cell) realTaskSeconds() float64 {
 	for i := range c.scenario.Load {
 		if c.scenario.Load[i].Real {
 			return c.scenario.Load[i].RunS
@@ -387,14 +387,14 @@
 	defer c.mu.Unlock()
 	c.measured.starts++
 	if nth == 1 {
-		record(c.measured.firstStart, s.Priority, wait)
+		recordLatency(c.measured.firstStart, s.Priority, wait)
 	}
 	if c.measured.started[k.Job] == nil {
 		c.measured.started[k.Job] = map[int]bool{}
 	}
 	if !c.measured.started[k.Job][k.Index] {
 		c.measured.started[k.Job][k.Index] = true
-		record(c.measured.taskStart, s.Priority, wait)
+		recordLatency(c.measured.taskStart, s.Priority, wait)
 	}
 }
 
@@ -410,9 +410,9 @@
 	c.measured.leaseKilled += tasks
 }
 
-// submitted takes how long a submission took to be accepted.
-func (c *cell) submitted(took time.Duration) {
+// recordAcceptance takes how long a submission took to be accepted.
+func (c *cell) recordAcceptance(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.measured.acceptance.RecordValue(bounded(took))
+	_ = c.measured.acceptance.RecordValue(clampMicros(took))
 }
--- a/internal/scale/cell_result.go
+++ b/internal/scale/cell_result.go
@@ -10,13 +10,13 @@
 
 // Sample is a cell's state at a moment.
 type Sample struct {
-	AtS       float64 `json:"atS"`
-	Starts    int     `json:"starts"`    // so far
-	Running   int     `json:"running"`   // tasks
-	Workers   int     `json:"workers"`   // that are up
-	Answered  int     `json:"answered"`  // of them, within two heartbeat periods
-	Reports   int64   `json:"reports"`   // so far
-	LeaseKill int     `json:"leaseKill"` // tasks killed by leases, so far
+	AtS         float64 `json:"atS"`
+	Starts      int     `json:"starts"`    // so far
+	Running     int     `json:"running"`   // tasks
+	Workers     int     `json:"workers"`   // that are up
+	Answered    int     `json:"answered"`  // of them, within two heartbeat periods
+	Reports     int64   `json:"reports"`   // so far
+	LeaseKilled int     `json:"leaseKill"` // tasks killed by leases, so far
 }
 
 // Latency is a histogram in short, in milliseconds.
@@ -30,25 +30,25 @@
 
 // CellResult is what a cell process measured.
 type CellResult struct {
-	Number      int                `json:"number"`
-	Samples     []Sample           `json:"samples"`
-	Broken      map[string]int     `json:"broken"`
-	FirstBroken []string           `json:"firstBroken,omitempty"`
-	Accepted    int                `json:"accepted"`
-	GivenUp     int                `json:"givenUp"`
-	Finished    int                `json:"finished"`
-	Starts      int                `json:"starts"`
-	LeaseKilled int                `json:"leaseKilled"`
-	Sessions    int64              `json:"sessions"`
-	Submit      Latency            `json:"submit"`
-	FirstStart  map[string]Latency `json:"firstStart"` // submission to a job's first task, by urgency
-	TaskStart   map[string]Latency `json:"taskStart"`  // submission to each task's first start, by urgency
-	Reports     int64              `json:"reports"`
-	Answers     map[string]int64   `json:"answers"`       // to heartbeats, by kind
-	AnswerMs    float64            `json:"answerMs"`      // mean time until a heartbeat's answer
-	BytesPerS   float64            `json:"bytesPerS"`     // of a worker, both ways, mean
-	CloudCalls  int                `json:"cloudRequests"` // and how many of them were refused
-	CloudRefuse int                `json:"cloudRefused"`
+	Number        int                `json:"number"`
+	Samples       []Sample           `json:"samples"`
+	Broken        map[string]int     `json:"broken"`
+	FirstBroken   []string           `json:"firstBroken,omitempty"`
+	Accepted      int                `json:"accepted"`
+	GivenUp       int                `json:"givenUp"`
+	Finished      int                `json:"finished"`
+	Starts        int                `json:"starts"`
+	LeaseKilled   int                `json:"leaseKilled"`
+	Sessions      int64              `json:"sessions"`
+	Submit        Latency            `json:"submit"`
+	FirstStart    map[string]Latency `json:"firstStart"` // submission to a job's first task, by urgency
+	TaskStart     map[string]Latency `json:"taskStart"`  // submission to each task's first start, by urgency
+	Reports       int64              `json:"reports"`
+	Answers       map[string]int64   `json:"answers"`       // to heartbeats, by kind
+	AnswerMs      float64            `json:"answerMs"`      // mean time until a heartbeat's answer
+	BytesPerS     float64            `json:"bytesPerS"`     // of a worker, both ways, mean
+	CloudRequests int                `json:"cloudRequests"` // and how many of them were refused
+	CloudRefused  int                `json:"cloudRefused"`
 	// Agents is what the real agents have used.
 	Agents AgentsResult `json:"agents"`
 }
@@ -60,31 +60,31 @@
 	PeakMB float64 `json:"peakMb"` // of the largest
 }
 
-// longest is the longest time that histograms hold.
-const longest = time.Hour
+// maxLatency is the maxLatency time that histograms hold.
+const maxLatency = time.Hour
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest.Microseconds(), 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency.Microseconds(), 3) }
 
-func bounded(d time.Duration) int64 {
-	return min(max(1, d.Microseconds()), longest.Microseconds())
+func clampMicros(d time.Duration) int64 {
+	return min(max(1, d.Microseconds()), maxLatency.Microseconds())
 }
 
-func record(by map[string]*hdrhistogram.Histogram, name string, d time.Duration) {
+func recordLatency(by map[string]*hdrhistogram.Histogram, name string, d time.Duration) {
 	if by[name] == nil {
-		by[name] = histogram()
+		by[name] = newHistogram()
 	}
-	_ = by[name].RecordValue(bounded(d))
+	_ = by[name].RecordValue(clampMicros(d))
 }
 
-func latency(h *hdrhistogram.Histogram) Latency {
+func summarizeLatency(h *hdrhistogram.Histogram) Latency {
 	ms := func(micros int64) float64 { return float64(micros) / 1000 }
 	return Latency{h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(95)), ms(h.ValueAtQuantile(99)), ms(h.Max())}
 }
 
-func latencies(by map[string]*hdrhistogram.Histogram) map[string]Latency {
+func summarizeLatencies(by map[string]*hdrhistogram.Histogram) map[string]Latency {
 	out := map[string]Latency{}
 	for name, h := range by {
-		out[name] = latency(h)
+		out[name] = summarizeLatency(h)
 	}
 	return out
 }
@@ -92,13 +92,13 @@
 // result sums a cell up.
 func (c *cell) result() *CellResult {
 	accepted, givenUp, finished := c.users.counts()
-	broken, first := c.checker.verdict()
+	broken, first := c.checker.violations()
 	stats := &c.fleet.Stats
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &CellResult{Number: c.layout.number, Samples: c.measured.samples, Broken: broken, FirstBroken: first, Accepted: accepted, GivenUp: givenUp, Finished: finished,
-		Starts: c.measured.starts, LeaseKilled: c.measured.leaseKilled, Sessions: stats.Epochs.Load(), Submit: latency(c.measured.acceptance), FirstStart: latencies(c.measured.firstStart), TaskStart: latencies(c.measured.taskStart),
-		Reports: stats.Heartbeats.Load(), CloudCalls: c.cloud.requests, CloudRefuse: c.cloud.refused, Agents: c.agentsResult(),
+		Starts: c.measured.starts, LeaseKilled: c.measured.leaseKilled, Sessions: stats.ExpiredEpochs.Load(), Submit: summarizeLatency(c.measured.acceptance), FirstStart: summarizeLatencies(c.measured.firstStart), TaskStart: summarizeLatencies(c.measured.taskStart),
+		Reports: stats.Heartbeats.Load(), CloudRequests: c.cloud.requests, CloudRefused: c.cloud.refused, Agents: c.agentsResult(),
 		Answers: map[string]int64{"answered": stats.Answered.Load(), "redirected": stats.Redirected.Load(), "refused": stats.Refused.Load(), "unanswered": stats.Unanswered.Load()}}
 	if n := stats.Answered.Load(); n > 0 {
 		r.AnswerMs = float64(stats.AnswerNanos.Load()) / float64(n) / 1e6
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -29,41 +29,41 @@
 // others, with its image there, is not counted, which errs towards missing a broken quota.
 type checker struct {
 	cancelWithin time.Duration
-	limit        float64 // of each team, in accelerators; 0: none
+	teamLimit    float64 // of each team, in accelerators; 0: none
 	now          func() time.Duration
 
-	mu     sync.Mutex
-	jobs   map[string]*judged
-	teams  map[string]float64 // accelerators in use
-	broken map[string]int
-	first  []string
+	mu              sync.Mutex
+	jobs            map[string]*jobRecord
+	teams           map[string]float64 // accelerators in use
+	violationCounts map[string]int
+	firstViolations []string
 }
 
-// judged is what the checker knows of a job.
-type judged struct {
+// jobRecord is what the checker knows of a job.
+type jobRecord struct {
 	spec        *submission
 	accepted    bool
 	final       string         // the last status that a user saw of a job that is over
 	cancelled   bool           // its user saw that
 	cancelledAt time.Duration  // when a user first heard so
-	on          map[int]string // where each task runs
-	done        map[int]bool   // tasks that completed
+	runningOn   map[int]string // where each task runs
+	completed   map[int]bool   // tasks that completed
 	starts      int
 }
 
 func newChecker(s *Scenario, now func() time.Duration) *checker {
-	return &checker{cancelWithin: time.Duration(s.Periods.Cancel * float64(time.Second)), limit: s.TeamLimit, now: now,
-		jobs: map[string]*judged{}, teams: map[string]float64{}, broken: map[string]int{}}
+	return &checker{cancelWithin: time.Duration(s.Periods.Cancel * float64(time.Second)), teamLimit: s.TeamLimit, now: now,
+		jobs: map[string]*jobRecord{}, teams: map[string]float64{}, violationCounts: map[string]int{}}
 }
 
-// mostNamed bounds how many breaks are described.
-const mostNamed = 20
+// maxDescribedViolations bounds how many breaks are described.
+const maxDescribedViolations = 20
 
-// breaks notes a broken rule; the lock is held.
-func (c *checker) breaks(rule, format string, args ...any) {
-	c.broken[rule]++
-	if len(c.first) < mostNamed {
-		c.first = append(c.first, fmt.Sprintf("%.3f s %s: ", c.now().Seconds(), rule)+fmt.Sprintf(format, args...))
+// recordViolation notes a broken rule; the lock is held.
+func (c *checker) recordViolation(rule, format string, args ...any) {
+	c.violationCounts[rule]++
+	if len(c.firstViolations) < maxDescribedViolations {
+		c.firstViolations = append(c.firstViolations, fmt.Sprintf("%.3f s %s: ", c.now().Seconds(), rule)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -71,7 +71,7 @@
 func (c *checker) submitted(s *submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.jobs[s.ID] = &judged{spec: s, on: map[int]string{}, done: map[int]bool{}}
+	c.jobs[s.ID] = &jobRecord{spec: s, runningOn: map[int]string{}, completed: map[int]bool{}}
 }
 
 // started takes that a task runs on a machine; it returns how many of the job's
@@ -81,38 +81,38 @@
 	defer c.mu.Unlock()
 	j := c.jobs[k.Job]
 	if j == nil {
-		c.breaks(ruleInvented, "%s starts, and nobody has submitted it", k)
+		c.recordViolation(ruleInvented, "%s starts, and nobody has submitted it", k)
 		return 0
 	}
-	if other, on := j.on[k.Index]; on {
-		c.breaks(ruleRanTwice, "%s starts on %s while it is on %s", k, m.Name, other)
+	if other, on := j.runningOn[k.Index]; on {
+		c.recordViolation(ruleRanTwice, "%s starts on %s while it is on %s", k, m.Name, other)
 	}
 	if j.cancelled && c.now() > j.cancelledAt+c.cancelWithin {
-		c.breaks(ruleRanCancelled, "%s starts on %s, %s after its user was told", k, m.Name, c.now()-j.cancelledAt)
+		c.recordViolation(ruleRanCancelled, "%s starts on %s, %s after its user was told", k, m.Name, c.now()-j.cancelledAt)
 	}
-	j.on[k.Index] = m.Name
+	j.runningOn[k.Index] = m.Name
 	j.starts++
-	c.judgePlace(j, m, k)
+	c.checkPlacement(j, m, k)
 	team := j.spec.Team
 	c.teams[team] += j.spec.GPUs
-	if c.limit > 0 && c.teams[team] > c.limit+0.001 {
-		c.breaks(ruleQuota, "%s uses %.1f of %.1f accelerators", team, c.teams[team], c.limit)
+	if c.teamLimit > 0 && c.teams[team] > c.teamLimit+0.001 {
+		c.recordViolation(ruleQuota, "%s uses %.1f of %.1f accelerators", team, c.teams[team], c.teamLimit)
 	}
 	return j.starts
 }
 
-// judgePlace judges a start by the job's own demands; the lock is held.
-func (c *checker) judgePlace(j *judged, m *hollow.Machine, k agent.TaskAttempt) {
+// checkPlacement judges a start by the job's own demands; the lock is held.
+func (c *checker) checkPlacement(j *jobRecord, m *hollow.Machine, k agent.TaskAttempt) {
 	if j.spec.progress.zones == nil {
 		j.spec.progress.zones = map[int]string{}
 	}
 	if m.Type != j.spec.MachineTypes[0] || m.Spot && !j.spec.Spot {
-		c.breaks(ruleWrongPlace, "%s starts on %s of type %s", k, m.Name, m.Type)
+		c.recordViolation(ruleWrongPlace, "%s starts on %s of type %s", k, m.Name, m.Type)
 	}
 	if j.spec.OneZone {
-		for index := range j.on {
+		for index := range j.runningOn {
 			if zone, known := j.spec.progress.zones[index]; known && index != k.Index && zone != m.Zone {
-				c.breaks(ruleWrongPlace, "%s starts in %s while task %d is in %s", k, m.Zone, index, zone)
+				c.recordViolation(ruleWrongPlace, "%s starts in %s while task %d is in %s", k, m.Zone, index, zone)
 				break
 			}
 		}
@@ -125,47 +125,47 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[k.Job]
-	if j == nil || j.on[k.Index] != m.Name {
+	if j == nil || j.runningOn[k.Index] != m.Name {
 		return
 	}
-	delete(j.on, k.Index)
+	delete(j.runningOn, k.Index)
 	c.teams[j.spec.Team] -= j.spec.GPUs
 	if done {
-		j.done[k.Index] = true
+		j.completed[k.Index] = true
 	}
 }
 
-// answered takes what a user sees of a job: the status of a 200, or "" for a 404.
-func (c *checker) answered(id, status string) {
+// observeStatus takes what a user sees of a job: the status of a 200, or "" for a 404.
+func (c *checker) observeStatus(id, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
 	switch {
 	case j == nil && status != "":
-		c.breaks(ruleInvented, "%s is %s, and nobody has submitted it", id, status)
+		c.recordViolation(ruleInvented, "%s is %s, and nobody has submitted it", id, status)
 		return
 	case j == nil:
 		return
 	case status == "" && j.accepted:
-		c.breaks(ruleForgotten, "%s was accepted, and is unknown", id)
+		c.recordViolation(ruleForgotten, "%s was accepted, and is unknown", id)
 		return
 	case status == "":
 		return
 	}
 	j.accepted = true
 	if j.final != "" && status != j.final {
-		c.breaks(ruleWentBack, "%s was %s, and is %s", id, j.final, status)
+		c.recordViolation(ruleWentBack, "%s was %s, and is %s", id, j.final, status)
 	}
 	switch status {
 	case statusDone:
 		// A task on a real agent is not seen; its completion can't be judged.
-		if missing := j.spec.Tasks - len(j.done); missing > 0 && !j.spec.plan.real {
-			c.breaks(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
+		if missing := j.spec.Tasks - len(j.completed); missing > 0 && !j.spec.plan.real {
+			c.recordViolation(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
 		}
 		j.final = status
 	case statusCancelled:
 		if !j.spec.progress.cancelRequested {
-			c.breaks(ruleWentBack, "%s is called cancelled, and its user did not cancel it", id)
+			c.recordViolation(ruleWentBack, "%s is called cancelled, and its user did not cancel it", id)
 		}
 		if !j.cancelled {
 			j.cancelled, j.cancelledAt = true, c.now()
@@ -174,14 +174,14 @@
 	}
 }
 
-// sweep looks for tasks of cancelled jobs that outlive the time that they may have.
-func (c *checker) sweep() {
+// checkCancelledJobs looks for tasks of cancelled jobs that outlive the time that they may have.
+func (c *checker) checkCancelledJobs() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, j := range c.jobs {
-		if j.cancelled && len(j.on) > 0 && c.now() > j.cancelledAt+c.cancelWithin && !j.spec.progress.overdue {
-			j.spec.progress.overdue = true
-			c.breaks(ruleRanCancelled, "%s has %d tasks, %s after its user was told", id, len(j.on), c.now()-j.cancelledAt)
+		if j.cancelled && len(j.runningOn) > 0 && c.now() > j.cancelledAt+c.cancelWithin && !j.spec.progress.overdueReported {
+			j.spec.progress.overdueReported = true
+			c.recordViolation(ruleRanCancelled, "%s has %d tasks, %s after its user was told", id, len(j.runningOn), c.now()-j.cancelledAt)
 		}
 	}
 }
@@ -215,11 +215,11 @@
 	}
 }
 
-// verdict lists the broken rules with their counts, and the first breaks in words.
-func (c *checker) verdict() (map[string]int, []string) {
+// violations lists the broken rules with their counts, and the first breaks in words.
+func (c *checker) violations() (map[string]int, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken, c.first
+	return c.violationCounts, c.firstViolations
 }
 
 // submission is a job's, nil if nobody has submitted it.
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -19,10 +19,10 @@
 // cloud is the stand-in for the cloud: the decisions are the local cloud's market, its
 // machines are hollow workers, or real agents of their own type.
 type cloud struct {
-	log     *slog.Logger
-	boot    func(m provider.Machine) (address string, err error)
-	remove  func(names []string)
-	startup time.Duration
+	log          *slog.Logger
+	boot         func(m provider.Machine) (address string, err error)
+	remove       func(names []string)
+	startupDelay time.Duration
 
 	mu       sync.Mutex
 	market   *provider.Market
@@ -39,7 +39,7 @@
 		types = append(types, provider.MachineType{Name: realType, CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, MemoryGB: s.Machine.RAM, LocalGB: 100, ImagePullGBPerS: s.Machine.PullGBPerS,
 			OnDemandPrice: 4, SpotPrice: 4, StartupS: s.Machine.StartupS, Zones: spread(s.RealAgents, s.Zones)})
 	}
-	return &cloud{log: log, startup: time.Duration(s.Machine.StartupS * float64(time.Second)),
+	return &cloud{log: log, startupDelay: time.Duration(s.Machine.StartupS * float64(time.Second)),
 		market: provider.NewMarket(types, provider.Spot{}, s.Cloud.RPS, nil, nil, 0, rand.New(rand.NewPCG(seed, 1)))}
 }
 
@@ -77,13 +77,13 @@
 		http.Error(out, "the body can't be read", http.StatusBadRequest)
 		return
 	}
-	status, answer := c.answer(r, body)
+	status, answer := c.handle(r, body)
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(status)
 	_, _ = out.Write(protocol.Encode(answer))
 }
 
-func (c *cloud) answer(r *http.Request, body []byte) (int, any) {
+func (c *cloud) handle(r *http.Request, body []byte) (int, any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests++
@@ -125,13 +125,13 @@
 	}
 	for _, m := range effects.Store {
 		machine := *m
-		time.AfterFunc(c.startup, func() { c.bootOne(machine) })
+		time.AfterFunc(c.startupDelay, func() { c.bootMachine(machine) })
 	}
 	return http.StatusOK, protocol.MachineNames{Machines: names}
 }
 
-// bootOne brings a machine up, unless it was deleted meanwhile.
-func (c *cloud) bootOne(m provider.Machine) {
+// bootMachine brings a machine up, unless it was deleted meanwhile.
+func (c *cloud) bootMachine(m provider.Machine) {
 	c.mu.Lock()
 	closed := c.closed
 	c.mu.Unlock()
@@ -161,8 +161,8 @@
 	return http.StatusOK, struct{}{}
 }
 
-// died takes that machines are gone without anybody having asked for it.
-func (c *cloud) died(names []string) {
+// machinesLost takes that machines are gone without anybody having asked for it.
+func (c *cloud) machinesLost(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -20,12 +20,12 @@
 
 // cellLayout is one cell's part of it.
 type cellLayout struct {
-	scenario    *Scenario
-	number      int
-	state       int // ports
-	cloud       int
-	controllers []int
-	back        []int
+	scenario        *Scenario
+	number          int
+	statePort       int // ports
+	cloudPort       int
+	controllerPorts []int
+	peerPorts       []int
 }
 
 // Machine types of a run.
@@ -39,10 +39,10 @@
 // workerIP is where a cell's hollow workers listen.
 func (c *cellLayout) workerIP() string { return fmt.Sprintf("127.0.%d.1", 1+c.number) }
 
-func nodeName(i int) string { return fmt.Sprintf("stoker-%d", i) }
+func controllerName(i int) string { return fmt.Sprintf("stoker-%d", i) }
 
-// zone is where a controller of a cell stands.
-func (c *cellLayout) zone(i int) string { return c.scenario.Zones[i%len(c.scenario.Zones)] }
+// controllerZone is where a controller of a cell stands.
+func (c *cellLayout) controllerZone(i int) string { return c.scenario.Zones[i%len(c.scenario.Zones)] }
 
 // newLayout has take find a port for everything; take is called with the wish of
 // the scenario, 0 if there is none.
@@ -57,10 +57,10 @@
 		return take(wish)
 	}
 	for number := range s.Cells {
-		c := &cellLayout{scenario: s, number: number, controllers: make([]int, s.Controllers), back: make([]int, s.Controllers)}
-		ports := []*int{&c.state, &c.cloud}
+		c := &cellLayout{scenario: s, number: number, controllerPorts: make([]int, s.Controllers), peerPorts: make([]int, s.Controllers)}
+		ports := []*int{&c.statePort, &c.cloudPort}
 		for i := range s.Controllers {
-			ports = append(ports, &c.controllers[i], &c.back[i])
+			ports = append(ports, &c.controllerPorts[i], &c.peerPorts[i])
 		}
 		for _, p := range ports {
 			var err error
@@ -73,28 +73,28 @@
 	return l, nil
 }
 
-// portTaker finds free ports; it holds them all until release, so that they differ.
-type portTaker struct{ held []net.Listener }
+// portAllocator finds free ports; it holds them all until release, so that they differ.
+type portAllocator struct{ listeners []net.Listener }
 
-func (t *portTaker) take(wish int) (int, error) {
+func (t *portAllocator) allocate(wish int) (int, error) {
 	listener, err := net.Listen("tcp4", loopback(wish))
 	if err != nil {
 		return 0, fmt.Errorf("base_port: port %d can't be had: %w", wish, err)
 	}
-	t.held = append(t.held, listener)
+	t.listeners = append(t.listeners, listener)
 	return listener.Addr().(*net.TCPAddr).Port, nil
 }
 
-func (t *portTaker) release() {
-	for _, listener := range t.held {
+func (t *portAllocator) release() {
+	for _, listener := range t.listeners {
 		listener.Close()
 	}
 }
 
-// nodes lists a cell's controllers for workers.
-func (c *cellLayout) nodes() (out []agent.Controller) {
-	for i, port := range c.controllers {
-		out = append(out, agent.Controller{Name: nodeName(i), Address: loopback(port)})
+// controllerAddresses lists a cell's controllers for workers.
+func (c *cellLayout) controllerAddresses() (out []agent.Controller) {
+	for i, port := range c.controllerPorts {
+		out = append(out, agent.Controller{Name: controllerName(i), Address: loopback(port)})
 	}
 	return out
 }
@@ -108,13 +108,13 @@
 // controllerSettings are the settings of a controller of the cell, checked as it will check it.
 func (c *cellLayout) controllerSettings(i int) ([]byte, error) {
 	s := c.scenario
-	settings := &config.Settings{Node: nodeName(i), Zone: c.zone(i), Listen: loopback(c.controllers[i]), Back: loopback(c.back[i]),
-		Services: config.Outside{Cloud: loopback(c.cloud), State: loopback(c.state)},
+	settings := &config.Settings{Node: controllerName(i), Zone: c.controllerZone(i), Listen: loopback(c.controllerPorts[i]), Back: loopback(c.peerPorts[i]),
+		Services: config.Outside{Cloud: loopback(c.cloudPort), State: loopback(c.statePort)},
 		Facts: config.Facts{Count: s.Controllers, Zones: s.Zones, Teams: s.teams(), Workers: s.Periods, State: s.State, Cloud: s.Cloud,
 			Limits: s.Controller, TimeBoundMS: 1}}
-	for k := range c.controllers {
+	for k := range c.controllerPorts {
 		if k != i {
-			settings.Peers = append(settings.Peers, config.Peer{Node: nodeName(k), Zone: c.zone(k), Addr: loopback(c.back[k])})
+			settings.Peers = append(settings.Peers, config.Peer{Node: controllerName(k), Zone: c.controllerZone(k), Addr: loopback(c.peerPorts[k])})
 		}
 	}
 	raw, err := json.MarshalIndent(settings, "", "  ")
@@ -150,7 +150,7 @@
 // stateSettings are the settings of a cell's state service.
 func (c *cellLayout) stateSettings(dir string) statestore.Config {
 	s := statestore.DefaultConfig()
-	s.Listen, s.Dir, s.Metrics = loopback(c.state), dir, true
+	s.Listen, s.Dir, s.Metrics = loopback(c.statePort), dir, true
 	s.Limits = statestore.Limits{RPS: c.scenario.State.RPS, WriteRPS: c.scenario.State.WriteRPS, ValueKB: c.scenario.State.ValueKB, TxnOps: c.scenario.State.TxnOps}
 	return s
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// endPatience is how long a process that was asked to end may take.
-const endPatience = 3 * time.Second
+// endTimeout is how long a process that was asked to end may take.
+const endTimeout = 3 * time.Second
 
 // endProcess ends a process and its group: by SIGTERM, then by SIGKILL.
 func endProcess(cmd *exec.Cmd) {
@@ -26,7 +26,7 @@
 	_ = syscall.Kill(cmd.Process.Pid, syscall.SIGTERM)
 	select {
 	case <-ended:
-	case <-time.After(endPatience):
+	case <-time.After(endTimeout):
 	}
 	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 	<-ended
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -27,19 +27,19 @@
 	name string
 	args []string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	result  ProcessResult
-	before  time.Duration // processor time before it was last started
-	last    usage
-	began   time.Time
-	wanted  bool
-	exited  chan struct{}
-	exitErr error
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	result     ProcessResult
+	earlierCPU time.Duration // processor time before it was last started
+	lastUsage  usage
+	startedAt  time.Time
+	shouldRun  bool
+	exited     chan struct{}
+	exitErr    error
 }
 
-// add starts a process; its output goes to a log in the cell's folder.
-func (r *run) add(c *cellLayout, name string, args ...string) error {
+// addProcess starts a process; its output goes to a log in the cell's folder.
+func (r *run) addProcess(c *cellLayout, name string, args ...string) error {
 	p := &process{name: name, args: args}
 	p.result.Name = name
 	r.processes = append(r.processes, p)
@@ -60,7 +60,7 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.cmd, p.began, p.wanted, p.exited = cmd, time.Now(), true, make(chan struct{})
+	p.cmd, p.startedAt, p.shouldRun, p.exited = cmd, time.Now(), true, make(chan struct{})
 	exited := p.exited
 	go func() {
 		err := cmd.Wait()
@@ -95,18 +95,18 @@
 	if !ok || u.rss == 0 {
 		return 0
 	}
-	p.last = u
+	p.lastUsage = u
 	p.result.PeakMB = max(p.result.PeakMB, float64(u.rss)/(1<<20))
 	return u.rss
 }
 
-// close adds up what an ended process has used.
-func (p *process) close() {
+// accumulateUsage adds up what an ended process has used.
+func (p *process) accumulateUsage() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.before += p.last.cpu
-	p.result.uptimeS += time.Since(p.began).Seconds()
-	p.last = usage{}
+	p.earlierCPU += p.lastUsage.cpu
+	p.result.uptimeS += time.Since(p.startedAt).Seconds()
+	p.lastUsage = usage{}
 	p.cmd = nil
 }
 
@@ -114,7 +114,7 @@
 func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	cmd, exited := p.cmd, p.exited
-	p.wanted = false
+	p.shouldRun = false
 	p.mu.Unlock()
 	if cmd == nil {
 		return
@@ -122,11 +122,11 @@
 	_ = syscall.Kill(cmd.Process.Pid, signal)
 	select {
 	case <-exited:
-	case <-time.After(endPatience):
+	case <-time.After(endTimeout):
 	}
 	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 	<-exited
-	p.close()
+	p.accumulateUsage()
 }
 
 // endAll ends everything: cells first, since their agents are theirs to end.
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -37,8 +37,8 @@
 	return float64(best) / float64(span)
 }
 
-// peakSpan is over how many seconds the peak of starts is taken.
-const peakSpan = 10
+// peakSpanS is over how many seconds the peak of starts is taken.
+const peakSpanS = 10
 
 // Summary is a run's result in a few lines.
 func Summary(r *Result) string {
@@ -50,7 +50,7 @@
 	}
 	fmt.Fprintf(&b, "%s: %d cells of %d hollow workers, %d controllers and %d real agents, %.0f s (%s), %.1f GB of memory at the most\n",
 		s.Name, s.Cells, s.Workers, s.Controllers, s.RealAgents, r.TookS, kind, r.PeakGB)
-	fmt.Fprintf(&b, "starts: %.0f a second over the best %d s\n", r.PeakStarts(peakSpan), peakSpan)
+	fmt.Fprintf(&b, "starts: %.0f a second over the best %d s\n", r.PeakStarts(peakSpanS), peakSpanS)
 	for _, c := range r.Cells {
 		writeCell(&b, c)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -64,10 +64,10 @@
 
 // Times of a run.
 const (
-	startPatience  = 60 * time.Second
+	startTimeout   = 60 * time.Second
 	endMargin      = 30 * time.Second
 	progressPeriod = 5 * time.Second
-	scrapePatience = 2 * time.Second
+	scrapeTimeout  = 2 * time.Second
 )
 
 // spareFiles is how many open files a run needs beside its workers' sockets.
@@ -78,10 +78,10 @@
 	Options
 	layout    *layout
 	processes []*process
-	begun     time.Time
+	startedAt time.Time
 	states    []StateResult
-	peak      uint64
-	mostBytes uint64
+	peakBytes uint64
+	maxBytes  uint64
 }
 
 // Run plays a scenario. What it started is ended when it returns, also when ctx ends.
@@ -90,9 +90,9 @@
 	if err := r.check(); err != nil {
 		return nil, err
 	}
-	taker := &portTaker{}
+	taker := &portAllocator{}
 	var err error
-	r.layout, err = newLayout(o.Scenario, taker.take)
+	r.layout, err = newLayout(o.Scenario, taker.allocate)
 	taker.release()
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	err = r.watch(ctx)
+	err = r.supervise(ctx)
 	r.endAll()
 	result, readErr := r.collect()
 	result.Whole = err == nil
@@ -112,14 +112,14 @@
 func (r *run) check() error {
 	s := r.Scenario
 	most := s.MemoryGB
-	half := float64(totalMemory()) * shareOfMemory / (1 << 30)
+	half := float64(totalMemory()) * maxMemoryShare / (1 << 30)
 	if most == 0 || half > 0 && most > half {
 		most = half
 	}
-	if need := s.ReckonedGB(); most > 0 && need > most {
+	if need := s.EstimatedGB(); most > 0 && need > most {
 		return fmt.Errorf("memory_gb: the scenario is reckoned to take %.1f GB, and %.1f GB is the most (half of the machine's, or what it says)", need, most)
 	}
-	r.mostBytes = uint64(most * (1 << 30))
+	r.maxBytes = uint64(most * (1 << 30))
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
 		if need := uint64(s.Workers + heartbeatConnections(s) + userConnections + spareFiles); files.Cur < need {
@@ -158,25 +158,25 @@
 		}
 	}
 	for _, c := range r.layout.cells {
-		settings := CellSettings{Scenario: r.Scenario, Number: c.number, State: c.state, Cloud: c.cloud, Controllers: c.controllers, Dir: r.cellDir(c)}
+		settings := CellSettings{Scenario: r.Scenario, Number: c.number, State: c.statePort, Cloud: c.cloudPort, Controllers: c.controllerPorts, Dir: r.cellDir(c)}
 		path, err := r.writeYAML(c, "cell.yaml", settings)
 		if err != nil {
 			return err
 		}
-		if err := r.add(c, cellName(c.number), "scale", "cell-process", "--settings", path, "--result", r.resultFile(c)); err != nil {
+		if err := r.addProcess(c, cellName(c.number), "scale", "cell-process", "--settings", path, "--result", r.resultFile(c)); err != nil {
 			return err
 		}
 	}
-	limit, cancel := context.WithTimeout(ctx, startPatience)
+	limit, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, c := range r.layout.cells {
-		for _, port := range c.controllers {
+		for _, port := range c.controllerPorts {
 			if err := awaitUp(limit, loopback(port)); err != nil {
-				return fmt.Errorf("cell %d: a controller is not up within %s; its log is in %s", c.number, startPatience, r.cellDir(c))
+				return fmt.Errorf("cell %d: a controller is not up within %s; its log is in %s", c.number, startTimeout, r.cellDir(c))
 			}
 		}
 	}
-	r.begun = time.Now()
+	r.startedAt = time.Now()
 	return nil
 }
 
@@ -189,8 +189,8 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// writeOperator writes the operators' settings of a cell's controllers.
-func (r *run) writeOperator(c *cellLayout) (string, error) {
+// writeOperatorSettings writes the operators' settings of a cell's controllers.
+func (r *run) writeOperatorSettings(c *cellLayout) (string, error) {
 	raw, err := r.Scenario.operatorSettings()
 	if err != nil {
 		return "", err
@@ -208,23 +208,23 @@
 	if err != nil {
 		return err
 	}
-	if err := r.add(c, fmt.Sprintf("state-%d", c.number), "state", "serve", "--settings", path); err != nil {
+	if err := r.addProcess(c, fmt.Sprintf("state-%d", c.number), "state", "serve", "--settings", path); err != nil {
 		return err
 	}
-	operator, err := r.writeOperator(c)
+	operator, err := r.writeOperatorSettings(c)
 	if err != nil {
 		return err
 	}
-	for i := range c.controllers {
+	for i := range c.controllerPorts {
 		raw, err := c.controllerSettings(i)
 		if err != nil {
 			return err
 		}
-		path := filepath.Join(r.cellDir(c), nodeName(i)+".json")
+		path := filepath.Join(r.cellDir(c), controllerName(i)+".json")
 		if err := os.WriteFile(path, raw, 0o600); err != nil {
 			return err
 		}
-		if err := r.add(c, fmt.Sprintf("controller-%d-%d", c.number, i), "--config", path, "--operator", operator); err != nil {
+		if err := r.addProcess(c, fmt.Sprintf("controller-%d-%d", c.number, i), "--config", path, "--operator", operator); err != nil {
 			return err
 		}
 	}
@@ -254,8 +254,8 @@
 	}
 }
 
-// watch samples, plays the controllers' faults and returns when all cells are done.
-func (r *run) watch(ctx context.Context) error {
+// supervise samples, plays the controllers' faults and returns when all cells are done.
+func (r *run) supervise(ctx context.Context) error {
 	s := r.Scenario
 	for range r.layout.cells {
 		r.states = append(r.states, StateResult{Cell: len(r.states)})
@@ -275,7 +275,7 @@
 			return errors.New("the run was broken off")
 		case <-ticker.C:
 		}
-		took := time.Since(r.begun)
+		took := time.Since(r.startedAt)
 		if err := r.measure(); err != nil {
 			return err
 		}
@@ -291,7 +291,7 @@
 		}
 		if time.Since(lastProgressAt) > progressPeriod {
 			lastProgressAt = time.Now()
-			fmt.Fprintf(r.Out, "%s: %.0f s, at most %.0f s left; %.1f GB of memory\n", s.Name, took.Seconds(), (limit - endMargin - took).Seconds(), float64(r.peak)/(1<<30))
+			fmt.Fprintf(r.Out, "%s: %.0f s, at most %.0f s left; %.1f GB of memory\n", s.Name, took.Seconds(), (limit - endMargin - took).Seconds(), float64(r.peakBytes)/(1<<30))
 		}
 	}
 }
@@ -302,9 +302,9 @@
 	for _, p := range r.processes {
 		sum += p.measure()
 	}
-	r.peak = max(r.peak, sum)
-	if r.mostBytes > 0 && sum > r.mostBytes {
-		return fmt.Errorf("memory_gb: the run takes %.1f GB, more than %.1f GB", float64(sum)/(1<<30), float64(r.mostBytes)/(1<<30))
+	r.peakBytes = max(r.peakBytes, sum)
+	if r.maxBytes > 0 && sum > r.maxBytes {
+		return fmt.Errorf("memory_gb: the run takes %.1f GB, more than %.1f GB", float64(sum)/(1<<30), float64(r.maxBytes)/(1<<30))
 	}
 	return nil
 }
@@ -324,7 +324,7 @@
 func (r *run) restartControllers() error {
 	for _, p := range r.processes {
 		p.mu.Lock()
-		wanted := p.wanted
+		wanted := p.shouldRun
 		p.mu.Unlock()
 		if !wanted || p.alive() || strings.HasPrefix(p.name, "cell-") {
 			continue
@@ -335,16 +335,16 @@
 		p.mu.Lock()
 		p.result.Ended++
 		p.mu.Unlock()
-		p.close()
-		if err := r.launch(p, r.dirOf(p)); err != nil {
+		p.accumulateUsage()
+		if err := r.launch(p, r.controllerDir(p)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// dirOf is the folder of a controller's cell.
-func (r *run) dirOf(p *process) string {
+// controllerDir is the folder of a controller's cell.
+func (r *run) controllerDir(p *process) string {
 	number, _, _ := strings.Cut(strings.TrimPrefix(p.name, "controller-"), "-")
 	return filepath.Join(r.Dir, "cell-"+number)
 }
@@ -352,7 +352,7 @@
 // killControllers kills some controllers of each cell and starts them again.
 func (r *run) killControllers(ctx context.Context, f Fault) {
 	select {
-	case <-time.After(time.Duration(f.AtS*float64(time.Second)) - time.Since(r.begun)):
+	case <-time.After(time.Duration(f.AtS*float64(time.Second)) - time.Since(r.startedAt)):
 	case <-ctx.Done():
 		return
 	}
@@ -380,7 +380,7 @@
 		return
 	}
 	for _, p := range killed {
-		if err := r.launch(p, r.dirOf(p)); err != nil {
+		if err := r.launch(p, r.controllerDir(p)); err != nil {
 			r.Log.Error("a controller can't be started again", "name", p.name, "error", err)
 		}
 	}
@@ -389,17 +389,17 @@
 // scrape reads the state services' counters.
 func (r *run) scrape() {
 	pool := transport.NewPool(len(r.layout.cells))
-	late := time.AfterFunc(scrapePatience, func() { pool.Expire(time.Now().Add(time.Hour)) })
+	late := time.AfterFunc(scrapeTimeout, func() { pool.Expire(time.Now().Add(time.Hour)) })
 	defer late.Stop()
 	for i, c := range r.layout.cells {
-		answer, _, err := pool.Do(loopback(c.state), http.MethodGet, metrics.Path, nil, scrapePatience)
+		answer, _, err := pool.Do(loopback(c.statePort), http.MethodGet, metrics.Path, nil, scrapeTimeout)
 		if err != nil || answer.Status != http.StatusOK {
 			continue
 		}
 		figures := parseMetrics(answer.Body)
 		at := &r.states[i]
 		requests, changes := figures["state_requests"], figures["state_changes"]
-		at.PerS = append(at.PerS, Rates{AtS: time.Since(r.begun).Seconds(), Requests: requests - at.Requests, Changes: changes - at.Changes})
+		at.PerS = append(at.PerS, Rates{AtS: time.Since(r.startedAt).Seconds(), Requests: requests - at.Requests, Changes: changes - at.Changes})
 		at.Requests, at.Changes, at.Refused = requests, changes, figures["state_refused"]
 	}
 	pool.Expire(time.Now().Add(time.Hour))
@@ -426,10 +426,10 @@
 
 // collect reads the cells' results.
 func (r *run) collect() (*Result, error) {
-	out := &Result{Scenario: r.Scenario, Begun: r.begun, TookS: time.Since(r.begun).Seconds(), States: r.states, PeakGB: float64(r.peak) / (1 << 30)}
+	out := &Result{Scenario: r.Scenario, Begun: r.startedAt, TookS: time.Since(r.startedAt).Seconds(), States: r.states, PeakGB: float64(r.peakBytes) / (1 << 30)}
 	for _, p := range r.processes {
 		p.mu.Lock()
-		p.result.CPUS = (p.before + p.last.cpu).Seconds()
+		p.result.CPUS = (p.earlierCPU + p.lastUsage.cpu).Seconds()
 		if p.result.uptimeS > 0 {
 			p.result.CoreMs = 1000 * p.result.CPUS / p.result.uptimeS
 		}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -21,8 +21,8 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if s.Name != name || s.Processes() > maxProcesses || s.ReckonedGB() > 12 {
-			t.Errorf("%s: named %s, %d processes, %.1f GB", name, s.Name, s.Processes(), s.ReckonedGB())
+		if s.Name != name || s.Processes() > maxProcesses || s.EstimatedGB() > 12 {
+			t.Errorf("%s: named %s, %d processes, %.1f GB", name, s.Name, s.Processes(), s.EstimatedGB())
 		}
 	}
 }
@@ -75,7 +75,7 @@
 }
 
 // A run that the machine can't carry is refused before anything is started.
-func TestRunIsRefusedBeforehand(t *testing.T) {
+func TestRunRefusedBeforeStart(t *testing.T) {
 	s, err := LoadScenario("small")
 	if err != nil {
 		t.Fatal(err)
@@ -84,8 +84,8 @@
 	if err := WriteJSON(full+"/x", 1); err != nil {
 		t.Fatal(err)
 	}
-	busy := &portTaker{}
-	port, err := busy.take(0)
+	busy := &portAllocator{}
+	port, err := busy.allocate(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 }
 
 // Each checker sees a break that is seeded.
-func TestCheckerSeesBreaks(t *testing.T) {
+func TestCheckerReportsViolations(t *testing.T) {
 	here, there := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}, &hollow.Machine{Name: "i-2", Type: hollowType, Zone: "b"}
 	key := func(index int) agent.TaskAttempt {
 		return agent.TaskAttempt{Job: "wk-000001", Index: index, Attempt: 1}
@@ -129,45 +129,45 @@
 		ruleRanCancelled: func(c *checker, s *submission) {
 			s.progress.cancelRequested = true
 			c.started(here, key(0))
-			c.answered(s.ID, statusCancelled)
+			c.observeStatus(s.ID, statusCancelled)
 			c.now = func() time.Duration { return time.Hour }
-			c.sweep()
+			c.checkCancelledJobs()
 		},
 		ruleNotDone: func(c *checker, s *submission) {
 			c.started(here, key(0))
 			c.stopped(here, key(0), true)
-			c.answered(s.ID, statusDone)
+			c.observeStatus(s.ID, statusDone)
 		},
 		ruleWentBack: func(c *checker, s *submission) {
 			s.progress.cancelRequested = true
-			c.answered(s.ID, statusCancelled)
-			c.answered(s.ID, "queued")
+			c.observeStatus(s.ID, statusCancelled)
+			c.observeStatus(s.ID, "queued")
 		},
 		ruleForgotten: func(c *checker, s *submission) {
-			c.answered(s.ID, "queued")
-			c.answered(s.ID, "")
+			c.observeStatus(s.ID, "queued")
+			c.observeStatus(s.ID, "")
 		},
-		ruleInvented: func(c *checker, _ *submission) { c.answered("wk-000009", "queued") },
+		ruleInvented: func(c *checker, _ *submission) { c.observeStatus("wk-000009", "queued") },
 	} {
 		c := newChecker(&Scenario{CellSize: CellSize{TeamLimit: 5}}, func() time.Duration { return 0 })
 		c.cancelWithin = time.Minute
 		s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, resources: resources{GPUs: 1}}
 		c.submitted(s)
 		seed(c, s)
-		if broken, first := c.verdict(); broken[rule] == 0 || len(broken) != 1 {
+		if broken, first := c.violations(); broken[rule] == 0 || len(broken) != 1 {
 			t.Errorf("%s: %v %v", rule, broken, first)
 		}
 	}
 }
 
 // A day without a break is not called one.
-func TestCheckerPassesAGoodDay(t *testing.T) {
+func TestCheckerAcceptsValidRun(t *testing.T) {
 	c := newChecker(&Scenario{CellSize: CellSize{TeamLimit: 5}}, func() time.Duration { return 0 })
 	m := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}
 	s := &submission{ID: "wk-000001", Team: "team-0", Tasks: 2, MachineTypes: []string{hollowType}, resources: resources{GPUs: 2}, OneZone: true}
 	c.submitted(s)
-	c.answered(s.ID, "")
-	c.answered(s.ID, "queued")
+	c.observeStatus(s.ID, "")
+	c.observeStatus(s.ID, "queued")
 	for attempt := 1; attempt <= 2; attempt++ { // the first attempt fails, the second one completes
 		for index := range 2 {
 			k := agent.TaskAttempt{Job: s.ID, Index: index, Attempt: attempt}
@@ -175,9 +175,9 @@
 			c.stopped(m, k, attempt == 2)
 		}
 	}
-	c.answered(s.ID, statusDone)
-	c.answered(s.ID, statusDone)
-	if broken, first := c.verdict(); len(broken) > 0 {
+	c.observeStatus(s.ID, statusDone)
+	c.observeStatus(s.ID, statusDone)
+	if broken, first := c.violations(); len(broken) > 0 {
 		t.Errorf("%v %v", broken, first)
 	}
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -146,13 +146,13 @@
 
 // Bounds of a scenario on one machine.
 const (
-	maxCells         = 16
-	maxControllers   = 9
-	maxWorkers       = 25_000
-	maxRealAgents    = 20
-	maxDurationS     = 3600
-	maxProcesses     = 200
-	processesByAgent = 4 // itself, its watchdog, and up to two tasks
+	maxCells          = 16
+	maxControllers    = 9
+	maxWorkers        = 25_000
+	maxRealAgents     = 20
+	maxDurationS      = 3600
+	maxProcesses      = 200
+	processesPerAgent = 4 // itself, its watchdog, and up to two tasks
 )
 
 // Check names the first field that can't be.
@@ -321,20 +321,20 @@
 
 // Processes is how many processes the scenario starts at the most.
 func (s *Scenario) Processes() int {
-	return s.Cells * (2 + s.Controllers + processesByAgent*s.RealAgents)
+	return s.Cells * (2 + s.Controllers + processesPerAgent*s.RealAgents)
 }
 
 // Memory that a run is reckoned to take, in MB. Measured on the shipped scenarios, and rounded up.
 const (
-	mbByWorker    = 0.25
-	mbByCell      = 150
-	mbByAgent     = 40
-	mbByGigabyte  = 1024
-	shareOfMemory = 0.5
+	mbPerWorker    = 0.25
+	mbPerCell      = 150
+	mbPerAgent     = 40
+	mbPerGB        = 1024
+	maxMemoryShare = 0.5
 )
 
-// ReckonedGB is the memory that a run is reckoned to take.
-func (s *Scenario) ReckonedGB() float64 {
-	cell := mbByCell + float64(s.Workers)*mbByWorker + float64(s.Controllers)*s.Controller.RAMMB + float64(s.RealAgents)*mbByAgent
-	return float64(s.Cells) * cell / mbByGigabyte
+// EstimatedGB is the memory that a run is reckoned to take.
+func (s *Scenario) EstimatedGB() float64 {
+	cell := mbPerCell + float64(s.Workers)*mbPerWorker + float64(s.Controllers)*s.Controller.RAMMB + float64(s.RealAgents)*mbPerAgent
+	return float64(s.Cells) * cell / mbPerGB
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -21,11 +21,11 @@
 
 // Users' patience, from the protocol.
 const (
-	answerPatience = 5 * time.Second
-	pollPatience   = 2 * time.Second
-	pollPeriod     = 5 * time.Second
-	retryFor       = 60 * time.Second
-	leastRetry     = time.Second
+	requestTimeout     = 5 * time.Second
+	pollTimeout        = 2 * time.Second
+	pollPeriod         = 5 * time.Second
+	submitRetryTimeout = 60 * time.Second
+	minRetryDelay      = time.Second
 )
 
 // submission is a job as its user sends it, and what the run knows of it.
@@ -61,17 +61,17 @@
 
 // jobPlan is what becomes of a job, as drawn before it is submitted.
 type jobPlan struct {
-	runS   float64 // mean run time of a task
-	seed   uint64
-	real   bool          // its tasks run on real agents
-	endsAt time.Duration // when its user cancels it; 0: never
+	meanRunS float64 // mean run time of a task
+	seed     uint64
+	real     bool          // its tasks run on real agents
+	cancelAt time.Duration // when its user cancels it; 0: never
 }
 
 // jobProgress is what the run knows of a job that was submitted.
 type jobProgress struct {
 	submittedAt     time.Duration  // the first attempt to submit it
 	cancelRequested bool           // its user has asked to cancel it
-	overdue         bool           // the checker has complained already
+	overdueReported bool           // the checker has complained already
 	zones           map[int]string // where the tasks started last, for the checker
 }
 
@@ -94,33 +94,33 @@
 		index = 0
 	}
 	share := rand.New(rand.NewPCG(s.plan.seed, uint64(index))).Float64()
-	return time.Duration(s.plan.runS * (0.5 + share) * float64(time.Second))
+	return time.Duration(s.plan.meanRunS * (0.5 + share) * float64(time.Second))
 }
 
 // users submit a cell's jobs, ask about them and cancel some.
 type users struct {
-	cell    *cell
-	pool    *transport.Pool
-	targets []string // the controllers' addresses
-	random  *rand.Rand
+	cell        *cell
+	pool        *transport.Pool
+	controllers []string // the controllers' addresses
+	random      *rand.Rand
 
-	mu         sync.Mutex
-	jobs       int // made so far
-	nextTarget int // counts the requests to controllers
-	open       map[string]*submission
-	accepted   int
-	givenUp    int
-	finished   int
-	wait       sync.WaitGroup
+	mu           sync.Mutex
+	jobCount     int // made so far
+	requestCount int // counts the requests to controllers
+	openJobs     map[string]*submission
+	accepted     int
+	givenUp      int
+	finished     int
+	followers    sync.WaitGroup
 }
 
 // idDigits is how many digits a job's number has.
 const idDigits = 9
 
 func newUsers(c *cell) *users {
-	u := &users{cell: c, pool: transport.NewPool(userConnections), random: rand.New(rand.NewPCG(c.scenario.Seed, uint64(100+c.layout.number))), open: map[string]*submission{}}
-	for _, n := range c.layout.nodes() {
-		u.targets = append(u.targets, n.Address)
+	u := &users{cell: c, pool: transport.NewPool(userConnections), random: rand.New(rand.NewPCG(c.scenario.Seed, uint64(100+c.layout.number))), openJobs: map[string]*submission{}}
+	for _, n := range c.layout.controllerAddresses() {
+		u.controllers = append(u.controllers, n.Address)
 	}
 	return u
 }
@@ -132,16 +132,16 @@
 func (u *users) newSubmission(l *Load) *submission {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.jobs++
-	s := &submission{ID: fmt.Sprintf("wk-%0*d", idDigits, u.cell.layout.number*10_000_000+u.jobs), Class: l.Class, Team: teamName(u.random.IntN(u.cell.scenario.Teams)),
+	u.jobCount++
+	s := &submission{ID: fmt.Sprintf("wk-%0*d", idDigits, u.cell.layout.number*10_000_000+u.jobCount), Class: l.Class, Team: teamName(u.random.IntN(u.cell.scenario.Teams)),
 		Shape: l.Shape, Priority: l.Urgency, Tasks: l.Tasks, resources: resources{CPUs: l.CPUs, GPUs: l.GPUs, MemoryGB: l.RAM}, Image: fmt.Sprintf("%s-%d", l.Class, u.random.IntN(l.Images)),
 		ImageGB: l.ImageGB, MachineTypes: []string{hollowType}, OneZone: l.OneZone, EstimateS: l.RunS,
-		plan: jobPlan{runS: l.RunS, seed: u.random.Uint64(), real: l.Real}}
+		plan: jobPlan{meanRunS: l.RunS, seed: u.random.Uint64(), real: l.Real}}
 	if l.Real {
 		s.MachineTypes, s.Image = []string{realType}, realImage
 	}
 	if l.Cancelled > 0 && u.random.Float64() < l.Cancelled {
-		s.plan.endsAt = u.cell.now() + time.Duration(u.random.Float64()*(l.RunS+10)*float64(time.Second))
+		s.plan.cancelAt = u.cell.now() + time.Duration(u.random.Float64()*(l.RunS+10)*float64(time.Second))
 	}
 	return s
 }
@@ -154,21 +154,21 @@
 	for i := range s.Load {
 		l := &s.Load[i]
 		for range l.Initial {
-			u.begin(l, stop)
+			u.startJob(l, stop)
 		}
 		if l.PerS > 0 {
 			arrivals.Add(1)
 			go func() {
 				defer arrivals.Done()
-				u.arrive(l, stop)
+				u.submitArrivals(l, stop)
 			}()
 		}
 	}
 	arrivals.Wait()
 }
 
-// arrive submits jobs of a class at drawn times.
-func (u *users) arrive(l *Load, stop <-chan struct{}) {
+// submitArrivals submits jobs of a class at drawn times.
+func (u *users) submitArrivals(l *Load, stop <-chan struct{}) {
 	end := time.Duration(u.cell.scenario.DurationS * float64(time.Second))
 	for {
 		u.mu.Lock()
@@ -179,20 +179,20 @@
 		}
 		select {
 		case <-time.After(wait):
-			u.begin(l, stop)
+			u.startJob(l, stop)
 		case <-stop:
 			return
 		}
 	}
 }
 
-// begin has a user submit a job and follow it.
-func (u *users) begin(l *Load, stop <-chan struct{}) {
+// startJob has a user submit a job and follow it.
+func (u *users) startJob(l *Load, stop <-chan struct{}) {
 	s := u.newSubmission(l)
 	u.cell.checker.submitted(s)
-	u.wait.Add(1)
+	u.followers.Add(1)
 	go func() {
-		defer u.wait.Done()
+		defer u.followers.Done()
 		u.follow(s, stop)
 	}()
 }
@@ -204,12 +204,12 @@
 		return
 	}
 	u.mu.Lock()
-	u.open[s.ID] = s
+	u.openJobs[s.ID] = s
 	u.mu.Unlock()
 	for {
 		wait := pollPeriod
-		if s.plan.endsAt > 0 {
-			wait = min(wait, max(s.plan.endsAt-u.cell.now(), 10*time.Millisecond))
+		if s.plan.cancelAt > 0 {
+			wait = min(wait, max(s.plan.cancelAt-u.cell.now(), 10*time.Millisecond))
 		}
 		select {
 		case <-time.After(wait):
@@ -217,14 +217,14 @@
 			return
 		}
 		var over bool
-		if s.plan.endsAt > 0 && u.cell.now() >= s.plan.endsAt {
+		if s.plan.cancelAt > 0 && u.cell.now() >= s.plan.cancelAt {
 			over = u.cancel(s)
 		} else {
 			over = u.poll(s)
 		}
 		if over {
 			u.mu.Lock()
-			delete(u.open, s.ID)
+			delete(u.openJobs, s.ID)
 			u.finished++
 			u.mu.Unlock()
 			return
@@ -232,38 +232,38 @@
 	}
 }
 
-// target is the next controller's address, round robin.
-func (u *users) target() string {
+// pickController is the next controller's address, round robin.
+func (u *users) pickController() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.nextTarget++
-	return u.targets[u.nextTarget%len(u.targets)]
+	u.requestCount++
+	return u.controllers[u.requestCount%len(u.controllers)]
 }
 
-// ask sends a request and reads the answer's status.
-func (u *users) ask(method, path string, body []byte, patience time.Duration) (code int, status string, retry time.Duration) {
-	r, _, err := u.pool.Do(u.target(), method, path, body, patience)
+// request sends a request and reads the answer's status.
+func (u *users) request(method, path string, body []byte, patience time.Duration) (code int, status string, retry time.Duration) {
+	r, _, err := u.pool.Do(u.pickController(), method, path, body, patience)
 	if err != nil {
-		return 0, "", leastRetry
+		return 0, "", minRetryDelay
 	}
 	var state protocol.JobState
 	_ = json.Unmarshal(r.Body, &state)
-	return r.Status, state.Status, max(leastRetry, time.Duration(r.RetryAfter)*time.Second)
+	return r.Status, state.Status, max(minRetryDelay, time.Duration(r.RetryAfter)*time.Second)
 }
 
 func (u *users) submit(s *submission, stop <-chan struct{}) bool {
 	body := protocol.Encode(s)
 	for {
-		code, status, retry := u.ask(http.MethodPost, protocol.PathJobs, body, answerPatience)
+		code, status, retry := u.request(http.MethodPost, protocol.PathJobs, body, requestTimeout)
 		switch {
 		case code == http.StatusCreated || code == http.StatusOK:
-			u.cell.checker.answered(s.ID, status)
-			u.cell.submitted(u.cell.now() - s.progress.submittedAt)
+			u.cell.checker.observeStatus(s.ID, status)
+			u.cell.recordAcceptance(u.cell.now() - s.progress.submittedAt)
 			u.mu.Lock()
 			u.accepted++
 			u.mu.Unlock()
 			return true
-		case code == http.StatusBadRequest || code == http.StatusUnprocessableEntity || u.cell.now()-s.progress.submittedAt > retryFor:
+		case code == http.StatusBadRequest || code == http.StatusUnprocessableEntity || u.cell.now()-s.progress.submittedAt > submitRetryTimeout:
 			u.mu.Lock()
 			u.givenUp++
 			u.mu.Unlock()
@@ -279,23 +279,23 @@
 
 // poll asks for a job's state and tells whether it is over.
 func (u *users) poll(s *submission) bool {
-	code, status, _ := u.ask(http.MethodGet, protocol.PathJobs+"/"+s.ID, nil, pollPatience)
+	code, status, _ := u.request(http.MethodGet, protocol.PathJobs+"/"+s.ID, nil, pollTimeout)
 	switch code {
 	case http.StatusOK:
-		u.cell.checker.answered(s.ID, status)
+		u.cell.checker.observeStatus(s.ID, status)
 	case http.StatusNotFound:
-		u.cell.checker.answered(s.ID, "")
+		u.cell.checker.observeStatus(s.ID, "")
 	}
 	return code == http.StatusOK && (status == statusDone || status == statusCancelled)
 }
 
 func (u *users) cancel(s *submission) bool {
 	u.cell.checker.cancelRequested(s.ID)
-	code, status, _ := u.ask(http.MethodPost, protocol.PathJobs+"/"+s.ID+"/"+protocol.PathCancel, nil, answerPatience)
+	code, status, _ := u.request(http.MethodPost, protocol.PathJobs+"/"+s.ID+"/"+protocol.PathCancel, nil, requestTimeout)
 	if code != http.StatusOK {
 		return false
 	}
-	u.cell.checker.answered(s.ID, status)
+	u.cell.checker.observeStatus(s.ID, status)
 	return true
 }
 
