--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,10 +1,11 @@
-// Package hollow runs thousands of workers in one process: each speaks the
-// worker's protocol in full (heartbeats, agent epochs, sequence numbers, fencing tokens,
-// leases, direct commands), by the same state machine as the real agent, and runs no programs.
-// Images and tasks take time and nothing else.
+// Package hollow simulates thousands of workers in one process. Each hollow worker speaks the
+// full worker protocol (heartbeats, agent epochs, sequence numbers, fencing tokens, leases,
+// direct commands) with the same state machine as the real agent, but runs no programs:
+// fetching an image and running a task only take time.
 //
-// Gang tasks learn of one another inside the process. Heartbeats share a pool of
-// connections, so a fleet opens fewer of them than as many real machines would.
+// Gang tasks learn the states of their peers inside the process, without requests. Heartbeats
+// share a pool of connections, so a fleet opens fewer connections than as many real machines
+// would.
 package hollow
 
 import (
@@ -22,51 +23,52 @@
 	"silvergate/internal/transport"
 )
 
-// Machine is what a hollow worker pretends to be.
+// Machine describes the machine that a hollow worker simulates.
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
 	Room             agent.Room
-	// PullGBPerS is how fast it fetches images, in GB a second.
+	// PullGBPerS is how fast the machine fetches images, in GB a second.
 	PullGBPerS float64
 }
 
-// Observer learns what happens on the fleet's machines. Calls come from many
-// goroutines.
+// Observer supplies the jobs' descriptions and run times, and is told what happens on the
+// fleet's machines. Its methods are called from many goroutines.
 type Observer interface {
 	// Describe returns a job's description; false: nobody has submitted it.
 	Describe(id string) (*protocol.JobDescription, bool)
-	// RunTime is how long a task runs; 0: until it is stopped.
+	// RunTime returns how long a task runs; 0: until it is stopped.
 	RunTime(id string, index int) time.Duration
-	// Started and Stopped bracket the time for which a task is on a machine. done
-	// tells that it completed.
+	// Started is called when a task starts on a machine, and Stopped when it no longer runs
+	// there. done reports whether it completed.
 	Started(m *Machine, k agent.TaskAttempt)
 	Stopped(m *Machine, k agent.TaskAttempt, done bool)
-	// LeaseEnded tells that a worker's lease ended with live tasks on it.
+	// LeaseEnded is called when a worker's lease ends while it has live tasks.
 	LeaseEnded(m *Machine, tasks int)
 }
 
 // Stats counts what the fleet did.
 type Stats struct {
 	Heartbeats, Answered, Redirected, Refused, Unanswered atomic.Int64
-	// BytesOut and BytesIn are the bodies and about the heads of heartbeats and their answers.
+	// BytesOut and BytesIn are the bytes of heartbeats and of their answers: the bodies, and
+	// headerBytes each as an estimate of the headers.
 	BytesOut, BytesIn atomic.Int64
 	Commands          atomic.Int64
-	ExpiredEpochs     atomic.Int64 // that ended by their lease
-	AnswerNanos       atomic.Int64 // time until answers, of answered heartbeats
+	ExpiredEpochs     atomic.Int64 // agent epochs that ended because their lease did
+	AnswerNanos       atomic.Int64 // total time until the answer, over all answered heartbeats
 }
 
-// headerBytes is about what the head of a request or a response takes.
+// headerBytes is the approximate size of the headers of a request or a response, with its
+// first line.
 const headerBytes = 110
 
 // heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-// expirePeriod is the time between two looks at calls that are late.
+// expirePeriod is how often the fleet looks for heartbeats whose timeout has passed.
 const expirePeriod = 250 * time.Millisecond
 
-// Fleet is a set of hollow workers. It is safe for concurrent use; Close must be
-// called.
+// Fleet is a set of hollow workers. It is safe for concurrent use. The caller must call Close.
 type Fleet struct {
 	Stats Stats
 
@@ -84,14 +86,15 @@
 	closed  bool
 }
 
-// gangAttempt names an attempt of a gang.
+// gangAttempt identifies an attempt of a gang.
 type gangAttempt struct {
 	job     string
 	attempt int
 }
 
-// NewFleet makes an empty fleet that sends heartbeats to the controllers. Workers listen at
-// ports of listenIP, a loopback address; connections bounds how many are open for heartbeats.
+// NewFleet returns an empty fleet, whose workers send heartbeats to the controllers. Workers
+// listen at ports of listenIP, a loopback address. connections bounds how many connections
+// are open for heartbeats.
 func NewFleet(controllers []agent.Controller, periods agent.Periods, listenIP string, connections int, observer Observer) *Fleet {
 	f := &Fleet{controllers: controllers, periods: periods, observer: observer, listenIP: listenIP, startedAt: time.Now(), pool: transport.NewPool(connections),
 		done: make(chan struct{}), workers: map[string]*worker{}, gangs: map[gangAttempt]map[*worker]bool{}}
@@ -99,7 +102,7 @@
 	return f
 }
 
-// expire gives calls up that are late.
+// expire fails the heartbeats whose timeout has passed, until the fleet is closed.
 func (f *Fleet) expire() {
 	ticker := time.NewTicker(expirePeriod)
 	defer ticker.Stop()
@@ -115,16 +118,16 @@
 
 func (f *Fleet) clock() time.Duration { return time.Since(f.startedAt) }
 
-// Add starts a worker. seed determines the worker's random numbers. It fails if no
-// port is free or the fleet is closed.
+// Add starts a worker. seed determines the worker's random numbers. Add fails if no port is
+// free or the fleet is closed.
 func (f *Fleet) Add(m Machine, seed uint64) error {
 	listener, err := net.Listen("tcp4", f.listenIP+":0")
 	if err != nil {
 		return fmt.Errorf("worker %s: %w", m.Name, err)
 	}
 	w := &worker{fleet: f, machine: m, address: listener.Addr().String(), running: map[agent.TaskAttempt]*time.Timer{}, fetchingImages: map[string]bool{}}
-	me := protocol.Heartbeat{Worker: m.Name, Address: w.address, MachineType: m.Type, Zone: m.Zone, Spot: m.Spot}
-	w.state = agent.NewWorker(me, m.Room, f.periods, f.controllers, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
+	identity := protocol.Heartbeat{Worker: m.Name, Address: w.address, MachineType: m.Type, Zone: m.Zone, Spot: m.Spot}
+	w.state = agent.NewWorker(identity, m.Room, f.periods, f.controllers, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: heartbeatTimeout, ErrorLog: nil}
 	f.mu.Lock()
 	if f.closed {
@@ -139,7 +142,7 @@
 	return nil
 }
 
-// Remove ends workers without notice, as machines that are deleted or die.
+// Remove stops workers without notice, like machines that are deleted or fail.
 func (f *Fleet) Remove(names ...string) {
 	for _, name := range names {
 		f.mu.Lock()
@@ -152,8 +155,8 @@
 	}
 }
 
-// Restart ends what runs on a worker and begins its next agent epoch, as a machine
-// whose agent is restarted.
+// Restart ends all tasks of a worker and begins its next agent epoch, like a machine whose
+// agent is restarted.
 func (f *Fleet) Restart(name string) {
 	f.mu.Lock()
 	w := f.workers[name]
@@ -163,7 +166,8 @@
 	}
 }
 
-// Names lists the workers of a zone, or all if zone is empty, in no order.
+// Names returns the names of the workers of a zone, or of all workers if zone is empty, in no
+// particular order.
 func (f *Fleet) Names(zone string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,7 +180,8 @@
 	return out
 }
 
-// Address is where a worker listens, "" if there is none of that name.
+// Address returns the address at which a worker listens, or "" if there is no worker of that
+// name.
 func (f *Fleet) Address(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,8 +191,8 @@
 	return ""
 }
 
-// Running counts the tasks that run now, and the workers that a controller has answered
-// within the last two heartbeat periods.
+// Running returns how many tasks run now, and how many workers a controller has answered with
+// 200 within the last two heartbeat periods.
 func (f *Fleet) Running() (tasks, answered int) {
 	f.mu.Lock()
 	list := make([]*worker, 0, len(f.workers))
@@ -207,7 +212,7 @@
 	return tasks, answered
 }
 
-// Close ends all workers.
+// Close stops all workers.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	f.closed = true
@@ -220,28 +225,29 @@
 	close(f.done)
 }
 
-// joinGang notes that a worker holds a task of a gang's attempt.
+// joinGang records that a worker has a task of a gang's attempt.
 func (f *Fleet) joinGang(w *worker, k agent.TaskAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := gangAttempt{k.Job, k.Attempt}
-	if f.gangs[at] == nil {
-		f.gangs[at] = map[*worker]bool{}
+	key := gangAttempt{k.Job, k.Attempt}
+	if f.gangs[key] == nil {
+		f.gangs[key] = map[*worker]bool{}
 	}
-	f.gangs[at][w] = true
+	f.gangs[key][w] = true
 }
 
-// leaveGang notes that it does not any more.
+// leaveGang records that a worker no longer has a task of a gang's attempt.
 func (f *Fleet) leaveGang(w *worker, k agent.TaskAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := gangAttempt{k.Job, k.Attempt}
-	if delete(f.gangs[at], w); len(f.gangs[at]) == 0 {
-		delete(f.gangs, at)
+	key := gangAttempt{k.Job, k.Attempt}
+	if delete(f.gangs[key], w); len(f.gangs[key]) == 0 {
+		delete(f.gangs, key)
 	}
 }
 
-// gangStates asks the workers of a gangStates's attempt how its tasks are.
+// gangStates returns the states of the tasks of a gang's attempt, by index, as the workers that
+// have these tasks report them.
 func (f *Fleet) gangStates(k agent.TaskAttempt) map[int]string {
 	f.mu.Lock()
 	var list []*worker
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,8 +15,8 @@
 	"silvergate/internal/protocol"
 )
 
-// scriptedController is a controller that answers with a fencing token and the launches it is given, and an
-// observer that counts.
+// scriptedController is a controller and an Observer. It answers heartbeats with a fixed fencing
+// token and fixed commands, or with 503 while silent, and counts what happens to tasks.
 type scriptedController struct {
 	mu         sync.Mutex
 	silent     bool
@@ -75,7 +75,8 @@
 	*n++
 }
 
-// eventually waits until a condition on the script holds.
+// eventually waits until holds returns true, and fails the test after 20 s. It calls holds with
+// s.mu held.
 func (s *scriptedController) eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
@@ -86,11 +87,12 @@
 			return
 		}
 	}
-	t.Fatalf("%s: not within 20 s", what)
+	t.Fatalf("%s: did not happen within 20 s", what)
 }
 
-// A hollow worker starts what it is commanded, reports its end, drops commands under a lower fencing token, and
-// kills everything when its lease ends.
+// TestHollowWorker guards against a hollow worker that breaks the worker protocol. The worker must
+// start the tasks that it is commanded to, report their ends, refuse commands under a lower fencing
+// token, kill all tasks when its lease ends, and begin a new agent epoch then and after a restart.
 func TestHollowWorker(t *testing.T) {
 	s := &scriptedController{token: 7, commands: []protocol.Command{{Verb: protocol.VerbLaunch, Task: "wk-000001/0", Attempt: 1}, {Verb: protocol.VerbLaunch, Task: "wk-000001/1", Attempt: 1}}}
 	controller := httptest.NewServer(s)
@@ -100,34 +102,34 @@
 	if err := f.Add(Machine{Name: "i-1", Type: "hollow", Zone: "a", Room: agent.Room{CPUs: 4, RAM: 4}, PullGBPerS: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually(t, "two started, one done", func() bool { return s.started == 2 && s.done == 1 })
-	s.eventually(t, "the ending is reported", func() bool {
+	s.eventually(t, "two tasks start, one completes", func() bool { return s.started == 2 && s.done == 1 })
+	s.eventually(t, "a heartbeat reports the task that ended", func() bool {
 		last := s.heartbeats[len(s.heartbeats)-1]
 		return last.FencingToken == 7 && len(last.Tasks) == 2 && last.Tasks[0].Status == protocol.TaskEnded && last.Tasks[1].Status == protocol.TaskRunning
 	})
 	if tasks, answered := f.Running(); tasks != 1 || answered != 1 {
-		t.Errorf("%d tasks, %d workers answered", tasks, answered)
+		t.Errorf("got %d running tasks and %d answered workers, want 1 and 1", tasks, answered)
 	}
 	body := protocol.Encode(protocol.DirectCommands{FencingToken: 6, AgentEpoch: 1, Commands: []protocol.Command{{Verb: protocol.VerbKill, Task: "wk-000001/1", Attempt: 1}}})
 	answer, err := http.Post("http://"+f.Address("i-1")+protocol.PathCommands, "application/json", bytes.NewReader(body))
 	if err != nil || answer.StatusCode != http.StatusConflict {
-		t.Errorf("a lower token: %v %v", answer, err)
+		t.Errorf("command with a lower fencing token: got %v and error %v, want status 409", answer, err)
 	}
 	s.mu.Lock()
 	s.silent = true
 	s.mu.Unlock()
-	s.eventually(t, "the lease kills the other", func() bool { return s.killed == 1 && s.stopped == 2 })
+	s.eventually(t, "the other task is killed when the lease ends", func() bool { return s.killed == 1 && s.stopped == 2 })
 	s.mu.Lock()
 	s.silent, s.commands = false, nil
 	s.mu.Unlock()
-	s.eventually(t, "the next session", func() bool {
+	s.eventually(t, "the next agent epoch begins without tasks", func() bool {
 		last := s.heartbeats[len(s.heartbeats)-1]
 		return last.AgentEpoch == 2 && len(last.Tasks) == 0
 	})
 	f.Restart("i-1")
-	s.eventually(t, "the session after a restart", func() bool { return s.heartbeats[len(s.heartbeats)-1].AgentEpoch == 3 })
+	s.eventually(t, "the next agent epoch begins after a restart", func() bool { return s.heartbeats[len(s.heartbeats)-1].AgentEpoch == 3 })
 	f.Remove("i-1")
 	if len(f.Names("")) != 0 || f.Address("i-1") != "" {
-		t.Error("the worker is still there")
+		t.Error("the fleet still has the worker after Remove")
 	}
 }
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -12,7 +12,8 @@
 	"silvergate/internal/transport"
 )
 
-// worker is one hollow worker. Its lock is never held while another one's is taken.
+// worker is one hollow worker. No goroutine that holds one worker's lock takes another
+// worker's lock.
 type worker struct {
 	fleet   *Fleet
 	machine Machine
@@ -23,12 +24,13 @@
 	state          *agent.Worker
 	timer          *time.Timer
 	running        map[agent.TaskAttempt]*time.Timer
-	fetchingImages map[string]bool // being fetched
+	fetchingImages map[string]bool // images being fetched, by name
 	lastAnsweredAt time.Duration   // when a heartbeat was last answered with 200
 	stopped        bool
 }
 
-// step feeds an event to the worker's state machine and carries out what follows.
+// step passes an event to the worker's state machine and applies the effects that it returns.
+// It does nothing once the worker is stopped.
 func (w *worker) step(event func(now time.Duration) agent.Effects) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,7 +39,7 @@
 	}
 }
 
-// applyEffects carries out effects; the lock is held.
+// applyEffects applies the effects of an event. The caller holds w.mu.
 func (w *worker) applyEffects(e agent.Effects) {
 	if e.EndAll {
 		w.leaseExpired()
@@ -69,9 +71,10 @@
 	w.armTimer()
 }
 
-// checkpointStopTime is how long a task takes to end that is asked to save a checkpoint.
+// checkpointStopTime is how long a task takes to end when it is asked to save a checkpoint first.
 const checkpointStopTime = 100 * time.Millisecond
 
+// armTimer sets the timer to the time at which the state machine is next due.
 func (w *worker) armTimer() {
 	wait := max(w.state.Due()-w.fleet.clock(), time.Millisecond)
 	if w.timer == nil {
@@ -81,7 +84,7 @@
 	w.timer.Reset(wait)
 }
 
-// stepAfter steps the worker after a while.
+// stepAfter passes an event to the worker's state machine after a delay.
 func (w *worker) stepAfter(wait time.Duration, event func(now time.Duration) agent.Effects) *time.Timer {
 	return time.AfterFunc(wait, func() { w.step(event) })
 }
@@ -96,7 +99,8 @@
 	})
 }
 
-// registerGangAttempts registers the attempts of a gang that have just been described.
+// registerGangAttempts registers the worker for the attempts of a gang whose description has
+// just come in.
 func (w *worker) registerGangAttempts(id string) {
 	for _, k := range w.state.Attempts(id) {
 		w.fleet.joinGang(w, k)
@@ -115,7 +119,7 @@
 	})
 }
 
-// imageSizeGB is the size of an image that a task here waits for, in GB.
+// imageSizeGB returns the size of an image that a task of this worker needs.
 func (w *worker) imageSizeGB(name string) float64 {
 	for _, d := range w.state.Descriptions() {
 		if d.Image == name {
@@ -135,7 +139,7 @@
 	w.fleet.observer.Started(&w.machine, k)
 }
 
-// endTask ends a task that was asked to, after a while.
+// endTask ends a task that was asked to end, after a delay.
 func (w *worker) endTask(k agent.TaskAttempt, wait time.Duration) {
 	if t := w.running[k]; t != nil {
 		t.Stop()
@@ -143,7 +147,9 @@
 	w.stepAfter(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, false) })
 }
 
-// exited takes that a task's program has ended; the lock is held.
+// exited records that a task's program has ended, by its run time or because it was asked to,
+// and tells the state machine. A gang's task stays registered for GangWait, so that its peers
+// can still learn its state. The caller holds w.mu.
 func (w *worker) exited(now time.Duration, k agent.TaskAttempt, done bool) agent.Effects {
 	if _, here := w.running[k]; !here {
 		return w.state.Tick(now)
@@ -168,7 +174,7 @@
 	w.step(func(now time.Duration) agent.Effects { return w.state.Peers(now, k, states) })
 }
 
-// leaseExpired ends everything, as the lease has; the lock is held.
+// leaseExpired ends all tasks because the lease has ended. The caller holds w.mu.
 func (w *worker) leaseExpired() {
 	_, live := w.state.Count()
 	w.fleet.Stats.ExpiredEpochs.Add(1)
@@ -179,7 +185,7 @@
 	w.stepAfter(time.Millisecond, w.state.EpochEnded)
 }
 
-// endAllTasks ends all tasks at once; the lock is held.
+// endAllTasks ends all tasks at once, and the fetching of images. The caller holds w.mu.
 func (w *worker) endAllTasks() {
 	for k, t := range w.running {
 		if t != nil {
@@ -192,7 +198,7 @@
 	clear(w.fetchingImages)
 }
 
-// restart begins the next agent epoch at once.
+// restart ends all tasks and begins the next agent epoch at once.
 func (w *worker) restart() {
 	w.step(func(now time.Duration) agent.Effects {
 		w.endAllTasks()
@@ -200,7 +206,7 @@
 	})
 }
 
-// stop ends the worker for good.
+// stop ends the worker, its tasks and its server for good.
 func (w *worker) stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -240,7 +246,7 @@
 		}})
 }
 
-// ServeHTTP answers direct commands and questions for the worker's status.
+// ServeHTTP handles direct commands and requests for the worker's status.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody))
 	if err != nil {
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -21,18 +21,19 @@
 	"silvergate/internal/provider"
 )
 
-// CellSettings are the settings of a cell process, in YAML.
+// CellSettings are the settings of a cell process, which it reads from a YAML file.
+// State and Cloud are the ports of the cell's state service and cloud.
 type CellSettings struct {
 	Scenario *Scenario `yaml:"scenario"`
 	Number   int       `yaml:"number"`
 	State    int       `yaml:"state"`
 	Cloud    int       `yaml:"cloud"`
-	// Controllers are their ports for workers and users.
+	// Controllers lists the controllers' ports for workers and users.
 	Controllers []int  `yaml:"controllers"`
 	Dir         string `yaml:"dir"`
 }
 
-// agentProcess is a real agent, with what it was last seen to have used.
+// agentProcess is the process of a real agent, with its uptime and processor time as last measured.
 type agentProcess struct {
 	cmd       *exec.Cmd
 	startedAt time.Time
@@ -40,7 +41,7 @@
 	cpu       time.Duration
 }
 
-// cell is what a cell process holds. It is the observer of its fleet.
+// cell is the state of a cell process. It implements hollow.Observer for its fleet.
 type cell struct {
 	scenario  *Scenario
 	layout    *cellLayout
@@ -58,22 +59,22 @@
 	agents   agentProcesses
 }
 
-// measurements are what a cell has measured so far.
+// measurements holds what a cell has measured so far.
 type measurements struct {
 	samples      []Sample
 	starts       int
-	leaseKilled  int                                // tasks
-	acceptance   *hdrhistogram.Histogram            // from submissions to their acceptance
-	firstStart   map[string]*hdrhistogram.Histogram // from submissions to first tasks, by urgency
-	taskStart    map[string]*hdrhistogram.Histogram // from submissions to each task's first start, by urgency
-	started      map[string]map[int]bool            // tasks that have started, by job
-	workerUptime float64                            // seconds of workers that were up
+	leaseKilled  int                                // tasks killed because a lease ended
+	acceptance   *hdrhistogram.Histogram            // time from submission to acceptance
+	firstStart   map[string]*hdrhistogram.Histogram // time from submission to the job's first task start, by urgency
+	taskStart    map[string]*hdrhistogram.Histogram // time from submission to each task's first start, by urgency
+	started      map[string]map[int]bool            // indexes of the tasks that have started, by job
+	workerUptime float64                            // total uptime of all workers, in seconds
 }
 
-// agentProcesses are a cell's real agents.
+// agentProcesses holds a cell's real agents.
 type agentProcesses struct {
-	running map[string]*agentProcess // by machine
-	all     []*agentProcess          // also those that were ended
+	running map[string]*agentProcess // by machine name
+	all     []*agentProcess          // including those that have ended
 	result  AgentsResult
 }
 
@@ -83,10 +84,10 @@
 	drainPollPeriod = 250 * time.Millisecond
 )
 
-// realImage is the image of the real agents' jobs; its program sleeps.
+// realImage is the image of the jobs that run on real agents. Its program is sleep.
 const realImage = "sleeper"
 
-// RunCell plays one cell's part of a run and returns what it measured. It ends when
+// RunCell runs one cell of a scenario and returns what it measured. It returns when the
 // users are done, or when stop is closed.
 func RunCell(settings CellSettings, self string, log *slog.Logger, stop <-chan struct{}) (*CellResult, error) {
 	s := settings.Scenario
@@ -115,7 +116,8 @@
 	return c.result(), nil
 }
 
-// awaitController waits until a controller serves; users begin then.
+// awaitController waits until every controller is up, and sets the start time from which
+// users and faults are scheduled.
 func (c *cell) awaitController() error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -128,14 +130,15 @@
 	return nil
 }
 
-// heartbeatConnections is how many connections the hollow workers of a cell share.
+// heartbeatConnections is how many connections the hollow workers of a cell share for heartbeats.
 func heartbeatConnections(s *Scenario) int {
 	return s.Controllers * max(16, s.Controller.MaxSockets/4)
 }
 
 func (c *cell) now() time.Duration { return time.Since(c.startedAt) }
 
-// runScenario has users and faults run their time.
+// runScenario submits jobs and injects faults for the scenario's duration. It then waits
+// until the jobs are over, for the drain time at most.
 func (c *cell) runScenario(stop <-chan struct{}) {
 	over := make(chan struct{})
 	go c.sample(over)
@@ -165,7 +168,7 @@
 	c.users.followers.Wait()
 }
 
-// drained tells whether all jobs but services are over.
+// drained reports whether users have seen the end of all accepted jobs, except services.
 func (c *cell) drained() bool {
 	c.users.mu.Lock()
 	defer c.users.mu.Unlock()
@@ -177,7 +180,8 @@
 	return true
 }
 
-// expireCalls gives up users' calls that are late.
+// expireCalls fails the users' calls whose timeout has passed, and at the end of the run
+// all calls.
 func (c *cell) expireCalls(over <-chan struct{}) {
 	ticker := time.NewTicker(drainPollPeriod)
 	defer ticker.Stop()
@@ -192,7 +196,7 @@
 	}
 }
 
-// sample notes the cell's state once a second.
+// sample records the cell's state once a second.
 func (c *cell) sample(over <-chan struct{}) {
 	ticker := time.NewTicker(samplePeriod)
 	defer ticker.Stop()
@@ -214,7 +218,8 @@
 	}
 }
 
-// measureAgents notes what the real agents have used so far; the lock is held.
+// measureAgents records the memory and processor time that the real agents have used so
+// far. The caller holds c.mu.
 func (c *cell) measureAgents() {
 	for _, a := range c.agents.running {
 		if u, ok := readUsage(a.cmd.Process.Pid); ok {
@@ -224,7 +229,7 @@
 	}
 }
 
-// agentsResult sums up what the real agents have used; the lock is held.
+// agentsResult sums up what the real agents have used. The caller holds c.mu.
 func (c *cell) agentsResult() AgentsResult {
 	var uptime, cpu time.Duration
 	for _, a := range c.agents.all {
@@ -236,7 +241,8 @@
 	return c.agents.result
 }
 
-// scheduleFaults plays those of the workers; the caller of the run plays those of the controllers.
+// scheduleFaults injects the faults of workers at their times. The process that started
+// the run injects the faults of controllers.
 func (c *cell) scheduleFaults(over <-chan struct{}) {
 	for i := range c.scenario.Faults {
 		f := c.scenario.Faults[i]
@@ -253,6 +259,8 @@
 	}
 }
 
+// injectFault removes a share of a zone's workers at once, or restarts them one after the
+// other over the fault's ForS.
 func (c *cell) injectFault(f Fault, over <-chan struct{}) {
 	names := c.fleet.Names(f.Zone)
 	slices.Sort(names)
@@ -268,13 +276,13 @@
 		select {
 		case <-time.After(time.Duration(f.ForS / float64(len(names)) * float64(time.Second))):
 		case <-over:
-			c.log.Info("the run ended in a rolling restart", "restarted", i+1)
+			c.log.Info("the run ended during a rolling restart", "restarted", i+1)
 			return
 		}
 	}
 }
 
-// boot brings a machine up: a hollow worker, or a real agent.
+// boot starts a hollow worker or a real agent, by the machine's type, and returns its address.
 func (c *cell) boot(m provider.Machine) (string, error) {
 	if m.MachineType == realType {
 		return c.bootAgent(m)
@@ -285,11 +293,11 @@
 	return c.fleet.Address(m.Name), err
 }
 
-// bootAgent starts a real agent as a process. It ends with this one.
+// bootAgent starts a real agent as a process. The kernel ends that process when this one ends.
 func (c *cell) bootAgent(m provider.Machine) (string, error) {
-	taker := &portAllocator{}
-	port, err := taker.allocate(0)
-	taker.release()
+	allocator := &portAllocator{}
+	port, err := allocator.allocate(0)
+	allocator.release()
 	if err != nil {
 		return "", err
 	}
@@ -299,7 +307,7 @@
 	cfg.Dir = filepath.Join(c.dir, "agents", m.Name)
 	cfg.Controllers, cfg.Workers = c.layout.controllerAddresses(), c.layout.periods()
 	cfg.Room = agent.Room{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}
-	image := filepath.Join(c.dir, "image") // empty: the program is the system's own
+	image := filepath.Join(c.dir, "image") // an empty folder: sleep is the system's own program
 	if err := os.MkdirAll(image, 0o700); err != nil {
 		return "", err
 	}
@@ -335,7 +343,7 @@
 	return cfg.Listen, nil
 }
 
-// realTaskSeconds is how long a program of the real agents sleeps.
+// realTaskSeconds is how long the program of a task on a real agent sleeps.
 func (c *cell) realTaskSeconds() float64 {
 	for i := range c.scenario.Load {
 		if c.scenario.Load[i].Real {
@@ -345,7 +353,7 @@
 	return 1
 }
 
-// remove ends machines that were deleted.
+// remove stops the hollow workers and real agents of machines that were deleted.
 func (c *cell) remove(names []string) {
 	c.fleet.Remove(names...)
 	for _, name := range names {
@@ -369,13 +377,14 @@
 	c.remove(names)
 }
 
-// Describe returns a job's description.
+// Describe returns a job's description; false: nobody has submitted it.
 func (c *cell) Describe(id string) (*protocol.JobDescription, bool) { return c.checker.describe(id) }
 
-// RunTime is how long a task runs.
+// RunTime returns how long a task runs; 0: until it is stopped.
 func (c *cell) RunTime(id string, index int) time.Duration { return c.checker.runTime(id, index) }
 
-// Started takes that a task runs.
+// Started checks the start of a task against the rules and records how long after its
+// job's submission it came.
 func (c *cell) Started(m *hollow.Machine, k agent.TaskAttempt) {
 	nth := c.checker.started(m, k)
 	s := c.checker.submission(k.Job)
@@ -398,19 +407,19 @@
 	}
 }
 
-// Stopped takes that a task is gone.
+// Stopped tells the checker that a task no longer runs on a machine.
 func (c *cell) Stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) {
 	c.checker.stopped(m, k, done)
 }
 
-// LeaseEnded counts tasks that a lease has killed.
+// LeaseEnded counts tasks that were killed because a worker's lease ended.
 func (c *cell) LeaseEnded(_ *hollow.Machine, tasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.measured.leaseKilled += tasks
 }
 
-// recordAcceptance takes how long a submission took to be accepted.
+// recordAcceptance records how long a submission took to be accepted.
 func (c *cell) recordAcceptance(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/cell_result.go
+++ b/internal/scale/cell_result.go
@@ -8,18 +8,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Sample is a cell's state at a moment.
+// Sample is a cell's state at a moment, AtS seconds after its users began. Starts, Reports
+// and LeaseKilled are totals since then.
 type Sample struct {
 	AtS         float64 `json:"atS"`
-	Starts      int     `json:"starts"`    // so far
-	Running     int     `json:"running"`   // tasks
-	Workers     int     `json:"workers"`   // that are up
-	Answered    int     `json:"answered"`  // of them, within two heartbeat periods
-	Reports     int64   `json:"reports"`   // so far
-	LeaseKilled int     `json:"leaseKill"` // tasks killed by leases, so far
+	Starts      int     `json:"starts"`    // task starts
+	Running     int     `json:"running"`   // tasks that run
+	Workers     int     `json:"workers"`   // workers that are up
+	Answered    int     `json:"answered"`  // workers whose heartbeat was answered within the last two heartbeat periods
+	Reports     int64   `json:"reports"`   // heartbeats sent
+	LeaseKilled int     `json:"leaseKill"` // tasks killed because a lease ended
 }
 
-// Latency is a histogram in short, in milliseconds.
+// Latency summarizes a histogram of times, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50Ms"`
@@ -41,30 +42,31 @@
 	LeaseKilled   int                `json:"leaseKilled"`
 	Sessions      int64              `json:"sessions"`
 	Submit        Latency            `json:"submit"`
-	FirstStart    map[string]Latency `json:"firstStart"` // submission to a job's first task, by urgency
-	TaskStart     map[string]Latency `json:"taskStart"`  // submission to each task's first start, by urgency
+	FirstStart    map[string]Latency `json:"firstStart"` // from submission to the job's first task start, by urgency
+	TaskStart     map[string]Latency `json:"taskStart"`  // from submission to each task's first start, by urgency
 	Reports       int64              `json:"reports"`
-	Answers       map[string]int64   `json:"answers"`       // to heartbeats, by kind
-	AnswerMs      float64            `json:"answerMs"`      // mean time until a heartbeat's answer
-	BytesPerS     float64            `json:"bytesPerS"`     // of a worker, both ways, mean
-	CloudRequests int                `json:"cloudRequests"` // and how many of them were refused
+	Answers       map[string]int64   `json:"answers"`       // outcomes of heartbeats, by kind
+	AnswerMs      float64            `json:"answerMs"`      // mean time until a heartbeat is answered
+	BytesPerS     float64            `json:"bytesPerS"`     // mean heartbeat traffic of a worker, both ways
+	CloudRequests int                `json:"cloudRequests"` // requests to the cloud, of which CloudRefused were refused
 	CloudRefused  int                `json:"cloudRefused"`
-	// Agents is what the real agents have used.
+	// Agents is what the cell's real agents have used.
 	Agents AgentsResult `json:"agents"`
 }
 
-// AgentsResult is what a cell's real agents have used, themselves and without their tasks.
+// AgentsResult is what the processes of a cell's real agents have used, without their tasks.
 type AgentsResult struct {
 	Count  int     `json:"count"`
-	CoreMs float64 `json:"coreMs"` // processor time for each second that they were up, in ms, of all together
-	PeakMB float64 `json:"peakMb"` // of the largest
+	CoreMs float64 `json:"coreMs"` // mean of all agents: processor time for each second of uptime, in ms
+	PeakMB float64 `json:"peakMb"` // resident memory of the largest agent
 }
 
-// maxLatency is the maxLatency time that histograms hold.
+// maxLatency is the longest time that a histogram records. Longer times count as this long.
 const maxLatency = time.Hour
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency.Microseconds(), 3) }
 
+// clampMicros returns d in microseconds, within the range of the histograms.
 func clampMicros(d time.Duration) int64 {
 	return min(max(1, d.Microseconds()), maxLatency.Microseconds())
 }
@@ -89,7 +91,7 @@
 	return out
 }
 
-// result sums a cell up.
+// result returns what the cell has measured.
 func (c *cell) result() *CellResult {
 	accepted, givenUp, finished := c.users.counts()
 	broken, first := c.checker.violations()
@@ -109,7 +111,8 @@
 	return r
 }
 
-// WriteJSON writes a value to a file that appears whole.
+// WriteJSON writes a value to a file as JSON. It writes another file and renames it, so
+// that a reader never sees a part of the value.
 func WriteJSON(path string, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/protocol"
 )
 
-// Rules that the checker knows, by the protocol's names.
+// Rules that the checker checks, by their names in the protocol.
 const (
 	ruleRanTwice     = "ran_twice"
 	ruleQuota        = "quota"
@@ -22,32 +22,33 @@
 	ruleInvented     = "invented"
 )
 
-// checker holds a cell's users and hollow workers to the protocol's rules. Tasks of
-// real agents are not seen by it. It may be called from many goroutines.
+// checker checks what a cell's users and hollow workers see against the protocol's rules.
+// It does not see tasks on real agents. It is safe for concurrent use.
 //
-// A task counts as on its machine while it runs; the wait of a gang's task for the
-// others, with its image there, is not counted, which errs towards missing a broken quota.
+// A task counts as on its machine, and against its team's quota, while it runs. A gang task
+// that has its image and still waits for its peers is not counted, so the checker may
+// miss a broken quota.
 type checker struct {
 	cancelWithin time.Duration
-	teamLimit    float64 // of each team, in accelerators; 0: none
+	teamLimit    float64 // limit of each team, in accelerators; 0: none
 	now          func() time.Duration
 
 	mu              sync.Mutex
 	jobs            map[string]*jobRecord
-	teams           map[string]float64 // accelerators in use
+	teams           map[string]float64 // accelerators in use, by team
 	violationCounts map[string]int
 	firstViolations []string
 }
 
-// jobRecord is what the checker knows of a job.
+// jobRecord is what the checker knows about a job.
 type jobRecord struct {
 	spec        *submission
 	accepted    bool
-	final       string         // the last status that a user saw of a job that is over
-	cancelled   bool           // its user saw that
-	cancelledAt time.Duration  // when a user first heard so
-	runningOn   map[int]string // where each task runs
-	completed   map[int]bool   // tasks that completed
+	final       string         // the final status that a user last saw; empty: none so far
+	cancelled   bool           // a user has seen that the job is cancelled
+	cancelledAt time.Duration  // when a user first saw that
+	runningOn   map[int]string // the machine that each running task is on, by task index
+	completed   map[int]bool   // indexes of the tasks that completed
 	starts      int
 }
 
@@ -56,10 +57,11 @@
 		jobs: map[string]*jobRecord{}, teams: map[string]float64{}, violationCounts: map[string]int{}}
 }
 
-// maxDescribedViolations bounds how many breaks are described.
+// maxDescribedViolations bounds how many violations are described. All are counted.
 const maxDescribedViolations = 20
 
-// recordViolation notes a broken rule; the lock is held.
+// recordViolation counts a broken rule and describes it, up to the bound. The caller holds
+// c.mu.
 func (c *checker) recordViolation(rule, format string, args ...any) {
 	c.violationCounts[rule]++
 	if len(c.firstViolations) < maxDescribedViolations {
@@ -67,15 +69,15 @@
 	}
 }
 
-// submitted notes a job before it is submitted for the first time.
+// submitted records a job before it is submitted for the first time.
 func (c *checker) submitted(s *submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[s.ID] = &jobRecord{spec: s, runningOn: map[int]string{}, completed: map[int]bool{}}
 }
 
-// started takes that a task runs on a machine; it returns how many of the job's
-// tasks have started so far.
+// started records that a task started on a machine, and checks the rules. It returns how
+// often tasks of the job have started so far.
 func (c *checker) started(m *hollow.Machine, k agent.TaskAttempt) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +103,8 @@
 	return j.starts
 }
 
-// checkPlacement judges a start by the job's own demands; the lock is held.
+// checkPlacement checks a task's machine against what the job asked for: the machine type,
+// spot machines and one zone. The caller holds c.mu.
 func (c *checker) checkPlacement(j *jobRecord, m *hollow.Machine, k agent.TaskAttempt) {
 	if j.spec.progress.zones == nil {
 		j.spec.progress.zones = map[int]string{}
@@ -120,7 +123,7 @@
 	j.spec.progress.zones[k.Index] = m.Zone
 }
 
-// stopped takes that a task is gone from its machine.
+// stopped records that a task no longer runs on a machine. done reports whether it completed.
 func (c *checker) stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +138,8 @@
 	}
 }
 
-// observeStatus takes what a user sees of a job: the status of a 200, or "" for a 404.
+// observeStatus checks what a user sees of a job: the status in a 200 response, or "" for
+// a 404.
 func (c *checker) observeStatus(id, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +162,7 @@
 	}
 	switch status {
 	case statusDone:
-		// A task on a real agent is not seen; its completion can't be judged.
+		// The checker does not see tasks on real agents, so it can't check that they completed.
 		if missing := j.spec.Tasks - len(j.completed); missing > 0 && !j.spec.plan.real {
 			c.recordViolation(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
 		}
@@ -174,7 +178,8 @@
 	}
 }
 
-// checkCancelledJobs looks for tasks of cancelled jobs that outlive the time that they may have.
+// checkCancelledJobs checks that no task of a cancelled job still runs cancelWithin after a
+// user saw that the job is cancelled. It reports a job at most once.
 func (c *checker) checkCancelledJobs() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +191,7 @@
 	}
 }
 
-// describe is the job's description, for workers.
+// describe returns the job's description for workers; false: nobody has submitted it.
 func (c *checker) describe(id string) (*protocol.JobDescription, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +201,7 @@
 	return nil, false
 }
 
-// runTime is how long a task runs.
+// runTime returns how long a task runs; 0: until it is stopped, or nobody has submitted it.
 func (c *checker) runTime(id string, index int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +211,7 @@
 	return 0
 }
 
-// cancelRequested notes that a job's user asks to cancel it.
+// cancelRequested records that a job's user asks to cancel it.
 func (c *checker) cancelRequested(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,14 +220,15 @@
 	}
 }
 
-// violations lists the broken rules with their counts, and the first breaks in words.
+// violations returns how often each broken rule was broken, and descriptions of the first
+// violations.
 func (c *checker) violations() (map[string]int, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.violationCounts, c.firstViolations
 }
 
-// submission is a job's, nil if nobody has submitted it.
+// submission returns a job's submission, or nil if nobody has submitted it.
 func (c *checker) submission(id string) *submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -16,8 +16,9 @@
 	"silvergate/internal/provider"
 )
 
-// cloud is the stand-in for the cloud: the decisions are the local cloud's market, its
-// machines are hollow workers, or real agents of their own type.
+// cloud simulates the cloud that controllers rent machines from. The local cloud's market
+// decides on rentals. The machines are hollow workers, or real agents, which have a machine
+// type of their own.
 type cloud struct {
 	log          *slog.Logger
 	boot         func(m provider.Machine) (address string, err error)
@@ -43,7 +44,7 @@
 		market: provider.NewMarket(types, provider.Spot{}, s.Cloud.RPS, nil, nil, 0, rand.New(rand.NewPCG(seed, 1)))}
 }
 
-// spread shares machines out over zones, as evenly as it goes.
+// spread distributes machines over zones as evenly as possible.
 func spread(count int, zones []string) map[string]int {
 	out := map[string]int{}
 	for i, zone := range zones {
@@ -52,7 +53,7 @@
 	return out
 }
 
-// serve answers at an address until close.
+// serve starts an HTTP server at an address. It serves until close is called.
 func (c *cloud) serve(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -70,7 +71,7 @@
 	_ = c.server.Close()
 }
 
-// ServeHTTP answers the controllers.
+// ServeHTTP answers the controllers' requests.
 func (c *cloud) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody))
 	if err != nil {
@@ -109,7 +110,7 @@
 	return http.StatusNotFound, protocol.ErrorResponse{Error: "no such path"}
 }
 
-// rent grants a request; the machines come up after their boot time.
+// rent handles a rental request. Rented machines boot after the startup delay.
 func (c *cloud) rent(now time.Time, body []byte) (int, any) {
 	var r protocol.RentalRequest
 	if err := json.Unmarshal(body, &r); err != nil || r.Count < 1 || r.Count > 50 {
@@ -130,7 +131,8 @@
 	return http.StatusOK, protocol.MachineNames{Machines: names}
 }
 
-// bootMachine brings a machine up, unless it was deleted meanwhile.
+// bootMachine boots a machine and marks it as up in the market, unless the cloud has been
+// closed meanwhile.
 func (c *cloud) bootMachine(m provider.Machine) {
 	c.mu.Lock()
 	closed := c.closed
@@ -142,12 +144,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.log.Error("a machine does not come up", "machine", m.Name, "error", err)
+		c.log.Error("machine failed to boot", "machine", m.Name, "error", err)
 		return
 	}
 	c.market.Up(m.Name, address)
 }
 
+// delete ends machines at the controllers' request.
 func (c *cloud) delete(now time.Time, body []byte) (int, any) {
 	var names protocol.MachineNames
 	if err := json.Unmarshal(body, &names); err != nil || len(names.Machines) > 100 {
@@ -161,7 +164,7 @@
 	return http.StatusOK, struct{}{}
 }
 
-// machinesLost takes that machines are gone without anybody having asked for it.
+// machinesLost records in the market that machines have ended without a request to delete them.
 func (c *cloud) machinesLost(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -12,23 +12,23 @@
 	"silvergate/internal/statestore"
 )
 
-// layout says where everything of a run listens.
+// layout holds the ports at which the processes of a run listen.
 type layout struct {
 	scenario *Scenario
 	cells    []*cellLayout
 }
 
-// cellLayout is one cell's part of it.
+// cellLayout holds the ports of one cell.
 type cellLayout struct {
 	scenario        *Scenario
 	number          int
-	statePort       int // ports
+	statePort       int
 	cloudPort       int
 	controllerPorts []int
 	peerPorts       []int
 }
 
-// Machine types of a run.
+// Machine types of a run: that of the hollow workers and that of the real agents.
 const (
 	hollowType = "hollow"
 	realType   = "real"
@@ -36,25 +36,26 @@
 
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// workerIP is where a cell's hollow workers listen.
+// workerIP is the loopback address at which a cell's hollow workers listen. Each cell has
+// its own.
 func (c *cellLayout) workerIP() string { return fmt.Sprintf("127.0.%d.1", 1+c.number) }
 
 func controllerName(i int) string { return fmt.Sprintf("stoker-%d", i) }
 
-// controllerZone is where a controller of a cell stands.
+// controllerZone is the zone of a cell's controller i. Controllers are assigned to zones in turn.
 func (c *cellLayout) controllerZone(i int) string { return c.scenario.Zones[i%len(c.scenario.Zones)] }
 
-// newLayout has take find a port for everything; take is called with the wish of
-// the scenario, 0 if there is none.
-func newLayout(s *Scenario, take func(wish int) (int, error)) (*layout, error) {
+// newLayout assigns a port to everything that listens. It calls allocate for each port, with
+// the port number that follows from the scenario's base_port, or 0 for any free port.
+func newLayout(s *Scenario, allocate func(requested int) (int, error)) (*layout, error) {
 	l := &layout{scenario: s}
 	next := s.BasePort
 	port := func() (int, error) {
-		wish := next
+		requested := next
 		if next > 0 {
 			next++
 		}
-		return take(wish)
+		return allocate(requested)
 	}
 	for number := range s.Cells {
 		c := &cellLayout{scenario: s, number: number, controllerPorts: make([]int, s.Controllers), peerPorts: make([]int, s.Controllers)}
@@ -73,13 +74,13 @@
 	return l, nil
 }
 
-// portAllocator finds free ports; it holds them all until release, so that they differ.
+// portAllocator finds free ports. It keeps them all bound until release, so that they differ.
 type portAllocator struct{ listeners []net.Listener }
 
-func (t *portAllocator) allocate(wish int) (int, error) {
-	listener, err := net.Listen("tcp4", loopback(wish))
+func (t *portAllocator) allocate(requested int) (int, error) {
+	listener, err := net.Listen("tcp4", loopback(requested))
 	if err != nil {
-		return 0, fmt.Errorf("base_port: port %d can't be had: %w", wish, err)
+		return 0, fmt.Errorf("base_port: port %d can't be had: %w", requested, err)
 	}
 	t.listeners = append(t.listeners, listener)
 	return listener.Addr().(*net.TCPAddr).Port, nil
@@ -91,7 +92,7 @@
 	}
 }
 
-// controllerAddresses lists a cell's controllers for workers.
+// controllerAddresses returns the names and addresses of a cell's controllers, for its workers.
 func (c *cellLayout) controllerAddresses() (out []agent.Controller) {
 	for i, port := range c.controllerPorts {
 		out = append(out, agent.Controller{Name: controllerName(i), Address: loopback(port)})
@@ -99,13 +100,14 @@
 	return out
 }
 
-// periods are the workers' own.
+// periods returns the scenario's periods that workers use.
 func (c *cellLayout) periods() agent.Periods {
 	p := &c.scenario.Periods
 	return agent.Periods{Heartbeat: p.Report, Lease: p.Lease, GangWait: p.GangWait, GangPeer: p.GangPeer}
 }
 
-// controllerSettings are the settings of a controller of the cell, checked as it will check it.
+// controllerSettings returns the settings of a controller of the cell. It checks them with
+// the parser that the controller uses.
 func (c *cellLayout) controllerSettings(i int) ([]byte, error) {
 	s := c.scenario
 	settings := &config.Settings{Node: controllerName(i), Zone: c.controllerZone(i), Listen: loopback(c.controllerPorts[i]), Back: loopback(c.peerPorts[i]),
@@ -125,7 +127,8 @@
 	return raw, err
 }
 
-// operatorSettings are the operators' settings of the controllers, checked as they will check it.
+// operatorSettings returns the operators' settings of the controllers. It checks them with
+// the parser that the controllers use.
 func (s *Scenario) operatorSettings() ([]byte, error) {
 	raw, err := yaml.Marshal(s.Operator)
 	if err != nil {
@@ -137,7 +140,7 @@
 	return raw, nil
 }
 
-// teams are the cell's teams.
+// teams returns the cell's teams with their limits.
 func (s *Scenario) teams() (out []config.Team) {
 	for i := range s.Teams {
 		out = append(out, config.Team{Name: teamName(i), GPUsMax: s.TeamLimit})
@@ -147,7 +150,7 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
 
-// stateSettings are the settings of a cell's state service.
+// stateSettings returns the settings of a cell's state service, which stores its data in dir.
 func (c *cellLayout) stateSettings(dir string) statestore.Config {
 	s := statestore.DefaultConfig()
 	s.Listen, s.Dir, s.Metrics = loopback(c.statePort), dir, true
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// endTimeout is how long a process that was asked to end may take.
+// endTimeout is how long a process may take to end after a signal before SIGKILL.
 const endTimeout = 3 * time.Second
 
-// endProcess ends a process and its group: by SIGTERM, then by SIGKILL.
+// endProcess ends a process and its process group. It sends SIGTERM to the process, waits up
+// to endTimeout, and then sends SIGKILL to the group.
 func endProcess(cmd *exec.Cmd) {
 	if cmd.Process == nil {
 		return
@@ -32,7 +33,7 @@
 	<-ended
 }
 
-// usage is what a process has used so far.
+// usage is the processor time that a process has used so far, and its resident memory.
 type usage struct {
 	cpu time.Duration
 	rss uint64 // bytes
@@ -41,7 +42,7 @@
 // ticksPerSecond is the unit of processor time in /proc (USER_HZ).
 const ticksPerSecond = 100
 
-// readUsage reads a process's use; ok is false when it is gone.
+// readUsage reads the usage of a process from /proc. ok is false if the process is gone.
 func readUsage(pid int) (u usage, ok bool) {
 	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
@@ -49,7 +50,7 @@
 	}
 	_, rest, found := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
-	const user, system, pages = 11, 12, 21 // after the name, see proc(5)
+	const user, system, pages = 11, 12, 21 // field indexes after the process name, see proc(5)
 	if !found || len(fields) <= pages {
 		return u, false
 	}
@@ -62,7 +63,7 @@
 	return u, true
 }
 
-// totalMemory is the machine's, in bytes; 0 if it can't be read.
+// totalMemory returns the machine's memory in bytes, or 0 if it can't be read.
 func totalMemory() uint64 {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -17,12 +17,12 @@
 	CPUS    float64 `json:"cpuS"`
 	CoreMs  float64 `json:"coreMs"` // processor time for each second that it was up, in ms
 	PeakMB  float64 `json:"peakMb"`
-	Ended   int     `json:"ended"` // by itself
+	Ended   int     `json:"ended"` // how often the process ended by itself
 	Killed  int     `json:"killed"`
 	uptimeS float64
 }
 
-// process is a part of a run.
+// process is one of the processes of a run. It may be started several times.
 type process struct {
 	name string
 	args []string
@@ -30,7 +30,7 @@
 	mu         sync.Mutex
 	cmd        *exec.Cmd
 	result     ProcessResult
-	earlierCPU time.Duration // processor time before it was last started
+	earlierCPU time.Duration // processor time of all starts before the latest
 	lastUsage  usage
 	startedAt  time.Time
 	shouldRun  bool
@@ -38,7 +38,8 @@
 	exitErr    error
 }
 
-// addProcess starts a process; its output goes to a log in the cell's folder.
+// addProcess adds a process to the run and starts it. Its output goes to a log file in the
+// cell's folder.
 func (r *run) addProcess(c *cellLayout, name string, args ...string) error {
 	p := &process{name: name, args: args}
 	p.result.Name = name
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// alive tells whether a process runs.
+// alive reports whether the process runs.
 func (p *process) alive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// measure notes what the process has used and returns its resident memory.
+// measure records what the process has used and returns its resident memory in bytes.
 func (p *process) measure() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +101,8 @@
 	return u.rss
 }
 
-// accumulateUsage adds up what an ended process has used.
+// accumulateUsage adds the last measured processor time and the uptime of a process that has
+// ended to its totals.
 func (p *process) accumulateUsage() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +112,8 @@
 	p.cmd = nil
 }
 
-// end ends a process by the signal and, if it takes too long, by force.
+// end ends a process: it sends the signal, waits up to endTimeout, and then sends SIGKILL to
+// the process group. restartControllers does not start the process again.
 func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	cmd, exited := p.cmd, p.exited
@@ -129,7 +132,7 @@
 	p.accumulateUsage()
 }
 
-// endAll ends everything: cells first, since their agents are theirs to end.
+// endAll ends all processes: the cell processes first, since they end their own real agents.
 func (r *run) endAll() {
 	var wait sync.WaitGroup
 	for _, first := range []bool{true, false} {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// ResultFile is where a run's result is, in its folder.
+// ResultFile is the name of the result's file in a run's folder.
 const ResultFile = "result.json"
 
 // WriteResult writes a run's result into its folder.
@@ -16,14 +16,15 @@
 	return WriteJSON(filepath.Join(dir, ResultFile), r)
 }
 
-// PeakStarts is the most task starts of all cells in a span of so many seconds, a second.
+// PeakStarts returns the highest rate of task starts of all cells together, in starts a
+// second, over any span seconds.
 func (r *Result) PeakStarts(span int) float64 {
 	bySecond := map[int]int{}
 	for _, c := range r.Cells {
-		before := 0
+		previous := 0
 		for _, s := range c.Samples {
-			bySecond[int(s.AtS)] += s.Starts - before
-			before = s.Starts
+			bySecond[int(s.AtS)] += s.Starts - previous
+			previous = s.Starts
 		}
 	}
 	best := 0
@@ -37,10 +38,10 @@
 	return float64(best) / float64(span)
 }
 
-// peakSpanS is over how many seconds the peak of starts is taken.
+// peakSpanS is the span of the peak rate of starts, in seconds.
 const peakSpanS = 10
 
-// Summary is a run's result in a few lines.
+// Summary returns a run's result as a few lines of text.
 func Summary(r *Result) string {
 	var b strings.Builder
 	s := r.Scenario
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -24,16 +24,18 @@
 	"silvergate/internal/transport"
 )
 
-// Options say which scenario is run, where and by which program.
+// Options holds the scenario of a run, the run's folder, and the program that its processes
+// run.
 type Options struct {
 	Scenario *Scenario
-	Dir      string // an empty folder, or one that is not there
-	Self     string // the program to start parts with
+	Dir      string // an empty folder, or one that does not exist yet
+	Self     string // path of the program that every process of the run executes
 	Out      io.Writer
 	Log      *slog.Logger
 }
 
-// StateResult counts the requests to a state service.
+// StateResult counts the requests to a cell's state service: in total, and in each interval
+// between two scrapes, which are about a second apart.
 type StateResult struct {
 	Cell     int     `json:"cell"`
 	Requests float64 `json:"requests"`
@@ -42,27 +44,28 @@
 	PerS     []Rates `json:"perS"`
 }
 
-// Rates are a second's requests and changes of a state service.
+// Rates counts a state service's requests and changes between two scrapes, about a second
+// apart.
 type Rates struct {
 	AtS      float64 `json:"atS"`
 	Requests float64 `json:"requests"`
 	Changes  float64 `json:"changes"`
 }
 
-// Result is what a run measured.
+// Result is what a run has measured.
 type Result struct {
 	Scenario  *Scenario       `json:"scenario"`
 	Begun     time.Time       `json:"begun"`
 	TookS     float64         `json:"tookS"`
-	Whole     bool            `json:"whole"` // false: it was broken off
+	Whole     bool            `json:"whole"` // false: the run ended early, by an error or a signal
 	Cells     []*CellResult   `json:"cells"`
 	Processes []ProcessResult `json:"processes"`
 	States    []StateResult   `json:"states"`
-	PeakGB    float64         `json:"peakGb"` // of all processes together
-	Broken    int             `json:"broken"` // rules, over all cells
+	PeakGB    float64         `json:"peakGb"` // peak resident memory of all processes together
+	Broken    int             `json:"broken"` // how often rules were broken, over all cells
 }
 
-// Times of a run.
+// Times of a run. endMargin is how long cells may take after the drain time until the run fails.
 const (
 	startTimeout   = 60 * time.Second
 	endMargin      = 30 * time.Second
@@ -70,10 +73,11 @@
 	scrapeTimeout  = 2 * time.Second
 )
 
-// spareFiles is how many open files a run needs beside its workers' sockets.
+// spareFiles is how many open files a cell process needs beside the sockets of its workers,
+// their heartbeats and its users.
 const spareFiles = 512
 
-// run is a run under way.
+// run is the state of a run.
 type run struct {
 	Options
 	layout    *layout
@@ -84,16 +88,17 @@
 	maxBytes  uint64
 }
 
-// Run plays a scenario. What it started is ended when it returns, also when ctx ends.
+// Run runs a scenario and returns what it measured. All processes that it started have ended
+// when it returns, also when ctx is cancelled.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	r := &run{Options: o}
 	if err := r.check(); err != nil {
 		return nil, err
 	}
-	taker := &portAllocator{}
+	allocator := &portAllocator{}
 	var err error
-	r.layout, err = newLayout(o.Scenario, taker.allocate)
-	taker.release()
+	r.layout, err = newLayout(o.Scenario, allocator.allocate)
+	allocator.release()
 	if err != nil {
 		return nil, err
 	}
@@ -108,18 +113,19 @@
 	return result, errors.Join(err, readErr)
 }
 
-// check refuses beforehand what this machine can't carry.
+// check returns an error if this machine has too little memory or too few open files for the
+// scenario, or if the run's folder is not empty. It also creates that folder.
 func (r *run) check() error {
 	s := r.Scenario
-	most := s.MemoryGB
-	half := float64(totalMemory()) * maxMemoryShare / (1 << 30)
-	if most == 0 || half > 0 && most > half {
-		most = half
+	maxGB := s.MemoryGB
+	halfGB := float64(totalMemory()) * maxMemoryShare / (1 << 30)
+	if maxGB == 0 || halfGB > 0 && maxGB > halfGB {
+		maxGB = halfGB
 	}
-	if need := s.EstimatedGB(); most > 0 && need > most {
-		return fmt.Errorf("memory_gb: the scenario is reckoned to take %.1f GB, and %.1f GB is the most (half of the machine's, or what it says)", need, most)
+	if need := s.EstimatedGB(); maxGB > 0 && need > maxGB {
+		return fmt.Errorf("memory_gb: the scenario is reckoned to take %.1f GB, and %.1f GB is the most (half of the machine's, or what it says)", need, maxGB)
 	}
-	r.maxBytes = uint64(most * (1 << 30))
+	r.maxBytes = uint64(maxGB * (1 << 30))
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
 		if need := uint64(s.Workers + heartbeatConnections(s) + userConnections + spareFiles); files.Cur < need {
@@ -149,8 +155,8 @@
 
 func cellName(number int) string { return fmt.Sprintf("cell-%d", number) }
 
-// start writes the settings of the parts and starts them: state services and
-// controllers first, then what talks to them.
+// start writes the settings of all processes and starts them: state services and controllers
+// first, then the cell processes, which talk to them. It waits until all controllers are up.
 func (r *run) start(ctx context.Context) error {
 	for _, c := range r.layout.cells {
 		if err := r.startServices(c); err != nil {
@@ -189,7 +195,8 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// writeOperatorSettings writes the operators' settings of a cell's controllers.
+// writeOperatorSettings writes the operators' settings of a cell's controllers and returns
+// the file's path.
 func (r *run) writeOperatorSettings(c *cellLayout) (string, error) {
 	raw, err := r.Scenario.operatorSettings()
 	if err != nil {
@@ -199,7 +206,7 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// startServices starts a cell's state service and controllers.
+// startServices writes the settings of a cell's state service and controllers and starts them.
 func (r *run) startServices(c *cellLayout) error {
 	if err := os.MkdirAll(r.cellDir(c), 0o700); err != nil {
 		return err
@@ -231,7 +238,7 @@
 	return nil
 }
 
-// awaitUp waits until GET /up is answered with 200.
+// awaitUp waits until a controller answers GET /up with 200.
 func awaitUp(ctx context.Context, address string) error {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
@@ -254,7 +261,9 @@
 	}
 }
 
-// supervise samples, plays the controllers' faults and returns when all cells are done.
+// supervise measures the processes once a second, kills controllers at the times of the
+// scenario's faults, and restarts controllers that end by themselves. It returns when all cell
+// processes have ended.
 func (r *run) supervise(ctx context.Context) error {
 	s := r.Scenario
 	for range r.layout.cells {
@@ -296,7 +305,8 @@
 	}
 }
 
-// measure notes what all processes use, and breaks off a run that takes too much.
+// measure records what all processes use. It returns an error, which ends the run, if they use
+// more memory than the run may.
 func (r *run) measure() error {
 	var sum uint64
 	for _, p := range r.processes {
@@ -309,7 +319,7 @@
 	return nil
 }
 
-// cellsDone tells whether all cell processes have ended.
+// cellsDone reports whether all cell processes have ended.
 func (r *run) cellsDone() bool {
 	for _, p := range r.processes {
 		if strings.HasPrefix(p.name, "cell-") && p.alive() {
@@ -319,8 +329,8 @@
 	return true
 }
 
-// restartControllers starts controllers again that have ended by themselves; anything else that
-// ends early ends the run.
+// restartControllers restarts controllers that have ended by themselves. If a state service
+// has, it returns an error, which ends the run.
 func (r *run) restartControllers() error {
 	for _, p := range r.processes {
 		p.mu.Lock()
@@ -343,13 +353,14 @@
 	return nil
 }
 
-// controllerDir is the folder of a controller's cell.
+// controllerDir returns the folder of the cell that a controller belongs to.
 func (r *run) controllerDir(p *process) string {
 	number, _, _ := strings.Cut(strings.TrimPrefix(p.name, "controller-"), "-")
 	return filepath.Join(r.Dir, "cell-"+number)
 }
 
-// killControllers kills some controllers of each cell and starts them again.
+// killControllers kills the first f.Count controllers of each cell at the fault's time, and
+// starts them again after the scenario's RestartS.
 func (r *run) killControllers(ctx context.Context, f Fault) {
 	select {
 	case <-time.After(time.Duration(f.AtS*float64(time.Second)) - time.Since(r.startedAt)):
@@ -386,7 +397,8 @@
 	}
 }
 
-// scrape reads the state services' counters.
+// scrape reads the counters of the state services from their metrics. It skips a service that
+// does not answer.
 func (r *run) scrape() {
 	pool := transport.NewPool(len(r.layout.cells))
 	late := time.AfterFunc(scrapeTimeout, func() { pool.Expire(time.Now().Add(time.Hour)) })
@@ -405,8 +417,8 @@
 	pool.Expire(time.Now().Add(time.Hour))
 }
 
-// parseMetrics reads counters by the end of their names, without the program's prefix
-// and the suffix of counters.
+// parseMetrics reads metrics in the Prometheus text format. The keys of the result are the
+// metrics' names without labels, the program's prefix and the suffix of counters.
 func parseMetrics(body []byte) map[string]float64 {
 	out := map[string]float64{}
 	lines := bufio.NewScanner(bytes.NewReader(body))
@@ -424,7 +436,7 @@
 	return out
 }
 
-// collect reads the cells' results.
+// collect sums up what the processes have used and reads the cells' results.
 func (r *run) collect() (*Result, error) {
 	out := &Result{Scenario: r.Scenario, Begun: r.startedAt, TookS: time.Since(r.startedAt).Seconds(), States: r.states, PeakGB: float64(r.peakBytes) / (1 << 30)}
 	for _, p := range r.processes {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -9,11 +9,12 @@
 	"silvergate/internal/hollow"
 )
 
-// Every shipped scenario can be read, and is within what it may take.
+// TestShippedScenarios guards against a shipped scenario that does not parse, has another name
+// than its file, or needs too many processes or more than 12 GB.
 func TestShippedScenarios(t *testing.T) {
 	names := Shipped()
 	if len(names) != 4 {
-		t.Errorf("%d scenarios: %v", len(names), names)
+		t.Errorf("got %d shipped scenarios, want 4: %v", len(names), names)
 	}
 	for _, name := range names {
 		s, err := LoadScenario(name)
@@ -22,12 +23,13 @@
 			continue
 		}
 		if s.Name != name || s.Processes() > maxProcesses || s.EstimatedGB() > 12 {
-			t.Errorf("%s: named %s, %d processes, %.1f GB", name, s.Name, s.Processes(), s.EstimatedGB())
+			t.Errorf("%s: has name %s, needs %d processes and %.1f GB", name, s.Name, s.Processes(), s.EstimatedGB())
 		}
 	}
 }
 
-// What can't be is refused in one line that names the field.
+// TestBadScenarios guards against invalid scenarios that are accepted: each change to the small
+// scenario must give a short error that names the field.
 func TestBadScenarios(t *testing.T) {
 	raw, err := shipped.ReadFile("scenarios/small.yaml")
 	if err != nil {
@@ -69,12 +71,15 @@
 		}
 		_, err := ParseScenario([]byte(strings.Replace(good, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Count(err.Error(), "\n") > 1 {
-			t.Errorf("%s: %v, want an error that names %s", c.to, err, c.want)
+			t.Errorf("%s: got error %v, want a short error that names %s", c.to, err, c.want)
 		}
 	}
 }
 
-// A run that the machine can't carry is refused before anything is started.
+// TestRunRefusedBeforeStart guards against a run that starts although its folder is not empty,
+// a port is taken, or the machine has too little memory or too few open files. The error must
+// name the field, except for the number of workers, which this machine may refuse as memory_gb.
+// Self does not exist, so a run that starts fails with another error.
 func TestRunRefusedBeforeStart(t *testing.T) {
 	s, err := LoadScenario("small")
 	if err != nil {
@@ -100,42 +105,43 @@
 		o := Options{Scenario: &scenario, Dir: t.TempDir(), Self: "/nonexistent"}
 		change(&o)
 		if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), name) && name != "workers" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want a refusal that names the field", name, err)
 		}
 	}
 }
 
-// Each checker sees a break that is seeded.
+// TestCheckerReportsViolations guards against a rule that the checker no longer checks: each
+// case breaks one rule, and the checker must report this rule and no other.
 func TestCheckerReportsViolations(t *testing.T) {
-	here, there := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}, &hollow.Machine{Name: "i-2", Type: hollowType, Zone: "b"}
+	machineA, machineB := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}, &hollow.Machine{Name: "i-2", Type: hollowType, Zone: "b"}
 	key := func(index int) agent.TaskAttempt {
 		return agent.TaskAttempt{Job: "wk-000001", Index: index, Attempt: 1}
 	}
 	for rule, seed := range map[string]func(c *checker, s *submission){
 		ruleRanTwice: func(c *checker, _ *submission) {
-			c.started(here, key(0))
-			c.started(there, key(0))
+			c.started(machineA, key(0))
+			c.started(machineB, key(0))
 		},
 		ruleQuota: func(c *checker, s *submission) {
 			s.GPUs = 3
-			c.started(here, key(0))
-			c.started(here, key(1))
+			c.started(machineA, key(0))
+			c.started(machineA, key(1))
 		},
 		ruleWrongPlace: func(c *checker, s *submission) {
 			s.OneZone = true
-			c.started(here, key(0))
-			c.started(there, key(1))
+			c.started(machineA, key(0))
+			c.started(machineB, key(1))
 		},
 		ruleRanCancelled: func(c *checker, s *submission) {
 			s.progress.cancelRequested = true
-			c.started(here, key(0))
+			c.started(machineA, key(0))
 			c.observeStatus(s.ID, statusCancelled)
 			c.now = func() time.Duration { return time.Hour }
 			c.checkCancelledJobs()
 		},
 		ruleNotDone: func(c *checker, s *submission) {
-			c.started(here, key(0))
-			c.stopped(here, key(0), true)
+			c.started(machineA, key(0))
+			c.stopped(machineA, key(0), true)
 			c.observeStatus(s.ID, statusDone)
 		},
 		ruleWentBack: func(c *checker, s *submission) {
@@ -155,12 +161,13 @@
 		c.submitted(s)
 		seed(c, s)
 		if broken, first := c.violations(); broken[rule] == 0 || len(broken) != 1 {
-			t.Errorf("%s: %v %v", rule, broken, first)
+			t.Errorf("%s: got violations %v (%v), want only this rule", rule, broken, first)
 		}
 	}
 }
 
-// A day without a break is not called one.
+// TestCheckerAcceptsValidRun guards against false reports: a run that keeps all rules, with
+// attempts that fail and are repeated, must give no violation.
 func TestCheckerAcceptsValidRun(t *testing.T) {
 	c := newChecker(&Scenario{CellSize: CellSize{TeamLimit: 5}}, func() time.Duration { return 0 })
 	m := &hollow.Machine{Name: "i-1", Type: hollowType, Zone: "a"}
@@ -178,13 +185,15 @@
 	c.observeStatus(s.ID, statusDone)
 	c.observeStatus(s.ID, statusDone)
 	if broken, first := c.violations(); len(broken) > 0 {
-		t.Errorf("%v %v", broken, first)
+		t.Errorf("got violations %v (%v), want none", broken, first)
 	}
 }
 
+// TestParseMetrics guards against counters that are lost because of labels, a comment or a line
+// that is not a metric.
 func TestParseMetrics(t *testing.T) {
 	got := parseMetrics([]byte("# HELP x\nsilvergate_state_requests_total{part=\"state\"} 12\nsilvergate_state_keys 3\nodd\n"))
 	if got["state_requests"] != 12 || got["state_keys"] != 3 {
-		t.Errorf("%v", got)
+		t.Errorf("got metrics %v, want state_requests 12 and state_keys 3", got)
 	}
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -1,11 +1,13 @@
-// Package scale measures silvergate at sizes that no single machine could run for
-// real: cells of real controllers and real state services on loopback, with hollow
-// workers, a stand-in for the cloud, users, faults and checkers of the rules.
+// Package scale measures silvergate at sizes that a single machine can't run with real
+// workers. It runs cells of real controllers and real state services on loopback, with hollow
+// workers, a simulated cloud, simulated users, injected faults, and checks of the protocol's
+// rules.
 //
-// A run is described by a scenario. Processes: for each cell a state service, its
-// controllers, some real agents, and one cell process that holds the cloud, the hollow
-// workers, the users and the checker. The process that was called starts, samples and
-// ends them all.
+// A scenario describes a run. Each cell consists of these processes: a state service, its
+// controllers, some real agents, and one cell process, which holds the cloud, the hollow
+// workers, the users and the checker. The process that the operator started starts the state
+// services, controllers and cell processes, measures them, and ends them. A cell process
+// starts and ends its real agents.
 package scale
 
 import (
@@ -22,12 +24,12 @@
 	"silvergate/internal/protocol"
 )
 
-// Scenario is a run, in YAML.
+// Scenario describes a run. It is read from a YAML file.
 type Scenario struct {
 	Name string `yaml:"name"`
 	Seed uint64 `yaml:"seed"`
-	// DurationS is how long users submit, in seconds; DrainS how long what they
-	// submitted may take after that.
+	// DurationS is how long users submit jobs, in seconds. DrainS is how long the run then
+	// waits for these jobs to end, at most.
 	DurationS  float64 `yaml:"duration_s"`
 	DrainS     float64 `yaml:"drain_s"`
 	Cells      int     `yaml:"cells"`
@@ -36,32 +38,33 @@
 	State      config.State   `yaml:"state"`
 	Cloud      config.Cloud   `yaml:"cloud"`
 	Controller config.Limits  `yaml:"controller"`
-	// RestartS is after how long a killed controller is started again.
+	// RestartS is how long a killed controller stays down, in seconds.
 	RestartS float64 `yaml:"restart_s"`
 	Machine  Machine `yaml:"machine"`
 	Load     []Load  `yaml:"load"`
 	Faults   []Fault `yaml:"faults"`
-	// MemoryGB is the most that all processes may take; 0: half of the machine's.
+	// MemoryGB is the most memory that all processes together may use; 0: half of the
+	// machine's, which is also the upper limit.
 	MemoryGB float64 `yaml:"memory_gb"`
-	// Operator holds operators' settings of the controllers, as in silvergate.yaml.
+	// Operator holds the operators' settings of the controllers, as in silvergate.yaml.
 	Operator map[string]any `yaml:"operator,omitempty"`
-	// BasePort is the first of the ports for controllers and state services; 0: the
-	// system chooses them.
+	// BasePort is the first of the consecutive ports of the run's state services, clouds
+	// and controllers; 0: the system chooses free ports.
 	BasePort int `yaml:"base_port"`
 }
 
-// CellSize is what one cell of a scenario has.
+// CellSize is the size of each cell of a scenario.
 type CellSize struct {
 	Controllers int      `yaml:"controllers"`
 	Zones       []string `yaml:"zones"`
 	Workers     int      `yaml:"workers"`
 	RealAgents  int      `yaml:"real_agents"`
 	Teams       int      `yaml:"teams"`
-	// TeamLimit is each team's most accelerators; 0: none.
+	// TeamLimit is the most accelerators that each team may use; 0: no limit.
 	TeamLimit float64 `yaml:"team_limit"`
 }
 
-// Machine is the one type of the hollow workers.
+// Machine is the size of each machine, hollow worker or real agent.
 type Machine struct {
 	CPUs       float64 `yaml:"cpus"`
 	GPUs       float64 `yaml:"accelerators"`
@@ -79,26 +82,26 @@
 	CPUs    float64 `yaml:"cpus"`
 	GPUs    float64 `yaml:"accelerators"`
 	RAM     float64 `yaml:"ramGb"`
-	RunS    float64 `yaml:"run_s"` // mean run time of a task; a task's is from half to one and a half of it
+	RunS    float64 `yaml:"run_s"` // mean run time of a task; run times are from 0.5 to 1.5 times the mean
 	ImageGB float64 `yaml:"image_gb"`
 	Images  int     `yaml:"images"`
-	Initial int     `yaml:"initial"` // jobs at the start
-	PerS    float64 `yaml:"per_s"`   // jobs a second
+	Initial int     `yaml:"initial"` // jobs submitted at the start
+	PerS    float64 `yaml:"per_s"`   // mean rate of submissions, in jobs a second
 	OneZone bool    `yaml:"one_zone"`
-	// Cancelled is the share of jobs that their users call off.
+	// Cancelled is the share of jobs that their users cancel.
 	Cancelled float64 `yaml:"cancelled"`
-	// Real has the real agents run them.
+	// Real makes the jobs run on the real agents.
 	Real bool `yaml:"real"`
 }
 
 // Kinds of faults.
 const (
-	FaultControllerKill = "controller_kill" // count controllers of each cell
-	FaultWorkersLost    = "workers_gone"    // a share of a zone's hollow workers, or of all
-	FaultWorkersRestart = "workers_restart" // the same, one after the other over for_s
+	FaultControllerKill = "controller_kill" // kills the first count controllers of each cell
+	FaultWorkersLost    = "workers_gone"    // removes a share of a zone's hollow workers, or of all
+	FaultWorkersRestart = "workers_restart" // restarts a share of a zone's hollow workers, or of all, one after the other over for_s
 )
 
-// Fault is something that goes wrong at a time, in seconds after users begin.
+// Fault is a fault that the run injects AtS seconds after users begin.
 type Fault struct {
 	AtS   float64 `yaml:"at_s"`
 	Kind  string  `yaml:"kind"`
@@ -120,7 +123,7 @@
 	return names
 }
 
-// LoadScenario reads a scenario: a shipped one by its name, any other by its file.
+// LoadScenario reads a scenario: a shipped one by its name, any other by its file's path.
 func LoadScenario(nameOrFile string) (*Scenario, error) {
 	raw, err := shipped.ReadFile("scenarios/" + nameOrFile + ".yaml")
 	if err != nil {
@@ -135,7 +138,7 @@
 	return s, nil
 }
 
-// ParseScenario reads a scenario and names the first field that can't be.
+// ParseScenario reads a scenario from YAML and checks it, as Check does.
 func ParseScenario(raw []byte) (*Scenario, error) {
 	s := &Scenario{Seed: 1, DrainS: 60, Cells: 1, RestartS: 3}
 	if err := config.DecodeYAML(raw, s); err != nil {
@@ -144,7 +147,7 @@
 	return s, s.Check()
 }
 
-// Bounds of a scenario on one machine.
+// Upper limits of a scenario, which runs on one machine.
 const (
 	maxCells          = 16
 	maxControllers    = 9
@@ -152,10 +155,10 @@
 	maxRealAgents     = 20
 	maxDurationS      = 3600
 	maxProcesses      = 200
-	processesPerAgent = 4 // itself, its watchdog, and up to two tasks
+	processesPerAgent = 4 // the agent, its watchdog, and up to two tasks
 )
 
-// Check names the first field that can't be.
+// Check returns an error that names the first field with an invalid value, or nil.
 func (s *Scenario) Check() error {
 	if err := s.checkCounts(); err != nil {
 		return err
@@ -247,7 +250,8 @@
 	return nil
 }
 
-// checkSettings has the controllers' own check judge their settings.
+// checkSettings checks the controllers' settings that the scenario yields, with the parsers
+// that the controllers use.
 func (s *Scenario) checkSettings() error {
 	l, err := newLayout(s, func(int) (int, error) { return 1, nil })
 	if err != nil {
@@ -319,12 +323,13 @@
 	return nil
 }
 
-// Processes is how many processes the scenario starts at the most.
+// Processes returns the largest number of processes that the scenario's run has at once.
 func (s *Scenario) Processes() int {
 	return s.Cells * (2 + s.Controllers + processesPerAgent*s.RealAgents)
 }
 
-// Memory that a run is reckoned to take, in MB. Measured on the shipped scenarios, and rounded up.
+// Estimates of a run's memory, in MB and rounded up, and the share of the machine's memory that
+// a run may use.
 const (
 	mbPerWorker    = 0.25
 	mbPerCell      = 150
@@ -333,7 +338,7 @@
 	maxMemoryShare = 0.5
 )
 
-// EstimatedGB is the memory that a run is reckoned to take.
+// EstimatedGB returns an estimate of the memory that a run takes.
 func (s *Scenario) EstimatedGB() float64 {
 	cell := mbPerCell + float64(s.Workers)*mbPerWorker + float64(s.Controllers)*s.Controller.RAMMB + float64(s.RealAgents)*mbPerAgent
 	return float64(s.Cells) * cell / mbPerGB
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -13,13 +13,14 @@
 	"silvergate/internal/transport"
 )
 
-// Statuses of jobs that are over.
+// Statuses of jobs that are over, as controllers answer them.
 const (
 	statusDone      = "done"
 	statusCancelled = "cancelled"
 )
 
-// Users' patience, from the protocol.
+// Timeouts and periods of users, from the protocol. submitRetryTimeout is how long a user retries
+// a submission; minRetryDelay is the shortest wait before a retry.
 const (
 	requestTimeout     = 5 * time.Second
 	pollTimeout        = 2 * time.Second
@@ -28,7 +29,7 @@
 	minRetryDelay      = time.Second
 )
 
-// submission is a job as its user sends it, and what the run knows of it.
+// submission is a job as its user submits it. The untagged fields are the run's own and are not sent.
 type submission struct {
 	ID       string `json:"ref"`
 	Class    string `json:"jobclass"`
@@ -51,41 +52,42 @@
 	progress jobProgress
 }
 
-// resources are what each task of a job takes. They are embedded: on the wire they
-// stand among the job's other fields.
+// resources are what each task of a job needs. The struct is embedded, so that its JSON
+// fields stand among the job's other fields.
 type resources struct {
 	CPUs     float64 `json:"cpus"`
 	GPUs     float64 `json:"accelerators"`
 	MemoryGB float64 `json:"ramGb"`
 }
 
-// jobPlan is what becomes of a job, as drawn before it is submitted.
+// jobPlan holds a job's randomly chosen future. It is chosen before the job is submitted.
 type jobPlan struct {
 	meanRunS float64 // mean run time of a task
 	seed     uint64
-	real     bool          // its tasks run on real agents
+	real     bool          // the job's tasks run on real agents
 	cancelAt time.Duration // when its user cancels it; 0: never
 }
 
-// jobProgress is what the run knows of a job that was submitted.
+// jobProgress is what the run knows about a submitted job.
 type jobProgress struct {
-	submittedAt     time.Duration  // the first attempt to submit it
+	submittedAt     time.Duration  // when its user first tried to submit it
 	cancelRequested bool           // its user has asked to cancel it
-	overdueReported bool           // the checker has complained already
-	zones           map[int]string // where the tasks started last, for the checker
+	overdueReported bool           // the checker has already reported that it runs too long after its cancellation
+	zones           map[int]string // the zone in which each task last started, by index, for the checker
 }
 
-// shapes maps wire names to the model's.
+// shapes maps the shapes' names on the wire to those of package job.
 var shapes = map[string]job.Shape{"batch": job.Array, "ensemble": job.Gang, "standing": job.Service}
 
-// description is what a worker fetches of the job.
+// description returns the job's description, as a worker fetches it.
 func (s *submission) description() *protocol.JobDescription {
 	return &protocol.JobDescription{ID: s.ID, Class: s.Class, Team: s.Team, Shape: shapes[s.Shape], Priority: s.Priority, Tasks: s.Tasks,
 		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Image: s.Image, ImageGB: s.ImageGB}
 }
 
-// runTime is from half to one and a half of the mean, the same for every attempt of a
-// task, and the same for all tasks of a gang.
+// runTime returns how long a task runs: from 0.5 to 1.5 times the mean, the same for every
+// attempt of a task and for all tasks of a gang. It returns 0 for services, which run until
+// they are stopped.
 func (s *submission) runTime(index int) time.Duration {
 	if s.Shape == "standing" {
 		return 0
@@ -97,7 +99,7 @@
 	return time.Duration(s.plan.meanRunS * (0.5 + share) * float64(time.Second))
 }
 
-// users submit a cell's jobs, ask about them and cancel some.
+// users simulates a cell's users, who submit jobs, poll their status and cancel some.
 type users struct {
 	cell        *cell
 	pool        *transport.Pool
@@ -105,8 +107,8 @@
 	random      *rand.Rand
 
 	mu           sync.Mutex
-	jobCount     int // made so far
-	requestCount int // counts the requests to controllers
+	jobCount     int // jobs made so far
+	requestCount int // requests sent to controllers
 	openJobs     map[string]*submission
 	accepted     int
 	givenUp      int
@@ -125,10 +127,11 @@
 	return u
 }
 
-// userConnections bounds the users' connections of a cell.
+// userConnections bounds how many connections a cell's users open.
 const userConnections = 256
 
-// newSubmission makes the next job of a class, by chance.
+// newSubmission makes the next job of a class, with random team, image, run times and
+// cancellation.
 func (u *users) newSubmission(l *Load) *submission {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -146,8 +149,8 @@
 	return s
 }
 
-// run submits until the scenario's duration is over. What is under way then goes on
-// until stop is closed.
+// run submits jobs until the scenario's duration is over. Users then go on following the jobs
+// that are not over, until stop is closed.
 func (u *users) run(stop <-chan struct{}) {
 	s := u.cell.scenario
 	var arrivals sync.WaitGroup
@@ -167,7 +170,8 @@
 	arrivals.Wait()
 }
 
-// submitArrivals submits jobs of a class at drawn times.
+// submitArrivals submits jobs of a class at random times, as a Poisson process, until the
+// scenario's duration is over.
 func (u *users) submitArrivals(l *Load, stop <-chan struct{}) {
 	end := time.Duration(u.cell.scenario.DurationS * float64(time.Second))
 	for {
@@ -186,7 +190,7 @@
 	}
 }
 
-// startJob has a user submit a job and follow it.
+// startJob makes a job of a class and starts a goroutine that submits and follows it.
 func (u *users) startJob(l *Load, stop <-chan struct{}) {
 	s := u.newSubmission(l)
 	u.cell.checker.submitted(s)
@@ -197,7 +201,8 @@
 	}()
 }
 
-// follow submits a job and asks about it until it is over.
+// follow submits a job and polls it until it is over or stop is closed. If the job's plan says
+// so, it cancels the job.
 func (u *users) follow(s *submission, stop <-chan struct{}) {
 	s.progress.submittedAt = u.cell.now()
 	if !u.submit(s, stop) {
@@ -232,7 +237,7 @@
 	}
 }
 
-// pickController is the next controller's address, round robin.
+// pickController returns the address of the next controller, round robin.
 func (u *users) pickController() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -240,9 +245,10 @@
 	return u.controllers[u.requestCount%len(u.controllers)]
 }
 
-// request sends a request and reads the answer's status.
-func (u *users) request(method, path string, body []byte, patience time.Duration) (code int, status string, retry time.Duration) {
-	r, _, err := u.pool.Do(u.pickController(), method, path, body, patience)
+// request sends a request to the next controller. It returns the HTTP status, or 0 if there was
+// no answer, the job's status, and how long to wait before a retry.
+func (u *users) request(method, path string, body []byte, timeout time.Duration) (code int, status string, retry time.Duration) {
+	r, _, err := u.pool.Do(u.pickController(), method, path, body, timeout)
 	if err != nil {
 		return 0, "", minRetryDelay
 	}
@@ -251,6 +257,8 @@
 	return r.Status, state.Status, max(minRetryDelay, time.Duration(r.RetryAfter)*time.Second)
 }
 
+// submit submits a job, with retries for submitRetryTimeout. It reports whether the job was
+// accepted.
 func (u *users) submit(s *submission, stop <-chan struct{}) bool {
 	body := protocol.Encode(s)
 	for {
@@ -277,7 +285,7 @@
 	}
 }
 
-// poll asks for a job's state and tells whether it is over.
+// poll asks for a job's status and reports whether the job is over.
 func (u *users) poll(s *submission) bool {
 	code, status, _ := u.request(http.MethodGet, protocol.PathJobs+"/"+s.ID, nil, pollTimeout)
 	switch code {
@@ -289,6 +297,7 @@
 	return code == http.StatusOK && (status == statusDone || status == statusCancelled)
 }
 
+// cancel asks to cancel a job and reports whether the controller confirmed it.
 func (u *users) cancel(s *submission) bool {
 	u.cell.checker.cancelRequested(s.ID)
 	code, status, _ := u.request(http.MethodPost, protocol.PathJobs+"/"+s.ID+"/"+protocol.PathCancel, nil, requestTimeout)
@@ -299,7 +308,8 @@
 	return true
 }
 
-// counts tells how many jobs were accepted, given up on and seen to be over.
+// counts returns how many jobs were accepted, how many were given up because they were not
+// accepted, and how many users have seen to be over.
 func (u *users) counts() (accepted, givenUp, finished int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
