--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -208,7 +208,7 @@
 			workers := len(c.fleet.Names(""))
 			c.mu.Lock()
 			c.measured.samples = append(c.measured.samples, Sample{AtS: c.now().Seconds(), Starts: c.measured.starts, Running: tasks, Workers: workers, Answered: answered,
-				Reports: c.fleet.Stats.Heartbeats.Load(), LeaseKilled: c.measured.leaseKilled})
+				Heartbeats: c.fleet.Stats.Heartbeats.Load(), LeaseKilled: c.measured.leaseKilled})
 			c.measured.workerUptime += float64(workers) * samplePeriod.Seconds()
 			c.measureAgents()
 			c.mu.Unlock()
--- a/internal/scale/cell_result.go
+++ b/internal/scale/cell_result.go
@@ -16,7 +16,7 @@
 	Running     int     `json:"running"`   // tasks that run
 	Workers     int     `json:"workers"`   // workers that are up
 	Answered    int     `json:"answered"`  // workers whose heartbeat was answered within the last two heartbeat periods
-	Reports     int64   `json:"reports"`   // heartbeats sent
+	Heartbeats  int64   `json:"reports"`   // heartbeats sent
 	LeaseKilled int     `json:"leaseKill"` // tasks killed because a lease ended
 }
 
@@ -31,25 +31,25 @@
 
 // CellResult is what a cell process measured.
 type CellResult struct {
-	Number        int                `json:"number"`
-	Samples       []Sample           `json:"samples"`
-	Broken        map[string]int     `json:"broken"`
-	FirstBroken   []string           `json:"firstBroken,omitempty"`
-	Accepted      int                `json:"accepted"`
-	GivenUp       int                `json:"givenUp"`
-	Finished      int                `json:"finished"`
-	Starts        int                `json:"starts"`
-	LeaseKilled   int                `json:"leaseKilled"`
-	Sessions      int64              `json:"sessions"`
-	Submit        Latency            `json:"submit"`
-	FirstStart    map[string]Latency `json:"firstStart"` // from submission to the job's first task start, by urgency
-	TaskStart     map[string]Latency `json:"taskStart"`  // from submission to each task's first start, by urgency
-	Reports       int64              `json:"reports"`
-	Answers       map[string]int64   `json:"answers"`       // outcomes of heartbeats, by kind
-	AnswerMs      float64            `json:"answerMs"`      // mean time until a heartbeat is answered
-	BytesPerS     float64            `json:"bytesPerS"`     // mean heartbeat traffic of a worker, both ways
-	CloudRequests int                `json:"cloudRequests"` // requests to the cloud, of which CloudRefused were refused
-	CloudRefused  int                `json:"cloudRefused"`
+	Number          int                `json:"number"`
+	Samples         []Sample           `json:"samples"`
+	Violations      map[string]int     `json:"broken"`
+	FirstViolations []string           `json:"firstBroken,omitempty"`
+	Accepted        int                `json:"accepted"`
+	GivenUp         int                `json:"givenUp"`
+	Finished        int                `json:"finished"`
+	Starts          int                `json:"starts"`
+	LeaseKilled     int                `json:"leaseKilled"`
+	ExpiredEpochs   int64              `json:"sessions"`
+	Submit          Latency            `json:"submit"`
+	FirstStart      map[string]Latency `json:"firstStart"` // from submission to the job's first task start, by urgency
+	TaskStart       map[string]Latency `json:"taskStart"`  // from submission to each task's first start, by urgency
+	Heartbeats      int64              `json:"reports"`
+	Answers         map[string]int64   `json:"answers"`       // outcomes of heartbeats, by kind
+	AnswerMs        float64            `json:"answerMs"`      // mean time until a heartbeat is answered
+	BytesPerS       float64            `json:"bytesPerS"`     // mean heartbeat traffic of a worker, both ways
+	CloudRequests   int                `json:"cloudRequests"` // requests to the cloud, of which CloudRefused were refused
+	CloudRefused    int                `json:"cloudRefused"`
 	// Agents is what the cell's real agents have used.
 	Agents AgentsResult `json:"agents"`
 }
@@ -98,9 +98,9 @@
 	stats := &c.fleet.Stats
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &CellResult{Number: c.layout.number, Samples: c.measured.samples, Broken: broken, FirstBroken: first, Accepted: accepted, GivenUp: givenUp, Finished: finished,
-		Starts: c.measured.starts, LeaseKilled: c.measured.leaseKilled, Sessions: stats.ExpiredEpochs.Load(), Submit: summarizeLatency(c.measured.acceptance), FirstStart: summarizeLatencies(c.measured.firstStart), TaskStart: summarizeLatencies(c.measured.taskStart),
-		Reports: stats.Heartbeats.Load(), CloudRequests: c.cloud.requests, CloudRefused: c.cloud.refused, Agents: c.agentsResult(),
+	r := &CellResult{Number: c.layout.number, Samples: c.measured.samples, Violations: broken, FirstViolations: first, Accepted: accepted, GivenUp: givenUp, Finished: finished,
+		Starts: c.measured.starts, LeaseKilled: c.measured.leaseKilled, ExpiredEpochs: stats.ExpiredEpochs.Load(), Submit: summarizeLatency(c.measured.acceptance), FirstStart: summarizeLatencies(c.measured.firstStart), TaskStart: summarizeLatencies(c.measured.taskStart),
+		Heartbeats: stats.Heartbeats.Load(), CloudRequests: c.cloud.requests, CloudRefused: c.cloud.refused, Agents: c.agentsResult(),
 		Answers: map[string]int64{"answered": stats.Answered.Load(), "redirected": stats.Redirected.Load(), "refused": stats.Refused.Load(), "unanswered": stats.Unanswered.Load()}}
 	if n := stats.Answered.Load(); n > 0 {
 		r.AnswerMs = float64(stats.AnswerNanos.Load()) / float64(n) / 1e6
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -84,7 +84,7 @@
 	if c.Agents.Count > 0 {
 		fmt.Fprintf(b, "  %d real agents: %.1f ms of a core each second on average, %.0f MB at the most\n", c.Agents.Count, c.Agents.CoreMs, c.Agents.PeakMB)
 	}
-	for _, violation := range c.FirstBroken {
+	for _, violation := range c.FirstViolations {
 		fmt.Fprintf(b, "  BROKEN %s\n", violation)
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -55,7 +55,7 @@
 // Result is what a run has measured.
 type Result struct {
 	Scenario  *Scenario       `json:"scenario"`
-	Begun     time.Time       `json:"begun"`
+	StartedAt time.Time       `json:"begun"`
 	TookS     float64         `json:"tookS"`
 	Whole     bool            `json:"whole"` // false: the run ended early, by an error or a signal
 	Cells     []*CellResult   `json:"cells"`
@@ -438,7 +438,7 @@
 
 // collect sums up what the processes have used and reads the cells' results.
 func (r *run) collect() (*Result, error) {
-	out := &Result{Scenario: r.Scenario, Begun: r.startedAt, TookS: time.Since(r.startedAt).Seconds(), States: r.states, PeakGB: float64(r.peakBytes) / (1 << 30)}
+	out := &Result{Scenario: r.Scenario, StartedAt: r.startedAt, TookS: time.Since(r.startedAt).Seconds(), States: r.states, PeakGB: float64(r.peakBytes) / (1 << 30)}
 	for _, p := range r.processes {
 		p.mu.Lock()
 		p.result.CPUS = (p.earlierCPU + p.lastUsage.cpu).Seconds()
@@ -461,7 +461,7 @@
 			continue
 		}
 		out.Cells = append(out.Cells, cell)
-		for _, n := range cell.Broken {
+		for _, n := range cell.Violations {
 			out.Broken += n
 		}
 	}
