--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -78,7 +78,8 @@
 	result  AgentsResult
 }
 
-// Intervals of a cell process.
+// Intervals of a cell process: between two samples, and between two checks whether jobs are over
+// or calls have timed out.
 const (
 	samplePeriod    = time.Second
 	drainPollPeriod = 250 * time.Millisecond
@@ -293,7 +294,8 @@
 	return c.fleet.Address(m.Name), err
 }
 
-// bootAgent starts a real agent as a process. The kernel ends that process when this one ends.
+// bootAgent starts a real agent as a process. The kernel sends that process SIGTERM when this
+// one ends.
 func (c *cell) bootAgent(m provider.Machine) (string, error) {
 	allocator := &portAllocator{}
 	port, err := allocator.allocate(0)
--- a/internal/scale/cell_result.go
+++ b/internal/scale/cell_result.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Sample is a cell's state at a moment, AtS seconds after its users began. Starts, Reports
-// and LeaseKilled are totals since then.
+// Sample is a cell's state at a moment, AtS seconds after its users began. Starts,
+// Heartbeats and LeaseKilled are totals since then.
 type Sample struct {
 	AtS         float64 `json:"atS"`
 	Starts      int     `json:"starts"`    // task starts
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -29,7 +29,7 @@
 	minRetryDelay      = time.Second
 )
 
-// submission is a job as its user submits it. The untagged fields are the run's own and are not sent.
+// submission is a job as its user submits it. plan and progress are the run's own and are not sent.
 type submission struct {
 	ID       string `json:"ref"`
 	Class    string `json:"jobclass"`
