--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -12,50 +12,52 @@
 	"silvergate/internal/transport"
 )
 
-// worker is one hollow worker. Its lock is never held while another one's is taken.
+// worker is one hollow worker. No goroutine that holds one worker's lock takes another
+// worker's lock.
 type worker struct {
 	fleet   *Fleet
 	machine Machine
 	address string
 	server  *http.Server
 
-	mu       sync.Mutex
-	state    *agent.Worker
-	timer    *time.Timer
-	running  map[agent.TaskAttempt]*time.Timer
-	images   map[string]bool // being fetched
-	answered time.Duration   // when a heartbeat was last answered with 200
-	stopped  bool
+	mu             sync.Mutex
+	state          *agent.Worker
+	timer          *time.Timer
+	running        map[agent.TaskAttempt]*time.Timer
+	fetchingImages map[string]bool // images being fetched, by name
+	lastAnsweredAt time.Duration   // when a heartbeat was last answered with 200
+	stopped        bool
 }
 
-// step feeds an event to the worker's state machine and carries out what follows.
+// step passes an event to the worker's state machine and applies the effects that it returns.
+// It does nothing once the worker is stopped.
 func (w *worker) step(event func(now time.Duration) agent.Effects) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped {
-		w.perform(event(w.fleet.clock()))
+		w.applyEffects(event(w.fleet.clock()))
 	}
 }
 
-// perform carries out effects; the lock is held.
-func (w *worker) perform(e agent.Effects) {
+// applyEffects applies the effects of an event. The caller holds w.mu.
+func (w *worker) applyEffects(e agent.Effects) {
 	if e.EndAll {
 		w.leaseExpired()
 	}
 	for _, k := range e.Kill {
-		w.end(k, 0)
+		w.endTask(k, 0)
 	}
 	for _, k := range e.Stop {
-		w.end(k, stopTime)
+		w.endTask(k, checkpointStopTime)
 	}
 	for _, name := range e.Leave {
-		delete(w.images, name)
+		delete(w.fetchingImages, name)
 	}
 	for _, id := range e.Describe {
 		w.describe(id)
 	}
 	for _, name := range e.Fetch {
-		w.fetch(name)
+		w.fetchImage(name)
 	}
 	for _, k := range e.Start {
 		w.start(k)
@@ -66,13 +68,14 @@
 	if e.Heartbeat != nil {
 		w.sendHeartbeat(e.Heartbeat)
 	}
-	w.arm()
+	w.armTimer()
 }
 
-// stopTime is how long a task takes to end that is asked to save a checkpoint.
-const stopTime = 100 * time.Millisecond
+// checkpointStopTime is how long a task takes to end when it is asked to save a checkpoint first.
+const checkpointStopTime = 100 * time.Millisecond
 
-func (w *worker) arm() {
+// armTimer sets the timer to the time at which the state machine is next due.
+func (w *worker) armTimer() {
 	wait := max(w.state.Due()-w.fleet.clock(), time.Millisecond)
 	if w.timer == nil {
 		w.timer = time.AfterFunc(wait, func() { w.step(w.state.Tick) })
@@ -81,42 +84,43 @@
 	w.timer.Reset(wait)
 }
 
-// later steps the worker after a while.
-func (w *worker) later(wait time.Duration, event func(now time.Duration) agent.Effects) *time.Timer {
+// stepAfter passes an event to the worker's state machine after a delay.
+func (w *worker) stepAfter(wait time.Duration, event func(now time.Duration) agent.Effects) *time.Timer {
 	return time.AfterFunc(wait, func() { w.step(event) })
 }
 
 func (w *worker) describe(id string) {
-	w.later(time.Millisecond, func(now time.Duration) agent.Effects {
+	w.stepAfter(time.Millisecond, func(now time.Duration) agent.Effects {
 		d, known := w.fleet.observer.Describe(id)
 		if known && d.Shape == job.Gang {
-			defer w.joinGangs(id)
+			defer w.registerGangAttempts(id)
 		}
 		return w.state.Described(now, id, d, !known)
 	})
 }
 
-// joinGangs registers the attempts of a gang that have just been described.
-func (w *worker) joinGangs(id string) {
+// registerGangAttempts registers the worker for the attempts of a gang whose description has
+// just come in.
+func (w *worker) registerGangAttempts(id string) {
 	for _, k := range w.state.Attempts(id) {
-		w.fleet.join(w, k)
+		w.fleet.joinGang(w, k)
 	}
 }
 
-func (w *worker) fetch(name string) {
-	w.images[name] = true
-	wait := time.Duration(w.sizeOf(name) / w.machine.PullGBPerS * float64(time.Second))
-	w.later(wait, func(now time.Duration) agent.Effects {
-		if !w.images[name] {
+func (w *worker) fetchImage(name string) {
+	w.fetchingImages[name] = true
+	wait := time.Duration(w.imageSizeGB(name) / w.machine.PullGBPerS * float64(time.Second))
+	w.stepAfter(wait, func(now time.Duration) agent.Effects {
+		if !w.fetchingImages[name] {
 			return w.state.Tick(now)
 		}
-		delete(w.images, name)
+		delete(w.fetchingImages, name)
 		return w.state.Fetched(now, name, nil)
 	})
 }
 
-// sizeOf is the size of an image that a task here waits for, in GB.
-func (w *worker) sizeOf(name string) float64 {
+// imageSizeGB returns the size of an image that a task of this worker needs.
+func (w *worker) imageSizeGB(name string) float64 {
 	for _, d := range w.state.Descriptions() {
 		if d.Image == name {
 			return d.ImageGB
@@ -128,22 +132,24 @@
 func (w *worker) start(k agent.TaskAttempt) {
 	wait := w.fleet.observer.RunTime(k.Job, k.Index)
 	if wait > 0 {
-		w.running[k] = w.later(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, true) })
+		w.running[k] = w.stepAfter(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, true) })
 	} else {
 		w.running[k] = nil
 	}
 	w.fleet.observer.Started(&w.machine, k)
 }
 
-// end ends a task that was asked to, after a while.
-func (w *worker) end(k agent.TaskAttempt, wait time.Duration) {
+// endTask ends a task that was asked to end, after a delay.
+func (w *worker) endTask(k agent.TaskAttempt, wait time.Duration) {
 	if t := w.running[k]; t != nil {
 		t.Stop()
 	}
-	w.later(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, false) })
+	w.stepAfter(wait, func(now time.Duration) agent.Effects { return w.exited(now, k, false) })
 }
 
-// exited takes that a task's program has ended; the lock is held.
+// exited records that a task's program has ended, by its run time or because it was asked to,
+// and tells the state machine. A gang's task stays registered for GangWait, so that its peers
+// can still learn its state. The caller holds w.mu.
 func (w *worker) exited(now time.Duration, k agent.TaskAttempt, done bool) agent.Effects {
 	if _, here := w.running[k]; !here {
 		return w.state.Tick(now)
@@ -155,8 +161,8 @@
 		code = 1
 	}
 	if d := w.state.Description(k.Job); d != nil && d.Shape == job.Gang {
-		defer w.later(time.Duration(w.fleet.periods.GangWait*float64(time.Second)), func(now time.Duration) agent.Effects {
-			w.fleet.leave(w, k)
+		defer w.stepAfter(time.Duration(w.fleet.periods.GangWait*float64(time.Second)), func(now time.Duration) agent.Effects {
+			w.fleet.leaveGang(w, k)
 			return w.state.Tick(now)
 		})
 	}
@@ -164,47 +170,47 @@
 }
 
 func (w *worker) askGang(k agent.TaskAttempt) {
-	states := w.fleet.gang(k)
+	states := w.fleet.gangStates(k)
 	w.step(func(now time.Duration) agent.Effects { return w.state.Peers(now, k, states) })
 }
 
-// leaseExpired ends everything, as the lease has; the lock is held.
+// leaseExpired ends all tasks because the lease has ended. The caller holds w.mu.
 func (w *worker) leaseExpired() {
 	_, live := w.state.Count()
-	w.fleet.Stats.Epochs.Add(1)
+	w.fleet.Stats.ExpiredEpochs.Add(1)
 	if live > 0 {
 		w.fleet.observer.LeaseEnded(&w.machine, live)
 	}
-	w.dropAll()
-	w.later(time.Millisecond, w.state.EpochEnded)
+	w.endAllTasks()
+	w.stepAfter(time.Millisecond, w.state.EpochEnded)
 }
 
-// dropAll ends all tasks at once; the lock is held.
-func (w *worker) dropAll() {
+// endAllTasks ends all tasks at once, and the fetching of images. The caller holds w.mu.
+func (w *worker) endAllTasks() {
 	for k, t := range w.running {
 		if t != nil {
 			t.Stop()
 		}
 		w.fleet.observer.Stopped(&w.machine, k, false)
-		w.fleet.leave(w, k)
+		w.fleet.leaveGang(w, k)
 	}
 	clear(w.running)
-	clear(w.images)
+	clear(w.fetchingImages)
 }
 
-// restart begins the next agent epoch at once.
+// restart ends all tasks and begins the next agent epoch at once.
 func (w *worker) restart() {
 	w.step(func(now time.Duration) agent.Effects {
-		w.dropAll()
+		w.endAllTasks()
 		return w.state.Restarted(now)
 	})
 }
 
-// stop ends the worker for good.
+// stop ends the worker, its tasks and its server for good.
 func (w *worker) stop() {
 	w.mu.Lock()
 	w.stopped = true
-	w.dropAll()
+	w.endAllTasks()
 	if w.timer != nil {
 		w.timer.Stop()
 	}
@@ -215,7 +221,7 @@
 func (w *worker) sendHeartbeat(s *agent.HeartbeatSend) {
 	stats := &w.fleet.Stats
 	stats.Heartbeats.Add(1)
-	stats.BytesOut.Add(int64(len(s.Body) + headBytes))
+	stats.BytesOut.Add(int64(len(s.Body) + headerBytes))
 	sent := w.fleet.clock()
 	w.fleet.pool.Start(transport.Call{Addr: s.Controller.Address, Method: http.MethodPost, Target: protocol.PathHeartbeat, Body: s.Body, Timeout: heartbeatTimeout,
 		Done: func(r *transport.Response, _ bool, err error) {
@@ -224,12 +230,12 @@
 					stats.Unanswered.Add(1)
 					return w.state.Answered(now, s, 0, nil)
 				}
-				stats.BytesIn.Add(int64(len(r.Body) + headBytes))
+				stats.BytesIn.Add(int64(len(r.Body) + headerBytes))
 				switch r.Status {
 				case http.StatusOK:
 					stats.Answered.Add(1)
 					stats.AnswerNanos.Add(int64(now - sent))
-					w.answered = now
+					w.lastAnsweredAt = now
 				case http.StatusMisdirectedRequest:
 					stats.Redirected.Add(1)
 				default:
@@ -240,7 +246,7 @@
 		}})
 }
 
-// ServeHTTP answers direct commands and questions for the worker's status.
+// ServeHTTP handles direct commands and requests for the worker's status.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody))
 	if err != nil {
@@ -275,6 +281,6 @@
 	default:
 		return problem(http.StatusNotFound, "no such path")
 	}
-	w.perform(e)
+	w.applyEffects(e)
 	return status, answer
 }
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -21,84 +21,86 @@
 	"silvergate/internal/provider"
 )
 
-// CellSettings are the settings of a cell process, in YAML.
+// CellSettings are the settings of a cell process, which it reads from a YAML file.
+// State and Cloud are the ports of the cell's state service and cloud.
 type CellSettings struct {
 	Scenario *Scenario `yaml:"scenario"`
 	Number   int       `yaml:"number"`
 	State    int       `yaml:"state"`
 	Cloud    int       `yaml:"cloud"`
-	// Controllers are their ports for workers and users.
+	// Controllers lists the controllers' ports for workers and users.
 	Controllers []int  `yaml:"controllers"`
 	Dir         string `yaml:"dir"`
 }
 
-// agentProcess is a real agent, with what it was last seen to have used.
+// agentProcess is the process of a real agent, with its uptime and processor time as last measured.
 type agentProcess struct {
-	cmd    *exec.Cmd
-	began  time.Time
-	uptime time.Duration
-	cpu    time.Duration
+	cmd       *exec.Cmd
+	startedAt time.Time
+	uptime    time.Duration
+	cpu       time.Duration
 }
 
-// cell is what a cell process holds. It is the observer of its fleet.
+// cell is the state of a cell process. It implements hollow.Observer for its fleet.
 type cell struct {
-	scenario *Scenario
-	layout   *cellLayout
-	dir      string
-	self     string
-	log      *slog.Logger
-	begun    time.Time
-	checker  *checker
-	fleet    *hollow.Fleet
-	cloud    *cloud
-	users    *users
+	scenario  *Scenario
+	layout    *cellLayout
+	dir       string
+	self      string
+	log       *slog.Logger
+	startedAt time.Time
+	checker   *checker
+	fleet     *hollow.Fleet
+	cloud     *cloud
+	users     *users
 
 	mu       sync.Mutex
 	measured measurements
 	agents   agentProcesses
 }
 
-// measurements are what a cell has measured so far.
+// measurements holds what a cell has measured so far.
 type measurements struct {
 	samples      []Sample
 	starts       int
-	leaseKilled  int                                // tasks
-	acceptance   *hdrhistogram.Histogram            // from submissions to their acceptance
-	firstStart   map[string]*hdrhistogram.Histogram // from submissions to first tasks, by urgency
-	taskStart    map[string]*hdrhistogram.Histogram // from submissions to each task's first start, by urgency
-	started      map[string]map[int]bool            // tasks that have started, by job
-	workerUptime float64                            // seconds of workers that were up
+	leaseKilled  int                                // tasks killed because a lease ended
+	acceptance   *hdrhistogram.Histogram            // time from submission to acceptance
+	firstStart   map[string]*hdrhistogram.Histogram // time from submission to the job's first task start, by urgency
+	taskStart    map[string]*hdrhistogram.Histogram // time from submission to each task's first start, by urgency
+	started      map[string]map[int]bool            // indexes of the tasks that have started, by job
+	workerUptime float64                            // total uptime of all workers, in seconds
 }
 
-// agentProcesses are a cell's real agents.
+// agentProcesses holds a cell's real agents.
 type agentProcesses struct {
-	running map[string]*agentProcess // by machine
-	all     []*agentProcess          // also those that were ended
+	running map[string]*agentProcess // by machine name
+	all     []*agentProcess          // including those that have ended
 	result  AgentsResult
 }
 
-// Intervals of a cell process.
+// Intervals of a cell process: between two samples, and between two checks whether jobs are over
+// or calls have timed out.
 const (
-	samplePeriod = time.Second
-	drainLook    = 250 * time.Millisecond
+	samplePeriod    = time.Second
+	drainPollPeriod = 250 * time.Millisecond
 )
 
-// realImage is the image of the real agents' jobs; its program sleeps.
+// realImage is the image of the jobs that run on real agents. Its program is sleep.
 const realImage = "sleeper"
 
-// RunCell plays one cell's part of a run and returns what it measured. It ends when
+// RunCell runs one cell of a scenario and returns what it measured. It returns when the
 // users are done, or when stop is closed.
 func RunCell(settings CellSettings, self string, log *slog.Logger, stop <-chan struct{}) (*CellResult, error) {
 	s := settings.Scenario
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	c := &cell{scenario: s, dir: settings.Dir, self: self, log: log, begun: time.Now(),
-		layout:   &cellLayout{scenario: s, number: settings.Number, state: settings.State, cloud: settings.Cloud, controllers: settings.Controllers},
-		measured: measurements{acceptance: histogram(), firstStart: map[string]*hdrhistogram.Histogram{}, taskStart: map[string]*hdrhistogram.Histogram{}, started: map[string]map[int]bool{}},
+	c := &cell{scenario: s, dir: settings.Dir, self: self, log: log, startedAt: time.Now(),
+		layout:   &cellLayout{scenario: s, number: settings.Number, statePort: settings.State, cloudPort: settings.Cloud, controllerPorts: settings.Controllers},
+		measured: measurements{acceptance: newHistogram(), firstStart: map[string]*hdrhistogram.Histogram{}, taskStart: map[string]*hdrhistogram.Histogram{}, started: map[string]map[int]bool{}},
 		agents:   agentProcesses{running: map[string]*agentProcess{}}}
 	c.checker = newChecker(s, c.now)
-	c.fleet = hollow.NewFleet(c.layout.nodes(), c.layout.periods(), c.layout.workerIP(), heartbeatConnections(s), c)
+	c.fleet = hollow.NewFleet(c.layout.controllerAddresses(), c.layout.periods(), c.layout.workerIP(), heartbeatConnections(s), c)
 	defer c.fleet.Close()
 	c.cloud = newCloud(s, s.Seed+uint64(settings.Number), log)
 	c.cloud.boot, c.cloud.remove = c.boot, c.remove
@@ -111,35 +113,37 @@
 	if err := c.awaitController(); err != nil {
 		return nil, err
 	}
-	c.play(stop)
+	c.runScenario(stop)
 	return c.result(), nil
 }
 
-// awaitController waits until a controller serves; users begin then.
+// awaitController waits until every controller is up, and sets the start time from which
+// users and faults are scheduled.
 func (c *cell) awaitController() error {
-	ctx, cancel := context.WithTimeout(context.Background(), startPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	for _, n := range c.layout.nodes() {
+	for _, n := range c.layout.controllerAddresses() {
 		if err := awaitUp(ctx, n.Address); err != nil {
 			return fmt.Errorf("%s is not up: %w", n.Name, err)
 		}
 	}
-	c.begun = time.Now()
+	c.startedAt = time.Now()
 	return nil
 }
 
-// heartbeatConnections is how many connections the hollow workers of a cell share.
+// heartbeatConnections is how many connections the hollow workers of a cell share for heartbeats.
 func heartbeatConnections(s *Scenario) int {
 	return s.Controllers * max(16, s.Controller.MaxSockets/4)
 }
 
-func (c *cell) now() time.Duration { return time.Since(c.begun) }
+func (c *cell) now() time.Duration { return time.Since(c.startedAt) }
 
-// play has users and faults run their time.
-func (c *cell) play(stop <-chan struct{}) {
+// runScenario submits jobs and injects faults for the scenario's duration. It then waits
+// until the jobs are over, for the drain time at most.
+func (c *cell) runScenario(stop <-chan struct{}) {
 	over := make(chan struct{})
 	go c.sample(over)
-	go c.faults(over)
+	go c.scheduleFaults(over)
 	go c.expireCalls(over)
 	submitted := make(chan struct{})
 	go func() {
@@ -151,7 +155,7 @@
 			select {
 			case <-stop:
 				return false
-			case <-time.After(drainLook):
+			case <-time.After(drainPollPeriod):
 			}
 		}
 		return true
@@ -162,14 +166,14 @@
 		wait(end+time.Duration(c.scenario.DrainS*float64(time.Second)), c.drained)
 	}
 	close(over)
-	c.users.wait.Wait()
+	c.users.followers.Wait()
 }
 
-// drained tells whether all jobs but services are over.
+// drained reports whether users have seen the end of all accepted jobs, except services.
 func (c *cell) drained() bool {
 	c.users.mu.Lock()
 	defer c.users.mu.Unlock()
-	for _, s := range c.users.open {
+	for _, s := range c.users.openJobs {
 		if s.Shape != "standing" {
 			return false
 		}
@@ -177,9 +181,10 @@
 	return true
 }
 
-// expireCalls gives up users' calls that are late.
+// expireCalls fails the users' calls whose timeout has passed, and at the end of the run
+// all calls.
 func (c *cell) expireCalls(over <-chan struct{}) {
-	ticker := time.NewTicker(drainLook)
+	ticker := time.NewTicker(drainPollPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -192,19 +197,19 @@
 	}
 }
 
-// sample notes the cell's state once a second.
+// sample records the cell's state once a second.
 func (c *cell) sample(over <-chan struct{}) {
 	ticker := time.NewTicker(samplePeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			c.checker.sweep()
+			c.checker.checkCancelledJobs()
 			tasks, answered := c.fleet.Running()
 			workers := len(c.fleet.Names(""))
 			c.mu.Lock()
 			c.measured.samples = append(c.measured.samples, Sample{AtS: c.now().Seconds(), Starts: c.measured.starts, Running: tasks, Workers: workers, Answered: answered,
-				Reports: c.fleet.Stats.Heartbeats.Load(), LeaseKill: c.measured.leaseKilled})
+				Heartbeats: c.fleet.Stats.Heartbeats.Load(), LeaseKilled: c.measured.leaseKilled})
 			c.measured.workerUptime += float64(workers) * samplePeriod.Seconds()
 			c.measureAgents()
 			c.mu.Unlock()
@@ -214,17 +219,18 @@
 	}
 }
 
-// measureAgents notes what the real agents have used so far; the lock is held.
+// measureAgents records the memory and processor time that the real agents have used so
+// far. The caller holds c.mu.
 func (c *cell) measureAgents() {
 	for _, a := range c.agents.running {
 		if u, ok := readUsage(a.cmd.Process.Pid); ok {
 			c.agents.result.PeakMB = max(c.agents.result.PeakMB, float64(u.rss)/(1<<20))
-			a.uptime, a.cpu = time.Since(a.began), u.cpu
+			a.uptime, a.cpu = time.Since(a.startedAt), u.cpu
 		}
 	}
 }
 
-// agentsResult sums up what the real agents have used; the lock is held.
+// agentsResult sums up what the real agents have used. The caller holds c.mu.
 func (c *cell) agentsResult() AgentsResult {
 	var uptime, cpu time.Duration
 	for _, a := range c.agents.all {
@@ -236,8 +242,9 @@
 	return c.agents.result
 }
 
-// faults plays those of the workers; the caller of the run plays those of the controllers.
-func (c *cell) faults(over <-chan struct{}) {
+// scheduleFaults injects the faults of workers at their times. The process that started
+// the run injects the faults of controllers.
+func (c *cell) scheduleFaults(over <-chan struct{}) {
 	for i := range c.scenario.Faults {
 		f := c.scenario.Faults[i]
 		if f.Kind == FaultControllerKill {
@@ -246,21 +253,23 @@
 		go func() {
 			select {
 			case <-time.After(time.Duration(f.AtS*float64(time.Second)) - c.now()):
-				c.fault(f, over)
+				c.injectFault(f, over)
 			case <-over:
 			}
 		}()
 	}
 }
 
-func (c *cell) fault(f Fault, over <-chan struct{}) {
+// injectFault removes a share of a zone's workers at once, or restarts them one after the
+// other over the fault's ForS.
+func (c *cell) injectFault(f Fault, over <-chan struct{}) {
 	names := c.fleet.Names(f.Zone)
 	slices.Sort(names)
 	names = names[:int(float64(len(names))*f.Share)]
 	c.log.Info("fault", "kind", f.Kind, "workers", len(names))
 	if f.Kind == FaultWorkersLost {
 		c.fleet.Remove(names...)
-		c.cloud.died(names)
+		c.cloud.machinesLost(names)
 		return
 	}
 	for i, name := range names {
@@ -268,13 +277,13 @@
 		select {
 		case <-time.After(time.Duration(f.ForS / float64(len(names)) * float64(time.Second))):
 		case <-over:
-			c.log.Info("the run ended in a rolling restart", "restarted", i+1)
+			c.log.Info("the run ended during a rolling restart", "restarted", i+1)
 			return
 		}
 	}
 }
 
-// boot brings a machine up: a hollow worker, or a real agent.
+// boot starts a hollow worker or a real agent, by the machine's type, and returns its address.
 func (c *cell) boot(m provider.Machine) (string, error) {
 	if m.MachineType == realType {
 		return c.bootAgent(m)
@@ -285,11 +294,12 @@
 	return c.fleet.Address(m.Name), err
 }
 
-// bootAgent starts a real agent as a process. It ends with this one.
+// bootAgent starts a real agent as a process. The kernel sends that process SIGTERM when this
+// one ends.
 func (c *cell) bootAgent(m provider.Machine) (string, error) {
-	taker := &portTaker{}
-	port, err := taker.take(0)
-	taker.release()
+	allocator := &portAllocator{}
+	port, err := allocator.allocate(0)
+	allocator.release()
 	if err != nil {
 		return "", err
 	}
@@ -297,13 +307,13 @@
 	cfg := agent.DefaultConfig()
 	cfg.Worker, cfg.MachineType, cfg.Zone, cfg.Spot, cfg.Listen = m.Name, m.MachineType, m.Zone, m.Spot, loopback(port)
 	cfg.Dir = filepath.Join(c.dir, "agents", m.Name)
-	cfg.Controllers, cfg.Workers = c.layout.nodes(), c.layout.periods()
+	cfg.Controllers, cfg.Workers = c.layout.controllerAddresses(), c.layout.periods()
 	cfg.Room = agent.Room{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}
-	image := filepath.Join(c.dir, "image") // empty: the program is the system's own
+	image := filepath.Join(c.dir, "image") // an empty folder: sleep is the system's own program
 	if err := os.MkdirAll(image, 0o700); err != nil {
 		return "", err
 	}
-	cfg.Images = []agent.Image{{Name: realImage, Path: image, Command: []string{"sleep", fmt.Sprint(c.realSeconds())}}}
+	cfg.Images = []agent.Image{{Name: realImage, Path: image, Command: []string{"sleep", fmt.Sprint(c.realTaskSeconds())}}}
 	raw, err := yaml.Marshal(cfg)
 	if err != nil {
 		return "", err
@@ -328,15 +338,15 @@
 	}
 	log.Close()
 	c.mu.Lock()
-	a := &agentProcess{cmd: cmd, began: time.Now()}
+	a := &agentProcess{cmd: cmd, startedAt: time.Now()}
 	c.agents.running[m.Name], c.agents.all = a, append(c.agents.all, a)
 	c.agents.result.Count++
 	c.mu.Unlock()
 	return cfg.Listen, nil
 }
 
-// realSeconds is how long a program of the real agents sleeps.
-func (c *cell) realSeconds() float64 {
+// realTaskSeconds is how long the program of a task on a real agent sleeps.
+func (c *cell) realTaskSeconds() float64 {
 	for i := range c.scenario.Load {
 		if c.scenario.Load[i].Real {
 			return c.scenario.Load[i].RunS
@@ -345,7 +355,7 @@
 	return 1
 }
 
-// remove ends machines that were deleted.
+// remove stops the hollow workers and real agents of machines that were deleted.
 func (c *cell) remove(names []string) {
 	c.fleet.Remove(names...)
 	for _, name := range names {
@@ -369,13 +379,14 @@
 	c.remove(names)
 }
 
-// Describe returns a job's description.
+// Describe returns a job's description; false: nobody has submitted it.
 func (c *cell) Describe(id string) (*protocol.JobDescription, bool) { return c.checker.describe(id) }
 
-// RunTime is how long a task runs.
+// RunTime returns how long a task runs; 0: until it is stopped.
 func (c *cell) RunTime(id string, index int) time.Duration { return c.checker.runTime(id, index) }
 
-// Started takes that a task runs.
+// Started checks the start of a task against the rules and records how long after its
+// job's submission it came.
 func (c *cell) Started(m *hollow.Machine, k agent.TaskAttempt) {
 	nth := c.checker.started(m, k)
 	s := c.checker.submission(k.Job)
@@ -387,32 +398,32 @@
 	defer c.mu.Unlock()
 	c.measured.starts++
 	if nth == 1 {
-		record(c.measured.firstStart, s.Priority, wait)
+		recordLatency(c.measured.firstStart, s.Priority, wait)
 	}
 	if c.measured.started[k.Job] == nil {
 		c.measured.started[k.Job] = map[int]bool{}
 	}
 	if !c.measured.started[k.Job][k.Index] {
 		c.measured.started[k.Job][k.Index] = true
-		record(c.measured.taskStart, s.Priority, wait)
+		recordLatency(c.measured.taskStart, s.Priority, wait)
 	}
 }
 
-// Stopped takes that a task is gone.
+// Stopped tells the checker that a task no longer runs on a machine.
 func (c *cell) Stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) {
 	c.checker.stopped(m, k, done)
 }
 
-// LeaseEnded counts tasks that a lease has killed.
+// LeaseEnded counts tasks that were killed because a worker's lease ended.
 func (c *cell) LeaseEnded(_ *hollow.Machine, tasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.measured.leaseKilled += tasks
 }
 
-// submitted takes how long a submission took to be accepted.
-func (c *cell) submitted(took time.Duration) {
+// recordAcceptance records how long a submission took to be accepted.
+func (c *cell) recordAcceptance(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.measured.acceptance.RecordValue(bounded(took))
+	_ = c.measured.acceptance.RecordValue(clampMicros(took))
 }
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/protocol"
 )
 
-// Rules that the checker knows, by the protocol's names.
+// Rules that the checker checks, by their names in the protocol.
 const (
 	ruleRanTwice     = "ran_twice"
 	ruleQuota        = "quota"
@@ -22,97 +22,100 @@
 	ruleInvented     = "invented"
 )
 
-// checker holds a cell's users and hollow workers to the protocol's rules. Tasks of
-// real agents are not seen by it. It may be called from many goroutines.
+// checker checks what a cell's users and hollow workers see against the protocol's rules.
+// It does not see tasks on real agents. It is safe for concurrent use.
 //
-// A task counts as on its machine while it runs; the wait of a gang's task for the
-// others, with its image there, is not counted, which errs towards missing a broken quota.
+// A task counts as on its machine, and against its team's quota, while it runs. A gang task
+// that has its image and still waits for its peers is not counted, so the checker may
+// miss a broken quota.
 type checker struct {
 	cancelWithin time.Duration
-	limit        float64 // of each team, in accelerators; 0: none
+	teamLimit    float64 // limit of each team, in accelerators; 0: none
 	now          func() time.Duration
 
-	mu     sync.Mutex
-	jobs   map[string]*judged
-	teams  map[string]float64 // accelerators in use
-	broken map[string]int
-	first  []string
+	mu              sync.Mutex
+	jobs            map[string]*jobRecord
+	teams           map[string]float64 // accelerators in use, by team
+	violationCounts map[string]int
+	firstViolations []string
 }
 
-// judged is what the checker knows of a job.
-type judged struct {
+// jobRecord is what the checker knows about a job.
+type jobRecord struct {
 	spec        *submission
 	accepted    bool
-	final       string         // the last status that a user saw of a job that is over
-	cancelled   bool           // its user saw that
-	cancelledAt time.Duration  // when a user first heard so
-	on          map[int]string // where each task runs
-	done        map[int]bool   // tasks that completed
+	final       string         // the final status that a user last saw; empty: none so far
+	cancelled   bool           // a user has seen that the job is cancelled
+	cancelledAt time.Duration  // when a user first saw that
+	runningOn   map[int]string // the machine that each running task is on, by task index
+	completed   map[int]bool   // indexes of the tasks that completed
 	starts      int
 }
 
 func newChecker(s *Scenario, now func() time.Duration) *checker {
-	return &checker{cancelWithin: time.Duration(s.Periods.Cancel * float64(time.Second)), limit: s.TeamLimit, now: now,
-		jobs: map[string]*judged{}, teams: map[string]float64{}, broken: map[string]int{}}
+	return &checker{cancelWithin: time.Duration(s.Periods.Cancel * float64(time.Second)), teamLimit: s.TeamLimit, now: now,
+		jobs: map[string]*jobRecord{}, teams: map[string]float64{}, violationCounts: map[string]int{}}
 }
 
-// mostNamed bounds how many breaks are described.
-const mostNamed = 20
+// maxDescribedViolations bounds how many violations are described. All are counted.
+const maxDescribedViolations = 20
 
-// breaks notes a broken rule; the lock is held.
-func (c *checker) breaks(rule, format string, args ...any) {
-	c.broken[rule]++
-	if len(c.first) < mostNamed {
-		c.first = append(c.first, fmt.Sprintf("%.3f s %s: ", c.now().Seconds(), rule)+fmt.Sprintf(format, args...))
+// recordViolation counts a broken rule and describes it, up to the bound. The caller holds
+// c.mu.
+func (c *checker) recordViolation(rule, format string, args ...any) {
+	c.violationCounts[rule]++
+	if len(c.firstViolations) < maxDescribedViolations {
+		c.firstViolations = append(c.firstViolations, fmt.Sprintf("%.3f s %s: ", c.now().Seconds(), rule)+fmt.Sprintf(format, args...))
 	}
 }
 
-// submitted notes a job before it is submitted for the first time.
+// submitted records a job before it is submitted for the first time.
 func (c *checker) submitted(s *submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.jobs[s.ID] = &judged{spec: s, on: map[int]string{}, done: map[int]bool{}}
+	c.jobs[s.ID] = &jobRecord{spec: s, runningOn: map[int]string{}, completed: map[int]bool{}}
 }
 
-// started takes that a task runs on a machine; it returns how many of the job's
-// tasks have started so far.
+// started records that a task started on a machine, and checks the rules. It returns how
+// often tasks of the job have started so far.
 func (c *checker) started(m *hollow.Machine, k agent.TaskAttempt) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[k.Job]
 	if j == nil {
-		c.breaks(ruleInvented, "%s starts, and nobody has submitted it", k)
+		c.recordViolation(ruleInvented, "%s starts, and nobody has submitted it", k)
 		return 0
 	}
-	if other, on := j.on[k.Index]; on {
-		c.breaks(ruleRanTwice, "%s starts on %s while it is on %s", k, m.Name, other)
+	if other, on := j.runningOn[k.Index]; on {
+		c.recordViolation(ruleRanTwice, "%s starts on %s while it is on %s", k, m.Name, other)
 	}
 	if j.cancelled && c.now() > j.cancelledAt+c.cancelWithin {
-		c.breaks(ruleRanCancelled, "%s starts on %s, %s after its user was told", k, m.Name, c.now()-j.cancelledAt)
+		c.recordViolation(ruleRanCancelled, "%s starts on %s, %s after its user was told", k, m.Name, c.now()-j.cancelledAt)
 	}
-	j.on[k.Index] = m.Name
+	j.runningOn[k.Index] = m.Name
 	j.starts++
-	c.judgePlace(j, m, k)
+	c.checkPlacement(j, m, k)
 	team := j.spec.Team
 	c.teams[team] += j.spec.GPUs
-	if c.limit > 0 && c.teams[team] > c.limit+0.001 {
-		c.breaks(ruleQuota, "%s uses %.1f of %.1f accelerators", team, c.teams[team], c.limit)
+	if c.teamLimit > 0 && c.teams[team] > c.teamLimit+0.001 {
+		c.recordViolation(ruleQuota, "%s uses %.1f of %.1f accelerators", team, c.teams[team], c.teamLimit)
 	}
 	return j.starts
 }
 
-// judgePlace judges a start by the job's own demands; the lock is held.
-func (c *checker) judgePlace(j *judged, m *hollow.Machine, k agent.TaskAttempt) {
+// checkPlacement checks a task's machine against what the job asked for: the machine type,
+// spot machines and one zone. The caller holds c.mu.
+func (c *checker) checkPlacement(j *jobRecord, m *hollow.Machine, k agent.TaskAttempt) {
 	if j.spec.progress.zones == nil {
 		j.spec.progress.zones = map[int]string{}
 	}
 	if m.Type != j.spec.MachineTypes[0] || m.Spot && !j.spec.Spot {
-		c.breaks(ruleWrongPlace, "%s starts on %s of type %s", k, m.Name, m.Type)
+		c.recordViolation(ruleWrongPlace, "%s starts on %s of type %s", k, m.Name, m.Type)
 	}
 	if j.spec.OneZone {
-		for index := range j.on {
+		for index := range j.runningOn {
 			if zone, known := j.spec.progress.zones[index]; known && index != k.Index && zone != m.Zone {
-				c.breaks(ruleWrongPlace, "%s starts in %s while task %d is in %s", k, m.Zone, index, zone)
+				c.recordViolation(ruleWrongPlace, "%s starts in %s while task %d is in %s", k, m.Zone, index, zone)
 				break
 			}
 		}
@@ -120,52 +123,53 @@
 	j.spec.progress.zones[k.Index] = m.Zone
 }
 
-// stopped takes that a task is gone from its machine.
+// stopped records that a task no longer runs on a machine. done reports whether it completed.
 func (c *checker) stopped(m *hollow.Machine, k agent.TaskAttempt, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[k.Job]
-	if j == nil || j.on[k.Index] != m.Name {
+	if j == nil || j.runningOn[k.Index] != m.Name {
 		return
 	}
-	delete(j.on, k.Index)
+	delete(j.runningOn, k.Index)
 	c.teams[j.spec.Team] -= j.spec.GPUs
 	if done {
-		j.done[k.Index] = true
+		j.completed[k.Index] = true
 	}
 }
 
-// answered takes what a user sees of a job: the status of a 200, or "" for a 404.
-func (c *checker) answered(id, status string) {
+// observeStatus checks what a user sees of a job: the status in a 200 response, or "" for
+// a 404.
+func (c *checker) observeStatus(id, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
 	switch {
 	case j == nil && status != "":
-		c.breaks(ruleInvented, "%s is %s, and nobody has submitted it", id, status)
+		c.recordViolation(ruleInvented, "%s is %s, and nobody has submitted it", id, status)
 		return
 	case j == nil:
 		return
 	case status == "" && j.accepted:
-		c.breaks(ruleForgotten, "%s was accepted, and is unknown", id)
+		c.recordViolation(ruleForgotten, "%s was accepted, and is unknown", id)
 		return
 	case status == "":
 		return
 	}
 	j.accepted = true
 	if j.final != "" && status != j.final {
-		c.breaks(ruleWentBack, "%s was %s, and is %s", id, j.final, status)
+		c.recordViolation(ruleWentBack, "%s was %s, and is %s", id, j.final, status)
 	}
 	switch status {
 	case statusDone:
-		// A task on a real agent is not seen; its completion can't be judged.
-		if missing := j.spec.Tasks - len(j.done); missing > 0 && !j.spec.plan.real {
-			c.breaks(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
+		// The checker does not see tasks on real agents, so it can't check that they completed.
+		if missing := j.spec.Tasks - len(j.completed); missing > 0 && !j.spec.plan.real {
+			c.recordViolation(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
 		}
 		j.final = status
 	case statusCancelled:
 		if !j.spec.progress.cancelRequested {
-			c.breaks(ruleWentBack, "%s is called cancelled, and its user did not cancel it", id)
+			c.recordViolation(ruleWentBack, "%s is called cancelled, and its user did not cancel it", id)
 		}
 		if !j.cancelled {
 			j.cancelled, j.cancelledAt = true, c.now()
@@ -174,19 +178,20 @@
 	}
 }
 
-// sweep looks for tasks of cancelled jobs that outlive the time that they may have.
-func (c *checker) sweep() {
+// checkCancelledJobs checks that no task of a cancelled job still runs cancelWithin after a
+// user saw that the job is cancelled. It reports a job at most once.
+func (c *checker) checkCancelledJobs() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, j := range c.jobs {
-		if j.cancelled && len(j.on) > 0 && c.now() > j.cancelledAt+c.cancelWithin && !j.spec.progress.overdue {
-			j.spec.progress.overdue = true
-			c.breaks(ruleRanCancelled, "%s has %d tasks, %s after its user was told", id, len(j.on), c.now()-j.cancelledAt)
+		if j.cancelled && len(j.runningOn) > 0 && c.now() > j.cancelledAt+c.cancelWithin && !j.spec.progress.overdueReported {
+			j.spec.progress.overdueReported = true
+			c.recordViolation(ruleRanCancelled, "%s has %d tasks, %s after its user was told", id, len(j.runningOn), c.now()-j.cancelledAt)
 		}
 	}
 }
 
-// describe is the job's description, for workers.
+// describe returns the job's description for workers; false: nobody has submitted it.
 func (c *checker) describe(id string) (*protocol.JobDescription, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +201,7 @@
 	return nil, false
 }
 
-// runTime is how long a task runs.
+// runTime returns how long a task runs; 0: until it is stopped, or nobody has submitted it.
 func (c *checker) runTime(id string, index int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +211,7 @@
 	return 0
 }
 
-// cancelRequested notes that a job's user asks to cancel it.
+// cancelRequested records that a job's user asks to cancel it.
 func (c *checker) cancelRequested(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,14 +220,15 @@
 	}
 }
 
-// verdict lists the broken rules with their counts, and the first breaks in words.
-func (c *checker) verdict() (map[string]int, []string) {
+// violations returns how often each broken rule was broken, and descriptions of the first
+// violations.
+func (c *checker) violations() (map[string]int, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken, c.first
+	return c.violationCounts, c.firstViolations
 }
 
-// submission is a job's, nil if nobody has submitted it.
+// submission returns a job's submission, or nil if nobody has submitted it.
 func (c *checker) submission(id string) *submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -16,13 +16,14 @@
 	"silvergate/internal/provider"
 )
 
-// cloud is the stand-in for the cloud: the decisions are the local cloud's market, its
-// machines are hollow workers, or real agents of their own type.
+// cloud simulates the cloud that controllers rent machines from. The local cloud's market
+// decides on rentals. The machines are hollow workers, or real agents, which have a machine
+// type of their own.
 type cloud struct {
-	log     *slog.Logger
-	boot    func(m provider.Machine) (address string, err error)
-	remove  func(names []string)
-	startup time.Duration
+	log          *slog.Logger
+	boot         func(m provider.Machine) (address string, err error)
+	remove       func(names []string)
+	startupDelay time.Duration
 
 	mu       sync.Mutex
 	market   *provider.Market
@@ -39,11 +40,11 @@
 		types = append(types, provider.MachineType{Name: realType, CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, MemoryGB: s.Machine.RAM, LocalGB: 100, ImagePullGBPerS: s.Machine.PullGBPerS,
 			OnDemandPrice: 4, SpotPrice: 4, StartupS: s.Machine.StartupS, Zones: spread(s.RealAgents, s.Zones)})
 	}
-	return &cloud{log: log, startup: time.Duration(s.Machine.StartupS * float64(time.Second)),
+	return &cloud{log: log, startupDelay: time.Duration(s.Machine.StartupS * float64(time.Second)),
 		market: provider.NewMarket(types, provider.Spot{}, s.Cloud.RPS, nil, nil, 0, rand.New(rand.NewPCG(seed, 1)))}
 }
 
-// spread shares machines out over zones, as evenly as it goes.
+// spread distributes machines over zones as evenly as possible.
 func spread(count int, zones []string) map[string]int {
 	out := map[string]int{}
 	for i, zone := range zones {
@@ -52,7 +53,7 @@
 	return out
 }
 
-// serve answers at an address until close.
+// serve starts an HTTP server at an address. It serves until close is called.
 func (c *cloud) serve(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -70,20 +71,20 @@
 	_ = c.server.Close()
 }
 
-// ServeHTTP answers the controllers.
+// ServeHTTP answers the controllers' requests.
 func (c *cloud) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody))
 	if err != nil {
 		http.Error(out, "the body can't be read", http.StatusBadRequest)
 		return
 	}
-	status, answer := c.answer(r, body)
+	status, answer := c.handle(r, body)
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(status)
 	_, _ = out.Write(protocol.Encode(answer))
 }
 
-func (c *cloud) answer(r *http.Request, body []byte) (int, any) {
+func (c *cloud) handle(r *http.Request, body []byte) (int, any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests++
@@ -109,7 +110,7 @@
 	return http.StatusNotFound, protocol.ErrorResponse{Error: "no such path"}
 }
 
-// rent grants a request; the machines come up after their boot time.
+// rent handles a rental request. Rented machines boot after the startup delay.
 func (c *cloud) rent(now time.Time, body []byte) (int, any) {
 	var r protocol.RentalRequest
 	if err := json.Unmarshal(body, &r); err != nil || r.Count < 1 || r.Count > 50 {
@@ -125,13 +126,14 @@
 	}
 	for _, m := range effects.Store {
 		machine := *m
-		time.AfterFunc(c.startup, func() { c.bootOne(machine) })
+		time.AfterFunc(c.startupDelay, func() { c.bootMachine(machine) })
 	}
 	return http.StatusOK, protocol.MachineNames{Machines: names}
 }
 
-// bootOne brings a machine up, unless it was deleted meanwhile.
-func (c *cloud) bootOne(m provider.Machine) {
+// bootMachine boots a machine and marks it as up in the market, unless the cloud has been
+// closed meanwhile.
+func (c *cloud) bootMachine(m provider.Machine) {
 	c.mu.Lock()
 	closed := c.closed
 	c.mu.Unlock()
@@ -142,12 +144,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.log.Error("a machine does not come up", "machine", m.Name, "error", err)
+		c.log.Error("machine failed to boot", "machine", m.Name, "error", err)
 		return
 	}
 	c.market.Up(m.Name, address)
 }
 
+// delete ends machines at the controllers' request.
 func (c *cloud) delete(now time.Time, body []byte) (int, any) {
 	var names protocol.MachineNames
 	if err := json.Unmarshal(body, &names); err != nil || len(names.Machines) > 100 {
@@ -161,8 +164,8 @@
 	return http.StatusOK, struct{}{}
 }
 
-// died takes that machines are gone without anybody having asked for it.
-func (c *cloud) died(names []string) {
+// machinesLost records in the market that machines have ended without a request to delete them.
+func (c *cloud) machinesLost(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -17,29 +17,30 @@
 	CPUS    float64 `json:"cpuS"`
 	CoreMs  float64 `json:"coreMs"` // processor time for each second that it was up, in ms
 	PeakMB  float64 `json:"peakMb"`
-	Ended   int     `json:"ended"` // by itself
+	Ended   int     `json:"ended"` // how often the process ended by itself
 	Killed  int     `json:"killed"`
 	uptimeS float64
 }
 
-// process is a part of a run.
+// process is one of the processes of a run. It may be started several times.
 type process struct {
 	name string
 	args []string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	result  ProcessResult
-	before  time.Duration // processor time before it was last started
-	last    usage
-	began   time.Time
-	wanted  bool
-	exited  chan struct{}
-	exitErr error
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	result     ProcessResult
+	earlierCPU time.Duration // processor time of all starts before the latest
+	lastUsage  usage
+	startedAt  time.Time
+	shouldRun  bool
+	exited     chan struct{}
+	exitErr    error
 }
 
-// add starts a process; its output goes to a log in the cell's folder.
-func (r *run) add(c *cellLayout, name string, args ...string) error {
+// addProcess adds a process to the run and starts it. Its output goes to a log file in the
+// cell's folder.
+func (r *run) addProcess(c *cellLayout, name string, args ...string) error {
 	p := &process{name: name, args: args}
 	p.result.Name = name
 	r.processes = append(r.processes, p)
@@ -60,7 +61,7 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.cmd, p.began, p.wanted, p.exited = cmd, time.Now(), true, make(chan struct{})
+	p.cmd, p.startedAt, p.shouldRun, p.exited = cmd, time.Now(), true, make(chan struct{})
 	exited := p.exited
 	go func() {
 		err := cmd.Wait()
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// alive tells whether a process runs.
+// alive reports whether the process runs.
 func (p *process) alive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// measure notes what the process has used and returns its resident memory.
+// measure records what the process has used and returns its resident memory in bytes.
 func (p *process) measure() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,26 +96,28 @@
 	if !ok || u.rss == 0 {
 		return 0
 	}
-	p.last = u
+	p.lastUsage = u
 	p.result.PeakMB = max(p.result.PeakMB, float64(u.rss)/(1<<20))
 	return u.rss
 }
 
-// close adds up what an ended process has used.
-func (p *process) close() {
+// accumulateUsage adds the last measured processor time and the uptime of a process that has
+// ended to its totals.
+func (p *process) accumulateUsage() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.before += p.last.cpu
-	p.result.uptimeS += time.Since(p.began).Seconds()
-	p.last = usage{}
+	p.earlierCPU += p.lastUsage.cpu
+	p.result.uptimeS += time.Since(p.startedAt).Seconds()
+	p.lastUsage = usage{}
 	p.cmd = nil
 }
 
-// end ends a process by the signal and, if it takes too long, by force.
+// end ends a process: it sends the signal, waits up to endTimeout, and then sends SIGKILL to
+// the process group. restartControllers does not start the process again.
 func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	cmd, exited := p.cmd, p.exited
-	p.wanted = false
+	p.shouldRun = false
 	p.mu.Unlock()
 	if cmd == nil {
 		return
@@ -122,14 +125,14 @@
 	_ = syscall.Kill(cmd.Process.Pid, signal)
 	select {
 	case <-exited:
-	case <-time.After(endPatience):
+	case <-time.After(endTimeout):
 	}
 	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 	<-exited
-	p.close()
+	p.accumulateUsage()
 }
 
-// endAll ends everything: cells first, since their agents are theirs to end.
+// endAll ends all processes: the cell processes first, since they end their own real agents.
 func (r *run) endAll() {
 	var wait sync.WaitGroup
 	for _, first := range []bool{true, false} {
