--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -34,10 +34,10 @@
 		Use: "serve --settings FILE", Short: "Serve an archive node", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := anode.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
-			n, err := anode.Open(cfg, partLogger("archive").With("node", cfg.Name))
+			n, err := anode.Open(cfg, componentLogger("archive").With("node", cfg.Name))
 			if err != nil {
 				return err
 			}
@@ -46,13 +46,13 @@
 				n.Stop()
 				return err
 			}
-			untilTold(func() {
+			onStopSignal(func() {
 				n.Stop()
 			})
 			return n.Serve(l)
 		},
 	}
-	settingsFlag(serve, &settings)
+	addSettingsFlag(serve, &settings)
 	return serve
 }
 
@@ -90,7 +90,7 @@
 				}
 				all = append(all, l)
 			})
-			if err := k.list(c, all, "NODE STATE RECORDS MB PULLED MENDED DAMAGED STRAYS", rows); err != nil {
+			if err := k.printList(c, all, "NODE STATE RECORDS MB PULLED MENDED DAMAGED STRAYS", rows); err != nil {
 				return err
 			}
 			if away == len(all) {
@@ -116,7 +116,7 @@
 			if err != nil {
 				return err
 			}
-			warn(c, answered)
+			warnIfIncomplete(c, answered)
 			var rows [][]string
 			for i := range found {
 				a := &found[i]
@@ -126,7 +126,7 @@
 				}
 				rows = append(rows, []string{a.Job, strconv.Itoa(a.Task), strconv.Itoa(a.Try), a.Machine, a.Team, a.Customer, a.Class, time.UnixMilli(a.At).UTC().Format(time.RFC3339), end})
 			}
-			return k.list(c, found, "JOB TASK ATTEMPT MACHINE TEAM CUSTOMER CLASS BOUND END", rows)
+			return k.printList(c, found, "JOB TASK ATTEMPT MACHINE TEAM CUSTOMER CLASS BOUND END", rows)
 		},
 	}
 	k.flags(find)
@@ -162,7 +162,7 @@
 			if told == 0 {
 				return errors.New("no node took it")
 			}
-			return k.show(c, map[string]int{"nodes": told}, fmt.Sprintf("%d nodes have it", told))
+			return k.printResult(c, map[string]int{"nodes": told}, fmt.Sprintf("%d nodes have it", told))
 		},
 	}
 	k.flags(revocations)
@@ -193,13 +193,13 @@
 					fmt.Fprintf(c.ErrOrStderr(), "%d of %d histories\n", i+1, histories)
 				}
 			}
-			return k.show(c, sum, fmt.Sprintf("%d histories: %+v", histories, sum))
+			return k.printResult(c, sum, fmt.Sprintf("%d histories: %+v", histories, sum))
 		},
 	}
 	soak.Flags().Uint64Var(&seed, "seed", 1, "the first seed")
 	soak.Flags().IntVar(&histories, "histories", 10, "how many")
 	soak.Flags().IntVar(&rounds, "rounds", 40, "of each")
-	k.output(soak)
+	k.addOutputFlag(soak)
 	return soak
 }
 
@@ -220,7 +220,7 @@
 			if err != nil {
 				return err
 			}
-			return k.show(c, r, fmt.Sprintf("%+v", r))
+			return k.printResult(c, r, fmt.Sprintf("%+v", r))
 		},
 	}
 	bench.Flags().StringVar(&o.Dir, "dir", "", "an empty folder on the disk that is measured")
@@ -228,7 +228,7 @@
 	bench.Flags().IntVar(&o.Lines, "lines", 100, "lines a second of each")
 	bench.Flags().DurationVar(&o.For, "for", 20*time.Second, "how long they write")
 	_ = bench.MarkFlagRequired("dir")
-	k.output(bench)
+	k.addOutputFlag(bench)
 	return bench
 }
 
@@ -239,14 +239,14 @@
 		Use: "bench-ship --settings FILE", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			s := load.Settings{Ship: ship.DefaultConfig()}
-			if err := startPart(shipping, &s); err != nil {
+			if err := startComponent(shipping, &s); err != nil {
 				return err
 			}
 			done := make(chan struct{})
-			untilTold(func() { close(done) })
-			return load.Ship(s, partLogger("ship"), done)
+			onStopSignal(func() { close(done) })
+			return load.Ship(s, componentLogger("ship"), done)
 		},
 	}
-	settingsFlag(benchShip, &shipping)
+	addSettingsFlag(benchShip, &shipping)
 	return benchShip
 }
--- a/cmd/silvergate/archive_client.go
+++ b/cmd/silvergate/archive_client.go
@@ -28,7 +28,7 @@
 	c.Flags().StringVar(&k.certs, "certs", "", "the folder with the certificate to read with")
 	c.Flags().StringSliceVar(&k.nodes, "node", nil, "an archive node, NAME=IP:PORT; may be repeated")
 	c.Flags().DurationVar(&k.timeout, "timeout", 10*time.Second, "how long to wait for an answer")
-	k.output(c)
+	k.addOutputFlag(c)
 }
 
 // open makes a client of the archive.
@@ -65,15 +65,15 @@
 	return reader.New(keeper, members, k.timeout), members, nil
 }
 
-// warn tells that an answer may not be all.
-func warn(c *cobra.Command, a anode.Answered) {
+// warnIfIncomplete tells that an answer may not be all.
+func warnIfIncomplete(c *cobra.Command, a anode.Answered) {
 	if !a.Whole {
 		fmt.Fprintf(c.ErrOrStderr(), "%s silent: something may be missing\n", strings.Join(a.Silent, ", "))
 	}
 }
 
-// jobTask reads JOB or JOB/TASK; task is -1 for all.
-func jobTask(s string) (job string, task int, err error) {
+// parseJobTask reads JOB or JOB/TASK; task is -1 for all.
+func parseJobTask(s string) (job string, task int, err error) {
 	job, index, one := strings.Cut(s, "/")
 	task = -1
 	if one {
--- a/cmd/silvergate/artefacts.go
+++ b/cmd/silvergate/artefacts.go
@@ -22,8 +22,8 @@
 	all bool // also of attempts that did not complete
 }
 
-// artefacts are the files of one attempt.
-type artefacts struct {
+// attemptFiles are the files of one attempt.
+type attemptFiles struct {
 	anode.Attempt
 	Final bool `json:"final"` // of the task's last attempt that was done
 }
@@ -44,7 +44,7 @@
 	return &cobra.Command{
 		Use: "list JOB[/TASK]", Short: "List the files of a job's completed attempts", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			_, found, err := k.find(c, args[0])
+			_, found, err := k.findAttempts(c, args[0])
 			if err != nil {
 				return err
 			}
@@ -54,7 +54,7 @@
 					rows = append(rows, []string{strconv.Itoa(e.Task), strconv.Itoa(e.Try), e.Machine, fmt.Sprint(f.Size), f.Digest[:16], archive.Visible(f.Path)})
 				}
 			}
-			return k.list(c, found, "TASK ATTEMPT MACHINE BYTES DIGEST FILE", rows)
+			return k.printList(c, found, "TASK ATTEMPT MACHINE BYTES DIGEST FILE", rows)
 		},
 	}
 }
@@ -64,7 +64,7 @@
 	get := &cobra.Command{
 		Use: "get JOB[/TASK] --to DIR", Short: "Write the files of a job's completed attempts into a folder, one folder for each task", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			r, found, err := k.find(c, args[0])
+			r, found, err := k.findAttempts(c, args[0])
 			if err != nil {
 				return err
 			}
@@ -72,7 +72,7 @@
 			if err != nil {
 				return err
 			}
-			return k.show(c, map[string]any{"files": n, "to": to}, fmt.Sprintf("%d files in %s", n, to))
+			return k.printResult(c, map[string]any{"files": n, "to": to}, fmt.Sprintf("%d files in %s", n, to))
 		},
 	}
 	get.Flags().StringVar(&to, "to", "", "the folder; what is there is not replaced")
@@ -80,13 +80,13 @@
 	return get
 }
 
-// find lists attempts with files; of each task the last that was done is final.
-func (k *artefactsClient) find(c *cobra.Command, arg string) (*reader.Client, []artefacts, error) {
+// findAttempts lists attempts with files; of each task the last that was done is final.
+func (k *artefactsClient) findAttempts(c *cobra.Command, arg string) (*reader.Client, []attemptFiles, error) {
 	r, _, err := k.open()
 	if err != nil {
 		return nil, nil, err
 	}
-	job, task, err := jobTask(arg)
+	job, task, err := parseJobTask(arg)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -94,16 +94,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	warn(c, answered)
+	warnIfIncomplete(c, answered)
 	if len(attempts) == 0 {
 		return nil, nil, fmt.Errorf("%s: %w", job, reader.ErrNotFound)
 	}
 	last := lastDone(attempts)
-	var found []artefacts
+	var found []attemptFiles
 	for _, a := range attempts {
 		final := last[a.Task] == a.Try && a.Try > 0 && a.End != nil
 		if (task < 0 || a.Task == task) && (final || k.all) {
-			found = append(found, artefacts{a, final})
+			found = append(found, attemptFiles{a, final})
 		}
 	}
 	return r, found, nil
@@ -121,7 +121,7 @@
 }
 
 // fetchAll writes the files of attempts below a folder and counts them.
-func fetchAll(ctx context.Context, r *reader.Client, found []artefacts, to string) (n int, err error) {
+func fetchAll(ctx context.Context, r *reader.Client, found []attemptFiles, to string) (n int, err error) {
 	if err := os.MkdirAll(to, 0o700); err != nil {
 		return 0, err
 	}
--- a/cmd/silvergate/bench.go
+++ b/cmd/silvergate/bench.go
@@ -39,10 +39,10 @@
 			if k.format == "json" {
 				return json.NewEncoder(c.OutOrStdout()).Encode(all)
 			}
-			return table(c.OutOrStdout(), "SETS MACHINES WAY URGENT P50-S P99-S IN-AIM MOVED-GB FROM-PEERS DECISION-US", rows)
+			return printTable(c.OutOrStdout(), "SETS MACHINES WAY URGENT P50-S P99-S IN-AIM MOVED-GB FROM-PEERS DECISION-US", rows)
 		},
 	}
-	k.output(st)
+	k.addOutputFlag(st)
 	st.Flags().IntSliceVar(&machines, "machines", []int{8, 100, 855, 1900}, "sizes of the cluster")
 	st.Flags().Float64Var(&seconds, "seconds", 540, "simulated time")
 	st.Flags().Uint64Var(&seed, "seed", 1, "draws the jobs")
--- a/cmd/silvergate/certs.go
+++ b/cmd/silvergate/certs.go
@@ -30,9 +30,9 @@
 	return cmd
 }
 
-func (k *certsClient) issueFlags(c *cobra.Command, life *time.Duration) {
+func (k *certsClient) addIssueFlags(c *cobra.Command, life *time.Duration) {
 	c.Flags().DurationVar(life, "life", identity.DefaultLifetime, "how long the certificate holds")
-	k.output(c)
+	k.addOutputFlag(c)
 }
 
 // issueInto issues a certificate into a folder and tells of it.
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(c, i, fmt.Sprintf("%s: serial %s, until %s, in %s", i.Identity, i.Serial, i.NotAfter.Format(time.RFC3339), to))
+	return k.printResult(c, i, fmt.Sprintf("%s: serial %s, until %s, in %s", i.Identity, i.Serial, i.NotAfter.Format(time.RFC3339), to))
 }
 
 func (k *certsClient) initCommand() *cobra.Command {
@@ -60,11 +60,11 @@
 			if _, err := identity.Init(k.dir, site, time.Now()); err != nil {
 				return err
 			}
-			return k.show(c, map[string]string{"site": site, "authority": k.dir}, fmt.Sprintf("the authority of %s is in %s; keep that folder to yourself", site, k.dir))
+			return k.printResult(c, map[string]string{"site": site, "authority": k.dir}, fmt.Sprintf("the authority of %s is in %s; keep that folder to yourself", site, k.dir))
 		},
 	}
 	initialize.Flags().StringVar(&site, "site", "site", "the site's name, which stands in all identities")
-	k.output(initialize)
+	k.addOutputFlag(initialize)
 	return initialize
 }
 
@@ -79,7 +79,7 @@
 	}
 	issue.Flags().StringVar(&to, "to", "", "the party's folder")
 	_ = issue.MarkFlagRequired("to")
-	k.issueFlags(issue, &life)
+	k.addIssueFlags(issue, &life)
 	return issue
 }
 
@@ -91,7 +91,7 @@
 			return k.issueInto(c, filepath.Clean(args[0]), life, func(*identity.Authority) (identity.Identity, error) { return identity.ReadIdentity(args[0]) })
 		},
 	}
-	k.issueFlags(renew, &life)
+	k.addIssueFlags(renew, &life)
 	return renew
 }
 
@@ -110,10 +110,10 @@
 			if err != nil {
 				return err
 			}
-			return k.show(c, map[string]any{"revoked": n, "what": args[0]}, fmt.Sprintf("%d certificates of %s revoked", n, args[0]))
+			return k.printResult(c, map[string]any{"revoked": n, "what": args[0]}, fmt.Sprintf("%d certificates of %s revoked", n, args[0]))
 		},
 	}
-	k.output(revoke)
+	k.addOutputFlag(revoke)
 	return revoke
 }
 
@@ -140,9 +140,9 @@
 				}
 				rows = append(rows, []string{i.Serial, i.Identity, i.NotAfter.Format(time.RFC3339), state})
 			}
-			return k.list(c, all, "SERIAL IDENTITY UNTIL STATE", rows)
+			return k.printList(c, all, "SERIAL IDENTITY UNTIL STATE", rows)
 		},
 	}
-	k.output(list)
+	k.addOutputFlag(list)
 	return list
 }
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -37,16 +37,16 @@
 func (k *client) flags(c *cobra.Command, address, what string, timeout time.Duration) {
 	c.Flags().StringVar(&k.address, "address", address, what+" (IP and port)")
 	c.Flags().DurationVar(&k.timeout, "timeout", timeout, "how long to wait for an answer")
-	k.output(c)
+	k.addOutputFlag(c)
 }
 
-// output adds the choice of the output's form.
-func (k *client) output(c *cobra.Command) {
+// addOutputFlag adds the choice of the addOutputFlag's form.
+func (k *client) addOutputFlag(c *cobra.Command) {
 	c.Flags().StringVar(&k.format, "output", "text", "text or json")
 }
 
-// users adds the flags of commands that talk to controllers.
-func (k *client) users(c *cobra.Command) {
+// addControllerFlags adds the flags of commands that talk to controllers.
+func (k *client) addControllerFlags(c *cobra.Command) {
 	k.flags(c, "127.0.0.1:8080", "a controller's bind address", 5*time.Second)
 	c.Flags().StringVar(&k.site, "site", "", "the folder of a site that silvergate up runs, instead of --address")
 }
@@ -63,8 +63,8 @@
 	return p.Addresses(), nil
 }
 
-// errAway is a failure that another controller, or a later try, may mend.
-var errAway = errors.New("no answer")
+// errUnavailable is a failure that another controller, or a later try, may mend.
+var errUnavailable = errors.New("no answer")
 
 // do sends a request to one controller after the other, until one answers.
 func (k *client) do(method, path string, body []byte) (*transport.Response, error) {
@@ -79,7 +79,7 @@
 	for _, a := range all {
 		r, err := k.request(a, method, path, body)
 		if err != nil {
-			last = fmt.Errorf("%s: %w: %w", a, errAway, err)
+			last = fmt.Errorf("%s: %w: %w", a, errUnavailable, err)
 			continue
 		}
 		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
@@ -94,7 +94,7 @@
 		}
 		last = fmt.Errorf("%s: status %d: %s", a, r.Status, p.Error)
 		if r.Status == http.StatusTooManyRequests || r.Status >= http.StatusInternalServerError {
-			last = fmt.Errorf("%w: %w", errAway, last)
+			last = fmt.Errorf("%w: %w", errUnavailable, last)
 			continue
 		}
 		return r, last
@@ -127,8 +127,8 @@
 	return json.Unmarshal(r.Body, v)
 }
 
-// show prints a result as a person or a program wants it.
-func (k *client) show(c *cobra.Command, v any, text string) error {
+// printResult prints a result as a person or a program wants it.
+func (k *client) printResult(c *cobra.Command, v any, text string) error {
 	if k.format == "json" {
 		return json.NewEncoder(c.OutOrStdout()).Encode(v)
 	}
@@ -136,12 +136,12 @@
 	return err
 }
 
-// list prints a list: a table for people, JSON for programs.
-func (k *client) list(c *cobra.Command, v any, head string, rows [][]string) error {
+// printList prints a printList: a table for people, JSON for programs.
+func (k *client) printList(c *cobra.Command, v any, head string, rows [][]string) error {
 	if k.format == "json" {
 		return json.NewEncoder(c.OutOrStdout()).Encode(v)
 	}
-	return table(c.OutOrStdout(), head, rows)
+	return printTable(c.OutOrStdout(), head, rows)
 }
 
 // jobFile is a job as people write it: the protocol's fields in YAML, of which
@@ -178,8 +178,8 @@
 	} `yaml:"inputs" json:"inputs,omitempty"`
 }
 
-// newRef draws a job id.
-func newRef() (string, error) {
+// newJobID draws a job id.
+func newJobID() (string, error) {
 	n, err := rand.Int(rand.Reader, big.NewInt(1e15))
 	if err != nil {
 		return "", err
@@ -202,7 +202,7 @@
 	}
 	if j.ID == "" {
 		var err error
-		if j.ID, err = newRef(); err != nil {
+		if j.ID, err = newJobID(); err != nil {
 			return nil, err
 		}
 	}
@@ -228,7 +228,7 @@
 			return s, json.Unmarshal(r.Body, &s)
 		}
 		// One refusal is told at once: a person would rather know.
-		if !errors.Is(err, errAway) || k.site == "" || time.Now().After(until) {
+		if !errors.Is(err, errUnavailable) || k.site == "" || time.Now().After(until) {
 			return s, err
 		}
 		time.Sleep(time.Second)
@@ -247,11 +247,11 @@
 			if s.Status == "done" || s.Status == "cancelled" {
 				return s, nil
 			}
-		case !errors.Is(err, errAway):
+		case !errors.Is(err, errUnavailable):
 			return s, err
 		}
 		if limit > 0 && time.Since(begin) > limit {
-			return s, exitCode{exitLate, fmt.Errorf("%s is not over after %s", ref, limit)}
+			return s, exitCode{exitTimeout, fmt.Errorf("%s is not over after %s", ref, limit)}
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
@@ -299,7 +299,7 @@
 					return err
 				}
 			}
-			if err := k.show(c, s, describe(s)); err != nil {
+			if err := k.printResult(c, s, describe(s)); err != nil {
 				return err
 			}
 			if wait && s.Status == "cancelled" {
@@ -308,7 +308,7 @@
 			return nil
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	c.Flags().BoolVar(&wait, "wait", false, "wait until the job is over")
 	c.Flags().DurationVar(&limit, "limit", 0, "with --wait: how long; 0 is for ever")
 	return c
@@ -323,7 +323,7 @@
 	return line
 }
 
-func (k *client) byRef(use, short, method, suffix string) *cobra.Command {
+func (k *client) jobRequestCommand(use, short, method, suffix string) *cobra.Command {
 	c := &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -338,15 +338,15 @@
 			if err := json.Unmarshal(r.Body, &s); err != nil {
 				return err
 			}
-			return k.show(c, s, describe(s))
+			return k.printResult(c, s, describe(s))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
-// table prints rows in aligned columns.
-func table(w io.Writer, head string, rows [][]string) error {
+// printTable prints rows in aligned columns.
+func printTable(w io.Writer, head string, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, strings.ReplaceAll(head, " ", "\t"))
 	for _, r := range rows {
@@ -393,18 +393,18 @@
 			}
 			var rows [][]string
 			for _, j := range jobs {
-				rows = append(rows, []string{j.ID, j.Status, j.Priority, j.Class, j.Team, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Tasks), fmt.Sprint(j.Running), age(j.AgeS), j.WaitingFor})
+				rows = append(rows, []string{j.ID, j.Status, j.Priority, j.Class, j.Team, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Tasks), fmt.Sprint(j.Running), formatAge(j.AgeS), j.WaitingFor})
 			}
-			return k.list(c, jobs, "JOB STATUS URGENCY CLASS TEAM SHAPE DONE RUNNING AGE WAITS-FOR", rows)
+			return k.printList(c, jobs, "JOB STATUS URGENCY CLASS TEAM SHAPE DONE RUNNING AGE WAITS-FOR", rows)
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	c.Flags().BoolVar(&all, "all", false, "also those that are over")
 	return c
 }
 
-// age is a duration to one unit.
-func age(s float64) string {
+// formatAge is a duration to one unit.
+func formatAge(s float64) string {
 	switch d := time.Duration(s * float64(time.Second)); {
 	case d < time.Minute:
 		return fmt.Sprintf("%ds", int(d.Seconds()))
@@ -434,10 +434,10 @@
 				rows = append(rows, []string{n.Machine, n.MachineType, n.Zone, kind, n.Status, fmt.Sprint(n.Tasks), fmt.Sprintf("%g/%g", n.CPUs, n.CPUCapacity),
 					fmt.Sprintf("%g/%g", n.GPUs, n.GPUCapacity), fmt.Sprintf("%.3g/%g", n.MemoryGB, n.MemoryCapacityGB), n.Owner, n.Address})
 			}
-			return k.list(c, nodes, "MACHINE TYPE ZONE KIND STATUS TASKS CPUS ACCELERATORS RAM-GB CONTROLLER ADDRESS", rows)
+			return k.printList(c, nodes, "MACHINE TYPE ZONE KIND STATUS TASKS CPUS ACCELERATORS RAM-GB CONTROLLER ADDRESS", rows)
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
@@ -455,11 +455,11 @@
 			return nil
 		},
 	}
-	stats.users(st)
+	stats.addControllerFlags(st)
 	return []*cobra.Command{
 		newClient().submitCommand(),
-		newClient().byRef("show JOB", "Show a job's state", http.MethodGet, ""),
-		newClient().byRef("cancel JOB", "Cancel a job", http.MethodPost, "/"+protocol.PathCancel),
+		newClient().jobRequestCommand("show JOB", "Show a job's state", http.MethodGet, ""),
+		newClient().jobRequestCommand("cancel JOB", "Cancel a job", http.MethodPost, "/"+protocol.PathCancel),
 		newClient().jobsCommand(),
 		newClient().nodesCommand(),
 		reachCommand(),
--- a/cmd/silvergate/data.go
+++ b/cmd/silvergate/data.go
@@ -67,10 +67,10 @@
 			if err := k.post(protocol.PathDataSets, v, &v); err != nil {
 				return err
 			}
-			return k.show(c, v, fmt.Sprintf("%s/%s: %d files, %d bytes, digest %s", v.Set, v.Version, len(m.Files), v.Bytes, v.Digest))
+			return k.printResult(c, v, fmt.Sprintf("%s/%s: %d files, %d bytes, digest %s", v.Set, v.Version, len(m.Files), v.Bytes, v.Digest))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	c.Flags().StringVar(&root, "root", "", "the folder that the file servers serve")
 	c.Flags().StringSliceVar(&sources, "source", nil, "a file server's address (IP and port); may be repeated")
 	return c
@@ -96,10 +96,10 @@
 			for _, v := range all {
 				rows = append(rows, []string{v.Set, v.Version, fmt.Sprint(v.Bytes), time.UnixMilli(v.AtMS).UTC().Format(time.RFC3339), v.Digest[:16], strings.Join(v.Sources, ",")})
 			}
-			return k.list(c, all, "SET VERSION BYTES REGISTERED DIGEST SOURCES", rows)
+			return k.printList(c, all, "SET VERSION BYTES REGISTERED DIGEST SOURCES", rows)
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
@@ -151,10 +151,10 @@
 			for _, f := range m.Files {
 				rows = append(rows, []string{f.Path, fmt.Sprint(f.Size), fmt.Sprint(len(f.Chunks))})
 			}
-			return k.list(c, m, "FILE BYTES CHUNKS", rows)
+			return k.printList(c, m, "FILE BYTES CHUNKS", rows)
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
@@ -170,10 +170,10 @@
 			if err := dataset.VerifyTree(args[1], m); err != nil {
 				return fmt.Errorf("%s differs from %s: %w", args[1], args[0], err)
 			}
-			return k.show(c, v, fmt.Sprintf("%s is %s, whole: %d files, %d bytes", args[1], args[0], len(m.Files), m.Bytes()))
+			return k.printResult(c, v, fmt.Sprintf("%s is %s, whole: %d files, %d bytes", args[1], args[0], len(m.Files), m.Bytes()))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
@@ -190,7 +190,7 @@
 				return fmt.Errorf("%q: must be SET/VERSION", args[0])
 			}
 			if a.ID == "" {
-				ref, err := newRef()
+				ref, err := newJobID()
 				if err != nil {
 					return err
 				}
@@ -206,10 +206,10 @@
 			if err := k.post(protocol.PathStagings, a, &a); err != nil {
 				return err
 			}
-			return k.show(c, a, fmt.Sprintf("%s: %s/%s on %d machines within %s", a.ID, a.Set, a.Version, a.Machines, by))
+			return k.printResult(c, a, fmt.Sprintf("%s: %s/%s on %d machines within %s", a.ID, a.Set, a.Version, a.Machines, by))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	f := c.Flags()
 	f.StringVar(&a.ID, "ref", "", "the announcement's name; default: drawn")
 	f.StringVar(&a.Team, "crew", "", "the team whose work it is")
@@ -238,7 +238,7 @@
 			if err != nil {
 				return err
 			}
-			log := partLogger("files")
+			log := componentLogger("files")
 			log.Info("serving", "listen", l.Addr().String(), "root", root)
 			files := http.FileServer(http.Dir(root))
 			srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
@@ -250,7 +250,7 @@
 					}
 					files.ServeHTTP(w, r)
 				})}
-			untilTold(func() { srv.Close() })
+			onStopSignal(func() { srv.Close() })
 			if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 				return err
 			}
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -30,7 +30,7 @@
 missing, a line in brackets says so, and why as far as it is known. Control
 characters are written out; --raw prints the bytes of one task as they are.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			job, task, err := jobTask(args[0])
+			job, task, err := parseJobTask(args[0])
 			if err != nil {
 				return err
 			}
@@ -53,11 +53,11 @@
 			if err != nil {
 				return err
 			}
-			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw, open: map[string]*reader.Cursor{}, whole: true}
+			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw, cursors: map[string]*reader.Cursor{}, whole: true}
 			if since > 0 {
 				v.since = time.Now().Add(-since)
 			}
-			return v.show(c.Context(), follow)
+			return v.run(c.Context(), follow)
 		},
 	}
 	k.flags(c)
@@ -82,17 +82,17 @@
 	grep          *regexp.Regexp
 	raw           bool
 	since         time.Time
-	open          map[string]*reader.Cursor
-	told          map[int]archive.Attempt // by task: where it was last seen
+	cursors          map[string]*reader.Cursor
+	lastAttempt          map[int]archive.Attempt // by task: where it was last seen
 	found         int
 	whole         bool
 }
 
-// followEvery is the time between two looks for more.
-const followEvery = 500 * time.Millisecond
+// followInterval is the time between two looks for more.
+const followInterval = 500 * time.Millisecond
 
-func (v *logView) show(ctx context.Context, follow bool) error {
-	v.told = map[int]archive.Attempt{}
+func (v *logView) run(ctx context.Context, follow bool) error {
+	v.lastAttempt = map[int]archive.Attempt{}
 	for {
 		attempts, answered, err := v.r.Attempts(ctx, reader.Query{Job: v.job})
 		if err != nil {
@@ -109,18 +109,18 @@
 			over = over && a.End != nil
 			for _, s := range v.streams {
 				key := a.Attempt.String() + " " + s
-				if v.open[key] == nil {
-					v.open[key] = v.r.Open(a.Attempt, s)
+				if v.cursors[key] == nil {
+					v.cursors[key] = v.r.Open(a.Attempt, s)
 				}
-				v.open[key].Again()
-				all = append(all, v.open[key])
+				v.cursors[key].Again()
+				all = append(all, v.cursors[key])
 			}
 		}
 		if v.found == 0 && !follow {
-			warn(v.c, answered)
+			warnIfIncomplete(v.c, answered)
 			return fmt.Errorf("%s: %w", v.job, reader.ErrNotFound)
 		}
-		if err := reader.Merge(ctx, all, v.line); err != nil {
+		if err := reader.Merge(ctx, all, v.printLine); err != nil {
 			return err
 		}
 		for _, u := range all {
@@ -128,7 +128,7 @@
 		}
 		if !answered.Whole && v.whole {
 			v.whole = false
-			warn(v.c, answered)
+			warnIfIncomplete(v.c, answered)
 		}
 		if !follow || over && len(all) > 0 {
 			return nil
@@ -136,12 +136,12 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(followEvery):
+		case <-time.After(followInterval):
 		}
 	}
 }
 
-func (v *logView) line(l *reader.Line) error {
+func (v *logView) printLine(l *reader.Line) error {
 	out := v.c.OutOrStdout()
 	if l.Note == "" && (l.At.Before(v.since) || v.grep != nil && !v.grep.MatchString(l.Text)) {
 		return nil
@@ -161,8 +161,8 @@
 	if v.k.format == "json" {
 		return json.NewEncoder(out).Encode(l)
 	}
-	if was, ok := v.told[l.Task]; !ok || was != l.Attempt {
-		v.told[l.Task] = l.Attempt
+	if was, ok := v.lastAttempt[l.Task]; !ok || was != l.Attempt {
+		v.lastAttempt[l.Task] = l.Attempt
 		word := "runs"
 		if ok {
 			word = "moved:"
--- a/cmd/silvergate/losses.go
+++ b/cmd/silvergate/losses.go
@@ -52,7 +52,7 @@
 			if output == "json" {
 				return json.NewEncoder(c.OutOrStdout()).Encode(lines)
 			}
-			return tellLosses(c.OutOrStdout(), r, lines, span)
+			return printLosses(c.OutOrStdout(), r, lines, span)
 		},
 	}
 	cmd.Flags().DurationVar(&from, "from", 0, "leave out losses before this time of the log")
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func tellLosses(out io.Writer, r *losses.Reader, lines []losses.Summary, span time.Duration) error {
+func printLosses(out io.Writer, r *losses.Reader, lines []losses.Summary, span time.Duration) error {
 	if len(lines) == 0 {
 		_, err := fmt.Fprintln(out, "no lost task in the logs; are they of level debug?")
 		return err
--- a/cmd/silvergate/main.go
+++ b/cmd/silvergate/main.go
@@ -8,8 +8,8 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "silvergate:", err)
-		os.Exit(statusOf(err))
+		os.Exit(exitStatus(err))
 	}
 }
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -19,8 +19,8 @@
 	"silvergate/internal/statestore"
 )
 
-// settingsFlag adds the flag for a part's YAML file.
-func settingsFlag(c *cobra.Command, path *string) {
+// addSettingsFlag adds the flag for a part's YAML file.
+func addSettingsFlag(c *cobra.Command, path *string) {
 	c.Flags().StringVar(path, "settings", "", "the part's settings file (YAML); unknown keys are refused")
 	_ = c.MarkFlagRequired("settings")
 }
@@ -37,18 +37,18 @@
 	return nil
 }
 
-// startPart starts a part of the platform that a command serves until it is told to end: it
+// startComponent starts a part of the platform that a command serves until it is told to end: it
 // prepares the process and reads the part's YAML over its defaults.
-func startPart(settings string, cfg any) error {
+func startComponent(settings string, cfg any) error {
 	if err := proc.Hold(); err != nil {
 		return err
 	}
 	return readSettings(settings, cfg)
 }
 
-// untilTold calls stop at the first SIGTERM or SIGINT. Its goroutine ends with that signal,
+// onStopSignal calls stop at the first SIGTERM or SIGINT. Its goroutine ends with that signal,
 // else with the process.
-func untilTold(stop func()) {
+func onStopSignal(stop func()) {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
@@ -57,12 +57,12 @@
 	}()
 }
 
-func partLogger(part string) *slog.Logger {
+func componentLogger(part string) *slog.Logger {
 	return newLogger(os.Getenv("LOG_LEVEL")).With("part", part)
 }
 
-// scrape answers GET /metrics of a part that serves by itself.
-func scrape(page *metrics.Page, log *slog.Logger, answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
+// metricsHandler answers GET /metrics of a part that serves by itself.
+func metricsHandler(page *metrics.Page, log *slog.Logger, answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
 	return func(id uint64, method, path string) bool {
 		if path != metrics.Path || method != http.MethodGet {
 			return false
@@ -84,30 +84,30 @@
 		Use: "provider --settings FILE", Short: "Serve a cloud whose machines are agents on this machine", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := provider.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			log := partLogger("cloud")
+			log := componentLogger("cloud")
 			p, err := provider.Open(cfg, self, log)
 			if err != nil {
 				return err
 			}
 			if cfg.Metrics {
-				p.Extra = scrape(metrics.New("cloud", func() []metrics.Figure { return providerFigures(p.Stats()) }), log, p.AnswerAs)
+				p.Extra = metricsHandler(metrics.New("cloud", func() []metrics.Figure { return providerMetrics(p.Stats()) }), log, p.AnswerAs)
 			}
-			untilTold(p.Stop)
+			onStopSignal(p.Stop)
 			return p.Run(nil)
 		},
 	}
-	settingsFlag(cmd, &settings)
+	addSettingsFlag(cmd, &settings)
 	return cmd
 }
 
-func providerFigures(s provider.Stats) []metrics.Figure {
+func providerMetrics(s provider.Stats) []metrics.Figure {
 	out := []metrics.Figure{
 		{Name: "cloud_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
 		{Name: "cloud_refused", Help: "Requests refused for the rate or for want of machines.", Value: float64(s.Refused), Count: true},
@@ -129,26 +129,26 @@
 		Use: "agent --settings FILE", Short: "Run this machine's tasks for the controllers", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := agent.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			log := partLogger("agent").With("machine", cfg.Worker)
+			log := componentLogger("agent").With("machine", cfg.Worker)
 			a, err := agent.New(cfg, self, log)
 			if err != nil {
 				return err
 			}
 			if cfg.Metrics {
-				a.Extra = scrape(metrics.New("agent", func() []metrics.Figure { return agentFigures(a.Stats()) }), log, a.AnswerAs)
+				a.Extra = metricsHandler(metrics.New("agent", func() []metrics.Figure { return agentMetrics(a.Stats()) }), log, a.AnswerAs)
 			}
-			untilTold(a.Stop)
+			onStopSignal(a.Stop)
 			return a.Run()
 		},
 	}
-	settingsFlag(run, &settings)
+	addSettingsFlag(run, &settings)
 	return []*cobra.Command{run, {
 		Use: "task-exec FILE", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return agent.ExecTask(args[0]) },
@@ -158,7 +158,7 @@
 	}}
 }
 
-func agentFigures(s agent.Stats) []metrics.Figure {
+func agentMetrics(s agent.Stats) []metrics.Figure {
 	out := []metrics.Figure{
 		{Name: "agent_reports", Help: "Reports sent.", Value: float64(s.Heartbeats), Count: true},
 		{Name: "agent_reports_answered", Help: "Reports answered with 200.", Value: float64(s.Answered), Count: true},
@@ -198,13 +198,13 @@
 	exitFailure   = 1
 	exitDamaged   = 3
 	exitCancelled = 4
-	exitLate      = 5
+	exitTimeout      = 5
 	exitDiffers   = 6
-	exitLinks     = 7
+	exitLinkDown     = 7
 )
 
-// statusOf is the exit status for an error.
-func statusOf(err error) int {
+// exitStatus is the exit status for an error.
+func exitStatus(err error) int {
 	var x exitCode
 	switch {
 	case errors.As(err, &x):
--- a/cmd/silvergate/reach.go
+++ b/cmd/silvergate/reach.go
@@ -11,8 +11,8 @@
 	"silvergate/internal/connectivity"
 )
 
-// links is what a controller says of its links in its counters.
-type links struct {
+// linkStatus is what a controller says of its linkStatus in its counters.
+type linkStatus struct {
 	Node  string `json:"node"`
 	Reach struct {
 		connectivity.Stats
@@ -38,12 +38,12 @@
 			if err != nil {
 				return err
 			}
-			var told []links
+			var told []linkStatus
 			var last error
 			for _, a := range all {
 				one := *k
 				one.site, one.address = "", a
-				var l links
+				var l linkStatus
 				if err := one.get("/stats", &l); err != nil {
 					last = err
 					continue
@@ -53,30 +53,30 @@
 			if len(told) == 0 {
 				return last
 			}
-			rows, down := lines(told)
+			rows, down := linkTable(told)
 			if k.format == "json" {
 				err = json.NewEncoder(c.OutOrStdout()).Encode(told)
 			} else {
-				err = table(c.OutOrStdout(), "CONTROLLER TOLD-BY STATE-SERVICE RECORDS WORKERS HEARS", rows)
+				err = printTable(c.OutOrStdout(), "CONTROLLER TOLD-BY STATE-SERVICE RECORDS WORKERS HEARS", rows)
 			}
 			switch {
 			case err != nil:
 				return err
 			case last != nil:
-				return exitCode{exitLinks, fmt.Errorf("a controller does not answer: %w", last)}
+				return exitCode{exitLinkDown, fmt.Errorf("a controller does not answer: %w", last)}
 			case down:
-				return exitCode{exitLinks, errors.New("a link is down: docs/operations.md, \"Links\", says what each costs and what to do")}
+				return exitCode{exitLinkDown, errors.New("a link is down: docs/operations.md, \"Links\", says what each costs and what to do")}
 			}
 			return nil
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
-// lines is a table of what controllers told: each of itself, and of the others what the
+// linkTable is a table of what controllers told: each of itself, and of the others what the
 // first one heard that could not be asked. down tells whether any link is.
-func lines(told []links) (rows [][]string, down bool) {
+func linkTable(told []linkStatus) (rows [][]string, down bool) {
 	asked := map[string]bool{}
 	for _, l := range told {
 		asked[l.Node] = true
@@ -94,11 +94,11 @@
 			case own && l.Reach.Via != "":
 				state += " by " + l.Reach.Via
 			case !own:
-				state = "answered " + age(float64(r.StateServiceMS+r.AgeMS)/1000) + " ago"
+				state = "answered " + formatAge(float64(r.StateServiceMS+r.AgeMS)/1000) + " ago"
 			}
 			by := "itself"
 			if !own {
-				by = fmt.Sprintf("%s, %s ago", l.Node, age(float64(r.AgeMS)/1000))
+				by = fmt.Sprintf("%s, %s ago", l.Node, formatAge(float64(r.AgeMS)/1000))
 			}
 			var zones []string
 			held := 0
@@ -120,7 +120,7 @@
 				hears = "-"
 			}
 			down = down || r.HearsNoWorkers || own && l.Reach.State != "direct" || own && len(r.HearsPeers) < len(l.Reach.Rows)-1
-			rows = append(rows, []string{r.Node, by, state, age(float64(r.MirrorAgeMS)/1000) + " old", workers, hears})
+			rows = append(rows, []string{r.Node, by, state, formatAge(float64(r.MirrorAgeMS)/1000) + " old", workers, hears})
 		}
 	}
 	return rows, down
--- a/cmd/silvergate/reach_test.go
+++ b/cmd/silvergate/reach_test.go
@@ -25,7 +25,7 @@
 	for _, addr := range []string{serve("relayed", "n1", ""), serve("direct", "", `{"zone":"a","held":0,"lost":true}`)} {
 		out, err := runCommand("reach", "--address", addr)
 		var code exitCode
-		if !errors.As(err, &code) || code.code != exitLinks || !strings.Contains(out, "relayed by n1") && !strings.Contains(out, "a 0 lost") {
+		if !errors.As(err, &code) || code.code != exitLinkDown || !strings.Contains(out, "relayed by n1") && !strings.Contains(out, "a 0 lost") {
 			t.Errorf("%q %v", out, err)
 		}
 	}
--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -83,10 +83,10 @@
 		}
 		results, stories = append(results, r), append(stories, r.Story)
 	}
-	return tellReplay(c.OutOrStdout(), f.output, results, replay.Merge(stories...))
+	return printReplay(c.OutOrStdout(), f.output, results, replay.Merge(stories...))
 }
 
-func tellReplay(out io.Writer, output string, results []replay.Result, story []replay.Event) error {
+func printReplay(out io.Writer, output string, results []replay.Result, story []replay.Event) error {
 	different := 0
 	for _, r := range results {
 		different += r.Different
--- a/cmd/silvergate/root.go
+++ b/cmd/silvergate/root.go
@@ -13,7 +13,7 @@
 // version is set by the build with -ldflags "-X main.version=...".
 var version = "0.1.0"
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var settings, operator string
 	load := func() (*config.Settings, error) {
 		if settings == "" {
--- a/cmd/silvergate/root_test.go
+++ b/cmd/silvergate/root_test.go
@@ -18,7 +18,7 @@
 
 func runCommand(args ...string) (string, error) {
 	var out bytes.Buffer
-	cmd := root()
+	cmd := rootCommand()
 	cmd.SetArgs(args)
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
--- a/cmd/silvergate/scale.go
+++ b/cmd/silvergate/scale.go
@@ -42,14 +42,14 @@
 			}
 			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
-			result, err := scale.Run(ctx, scale.Options{Scenario: scenario, Dir: dir, Self: self, Out: c.ErrOrStderr(), Log: partLogger("scale")})
+			result, err := scale.Run(ctx, scale.Options{Scenario: scenario, Dir: dir, Self: self, Out: c.ErrOrStderr(), Log: componentLogger("scale")})
 			if result == nil {
 				return err
 			}
 			if reportErr := scale.WriteResult(dir, result); reportErr != nil {
 				return errors.Join(err, reportErr)
 			}
-			if showErr := client.show(c, result, scale.Summary(result)); showErr != nil || err != nil {
+			if showErr := client.printResult(c, result, scale.Summary(result)); showErr != nil || err != nil {
 				return errors.Join(err, showErr)
 			}
 			if result.Broken > 0 {
@@ -58,7 +58,7 @@
 			return nil
 		},
 	}
-	client.output(cmd)
+	client.addOutputFlag(cmd)
 	cmd.Flags().StringVar(&dir, "dir", "", "a folder that is empty or not there")
 	_ = cmd.MarkFlagRequired("dir")
 	cmd.AddCommand(scaleCellCommand())
@@ -80,15 +80,15 @@
 				return err
 			}
 			stop := make(chan struct{})
-			untilTold(func() { close(stop) })
-			measured, err := scale.RunCell(cfg, self, partLogger("cell"), stop)
+			onStopSignal(func() { close(stop) })
+			measured, err := scale.RunCell(cfg, self, componentLogger("cell"), stop)
 			if err != nil {
 				return err
 			}
 			return scale.WriteJSON(result, measured)
 		},
 	}
-	settingsFlag(cmd, &settings)
+	addSettingsFlag(cmd, &settings)
 	cmd.Flags().StringVar(&result, "result", "", "the file for what was measured")
 	_ = cmd.MarkFlagRequired("result")
 	return cmd
--- a/cmd/silvergate/scale_test.go
+++ b/cmd/silvergate/scale_test.go
@@ -15,11 +15,11 @@
 	"silvergate/internal/scale"
 )
 
-// scaleRun starts the program's scale command.
-func scaleRun(t *testing.T, dir string) (*exec.Cmd, *bytes.Buffer) {
+// startScale starts the program's scale command.
+func startScale(t *testing.T, dir string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "scale", "small", "--dir", dir, "--output", "json")
-	cmd.Env = append(os.Environ(), asProgram+"=1", proc.MarkEnv+"="+dir)
+	cmd.Env = append(os.Environ(), runMainEnv+"=1", proc.MarkEnv+"="+dir)
 	var out bytes.Buffer
 	cmd.Stdout = &out
 	if err := cmd.Start(); err != nil {
@@ -28,9 +28,9 @@
 	return cmd, &out
 }
 
-// nothingLeft fails if a process that a run has started is still there a moment after it. All of
+// checkNothingLeft fails if a process that a run has started is still there a moment after it. All of
 // them inherit the mark of the run; an agent's watchdog ends just after its agent.
-func nothingLeft(t *testing.T, mark string) {
+func checkNothingLeft(t *testing.T, mark string) {
 	t.Helper()
 	for until := time.Now().Add(2 * time.Second); proc.CountMarked(mark) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
@@ -45,7 +45,7 @@
 // No timing is judged.
 func TestScaleSmall(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "run")
-	cmd, out := scaleRun(t, dir)
+	cmd, out := startScale(t, dir)
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -70,13 +70,13 @@
 	if killed != 1 {
 		t.Errorf("%d controllers were killed, want 1", killed)
 	}
-	nothingLeft(t, dir)
+	checkNothingLeft(t, dir)
 }
 
-// TestScaleIsBrokenOff ends a run early, as Ctrl-C does: all that it started is gone.
-func TestScaleIsBrokenOff(t *testing.T) {
+// TestScaleInterrupted ends a run early, as Ctrl-C does: all that it started is gone.
+func TestScaleInterrupted(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "run")
-	cmd, out := scaleRun(t, dir)
+	cmd, out := startScale(t, dir)
 	time.Sleep(3 * time.Second)
 	if err := cmd.Process.Signal(syscall.SIGINT); err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	if err := cmd.Wait(); err == nil {
 		t.Errorf("a run that was broken off counts as whole: %s", out)
 	}
-	nothingLeft(t, dir)
+	checkNothingLeft(t, dir)
 }
 
 // TestScaleRefusesBadInput names what is wrong, in one line.
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -27,7 +27,7 @@
 	cfg         *config.Settings
 	log         *slog.Logger
 	core        *coordination.Core
-	inputs      inputTaker       // the core, or a recorder in front of it
+	inputs      inputHandler       // the core, or a recorder in front of it
 	recording   *recorder.Writer // nil: off
 	start       time.Time        // of the process, and its incarnation
 	server      *transport.Server
@@ -56,8 +56,8 @@
 	warnedAt time.Duration
 }
 
-// inputTaker takes the inputs of a core.
-type inputTaker interface {
+// inputHandler takes the inputs of a core.
+type inputHandler interface {
 	Request(coordination.Timestamp, uint64, string, string, []byte) coordination.Effects
 	Reply(coordination.Timestamp, protocol.Reply) coordination.Effects
 	Peer(coordination.Timestamp, string, peer.Message) coordination.Effects
@@ -81,8 +81,8 @@
 // bursts.
 const memoryShare = 0.6
 
-// senderPatience is how long a request may take to arrive.
-const senderPatience = 10 * time.Second
+// requestTimeout is how long a request may take to arrive.
+const requestTimeout = 10 * time.Second
 
 // serve runs a controller until its server fails.
 func serve(cfg *config.Settings) error {
@@ -134,10 +134,10 @@
 // listen makes the server and begins to tick.
 func (n *controller) listen() {
 	if n.cfg.Operator.Metrics {
-		n.metricsPage = metrics.New(n.cfg.Node, n.figures)
+		n.metricsPage = metrics.New(n.cfg.Node, n.currentMetrics)
 	}
 	maxConns := 8 * n.socketTenth()
-	n.server = transport.NewServer(&n.mu, n, senderPatience, maxConns)
+	n.server = transport.NewServer(&n.mu, n, requestTimeout, maxConns)
 	n.server.ConnLimiter = connlimit.New(connlimit.Share(maxConns))
 	n.server.Classify = connectionClass
 	// After its lease a worker has no use for a connection without requests; it may have
@@ -148,8 +148,8 @@
 	n.ticks.timer = time.AfterFunc(0, n.onTick)
 }
 
-// clock begins a step: it reads the clocks. The lock must be held.
-func (n *controller) clock() coordination.Timestamp {
+// beginStep begins a step: it reads the clocks. The lock must be held.
+func (n *controller) beginStep() coordination.Timestamp {
 	now := time.Now()
 	n.stepBegan = now.Sub(n.start)
 	return coordination.Timestamp{Steady: n.stepBegan, Wall: now}
@@ -170,7 +170,7 @@
 			path += "?" + r.Query
 		}
 	}
-	n.apply(n.inputs.Request(n.clock(), id, r.Method, path, r.Body))
+	n.apply(n.inputs.Request(n.beginStep(), id, r.Method, path, r.Body))
 }
 
 // connectionClass tells what a request's connection is used for.
@@ -184,9 +184,9 @@
 	return connlimit.Operator
 }
 
-// warnOfConnections tells operators, once a minute at the most, that the site has
+// warnAboutConnections tells operators, once a minute at the most, that the site has
 // outgrown its controllers' sockets.
-func (n *controller) warnOfConnections(now time.Duration) {
+func (n *controller) warnAboutConnections(now time.Duration) {
 	s := n.server.ConnLimiter.Stats()
 	if (s.Refused == n.connections.refused && !n.server.ConnLimiter.WorkersNearLimit()) || n.connections.warnedAt > 0 && now-n.connections.warnedAt < time.Minute {
 		return
@@ -205,7 +205,7 @@
 
 // Message takes a peer's message; the server holds the lock.
 func (n *controller) Message(from string, m any) {
-	n.apply(n.inputs.Peer(n.clock(), from, m.(peer.Message)))
+	n.apply(n.inputs.Peer(n.beginStep(), from, m.(peer.Message)))
 }
 
 // onTick lets time pass. The timer is the controller's own: evio's would wake two threads
@@ -214,11 +214,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ticks.nextAt = 0
-	t := n.clock()
+	t := n.beginStep()
 	if t.Steady-n.ticks.sweptAt > time.Second {
 		n.ticks.sweptAt = t.Steady
 		n.server.Sweep(t.Wall)
-		n.warnOfConnections(t.Steady)
+		n.warnAboutConnections(t.Steady)
 		n.checkRecording()
 	}
 	nextExpiry := n.expireCalls(t.Wall)
@@ -305,5 +305,5 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.apply(n.inputs.Reply(n.clock(), reply))
+	n.apply(n.inputs.Reply(n.beginStep(), reply))
 }
--- a/cmd/silvergate/serve_metrics.go
+++ b/cmd/silvergate/serve_metrics.go
@@ -21,8 +21,8 @@
 	return true
 }
 
-// figures are the controller's figures for GET /metrics.
-func (n *controller) figures() []metrics.Figure {
+// currentMetrics are the controller's currentMetrics for GET /metrics.
+func (n *controller) currentMetrics() []metrics.Figure {
 	s := &n.core.Stats
 	figures := []metrics.Figure{
 		gauge("longest_step_seconds", "The longest step so far.", s.LongestStepMS/1000),
@@ -41,10 +41,10 @@
 		counter("deleted", "Machines returned.", s.MachinesDeleted),
 		counter("unavailable", "Requests answered with 503.", s.Unavailable),
 	}
-	return append(figures, n.connectionFigures()...)
+	return append(figures, n.connectionMetrics()...)
 }
 
-func (n *controller) connectionFigures() []metrics.Figure {
+func (n *controller) connectionMetrics() []metrics.Figure {
 	s := n.server.ConnLimiter.Stats()
 	return []metrics.Figure{
 		gauge("connections", "Connections open for requests.", float64(s.Open)),
@@ -55,13 +55,13 @@
 	}
 }
 
-// figurePrefix begins the names of a controller's figures.
-const figurePrefix = "controller_"
+// metricPrefix begins the names of a controller's figures.
+const metricPrefix = "controller_"
 
 func gauge(name, help string, value float64) metrics.Figure {
-	return metrics.Figure{Name: figurePrefix + name, Help: help, Value: value}
+	return metrics.Figure{Name: metricPrefix + name, Help: help, Value: value}
 }
 
 func counter(name, help string, value uint64) metrics.Figure {
-	return metrics.Figure{Name: figurePrefix + name, Help: help, Value: float64(value), Count: true}
+	return metrics.Figure{Name: metricPrefix + name, Help: help, Value: float64(value), Count: true}
 }
--- a/cmd/silvergate/serve_recording.go
+++ b/cmd/silvergate/serve_recording.go
@@ -50,7 +50,7 @@
 
 // checkRecording tells operators once that their recording has ended.
 func (n *controller) checkRecording() {
-	if n.recording == nil || n.inputs == inputTaker(n.core) {
+	if n.recording == nil || n.inputs == inputHandler(n.core) {
 		return
 	}
 	if err := n.recording.Err(); err != nil {
--- a/cmd/silvergate/site_test.go
+++ b/cmd/silvergate/site_test.go
@@ -12,11 +12,11 @@
 	"silvergate/internal/soak"
 )
 
-// asProgram has the test binary be the program: a site starts it for each part.
-const asProgram = "SILVERGATE_AS_PROGRAM"
+// runMainEnv has the test binary be the program: a site starts it for each part.
+const runMainEnv = "SILVERGATE_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		main()
 		os.Exit(0)
 	}
@@ -26,7 +26,7 @@
 // TestSiteSurvivesKills runs a small soak: everything is killed twice while jobs
 // come in, run and end.
 func TestSiteSurvivesKills(t *testing.T) {
-	r, err := soak.Run(soak.Options{Self: os.Args[0], Env: []string{asProgram + "=1"}, Dir: filepath.Join(t.TempDir(), "site"),
+	r, err := soak.Run(soak.Options{Self: os.Args[0], Env: []string{runMainEnv + "=1"}, Dir: filepath.Join(t.TempDir(), "site"),
 		Jobs: 8, Kills: 2, Seed: 1, Between: 2 * time.Second, Limit: 2 * time.Minute})
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	dir := filepath.Join(t.TempDir(), "site")
 	run := func(args ...string) (string, error) {
 		cmd := exec.Command(os.Args[0], args...)
-		cmd.Env = append(os.Environ(), asProgram+"=1")
+		cmd.Env = append(os.Environ(), runMainEnv+"=1")
 		var out bytes.Buffer
 		cmd.Stdout, cmd.Stderr = &out, &out
 		err := cmd.Run()
--- a/cmd/silvergate/soak.go
+++ b/cmd/silvergate/soak.go
@@ -29,7 +29,7 @@
 			}
 			text := fmt.Sprintf("%d jobs with %d tasks through %d kills in %s: %d effects, %d tasks ran more than once, %d submissions were tried again, revision %d",
 				r.Accepted, r.Tasks, r.Kills, r.Took.Round(time.Second), r.Effects, r.Repeated, r.Refused, r.Revision)
-			if err := k.show(c, r, text); err != nil {
+			if err := k.printResult(c, r, text); err != nil {
 				return err
 			}
 			if len(r.Broken) > 0 {
@@ -38,7 +38,7 @@
 			return nil
 		},
 	}
-	k.output(cmd)
+	k.addOutputFlag(cmd)
 	f := cmd.Flags()
 	f.StringVar(&o.Dir, "dir", "", "a folder that is empty or not there")
 	f.IntVar(&o.Jobs, "jobs", 200, "jobs to submit")
--- a/cmd/silvergate/staging_test.go
+++ b/cmd/silvergate/staging_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	up := exec.Command(os.Args[0], "up", "--dir", dir, "--settings", settings)
-	up.Env = append(os.Environ(), asProgram+"=1")
+	up.Env = append(os.Environ(), runMainEnv+"=1")
 	if err := up.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/silvergate/state.go
+++ b/cmd/silvergate/state.go
@@ -26,22 +26,22 @@
 		Use: "serve --settings FILE", Short: "Serve the state service", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := statestore.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
-			log := partLogger("state")
+			log := componentLogger("state")
 			s, err := statestore.Open(cfg, log)
 			if err != nil {
 				return err
 			}
 			if cfg.Metrics {
-				s.Extra = scrape(metrics.New("state", func() []metrics.Figure { return stateFigures(s.Stats()) }), log, s.AnswerAs)
+				s.Extra = metricsHandler(metrics.New("state", func() []metrics.Figure { return stateMetrics(s.Stats()) }), log, s.AnswerAs)
 			}
-			untilTold(s.Stop)
+			onStopSignal(s.Stop)
 			return s.Run(nil)
 		},
 	}
-	settingsFlag(serve, &settings)
+	addSettingsFlag(serve, &settings)
 	return serve
 }
 
@@ -53,7 +53,7 @@
 			if err := k.post(statestore.PathBackup, statestore.BackupRequest{Name: args[0]}, &saved); err != nil {
 				return err
 			}
-			return k.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
+			return k.printResult(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
 	k.flags(backup, "127.0.0.1:2379", "the state service's address", time.Minute)
@@ -73,12 +73,12 @@
 			if err != nil {
 				return err
 			}
-			return k.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
+			return k.printResult(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
 	restore.Flags().StringVar(&dir, "dir", "", "the folder for the new store")
 	_ = restore.MarkFlagRequired("dir")
-	k.output(restore)
+	k.addOutputFlag(restore)
 	return restore
 }
 
@@ -94,14 +94,14 @@
 			if err != nil {
 				return err
 			}
-			return k.show(c, saved, fmt.Sprintf("%s is sound: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
+			return k.printResult(c, saved, fmt.Sprintf("%s is sound: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
-	k.output(check)
+	k.addOutputFlag(check)
 	return check
 }
 
-func stateFigures(s statestore.Stats) []metrics.Figure {
+func stateMetrics(s statestore.Stats) []metrics.Figure {
 	return []metrics.Figure{
 		{Name: "state_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
 		{Name: "state_refused", Help: "Requests refused for the rates or for a slow disk.", Value: float64(s.Refused), Count: true},
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -22,7 +22,7 @@
 	c := &cobra.Command{
 		Use: "why JOB", Short: "Tell a job's story: what it waits for, where its tasks ran, and how each attempt ended", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			job, task, err := jobTask(args[0])
+			job, task, err := parseJobTask(args[0])
 			if err != nil {
 				return err
 			}
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			story, err := tell(c.Context(), k, r, job, task, address)
+			story, err := jobStory(c.Context(), k, r, job, task, address)
 			if err != nil {
 				return err
 			}
@@ -58,8 +58,8 @@
 	Text string    `json:"text"`
 }
 
-// tell puts a job's story together of what was archived and what controllers say.
-func tell(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
+// jobStory puts a job's story together of what was archived and what controllers say.
+func jobStory(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
 	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: job, Files: true})
 	if err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	}
 	slices.SortStableFunc(events, compareEvents)
 	story = append(story, events...)
-	return append(story, presentState(k, job, address)...), nil
+	return append(story, currentState(k, job, address)...), nil
 }
 
 // jobHeading says whose a job is.
@@ -101,7 +101,7 @@
 		if a.End.Began > 0 && a.End.At > a.End.Began {
 			name += fmt.Sprintf(" (%s)", time.Duration(a.End.At-a.End.Began)*time.Millisecond)
 		}
-		events = append(events, Event{time.UnixMilli(a.End.At), name + ": " + endText(a.End)})
+		events = append(events, Event{time.UnixMilli(a.End.At), name + ": " + describeEnd(a.End)})
 		if a.End.Cause != protocol.CauseDone {
 			if line := lastLine(ctx, r, a.Attempt); line != "" {
 				events = append(events, Event{time.UnixMilli(a.End.At), "    its last words: " + line})
@@ -114,9 +114,9 @@
 	return events
 }
 
-// endText says how an attempt ended and what of its output is kept.
-func endText(e *archive.End) string {
-	text := plainCause(e.Cause)
+// describeEnd says how an attempt ended and what of its output is kept.
+func describeEnd(e *archive.End) string {
+	text := describeCause(e.Cause)
 	if e.Code != 0 {
 		text += fmt.Sprintf(", exit status %d", e.Code)
 	}
@@ -137,8 +137,8 @@
 	return a.At.Compare(b.At)
 }
 
-// presentState asks the controllers, where they are known, how the job is now and what it waits for.
-func presentState(k *archiveClient, job, address string) (events []Event) {
+// currentState asks the controllers, where they are known, how the job is now and what it waits for.
+func currentState(k *archiveClient, job, address string) (events []Event) {
 	if k.site == "" && address == "" {
 		return nil
 	}
@@ -149,7 +149,7 @@
 		events = append(events, Event{Text: "now: " + describe(s)})
 	}
 	var p protocol.JobPage
-	path := fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobList, before(job))
+	path := fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobList, justBefore(job))
 	if err := users.get(path, &p); err != nil || len(p.Jobs) == 0 {
 		return events
 	}
@@ -159,11 +159,11 @@
 	return events
 }
 
-// before is a name just before a job's in the order of a list.
-func before(job string) string { return job[:len(job)-1] + string(job[len(job)-1]-1) + "~" }
+// justBefore is a name just justBefore a job's in the order of a list.
+func justBefore(job string) string { return job[:len(job)-1] + string(job[len(job)-1]-1) + "~" }
 
-// plainCause says in words how an attempt ended.
-func plainCause(cause string) string {
+// describeCause says in words how an attempt ended.
+func describeCause(cause string) string {
 	switch cause {
 	case protocol.CauseDone:
 		return "completed"
