--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -64,7 +64,7 @@
 }
 
 func (k *archiveClient) statusCommand() *cobra.Command {
-	status := &cobra.Command{
+	cmd := &cobra.Command{
 		Use: "status", Short: "Tell what each node holds, and whether they are level", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, _, err := k.open()
@@ -73,34 +73,34 @@
 			}
 			var all []nodeStatus
 			var rows [][]string
-			away := 0
+			unreachable := 0
 			r.Each(c.Context(), http.MethodGet, anode.PathStats, nil, func(name string, raw []byte, err error) {
-				l := nodeStatus{Name: name}
+				status := nodeStatus{Name: name}
 				if err == nil {
-					l.Stats = &anode.Stats{}
-					err = json.Unmarshal(raw, l.Stats)
+					status.Stats = &anode.Stats{}
+					err = json.Unmarshal(raw, status.Stats)
 				}
 				if err != nil {
-					away++
-					l.Stats, l.Error = nil, err.Error()
+					unreachable++
+					status.Stats, status.Error = nil, err.Error()
 					rows = append(rows, []string{name, "silent", "", "", "", "", "", ""})
 				} else {
-					s := l.Stats
+					s := status.Stats
 					rows = append(rows, []string{name, "serves", fmt.Sprint(s.Records), fmt.Sprint(s.Bytes / 1e6), fmt.Sprint(s.Pulled), fmt.Sprint(s.Mended), fmt.Sprint(s.Damaged), fmt.Sprint(s.Strays)})
 				}
-				all = append(all, l)
+				all = append(all, status)
 			})
 			if err := k.printList(c, all, "NODE STATE RECORDS MB PULLED MENDED DAMAGED STRAYS", rows); err != nil {
 				return err
 			}
-			if away == len(all) {
+			if unreachable == len(all) {
 				return errors.New("no node answers")
 			}
 			return nil
 		},
 	}
-	k.flags(status)
-	return status
+	k.addArchiveFlags(cmd)
+	return cmd
 }
 
 func (k *archiveClient) findCommand() *cobra.Command {
@@ -129,7 +129,7 @@
 			return k.printList(c, found, "JOB TASK ATTEMPT MACHINE TEAM CUSTOMER CLASS BOUND END", rows)
 		},
 	}
-	k.flags(find)
+	k.addArchiveFlags(find)
 	for _, f := range []struct {
 		name string
 		to   *string
@@ -151,21 +151,21 @@
 			if err != nil {
 				return err
 			}
-			told := 0
+			delivered := 0
 			r.Each(c.Context(), http.MethodPost, anode.PathRevocations, raw, func(name string, _ []byte, err error) {
 				if err != nil {
 					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", name, err)
 					return
 				}
-				told++
+				delivered++
 			})
-			if told == 0 {
+			if delivered == 0 {
 				return errors.New("no node took it")
 			}
-			return k.printResult(c, map[string]int{"nodes": told}, fmt.Sprintf("%d nodes have it", told))
+			return k.printResult(c, map[string]int{"nodes": delivered}, fmt.Sprintf("%d nodes have it", delivered))
 		},
 	}
-	k.flags(revocations)
+	k.addArchiveFlags(revocations)
 	return revocations
 }
 
--- a/cmd/silvergate/archive_client.go
+++ b/cmd/silvergate/archive_client.go
@@ -23,7 +23,7 @@
 	nodes []string
 }
 
-func (k *archiveClient) flags(c *cobra.Command) {
+func (k *archiveClient) addArchiveFlags(c *cobra.Command) {
 	c.Flags().StringVar(&k.site, "site", "", "the folder of a site that silvergate up runs; read as its operator unless --certs is given")
 	c.Flags().StringVar(&k.certs, "certs", "", "the folder with the certificate to read with")
 	c.Flags().StringSliceVar(&k.nodes, "node", nil, "an archive node, NAME=IP:PORT; may be repeated")
@@ -39,13 +39,13 @@
 	var members []anode.Member
 	certs := k.certs
 	if k.site != "" {
-		m, own, err := site.ReadArchive(k.site)
+		m, operatorCerts, err := site.ReadArchive(k.site)
 		if err != nil {
 			return nil, nil, err
 		}
 		members = m
 		if certs == "" {
-			certs = own
+			certs = operatorCerts
 		}
 	}
 	for _, s := range k.nodes {
@@ -74,9 +74,9 @@
 
 // parseJobTask reads JOB or JOB/TASK; task is -1 for all.
 func parseJobTask(s string) (job string, task int, err error) {
-	job, index, one := strings.Cut(s, "/")
+	job, index, hasTask := strings.Cut(s, "/")
 	task = -1
-	if one {
+	if hasTask {
 		if task, err = strconv.Atoi(index); err != nil || task < 0 {
 			return "", 0, fmt.Errorf("%q: write JOB or JOB/TASK", s)
 		}
--- a/cmd/silvergate/artefacts.go
+++ b/cmd/silvergate/artefacts.go
@@ -33,7 +33,7 @@
 	k := &artefactsClient{archiveClient: archiveClient{client: newClient()}}
 	list, get := k.listCommand(), k.getCommand()
 	for _, c := range []*cobra.Command{list, get} {
-		k.flags(c)
+		k.addArchiveFlags(c)
 		c.Flags().BoolVar(&k.all, "all", false, "also of attempts that did not complete")
 	}
 	cmd.AddCommand(list, get)
@@ -162,7 +162,7 @@
 	}
 	err = r.File(ctx, a, f, out)
 	if err == nil {
-		if _, there := root.Lstat(path); there == nil {
+		if _, statErr := root.Lstat(path); statErr == nil {
 			err = fmt.Errorf("%s: is there already", path)
 		}
 	}
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -33,8 +33,8 @@
 
 func newClient() *client { return &client{timeout: 5 * time.Second, pool: transport.NewPool(2)} }
 
-// flags adds where the part is and how long to wait.
-func (k *client) flags(c *cobra.Command, address, what string, timeout time.Duration) {
+// addAddressFlags adds where the part is and how long to wait.
+func (k *client) addAddressFlags(c *cobra.Command, address, what string, timeout time.Duration) {
 	c.Flags().StringVar(&k.address, "address", address, what+" (IP and port)")
 	c.Flags().DurationVar(&k.timeout, "timeout", timeout, "how long to wait for an answer")
 	k.addOutputFlag(c)
@@ -47,7 +47,7 @@
 
 // addControllerFlags adds the flags of commands that talk to controllers.
 func (k *client) addControllerFlags(c *cobra.Command) {
-	k.flags(c, "127.0.0.1:8080", "a controller's bind address", 5*time.Second)
+	k.addAddressFlags(c, "127.0.0.1:8080", "a controller's bind address", 5*time.Second)
 	c.Flags().StringVar(&k.site, "site", "", "the folder of a site that silvergate up runs, instead of --address")
 }
 
@@ -75,11 +75,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var last error
+	var lastErr error
 	for _, a := range all {
 		r, err := k.request(a, method, path, body)
 		if err != nil {
-			last = fmt.Errorf("%s: %w: %w", a, errUnavailable, err)
+			lastErr = fmt.Errorf("%s: %w: %w", a, errUnavailable, err)
 			continue
 		}
 		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
@@ -92,14 +92,14 @@
 		if r.RetryAfter > 0 {
 			p.Error += fmt.Sprintf(" (try again in %d s)", r.RetryAfter)
 		}
-		last = fmt.Errorf("%s: status %d: %s", a, r.Status, p.Error)
+		lastErr = fmt.Errorf("%s: status %d: %s", a, r.Status, p.Error)
 		if r.Status == http.StatusTooManyRequests || r.Status >= http.StatusInternalServerError {
-			last = fmt.Errorf("%w: %w", errUnavailable, last)
+			lastErr = fmt.Errorf("%w: %w", errUnavailable, lastErr)
 			continue
 		}
-		return r, last
+		return r, lastErr
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // request sends one request to an address and waits for its response. The pool has no clock,
--- a/cmd/silvergate/data.go
+++ b/cmd/silvergate/data.go
@@ -118,7 +118,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		var last error
+		var lastErr error
 		for _, s := range v.Sources {
 			r, err := k.request(s, http.MethodGet, dataset.SetsPath+v.Set+"/"+v.Version+"/"+dataset.ManifestName, nil)
 			if err == nil && r.Status != http.StatusOK {
@@ -131,9 +131,9 @@
 			if err == nil {
 				return v, m, nil
 			}
-			last = fmt.Errorf("%s: %w", s, err)
+			lastErr = fmt.Errorf("%s: %w", s, err)
 		}
-		return nil, nil, last
+		return nil, nil, lastErr
 	}
 	return nil, nil, fmt.Errorf("no version %s is registered (SET/VERSION)", name)
 }
@@ -180,7 +180,7 @@
 func dataAnnounce() *cobra.Command {
 	k := newClient()
 	a := protocol.Staging{}
-	var depot string
+	var zone string
 	var by time.Duration
 	c := &cobra.Command{
 		Use: "announce SET/VERSION", Short: "Have a version brought to machines ahead of work that will come", Args: cobra.ExactArgs(1),
@@ -196,8 +196,8 @@
 				}
 				a.ID = ref
 			}
-			if depot != "" {
-				a.Zone = &depot
+			if zone != "" {
+				a.Zone = &zone
 			}
 			a.ByS = by.Seconds()
 			if err := a.Check(); err != nil {
@@ -216,7 +216,7 @@
 	f.StringVar(&a.Priority, "urgency", "standard", "of the work: prod, urgent, standard or idle")
 	f.IntVar(&a.Machines, "machines", 1, "how many machines are to hold it")
 	f.DurationVar(&by, "within", 0, "how soon it is to be there")
-	f.StringVar(&depot, "zone", "", "only machines of this zone")
+	f.StringVar(&zone, "zone", "", "only machines of this zone")
 	_ = c.MarkFlagRequired("crew")
 	return c
 }
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -60,7 +60,7 @@
 			return v.run(c.Context(), follow)
 		},
 	}
-	k.flags(c)
+	k.addArchiveFlags(c)
 	f := c.Flags()
 	f.BoolVarP(&follow, "follow", "f", false, "go on until the job's attempts are over")
 	f.IntVar(&attempt, "attempt", 0, "only this attempt of each task")
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -49,10 +49,10 @@
 // onStopSignal calls stop at the first SIGTERM or SIGINT. Its goroutine ends with that signal,
 // else with the process.
 func onStopSignal(stop func()) {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		<-told
+		<-signals
 		stop()
 	}()
 }
@@ -67,12 +67,12 @@
 		if path != metrics.Path || method != http.MethodGet {
 			return false
 		}
-		kind, body, err := page.Render()
+		contentType, body, err := page.Render()
 		if err != nil {
 			log.Error("metrics can't be shown", "error", err)
 			return false
 		}
-		answer(id, kind, body)
+		answer(id, contentType, body)
 		return true
 	}
 }
--- a/cmd/silvergate/reach.go
+++ b/cmd/silvergate/reach.go
@@ -16,10 +16,10 @@
 	Node  string `json:"node"`
 	Reach struct {
 		connectivity.Stats
-		State string                    `json:"state"`
-		Via   string                    `json:"via"`
-		Deaf  bool                      `json:"deaf"`
-		Rows  []connectivity.LinkReport `json:"rows"`
+		State          string                    `json:"state"`
+		Via            string                    `json:"via"`
+		HearsNoWorkers bool                      `json:"deaf"`
+		Rows           []connectivity.LinkReport `json:"rows"`
 	} `json:"reach"`
 }
 
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err
 			}
-			var told []linkStatus
+			var statuses []linkStatus
 			var last error
 			for _, a := range all {
 				one := *k
@@ -48,14 +48,14 @@
 					last = err
 					continue
 				}
-				told = append(told, l)
+				statuses = append(statuses, l)
 			}
-			if len(told) == 0 {
+			if len(statuses) == 0 {
 				return last
 			}
-			rows, down := linkTable(told)
+			rows, down := linkTable(statuses)
 			if k.format == "json" {
-				err = json.NewEncoder(c.OutOrStdout()).Encode(told)
+				err = json.NewEncoder(c.OutOrStdout()).Encode(statuses)
 			} else {
 				err = printTable(c.OutOrStdout(), "CONTROLLER TOLD-BY STATE-SERVICE RECORDS WORKERS HEARS", rows)
 			}
--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -61,9 +61,9 @@
 		o.Log = slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	first := incarnations[0].Begin
-	for _, l := range incarnations {
-		if l.Begin.Before(first) {
-			first = l.Begin
+	for _, incarnation := range incarnations {
+		if incarnation.Begin.Before(first) {
+			first = incarnation.Begin
 		}
 	}
 	if o.At, err = replay.ParseTime(f.at, first); err != nil {
@@ -96,15 +96,15 @@
 			story = []replay.Event{}
 		}
 		err := json.NewEncoder(out).Encode(struct {
-			Lives []replay.Result `json:"incarnations"`
+			Incarnations []replay.Result `json:"incarnations"`
 			Story []replay.Event  `json:"story"`
 		}{results, story})
 		if err != nil {
 			return err
 		}
 	} else {
-		for _, l := range story {
-			fmt.Fprintln(out, l)
+		for _, event := range story {
+			fmt.Fprintln(out, event)
 		}
 		for _, r := range results {
 			for _, k := range r.Known {
--- a/cmd/silvergate/state.go
+++ b/cmd/silvergate/state.go
@@ -56,7 +56,7 @@
 			return k.printResult(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
-	k.flags(backup, "127.0.0.1:2379", "the state service's address", time.Minute)
+	k.addAddressFlags(backup, "127.0.0.1:2379", "the state service's address", time.Minute)
 	return backup
 }
 
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -47,7 +47,7 @@
 			return nil
 		},
 	}
-	k.flags(c)
+	k.addArchiveFlags(c)
 	c.Flags().StringVar(&address, "address", "", "a controller's address, for what the job waits for now; with --site the site's own")
 	return c
 }
