--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -82,8 +82,8 @@
 	grep          *regexp.Regexp
 	raw           bool
 	since         time.Time
-	cursors          map[string]*reader.Cursor
-	lastAttempt          map[int]archive.Attempt // by task: where it was last seen
+	cursors       map[string]*reader.Cursor
+	lastAttempt   map[int]archive.Attempt // by task: where it was last seen
 	found         int
 	whole         bool
 }
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -198,9 +198,9 @@
 	exitFailure   = 1
 	exitDamaged   = 3
 	exitCancelled = 4
-	exitTimeout      = 5
+	exitTimeout   = 5
 	exitDiffers   = 6
-	exitLinkDown     = 7
+	exitLinkDown  = 7
 )
 
 // exitStatus is the exit status for an error.
--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -97,7 +97,7 @@
 		}
 		err := json.NewEncoder(out).Encode(struct {
 			Incarnations []replay.Result `json:"incarnations"`
-			Story []replay.Event  `json:"story"`
+			Story        []replay.Event  `json:"story"`
 		}{results, story})
 		if err != nil {
 			return err
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -27,7 +27,7 @@
 	cfg         *config.Settings
 	log         *slog.Logger
 	core        *coordination.Core
-	inputs      inputHandler       // the core, or a recorder in front of it
+	inputs      inputHandler     // the core, or a recorder in front of it
 	recording   *recorder.Writer // nil: off
 	start       time.Time        // of the process, and its incarnation
 	server      *transport.Server
