--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -20,9 +20,9 @@
 	"silvergate/internal/archive/ship"
 )
 
-// archiveCommands are the commands of those who run the archive.
+// archiveCommands returns the commands for operators of the archive.
 func archiveCommands() *cobra.Command {
-	cmd := &cobra.Command{Use: "archive", Short: "What keeps the output of tasks: serve, status, find, revocations, soak"}
+	cmd := &cobra.Command{Use: "archive", Short: "The archive, which keeps the output of tasks: serve, status, find, revocations, soak"}
 	k := &archiveClient{client: newClient()}
 	cmd.AddCommand(archiveServeCommand(), k.statusCommand(), k.findCommand(), k.revocationsCommand(), k.soakCommand(), k.benchCommand(), benchShipCommand())
 	return cmd
@@ -56,7 +56,7 @@
 	return serve
 }
 
-// nodeStatus is what an archive node says of itself.
+// nodeStatus holds the counters of an archive node, or why they could not be read.
 type nodeStatus struct {
 	Name  string       `json:"name"`
 	Error string       `json:"error,omitempty"`
@@ -65,7 +65,7 @@
 
 func (k *archiveClient) statusCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "status", Short: "Tell what each node holds, and whether they are level", Args: cobra.NoArgs,
+		Use: "status", Short: "Show what each node holds, and whether the nodes are in sync", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, _, err := k.open()
 			if err != nil {
@@ -94,7 +94,7 @@
 				return err
 			}
 			if unreachable == len(all) {
-				return errors.New("no node answers")
+				return errors.New("no archive node answers")
 			}
 			return nil
 		},
@@ -134,14 +134,14 @@
 		name string
 		to   *string
 	}{{"job", &q.Job}, {"team", &q.Team}, {"customer", &q.Customer}, {"class", &q.Class}, {"machine", &q.Machine}, {"day", &q.Day}} {
-		find.Flags().StringVar(f.to, f.name, "", "only of this "+f.name)
+		find.Flags().StringVar(f.to, f.name, "", "only attempts of this "+f.name)
 	}
 	return find
 }
 
 func (k *archiveClient) revocationsCommand() *cobra.Command {
 	revocations := &cobra.Command{
-		Use: "revocations FILE", Short: "Give the authority's list of revocations to all nodes that answer", Args: cobra.ExactArgs(1),
+		Use: "revocations FILE", Short: "Send the authority's list of revocations to all nodes that answer", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
@@ -160,7 +160,7 @@
 				delivered++
 			})
 			if delivered == 0 {
-				return errors.New("no node took it")
+				return errors.New("no archive node accepted the list of revocations")
 			}
 			return k.printResult(c, map[string]int{"nodes": delivered}, fmt.Sprintf("%d nodes have it", delivered))
 		},
@@ -173,7 +173,7 @@
 	var seed uint64
 	var histories, rounds int
 	soak := &cobra.Command{
-		Use: "soak", Short: "Play drawn histories of an archive on loopback and judge what readers get", Args: cobra.NoArgs,
+		Use: "soak", Short: "Run random histories of an archive on loopback and check what readers get", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var sum history.Drawn
 			for i := range histories {
@@ -183,7 +183,7 @@
 				}
 				d, err := history.Draw(dir, seed+uint64(i), rounds)
 				if err != nil {
-					return fmt.Errorf("seed %d (kept in %s): %w", seed+uint64(i), dir, err)
+					return fmt.Errorf("seed %d (files kept in %s): %w", seed+uint64(i), dir, err)
 				}
 				if err := os.RemoveAll(dir); err != nil {
 					return err
@@ -197,8 +197,8 @@
 		},
 	}
 	soak.Flags().Uint64Var(&seed, "seed", 1, "the first seed")
-	soak.Flags().IntVar(&histories, "histories", 10, "how many")
-	soak.Flags().IntVar(&rounds, "rounds", 40, "of each")
+	soak.Flags().IntVar(&histories, "histories", 10, "how many histories to run")
+	soak.Flags().IntVar(&rounds, "rounds", 40, "how many rounds each history has")
 	k.addOutputFlag(soak)
 	return soak
 }
@@ -223,16 +223,16 @@
 			return k.printResult(c, r, fmt.Sprintf("%+v", r))
 		},
 	}
-	bench.Flags().StringVar(&o.Dir, "dir", "", "an empty folder on the disk that is measured")
+	bench.Flags().StringVar(&o.Dir, "dir", "", "an empty folder on the disk to measure")
 	bench.Flags().IntVar(&o.Tasks, "tasks", 2000, "how many tasks write")
-	bench.Flags().IntVar(&o.Lines, "lines", 100, "lines a second of each")
-	bench.Flags().DurationVar(&o.For, "for", 20*time.Second, "how long they write")
+	bench.Flags().IntVar(&o.Lines, "lines", 100, "how many lines a second each task writes")
+	bench.Flags().DurationVar(&o.For, "for", 20*time.Second, "how long the tasks write")
 	_ = bench.MarkFlagRequired("dir")
 	k.addOutputFlag(bench)
 	return bench
 }
 
-// benchShipCommand is one of the processes of archive bench.
+// benchShipCommand returns the hidden command that archive bench starts as the process of a shipper.
 func benchShipCommand() *cobra.Command {
 	var shipping string
 	benchShip := &cobra.Command{
--- a/cmd/silvergate/archive_client.go
+++ b/cmd/silvergate/archive_client.go
@@ -16,11 +16,11 @@
 	"silvergate/internal/site"
 )
 
-// archiveClient reads the archive as somebody.
+// archiveClient reads the archive as the identity of a certificate.
 type archiveClient struct {
 	*client
-	certs string
-	nodes []string
+	certs string   // the folder with the certificate; with --site that of the site's operator by default
+	nodes []string // archive nodes as NAME=IP:PORT, besides those of the site
 }
 
 func (k *archiveClient) addArchiveFlags(c *cobra.Command) {
@@ -31,7 +31,7 @@
 	k.addOutputFlag(c)
 }
 
-// open makes a client of the archive.
+// open returns a client of the archive and the archive's nodes.
 func (k *archiveClient) open() (*reader.Client, []anode.Member, error) {
 	if k.format != "text" && k.format != "json" {
 		return nil, nil, errors.New("--output: must be text or json")
@@ -53,7 +53,7 @@
 		members = append(members, anode.Member{Name: name, Address: address})
 	}
 	if certs == "" {
-		return nil, nil, errors.New("name --site, or --certs and --node")
+		return nil, nil, errors.New("give --site, or --certs and --node")
 	}
 	if err := anode.CheckMembers(members); err != nil {
 		return nil, nil, err
@@ -65,24 +65,24 @@
 	return reader.New(keeper, members, k.timeout), members, nil
 }
 
-// warnIfIncomplete tells that an answer may not be all.
+// warnIfIncomplete prints a warning if an answer may be incomplete because nodes did not answer.
 func warnIfIncomplete(c *cobra.Command, a anode.Answered) {
 	if !a.Whole {
-		fmt.Fprintf(c.ErrOrStderr(), "%s silent: something may be missing\n", strings.Join(a.Silent, ", "))
+		fmt.Fprintf(c.ErrOrStderr(), "no answer from %s: the result may be incomplete\n", strings.Join(a.Silent, ", "))
 	}
 }
 
-// parseJobTask reads JOB or JOB/TASK; task is -1 for all.
+// parseJobTask parses JOB or JOB/TASK. Without a task it returns -1, which means all tasks.
 func parseJobTask(s string) (job string, task int, err error) {
 	job, index, hasTask := strings.Cut(s, "/")
 	task = -1
 	if hasTask {
 		if task, err = strconv.Atoi(index); err != nil || task < 0 {
-			return "", 0, fmt.Errorf("%q: write JOB or JOB/TASK", s)
+			return "", 0, fmt.Errorf("%q: must be JOB or JOB/TASK", s)
 		}
 	}
 	if !protocol.ValidJobID(job) {
-		return "", 0, fmt.Errorf("%q is no job id: it has the form wk-000412", job)
+		return "", 0, fmt.Errorf("%q is not a job id: the form is wk-000412", job)
 	}
 	return job, task, nil
 }
--- a/cmd/silvergate/artefacts.go
+++ b/cmd/silvergate/artefacts.go
@@ -16,25 +16,25 @@
 	"silvergate/internal/protocol"
 )
 
-// artefactsClient lists and fetches the files that attempts left behind.
+// artefactsClient lists and fetches the files that the archive keeps of attempts.
 type artefactsClient struct {
 	archiveClient
-	all bool // also of attempts that did not complete
+	all bool // include attempts that did not complete
 }
 
-// attemptFiles are the files of one attempt.
+// attemptFiles is an attempt with its files.
 type attemptFiles struct {
 	anode.Attempt
-	Final bool `json:"final"` // of the task's last attempt that was done
+	Final bool `json:"final"` // whether it is the task's last completed attempt
 }
 
 func artefactsCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "artefacts", Short: "Files that a job's tasks left behind: list, get"}
+	cmd := &cobra.Command{Use: "artefacts", Short: "Files of a job's tasks that the archive keeps: list, get"}
 	k := &artefactsClient{archiveClient: archiveClient{client: newClient()}}
 	list, get := k.listCommand(), k.getCommand()
 	for _, c := range []*cobra.Command{list, get} {
 		k.addArchiveFlags(c)
-		c.Flags().BoolVar(&k.all, "all", false, "also of attempts that did not complete")
+		c.Flags().BoolVar(&k.all, "all", false, "include attempts that did not complete")
 	}
 	cmd.AddCommand(list, get)
 	return cmd
@@ -75,12 +75,13 @@
 			return k.printResult(c, map[string]any{"files": n, "to": to}, fmt.Sprintf("%d files in %s", n, to))
 		},
 	}
-	get.Flags().StringVar(&to, "to", "", "the folder; what is there is not replaced")
+	get.Flags().StringVar(&to, "to", "", "the folder to write into; existing files are not replaced")
 	_ = get.MarkFlagRequired("to")
 	return get
 }
 
-// findAttempts lists attempts with files; of each task the last that was done is final.
+// findAttempts returns the final attempt of each task, which is the last completed one, or with
+// --all every attempt. It reads JOB or JOB/TASK from arg.
 func (k *artefactsClient) findAttempts(c *cobra.Command, arg string) (*reader.Client, []attemptFiles, error) {
 	r, _, err := k.open()
 	if err != nil {
@@ -109,7 +110,7 @@
 	return r, found, nil
 }
 
-// lastDone is the last attempt of each task that was done.
+// lastDone returns the number of the last completed attempt of each task.
 func lastDone(attempts []anode.Attempt) map[int]int {
 	last := map[int]int{}
 	for i := range attempts {
@@ -120,12 +121,12 @@
 	return last
 }
 
-// fetchAll writes the files of attempts below a folder and counts them.
+// fetchAll writes the files of attempts below a folder and returns how many it wrote.
 func fetchAll(ctx context.Context, r *reader.Client, found []attemptFiles, to string) (n int, err error) {
 	if err := os.MkdirAll(to, 0o700); err != nil {
 		return 0, err
 	}
-	// Names are whatever a program chose: nothing is written outside.
+	// The tasks' programs chose the file names, so os.Root keeps all writes inside the folder.
 	root, err := os.OpenRoot(to)
 	if err != nil {
 		return 0, err
@@ -146,10 +147,10 @@
 	return n, nil
 }
 
-// fetch writes a file below a folder, whole or not at all.
+// fetch writes a file below a folder, either completely or not at all.
 func fetch(ctx context.Context, r *reader.Client, root *os.Root, dir string, a archive.Attempt, f *archive.File) error {
 	if !archive.SafePath(f.Path) {
-		return fmt.Errorf("%q is not a name that can be written", f.Path)
+		return fmt.Errorf("%q can't be used as a file name", f.Path)
 	}
 	path := filepath.Join(dir, filepath.FromSlash(f.Path))
 	if err := root.MkdirAll(filepath.Dir(path), 0o700); err != nil {
@@ -163,7 +164,7 @@
 	err = r.File(ctx, a, f, out)
 	if err == nil {
 		if _, statErr := root.Lstat(path); statErr == nil {
-			err = fmt.Errorf("%s: is there already", path)
+			err = fmt.Errorf("%s: already exists", path)
 		}
 	}
 	if err = errors.Join(err, out.Close()); err == nil {
--- a/cmd/silvergate/bench.go
+++ b/cmd/silvergate/bench.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/stagebench"
 )
 
-// benchCommands measure decisions in simulated clusters.
+// benchCommands returns the commands that measure decisions in simulated clusters.
 func benchCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "bench", Short: "Measure decisions in simulated clusters"}
 	var machines []int
@@ -45,7 +45,7 @@
 	k.addOutputFlag(st)
 	st.Flags().IntSliceVar(&machines, "machines", []int{8, 100, 855, 1900}, "sizes of the cluster")
 	st.Flags().Float64Var(&seconds, "seconds", 540, "simulated time")
-	st.Flags().Uint64Var(&seed, "seed", 1, "draws the jobs")
+	st.Flags().Uint64Var(&seed, "seed", 1, "the seed of the random jobs")
 	cmd.AddCommand(st)
 	return cmd
 }
--- a/cmd/silvergate/certs.go
+++ b/cmd/silvergate/certs.go
@@ -10,18 +10,18 @@
 	"silvergate/internal/identity"
 )
 
-// certsClient keeps the site's authority.
+// certsClient manages the site's certificate authority.
 type certsClient struct {
 	*client
 	dir string // the authority's folder
 }
 
-// certsCommands are the site's small authority.
+// certsCommands returns the commands of the site's certificate authority.
 func certsCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "certs", Short: "The site's authority: init, issue, renew, revoke, list",
-		Long: `certs keeps the site's authority: a folder with its key, the list of what it
-issued and the list of revocations. Whoever can read that folder can be anyone on
-the site. Identities are written node/NAME, agent/MACHINE, operator/NAME,
+		Long: `certs manages the site's authority: a folder with its key, the list of issued
+certificates and the list of revocations. Whoever can read that folder can act as
+anyone on the site. Identities are written node/NAME, agent/MACHINE, operator/NAME,
 team/TEAM and customer/TEAM/CUSTOMER (docs/security.md).`}
 	k := &certsClient{client: newClient()}
 	cmd.PersistentFlags().StringVar(&k.dir, "authority", "", "the authority's folder")
@@ -31,17 +31,18 @@
 }
 
 func (k *certsClient) addIssueFlags(c *cobra.Command, life *time.Duration) {
-	c.Flags().DurationVar(life, "life", identity.DefaultLifetime, "how long the certificate holds")
+	c.Flags().DurationVar(life, "life", identity.DefaultLifetime, "how long the certificate is valid")
 	k.addOutputFlag(c)
 }
 
-// issueInto issues a certificate into a folder and tells of it.
-func (k *certsClient) issueInto(c *cobra.Command, to string, life time.Duration, whose func(*identity.Authority) (identity.Identity, error)) error {
+// issueInto issues a certificate into a folder and prints it. identityOf returns the identity to
+// issue it for.
+func (k *certsClient) issueInto(c *cobra.Command, to string, life time.Duration, identityOf func(*identity.Authority) (identity.Identity, error)) error {
 	a, err := identity.Open(k.dir)
 	if err != nil {
 		return err
 	}
-	who, err := whose(a)
+	who, err := identityOf(a)
 	if err != nil {
 		return err
 	}
@@ -55,7 +56,7 @@
 func (k *certsClient) initCommand() *cobra.Command {
 	var site string
 	initialize := &cobra.Command{
-		Use: "init --authority DIR --site NAME", Short: "Make the site's authority in a folder that has none", Args: cobra.NoArgs,
+		Use: "init --authority DIR --site NAME", Short: "Create the site's authority in a folder that has none", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, err := identity.Init(k.dir, site, time.Now()); err != nil {
 				return err
@@ -63,7 +64,7 @@
 			return k.printResult(c, map[string]string{"site": site, "authority": k.dir}, fmt.Sprintf("the authority of %s is in %s; keep that folder to yourself", site, k.dir))
 		},
 	}
-	initialize.Flags().StringVar(&site, "site", "site", "the site's name, which stands in all identities")
+	initialize.Flags().StringVar(&site, "site", "site", "the site's name, which is part of all identities")
 	k.addOutputFlag(initialize)
 	return initialize
 }
@@ -86,7 +87,7 @@
 func (k *certsClient) renewCommand() *cobra.Command {
 	var life time.Duration
 	renew := &cobra.Command{
-		Use: "renew DIR --authority DIR", Short: "Replace the certificate in a party's folder; the party goes on without a restart", Args: cobra.ExactArgs(1),
+		Use: "renew DIR --authority DIR", Short: "Replace the certificate in a party's folder; the party needs no restart", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return k.issueInto(c, filepath.Clean(args[0]), life, func(*identity.Authority) (identity.Identity, error) { return identity.ReadIdentity(args[0]) })
 		},
@@ -99,8 +100,8 @@
 	revoke := &cobra.Command{
 		Use: "revoke SERIAL|IDENTITY --authority DIR", Short: "Revoke a certificate, or all of an identity", Args: cobra.ExactArgs(1),
 		Long: `revoke adds certificates to the signed list of revocations in the authority's
-folder. Archive nodes that can read that folder follow it; give it to others by
-silvergate archive revocations. docs/security.md tells how soon it holds everywhere.`,
+folder. Archive nodes that can read that folder pick it up; send it to others with
+silvergate archive revocations. docs/security.md says how soon it applies everywhere.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			a, err := identity.Open(k.dir)
 			if err != nil {
@@ -119,7 +120,7 @@
 
 func (k *certsClient) certsListCommand() *cobra.Command {
 	list := &cobra.Command{
-		Use: "list --authority DIR", Short: "List what was issued", Args: cobra.NoArgs,
+		Use: "list --authority DIR", Short: "List the issued certificates", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			a, err := identity.Open(k.dir)
 			if err != nil {
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -22,7 +22,7 @@
 	"silvergate/internal/transport"
 )
 
-// client talks to a running part the way its users do.
+// client sends requests to a running component, as its users do.
 type client struct {
 	address string
 	site    string
@@ -33,25 +33,25 @@
 
 func newClient() *client { return &client{timeout: 5 * time.Second, pool: transport.NewPool(2)} }
 
-// addAddressFlags adds where the part is and how long to wait.
+// addAddressFlags adds the flags for the component's address, the timeout and the output format.
 func (k *client) addAddressFlags(c *cobra.Command, address, what string, timeout time.Duration) {
 	c.Flags().StringVar(&k.address, "address", address, what+" (IP and port)")
 	c.Flags().DurationVar(&k.timeout, "timeout", timeout, "how long to wait for an answer")
 	k.addOutputFlag(c)
 }
 
-// addOutputFlag adds the choice of the addOutputFlag's form.
+// addOutputFlag adds the flag for the output format.
 func (k *client) addOutputFlag(c *cobra.Command) {
 	c.Flags().StringVar(&k.format, "output", "text", "text or json")
 }
 
-// addControllerFlags adds the flags of commands that talk to controllers.
+// addControllerFlags adds the flags of commands that send requests to controllers.
 func (k *client) addControllerFlags(c *cobra.Command) {
 	k.addAddressFlags(c, "127.0.0.1:8080", "a controller's bind address", 5*time.Second)
 	c.Flags().StringVar(&k.site, "site", "", "the folder of a site that silvergate up runs, instead of --address")
 }
 
-// addresses lists whom to ask, in turn.
+// addresses returns the addresses to send a request to, in the order in which they are tried.
 func (k *client) addresses() ([]string, error) {
 	if k.site == "" {
 		return []string{k.address}, nil
@@ -63,10 +63,11 @@
 	return p.Addresses(), nil
 }
 
-// errUnavailable is a failure that another controller, or a later try, may mend.
+// errUnavailable marks a failure after which a request may succeed at another controller or later.
 var errUnavailable = errors.New("no answer")
 
-// do sends a request to one controller after the other, until one answers.
+// do sends a request to one controller after the other until one answers it with anything but
+// 429 or 5xx, and returns the last error if none does.
 func (k *client) do(method, path string, body []byte) (*transport.Response, error) {
 	if k.format != "" && k.format != "text" && k.format != "json" {
 		return nil, fmt.Errorf("--output: must be text or json")
@@ -103,7 +104,7 @@
 }
 
 // request sends one request to an address and waits for its response. The pool has no clock,
-// so the request is expired here when its time is up.
+// so a timer here expires the request after the timeout.
 func (k *client) request(address, method, path string, body []byte) (*transport.Response, error) {
 	timer := time.AfterFunc(k.timeout, func() { k.pool.Expire(time.Now().Add(k.timeout)) })
 	defer timer.Stop()
@@ -127,7 +128,7 @@
 	return json.Unmarshal(r.Body, v)
 }
 
-// printResult prints a result as a person or a program wants it.
+// printResult prints a result: text for people, or v as JSON for programs.
 func (k *client) printResult(c *cobra.Command, v any, text string) error {
 	if k.format == "json" {
 		return json.NewEncoder(c.OutOrStdout()).Encode(v)
@@ -136,7 +137,7 @@
 	return err
 }
 
-// printList prints a printList: a table for people, JSON for programs.
+// printList prints a list: a table for people, or v as JSON for programs.
 func (k *client) printList(c *cobra.Command, v any, head string, rows [][]string) error {
 	if k.format == "json" {
 		return json.NewEncoder(c.OutOrStdout()).Encode(v)
@@ -144,8 +145,8 @@
 	return printTable(c.OutOrStdout(), head, rows)
 }
 
-// jobFile is a job as people write it: the protocol's fields in YAML, of which
-// those that have a usual value may be left out.
+// jobFile is a job as people write it: the protocol's fields in YAML. Fields that
+// have a default may be left out.
 type jobFile struct {
 	ID                  string            `yaml:"ref" json:"ref"`
 	Class               string            `yaml:"jobclass" json:"jobclass"`
@@ -178,7 +179,7 @@
 	} `yaml:"inputs" json:"inputs,omitempty"`
 }
 
-// newJobID draws a job id.
+// newJobID returns a random job id.
 func newJobID() (string, error) {
 	n, err := rand.Int(rand.Reader, big.NewInt(1e15))
 	if err != nil {
@@ -187,7 +188,7 @@
 	return fmt.Sprintf("wk-%015d", n), nil
 }
 
-// readJob reads a job in JSON, or in YAML with its usual values filled in.
+// readJob parses a job in JSON, or in YAML with defaults for missing fields, and returns it as JSON.
 func readJob(raw []byte) ([]byte, error) {
 	if t := strings.TrimLeft(string(raw), " \t\r\n"); strings.HasPrefix(t, "{") {
 		_, err := protocol.ParseSubmission(raw)
@@ -217,8 +218,8 @@
 	return body, err
 }
 
-// submit submits a job as the protocol has users do it: the same request again
-// for up to a minute.
+// submit submits a job as the protocol asks of users: it repeats the same request
+// for up to a minute while no controller accepts it.
 func (k *client) submit(body []byte) (protocol.JobState, error) {
 	var s protocol.JobState
 	until := time.Now().Add(time.Minute)
@@ -227,7 +228,8 @@
 		if err == nil {
 			return s, json.Unmarshal(r.Body, &s)
 		}
-		// One refusal is told at once: a person would rather know.
+		// With a single controller (--address) a failure is reported at once: a person would
+		// rather know than wait.
 		if !errors.Is(err, errUnavailable) || k.site == "" || time.Now().After(until) {
 			return s, err
 		}
@@ -235,7 +237,8 @@
 	}
 }
 
-// wait polls until a job is over, or limit has passed (0: for ever).
+// wait polls a job's state until the job is over or limit has passed (0: no limit), and calls
+// each with every state that it reads.
 func (k *client) wait(ref string, limit time.Duration, each func(protocol.JobState)) (protocol.JobState, error) {
 	begin := time.Now()
 	for {
@@ -262,9 +265,10 @@
 	var limit time.Duration
 	c := &cobra.Command{
 		Use: "submit FILE", Short: "Submit the job in a YAML or JSON file (- for standard input)", Args: cobra.ExactArgs(1),
-		Long: `submit submits a job. In YAML, fields with a usual value may be left out, and
-an id is drawn when there is none. With --wait it waits until the job is over:
-status 0 when it is done, 4 when it was cancelled, 5 when --limit has passed.`,
+		Long: `submit submits a job. In YAML, fields with a default may be left out, and
+a random id is chosen when there is none. With --wait it waits until the job is over
+and exits with status 0 when it is done, 4 when it was cancelled, 5 when --limit
+has passed.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			var raw []byte
 			var err error
@@ -310,11 +314,11 @@
 	}
 	k.addControllerFlags(c)
 	c.Flags().BoolVar(&wait, "wait", false, "wait until the job is over")
-	c.Flags().DurationVar(&limit, "limit", 0, "with --wait: how long; 0 is for ever")
+	c.Flags().DurationVar(&limit, "limit", 0, "with --wait: how long to wait; 0 means without limit")
 	return c
 }
 
-// describe tells a job's state in a line.
+// describe returns a job's state as one line of text.
 func describe(s protocol.JobState) string {
 	line := s.ID + " " + s.Status
 	if s.Done != nil && s.Running != nil {
@@ -328,7 +332,7 @@
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if !protocol.ValidJobID(args[0]) {
-				return fmt.Errorf("%q is no job id: it has the form wk-000412", args[0])
+				return fmt.Errorf("%q is not a job id: the form is wk-000412", args[0])
 			}
 			r, err := k.do(method, protocol.PathJobs+"/"+args[0]+suffix, nil)
 			if err != nil {
@@ -355,11 +359,12 @@
 	return t.Flush()
 }
 
-// maxPages bounds how long a list is followed.
+// maxPages is the largest number of pages that are read of a list.
 const maxPages = 10_000
 
-// readList reads a list page by page. path ends with the parameter that names the last entry
-// seen; content tells what a page holds and whether more follow it, name an entry's name.
+// readList reads a list page by page. path ends with the query parameter for the name of the last
+// entry read. content returns the entries of a page and whether more pages follow; name returns
+// the name of an entry.
 func readList[Page, Entry any](k *client, path string, content func(*Page) (entries []Entry, truncated bool), name func(*Entry) string) ([]Entry, error) {
 	all := []Entry{}
 	from := ""
@@ -399,11 +404,11 @@
 		},
 	}
 	k.addControllerFlags(c)
-	c.Flags().BoolVar(&all, "all", false, "also those that are over")
+	c.Flags().BoolVar(&all, "all", false, "also list jobs that are over")
 	return c
 }
 
-// formatAge is a duration to one unit.
+// formatAge formats an age in seconds, cut to whole seconds, minutes or hours.
 func formatAge(s float64) string {
 	switch d := time.Duration(s * float64(time.Second)); {
 	case d < time.Minute:
@@ -417,7 +422,7 @@
 
 func (k *client) nodesCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "nodes", Short: "List the machines, what they hold and who leads them", Args: cobra.NoArgs,
+		Use: "nodes", Short: "List the machines, what runs on them and which controller owns them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			nodes, err := readList(k, protocol.PathMachineList+"?from=",
 				func(p *protocol.MachinePage) ([]protocol.MachineSummary, bool) { return p.Machines, p.Truncated },
@@ -441,7 +446,7 @@
 	return c
 }
 
-// clientCommands talk to a running service the way its users do.
+// clientCommands returns the commands that send requests to controllers, as their users do.
 func clientCommands() []*cobra.Command {
 	stats := newClient()
 	st := &cobra.Command{
--- a/cmd/silvergate/data.go
+++ b/cmd/silvergate/data.go
@@ -17,8 +17,8 @@
 	"silvergate/internal/site"
 )
 
-// dataCommands are about data sets: publishing, listing, checking and serving
-// them, and announcing work.
+// dataCommands returns the commands that publish, list, check and serve data sets, and
+// that announce work which needs them.
 func dataCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "data", Short: "Data sets: put, list, show, verify, announce, serve"}
 	cmd.AddCommand(dataPut(), dataList(), dataShow(), dataVerify(), dataAnnounce(), dataServe())
@@ -32,7 +32,7 @@
 	c := &cobra.Command{
 		Use: "put SET VERSION FOLDER", Short: "Publish a folder as a version of a data set", Args: cobra.ExactArgs(3),
 		Long: `put copies a folder into a file server's root and registers it as a version of
-a data set. Versions never change: the same contents again are known, others are
+a data set. Versions never change: the same contents may be put again, others are
 refused. With --site the site's own file server is used; otherwise name its root
 and the addresses at which file servers serve it.`,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -44,7 +44,7 @@
 				root, sources = site.DataRoot(k.site), []string{p.FileServer()}
 			}
 			if root == "" || len(sources) == 0 {
-				return errors.New("name --site, or --root and --source")
+				return errors.New("give --site, or --root and --source")
 			}
 			last := time.Now()
 			m, err := dataset.Build(args[2], args[0], args[1], func(n int64) {
@@ -76,7 +76,7 @@
 	return c
 }
 
-// versions reads all registered versions.
+// versions returns all registered versions.
 func (k *client) versions() ([]protocol.DataSet, error) {
 	return readList(k, protocol.PathDataSets+"?from=",
 		func(p *protocol.DataSetPage) ([]protocol.DataSet, bool) { return p.DataSets, p.Truncated },
@@ -103,7 +103,8 @@
 	return c
 }
 
-// manifest fetches a version's manifest from its sources and checks it.
+// manifest returns a version and its manifest, fetched from the first source that serves it and
+// checked against the registered digest.
 func (k *client) manifest(name string) (*protocol.DataSet, *dataset.Manifest, error) {
 	all, err := k.versions()
 	if err != nil {
@@ -183,7 +184,7 @@
 	var zone string
 	var by time.Duration
 	c := &cobra.Command{
-		Use: "announce SET/VERSION", Short: "Have a version brought to machines ahead of work that will come", Args: cobra.ExactArgs(1),
+		Use: "announce SET/VERSION", Short: "Have a version copied to machines ahead of work that will need it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var ok bool
 			if a.Set, a.Version, ok = strings.Cut(args[0], "/"); !ok {
@@ -211,18 +212,18 @@
 	}
 	k.addControllerFlags(c)
 	f := c.Flags()
-	f.StringVar(&a.ID, "ref", "", "the announcement's name; default: drawn")
+	f.StringVar(&a.ID, "ref", "", "the announcement's name; default: random")
 	f.StringVar(&a.Team, "crew", "", "the team whose work it is")
-	f.StringVar(&a.Priority, "urgency", "standard", "of the work: prod, urgent, standard or idle")
-	f.IntVar(&a.Machines, "machines", 1, "how many machines are to hold it")
-	f.DurationVar(&by, "within", 0, "how soon it is to be there")
+	f.StringVar(&a.Priority, "urgency", "standard", "the work's priority: prod, urgent, standard or idle")
+	f.IntVar(&a.Machines, "machines", 1, "how many machines should hold the version")
+	f.DurationVar(&by, "within", 0, "how soon they should hold it")
 	f.StringVar(&zone, "zone", "", "only machines of this zone")
 	_ = c.MarkFlagRequired("crew")
 	return c
 }
 
-// dataServe serves data sets to machines: whatever serves a folder by ranges
-// would do.
+// dataServe returns the command that serves data sets to machines. Any other HTTP server that
+// serves a folder with range requests would do.
 func dataServe() *cobra.Command {
 	var root, listen string
 	c := &cobra.Command{
@@ -243,7 +244,8 @@
 			files := http.FileServer(http.Dir(root))
 			srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
 				Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					// Only what is published: no lists, nothing half-written.
+					// Serves only published files: no listings of folders, and no hidden files, which are
+					// incomplete.
 					if r.Method != http.MethodGet || !strings.HasPrefix(r.URL.Path, dataset.SetsPath) || strings.HasSuffix(r.URL.Path, "/") || strings.Contains(r.URL.Path, "/.") {
 						http.NotFound(w, r)
 						return
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -26,9 +26,9 @@
 	c := &cobra.Command{
 		Use: "logs JOB[/TASK]", Short: "Show what a job's tasks wrote, wherever they ran", Args: cobra.ExactArgs(1),
 		Long: `logs shows the output of a job's tasks in the order of time, from all machines
-that they ran on, also those that are gone. Where a task moved, and where output is
-missing, a line in brackets says so, and why as far as it is known. Control
-characters are written out; --raw prints the bytes of one task as they are.`,
+that they ran on, also from machines that no longer exist. Where a task moved, and
+where output is missing, a line in brackets says so, with the reason if it is known.
+Control characters are escaped; --raw prints the bytes of one task as they are.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			job, task, err := parseJobTask(args[0])
 			if err != nil {
@@ -47,7 +47,7 @@
 				}
 			}
 			if raw && (task < 0 || stream == "") {
-				return errors.New("--raw: name one task and one --stream")
+				return errors.New("--raw: needs one task (JOB/TASK) and --stream")
 			}
 			r, _, err := k.open()
 			if err != nil {
@@ -62,16 +62,16 @@
 	}
 	k.addArchiveFlags(c)
 	f := c.Flags()
-	f.BoolVarP(&follow, "follow", "f", false, "go on until the job's attempts are over")
+	f.BoolVarP(&follow, "follow", "f", false, "keep printing new output until the job's attempts are over")
 	f.IntVar(&attempt, "attempt", 0, "only this attempt of each task")
-	f.DurationVar(&since, "since", 0, "only what was written in the last while")
+	f.DurationVar(&since, "since", 0, "only output written within this time before now")
 	f.StringVar(&grep, "grep", "", "only lines that match this regular expression")
 	f.StringVar(&stream, "stream", "", "only stdout or stderr")
-	f.BoolVar(&raw, "raw", false, "the bytes as they are")
+	f.BoolVar(&raw, "raw", false, "print the bytes as they are")
 	return c
 }
 
-// logView shows a job's output.
+// logView prints a job's output.
 type logView struct {
 	k             *archiveClient
 	c             *cobra.Command
@@ -83,12 +83,12 @@
 	raw           bool
 	since         time.Time
 	cursors       map[string]*reader.Cursor
-	lastAttempt   map[int]archive.Attempt // by task: where it was last seen
+	lastAttempt   map[int]archive.Attempt // by task: the attempt of the line printed last
 	found         int
 	whole         bool
 }
 
-// followInterval is the time between two looks for more.
+// followInterval is the time between two polls for more output.
 const followInterval = 500 * time.Millisecond
 
 func (v *logView) run(ctx context.Context, follow bool) error {
--- a/cmd/silvergate/losses.go
+++ b/cmd/silvergate/losses.go
@@ -13,21 +13,21 @@
 	"silvergate/internal/losses"
 )
 
-// lossesCommand tells from debug logs where the time of lost tasks went.
+// lossesCommand returns the command that shows from debug logs where the time of lost tasks went.
 func lossesCommand() *cobra.Command {
 	var from, span time.Duration
 	var output string
 	cmd := &cobra.Command{
 		Use:   "losses [FILE...]",
-		Short: "Tell from debug logs where the time of lost tasks went",
-		Long: `losses reads the debug logs of a site's controllers (LOG_LEVEL=debug), all of one
-time together, and tells for each class and kind of evidence how long lost tasks
-took from the last word of their machine until they ran again, step by step:
+		Short: "Show from debug logs where the time of lost tasks went",
+		Long: `losses reads the debug logs of a site's controllers (LOG_LEVEL=debug), all of the
+same period together, and shows for each class and kind of evidence how long lost
+tasks took from the last report of their machine until they ran again, step by step:
 
-  evidence       until it was known that they are gone: the protocol's part
-  commit ending  until that was written: the state service's budget
+  evidence       until it was known that they were lost: the protocol's share
+  commit ending  until their end was written: the state service's budget
   room           until there was a machine for them
-  commit start   until that was written
+  commit start   until their new start was written
   tell           until the machine was told
   image          until they were seen running: images, inputs, the next report
 
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -19,13 +19,13 @@
 	"silvergate/internal/statestore"
 )
 
-// addSettingsFlag adds the flag for a part's YAML file.
+// addSettingsFlag adds the required flag for a component's YAML file.
 func addSettingsFlag(c *cobra.Command, path *string) {
 	c.Flags().StringVar(path, "settings", "", "the part's settings file (YAML); unknown keys are refused")
 	_ = c.MarkFlagRequired("settings")
 }
 
-// readSettings reads a part's YAML over its defaults.
+// readSettings decodes a component's YAML file into v, which holds the defaults.
 func readSettings(path string, v any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -37,8 +37,9 @@
 	return nil
 }
 
-// startComponent starts a part of the platform that a command serves until it is told to end: it
-// prepares the process and reads the part's YAML over its defaults.
+// startComponent prepares the process of a component of the platform that runs until it is
+// stopped: it waits until the starter lets a held process run, and decodes the component's
+// YAML file into cfg, which holds the defaults.
 func startComponent(settings string, cfg any) error {
 	if err := proc.Hold(); err != nil {
 		return err
@@ -46,8 +47,8 @@
 	return readSettings(settings, cfg)
 }
 
-// onStopSignal calls stop at the first SIGTERM or SIGINT. Its goroutine ends with that signal,
-// else with the process.
+// onStopSignal calls stop on the first SIGTERM or SIGINT, in a goroutine that ends after that call
+// or with the process.
 func onStopSignal(stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -61,7 +62,8 @@
 	return newLogger(os.Getenv("LOG_LEVEL")).With("part", part)
 }
 
-// metricsHandler answers GET /metrics of a part that serves by itself.
+// metricsHandler returns the Extra function of a component that has its own server: it answers
+// GET /metrics and reports whether it has answered a request.
 func metricsHandler(page *metrics.Page, log *slog.Logger, answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
 	return func(id uint64, method, path string) bool {
 		if path != metrics.Path || method != http.MethodGet {
@@ -69,7 +71,7 @@
 		}
 		contentType, body, err := page.Render()
 		if err != nil {
-			log.Error("metrics can't be shown", "error", err)
+			log.Error("can't render the metrics", "error", err)
 			return false
 		}
 		answer(id, contentType, body)
@@ -77,7 +79,7 @@
 	}
 }
 
-// providerCommand is the cloud of local machines.
+// providerCommand returns the command that serves a cloud of local machines.
 func providerCommand() *cobra.Command {
 	var settings string
 	cmd := &cobra.Command{
@@ -109,11 +111,11 @@
 
 func providerMetrics(s provider.Stats) []metrics.Figure {
 	out := []metrics.Figure{
-		{Name: "cloud_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
-		{Name: "cloud_refused", Help: "Requests refused for the rate or for want of machines.", Value: float64(s.Refused), Count: true},
+		{Name: "cloud_requests", Help: "Requests received.", Value: float64(s.Requests), Count: true},
+		{Name: "cloud_refused", Help: "Requests refused because of the rate limit or because no machine was free.", Value: float64(s.Refused), Count: true},
 		{Name: "cloud_rented", Help: "Machines rented.", Value: float64(s.Rented), Count: true},
 		{Name: "cloud_ended", Help: "Machines ended.", Value: float64(s.Ended), Count: true},
-		{Name: "cloud_agent_deaths", Help: "Agents that ended without having been told to.", Value: float64(s.Restarted), Count: true},
+		{Name: "cloud_agent_deaths", Help: "Agents that ended without being told to.", Value: float64(s.Restarted), Count: true},
 		{Name: "cloud_paid", Help: "Cost of all machines since the start, in the price list's money.", Value: s.Paid, Count: true},
 	}
 	for status, n := range s.Machines {
@@ -122,7 +124,7 @@
 	return out
 }
 
-// agentCommands are a machine's agent and what it starts.
+// agentCommands returns the command of a machine's agent and the hidden ones that the agent starts.
 func agentCommands() []*cobra.Command {
 	var settings string
 	run := &cobra.Command{
@@ -163,18 +165,18 @@
 		{Name: "agent_reports", Help: "Reports sent.", Value: float64(s.Heartbeats), Count: true},
 		{Name: "agent_reports_answered", Help: "Reports answered with 200.", Value: float64(s.Answered), Count: true},
 		{Name: "agent_launched", Help: "Programs started.", Value: float64(s.Launched), Count: true},
-		{Name: "agent_sessions", Help: "Sessions begun in this life.", Value: float64(s.Epochs), Count: true},
-		{Name: "agent_loads", Help: "Attempts on the machine, those that are over included.", Value: float64(s.Tasks)},
+		{Name: "agent_sessions", Help: "Sessions begun since the agent started.", Value: float64(s.Epochs), Count: true},
+		{Name: "agent_loads", Help: "Attempts on the machine, including those that are over.", Value: float64(s.Tasks)},
 		{Name: "agent_loads_live", Help: "Attempts that are not over.", Value: float64(s.Live)},
 		{Name: "agent_resident_bytes", Help: "Resident memory of all tasks.", Value: float64(s.Usage.RSS)},
 		{Name: "agent_processes", Help: "Processes of all tasks.", Value: float64(s.Usage.Members)},
 	}
 	if a := s.Archive; a != nil {
-		out = append(out, metrics.Figure{Name: "agent_archive_attempts", Help: "Attempts whose output is followed.", Value: float64(a.Attempts)},
-			metrics.Figure{Name: "agent_archive_waiting_bytes", Help: "Output that is not acknowledged yet.", Value: float64(a.Left)},
-			metrics.Figure{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest of it.", Value: float64(a.OldestMS) / 1000},
+		out = append(out, metrics.Figure{Name: "agent_archive_attempts", Help: "Attempts whose output is being shipped.", Value: float64(a.Attempts)},
+			metrics.Figure{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.Left)},
+			metrics.Figure{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest output that is not yet acknowledged.", Value: float64(a.OldestMS) / 1000},
 			metrics.Figure{Name: "agent_archive_shipped_bytes", Help: "Output that is acknowledged.", Value: float64(a.Shipped), Count: true},
-			metrics.Figure{Name: "agent_archive_given_up_bytes", Help: "Output given up as the spool was full.", Value: float64(a.GivenUp), Count: true},
+			metrics.Figure{Name: "agent_archive_given_up_bytes", Help: "Output given up because the spool was full.", Value: float64(a.GivenUp), Count: true},
 			metrics.Figure{Name: "agent_archive_files", Help: "Files kept.", Value: float64(a.Files), Count: true},
 			metrics.Figure{Name: "agent_archive_refused", Help: "Records that nodes refused.", Value: float64(a.Refused), Count: true})
 	}
@@ -184,7 +186,7 @@
 	return out
 }
 
-// exitCode is a status that an error ends the program with.
+// exitCode is an error with the exit status that the program ends with.
 type exitCode struct {
 	code int
 	err  error
@@ -203,7 +205,7 @@
 	exitLinkDown  = 7
 )
 
-// exitStatus is the exit status for an error.
+// exitStatus returns the exit status for an error.
 func exitStatus(err error) int {
 	var x exitCode
 	switch {
--- a/cmd/silvergate/reach.go
+++ b/cmd/silvergate/reach.go
@@ -11,7 +11,7 @@
 	"silvergate/internal/connectivity"
 )
 
-// linkStatus is what a controller says of its linkStatus in its counters.
+// linkStatus is the part of a controller's counters that describes its links.
 type linkStatus struct {
 	Node  string `json:"node"`
 	Reach struct {
@@ -23,7 +23,7 @@
 	} `json:"reach"`
 }
 
-// reachCommand shows which controller reaches what.
+// reachCommand returns the command that shows which links of controllers are up.
 func reachCommand() *cobra.Command {
 	k := newClient()
 	c := &cobra.Command{
@@ -32,7 +32,8 @@
 peer, or lost), the workers by zone, the other controllers. With --site it asks all of
 them; with --address one, and shows what that one has heard from the others, and when.
 
-Status 0: every link that was told of is up. 7: one is not.`,
+Exit status 0: every reported link is up. 7: a link is down, or a controller does not
+answer.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			all, err := k.addresses()
 			if err != nil {
@@ -65,7 +66,7 @@
 			case last != nil:
 				return exitCode{exitLinkDown, fmt.Errorf("a controller does not answer: %w", last)}
 			case down:
-				return exitCode{exitLinkDown, errors.New("a link is down: docs/operations.md, \"Links\", says what each costs and what to do")}
+				return exitCode{exitLinkDown, errors.New("a link is down: docs/operations.md, \"Links\", says what each loss costs and what to do")}
 			}
 			return nil
 		},
@@ -74,8 +75,9 @@
 	return c
 }
 
-// linkTable is a table of what controllers told: each of itself, and of the others what the
-// first one heard that could not be asked. down tells whether any link is.
+// linkTable returns a table with a row for each controller: its own report if it answered, or
+// else what the first controller that answered has heard from it. down reports whether any
+// link is down.
 func linkTable(told []linkStatus) (rows [][]string, down bool) {
 	asked := map[string]bool{}
 	for _, l := range told {
--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -12,37 +12,39 @@
 	"silvergate/internal/replay"
 )
 
-// replayFlags are what replay is asked for.
+// replayFlags holds the flags of the replay command.
 type replayFlags struct {
 	at, until, output string
 	names             []string
 	logs              bool
 }
 
-// replayCommand is the command that puts recordings through cores again.
+// replayCommand returns the command that replays recordings through cores.
 func replayCommand() *cobra.Command {
 	var f replayFlags
 	cmd := &cobra.Command{
 		Use:   "replay FILE|DIR...",
-		Short: "Put recorded controllers through the program again, and tell why they did what they did",
+		Short: "Replay recorded controllers through this program, and show why they did what they did",
 		Long: `replay reads recordings that controllers made (recorder: in the operators'
-settings), puts every input through this program's core again and compares all that it
-does with what was done. A life of a controller is replayed from its beginning.
+settings), passes every input to this program's core again and compares all effects
+with the recorded ones. An incarnation of a controller (from a start of its process to
+its end) is replayed from its beginning.
 
-With --explain it tells the story of a task (wk-000412/3), a job or a machine: what each
-controller heard, knew and sent, with the revision its records were at. Recordings of
-several controllers make one story. With --at it says what each knew at that time.
+With --explain it shows the history of a task (wk-000412/3), a job or a machine: what
+each controller heard, knew and sent, with the revision of its records. Recordings of
+several controllers are merged into one history. With --at it shows what each knew at
+that time.
 
-Exit status: 0 nothing differs, 1 the recordings can't be read, 6 something was done
-otherwise than recorded: another build, or a fault of the program.`,
+Exit status: 0 nothing differs, 1 the recordings can't be read, 6 some effects differ
+from the recorded ones: another build made the recording, or the program has a fault.`,
 		Example: `  silvergate replay ./site/recordings --explain wk-000412/3 --explain i-000231
   silvergate replay north-*.rec --at 90.5s --explain i-000231`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error { return f.run(c, paths) },
 	}
-	cmd.Flags().StringVar(&f.at, "at", "", "say what was known then: a time, or how long after the first input (90.5s)")
-	cmd.Flags().StringVar(&f.until, "until", "", "stop there")
-	cmd.Flags().StringArrayVar(&f.names, "explain", nil, "tell the story of a task, a job or a machine; may be repeated")
+	cmd.Flags().StringVar(&f.at, "at", "", "show what was known at this time: a time, or how long after the first input (90.5s)")
+	cmd.Flags().StringVar(&f.until, "until", "", "stop at this time, given as for --at")
+	cmd.Flags().StringArrayVar(&f.names, "explain", nil, "show the history of a task, a job or a machine; may be repeated")
 	cmd.Flags().BoolVar(&f.logs, "log", false, "write the cores' debug logs to standard error")
 	cmd.Flags().StringVar(&f.output, "output", "text", "text or json")
 	return cmd
@@ -73,7 +75,7 @@
 		return fmt.Errorf("--until: %w", err)
 	}
 	if !o.At.IsZero() && len(f.names) == 0 {
-		return errors.New("--at: says what is known of something; name it with --explain")
+		return errors.New("--at: needs --explain with the task, job or machine to show")
 	}
 	results, stories := []replay.Result{}, [][]replay.Event{}
 	for i := range incarnations {
--- a/cmd/silvergate/root.go
+++ b/cmd/silvergate/root.go
@@ -10,7 +10,7 @@
 	"silvergate/internal/proc"
 )
 
-// version is set by the build with -ldflags "-X main.version=...".
+// version is the program's version. The build sets it with -ldflags "-X main.version=...".
 var version = "0.1.0"
 
 func rootCommand() *cobra.Command {
@@ -28,8 +28,8 @@
 jobs' tasks on workers. Every controller runs the same program with its own
 settings file; they share nothing but a small state service.
 
-Without a subcommand it serves until it is killed. LOG_LEVEL (error, info,
-debug) says what it writes to standard error.`,
+Without a subcommand it serves until it is killed. The environment variable
+LOG_LEVEL (error, info, debug) sets what it logs to standard error.`,
 		Example: `  silvergate up --dir ./site --demo
   silvergate --config /etc/silvergate/settings.json
   silvergate validate --config settings.json --operator silvergate.yaml
@@ -60,7 +60,7 @@
 	return cmd
 }
 
-// validateCommand checks what load reads.
+// validateCommand returns the command that checks the settings files which load reads.
 func validateCommand(load func() (*config.Settings, error)) *cobra.Command {
 	return &cobra.Command{
 		Use:   "validate",
--- a/cmd/silvergate/scale.go
+++ b/cmd/silvergate/scale.go
@@ -15,10 +15,11 @@
 	"silvergate/internal/scale"
 )
 
-// errRuleBroken ends a scale run in which a rule was broken.
-var errRuleBroken = errors.New("a rule is broken")
+// errRuleBroken is returned after a scale run in which the checkers found a broken rule.
+var errRuleBroken = errors.New("a rule was broken")
 
-// scaleCommand measures the program at sizes that one machine can't run for real.
+// scaleCommand returns the command that measures the program at sizes for which one machine
+// can't run real workers.
 func scaleCommand() *cobra.Command {
 	var dir string
 	client := newClient()
@@ -27,8 +28,9 @@
 		Long: `scale plays a scenario on loopback: real controllers and state services, hollow
 workers that speak the worker's protocol in full and run no programs, some real
 agents, users, faults, and checkers of the rules. It ends all that it started, also on
-Ctrl-C. SCENARIO is a YAML file or one that comes with the program: ` + strings.Join(scale.Shipped(), ", ") + `.
-The folder gets result.json and the parts' logs; tools/scalereport draws the result.`,
+Ctrl-C. SCENARIO is a YAML file or one of those in the program: ` + strings.Join(scale.Shipped(), ", ") + `.
+It writes result.json and the processes' logs into the folder; tools/scalereport plots
+the result.`,
 		Example: `  silvergate scale small --dir /tmp/small
   silvergate scale cell --dir /tmp/cell --output json`,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -59,13 +61,14 @@
 		},
 	}
 	client.addOutputFlag(cmd)
-	cmd.Flags().StringVar(&dir, "dir", "", "a folder that is empty or not there")
+	cmd.Flags().StringVar(&dir, "dir", "", "a folder that is empty or does not exist")
 	_ = cmd.MarkFlagRequired("dir")
 	cmd.AddCommand(scaleCellCommand())
 	return cmd
 }
 
-// scaleCellCommand is one cell's cloud, workers and users, as scale starts it.
+// scaleCellCommand returns the hidden command that scale starts for the cloud, workers and users
+// of one cell.
 func scaleCellCommand() *cobra.Command {
 	var settings, result string
 	cmd := &cobra.Command{
@@ -89,7 +92,7 @@
 		},
 	}
 	addSettingsFlag(cmd, &settings)
-	cmd.Flags().StringVar(&result, "result", "", "the file for what was measured")
+	cmd.Flags().StringVar(&result, "result", "", "the file to write the measurements to")
 	_ = cmd.MarkFlagRequired("result")
 	return cmd
 }
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -21,7 +21,7 @@
 	"silvergate/internal/transport"
 )
 
-// controller connects the core with the transport. One lock orders the core's inputs.
+// controller connects the core to the transport. Its lock mu serializes the inputs of the core.
 type controller struct {
 	mu          sync.Mutex
 	cfg         *config.Settings
@@ -29,7 +29,7 @@
 	core        *coordination.Core
 	inputs      inputHandler     // the core, or a recorder in front of it
 	recording   *recorder.Writer // nil: off
-	start       time.Time        // of the process, and its incarnation
+	start       time.Time        // when the process started; also the number of its incarnation
 	server      *transport.Server
 	metricsPage *metrics.Page // nil: off
 	stateCalls  *transport.Pool
@@ -39,24 +39,25 @@
 	ticks       tickTimer
 	connections connectionWarnings
 
-	stepBegan   time.Duration // when the step under way began, by the steady clock
+	stepBegan   time.Duration // when the current step began, as time since start
 	longestStep time.Duration
 }
 
-// tickTimer has the core tick when it wants to.
+// tickTimer is the timer for the next tick of the core. Its times are counted since the start of
+// the process.
 type tickTimer struct {
 	timer   *time.Timer
-	nextAt  time.Duration // by the steady clock; 0: not set
-	sweptAt time.Duration // the last sweep over connections
+	nextAt  time.Duration // when the next tick is due; 0: not set
+	sweptAt time.Duration // when the connections were last swept
 }
 
-// connectionWarnings are the last warnings of refused connections.
+// connectionWarnings records the last warning about refused connections.
 type connectionWarnings struct {
-	refused  uint64 // in all, at the last warning
+	refused  uint64 // total of refused connections at the last warning
 	warnedAt time.Duration
 }
 
-// inputHandler takes the inputs of a core.
+// inputHandler handles the inputs of a core: requests, replies to calls, peer messages and ticks.
 type inputHandler interface {
 	Request(coordination.Timestamp, uint64, string, string, []byte) coordination.Effects
 	Reply(coordination.Timestamp, protocol.Reply) coordination.Effects
@@ -64,7 +65,7 @@
 	Tick(coordination.Timestamp) coordination.Effects
 }
 
-// newLogger writes lines of a level and above to standard error.
+// newLogger returns a logger that writes records of a level and above to standard error.
 func newLogger(level string) *slog.Logger {
 	l := slog.LevelInfo
 	switch level {
@@ -76,12 +77,12 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l}))
 }
 
-// memoryShare is which part of the memory the garbage collector keeps to: well below the
-// limit at which the process would be killed. The rest is for stacks, the runtime and
-// bursts.
+// memoryShare is the part of the RAM limit that is set as the soft memory limit of the garbage
+// collector: well below the limit at which the process would be killed. The rest is for stacks,
+// the runtime and bursts.
 const memoryShare = 0.6
 
-// requestTimeout is how long a request may take to arrive.
+// requestTimeout is how long a request may take to arrive completely.
 const requestTimeout = 10 * time.Second
 
 // serve runs a controller until its server fails.
@@ -106,12 +107,12 @@
 	return fmt.Errorf("serve: %w", n.server.Run(cfg.Listen, cfg.Back))
 }
 
-// socketTenth is a tenth of the sockets that the process may open. Requests from outside
-// may use eight tenths, calls to workers one; the rest is for the state service, the
-// cloud and peers.
+// socketTenth returns a tenth of the number of sockets that the process may open. Incoming
+// requests may use eight tenths and calls to workers one; the rest is for the state service,
+// the cloud and peers.
 func (n *controller) socketTenth() int { return n.cfg.Facts.Limits.MaxSockets / 10 }
 
-// connect makes the pools for calls and the links to the peers.
+// connect creates the connection pools for calls and the links to the peers.
 func (n *controller) connect() {
 	tenth := n.socketTenth()
 	n.stateCalls = transport.NewPool(max(8, tenth/2))
@@ -122,7 +123,7 @@
 	}
 }
 
-// startCore makes the core, with a recorder in front if the operators want one.
+// startCore creates the core, with a recorder in front of it if the operators enabled one.
 func (n *controller) startCore() error {
 	incarnation := n.start.UnixNano()
 	seed := [2]uint64{rand.Uint64(), uint64(incarnation)}
@@ -131,7 +132,7 @@
 	return n.startRecording(seed)
 }
 
-// listen makes the server and begins to tick.
+// listen creates the server and starts the ticks.
 func (n *controller) listen() {
 	if n.cfg.Operator.Metrics {
 		n.metricsPage = metrics.New(n.cfg.Node, n.currentMetrics)
@@ -140,22 +141,22 @@
 	n.server = transport.NewServer(&n.mu, n, requestTimeout, maxConns)
 	n.server.ConnLimiter = connlimit.New(connlimit.Share(maxConns))
 	n.server.Classify = connectionClass
-	// After its lease a worker has no use for a connection without requests; it may have
-	// been deleted without closing it.
+	// A worker that sends no request for a whole lease no longer uses its connection: its
+	// machine may have been deleted without closing the connection.
 	n.server.Idle[connlimit.Worker] = time.Duration(n.cfg.Facts.Workers.Lease * float64(time.Second))
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ticks.timer = time.AfterFunc(0, n.onTick)
 }
 
-// beginStep begins a step: it reads the clocks. The lock must be held.
+// beginStep begins a step and returns the time of both clocks. The lock must be held.
 func (n *controller) beginStep() coordination.Timestamp {
 	now := time.Now()
 	n.stepBegan = now.Sub(n.start)
 	return coordination.Timestamp{Steady: n.stepBegan, Wall: now}
 }
 
-// Serve takes a request from the server, which holds the lock.
+// Serve handles a request. The server calls it with the lock held.
 func (n *controller) Serve(id uint64, r *transport.Request) {
 	path := r.Path
 	switch path {
@@ -173,7 +174,7 @@
 	n.apply(n.inputs.Request(n.beginStep(), id, r.Method, path, r.Body))
 }
 
-// connectionClass tells what a request's connection is used for.
+// connectionClass returns the class of a connection by its latest request.
 func connectionClass(r *transport.Request) connlimit.Class {
 	switch {
 	case r.Path == protocol.PathHeartbeat:
@@ -184,32 +185,34 @@
 	return connlimit.Operator
 }
 
-// warnAboutConnections tells operators, once a minute at the most, that the site has
-// outgrown its controllers' sockets.
+// warnAboutConnections logs, at most once a minute, that the site has more workers than its
+// controllers have sockets for: connections were refused since the last warning, or the
+// connections of workers are near their limit.
 func (n *controller) warnAboutConnections(now time.Duration) {
 	s := n.server.ConnLimiter.Stats()
 	if (s.Refused == n.connections.refused && !n.server.ConnLimiter.WorkersNearLimit()) || n.connections.warnedAt > 0 && now-n.connections.warnedAt < time.Minute {
 		return
 	}
-	n.log.Warn("more workers than sockets to keep for them: they connect anew for each report; give the controllers more sockets or add one",
+	n.log.Warn("too few sockets to keep a connection open for each worker: some reconnect for each heartbeat; give the controllers more sockets or add a controller",
 		"workers", s.Workers, "open", s.Open, "limit", s.Limit, "refused", s.Refused-n.connections.refused, "released", s.Released)
 	n.connections.refused, n.connections.warnedAt = s.Refused, now
 }
 
-// Decode reads a peer's message.
+// Decode reads a message of a peer from its gob stream.
 func (n *controller) Decode(dec *gob.Decoder) (any, error) {
 	var w peer.WireMessage
 	err := dec.Decode(&w)
 	return w.Message(), err
 }
 
-// Message takes a peer's message; the server holds the lock.
+// Message handles a message of a peer. The server calls it with the lock held.
 func (n *controller) Message(from string, m any) {
 	n.apply(n.inputs.Peer(n.beginStep(), from, m.(peer.Message)))
 }
 
-// onTick lets time pass. The timer is the controller's own: evio's would wake two threads
-// for each tick.
+// onTick runs when the tick timer fires. It sweeps the connections, expires calls and ticks the
+// core. The controller has a timer of its own because evio's would wake two threads for each
+// tick.
 func (n *controller) onTick() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -228,8 +231,8 @@
 	}
 }
 
-// expireCalls ends the calls whose time is over, and returns when the next one's will be;
-// the zero time if there is none.
+// expireCalls ends the calls that have timed out. It returns when the next call will time out,
+// or the zero time if there is none.
 func (n *controller) expireCalls(now time.Time) (next time.Time) {
 	for _, pool := range []*transport.Pool{n.stateCalls, n.cloudCalls, n.workerCalls} {
 		if at := pool.Expire(now); !at.IsZero() && (next.IsZero() || at.Before(next)) {
@@ -239,7 +242,8 @@
 	return next
 }
 
-// tickWithin has the next tick come no later than d after the step began.
+// tickWithin schedules the next tick no later than d after the beginning of the current step, but
+// at least a millisecond after it.
 func (n *controller) tickWithin(d time.Duration) {
 	d = max(d, time.Millisecond)
 	if n.ticks.nextAt == 0 || n.stepBegan+d < n.ticks.nextAt {
@@ -248,7 +252,8 @@
 	}
 }
 
-// apply does what a step wants done. The lock must be held.
+// apply carries out the effects of a step: it sends responses, peer messages and calls, and
+// schedules the next tick. The lock must be held.
 func (n *controller) apply(effects coordination.Effects) {
 	for _, response := range effects.Responses {
 		n.server.AnswerFor(response.ID, response.Status, response.Body, response.RetryAfter, response.Urgent)
@@ -265,7 +270,7 @@
 	n.measureStep()
 }
 
-// measureStep notes how long the step under way has taken, if it is the longest so far.
+// measureStep records the duration of the current step if it is the longest so far.
 func (n *controller) measureStep() {
 	duration := time.Since(n.start) - n.stepBegan
 	if duration <= n.longestStep {
@@ -276,7 +281,7 @@
 	n.log.Debug("longest step so far", "ms", n.core.Stats.LongestStepMS)
 }
 
-// startCall sends a call; what comes of it is an input of the core.
+// startCall sends a call. Its reply or failure becomes an input of the core.
 func (n *controller) startCall(call protocol.Call) {
 	pool, addr := n.workerCalls, call.Address
 	switch call.Target {
@@ -297,7 +302,7 @@
 	})
 }
 
-// finishCall hands the core the reply to a call, or its failure.
+// finishCall passes the reply to a call, or its failure, to the core.
 func (n *controller) finishCall(id uint64, r *transport.Response, sent bool, err error) {
 	reply := protocol.Reply{ID: id, Sent: sent}
 	if err == nil {
--- a/cmd/silvergate/serve_recording.go
+++ b/cmd/silvergate/serve_recording.go
@@ -8,8 +8,8 @@
 	"silvergate/internal/recorder"
 )
 
-// startRecording puts a recorder in front of the core, if the operators want one. It must
-// come before the core's first input.
+// startRecording puts a recorder in front of the core, if the operators enabled one. It must be
+// called before the core's first input.
 func (n *controller) startRecording(seed [2]uint64) error {
 	r := n.cfg.Operator.Recorder
 	if r == nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// build names this build, for recordings.
+// build returns the version and the commit of this build, for the headers of recordings.
 func build() string {
 	out := version
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -48,13 +48,13 @@
 	return out
 }
 
-// checkRecording tells operators once that their recording has ended.
+// checkRecording stops recording if the recorder has failed, and logs that once.
 func (n *controller) checkRecording() {
 	if n.recording == nil || n.inputs == inputHandler(n.core) {
 		return
 	}
 	if err := n.recording.Err(); err != nil {
 		n.inputs = n.core
-		n.log.Error("the recording has ended; it can be replayed up to here", "error", err)
+		n.log.Error("recording stopped after an error; the inputs recorded so far can be replayed", "error", err)
 	}
 }
--- a/cmd/silvergate/soak.go
+++ b/cmd/silvergate/soak.go
@@ -10,13 +10,14 @@
 	"silvergate/internal/soak"
 )
 
-// soakCommand is a tool for developers and for whoever wants to know whether
-// this machine's disk keeps its word.
+// soakCommand returns the command that kills a whole site repeatedly: a tool for
+// developers, and for anyone who wants to know whether this machine's disk keeps what
+// it has acknowledged.
 func soakCommand() *cobra.Command {
 	var o soak.Options
 	k := newClient()
 	cmd := &cobra.Command{
-		Use: "soak --dir DIR", Short: "Run a site, kill all of it again and again, and compare what ran with what was promised", Args: cobra.NoArgs,
+		Use: "soak --dir DIR", Short: "Run a site, kill all its processes repeatedly, and compare what ran with what was promised", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if o.Self, err = os.Executable(); err != nil {
@@ -40,10 +41,10 @@
 	}
 	k.addOutputFlag(cmd)
 	f := cmd.Flags()
-	f.StringVar(&o.Dir, "dir", "", "a folder that is empty or not there")
+	f.StringVar(&o.Dir, "dir", "", "a folder that is empty or does not exist")
 	f.IntVar(&o.Jobs, "jobs", 200, "jobs to submit")
 	f.IntVar(&o.Kills, "kills", 20, "how often everything is killed")
-	f.Uint64Var(&o.Seed, "seed", 1, "draws the moments")
+	f.Uint64Var(&o.Seed, "seed", 1, "the seed of the random times and choices")
 	f.DurationVar(&o.Between, "between", 3*time.Second, "mean time between two kills")
 	f.DurationVar(&o.Limit, "limit", 3*time.Minute, "how long the jobs may take after the last kill")
 	_ = cmd.MarkFlagRequired("dir")
--- a/cmd/silvergate/state.go
+++ b/cmd/silvergate/state.go
@@ -12,7 +12,7 @@
 	"silvergate/internal/statestore"
 )
 
-// stateCommands are the state service and the care of its file.
+// stateCommands returns the commands that serve the state service and maintain its file.
 func stateCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "state", Short: "The state service: serve, back up, restore, check"}
 	client := newClient()
@@ -63,11 +63,11 @@
 func (k *client) stateRestoreCommand() *cobra.Command {
 	var dir string
 	restore := &cobra.Command{
-		Use: "restore BACKUP --dir DIR", Short: "Make a store in an empty folder from a backup", Args: cobra.ExactArgs(1),
-		Long: `restore makes a store from a backup, in a folder that has none: an existing
+		Use: "restore BACKUP --dir DIR", Short: "Create a store in an empty folder from a backup", Args: cobra.ExactArgs(1),
+		Long: `restore creates a store from a backup, in a folder that has none: an existing
 store is never replaced. All keys get new revisions above any that the lost
-store can have given out, so that nobody goes on with an old one. What was
-accepted after the backup is lost.`,
+store can have given out, so that no client continues with an old one. What
+was accepted after the backup is lost.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			saved, err := statestore.Restore(args[0], dir)
 			if err != nil {
@@ -103,15 +103,15 @@
 
 func stateMetrics(s statestore.Stats) []metrics.Figure {
 	return []metrics.Figure{
-		{Name: "state_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
-		{Name: "state_refused", Help: "Requests refused for the rates or for a slow disk.", Value: float64(s.Refused), Count: true},
+		{Name: "state_requests", Help: "Requests received.", Value: float64(s.Requests), Count: true},
+		{Name: "state_refused", Help: "Requests refused because of the rate limits or a slow disk.", Value: float64(s.Refused), Count: true},
 		{Name: "state_commits", Help: "Syncs of the file.", Value: float64(s.Commits), Count: true},
-		{Name: "state_commit_seconds", Help: "Time spent in them.", Value: s.CommitSeconds, Count: true},
+		{Name: "state_commit_seconds", Help: "Time spent in syncs of the file.", Value: s.CommitSeconds, Count: true},
 		{Name: "state_changes", Help: "Changes of keys.", Value: float64(s.Changes), Count: true},
 		{Name: "state_ledger", Help: "Revision of the last change.", Value: float64(s.Revision)},
 		{Name: "state_keys", Help: "Keys.", Value: float64(s.Keys)},
 		{Name: "state_grants", Help: "Leases.", Value: float64(s.Leases)},
 		{Name: "state_watches", Help: "Open watches.", Value: float64(s.Watches)},
-		{Name: "state_queued", Help: "Changes that wait for the disk.", Value: float64(s.Queued)},
+		{Name: "state_queued", Help: "Changes that are waiting for the disk.", Value: float64(s.Queued)},
 	}
 }
--- a/cmd/silvergate/up.go
+++ b/cmd/silvergate/up.go
@@ -19,10 +19,10 @@
 	"silvergate/internal/site"
 )
 
-// demoLimit is how long the demonstration may take before it is a failure.
+// demoLimit is how long the start of a site may take, and then the job of a demonstration.
 const demoLimit = 2 * time.Minute
 
-// upFlags are what up is asked for.
+// upFlags holds the flags of the up command.
 type upFlags struct {
 	dir, settings string
 	demo          bool
@@ -34,9 +34,9 @@
 		Use: "up --dir DIR", Short: "Run a whole site on this machine", Args: cobra.NoArgs,
 		Long: `up runs a whole site on this machine, on loopback: a durable state service, a
 cloud whose machines are processes here, three controllers and the machines'
-agents. It serves until Ctrl-C. With the same folder it goes on after any end,
-with every job that was accepted. The site is described in site.yaml in the
-folder, made from deploy/up.yaml at the first start.`,
+agents. It serves until Ctrl-C. Started again with the same folder it continues
+with every job that was accepted, however it ended. The site is described in
+site.yaml in the folder, a copy of deploy/up.yaml from the first start.`,
 		Example: `  silvergate up --dir ./site --demo
   silvergate up --dir ./site
   silvergate submit --site ./site --wait examples/hello.yaml`,
@@ -44,12 +44,12 @@
 	}
 	cmd.Flags().StringVar(&f.dir, "dir", "", "the site's folder")
 	cmd.Flags().StringVar(&f.settings, "settings", "", "a site's settings (YAML) instead of the folder's own")
-	cmd.Flags().BoolVar(&f.demo, "demo", false, "run a first job, print what its tasks wrote and end")
+	cmd.Flags().BoolVar(&f.demo, "demo", false, "run a first job, print what its tasks wrote and exit")
 	_ = cmd.MarkFlagRequired("dir")
 	return cmd
 }
 
-// open opens the site's folder.
+// open opens the site in the folder.
 func (f *upFlags) open() (*site.Site, error) {
 	var raw []byte
 	if f.settings != "" {
@@ -69,7 +69,7 @@
 	return site.Open(f.dir, raw, self, newLogger(level).With("part", "up"))
 }
 
-// run starts the site and serves until it is told to stop.
+// run starts the site and serves until SIGINT or SIGTERM; with --demo it runs one job and returns.
 func (f *upFlags) run(c *cobra.Command) error {
 	s, err := f.open()
 	if err != nil {
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -20,7 +20,7 @@
 	k := &archiveClient{client: newClient()}
 	var address string
 	c := &cobra.Command{
-		Use: "why JOB", Short: "Tell a job's story: what it waits for, where its tasks ran, and how each attempt ended", Args: cobra.ExactArgs(1),
+		Use: "why JOB", Short: "Show a job's history: what it waits for, where its tasks ran, and how each attempt ended", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			job, task, err := parseJobTask(args[0])
 			if err != nil {
@@ -48,17 +48,17 @@
 		},
 	}
 	k.addArchiveFlags(c)
-	c.Flags().StringVar(&address, "address", "", "a controller's address, for what the job waits for now; with --site the site's own")
+	c.Flags().StringVar(&address, "address", "", "a controller's address, to ask what the job waits for now; with --site its controllers are asked")
 	return c
 }
 
-// Event is a line of a job's story.
+// Event is one line of a job's history.
 type Event struct {
 	At   time.Time `json:"at,omitzero"`
 	Text string    `json:"text"`
 }
 
-// jobStory puts a job's story together of what was archived and what controllers say.
+// jobStory returns a job's history, from the archive's records and the answers of controllers.
 func jobStory(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
 	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: job, Files: true})
 	if err != nil {
@@ -82,7 +82,7 @@
 	return append(story, currentState(k, job, address)...), nil
 }
 
-// jobHeading says whose a job is.
+// jobHeading returns a line with a job's class, urgency, team and customer.
 func jobHeading(job string, a *anode.Attempt) string {
 	whose := "team " + a.Team
 	if a.Customer != "" {
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%s: class %s, urgency %s, of %s", job, a.Class, a.Urgency, whose)
 }
 
-// attemptEvents are the events of one attempt.
+// attemptEvents returns the events of one attempt.
 func attemptEvents(ctx context.Context, r *reader.Client, a *anode.Attempt) []Event {
 	name := fmt.Sprintf("task %d, attempt %d on %s", a.Task, a.Try, a.Machine)
 	events := []Event{{time.UnixMilli(a.At), name + ": bound there"}}
@@ -114,7 +114,7 @@
 	return events
 }
 
-// describeEnd says how an attempt ended and what of its output is kept.
+// describeEnd describes how an attempt ended and how much of its output is kept.
 func describeEnd(e *archive.End) string {
 	text := describeCause(e.Cause)
 	if e.Code != 0 {
@@ -126,7 +126,7 @@
 	return text
 }
 
-// compareEvents orders events by time, those without one last.
+// compareEvents orders events by time, with events without a time last.
 func compareEvents(a, b Event) int {
 	if a.At.IsZero() != b.At.IsZero() {
 		if a.At.IsZero() {
@@ -137,7 +137,8 @@
 	return a.At.Compare(b.At)
 }
 
-// currentState asks the controllers, where they are known, how the job is now and what it waits for.
+// currentState asks the controllers for the job's state and for what it waits for. It returns
+// nothing if no controller is known.
 func currentState(k *archiveClient, job, address string) (events []Event) {
 	if k.site == "" && address == "" {
 		return nil
@@ -159,10 +160,11 @@
 	return events
 }
 
-// justBefore is a name just justBefore a job's in the order of a list.
+// justBefore returns a name that sorts directly before a job id, so that a list read from it begins
+// with that job.
 func justBefore(job string) string { return job[:len(job)-1] + string(job[len(job)-1]-1) + "~" }
 
-// describeCause says in words how an attempt ended.
+// describeCause returns the cause of an attempt's end in words.
 func describeCause(cause string) string {
 	switch cause {
 	case protocol.CauseDone:
@@ -179,7 +181,8 @@
 	return cause
 }
 
-// lastLine is the last that an attempt wrote, on stderr if there is anything.
+// lastLine returns the last line that is not blank of an attempt's stderr, or of its stdout if there
+// is none.
 func lastLine(ctx context.Context, r *reader.Client, a archive.Attempt) (last string) {
 	for _, s := range []string{archive.Stderr, archive.Stdout} {
 		u := r.Open(a, s)
