--- a/cmd/silvergate/reach_test.go
+++ b/cmd/silvergate/reach_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// TestReach has the command ask a controller whose link is down, one whose are up, and none.
+// TestReach guards against a reach command that overlooks a link which is down, or a controller that
+// does not answer. Test servers play a controller whose links are up and two with a link down.
 func TestReach(t *testing.T) {
 	serve := func(state, via, zones string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -20,19 +21,19 @@
 	}
 	out, err := runCommand("reach", "--address", serve("direct", "", `{"zone":"a","held":7}`))
 	if err != nil || !strings.Contains(out, "a 7") || !strings.Contains(out, "n0, 1s ago") {
-		t.Errorf("%q %v", out, err)
+		t.Errorf("all links up: printed %q, error %v", out, err)
 	}
 	for _, addr := range []string{serve("relayed", "n1", ""), serve("direct", "", `{"zone":"a","held":0,"lost":true}`)} {
 		out, err := runCommand("reach", "--address", addr)
 		var code exitCode
 		if !errors.As(err, &code) || code.code != exitLinkDown || !strings.Contains(out, "relayed by n1") && !strings.Contains(out, "a 0 lost") {
-			t.Errorf("%q %v", out, err)
+			t.Errorf("a link is down: printed %q, error %v", out, err)
 		}
 	}
 	if out, err := runCommand("reach", "--output", "json", "--address", serve("direct", "", "")); err != nil || !strings.Contains(out, `"freshMs":900`) {
-		t.Errorf("%q %v", out, err)
+		t.Errorf("--output json: printed %q, error %v", out, err)
 	}
 	if _, err := runCommand("reach", "--address", "127.0.0.1:1"); err == nil {
-		t.Error("nobody answers, and that is well")
+		t.Error("no controller answered, but reach returned no error")
 	}
 }
--- a/cmd/silvergate/root_test.go
+++ b/cmd/silvergate/root_test.go
@@ -16,6 +16,7 @@
 	"silvergate/internal/site"
 )
 
+// runCommand runs the program's commands in this process. It returns their standard output and error.
 func runCommand(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := rootCommand()
@@ -26,18 +27,22 @@
 	return out.String(), err
 }
 
+// TestCommandsExplainThemselves guards against a help text that lacks a command or a flag, and against
+// bad arguments that are accepted or reported in more than one line.
 func TestCommandsExplainThemselves(t *testing.T) {
 	out, err := runCommand("--help")
 	if err != nil || !strings.Contains(out, "submit") || !strings.Contains(out, "--config") {
-		t.Fatalf("%q %v", out, err)
+		t.Fatalf("--help: printed %q, error %v", out, err)
 	}
 	for _, args := range [][]string{{}, {"validate"}, {"validate", "--config", "/nonexistent.json"}, {"show"}, {"show", "job-1"}, {"nonsense"}} {
 		if out, err := runCommand(args...); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %q %v", args, out, err)
+			t.Errorf("arguments %q: printed %q, error %v; want an error of one line", args, out, err)
 		}
 	}
 }
 
+// TestClientCommands guards against client commands that lose a controller's answer: a job's state,
+// the text of an error, or the time to wait before the next try.
 func TestClientCommands(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + r.URL.Path {
@@ -76,7 +81,8 @@
 	}
 }
 
-// TestDeployedSettings guards against files under deploy/ that the program refuses.
+// TestDeployedSettings guards against settings under deploy/ that the program refuses, and against an
+// error for bad settings that does not name the key at fault.
 func TestDeployedSettings(t *testing.T) {
 	c := anode.DefaultConfig()
 	if err := config.DecodeYAML(deploy.Archive, &c); err != nil {
@@ -96,7 +102,7 @@
 			err = c.Check()
 		}
 		if err == nil || !strings.Contains(err.Error(), bad.want) {
-			t.Errorf("%s: %v", bad.to, err)
+			t.Errorf("settings with %q: error %v, want one that names the key", bad.to, err)
 		}
 	}
 }
--- a/cmd/silvergate/scale_test.go
+++ b/cmd/silvergate/scale_test.go
@@ -15,7 +15,7 @@
 	"silvergate/internal/scale"
 )
 
-// startScale starts the program's scale command.
+// startScale starts the program's scale command in a process of its own.
 func startScale(t *testing.T, dir string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "scale", "small", "--dir", dir, "--output", "json")
@@ -28,37 +28,39 @@
 	return cmd, &out
 }
 
-// checkNothingLeft fails if a process that a run has started is still there a moment after it. All of
-// them inherit the mark of the run; an agent's watchdog ends just after its agent.
+// checkNothingLeft fails the test if a process that a run started still exists two seconds after the
+// run. All of them inherit the mark of the run. They get this time because an agent's watchdog ends
+// just after its agent.
 func checkNothingLeft(t *testing.T, mark string) {
 	t.Helper()
 	for until := time.Now().Add(2 * time.Second); proc.CountMarked(mark) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Errorf("%d processes of the run were left", proc.CountMarked(mark))
+			t.Errorf("%d processes of the run still exist after its end", proc.CountMarked(mark))
 			proc.KillMarked(mark, 10*time.Second)
 			return
 		}
 	}
 }
 
-// TestScaleSmall plays the small scenario: a controller is killed, machines die and restart.
-// No timing is judged.
+// TestScaleSmall runs the small scenario, in which a controller is killed and machines die and
+// restart. It guards against broken rules, abandoned jobs, processes that end by themselves and
+// processes that are left over. It checks no times.
 func TestScaleSmall(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "run")
 	cmd, out := startScale(t, dir)
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("scale: %v\n%s", err, out)
 	}
 	var r scale.Result
 	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
 		t.Fatal(err)
 	}
 	if !r.Whole || r.Broken > 0 || len(r.Cells) != 1 || len(r.Processes) != 4 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("the run is not complete, or broke a rule: %+v", r)
 	}
 	c := r.Cells[0]
 	if c.Accepted == 0 || c.Starts == 0 || c.GivenUp > 0 || len(c.Samples) == 0 || r.States[0].Changes == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("the cell did no work, or gave up some: %+v", c)
 	}
 	killed := 0
 	for _, p := range r.Processes {
@@ -73,7 +75,8 @@
 	checkNothingLeft(t, dir)
 }
 
-// TestScaleInterrupted ends a run early, as Ctrl-C does: all that it started is gone.
+// TestScaleInterrupted guards against a run that is interrupted with SIGINT, as by Ctrl-C, and counts
+// as complete or leaves processes behind.
 func TestScaleInterrupted(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "run")
 	cmd, out := startScale(t, dir)
@@ -82,12 +85,13 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err == nil {
-		t.Errorf("a run that was broken off counts as whole: %s", out)
+		t.Errorf("an interrupted run reported success: %s", out)
 	}
 	checkNothingLeft(t, dir)
 }
 
-// TestScaleRefusesBadInput names what is wrong, in one line.
+// TestScaleRefusesBadInput guards against bad arguments that are accepted, or whose error does not
+// name what is wrong in one line.
 func TestScaleRefusesBadInput(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.yaml")
@@ -105,7 +109,7 @@
 		{[]string{"small"}, "dir"},
 	} {
 		if out, err := runCommand(append([]string{"scale"}, c.args...)...); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %q %v", c.args, out, err)
+			t.Errorf("arguments %v: printed %q, error %v", c.args, out, err)
 		}
 	}
 }
--- a/cmd/silvergate/site_test.go
+++ b/cmd/silvergate/site_test.go
@@ -12,7 +12,8 @@
 	"silvergate/internal/soak"
 )
 
-// runMainEnv has the test binary be the program: a site starts it for each part.
+// runMainEnv is the environment variable that makes the test binary run the program's main
+// function. A site in a test starts the test binary for each of its processes.
 const runMainEnv = "SILVERGATE_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -23,21 +24,23 @@
 	os.Exit(m.Run())
 }
 
-// TestSiteSurvivesKills runs a small soak: everything is killed twice while jobs
-// come in, run and end.
+// TestSiteSurvivesKills guards against accepted jobs that are lost or run otherwise than
+// promised when all processes of a site are killed. A small soak kills them twice while
+// jobs are submitted, run and end.
 func TestSiteSurvivesKills(t *testing.T) {
 	r, err := soak.Run(soak.Options{Self: os.Args[0], Env: []string{runMainEnv + "=1"}, Dir: filepath.Join(t.TempDir(), "site"),
 		Jobs: 8, Kills: 2, Seed: 1, Between: 2 * time.Second, Limit: 2 * time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%+v", r)
+	t.Logf("result of the soak: %+v", r)
 	if len(r.Broken) > 0 || r.Accepted != 8 || r.Effects < r.Tasks || r.Tasks != 20 || r.Kills != 2 || r.Kept == 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("the soak broke a promise, or is not complete: %+v", r)
 	}
 }
 
-// TestDemo runs what the README promises to somebody new.
+// TestDemo guards against a demonstration that fails for new users, who run it as the README
+// says, and against a damaged store that is not reported as such.
 func TestDemo(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "site")
 	run := func(args ...string) (string, error) {
@@ -50,32 +53,34 @@
 	}
 	out, err := run("up", "--dir", dir, "--demo")
 	if err != nil || strings.Count(out, "hello from task") != 3 {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("up --demo: %v\n%s", err, out)
 	}
-	// What it stored is sound, and a changed byte is named with its own status.
+	// The store is sound after the run. When its bytes have changed, check names the file and
+	// ends with the exit status for damage.
 	file := filepath.Join(dir, "state", "state.db")
 	if out, err := run("state", "check", file); err != nil || !strings.Contains(out, "is sound") {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("check of a sound store: %v %s", err, out)
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	clear(raw[2*os.Getpagesize():]) // all but the file's own head
+	clear(raw[2*os.Getpagesize():]) // all but the two pages of metadata at its start
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	out, err = run("state", "check", file)
 	if x, ok := err.(*exec.ExitError); !ok || x.ExitCode() != exitDamaged || !strings.Contains(out, file) {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("check of a damaged store: %v %s", err, out)
 	}
 	out, err = run("up", "--dir", dir, "--demo")
 	if x, ok := err.(*exec.ExitError); !ok || x.ExitCode() != exitDamaged || !strings.Contains(out, "damaged") {
-		t.Errorf("a site with a damaged store: %v %s", err, out)
+		t.Errorf("start of a site with a damaged store: %v %s", err, out)
 	}
 }
 
-// TestJobFiles reads jobs as people write them.
+// TestJobFiles guards against job files that are refused though valid, or whose error does not
+// name the field or line at fault.
 func TestJobFiles(t *testing.T) {
 	for _, c := range []struct{ file, want string }{
 		{"loads: 2\ncommand: [a]\n", ""},
@@ -95,7 +100,7 @@
 		}
 		_, err := readJob([]byte(raw))
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%q: %v, expected %q", c.file, err, c.want)
+			t.Errorf("job file %q: error %v, want %q", c.file, err, c.want)
 		}
 	}
 }
--- a/cmd/silvergate/staging_test.go
+++ b/cmd/silvergate/staging_test.go
@@ -20,9 +20,10 @@
 	"silvergate/internal/stagecheck"
 )
 
-// TestStagingUnderFaults runs a site whose data comes from file servers that
-// damage, cut, stall and go dark, with urgent and other jobs, a version that is
-// superseded and a controller that is killed, and has both checkers judge it.
+// TestStagingUnderFaults guards against tasks that read wrong data and against urgent
+// fetches that start late. It runs urgent and other jobs on a site whose file servers
+// damage data, cut it off, stall and stop responding; a version is superseded and a
+// controller is killed meanwhile. Both checkers of stagecheck then check the run.
 func TestStagingUnderFaults(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "site")
 	settings := filepath.Join(t.TempDir(), "site.yaml")
@@ -97,7 +98,8 @@
 	}
 	var refs []string
 	submit := func(i int, urgency, set, version string) {
-		// The file of the version's own name tells which one was read.
+		// Each line of output names the version that the job asked for, so that the hashes
+		// that it read can be compared with that version's.
 		job := fmt.Sprintf(`
 ref: wk-%06d
 crew: office
@@ -126,7 +128,7 @@
 		submit(i, []string{"idle", "urgent"}[i%2], fmt.Sprint("set", i%4), "1")
 		time.Sleep(100 * time.Millisecond)
 	}
-	publish("set0", "2") // while the first is being fetched and read
+	publish("set0", "2") // while version 1 is being fetched and read
 	a := protocol.Staging{ID: "morning", Set: "set0", Version: "2", Team: "office", Priority: "urgent", ByS: 3, Machines: 2}
 	if err := k.post(protocol.PathStagings, a, &a); err != nil {
 		t.Fatal(err)
@@ -142,7 +144,7 @@
 	}
 	for _, ref := range refs {
 		if s, err := k.wait(ref, 2*time.Minute, func(protocol.JobState) {}); err != nil || s.Status != "done" {
-			t.Fatalf("%s: %+v %v", ref, s, err)
+			t.Fatalf("job %s is not done: %+v %v", ref, s, err)
 		}
 	}
 	s := &site.Site{Dir: dir}
@@ -163,7 +165,7 @@
 	lines = deleteEmpty(lines)
 	stop()
 	if wrong, n := stagecheck.Reads(lines, want); len(wrong) > 0 || n < 16*2*3 {
-		t.Errorf("%d reads judged: %v", n, wrong)
+		t.Errorf("%d reads checked, wrong ones: %v", n, wrong)
 	}
 	var files []string
 	for _, where := range []string{"machines", "ended"} {
@@ -174,16 +176,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A report period is a second; a test machine that stands still for longer
-	// is nobody's fault, so only a whole lease is held against the site here.
-	// What was really measured is in the log, and in docs/results.md.
+	// A heartbeat period is a second, but a test machine may stall for longer through no
+	// fault of the site, so the limit here is a whole lease. The measured delay is in the
+	// log below, and in docs/results.md.
 	wrong, n, latest := stagecheck.Starts(events, 10*time.Second)
 	if len(wrong) > 0 || n < 11*2 {
-		t.Errorf("%d urgent needs judged: %v", n, wrong)
+		t.Errorf("%d urgent fetches checked, wrong ones: %v", n, wrong)
 	}
-	t.Logf("%d reads and %d urgent needs judged, %d events, the latest fetch began %v after it could have", len(lines), n, len(events), latest)
+	t.Logf("%d reads and %d urgent fetches checked, %d events, the latest fetch began %v after it could have", len(lines), n, len(events), latest)
 }
 
+// deleteEmpty returns the lines that are not empty.
 func deleteEmpty(lines []string) (out []string) {
 	for _, l := range lines {
 		if l != "" {
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,9 @@
-// Package examples holds jobs to begin with.
+// Package examples holds example jobs for new users.
 package examples
 
 import _ "embed"
 
-// Hello is hello.yaml.
+// Hello is the job file hello.yaml.
 //
 //go:embed hello.yaml
 var Hello []byte
