--- a/cmd/silvergate/artefacts.go
+++ b/cmd/silvergate/artefacts.go
@@ -148,7 +148,7 @@
 }
 
 // fetch writes a file below a folder, either completely or not at all.
-func fetch(ctx context.Context, r *reader.Client, root *os.Root, dir string, a archive.Attempt, f *archive.File) error {
+func fetch(ctx context.Context, r *reader.Client, root *os.Root, dir string, attempt archive.Attempt, f *archive.File) error {
 	if !archive.SafePath(f.Path) {
 		return fmt.Errorf("%q can't be used as a file name", f.Path)
 	}
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	err = r.File(ctx, a, f, out)
+	err = r.File(ctx, attempt, f, out)
 	if err == nil {
 		if _, statErr := root.Lstat(path); statErr == nil {
 			err = fmt.Errorf("%s: already exists", path)
--- a/cmd/silvergate/certs.go
+++ b/cmd/silvergate/certs.go
@@ -61,7 +61,8 @@
 			if _, err := identity.Init(k.dir, site, time.Now()); err != nil {
 				return err
 			}
-			return k.printResult(c, map[string]string{"site": site, "authority": k.dir}, fmt.Sprintf("the authority of %s is in %s; keep that folder to yourself", site, k.dir))
+			return k.printResult(c, map[string]string{"site": site, "authority": k.dir},
+				fmt.Sprintf("the authority of %s is in %s; keep that folder to yourself", site, k.dir))
 		},
 	}
 	initialize.Flags().StringVar(&site, "site", "site", "the site's name, which is part of all identities")
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -398,7 +398,8 @@
 			}
 			var rows [][]string
 			for _, j := range jobs {
-				rows = append(rows, []string{j.ID, j.Status, j.Priority, j.Class, j.Team, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Tasks), fmt.Sprint(j.Running), formatAge(j.AgeS), j.WaitingFor})
+				rows = append(rows, []string{j.ID, j.Status, j.Priority, j.Class, j.Team, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Tasks),
+					fmt.Sprint(j.Running), formatAge(j.AgeS), j.WaitingFor})
 			}
 			return k.printList(c, jobs, "JOB STATUS URGENCY CLASS TEAM SHAPE DONE RUNNING AGE WAITS-FOR", rows)
 		},
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -53,7 +53,8 @@
 			if err != nil {
 				return err
 			}
-			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw, cursors: map[string]*reader.Cursor{}, whole: true}
+			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw,
+				cursors: map[string]*reader.Cursor{}, whole: true}
 			if since > 0 {
 				v.since = time.Now().Add(-since)
 			}
@@ -84,8 +85,8 @@
 	since         time.Time
 	cursors       map[string]*reader.Cursor
 	lastAttempt   map[int]archive.Attempt // by task: the attempt of the line printed last
-	found         int
-	whole         bool
+	found         int                     // attempts found, over all polls
+	whole         bool                    // no answer has been incomplete so far; the first that is prints a warning
 }
 
 // followInterval is the time between two polls for more output.
--- a/cmd/silvergate/reach.go
+++ b/cmd/silvergate/reach.go
@@ -40,19 +40,19 @@
 				return err
 			}
 			var statuses []linkStatus
-			var last error
+			var lastErr error
 			for _, a := range all {
 				one := *k
 				one.site, one.address = "", a
 				var l linkStatus
 				if err := one.get("/stats", &l); err != nil {
-					last = err
+					lastErr = err
 					continue
 				}
 				statuses = append(statuses, l)
 			}
 			if len(statuses) == 0 {
-				return last
+				return lastErr
 			}
 			rows, down := linkTable(statuses)
 			if k.format == "json" {
@@ -63,8 +63,8 @@
 			switch {
 			case err != nil:
 				return err
-			case last != nil:
-				return exitCode{exitLinkDown, fmt.Errorf("a controller does not answer: %w", last)}
+			case lastErr != nil:
+				return exitCode{exitLinkDown, fmt.Errorf("a controller does not answer: %w", lastErr)}
 			case down:
 				return exitCode{exitLinkDown, errors.New("a link is down: docs/operations.md, \"Links\", says what each loss costs and what to do")}
 			}
@@ -78,13 +78,13 @@
 // linkTable returns a table with a row for each controller: its own report if it answered, or
 // else what the first controller that answered has heard from it. down reports whether any
 // link is down.
-func linkTable(told []linkStatus) (rows [][]string, down bool) {
+func linkTable(statuses []linkStatus) (rows [][]string, down bool) {
 	asked := map[string]bool{}
-	for _, l := range told {
+	for _, l := range statuses {
 		asked[l.Node] = true
 	}
 	seen := map[string]bool{}
-	for _, l := range told {
+	for _, l := range statuses {
 		for i, r := range l.Reach.Rows {
 			own := i == 0
 			if seen[r.Node] || !own && asked[r.Node] {
--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -89,9 +89,9 @@
 }
 
 func printReplay(out io.Writer, output string, results []replay.Result, story []replay.Event) error {
-	different := 0
+	differing := 0
 	for _, r := range results {
-		different += r.Different
+		differing += r.Different
 	}
 	if output == "json" {
 		if story == nil {
@@ -122,8 +122,8 @@
 			fmt.Fprintln(out)
 		}
 	}
-	if different > 0 {
-		return exitCode{exitDiffers, fmt.Errorf("%d inputs had other effects than recorded", different)}
+	if differing > 0 {
+		return exitCode{exitDiffers, fmt.Errorf("%d inputs had other effects than recorded", differing)}
 	}
 	return nil
 }
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -193,7 +193,7 @@
 	if (s.Refused == n.connections.refused && !n.server.ConnLimiter.WorkersNearLimit()) || n.connections.warnedAt > 0 && now-n.connections.warnedAt < time.Minute {
 		return
 	}
-	n.log.Warn("too few sockets to keep a connection open for each worker: some reconnect for each heartbeat; give the controllers more sockets or add a controller",
+	n.log.Warn("too few sockets to keep a connection for each worker: some reconnect for each heartbeat; give the controllers more sockets or add one",
 		"workers", s.Workers, "open", s.Open, "limit", s.Limit, "refused", s.Refused-n.connections.refused, "released", s.Released)
 	n.connections.refused, n.connections.warnedAt = s.Refused, now
 }
--- a/cmd/silvergate/up.go
+++ b/cmd/silvergate/up.go
@@ -36,7 +36,7 @@
 cloud whose machines are processes here, three controllers and the machines'
 agents. It serves until Ctrl-C. Started again with the same folder it continues
 with every job that was accepted, however it ended. The site is described in
-site.yaml in the folder, a copy of deploy/up.yaml from the first start.`,
+site.yaml in the folder, copied from deploy/up.yaml at the first start.`,
 		Example: `  silvergate up --dir ./site --demo
   silvergate up --dir ./site
   silvergate submit --site ./site --wait examples/hello.yaml`,
@@ -123,11 +123,11 @@
 		return err
 	}
 	fmt.Fprintf(out, "submitted examples/hello.yaml as %s\n", st.ID)
-	last := ""
+	lastLine := ""
 	st, err = k.wait(st.ID, demoLimit, func(st protocol.JobState) {
-		if now := describe(st); now != last {
+		if now := describe(st); now != lastLine {
 			fmt.Fprintln(out, now)
-			last = now
+			lastLine = now
 		}
 	})
 	if err != nil {
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -84,11 +84,11 @@
 
 // jobHeading returns a line with a job's class, urgency, team and customer.
 func jobHeading(job string, a *anode.Attempt) string {
-	whose := "team " + a.Team
+	owner := "team " + a.Team
 	if a.Customer != "" {
-		whose += ", customer " + a.Customer
+		owner += ", customer " + a.Customer
 	}
-	return fmt.Sprintf("%s: class %s, urgency %s, of %s", job, a.Class, a.Urgency, whose)
+	return fmt.Sprintf("%s: class %s, urgency %s, of %s", job, a.Class, a.Urgency, owner)
 }
 
 // attemptEvents returns the events of one attempt.
@@ -143,15 +143,15 @@
 	if k.site == "" && address == "" {
 		return nil
 	}
-	users := newClient()
-	users.site, users.address, users.timeout = k.site, address, k.timeout
+	controllers := newClient()
+	controllers.site, controllers.address, controllers.timeout = k.site, address, k.timeout
 	var s protocol.JobState
-	if err := users.get(protocol.PathJobs+"/"+job, &s); err == nil {
+	if err := controllers.get(protocol.PathJobs+"/"+job, &s); err == nil {
 		events = append(events, Event{Text: "now: " + describe(s)})
 	}
 	var p protocol.JobPage
 	path := fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobList, justBefore(job))
-	if err := users.get(path, &p); err != nil || len(p.Jobs) == 0 {
+	if err := controllers.get(path, &p); err != nil || len(p.Jobs) == 0 {
 		return events
 	}
 	if first := &p.Jobs[0]; first.ID == job && first.WaitingFor != "" {
