--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -20,9 +20,9 @@
 	"silvergate/internal/archive/ship"
 )
 
-// archiveCommands are the commands of those who run the archive.
+// archiveCommands returns the commands for operators of the archive.
 func archiveCommands() *cobra.Command {
-	cmd := &cobra.Command{Use: "archive", Short: "What keeps the output of tasks: serve, status, find, revocations, soak"}
+	cmd := &cobra.Command{Use: "archive", Short: "The archive, which keeps the output of tasks: serve, status, find, revocations, soak"}
 	k := &archiveClient{client: newClient()}
 	cmd.AddCommand(archiveServeCommand(), k.statusCommand(), k.findCommand(), k.revocationsCommand(), k.soakCommand(), k.benchCommand(), benchShipCommand())
 	return cmd
@@ -34,10 +34,10 @@
 		Use: "serve --settings FILE", Short: "Serve an archive node", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := anode.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
-			n, err := anode.Open(cfg, partLogger("archive").With("node", cfg.Name))
+			n, err := anode.Open(cfg, componentLogger("archive").With("node", cfg.Name))
 			if err != nil {
 				return err
 			}
@@ -46,17 +46,17 @@
 				n.Stop()
 				return err
 			}
-			untilTold(func() {
+			onStopSignal(func() {
 				n.Stop()
 			})
 			return n.Serve(l)
 		},
 	}
-	settingsFlag(serve, &settings)
+	addSettingsFlag(serve, &settings)
 	return serve
 }
 
-// nodeStatus is what an archive node says of itself.
+// nodeStatus holds the counters of an archive node, or why they could not be read.
 type nodeStatus struct {
 	Name  string       `json:"name"`
 	Error string       `json:"error,omitempty"`
@@ -64,8 +64,8 @@
 }
 
 func (k *archiveClient) statusCommand() *cobra.Command {
-	status := &cobra.Command{
-		Use: "status", Short: "Tell what each node holds, and whether they are level", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "status", Short: "Show what each node holds, and whether the nodes are in sync", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, _, err := k.open()
 			if err != nil {
@@ -73,34 +73,34 @@
 			}
 			var all []nodeStatus
 			var rows [][]string
-			away := 0
+			unreachable := 0
 			r.Each(c.Context(), http.MethodGet, anode.PathStats, nil, func(name string, raw []byte, err error) {
-				l := nodeStatus{Name: name}
+				status := nodeStatus{Name: name}
 				if err == nil {
-					l.Stats = &anode.Stats{}
-					err = json.Unmarshal(raw, l.Stats)
+					status.Stats = &anode.Stats{}
+					err = json.Unmarshal(raw, status.Stats)
 				}
 				if err != nil {
-					away++
-					l.Stats, l.Error = nil, err.Error()
+					unreachable++
+					status.Stats, status.Error = nil, err.Error()
 					rows = append(rows, []string{name, "silent", "", "", "", "", "", ""})
 				} else {
-					s := l.Stats
+					s := status.Stats
 					rows = append(rows, []string{name, "serves", fmt.Sprint(s.Records), fmt.Sprint(s.Bytes / 1e6), fmt.Sprint(s.Pulled), fmt.Sprint(s.Mended), fmt.Sprint(s.Damaged), fmt.Sprint(s.Strays)})
 				}
-				all = append(all, l)
+				all = append(all, status)
 			})
-			if err := k.list(c, all, "NODE STATE RECORDS MB PULLED MENDED DAMAGED STRAYS", rows); err != nil {
+			if err := k.printList(c, all, "NODE STATE RECORDS MB PULLED MENDED DAMAGED STRAYS", rows); err != nil {
 				return err
 			}
-			if away == len(all) {
-				return errors.New("no node answers")
+			if unreachable == len(all) {
+				return errors.New("no archive node answers")
 			}
 			return nil
 		},
 	}
-	k.flags(status)
-	return status
+	k.addArchiveFlags(cmd)
+	return cmd
 }
 
 func (k *archiveClient) findCommand() *cobra.Command {
@@ -116,7 +116,7 @@
 			if err != nil {
 				return err
 			}
-			warn(c, answered)
+			warnIfIncomplete(c, answered)
 			var rows [][]string
 			for i := range found {
 				a := &found[i]
@@ -126,22 +126,22 @@
 				}
 				rows = append(rows, []string{a.Job, strconv.Itoa(a.Task), strconv.Itoa(a.Try), a.Machine, a.Team, a.Customer, a.Class, time.UnixMilli(a.At).UTC().Format(time.RFC3339), end})
 			}
-			return k.list(c, found, "JOB TASK ATTEMPT MACHINE TEAM CUSTOMER CLASS BOUND END", rows)
+			return k.printList(c, found, "JOB TASK ATTEMPT MACHINE TEAM CUSTOMER CLASS BOUND END", rows)
 		},
 	}
-	k.flags(find)
+	k.addArchiveFlags(find)
 	for _, f := range []struct {
 		name string
 		to   *string
 	}{{"job", &q.Job}, {"team", &q.Team}, {"customer", &q.Customer}, {"class", &q.Class}, {"machine", &q.Machine}, {"day", &q.Day}} {
-		find.Flags().StringVar(f.to, f.name, "", "only of this "+f.name)
+		find.Flags().StringVar(f.to, f.name, "", "only attempts of this "+f.name)
 	}
 	return find
 }
 
 func (k *archiveClient) revocationsCommand() *cobra.Command {
 	revocations := &cobra.Command{
-		Use: "revocations FILE", Short: "Give the authority's list of revocations to all nodes that answer", Args: cobra.ExactArgs(1),
+		Use: "revocations FILE", Short: "Send the authority's list of revocations to all nodes that answer", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
@@ -151,21 +151,21 @@
 			if err != nil {
 				return err
 			}
-			told := 0
+			delivered := 0
 			r.Each(c.Context(), http.MethodPost, anode.PathRevocations, raw, func(name string, _ []byte, err error) {
 				if err != nil {
 					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", name, err)
 					return
 				}
-				told++
+				delivered++
 			})
-			if told == 0 {
-				return errors.New("no node took it")
+			if delivered == 0 {
+				return errors.New("no archive node accepted the list of revocations")
 			}
-			return k.show(c, map[string]int{"nodes": told}, fmt.Sprintf("%d nodes have it", told))
+			return k.printResult(c, map[string]int{"nodes": delivered}, fmt.Sprintf("%d nodes have it", delivered))
 		},
 	}
-	k.flags(revocations)
+	k.addArchiveFlags(revocations)
 	return revocations
 }
 
@@ -173,7 +173,7 @@
 	var seed uint64
 	var histories, rounds int
 	soak := &cobra.Command{
-		Use: "soak", Short: "Play drawn histories of an archive on loopback and judge what readers get", Args: cobra.NoArgs,
+		Use: "soak", Short: "Run random histories of an archive on loopback and check what readers get", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var sum history.Drawn
 			for i := range histories {
@@ -183,7 +183,7 @@
 				}
 				d, err := history.Draw(dir, seed+uint64(i), rounds)
 				if err != nil {
-					return fmt.Errorf("seed %d (kept in %s): %w", seed+uint64(i), dir, err)
+					return fmt.Errorf("seed %d (files kept in %s): %w", seed+uint64(i), dir, err)
 				}
 				if err := os.RemoveAll(dir); err != nil {
 					return err
@@ -193,13 +193,13 @@
 					fmt.Fprintf(c.ErrOrStderr(), "%d of %d histories\n", i+1, histories)
 				}
 			}
-			return k.show(c, sum, fmt.Sprintf("%d histories: %+v", histories, sum))
+			return k.printResult(c, sum, fmt.Sprintf("%d histories: %+v", histories, sum))
 		},
 	}
 	soak.Flags().Uint64Var(&seed, "seed", 1, "the first seed")
-	soak.Flags().IntVar(&histories, "histories", 10, "how many")
-	soak.Flags().IntVar(&rounds, "rounds", 40, "of each")
-	k.output(soak)
+	soak.Flags().IntVar(&histories, "histories", 10, "how many histories to run")
+	soak.Flags().IntVar(&rounds, "rounds", 40, "how many rounds each history has")
+	k.addOutputFlag(soak)
 	return soak
 }
 
@@ -220,33 +220,33 @@
 			if err != nil {
 				return err
 			}
-			return k.show(c, r, fmt.Sprintf("%+v", r))
+			return k.printResult(c, r, fmt.Sprintf("%+v", r))
 		},
 	}
-	bench.Flags().StringVar(&o.Dir, "dir", "", "an empty folder on the disk that is measured")
+	bench.Flags().StringVar(&o.Dir, "dir", "", "an empty folder on the disk to measure")
 	bench.Flags().IntVar(&o.Tasks, "tasks", 2000, "how many tasks write")
-	bench.Flags().IntVar(&o.Lines, "lines", 100, "lines a second of each")
-	bench.Flags().DurationVar(&o.For, "for", 20*time.Second, "how long they write")
+	bench.Flags().IntVar(&o.Lines, "lines", 100, "how many lines a second each task writes")
+	bench.Flags().DurationVar(&o.For, "for", 20*time.Second, "how long the tasks write")
 	_ = bench.MarkFlagRequired("dir")
-	k.output(bench)
+	k.addOutputFlag(bench)
 	return bench
 }
 
-// benchShipCommand is one of the processes of archive bench.
+// benchShipCommand returns the hidden command that archive bench starts as the process of a shipper.
 func benchShipCommand() *cobra.Command {
 	var shipping string
 	benchShip := &cobra.Command{
 		Use: "bench-ship --settings FILE", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			s := load.Settings{Ship: ship.DefaultConfig()}
-			if err := startPart(shipping, &s); err != nil {
+			if err := startComponent(shipping, &s); err != nil {
 				return err
 			}
 			done := make(chan struct{})
-			untilTold(func() { close(done) })
-			return load.Ship(s, partLogger("ship"), done)
+			onStopSignal(func() { close(done) })
+			return load.Ship(s, componentLogger("ship"), done)
 		},
 	}
-	settingsFlag(benchShip, &shipping)
+	addSettingsFlag(benchShip, &shipping)
 	return benchShip
 }
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -22,7 +22,7 @@
 	"silvergate/internal/transport"
 )
 
-// client talks to a running part the way its users do.
+// client sends requests to a running component, as its users do.
 type client struct {
 	address string
 	site    string
@@ -33,25 +33,25 @@
 
 func newClient() *client { return &client{timeout: 5 * time.Second, pool: transport.NewPool(2)} }
 
-// flags adds where the part is and how long to wait.
-func (k *client) flags(c *cobra.Command, address, what string, timeout time.Duration) {
+// addAddressFlags adds the flags for the component's address, the timeout and the output format.
+func (k *client) addAddressFlags(c *cobra.Command, address, what string, timeout time.Duration) {
 	c.Flags().StringVar(&k.address, "address", address, what+" (IP and port)")
 	c.Flags().DurationVar(&k.timeout, "timeout", timeout, "how long to wait for an answer")
-	k.output(c)
+	k.addOutputFlag(c)
 }
 
-// output adds the choice of the output's form.
-func (k *client) output(c *cobra.Command) {
+// addOutputFlag adds the flag for the output format.
+func (k *client) addOutputFlag(c *cobra.Command) {
 	c.Flags().StringVar(&k.format, "output", "text", "text or json")
 }
 
-// users adds the flags of commands that talk to controllers.
-func (k *client) users(c *cobra.Command) {
-	k.flags(c, "127.0.0.1:8080", "a controller's bind address", 5*time.Second)
+// addControllerFlags adds the flags of commands that send requests to controllers.
+func (k *client) addControllerFlags(c *cobra.Command) {
+	k.addAddressFlags(c, "127.0.0.1:8080", "a controller's bind address", 5*time.Second)
 	c.Flags().StringVar(&k.site, "site", "", "the folder of a site that silvergate up runs, instead of --address")
 }
 
-// addresses lists whom to ask, in turn.
+// addresses returns the addresses to send a request to, in the order in which they are tried.
 func (k *client) addresses() ([]string, error) {
 	if k.site == "" {
 		return []string{k.address}, nil
@@ -63,10 +63,11 @@
 	return p.Addresses(), nil
 }
 
-// errAway is a failure that another controller, or a later try, may mend.
-var errAway = errors.New("no answer")
+// errUnavailable marks a failure after which a request may succeed at another controller or later.
+var errUnavailable = errors.New("no answer")
 
-// do sends a request to one controller after the other, until one answers.
+// do sends a request to one controller after the other until one answers it with anything but
+// 429 or 5xx, and returns the last error if none does.
 func (k *client) do(method, path string, body []byte) (*transport.Response, error) {
 	if k.format != "" && k.format != "text" && k.format != "json" {
 		return nil, fmt.Errorf("--output: must be text or json")
@@ -75,11 +76,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var last error
+	var lastErr error
 	for _, a := range all {
 		r, err := k.request(a, method, path, body)
 		if err != nil {
-			last = fmt.Errorf("%s: %w: %w", a, errAway, err)
+			lastErr = fmt.Errorf("%s: %w: %w", a, errUnavailable, err)
 			continue
 		}
 		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
@@ -92,18 +93,18 @@
 		if r.RetryAfter > 0 {
 			p.Error += fmt.Sprintf(" (try again in %d s)", r.RetryAfter)
 		}
-		last = fmt.Errorf("%s: status %d: %s", a, r.Status, p.Error)
+		lastErr = fmt.Errorf("%s: status %d: %s", a, r.Status, p.Error)
 		if r.Status == http.StatusTooManyRequests || r.Status >= http.StatusInternalServerError {
-			last = fmt.Errorf("%w: %w", errAway, last)
+			lastErr = fmt.Errorf("%w: %w", errUnavailable, lastErr)
 			continue
 		}
-		return r, last
+		return r, lastErr
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // request sends one request to an address and waits for its response. The pool has no clock,
-// so the request is expired here when its time is up.
+// so a timer here expires the request after the timeout.
 func (k *client) request(address, method, path string, body []byte) (*transport.Response, error) {
 	timer := time.AfterFunc(k.timeout, func() { k.pool.Expire(time.Now().Add(k.timeout)) })
 	defer timer.Stop()
@@ -127,8 +128,8 @@
 	return json.Unmarshal(r.Body, v)
 }
 
-// show prints a result as a person or a program wants it.
-func (k *client) show(c *cobra.Command, v any, text string) error {
+// printResult prints a result: text for people, or v as JSON for programs.
+func (k *client) printResult(c *cobra.Command, v any, text string) error {
 	if k.format == "json" {
 		return json.NewEncoder(c.OutOrStdout()).Encode(v)
 	}
@@ -136,16 +137,16 @@
 	return err
 }
 
-// list prints a list: a table for people, JSON for programs.
-func (k *client) list(c *cobra.Command, v any, head string, rows [][]string) error {
+// printList prints a list: a table for people, or v as JSON for programs.
+func (k *client) printList(c *cobra.Command, v any, head string, rows [][]string) error {
 	if k.format == "json" {
 		return json.NewEncoder(c.OutOrStdout()).Encode(v)
 	}
-	return table(c.OutOrStdout(), head, rows)
+	return printTable(c.OutOrStdout(), head, rows)
 }
 
-// jobFile is a job as people write it: the protocol's fields in YAML, of which
-// those that have a usual value may be left out.
+// jobFile is a job as people write it: the protocol's fields in YAML. Fields that
+// have a default may be left out.
 type jobFile struct {
 	ID                  string            `yaml:"ref" json:"ref"`
 	Class               string            `yaml:"jobclass" json:"jobclass"`
@@ -178,8 +179,8 @@
 	} `yaml:"inputs" json:"inputs,omitempty"`
 }
 
-// newRef draws a job id.
-func newRef() (string, error) {
+// newJobID returns a random job id.
+func newJobID() (string, error) {
 	n, err := rand.Int(rand.Reader, big.NewInt(1e15))
 	if err != nil {
 		return "", err
@@ -187,7 +188,7 @@
 	return fmt.Sprintf("wk-%015d", n), nil
 }
 
-// readJob reads a job in JSON, or in YAML with its usual values filled in.
+// readJob parses a job in JSON, or in YAML with defaults for missing fields, and returns it as JSON.
 func readJob(raw []byte) ([]byte, error) {
 	if t := strings.TrimLeft(string(raw), " \t\r\n"); strings.HasPrefix(t, "{") {
 		_, err := protocol.ParseSubmission(raw)
@@ -202,7 +203,7 @@
 	}
 	if j.ID == "" {
 		var err error
-		if j.ID, err = newRef(); err != nil {
+		if j.ID, err = newJobID(); err != nil {
 			return nil, err
 		}
 	}
@@ -217,8 +218,8 @@
 	return body, err
 }
 
-// submit submits a job as the protocol has users do it: the same request again
-// for up to a minute.
+// submit submits a job as the protocol asks of users: it repeats the same request
+// for up to a minute while no controller accepts it.
 func (k *client) submit(body []byte) (protocol.JobState, error) {
 	var s protocol.JobState
 	until := time.Now().Add(time.Minute)
@@ -227,15 +228,17 @@
 		if err == nil {
 			return s, json.Unmarshal(r.Body, &s)
 		}
-		// One refusal is told at once: a person would rather know.
-		if !errors.Is(err, errAway) || k.site == "" || time.Now().After(until) {
+		// With a single controller (--address) a failure is reported at once: a person would
+		// rather know than wait.
+		if !errors.Is(err, errUnavailable) || k.site == "" || time.Now().After(until) {
 			return s, err
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// wait polls until a job is over, or limit has passed (0: for ever).
+// wait polls a job's state until the job is over or limit has passed (0: no limit), and calls
+// each with every state that it reads.
 func (k *client) wait(ref string, limit time.Duration, each func(protocol.JobState)) (protocol.JobState, error) {
 	begin := time.Now()
 	for {
@@ -247,11 +250,11 @@
 			if s.Status == "done" || s.Status == "cancelled" {
 				return s, nil
 			}
-		case !errors.Is(err, errAway):
+		case !errors.Is(err, errUnavailable):
 			return s, err
 		}
 		if limit > 0 && time.Since(begin) > limit {
-			return s, exitCode{exitLate, fmt.Errorf("%s is not over after %s", ref, limit)}
+			return s, exitCode{exitTimeout, fmt.Errorf("%s is not over after %s", ref, limit)}
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
@@ -262,9 +265,10 @@
 	var limit time.Duration
 	c := &cobra.Command{
 		Use: "submit FILE", Short: "Submit the job in a YAML or JSON file (- for standard input)", Args: cobra.ExactArgs(1),
-		Long: `submit submits a job. In YAML, fields with a usual value may be left out, and
-an id is drawn when there is none. With --wait it waits until the job is over:
-status 0 when it is done, 4 when it was cancelled, 5 when --limit has passed.`,
+		Long: `submit submits a job. In YAML, fields with a default may be left out, and
+a random id is chosen when there is none. With --wait it waits until the job is over
+and exits with status 0 when it is done, 4 when it was cancelled, 5 when --limit
+has passed.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			var raw []byte
 			var err error
@@ -299,7 +303,7 @@
 					return err
 				}
 			}
-			if err := k.show(c, s, describe(s)); err != nil {
+			if err := k.printResult(c, s, describe(s)); err != nil {
 				return err
 			}
 			if wait && s.Status == "cancelled" {
@@ -308,13 +312,13 @@
 			return nil
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	c.Flags().BoolVar(&wait, "wait", false, "wait until the job is over")
-	c.Flags().DurationVar(&limit, "limit", 0, "with --wait: how long; 0 is for ever")
+	c.Flags().DurationVar(&limit, "limit", 0, "with --wait: how long to wait; 0 means without limit")
 	return c
 }
 
-// describe tells a job's state in a line.
+// describe returns a job's state as one line of text.
 func describe(s protocol.JobState) string {
 	line := s.ID + " " + s.Status
 	if s.Done != nil && s.Running != nil {
@@ -323,12 +327,12 @@
 	return line
 }
 
-func (k *client) byRef(use, short, method, suffix string) *cobra.Command {
+func (k *client) jobRequestCommand(use, short, method, suffix string) *cobra.Command {
 	c := &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if !protocol.ValidJobID(args[0]) {
-				return fmt.Errorf("%q is no job id: it has the form wk-000412", args[0])
+				return fmt.Errorf("%q is not a job id: the form is wk-000412", args[0])
 			}
 			r, err := k.do(method, protocol.PathJobs+"/"+args[0]+suffix, nil)
 			if err != nil {
@@ -338,15 +342,15 @@
 			if err := json.Unmarshal(r.Body, &s); err != nil {
 				return err
 			}
-			return k.show(c, s, describe(s))
+			return k.printResult(c, s, describe(s))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
-// table prints rows in aligned columns.
-func table(w io.Writer, head string, rows [][]string) error {
+// printTable prints rows in aligned columns.
+func printTable(w io.Writer, head string, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, strings.ReplaceAll(head, " ", "\t"))
 	for _, r := range rows {
@@ -355,11 +359,12 @@
 	return t.Flush()
 }
 
-// maxPages bounds how long a list is followed.
+// maxPages is the largest number of pages that are read of a list.
 const maxPages = 10_000
 
-// readList reads a list page by page. path ends with the parameter that names the last entry
-// seen; content tells what a page holds and whether more follow it, name an entry's name.
+// readList reads a list page by page. path ends with the query parameter for the name of the last
+// entry read. content returns the entries of a page and whether more pages follow; name returns
+// the name of an entry.
 func readList[Page, Entry any](k *client, path string, content func(*Page) (entries []Entry, truncated bool), name func(*Entry) string) ([]Entry, error) {
 	all := []Entry{}
 	from := ""
@@ -393,18 +398,19 @@
 			}
 			var rows [][]string
 			for _, j := range jobs {
-				rows = append(rows, []string{j.ID, j.Status, j.Priority, j.Class, j.Team, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Tasks), fmt.Sprint(j.Running), age(j.AgeS), j.WaitingFor})
+				rows = append(rows, []string{j.ID, j.Status, j.Priority, j.Class, j.Team, j.Shape, fmt.Sprintf("%d/%d", j.Done, j.Tasks),
+					fmt.Sprint(j.Running), formatAge(j.AgeS), j.WaitingFor})
 			}
-			return k.list(c, jobs, "JOB STATUS URGENCY CLASS TEAM SHAPE DONE RUNNING AGE WAITS-FOR", rows)
+			return k.printList(c, jobs, "JOB STATUS URGENCY CLASS TEAM SHAPE DONE RUNNING AGE WAITS-FOR", rows)
 		},
 	}
-	k.users(c)
-	c.Flags().BoolVar(&all, "all", false, "also those that are over")
+	k.addControllerFlags(c)
+	c.Flags().BoolVar(&all, "all", false, "also list jobs that are over")
 	return c
 }
 
-// age is a duration to one unit.
-func age(s float64) string {
+// formatAge formats an age in seconds, cut to whole seconds, minutes or hours.
+func formatAge(s float64) string {
 	switch d := time.Duration(s * float64(time.Second)); {
 	case d < time.Minute:
 		return fmt.Sprintf("%ds", int(d.Seconds()))
@@ -417,7 +423,7 @@
 
 func (k *client) nodesCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "nodes", Short: "List the machines, what they hold and who leads them", Args: cobra.NoArgs,
+		Use: "nodes", Short: "List the machines, what runs on them and which controller owns them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			nodes, err := readList(k, protocol.PathMachineList+"?from=",
 				func(p *protocol.MachinePage) ([]protocol.MachineSummary, bool) { return p.Machines, p.Truncated },
@@ -434,14 +440,14 @@
 				rows = append(rows, []string{n.Machine, n.MachineType, n.Zone, kind, n.Status, fmt.Sprint(n.Tasks), fmt.Sprintf("%g/%g", n.CPUs, n.CPUCapacity),
 					fmt.Sprintf("%g/%g", n.GPUs, n.GPUCapacity), fmt.Sprintf("%.3g/%g", n.MemoryGB, n.MemoryCapacityGB), n.Owner, n.Address})
 			}
-			return k.list(c, nodes, "MACHINE TYPE ZONE KIND STATUS TASKS CPUS ACCELERATORS RAM-GB CONTROLLER ADDRESS", rows)
+			return k.printList(c, nodes, "MACHINE TYPE ZONE KIND STATUS TASKS CPUS ACCELERATORS RAM-GB CONTROLLER ADDRESS", rows)
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
-// clientCommands talk to a running service the way its users do.
+// clientCommands returns the commands that send requests to controllers, as their users do.
 func clientCommands() []*cobra.Command {
 	stats := newClient()
 	st := &cobra.Command{
@@ -455,11 +461,11 @@
 			return nil
 		},
 	}
-	stats.users(st)
+	stats.addControllerFlags(st)
 	return []*cobra.Command{
 		newClient().submitCommand(),
-		newClient().byRef("show JOB", "Show a job's state", http.MethodGet, ""),
-		newClient().byRef("cancel JOB", "Cancel a job", http.MethodPost, "/"+protocol.PathCancel),
+		newClient().jobRequestCommand("show JOB", "Show a job's state", http.MethodGet, ""),
+		newClient().jobRequestCommand("cancel JOB", "Cancel a job", http.MethodPost, "/"+protocol.PathCancel),
 		newClient().jobsCommand(),
 		newClient().nodesCommand(),
 		reachCommand(),
--- a/cmd/silvergate/data.go
+++ b/cmd/silvergate/data.go
@@ -17,8 +17,8 @@
 	"silvergate/internal/site"
 )
 
-// dataCommands are about data sets: publishing, listing, checking and serving
-// them, and announcing work.
+// dataCommands returns the commands that publish, list, check and serve data sets, and
+// that announce work which needs them.
 func dataCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "data", Short: "Data sets: put, list, show, verify, announce, serve"}
 	cmd.AddCommand(dataPut(), dataList(), dataShow(), dataVerify(), dataAnnounce(), dataServe())
@@ -32,7 +32,7 @@
 	c := &cobra.Command{
 		Use: "put SET VERSION FOLDER", Short: "Publish a folder as a version of a data set", Args: cobra.ExactArgs(3),
 		Long: `put copies a folder into a file server's root and registers it as a version of
-a data set. Versions never change: the same contents again are known, others are
+a data set. Versions never change: the same contents may be put again, others are
 refused. With --site the site's own file server is used; otherwise name its root
 and the addresses at which file servers serve it.`,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -44,7 +44,7 @@
 				root, sources = site.DataRoot(k.site), []string{p.FileServer()}
 			}
 			if root == "" || len(sources) == 0 {
-				return errors.New("name --site, or --root and --source")
+				return errors.New("give --site, or --root and --source")
 			}
 			last := time.Now()
 			m, err := dataset.Build(args[2], args[0], args[1], func(n int64) {
@@ -67,16 +67,16 @@
 			if err := k.post(protocol.PathDataSets, v, &v); err != nil {
 				return err
 			}
-			return k.show(c, v, fmt.Sprintf("%s/%s: %d files, %d bytes, digest %s", v.Set, v.Version, len(m.Files), v.Bytes, v.Digest))
+			return k.printResult(c, v, fmt.Sprintf("%s/%s: %d files, %d bytes, digest %s", v.Set, v.Version, len(m.Files), v.Bytes, v.Digest))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	c.Flags().StringVar(&root, "root", "", "the folder that the file servers serve")
 	c.Flags().StringSliceVar(&sources, "source", nil, "a file server's address (IP and port); may be repeated")
 	return c
 }
 
-// versions reads all registered versions.
+// versions returns all registered versions.
 func (k *client) versions() ([]protocol.DataSet, error) {
 	return readList(k, protocol.PathDataSets+"?from=",
 		func(p *protocol.DataSetPage) ([]protocol.DataSet, bool) { return p.DataSets, p.Truncated },
@@ -96,14 +96,15 @@
 			for _, v := range all {
 				rows = append(rows, []string{v.Set, v.Version, fmt.Sprint(v.Bytes), time.UnixMilli(v.AtMS).UTC().Format(time.RFC3339), v.Digest[:16], strings.Join(v.Sources, ",")})
 			}
-			return k.list(c, all, "SET VERSION BYTES REGISTERED DIGEST SOURCES", rows)
+			return k.printList(c, all, "SET VERSION BYTES REGISTERED DIGEST SOURCES", rows)
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
-// manifest fetches a version's manifest from its sources and checks it.
+// manifest returns a version and its manifest, fetched from the first source that serves it and
+// checked against the registered digest.
 func (k *client) manifest(name string) (*protocol.DataSet, *dataset.Manifest, error) {
 	all, err := k.versions()
 	if err != nil {
@@ -118,7 +119,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		var last error
+		var lastErr error
 		for _, s := range v.Sources {
 			r, err := k.request(s, http.MethodGet, dataset.SetsPath+v.Set+"/"+v.Version+"/"+dataset.ManifestName, nil)
 			if err == nil && r.Status != http.StatusOK {
@@ -131,9 +132,9 @@
 			if err == nil {
 				return v, m, nil
 			}
-			last = fmt.Errorf("%s: %w", s, err)
+			lastErr = fmt.Errorf("%s: %w", s, err)
 		}
-		return nil, nil, last
+		return nil, nil, lastErr
 	}
 	return nil, nil, fmt.Errorf("no version %s is registered (SET/VERSION)", name)
 }
@@ -151,10 +152,10 @@
 			for _, f := range m.Files {
 				rows = append(rows, []string{f.Path, fmt.Sprint(f.Size), fmt.Sprint(len(f.Chunks))})
 			}
-			return k.list(c, m, "FILE BYTES CHUNKS", rows)
+			return k.printList(c, m, "FILE BYTES CHUNKS", rows)
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
@@ -170,34 +171,34 @@
 			if err := dataset.VerifyTree(args[1], m); err != nil {
 				return fmt.Errorf("%s differs from %s: %w", args[1], args[0], err)
 			}
-			return k.show(c, v, fmt.Sprintf("%s is %s, whole: %d files, %d bytes", args[1], args[0], len(m.Files), m.Bytes()))
+			return k.printResult(c, v, fmt.Sprintf("%s is %s, whole: %d files, %d bytes", args[1], args[0], len(m.Files), m.Bytes()))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
 func dataAnnounce() *cobra.Command {
 	k := newClient()
 	a := protocol.Staging{}
-	var depot string
+	var zone string
 	var by time.Duration
 	c := &cobra.Command{
-		Use: "announce SET/VERSION", Short: "Have a version brought to machines ahead of work that will come", Args: cobra.ExactArgs(1),
+		Use: "announce SET/VERSION", Short: "Have a version copied to machines ahead of work that will need it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var ok bool
 			if a.Set, a.Version, ok = strings.Cut(args[0], "/"); !ok {
 				return fmt.Errorf("%q: must be SET/VERSION", args[0])
 			}
 			if a.ID == "" {
-				ref, err := newRef()
+				ref, err := newJobID()
 				if err != nil {
 					return err
 				}
 				a.ID = ref
 			}
-			if depot != "" {
-				a.Zone = &depot
+			if zone != "" {
+				a.Zone = &zone
 			}
 			a.ByS = by.Seconds()
 			if err := a.Check(); err != nil {
@@ -206,23 +207,23 @@
 			if err := k.post(protocol.PathStagings, a, &a); err != nil {
 				return err
 			}
-			return k.show(c, a, fmt.Sprintf("%s: %s/%s on %d machines within %s", a.ID, a.Set, a.Version, a.Machines, by))
+			return k.printResult(c, a, fmt.Sprintf("%s: %s/%s on %d machines within %s", a.ID, a.Set, a.Version, a.Machines, by))
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	f := c.Flags()
-	f.StringVar(&a.ID, "ref", "", "the announcement's name; default: drawn")
+	f.StringVar(&a.ID, "ref", "", "the announcement's name; default: random")
 	f.StringVar(&a.Team, "crew", "", "the team whose work it is")
-	f.StringVar(&a.Priority, "urgency", "standard", "of the work: prod, urgent, standard or idle")
-	f.IntVar(&a.Machines, "machines", 1, "how many machines are to hold it")
-	f.DurationVar(&by, "within", 0, "how soon it is to be there")
-	f.StringVar(&depot, "zone", "", "only machines of this zone")
+	f.StringVar(&a.Priority, "urgency", "standard", "the work's priority: prod, urgent, standard or idle")
+	f.IntVar(&a.Machines, "machines", 1, "how many machines should hold the version")
+	f.DurationVar(&by, "within", 0, "how soon they should hold it")
+	f.StringVar(&zone, "zone", "", "only machines of this zone")
 	_ = c.MarkFlagRequired("crew")
 	return c
 }
 
-// dataServe serves data sets to machines: whatever serves a folder by ranges
-// would do.
+// dataServe returns the command that serves data sets to machines. Any other HTTP server that
+// serves a folder with range requests would do.
 func dataServe() *cobra.Command {
 	var root, listen string
 	c := &cobra.Command{
@@ -238,19 +239,20 @@
 			if err != nil {
 				return err
 			}
-			log := partLogger("files")
+			log := componentLogger("files")
 			log.Info("serving", "listen", l.Addr().String(), "root", root)
 			files := http.FileServer(http.Dir(root))
 			srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
 				Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					// Only what is published: no lists, nothing half-written.
+					// Serves only published files: no listings of folders, and no hidden files, which are
+					// incomplete.
 					if r.Method != http.MethodGet || !strings.HasPrefix(r.URL.Path, dataset.SetsPath) || strings.HasSuffix(r.URL.Path, "/") || strings.Contains(r.URL.Path, "/.") {
 						http.NotFound(w, r)
 						return
 					}
 					files.ServeHTTP(w, r)
 				})}
-			untilTold(func() { srv.Close() })
+			onStopSignal(func() { srv.Close() })
 			if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 				return err
 			}
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -26,11 +26,11 @@
 	c := &cobra.Command{
 		Use: "logs JOB[/TASK]", Short: "Show what a job's tasks wrote, wherever they ran", Args: cobra.ExactArgs(1),
 		Long: `logs shows the output of a job's tasks in the order of time, from all machines
-that they ran on, also those that are gone. Where a task moved, and where output is
-missing, a line in brackets says so, and why as far as it is known. Control
-characters are written out; --raw prints the bytes of one task as they are.`,
+that they ran on, also from machines that no longer exist. Where a task moved, and
+where output is missing, a line in brackets says so, with the reason if it is known.
+Control characters are escaped; --raw prints the bytes of one task as they are.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			job, task, err := jobTask(args[0])
+			job, task, err := parseJobTask(args[0])
 			if err != nil {
 				return err
 			}
@@ -47,31 +47,32 @@
 				}
 			}
 			if raw && (task < 0 || stream == "") {
-				return errors.New("--raw: name one task and one --stream")
+				return errors.New("--raw: needs one task (JOB/TASK) and --stream")
 			}
 			r, _, err := k.open()
 			if err != nil {
 				return err
 			}
-			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw, open: map[string]*reader.Cursor{}, whole: true}
+			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw,
+				cursors: map[string]*reader.Cursor{}, whole: true}
 			if since > 0 {
 				v.since = time.Now().Add(-since)
 			}
-			return v.show(c.Context(), follow)
+			return v.run(c.Context(), follow)
 		},
 	}
-	k.flags(c)
+	k.addArchiveFlags(c)
 	f := c.Flags()
-	f.BoolVarP(&follow, "follow", "f", false, "go on until the job's attempts are over")
+	f.BoolVarP(&follow, "follow", "f", false, "keep printing new output until the job's attempts are over")
 	f.IntVar(&attempt, "attempt", 0, "only this attempt of each task")
-	f.DurationVar(&since, "since", 0, "only what was written in the last while")
+	f.DurationVar(&since, "since", 0, "only output written within this time before now")
 	f.StringVar(&grep, "grep", "", "only lines that match this regular expression")
 	f.StringVar(&stream, "stream", "", "only stdout or stderr")
-	f.BoolVar(&raw, "raw", false, "the bytes as they are")
+	f.BoolVar(&raw, "raw", false, "print the bytes as they are")
 	return c
 }
 
-// logView shows a job's output.
+// logView prints a job's output.
 type logView struct {
 	k             *archiveClient
 	c             *cobra.Command
@@ -82,17 +83,17 @@
 	grep          *regexp.Regexp
 	raw           bool
 	since         time.Time
-	open          map[string]*reader.Cursor
-	told          map[int]archive.Attempt // by task: where it was last seen
-	found         int
-	whole         bool
+	cursors       map[string]*reader.Cursor
+	lastAttempt   map[int]archive.Attempt // by task: the attempt of the line printed last
+	found         int                     // attempts found, over all polls
+	whole         bool                    // no answer has been incomplete so far; the first that is prints a warning
 }
 
-// followEvery is the time between two looks for more.
-const followEvery = 500 * time.Millisecond
+// followInterval is the time between two polls for more output.
+const followInterval = 500 * time.Millisecond
 
-func (v *logView) show(ctx context.Context, follow bool) error {
-	v.told = map[int]archive.Attempt{}
+func (v *logView) run(ctx context.Context, follow bool) error {
+	v.lastAttempt = map[int]archive.Attempt{}
 	for {
 		attempts, answered, err := v.r.Attempts(ctx, reader.Query{Job: v.job})
 		if err != nil {
@@ -109,18 +110,18 @@
 			over = over && a.End != nil
 			for _, s := range v.streams {
 				key := a.Attempt.String() + " " + s
-				if v.open[key] == nil {
-					v.open[key] = v.r.Open(a.Attempt, s)
+				if v.cursors[key] == nil {
+					v.cursors[key] = v.r.Open(a.Attempt, s)
 				}
-				v.open[key].Again()
-				all = append(all, v.open[key])
+				v.cursors[key].Again()
+				all = append(all, v.cursors[key])
 			}
 		}
 		if v.found == 0 && !follow {
-			warn(v.c, answered)
+			warnIfIncomplete(v.c, answered)
 			return fmt.Errorf("%s: %w", v.job, reader.ErrNotFound)
 		}
-		if err := reader.Merge(ctx, all, v.line); err != nil {
+		if err := reader.Merge(ctx, all, v.printLine); err != nil {
 			return err
 		}
 		for _, u := range all {
@@ -128,7 +129,7 @@
 		}
 		if !answered.Whole && v.whole {
 			v.whole = false
-			warn(v.c, answered)
+			warnIfIncomplete(v.c, answered)
 		}
 		if !follow || over && len(all) > 0 {
 			return nil
@@ -136,12 +137,12 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(followEvery):
+		case <-time.After(followInterval):
 		}
 	}
 }
 
-func (v *logView) line(l *reader.Line) error {
+func (v *logView) printLine(l *reader.Line) error {
 	out := v.c.OutOrStdout()
 	if l.Note == "" && (l.At.Before(v.since) || v.grep != nil && !v.grep.MatchString(l.Text)) {
 		return nil
@@ -161,8 +162,8 @@
 	if v.k.format == "json" {
 		return json.NewEncoder(out).Encode(l)
 	}
-	if was, ok := v.told[l.Task]; !ok || was != l.Attempt {
-		v.told[l.Task] = l.Attempt
+	if was, ok := v.lastAttempt[l.Task]; !ok || was != l.Attempt {
+		v.lastAttempt[l.Task] = l.Attempt
 		word := "runs"
 		if ok {
 			word = "moved:"
--- a/cmd/silvergate/losses.go
+++ b/cmd/silvergate/losses.go
@@ -13,21 +13,21 @@
 	"silvergate/internal/losses"
 )
 
-// lossesCommand tells from debug logs where the time of lost tasks went.
+// lossesCommand returns the command that shows from debug logs where the time of lost tasks went.
 func lossesCommand() *cobra.Command {
 	var from, span time.Duration
 	var output string
 	cmd := &cobra.Command{
 		Use:   "losses [FILE...]",
-		Short: "Tell from debug logs where the time of lost tasks went",
-		Long: `losses reads the debug logs of a site's controllers (LOG_LEVEL=debug), all of one
-time together, and tells for each class and kind of evidence how long lost tasks
-took from the last word of their machine until they ran again, step by step:
+		Short: "Show from debug logs where the time of lost tasks went",
+		Long: `losses reads the debug logs of a site's controllers (LOG_LEVEL=debug), all of the
+same period together, and shows for each class and kind of evidence how long lost
+tasks took from the last report of their machine until they ran again, step by step:
 
-  evidence       until it was known that they are gone: the protocol's part
-  commit ending  until that was written: the state service's budget
+  evidence       until it was known that they were lost: the protocol's share
+  commit ending  until their end was written: the state service's budget
   room           until there was a machine for them
-  commit start   until that was written
+  commit start   until their new start was written
   tell           until the machine was told
   image          until they were seen running: images, inputs, the next report
 
@@ -52,7 +52,7 @@
 			if output == "json" {
 				return json.NewEncoder(c.OutOrStdout()).Encode(lines)
 			}
-			return tellLosses(c.OutOrStdout(), r, lines, span)
+			return printLosses(c.OutOrStdout(), r, lines, span)
 		},
 	}
 	cmd.Flags().DurationVar(&from, "from", 0, "leave out losses before this time of the log")
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func tellLosses(out io.Writer, r *losses.Reader, lines []losses.Summary, span time.Duration) error {
+func printLosses(out io.Writer, r *losses.Reader, lines []losses.Summary, span time.Duration) error {
 	if len(lines) == 0 {
 		_, err := fmt.Fprintln(out, "no lost task in the logs; are they of level debug?")
 		return err
@@ -102,8 +102,8 @@
 	for _, l := range lines {
 		if !seen[l.Class] {
 			seen[l.Class] = true
-			at, sum, least := r.Worst(l.Class, span)
-			fmt.Fprintf(out, "%s: worst %v from %v on: %.0f task-seconds lost, %.0f with changes and room at once\n", l.Class, span, at, sum, least)
+			at, sum, minimum := r.Worst(l.Class, span)
+			fmt.Fprintf(out, "%s: worst %v from %v on: %.0f task-seconds lost, %.0f with changes and room at once\n", l.Class, span, at, sum, minimum)
 		}
 	}
 	return nil
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -19,13 +19,13 @@
 	"silvergate/internal/statestore"
 )
 
-// settingsFlag adds the flag for a part's YAML file.
-func settingsFlag(c *cobra.Command, path *string) {
+// addSettingsFlag adds the required flag for a component's YAML file.
+func addSettingsFlag(c *cobra.Command, path *string) {
 	c.Flags().StringVar(path, "settings", "", "the part's settings file (YAML); unknown keys are refused")
 	_ = c.MarkFlagRequired("settings")
 }
 
-// readSettings reads a part's YAML over its defaults.
+// readSettings decodes a component's YAML file into v, which holds the defaults.
 func readSettings(path string, v any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -37,83 +37,85 @@
 	return nil
 }
 
-// startPart starts a part of the platform that a command serves until it is told to end: it
-// prepares the process and reads the part's YAML over its defaults.
-func startPart(settings string, cfg any) error {
+// startComponent prepares the process of a component of the platform that runs until it is
+// stopped: it waits until the starter lets a held process run, and decodes the component's
+// YAML file into cfg, which holds the defaults.
+func startComponent(settings string, cfg any) error {
 	if err := proc.Hold(); err != nil {
 		return err
 	}
 	return readSettings(settings, cfg)
 }
 
-// untilTold calls stop at the first SIGTERM or SIGINT. Its goroutine ends with that signal,
-// else with the process.
-func untilTold(stop func()) {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
+// onStopSignal calls stop on the first SIGTERM or SIGINT, in a goroutine that ends after that call
+// or with the process.
+func onStopSignal(stop func()) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		<-told
+		<-signals
 		stop()
 	}()
 }
 
-func partLogger(part string) *slog.Logger {
+func componentLogger(part string) *slog.Logger {
 	return newLogger(os.Getenv("LOG_LEVEL")).With("part", part)
 }
 
-// scrape answers GET /metrics of a part that serves by itself.
-func scrape(page *metrics.Page, log *slog.Logger, answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
+// metricsHandler returns the Extra function of a component that has its own server: it answers
+// GET /metrics and reports whether it has answered a request.
+func metricsHandler(page *metrics.Page, log *slog.Logger, answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
 	return func(id uint64, method, path string) bool {
 		if path != metrics.Path || method != http.MethodGet {
 			return false
 		}
-		kind, body, err := page.Render()
+		contentType, body, err := page.Render()
 		if err != nil {
-			log.Error("metrics can't be shown", "error", err)
+			log.Error("can't render the metrics", "error", err)
 			return false
 		}
-		answer(id, kind, body)
+		answer(id, contentType, body)
 		return true
 	}
 }
 
-// providerCommand is the cloud of local machines.
+// providerCommand returns the command that serves a cloud of local machines.
 func providerCommand() *cobra.Command {
 	var settings string
 	cmd := &cobra.Command{
 		Use: "provider --settings FILE", Short: "Serve a cloud whose machines are agents on this machine", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := provider.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			log := partLogger("cloud")
+			log := componentLogger("cloud")
 			p, err := provider.Open(cfg, self, log)
 			if err != nil {
 				return err
 			}
 			if cfg.Metrics {
-				p.Extra = scrape(metrics.New("cloud", func() []metrics.Figure { return providerFigures(p.Stats()) }), log, p.AnswerAs)
+				p.Extra = metricsHandler(metrics.New("cloud", func() []metrics.Figure { return providerMetrics(p.Stats()) }), log, p.AnswerAs)
 			}
-			untilTold(p.Stop)
+			onStopSignal(p.Stop)
 			return p.Run(nil)
 		},
 	}
-	settingsFlag(cmd, &settings)
+	addSettingsFlag(cmd, &settings)
 	return cmd
 }
 
-func providerFigures(s provider.Stats) []metrics.Figure {
+func providerMetrics(s provider.Stats) []metrics.Figure {
 	out := []metrics.Figure{
-		{Name: "cloud_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
-		{Name: "cloud_refused", Help: "Requests refused for the rate or for want of machines.", Value: float64(s.Refused), Count: true},
+		{Name: "cloud_requests", Help: "Requests received.", Value: float64(s.Requests), Count: true},
+		{Name: "cloud_refused", Help: "Requests refused because of the rate limit or because no machine was free.", Value: float64(s.Refused), Count: true},
 		{Name: "cloud_rented", Help: "Machines rented.", Value: float64(s.Rented), Count: true},
 		{Name: "cloud_ended", Help: "Machines ended.", Value: float64(s.Ended), Count: true},
-		{Name: "cloud_agent_deaths", Help: "Agents that ended without having been told to.", Value: float64(s.Restarted), Count: true},
+		{Name: "cloud_agent_deaths", Help: "Agents that ended without being told to.", Value: float64(s.Restarted), Count: true},
 		{Name: "cloud_paid", Help: "Cost of all machines since the start, in the price list's money.", Value: s.Paid, Count: true},
 	}
 	for status, n := range s.Machines {
@@ -122,33 +124,33 @@
 	return out
 }
 
-// agentCommands are a machine's agent and what it starts.
+// agentCommands returns the command of a machine's agent and the hidden ones that the agent starts.
 func agentCommands() []*cobra.Command {
 	var settings string
 	run := &cobra.Command{
 		Use: "agent --settings FILE", Short: "Run this machine's tasks for the controllers", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := agent.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			log := partLogger("agent").With("machine", cfg.Worker)
+			log := componentLogger("agent").With("machine", cfg.Worker)
 			a, err := agent.New(cfg, self, log)
 			if err != nil {
 				return err
 			}
 			if cfg.Metrics {
-				a.Extra = scrape(metrics.New("agent", func() []metrics.Figure { return agentFigures(a.Stats()) }), log, a.AnswerAs)
+				a.Extra = metricsHandler(metrics.New("agent", func() []metrics.Figure { return agentMetrics(a.Stats()) }), log, a.AnswerAs)
 			}
-			untilTold(a.Stop)
+			onStopSignal(a.Stop)
 			return a.Run()
 		},
 	}
-	settingsFlag(run, &settings)
+	addSettingsFlag(run, &settings)
 	return []*cobra.Command{run, {
 		Use: "task-exec FILE", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return agent.ExecTask(args[0]) },
@@ -158,23 +160,23 @@
 	}}
 }
 
-func agentFigures(s agent.Stats) []metrics.Figure {
+func agentMetrics(s agent.Stats) []metrics.Figure {
 	out := []metrics.Figure{
 		{Name: "agent_reports", Help: "Reports sent.", Value: float64(s.Heartbeats), Count: true},
 		{Name: "agent_reports_answered", Help: "Reports answered with 200.", Value: float64(s.Answered), Count: true},
 		{Name: "agent_launched", Help: "Programs started.", Value: float64(s.Launched), Count: true},
-		{Name: "agent_sessions", Help: "Sessions begun in this life.", Value: float64(s.Epochs), Count: true},
-		{Name: "agent_loads", Help: "Attempts on the machine, those that are over included.", Value: float64(s.Tasks)},
+		{Name: "agent_sessions", Help: "Sessions begun since the agent started.", Value: float64(s.Epochs), Count: true},
+		{Name: "agent_loads", Help: "Attempts on the machine, including those that are over.", Value: float64(s.Tasks)},
 		{Name: "agent_loads_live", Help: "Attempts that are not over.", Value: float64(s.Live)},
 		{Name: "agent_resident_bytes", Help: "Resident memory of all tasks.", Value: float64(s.Usage.RSS)},
 		{Name: "agent_processes", Help: "Processes of all tasks.", Value: float64(s.Usage.Members)},
 	}
 	if a := s.Archive; a != nil {
-		out = append(out, metrics.Figure{Name: "agent_archive_attempts", Help: "Attempts whose output is followed.", Value: float64(a.Attempts)},
-			metrics.Figure{Name: "agent_archive_waiting_bytes", Help: "Output that is not acknowledged yet.", Value: float64(a.Left)},
-			metrics.Figure{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest of it.", Value: float64(a.OldestMS) / 1000},
+		out = append(out, metrics.Figure{Name: "agent_archive_attempts", Help: "Attempts whose output is being shipped.", Value: float64(a.Attempts)},
+			metrics.Figure{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.Left)},
+			metrics.Figure{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest output that is not yet acknowledged.", Value: float64(a.OldestMS) / 1000},
 			metrics.Figure{Name: "agent_archive_shipped_bytes", Help: "Output that is acknowledged.", Value: float64(a.Shipped), Count: true},
-			metrics.Figure{Name: "agent_archive_given_up_bytes", Help: "Output given up as the spool was full.", Value: float64(a.GivenUp), Count: true},
+			metrics.Figure{Name: "agent_archive_given_up_bytes", Help: "Output given up because the spool was full.", Value: float64(a.GivenUp), Count: true},
 			metrics.Figure{Name: "agent_archive_files", Help: "Files kept.", Value: float64(a.Files), Count: true},
 			metrics.Figure{Name: "agent_archive_refused", Help: "Records that nodes refused.", Value: float64(a.Refused), Count: true})
 	}
@@ -184,7 +186,7 @@
 	return out
 }
 
-// exitCode is a status that an error ends the program with.
+// exitCode is an error with the exit status that the program ends with.
 type exitCode struct {
 	code int
 	err  error
@@ -198,13 +200,13 @@
 	exitFailure   = 1
 	exitDamaged   = 3
 	exitCancelled = 4
-	exitLate      = 5
+	exitTimeout   = 5
 	exitDiffers   = 6
-	exitLinks     = 7
+	exitLinkDown  = 7
 )
 
-// statusOf is the exit status for an error.
-func statusOf(err error) int {
+// exitStatus returns the exit status for an error.
+func exitStatus(err error) int {
 	var x exitCode
 	switch {
 	case errors.As(err, &x):
--- a/cmd/silvergate/reach.go
+++ b/cmd/silvergate/reach.go
@@ -11,19 +11,19 @@
 	"silvergate/internal/connectivity"
 )
 
-// links is what a controller says of its links in its counters.
-type links struct {
+// linkStatus is the part of a controller's counters that describes its links.
+type linkStatus struct {
 	Node  string `json:"node"`
 	Reach struct {
 		connectivity.Stats
-		State string                    `json:"state"`
-		Via   string                    `json:"via"`
-		Deaf  bool                      `json:"deaf"`
-		Rows  []connectivity.LinkReport `json:"rows"`
+		State          string                    `json:"state"`
+		Via            string                    `json:"via"`
+		HearsNoWorkers bool                      `json:"deaf"`
+		Rows           []connectivity.LinkReport `json:"rows"`
 	} `json:"reach"`
 }
 
-// reachCommand shows which controller reaches what.
+// reachCommand returns the command that shows which links of controllers are up.
 func reachCommand() *cobra.Command {
 	k := newClient()
 	c := &cobra.Command{
@@ -32,57 +32,59 @@
 peer, or lost), the workers by zone, the other controllers. With --site it asks all of
 them; with --address one, and shows what that one has heard from the others, and when.
 
-Status 0: every link that was told of is up. 7: one is not.`,
+Exit status 0: every reported link is up. 7: a link is down, or a controller does not
+answer.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			all, err := k.addresses()
 			if err != nil {
 				return err
 			}
-			var told []links
-			var last error
+			var statuses []linkStatus
+			var lastErr error
 			for _, a := range all {
 				one := *k
 				one.site, one.address = "", a
-				var l links
+				var l linkStatus
 				if err := one.get("/stats", &l); err != nil {
-					last = err
+					lastErr = err
 					continue
 				}
-				told = append(told, l)
+				statuses = append(statuses, l)
 			}
-			if len(told) == 0 {
-				return last
+			if len(statuses) == 0 {
+				return lastErr
 			}
-			rows, down := lines(told)
+			rows, down := linkTable(statuses)
 			if k.format == "json" {
-				err = json.NewEncoder(c.OutOrStdout()).Encode(told)
+				err = json.NewEncoder(c.OutOrStdout()).Encode(statuses)
 			} else {
-				err = table(c.OutOrStdout(), "CONTROLLER TOLD-BY STATE-SERVICE RECORDS WORKERS HEARS", rows)
+				err = printTable(c.OutOrStdout(), "CONTROLLER TOLD-BY STATE-SERVICE RECORDS WORKERS HEARS", rows)
 			}
 			switch {
 			case err != nil:
 				return err
-			case last != nil:
-				return exitCode{exitLinks, fmt.Errorf("a controller does not answer: %w", last)}
+			case lastErr != nil:
+				return exitCode{exitLinkDown, fmt.Errorf("a controller does not answer: %w", lastErr)}
 			case down:
-				return exitCode{exitLinks, errors.New("a link is down: docs/operations.md, \"Links\", says what each costs and what to do")}
+				return exitCode{exitLinkDown, errors.New("a link is down: docs/operations.md, \"Links\", says what each loss costs and what to do")}
 			}
 			return nil
 		},
 	}
-	k.users(c)
+	k.addControllerFlags(c)
 	return c
 }
 
-// lines is a table of what controllers told: each of itself, and of the others what the
-// first one heard that could not be asked. down tells whether any link is.
-func lines(told []links) (rows [][]string, down bool) {
+// linkTable returns a table with a row for each controller: its own report if it answered, or
+// else what the first controller that answered has heard from it. down reports whether any
+// link is down.
+func linkTable(statuses []linkStatus) (rows [][]string, down bool) {
 	asked := map[string]bool{}
-	for _, l := range told {
+	for _, l := range statuses {
 		asked[l.Node] = true
 	}
 	seen := map[string]bool{}
-	for _, l := range told {
+	for _, l := range statuses {
 		for i, r := range l.Reach.Rows {
 			own := i == 0
 			if seen[r.Node] || !own && asked[r.Node] {
@@ -94,11 +96,11 @@
 			case own && l.Reach.Via != "":
 				state += " by " + l.Reach.Via
 			case !own:
-				state = "answered " + age(float64(r.StateServiceMS+r.AgeMS)/1000) + " ago"
+				state = "answered " + formatAge(float64(r.StateServiceMS+r.AgeMS)/1000) + " ago"
 			}
 			by := "itself"
 			if !own {
-				by = fmt.Sprintf("%s, %s ago", l.Node, age(float64(r.AgeMS)/1000))
+				by = fmt.Sprintf("%s, %s ago", l.Node, formatAge(float64(r.AgeMS)/1000))
 			}
 			var zones []string
 			held := 0
@@ -120,7 +122,7 @@
 				hears = "-"
 			}
 			down = down || r.HearsNoWorkers || own && l.Reach.State != "direct" || own && len(r.HearsPeers) < len(l.Reach.Rows)-1
-			rows = append(rows, []string{r.Node, by, state, age(float64(r.MirrorAgeMS)/1000) + " old", workers, hears})
+			rows = append(rows, []string{r.Node, by, state, formatAge(float64(r.MirrorAgeMS)/1000) + " old", workers, hears})
 		}
 	}
 	return rows, down
--- a/cmd/silvergate/state.go
+++ b/cmd/silvergate/state.go
@@ -12,7 +12,7 @@
 	"silvergate/internal/statestore"
 )
 
-// stateCommands are the state service and the care of its file.
+// stateCommands returns the commands that serve the state service and maintain its file.
 func stateCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "state", Short: "The state service: serve, back up, restore, check"}
 	client := newClient()
@@ -26,22 +26,22 @@
 		Use: "serve --settings FILE", Short: "Serve the state service", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg := statestore.DefaultConfig()
-			if err := startPart(settings, &cfg); err != nil {
+			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
-			log := partLogger("state")
+			log := componentLogger("state")
 			s, err := statestore.Open(cfg, log)
 			if err != nil {
 				return err
 			}
 			if cfg.Metrics {
-				s.Extra = scrape(metrics.New("state", func() []metrics.Figure { return stateFigures(s.Stats()) }), log, s.AnswerAs)
+				s.Extra = metricsHandler(metrics.New("state", func() []metrics.Figure { return stateMetrics(s.Stats()) }), log, s.AnswerAs)
 			}
-			untilTold(s.Stop)
+			onStopSignal(s.Stop)
 			return s.Run(nil)
 		},
 	}
-	settingsFlag(serve, &settings)
+	addSettingsFlag(serve, &settings)
 	return serve
 }
 
@@ -53,32 +53,32 @@
 			if err := k.post(statestore.PathBackup, statestore.BackupRequest{Name: args[0]}, &saved); err != nil {
 				return err
 			}
-			return k.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
+			return k.printResult(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
-	k.flags(backup, "127.0.0.1:2379", "the state service's address", time.Minute)
+	k.addAddressFlags(backup, "127.0.0.1:2379", "the state service's address", time.Minute)
 	return backup
 }
 
 func (k *client) stateRestoreCommand() *cobra.Command {
 	var dir string
 	restore := &cobra.Command{
-		Use: "restore BACKUP --dir DIR", Short: "Make a store in an empty folder from a backup", Args: cobra.ExactArgs(1),
-		Long: `restore makes a store from a backup, in a folder that has none: an existing
+		Use: "restore BACKUP --dir DIR", Short: "Create a store in an empty folder from a backup", Args: cobra.ExactArgs(1),
+		Long: `restore creates a store from a backup, in a folder that has none: an existing
 store is never replaced. All keys get new revisions above any that the lost
-store can have given out, so that nobody goes on with an old one. What was
-accepted after the backup is lost.`,
+store can have given out, so that no client continues with an old one. What
+was accepted after the backup is lost.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			saved, err := statestore.Restore(args[0], dir)
 			if err != nil {
 				return err
 			}
-			return k.show(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
+			return k.printResult(c, saved, fmt.Sprintf("%s: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
 	restore.Flags().StringVar(&dir, "dir", "", "the folder for the new store")
 	_ = restore.MarkFlagRequired("dir")
-	k.output(restore)
+	k.addOutputFlag(restore)
 	return restore
 }
 
@@ -94,24 +94,24 @@
 			if err != nil {
 				return err
 			}
-			return k.show(c, saved, fmt.Sprintf("%s is sound: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
+			return k.printResult(c, saved, fmt.Sprintf("%s is sound: %d keys at revision %d, %d bytes", saved.File, saved.Keys, saved.Revision, saved.Bytes))
 		},
 	}
-	k.output(check)
+	k.addOutputFlag(check)
 	return check
 }
 
-func stateFigures(s statestore.Stats) []metrics.Figure {
+func stateMetrics(s statestore.Stats) []metrics.Figure {
 	return []metrics.Figure{
-		{Name: "state_requests", Help: "Requests taken.", Value: float64(s.Requests), Count: true},
-		{Name: "state_refused", Help: "Requests refused for the rates or for a slow disk.", Value: float64(s.Refused), Count: true},
+		{Name: "state_requests", Help: "Requests received.", Value: float64(s.Requests), Count: true},
+		{Name: "state_refused", Help: "Requests refused because of the rate limits or a slow disk.", Value: float64(s.Refused), Count: true},
 		{Name: "state_commits", Help: "Syncs of the file.", Value: float64(s.Commits), Count: true},
-		{Name: "state_commit_seconds", Help: "Time spent in them.", Value: s.CommitSeconds, Count: true},
+		{Name: "state_commit_seconds", Help: "Time spent in syncs of the file.", Value: s.CommitSeconds, Count: true},
 		{Name: "state_changes", Help: "Changes of keys.", Value: float64(s.Changes), Count: true},
 		{Name: "state_ledger", Help: "Revision of the last change.", Value: float64(s.Revision)},
 		{Name: "state_keys", Help: "Keys.", Value: float64(s.Keys)},
 		{Name: "state_grants", Help: "Leases.", Value: float64(s.Leases)},
 		{Name: "state_watches", Help: "Open watches.", Value: float64(s.Watches)},
-		{Name: "state_queued", Help: "Changes that wait for the disk.", Value: float64(s.Queued)},
+		{Name: "state_queued", Help: "Changes that are waiting for the disk.", Value: float64(s.Queued)},
 	}
 }
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -20,9 +20,9 @@
 	k := &archiveClient{client: newClient()}
 	var address string
 	c := &cobra.Command{
-		Use: "why JOB", Short: "Tell a job's story: what it waits for, where its tasks ran, and how each attempt ended", Args: cobra.ExactArgs(1),
+		Use: "why JOB", Short: "Show a job's history: what it waits for, where its tasks ran, and how each attempt ended", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			job, task, err := jobTask(args[0])
+			job, task, err := parseJobTask(args[0])
 			if err != nil {
 				return err
 			}
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			story, err := tell(c.Context(), k, r, job, task, address)
+			story, err := jobStory(c.Context(), k, r, job, task, address)
 			if err != nil {
 				return err
 			}
@@ -47,19 +47,19 @@
 			return nil
 		},
 	}
-	k.flags(c)
-	c.Flags().StringVar(&address, "address", "", "a controller's address, for what the job waits for now; with --site the site's own")
+	k.addArchiveFlags(c)
+	c.Flags().StringVar(&address, "address", "", "a controller's address, to ask what the job waits for now; with --site its controllers are asked")
 	return c
 }
 
-// Event is a line of a job's story.
+// Event is one line of a job's history.
 type Event struct {
 	At   time.Time `json:"at,omitzero"`
 	Text string    `json:"text"`
 }
 
-// tell puts a job's story together of what was archived and what controllers say.
-func tell(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
+// jobStory returns a job's history, from the archive's records and the answers of controllers.
+func jobStory(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
 	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: job, Files: true})
 	if err != nil {
 		return nil, err
@@ -79,19 +79,19 @@
 	}
 	slices.SortStableFunc(events, compareEvents)
 	story = append(story, events...)
-	return append(story, presentState(k, job, address)...), nil
+	return append(story, currentState(k, job, address)...), nil
 }
 
-// jobHeading says whose a job is.
+// jobHeading returns a line with a job's class, urgency, team and customer.
 func jobHeading(job string, a *anode.Attempt) string {
-	whose := "team " + a.Team
+	owner := "team " + a.Team
 	if a.Customer != "" {
-		whose += ", customer " + a.Customer
+		owner += ", customer " + a.Customer
 	}
-	return fmt.Sprintf("%s: class %s, urgency %s, of %s", job, a.Class, a.Urgency, whose)
+	return fmt.Sprintf("%s: class %s, urgency %s, of %s", job, a.Class, a.Urgency, owner)
 }
 
-// attemptEvents are the events of one attempt.
+// attemptEvents returns the events of one attempt.
 func attemptEvents(ctx context.Context, r *reader.Client, a *anode.Attempt) []Event {
 	name := fmt.Sprintf("task %d, attempt %d on %s", a.Task, a.Try, a.Machine)
 	events := []Event{{time.UnixMilli(a.At), name + ": bound there"}}
@@ -101,7 +101,7 @@
 		if a.End.Began > 0 && a.End.At > a.End.Began {
 			name += fmt.Sprintf(" (%s)", time.Duration(a.End.At-a.End.Began)*time.Millisecond)
 		}
-		events = append(events, Event{time.UnixMilli(a.End.At), name + ": " + endText(a.End)})
+		events = append(events, Event{time.UnixMilli(a.End.At), name + ": " + describeEnd(a.End)})
 		if a.End.Cause != protocol.CauseDone {
 			if line := lastLine(ctx, r, a.Attempt); line != "" {
 				events = append(events, Event{time.UnixMilli(a.End.At), "    its last words: " + line})
@@ -114,9 +114,9 @@
 	return events
 }
 
-// endText says how an attempt ended and what of its output is kept.
-func endText(e *archive.End) string {
-	text := plainCause(e.Cause)
+// describeEnd describes how an attempt ended and how much of its output is kept.
+func describeEnd(e *archive.End) string {
+	text := describeCause(e.Cause)
 	if e.Code != 0 {
 		text += fmt.Sprintf(", exit status %d", e.Code)
 	}
@@ -126,7 +126,7 @@
 	return text
 }
 
-// compareEvents orders events by time, those without one last.
+// compareEvents orders events by time, with events without a time last.
 func compareEvents(a, b Event) int {
 	if a.At.IsZero() != b.At.IsZero() {
 		if a.At.IsZero() {
@@ -137,20 +137,21 @@
 	return a.At.Compare(b.At)
 }
 
-// presentState asks the controllers, where they are known, how the job is now and what it waits for.
-func presentState(k *archiveClient, job, address string) (events []Event) {
+// currentState asks the controllers for the job's state and for what it waits for. It returns
+// nothing if no controller is known.
+func currentState(k *archiveClient, job, address string) (events []Event) {
 	if k.site == "" && address == "" {
 		return nil
 	}
-	users := newClient()
-	users.site, users.address, users.timeout = k.site, address, k.timeout
+	controllers := newClient()
+	controllers.site, controllers.address, controllers.timeout = k.site, address, k.timeout
 	var s protocol.JobState
-	if err := users.get(protocol.PathJobs+"/"+job, &s); err == nil {
+	if err := controllers.get(protocol.PathJobs+"/"+job, &s); err == nil {
 		events = append(events, Event{Text: "now: " + describe(s)})
 	}
 	var p protocol.JobPage
-	path := fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobList, before(job))
-	if err := users.get(path, &p); err != nil || len(p.Jobs) == 0 {
+	path := fmt.Sprintf("%s?all=false&from=%s", protocol.PathJobList, justBefore(job))
+	if err := controllers.get(path, &p); err != nil || len(p.Jobs) == 0 {
 		return events
 	}
 	if first := &p.Jobs[0]; first.ID == job && first.WaitingFor != "" {
@@ -159,11 +160,12 @@
 	return events
 }
 
-// before is a name just before a job's in the order of a list.
-func before(job string) string { return job[:len(job)-1] + string(job[len(job)-1]-1) + "~" }
+// justBefore returns a name that sorts directly before a job id, so that a list read from it begins
+// with that job.
+func justBefore(job string) string { return job[:len(job)-1] + string(job[len(job)-1]-1) + "~" }
 
-// plainCause says in words how an attempt ended.
-func plainCause(cause string) string {
+// describeCause returns the cause of an attempt's end in words.
+func describeCause(cause string) string {
 	switch cause {
 	case protocol.CauseDone:
 		return "completed"
@@ -179,7 +181,8 @@
 	return cause
 }
 
-// lastLine is the last that an attempt wrote, on stderr if there is anything.
+// lastLine returns the last line that is not blank of an attempt's stderr, or of its stdout if there
+// is none.
 func lastLine(ctx context.Context, r *reader.Client, a archive.Attempt) (last string) {
 	for _, s := range []string{archive.Stderr, archive.Stdout} {
 		u := r.Open(a, s)
