--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -103,8 +103,8 @@
 		return err
 	}
 	n.listen()
-	n.log.Info("serving", "bind", cfg.Listen, "back", cfg.Back)
-	return fmt.Errorf("serve: %w", n.server.Run(cfg.Listen, cfg.Back))
+	n.log.Info("serving", "bind", cfg.Listen, "back", cfg.PeerListen)
+	return fmt.Errorf("serve: %w", n.server.Run(cfg.Listen, cfg.PeerListen))
 }
 
 // socketTenth returns a tenth of the number of sockets that the process may open. Incoming
--- a/internal/completionlog/log.go
+++ b/internal/completionlog/log.go
@@ -61,8 +61,8 @@
 	return added
 }
 
-// Remove removes a record that has been deleted from the state service.
-func (l *Log) Remove(name string) {
+// RemoveRecord removes a record that has been deleted from the state service.
+func (l *Log) RemoveRecord(name string) {
 	rec := l.records[name]
 	if rec == nil {
 		return
@@ -106,28 +106,28 @@
 	return false
 }
 
-// TasksOf returns the indexes of a job's tasks with open completions, in ascending order.
-func (l *Log) TasksOf(job string) []int { return slices.Sorted(maps.Keys(l.byTask[job])) }
+// OpenTasks returns the indexes of a job's tasks with open completions, in ascending order.
+func (l *Log) OpenTasks(job string) []int { return slices.Sorted(maps.Keys(l.byTask[job])) }
 
-// Settle removes a task's open completions from the log, because the task's page has absorbed them
+// RemoveTask removes a task's open completions from the log, because the task's page has absorbed them
 // or shows a later state. Completions of earlier attempts do not affect a page that binds a later one.
-func (l *Log) Settle(task Task) {
+func (l *Log) RemoveTask(task Task) {
 	for _, name := range slices.Clone(l.byTask[task.Job][task.Index]) {
 		delete(l.records[name].open, task)
 		l.removeFromIndex(task, name)
 	}
 }
 
-// SettleJob removes the open completions of all tasks of a job, because the job is over.
-func (l *Log) SettleJob(job string) {
-	for _, index := range l.TasksOf(job) {
-		l.Settle(Task{job, index})
+// RemoveJob removes the open completions of all tasks of a job, because the job is over.
+func (l *Log) RemoveJob(job string) {
+	for _, index := range l.OpenTasks(job) {
+		l.RemoveTask(Task{job, index})
 	}
 }
 
-// Settled returns the names of the records without open completions, in order. These records may be
+// EmptyRecords returns the names of the records without open completions, in order. These records may be
 // deleted.
-func (l *Log) Settled() (names []string) {
+func (l *Log) EmptyRecords() (names []string) {
 	for name, rec := range l.records {
 		if len(rec.open) == 0 {
 			names = append(names, name)
@@ -137,9 +137,9 @@
 	return names
 }
 
-// OpenBefore returns the tasks with an open completion in a record that was added before a given
+// OpenTasksBefore returns the tasks with an open completion in a record that was added before a given
 // time, in order. A task appears once for each such record.
-func (l *Log) OpenBefore(before time.Duration) (tasks []Task) {
+func (l *Log) OpenTasksBefore(before time.Duration) (tasks []Task) {
 	for _, rec := range l.records {
 		if rec.addedAt < before {
 			tasks = slices.AppendSeq(tasks, maps.Keys(rec.open))
--- a/internal/completionlog/log_test.go
+++ b/internal/completionlog/log_test.go
@@ -27,13 +27,13 @@
 	return rec
 }
 
-func (ref referenceLog) drop(settled func(Completion) bool) {
+func (ref referenceLog) remove(matches func(Completion) bool) {
 	for name := range ref {
-		ref[name] = slices.DeleteFunc(ref[name], settled)
+		ref[name] = slices.DeleteFunc(ref[name], matches)
 	}
 }
 
-func (ref referenceLog) settled() (names []string) {
+func (ref referenceLog) emptyRecords() (names []string) {
 	for name, open := range ref {
 		if len(open) == 0 {
 			names = append(names, name)
@@ -57,7 +57,7 @@
 	return Completion{task, rapid.IntRange(1, 2).Draw(t, "attempt"), "m", 1}
 }
 
-// TestLogMatchesReference applies the same random additions, settlements and removals to a Log and a
+// TestLogMatchesReference applies the same random additions and removals to a Log and a
 // referenceLog. It guards against an index by task that differs from the records.
 func TestLogMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -71,19 +71,19 @@
 				l.Add(name, reference.add(name, rapid.SliceOfN(completions, 0, 4).Draw(t, "completions")), 0)
 			case 1:
 				name := names.Draw(t, "name")
-				l.Remove(name)
+				l.RemoveRecord(name)
 				delete(reference, name)
 			case 2:
 				task := completions.Draw(t, "task").Task
-				l.Settle(task)
-				reference.drop(func(c Completion) bool { return c.Task == task })
+				l.RemoveTask(task)
+				reference.remove(func(c Completion) bool { return c.Task == task })
 			case 3:
 				job := completions.Draw(t, "task").Job
-				l.SettleJob(job)
-				reference.drop(func(c Completion) bool { return c.Job == job })
+				l.RemoveJob(job)
+				reference.remove(func(c Completion) bool { return c.Job == job })
 			}
-			if got, want := l.Settled(), reference.settled(); !slices.Equal(got, want) {
-				t.Fatalf("settled records are %v, want %v", got, want)
+			if got, want := l.EmptyRecords(), reference.emptyRecords(); !slices.Equal(got, want) {
+				t.Fatalf("empty records are %v, want %v", got, want)
 			}
 			if c := completions.Draw(t, "asked"); l.Has(c) != reference.has(c) || l.Len() != len(reference) {
 				t.Fatalf("Has(%s) = %v, want %v; %d records, want %d", c, l.Has(c), reference.has(c), l.Len(), len(reference))
@@ -92,13 +92,13 @@
 	})
 }
 
-// TestOpenBeforeListsTasksOfOldRecords checks that OpenBefore returns the tasks of old records alone, in
+// TestOpenTasksBeforeListsTasksOfOldRecords checks that OpenTasksBefore returns the tasks of old records alone, in
 // order, and that Add skips a malformed entry.
-func TestOpenBeforeListsTasksOfOldRecords(t *testing.T) {
+func TestOpenTasksBeforeListsTasksOfOldRecords(t *testing.T) {
 	l := NewLog()
 	l.Add("a", Record{[]string{"wk-000002/1.1 m 1", "odd", "wk-000001/3.1 m 1"}}, time.Second)
 	l.Add("b", Record{[]string{"wk-000001/0.1 m 1"}}, time.Minute)
-	if got := l.OpenBefore(2 * time.Second); !slices.Equal(got, []Task{{"wk-000001", 3}, {"wk-000002", 1}}) {
+	if got := l.OpenTasksBefore(2 * time.Second); !slices.Equal(got, []Task{{"wk-000001", 3}, {"wk-000002", 1}}) {
 		t.Errorf("open tasks are %v", got)
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -54,10 +54,10 @@
 	facts := &s.Facts
 	errs := []error{
 		checkAddress("bind", s.Listen),
-		checkAddress("back", s.Back),
+		checkAddress("back", s.PeerListen),
 		checkAddress("outside.cloud", s.Services.Cloud),
 		checkAddress("outside.state", s.Services.State),
-		checkPositive("facts.workers.report_s", facts.Workers.Report),
+		checkPositive("facts.workers.report_s", facts.Workers.Heartbeat),
 		checkPositive("facts.workers.lease_s", facts.Workers.Lease),
 		checkPositive("facts.workers.cancel_s", facts.Workers.Cancel),
 		checkPositive("facts.workers.gang_wait_s", facts.Workers.GangWait),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,13 +19,13 @@
 
 // Settings holds the platform's settings file. Unknown fields are ignored.
 type Settings struct {
-	Node     string  `json:"node_name"`
-	Zone     string  `json:"site"`
-	Listen   string  `json:"bind"` // address for HTTP
-	Back     string  `json:"back"` // address for peer links
-	Peers    []Peer  `json:"peers"`
-	Services Outside `json:"outside"`
-	Facts    Facts   `json:"facts"`
+	Node       string   `json:"node_name"`
+	Zone       string   `json:"site"`
+	Listen     string   `json:"bind"` // address for HTTP
+	PeerListen string   `json:"back"` // address for peer links
+	Peers      []Peer   `json:"peers"`
+	Services   Services `json:"outside"`
+	Facts      Facts    `json:"facts"`
 
 	Operator Operator `json:"-"`
 }
@@ -37,8 +37,8 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Outside holds the addresses of the cloud and of the state service.
-type Outside struct {
+// Services holds the addresses of the cloud and of the state service.
+type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
@@ -76,11 +76,11 @@
 
 // Workers holds the periods of the protocol between controllers and workers, in seconds.
 type Workers struct {
-	Report   float64 `json:"report_s" yaml:"report_s"`
-	Lease    float64 `json:"lease_s" yaml:"lease_s"`
-	GangWait float64 `json:"gang_wait_s" yaml:"gang_wait_s"`
-	GangPeer float64 `json:"gang_peer_s" yaml:"gang_peer_s"`
-	Cancel   float64 `json:"cancel_s" yaml:"cancel_s"`
+	Heartbeat float64 `json:"report_s" yaml:"report_s"`
+	Lease     float64 `json:"lease_s" yaml:"lease_s"`
+	GangWait  float64 `json:"gang_wait_s" yaml:"gang_wait_s"`
+	GangPeer  float64 `json:"gang_peer_s" yaml:"gang_peer_s"`
+	Cancel    float64 `json:"cancel_s" yaml:"cancel_s"`
 }
 
 // State holds the limits of the state service: requests and writes per second, the size
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -27,10 +27,10 @@
 	// with them, fail over to other controllers in groups: with one write to the state
 	// service per group instead of one per worker.
 	GroupTakeover bool `yaml:"group_takeover"`
-	// EndingLog makes controllers write completions of tasks to a log instead of to their
+	// CompletionLog makes controllers write completions of tasks to a log instead of to their
 	// jobs' pages, many with one write to the state service. This applies to tasks of
 	// arrays of teams without limits.
-	EndingLog bool `yaml:"ending_log"`
+	CompletionLog bool `yaml:"ending_log"`
 	// LogLevel is used when LOG_LEVEL is not set.
 	LogLevel string `yaml:"log_level"`
 	// Metrics switches GET /metrics on.
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -71,7 +71,7 @@
 		{{Name: "small", CPUs: 4, GPUs: 1, MemoryGB: 8, Zones: []string{"a", "b", "c"}}, {Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"b"}}},
 		{{Name: "small", CPUs: 4, GPUs: 0, MemoryGB: 8, Zones: []string{"a", "b"}}, {Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"b", "c"}}},
 	} {
-		facts := config.Facts{Count: 1, Zones: []string{"a", "b", "c"}, Teams: teams, Workers: config.Workers{Report: 3, Lease: 18, Cancel: 48}, State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 5, ListLag: 3}}
+		facts := config.Facts{Count: 1, Zones: []string{"a", "b", "c"}, Teams: teams, Workers: config.Workers{Heartbeat: 3, Lease: 18, Cancel: 48}, State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 5, ListLag: 3}}
 		c := New(&config.Settings{Node: "n0", Zone: "a", Facts: facts, Operator: config.DefaultOperator()}, slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)), 1)
 		c.catalogue.update(&protocol.MachineTypes{MachineTypes: types})
 		for _, shape := range []job.Shape{job.Array, job.Gang, job.Service} {
--- a/internal/coordination/catalogue.go
+++ b/internal/coordination/catalogue.go
@@ -53,7 +53,7 @@
 			c.catalogue.nextRefreshAt = c.now + time.Second
 			return
 		}
-		c.catalogue.nextRefreshAt = c.now + seconds(10*c.cfg.Facts.Workers.Report)
+		c.catalogue.nextRefreshAt = c.now + seconds(10*c.cfg.Facts.Workers.Heartbeat)
 		c.catalogue.update(&types)
 		if c.state.Loaded() && c.state.ModRevision(keyMachineTypes) == 0 {
 			c.state.Txn(ratelimit.Background,
--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -140,5 +140,5 @@
 // old mirror a machine that seems unclaimed may have been claimed since, and in an incomplete one
 // its claim may not have been read yet.
 func (c *Core) mirrorFresh() bool {
-	return c.state.Consistent() && c.now-c.state.FreshAt() < seconds(c.cfg.Facts.Workers.Report)
+	return c.state.Consistent() && c.now-c.state.FreshAt() < seconds(c.cfg.Facts.Workers.Heartbeat)
 }
--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -105,7 +105,7 @@
 
 // hasCompletionFor reports whether the log holds a completion that the page does not include yet.
 func (w *completionWriter) hasCompletionFor(p *page) bool {
-	for _, index := range w.log.TasksOf(p.jobID) {
+	for _, index := range w.log.OpenTasks(p.jobID) {
 		if index >= p.firstTask && index < p.firstTask+len(p.tasks) {
 			return true
 		}
@@ -144,7 +144,7 @@
 
 // goesToCompletionLog reports whether a transition is written to the log instead of its page.
 func (c *Core) goesToCompletionLog(r *jobRecord, transition taskTransition) bool {
-	if !c.cfg.Operator.EndingLog || transition.placement {
+	if !c.cfg.Operator.CompletionLog || transition.placement {
 		return false
 	}
 	if transition.proof != fencing.Ended || !transition.done || r.final() {
@@ -157,7 +157,7 @@
 // completionBatchDelay.
 func (c *Core) flushCompletions() {
 	w := &c.writer.completions
-	delay := seconds(completionBatchDelay * c.cfg.Facts.Workers.Report)
+	delay := seconds(completionBatchDelay * c.cfg.Facts.Workers.Heartbeat)
 	if !w.due(c.now, delay) || !c.state.Loaded() || !c.state.CanSend(ratelimit.OtherWork, 1) {
 		return
 	}
@@ -196,7 +196,7 @@
 func (c *Core) applyCompletionRecord(name string, data json.RawMessage) {
 	log := c.writer.completions.log
 	if data == nil {
-		log.Remove(name)
+		log.RemoveRecord(name)
 		return
 	}
 	var record completionlog.Record
@@ -216,7 +216,7 @@
 	}
 	log := c.writer.completions.log
 	if completion.Index >= r.spec.Tasks || r.status == job.Done || c.pageOf(r, completion.Index).tasks == nil {
-		log.Settle(completion.Task)
+		log.RemoveTask(completion.Task)
 		return
 	}
 	p := c.pageOf(r, completion.Index)
@@ -226,7 +226,7 @@
 	case bindsAttempt(task, completion):
 		c.completeTask(p, index)
 	case supersedes(task, completion):
-		log.Settle(completion.Task)
+		log.RemoveTask(completion.Task)
 	}
 }
 
@@ -273,11 +273,11 @@
 
 // mergeCompletions merges the log into the changes of a page that was read. A task that the
 // page shows as bound, to an attempt that has completed according to the log, becomes finished.
-// Where the page is not behind the log, the log's completion is settled. It returns the
+// Where the page is not behind the log, the task is removed from the log. It returns the
 // remaining changes, reusing the memory of changes.
 func (c *Core) mergeCompletions(p *page, changes []pagecodec.Change) []pagecodec.Change {
 	w := &c.writer.completions
-	logged := w.log.TasksOf(p.jobID)
+	logged := w.log.OpenTasks(p.jobID)
 	jobCompleted := c.jobs.allTasksCompleted(p.job)
 	if len(logged) == 0 && !jobCompleted {
 		return changes
@@ -301,7 +301,7 @@
 			continue
 		}
 		if !w.pageBehind(p, index, kept) {
-			w.log.Settle(completionlog.Task{Job: p.jobID, Index: taskIndex})
+			w.log.RemoveTask(completionlog.Task{Job: p.jobID, Index: taskIndex})
 		}
 	}
 	return kept
@@ -309,19 +309,19 @@
 
 // foldCompletions requests writes of pages that have not included a completion of the log for a
 // while. Each controller does so for the jobs that it is responsible for. The leader also
-// deletes settled records.
+// deletes the log's empty records.
 func (c *Core) foldCompletions() {
 	w := &c.writer.completions
 	if w.log.Len() == 0 || c.now < w.nextFoldAt || !c.mirrorFresh() {
 		return
 	}
-	heartbeatPeriod := c.cfg.Facts.Workers.Report
+	heartbeatPeriod := c.cfg.Facts.Workers.Heartbeat
 	w.nextFoldAt = c.now + seconds(heartbeatPeriod*foldPeriod)
 	cutoff := c.now - seconds(foldAfter*heartbeatPeriod)
 	if c.hasPeerBelowFormat(completionLogFormat) {
 		cutoff = c.now // that peer reads only the pages
 	}
-	for _, task := range w.log.OpenBefore(cutoff) {
+	for _, task := range w.log.OpenTasksBefore(cutoff) {
 		r := c.jobs.byID[task.Job]
 		if r == nil || r.status == job.Done || c.responsibleController(r.owner) != c.cfg.Node {
 			continue
@@ -349,7 +349,7 @@
 func (c *Core) dropSettledRecords() {
 	var compares []protocol.Compare
 	var ops []protocol.Op
-	for _, name := range c.writer.completions.log.Settled() {
+	for _, name := range c.writer.completions.log.EmptyRecords() {
 		key := keyCompletions + name
 		revision := c.state.ModRevision(key)
 		if revision == 0 || len(ops) >= c.cfg.Facts.State.TxnOps {
--- a/internal/coordination/completions_test.go
+++ b/internal/coordination/completions_test.go
@@ -83,7 +83,7 @@
 
 // TestAPageBehindTheLog checks pages that are read after the log: a task that the page shows as
 // bound, but that has completed according to the log, is finished in the mirror, and a page that
-// shows a later attempt settles the completion.
+// shows a later attempt removes the task from the log.
 func TestAPageBehindTheLog(t *testing.T) {
 	s := newScript(t)
 	s.driveToOwnedMachine()
@@ -102,8 +102,8 @@
 		t.Errorf("%+v", *task)
 	}
 	c.applyPage("wk-700000/0", page(2), 132)
-	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writer.completions.log.Settled()) != 1 {
-		t.Errorf("after a page with a later attempt: task %+v, settled records %v, want attempt 2 bound and one record", *task, c.writer.completions.log.Settled())
+	if task.Phase != job.Bound || task.Attempt != 2 || len(c.writer.completions.log.EmptyRecords()) != 1 {
+		t.Errorf("after a page with a later attempt: task %+v, empty records %v, want attempt 2 bound and one record", *task, c.writer.completions.log.EmptyRecords())
 	}
 }
 
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -32,7 +32,7 @@
 		services += m.services
 	}
 	movesPerPeriod := max(1, consolidationShare*float64(services))
-	c.scheduler.addServiceMoveCredit(c.now, movesPerPeriod, c.cfg.Facts.Workers.Report)
+	c.scheduler.addServiceMoveCredit(c.now, movesPerPeriod, c.cfg.Facts.Workers.Heartbeat)
 	emptying := 0
 	var sparse []*machine
 	for _, m := range c.machines.own {
@@ -196,10 +196,10 @@
 			}
 			remaining := c.remainingPull(r, k, m)
 			target := c.pickIdleMachine(r)
-			if target == nil || target == m || c.fetchTime(r.spec, target)+c.cfg.Facts.Workers.Report/2 > remaining/2 {
+			if target == nil || target == m || c.fetchTime(r.spec, target)+c.cfg.Facts.Workers.Heartbeat/2 > remaining/2 {
 				continue
 			}
-			c.scheduler.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
+			c.scheduler.nextServiceMoveAt = c.now + seconds(c.cfg.Facts.Workers.Heartbeat/2)
 			target.reserveRoom(r.spec.ID, c.scheduler.nextServiceMoveAt, "")
 			c.log.Debug("moving a service that waits for its image", "task", job.TaskName(k.job, k.index), "from", m.id, "to", target.id, "left_s", remaining)
 			c.stopTask(m, k, "slow image")
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -220,7 +220,7 @@
 
 // sweepPeriod is the time between two sweeps over all state, a fraction of the
 // workers' heartbeat period.
-func (c *Core) sweepPeriod() time.Duration { return seconds(c.cfg.Facts.Workers.Report / 12) }
+func (c *Core) sweepPeriod() time.Duration { return seconds(c.cfg.Facts.Workers.Heartbeat / 12) }
 
 // TickInterval is the time between two ticks while work is waiting for time to pass.
 const TickInterval = 50 * time.Millisecond
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -178,7 +178,7 @@
 	}
 	for _, i := range handoff.Tasks {
 		if _, deferred := r.dispatchAfter[i]; deferred {
-			r.deferDispatch(i, c.now+seconds(c.cfg.Facts.Workers.Report/4))
+			r.deferDispatch(i, c.now+seconds(c.cfg.Facts.Workers.Heartbeat/4))
 		}
 	}
 }
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -34,7 +34,7 @@
 		}
 		return n
 	}
-	s.run(100*time.Second + seconds(3*s.facts.Workers.Report))
+	s.run(100*time.Second + seconds(3*s.facts.Workers.Heartbeat))
 	n := found()
 	t.Logf("%d of %d hung machines were drained, of %d machines in all", n, len(hung), len(c.machines.own))
 	if len(hung) < 20 || n < len(hung)*9/10 {
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -112,7 +112,7 @@
 		{m.launchInDoubt, "tainted"},
 		{m.leaseExpired, "lease over"},
 		{m.preempted, "recalled"},
-		{c.now-m.heardAt > seconds(2*c.cfg.Facts.Workers.Report), "not heard"},
+		{c.now-m.heardAt > seconds(2*c.cfg.Facts.Workers.Heartbeat), "not heard"},
 	} {
 		if condition.holds {
 			out = append(out, condition.text)
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -84,12 +84,12 @@
 // periods, plus the answerTimeout for which a worker may wait for an answer. A machine that is
 // silent for so long while others are heard has a fault.
 func (c *Core) silenceTimeout() time.Duration {
-	return seconds(silentPeriods*c.cfg.Facts.Workers.Report + answerTimeout)
+	return seconds(silentPeriods*c.cfg.Facts.Workers.Heartbeat + answerTimeout)
 }
 
 // checkSilentMachines looks for machines of ours whose heartbeats are missing.
 func (c *Core) checkSilentMachines() {
-	period := c.cfg.Facts.Workers.Report
+	period := c.cfg.Facts.Workers.Heartbeat
 	mirrorStale := c.now-c.state.FreshAt() > seconds(period)
 	counts := c.countHeartbeats()
 	c.scaler.updateZoneView(c.cfg.Node, c.now, counts.zones, counts.unresponsive, seconds(overduePeriods*period))
@@ -111,7 +111,7 @@
 // countHeartbeats counts our machines by how long ago their last heartbeats came.
 func (c *Core) countHeartbeats() heartbeatCounts {
 	counts := heartbeatCounts{zones: map[string]*zoneHeartbeats{}}
-	overdueAfter := seconds(overduePeriods * c.cfg.Facts.Workers.Report)
+	overdueAfter := seconds(overduePeriods * c.cfg.Facts.Workers.Heartbeat)
 	for _, m := range c.machines.own {
 		counts.machines++
 		zone := counts.zones[m.claim.Zone]
@@ -145,7 +145,7 @@
 		return false
 	}
 	ownedFor := c.now - m.claimedAt
-	return ownedFor > seconds(unresponsivePeriods*c.cfg.Facts.Workers.Report) && c.now-m.heardAt < c.silenceTimeout()
+	return ownedFor > seconds(unresponsivePeriods*c.cfg.Facts.Workers.Heartbeat) && c.now-m.heardAt < c.silenceTimeout()
 }
 
 // hasUnadoptedMachines reports whether an earlier incarnation of ours has claimed machines that we
@@ -189,7 +189,7 @@
 // checkSilentMachine probes a machine of ours whose heartbeat is overdue, and drains one that
 // has failed.
 func (c *Core) checkSilentMachine(m *machine, counts *heartbeatCounts, mirrorStale bool) {
-	period := c.cfg.Facts.Workers.Report
+	period := c.cfg.Facts.Workers.Heartbeat
 	silence := c.now - m.heardAt
 	if silence > seconds(probePeriods*period) && !m.probing && c.now >= m.nextProbeAt {
 		c.probeWorker(m)
@@ -214,7 +214,7 @@
 // against a controller that considers itself cut off when more than half of its machines hang.
 func (c *Core) machineFailed(m *machine, counts *heartbeatCounts) bool {
 	silence := c.now - m.heardAt
-	if silence > seconds(unansweredPeriods*c.cfg.Facts.Workers.Report) && m.failedProbes > 1 && counts.enoughRecent() {
+	if silence > seconds(unansweredPeriods*c.cfg.Facts.Workers.Heartbeat) && m.failedProbes > 1 && counts.enoughRecent() {
 		return true
 	}
 	return silence > c.silenceTimeout() && (counts.enoughHeard() || silence > c.leaseExpiry())
@@ -258,7 +258,7 @@
 // checkInheritedMachine probes a machine that an earlier incarnation of ours owned and that is
 // silent, and drains it if it has failed.
 func (c *Core) checkInheritedMachine(m *machine, singleFailures bool) {
-	period := c.cfg.Facts.Workers.Report
+	period := c.cfg.Facts.Workers.Heartbeat
 	silence := c.now - max(c.sweep.loadedAt, m.heardAt)
 	if silence > seconds(unansweredPeriods*period) && !m.probing && c.now >= m.nextProbeAt {
 		c.probeWorker(m)
@@ -282,7 +282,7 @@
 	if c.machines.probesInFlight >= c.maxProbes() {
 		return
 	}
-	timeout := seconds(c.cfg.Facts.Workers.Report / 4)
+	timeout := seconds(c.cfg.Facts.Workers.Heartbeat / 4)
 	c.machines.probesInFlight++
 	m.probing = true
 	m.nextProbeAt = c.now + timeout
--- a/internal/coordination/fleet_leadership.go
+++ b/internal/coordination/fleet_leadership.go
@@ -102,7 +102,7 @@
 	c.sendRentals()
 	if c.now >= f.nextPlanAt {
 		c.dropUnusedFailovers()
-		f.nextPlanAt = c.now + seconds(c.cfg.Facts.Workers.Report/6)
+		f.nextPlanAt = c.now + seconds(c.cfg.Facts.Workers.Heartbeat/6)
 		c.planFleet()
 	}
 }
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -48,7 +48,7 @@
 	}
 	for _, v := range c.scaler.zoneViews {
 		for _, id := range v.unresponsive {
-			p.unresponsive[id] = c.now-v.at < seconds(c.cfg.Facts.Workers.Report)
+			p.unresponsive[id] = c.now-v.at < seconds(c.cfg.Facts.Workers.Heartbeat)
 		}
 	}
 	for _, zone := range c.cfg.Facts.Zones {
--- a/internal/coordination/gang_reservation.go
+++ b/internal/coordination/gang_reservation.go
@@ -53,7 +53,7 @@
 		return
 	}
 	r := c.nextWaitingGang(open, func(*jobRecord) bool { return true })
-	if r != nil && !c.isResponsibleFor(r) && c.now-c.gangs.releasedAt > seconds(c.cfg.Facts.Workers.Report/4) {
+	if r != nil && !c.isResponsibleFor(r) && c.now-c.gangs.releasedAt > seconds(c.cfg.Facts.Workers.Heartbeat/4) {
 		// The controller responsible for the first waiting gang has had time to
 		// acquire the reservation and did not.
 		r = c.nextWaitingGang(open, c.isResponsibleFor)
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -67,7 +67,7 @@
 // updateCapacity sums up the capacity of all claimed machines, once per heartbeat period.
 func (c *Core) updateCapacity() {
 	s := &c.scheduler
-	if s.capacityAt != 0 && c.now-s.capacityAt <= seconds(c.cfg.Facts.Workers.Report) {
+	if s.capacityAt != 0 && c.now-s.capacityAt <= seconds(c.cfg.Facts.Workers.Heartbeat) {
 		return
 	}
 	s.capacity = usage{}
--- a/internal/coordination/large_deployment_test.go
+++ b/internal/coordination/large_deployment_test.go
@@ -14,7 +14,7 @@
 func newLargeDeploymentSim(t testing.TB, seed uint64) *sim {
 	t.Helper()
 	s := newSim(t, seed, 0)
-	s.facts.Workers.Report = 4
+	s.facts.Workers.Heartbeat = 4
 	s.facts.State = config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 12}
 	s.facts.Cloud = config.Cloud{RPS: 5, ListLag: 8}
 	s.facts.Teams = []config.Team{{Name: "red", GPUs: 100, GPUsMax: 500}, {Name: "blue", GPUs: 200, GPUsMax: 5000}}
--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -84,7 +84,7 @@
 		Method:  http.MethodPost,
 		Path:    protocol.PathCommands,
 		Body:    encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: m.epoch, Commands: commands}),
-		Timeout: seconds(c.cfg.Facts.Workers.Report / 2),
+		Timeout: seconds(c.cfg.Facts.Workers.Heartbeat / 2),
 	}
 	c.call(call, func(reply protocol.Reply) { c.handleLaunchReply(m, token, attempts, reply) })
 }
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -22,7 +22,7 @@
 	links := connectivity.Config{
 		Self:              cfg.Node,
 		Incarnation:       incarnation,
-		HeartbeatInterval: seconds(cfg.Facts.Workers.Report),
+		HeartbeatInterval: seconds(cfg.Facts.Workers.Heartbeat),
 		StaleAfter:        staleAfter,
 	}
 	for _, controller := range cfg.Peers {
--- a/internal/coordination/links_test.go
+++ b/internal/coordination/links_test.go
@@ -140,7 +140,7 @@
 			hanging++
 		}
 	}
-	search := seconds(1.25*s.facts.Workers.Report) + time.Duration(hanging)*5*time.Second + 2*time.Second
+	search := seconds(1.25*s.facts.Workers.Heartbeat) + time.Duration(hanging)*5*time.Second + 2*time.Second
 	return up && search < lease
 }
 
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -72,9 +72,9 @@
 	s.facts.Limits.MaxSockets = 400
 	w := &s.facts.Workers
 	w.Lease = 12 + 24*s.random.Float64()
-	w.Report = w.Lease / (4 + 3*s.random.Float64())
+	w.Heartbeat = w.Lease / (4 + 3*s.random.Float64())
 	if m.workers == "rarely" {
-		w.Report = w.Lease / 2.5
+		w.Heartbeat = w.Lease / 2.5
 	}
 	w.Cancel = w.Lease * (1.3 + 1.5*s.random.Float64())
 	if m.shortCancel {
@@ -295,7 +295,7 @@
 		t.Errorf("a task was active %v after its job's cancellation was confirmed; cancel_s is %v", o.longestActive, limit)
 	}
 	t.Logf("%s: %d confirmed, the last task ended after %.1f s of %.1f (lease_s %.1f, report_s %.1f); %d other tasks killed by leases, %d still run",
-		m, o.confirmed, o.longestActive.Seconds(), limit.Seconds(), s.facts.Workers.Lease, s.facts.Workers.Report, o.leaseKills, o.survivors)
+		m, o.confirmed, o.longestActive.Seconds(), limit.Seconds(), s.facts.Workers.Lease, s.facts.Workers.Heartbeat, o.leaseKills, o.survivors)
 }
 
 // TestRefusedThenDown guards against tasks that stay active for longer than cancel_s after the cancellation of their job
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -87,7 +87,7 @@
 	switch {
 	case c.jobs.allTasksCompleted(p.job):
 		c.completeBoundTasks(p)
-		c.writer.completions.log.SettleJob(p.jobID)
+		c.writer.completions.log.RemoveJob(p.jobID)
 	case c.writer.completions.hasCompletionFor(p):
 		return
 	}
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -30,7 +30,7 @@
 	unshipped := c.scaler.unshipped.machinesToAnnounce()
 	mirrorAge := c.mirrorAge()
 	links := c.links.LinkReports(mirrorAge, c.state.Throttled())
-	mirrorStale := c.state.Loaded() && c.now-c.state.FreshAt() > seconds(c.cfg.Facts.Workers.Report)
+	mirrorStale := c.state.Loaded() && c.now-c.state.FreshAt() > seconds(c.cfg.Facts.Workers.Heartbeat)
 	for _, controller := range c.cfg.Peers {
 		if mirrorStale {
 			c.queryCancellations(controller.Node)
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -149,7 +149,7 @@
 // rankMachine returns the rank of a machine for a task of a job.
 func (c *Core) rankMachine(r *jobRecord, m *machine) placementRank {
 	machineType := c.machineTypeOf(m)
-	rank := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Report + 0.99)}
+	rank := placementRank{fetchPeriods: int(c.fetchTime(r.spec, m)/c.cfg.Facts.Workers.Heartbeat + 0.99)}
 	if r.spec.Shape == job.Service {
 		// Services outlive everything else: they are placed on machines
 		// that already run services, so that the others can be deleted.
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -101,7 +101,7 @@
 // preemptOn stops tasks on a machine to make room for a queued task. Their ends are reported at
 // once; if that fails, another machine is tried after a heartbeat period.
 func (c *Core) preemptOn(r *jobRecord, queued *queuedTask, m *machine, victims []taskKey) {
-	queued.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Report)
+	queued.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Heartbeat)
 	m.reserveRoom(r.spec.ID, queued.nextPreemptionAt, "")
 	for _, k := range victims {
 		reason := "preempted"
@@ -123,7 +123,7 @@
 	if r.spec.Shape != job.Service || r.spec.Priority <= job.Low || r.queuedByIndex[index] != nil {
 		return false
 	}
-	if c.fetchTime(r.spec, picked) <= c.cfg.Facts.Workers.Report/2 {
+	if c.fetchTime(r.spec, picked) <= c.cfg.Facts.Workers.Heartbeat/2 {
 		return false
 	}
 	m, victims := c.cheapestVictims(r, true)
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -88,7 +88,7 @@
 	case protocol.TaskPulling:
 		m.pulling[key] = true
 		// The image is not expected before the next heartbeat.
-		nextHeartbeatAt := c.now + seconds(c.cfg.Facts.Workers.Report)
+		nextHeartbeatAt := c.now + seconds(c.cfg.Facts.Workers.Heartbeat)
 		if m.imageReadyAt[image] < nextHeartbeatAt {
 			m.imageReadyAt[image] = nextHeartbeatAt
 		}
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -150,7 +150,7 @@
 // aboveFairShare reports whether we own so many more workers than our fair share that a worker
 // should be redirected.
 func (c *Core) aboveFairShare(m *machine, fairShare float64) bool {
-	spare := spareHeartbeatRate * c.cfg.Facts.Workers.Report
+	spare := spareHeartbeatRate * c.cfg.Facts.Workers.Heartbeat
 	limit := maxFairShare*fairShare + spare
 	if c.isOwn(m) {
 		limit = maxFairShareOwn*fairShare + spare
@@ -189,7 +189,7 @@
 // for us, it returns a peer that could serve the worker when it was last heard. Workers with
 // urgent work are redirected so first, so that they are claimed there while we may still answer.
 func (c *Core) redirectTargetWhileCutOff(heartbeat *protocol.Heartbeat) string {
-	period := seconds(c.cfg.Facts.Workers.Report)
+	period := seconds(c.cfg.Facts.Workers.Heartbeat)
 	cutOffFor := c.now - c.state.FreshAt() - period
 	if cutOffFor < 0 || !c.state.Loaded() {
 		return ""
--- a/internal/coordination/restart_test.go
+++ b/internal/coordination/restart_test.go
@@ -108,7 +108,7 @@
 	for _, w := range before {
 		busy[w.name] = len(w.tasks) > 0
 	}
-	s.run(60*time.Second + seconds(5*s.facts.Workers.Report))
+	s.run(60*time.Second + seconds(5*s.facts.Workers.Heartbeat))
 	if w := s.cloud.machines[hung.name]; w != nil {
 		t.Errorf("%s hangs and was not deleted", hung.name)
 	}
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -210,7 +210,7 @@
 		boundAt := n.startedAt + m.boundAt[taskKey{jobID, index}].boundAt
 		for wait, since := range n.waitingSince {
 			waited := boundAt - since
-			if wait.zone != m.claim.Zone || waited <= seconds(s.facts.Workers.Report) {
+			if wait.zone != m.claim.Zone || waited <= seconds(s.facts.Workers.Heartbeat) {
 				continue
 			}
 			m.addUsage(launched, -1)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -134,7 +134,7 @@
 	}
 	// A controller that is only cut off redirects its workers once its cancel horizon is
 	// reached. A machine that no other controller has claimed by then is lost.
-	if c.now-f.orphanedSince[id] > c.cancelHorizon()+seconds(3*c.cfg.Facts.Workers.Report) {
+	if c.now-f.orphanedSince[id] > c.cancelHorizon()+seconds(3*c.cfg.Facts.Workers.Heartbeat) {
 		f.toDrain[id] = drainLost
 	}
 }
--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -281,7 +281,7 @@
 				}
 				watch()
 				s.finish(t, 180*time.Second)
-				bound := s.leaseMultiple(1.0/3) + seconds(2*s.facts.Workers.Report)
+				bound := s.leaseMultiple(1.0/3) + seconds(2*s.facts.Workers.Heartbeat)
 				if v.renewalMayBeLate {
 					bound += s.leaseMultiple(1.0 / 3)
 				}
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -229,7 +229,7 @@
 // backOffOffering bars requests for an offering for a while after the cloud refused it, wholly or
 // in part.
 func (c *Core) backOffOffering(offer offering) {
-	c.scaler.backOff(offer, c.now, seconds(2*c.cfg.Facts.Workers.Report))
+	c.scaler.backOff(offer, c.now, seconds(2*c.cfg.Facts.Workers.Heartbeat))
 }
 
 // dropRental deletes a rental record.
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -91,7 +91,7 @@
 	if m == nil || !c.isOwn(m) || !m.tokenSeen {
 		return
 	}
-	if c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Report*c.cfg.Operator.EntryAge) {
+	if c.now-m.heardAt < seconds(c.cfg.Facts.Workers.Heartbeat*c.cfg.Operator.EntryAge) {
 		c.offerMachine(m)
 	}
 }
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -50,7 +50,7 @@
 	n.pendingRequests, n.heartbeatSenders, n.waitingSince = map[uint64]func(int, []byte){}, map[uint64]string{}, map[zoneWait]time.Duration{}
 	cfg := &config.Settings{Node: n.name, Zone: n.zone, Facts: s.advertised, Operator: config.DefaultOperator()}
 	cfg.Operator.Archive = n.archive
-	cfg.Operator.GroupTakeover, cfg.Operator.EndingLog = !s.options.perWorkerFailover, s.options.completionLog
+	cfg.Operator.GroupTakeover, cfg.Operator.CompletionLog = !s.options.perWorkerFailover, s.options.completionLog
 	if s.options.dataSets != nil {
 		cfg.Operator.Staging = &config.Staging{ServerStreams: 6, PeerStreams: 2, MachineStreams: 1, RateMBPerS: 100}
 	}
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -89,7 +89,7 @@
 	s.facts = config.Facts{Count: 3, Zones: []string{"a", "b", "c"},
 		Teams:      []config.Team{{Name: "red", GPUs: 4, GPUsMax: 10}, {Name: "blue"}},
 		Objectives: []config.Objective{{Kind: "wait", Class: "svc", Within: 5}, {Kind: "finished", Class: "arr", Within: 60}},
-		Workers:    config.Workers{Report: 3, Lease: 18, GangWait: 30, GangPeer: 4, Cancel: 48},
+		Workers:    config.Workers{Heartbeat: 3, Lease: 18, GangWait: 30, GangPeer: 4, Cancel: 48},
 		State:      config.State{RPS: 300, WriteRPS: 120, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 10, ListLag: 4}, Limits: config.Limits{CPU: 1, RAMMB: 100, MaxSockets: 100}}
 	s.advertised = s.facts
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -190,7 +190,7 @@
 // the next heartbeat.
 func (w *simWorker) heartbeatAnswered(heartbeat protocol.Heartbeat, sent time.Duration, status int, body []byte) time.Duration {
 	s := w.s
-	next := seconds(s.facts.Workers.Report * (0.75 + 0.5*s.random.Float64()))
+	next := seconds(s.facts.Workers.Heartbeat * (0.75 + 0.5*s.random.Float64()))
 	switch {
 	case w.missesMessage(): // as if no answer had come
 		w.nextController()
--- a/internal/coordination/staging.go
+++ b/internal/coordination/staging.go
@@ -46,7 +46,7 @@
 		PeerStreams:    s.PeerStreams,
 		MachineStreams: s.MachineStreams,
 		Rate:           s.RateMBPerS * bytesPerMB,
-		Report:         seconds(c.cfg.Facts.Workers.Report),
+		Report:         seconds(c.cfg.Facts.Workers.Heartbeat),
 	}
 	return &stagingCoordinator{
 		core:         c,
@@ -223,7 +223,7 @@
 		return
 	}
 	c := d.core
-	d.nextTickAt = c.now + seconds(c.cfg.Facts.Workers.Report/2)
+	d.nextTickAt = c.now + seconds(c.cfg.Facts.Workers.Heartbeat/2)
 	d.pruneWaits()
 	d.stageQueuedJobs()
 	d.cancelUnneededPrefetches()
--- a/internal/coordination/staging_wait.go
+++ b/internal/coordination/staging_wait.go
@@ -127,7 +127,7 @@
 	if m == nil {
 		return none
 	}
-	duration := seconds(c.cfg.Facts.Workers.Report / 4)
+	duration := seconds(c.cfg.Facts.Workers.Heartbeat / 4)
 	for _, victim := range victims {
 		duration = max(duration, seconds(2*m.bound[victim].spec.CheckpointSaveS))
 	}
--- a/internal/coordination/stop_commands.go
+++ b/internal/coordination/stop_commands.go
@@ -39,7 +39,7 @@
 		Method:  http.MethodPost,
 		Path:    protocol.PathCommands,
 		Body:    body,
-		Timeout: seconds(c.cfg.Facts.Workers.Report / 2),
+		Timeout: seconds(c.cfg.Facts.Workers.Heartbeat / 2),
 	}
 	c.call(call, func(r protocol.Reply) { c.handleCommandReply(m, token, r) })
 }
--- a/internal/coordination/stored_keys_test.go
+++ b/internal/coordination/stored_keys_test.go
@@ -18,7 +18,7 @@
 func mirroringCore() *Core {
 	cfg := &config.Settings{Node: "n0", Zone: "z-a", Operator: config.DefaultOperator()}
 	cfg.Operator.Staging = &config.Staging{ServerStreams: 6, PeerStreams: 2, MachineStreams: 1, RateMBPerS: 100}
-	cfg.Facts = config.Facts{Count: 1, Zones: []string{"z-a"}, Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{Report: 3, Lease: 18, Cancel: 48},
+	cfg.Facts = config.Facts{Count: 1, Zones: []string{"z-a"}, Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{Heartbeat: 3, Lease: 18, Cancel: 48},
 		State: config.State{RPS: 300, WriteRPS: 120, ValueKB: 16, TxnOps: 12}}
 	return New(cfg, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 2)), 1)
 }
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -69,7 +69,7 @@
 // expired reports whether an announcement is too old to count: a machine that does not repeat it
 // has shipped its output or is lost.
 func (u *unshippedOutput) expired(entry outputAnnouncement) bool {
-	lifetime := seconds(announcementPeriods * u.core.cfg.Facts.Workers.Report)
+	lifetime := seconds(announcementPeriods * u.core.cfg.Facts.Workers.Heartbeat)
 	return u.core.now-entry.announcedAt > lifetime
 }
 
--- a/internal/coordination/zone_view.go
+++ b/internal/coordination/zone_view.go
@@ -41,7 +41,7 @@
 func (c *Core) zoneUnreachable(zone string) bool {
 	lost := false
 	for _, v := range c.scaler.zoneViews {
-		if c.now-v.at > seconds(c.cfg.Facts.Workers.Report) {
+		if c.now-v.at > seconds(c.cfg.Facts.Workers.Heartbeat) {
 			continue
 		}
 		if slices.Contains(v.reachable, zone) {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	cfg := &config.Settings{Node: "n0", Zone: "a", Operator: config.DefaultOperator()}
 	cfg.Facts = config.Facts{Count: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "blue"}},
-		Workers: config.Workers{Report: 3, Lease: 18, GangWait: 30, GangPeer: 4, Cancel: 48},
+		Workers: config.Workers{Heartbeat: 3, Lease: 18, GangWait: 30, GangPeer: 4, Cancel: 48},
 		State:   config.State{RPS: 300, WriteRPS: 120, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 10, ListLag: 4}, Limits: config.Limits{CPU: 1, RAMMB: 100, MaxSockets: 100}}
 	seed := [2]uint64{1, 2}
 	h, err := coordination.RecordingHeader(cfg, "test", 7, seed)
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -103,15 +103,15 @@
 // periods returns the scenario's periods that workers use.
 func (c *cellLayout) periods() agent.Periods {
 	p := &c.scenario.Periods
-	return agent.Periods{Heartbeat: p.Report, Lease: p.Lease, GangWait: p.GangWait, GangPeer: p.GangPeer}
+	return agent.Periods{Heartbeat: p.Heartbeat, Lease: p.Lease, GangWait: p.GangWait, GangPeer: p.GangPeer}
 }
 
 // controllerSettings returns the settings of a controller of the cell. It checks them with
 // the parser that the controller uses.
 func (c *cellLayout) controllerSettings(i int) ([]byte, error) {
 	s := c.scenario
-	settings := &config.Settings{Node: controllerName(i), Zone: c.controllerZone(i), Listen: loopback(c.controllerPorts[i]), Back: loopback(c.peerPorts[i]),
-		Services: config.Outside{Cloud: loopback(c.cloudPort), State: loopback(c.statePort)},
+	settings := &config.Settings{Node: controllerName(i), Zone: c.controllerZone(i), Listen: loopback(c.controllerPorts[i]), PeerListen: loopback(c.peerPorts[i]),
+		Services: config.Services{Cloud: loopback(c.cloudPort), State: loopback(c.statePort)},
 		Facts: config.Facts{Count: s.Controllers, Zones: s.Zones, Teams: s.teams(), Workers: s.Periods, State: s.State, Cloud: s.Cloud,
 			Limits: s.Controller, TimeBoundMS: 1}}
 	for k := range c.controllerPorts {
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -304,7 +304,7 @@
 	p.Listen, p.Dir, p.RPS, p.Types, p.Spot, p.Metrics = address(l.ports.Provider), filepath.Join(l.dir, "cloud"), c.Cloud.RPS, c.Types, c.Spot, c.Metrics
 	p.SwitchOff = true
 	a := &p.Agent
-	a.Workers = agent.Periods{Heartbeat: c.Workers.Report, Lease: c.Workers.Lease, GangWait: c.Workers.GangWait, GangPeer: c.Workers.GangPeer}
+	a.Workers = agent.Periods{Heartbeat: c.Workers.Heartbeat, Lease: c.Workers.Lease, GangWait: c.Workers.GangWait, GangPeer: c.Workers.GangPeer}
 	a.Images, a.Nice, a.OpenFiles, a.Metrics, a.Environment, a.GiveUpS = c.Images, c.Nice, c.OpenFiles, c.Metrics, c.Environment, c.GiveUpS
 	if c.Staging != nil {
 		a.Staging = &c.Staging.Store
@@ -371,8 +371,8 @@
 
 func (l layout) controller(c *Config, i int) *config.Settings {
 	zone := func(i int) string { return c.Zones[i%len(c.Zones)] }
-	s := &config.Settings{Node: nodeName(i), Zone: zone(i), Listen: address(l.ports.Controllers[i]), Back: address(l.ports.Back[i]),
-		Services: config.Outside{Cloud: address(l.ports.Provider), State: address(l.ports.State)},
+	s := &config.Settings{Node: nodeName(i), Zone: zone(i), Listen: address(l.ports.Controllers[i]), PeerListen: address(l.ports.Back[i]),
+		Services: config.Services{Cloud: address(l.ports.Provider), State: address(l.ports.State)},
 		Facts: config.Facts{Count: c.Controllers, Zones: c.Zones, Teams: c.Teams, Objectives: c.Objectives, Workers: c.Workers, State: c.State, Cloud: c.Cloud,
 			Limits: config.Limits{CPU: c.Controller.CPU, RAMMB: c.Controller.RAMMB, MaxSockets: c.Controller.MaxSockets}, TimeBoundMS: 1}}
 	for k := range c.Controllers {
