--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -42,9 +42,9 @@
 
 // Target is an implementation that a table is run against.
 type Target interface {
-	// Begin sends a request. The returned function waits for the answer; status 0
+	// Send sends a request. The returned function waits for the answer; status 0
 	// means that none came.
-	Begin(method, path, body string) func() (status int, answer string)
+	Send(method, path, body string) func() (status int, answer string)
 	Sleep(d time.Duration)
 }
 
@@ -90,9 +90,9 @@
 		case ">", ">&", ">~":
 			method, rest, _ := strings.Cut(expandVariables(t, rest, vars), " ")
 			path, body, _ := strings.Cut(rest, " ")
-			r := request{line: line, wait: target.Begin(method, path, body)}
+			r := request{line: line, wait: target.Send(method, path, body)}
 			if marker == ">~" {
-				r.resend = func() func() (int, string) { return target.Begin(method, path, body) }
+				r.resend = func() func() (int, string) { return target.Send(method, path, body) }
 			}
 			pending = append(pending, r)
 		case "<":
--- a/internal/conformance/http.go
+++ b/internal/conformance/http.go
@@ -14,8 +14,8 @@
 	Second  time.Duration
 }
 
-// Begin sends a request over HTTP.
-func (h HTTP) Begin(method, path, body string) func() (int, string) {
+// Send sends a request over HTTP.
+func (h HTTP) Send(method, path, body string) func() (int, string) {
 	type answer struct {
 		status int
 		body   string
--- a/internal/coordination/stand_ins_test.go
+++ b/internal/coordination/stand_ins_test.go
@@ -15,8 +15,8 @@
 	serve func(k protocol.Call, reply func(int, []byte))
 }
 
-// Begin sends a request and returns a function that waits for the answer, at most 30 simulated seconds.
-func (x standIn) Begin(method, path, body string) func() (int, string) {
+// Send sends a request and returns a function that waits for the answer, at most 30 simulated seconds.
+func (x standIn) Send(method, path, body string) func() (int, string) {
 	status, answer, answered := 0, "", false
 	x.serve(protocol.Call{Method: method, Path: path, Body: []byte(body)}, func(st int, b []byte) {
 		status, answer, answered = st, string(b), true
