--- a/internal/connectivity/cancellation.go
+++ b/internal/connectivity/cancellation.go
@@ -11,10 +11,10 @@
 	}
 }
 
-// NoteCancelled records a job that a peer named as cancelled and that no record shows yet.
-func (t *Tracker) NoteCancelled(job string) { t.cancelled[job] = true }
+// RecordCancelled records a job that a peer named as cancelled and that no record shows yet.
+func (t *Tracker) RecordCancelled(job string) { t.cancelled[job] = true }
 
-// ForgetCancelled undoes NoteCancelled once a record shows the job.
+// ForgetCancelled undoes RecordCancelled once a record shows the job.
 func (t *Tracker) ForgetCancelled(job string) { delete(t.cancelled, job) }
 
 // KnownCancelled reports whether a peer has named the job as cancelled and no record shows it yet.
--- a/internal/connectivity/cloudlink.go
+++ b/internal/connectivity/cloudlink.go
@@ -16,9 +16,9 @@
 // seconds. An unanswered call takes 5 s; a second one shows that the first was not a single failure.
 const cloudTimeout = 8 * time.Second
 
-// CloudAnswered records the status of a call to the cloud, 0 if there was no answer. In an outage the
+// RecordCloudReply records the status of a call to the cloud, 0 if there was no answer. In an outage the
 // cloud answers every call with 503, which counts as no answer.
-func (t *Tracker) CloudAnswered(status int) {
+func (t *Tracker) RecordCloudReply(status int) {
 	switch link := &t.cloud; {
 	case isServiceAnswer(status):
 		link.answeredAt, link.unansweredSince = t.now, 0
--- a/internal/connectivity/links_test.go
+++ b/internal/connectivity/links_test.go
@@ -30,10 +30,10 @@
 				hearPeers(tracker)
 			}
 			if tracker.ShouldProbe() {
-				tracker.Probed(map[bool]int{true: 404, false: 503}[up])
+				tracker.RecordProbeReply(map[bool]int{true: 404, false: 503}[up])
 			}
 			if up && via == "" {
-				tracker.StateAnswered(200)
+				tracker.RecordStateReply(200)
 			}
 			if downFor += step; up {
 				downFor = 0
@@ -53,10 +53,10 @@
 			tracker.Advance(now)
 			hearPeers(tracker)
 			if tracker.ShouldProbe() {
-				tracker.Probed(404)
+				tracker.RecordProbeReply(404)
 			}
 			if tracker.Relay() == "" {
-				tracker.StateAnswered(200)
+				tracker.RecordStateReply(200)
 			}
 		}
 		if to := tracker.Relay(); to != "" {
@@ -74,9 +74,9 @@
 	zoneUnreachable := func() bool { return tracker.LinkReports(0, false)[0].Zones[0].Unreachable }
 	for now := time.Duration(0); now < 10*time.Second; now += step {
 		tracker.Advance(now)
-		tracker.StateAnswered(200)
+		tracker.RecordStateReply(200)
 		tracker.SetWorkers(workers, nil)
-		tracker.WorkerHeard("a")
+		tracker.RecordWorkerContact("a")
 	}
 	tracker.Advance(50 * time.Second)
 	tracker.SetWorkers(workers, nil)
@@ -101,7 +101,7 @@
 		for end := now + d; now < end; now += 250 * time.Millisecond {
 			tracker.Advance(now)
 			if heard {
-				tracker.WorkerHeard("a")
+				tracker.RecordWorkerContact("a")
 			}
 			tracker.SetWorkers(map[string]int{"a": workers, "b": 0}, nil)
 		}
--- a/internal/connectivity/relay_test.go
+++ b/internal/connectivity/relay_test.go
@@ -84,7 +84,7 @@
 func reachingTracker() *Tracker {
 	tracker := newTracker()
 	tracker.Advance(time.Second)
-	tracker.StateAnswered(200)
+	tracker.RecordStateReply(200)
 	return tracker
 }
 
--- a/internal/connectivity/routing.go
+++ b/internal/connectivity/routing.go
@@ -106,7 +106,7 @@
 	return workloadNames[w]
 }
 
-// ShouldHandOver reports whether to redirect a worker now, in a controller that can reach the state
+// ShouldRedirect reports whether to redirect a worker now, in a controller that can reach the state
 // service neither directly nor through a peer. alone is how long that has lasted; left is how long
 // the controller may still answer workers. Workers with urgent work go at once, those with other
 // work after a third of alone+left, and those without work after two thirds, so that their new
@@ -114,7 +114,7 @@
 //
 // The rule that this must not break: the cancel horizon. It is not decided here: the workers that
 // stay are answered only within it.
-func ShouldHandOver(w Workload, alone, left time.Duration) bool {
+func ShouldRedirect(w Workload, alone, left time.Duration) bool {
 	return 3*alone >= time.Duration(w)*(alone+left)
 }
 
@@ -126,11 +126,11 @@
 	return owner.HeartbeatAge <= within && !owner.HearsNoWorkers && milliseconds(owner.StateServiceMS) <= s.StaleAfter
 }
 
-// HolderReachable reports whether a worker's owner has sent us a recent heartbeat and does not report
+// OwnerReachable reports whether a worker's owner has sent us a recent heartbeat and does not report
 // that it hears no workers.
 //
 // The rule that this must not break: the cancel horizon, which the owner checks itself.
-func (t *Tracker) HolderReachable(owner string) bool {
+func (t *Tracker) OwnerReachable(owner string) bool {
 	s := t.Snapshot()
 	peer := s.Find(owner)
 	return peer != nil && s.heard(peer) && !peer.HearsNoWorkers
--- a/internal/connectivity/routing_test.go
+++ b/internal/connectivity/routing_test.go
@@ -138,26 +138,26 @@
 	})
 }
 
-// TestShouldHandOverInOrder checks that workers with urgent work are handed over at once, none before a
+// TestShouldRedirectInOrder checks that workers with urgent work are redirected at once, none before a
 // worker with more urgent work, and all by the time at which they may not be answered any more.
-func TestShouldHandOverInOrder(t *testing.T) {
+func TestShouldRedirectInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := time.Duration(rapid.IntRange(1, 60_000).Draw(t, "window")) * time.Millisecond
 		alone := time.Duration(rapid.Int64Range(0, int64(window)).Draw(t, "alone"))
 		left := window - alone
 		went := true // whether the previous, more urgent workload goes
 		for w := UrgentWorkload; w <= NoWorkload; w++ {
-			goes := ShouldHandOver(w, alone, left)
+			goes := ShouldRedirect(w, alone, left)
 			if goes && !went {
-				t.Fatalf("workload %v is handed over before %v", w, w-1)
+				t.Fatalf("workload %v is redirected before %v", w, w-1)
 			}
-			if later := min(window, alone+time.Millisecond); goes && !ShouldHandOver(w, later, window-later) {
-				t.Fatal("a worker that is handed over now would stay a moment later")
+			if later := min(window, alone+time.Millisecond); goes && !ShouldRedirect(w, later, window-later) {
+				t.Fatal("a worker that is redirected now would stay a moment later")
 			}
 			went = goes
 		}
-		if !ShouldHandOver(UrgentWorkload, alone, left) || left == 0 && !went {
-			t.Fatal("a worker with urgent work is not handed over at once, or one without work not in time")
+		if !ShouldRedirect(UrgentWorkload, alone, left) || left == 0 && !went {
+			t.Fatal("a worker with urgent work is not redirected at once, or one without work not in time")
 		}
 	})
 }
--- a/internal/connectivity/statelink.go
+++ b/internal/connectivity/statelink.go
@@ -22,9 +22,9 @@
 	probing     bool          // a probe is in flight
 }
 
-// StateAnswered records the status of a call that we made to the state service directly, 0 if there
+// RecordStateReply records the status of a call that we made to the state service directly, 0 if there
 // was no answer.
-func (t *Tracker) StateAnswered(status int) {
+func (t *Tracker) RecordStateReply(status int) {
 	link := &t.state
 	if status == http.StatusServiceUnavailable {
 		link.refusedAt = t.now
@@ -86,7 +86,8 @@
 }
 
 // ShouldProbe reports whether to probe our own link to the state service now: while a peer relays our
-// calls, nothing else shows that the link is back. The caller must call Probed with the result.
+// calls, nothing else shows that the link is back. The caller must call RecordProbeReply with the
+// result.
 func (t *Tracker) ShouldProbe() bool {
 	link := &t.state
 	if !link.lost || t.relays.via == "" || link.probing || t.now < link.nextProbeAt {
@@ -96,8 +97,8 @@
 	return true
 }
 
-// Probed records the status with which a probe was answered, 0 if there was no answer.
-func (t *Tracker) Probed(status int) {
+// RecordProbeReply records the status with which a probe was answered, 0 if there was no answer.
+func (t *Tracker) RecordProbeReply(status int) {
 	link := &t.state
 	link.probing = false
 	if !isServiceAnswer(status) {
--- a/internal/connectivity/workerlinks.go
+++ b/internal/connectivity/workerlinks.go
@@ -79,9 +79,9 @@
 	return link.lost && quiet > interval/2 || awaited > 0 && quiet > 2*interval
 }
 
-// WorkerHeard records a heartbeat or answer of a worker in the zone. A single one clears
+// RecordWorkerContact records a heartbeat or answer of a worker in the zone. A single one clears
 // HearsNoWorkers.
-func (t *Tracker) WorkerHeard(zone string) {
+func (t *Tracker) RecordWorkerContact(zone string) {
 	t.workers.all.heardAt, t.workers.lost = t.now, false
 	if link := t.workers.zones[zone]; link != nil {
 		link.heardAt = t.now
--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -70,7 +70,7 @@
 		raw = encode(body)
 	}
 	c.call(protocol.Call{Target: protocol.ToCloud, Method: method, Path: path, Body: raw, Timeout: cloudCallTimeout}, func(r protocol.Reply) {
-		c.links.CloudAnswered(r.Status)
+		c.links.RecordCloudReply(r.Status)
 		done(r)
 	})
 }
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -292,7 +292,7 @@
 		m.probing = false
 		c.machines.probesInFlight--
 		if reply.Status != 0 {
-			c.links.WorkerHeard(m.claim.Zone)
+			c.links.RecordWorkerContact(m.claim.Zone)
 		}
 		if reply.Status != 0 || m.heardAt != heardBefore {
 			m.failedProbes = 0
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -23,7 +23,7 @@
 	if c.refuseWhileLoading(id) {
 		return
 	}
-	c.links.WorkerHeard(heartbeat.Zone)
+	c.links.RecordWorkerContact(heartbeat.Zone)
 	c.answerHeartbeat(id, heartbeat, false)
 }
 
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -43,7 +43,7 @@
 // callStateDirectly calls the state service on our own link.
 func (c *Core) callStateDirectly(call protocol.Call, done func(protocol.Reply)) {
 	c.call(call, func(reply protocol.Reply) {
-		c.links.StateAnswered(reply.Status)
+		c.links.RecordStateReply(reply.Status)
 		done(reply)
 	})
 }
@@ -68,7 +68,7 @@
 // probeStateService reads a small record on our own link.
 func (c *Core) probeStateService() {
 	call := protocol.Call{Target: protocol.ToStateService, Method: http.MethodGet, Path: protocol.PathKeys + "/" + keyFleet, Timeout: stateProbeTimeout}
-	c.call(call, func(reply protocol.Reply) { c.links.Probed(reply.Status) })
+	c.call(call, func(reply protocol.Reply) { c.links.RecordProbeReply(reply.Status) })
 }
 
 // updatePeerDemand passes to the rate budget how many peers want more than their share.
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -171,7 +171,7 @@
 func (c *Core) recordCancellation(id string) {
 	record := c.jobs.byID[id]
 	if record == nil {
-		c.links.NoteCancelled(id)
+		c.links.RecordCancelled(id)
 		return
 	}
 	if record.final() {
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -210,7 +210,7 @@
 	if remaining > 0 && m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
-	if remaining > 0 && c.isOwn(m) && !connectivity.ShouldHandOver(m.workload(), cutOffFor, remaining) {
+	if remaining > 0 && c.isOwn(m) && !connectivity.ShouldRedirect(m.workload(), cutOffFor, remaining) {
 		return ""
 	}
 	peer := connectivity.ChooseReceiver(&snapshot, heartbeat.Zone, heartbeat.Worker, owner, c.leaseExpiry())
@@ -300,7 +300,7 @@
 // when it was redirected each time, it spent its whole lease between a controller whose link to
 // the state service flapped and one that could not hear its zone.
 func (c *Core) shouldRedirectToOwner(m *machine, heartbeat *protocol.Heartbeat) bool {
-	if m.token == 0 || c.isOwn(m) || !c.links.HolderReachable(m.claim.Owner) {
+	if m.token == 0 || c.isOwn(m) || !c.links.OwnerReachable(m.claim.Owner) {
 		return false
 	}
 	if !c.cutOff() && !c.awaitsFirstAnswer(m, heartbeat) {
