--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -139,7 +139,7 @@
 	}
 	maxConns := 8 * n.socketTenth()
 	n.server = transport.NewServer(&n.mu, n, requestTimeout, maxConns)
-	n.server.ConnLimiter = connlimit.New(connlimit.Share(maxConns))
+	n.server.ConnLimiter = connlimit.New(connlimit.LimitsFor(maxConns))
 	n.server.Classify = connectionClass
 	// A worker that sends no request for a whole lease no longer uses its connection: its
 	// machine may have been deleted without closing the connection.
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -22,20 +22,20 @@
 // Class is what a connection is used for, by its last request.
 type Class uint8
 
-// Classes of connections. A Fresh connection has had no request yet. Classes is the number of classes.
+// Classes of connections. A Fresh connection has had no request yet. NumClasses is the number of classes.
 const (
 	Fresh Class = iota
 	User
 	Worker
 	Operator
-	Classes = 4
+	NumClasses = 4
 )
 
-var classNames = [Classes]string{"fresh", "user", "worker", "operator"}
+var classNames = [NumClasses]string{"fresh", "user", "worker", "operator"}
 
 // String returns the class's name, or "unknown" for an undefined value.
 func (c Class) String() string {
-	if c >= Classes {
+	if c >= NumClasses {
 		return "unknown"
 	}
 	return classNames[c]
@@ -56,10 +56,10 @@
 	Workers int
 }
 
-// Share returns the limits of a controller that may use total sockets for requests: half
+// LimitsFor returns the limits of a controller that may use total sockets for requests: half
 // of them are for waiting workers. The other half also has to serve the requests under
 // way and, when a peer is down, those of the peer's workers.
-func Share(total int) Limits { return Limits{Total: max(1, total), Workers: max(1, total/2)} }
+func LimitsFor(total int) Limits { return Limits{Total: max(1, total), Workers: max(1, total/2)} }
 
 // Stats shows how close the connections are to their limits.
 type Stats struct {
@@ -74,7 +74,7 @@
 // Limiter counts open connections and applies the limits. Create it with New.
 type Limiter struct {
 	limits Limits
-	count  [Classes]int
+	count  [NumClasses]int
 	open   int
 	stats  Stats
 }
@@ -83,7 +83,7 @@
 func New(limits Limits) *Limiter { return &Limiter{limits: limits} }
 
 // Open counts a connection that was just opened and returns true, or returns false to refuse
-// it. A refused connection is not counted and must not be passed to Use or Close.
+// it. A refused connection is not counted and must not be passed to Reclassify or Close.
 func (l *Limiter) Open() bool {
 	if l.open >= l.limits.Total {
 		l.stats.Refused++
@@ -95,8 +95,8 @@
 	return true
 }
 
-// Use moves a connection to another class, as its latest request requires.
-func (l *Limiter) Use(from, to Class) {
+// Reclassify moves a connection to another class, as its latest request requires.
+func (l *Limiter) Reclassify(from, to Class) {
 	l.count[from]--
 	l.count[to]++
 }
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -39,7 +39,7 @@
 		return
 	}
 	class := rapid.SampledFrom([]Class{User, Worker, Worker, Worker, Operator}).Draw(t, "class")
-	s.limiter.Use(c.class, class)
+	s.limiter.Reclassify(c.class, class)
 	c.class, c.busy, c.idle = class, true, false
 }
 
@@ -68,7 +68,7 @@
 // check fails the test if idle workers hold more connections than they may, or if the
 // Limiter's counts are wrong.
 func (s *server) check(t *rapid.T) {
-	idle, byClass := 0, [Classes]int{}
+	idle, byClass := 0, [NumClasses]int{}
 	for _, c := range s.open {
 		byClass[c.class]++
 		if c.class == Worker && c.idle {
@@ -88,7 +88,7 @@
 func TestLimiterKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(8, 80).Draw(t, "total")
-		s := &server{limiter: New(Share(total)), total: total}
+		s := &server{limiter: New(LimitsFor(total)), total: total}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			switch step := rapid.IntRange(0, 9).Draw(t, "step"); {
 			case step < 4 || len(s.open) == 0:
@@ -113,7 +113,7 @@
 		if !l.Open() {
 			t.Fatal("a worker's connection is refused although workers hold idle ones")
 		}
-		l.Use(Fresh, Worker)
+		l.Reclassify(Fresh, Worker)
 		if l.KeepAlive(Worker, true, urgent) {
 			kept++
 		} else {
@@ -128,7 +128,7 @@
 // the site's work was lost (shiftbook-akl-fleet with four times the machines, simulated: mark 0.17).
 func TestUsersGetInHoweverManyWorkersThereAre(t *testing.T) {
 	const total = 800
-	l := New(Share(total))
+	l := New(LimitsFor(total))
 	kept := connectWorkers(t, l, 10*total, false)
 	if kept != total/2-total/16 || !l.WorkersNearLimit() {
 		t.Errorf("%d of %d connections are kept by workers, near the limit: %v", kept, total, l.WorkersNearLimit())
@@ -143,7 +143,7 @@
 			break
 		}
 		users++
-		l.Use(Fresh, User)
+		l.Reclassify(Fresh, User)
 	}
 	if users != total/2 || l.Stats().Refused != 1 {
 		t.Errorf("%d users got a connection", users)
@@ -157,7 +157,7 @@
 	for _, c := range []struct {
 		class Class
 		want  string
-	}{{Fresh, "fresh"}, {User, "user"}, {Worker, "worker"}, {Operator, "operator"}, {Classes, "unknown"}} {
+	}{{Fresh, "fresh"}, {User, "user"}, {Worker, "worker"}, {Operator, "operator"}, {NumClasses, "unknown"}} {
 		t.Run(c.want, func(t *testing.T) {
 			if got := c.class.String(); got != c.want {
 				t.Errorf("the name of class %d is %q", uint8(c.class), got)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -51,7 +51,7 @@
 	Classify func(*Request) connlimit.Class
 	// Idle is how long a connection of each class may stay open without requests. It
 	// may be changed before Run.
-	Idle [connlimit.Classes]time.Duration
+	Idle [connlimit.NumClasses]time.Duration
 	// Ready, if set before Run, is called once with the addresses that the server
 	// listens at. They hold the actual port where port 0 was asked for.
 	Ready func(addrs []net.Addr)
@@ -252,7 +252,7 @@
 		s.conns[k.id] = k
 		k.closeAfter = r.Close
 		if class := s.Classify(r); class != k.class {
-			s.ConnLimiter.Use(k.class, class)
+			s.ConnLimiter.Reclassify(k.class, class)
 			k.class = class
 		}
 		s.handler.Serve(k.id, r)
