--- a/cmd/silvergate/staging_test.go
+++ b/cmd/silvergate/staging_test.go
@@ -53,13 +53,13 @@
 		t.Fatal(err)
 	}
 	defer bad.Close()
-	bad.Set(fakeserver.Faults{Damage: 0.02, Short: 0.1, Lie: 0.05, Error: 0.1, Stall: 0.05, StallFor: time.Second})
+	bad.SetFaults(fakeserver.Faults{Damage: 0.02, Truncate: 0.1, WrongLength: 0.05, Error: 0.1, Stall: 0.05, StallFor: time.Second})
 	slow, err := fakeserver.Serve("127.0.0.1:0", root, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	slow.Set(fakeserver.Faults{BytesPerS: 30e6, Stall: 0.02, StallFor: time.Second})
+	slow.SetFaults(fakeserver.Faults{BytesPerS: 30e6, Stall: 0.02, StallFor: time.Second})
 
 	k := newClient()
 	k.site = dir
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -72,7 +72,7 @@
 func newInputStore(a *Agent) (*inputStore, error) {
 	c := a.cfg.Staging
 	s, err := datastore.Open(datastore.Config{Dir: filepath.Join(a.cfg.Dir, "data"), Capacity: int64(c.CapacityGB * 1e9),
-		FetchRate: c.FetchMBPerS * 1e6, ServeRate: c.ServeMBPerS * 1e6, Streams: c.Streams, Serving: c.Serving, Patience: seconds(c.PatienceS)}, a.log)
+		FetchRate: c.FetchMBPerS * 1e6, ServeRate: c.ServeMBPerS * 1e6, Streams: c.Streams, ServeStreams: c.Serving, StallTimeout: seconds(c.PatienceS)}, a.log)
 	if err != nil {
 		return nil, fmt.Errorf("store of data sets: %w", err)
 	}
@@ -211,7 +211,7 @@
 		d.store.Fetch(w, func(err error) {
 			d.agent.mu.Lock()
 			defer d.agent.mu.Unlock()
-			if err != nil && !errors.Is(err, datastore.ErrDropped) {
+			if err != nil && !errors.Is(err, datastore.ErrCancelled) {
 				d.failed[w.ID] = true
 			}
 			d.refreshReport(true)
--- a/internal/datastore/evict.go
+++ b/internal/datastore/evict.go
@@ -105,7 +105,7 @@
 		return false
 	}
 	if f := s.fetches[id]; f != nil {
-		f.abort(ErrDropped)
+		f.abort(ErrCancelled)
 	}
 	if s.copies[id] != nil {
 		s.emit(Event{Kind: "drop", ID: id})
--- a/internal/datastore/fetch.go
+++ b/internal/datastore/fetch.go
@@ -48,7 +48,7 @@
 // that fetch: it adds the sources of w, and makes the fetch urgent if w is urgent. done
 // may be nil, as nobody waits for a copy that is staged ahead. done is called with nil
 // if the store has the copy, with an error that wraps ErrFull if there is no room, with
-// ErrDropped if the fetch was cancelled or the store is closed, and with another error
+// ErrCancelled if the fetch was cancelled or the store is closed, and with another error
 // if no source has the copy or this machine's disk fails.
 func (s *Store) Fetch(w Want, done func(error)) {
 	s.mu.Lock()
@@ -61,13 +61,13 @@
 		return
 	}
 	if s.closed {
-		go done(ErrDropped)
+		go done(ErrCancelled)
 		return
 	}
 	f := s.fetches[w.ID]
 	if f != nil && f.ctx.Err() != nil {
 		// The fetch was just cancelled: joining it would end this request with
-		// ErrDropped. Start a new fetch once it has finished.
+		// ErrCancelled. Start a new fetch once it has finished.
 		go func() {
 			<-f.finished
 			s.Fetch(w, done)
@@ -133,7 +133,7 @@
 	}
 	waiters := f.waiters
 	switch {
-	case errors.Is(err, ErrDropped):
+	case errors.Is(err, ErrCancelled):
 		s.emit(Event{Kind: "quit", ID: f.want.ID})
 	case err != nil:
 		s.log.Error("a copy can't be fetched", "copy", f.want.ID, "set", f.want.Set, "version", f.want.Version, "error", err)
@@ -286,11 +286,11 @@
 }
 
 // request sends one request and reads at most limit bytes of the answer. It gives up
-// if the source sends nothing for Config.Patience.
+// if the source sends nothing for Config.StallTimeout.
 func (s *Store) request(ctx context.Context, src Source, path, byteRange string, limit int) ([]byte, Outcome) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stallTimer := time.AfterFunc(s.cfg.Patience, cancel)
+	stallTimer := time.AfterFunc(s.cfg.StallTimeout, cancel)
 	defer stallTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+src.Address+path, nil)
 	if err != nil {
@@ -317,7 +317,7 @@
 	for {
 		n, err := r.Body.Read(buf)
 		if n > 0 {
-			stallTimer.Reset(s.cfg.Patience)
+			stallTimer.Reset(s.cfg.StallTimeout)
 			if data = append(data, buf[:n]...); len(data) > limit {
 				return nil, Failed // the body is longer than it may be
 			}
@@ -347,7 +347,7 @@
 	results := make(chan chunkResult, s.cfg.Streams)
 	inFlight := 0
 	defer func() {
-		f.abort(ErrDropped) // has no effect if the fetch was aborted before
+		f.abort(ErrCancelled) // has no effect if the fetch was aborted before
 		for ; inFlight > 0; inFlight-- {
 			<-results
 		}
--- a/internal/datastore/golden_test.go
+++ b/internal/datastore/golden_test.go
@@ -49,7 +49,7 @@
 // openStore opens the store in a folder.
 func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
-	s, err := Open(Config{Dir: dir, Capacity: 1 << 20, Patience: 5 * time.Second}, slog.New(slog.DiscardHandler))
+	s, err := Open(Config{Dir: dir, Capacity: 1 << 20, StallTimeout: 5 * time.Second}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/datastore/held.go
+++ b/internal/datastore/held.go
@@ -170,13 +170,13 @@
 // inputs changes only its own files. Elsewhere files are hard-linked, and Place checks
 // before each use whether a task has written to the copy's files; it then removes the
 // copy. In this case, and if the store does not have the copy, the error wraps
-// ErrNotHere. The folder belongs to the caller, who also removes it after an error.
+// ErrNotHeld. The folder belongs to the caller, who also removes it after an error.
 func (s *Store) Place(id dataset.ID, dir string) error {
 	s.mu.Lock()
 	h := s.copies[id]
 	if h == nil {
 		s.mu.Unlock()
-		return ErrNotHere
+		return ErrNotHeld
 	}
 	s.useCounter++
 	h.lastUse = s.useCounter
@@ -193,7 +193,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.log.Error("a copy has changed on disk and is removed", "copy", id, "error", err)
-		return errors.Join(ErrNotHere, s.evict(id))
+		return errors.Join(ErrNotHeld, s.evict(id))
 	}
 	if err := os.MkdirAll(filepath.Dir(dir), 0o700); err != nil {
 		return err
--- a/internal/datastore/serve.go
+++ b/internal/datastore/serve.go
@@ -41,6 +41,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.fetches[id]; f != nil && s.pins[id] == 0 {
-		f.abort(ErrDropped)
+		f.abort(ErrCancelled)
 	}
 }
--- a/internal/datastore/store.go
+++ b/internal/datastore/store.go
@@ -39,13 +39,13 @@
 	// FetchRate and ServeRate bound the bytes per second that are fetched, and
 	// that are served to other machines; 0: unbounded.
 	FetchRate, ServeRate float64
-	// Serving is how many requests of other machines are served at a time; 0: 8.
-	Serving int
+	// ServeStreams is how many requests of other machines are served at a time; 0: 8.
+	ServeStreams int
 	// Streams is how many chunks of a copy are fetched at a time; 0: 4.
 	Streams int
-	// Patience is how long a source may send nothing before its request is given up;
+	// StallTimeout is how long a source may send nothing before its request is given up;
 	// 0: 5 s.
-	Patience time.Duration
+	StallTimeout time.Duration
 }
 
 // Want is a request for a copy, with the sources from which it can be fetched.
@@ -73,10 +73,10 @@
 var (
 	// ErrFull means that no room can be made for a copy.
 	ErrFull = errors.New("no room for the copy: all other copies are in use, or the disk is full")
-	// ErrDropped means that a fetch was cancelled because the copy is no longer needed.
-	ErrDropped = errors.New("the fetch was cancelled: the copy is no longer needed")
-	// ErrNotHere means that the store does not have the whole copy.
-	ErrNotHere = errors.New("the store does not have the copy")
+	// ErrCancelled means that a fetch was cancelled because the copy is no longer needed.
+	ErrCancelled = errors.New("the fetch was cancelled: the copy is no longer needed")
+	// ErrNotHeld means that the store does not have the whole copy.
+	ErrNotHeld = errors.New("the store does not have the copy")
 )
 
 // Store is a machine's store of copies. It is safe for concurrent use. The caller of
@@ -128,11 +128,11 @@
 	if cfg.Streams <= 0 {
 		cfg.Streams = 4
 	}
-	if cfg.Serving <= 0 {
-		cfg.Serving = 8
+	if cfg.ServeStreams <= 0 {
+		cfg.ServeStreams = 8
 	}
-	if cfg.Patience <= 0 {
-		cfg.Patience = 5 * time.Second
+	if cfg.StallTimeout <= 0 {
+		cfg.StallTimeout = 5 * time.Second
 	}
 	s := &Store{cfg: cfg, log: log, openedAt: time.Now(), copies: map[dataset.ID]*heldCopy{}, fetches: map[dataset.ID]*fetching{},
 		chunks: map[dataset.Hash][]chunkLocation{}, pins: map[dataset.ID]int{},
@@ -142,7 +142,7 @@
 		s.emit(Event{Kind: "aside", Source: address})
 	})
 	s.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxRequestsPerSource, IdleConnTimeout: 30 * time.Second,
-		ResponseHeaderTimeout: cfg.Patience, DisableCompression: true}}
+		ResponseHeaderTimeout: cfg.StallTimeout, DisableCompression: true}}
 	for _, d := range []string{copiesDir, partialDir, manifestDir} {
 		if err := os.MkdirAll(filepath.Join(cfg.Dir, d), 0o700); err != nil {
 			return nil, err
@@ -230,7 +230,7 @@
 
 // Chunk reads a chunk for another machine, at the rate of Config.ServeRate. ok is false
 // if the store does not have the chunk, or its bytes on disk have changed. busy is true
-// if Config.Serving requests are already being served, or ctx ends before the rate
+// if Config.ServeStreams requests are already being served, or ctx ends before the rate
 // allows the answer. The caller owns data.
 func (s *Store) Chunk(ctx context.Context, h dataset.Hash) (data []byte, ok, busy bool) {
 	s.mu.Lock()
@@ -239,7 +239,7 @@
 		s.mu.Unlock()
 		return nil, false, false
 	}
-	if s.serving >= s.cfg.Serving {
+	if s.serving >= s.cfg.ServeStreams {
 		s.mu.Unlock()
 		return nil, true, true
 	}
@@ -308,14 +308,14 @@
 	return st
 }
 
-// Close ends all fetches with ErrDropped and waits for them. The chunks that they
+// Close ends all fetches with ErrCancelled and waits for them. The chunks that they
 // fetched stay on disk for a later fetch. Copies can still be read.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.closed = true
 	var all []*fetching
 	for _, f := range s.fetches {
-		f.abort(ErrDropped)
+		f.abort(ErrCancelled)
 		all = append(all, f)
 	}
 	s.mu.Unlock()
--- a/internal/datastore/store_test.go
+++ b/internal/datastore/store_test.go
@@ -61,13 +61,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Set(x)
+	f.SetFaults(x)
 	t.Cleanup(f.Close)
 	return f
 }
 
 func openTestStore(t testing.TB, dir string, capacity int64) *Store {
-	s, err := Open(Config{Dir: dir, Capacity: capacity, Patience: 300 * time.Millisecond}, discardLog)
+	s, err := Open(Config{Dir: dir, Capacity: capacity, StallTimeout: 300 * time.Millisecond}, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 // from one that is slow; the placed files must be as published.
 func TestFetchThroughFaults(t *testing.T) {
 	root := t.TempDir()
-	bad := startServer(t, root, fakeserver.Faults{Damage: 0.1, Short: 0.15, Lie: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
+	bad := startServer(t, root, fakeserver.Faults{Damage: 0.1, Truncate: 0.15, WrongLength: 0.1, Error: 0.15, Stall: 0.1, StallFor: 2 * time.Second})
 	slow := startServer(t, root, fakeserver.Faults{BytesPerS: 60e6})
 	unresponsive := startServer(t, root, fakeserver.Faults{})
 	unresponsive.SetUnresponsive(true)
@@ -130,7 +130,7 @@
 	}
 	// The only source always serves damaged bytes: the fetch keeps trying, and no copy
 	// becomes visible.
-	bad.Set(fakeserver.Faults{Damage: 1})
+	bad.SetFaults(fakeserver.Faults{Damage: 1})
 	_, w := publishVersion(t, root, "set", "x", map[string][]byte{"f": randomBytes(9, 2<<20)})
 	s := openTestStore(t, filepath.Join(t.TempDir(), "s"), 1<<30)
 	failed := make(chan error, 1)
@@ -220,7 +220,7 @@
 		t.Fatal(err)
 	}
 	// Each kill loses the four chunks under way, and each overwritten page one chunk.
-	if sent := srv.Sent.Load(); sent > size+8*(4+2)*dataset.ChunkSize {
+	if sent := srv.SentBytes.Load(); sent > size+8*(4+2)*dataset.ChunkSize {
 		t.Errorf("%d bytes were sent for %d: correct chunks were fetched again", sent, size)
 	}
 }
@@ -284,7 +284,7 @@
 	ended := make(chan error, 1)
 	s.Fetch(withSources(w, Source{srv.Address(), false}), func(err error) { ended <- err })
 	s.Cancel(w.ID)
-	if err := <-ended; !errors.Is(err, ErrDropped) {
+	if err := <-ended; !errors.Is(err, ErrCancelled) {
 		t.Fatal(err)
 	}
 	var kinds []string
@@ -349,7 +349,7 @@
 		if raw, _ := m.Encode(); dataset.Sum(raw) != ws[2].Digest {
 			t.Error("a changed copy was placed")
 		}
-	} else if !errors.Is(err, ErrNotHere) || s.Has(ws[2].ID) {
+	} else if !errors.Is(err, ErrNotHeld) || s.Has(ws[2].ID) {
 		t.Errorf("placing a changed copy: %v", err)
 	}
 }
@@ -364,7 +364,7 @@
 	if err := fetchAndWait(first, withSources(w, Source{srv.Address(), false})); err != nil {
 		t.Fatal(err)
 	}
-	before := srv.Sent.Load()
+	before := srv.SentBytes.Load()
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		status, body := Answer(r.Context(), first, strings.TrimPrefix(r.URL.Path, dataset.ChunkPath))
 		w.WriteHeader(status)
@@ -382,7 +382,7 @@
 	}
 	// Manifests and chunks came from the machine, except for requests that it refused
 	// because it was busy.
-	if more := srv.Sent.Load() - before; more > 4<<20 {
+	if more := srv.SentBytes.Load() - before; more > 4<<20 {
 		t.Errorf("the file server sent %d more bytes", more)
 	}
 	for path, want := range map[string]int{"/chunks/xyz": 400, "/chunks/" + strings.Repeat("0", 64): 404,
@@ -416,7 +416,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		run++
 		dir := filepath.Join(base, fmt.Sprint(run))
-		cfg := Config{Dir: dir, Capacity: 11_000, Patience: time.Second} // two copies of 5,000 bytes
+		cfg := Config{Dir: dir, Capacity: 11_000, StallTimeout: time.Second} // two copies of 5,000 bytes
 		s, err := Open(cfg, discardLog)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fakeserver/fileserver.go
+++ b/internal/fakeserver/fileserver.go
@@ -20,14 +20,14 @@
 	"silvergate/internal/dataset"
 )
 
-// Faults describes how a file server misbehaves. Damage, Short, Lie, Error and Stall are
+// Faults describes how a file server misbehaves. Damage, Truncate, WrongLength, Error and Stall are
 // probabilities that a response has that fault.
 type Faults struct {
-	Damage float64 // some bytes of the body are changed
-	Short  float64 // the body ends in the middle and the connection is closed
-	Lie    float64 // Content-Length is larger than the body
-	Error  float64 // the status is 500
-	Stall  float64 // the body pauses in the middle for StallFor
+	Damage      float64 // some bytes of the body are changed
+	Truncate    float64 // the body ends in the middle and the connection is closed
+	WrongLength float64 // Content-Length is larger than the body
+	Error       float64 // the status is 500
+	Stall       float64 // the body pauses in the middle for StallFor
 	// StallFor is how long a response with the fault Stall pauses.
 	StallFor time.Duration
 	// BytesPerS limits the rate of all responses together; 0 means no limit.
@@ -48,8 +48,8 @@
 	bandwidthFreeAt time.Time     // when the pieces sent so far have used up BytesPerS
 	done            chan struct{} // closed by Close
 
-	// Sent is the number of bytes of files that were sent.
-	Sent atomic.Int64
+	// SentBytes is the number of bytes of files that were sent.
+	SentBytes atomic.Int64
 	// Requests is the number of requests received.
 	Requests atomic.Int64
 }
@@ -70,8 +70,8 @@
 // Address returns the host and port that the server listens on.
 func (f *FileServer) Address() string { return f.addr }
 
-// Set replaces the faults of subsequent requests.
-func (f *FileServer) Set(faults Faults) {
+// SetFaults replaces the faults of subsequent requests.
+func (f *FileServer) SetFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
@@ -135,8 +135,8 @@
 		http.Error(w, "no such file", http.StatusNotFound)
 		return
 	}
-	if randomValue >= faults.Damage+faults.Short+faults.Lie+faults.Stall && faults.BytesPerS == 0 {
-		http.ServeContent(&countingWriter{ResponseWriter: w, sent: &f.Sent}, r, "", info.ModTime(), file)
+	if randomValue >= faults.Damage+faults.Truncate+faults.WrongLength+faults.Stall && faults.BytesPerS == 0 {
+		http.ServeContent(&countingWriter{ResponseWriter: w, sent: &f.SentBytes}, r, "", info.ModTime(), file)
 		return
 	}
 	recorded := responseRecorder{header: http.Header{}}
@@ -165,11 +165,11 @@
 			body[f.random.IntN(len(body))] ^= byte(1 + f.random.IntN(255))
 		}
 		f.mu.Unlock()
-	case randomValue < faults.Damage+faults.Short:
+	case randomValue < faults.Damage+faults.Truncate:
 		d.cutAt = len(body) / 2
-	case randomValue < faults.Damage+faults.Short+faults.Lie:
+	case randomValue < faults.Damage+faults.Truncate+faults.WrongLength:
 		recorded.header.Set("Content-Length", fmt.Sprint(len(body)+1+len(body)/3))
-	case randomValue < faults.Damage+faults.Short+faults.Lie+faults.Stall:
+	case randomValue < faults.Damage+faults.Truncate+faults.WrongLength+faults.Stall:
 		d.stallAt = len(body) / 2
 	}
 	return d
@@ -201,7 +201,7 @@
 		if _, err := w.Write(body[offset : offset+n]); err != nil {
 			return
 		}
-		f.Sent.Add(int64(n))
+		f.SentBytes.Add(int64(n))
 	}
 	if d.cutAt >= 0 {
 		panic(http.ErrAbortHandler)
