--- a/internal/coordination/failure_history.go
+++ b/internal/coordination/failure_history.go
@@ -25,7 +25,7 @@
 		r.firstFailureAt = c.now
 	}
 	r.failedOn[m.id] = true
-	if pause := c.failureHistory(r).Pause(seconds(c.cfg.Facts.Workers.Heartbeat)); pause > 0 {
+	if pause := c.failureHistory(r).RetryBackoff(seconds(c.cfg.Facts.Workers.Heartbeat)); pause > 0 {
 		r.retryAt = max(r.retryAt, c.now+pause)
 	}
 	if !c.isOwn(m) {
@@ -50,12 +50,12 @@
 
 // failureHistory returns the history of a job's failures for the rules of faultattribution.
 func (c *Core) failureHistory(r *jobRecord) faultattribution.Job {
-	settleTime := seconds(faultattribution.Settles * c.cfg.Facts.Workers.Heartbeat)
+	settleTime := seconds(faultattribution.SettleIntervals * c.cfg.Facts.Workers.Heartbeat)
 	return faultattribution.Job{
-		Machines: len(r.failedOn),
-		Rounds:   r.maxFailures,
-		Finished: r.finished,
-		Settled:  c.now-r.firstFailureAt > settleTime,
+		MachinesWithFailures: len(r.failedOn),
+		MaxTaskFailures:      r.maxFailures,
+		CompletedTasks:       r.finished,
+		Settled:              c.now-r.firstFailureAt > settleTime,
 	}
 }
 
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -159,7 +159,7 @@
 	// There is no need to plan for more than two pages of tasks at a time.
 	pending := min(r.spec.Tasks-r.bound-r.finished, 2*c.tasksPerPage())
 	if !isGang(r) {
-		pending = c.failureHistory(r).AtOnce(pending)
+		pending = c.failureHistory(r).MaxStartingTasks(pending)
 	}
 	for ; n < pending && team.withinLimit(used.plus(r.spec, 1)); n++ {
 		used = used.plus(r.spec, 1)
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -12,19 +12,19 @@
 
 // Job summarizes the failures of a job of which a task has failed.
 type Job struct {
-	Machines int  // number of machines on which tasks of the job failed
-	Rounds   int  // the most failures of any one task of the job
-	Finished int  // number of completed tasks
-	Settled  bool // the job has had time to fail on a second machine, see Settles
+	MachinesWithFailures int  // number of machines on which tasks of the job failed
+	MaxTaskFailures      int  // the most failures of any one task of the job
+	CompletedTasks       int  // number of completed tasks
+	Settled              bool // the job has had time to fail on a second machine, see SettleIntervals
 }
 
-// Settles is the time after a job's first failure, in heartbeat intervals of workers, by which a
+// SettleIntervals is the time after a job's first failure, in heartbeat intervals of workers, by which a
 // job that fails everywhere has most likely failed on a second machine.
-const Settles = 3
+const SettleIntervals = 3
 
 // Suspect reports whether the job itself seems to be at fault: it failed on more than one
 // machine, and none of its tasks has ever completed.
-func (j Job) Suspect() bool { return j.Machines > 1 && j.Finished == 0 }
+func (j Job) Suspect() bool { return j.MachinesWithFailures > 1 && j.CompletedTasks == 0 }
 
 // Weights of a job's failure as evidence against a machine, in halves.
 const (
@@ -40,7 +40,7 @@
 	switch {
 	case j.Suspect():
 		return noWeight
-	case j.Finished > 0:
+	case j.CompletedTasks > 0:
 		return fullWeight
 	case j.Settled:
 		return halfWeight
@@ -64,21 +64,21 @@
 // maxDoublings bounds how often the backoff is doubled.
 const maxDoublings = 6
 
-// Pause returns the backoff before a failed job is retried, given the heartbeat interval of
+// RetryBackoff returns the backoff before a failed job is retried, given the heartbeat interval of
 // workers. A job that failed on one machine alone is retried at once. For any other job the
 // backoff doubles with each failure, up to 64 intervals, so that its retries don't churn
 // machines.
-func (j Job) Pause(interval time.Duration) time.Duration {
-	if j.Machines < 2 {
+func (j Job) RetryBackoff(interval time.Duration) time.Duration {
+	if j.MachinesWithFailures < 2 {
 		return 0
 	}
-	return interval << min(max(j.Rounds, 1), maxDoublings)
+	return interval << min(max(j.MaxTaskFailures, 1), maxDoublings)
 }
 
-// AtOnce returns how many tasks of the job may be starting at a time. otherwise is the number
+// MaxStartingTasks returns how many tasks of the job may be starting at a time. otherwise is the number
 // for a job that is not suspect. A suspect job is tried with one task; once that task completes,
 // the job is no longer suspect.
-func (j Job) AtOnce(otherwise int) int {
+func (j Job) MaxStartingTasks(otherwise int) int {
 	if j.Suspect() {
 		return min(1, otherwise)
 	}
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -9,10 +9,10 @@
 
 func randomJob(t *rapid.T) Job {
 	return Job{
-		Machines: rapid.IntRange(1, 5).Draw(t, "machines"),
-		Rounds:   rapid.IntRange(1, 100).Draw(t, "rounds"),
-		Finished: rapid.IntRange(0, 3).Draw(t, "finished"),
-		Settled:  rapid.Bool().Draw(t, "settled"),
+		MachinesWithFailures: rapid.IntRange(1, 5).Draw(t, "machines"),
+		MaxTaskFailures:      rapid.IntRange(1, 100).Draw(t, "rounds"),
+		CompletedTasks:       rapid.IntRange(0, 3).Draw(t, "finished"),
+		Settled:              rapid.Bool().Draw(t, "settled"),
 	}
 }
 
@@ -24,10 +24,10 @@
 		var counted []Job
 		working := 0
 		for _, j := range jobs {
-			if !j.Suspect() && (j.Settled || j.Finished > 0) {
+			if !j.Suspect() && (j.Settled || j.CompletedTasks > 0) {
 				counted = append(counted, j)
 			}
-			if j.Finished > 0 {
+			if j.CompletedTasks > 0 {
 				working++
 			}
 		}
@@ -46,10 +46,10 @@
 
 func TestFaultyWeighsJobs(t *testing.T) {
 	var (
-		working    = Job{Machines: 1, Rounds: 1, Finished: 1}
-		unknown    = Job{Machines: 1, Rounds: 1, Settled: true}
-		mayFail    = Job{Machines: 1, Rounds: 1}
-		everywhere = Job{Machines: 2, Rounds: 1, Settled: true}
+		working    = Job{MachinesWithFailures: 1, MaxTaskFailures: 1, CompletedTasks: 1}
+		unknown    = Job{MachinesWithFailures: 1, MaxTaskFailures: 1, Settled: true}
+		mayFail    = Job{MachinesWithFailures: 1, MaxTaskFailures: 1}
+		everywhere = Job{MachinesWithFailures: 2, MaxTaskFailures: 1, Settled: true}
 	)
 	for _, c := range []struct {
 		name string
@@ -73,16 +73,16 @@
 	}
 }
 
-// TestPauseGrowsUpToABound guards against jobs whose retries churn machines, and against
+// TestRetryBackoffGrowsUpToABound guards against jobs whose retries churn machines, and against
 // backoffs without a limit.
-func TestPauseGrowsUpToABound(t *testing.T) {
+func TestRetryBackoffGrowsUpToABound(t *testing.T) {
 	const interval = 4 * time.Second
-	if p := (Job{Machines: 1, Rounds: 9}).Pause(interval); p != 0 {
+	if p := (Job{MachinesWithFailures: 1, MaxTaskFailures: 9}).RetryBackoff(interval); p != 0 {
 		t.Errorf("a job that failed on one machine waits %v", p)
 	}
 	last := time.Duration(0)
 	for rounds := range 200 {
-		p := (Job{Machines: 2, Rounds: rounds}).Pause(interval)
+		p := (Job{MachinesWithFailures: 2, MaxTaskFailures: rounds}).RetryBackoff(interval)
 		if p < last || p < 2*interval || p > 64*interval {
 			t.Errorf("after %d failures the backoff is %v, the previous one was %v", rounds, p, last)
 		}
@@ -90,19 +90,19 @@
 	}
 }
 
-func TestAtOnceTriesSuspectJobsWithOneTask(t *testing.T) {
+func TestMaxStartingTasksTriesSuspectJobsWithOneTask(t *testing.T) {
 	const otherwise = 128
 	for _, c := range []struct {
 		name string
 		job  Job
 		want int
 	}{
-		{"fails everywhere", Job{Machines: 2}, 1},
-		{"works", Job{Machines: 2, Finished: 1}, otherwise},
-		{"failed on one machine", Job{Machines: 1}, otherwise},
+		{"fails everywhere", Job{MachinesWithFailures: 2}, 1},
+		{"works", Job{MachinesWithFailures: 2, CompletedTasks: 1}, otherwise},
+		{"failed on one machine", Job{MachinesWithFailures: 1}, otherwise},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.job.AtOnce(otherwise); got != c.want {
+			if got := c.job.MaxStartingTasks(otherwise); got != c.want {
 				t.Errorf("%d tasks are tried at a time, want %d", got, c.want)
 			}
 		})
