--- a/internal/connectivity/relay_model_test.go
+++ b/internal/connectivity/relay_model_test.go
@@ -70,7 +70,7 @@
 				emit(next)
 			}
 		},
-		Broken: func(w *relayModelState) string {
+		Violation: func(w *relayModelState) string {
 			if w.violated {
 				return "an answer to another call was accepted"
 			}
@@ -142,7 +142,7 @@
 func TestRelayedAnswersBelongToTheirCalls(t *testing.T) {
 	r := modelcheck.Run(relayModel(matchesRequest), 6_000_000)
 	t.Log(r.States, "states, depth", r.Depth)
-	if r.Broken != "" || !r.Whole {
+	if r.Violation != "" || !r.Complete {
 		t.Error(r)
 	}
 }
@@ -154,7 +154,7 @@
 		return matchesRequest(response.Incarnation, to, requestHash, from, response)
 	}), 1_000_000)
 	t.Log(r.States, "states, depth", r.Depth)
-	if r.Broken == "" || len(r.Trace) > 8 {
+	if r.Violation == "" || len(r.Trace) > 8 {
 		t.Errorf("the model did not find, within 8 steps, that the incarnation is ignored: %v", r)
 	}
 }
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -37,7 +37,7 @@
 func (md *model) has(d defect) bool { return md.defects&d != 0 }
 
 func (md *model) explore(start func() world, limit int) modelcheck.Result {
-	return modelcheck.Run(modelcheck.Model[world]{Start: start(), Next: md.steps, Broken: md.violation, Label: describeStep}, limit)
+	return modelcheck.Run(modelcheck.Model[world]{Start: start(), Next: md.steps, Violation: md.violation, Label: describeStep}, limit)
 }
 
 // stateLimit returns how many states an exploration may visit: preset, or the value of SIM_STATES, which
@@ -57,7 +57,7 @@
 			t.Parallel()
 			r := (&model{bounds: sc.bounds}).explore(sc.start, stateLimit(200_000))
 			t.Logf("%+v: %v", sc.bounds, r)
-			if r.Broken != "" {
+			if r.Violation != "" {
 				t.Error("the invariant is violated")
 			}
 		})
@@ -104,7 +104,7 @@
 				}
 				r := (&model{bounds: sc.bounds, defects: d.defects}).explore(sc.start, stateLimit(600_000))
 				t.Logf("%+v: %v", sc.bounds, r)
-				if r.Broken != "" {
+				if r.Violation != "" {
 					return
 				}
 			}
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -20,30 +20,30 @@
 	// Next calls emit with each successor of a state, in an order that depends on the
 	// state alone. A state has at most 65,535 successors.
 	Next func(s *S, emit func(S))
-	// Broken describes the invariant that a state violates, "" if none.
-	Broken func(s *S) string
+	// Violation describes the invariant that a state violates, "" if none.
+	Violation func(s *S) string
 	// Label describes in a few words the step from one state to the next, for traces.
 	Label func(from, to *S) string
 }
 
 // Result is what an exploration found.
 type Result struct {
-	States int      // number of states visited
-	Steps  int      // number of steps tried
-	Depth  int      // number of levels that were expanded
-	Whole  bool     // no state was skipped because of the limit
-	Broken string   // the first violation of an invariant, "" if none
-	Trace  []string // the labels of the steps that lead to the violation
+	States    int      // number of states visited
+	Steps     int      // number of steps tried
+	Depth     int      // number of levels that were expanded
+	Complete  bool     // no state was skipped because of the limit
+	Violation string   // the first violation of an invariant, "" if none
+	Trace     []string // the labels of the steps that lead to the violation
 }
 
 // String returns the result in one line, followed by the steps that lead to the violation, if any.
 func (r Result) String() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Whole)
-	if r.Broken == "" {
+	fmt.Fprintf(&out, "%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
+	if r.Violation == "" {
 		return out.String()
 	}
-	out.WriteString(": " + r.Broken)
+	out.WriteString(": " + r.Violation)
 	for i, label := range r.Trace {
 		fmt.Fprintf(&out, "\n  %2d %s", i+1, label)
 	}
@@ -81,10 +81,10 @@
 		seed:    seed,
 		seen:    map[uint64]struct{}{maphash.Comparable(seed, m.Start): {}},
 		origins: []origin{{}},
-		result:  Result{States: 1, Whole: true, Broken: m.Broken(&m.Start)},
+		result:  Result{States: 1, Complete: true, Violation: m.Violation(&m.Start)},
 	}
 	level := []node[S]{{m.Start, 0}}
-	for ; len(level) > 0 && e.result.Broken == ""; e.result.Depth++ {
+	for ; len(level) > 0 && e.result.Violation == ""; e.result.Depth++ {
 		level = e.expand(level)
 	}
 	return e.result
@@ -100,7 +100,7 @@
 				next = append(next, node[S]{to, id})
 			}
 		})
-		if e.result.Broken != "" {
+		if e.result.Violation != "" {
 			break
 		}
 	}
@@ -113,18 +113,18 @@
 	r := &e.result
 	r.Steps++
 	hash := maphash.Comparable(e.seed, state)
-	if _, known := e.seen[hash]; known || r.Broken != "" {
+	if _, known := e.seen[hash]; known || r.Violation != "" {
 		return 0, false
 	}
 	if r.States >= e.limit {
-		r.Whole = false
+		r.Complete = false
 		return 0, false
 	}
 	e.seen[hash] = struct{}{}
 	r.States++
 	id = uint32(len(e.origins))
 	e.origins = append(e.origins, from)
-	if r.Broken = e.model.Broken(&state); r.Broken != "" {
+	if r.Violation = e.model.Violation(&state); r.Violation != "" {
 		r.Trace = e.trace(id)
 	}
 	return id, true
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -21,7 +21,7 @@
 			poured = min(s.five, 3-s.three)
 			emit(jugs{s.three + poured, s.five - poured})
 		},
-		Broken: func(s *jugs) string {
+		Violation: func(s *jugs) string {
 			if s.five == goal {
 				return "the goal"
 			}
@@ -33,7 +33,7 @@
 
 func TestRunFindsTheShortestTrace(t *testing.T) {
 	r := Run(puzzle(4), 1000)
-	if r.Broken != "the goal" || len(r.Trace) != 6 {
+	if r.Violation != "the goal" || len(r.Trace) != 6 {
 		t.Fatalf("no solution in six steps for an amount of four: %v", r)
 	}
 	if last := r.Trace[5]; last != "{2 5} to {3 4}" {
@@ -42,13 +42,13 @@
 }
 
 func TestRunSeesEveryState(t *testing.T) {
-	if r := Run(puzzle(6), 1000); r.Broken != "" || !r.Whole || r.States != 16 {
+	if r := Run(puzzle(6), 1000); r.Violation != "" || !r.Complete || r.States != 16 {
 		t.Errorf("want all sixteen states and no solution for an amount of six: %v", r)
 	}
 }
 
 func TestRunKeepsItsLimit(t *testing.T) {
-	if r := Run(puzzle(6), 10); r.Whole || r.States != 10 {
+	if r := Run(puzzle(6), 10); r.Complete || r.States != 10 {
 		t.Errorf("want ten states and a result that is not whole: %v", r)
 	}
 }
