--- a/internal/coordination/staging_announcements.go
+++ b/internal/coordination/staging_announcements.go
@@ -79,7 +79,7 @@
 func (d *stagingCoordinator) announcementMet(a *announcement) bool {
 	placed, name := 0, dataSetName(a.Set, a.Version)
 	for _, r := range d.core.jobs.byID {
-		if r.spec.Team == a.Team && r.spec.Priority >= protocol.PriorityOf(a.Priority) && slices.Contains(r.spec.Inputs, name) {
+		if r.spec.Team == a.Team && r.spec.Priority >= protocol.PriorityByName(a.Priority) && slices.Contains(r.spec.Inputs, name) {
 			placed += r.bound + r.finished
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 	wait := func(machine string) time.Duration { return d.planner.Expect(c.now, machine, []staging.ID{id}) }
 	holds := func(string) bool { return false } // the candidates include no holders
-	class := stagingClass(protocol.PriorityOf(a.Priority))
+	class := stagingClass(protocol.PriorityByName(a.Priority))
 	for _, machine := range staging.Place(candidates, missing+coming, wait, holds) {
 		d.planner.Promise(c.now, machine, id, class, a.Team, neededBy)
 	}
--- a/internal/protocol/terms.go
+++ b/internal/protocol/terms.go
@@ -23,8 +23,8 @@
 	"standing": job.Service,
 }
 
-// PriorityOf returns the priority with a wire name, or the lowest if the name is unknown.
-func PriorityOf(name string) job.Priority { return priorities[name] }
+// PriorityByName returns the priority with a wire name, or the lowest if the name is unknown.
+func PriorityByName(name string) job.Priority { return priorities[name] }
 
 // PriorityName returns the wire name of a priority, or "" if it has none.
 func PriorityName(priority job.Priority) string { return nameOf(priority, priorities) }
