--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -79,11 +79,11 @@
 	}
 	results, stories := []replay.Result{}, [][]replay.Event{}
 	for i := range incarnations {
-		r, err := incarnations[i].Play(o)
+		r, err := incarnations[i].Replay(o)
 		if err != nil {
 			return err
 		}
-		results, stories = append(results, r), append(stories, r.Story)
+		results, stories = append(results, r), append(stories, r.Events)
 	}
 	return printReplay(c.OutOrStdout(), f.output, results, replay.Merge(stories...))
 }
@@ -113,8 +113,8 @@
 				fmt.Fprintln(out, k)
 			}
 			fmt.Fprintf(out, "%s, life %d, build %q: %d inputs, %d with other effects", r.Node, r.Incarnation, r.Build, r.Inputs, r.Different)
-			if r.First != "" {
-				fmt.Fprintf(out, ", first %s", r.First)
+			if r.FirstDifference != "" {
+				fmt.Fprintf(out, ", first %s", r.FirstDifference)
 			}
 			if r.Torn {
 				fmt.Fprint(out, "; it ends in the middle of a frame, as a kill leaves it")
--- a/internal/coordination/recording_test.go
+++ b/internal/coordination/recording_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		panic(err)
 	}
-	recording.writer = recorder.NewMemory(&recording.buffer, h)
+	recording.writer = recorder.NewStreamWriter(&recording.buffer, h)
 	s.output.recordings = append(s.output.recordings, recording)
 	return recording.writer
 }
@@ -204,7 +204,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				w := recorder.NewMemory(io.Discard, r.Header)
+				w := recorder.NewStreamWriter(io.Discard, r.Header)
 				core := NewRecordedCore(c, w)
 				for i := range inputs {
 					in := &inputs[i]
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -52,7 +52,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		inputs := rapid.SliceOfN(rapid.Custom(genInput), 1, 12).Draw(t, "inputs")
 		var out bytes.Buffer
-		w := NewMemory(&out, Header{Node: "n0", Life: 7})
+		w := NewStreamWriter(&out, Header{Node: "n0", Life: 7})
 		for i := range inputs {
 			w.Put(&inputs[i])
 			if rapid.Bool().Draw(t, "cut") {
@@ -141,7 +141,7 @@
 // a recording in which inputs are missing between others.
 func TestASlowDiskEndsTheRecording(t *testing.T) {
 	in, out := io.Pipe()
-	w := NewMemory(out, Header{Node: "n0"})
+	w := NewStreamWriter(out, Header{Node: "n0"})
 	for i := range maxWaitingFrames + 4 {
 		w.Put(&Input{Kind: Tick, Steady: time.Duration(i), ID: uint64(i)})
 		w.endFrame()
@@ -168,7 +168,7 @@
 // FuzzReader guards against panics and endless reads on arbitrary files.
 func FuzzReader(f *testing.F) {
 	var out bytes.Buffer
-	w := NewMemory(&out, Header{Node: "n0", Life: 7})
+	w := NewStreamWriter(&out, Header{Node: "n0", Life: 7})
 	w.Put(&Input{Kind: Request, Method: http.MethodGet, Path: "/up"})
 	_ = w.Close()
 	f.Add(out.Bytes())
--- a/internal/recorder/writer.go
+++ b/internal/recorder/writer.go
@@ -68,9 +68,9 @@
 	return w, nil
 }
 
-// NewMemory returns a Writer that records into out as one segment of unlimited size, for
+// NewStreamWriter returns a Writer that records into out as one segment of unlimited size, for
 // tests. As with NewWriter, Close ends the writing goroutine.
-func NewMemory(out io.Writer, h Header) *Writer {
+func NewStreamWriter(out io.Writer, h Header) *Writer {
 	w := newWriter(Options{Segment: 1 << 40, Flush: time.Hour}, h)
 	w.openSegment = func(int) (io.WriteCloser, error) { return nopCloser{out}, nil }
 	w.removeOldest = func() error { return nil }
--- a/internal/replay/golden_test.go
+++ b/internal/replay/golden_test.go
@@ -13,7 +13,7 @@
 		t.Errorf("the folder has %d incarnations, want 4", len(incarnations))
 	}
 	for _, incarnation := range incarnations {
-		r, err := incarnation.Play(Options{})
+		r, err := incarnation.Replay(Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -117,22 +117,22 @@
 // Result is the result of an incarnation's replay. silvergate replay prints it as JSON, so
 // its JSON names must not change.
 type Result struct {
-	Node        string    `json:"node"`
-	Incarnation int64     `json:"life"`
-	Build       string    `json:"build"`
-	Inputs      int       `json:"inputs"`
-	Different   int       `json:"different"`       // number of inputs whose effects differ
-	First       string    `json:"first,omitempty"` // the first input whose effects differ
-	Torn        bool      `json:"torn,omitempty"`  // the last frame is incomplete: the process was killed
-	From        time.Time `json:"from"`
-	To          time.Time `json:"to"`
-	Known       []string  `json:"known,omitempty"` // what is known of each name at Options.At
-	Story       []Event   `json:"-"`
+	Node            string    `json:"node"`
+	Incarnation     int64     `json:"life"`
+	Build           string    `json:"build"`
+	Inputs          int       `json:"inputs"`
+	Different       int       `json:"different"`       // number of inputs whose effects differ
+	FirstDifference string    `json:"first,omitempty"` // the first input whose effects differ
+	Torn            bool      `json:"torn,omitempty"`  // the last frame is incomplete: the process was killed
+	From            time.Time `json:"from"`
+	To              time.Time `json:"to"`
+	Known           []string  `json:"known,omitempty"` // what is known of each name at Options.At
+	Events          []Event   `json:"-"`
 }
 
-// Play replays an incarnation's inputs through a new core. After an error the result covers
+// Replay replays an incarnation's inputs through a new core. After an error the result covers
 // the inputs that were read before it.
-func (i *Incarnation) Play(o Options) (Result, error) {
+func (i *Incarnation) Replay(o Options) (Result, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -153,7 +153,7 @@
 		}
 	}
 	p.explainer.describeAt(maxTime, &result) // if options.At is after the last input: describes the end
-	result.Story = p.explainer.events
+	result.Events = p.explainer.events
 	return result, nil
 }
 
@@ -217,8 +217,8 @@
 	}
 	if !same {
 		result.Different++
-		if result.First == "" {
-			result.First = fmt.Sprintf("input %d at %s, a %v %s %s", result.Inputs, wall.UTC().Format(clockFormat), in.Kind, in.Method, in.Path)
+		if result.FirstDifference == "" {
+			result.FirstDifference = fmt.Sprintf("input %d at %s, a %v %s %s", result.Inputs, wall.UTC().Format(clockFormat), in.Kind, in.Method, in.Path)
 		}
 	}
 	p.explainer.observe(in, &effects)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := incarnations[0].Play(Options{Names: []string{"i-000001", "wk-700000/0"}, At: at})
+	r, err := incarnations[0].Replay(Options{Names: []string{"i-000001", "wk-700000/0"}, At: at})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 		t.Errorf("the replay returned %+v", r)
 	}
 	var text string
-	for _, event := range r.Story {
+	for _, event := range r.Events {
 		text += event.String() + "\n"
 	}
 	for _, want := range []string{"hears i-000001, session 1, tally 1, token 0: attempt 1 running", "sends a transaction on it", "i-000001 is ours, token",
@@ -179,7 +179,7 @@
 	if err := os.WriteFile(last, raw[:len(raw)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	torn, err := incarnations[0].Play(Options{})
+	torn, err := incarnations[0].Replay(Options{})
 	if err != nil || !torn.Torn || torn.Inputs >= r.Inputs || torn.Different > 0 {
 		t.Errorf("with the last frame cut off: %+v, %v", torn, err)
 	}
