--- a/cmd/silvergate/bench.go
+++ b/cmd/silvergate/bench.go
@@ -23,9 +23,9 @@
 			var rows [][]string
 			for _, zipf := range []bool{false, true} {
 				for _, m := range machines {
-					for _, way := range stagebench.Ways {
-						fmt.Fprintf(c.ErrOrStderr(), "%s, %d machines, popular sets %t\n", way, m, zipf)
-						r := stagebench.Run(way, stagebench.Options{Machines: m, Zipf: zipf, Seed: seed, Seconds: seconds})
+					for _, strategy := range stagebench.Strategies {
+						fmt.Fprintf(c.ErrOrStderr(), "%s, %d machines, popular sets %t\n", strategy, m, zipf)
+						r := stagebench.Run(strategy, stagebench.Options{Machines: m, Zipf: zipf, Seed: seed, Seconds: seconds})
 						all = append(all, r)
 						kind := "plain"
 						if zipf {
--- a/cmd/silvergate/staging_test.go
+++ b/cmd/silvergate/staging_test.go
@@ -164,7 +164,7 @@
 	}
 	lines = deleteEmpty(lines)
 	stop()
-	if wrong, n := stagecheck.Reads(lines, want); len(wrong) > 0 || n < 16*2*3 {
+	if wrong, n := stagecheck.CheckReads(lines, want); len(wrong) > 0 || n < 16*2*3 {
 		t.Errorf("%d reads checked, wrong ones: %v", n, wrong)
 	}
 	var files []string
@@ -172,14 +172,14 @@
 		found, _ := filepath.Glob(filepath.Join(dir, "cloud", where, "*", "data", "events.jsonl"))
 		files = append(files, found...)
 	}
-	events, err := stagecheck.Read(files)
+	events, err := stagecheck.ReadEvents(files)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// A heartbeat period is a second, but a test machine may stall for longer through no
 	// fault of the site, so the limit here is a whole lease. The measured delay is in the
 	// log below, and in docs/results.md.
-	wrong, n, latest := stagecheck.Starts(events, 10*time.Second)
+	wrong, n, latest := stagecheck.CheckStarts(events, 10*time.Second)
 	if len(wrong) > 0 || n < 11*2 {
 		t.Errorf("%d urgent fetches checked, wrong ones: %v", n, wrong)
 	}
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -18,19 +18,19 @@
 	"silvergate/internal/staging"
 )
 
-// Way is a way of bringing data to tasks.
-type Way string
+// Strategy is a way of bringing data to tasks.
+type Strategy string
 
-// Ways, in the order of how much they know.
+// Strategies, in the order of how much they know.
 const (
-	Blind    Way = "blind"    // any machine with room, which fetches the data once the task is assigned to it
-	Locality Way = "locality" // machines that hold the data are preferred
-	Staging  Way = "staging"  // like Locality, and data is staged ahead, also from machine to machine
-	Oracle   Way = "oracle"   // knows every task and its machine in advance: data moves as soon as it exists
+	Blind    Strategy = "blind"    // any machine with room, which fetches the data once the task is assigned to it
+	Locality Strategy = "locality" // machines that hold the data are preferred
+	Staging  Strategy = "staging"  // like Locality, and data is staged ahead, also from machine to machine
+	Oracle   Strategy = "oracle"   // knows every task and its machine in advance: data moves as soon as it exists
 )
 
-// Ways lists all ways.
-var Ways = []Way{Blind, Locality, Staging, Oracle}
+// Strategies lists all strategies.
+var Strategies = []Strategy{Blind, Locality, Staging, Oracle}
 
 // Options are the parameters of a simulation. Equal options give equal results,
 // except for Result.DecisionUS.
@@ -64,7 +64,7 @@
 
 // Result holds the figures of a run.
 type Result struct {
-	Way        Way
+	Way        Strategy
 	Machines   int
 	Zipf       bool
 	Urgent     int
@@ -111,7 +111,7 @@
 // sim is a simulated cluster.
 type sim struct {
 	options       Options
-	strategy      Way
+	strategy      Strategy
 	random        *rand.Rand
 	now           float64
 	nodes         []*node
@@ -144,15 +144,15 @@
 	placements   int
 }
 
-// Run simulates one way of bringing data to tasks.
-func Run(way Way, o Options) Result {
+// Run simulates one strategy for bringing data to tasks.
+func Run(strategy Strategy, o Options) Result {
 	s := &sim{
-		options: o, strategy: way, random: rand.New(rand.NewPCG(o.Seed, 7)),
+		options: o, strategy: strategy, random: rand.New(rand.NewPCG(o.Seed, 7)),
 		byName: map[string]*node{}, byAddress: map[string]*node{}, active: map[*node]bool{},
 		data: dataSets{published: map[staging.ID]float64{}, servers: map[staging.ID][2]int{}},
 	}
 	cfg := staging.Config{Controllers: 1, ServerStreams: int(serverBps / machineBps), PeerStreams: 2, MachineStreams: 1, Rate: machineBps, Report: time.Second}
-	if way != Staging {
+	if strategy != Staging {
 		cfg.PeerStreams, cfg.ServerStreams, cfg.MachineStreams = 0, 1<<20, 1<<20
 	}
 	s.planner = staging.New(cfg, func([]staging.ID) string { return "" }, rand.New(rand.NewPCG(o.Seed, 8)))
--- a/internal/stagebench/stagebench_test.go
+++ b/internal/stagebench/stagebench_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// TestEachWayKnowsMore guards against a way that is not better than one that knows less,
+// TestEachStrategyKnowsMore guards against a strategy that is not better than one that knows less,
 // in a small cluster that takes a moment to simulate, and against runs with equal seeds
 // that give different figures.
-func TestEachWayKnowsMore(t *testing.T) {
-	p99, share := map[Way]float64{}, map[Way]float64{}
-	for _, w := range Ways {
+func TestEachStrategyKnowsMore(t *testing.T) {
+	p99, share := map[Strategy]float64{}, map[Strategy]float64{}
+	for _, w := range Strategies {
 		r := Run(w, Options{Machines: 60, Seed: 2, Seconds: 200})
 		if r.Urgent == 0 {
 			t.Fatalf("%s: no urgent task started", w)
--- a/internal/stagecheck/stagecheck.go
+++ b/internal/stagecheck/stagecheck.go
@@ -15,9 +15,9 @@
 	"silvergate/internal/agent"
 )
 
-// Read reads the agents' events from files and sorts them by time. It skips lines
+// ReadEvents reads the agents' events from files and sorts them by time. It skips lines
 // that are cut off because the agent was killed.
-func Read(files []string) ([]agent.Event, error) {
+func ReadEvents(files []string) ([]agent.Event, error) {
 	var out []agent.Event
 	for _, path := range files {
 		f, err := os.Open(path)
@@ -36,13 +36,13 @@
 	return out, nil
 }
 
-// Starts checks that each copy that an urgent attempt needs is held, or fetched as
+// CheckStarts checks that each copy that an urgent attempt needs is held, or fetched as
 // urgent, within period after the fetch could have started, which is when the
 // chosen machine knows the job. An urgent fetch doesn't wait for a budget, since
 // it takes budget from other fetches at once; so while it runs, no other fetch on
-// its machine may accept a chunk. Starts returns the violations, how many needs
+// its machine may accept a chunk. CheckStarts returns the violations, how many needs
 // it checked, and the longest delay of a fetch.
-func Starts(events []agent.Event, period time.Duration) (wrong []string, judged int, latest time.Duration) {
+func CheckStarts(events []agent.Event, period time.Duration) (wrong []string, judged int, latest time.Duration) {
 	type copyOnMachine struct{ machine, copy string }
 	type need struct {
 		at   time.Time
@@ -100,10 +100,10 @@
 	return wrong, judged, latest
 }
 
-// Reads compares the data that programs read with the published data. Each line
+// CheckReads compares the data that programs read with the published data. Each line
 // has a version, a file and the hash that was read; want maps "VERSION FILE" to the
-// published hash. Reads returns the violations and how many reads it checked.
-func Reads(lines []string, want map[string]string) (wrong []string, judged int) {
+// published hash. CheckReads returns the violations and how many reads it checked.
+func CheckReads(lines []string, want map[string]string) (wrong []string, judged int) {
 	for _, l := range lines {
 		f := strings.Fields(l)
 		if len(f) != 3 {
--- a/internal/stagecheck/stagecheck_test.go
+++ b/internal/stagecheck/stagecheck_test.go
@@ -22,7 +22,7 @@
 		// The urgent task is stopped and its fetch cancelled, so other fetches go on.
 		e(100, "a", "needed", "q", true), e(101, "a", "begin", "q", true), e(110, "a", "quit", "q", false), e(111, "a", "chunk", "z", false),
 	}
-	if wrong, n, latest := Starts(good, time.Second); len(wrong) > 0 || n != 4 || latest != 10*time.Millisecond {
+	if wrong, n, latest := CheckStarts(good, time.Second); len(wrong) > 0 || n != 4 || latest != 10*time.Millisecond {
 		t.Fatalf("%v, %d judged", wrong, n)
 	}
 	for name, bad := range map[string][]agent.Event{
@@ -33,16 +33,16 @@
 		"evicted":       {e(0, "a", "visible", "y", true), e(1, "a", "evict", "y", false), e(2, "a", "needed", "y", true)},
 		"other machine": {e(0, "a", "needed", "y", true), e(1, "b", "begin", "y", true)},
 	} {
-		if wrong, _, _ := Starts(bad, time.Second); len(wrong) == 0 {
+		if wrong, _, _ := CheckStarts(bad, time.Second); len(wrong) == 0 {
 			t.Errorf("%s: no violation was found", name)
 		}
 	}
 	want := map[string]string{"1 a": "h1", "2 a": "h2"}
-	if wrong, n := Reads([]string{"1 a h1", "2 a h2", "1 a h1"}, want); len(wrong) > 0 || n != 3 {
+	if wrong, n := CheckReads([]string{"1 a h1", "2 a h2", "1 a h1"}, want); len(wrong) > 0 || n != 3 {
 		t.Fatalf("%v, %d judged", wrong, n)
 	}
 	for _, bad := range []string{"1 a h2", "1 a e3b0", "3 a h1", "1 b h1", "1 a"} {
-		if wrong, _ := Reads([]string{bad}, want); len(wrong) != 1 {
+		if wrong, _ := CheckReads([]string{bad}, want); len(wrong) != 1 {
 			t.Errorf("%q: expected one violation, got %v", bad, wrong)
 		}
 	}
--- a/tools/stagingplot/main.go
+++ b/tools/stagingplot/main.go
@@ -36,7 +36,7 @@
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Y.Max = 3000 // room for the legend
-	byWay := map[stagebench.Way]plotter.XYs{}
+	byStrategy := map[stagebench.Strategy]plotter.XYs{}
 	for dec := json.NewDecoder(os.Stdin); dec.More(); {
 		var all []stagebench.Result
 		if err := dec.Decode(&all); err != nil {
@@ -44,14 +44,14 @@
 		}
 		for _, r := range all {
 			if !r.Zipf {
-				byWay[r.Way] = append(byWay[r.Way], plotter.XY{X: float64(r.Machines), Y: math.Max(r.P99, 0.1)})
+				byStrategy[r.Way] = append(byStrategy[r.Way], plotter.XY{X: float64(r.Machines), Y: math.Max(r.P99, 0.1)})
 			}
 		}
 	}
 	var lines []any
-	for _, w := range stagebench.Ways {
-		if len(byWay[w]) > 0 {
-			lines = append(lines, string(w), byWay[w])
+	for _, w := range stagebench.Strategies {
+		if len(byStrategy[w]) > 0 {
+			lines = append(lines, string(w), byStrategy[w])
 		}
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil { // also widens the axes to the data
