--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -99,7 +99,7 @@
 				return err
 			}
 			if cfg.Metrics {
-				p.Extra = metricsHandler(metrics.New("cloud", func() []metrics.Figure { return providerMetrics(p.Stats()) }), log, p.AnswerAs)
+				p.Extra = metricsHandler(metrics.New("cloud", func() []metrics.Figure { return providerMetrics(p.Stats()) }), log, p.AnswerWithType)
 			}
 			onStopSignal(p.Stop)
 			return p.Run(nil)
@@ -144,7 +144,7 @@
 				return err
 			}
 			if cfg.Metrics {
-				a.Extra = metricsHandler(metrics.New("agent", func() []metrics.Figure { return agentMetrics(a.Stats()) }), log, a.AnswerAs)
+				a.Extra = metricsHandler(metrics.New("agent", func() []metrics.Figure { return agentMetrics(a.Stats()) }), log, a.AnswerWithType)
 			}
 			onStopSignal(a.Stop)
 			return a.Run()
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -256,7 +256,7 @@
 // schedules the next tick. The lock must be held.
 func (n *controller) apply(effects coordination.Effects) {
 	for _, response := range effects.Responses {
-		n.server.AnswerFor(response.ID, response.Status, response.Body, response.RetryAfter, response.Urgent)
+		n.server.AnswerWithUrgency(response.ID, response.Status, response.Body, response.RetryAfter, response.Urgent)
 	}
 	for _, send := range effects.Sends {
 		if link := n.peers[send.To]; link != nil {
--- a/cmd/silvergate/serve_metrics.go
+++ b/cmd/silvergate/serve_metrics.go
@@ -17,7 +17,7 @@
 		n.log.Error("can't render the metrics", "error", err)
 		return false
 	}
-	n.server.AnswerAs(id, contentType, body)
+	n.server.AnswerWithType(id, contentType, body)
 	return true
 }
 
--- a/cmd/silvergate/state.go
+++ b/cmd/silvergate/state.go
@@ -35,7 +35,7 @@
 				return err
 			}
 			if cfg.Metrics {
-				s.Extra = metricsHandler(metrics.New("state", func() []metrics.Figure { return stateMetrics(s.Stats()) }), log, s.AnswerAs)
+				s.Extra = metricsHandler(metrics.New("state", func() []metrics.Figure { return stateMetrics(s.Stats()) }), log, s.AnswerWithType)
 			}
 			onStopSignal(s.Stop)
 			return s.Run(nil)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -384,9 +384,9 @@
 	}
 }
 
-// AnswerAs answers a request that Extra accepted; the lock must be held.
-func (a *Agent) AnswerAs(id uint64, contentType string, body []byte) {
-	a.server.AnswerAs(id, contentType, body)
+// AnswerWithType answers a request that Extra accepted; the lock must be held.
+func (a *Agent) AnswerWithType(id uint64, contentType string, body []byte) {
+	a.server.AnswerWithType(id, contentType, body)
 }
 
 // Stats returns the agent's statistics; the lock must be held, as it is in Extra.
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -302,7 +302,7 @@
 		d.agent.mu.Lock()
 		defer d.agent.mu.Unlock()
 		if status == http.StatusOK {
-			d.agent.server.AnswerAs(id, "application/octet-stream", body)
+			d.agent.server.AnswerWithType(id, "application/octet-stream", body)
 			return
 		}
 		retry := 0
--- a/internal/provider/http.go
+++ b/internal/provider/http.go
@@ -170,7 +170,7 @@
 	return q.Get("from"), min(page, maxPage), nil
 }
 
-// AnswerAs answers a request that Extra has accepted; the lock must be held.
-func (p *Provider) AnswerAs(id uint64, contentType string, body []byte) {
-	p.server.AnswerAs(id, contentType, body)
+// AnswerWithType answers a request that Extra has accepted; the lock must be held.
+func (p *Provider) AnswerWithType(id uint64, contentType string, body []byte) {
+	p.server.AnswerWithType(id, contentType, body)
 }
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -120,10 +120,10 @@
 // called from any goroutine.
 func (s *Service) Stop() { s.server.Stop() }
 
-// AnswerAs answers a request for which Extra returned true. The lock must be held, as it is
+// AnswerWithType answers a request for which Extra returned true. The lock must be held, as it is
 // in Extra.
-func (s *Service) AnswerAs(id uint64, contentType string, body []byte) {
-	s.server.AnswerAs(id, contentType, body)
+func (s *Service) AnswerWithType(id uint64, contentType string, body []byte) {
+	s.server.AnswerWithType(id, contentType, body)
 }
 
 // Stats returns the current statistics. The lock must be held, as it is in Extra.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -275,20 +275,20 @@
 
 // Answer sends the response to request id. The server's lock must be held.
 func (s *Server) Answer(id uint64, status int, body []byte, retryAfter int) {
-	s.AnswerFor(id, status, body, retryAfter, false)
+	s.AnswerWithUrgency(id, status, body, retryAfter, false)
 }
 
-// AnswerFor is Answer with urgent, which tells the connection limiter that urgent work
+// AnswerWithUrgency is Answer with urgent, which tells the connection limiter that urgent work
 // depends on the connection: it is kept in preference to others.
-func (s *Server) AnswerFor(id uint64, status int, body []byte, retryAfter int, urgent bool) {
+func (s *Server) AnswerWithUrgency(id uint64, status int, body []byte, retryAfter int, urgent bool) {
 	s.answer(id, status == http.StatusOK, urgent, func(dst []byte, closing bool) []byte {
 		return AppendResponse(dst, status, body, retryAfter, closing)
 	})
 }
 
-// AnswerAs answers request id with status 200 and a body of the given content type. The
+// AnswerWithType answers request id with status 200 and a body of the given content type. The
 // server's lock must be held.
-func (s *Server) AnswerAs(id uint64, contentType string, body []byte) {
+func (s *Server) AnswerWithType(id uint64, contentType string, body []byte) {
 	s.answer(id, true, false, func(dst []byte, closing bool) []byte {
 		return appendResponse(dst, http.StatusOK, contentType, body, 0, closing)
 	})
