--- a/internal/coordination/data_sets_test.go
+++ b/internal/coordination/data_sets_test.go
@@ -14,7 +14,7 @@
 // the rules that hold on every simulated day, it requires that most tasks start on machines that hold
 // their inputs, although most machines don't hold them.
 func TestRulesHoldWithDataSets(t *testing.T) {
-	warm, cold, withdrawn := 0, 0, 0
+	warm, cold, cancelled := 0, 0, 0
 	for seed := uint64(300); seed < 308; seed++ {
 		s := newSim(t, seed, 0.004)
 		for i := range 4 {
@@ -50,16 +50,16 @@
 		s.reportViolations(t)
 		warm, cold = warm+s.counts.warmStarts, cold+s.counts.coldStarts
 		for _, n := range s.controllers {
-			withdrawn += int(n.core.staging.planner.Stats.Withdrawn)
+			cancelled += int(n.core.staging.planner.Stats.Cancelled)
 			if copies := len(n.core.staging.prefetchJobs); copies > 0 {
 				t.Errorf("seed %d: %s still prefetches %d copies for jobs that are over", seed, n.name, copies)
 			}
 		}
 	}
-	t.Logf("%d launches on machines that held the inputs, %d on others, %d orders withdrawn", warm, cold, withdrawn)
+	t.Logf("%d launches on machines that held the inputs, %d on others, %d orders cancelled", warm, cold, cancelled)
 	// Guards against fetches that continue although their tasks were placed on other machines.
-	if withdrawn == 0 {
-		t.Error("no fetch order was withdrawn")
+	if cancelled == 0 {
+		t.Error("no fetch order was cancelled")
 	}
 	if warm < cold {
 		t.Errorf("%d launches on machines that held the inputs, but %d on others", warm, cold)
--- a/internal/coordination/staging.go
+++ b/internal/coordination/staging.go
@@ -46,7 +46,7 @@
 		PeerStreams:    s.PeerStreams,
 		MachineStreams: s.MachineStreams,
 		Rate:           s.RateMBPerS * bytesPerMB,
-		Report:         seconds(c.cfg.Facts.Workers.Heartbeat),
+		ReportPeriod:   seconds(c.cfg.Facts.Workers.Heartbeat),
 	}
 	return &stagingCoordinator{
 		core:         c,
@@ -143,7 +143,7 @@
 	if d == nil || len(s.Inputs) == 0 {
 		return 0
 	}
-	return d.planner.Expect(d.core.now, m.id, d.copies(s)).Seconds()
+	return d.planner.ExpectedTime(d.core.now, m.id, d.copies(s)).Seconds()
 }
 
 // stagingClass returns the urgency class of fetches for a job of the given priority.
@@ -161,14 +161,14 @@
 		return
 	}
 	for _, id := range d.copies(s) {
-		d.planner.Want(d.core.now, m.id, id, stagingClass(s.Priority), s.Team, 0)
+		d.planner.RequestFetch(d.core.now, m.id, id, stagingClass(s.Priority), s.Team, 0)
 	}
 }
 
 // machineLost removes from the planner a machine that was deleted or now belongs to another controller.
 func (d *stagingCoordinator) machineLost(id string) {
 	if d != nil {
-		d.planner.Lost(d.core.now, id)
+		d.planner.RemoveMachine(d.core.now, id)
 	}
 }
 
@@ -178,8 +178,8 @@
 	if d == nil || r == nil {
 		return nil
 	}
-	d.planner.Join(m.id, m.claim.Zone, m.claim.Address)
-	out := &protocol.StoreOrders{List: d.planner.Held(d.core.now, m.id, plannerReport(r))}
+	d.planner.SetMachine(m.id, m.claim.Zone, m.claim.Address)
+	out := &protocol.StoreOrders{List: d.planner.HandleReport(d.core.now, m.id, plannerReport(r))}
 	for _, order := range d.planner.Orders(m.id) {
 		if len(out.Fetch) == maxFetchOrders {
 			break // the length of a response is limited; later responses carry the rest
@@ -287,7 +287,7 @@
 		}
 		delete(d.prefetchJobs, fetch)
 		if !d.copyNeeded(fetch) {
-			d.planner.Unwant(c.now, fetch.machine, fetch.copy)
+			d.planner.CancelFetch(c.now, fetch.machine, fetch.copy)
 		}
 	}
 }
@@ -326,13 +326,13 @@
 func (d *stagingCoordinator) stageForQueue(r *jobRecord) {
 	c := d.core
 	copies := d.copies(r.spec)
-	wait := func(machine string) time.Duration { return d.planner.Expect(c.now, machine, copies) }
+	wait := func(machine string) time.Duration { return d.planner.ExpectedTime(c.now, machine, copies) }
 	holds := func(machine string) bool { return d.planner.Holds(machine, copies) }
 	chosen := staging.Place(d.queueCandidates(r), min(len(r.queue), maxStagedMachines), wait, holds)
 	for _, machine := range chosen {
 		for _, id := range copies {
 			d.prefetchJobs[prefetch{machine, id}] = r.spec.ID
-			d.planner.Want(c.now, machine, id, stagingClass(r.spec.Priority), r.spec.Team, 0)
+			d.planner.RequestFetch(c.now, machine, id, stagingClass(r.spec.Priority), r.spec.Team, 0)
 		}
 	}
 }
@@ -351,7 +351,7 @@
 			continue
 		}
 		if free := c.timeUntilRoom(r, m); free < staging.Never {
-			candidates = append(candidates, staging.Candidate{Machine: m.id, Free: free})
+			candidates = append(candidates, staging.Candidate{Machine: m.id, FreeIn: free})
 		}
 	}
 	return candidates
--- a/internal/coordination/staging_announcements.go
+++ b/internal/coordination/staging_announcements.go
@@ -128,22 +128,22 @@
 	c := d.core
 	id := staging.ID(v.CopyID())
 	share := d.ownShare(a.Machines)
-	plan := staging.Announcement{Copy: id, By: neededBy, Machines: share}
+	plan := staging.Announcement{Copy: id, NeededBy: neededBy, Machines: share}
 	operator := c.cfg.Operator.Staging
-	if c.now < plan.Begin(v.Bytes, operator.RateMBPerS*bytesPerMB, operator.PeerStreams) {
+	if c.now < plan.FetchStart(v.Bytes, operator.RateMBPerS*bytesPerMB, operator.PeerStreams) {
 		return
 	}
 	holders, candidates := d.announcementCandidates(a, id)
-	held, coming := d.planner.Holders(id)
+	held, coming := d.planner.HolderCounts(id)
 	missing := share - holders - coming
 	if missing <= 0 || held >= a.Machines {
 		return
 	}
-	wait := func(machine string) time.Duration { return d.planner.Expect(c.now, machine, []staging.ID{id}) }
+	wait := func(machine string) time.Duration { return d.planner.ExpectedTime(c.now, machine, []staging.ID{id}) }
 	holds := func(string) bool { return false } // the candidates include no holders
 	class := stagingClass(protocol.PriorityByName(a.Priority))
 	for _, machine := range staging.Place(candidates, missing+coming, wait, holds) {
-		d.planner.Promise(c.now, machine, id, class, a.Team, neededBy)
+		d.planner.Prefetch(c.now, machine, id, class, a.Team, neededBy)
 	}
 }
 
@@ -173,7 +173,7 @@
 			holders++
 		} else if len(candidates) < maxCandidates {
 			free := time.Duration(len(m.bound)) * time.Second
-			candidates = append(candidates, staging.Candidate{Machine: m.id, Free: free})
+			candidates = append(candidates, staging.Candidate{Machine: m.id, FreeIn: free})
 		}
 	}
 	return holders, candidates
--- a/internal/coordination/staging_wait.go
+++ b/internal/coordination/staging_wait.go
@@ -41,7 +41,7 @@
 	}
 	c, key := d.core, taskKey{r.spec.ID, index}
 	copies := d.copies(r.spec)
-	fetch := d.planner.Expect(c.now, m.id, copies)
+	fetch := d.planner.ExpectedTime(c.now, m.id, copies)
 	if fetch < c.sweepPeriod() {
 		delete(d.waitingSince, key)
 		return false
@@ -53,7 +53,7 @@
 	}
 	preemption := d.cheapestPreemption(r)
 	switch staging.Choose(fetch, free, preemption.duration, d.waited(key)) {
-	case staging.WaitThere:
+	case staging.WaitForHolder:
 		if _, ok := d.waitingSince[key]; !ok {
 			d.waitingSince[key] = c.now
 		}
@@ -61,7 +61,7 @@
 			c.scheduler.enqueueTask(r, &queuedTask{key: key, machine: holder})
 		}
 		return true
-	case staging.ClearThere:
+	case staging.PreemptHolder:
 		if queued == nil {
 			queued = &queuedTask{key: key, machine: preemption.machine.id}
 			c.scheduler.enqueueTask(r, queued)
@@ -89,7 +89,7 @@
 	if len(copies) == 0 {
 		return free, holder
 	}
-	d.planner.Some(copies[0], func(id string) bool {
+	d.planner.ForEachHolder(copies[0], func(id string) bool {
 		if m := d.core.machines.byID[id]; m != nil && d.mayPlaceOn(r, m) && d.planner.Holds(id, copies) {
 			if at := d.core.timeUntilRoom(r, m); at < free {
 				free, holder = at, id
--- a/internal/stagebench/placement.go
+++ b/internal/stagebench/placement.go
@@ -68,18 +68,18 @@
 	fetch := c.fetch
 	if c.freeNode == nil {
 		if fetch = staging.Never; c.preemptible != nil {
-			fetch = s.planner.Expect(s.nowDuration(), c.preemptible.id, []staging.ID{t.copy}) + stopTime
+			fetch = s.planner.ExpectedTime(s.nowDuration(), c.preemptible.id, []staging.ID{t.copy}) + stopTime
 		}
 	}
 	if t.waitingSince == 0 {
 		t.waitingSince = s.now
 	}
 	switch staging.Choose(fetch, c.wait, c.stop, time.Duration((s.now-t.waitingSince)*float64(time.Second))) {
-	case staging.ClearThere:
+	case staging.PreemptHolder:
 		s.preempt(c.preemptibleHolder)
 		s.assign(t, c.preemptibleHolder, s.now+stopS)
 		return true
-	case staging.WaitThere:
+	case staging.WaitForHolder:
 		return false
 	}
 	if c.freeNode == nil && fetch >= staging.Never {
@@ -99,7 +99,7 @@
 		if len(n.tasks) < slots {
 			cost := time.Duration(0)
 			if s.strategy == Locality || s.strategy == Staging {
-				cost = s.planner.Expect(s.nowDuration(), n.id, ids)
+				cost = s.planner.ExpectedTime(s.nowDuration(), n.id, ids)
 			}
 			if c.freeNode == nil || cost < c.fetch {
 				c.freeNode, c.fetch = n, cost
@@ -116,7 +116,7 @@
 
 // compareHolders considers machines that hold a task's data.
 func (s *sim) compareHolders(t *task, c *candidates) {
-	s.planner.Some(t.copy, func(id string) bool {
+	s.planner.ForEachHolder(t.copy, func(id string) bool {
 		n := s.byName[id]
 		if len(n.tasks) < slots {
 			c.freeNode, c.fetch, c.wait = n, 0, 0
@@ -172,11 +172,11 @@
 	id := staging.ID(fmt.Sprintf("new-%d", s.data.version))
 	by := s.data.published[id] + announceLeadS
 	want := int(math.Ceil(stagedPerNeeded * 0.1 * float64(s.options.Machines)))
-	a := staging.Announcement{Copy: id, By: time.Duration(by * float64(time.Second)), Machines: want}
-	if s.now > by+publishPeriodS/2 || s.nowDuration() < a.Begin(copyBytes, machineBps, 2) {
+	a := staging.Announcement{Copy: id, NeededBy: time.Duration(by * float64(time.Second)), Machines: want}
+	if s.now > by+publishPeriodS/2 || s.nowDuration() < a.FetchStart(copyBytes, machineBps, 2) {
 		return
 	}
-	held, coming := s.planner.Holders(id)
+	held, coming := s.planner.HolderCounts(id)
 	if held+coming >= want {
 		return
 	}
@@ -189,9 +189,9 @@
 		}
 	}
 	for _, m := range staging.Place(list, want-held-coming, func(m string) time.Duration {
-		return s.planner.Expect(s.nowDuration(), m, []staging.ID{id})
+		return s.planner.ExpectedTime(s.nowDuration(), m, []staging.ID{id})
 	}, func(string) bool { return false }) {
-		s.planner.Promise(s.nowDuration(), m, id, staging.Urgent, "team", a.By)
+		s.planner.Prefetch(s.nowDuration(), m, id, staging.Urgent, "team", a.NeededBy)
 		n := s.byName[m]
 		n.requested[id], s.active[n] = true, true
 	}
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -151,7 +151,8 @@
 		byName: map[string]*node{}, byAddress: map[string]*node{}, active: map[*node]bool{},
 		data: dataSets{published: map[staging.ID]float64{}, servers: map[staging.ID][2]int{}},
 	}
-	cfg := staging.Config{Controllers: 1, ServerStreams: int(serverBps / machineBps), PeerStreams: 2, MachineStreams: 1, Rate: machineBps, Report: time.Second}
+	cfg := staging.Config{Controllers: 1, ServerStreams: int(serverBps / machineBps), PeerStreams: 2, MachineStreams: 1,
+		Rate: machineBps, ReportPeriod: time.Second}
 	if strategy != Staging {
 		cfg.PeerStreams, cfg.ServerStreams, cfg.MachineStreams = 0, 1<<20, 1<<20
 	}
@@ -160,7 +161,7 @@
 		n := &node{id: fmt.Sprintf("m%05d", i), copies: map[staging.ID]float64{}, fetches: map[staging.ID]*transfer{}, requested: map[staging.ID]bool{}, index: i}
 		s.nodes = append(s.nodes, n)
 		s.byName[n.id], s.byAddress["a"+n.id] = n, n
-		s.planner.Join(n.id, "z", "a"+n.id)
+		s.planner.SetMachine(n.id, "z", "a"+n.id)
 	}
 	for i := range sets {
 		w := 1.0
@@ -279,7 +280,7 @@
 		// Each machine that holds a copy passes it on at its full rate, and the
 		// file servers send at their full rate.
 		age := (s.now - s.data.published[id]) * machineBps / copyBytes
-		if held, _ := s.planner.Holders(id); age < 1 || float64(held) >= 2*serverBps/machineBps*(math.Exp2(age)-1) {
+		if held, _ := s.planner.HolderCounts(id); age < 1 || float64(held) >= 2*serverBps/machineBps*(math.Exp2(age)-1) {
 			return false
 		}
 		s.measured.bytes += copyBytes
@@ -315,7 +316,7 @@
 }
 
 func (s *sim) requestFetch(n *node, id staging.ID, class staging.Class) {
-	s.planner.Want(s.nowDuration(), n.id, id, class, "team", 0)
+	s.planner.RequestFetch(s.nowDuration(), n.id, id, class, "team", 0)
 	n.requested[id], s.active[n] = true, true
 }
 
--- a/internal/stagebench/transfer.go
+++ b/internal/stagebench/transfer.go
@@ -70,11 +70,11 @@
 		if f.peer, f.server = s.byAddress[o.Peer], -1; f.peer == nil {
 			_, _ = fmt.Sscanf(o.Server, "s%d", &f.server)
 		}
-		s.planner.Held(s.nowDuration(), n.id, staging.Report{Digest: "", Pulls: []staging.Pull{
+		s.planner.HandleReport(s.nowDuration(), n.id, staging.Report{Digest: "", Pulls: []staging.Pull{
 			{ID: o.ID, Done: int64(copyBytes - f.remainingBytes), Total: copyBytes}}})
 	}
 	for id, f := range n.fetches {
-		if !going[id] { // displaced; in this model a new transfer starts from the beginning
+		if !going[id] { // preempted; in this model a new transfer starts from the beginning
 			if i := slices.Index(s.transfers, f); i >= 0 {
 				s.transfers = slices.Delete(s.transfers, i, i+1)
 			}
@@ -107,7 +107,7 @@
 			list = append(list, h)
 		}
 		slices.Sort(list)
-		s.planner.Held(s.nowDuration(), n.id, staging.Report{List: list, Listed: true})
+		s.planner.HandleReport(s.nowDuration(), n.id, staging.Report{List: list, Listed: true})
 	}
 	s.planner.CopyArrived(s.nowDuration(), n.id, id)
 }
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -52,8 +52,8 @@
 	// Rate is the assumed rate of one fetch, in bytes per second, until rates
 	// are measured.
 	Rate float64
-	// Report is the workers' report period.
-	Report time.Duration
+	// ReportPeriod is the workers' report period.
+	ReportPeriod time.Duration
 }
 
 // Order tells a machine to have a fetch under way. One of Peer and Server is set.
@@ -134,7 +134,7 @@
 	serverFetches map[string]int // fetches under way from each file server
 	givenBytes    map[string]float64
 	waiting       [Urgent + 1][]*pull
-	displaceable  map[string][]*pull // non-urgent fetches under way, by file server
+	preemptible   map[string][]*pull // non-urgent fetches under way, by file server
 	rate          float64            // bytes per second of one fetch, smoothed over all machines
 	// Stats counts the planner's decisions.
 	Stats Stats
@@ -142,15 +142,15 @@
 
 // Stats counts the decisions of a planner.
 type Stats struct {
-	Wanted, Withdrawn, Started, Finished, Displaced, Failed uint64
-	FromPeers, FromServers                                  uint64
+	Requested, Cancelled, Started, Finished, Preempted, Failed uint64
+	FromPeers, FromServers                                     uint64
 }
 
 // New returns a planner. digest is the function by which machines compute the
 // digest of the list of their copies.
 func New(cfg Config, digest func([]ID) string, rnd *rand.Rand) *Planner {
 	return &Planner{cfg: cfg, random: rnd, digest: digest, machines: map[string]*machine{}, copies: map[ID]*copyState{}, serverFetches: map[string]int{},
-		givenBytes: map[string]float64{}, displaceable: map[string][]*pull{}, rate: cfg.Rate}
+		givenBytes: map[string]float64{}, preemptible: map[string][]*pull{}, rate: cfg.Rate}
 }
 
 // streamsPerServer returns this controller's share of a file server's streams.
@@ -168,8 +168,8 @@
 	p.copies[c.ID] = &copyState{Copy: c, holderIndex: map[*machine]int{}}
 }
 
-// Join adds a machine of this controller or updates its zone and address.
-func (p *Planner) Join(id, zone, address string) {
+// SetMachine adds a machine of this controller or updates its zone and address.
+func (p *Planner) SetMachine(id, zone, address string) {
 	m := p.machines[id]
 	if m == nil {
 		m = &machine{id: id, held: map[*copyState]bool{}, pulls: map[*copyState]*pull{}, index: len(p.machineList)}
@@ -179,9 +179,9 @@
 	m.zone, m.address = zone, address
 }
 
-// Lost removes a machine with its fetches. Machines that fetched from it are
+// RemoveMachine removes a machine with its fetches. Machines that fetched from it are
 // given other sources.
-func (p *Planner) Lost(now time.Duration, id string) {
+func (p *Planner) RemoveMachine(now time.Duration, id string) {
 	m := p.machines[id]
 	if m == nil {
 		return
@@ -228,10 +228,10 @@
 	delete(d.holderIndex, m)
 }
 
-// Held processes a machine's report of its store. It returns true if the machine
+// HandleReport processes a machine's report of its store. It returns true if the machine
 // must list its copies because its digest differs from the one that came with its
 // last list.
-func (p *Planner) Held(now time.Duration, id string, r Report) (list bool) {
+func (p *Planner) HandleReport(now time.Duration, id string, r Report) (list bool) {
 	m := p.machines[id]
 	if m == nil {
 		return false
@@ -312,9 +312,9 @@
 	p.dispatch(now) // other machines may now fetch from this one
 }
 
-// Want requests that a machine fetches a copy for a team, unless the machine holds
+// RequestFetch requests that a machine fetches a copy for a team, unless the machine holds
 // it. A further request with a higher class raises the fetch to that class.
-func (p *Planner) Want(now time.Duration, id string, c ID, class Class, team string, by time.Duration) {
+func (p *Planner) RequestFetch(now time.Duration, id string, c ID, class Class, team string, by time.Duration) {
 	m, d := p.machines[id], p.copies[c]
 	if m == nil || d == nil || m.held[d] {
 		return
@@ -325,15 +325,15 @@
 		x = &pull{machine: m, copyState: d, class: class, team: team, deadline: by, wantedAt: now}
 		m.pulls[d] = x
 		d.fetching++
-		p.Stats.Wanted++
+		p.Stats.Requested++
 		p.enqueue(x)
 	case class > x.class:
 		if x.active {
 			if x.class < Urgent && class == Urgent {
 				m.running--
 				p.unpark(m)
-				if i := slices.Index(p.displaceable[x.server], x); i >= 0 {
-					p.displaceable[x.server] = slices.Delete(p.displaceable[x.server], i, i+1)
+				if i := slices.Index(p.preemptible[x.server], x); i >= 0 {
+					p.preemptible[x.server] = slices.Delete(p.preemptible[x.server], i, i+1)
 				}
 			}
 			x.class = class
@@ -349,11 +349,11 @@
 	p.dispatch(now)
 }
 
-// Promise requests that a machine fetches a copy for work that is announced for
+// Prefetch requests that a machine fetches a copy for work that is announced for
 // the time by. The fetch has the lowest class until just enough time is left, and
 // then rises to the class of the work.
-func (p *Planner) Promise(now time.Duration, id string, c ID, rise Class, team string, by time.Duration) {
-	p.Want(now, id, c, Prefetch, team, by)
+func (p *Planner) Prefetch(now time.Duration, id string, c ID, rise Class, team string, by time.Duration) {
+	p.RequestFetch(now, id, c, Prefetch, team, by)
 	if m, d := p.machines[id], p.copies[c]; m != nil && d != nil {
 		if x := m.pulls[d]; x != nil && x.deadline > 0 {
 			x.deadlineClass = max(x.deadlineClass, rise)
@@ -368,14 +368,14 @@
 		now >= x.deadline-time.Duration(2*float64(x.copyState.Bytes-x.doneBytes)/p.rate*float64(time.Second))
 }
 
-// Unwant cancels a fetch that is no longer needed.
-func (p *Planner) Unwant(now time.Duration, id string, c ID) {
+// CancelFetch cancels a fetch that is no longer needed.
+func (p *Planner) CancelFetch(now time.Duration, id string, c ID) {
 	m, d := p.machines[id], p.copies[c]
 	if m == nil || d == nil || m.pulls[d] == nil {
 		return
 	}
 	p.removePull(m.pulls[d])
-	p.Stats.Withdrawn++
+	p.Stats.Cancelled++
 	p.dispatch(now)
 }
 
@@ -390,11 +390,11 @@
 		for _, x := range p.sortedPulls(m) {
 			// An order can be lost with the answer that carried it, and a
 			// machine can give up a fetch without reporting it.
-			if x.active && now-x.reportedAt > 4*p.cfg.Report {
+			if x.active && now-x.reportedAt > 4*p.cfg.ReportPeriod {
 				p.failPull(now, x)
 			}
 			if p.mustRise(now, x) {
-				p.Want(now, m.id, x.copyState.ID, x.deadlineClass, x.team, x.deadline)
+				p.RequestFetch(now, m.id, x.copyState.ID, x.deadlineClass, x.team, x.deadline)
 			}
 		}
 	}
@@ -431,10 +431,10 @@
 	return out
 }
 
-// Expect returns the expected time until a machine holds all of the copies: the
+// ExpectedTime returns the expected time until a machine holds all of the copies: the
 // time to fetch their remaining bytes at the machine's rate, one copy after the
 // other.
-func (p *Planner) Expect(now time.Duration, id string, copies []ID) time.Duration {
+func (p *Planner) ExpectedTime(now time.Duration, id string, copies []ID) time.Duration {
 	if len(copies) == 0 {
 		return 0
 	}
@@ -479,17 +479,17 @@
 	return true
 }
 
-// Holders returns how many machines hold a copy, and how many are to fetch it.
-func (p *Planner) Holders(c ID) (held, coming int) {
+// HolderCounts returns how many machines hold a copy, and how many are to fetch it.
+func (p *Planner) HolderCounts(c ID) (held, coming int) {
 	if d := p.copies[c]; d != nil {
 		return len(d.holders), d.fetching
 	}
 	return 0, 0
 }
 
-// Some calls each for the holders of a copy, beginning with a random one, until
+// ForEachHolder calls each for the holders of a copy, beginning with a random one, until
 // each returns false or maxScanned holders were visited.
-func (p *Planner) Some(c ID, each func(machine string) bool) {
+func (p *Planner) ForEachHolder(c ID, each func(machine string) bool) {
 	d := p.copies[c]
 	if d == nil || len(d.holders) == 0 {
 		return
--- a/internal/staging/planner_test.go
+++ b/internal/staging/planner_test.go
@@ -22,7 +22,7 @@
 func digest(ids []ID) string { return fmt.Sprint(ids) }
 
 func newPlanner(servers int) *Planner {
-	return New(Config{Controllers: 1, ServerStreams: servers, PeerStreams: 2, MachineStreams: 2, Rate: 1e6, Report: time.Second},
+	return New(Config{Controllers: 1, ServerStreams: servers, PeerStreams: 2, MachineStreams: 2, Rate: 1e6, ReportPeriod: time.Second},
 		digest, rand.New(rand.NewPCG(1, 2)))
 }
 
@@ -92,8 +92,8 @@
 		}
 	}
 	for s, n := range p.serverFetches {
-		if n != servers[s] || n > p.streamsPerServer() || len(p.displaceable[s]) != users[s] {
-			return fmt.Errorf("%s: fetch counter %d for %d fetches, %d of %d non-urgent ones listed", s, n, servers[s], len(p.displaceable[s]), users[s])
+		if n != servers[s] || n > p.streamsPerServer() || len(p.preemptible[s]) != users[s] {
+			return fmt.Errorf("%s: fetch counter %d for %d fetches, %d of %d non-urgent ones listed", s, n, servers[s], len(p.preemptible[s]), users[s])
 		}
 	}
 	for _, x := range p.waiting[Urgent] {
@@ -120,11 +120,11 @@
 	id, cp := fmt.Sprint("m", m), ID(fmt.Sprint("c", c))
 	switch op {
 	case 0:
-		p.Join(id, fmt.Sprint("z", m%2), "addr"+id)
+		p.SetMachine(id, fmt.Sprint("z", m%2), "addr"+id)
 	case 1:
-		p.Lost(now, id)
+		p.RemoveMachine(now, id)
 	case 2:
-		p.Want(now, id, cp, Class(k%3), fmt.Sprint("t", k%2), 0)
+		p.RequestFetch(now, id, cp, Class(k%3), fmt.Sprint("t", k%2), 0)
 	case 3:
 		p.CopyArrived(now, id, cp)
 	case 4: // the machine lists its copies; a crash may have lost some
@@ -134,11 +134,11 @@
 				list = append(list, ID(fmt.Sprint("c", i)))
 			}
 		}
-		p.Held(now, id, Report{Digest: digest(list), List: list, Listed: true})
+		p.HandleReport(now, id, Report{Digest: digest(list), List: list, Listed: true})
 	case 5:
-		p.Held(now, id, Report{Digest: "other", Failed: []ID{cp}, Pulls: []Pull{{cp, 10, 100, 5e5}}})
+		p.HandleReport(now, id, Report{Digest: "other", Failed: []ID{cp}, Pulls: []Pull{{cp, 10, 100, 5e5}}})
 	case 6:
-		p.Unwant(now, id, cp)
+		p.CancelFetch(now, id, cp)
 	case 7: // the version's record changes
 		p.SetCopy(now, Copy{ID: cp, Bytes: 1 << 20, Servers: []string{"s0", fmt.Sprint("s", k%2)}[:1+k%2]})
 	case 8:
@@ -219,14 +219,14 @@
 func TestTeamsTakeTurns(t *testing.T) {
 	p := newPlanner(2)
 	for i := range 60 {
-		p.Join(fmt.Sprint("m", i), "z", "")
+		p.SetMachine(fmt.Sprint("m", i), "z", "")
 		p.SetCopy(0, Copy{ID: ID(fmt.Sprint("c", i)), Bytes: 1 << 20, Servers: []string{"s"}})
 	}
 	for i := range 50 {
-		p.Want(0, fmt.Sprint("m", i), ID(fmt.Sprint("c", i)), Normal, "flood", 0)
+		p.RequestFetch(0, fmt.Sprint("m", i), ID(fmt.Sprint("c", i)), Normal, "flood", 0)
 	}
 	for i := 50; i < 55; i++ {
-		p.Want(time.Second, fmt.Sprint("m", i), ID(fmt.Sprint("c", i)), Normal, "few", 0)
+		p.RequestFetch(time.Second, fmt.Sprint("m", i), ID(fmt.Sprint("c", i)), Normal, "few", 0)
 	}
 	var order []string
 	for len(order) < 14 {
@@ -250,22 +250,22 @@
 	}
 }
 
-// TestPromisesRiseInTime checks that a fetch for announced work waits behind many
+// TestPrefetchesRiseInTime checks that a fetch for announced work waits behind many
 // others until just enough time is left, and then rises.
-func TestPromisesRiseInTime(t *testing.T) {
+func TestPrefetchesRiseInTime(t *testing.T) {
 	p := newPlanner(1)
 	for i := range 20 {
-		p.Join(fmt.Sprint("m", i), "z", "")
+		p.SetMachine(fmt.Sprint("m", i), "z", "")
 		p.SetCopy(0, Copy{ID: ID(fmt.Sprint("c", i)), Bytes: 10e6, Servers: []string{"s"}}) // ten seconds each at 1 MB/s
-		p.Want(0, fmt.Sprint("m", i), ID(fmt.Sprint("c", i)), Normal, "flood", 0)
+		p.RequestFetch(0, fmt.Sprint("m", i), ID(fmt.Sprint("c", i)), Normal, "flood", 0)
 	}
 	p.SetCopy(0, Copy{ID: "morning", Bytes: 10e6, Servers: []string{"s"}})
-	p.Promise(0, "m0", "morning", Urgent, "few", 60*time.Second)
+	p.Prefetch(0, "m0", "morning", Urgent, "few", 60*time.Second)
 	began := time.Duration(0)
 	for now := time.Duration(0); now < 60*time.Second && began == 0; now += time.Second {
 		for _, m := range p.machineList {
 			for _, o := range p.Orders(m.id) {
-				p.Held(now, m.id, Report{Pulls: []Pull{{ID: o.ID}}})
+				p.HandleReport(now, m.id, Report{Pulls: []Pull{{ID: o.ID}}})
 				if o.ID == "morning" {
 					began = now
 				}
@@ -285,11 +285,11 @@
 	p.SetCopy(0, Copy{ID: "stuck", Bytes: 100, Servers: []string{"a"}})
 	p.SetCopy(0, Copy{ID: "free", Bytes: 100, Servers: []string{"b"}})
 	for i := range 300 {
-		p.Join(fmt.Sprint("m", i), "z", "")
-		p.Want(0, fmt.Sprint("m", i), "stuck", Normal, "t", 0)
+		p.SetMachine(fmt.Sprint("m", i), "z", "")
+		p.RequestFetch(0, fmt.Sprint("m", i), "stuck", Normal, "t", 0)
 	}
-	p.Join("last", "z", "")
-	p.Want(0, "last", "free", Normal, "t", 0)
+	p.SetMachine("last", "z", "")
+	p.RequestFetch(0, "last", "free", Normal, "t", 0)
 	for i := range 10 {
 		p.Tick(time.Duration(i) * time.Second / 10)
 	}
@@ -298,14 +298,14 @@
 	}
 	// Many fetches of one machine don't block another machine either.
 	p = newPlanner(1)
-	p.Join("many", "z", "")
+	p.SetMachine("many", "z", "")
 	for i := range 300 {
 		c := ID(fmt.Sprint("c", i))
 		p.SetCopy(0, Copy{ID: c, Bytes: 100, Servers: []string{fmt.Sprint("s", i)}})
-		p.Want(0, "many", c, Normal, "t", 0)
+		p.RequestFetch(0, "many", c, Normal, "t", 0)
 	}
-	p.Join("other", "z", "")
-	p.Want(0, "other", "c299", Normal, "t", 0)
+	p.SetMachine("other", "z", "")
+	p.RequestFetch(0, "other", "c299", Normal, "t", 0)
 	if len(p.Orders("other")) != 1 || len(p.Orders("many")) != p.cfg.MachineStreams {
 		t.Errorf("the other machine has %d fetches and the machine with many requests has %d", len(p.Orders("other")), len(p.Orders("many")))
 	}
@@ -318,16 +318,16 @@
 		fetch, free, stop, waited time.Duration
 		want                      Option
 	}{
-		{10 * s, 4 * s, Never, 0, WaitThere},
-		{10 * s, 4 * s, Never, 7 * s, FetchHere}, // has waited long enough
-		{10 * s, 12 * s, Never, 0, FetchHere},
-		{10 * s, 4 * s, 1 * s, 0, ClearThere},
-		{1 * s, 4 * s, 2 * s, 0, FetchHere},
-		{0, 0, 0, 0, FetchHere},
-		{10 * s, Never, Never, 0, FetchHere},
-		{10 * s, 4 * s, 6 * s, 0, ClearThere},
-		{10 * s, s / 2, 6 * s, 0, WaitThere},
-		{10 * s, s / 2, 6 * s, s, ClearThere}, // the room that was about to be free went to another task
+		{10 * s, 4 * s, Never, 0, WaitForHolder},
+		{10 * s, 4 * s, Never, 7 * s, FetchInputs}, // has waited long enough
+		{10 * s, 12 * s, Never, 0, FetchInputs},
+		{10 * s, 4 * s, 1 * s, 0, PreemptHolder},
+		{1 * s, 4 * s, 2 * s, 0, FetchInputs},
+		{0, 0, 0, 0, FetchInputs},
+		{10 * s, Never, Never, 0, FetchInputs},
+		{10 * s, 4 * s, 6 * s, 0, PreemptHolder},
+		{10 * s, s / 2, 6 * s, 0, WaitForHolder},
+		{10 * s, s / 2, 6 * s, s, PreemptHolder}, // the room that was about to be free went to another task
 	} {
 		if got := Choose(c.fetch, c.free, c.stop, c.waited); got != c.want {
 			t.Errorf("%+v: chose option %d", c, got)
@@ -339,7 +339,7 @@
 		waited := time.Duration(0)
 		for {
 			free := time.Duration(rapid.IntRange(0, 90).Draw(t, "free")) * s
-			if Choose(fetch, free, Never, waited) != WaitThere {
+			if Choose(fetch, free, Never, waited) != WaitForHolder {
 				break
 			}
 			waited += max(free, 100*time.Millisecond)
@@ -364,7 +364,7 @@
 		}
 		n := rapid.IntRange(0, 6).Draw(t, "n")
 		got := Place(list, n, func(m string) time.Duration { return cost[m] }, func(m string) bool { return there[m] })
-		at := func(c Candidate) time.Duration { return max(c.Free, cost[c.Machine]) }
+		at := func(c Candidate) time.Duration { return max(c.FreeIn, cost[c.Machine]) }
 		slices.SortStableFunc(list, func(a, b Candidate) int {
 			if x, y := at(a), at(b); x != y {
 				return int(x - y)
@@ -391,10 +391,10 @@
 func TestOnlyHolderIsDrained(t *testing.T) {
 	p := newPlanner(2)
 	p.SetCopy(0, Copy{ID: "only", Bytes: 10e6})
-	p.Join("holder", "a", "10.0.0.1:9000")
-	p.Join("task", "b", "10.0.0.2:9000")
-	p.Held(0, "holder", Report{Digest: "?", Listed: true, List: []ID{"only"}})
-	p.Want(0, "task", "only", Urgent, "red", 0)
+	p.SetMachine("holder", "a", "10.0.0.1:9000")
+	p.SetMachine("task", "b", "10.0.0.2:9000")
+	p.HandleReport(0, "holder", Report{Digest: "?", Listed: true, List: []ID{"only"}})
+	p.RequestFetch(0, "task", "only", Urgent, "red", 0)
 	from := func() string {
 		out := ""
 		for _, o := range p.Orders("task") {
@@ -406,13 +406,13 @@
 		t.Fatalf("the task's machine fetches from %q, not from the only holder", got)
 	}
 	// The drained machine takes no tasks, but still reports and serves.
-	p.Held(time.Second, "holder", Report{Digest: "?", Listed: true, List: []ID{"only"}})
-	p.Held(time.Second, "task", Report{Digest: "?", Listed: true, Pulls: []Pull{{ID: "only", Done: 4e6, Total: 10e6, Rate: 1e6}}})
+	p.HandleReport(time.Second, "holder", Report{Digest: "?", Listed: true, List: []ID{"only"}})
+	p.HandleReport(time.Second, "task", Report{Digest: "?", Listed: true, Pulls: []Pull{{ID: "only", Done: 4e6, Total: 10e6, Rate: 1e6}}})
 	p.Tick(time.Second)
 	if got := from(); got != "10.0.0.1:9000" {
 		t.Errorf("the task's machine fetches from %q while the only holder drains", got)
 	}
-	p.Lost(2*time.Second, "holder")
+	p.RemoveMachine(2*time.Second, "holder")
 	p.Tick(3 * time.Second)
 	if got := from(); got != "" {
 		t.Errorf("the task's machine fetches from %q, which is gone", got)
@@ -421,13 +421,13 @@
 		t.Error(err)
 	}
 	// Another machine turns out to hold it, or a file server publishes it again.
-	p.Join("other", "a", "10.0.0.3:9000")
-	p.Held(4*time.Second, "other", Report{Digest: "?", Listed: true, List: []ID{"only"}})
+	p.SetMachine("other", "a", "10.0.0.3:9000")
+	p.HandleReport(4*time.Second, "other", Report{Digest: "?", Listed: true, List: []ID{"only"}})
 	p.Tick(4 * time.Second)
 	if got := from(); got != "10.0.0.3:9000" {
 		t.Errorf("the task's machine fetches from %q when another machine has the copy", got)
 	}
-	p.Lost(5*time.Second, "other")
+	p.RemoveMachine(5*time.Second, "other")
 	p.SetCopy(6*time.Second, Copy{ID: "only", Bytes: 10e6, Servers: []string{"10.9.0.1:80"}})
 	p.Tick(6 * time.Second)
 	if got := from(); got != "10.9.0.1:80" {
--- a/internal/staging/pulls.go
+++ b/internal/staging/pulls.go
@@ -47,8 +47,8 @@
 	}
 	if x.server != "" {
 		p.serverFetches[x.server]--
-		if i := slices.Index(p.displaceable[x.server], x); i >= 0 {
-			p.displaceable[x.server] = slices.Delete(p.displaceable[x.server], i, i+1)
+		if i := slices.Index(p.preemptible[x.server], x); i >= 0 {
+			p.preemptible[x.server] = slices.Delete(p.preemptible[x.server], i, i+1)
 		}
 		x.server = ""
 	}
@@ -86,7 +86,7 @@
 		p.stopPull(x)
 		p.enqueue(x)
 	}
-	pause := p.cfg.Report << min(x.failures, maxPauseDoublings)
+	pause := p.cfg.ReportPeriod << min(x.failures, maxPauseDoublings)
 	x.failures++
 	x.notBefore = now + pause/2 + time.Duration(p.random.Float64()*float64(pause/2))
 }
@@ -165,7 +165,7 @@
 		p.serverFetches[server]++
 		p.Stats.FromServers++
 		if class < Urgent {
-			p.displaceable[server] = append(p.displaceable[server], best)
+			p.preemptible[server] = append(p.preemptible[server], best)
 		}
 	}
 	if class < Urgent {
@@ -206,7 +206,7 @@
 
 // chooseSource picks the source of a fetch: preferably a machine of its zone that
 // holds the copy, then a machine of another zone, then a file server. An urgent
-// fetch displaces a non-urgent one from a file server that has no free stream.
+// fetch preempts a non-urgent one from a file server that has no free stream.
 func (p *Planner) chooseSource(x *pull) (peer *machine, server string, ok bool) {
 	if n := len(x.copyState.holders); n > 0 {
 		start := p.random.IntN(n)
@@ -246,14 +246,14 @@
 		return nil, "", false
 	}
 	for _, s := range x.copyState.Servers {
-		if users := p.displaceable[s]; len(users) > 0 {
+		if users := p.preemptible[s]; len(users) > 0 {
 			// Displace the fetch that has the fewest bytes, as it loses least:
 			// its machine keeps the bytes, but the fetch goes to the end of
 			// the queue.
 			least := slices.MinFunc(users, func(a, b *pull) int {
 				return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.doneBytes, b.doneBytes), cmp.Compare(a.machine.id, b.machine.id))
 			})
-			p.Stats.Displaced++
+			p.Stats.Preempted++
 			p.stopPull(least)
 			p.enqueue(least)
 			return nil, s, true
