--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -103,8 +103,8 @@
 		return err
 	}
 	n.listen()
-	n.log.Info("serving", "bind", cfg.Listen, "back", cfg.Back)
-	return fmt.Errorf("serve: %w", n.server.Run(cfg.Listen, cfg.Back))
+	n.log.Info("serving", "bind", cfg.Listen, "back", cfg.PeerListen)
+	return fmt.Errorf("serve: %w", n.server.Run(cfg.Listen, cfg.PeerListen))
 }
 
 // socketTenth returns a tenth of the number of sockets that the process may open. Incoming
@@ -139,7 +139,7 @@
 	}
 	maxConns := 8 * n.socketTenth()
 	n.server = transport.NewServer(&n.mu, n, requestTimeout, maxConns)
-	n.server.ConnLimiter = connlimit.New(connlimit.Share(maxConns))
+	n.server.ConnLimiter = connlimit.New(connlimit.LimitsFor(maxConns))
 	n.server.Classify = connectionClass
 	// A worker that sends no request for a whole lease no longer uses its connection: its
 	// machine may have been deleted without closing the connection.
@@ -256,7 +256,7 @@
 // schedules the next tick. The lock must be held.
 func (n *controller) apply(effects coordination.Effects) {
 	for _, response := range effects.Responses {
-		n.server.AnswerFor(response.ID, response.Status, response.Body, response.RetryAfter, response.Urgent)
+		n.server.AnswerWithUrgency(response.ID, response.Status, response.Body, response.RetryAfter, response.Urgent)
 	}
 	for _, send := range effects.Sends {
 		if link := n.peers[send.To]; link != nil {
--- a/internal/coordination/cloud_scan.go
+++ b/internal/coordination/cloud_scan.go
@@ -70,7 +70,7 @@
 		raw = encode(body)
 	}
 	c.call(protocol.Call{Target: protocol.ToCloud, Method: method, Path: path, Body: raw, Timeout: cloudCallTimeout}, func(r protocol.Reply) {
-		c.links.CloudAnswered(r.Status)
+		c.links.RecordCloudReply(r.Status)
 		done(r)
 	})
 }
@@ -140,5 +140,5 @@
 // old mirror a machine that seems unclaimed may have been claimed since, and in an incomplete one
 // its claim may not have been read yet.
 func (c *Core) mirrorFresh() bool {
-	return c.state.Consistent() && c.now-c.state.FreshAt() < seconds(c.cfg.Facts.Workers.Report)
+	return c.state.Consistent() && c.now-c.state.FreshAt() < seconds(c.cfg.Facts.Workers.Heartbeat)
 }
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -30,7 +30,7 @@
 	unshipped := c.scaler.unshipped.machinesToAnnounce()
 	mirrorAge := c.mirrorAge()
 	links := c.links.LinkReports(mirrorAge, c.state.Throttled())
-	mirrorStale := c.state.Loaded() && c.now-c.state.FreshAt() > seconds(c.cfg.Facts.Workers.Report)
+	mirrorStale := c.state.Loaded() && c.now-c.state.FreshAt() > seconds(c.cfg.Facts.Workers.Heartbeat)
 	for _, controller := range c.cfg.Peers {
 		if mirrorStale {
 			c.queryCancellations(controller.Node)
@@ -171,7 +171,7 @@
 func (c *Core) recordCancellation(id string) {
 	record := c.jobs.byID[id]
 	if record == nil {
-		c.links.NoteCancelled(id)
+		c.links.RecordCancelled(id)
 		return
 	}
 	if record.final() {
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -150,7 +150,7 @@
 // aboveFairShare reports whether we own so many more workers than our fair share that a worker
 // should be redirected.
 func (c *Core) aboveFairShare(m *machine, fairShare float64) bool {
-	spare := spareHeartbeatRate * c.cfg.Facts.Workers.Report
+	spare := spareHeartbeatRate * c.cfg.Facts.Workers.Heartbeat
 	limit := maxFairShare*fairShare + spare
 	if c.isOwn(m) {
 		limit = maxFairShareOwn*fairShare + spare
@@ -189,7 +189,7 @@
 // for us, it returns a peer that could serve the worker when it was last heard. Workers with
 // urgent work are redirected so first, so that they are claimed there while we may still answer.
 func (c *Core) redirectTargetWhileCutOff(heartbeat *protocol.Heartbeat) string {
-	period := seconds(c.cfg.Facts.Workers.Report)
+	period := seconds(c.cfg.Facts.Workers.Heartbeat)
 	cutOffFor := c.now - c.state.FreshAt() - period
 	if cutOffFor < 0 || !c.state.Loaded() {
 		return ""
@@ -210,7 +210,7 @@
 	if remaining > 0 && m.redirectedAt > 0 && c.now-m.redirectedAt < 2*c.leaseExpiry() {
 		return ""
 	}
-	if remaining > 0 && c.isOwn(m) && !connectivity.ShouldHandOver(m.workload(), cutOffFor, remaining) {
+	if remaining > 0 && c.isOwn(m) && !connectivity.ShouldRedirect(m.workload(), cutOffFor, remaining) {
 		return ""
 	}
 	peer := connectivity.ChooseReceiver(&snapshot, heartbeat.Zone, heartbeat.Worker, owner, c.leaseExpiry())
@@ -300,7 +300,7 @@
 // when it was redirected each time, it spent its whole lease between a controller whose link to
 // the state service flapped and one that could not hear its zone.
 func (c *Core) shouldRedirectToOwner(m *machine, heartbeat *protocol.Heartbeat) bool {
-	if m.token == 0 || c.isOwn(m) || !c.links.HolderReachable(m.claim.Owner) {
+	if m.token == 0 || c.isOwn(m) || !c.links.OwnerReachable(m.claim.Owner) {
 		return false
 	}
 	if !c.cutOff() && !c.awaitsFirstAnswer(m, heartbeat) {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -51,7 +51,7 @@
 	Classify func(*Request) connlimit.Class
 	// Idle is how long a connection of each class may stay open without requests. It
 	// may be changed before Run.
-	Idle [connlimit.Classes]time.Duration
+	Idle [connlimit.NumClasses]time.Duration
 	// Ready, if set before Run, is called once with the addresses that the server
 	// listens at. They hold the actual port where port 0 was asked for.
 	Ready func(addrs []net.Addr)
@@ -252,7 +252,7 @@
 		s.conns[k.id] = k
 		k.closeAfter = r.Close
 		if class := s.Classify(r); class != k.class {
-			s.ConnLimiter.Use(k.class, class)
+			s.ConnLimiter.Reclassify(k.class, class)
 			k.class = class
 		}
 		s.handler.Serve(k.id, r)
@@ -275,20 +275,20 @@
 
 // Answer sends the response to request id. The server's lock must be held.
 func (s *Server) Answer(id uint64, status int, body []byte, retryAfter int) {
-	s.AnswerFor(id, status, body, retryAfter, false)
+	s.AnswerWithUrgency(id, status, body, retryAfter, false)
 }
 
-// AnswerFor is Answer with urgent, which tells the connection limiter that urgent work
+// AnswerWithUrgency is Answer with urgent, which tells the connection limiter that urgent work
 // depends on the connection: it is kept in preference to others.
-func (s *Server) AnswerFor(id uint64, status int, body []byte, retryAfter int, urgent bool) {
+func (s *Server) AnswerWithUrgency(id uint64, status int, body []byte, retryAfter int, urgent bool) {
 	s.answer(id, status == http.StatusOK, urgent, func(dst []byte, closing bool) []byte {
 		return AppendResponse(dst, status, body, retryAfter, closing)
 	})
 }
 
-// AnswerAs answers request id with status 200 and a body of the given content type. The
+// AnswerWithType answers request id with status 200 and a body of the given content type. The
 // server's lock must be held.
-func (s *Server) AnswerAs(id uint64, contentType string, body []byte) {
+func (s *Server) AnswerWithType(id uint64, contentType string, body []byte) {
 	s.answer(id, true, false, func(dst []byte, closing bool) []byte {
 		return appendResponse(dst, http.StatusOK, contentType, body, 0, closing)
 	})
