--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -132,7 +132,7 @@
 	machineList   []*machine
 	copies        map[ID]*copyState
 	serverFetches map[string]int // fetches under way from each file server
-	givenBytes    map[string]float64
+	grantedBytes  map[string]float64
 	waiting       [Urgent + 1][]*pull
 	preemptible   map[string][]*pull // non-urgent fetches under way, by file server
 	rate          float64            // bytes per second of one fetch, smoothed over all machines
@@ -150,7 +150,7 @@
 // digest of the list of their copies.
 func New(cfg Config, digest func([]ID) string, rnd *rand.Rand) *Planner {
 	return &Planner{cfg: cfg, random: rnd, digest: digest, machines: map[string]*machine{}, copies: map[ID]*copyState{}, serverFetches: map[string]int{},
-		givenBytes: map[string]float64{}, preemptible: map[string][]*pull{}, rate: cfg.Rate}
+		grantedBytes: map[string]float64{}, preemptible: map[string][]*pull{}, rate: cfg.Rate}
 }
 
 // streamsPerServer returns this controller's share of a file server's streams.
@@ -352,11 +352,11 @@
 // Prefetch requests that a machine fetches a copy for work that is announced for
 // the time by. The fetch has the lowest class until just enough time is left, and
 // then rises to the class of the work.
-func (p *Planner) Prefetch(now time.Duration, id string, c ID, rise Class, team string, by time.Duration) {
+func (p *Planner) Prefetch(now time.Duration, id string, c ID, deadlineClass Class, team string, by time.Duration) {
 	p.RequestFetch(now, id, c, Prefetch, team, by)
 	if m, d := p.machines[id], p.copies[c]; m != nil && d != nil {
 		if x := m.pulls[d]; x != nil && x.deadline > 0 {
-			x.deadlineClass = max(x.deadlineClass, rise)
+			x.deadlineClass = max(x.deadlineClass, deadlineClass)
 		}
 	}
 }
--- a/internal/staging/pulls.go
+++ b/internal/staging/pulls.go
@@ -171,19 +171,19 @@
 	if class < Urgent {
 		best.machine.running++
 	}
-	p.givenBytes[best.team] = max(p.givenBytes[best.team], p.leastGiven()) + float64(best.copyState.Bytes-best.doneBytes)
+	p.grantedBytes[best.team] = max(p.grantedBytes[best.team], p.leastGrantedBytes()) + float64(best.copyState.Bytes-best.doneBytes)
 	p.Stats.Started++
 	return true
 }
 
-// leastGiven returns the bytes granted to the waiting team that was granted least.
+// leastGrantedBytes returns the bytes granted to the waiting team that was granted least.
 // A new team's account starts at this value: from 0, it would go first until it
 // had caught up with all that the others were granted before.
-func (p *Planner) leastGiven() float64 {
+func (p *Planner) leastGrantedBytes() float64 {
 	low := -1.0
 	for class := range p.waiting {
 		for i, x := range p.waiting[class] {
-			if g, ok := p.givenBytes[x.team]; ok && (low < 0 || g < low) {
+			if g, ok := p.grantedBytes[x.team]; ok && (low < 0 || g < low) {
 				low = g
 			}
 			if i > maxScanned {
@@ -195,7 +195,7 @@
 }
 
 func (p *Planner) precedes(a, b *pull) bool {
-	if x, y := p.givenBytes[a.team], p.givenBytes[b.team]; a.team != b.team && x != y {
+	if x, y := p.grantedBytes[a.team], p.grantedBytes[b.team]; a.team != b.team && x != y {
 		return x < y
 	}
 	if a.deadline != b.deadline {
