--- a/internal/connectivity/cloudlink.go
+++ b/internal/connectivity/cloudlink.go
@@ -58,9 +58,9 @@
 // a moment ago. If so, a controller that the cloud does not answer leaves renting to the others; if
 // not, it is the cloud that is down.
 //
-// The rule that this must not break: only one controller rents. The one that gives up deletes the
-// leader record, conditional on its revision, and its successor creates a new one. Rentals that
-// were under way are on record by name, and are requested again under the same name.
+// The result can't violate the rule that only one controller rents: the one that gives up deletes
+// the leader record, conditional on its revision, and its successor creates a new one. Rentals
+// that were under way are on record by name, and are requested again under the same name.
 func PeerReachesCloud(s *Snapshot) bool {
 	return slices.ContainsFunc(s.Peers, func(peer Peer) bool {
 		return peer.Relays && s.heard(&peer) && !peer.CloudUnreachable &&
--- a/internal/connectivity/hysteresis.go
+++ b/internal/connectivity/hysteresis.go
@@ -49,6 +49,6 @@
 	return true
 }
 
-// isServiceAnswer reports whether a status is a service's own answer. 503 is not: a controller gets it
-// when it is refused and in an outage. 0 means no answer.
+// isServiceAnswer reports whether a status is a service's own answer. 503 is not: a controller gets 503
+// when its requests are refused and in an outage. 0 means no answer.
 func isServiceAnswer(status int) bool { return status != 0 && status != http.StatusServiceUnavailable }
--- a/internal/connectivity/rates.go
+++ b/internal/connectivity/rates.go
@@ -1,12 +1,13 @@
 package connectivity
 
 // RateDemand counts the peers that may want more than their share of the state service's rates
-// (throttled) and those that have little use for theirs (idle). Throttled are the peers that say so, and
-// those that we don't hear although they may be using the service. Idle are the peers that hear no
-// workers, and of those that we don't hear, the ones without a member record and the ones that
-// did not reach the service directly when last heard. alive reports whether a controller has a member record.
+// (throttled) and those that have little use for theirs (idle). A peer that we hear counts as throttled
+// if it reports so, and otherwise as idle if it hears no workers. A peer that we don't hear counts as
+// idle if it has no member record, or did not reach the service directly according to its last report,
+// and otherwise as throttled, as it may be using the service. alive reports whether a controller has
+// a member record.
 //
-// The rule that this must not break: none. The service refuses requests over its rates.
+// No safety rule depends on the counts. The service refuses requests over its rates.
 func RateDemand(s *Snapshot, alive func(node string) bool) (throttled, idle int) {
 	for i := range s.Peers {
 		peer := &s.Peers[i]
--- a/internal/connectivity/relay.go
+++ b/internal/connectivity/relay.go
@@ -19,8 +19,8 @@
 //   - An answer to another call is ignored: each answer carries the caller's incarnation, the
 //     call's number and the call's hash.
 //   - An answer after the deadline is ignored: its call is no longer pending.
-//   - A call is never wrongly taken as not executed: without an answer it may have been executed,
-//     and only an answer from the relaying peer itself says that it was not.
+//   - A call that was executed is never reported as not executed: a call without an answer counts
+//     as possibly executed unless the relaying peer itself answers that it was not.
 
 // RelayRequest asks a peer to call the state service.
 type RelayRequest struct {
@@ -110,7 +110,7 @@
 // while it qualifies. Otherwise a peer that hears no workers comes first, as it has time to
 // relay, then one whose name sorts after ours, so that controllers don't all choose the same peer.
 //
-// The rule that this must not break: none. A relayed call is a call over a longer path, and the
+// No safety rule depends on the choice. A relayed call is a call over a longer path, and the
 // faults of that path (the call lost or late, its answer lost) occur without a relay, too.
 func ChooseRelay(s *Snapshot, current string) string {
 	best, bestRank := "", 0
--- a/internal/connectivity/routing.go
+++ b/internal/connectivity/routing.go
@@ -9,7 +9,7 @@
 // CanServeZone reports whether a peer can answer a zone's workers: its link report is younger than
 // within, its records are fresh, and it hears the zone.
 //
-// The rule that this must not break: none. Status 421 is advice: a worker that is redirected to the
+// No safety rule depends on the result. Status 421 is advice: a worker that is redirected to the
 // wrong controller is refused there and tries the next one, and a controller may answer a worker
 // only under a claim.
 func CanServeZone(s *Snapshot, peer *Peer, zone string, within time.Duration) bool {
@@ -17,11 +17,11 @@
 }
 
 // HearsZone reports whether a peer's link report shows that it hears a zone's workers now: it has
-// heard one of its workers there within silenceLimit. A peer without workers there that has not
-// lost the zone is assumed to hear it.
+// heard one of its workers there within silenceLimit. A peer without workers there is assumed to
+// hear the zone unless it has lost the zone or all its workers.
 //
-// Guards against a worker that left a controller because it could not reach it and is sent back
-// there: after a few such detours its lease runs out.
+// Guards against a worker that left a controller that it could not reach and is sent back to that
+// controller: after a few such detours the worker's lease runs out.
 func HearsZone(s *Snapshot, peer *Peer, zone string) bool {
 	for _, z := range peer.Zones {
 		if z.Zone != zone {
@@ -54,9 +54,9 @@
 	return HearsZone(s, peer, zone) && slices.ContainsFunc(peer.Zones, func(z ZoneReport) bool { return z.Zone == zone && z.Workers >= minProvingWorkers })
 }
 
-// ChooseReceiver returns the name of the peer to which a controller that can't answer a worker for
-// much longer redirects it, or "" if no peer is known to serve the worker's zone. Peers in that zone
-// come first; among equals a hash of the worker's name decides, so that no peer is
+// ChooseReceiver returns the name of the peer to which to redirect a worker that this controller
+// will soon be unable to answer, or "" if no peer is known to serve the worker's zone. Peers in that
+// zone come first; among equals a hash of the worker's name decides, so that no peer is
 // overloaded. The controller that the worker comes from (from) is excluded, as it did not answer.
 func ChooseReceiver(s *Snapshot, zone, worker, from string, within time.Duration) string {
 	var sameZone, all []string
@@ -112,7 +112,7 @@
 // work after a third of alone+left, and those without work after two thirds, so that their new
 // controllers first write the claims that save the most.
 //
-// The rule that this must not break: the cancel horizon. It is not decided here: the workers that
+// The result can't violate the cancel horizon, which is checked elsewhere: the workers that
 // stay are answered only within it.
 func ShouldRedirect(w Workload, alone, left time.Duration) bool {
 	return 3*alone >= time.Duration(w)*(alone+left)
@@ -120,8 +120,8 @@
 
 // MayRecover reports whether a worker's owner may be back soon and go on without a new claim: its last
 // heartbeat is no older than within, and its last report said that it reached the state service
-// directly and heard workers. An owner that reported otherwise before it fell silent still lacks
-// what it lacked then.
+// directly and heard workers. An owner whose last report said otherwise is assumed to be still
+// without the link that it lacked then.
 func MayRecover(s *Snapshot, owner *Peer, within time.Duration) bool {
 	return owner.HeartbeatAge <= within && !owner.HearsNoWorkers && milliseconds(owner.StateServiceMS) <= s.StaleAfter
 }
@@ -129,7 +129,7 @@
 // OwnerReachable reports whether a worker's owner has sent us a recent heartbeat and does not report
 // that it hears no workers.
 //
-// The rule that this must not break: the cancel horizon, which the owner checks itself.
+// The result can't violate the cancel horizon, which the owner checks itself.
 func (t *Tracker) OwnerReachable(owner string) bool {
 	s := t.Snapshot()
 	peer := s.Find(owner)
@@ -139,7 +139,7 @@
 // ZoneLost reports whether a recent link report of a peer says that it has lost a zone's workers, or
 // all workers: it heard none for too long, and not steadily enough since.
 //
-// The rule that this must not break: none. A controller takes over the peer's workers only by
+// No safety rule depends on the result. A controller takes over the peer's workers only by
 // writing a record.
 func ZoneLost(s *Snapshot, owner, zone string) bool {
 	peer := s.Find(owner)
@@ -153,9 +153,9 @@
 // we can't exchange messages: the intermediary is connected to us and hears that peer. It returns
 // "" if there is no such peer or no intermediary is needed.
 //
-// The rule that this must not break: the cancel horizon. A query carries its sender's clock
-// reading and incarnation, so a reply that is late, or meant for an earlier incarnation, proves
-// nothing new; the intermediary adds nothing to it.
+// The choice can't violate the cancel horizon: a query carries its sender's clock reading and
+// incarnation, so a reply that is late, or meant for an earlier incarnation, proves nothing new,
+// and the intermediary adds nothing to the reply.
 func ChooseIntermediary(s *Snapshot, to string) string {
 	if target := s.Find(to); target == nil || s.Connected(target) {
 		return ""
--- a/internal/connectivity/statelink.go
+++ b/internal/connectivity/statelink.go
@@ -39,8 +39,8 @@
 }
 
 // StateServiceLost reports whether we can't reach the state service directly: it has not answered for
-// longer than a watch and a slow answer take. The link is restored once probes have been answered
-// for a second or more.
+// longer than a watch and a slow answer take. While a peer relays our calls, the link is restored
+// once probes have been answered for a second or more; otherwise the first answer restores it.
 func (t *Tracker) StateServiceLost() bool {
 	link := &t.state
 	if !link.lost && t.silence(link.answeredAt) > t.cfg.StaleAfter && link.fail(t.now, minUptime, maxUptime) {
--- a/internal/connectivity/tracker.go
+++ b/internal/connectivity/tracker.go
@@ -5,8 +5,8 @@
 //
 // It learns this from calls that are made anyway and from link reports that controllers add to
 // their heartbeats. All of it is advice: a report that is late, lost or untrue costs time and
-// breaks no rule, since every path ends at a condition that the state service checks, at a
-// worker's fencing token, or at the cancel horizon.
+// breaks no rule, since every decision that matters is guarded by a condition that the state
+// service checks, by a worker's fencing token, or by the cancel horizon.
 //
 // The package does no I/O, reads no clock and takes no lock. A Tracker has one owner, the core.
 // Decisions about peers are functions of a Snapshot. All times are of the owner's clock, as
@@ -21,7 +21,7 @@
 	Incarnation       int64 // distinguishes this process from earlier ones of the same controller
 	Peers             []Controller
 	HeartbeatInterval time.Duration // between two heartbeats of a worker; peer heartbeats come three times as often
-	StaleAfter        time.Duration // the age from which a watched mirror has certainly missed an answer
+	StaleAfter        time.Duration // the age of the mirror from which at least one watch has certainly failed
 }
 
 // Controller names a controller and its zone.
@@ -85,8 +85,8 @@
 	t.now = now
 }
 
-// silence returns how long ago since is, counted only from the end of the last stall, as this process
-// heard nothing before that.
+// silence returns the time that has passed since the given time, but at most the time since the end of
+// the last stall, as this process heard nothing during the stall.
 func (t *Tracker) silence(since time.Duration) time.Duration { return t.now - max(since, t.resumedAt) }
 
 // HeartbeatDue reports whether to send peers a heartbeat, which is due a third of a worker's
@@ -100,7 +100,7 @@
 }
 
 // MayRebalance reports whether one of our workers may be redirected now to even out the controllers'
-// shares. If so, the next one may be only after pause.
+// shares. If so, the next one may be redirected only after pause.
 func (t *Tracker) MayRebalance(pause time.Duration) bool {
 	if t.now < t.nextRebalanceAt {
 		return false
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -102,7 +102,7 @@
 type Attempt struct {
 	Number  int
 	Epoch   uint64 // the agent's epoch in which the attempt is bound
-	BoundAt uint64 // the revision that bound the attempt, or a known earlier one
+	BoundAt uint64 // the revision that bound the attempt; an earlier one, such as 0, if that is not known
 }
 
 // ListedAttempt is an attempt on a heartbeat's list.
@@ -237,7 +237,7 @@
 }
 
 // Adoptable reports whether an attempt bound to the worker lets this controller adopt the
-// claim of its earlier incarnation: the worker lists the attempt, or it is in a later epoch,
+// claim of its earlier incarnation: the worker lists the attempt, or the worker is in a later epoch,
 // in which no attempt of an earlier epoch exists or can be started. listed reports whether
 // the heartbeat's list has the attempt.
 //
--- a/internal/fencing/model_controller_test.go
+++ b/internal/fencing/model_controller_test.go
@@ -139,8 +139,8 @@
 		view.tokenSeen = true
 	}
 	answer = exchange{heartbeat: hb, answered: true, token: token}
-	// The controller measures the lease from the heartbeat's arrival, which is after everything that
-	// the worker has sent and every epoch that it has begun by now, however old this heartbeat is.
+	// The controller measures the lease from the heartbeat's arrival. However old the heartbeat is,
+	// by then the worker has begun its present epoch and sent all its heartbeats up to the present one.
 	view.answeredSequence, view.answeredEpoch = s.workers[m].sequence, s.workers[m].epoch
 	if self.knowsCancelled && !md.has(answerWithoutKill) {
 		answer.kill = md.attemptsToKill(hb, attempt, bound)
--- a/internal/fencing/model_world_test.go
+++ b/internal/fencing/model_world_test.go
@@ -9,8 +9,9 @@
 // its last answer, at any time; transactions are applied late, without an answer or not at
 // all; heartbeats are delayed; answers are dropped; direct launches are executed late;
 // workers' leases end; controllers freeze (no step of theirs has to happen), are cut off
-// and crash; machines are deleted. The model has no clock: a lease may end at any time, and
-// its owner may conclude that it has ended as soon as it must have.
+// and crash; machines are deleted. The model has no clock: a worker's lease may end at any
+// time, and the worker's owner may conclude that it has ended once that is certain (see
+// machineSteps).
 //
 // The invariant is stronger than the rule that a task must not run twice: every running
 // attempt is the one that the records bind to that machine in that epoch.
--- a/internal/fencing/proof.go
+++ b/internal/fencing/proof.go
@@ -1,8 +1,8 @@
 package fencing
 
 // Proof is a kind of proof that an attempt is no longer on its worker and can't be started
-// there again. There are no others: missing heartbeats, an attempt's absence from a list
-// alone, or a peer that is down prove nothing. The zero value is no proof.
+// there again. Nothing but the proofs below counts: missing heartbeats, an attempt's absence
+// from a list alone, or a peer that is down prove nothing. The zero value is no proof.
 type Proof uint8
 
 // Proofs of termination.
--- a/internal/stateclient/client.go
+++ b/internal/stateclient/client.go
@@ -49,8 +49,8 @@
 	mirror    mirror
 }
 
-// New returns a client whose share of the service's rates is at first an equal one among
-// that many controllers.
+// New returns a client for one of the given number of controllers. Its share of the
+// service's rates is at first an equal one.
 func New(facts *config.Facts, controllers int) *Client {
 	return &Client{
 		limiter: ratelimit.New(ratelimit.Rates{
--- a/internal/stateclient/mirror.go
+++ b/internal/stateclient/mirror.go
@@ -21,8 +21,8 @@
 	watchBlock = time.Second
 	// watchTimeout is the time limit of a watch: watchBlock and the time of two calls.
 	watchTimeout = watchBlock + 2*callTimeout
-	// watchShareDivisor is the divisor of a controller's share of the request rate that
-	// opening watches may use: a quarter of it.
+	// watchShareDivisor divides a controller's share of the request rate: opening watches may
+	// use a quarter of the share.
 	watchShareDivisor = 4
 )
 
--- a/internal/stateclient/queue.go
+++ b/internal/stateclient/queue.go
@@ -12,8 +12,8 @@
 	// queueTimeout is how long a request may wait for the budget.
 	queueTimeout = 2 * time.Second
 	// claimQueueTimeout is queueTimeout for claims. It is longer, as a worker waits 4 s for
-	// its answer, and one that is refused tries the next controllers; each of them that it
-	// can't reach costs it 5 s.
+	// its answer, and a refused worker tries the next controllers, each of which costs it
+	// 5 s if it can't be reached.
 	claimQueueTimeout = 3 * time.Second
 	// refusalPause is how long no queued request is sent after the service has refused one
 	// because of its rates or because it was unavailable.
@@ -137,7 +137,8 @@
 	return waiting[0]
 }
 
-// updateDemand tells the limiter which changes the next request of a class makes, if one waits.
+// updateDemand tells the limiter whether a request of a class waits, or a transaction that
+// Reserve refused, and how many changes the first one makes.
 func (c *Client) updateDemand(class ratelimit.Class) {
 	if waiting := c.queue.waiting[class]; len(waiting) > 0 {
 		c.limiter.SetDemand(class, true, waiting[0].changes)
