--- a/internal/completionlog/log.go
+++ b/internal/completionlog/log.go
@@ -1,5 +1,6 @@
 // Package completionlog keeps a log of completed attempts: a controller writes the completions
-// that it has found, of all jobs, in one record instead of writing each task's page.
+// that it has found, of all jobs, in one record instead of writing each task's page, the record
+// of a range of consecutive tasks of a job.
 //
 // An entry names the attempt by job, task, number, machine and agent epoch. That the attempt
 // has completed remains true under any owner of the machine, so an entry is written without a
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -97,8 +97,8 @@
 	// GrantKey is the path of the file with the key that controllers share with the
 	// archive's nodes.
 	GrantKey string `yaml:"grant_key"`
-	// HoldS is how long a machine without work is not returned to the cloud because the
-	// archive has not acknowledged its output, in seconds.
+	// HoldS is how long, in seconds, a machine without work is kept rather than returned to
+	// the cloud because the archive has not acknowledged its output.
 	HoldS float64 `yaml:"hold_s"`
 	// Key is the key in that file; LoadKeys reads it.
 	Key []byte `yaml:"-"`
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -52,7 +52,7 @@
 type Limits struct {
 	// Total is the limit for all connections together.
 	Total int
-	// Workers is the limit for connections that workers keep between two heartbeats; 0 means none.
+	// Workers is the limit for connections that workers keep between two heartbeats; 0 means no limit.
 	Workers int
 }
 
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -125,7 +125,7 @@
 
 // TestUsersGetInHoweverManyWorkersThereAre guards against a site with more workers than
 // sockets, whose idle connections leave none for users, health checks and operators: half of
-// the site's work was lost (shiftbook-akl-fleet with four times the machines, simulated: mark 0.17).
+// the site's work was lost (site shiftbook-akl-fleet with four times the machines, simulated: score 0.17).
 func TestUsersGetInHoweverManyWorkersThereAre(t *testing.T) {
 	const total = 800
 	l := New(LimitsFor(total))
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -46,7 +46,7 @@
 type Group struct {
 	Holder
 	Zone   string
-	Number int // from 0 to Groups-1
+	Number int // from 0 to GroupsPerZone-1
 }
 
 // Key returns the key of the group's record below the prefix of failover records:
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -66,8 +66,8 @@
 
 // RetryBackoff returns the backoff before a failed job is retried, given the heartbeat interval of
 // workers. A job that failed on one machine alone is retried at once. For any other job the
-// backoff doubles with each failure, up to 64 intervals, so that its retries don't churn
-// machines.
+// backoff doubles with each failure of the task that failed most often, up to 64 intervals, so
+// that its retries don't churn machines.
 func (j Job) RetryBackoff(interval time.Duration) time.Duration {
 	if j.MachinesWithFailures < 2 {
 		return 0
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -17,8 +17,8 @@
 	MachineType string `json:"rig"`
 	Zone        string `json:"depot"`
 	Spot        bool   `json:"casual"`
-	// AgentEpoch grows with each start of the agent, and Sequence with each heartbeat
-	// within one: together they order a worker's heartbeats.
+	// AgentEpoch grows with each start of the agent and whenever the worker's lease ends, and
+	// Sequence with each heartbeat of an epoch: together they order a worker's heartbeats.
 	AgentEpoch uint64 `json:"shift"`
 	Sequence   uint64 `json:"tally"`
 	// FencingToken is the token of the last controller whose response or commands the
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -10,7 +10,7 @@
 //     later tiers is sent, and likewise for each later tier. Classes of the same tier can't take
 //     each other's share: each gets an equal part of what the tier gets, as long as it has any use for it.
 //   - Background goes only when nothing else waits.
-//   - A request is never held up by one that waits for a rate which the first doesn't use.
+//   - A request is never held up by another that waits for a rate which the request doesn't use.
 //
 // The classes of a tier share it by start-time fair queueing: each request gets a start
 // tag in its tier's virtual time, and the request with the lowest tag goes first.
@@ -37,7 +37,7 @@
 	// the service refuses a request, the share halves and does not grow for borrowPause.
 	borrowRate  = 0.1
 	borrowPause = 5 * time.Second
-	// throttledWindow is how long after a request has waited for the budget Throttled stays true.
+	// throttledWindow is how long Throttled stays true after a request has waited for the budget.
 	throttledWindow = 2 * time.Second
 	// quietPeerUse is the part of its equal share that a peer is assumed to use when no
 	// request waits there, and idlePeerUse when it can do no work; see SetPeerDemand.
@@ -46,8 +46,8 @@
 	// safetyMargin keeps the rates below those at which the service refuses by its own count.
 	safetyMargin = 0.95
 	// burstSeconds is for how long a rate can be saved up. The burst of requests is at least
-	// minRequestBurst, for a request and one that waits for changes; that of changes is
-	// at least one transaction.
+	// minRequestBurst: one request to send, and one that is kept for a request that waits
+	// for changes. The burst of changes is at least one transaction.
 	burstSeconds    = 0.5
 	minRequestBurst = 2
 )
@@ -128,7 +128,7 @@
 
 // SetPeerDemand sets how many of the other controllers are throttled, including those that
 // have not been heard from, and how many are idle: they hear no workers, or can't reach
-// the service. The throttled controllers at once share what the others hardly use; otherwise
+// the service. The throttled controllers immediately share what the others hardly use; otherwise
 // a controller that alone has to recover from a mass failure would take half a minute to
 // borrow it. A false report does no harm, as the service refuses requests over its rates.
 func (l *Limiter) SetPeerDemand(throttled, idle int) {
@@ -161,8 +161,8 @@
 	return max(l.startTags[class], l.virtualTime[tierOf[class]])
 }
 
-// Next returns the class whose request is to be sent next, or -1 if the budget allows none. If
-// the class whose turn it is lacks changes, it holds up all requests of other classes that
+// Next returns the class whose request is to be sent next, or -1 if no request waits or the
+// budget allows none. If the class whose turn it is lacks changes, it holds up all requests of other classes that
 // make changes, as they would spend what is saved for it; requests that only read may overtake it.
 func (l *Limiter) Next() Class {
 	first := l.firstWaiting(func(Class) bool { return true })
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -109,7 +109,7 @@
 	class         Class
 	team          string
 	deadline      time.Duration // when the copy should be there; 0: as soon as possible
-	deadlineClass Class         // the class to which mustRise raises the fetch so that it meets the deadline
+	deadlineClass Class         // the class to which Tick raises the fetch so that it meets the deadline
 	wantedAt      time.Duration
 	active        bool
 	startedAt     time.Duration // when the fetch became active
--- a/internal/staging/pulls.go
+++ b/internal/staging/pulls.go
@@ -66,8 +66,9 @@
 	m.parked = nil
 }
 
-// The pause after a failed fetch is at first one report period and doubles with
-// each further failure, at most maxPauseDoublings times.
+// The longest pause after a failed fetch is at first one report period and doubles
+// with each further failure, at most maxPauseDoublings times. The pause is at random
+// between half of the longest and the longest.
 const maxPauseDoublings = 6
 
 // failPull schedules a retry of a failed fetch after a pause, from another source
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -58,8 +58,7 @@
 	return c
 }
 
-// startEcho starts a server that runs until the test process ends: evio can't be stopped
-// from outside.
+// startEcho starts a server that runs until the test process ends: no test calls Stop.
 func startEcho(t *testing.T, requestTimeout time.Duration, conns int) (e *echo, httpAddr, peerAddr string) {
 	e = &echo{received: make(chan string, 64), deferredIDs: make(chan uint64, 1)}
 	e.server = NewServer(&e.mu, e, requestTimeout, conns)
