--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if s.Node != "n0" || s.Peers[0].Addr != "10.0.0.2:8081" || s.Facts.Teams[0].GPUsMax != 50 || s.Operator != DefaultOperator() {
-		t.Fatalf("%+v", s)
+		t.Fatalf("Parse returned %+v", s)
 	}
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -73,8 +73,8 @@
 }
 
 // RoomRequest asks a peer for room for a gang. Machines are the machines that the sender
-// has chosen, which the receiver clears if necessary. If there are none, any idle
-// machines of the receiver will do.
+// has chosen, on which the receiver stops other tasks if necessary. If there are none, any
+// idle machines of the receiver will do.
 type RoomRequest struct {
 	Job      string   // its id
 	Machines []string // their names
--- a/internal/protocol/heartbeat_test.go
+++ b/internal/protocol/heartbeat_test.go
@@ -43,17 +43,17 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if heartbeat, err := ParseHeartbeat(body); err == nil && (!validKeySegment(heartbeat.Worker) || heartbeat.AgentEpoch == 0) {
-			t.Fatalf("%+v", heartbeat)
+			t.Fatalf("accepted a heartbeat whose worker or agent epoch is not valid: %+v", heartbeat)
 		}
 		if extra, err := ParseExtra(body); err == nil && extra != nil {
 			for _, input := range extra.Inputs {
 				if !ValidRelativePath(input.Path) || strings.HasPrefix(input.Path, "/") || strings.Contains("/"+input.Path+"/", "/../") {
-					t.Fatalf("%+v", input)
+					t.Fatalf("accepted an input whose path leads out of the working directory: %+v", input)
 				}
 			}
 			for name := range extra.Env {
 				if strings.ContainsAny(name, "=\x00") || strings.HasPrefix(name, ReservedEnv) {
-					t.Fatalf("%q", name)
+					t.Fatalf("accepted the name of a variable %q", name)
 				}
 			}
 		}
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -38,7 +38,7 @@
 	}
 	if spec.ID != "wk-000412" || spec.Shape != job.Gang || spec.Priority != job.High || spec.Tasks != 16 || !spec.OneZone || !spec.Spot || spec.Zone != "" ||
 		!spec.AllowsMachineType("g8") || spec.AllowsMachineType("g4") || *spec.DeadlineS != 900 {
-		t.Fatalf("%+v", spec)
+		t.Fatalf("ParseSubmission returned %+v", spec)
 	}
 	for _, optional := range optionalFields {
 		t.Run("without "+optional, func(t *testing.T) {
@@ -149,13 +149,13 @@
 	var field *FieldError
 	_, err := ParseExtra([]byte(`{"inputs":[{}]}`))
 	if !errors.As(err, &field) || field.Field != "inputs[0].set" {
-		t.Errorf("%#v", err)
+		t.Errorf("the error is %#v, want a FieldError for inputs[0].set", err)
 	}
 	if _, err := ParseSubmission([]byte("[]")); !errors.Is(err, ErrNotObject) {
-		t.Errorf("%#v", err)
+		t.Errorf("the error is %#v, want ErrNotObject", err)
 	}
 	var syntax *json.SyntaxError
 	if _, err := ParseSubmission([]byte("{")); !errors.As(err, &syntax) {
-		t.Errorf("%#v", err)
+		t.Errorf("the error is %#v, want one that wraps a json.SyntaxError", err)
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -127,7 +127,7 @@
 func (l *Limiter) Throttled() bool { return l.now-l.blockedAt < throttledWindow }
 
 // SetPeerDemand sets how many of the other controllers are throttled, including those that
-// have not been heard from, and how many are idle: they hear no workers, or can't reach
+// are not heard and may be, and how many are idle: they hear no workers, or can't reach
 // the service. The throttled controllers immediately share what the others hardly use; otherwise
 // a controller that alone has to recover from a mass failure would take half a minute to
 // borrow it. A false report does no harm, as the service refuses requests over its rates.
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -229,8 +229,8 @@
 }
 
 // HandleReport processes a machine's report of its store. It returns true if the machine
-// must list its copies because its digest differs from the one that came with its
-// last list.
+// must list its copies, because it has not listed any yet or its digest differs from
+// the one that came with its last list.
 func (p *Planner) HandleReport(now time.Duration, id string, r Report) (list bool) {
 	m := p.machines[id]
 	if m == nil {
--- a/internal/stateclient/queue.go
+++ b/internal/stateclient/queue.go
@@ -72,8 +72,8 @@
 // each other, and the peers count it in their SetPeerDemand.
 func (c *Client) Throttled() bool { return c.limiter.Throttled() }
 
-// SetPeerDemand sets how many other controllers are throttled, including those that have not
-// been heard from, and how many are idle; see ratelimit.Limiter.SetPeerDemand.
+// SetPeerDemand sets how many other controllers are throttled, including those that are not
+// heard and may be, and how many are idle; see ratelimit.Limiter.SetPeerDemand.
 func (c *Client) SetPeerDemand(throttled, idle int) { c.limiter.SetPeerDemand(throttled, idle) }
 
 // Reserve reports whether a transaction of this class with this many changes would be sent at
