--- a/internal/connectivity/linkreports.go
+++ b/internal/connectivity/linkreports.go
@@ -25,7 +25,7 @@
 	Zone        string `json:"zone"`
 	Workers     int    `json:"held"`    // how many of them
 	LastHeardMS int64  `json:"heardMs"` // since it heard any of them
-	Unreachable bool   `json:"lost"`    // it heard none for too long and not steadily enough since; stays set if they leave it
+	Unreachable bool   `json:"lost"`    // it heard none for too long and not steadily enough since; stays set if others take them over
 }
 
 // peerState holds a peer's latest link report and its times, by our clock.
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -10,9 +10,9 @@
 //
 // A worker's owner is the controller that its claim names. If the worker has failed over
 // with its group (package failover), the group's failover record counts as the claim. The
-// claim's revision is the fencing token: a worker remembers the highest token that it has seen and refuses
-// commands under a lower one. A worker whose lease ends kills everything that it runs and
-// begins a new epoch; epochs are never reused.
+// claim's revision is the fencing token: a worker remembers the highest token that it has
+// seen and refuses commands under a lower one. A worker whose lease ends kills everything
+// that it runs and begins a new epoch; epochs are never reused.
 package fencing
 
 import "time"
