--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	a := &Agent{
-		cfg: cfg, log: log, pool: transport.NewPool(maxConnections), shared: sharedStore{cfg.OutsideDir},
+		cfg: cfg, log: log, pool: transport.NewPool(maxConnections), shared: sharedStore{cfg.SharedDir},
 		taskCommand:     []string{self, "task-exec"},
 		watchdogCommand: []string{self, "agent-watchdog", cfg.Dir},
 		schedule:        schedule{startedAt: bootClock()},
@@ -250,7 +250,7 @@
 	}
 	identity := protocol.Heartbeat{Worker: a.cfg.Worker, Address: address, MachineType: a.cfg.MachineType, Zone: a.cfg.Zone, Spot: a.cfg.Spot}
 	a.schedule.startedAt = bootClock()
-	a.worker = NewWorker(identity, a.cfg.Room, a.cfg.Workers, a.cfg.Controllers, a.persisted.Epoch, a.persisted.FencingToken,
+	a.worker = NewWorker(identity, a.cfg.Resources, a.cfg.Workers, a.cfg.Controllers, a.persisted.Epoch, a.persisted.FencingToken,
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	a.runner.setEpoch(a.persisted.Epoch)
 	a.stats.Epochs++
@@ -310,13 +310,13 @@
 			a.step(func() Effects {
 				if err != nil {
 					a.log.Debug("heartbeat not answered", "node", s.Controller.Name, "error", err)
-					return a.worker.Answered(a.clock(), s, 0, nil)
+					return a.worker.HeartbeatAnswered(a.clock(), s, 0, nil)
 				}
 				if r.Status == http.StatusOK {
 					a.stats.Answered++
 					a.schedule.answeredAt = a.clock()
 				}
-				return a.worker.Answered(a.clock(), s, r.Status, r.Body)
+				return a.worker.HeartbeatAnswered(a.clock(), s, r.Status, r.Body)
 			})
 		}})
 }
@@ -356,7 +356,7 @@
 	a.checkWatchdog()
 	switch {
 	case r.Path == protocol.PathCommands && r.Method == http.MethodPost:
-		status, body, e := a.worker.Direct(a.clock(), r.Body)
+		status, body, e := a.worker.ExecuteDirectCommands(a.clock(), r.Body)
 		a.perform(e)
 		a.server.Answer(id, status, body, 0)
 	case r.Path == protocol.PathStatus && r.Method == http.MethodGet:
@@ -374,7 +374,7 @@
 			answerError(http.StatusBadRequest, "the path must name a job and an attempt")
 			return
 		}
-		a.server.Answer(id, http.StatusOK, protocol.Encode(a.worker.Gang(jobID, n)), 0)
+		a.server.Answer(id, http.StatusOK, protocol.Encode(a.worker.GangStates(jobID, n)), 0)
 	case a.inputs.serve(id, r.Method, r.Path):
 	case a.Extra != nil && a.Extra(id, r.Method, r.Path):
 	case r.Path == protocol.PathCommands || r.Path == protocol.PathStatus:
--- a/internal/agent/agent_effects.go
+++ b/internal/agent/agent_effects.go
@@ -44,19 +44,19 @@
 // fetchWanted starts fetching job descriptions and images, and cancels the fetches of
 // images that no task waits for any more; the lock is held.
 func (a *Agent) fetchWanted(e Effects) {
-	for _, name := range e.Leave {
+	for _, name := range e.CancelFetches {
 		a.images.cancelFetch(name)
 	}
-	for _, id := range e.Describe {
+	for _, id := range e.FetchDescriptions {
 		a.fetchDescription(id, 0)
 	}
-	for _, name := range e.Fetch {
+	for _, name := range e.FetchImages {
 		a.log.Debug("fetching", "image", name)
 		a.images.fetch(name, func(err error) {
 			if err != nil {
 				a.log.Error("image can't be fetched", "image", name, "error", err)
 			}
-			a.step(func() Effects { return a.worker.Fetched(a.clock(), name, err) })
+			a.step(func() Effects { return a.worker.ImageFetched(a.clock(), name, err) })
 		})
 	}
 }
@@ -103,7 +103,7 @@
 	if a.schedule.timer == nil || a.shutdown.begun {
 		return
 	}
-	next := min(a.worker.Due()-a.clock(), a.sweepPeriod(), time.Second)
+	next := min(a.worker.NextTick()-a.clock(), a.sweepPeriod(), time.Second)
 	a.schedule.timer.Reset(max(next, time.Millisecond))
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -152,10 +152,10 @@
 func testConfig(t *testing.T, c *fakeController) Config {
 	cfg := DefaultConfig()
 	cfg.Worker, cfg.MachineType, cfg.Zone = "i-1", "r", "z"
-	cfg.Dir, cfg.OutsideDir = filepath.Join(t.TempDir(), "m"), t.TempDir()
+	cfg.Dir, cfg.SharedDir = filepath.Join(t.TempDir(), "m"), t.TempDir()
 	cfg.Controllers = []Controller{{"n", c.srv.Listener.Addr().String()}}
 	cfg.Workers = Periods{Heartbeat: 0.6, Lease: 3, GangWait: 5, GangPeer: 1}
-	cfg.Room = Room{CPUs: 8, RAM: 8}
+	cfg.Resources = Resources{CPUs: 8, RAM: 8}
 	cfg.Images = []Image{{Name: "sh", Command: []string{"/bin/true"}}}
 	return cfg
 }
@@ -227,7 +227,7 @@
 	if c.causes["wk-000004/0#1"] != "stopped" || id.Alive() {
 		t.Errorf("killed task: cause %s, its child alive: %v", c.causes["wk-000004/0#1"], id.Alive())
 	}
-	if c.causes["wk-000005/0#1"] != "stopped+saved" || (sharedStore{cfg.OutsideDir}).resume("wk-000005", 0, 9, false) != 7 {
+	if c.causes["wk-000005/0#1"] != "stopped+saved" || (sharedStore{cfg.SharedDir}).resume("wk-000005", 0, 9, false) != 7 {
 		t.Errorf("task that saved a checkpoint: cause %s", c.causes["wk-000005/0#1"])
 	}
 	// The result is stored: when the same task is launched again, its program does not run again.
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -23,10 +23,10 @@
 	Dir         string       `yaml:"dir"`
 	Controllers []Controller `yaml:"controllers"`
 	Workers     Periods      `yaml:"workers"`
-	Room        Room         `yaml:"room"`
+	Resources   Resources    `yaml:"room"`
 	LocalGB     float64      `yaml:"localGb"` // disk space for images
 	Images      []Image      `yaml:"images"`
-	OutsideDir  string       `yaml:"outside"` // folder that all machines share
+	SharedDir   string       `yaml:"outside"` // folder that all machines share
 	Nice        NiceLevels   `yaml:"nice"`
 	OpenFiles   uint64       `yaml:"open_files"` // limit of each task; 0: as inherited
 	Metrics     bool         `yaml:"metrics"`
@@ -76,7 +76,7 @@
 		return errors.New("depot: missing")
 	case !filepath.IsAbs(c.Dir):
 		return errors.New("dir: must be absolute")
-	case c.OutsideDir != "" && !filepath.IsAbs(c.OutsideDir):
+	case c.SharedDir != "" && !filepath.IsAbs(c.SharedDir):
 		return errors.New("outside: must be absolute")
 	case len(c.Controllers) == 0:
 		return errors.New("controllers: missing")
@@ -95,7 +95,7 @@
 		name string
 		v    float64
 	}{{"workers.report_s", c.Workers.Heartbeat}, {"workers.lease_s", c.Workers.Lease}, {"workers.gang_wait_s", c.Workers.GangWait},
-		{"workers.gang_peer_s", c.Workers.GangPeer}, {"room.cpus", c.Room.CPUs}, {"room.ramGb", c.Room.RAM}} {
+		{"workers.gang_peer_s", c.Workers.GangPeer}, {"room.cpus", c.Resources.CPUs}, {"room.ramGb", c.Resources.RAM}} {
 		if !(f.v > 0) {
 			return fmt.Errorf("%s: must be above 0", f.name)
 		}
--- a/internal/agent/task_program.go
+++ b/internal/agent/task_program.go
@@ -33,9 +33,9 @@
 			var d protocol.JobDescription
 			switch {
 			case err == nil && r.Status == http.StatusOK && protocol.Decode(r.Body, &d) == nil:
-				a.step(func() Effects { return a.worker.Described(a.clock(), id, &d, false) })
+				a.step(func() Effects { return a.worker.DescriptionFetched(a.clock(), id, &d, false) })
 			case err == nil && r.Status == http.StatusNotFound:
-				a.step(func() Effects { return a.worker.Described(a.clock(), id, nil, true) })
+				a.step(func() Effects { return a.worker.DescriptionFetched(a.clock(), id, nil, true) })
 			case asked+1 < n:
 				a.mu.Lock()
 				defer a.mu.Unlock()
@@ -45,7 +45,7 @@
 			default:
 				a.log.Info("no controller has returned the job's description; retrying", "job", id)
 				time.AfterFunc(seconds(a.cfg.Workers.Heartbeat/4), func() {
-					a.step(func() Effects { return a.worker.Described(a.clock(), id, nil, false) })
+					a.step(func() Effects { return a.worker.DescriptionFetched(a.clock(), id, nil, false) })
 				})
 			}
 		}})
@@ -127,7 +127,7 @@
 	}
 	reserved := map[string]string{"JOB": k.Job, "TASK": strconv.Itoa(k.Index), "TRY": strconv.Itoa(k.Attempt), "LOADS": strconv.Itoa(d.Tasks),
 		"IMAGE": folder, "MACHINE": a.cfg.Worker, "ZONE": a.cfg.Zone, "CPUS": fmt.Sprint(d.CPUs), "ACCELERATORS": fmt.Sprint(d.GPUs), "RAM_GB": fmt.Sprint(d.MemoryGB)}
-	if d.CheckpointIntervalS > 0 && a.cfg.OutsideDir != "" {
+	if d.CheckpointIntervalS > 0 && a.cfg.SharedDir != "" {
 		if reserved["CHECKPOINTS"], err = a.shared.prepare(k.Job, k.Index); err != nil {
 			return p, err
 		}
@@ -216,7 +216,7 @@
 	a.mu.Lock()
 	members := a.attempts.gangMembers[k]
 	controller := a.cfg.Controllers[a.worker.heartbeats.controller]
-	states := a.worker.Gang(k.Job, k.Attempt)
+	states := a.worker.GangStates(k.Job, k.Attempt)
 	a.mu.Unlock()
 	path := fmt.Sprintf("%s/%s/%s/%d", protocol.PathJobs, k.Job, protocol.PathGang, k.Attempt)
 	timeout := seconds(a.cfg.Workers.GangPeer / 2)
@@ -258,7 +258,7 @@
 	wait.Wait()
 	a.step(func() Effects {
 		a.attempts.gangMembers[k] = members
-		return a.worker.Peers(a.clock(), k, states)
+		return a.worker.GangStatesReceived(a.clock(), k, states)
 	})
 }
 
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -30,8 +30,8 @@
 	Address string `yaml:"address"`
 }
 
-// Room is the capacity of a machine: processors, accelerators and memory in GB.
-type Room struct {
+// Resources is the capacity of a machine: processors, accelerators and memory in GB.
+type Resources struct {
 	CPUs float64 `yaml:"cpus"`
 	GPUs float64 `yaml:"accelerators"`
 	RAM  float64 `yaml:"ramGb"`
@@ -67,21 +67,21 @@
 
 // Effects are the actions that a step requests from its caller.
 type Effects struct {
-	Heartbeat       *HeartbeatSend
-	Describe        []string      // jobs whose descriptions are to be fetched
-	Fetch           []string      // names of images to be fetched
-	Leave           []string      // names of images whose fetch is to be cancelled: no task waits for them any more
-	FetchInputs     []TaskAttempt // attempts whose inputs are to be fetched
-	Start           []TaskAttempt
-	Checkpoint      []TaskAttempt // to save a checkpoint and continue
-	Stop            []TaskAttempt // to save a checkpoint and end
-	Kill            []TaskAttempt // to be killed at once, with all their processes
-	AskGang         []TaskAttempt // gang tasks whose peers are to be queried
-	Forget          []TaskAttempt
-	EndAll          bool   // all tasks are to be killed; the caller then calls EpochEnded
-	Token           uint64 // a new highest fencing token, to be persisted; 0: none
-	StagingCommands *protocol.StoreOrders
-	LeaseEnd        time.Duration
+	Heartbeat         *HeartbeatSend
+	FetchDescriptions []string      // jobs whose descriptions are to be fetched
+	FetchImages       []string      // names of images to be fetched
+	CancelFetches     []string      // names of images whose fetch is to be cancelled: no task waits for them any more
+	FetchInputs       []TaskAttempt // attempts whose inputs are to be fetched
+	Start             []TaskAttempt
+	Checkpoint        []TaskAttempt // to save a checkpoint and continue
+	Stop              []TaskAttempt // to save a checkpoint and end
+	Kill              []TaskAttempt // to be killed at once, with all their processes
+	AskGang           []TaskAttempt // gang tasks whose peers are to be queried
+	Forget            []TaskAttempt
+	EndAll            bool   // all tasks are to be killed; the caller then calls EpochEnded
+	Token             uint64 // a new highest fencing token, to be persisted; 0: none
+	StagingCommands   *protocol.StoreOrders
+	LeaseEnd          time.Duration
 }
 
 // Worker is a worker's side of the protocol: a state machine without I/O. Its
@@ -89,7 +89,7 @@
 // its machine.
 type Worker struct {
 	identity    protocol.Heartbeat // the heartbeat fields that never change
-	room        Room
+	resources   Resources
 	periods     Periods
 	controllers []Controller
 	random      *rand.Rand
@@ -151,10 +151,10 @@
 
 // NewWorker returns a worker that begins the given agent epoch. fencingToken is the
 // highest token that an earlier process on this machine has persisted.
-func NewWorker(identity protocol.Heartbeat, room Room, p Periods, controllers []Controller, epoch, fencingToken uint64, random *rand.Rand) *Worker {
+func NewWorker(identity protocol.Heartbeat, resources Resources, p Periods, controllers []Controller, epoch, fencingToken uint64, random *rand.Rand) *Worker {
 	identity.Tasks = nil
 	return &Worker{
-		identity: identity, room: room, periods: p, controllers: controllers, random: random,
+		identity: identity, resources: resources, periods: p, controllers: controllers, random: random,
 		epoch: agentEpoch{number: epoch}, fencingToken: fencingToken,
 		heartbeats: heartbeatSchedule{controller: random.IntN(len(controllers))},
 		tasks:      map[TaskAttempt]*taskState{},
@@ -195,8 +195,8 @@
 	return out
 }
 
-// Due returns the time by which Tick must be called next.
-func (w *Worker) Due() time.Duration {
+// NextTick returns the time by which Tick must be called next.
+func (w *Worker) NextTick() time.Duration {
 	next := w.leaseEnd() + 1
 	if w.epoch.ending {
 		return w.now + minHeartbeatInterval
@@ -312,11 +312,11 @@
 	delete(w.images.fetching, task.description.Image)
 	// A fetch that is both requested and cancelled in one step is not started at
 	// all, because the kinds of effects of a step have no order among them.
-	if i := slices.Index(w.effects.Fetch, task.description.Image); i >= 0 {
-		w.effects.Fetch = slices.Delete(w.effects.Fetch, i, i+1)
+	if i := slices.Index(w.effects.FetchImages, task.description.Image); i >= 0 {
+		w.effects.FetchImages = slices.Delete(w.effects.FetchImages, i, i+1)
 		return
 	}
-	w.effects.Leave = append(w.effects.Leave, task.description.Image)
+	w.effects.CancelFetches = append(w.effects.CancelFetches, task.description.Image)
 }
 
 // endProcess kills an attempt that has a process; the attempt is over when all its processes
@@ -344,14 +344,14 @@
 		w.endWithoutProcess(task, protocol.CauseUnknown)
 		return
 	}
-	used := Room{}
+	used := Resources{}
 	for _, o := range w.tasks {
 		if o.description != nil && o.phase != ended {
-			used = Room{used.CPUs + o.description.CPUs, used.GPUs + o.description.GPUs, used.RAM + o.description.MemoryGB}
+			used = Resources{used.CPUs + o.description.CPUs, used.GPUs + o.description.GPUs, used.RAM + o.description.MemoryGB}
 		}
 	}
 	const tolerance = 1e-6 // for rounding errors in sums of decimal amounts
-	if used.CPUs+d.CPUs > w.room.CPUs+tolerance || used.GPUs+d.GPUs > w.room.GPUs+tolerance || used.RAM+d.MemoryGB > w.room.RAM+tolerance {
+	if used.CPUs+d.CPUs > w.resources.CPUs+tolerance || used.GPUs+d.GPUs > w.resources.GPUs+tolerance || used.RAM+d.MemoryGB > w.resources.RAM+tolerance {
 		w.endWithoutProcess(task, protocol.CauseNoRoom)
 		return
 	}
@@ -364,11 +364,11 @@
 		w.startIfReady(task)
 	} else if !w.images.fetching[d.Image] {
 		w.images.fetching[d.Image] = true
-		if i := slices.Index(w.effects.Leave, d.Image); i >= 0 {
-			w.effects.Leave = slices.Delete(w.effects.Leave, i, i+1) // the fetch that was about to be cancelled continues
+		if i := slices.Index(w.effects.CancelFetches, d.Image); i >= 0 {
+			w.effects.CancelFetches = slices.Delete(w.effects.CancelFetches, i, i+1) // the fetch that was about to be cancelled continues
 			return
 		}
-		w.effects.Fetch = append(w.effects.Fetch, d.Image)
+		w.effects.FetchImages = append(w.effects.FetchImages, d.Image)
 	}
 }
 
--- a/internal/agent/worker_commands.go
+++ b/internal/agent/worker_commands.go
@@ -23,8 +23,8 @@
 	return protocol.Encode(w.buildHeartbeat()), w.takeEffects(), nil
 }
 
-// Direct answers POST /orders, which carries commands sent directly by a controller.
-func (w *Worker) Direct(now time.Duration, body []byte) (status int, answer []byte, e Effects) {
+// ExecuteDirectCommands answers POST /orders, which carries commands sent directly by a controller.
+func (w *Worker) ExecuteDirectCommands(now time.Duration, body []byte) (status int, answer []byte, e Effects) {
 	w.advance(now)
 	var d struct {
 		FencingToken *uint64            `json:"baton"`
@@ -113,7 +113,7 @@
 		w.applyDescription(task, d)
 	} else if !w.jobs.describing[k.Job] {
 		w.jobs.describing[k.Job] = true
-		w.effects.Describe = append(w.effects.Describe, k.Job)
+		w.effects.FetchDescriptions = append(w.effects.FetchDescriptions, k.Job)
 	}
 }
 
--- a/internal/agent/worker_events.go
+++ b/internal/agent/worker_events.go
@@ -45,9 +45,9 @@
 // SetUnshipped sets the number of ended attempts whose output is not yet shipped to the archive.
 func (w *Worker) SetUnshipped(n int) { w.unshipped = n }
 
-// Described records the result of fetching a job's description. If d is nil, unknown reports
-// that no controller knows the job; otherwise the description is requested again.
-func (w *Worker) Described(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
+// DescriptionFetched records the result of fetching a job's description. If d is nil, unknown
+// reports that no controller knows the job; otherwise the description is requested again.
+func (w *Worker) DescriptionFetched(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
 	w.advance(now)
 	delete(w.jobs.describing, id)
 	if w.epoch.ending {
@@ -65,15 +65,15 @@
 			w.endWithoutProcess(task, protocol.CauseUnknown)
 		case !w.jobs.describing[id]:
 			w.jobs.describing[id] = true
-			w.effects.Describe = append(w.effects.Describe, id)
+			w.effects.FetchDescriptions = append(w.effects.FetchDescriptions, id)
 		}
 	}
 	w.dropDescription(id)
 	return w.takeEffects()
 }
 
-// Fetched records that an image is present, or that fetching it failed with err.
-func (w *Worker) Fetched(now time.Duration, image string, err error) Effects {
+// ImageFetched records that an image is present, or that fetching it failed with err.
+func (w *Worker) ImageFetched(now time.Duration, image string, err error) Effects {
 	w.advance(now)
 	delete(w.images.fetching, image)
 	if w.epoch.ending {
--- a/internal/agent/worker_gang.go
+++ b/internal/agent/worker_gang.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Peers records the states that the agents of a gang's other tasks have returned.
-func (w *Worker) Peers(now time.Duration, k TaskAttempt, states map[int]string) Effects {
+// GangStatesReceived records the states that the agents of a gang's other tasks have returned.
+func (w *Worker) GangStatesReceived(now time.Duration, k TaskAttempt, states map[int]string) Effects {
 	w.now = max(w.now, now)
 	if task := w.tasks[k]; task != nil && task.phase != ended && !w.epoch.ending {
 		task.peerStates = states
@@ -60,9 +60,9 @@
 	return w.takeEffects()
 }
 
-// Gang returns, by task index, the states of a gang's attempts on this machine, for the agents of
-// its other tasks.
-func (w *Worker) Gang(id string, attempt int) map[int]string {
+// GangStates returns, by task index, the states of a gang's attempts on this machine, for the
+// agents of its other tasks.
+func (w *Worker) GangStates(id string, attempt int) map[int]string {
 	out := map[int]string{}
 	for k := range w.doneAt {
 		if k.Job == id && k.Attempt == attempt {
--- a/internal/agent/worker_heartbeat.go
+++ b/internal/agent/worker_heartbeat.go
@@ -33,8 +33,8 @@
 		Epoch: w.epoch.number, SentAt: w.now}
 }
 
-// Answered records the outcome of a heartbeat; status is 0 if no answer came in time.
-func (w *Worker) Answered(now time.Duration, s *HeartbeatSend, status int, body []byte) Effects {
+// HeartbeatAnswered records the outcome of a heartbeat; status is 0 if no answer came in time.
+func (w *Worker) HeartbeatAnswered(now time.Duration, s *HeartbeatSend, status int, body []byte) Effects {
 	w.advance(now)
 	w.heartbeats.inflight = false
 	switch status {
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -18,7 +18,7 @@
 var (
 	testPeriods     = Periods{Heartbeat: 3, Lease: 18, GangWait: 35, GangPeer: 4}
 	testControllers = []Controller{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
-	testRoom        = Room{CPUs: 4, GPUs: 0, RAM: 3}
+	testResources   = Resources{CPUs: 4, GPUs: 0, RAM: 3}
 )
 
 // workerHarness drives a worker as an agent would; the tests draw the events at random.
@@ -36,7 +36,7 @@
 
 func newWorkerHarness(fail func(string, ...any)) *workerHarness {
 	identity := protocol.Heartbeat{Worker: "i-1", Address: "127.0.0.1:9", MachineType: "r", Zone: "z"}
-	return &workerHarness{worker: NewWorker(identity, testRoom, testPeriods, testControllers, 1, 0, rand.New(rand.NewPCG(1, 2))),
+	return &workerHarness{worker: NewWorker(identity, testResources, testPeriods, testControllers, 1, 0, rand.New(rand.NewPCG(1, 2))),
 		alive: map[TaskAttempt]bool{}, fetches: map[string]bool{}, started: map[TaskAttempt]int{}, fail: fail}
 }
 
@@ -72,17 +72,17 @@
 			b.fail("%v forgotten while its processes run", k)
 		}
 	}
-	for _, n := range e.Fetch {
+	for _, n := range e.FetchImages {
 		if b.fetches[n] {
 			b.fail("image %s fetched twice at once", n)
 		}
 		b.fetches[n] = true
 	}
-	for _, n := range e.Leave {
+	for _, n := range e.CancelFetches {
 		delete(b.fetches, n)
 	}
-	b.descriptionRequests = append(b.descriptionRequests, e.Describe...)
-	used := Room{}
+	b.descriptionRequests = append(b.descriptionRequests, e.FetchDescriptions...)
+	used := Resources{}
 	for k, task := range b.worker.tasks {
 		if task.phase == ended && b.alive[k] {
 			b.fail("%v reported as ended (%s) while its processes run", k, task.cause)
@@ -92,7 +92,7 @@
 			used.RAM += task.description.MemoryGB
 		}
 	}
-	if used.CPUs > testRoom.CPUs || used.RAM > testRoom.RAM {
+	if used.CPUs > testResources.CPUs || used.RAM > testResources.RAM {
 		b.fail("more resources in use than the machine has: %+v", used)
 	}
 }
@@ -105,7 +105,7 @@
 func (b *workerHarness) answer(status int, v any) {
 	r := b.heartbeat
 	b.heartbeat = nil
-	b.apply(b.worker.Answered(b.now, r, status, protocol.Encode(v)))
+	b.apply(b.worker.HeartbeatAnswered(b.now, r, status, protocol.Encode(v)))
 }
 
 func jobDescription(id string, shape job.Shape, loads int) *protocol.JobDescription {
@@ -161,7 +161,7 @@
 			case 5:
 				token := rapid.SampledFrom([]uint64{highest, highest + 1, highest / 2}).Draw(t, "token")
 				epoch := rapid.SampledFrom([]uint64{currentEpoch, currentEpoch, currentEpoch + 1}).Draw(t, "shift")
-				st, _, e := b.worker.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
+				st, _, e := b.worker.ExecuteDirectCommands(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: token, AgentEpoch: epoch, Commands: commands()}))
 				b.apply(e)
 				if want := token >= highest && epoch == currentEpoch && !b.worker.epoch.ending; (st == 200) != want {
 					t.Fatalf("direct commands: status %d, token %d of %d, epoch %d of %d", st, token, highest, epoch, currentEpoch)
@@ -174,9 +174,9 @@
 				b.descriptionRequests = nil
 				for _, id := range asked {
 					if rapid.IntRange(0, 3).Draw(t, "described") == 0 {
-						b.apply(b.worker.Described(b.now, id, nil, false))
+						b.apply(b.worker.DescriptionFetched(b.now, id, nil, false))
 					} else {
-						b.apply(b.worker.Described(b.now, id, jobs[id], jobs[id] == nil))
+						b.apply(b.worker.DescriptionFetched(b.now, id, jobs[id], jobs[id] == nil))
 					}
 				}
 			case 7:
@@ -186,7 +186,7 @@
 					if rapid.IntRange(0, 4).Draw(t, "fetched") == 0 {
 						err = errors.New("no")
 					}
-					b.apply(b.worker.Fetched(b.now, n, err))
+					b.apply(b.worker.ImageFetched(b.now, n, err))
 				}
 			case 8:
 				var live []TaskAttempt
@@ -225,8 +225,8 @@
 	b := newWorkerHarness(t.Fatalf)
 	b.tick(0)
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 7, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
-	b.apply(b.worker.Described(b.now, "wk-000001", jobDescription("wk-000001", job.Array, 1), false))
-	b.apply(b.worker.Fetched(b.now, "img", nil))
+	b.apply(b.worker.DescriptionFetched(b.now, "wk-000001", jobDescription("wk-000001", job.Array, 1), false))
+	b.apply(b.worker.ImageFetched(b.now, "img", nil))
 	if len(b.alive) != 1 {
 		t.Fatal("the task was not started")
 	}
@@ -237,7 +237,7 @@
 	if _, _, err := b.worker.Status(b.now); err == nil {
 		t.Fatal("a status was returned while tasks were being killed")
 	}
-	if st, _, _ := b.worker.Direct(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
+	if st, _, _ := b.worker.ExecuteDirectCommands(b.now, []byte(`{"baton":9,"shift":2,"orders":[]}`)); st != 503 {
 		t.Fatalf("direct commands were accepted while tasks were being killed: status %d", st)
 	}
 	b.heartbeat = nil
@@ -285,7 +285,7 @@
 			b := newWorkerHarness(t.Fatalf)
 			b.tick(0)
 			b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{{Verb: "launch", Task: fmt.Sprintf("%s/%d", id, i), Attempt: 4}}})
-			b.apply(b.worker.Described(b.now, id, d, false))
+			b.apply(b.worker.DescriptionFetched(b.now, id, d, false))
 			harnesses = append(harnesses, b)
 		}
 		imageAt := []int{}
@@ -304,12 +304,12 @@
 		for q := range 300 {
 			for i, b := range harnesses {
 				if q == imageAt[i] {
-					b.apply(b.worker.Fetched(b.now, "img", nil))
+					b.apply(b.worker.ImageFetched(b.now, "img", nil))
 				}
 				k := TaskAttempt{id, i, 4}
 				if q == stopAt && (i != lost || q < lostAt) {
 					grace := 8.0
-					_, _, e := b.worker.Direct(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.TaskName(), Attempt: 4, GracePeriodS: &grace}}}))
+					_, _, e := b.worker.ExecuteDirectCommands(b.now, protocol.Encode(protocol.DirectCommands{FencingToken: 1, AgentEpoch: 1, Commands: []protocol.Command{{Verb: "kill", Task: k.TaskName(), Attempt: 4, GracePeriodS: &grace}}}))
 					b.apply(e)
 				}
 				if i == lost && q >= lostAt && lostAt < 100 {
@@ -342,11 +342,11 @@
 						if j == lost && q >= lostAt && lostAt < 100 {
 							continue
 						}
-						for i, s := range o.worker.Gang(id, 4) {
+						for i, s := range o.worker.GangStates(id, 4) {
 							states[i] = s
 						}
 					}
-					b.apply(b.worker.Peers(b.now, k, states))
+					b.apply(b.worker.GangStatesReceived(b.now, k, states))
 				}
 				if b.heartbeat != nil {
 					b.answer(200, protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{}})
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -27,7 +27,7 @@
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
-	Room             agent.Room
+	Resources        agent.Resources
 	// PullGBPerS is how fast the machine fetches images, in GB a second.
 	PullGBPerS float64
 }
@@ -127,7 +127,7 @@
 	}
 	w := &worker{fleet: f, machine: m, address: listener.Addr().String(), running: map[agent.TaskAttempt]*time.Timer{}, fetchingImages: map[string]bool{}}
 	identity := protocol.Heartbeat{Worker: m.Name, Address: w.address, MachineType: m.Type, Zone: m.Zone, Spot: m.Spot}
-	w.state = agent.NewWorker(identity, m.Room, f.periods, f.controllers, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
+	w.state = agent.NewWorker(identity, m.Resources, f.periods, f.controllers, 1, 0, rand.New(rand.NewPCG(seed, uint64(len(m.Name)))))
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: heartbeatTimeout, ErrorLog: nil}
 	f.mu.Lock()
 	if f.closed {
@@ -259,7 +259,7 @@
 	for _, w := range list {
 		w.mu.Lock()
 		if !w.stopped {
-			for index, state := range w.state.Gang(k.Job, k.Attempt) {
+			for index, state := range w.state.GangStates(k.Job, k.Attempt) {
 				states[index] = state
 			}
 		}
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -50,13 +50,13 @@
 	for _, k := range e.Stop {
 		w.endTask(k, checkpointStopTime)
 	}
-	for _, name := range e.Leave {
+	for _, name := range e.CancelFetches {
 		delete(w.fetchingImages, name)
 	}
-	for _, id := range e.Describe {
+	for _, id := range e.FetchDescriptions {
 		w.describe(id)
 	}
-	for _, name := range e.Fetch {
+	for _, name := range e.FetchImages {
 		w.fetchImage(name)
 	}
 	for _, k := range e.Start {
@@ -76,7 +76,7 @@
 
 // armTimer sets the timer to the time at which the state machine is next due.
 func (w *worker) armTimer() {
-	wait := max(w.state.Due()-w.fleet.clock(), time.Millisecond)
+	wait := max(w.state.NextTick()-w.fleet.clock(), time.Millisecond)
 	if w.timer == nil {
 		w.timer = time.AfterFunc(wait, func() { w.step(w.state.Tick) })
 		return
@@ -95,7 +95,7 @@
 		if known && d.Shape == job.Gang {
 			defer w.registerGangAttempts(id)
 		}
-		return w.state.Described(now, id, d, !known)
+		return w.state.DescriptionFetched(now, id, d, !known)
 	})
 }
 
@@ -115,7 +115,7 @@
 			return w.state.Tick(now)
 		}
 		delete(w.fetchingImages, name)
-		return w.state.Fetched(now, name, nil)
+		return w.state.ImageFetched(now, name, nil)
 	})
 }
 
@@ -171,7 +171,7 @@
 
 func (w *worker) askGang(k agent.TaskAttempt) {
 	states := w.fleet.gangStates(k)
-	w.step(func(now time.Duration) agent.Effects { return w.state.Peers(now, k, states) })
+	w.step(func(now time.Duration) agent.Effects { return w.state.GangStatesReceived(now, k, states) })
 }
 
 // leaseExpired ends all tasks because the lease has ended. The caller holds w.mu.
@@ -228,7 +228,7 @@
 			w.step(func(now time.Duration) agent.Effects {
 				if err != nil {
 					stats.Unanswered.Add(1)
-					return w.state.Answered(now, s, 0, nil)
+					return w.state.HeartbeatAnswered(now, s, 0, nil)
 				}
 				stats.BytesIn.Add(int64(len(r.Body) + headerBytes))
 				switch r.Status {
@@ -241,7 +241,7 @@
 				default:
 					stats.Refused.Add(1)
 				}
-				return w.state.Answered(now, s, r.Status, r.Body)
+				return w.state.HeartbeatAnswered(now, s, r.Status, r.Body)
 			})
 		}})
 }
@@ -271,7 +271,7 @@
 		return problem(http.StatusServiceUnavailable, "the machine is gone")
 	case path == protocol.PathCommands && method == http.MethodPost:
 		w.fleet.Stats.Commands.Add(1)
-		status, answer, e = w.state.Direct(w.fleet.clock(), body)
+		status, answer, e = w.state.ExecuteDirectCommands(w.fleet.clock(), body)
 	case path == protocol.PathStatus && method == http.MethodGet:
 		var err error
 		if answer, e, err = w.state.Status(w.fleet.clock()); err != nil {
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -314,7 +314,7 @@
 		a.Archive = &ship.Config{Members: l.ports.ArchiveNodes(x.Nodes), Replicas: x.Replicas, Certs: "/", BoundS: x.BoundS, RateMBPerS: x.RateMBPerS,
 			UrgentMBPerS: x.UrgentMBPerS, SpoolMB: x.SpoolMB, FileMB: x.FileMB, FilesMax: x.FilesMax}
 	}
-	a.OutsideDir = filepath.Join(l.dir, outsideDir)
+	a.SharedDir = filepath.Join(l.dir, outsideDir)
 	a.Controllers = nil
 	for i := range l.ports.Controllers[:c.Controllers] {
 		a.Controllers = append(a.Controllers, agent.Controller{Name: nodeName(i), Address: address(l.ports.Controllers[i])})
