--- a/cmd/silvergate/artefacts.go
+++ b/cmd/silvergate/artefacts.go
@@ -51,7 +51,7 @@
 			var rows [][]string
 			for _, e := range found {
 				for _, f := range e.Files {
-					rows = append(rows, []string{strconv.Itoa(e.Task), strconv.Itoa(e.Try), e.Machine, fmt.Sprint(f.Size), f.Digest[:16], archive.Visible(f.Path)})
+					rows = append(rows, []string{strconv.Itoa(e.Task), strconv.Itoa(e.Try), e.Machine, fmt.Sprint(f.Size), f.Digest[:16], archive.EscapeForTerminal(f.Path)})
 				}
 			}
 			return k.printList(c, found, "TASK ATTEMPT MACHINE BYTES DIGEST FILE", rows)
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -174,9 +174,9 @@
 	if l.Stream == archive.Stderr {
 		mark = "!"
 	}
-	text := archive.Visible(l.Text)
+	text := archive.EscapeForTerminal(l.Text)
 	if l.Note != "" {
-		text = "[" + archive.Visible(l.Note) + "]"
+		text = "[" + archive.EscapeForTerminal(l.Note) + "]"
 	}
 	_, err := fmt.Fprintf(out, "%s %d%s %s\n", l.At.Format("15:04:05.000"), l.Task, mark, text)
 	return err
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -42,7 +42,7 @@
 				if !e.At.IsZero() {
 					at = e.At.Format("2006-01-02 15:04:05")
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s  %s\n", at, archive.Visible(e.Text))
+				fmt.Fprintf(c.OutOrStdout(), "%s  %s\n", at, archive.EscapeForTerminal(e.Text))
 			}
 			return nil
 		},
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -31,14 +31,14 @@
 		return NewRecord(a, KindGrant, "", Encode(Grant{Attempt: a, Terms: Terms{Owner: Owner{Team: "office"}}}))
 	case 1:
 		s := Segment{WriteTimes: []WriteTime{{len(data), rapid.Int64Range(0, 1<<45).Draw(t, "at")}}, Data: data}
-		return NewRecord(a, KindSegment, At(Stdout, rapid.Int64Range(0, 1<<40).Draw(t, "from"), len(data)), s.Encode())
+		return NewRecord(a, KindSegment, FormatPosition(Stdout, rapid.Int64Range(0, 1<<40).Draw(t, "from"), len(data)), s.Encode())
 	case 2:
 		from := rapid.Int64Range(0, 1<<40).Draw(t, "from")
-		return NewRecord(a, KindGap, At(Stderr, from, 0), Encode(Gap{From: from, To: from + 5, Reason: GapQuota}))
+		return NewRecord(a, KindGap, FormatPosition(Stderr, from, 0), Encode(Gap{From: from, To: from + 5, Reason: GapQuota}))
 	case 3:
 		return NewRecord(a, KindEnd, "", Encode(End{Cause: "done", Sizes: map[string]int64{Stdout: 3}}))
 	}
-	return NewRecord(Files(a.Job), KindChunk, "", data)
+	return NewRecord(FilesAttempt(a.Job), KindChunk, "", data)
 }
 
 // TestFrameRoundTrip encodes random records and checks that they are decoded unchanged, that
@@ -109,7 +109,7 @@
 func TestAssembleStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.Int64Range(0, 200).Draw(t, "size")
-		state := make([]string, size) // expected Piece.What of each byte
+		state := make([]string, size) // expected Piece.State of each byte
 		for i := range state {
 			state[i] = PieceMissing
 		}
@@ -156,11 +156,11 @@
 				t.Fatalf("%+v begins at %d, want %d", p, p.From, pos)
 			}
 			for i := p.From; i < p.To; i++ {
-				if state[i] != p.What {
-					t.Fatalf("byte %d is %q, but its piece is %q", i, state[i], p.What)
+				if state[i] != p.State {
+					t.Fatalf("byte %d is %q, but its piece is %q", i, state[i], p.State)
 				}
 			}
-			if p.What == PieceData && (parts[p.Ref].From > p.From || parts[p.Ref].To < p.To) {
+			if p.State == PieceData && (parts[p.Ref].From > p.From || parts[p.Ref].To < p.To) {
 				t.Fatalf("%+v is not within the part that it refers to", p)
 			}
 			pos = p.To
@@ -178,7 +178,8 @@
 // length.
 func TestGapsOfUnknownLength(t *testing.T) {
 	got := Assemble([]Part{{0, 5, 0}, {5, 9, 1}}, []Gap{{From: 5, To: 5, Reason: GapCut}, {From: 9, To: -1, Reason: GapUnread}}, 0, "", -1)
-	want := []Piece{{From: 0, To: 5}, {From: 5, To: 5, What: PieceGap, Reason: GapCut}, {From: 5, To: 9, Ref: 1}, {From: 9, To: -1, What: PieceGap, Reason: GapUnread}}
+	want := []Piece{{From: 0, To: 5}, {From: 5, To: 5, State: PieceGap, Reason: GapCut}, {From: 5, To: 9, Ref: 1},
+		{From: 9, To: -1, State: PieceGap, Reason: GapUnread}}
 	if !slices.Equal(got, want) {
 		t.Errorf("assembled %+v", got)
 	}
@@ -197,8 +198,8 @@
 		const units = 400
 		moved, own := 0, 0
 		for i := range units {
-			unit := Unit(Attempt{Job: fmt.Sprintf("wk-%06d", i), Task: i % 7})
-			was, is := m.Of(unit), more.Of(unit)
+			unit := PlacementUnit(Attempt{Job: fmt.Sprintf("wk-%06d", i), Task: i % 7})
+			was, is := m.NodesFor(unit), more.NodesFor(unit)
 			slices.Sort(was)
 			if len(slices.Compact(slices.Clone(was))) != m.copies() || !m.IsReplica(was[0], unit) {
 				t.Fatal(was)
@@ -389,7 +390,7 @@
 		}
 	}
 	for in, want := range map[string]string{"plain\ttext": "plain\ttext", "\x1b[2Jx": `\x1b[2Jx`, "a\rb": `a\x0db`, "ü": "ü", "\xff": `\xff`, "\u202egnp.exe": `\xe2\x80\xaegnp.exe`, "\u009b1m": `\xc2\x9b1m`} {
-		if got := Visible(in); got != want {
+		if got := EscapeForTerminal(in); got != want {
 			t.Errorf("%q is escaped as %q", in, got)
 		}
 	}
@@ -399,8 +400,10 @@
 // bytes, and its payload, if valid, must decode within its limits.
 func FuzzFrame(f *testing.F) {
 	s := Segment{WriteTimes: []WriteTime{{5, 1}}, Data: []byte("hello")}
-	for _, r := range []Record{NewRecord(testAttempt, KindSegment, At(Stdout, 0, 5), s.Encode()), NewRecord(testAttempt, KindGrant, "", Encode(Grant{Attempt: testAttempt})), NewRecord(Files(testAttempt.Job), KindChunk, "", []byte("x")),
-		NewRecord(testAttempt, KindGap, At(Stderr, 7, 0), Encode(Gap{From: 7, To: 9, Reason: GapCut})), NewRecord(testAttempt, KindFile, "", Encode(File{Path: "a"}))} {
+	for _, r := range []Record{NewRecord(testAttempt, KindSegment, FormatPosition(Stdout, 0, 5), s.Encode()), NewRecord(testAttempt, KindGrant, "", Encode(Grant{Attempt: testAttempt})),
+		NewRecord(FilesAttempt(testAttempt.Job), KindChunk, "", []byte("x")),
+		NewRecord(testAttempt, KindGap, FormatPosition(Stderr, 7, 0), Encode(Gap{From: 7, To: 9, Reason: GapCut})),
+		NewRecord(testAttempt, KindFile, "", Encode(File{Path: "a"}))} {
 		f.Add(AppendFrame(nil, &r))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -266,8 +266,8 @@
 		}
 		pos = p.To
 		switch {
-		case p.What != archive.PieceData:
-			if p.What == archive.PieceMissing && p.From < int64(w.Promised) {
+		case p.State != archive.PieceData:
+			if p.State == archive.PieceMissing && p.From < int64(w.Promised) {
 				return fmt.Errorf("%s: bytes %d to %d are missing without a reason; %d are promised", w.Attempt, p.From, p.To, w.Promised)
 			}
 		case p.To > int64(len(w.Output)) || string(p.Data) != w.Output[p.From:p.To]:
--- a/internal/archive/history/history_test.go
+++ b/internal/archive/history/history_test.go
@@ -32,8 +32,8 @@
 	w := func() *Expected {
 		return &Expected{Attempt: a, Output: "hello world", Promised: 11, Ended: true, Files: map[string]string{"out/a": "x"}}
 	}
-	piece := func(from, to int64, what, data string) node.Piece {
-		return node.Piece{Piece: archive.Piece{From: from, To: to, What: what}, Data: []byte(data)}
+	piece := func(from, to int64, state, data string) node.Piece {
+		return node.Piece{Piece: archive.Piece{From: from, To: to, State: state}, Data: []byte(data)}
 	}
 	files := map[string]string{"out/a": "x"}
 	for _, c := range []struct {
@@ -132,7 +132,7 @@
 	}
 	lost := int64(0)
 	for _, p := range got.Output {
-		if p.What == archive.PieceGap && p.Reason == archive.GapQuota {
+		if p.State == archive.PieceGap && p.Reason == archive.GapQuota {
 			lost += p.To - p.From
 		}
 	}
--- a/internal/archive/node/derived.go
+++ b/internal/archive/node/derived.go
@@ -55,7 +55,7 @@
 	if i.At.After(u.lastStored) {
 		u.lastStored = i.At
 	}
-	u.ended = u.ended || i.Key.Kind == archive.KindEnd || i.Key.Attempt == archive.Files(i.Key.Attempt.Job)
+	u.ended = u.ended || i.Key.Kind == archive.KindEnd || i.Key.Attempt == archive.FilesAttempt(i.Key.Attempt.Job)
 }
 
 // recordRemoved updates the derived state. The vault calls it for each record that it removes.
@@ -76,8 +76,8 @@
 // removes it from them. If this node should not store the record, it updates the strays
 // instead.
 func (n *Node) updateTrees(k archive.Key, in bool) {
-	unit, key := archive.Unit(k.Attempt), k.String()
-	owners := n.members.Of(unit)
+	unit, key := archive.PlacementUnit(k.Attempt), k.String()
+	owners := n.members.NodesFor(unit)
 	mine := false
 	for _, o := range owners {
 		mine = mine || o == n.cfg.Name
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -114,7 +114,7 @@
 	n.mu.Unlock()
 	for _, e := range all {
 		a, err := archive.ParseAttempt(e.name)
-		if err != nil || n.members.Of(archive.Unit(a))[0] != n.cfg.Name {
+		if err != nil || n.members.NodesFor(archive.PlacementUnit(a))[0] != n.cfg.Name {
 			continue
 		}
 		if e.u.owner == nil {
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -130,7 +130,7 @@
 // its grant.
 func grantLabels(r *archive.Record) []string {
 	var g archive.Grant
-	if r.Key.Kind != archive.KindGrant || r.Key.Attempt == archive.Files(r.Key.Attempt.Job) || json.Unmarshal(r.Payload, &g) != nil {
+	if r.Key.Kind != archive.KindGrant || r.Key.Attempt == archive.FilesAttempt(r.Key.Attempt.Job) || json.Unmarshal(r.Payload, &g) != nil {
 		return nil
 	}
 	return []string{"all", labelTeam(g.Team), labelCustomer(g.Team, g.Customer), "class\x00" + g.Class, "machine\x00" + g.Machine, labelDay(time.UnixMilli(g.At))}
--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -120,10 +120,11 @@
 // attemptRecords returns the records of an attempt: its grant, some output, a file and its end.
 func attemptRecords(a archive.Attempt, g archive.Grant, text string) []archive.Record {
 	seg := archive.Segment{WriteTimes: []archive.WriteTime{{To: len(text), At: 1000}}, Data: []byte(text)}
-	chunk := archive.NewRecord(archive.Files(a.Job), archive.KindChunk, "", []byte("file of "+text))
+	chunk := archive.NewRecord(archive.FilesAttempt(a.Job), archive.KindChunk, "", []byte("file of "+text))
 	f := archive.File{Path: "out/result", Size: int64(len("file of " + text)), Digest: chunk.Key.Digest, Chunks: []string{chunk.Key.Digest}}
-	return []archive.Record{archive.NewRecord(a, archive.KindGrant, "", archive.Encode(g)), archive.NewRecord(archive.Files(a.Job), archive.KindGrant, "", archive.Encode(g)),
-		archive.NewRecord(a, archive.KindSegment, archive.At(archive.Stdout, 0, len(text)), seg.Encode()), chunk,
+	return []archive.Record{archive.NewRecord(a, archive.KindGrant, "", archive.Encode(g)),
+		archive.NewRecord(archive.FilesAttempt(a.Job), archive.KindGrant, "", archive.Encode(g)),
+		archive.NewRecord(a, archive.KindSegment, archive.FormatPosition(archive.Stdout, 0, len(text)), seg.Encode()), chunk,
 		archive.NewRecord(a, archive.KindFile, "", archive.Encode(f)),
 		archive.NewRecord(a, archive.KindEnd, "", archive.Encode(archive.End{Cause: "done", Sizes: map[string]int64{archive.Stdout: int64(len(text))}, Files: 1}))}
 }
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -133,7 +133,7 @@
 		switch {
 		case k.Kind == archive.KindExpired:
 			return errNodeOnlyKind
-		case k.Attempt == archive.Files(k.Attempt.Job):
+		case k.Attempt == archive.FilesAttempt(k.Attempt.Job):
 			if !jobs[k.Attempt.Job] {
 				return errNoGrant
 			}
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -50,7 +50,7 @@
 	// A segment that begins up to MaxSegment bytes earlier can extend past the offset.
 	begin := max(0, from-archive.MaxSegment)
 	prefix := name + "/s/" + stream + "."
-	infos, more, err := n.vault.Keys(prefix, name+"/s/"+archive.At(stream, begin, 0), segmentsPage)
+	infos, more, err := n.vault.Keys(prefix, name+"/s/"+archive.FormatPosition(stream, begin, 0), segmentsPage)
 	if err != nil {
 		return out, err
 	}
@@ -161,7 +161,7 @@
 			out.More = true
 			break
 		}
-		if p.What != archive.PieceData {
+		if p.State != archive.PieceData {
 			if g.mayStillArrive(p, parts) {
 				break
 			}
@@ -224,7 +224,7 @@
 // mayStillArrive reports whether a piece is the missing tail of an attempt that is still
 // running, whose segments may not have been shipped yet.
 func (g *gatheredStream) mayStillArrive(p archive.Piece, parts []archive.Part) bool {
-	return p.What == archive.PieceMissing && g.state.end == nil &&
+	return p.State == archive.PieceMissing && g.state.end == nil &&
 		!slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To })
 }
 
@@ -238,7 +238,7 @@
 		answered = append(answered, name)
 		g.add(n, name, c)
 	})
-	g.missing = g.missingAt(answered, n.members.Of(archive.Unit(a)))
+	g.missing = g.missingAt(answered, n.members.NodesFor(archive.PlacementUnit(a)))
 	return g
 }
 
@@ -349,8 +349,8 @@
 		}
 		var out []byte
 		for _, digest := range f.Chunks[from:min(len(f.Chunks), from+8)] {
-			k := archive.Key{Attempt: archive.Files(a.Job), Kind: archive.KindChunk, Digest: digest}
-			record, err := n.readRecord(r.Context(), k, n.members.Of(archive.Unit(k.Attempt)))
+			k := archive.Key{Attempt: archive.FilesAttempt(a.Job), Kind: archive.KindChunk, Digest: digest}
+			record, err := n.readRecord(r.Context(), k, n.members.NodesFor(archive.PlacementUnit(k.Attempt)))
 			if err != nil {
 				n.log.Error("a chunk can't be read", "key", k.String(), "error", err)
 				writeError(w, http.StatusServiceUnavailable, "a part of it can't be read now")
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -78,7 +78,7 @@
 		if err != nil {
 			continue
 		}
-		unit := archive.Unit(a)
+		unit := archive.PlacementUnit(a)
 		if leaves[archive.Leaf(unit)] && n.members.IsReplica(peer, unit) && n.members.IsReplica(n.cfg.Name, unit) {
 			names = append(names, name)
 		}
@@ -296,7 +296,7 @@
 			batch, size = nil, 0
 		}
 		for _, k := range keys {
-			if !n.members.IsReplica(owner, archive.Unit(k.Attempt)) {
+			if !n.members.IsReplica(owner, archive.PlacementUnit(k.Attempt)) {
 				continue
 			}
 			outstanding[k.String()]++
@@ -375,7 +375,7 @@
 		if err != nil || n.hasExpired(k) {
 			continue
 		}
-		r, err := n.readRecord(n.ctx, k, n.members.Of(archive.Unit(k.Attempt)))
+		r, err := n.readRecord(n.ctx, k, n.members.NodesFor(archive.PlacementUnit(k.Attempt)))
 		if err == nil && m.node == n.cfg.Name {
 			err = n.store(n.ctx, []archive.Record{r})
 		} else if err == nil {
--- a/internal/archive/place.go
+++ b/internal/archive/place.go
@@ -22,13 +22,13 @@
 // copies returns how many nodes store a record: Replicas, but no more than there are nodes.
 func (m Members) copies() int { return max(1, min(m.Replicas, len(m.Names))) }
 
-// Unit returns the name of the placement unit of an attempt. All attempts of a task are one
-// unit and are stored on the same nodes; the tasks of a large job are spread over the nodes.
-func Unit(a Attempt) string { return a.Job + "/" + strconv.Itoa(a.Task) }
+// PlacementUnit returns the name of the placement unit of an attempt. All attempts of a task are
+// one unit and are stored on the same nodes; the tasks of a large job are spread over the nodes.
+func PlacementUnit(a Attempt) string { return a.Job + "/" + strconv.Itoa(a.Task) }
 
-// Of returns the nodes that store a unit's records, in the order of preference. It uses
+// NodesFor returns the nodes that store a unit's records, in the order of preference. It uses
 // rendezvous hashing: a node that joins or leaves moves only its own share.
-func (m Members) Of(unit string) []string {
+func (m Members) NodesFor(unit string) []string {
 	type scored struct {
 		name  string
 		score uint64
@@ -54,7 +54,7 @@
 }
 
 // IsReplica reports whether a node is one of those that store a unit's records.
-func (m Members) IsReplica(node, unit string) bool { return slices.Contains(m.Of(unit), node) }
+func (m Members) IsReplica(node, unit string) bool { return slices.Contains(m.NodesFor(unit), node) }
 
 // Complete reports whether the nodes that answered, given their number, have together every
 // acknowledged record of every unit. They do if the nodes that did not answer are too few
--- a/internal/archive/reader/reader.go
+++ b/internal/archive/reader/reader.go
@@ -265,9 +265,9 @@
 
 // addPiece queues the lines of a piece, or a note for a piece without data.
 func (u *Cursor) addPiece(x *node.Piece) {
-	if x.What != archive.PieceData {
+	if x.State != archive.PieceData {
 		u.endLine(true)
-		note := x.What
+		note := x.State
 		if x.Reason != "" {
 			note += ": " + x.Reason
 		}
--- a/internal/archive/reader/reader_test.go
+++ b/internal/archive/reader/reader_test.go
@@ -22,7 +22,7 @@
 	u := &Cursor{Stream: archive.Stdout}
 	u.addPiece(data(0, 1000, "one\ntw"))
 	u.addPiece(data(6, 2000, "o\nhalf"))
-	u.addPiece(&node.Piece{Piece: archive.Piece{From: 12, To: 20, What: archive.PieceGap, Reason: archive.GapQuota}})
+	u.addPiece(&node.Piece{Piece: archive.Piece{From: 12, To: 20, State: archive.PieceGap, Reason: archive.GapQuota}})
 	u.addPiece(data(20, 3000, "rest\n\nend"))
 	u.endLine(true)
 	var got []string
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -56,11 +56,11 @@
 	maxKey     = 400
 )
 
-// Files returns the pseudo-attempt under which the chunks of a job's files are stored. Chunks are
-// not stored under the attempts that wrote them, so that equal chunks are stored once for
-// all tasks of the job. They are not shared between jobs: whether a chunk had to be sent
-// would reveal that another job already has it.
-func Files(job string) Attempt { return Attempt{job, maxNumber, 0, "files"} }
+// FilesAttempt returns the pseudo-attempt under which the chunks of a job's files are stored.
+// Chunks are not stored under the attempts that wrote them, so that equal chunks are stored once
+// for all tasks of the job. They are not shared between jobs: whether a chunk had to be sent would
+// reveal that another job already has it.
+func FilesAttempt(job string) Attempt { return Attempt{job, maxNumber, 0, "files"} }
 
 // String returns the attempt's name. Names sort in the order of attempts.
 func (a Attempt) String() string {
@@ -109,7 +109,7 @@
 type Key struct {
 	Attempt Attempt
 	Kind    Kind
-	// Name is the position of a segment or a gap in its stream, as At formats it; it is
+	// Name is the position of a segment or a gap in its stream, as FormatPosition formats it; it is
 	// empty for other kinds.
 	Name string
 	// Digest is the digest of the payload, as DigestOf returns it.
@@ -164,9 +164,9 @@
 			return bad()
 		}
 	}
-	// Chunks are stored only under Files, along with the grants that they were sent with
+	// Chunks are stored only under FilesAttempt, along with the grants that they were sent with
 	// and their expiry records.
-	if shared := k.Attempt == Files(k.Attempt.Job); shared != (k.Kind == KindChunk) && !(shared && (k.Kind == KindGrant || k.Kind == KindExpired)) {
+	if shared := k.Attempt == FilesAttempt(k.Attempt.Job); shared != (k.Kind == KindChunk) && !(shared && (k.Kind == KindGrant || k.Kind == KindExpired)) {
 		return bad()
 	}
 	return k, nil
@@ -181,9 +181,9 @@
 // Streams lists the names of the streams. It must not be modified.
 var Streams = []string{Stdout, Stderr}
 
-// At returns the Key.Name of a segment that begins at an offset of a stream and has length
-// n, both in bytes. For a gap, n is 0, because its length is in its payload.
-func At(stream string, offset int64, n int) string {
+// FormatPosition returns the Key.Name of a segment that begins at an offset of a stream and has
+// length n, both in bytes. For a gap, n is 0, because its length is in its payload.
+func FormatPosition(stream string, offset int64, n int) string {
 	return fmt.Sprintf("%s.%016x.%05x", stream, offset, n)
 }
 
@@ -194,7 +194,7 @@
 	if len(f) == 3 && (f[0] == Stdout || f[0] == Stderr) {
 		at, err1 := strconv.ParseUint(f[1], 16, 62)
 		size, err2 := strconv.ParseUint(f[2], 16, 32)
-		if err1 == nil && err2 == nil && size <= MaxSegment && At(f[0], int64(at), int(size)) == k.Name {
+		if err1 == nil && err2 == nil && size <= MaxSegment && FormatPosition(f[0], int64(at), int(size)) == k.Name {
 			return f[0], int64(at), int(size), nil
 		}
 	}
@@ -228,7 +228,7 @@
 	switch r.Key.Kind {
 	case KindGrant:
 		var g Grant
-		if err = decode(r.Payload, &g); err == nil && g.Attempt != r.Key.Attempt && r.Key.Attempt != Files(g.Job) {
+		if err = decode(r.Payload, &g); err == nil && g.Attempt != r.Key.Attempt && r.Key.Attempt != FilesAttempt(g.Job) {
 			err = errors.New("a grant for another attempt")
 		}
 	case KindSegment:
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -124,7 +124,7 @@
 	accepts, refusals := make([]int, len(records)), make([]int, len(records))
 	replicas := make([][]string, len(records))
 	for i := range records {
-		replicas[i] = w.members.Of(archive.Unit(records[i].Key.Attempt))
+		replicas[i] = w.members.NodesFor(archive.PlacementUnit(records[i].Key.Attempt))
 	}
 	type result struct {
 		indices []int // of the records that the node was sent
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -197,7 +197,7 @@
 			sent = append(sent, sentRecord{})
 		}
 		for _, g := range c.gaps {
-			name := archive.At(c.stream, g.From, 0)
+			name := archive.FormatPosition(c.stream, g.From, 0)
 			records = append(records, archive.NewRecord(c.attempt.attempt, archive.KindGap, name, archive.Encode(g)))
 			sent = append(sent, sentRecord{attempt: c.attempt, stream: c.stream, isGap: true})
 		}
@@ -211,7 +211,7 @@
 			continue
 		}
 		segment := archive.Segment{WriteTimes: c.writeTimes, Data: data}
-		name := archive.At(c.stream, c.offset, int(c.bytes))
+		name := archive.FormatPosition(c.stream, c.offset, int(c.bytes))
 		records = append(records, archive.NewRecord(c.attempt.attempt, archive.KindSegment, name, segment.Encode()))
 		sent = append(sent, sentRecord{attempt: c.attempt, stream: c.stream, bytes: c.bytes})
 	}
--- a/internal/archive/stream.go
+++ b/internal/archive/stream.go
@@ -18,7 +18,7 @@
 	Ref int
 }
 
-// Values of Piece.What.
+// Values of Piece.State.
 const (
 	PieceData    = ""        // bytes of a segment
 	PieceGap     = "gap"     // lost, for a known reason
@@ -30,7 +30,7 @@
 type Piece struct {
 	From   int64  `json:"from"`
 	To     int64  `json:"to"` // -1: unknown
-	What   string `json:"what,omitempty"`
+	State  string `json:"what,omitempty"`
 	Reason string `json:"reason,omitempty"`
 	Ref    int    `json:"-"` // for PieceData: the Ref of its part
 }
@@ -100,8 +100,8 @@
 }
 
 // add appends a piece without data that extends to an offset.
-func (a *assembly) add(to int64, what, reason string) {
-	a.pieces = append(a.pieces, Piece{From: a.offset, To: to, What: what, Reason: reason})
+func (a *assembly) add(to int64, state, reason string) {
+	a.pieces = append(a.pieces, Piece{From: a.offset, To: to, State: state, Reason: reason})
 	a.offset = to
 }
 
@@ -138,7 +138,7 @@
 func (a *assembly) addOpenGap() {
 	for _, g := range a.gaps {
 		if g.To < 0 && g.From >= a.offset {
-			a.pieces = append(a.pieces, Piece{From: a.offset, To: -1, What: PieceGap, Reason: g.Reason})
+			a.pieces = append(a.pieces, Piece{From: a.offset, To: -1, State: PieceGap, Reason: g.Reason})
 			return
 		}
 	}
@@ -183,10 +183,10 @@
 	return protocol.ValidRelativePath(p) && !slices.ContainsFunc(strings.Split(p, "/"), func(e string) bool { return len(e) > 255 })
 }
 
-// Visible makes output safe to print on a terminal. It escapes control characters, except
+// EscapeForTerminal makes output safe to print on a terminal. It escapes control characters, except
 // newline and tab, and invisible ones, so that no line can move the cursor, set the title or hide
 // another line.
-func Visible(text string) string {
+func EscapeForTerminal(text string) string {
 	ok := true
 	for i := 0; i < len(text); i++ {
 		if c := text[i]; c < 0x20 && c != '\t' && c != '\n' || c >= 0x7f {
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -36,7 +36,8 @@
 	for i := range s.Data {
 		s.Data[i] = byte(i*31 + n*7 + i*i*n)
 	}
-	return archive.NewRecord(archive.Attempt{Job: fmt.Sprintf("wk-%06d", job), Task: n % 3, Try: 1, Machine: "m"}, archive.KindSegment, archive.At(archive.Stdout, int64(n)<<20, size), s.Encode())
+	return archive.NewRecord(archive.Attempt{Job: fmt.Sprintf("wk-%06d", job), Task: n % 3, Try: 1, Machine: "m"}, archive.KindSegment,
+		archive.FormatPosition(archive.Stdout, int64(n)<<20, size), s.Encode())
 }
 
 // grant returns a grant record of the job's first task.
@@ -422,7 +423,7 @@
 		x ^= x << 17
 		p[i] = byte(x)
 	}
-	return archive.NewRecord(archive.Files(fmt.Sprintf("wk-%06d", n/64)), archive.KindChunk, "", p)
+	return archive.NewRecord(archive.FilesAttempt(fmt.Sprintf("wk-%06d", n/64)), archive.KindChunk, "", p)
 }
 
 // BenchmarkPlainWrite measures appending 64 record frames to a file and syncing it.
