--- a/internal/archive/node/derived.go
+++ b/internal/archive/node/derived.go
@@ -38,7 +38,7 @@
 // recordAdded updates the derived state. The vault calls it for each record that it adds or
 // finds when it opens. While it opens, Open has no vault yet, so the keys of expiry records
 // are collected and applied afterwards.
-func (n *Node) recordAdded(i vault.Info) {
+func (n *Node) recordAdded(i vault.RecordInfo) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if i.Key.Kind == archive.KindExpired && n.vault == nil {
@@ -52,14 +52,14 @@
 		n.derived.usage[a] = u
 	}
 	u.bytes, u.records = u.bytes+i.Bytes, u.records+1
-	if i.At.After(u.lastStored) {
-		u.lastStored = i.At
+	if i.StoredAt.After(u.lastStored) {
+		u.lastStored = i.StoredAt
 	}
 	u.ended = u.ended || i.Key.Kind == archive.KindEnd || i.Key.Attempt == archive.FilesAttempt(i.Key.Attempt.Job)
 }
 
 // recordRemoved updates the derived state. The vault calls it for each record that it removes.
-func (n *Node) recordRemoved(i vault.Info) {
+func (n *Node) recordRemoved(i vault.RecordInfo) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.updateTrees(i.Key, false)
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -31,7 +31,7 @@
 func (n *Node) dropCovered(ctx context.Context, name string, e archive.Expired) error {
 	var keys []string
 	for from := ""; ; {
-		infos, more, err := n.vault.Keys(name+"/", from, 1000)
+		infos, more, err := n.vault.List(name+"/", from, 1000)
 		if err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 
 // grantOf returns an attempt's grant, or nil if it is not stored here or not valid.
 func (n *Node) grantOf(name string) *archive.Grant {
-	infos, _, err := n.vault.Keys(name+"/a/", "", 1)
+	infos, _, err := n.vault.List(name+"/a/", "", 1)
 	if err != nil || len(infos) == 0 {
 		return nil
 	}
@@ -161,7 +161,7 @@
 	// One stream after the other loses its oldest segments, in the order of their keys.
 	for _, stream := range archive.Streams {
 		for from := ""; left > 0; {
-			infos, more, err := n.vault.Keys(d.Attempt.String()+"/s/"+stream+".", from, 1000)
+			infos, more, err := n.vault.List(d.Attempt.String()+"/s/"+stream+".", from, 1000)
 			if err != nil {
 				return e, err
 			}
@@ -192,7 +192,7 @@
 	}
 	n.mu.Unlock()
 	for _, name := range names {
-		infos, _, err := n.vault.Keys(name+"/", "", 1000)
+		infos, _, err := n.vault.List(name+"/", "", 1000)
 		if err != nil {
 			return err
 		}
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -44,7 +44,7 @@
 	if job != "" {
 		prefix = job + "/"
 	}
-	names, more, err := n.vault.Find(label, prefix, from, rowsPage)
+	names, more, err := n.vault.FindAttempts(label, prefix, from, rowsPage)
 	if err != nil {
 		return out, err
 	}
@@ -67,7 +67,7 @@
 	row := Row{Attempt: name, Cover: map[string][]archive.Range{}}
 	from := ""
 	for {
-		infos, more, err := n.vault.Keys(name+"/", from, 1000)
+		infos, more, err := n.vault.List(name+"/", from, 1000)
 		if err != nil {
 			return row, err
 		}
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -33,11 +33,11 @@
 func (n *Node) listSegments(a archive.Attempt, label, stream string, from int64) (SegmentList, error) {
 	out := SegmentList{Keys: []string{}}
 	name := a.String()
-	if !n.vault.Labelled(label, name) {
+	if !n.vault.HasLabel(label, name) {
 		return out, nil
 	}
 	for _, kind := range []archive.Kind{archive.KindGrant, archive.KindEnd, archive.KindExpired, archive.KindGap} {
-		infos, _, err := n.vault.Keys(name+"/"+string(rune(kind))+"/", "", 1000)
+		infos, _, err := n.vault.List(name+"/"+string(rune(kind))+"/", "", 1000)
 		if err != nil {
 			return out, err
 		}
@@ -50,7 +50,7 @@
 	// A segment that begins up to MaxSegment bytes earlier can extend past the offset.
 	begin := max(0, from-archive.MaxSegment)
 	prefix := name + "/s/" + stream + "."
-	infos, more, err := n.vault.Keys(prefix, name+"/s/"+archive.FormatPosition(stream, begin, 0), segmentsPage)
+	infos, more, err := n.vault.List(prefix, name+"/s/"+archive.FormatPosition(stream, begin, 0), segmentsPage)
 	if err != nil {
 		return out, err
 	}
@@ -293,7 +293,7 @@
 		if err == nil {
 			// The node lost the record after listing it and returned none. Without this
 			// error, an empty record would be returned and stored, which once happened.
-			err = fmt.Errorf("%s: %w", name, vault.ErrNotHere)
+			err = fmt.Errorf("%s: %w", name, vault.ErrNotFound)
 		}
 	}
 	return r, err
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -88,7 +88,7 @@
 	keys := []string{}
 	for _, name := range names {
 		for from := ""; ; {
-			infos, more, err := n.vault.Keys(name+"/", from, 1000)
+			infos, more, err := n.vault.List(name+"/", from, 1000)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/archive/vault/golden_test.go
+++ b/internal/archive/vault/golden_test.go
@@ -79,7 +79,7 @@
 func requireLabelled(t *testing.T, v *Vault, record archive.Record) {
 	t.Helper()
 	attempt := record.Key.Attempt.String()
-	if found, _, err := v.Find("team/office", "", "", 100); err != nil || len(found) == 0 || found[0] != attempt {
+	if found, _, err := v.FindAttempts("team/office", "", "", 100); err != nil || len(found) == 0 || found[0] != attempt {
 		t.Errorf("attempts with the label: %v, error %v", found, err)
 	}
 }
@@ -93,13 +93,13 @@
 	if v.Has(dropped.Key) {
 		t.Errorf("%s is still listed after it was dropped", dropped.Key)
 	}
-	infos, more, err := v.Keys("", "", 100)
+	infos, more, err := v.List("", "", 100)
 	if err != nil || more {
 		t.Fatalf("Keys reports more records: %v, error %v", more, err)
 	}
 	var listed strings.Builder
 	for _, info := range infos {
-		fmt.Fprintf(&listed, "%s %d %d\n", info.Key, info.Bytes, info.At.UnixMilli())
+		fmt.Fprintf(&listed, "%s %d %d\n", info.Key, info.Bytes, info.StoredAt.UnixMilli())
 	}
 	if want := string(goldentest.Read(t, "testdata/golden/index.txt")); listed.String() != want {
 		t.Errorf("the index lists\n%s, want\n%s", listed.String(), want)
--- a/internal/archive/vault/index.go
+++ b/internal/archive/vault/index.go
@@ -219,8 +219,8 @@
 }
 
 // info describes the record with this key and location to callers.
-func (l recordLocation) info(key archive.Key) Info {
-	return Info{Key: key, Bytes: l.size, At: time.UnixMilli(l.storedAt)}
+func (l recordLocation) info(key archive.Key) RecordInfo {
+	return RecordInfo{Key: key, Bytes: l.size, StoredAt: time.UnixMilli(l.storedAt)}
 }
 
 // encodedLocationBytes is the length of a stored location, without its checksum.
--- a/internal/archive/vault/maintenance.go
+++ b/internal/archive/vault/maintenance.go
@@ -171,7 +171,7 @@
 // from the index. It returns an error only if the index can't be read.
 func (v *Vault) Scrub(from string, size int64) (last string, checked, damaged int, err error) {
 	for size > 0 {
-		infos, more, err := v.Keys("", from, 100)
+		infos, more, err := v.List("", from, 100)
 		if err != nil {
 			return from, checked, damaged, err
 		}
--- a/internal/archive/vault/read.go
+++ b/internal/archive/vault/read.go
@@ -13,12 +13,12 @@
 	"silvergate/internal/checksum"
 )
 
-// find returns a record's location, or ErrNotHere if the index does not list the record.
+// find returns a record's location, or ErrNotFound if the index does not list the record.
 func (v *Vault) find(key string) (location recordLocation, err error) {
 	err = v.viewIndex(func(tx *bolt.Tx) error {
 		raw := tx.Bucket(bucketRecords).Get([]byte(key))
 		if raw == nil {
-			return ErrNotHere
+			return ErrNotFound
 		}
 		location, err = decodeLocation([]byte(key), raw)
 		return err
@@ -33,7 +33,7 @@
 	return err == nil
 }
 
-// Get reads a record and checks its frame's checksum. It returns ErrNotHere if the
+// Get reads a record and checks its frame's checksum. It returns ErrNotFound if the
 // vault does not have the record, and checksum.ErrDamaged if the record is damaged, in
 // which case Get removes it from the index. The caller owns the result.
 func (v *Vault) Get(k archive.Key) (archive.Record, error) {
@@ -112,17 +112,17 @@
 	v.cfg.Removed(location.info(k))
 }
 
-// Info describes a stored record from its index entry.
-type Info struct {
-	Key   archive.Key
-	Bytes int64     // size of its frame
-	At    time.Time // when it was stored
+// RecordInfo describes a stored record from its index entry.
+type RecordInfo struct {
+	Key      archive.Key
+	Bytes    int64     // size of its frame
+	StoredAt time.Time // when it was stored
 }
 
-// Keys lists the records whose keys begin with prefix and come after from, in the
-// order of their keys, at most limit. more reports whether there are others. Keys
+// List lists the records whose keys begin with prefix and come after from, in the
+// order of their keys, at most limit. more reports whether there are others. List
 // returns an error only if the index can't be read.
-func (v *Vault) Keys(prefix, from string, limit int) (out []Info, more bool, err error) {
+func (v *Vault) List(prefix, from string, limit int) (out []RecordInfo, more bool, err error) {
 	err = v.viewIndex(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketRecords).Cursor()
 		begin := prefix
@@ -152,10 +152,10 @@
 	return out, more, err
 }
 
-// Find lists the attempts that have a label and whose names begin with prefix and come
-// after from, in order, at most limit. more reports whether there are others. Find
+// FindAttempts lists the attempts that have a label and whose names begin with prefix and come
+// after from, in order, at most limit. more reports whether there are others. FindAttempts
 // returns an error only if the index can't be read.
-func (v *Vault) Find(label, prefix, from string, limit int) (out []string, more bool, err error) {
+func (v *Vault) FindAttempts(label, prefix, from string, limit int) (out []string, more bool, err error) {
 	head := label + "\x00"
 	err = v.viewIndex(func(tx *bolt.Tx) error {
 		c := tx.Bucket(bucketLabels).Cursor()
@@ -175,9 +175,9 @@
 	return out, more, err
 }
 
-// Labelled reports whether an attempt has a label. It returns false also if the index
+// HasLabel reports whether an attempt has a label. It returns false also if the index
 // can't be read.
-func (v *Vault) Labelled(label, attempt string) (ok bool) {
+func (v *Vault) HasLabel(label, attempt string) (ok bool) {
 	_ = v.viewIndex(func(tx *bolt.Tx) error {
 		key := labelKey(label, attempt)
 		k, _ := tx.Bucket(bucketLabels).Cursor().Seek(key)
--- a/internal/archive/vault/vault.go
+++ b/internal/archive/vault/vault.go
@@ -35,20 +35,20 @@
 	// VolumeBytes is the size in bytes at which the vault stops appending to a volume
 	// and begins the next; 0 means 64 MiB.
 	VolumeBytes int64
-	// Labels returns the labels by which Find lists a record's attempt. nil means
+	// Labels returns the labels by which FindAttempts lists a record's attempt. nil means
 	// none.
 	Labels func(*archive.Record) []string
 	// Added is called for each record after it was entered into the index, and Removed
 	// after it was removed from it; either may be nil. Open calls Added for every record.
 	// Later calls come from the writer, and Removed also from a reader that finds a
 	// damaged record, so both must be safe for concurrent use.
-	Added, Removed func(Info)
+	Added, Removed func(RecordInfo)
 }
 
 // Errors that callers check for.
 var (
-	// ErrNotHere means that the vault does not have the record.
-	ErrNotHere = errors.New("no such record here")
+	// ErrNotFound means that the vault does not have the record.
+	ErrNotFound = errors.New("no such record here")
 	// ErrFull means that the disk has no room for a change. Nothing of the change was
 	// stored; records stored before are not affected.
 	ErrFull = errors.New("the disk is full")
@@ -146,10 +146,10 @@
 		cfg.Labels = func(*archive.Record) []string { return nil }
 	}
 	if cfg.Added == nil {
-		cfg.Added = func(Info) {}
+		cfg.Added = func(RecordInfo) {}
 	}
 	if cfg.Removed == nil {
-		cfg.Removed = func(Info) {}
+		cfg.Removed = func(RecordInfo) {}
 	}
 	if err := os.MkdirAll(filepath.Join(cfg.Dir, volumesDir), 0o700); err != nil {
 		return nil, err
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -85,12 +85,12 @@
 			}
 			return []string{"team/office"}
 		},
-		Added: func(i Info) {
+		Added: func(i RecordInfo) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.keys[i.Key.String()] = true
 		},
-		Removed: func(i Info) {
+		Removed: func(i RecordInfo) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			delete(h.keys, i.Key.String())
@@ -135,7 +135,7 @@
 					t.Fatalf("%s: %v", key, err)
 				}
 			}
-			all, _, err := v.Keys("", "", 1<<20)
+			all, _, err := v.List("", "", 1<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -281,7 +281,7 @@
 	if last != "" || checked != 6 || damaged != 1 || err != nil {
 		t.Fatal(last, checked, damaged, err)
 	}
-	if _, err := v.Get(records[2].Key); !errors.Is(err, ErrNotHere) || h.keys[records[2].Key.String()] {
+	if _, err := v.Get(records[2].Key); !errors.Is(err, ErrNotFound) || h.keys[records[2].Key.String()] {
 		t.Errorf("Get of a damaged record returned %v, want ErrNotHere and a call of Removed", err)
 	}
 	if err := v.Put(context.Background(), records[2:3]); err != nil {
@@ -313,7 +313,7 @@
 	if v, err = Open(h.config(dir), quiet); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Get(records[0].Key); !errors.Is(err, ErrNotHere) || v.Stats().Damaged == 0 {
+	if _, err := v.Get(records[0].Key); !errors.Is(err, ErrNotFound) || v.Stats().Damaged == 0 {
 		t.Errorf("Get of a record whose volume is missing returned %v, want ErrNotHere and a damaged count above 0", err)
 	}
 	if _, err := v.read(records[0].Key.String(), location); !errors.Is(err, checksum.ErrDamaged) {
@@ -363,7 +363,7 @@
 		}
 	}
 	before := v.Stats()
-	if found, more, err := v.Find("team/office", "", "", 30); len(found) != 30 || !more || err != nil {
+	if found, more, err := v.FindAttempts("team/office", "", "", 30); len(found) != 30 || !more || err != nil {
 		t.Fatal(len(found), more, err)
 	}
 	if err := v.Drop(ctx, keys); err != nil {
@@ -378,7 +378,7 @@
 	if after.Volumes*2 > before.Volumes || after.Compacted == 0 {
 		t.Errorf("%d of %d volumes are left, %d were compacted", after.Volumes, before.Volumes, after.Compacted)
 	}
-	found, more, err := v.Find("team/office", "", "", 100)
+	found, more, err := v.FindAttempts("team/office", "", "", 100)
 	if len(found) != 7 || more || err != nil {
 		t.Errorf("Find returned %d attempts, want 7: %v", len(found), err)
 	}
