--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -173,7 +173,7 @@
 	}
 	if a := s.Archive; a != nil {
 		out = append(out, metrics.Figure{Name: "agent_archive_attempts", Help: "Attempts whose output is being shipped.", Value: float64(a.Attempts)},
-			metrics.Figure{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.Left)},
+			metrics.Figure{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.UnshippedBytes)},
 			metrics.Figure{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest output that is not yet acknowledged.", Value: float64(a.OldestMS) / 1000},
 			metrics.Figure{Name: "agent_archive_shipped_bytes", Help: "Output that is acknowledged.", Value: float64(a.Shipped), Count: true},
 			metrics.Figure{Name: "agent_archive_given_up_bytes", Help: "Output given up because the spool was full.", Value: float64(a.GivenUp), Count: true},
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -51,7 +51,7 @@
 				o.agent.log.Error("the output of an earlier task can't be archived", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 				continue
 			}
-			o.shipper.Ended(o.attempt(key), "lost with its agent", -1)
+			o.shipper.MarkEnded(o.attempt(key), "lost with its agent", -1)
 		}
 	}
 	o.shipper.Start()
@@ -78,7 +78,7 @@
 		return
 	}
 	g := archive.Grant{Attempt: o.attempt(key), Terms: archive.TermsOf(d), At: time.Now().UnixMilli(), LaunchSeal: grant, TermsSeal: d.Grant}
-	if err := o.shipper.Begin(g, o.agent.runner.folder(key)); err != nil {
+	if err := o.shipper.Follow(g, o.agent.runner.folder(key)); err != nil {
 		o.agent.log.Error("the output of a task can't be archived", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 	}
 }
@@ -86,7 +86,7 @@
 // ended tells the shipper that an attempt's processes are gone.
 func (o *outputShipper) ended(key TaskAttempt, cause string, code int) {
 	if o != nil {
-		o.shipper.Ended(o.attempt(key), cause, code)
+		o.shipper.MarkEnded(o.attempt(key), cause, code)
 	}
 }
 
@@ -95,10 +95,10 @@
 	if o == nil {
 		return 0
 	}
-	return o.shipper.Left()
+	return o.shipper.UnshippedAttempts()
 }
 
 // needsFolder reports whether the archive still needs an attempt's folder.
 func (o *outputShipper) needsFolder(key TaskAttempt) bool {
-	return o != nil && o.shipper.Holds(o.attempt(key))
+	return o != nil && o.shipper.Follows(o.attempt(key))
 }
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -213,7 +213,7 @@
 	if err := os.MkdirAll(filepath.Join(m.Folder(a), ship.WorkDir, "out"), 0o700); err != nil {
 		return err
 	}
-	return m.Begin(m.grant(a), m.Folder(a))
+	return m.Follow(m.grant(a), m.Folder(a))
 }
 
 // Write appends text to a stream's file, as a program does.
@@ -300,8 +300,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if !answered.Whole {
-		return nil, fmt.Errorf("nodes %v did not answer", answered.Silent)
+	if !answered.Complete {
+		return nil, fmt.Errorf("nodes %v did not answer", answered.Unreachable)
 	}
 	for i := range attempts {
 		if attempts[i].Attempt != a {
@@ -325,7 +325,7 @@
 			return nil, err
 		}
 		out.Output = append(out.Output, p.Pieces...)
-		out.Ended = p.Over
+		out.Ended = p.Ended
 		if !p.More || p.Next <= from {
 			return out, nil
 		}
@@ -358,7 +358,7 @@
 		// The shipper must have observed the files after the last write.
 		time.Sleep(60 * time.Millisecond)
 		stats := m.Stats()
-		if stats.Left == 0 && (!ends || m.Left() == 0) {
+		if stats.UnshippedBytes == 0 && (!ends || m.UnshippedAttempts() == 0) {
 			return nil
 		}
 	}
@@ -375,7 +375,7 @@
 			if name == except {
 				continue
 			}
-			if err := n.Level(context.Background()); err != nil {
+			if err := n.SyncOnce(context.Background()); err != nil {
 				last = err
 			}
 		}
--- a/internal/archive/ship/golden_test.go
+++ b/internal/archive/ship/golden_test.go
@@ -86,8 +86,8 @@
 			if err := s.Resume(goldenAttempt, dir); err != nil {
 				t.Fatal(err)
 			}
-			if s.Holds(goldenAttempt) != (test.left == 1) || s.Left() != test.left {
-				t.Errorf("attempt is followed: %v; %d ended attempts are not shipped completely", s.Holds(goldenAttempt), s.Left())
+			if s.Follows(goldenAttempt) != (test.left == 1) || s.UnshippedAttempts() != test.left {
+				t.Errorf("attempt is followed: %v; %d ended attempts are not shipped completely", s.Follows(goldenAttempt), s.UnshippedAttempts())
 			}
 			s.Stop()
 			for _, name := range []string{"archive.json", "grant.json"} {
@@ -176,7 +176,7 @@
 	}
 	s.Start()
 	t.Cleanup(s.Stop)
-	for deadline := time.Now().Add(20 * time.Second); s.Holds(goldenAttempt); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); s.Follows(goldenAttempt); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("not shipped in time; stored so far: %q", stored.summary(t))
 		}
--- a/internal/archive/ship/progress.go
+++ b/internal/archive/ship/progress.go
@@ -12,14 +12,14 @@
 
 // Names in an attempt's folder.
 const (
-	// AccountFile holds an attempt's progress, grantFile its grant.
-	AccountFile = "archive.json"
-	grantFile   = "grant.json"
+	// ProgressFile holds an attempt's progress, grantFile its grant.
+	ProgressFile = "archive.json"
+	grantFile    = "grant.json"
 	// WorkDir is the working directory of the attempt's program.
 	WorkDir = "work"
 )
 
-// progress is how far an attempt was shipped, as AccountFile stores it. If it is old or
+// progress is how far an attempt was shipped, as ProgressFile stores it. If it is old or
 // lost, some of the attempt is shipped again. Began is a Unix time in milliseconds.
 type progress struct {
 	Began    int64              `json:"beganMs"`
@@ -43,9 +43,9 @@
 	}
 	raw, err := json.Marshal(f.progress)
 	if err == nil {
-		tmp := filepath.Join(f.dir, "."+AccountFile)
+		tmp := filepath.Join(f.dir, "."+ProgressFile)
 		if err = os.WriteFile(tmp, raw, 0o600); err == nil {
-			err = os.Rename(tmp, filepath.Join(f.dir, AccountFile))
+			err = os.Rename(tmp, filepath.Join(f.dir, ProgressFile))
 		}
 	}
 	if err != nil {
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -91,14 +91,14 @@
 
 // Stats counts what a shipper follows, and what it has shipped since New.
 type Stats struct {
-	Attempts int
-	Left     int64 // bytes that wait to be shipped
-	Shipped  int64 // bytes of output that a quorum stored
-	Packed   int64 // bytes of records that were sent for this output, to each node
-	Files    int64
-	GivenUp  int64 // bytes of output
-	Refused  int64 // records
-	OldestMS int64 // age of the oldest output that waits, in milliseconds
+	Attempts       int
+	UnshippedBytes int64 // bytes that wait to be shipped
+	Shipped        int64 // bytes of output that a quorum stored
+	Packed         int64 // bytes of records that were sent for this output, to each node
+	Files          int64
+	GivenUp        int64 // bytes of output
+	Refused        int64 // records
+	OldestMS       int64 // age of the oldest output that waits, in milliseconds
 }
 
 // Shipper follows the attempts of a machine. It is safe for concurrent use. Unless a
@@ -179,11 +179,11 @@
 // nowMS returns the present Unix time in milliseconds.
 func nowMS() int64 { return time.Now().UnixMilli() }
 
-// Begin starts following an attempt whose folder exists. The caller calls it before the
-// attempt's program starts. When Begin returns, the grant is on disk, so that all of the
-// program's output can be shipped even if everything is killed at the same time. Begin
+// Follow starts following an attempt whose folder exists. The caller calls it before the
+// attempt's program starts. When Follow returns, the grant is on disk, so that all of the
+// program's output can be shipped even if everything is killed at the same time. Follow
 // returns an error if the attempt is invalid or the grant can't be written.
-func (s *Shipper) Begin(g archive.Grant, dir string) error {
+func (s *Shipper) Follow(g archive.Grant, dir string) error {
 	if s == nil {
 		return nil
 	}
@@ -221,7 +221,7 @@
 	if s.attempts[a] != nil {
 		return nil
 	}
-	if raw, err = os.ReadFile(filepath.Join(dir, AccountFile)); err == nil {
+	if raw, err = os.ReadFile(filepath.Join(dir, ProgressFile)); err == nil {
 		if err := json.Unmarshal(raw, &f.progress); err != nil {
 			// Everything is shipped again, and readers merge the segments.
 			s.log.Error("an attempt's saved progress is damaged; shipping the whole attempt again", "attempt", a.String(), "error", err)
@@ -251,9 +251,9 @@
 	return nil
 }
 
-// Ended records that an attempt's processes have ended, with the cause and the exit code;
+// MarkEnded records that an attempt's processes have ended, with the cause and the exit code;
 // they write nothing more. The attempt is followed until everything is stored.
-func (s *Shipper) Ended(a archive.Attempt, cause string, code int) {
+func (s *Shipper) MarkEnded(a archive.Attempt, cause string, code int) {
 	if s == nil {
 		return
 	}
@@ -269,8 +269,8 @@
 	s.wake()
 }
 
-// Holds reports whether an attempt is still followed and its folder therefore needed.
-func (s *Shipper) Holds(a archive.Attempt) bool {
+// Follows reports whether an attempt is still followed and its folder therefore needed.
+func (s *Shipper) Follows(a archive.Attempt) bool {
 	if s == nil {
 		return false
 	}
@@ -279,8 +279,8 @@
 	return s.attempts[a] != nil
 }
 
-// Left returns how many ended attempts are not shipped completely.
-func (s *Shipper) Left() (n int) {
+// UnshippedAttempts returns how many ended attempts are not shipped completely.
+func (s *Shipper) UnshippedAttempts() (n int) {
 	if s == nil {
 		return 0
 	}
@@ -303,7 +303,7 @@
 	now := nowMS()
 	for _, f := range s.attempts {
 		for _, follower := range f.streams {
-			stats.Left += follower.unshipped()
+			stats.UnshippedBytes += follower.unshipped()
 			if at := follower.oldestUnshipped(); at > 0 {
 				stats.OldestMS = max(stats.OldestMS, now-at)
 			}
