--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -74,7 +74,7 @@
 			var all []nodeStatus
 			var rows [][]string
 			unreachable := 0
-			r.Each(c.Context(), http.MethodGet, anode.PathStats, nil, func(name string, raw []byte, err error) {
+			r.EachNode(c.Context(), http.MethodGet, anode.PathStats, nil, func(name string, raw []byte, err error) {
 				status := nodeStatus{Name: name}
 				if err == nil {
 					status.Stats = &anode.Stats{}
@@ -152,7 +152,7 @@
 				return err
 			}
 			delivered := 0
-			r.Each(c.Context(), http.MethodPost, anode.PathRevocations, raw, func(name string, _ []byte, err error) {
+			r.EachNode(c.Context(), http.MethodPost, anode.PathRevocations, raw, func(name string, _ []byte, err error) {
 				if err != nil {
 					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", name, err)
 					return
--- a/cmd/silvergate/archive_client.go
+++ b/cmd/silvergate/archive_client.go
@@ -66,9 +66,9 @@
 }
 
 // warnIfIncomplete prints a warning if an answer may be incomplete because nodes did not answer.
-func warnIfIncomplete(c *cobra.Command, a anode.Answered) {
-	if !a.Whole {
-		fmt.Fprintf(c.ErrOrStderr(), "no answer from %s: the result may be incomplete\n", strings.Join(a.Silent, ", "))
+func warnIfIncomplete(c *cobra.Command, a anode.Completeness) {
+	if !a.Complete {
+		fmt.Fprintf(c.ErrOrStderr(), "no answer from %s: the result may be incomplete\n", strings.Join(a.Unresponsive, ", "))
 	}
 }
 
--- a/cmd/silvergate/artefacts.go
+++ b/cmd/silvergate/artefacts.go
@@ -91,11 +91,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	attempts, answered, err := r.Attempts(c.Context(), reader.Query{Job: job, Files: true})
+	attempts, completeness, err := r.Attempts(c.Context(), reader.Query{Job: job, Files: true})
 	if err != nil {
 		return nil, nil, err
 	}
-	warnIfIncomplete(c, answered)
+	warnIfIncomplete(c, completeness)
 	if len(attempts) == 0 {
 		return nil, nil, fmt.Errorf("%s: %w", job, reader.ErrNotFound)
 	}
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -54,7 +54,7 @@
 				return err
 			}
 			v := &logView{k: k, c: c, r: r, job: job, task: task, attempt: attempt, streams: streams, grep: want, raw: raw,
-				cursors: map[string]*reader.Cursor{}, whole: true}
+				cursors: map[string]*reader.Cursor{}, complete: true}
 			if since > 0 {
 				v.since = time.Now().Add(-since)
 			}
@@ -86,7 +86,7 @@
 	cursors       map[string]*reader.Cursor
 	lastAttempt   map[int]archive.Attempt // by task: the attempt of the line printed last
 	found         int                     // attempts found, over all polls
-	whole         bool                    // no answer has been incomplete so far; the first that is prints a warning
+	complete      bool                    // no answer has been incomplete so far; the first that is prints a warning
 }
 
 // followInterval is the time between two polls for more output.
@@ -95,7 +95,7 @@
 func (v *logView) run(ctx context.Context, follow bool) error {
 	v.lastAttempt = map[int]archive.Attempt{}
 	for {
-		attempts, answered, err := v.r.Attempts(ctx, reader.Query{Job: v.job})
+		attempts, completeness, err := v.r.Attempts(ctx, reader.Query{Job: v.job})
 		if err != nil {
 			return err
 		}
@@ -113,23 +113,23 @@
 				if v.cursors[key] == nil {
 					v.cursors[key] = v.r.Open(a.Attempt, s)
 				}
-				v.cursors[key].Again()
+				v.cursors[key].Resume()
 				all = append(all, v.cursors[key])
 			}
 		}
 		if v.found == 0 && !follow {
-			warnIfIncomplete(v.c, answered)
+			warnIfIncomplete(v.c, completeness)
 			return fmt.Errorf("%s: %w", v.job, reader.ErrNotFound)
 		}
 		if err := reader.Merge(ctx, all, v.printLine); err != nil {
 			return err
 		}
 		for _, u := range all {
-			answered.Whole = answered.Whole && u.Whole
+			completeness.Complete = completeness.Complete && u.Complete
 		}
-		if !answered.Whole && v.whole {
-			v.whole = false
-			warnIfIncomplete(v.c, answered)
+		if !completeness.Complete && v.complete {
+			v.complete = false
+			warnIfIncomplete(v.c, completeness)
 		}
 		if !follow || over && len(all) > 0 {
 			return nil
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -60,7 +60,7 @@
 
 // jobStory returns a job's history, from the archive's records and the answers of controllers.
 func jobStory(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
-	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: job, Files: true})
+	attempts, completeness, err := r.Attempts(ctx, reader.Query{Job: job, Files: true})
 	if err != nil {
 		return nil, err
 	}
@@ -68,8 +68,8 @@
 		return nil, fmt.Errorf("%s: %w", job, reader.ErrNotFound)
 	}
 	story := []Event{{Text: jobHeading(job, &attempts[0])}}
-	if !answered.Whole {
-		story = append(story, Event{Text: strings.Join(answered.Silent, ", ") + " silent: something may be missing"})
+	if !completeness.Complete {
+		story = append(story, Event{Text: strings.Join(completeness.Unresponsive, ", ") + " silent: something may be missing"})
 	}
 	var events []Event
 	for i := range attempts {
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -296,12 +296,12 @@
 // ReadAttempt reads an attempt's standard output and files.
 func ReadAttempt(ctx context.Context, c *reader.Client, a archive.Attempt) (*ReadResult, error) {
 	out := &ReadResult{Files: map[string]string{}}
-	attempts, answered, err := c.Attempts(ctx, reader.Query{Job: a.Job, Files: true})
+	attempts, completeness, err := c.Attempts(ctx, reader.Query{Job: a.Job, Files: true})
 	if err != nil {
 		return nil, err
 	}
-	if !answered.Complete {
-		return nil, fmt.Errorf("nodes %v did not answer", answered.Unreachable)
+	if !completeness.Complete {
+		return nil, fmt.Errorf("nodes %v did not answer", completeness.Unresponsive)
 	}
 	for i := range attempts {
 		if attempts[i].Attempt != a {
--- a/internal/archive/load/bench.go
+++ b/internal/archive/load/bench.go
@@ -388,7 +388,7 @@
 // recordCounts returns, for each node that answers, how many records the node has.
 func recordCounts(ctx context.Context, operator *reader.Client) map[string]int64 {
 	records := map[string]int64{}
-	operator.Each(ctx, http.MethodGet, node.PathStats, nil, func(name string, raw []byte, err error) {
+	operator.EachNode(ctx, http.MethodGet, node.PathStats, nil, func(name string, raw []byte, err error) {
 		var stats node.Stats
 		if err == nil && json.Unmarshal(raw, &stats) == nil {
 			records[name] = stats.Records
--- a/internal/archive/node/attempts.go
+++ b/internal/archive/node/attempts.go
@@ -31,7 +31,7 @@
 // Attempts is a page of attempts, sorted by their names. The next page begins after the
 // attempt Next, which is "" if this is the last page.
 type Attempts struct {
-	Answered
+	Completeness
 	Attempts []Attempt `json:"attempts"`
 	Next     string    `json:"next,omitempty"`
 }
@@ -101,7 +101,7 @@
 }
 
 // gatherPage reads a page of attempts from all nodes and merges it, without checking access.
-func (n *Node) gatherPage(ctx context.Context, job, label, from string, files bool) (states map[string]*attemptState, last string, a Answered) {
+func (n *Node) gatherPage(ctx context.Context, job, label, from string, files bool) (states map[string]*attemptState, last string, a Completeness) {
 	q := url.Values{"job": {job}, "label": {label}, "from": {from}, "files": {strconv.FormatBool(files)}}
 	states = map[string]*attemptState{}
 	a = gather(ctx, n, PathRows+"?"+q.Encode(), func() (Rows, error) { return n.listRows(job, label, from, files) }, func(_ string, page Rows) {
@@ -150,7 +150,7 @@
 		return
 	}
 	states, last, a := n.gatherPage(r.Context(), job, label, from, q.Get("files") == "true")
-	out := Attempts{Answered: a, Attempts: []Attempt{}, Next: last}
+	out := Attempts{Completeness: a, Attempts: []Attempt{}, Next: last}
 	for name, s := range states {
 		if s.grant == nil {
 			continue
--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -426,7 +426,7 @@
 		t.Fatalf("read a record that no node has: %v", r)
 	}
 	one.repairLater(map[string][]string{records[2].Key.String(): {"one"}})
-	if err := one.Level(ctx); err != nil {
+	if err := one.SyncOnce(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if got := one.Stats().Records; got != int64(len(records)-1) {
--- a/internal/archive/node/read.go
+++ b/internal/archive/node/read.go
@@ -106,22 +106,22 @@
 	writeJSON(w, rows)
 }
 
-// Answered describes how complete a response is.
-type Answered struct {
-	// Whole is false if so many nodes did not answer that acknowledged records may be
-	// missing from the response. Silent lists the nodes that did not answer.
-	Whole  bool     `json:"whole"`
-	Silent []string `json:"silent,omitempty"`
+// Completeness describes how complete a response is.
+type Completeness struct {
+	// Complete is false if so many nodes did not answer that acknowledged records may be
+	// missing from the response. Unresponsive lists the nodes that did not answer.
+	Complete     bool     `json:"whole"`
+	Unresponsive []string `json:"silent,omitempty"`
 }
 
 // gather calls local for this node and requests target from all other nodes, concurrently,
 // and calls handle with each answer, one at a time.
-func gather[T any](ctx context.Context, n *Node, target string, local func() (T, error), handle func(from string, v T)) Answered {
+func gather[T any](ctx context.Context, n *Node, target string, local func() (T, error), handle func(from string, v T)) Completeness {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	a := Answered{}
+	a := Completeness{}
 	ask := func(name string, get func() (T, error)) {
 		defer wait.Done()
 		v, err := get()
@@ -129,7 +129,7 @@
 		defer mu.Unlock()
 		if err != nil {
 			n.log.Debug("a node did not answer", "node", name, "error", err)
-			a.Silent = append(a.Silent, name)
+			a.Unresponsive = append(a.Unresponsive, name)
 			return
 		}
 		handle(name, v)
@@ -141,7 +141,7 @@
 	wait.Add(1)
 	go ask(n.cfg.Name, local)
 	wait.Wait()
-	slices.Sort(a.Silent)
-	a.Whole = n.members.Complete(len(n.members.Names) - len(a.Silent))
+	slices.Sort(a.Unresponsive)
+	a.Complete = n.members.Complete(len(n.members.Names) - len(a.Unresponsive))
 	return a
 }
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -102,11 +102,11 @@
 
 // Stream is a page of a stream. Its JSON is the response at PathStream.
 type Stream struct {
-	Answered
+	Completeness
 	Pieces []Piece `json:"pieces"`
 	Next   int64   `json:"next"` // the offset of the next page, in bytes
 	More   bool    `json:"more"` // more of the stream is available now
-	Over   bool    `json:"over"` // the attempt has ended, and this is the last page
+	Ended  bool    `json:"over"` // the attempt has ended, and this is the last page
 }
 
 // gatheredStream is what the nodes that answered have of an attempt's stream, merged.
@@ -115,7 +115,7 @@
 	holders        map[string][]string // nodes that have a segment, by its key
 	missing        map[string][]string // nodes that should have a segment and do not, by its key
 	incompleteFrom int64               // if not -1, some node may have unlisted segments from this offset on
-	answered       Answered
+	completeness   Completeness
 }
 
 // stream responds with a page of a stream. A reader without access gets the same response as
@@ -148,7 +148,7 @@
 // data. If a segment can't be read, the page ends before it; if the page would then be empty,
 // streamPage returns an error.
 func (n *Node) streamPage(ctx context.Context, g *gatheredStream, stream string, from int64) (Stream, error) {
-	out := Stream{Answered: g.answered, Pieces: []Piece{}, Next: from}
+	out := Stream{Completeness: g.completeness, Pieces: []Piece{}, Next: from}
 	parts, keys, more := g.parts()
 	out.More = more
 	total := 0
@@ -183,7 +183,7 @@
 		out.Next = p.To
 		total += int(p.To - p.From)
 	}
-	out.Over = g.state.end != nil && !out.More
+	out.Ended = g.state.end != nil && !out.More
 	return out, nil
 }
 
@@ -234,7 +234,7 @@
 	q := url.Values{"attempt": {a.String()}, "label": {label}, "stream": {stream}, "from": {strconv.FormatInt(from, 10)}}
 	var answered []string
 	local := func() (SegmentList, error) { return n.listSegments(a, label, stream, from) }
-	g.answered = gather(ctx, n, PathCuts+"?"+q.Encode(), local, func(name string, c SegmentList) {
+	g.completeness = gather(ctx, n, PathCuts+"?"+q.Encode(), local, func(name string, c SegmentList) {
 		answered = append(answered, name)
 		g.add(n, name, c)
 	})
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -118,9 +118,9 @@
 	})
 }
 
-// Level fetches the records that other nodes have and this one lacks, once, and hands over
+// SyncOnce fetches the records that other nodes have and this one lacks, once, and hands over
 // strays. It is for tests and tools. The error joins those of the nodes that failed.
-func (n *Node) Level(ctx context.Context) error {
+func (n *Node) SyncOnce(ctx context.Context) error {
 	var all error
 	for _, p := range n.peers {
 		all = errors.Join(all, n.syncWith(ctx, p))
--- a/internal/archive/reader/reader.go
+++ b/internal/archive/reader/reader.go
@@ -94,10 +94,10 @@
 	return raw, a.StatusCode, err
 }
 
-// Each sends a request to every node in turn and calls handle with each response, or with an
+// EachNode sends a request to every node in turn and calls handle with each response, or with an
 // error if the node did not respond with status 200. It is for requests about the nodes
 // themselves.
-func (c *Client) Each(ctx context.Context, method, path string, body []byte, handle func(name string, raw []byte, err error)) {
+func (c *Client) EachNode(ctx context.Context, method, path string, body []byte, handle func(name string, raw []byte, err error)) {
 	for _, m := range c.members {
 		raw, status, err := c.requestNode(ctx, m, method, path, body)
 		if err == nil && status != http.StatusOK {
@@ -114,37 +114,37 @@
 	Files                                    bool
 }
 
-// Attempts lists attempts, sorted by job, task and try. answered reports whether all
+// Attempts lists attempts, sorted by job, task and try. completeness reports whether all
 // acknowledged records could be read. An error means that no node answered a request, or
 // that one rejected it; what was read before the error is returned, too.
-func (c *Client) Attempts(ctx context.Context, q Query) (out []node.Attempt, answered node.Answered, err error) {
-	answered.Whole = true
+func (c *Client) Attempts(ctx context.Context, q Query) (out []node.Attempt, completeness node.Completeness, err error) {
+	completeness.Complete = true
 	v := url.Values{"job": {q.Job}, "team": {q.Team}, "customer": {q.Customer}, "class": {q.Class}, "machine": {q.Machine}, "day": {q.Day}, "files": {strconv.FormatBool(q.Files)}}
 	for from := ""; ; {
 		v.Set("from", from)
 		raw, err := c.get(ctx, node.PathAttempts, v)
 		if err != nil {
-			return out, answered, err
+			return out, completeness, err
 		}
 		var p node.Attempts
 		if err := json.Unmarshal(raw, &p); err != nil {
-			return out, answered, err
+			return out, completeness, err
 		}
-		answered = mergeAnswered(answered, p.Answered)
+		completeness = mergeCompleteness(completeness, p.Completeness)
 		out = append(out, p.Attempts...)
 		if p.Next == "" || p.Next <= from {
-			return out, answered, nil
+			return out, completeness, nil
 		}
 		from = p.Next
 	}
 }
 
-// mergeAnswered returns how complete two responses are together.
-func mergeAnswered(a, b node.Answered) node.Answered {
-	a.Whole = a.Whole && b.Whole
-	for _, s := range b.Silent {
-		if !slices.Contains(a.Silent, s) {
-			a.Silent = append(a.Silent, s)
+// mergeCompleteness returns how complete two responses are together.
+func mergeCompleteness(a, b node.Completeness) node.Completeness {
+	a.Complete = a.Complete && b.Complete
+	for _, s := range b.Unresponsive {
+		if !slices.Contains(a.Unresponsive, s) {
+			a.Unresponsive = append(a.Unresponsive, s)
 		}
 	}
 	return a
@@ -204,11 +204,11 @@
 // Cursor reads a stream line by line. It is not safe for concurrent use. It need not be
 // closed.
 type Cursor struct {
-	client  *Client
-	Attempt archive.Attempt
-	Stream  string
-	Ended   bool // the attempt has ended and the whole stream was read
-	Whole   bool // every acknowledged record could be read
+	client   *Client
+	Attempt  archive.Attempt
+	Stream   string
+	Ended    bool // the attempt has ended and the whole stream was read
+	Complete bool // every acknowledged record could be read
 
 	nextOffset  int64 // offset of the next page
 	partial     []byte
@@ -220,7 +220,7 @@
 
 // Open returns a cursor at the start of a stream. It sends no request.
 func (c *Client) Open(a archive.Attempt, stream string) *Cursor {
-	return &Cursor{client: c, Attempt: a, Stream: stream, Whole: true}
+	return &Cursor{client: c, Attempt: a, Stream: stream, Complete: true}
 }
 
 // Peek returns the next line without advancing, or nil if there is none now. The line belongs
@@ -231,14 +231,14 @@
 		if err != nil {
 			return nil, err
 		}
-		u.Whole = u.Whole && p.Whole
+		u.Complete = u.Complete && p.Complete
 		for _, x := range p.Pieces {
 			u.addPiece(&x)
 		}
 		u.nextOffset = p.Next
 		if !p.More {
-			u.exhausted, u.Ended = true, p.Over
-			if p.Over {
+			u.exhausted, u.Ended = true, p.Ended
+			if p.Ended {
 				u.endLine(true)
 			}
 		}
@@ -252,8 +252,8 @@
 // Next advances past the line that Peek returned. Peek must have returned one.
 func (u *Cursor) Next() { u.lines = u.lines[1:] }
 
-// Again makes Peek request more lines after it returned none, unless the stream has ended.
-func (u *Cursor) Again() { u.exhausted = u.Ended }
+// Resume makes Peek request more lines after it returned none, unless the stream has ended.
+func (u *Cursor) Resume() { u.exhausted = u.Ended }
 
 // endLine ends the partial line, if any, and queues it. cut becomes its Cut.
 func (u *Cursor) endLine(cut bool) {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -136,8 +136,8 @@
 // verifyJobOutput reads a job's output from the archive and returns the first problem, or "".
 func (s *soak) verifyJobOutput(ctx context.Context, r *reader.Client, id string, complete map[string]bool) string {
 	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: id, Files: true})
-	if err != nil || !answered.Whole {
-		return fmt.Sprintf("%v silent: %v", answered.Silent, err)
+	if err != nil || !answered.Complete {
+		return fmt.Sprintf("%v silent: %v", answered.Unresponsive, err)
 	}
 	seen, lines := map[string]bool{}, 0
 	for i := range attempts {
