--- a/cmd/silvergate/archive.go
+++ b/cmd/silvergate/archive.go
@@ -175,13 +175,13 @@
 	soak := &cobra.Command{
 		Use: "soak", Short: "Run random histories of an archive on loopback and check what readers get", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var sum history.Drawn
+			var sum history.Summary
 			for i := range histories {
 				dir, err := os.MkdirTemp("", "silvergate-archive")
 				if err != nil {
 					return err
 				}
-				d, err := history.Draw(dir, seed+uint64(i), rounds)
+				d, err := history.RunRandom(dir, seed+uint64(i), rounds)
 				if err != nil {
 					return fmt.Errorf("seed %d (files kept in %s): %w", seed+uint64(i), dir, err)
 				}
@@ -209,7 +209,7 @@
 		Use: "bench --dir DIR", Short: "Measure an archive of three nodes on this machine", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if o.Self, err = os.Executable(); err != nil {
+			if o.Executable, err = os.Executable(); err != nil {
 				return err
 			}
 			if o.Dir, err = filepath.Abs(o.Dir); err != nil {
@@ -226,7 +226,7 @@
 	bench.Flags().StringVar(&o.Dir, "dir", "", "an empty folder on the disk to measure")
 	bench.Flags().IntVar(&o.Tasks, "tasks", 2000, "how many tasks write")
 	bench.Flags().IntVar(&o.Lines, "lines", 100, "how many lines a second each task writes")
-	bench.Flags().DurationVar(&o.For, "for", 20*time.Second, "how long the tasks write")
+	bench.Flags().DurationVar(&o.Duration, "for", 20*time.Second, "how long the tasks write")
 	_ = bench.MarkFlagRequired("dir")
 	k.addOutputFlag(bench)
 	return bench
--- a/internal/archive/history/draw.go
+++ b/internal/archive/history/draw.go
@@ -17,9 +17,9 @@
 	"silvergate/internal/archive/ship"
 )
 
-// Drawn counts what happened in a random history. silvergate archive soak prints it
+// Summary counts what happened in a random history. silvergate archive soak prints it
 // under its fields' Go names.
-type Drawn struct {
+type Summary struct {
 	Attempts, Bytes, Files   int
 	NodeStops, DisksLost     int
 	AgentStops, MachinesLost int
@@ -50,19 +50,19 @@
 	attempts     []*attempt
 	jobs         int
 	replacements int // machines that replaced lost ones
-	summary      Drawn
+	summary      Summary
 }
 
-// Draw runs a random history of some rounds and checks it. Machines run attempts that
+// RunRandom runs a random history of some rounds and checks it. Machines run attempts that
 // write output. Shippers and nodes are stopped and started, with at most as many nodes
 // stopped at a time as the quorum allows. Nodes and machines are lost with their disks.
 // At the end each attempt is read by its customer, through any node, and by another
 // customer, who must not find it.
-func Draw(dir string, seed uint64, rounds int) (Drawn, error) {
+func RunRandom(dir string, seed uint64, rounds int) (Summary, error) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	s, err := New(dir, 3, log, nil)
 	if err != nil {
-		return Drawn{}, err
+		return Summary{}, err
 	}
 	defer s.Close()
 	run := &randomRun{Site: s, random: rand.New(rand.NewPCG(seed, 14)), machines: map[string]*Machine{}}
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -392,7 +392,7 @@
 }
 
 // Add adds another history's counts.
-func (d *Drawn) Add(o Drawn) {
+func (d *Summary) Add(o Summary) {
 	d.Attempts, d.Bytes, d.Files = d.Attempts+o.Attempts, d.Bytes+o.Bytes, d.Files+o.Files
 	d.NodeStops, d.DisksLost = d.NodeStops+o.NodeStops, d.DisksLost+o.DisksLost
 	d.AgentStops, d.MachinesLost = d.AgentStops+o.AgentStops, d.MachinesLost+o.MachinesLost
--- a/internal/archive/history/history_test.go
+++ b/internal/archive/history/history_test.go
@@ -17,7 +17,7 @@
 // TestRandomHistories runs a few random histories; silvergate archive soak runs more.
 func TestRandomHistories(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		d, err := Draw(t.TempDir(), seed, 40)
+		d, err := RunRandom(t.TempDir(), seed, 40)
 		t.Logf("seed %d: %+v", seed, d)
 		if err != nil {
 			t.Errorf("seed %d: %v", seed, err)
--- a/internal/archive/load/bench.go
+++ b/internal/archive/load/bench.go
@@ -257,7 +257,7 @@
 // task's size after each write, and returns how long it took.
 func (b *bench) writeOutput(s *sampler) (time.Duration, error) {
 	start := time.Now()
-	for write := 0; time.Since(start) < b.options.For; write++ {
+	for write := 0; time.Since(start) < b.options.Duration; write++ {
 		for i, f := range b.files {
 			var text strings.Builder
 			for k := range max(1, b.options.Lines/writesPerSecond) {
--- a/internal/archive/load/load.go
+++ b/internal/archive/load/load.go
@@ -22,12 +22,12 @@
 
 // Options are the parameters of a measurement.
 type Options struct {
-	Self  string        // path of the silvergate executable
-	Dir   string        // an empty folder for all files; the caller removes it
-	Tasks int           // how many tasks write output
-	Lines int           // lines per second of each task
-	For   time.Duration // how long the tasks write
-	Out   io.Writer     // receives progress messages for people; may be nil
+	Executable string        // path of the silvergate executable
+	Dir        string        // an empty folder for all files; the caller removes it
+	Tasks      int           // how many tasks write output
+	Lines      int           // lines per second of each task
+	Duration   time.Duration // how long the tasks write
+	Out        io.Writer     // receives progress messages for people; may be nil
 }
 
 // Result holds the measured values. A megabyte is 1e6 bytes; the names of times end in
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Run runs a measurement, which takes somewhat longer than Options.For. It ends all
+// Run runs a measurement, which takes somewhat longer than Options.Duration. It ends all
 // processes that it started. If it returns an error, the result holds the values measured
 // before the error.
 func Run(o Options) (Result, error) {
--- a/internal/archive/load/process.go
+++ b/internal/archive/load/process.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	defer log.Close()
-	p := &process{cmd: exec.Command(o.Self, args...)}
+	p := &process{cmd: exec.Command(o.Executable, args...)}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	p.cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
 	p.id, err = proc.Start(p.cmd, func(proc.ID) error { return nil })
