--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -89,12 +89,12 @@
 			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
 			log := componentLogger("cloud")
-			p, err := provider.Open(cfg, self, log)
+			p, err := provider.Open(cfg, executable, log)
 			if err != nil {
 				return err
 			}
@@ -134,12 +134,12 @@
 			if err := startComponent(settings, &cfg); err != nil {
 				return err
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
 			log := componentLogger("agent").With("machine", cfg.Worker)
-			a, err := agent.New(cfg, self, log)
+			a, err := agent.New(cfg, executable, log)
 			if err != nil {
 				return err
 			}
--- a/cmd/silvergate/scale.go
+++ b/cmd/silvergate/scale.go
@@ -28,7 +28,7 @@
 		Long: `scale plays a scenario on loopback: real controllers and state services, hollow
 workers that speak the worker's protocol in full and run no programs, some real
 agents, users, faults, and checkers of the rules. It ends all that it started, also on
-Ctrl-C. SCENARIO is a YAML file or one of those in the program: ` + strings.Join(scale.Shipped(), ", ") + `.
+Ctrl-C. SCENARIO is a YAML file or one of those in the program: ` + strings.Join(scale.ShippedScenarios(), ", ") + `.
 It writes result.json and the processes' logs into the folder; tools/scalereport plots
 the result.`,
 		Example: `  silvergate scale small --dir /tmp/small
@@ -38,13 +38,13 @@
 			if err != nil {
 				return err
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
 			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
-			result, err := scale.Run(ctx, scale.Options{Scenario: scenario, Dir: dir, Self: self, Out: c.ErrOrStderr(), Log: componentLogger("scale")})
+			result, err := scale.Run(ctx, scale.Options{Scenario: scenario, Dir: dir, Executable: executable, Out: c.ErrOrStderr(), Log: componentLogger("scale")})
 			if result == nil {
 				return err
 			}
@@ -54,7 +54,7 @@
 			if showErr := client.printResult(c, result, scale.Summary(result)); showErr != nil || err != nil {
 				return errors.Join(err, showErr)
 			}
-			if result.Broken > 0 {
+			if result.Violations > 0 {
 				return fmt.Errorf("%w: see %s", errRuleBroken, filepath.Join(dir, scale.ResultFile))
 			}
 			return nil
@@ -78,13 +78,13 @@
 			if err := readSettings(settings, &cfg); err != nil {
 				return err
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
 			stop := make(chan struct{})
 			onStopSignal(func() { close(stop) })
-			measured, err := scale.RunCell(cfg, self, componentLogger("cell"), stop)
+			measured, err := scale.RunCell(cfg, executable, componentLogger("cell"), stop)
 			if err != nil {
 				return err
 			}
--- a/cmd/silvergate/scale_test.go
+++ b/cmd/silvergate/scale_test.go
@@ -55,7 +55,7 @@
 	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
 		t.Fatal(err)
 	}
-	if !r.Whole || r.Broken > 0 || len(r.Cells) != 1 || len(r.Processes) != 4 {
+	if !r.Completed || r.Violations > 0 || len(r.Cells) != 1 || len(r.Processes) != 4 {
 		t.Fatalf("the run is not complete, or broke a rule: %+v", r)
 	}
 	c := r.Cells[0]
@@ -65,7 +65,7 @@
 	killed := 0
 	for _, p := range r.Processes {
 		killed += p.Killed
-		if p.Ended > 0 {
+		if p.UnexpectedExits > 0 {
 			t.Errorf("%s ended by itself", p.Name)
 		}
 	}
--- a/cmd/silvergate/site_test.go
+++ b/cmd/silvergate/site_test.go
@@ -28,8 +28,8 @@
 // promised when all processes of a site are killed. A small soak kills them twice while
 // jobs are submitted, run and end.
 func TestSiteSurvivesKills(t *testing.T) {
-	r, err := soak.Run(soak.Options{Self: os.Args[0], Env: []string{runMainEnv + "=1"}, Dir: filepath.Join(t.TempDir(), "site"),
-		Jobs: 8, Kills: 2, Seed: 1, Between: 2 * time.Second, Limit: 2 * time.Minute})
+	r, err := soak.Run(soak.Options{Executable: os.Args[0], Env: []string{runMainEnv + "=1"}, Dir: filepath.Join(t.TempDir(), "site"),
+		Jobs: 8, Kills: 2, Seed: 1, MeanKillInterval: 2 * time.Second, Limit: 2 * time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/silvergate/soak.go
+++ b/cmd/silvergate/soak.go
@@ -20,7 +20,7 @@
 		Use: "soak --dir DIR", Short: "Run a site, kill all its processes repeatedly, and compare what ran with what was promised", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if o.Self, err = os.Executable(); err != nil {
+			if o.Executable, err = os.Executable(); err != nil {
 				return err
 			}
 			o.Out = c.ErrOrStderr()
@@ -45,7 +45,7 @@
 	f.IntVar(&o.Jobs, "jobs", 200, "jobs to submit")
 	f.IntVar(&o.Kills, "kills", 20, "how often everything is killed")
 	f.Uint64Var(&o.Seed, "seed", 1, "the seed of the random times and choices")
-	f.DurationVar(&o.Between, "between", 3*time.Second, "mean time between two kills")
+	f.DurationVar(&o.MeanKillInterval, "between", 3*time.Second, "mean time between two kills")
 	f.DurationVar(&o.Limit, "limit", 3*time.Minute, "how long the jobs may take after the last kill")
 	_ = cmd.MarkFlagRequired("dir")
 	return cmd
--- a/cmd/silvergate/up.go
+++ b/cmd/silvergate/up.go
@@ -58,7 +58,7 @@
 			return nil, fmt.Errorf("settings: %w", err)
 		}
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	if level == "" && f.demo {
 		level = "error"
 	}
-	return site.Open(f.dir, raw, self, newLogger(level).With("part", "up"))
+	return site.Open(f.dir, raw, executable, newLogger(level).With("part", "up"))
 }
 
 // run starts the site and serves until SIGINT or SIGTERM; with --demo it runs one job and returns.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -105,9 +105,9 @@
 }
 
 // New returns an agent that is ready to Run. It fails if the configuration is invalid or if
-// the files that an earlier agent left in the machine's folder are unusable. self is the path
-// of this program, which is started again for each task and for the watchdog.
-func New(cfg Config, self string, log *slog.Logger) (*Agent, error) {
+// the files that an earlier agent left in the machine's folder are unusable. executable is the
+// path of this program, which is started again for each task and for the watchdog.
+func New(cfg Config, executable string, log *slog.Logger) (*Agent, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
@@ -116,8 +116,8 @@
 	}
 	a := &Agent{
 		cfg: cfg, log: log, pool: transport.NewPool(maxConnections), shared: sharedStore{cfg.SharedDir},
-		taskCommand:     []string{self, "task-exec"},
-		watchdogCommand: []string{self, "agent-watchdog", cfg.Dir},
+		taskCommand:     []string{executable, "task-exec"},
+		watchdogCommand: []string{executable, "agent-watchdog", cfg.Dir},
 		schedule:        schedule{startedAt: bootClock()},
 		attempts:        attemptRecords{gangMembers: map[TaskAttempt][]protocol.GangMember{}, lastCheckpoints: map[TaskAttempt]int{}},
 	}
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -43,16 +43,16 @@
 
 // cell is the state of a cell process. It implements hollow.Observer for its fleet.
 type cell struct {
-	scenario  *Scenario
-	layout    *cellLayout
-	dir       string
-	self      string
-	log       *slog.Logger
-	startedAt time.Time
-	checker   *checker
-	fleet     *hollow.Fleet
-	cloud     *cloud
-	users     *users
+	scenario   *Scenario
+	layout     *cellLayout
+	dir        string
+	executable string
+	log        *slog.Logger
+	startedAt  time.Time
+	checker    *checker
+	fleet      *hollow.Fleet
+	cloud      *cloud
+	users      *users
 
 	mu       sync.Mutex
 	measured measurements
@@ -90,12 +90,12 @@
 
 // RunCell runs one cell of a scenario and returns what it measured. It returns when the
 // users are done, or when stop is closed.
-func RunCell(settings CellSettings, self string, log *slog.Logger, stop <-chan struct{}) (*CellResult, error) {
+func RunCell(settings CellSettings, executable string, log *slog.Logger, stop <-chan struct{}) (*CellResult, error) {
 	s := settings.Scenario
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	c := &cell{scenario: s, dir: settings.Dir, self: self, log: log, startedAt: time.Now(),
+	c := &cell{scenario: s, dir: settings.Dir, executable: executable, log: log, startedAt: time.Now(),
 		layout:   &cellLayout{scenario: s, number: settings.Number, statePort: settings.State, cloudPort: settings.Cloud, controllerPorts: settings.Controllers},
 		measured: measurements{acceptance: newHistogram(), firstStart: map[string]*hdrhistogram.Histogram{}, taskStart: map[string]*hdrhistogram.Histogram{}, started: map[string]map[int]bool{}},
 		agents:   agentProcesses{running: map[string]*agentProcess{}}}
@@ -325,7 +325,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return "", err
 	}
-	cmd := exec.Command(c.self, "agent", "--settings", path)
+	cmd := exec.Command(c.executable, "agent", "--settings", path)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
 	log, err := os.Create(cfg.Dir + ".log")
 	if err != nil {
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -13,13 +13,13 @@
 
 // ProcessResult is what one process of a run has used.
 type ProcessResult struct {
-	Name    string  `json:"name"`
-	CPUS    float64 `json:"cpuS"`
-	CoreMs  float64 `json:"coreMs"` // processor time for each second that it was up, in ms
-	PeakMB  float64 `json:"peakMb"`
-	Ended   int     `json:"ended"` // how often the process ended by itself
-	Killed  int     `json:"killed"`
-	uptimeS float64
+	Name            string  `json:"name"`
+	CPUS            float64 `json:"cpuS"`
+	CoreMs          float64 `json:"coreMs"` // processor time for each second that it was up, in ms
+	PeakMB          float64 `json:"peakMb"`
+	UnexpectedExits int     `json:"ended"` // how often the process ended by itself
+	Killed          int     `json:"killed"`
+	uptimeS         float64
 }
 
 // process is one of the processes of a run. It may be started several times.
@@ -53,7 +53,7 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(r.Self, p.args...)
+	cmd := exec.Command(r.Executable, p.args...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
 	p.mu.Lock()
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -46,7 +46,7 @@
 	var b strings.Builder
 	s := r.Scenario
 	kind := "whole"
-	if !r.Whole {
+	if !r.Completed {
 		kind = "broken off"
 	}
 	fmt.Fprintf(&b, "%s: %d cells of %d hollow workers, %d controllers and %d real agents, %.0f s (%s), %.1f GB of memory at the most\n",
@@ -60,10 +60,11 @@
 	}
 	for _, p := range r.Processes {
 		if strings.HasPrefix(p.Name, "controller-") {
-			fmt.Fprintf(&b, "%s: %.0f ms of a core each second, %.0f MB, killed %d times, ended by itself %d times\n", p.Name, p.CoreMs, p.PeakMB, p.Killed, p.Ended)
+			fmt.Fprintf(&b, "%s: %.0f ms of a core each second, %.0f MB, killed %d times, ended by itself %d times\n",
+				p.Name, p.CoreMs, p.PeakMB, p.Killed, p.UnexpectedExits)
 		}
 	}
-	fmt.Fprintf(&b, "rules broken: %d", r.Broken)
+	fmt.Fprintf(&b, "rules broken: %d", r.Violations)
 	return b.String()
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -27,11 +27,11 @@
 // Options holds the scenario of a run, the run's folder, and the program that its processes
 // run.
 type Options struct {
-	Scenario *Scenario
-	Dir      string // an empty folder, or one that does not exist yet
-	Self     string // path of the program that every process of the run executes
-	Out      io.Writer
-	Log      *slog.Logger
+	Scenario   *Scenario
+	Dir        string // an empty folder, or one that does not exist yet
+	Executable string // path of the program that every process of the run executes
+	Out        io.Writer
+	Log        *slog.Logger
 }
 
 // StateResult counts the requests to a cell's state service: in total, and in each interval
@@ -54,15 +54,15 @@
 
 // Result is what a run has measured.
 type Result struct {
-	Scenario  *Scenario       `json:"scenario"`
-	StartedAt time.Time       `json:"begun"`
-	TookS     float64         `json:"tookS"`
-	Whole     bool            `json:"whole"` // false: the run ended early, by an error or a signal
-	Cells     []*CellResult   `json:"cells"`
-	Processes []ProcessResult `json:"processes"`
-	States    []StateResult   `json:"states"`
-	PeakGB    float64         `json:"peakGb"` // peak resident memory of all processes together
-	Broken    int             `json:"broken"` // how often rules were broken, over all cells
+	Scenario   *Scenario       `json:"scenario"`
+	StartedAt  time.Time       `json:"begun"`
+	TookS      float64         `json:"tookS"`
+	Completed  bool            `json:"whole"` // false: the run ended early, by an error or a signal
+	Cells      []*CellResult   `json:"cells"`
+	Processes  []ProcessResult `json:"processes"`
+	States     []StateResult   `json:"states"`
+	PeakGB     float64         `json:"peakGb"` // peak resident memory of all processes together
+	Violations int             `json:"broken"` // how often rules were broken, over all cells
 }
 
 // Times of a run. endMargin is how long cells may take after the drain time until the run fails.
@@ -109,7 +109,7 @@
 	err = r.supervise(ctx)
 	r.endAll()
 	result, readErr := r.collect()
-	result.Whole = err == nil
+	result.Completed = err == nil
 	return result, errors.Join(err, readErr)
 }
 
@@ -343,7 +343,7 @@
 			return fmt.Errorf("%s ended by itself: %v", p.name, p.exitErr)
 		}
 		p.mu.Lock()
-		p.result.Ended++
+		p.result.UnexpectedExits++
 		p.mu.Unlock()
 		p.accumulateUsage()
 		if err := r.launch(p, r.controllerDir(p)); err != nil {
@@ -462,7 +462,7 @@
 		}
 		out.Cells = append(out.Cells, cell)
 		for _, n := range cell.Violations {
-			out.Broken += n
+			out.Violations += n
 		}
 	}
 	return out, errors.Join(errs...)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -12,7 +12,7 @@
 // TestShippedScenarios guards against a shipped scenario that does not parse, has another name
 // than its file, or needs too many processes or more than 12 GB.
 func TestShippedScenarios(t *testing.T) {
-	names := Shipped()
+	names := ShippedScenarios()
 	if len(names) != 4 {
 		t.Errorf("got %d shipped scenarios, want 4: %v", len(names), names)
 	}
@@ -79,7 +79,7 @@
 // TestRunRefusedBeforeStart guards against a run that starts although its folder is not empty,
 // a port is taken, or the machine has too little memory or too few open files. The error must
 // name the field, except for the number of workers, which this machine may refuse as memory_gb.
-// Self does not exist, so a run that starts fails with another error.
+// Executable does not exist, so a run that starts fails with another error.
 func TestRunRefusedBeforeStart(t *testing.T) {
 	s, err := LoadScenario("small")
 	if err != nil {
@@ -102,7 +102,7 @@
 		"base_port": func(o *Options) { o.Scenario.BasePort = port },
 	} {
 		scenario := *s
-		o := Options{Scenario: &scenario, Dir: t.TempDir(), Self: "/nonexistent"}
+		o := Options{Scenario: &scenario, Dir: t.TempDir(), Executable: "/nonexistent"}
 		change(&o)
 		if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), name) && name != "workers" {
 			t.Errorf("%s: got error %v, want a refusal that names the field", name, err)
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -114,8 +114,8 @@
 //go:embed scenarios/*.yaml
 var shipped embed.FS
 
-// Shipped lists the scenarios that come with the program.
-func Shipped() (names []string) {
+// ShippedScenarios lists the scenarios that come with the program.
+func ShippedScenarios() (names []string) {
 	found, _ := fs.Glob(shipped, "scenarios/*.yaml")
 	for _, path := range found {
 		names = append(names, strings.TrimSuffix(strings.TrimPrefix(path, "scenarios/"), ".yaml"))
@@ -128,7 +128,7 @@
 	raw, err := shipped.ReadFile("scenarios/" + nameOrFile + ".yaml")
 	if err != nil {
 		if raw, err = os.ReadFile(nameOrFile); err != nil {
-			return nil, fmt.Errorf("scenario: %w (shipped ones: %s)", err, strings.Join(Shipped(), ", "))
+			return nil, fmt.Errorf("scenario: %w (shipped ones: %s)", err, strings.Join(ShippedScenarios(), ", "))
 		}
 	}
 	s, err := ParseScenario(raw)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -24,14 +24,14 @@
 
 // Options say where a run happens and how long it is.
 type Options struct {
-	Self  string   // path of the program, which is started with up --dir Dir
-	Env   []string // added to its environment
-	Dir   string   // a folder that is empty or does not exist
-	Jobs  int
-	Kills int
-	Seed  uint64
-	// Between is the mean time between two kills.
-	Between time.Duration
+	Executable string   // path of the program, which is started with up --dir Dir
+	Env        []string // added to its environment
+	Dir        string   // a folder that is empty or does not exist
+	Jobs       int
+	Kills      int
+	Seed       uint64
+	// MeanKillInterval is the mean time between two kills.
+	MeanKillInterval time.Duration
 	// Limit is how long the jobs may take after the last kill.
 	Limit time.Duration
 	Out   io.Writer // progress; may be nil
@@ -105,7 +105,7 @@
 	}
 	submitted := 0
 	for kill := range o.Kills {
-		until := time.Now().Add(time.Duration((0.3 + 1.4*s.random.Float64()) * float64(o.Between)))
+		until := time.Now().Add(time.Duration((0.3 + 1.4*s.random.Float64()) * float64(o.MeanKillInterval)))
 		quota := (kill + 1) * o.Jobs / o.Kills
 		for time.Now().Before(until) {
 			if submitted < quota && s.submit(submitted) {
@@ -151,7 +151,7 @@
 		return err
 	}
 	defer log.Close()
-	s.cmd = exec.Command(s.options.Self, "up", "--dir", s.options.Dir)
+	s.cmd = exec.Command(s.options.Executable, "up", "--dir", s.options.Dir)
 	s.cmd.Env = append(os.Environ(), s.options.Env...)
 	s.cmd.Stdout, s.cmd.Stderr = log, log
 	if err := s.cmd.Start(); err != nil {
--- a/tools/scalereport/main_test.go
+++ b/tools/scalereport/main_test.go
@@ -13,7 +13,7 @@
 // argument or result that is not an error.
 func TestReport(t *testing.T) {
 	dir := t.TempDir()
-	r := &scale.Result{Scenario: &scale.Scenario{Name: "tiny<b>"}, Whole: true,
+	r := &scale.Result{Scenario: &scale.Scenario{Name: "tiny<b>"}, Completed: true,
 		Cells:  []*scale.CellResult{{Samples: []scale.Sample{{AtS: 1, Starts: 2}, {AtS: 2, Starts: 5}}}},
 		States: []scale.StateResult{{PerS: []scale.Rates{{AtS: 1, Requests: 3, Changes: 1}}}}}
 	if err := scale.WriteResult(dir, r); err != nil {
