--- a/cmd/silvergate/archive_client.go
+++ b/cmd/silvergate/archive_client.go
@@ -58,11 +58,11 @@
 	if err := anode.CheckMembers(members); err != nil {
 		return nil, nil, err
 	}
-	keeper, err := identity.NewKeeper(certs, newLogger("error"))
+	credentials, err := identity.OpenCredentials(certs, newLogger("error"))
 	if err != nil {
 		return nil, nil, err
 	}
-	return reader.New(keeper, members, k.timeout), members, nil
+	return reader.New(credentials, members, k.timeout), members, nil
 }
 
 // warnIfIncomplete prints a warning if an answer may be incomplete because nodes did not answer.
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -165,11 +165,11 @@
 	if err != nil {
 		return nil, err
 	}
-	keeper, err := identity.NewKeeper(dir, s.Log)
+	credentials, err := identity.OpenCredentials(dir, s.Log)
 	if err != nil {
 		return nil, err
 	}
-	return reader.New(keeper, s.Members, 10*time.Second), nil
+	return reader.New(credentials, s.Members, 10*time.Second), nil
 }
 
 // Machine is a machine with its shipper.
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -48,14 +48,14 @@
 // Node is an archive node. Open creates it, Serve makes it handle requests, and the caller of
 // Open ends it with Stop. It is safe for concurrent use.
 type Node struct {
-	cfg          Config
-	log          *slog.Logger
-	certificates *identity.Keeper
-	grantKey     archive.GrantKey
-	members      archive.Members
-	vault        *vault.Vault
-	peers        map[string]*peer // by name; all members but this one
-	fetchLimit   *rate.Limiter    // bytes per second exchanged with other nodes
+	cfg         Config
+	log         *slog.Logger
+	credentials *identity.Credentials
+	grantKey    archive.GrantKey
+	members     archive.Members
+	vault       *vault.Vault
+	peers       map[string]*peer // by name; all members but this one
+	fetchLimit  *rate.Limiter    // bytes per second exchanged with other nodes
 	// Now returns the current time for expiry. It may be replaced before Serve.
 	Now func() time.Time
 
@@ -93,10 +93,10 @@
 		members: archive.Members{Replicas: cfg.Replicas},
 	}
 	var err error
-	if n.certificates, err = identity.NewKeeper(cfg.Certs, log); err != nil {
+	if n.credentials, err = identity.OpenCredentials(cfg.Certs, log); err != nil {
 		return nil, err
 	}
-	if me := n.certificates.Me(); me.Kind != identity.Node || me.Name != cfg.Name {
+	if me := n.credentials.Identity(); me.Kind != identity.Node || me.Name != cfg.Name {
 		return nil, fmt.Errorf("certs: the certificate is %s's, not node/%s's", me, cfg.Name)
 	}
 	if n.grantKey, err = archive.LoadGrantKey(cfg.GrantKey); err != nil {
@@ -107,7 +107,7 @@
 		if m.Name == cfg.Name {
 			continue
 		}
-		n.peers[m.Name] = newPeer(n.certificates, m)
+		n.peers[m.Name] = newPeer(n.credentials, m)
 		n.derived.trees[m.Name] = &archive.Tree{}
 	}
 	n.fetchLimit = rate.NewLimiter(rate.Inf, 0)
@@ -194,7 +194,7 @@
 	n.runEvery(RevocationsEvery, func() {
 		if n.cfg.Revocations != "" {
 			if raw, err := os.ReadFile(n.cfg.Revocations); err == nil {
-				if _, err := n.certificates.Learn(raw); err != nil {
+				if _, err := n.credentials.ReceiveRevocations(raw); err != nil {
 					n.log.Error("can't apply the authority's list of revocations", "file", n.cfg.Revocations, "error", err)
 				}
 			}
@@ -202,7 +202,7 @@
 		for _, p := range n.peers {
 			raw, err := p.get(n.ctx, PathRevocations, identity.MaxRevocations)
 			if err == nil {
-				_, err = n.certificates.Learn(raw)
+				_, err = n.credentials.ReceiveRevocations(raw)
 			}
 			if err != nil {
 				n.log.Debug("can't get a node's list of revocations", "from", p.name, "error", err)
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -184,9 +184,9 @@
 )
 
 // newPeer returns a client of a node.
-func newPeer(k *identity.Keeper, m Member) *peer {
-	t := &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 4, MaxConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
-		TLSHandshakeTimeout: 5 * time.Second, DisableCompression: true}
+func newPeer(credentials *identity.Credentials, m Member) *peer {
+	t := &http.Transport{TLSClientConfig: credentials.ClientConfig(identity.Node, m.Name), MaxIdleConnsPerHost: 4, MaxConnsPerHost: 16,
+		IdleConnTimeout: 30 * time.Second, TLSHandshakeTimeout: 5 * time.Second, DisableCompression: true}
 	return &peer{m.Name, m.Address, &http.Client{Transport: t, Timeout: peerTimeout}}
 }
 
--- a/internal/archive/node/server.go
+++ b/internal/archive/node/server.go
@@ -16,7 +16,7 @@
 // the listener. It returns nil after Stop, and the listener's error otherwise. It is called
 // once.
 func (n *Node) Serve(l net.Listener) error {
-	server := &http.Server{Handler: n.handler(), TLSConfig: n.certificates.Serve(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 60 * time.Second,
+	server := &http.Server{Handler: n.handler(), TLSConfig: n.credentials.ServerConfig(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 60 * time.Second,
 		WriteTimeout: 120 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 	server.TLSConfig.NextProtos = []string{"http/1.1"}
@@ -69,7 +69,7 @@
 	mux := http.NewServeMux()
 	handle := func(pattern string, do func(w http.ResponseWriter, r *http.Request, who identity.Identity)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			who, ok := n.certificates.Who(r)
+			who, ok := n.credentials.Authenticate(r)
 			if !ok {
 				w.Header().Set("Connection", "close")
 				writeError(w, http.StatusForbidden, "refused")
@@ -93,13 +93,13 @@
 	handle("GET "+PathStream, n.stream)
 	handle("GET "+PathFile, n.file)
 	handle("GET "+PathRevocations, func(w http.ResponseWriter, _ *http.Request, _ identity.Identity) {
-		_, _ = w.Write(n.certificates.Revocations())
+		_, _ = w.Write(n.credentials.Revocations())
 	})
 	handle("POST "+PathRevocations, func(w http.ResponseWriter, r *http.Request, _ identity.Identity) {
 		// The authority signs the list, so any caller may send it.
 		raw, err := readAll(w, r, identity.MaxRevocations)
 		if err == nil {
-			_, err = n.certificates.Learn(raw)
+			_, err = n.credentials.ReceiveRevocations(raw)
 		}
 		if err != nil {
 			writeError(w, http.StatusBadRequest, "not a list of revocations of this site's authority")
--- a/internal/archive/reader/reader.go
+++ b/internal/archive/reader/reader.go
@@ -33,12 +33,13 @@
 	http    map[string]*http.Client
 }
 
-// New returns a client of the nodes that connects with the certificate of k, which the caller
+// New returns a client of the nodes that connects with the given credentials, which the caller
 // still owns. timeout limits each request.
-func New(k *identity.Keeper, members []node.Member, timeout time.Duration) *Client {
+func New(credentials *identity.Credentials, members []node.Member, timeout time.Duration) *Client {
 	c := &Client{members: members, http: map[string]*http.Client{}}
 	for _, m := range members {
-		c.http[m.Name] = &http.Client{Timeout: timeout, Transport: &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 2,
+		c.http[m.Name] = &http.Client{Timeout: timeout, Transport: &http.Transport{
+			TLSClientConfig: credentials.ClientConfig(identity.Node, m.Name), MaxIdleConnsPerHost: 2,
 			IdleConnTimeout: time.Minute, TLSHandshakeTimeout: 3 * time.Second}}
 	}
 	return c
--- a/internal/archive/ship/golden_test.go
+++ b/internal/archive/ship/golden_test.go
@@ -127,12 +127,12 @@
 // serveNode serves a node on the listener with the certificate in the folder certs.
 func serveNode(t *testing.T, listener net.Listener, certs string) *memoryNode {
 	t.Helper()
-	keeper, err := identity.NewKeeper(certs, slog.New(slog.DiscardHandler))
+	credentials, err := identity.OpenCredentials(certs, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &memoryNode{records: map[string]archive.Record{}}
-	server := &http.Server{Handler: n, TLSConfig: keeper.Serve()}
+	server := &http.Server{Handler: n, TLSConfig: credentials.ServerConfig()}
 	go func() { _ = server.ServeTLS(listener, "", "") }()
 	t.Cleanup(func() { _ = server.Close() })
 	return n
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -43,16 +43,16 @@
 // these from them by itself.
 const maxInFlight = 3
 
-// NewWriter returns a writer that connects with the certificate of k. The caller still
-// owns k.
-func NewWriter(k *identity.Keeper, members []node.Member, replicas int, log *slog.Logger) *Writer {
+// NewWriter returns a writer that connects with the given credentials, which the caller
+// still owns.
+func NewWriter(credentials *identity.Credentials, members []node.Member, replicas int, log *slog.Logger) *Writer {
 	w := &Writer{log: log, members: archive.Members{Replicas: replicas}}
 	for _, m := range members {
 		b := backoff.NewExponentialBackOff()
 		b.InitialInterval, b.MaxInterval = 100*time.Millisecond, 5*time.Second
 		w.members.Names = append(w.members.Names, m.Name)
 		w.nodes = append(w.nodes, &nodeClient{name: m.Name, address: m.Address, backOff: b, http: &http.Client{Timeout: putTimeout,
-			Transport: &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute,
+			Transport: &http.Transport{TLSClientConfig: credentials.ClientConfig(identity.Node, m.Name), MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute,
 				TLSHandshakeTimeout: 3 * time.Second, DisableCompression: true}}})
 	}
 	return w
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -105,15 +105,15 @@
 // method says otherwise, calling it on a nil Shipper does nothing. The caller of Start
 // calls Stop.
 type Shipper struct {
-	cfg          Config
-	log          *slog.Logger
-	certificates *identity.Keeper
-	writer       *Writer
-	limit        *rate.Limiter
-	ctx          context.Context
-	stop         context.CancelFunc
-	wait         sync.WaitGroup
-	wakeup       chan struct{}
+	cfg         Config
+	log         *slog.Logger
+	credentials *identity.Credentials
+	writer      *Writer
+	limit       *rate.Limiter
+	ctx         context.Context
+	stop        context.CancelFunc
+	wait        sync.WaitGroup
+	wakeup      chan struct{}
 	// Urgent reports whether inputs of an urgent task are being fetched. It may be
 	// replaced before Start.
 	Urgent func() bool
@@ -129,19 +129,19 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	keeper, err := identity.NewKeeper(cfg.Certs, log)
+	credentials, err := identity.OpenCredentials(cfg.Certs, log)
 	if err != nil {
 		return nil, err
 	}
 	s := &Shipper{
-		cfg:          cfg,
-		log:          log,
-		certificates: keeper,
-		writer:       NewWriter(keeper, cfg.Members, cfg.Replicas, log),
-		limit:        rate.NewLimiter(rate.Inf, batchBytes),
-		wakeup:       make(chan struct{}, 1),
-		attempts:     map[archive.Attempt]*followedAttempt{},
-		Urgent:       func() bool { return false },
+		cfg:         cfg,
+		log:         log,
+		credentials: credentials,
+		writer:      NewWriter(credentials, cfg.Members, cfg.Replicas, log),
+		limit:       rate.NewLimiter(rate.Inf, batchBytes),
+		wakeup:      make(chan struct{}, 1),
+		attempts:    map[archive.Attempt]*followedAttempt{},
+		Urgent:      func() bool { return false },
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s, nil
@@ -331,7 +331,7 @@
 		}
 		r := s.writer.nodes[i%len(s.writer.nodes)]
 		if raw, err := r.get(s.ctx, node.PathRevocations); err == nil {
-			if _, err := s.certificates.Learn(raw); err != nil {
+			if _, err := s.credentials.ReceiveRevocations(raw); err != nil {
 				s.log.Error("cannot use a node's list of revocations", "node", r.name, "error", err)
 			}
 		}
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -58,8 +58,8 @@
 	Now func() time.Time
 }
 
-// Issued is the record of an issued certificate.
-type Issued struct {
+// IssuedCertificate is the record of an issued certificate.
+type IssuedCertificate struct {
 	Serial    string    `json:"serial"`
 	Identity  string    `json:"identity"`
 	NotBefore time.Time `json:"notBefore"`
@@ -143,48 +143,48 @@
 // authority's certificate and the list of revocations. It replaces older files: a running
 // party uses the new certificate without a restart. The certificate contains no addresses:
 // clients verify a server by its identity. A lifetime of 0 means DefaultLifetime.
-func (a *Authority) Issue(who Identity, to string, lifetime time.Duration) (Issued, error) {
+func (a *Authority) Issue(who Identity, to string, lifetime time.Duration) (IssuedCertificate, error) {
 	if who.Site == "" {
 		who.Site = a.Site()
 	}
 	if err := who.Check(); err != nil {
-		return Issued{}, err
+		return IssuedCertificate{}, err
 	}
 	if who.Site != a.Site() {
-		return Issued{}, fmt.Errorf("the authority is for site %s, not for site %s", a.Site(), who.Site)
+		return IssuedCertificate{}, fmt.Errorf("the authority is for site %s, not for site %s", a.Site(), who.Site)
 	}
 	if lifetime <= 0 {
 		lifetime = DefaultLifetime
 	}
 	unlock, err := lock(a.dir)
 	if err != nil {
-		return Issued{}, err
+		return IssuedCertificate{}, err
 	}
 	defer unlock()
 	issued, der, key, err := a.sign(who, lifetime)
 	if err != nil {
-		return Issued{}, err
+		return IssuedCertificate{}, err
 	}
 	// The certificate is recorded before it can be used: one without a record can't be
 	// revoked.
 	if err := a.appendIssued(issued); err != nil {
-		return Issued{}, err
+		return IssuedCertificate{}, err
 	}
 	if err := a.writeParty(to, der, key); err != nil {
-		return Issued{}, err
+		return IssuedCertificate{}, err
 	}
 	return issued, nil
 }
 
 // sign makes a key for a party and a signed certificate, in DER.
-func (a *Authority) sign(who Identity, lifetime time.Duration) (issued Issued, der []byte, key ed25519.PrivateKey, err error) {
+func (a *Authority) sign(who Identity, lifetime time.Duration) (issued IssuedCertificate, der []byte, key ed25519.PrivateKey, err error) {
 	pub, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return Issued{}, nil, nil, err
+		return IssuedCertificate{}, nil, nil, err
 	}
 	serial, err := newSerial()
 	if err != nil {
-		return Issued{}, nil, nil, err
+		return IssuedCertificate{}, nil, nil, err
 	}
 	now := a.Now()
 	template := &x509.Certificate{
@@ -199,9 +199,9 @@
 	}
 	der, err = x509.CreateCertificate(rand.Reader, template, a.cert, pub, a.key)
 	if err != nil {
-		return Issued{}, nil, nil, err
+		return IssuedCertificate{}, nil, nil, err
 	}
-	issued = Issued{Serial: serial.Text(16), Identity: who.String(), NotBefore: template.NotBefore.UTC(), NotAfter: template.NotAfter.UTC()}
+	issued = IssuedCertificate{Serial: serial.Text(16), Identity: who.String(), NotBefore: template.NotBefore.UTC(), NotAfter: template.NotAfter.UTC()}
 	return issued, der, key, nil
 }
 
@@ -249,7 +249,7 @@
 }
 
 // appendIssued appends a record to the list of issued certificates and syncs the file.
-func (a *Authority) appendIssued(issued Issued) error {
+func (a *Authority) appendIssued(issued IssuedCertificate) error {
 	raw, err := json.Marshal(issued)
 	if err != nil {
 		return err
@@ -273,7 +273,7 @@
 }
 
 // List returns the issued certificates, oldest first.
-func (a *Authority) List() ([]Issued, error) {
+func (a *Authority) List() ([]IssuedCertificate, error) {
 	raw, err := os.ReadFile(filepath.Join(a.dir, issuedFile))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
@@ -286,9 +286,9 @@
 	for _, e := range l.RevokedCertificateEntries {
 		revoked[e.SerialNumber.Text(16)] = true
 	}
-	out := []Issued{}
+	out := []IssuedCertificate{}
 	for sc := bufio.NewScanner(bytes.NewReader(raw)); sc.Scan(); {
-		var i Issued
+		var i IssuedCertificate
 		if json.Unmarshal(sc.Bytes(), &i) == nil { // the certificate of a line that was cut off was never handed out
 			i.Revoked = revoked[i.Serial]
 			out = append(out, i)
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -60,14 +60,14 @@
 	return certificate
 }
 
-func openKeeper(t *testing.T, from string) *Keeper {
+func openGoldenCredentials(t *testing.T, from string) *Credentials {
 	t.Helper()
-	keeper, err := NewKeeper(copyPrivate(t, from), slog.New(slog.DiscardHandler))
+	credentials, err := OpenCredentials(copyPrivate(t, from), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	keeper.Now = func() time.Time { return goldenTime.Add(time.Minute) }
-	return keeper
+	credentials.Now = func() time.Time { return goldenTime.Add(time.Minute) }
+	return credentials
 }
 
 func TestGoldenAuthority(t *testing.T) {
@@ -116,7 +116,7 @@
 	}
 
 	// The authority can still revoke: a party that has the earlier list accepts the new one.
-	keeper := openKeeper(t, goldenNode)
+	credentials := openGoldenCredentials(t, goldenNode)
 	if added, err := authority.Revoke(list[0].Serial); err != nil || added != 1 {
 		t.Fatalf("%d certificates revoked, want 1: %v", added, err)
 	}
@@ -124,21 +124,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if newer, err := keeper.Learn(revocations); err != nil || !newer {
+	if newer, err := credentials.ReceiveRevocations(revocations); err != nil || !newer {
 		t.Errorf("Learn of the new list returned %v, %v", newer, err)
 	}
-	if _, err := keeper.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, ErrRevoked) {
+	if _, err := credentials.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, ErrRevoked) {
 		t.Errorf("Verify of a certificate that is now revoked returned %v", err)
 	}
 }
 
 func TestGoldenParty(t *testing.T) {
-	keeper := openKeeper(t, goldenNode)
-	if self := keeper.Me().String(); self != "node/one" {
+	credentials := openGoldenCredentials(t, goldenNode)
+	if self := credentials.Identity().String(); self != "node/one" {
 		t.Errorf("the certificate is of %s, want node/one", self)
 	}
-	who, err := keeper.Verify(goldenCertificate(t, goldenNode))
-	if err != nil || who != keeper.Me() {
+	who, err := credentials.Verify(goldenCertificate(t, goldenNode))
+	if err != nil || who != credentials.Identity() {
 		t.Errorf("Verify of the own certificate returned %s, %v", who, err)
 	}
 	if who, err := ReadIdentity(goldenRevoked); err != nil || who.String() != "customer/office/baker" {
@@ -146,13 +146,13 @@
 	}
 	// The party's own list is older than the revocation.
 	revoked := goldenCertificate(t, goldenRevoked)
-	if who, err := keeper.Verify(revoked); err != nil || who.String() != "customer/office/baker" {
+	if who, err := credentials.Verify(revoked); err != nil || who.String() != "customer/office/baker" {
 		t.Errorf("before the revocation is known Verify returned %s, %v", who, err)
 	}
-	if newer, err := keeper.Learn(goldentest.Read(t, goldenAuthority+"/revoked.crl")); err != nil || !newer {
+	if newer, err := credentials.ReceiveRevocations(goldentest.Read(t, goldenAuthority+"/revoked.crl")); err != nil || !newer {
 		t.Errorf("Learn of the authority's list returned %v, %v", newer, err)
 	}
-	if _, err := keeper.Verify(revoked); !errors.Is(err, ErrRevoked) {
+	if _, err := credentials.Verify(revoked); !errors.Is(err, ErrRevoked) {
 		t.Errorf("when the revocation is known Verify returned %v", err)
 	}
 	for _, test := range []struct {
@@ -165,8 +165,8 @@
 		{"last moment", goldenTime.Add(30 * 24 * time.Hour), nil},
 		{"too late", goldenTime.Add(30*24*time.Hour + time.Second), ErrExpired},
 	} {
-		keeper.Now = func() time.Time { return test.now }
-		if _, err := keeper.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, test.want) {
+		credentials.Now = func() time.Time { return test.now }
+		if _, err := credentials.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, test.want) {
 			t.Errorf("%s: Verify returned %v, want %v", test.name, err, test.want)
 		}
 	}
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -3,11 +3,11 @@
 //
 // An Identity names a party, a component or a user. It is the only URI in the subject
 // alternative names of the party's certificate. An Authority manages a folder with the
-// site's key, the list of issued certificates and the list of revocations. A Keeper manages
-// one party's certificate: it rereads the certificate when the file changes, keeps the newest
-// list of revocations that it receives, and makes TLS configurations that accept only parties
-// with a certificate of the site. A refusal is logged with its reason, but the other end does
-// not learn the reason.
+// site's key, the list of issued certificates and the list of revocations. Credentials
+// manages one party's certificate: it rereads the certificate when the file changes, keeps the
+// newest list of revocations that it receives, and makes TLS configurations that accept only
+// parties with a certificate of the site. A refusal is logged with its reason, but the other
+// end does not learn the reason.
 package identity
 
 import (
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -35,8 +35,8 @@
 	return a
 }
 
-// newParty issues a certificate and returns a Keeper for it.
-func newParty(t *testing.T, a *Authority, who string, log io.Writer) *Keeper {
+// newParty issues a certificate and returns the credentials for it.
+func newParty(t *testing.T, a *Authority, who string, log io.Writer) *Credentials {
 	t.Helper()
 	i, err := Parse(a.Site(), who)
 	if err != nil {
@@ -46,24 +46,24 @@
 	if _, err := a.Issue(i, dir, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	k, err := NewKeeper(dir, slog.New(slog.NewTextHandler(log, nil)))
+	credentials, err := OpenCredentials(dir, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.Now = func() time.Time { return startTime.Add(time.Minute) }
-	return k
+	credentials.Now = func() time.Time { return startTime.Add(time.Minute) }
+	return credentials
 }
 
 // startServer starts a server that answers each request with the identity of its sender. It
 // returns the server's URL.
-func startServer(t *testing.T, k *Keeper) string {
+func startServer(t *testing.T, credentials *Credentials) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{TLSConfig: k.Serve(), ErrorLog: slog.NewLogLogger(slog.NewTextHandler(io.Discard, nil), slog.LevelError),
+	s := &http.Server{TLSConfig: credentials.ServerConfig(), ErrorLog: slog.NewLogLogger(slog.NewTextHandler(io.Discard, nil), slog.LevelError),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			who, ok := k.Who(r)
+			who, ok := credentials.Authenticate(r)
 			if !ok {
 				w.WriteHeader(http.StatusForbidden)
 				return
@@ -100,7 +100,7 @@
 	node := newParty(t, a, "node/one", &log)
 	url := startServer(t, node)
 	good := newParty(t, a, "customer/office/baker", io.Discard)
-	if who, err := get(client(good.Dial(Node, "one")), url); err != nil || who != "customer/office/baker" {
+	if who, err := get(client(good.ClientConfig(Node, "one")), url); err != nil || who != "customer/office/baker" {
 		t.Fatalf("%q, %v", who, err)
 	}
 	forged := func(change func(c *x509.Certificate)) *tls.Config { // signed with the authority's key, but not as Issue would
@@ -120,7 +120,7 @@
 		t.Fatal(n, err)
 	}
 	list, _ := a.RevocationList()
-	if newer, err := node.Learn(list); !newer || err != nil {
+	if newer, err := node.ReceiveRevocations(list); !newer || err != nil {
 		t.Fatal(newer, err)
 	}
 	for _, c := range []struct {
@@ -129,10 +129,10 @@
 		reason error
 	}{
 		{"no certificate", &tls.Config{InsecureSkipVerify: true}, nil},
-		{"another authority of the same name", newParty(t, other, "operator/eve", io.Discard).Dial(Node, ""), ErrForeign},
+		{"another authority of the same name", newParty(t, other, "operator/eve", io.Discard).ClientConfig(Node, ""), ErrForeign},
 		{"expired", forged(func(c *x509.Certificate) { c.NotAfter = startTime }), ErrExpired},
 		{"not yet valid", forged(func(c *x509.Certificate) { c.NotBefore = startTime.Add(30 * time.Minute) }), ErrNotYetValid},
-		{"revoked", revoked.Dial(Node, ""), ErrRevoked},
+		{"revoked", revoked.ClientConfig(Node, ""), ErrRevoked},
 		{"two names", forged(func(c *x509.Certificate) {
 			u, _ := parseURIs("silvergate://valley/node/one")
 			c.URIs = append(c.URIs, u...)
@@ -165,7 +165,7 @@
 		}
 	}
 	// A client accepts only the party that it asked for.
-	for _, d := range []*tls.Config{good.Dial(Node, "two"), good.Dial(Agent, "one")} {
+	for _, d := range []*tls.Config{good.ClientConfig(Node, "two"), good.ClientConfig(Agent, "one")} {
 		if _, err := get(client(d), url); err == nil {
 			t.Error("the client accepts another party than it asked for")
 		}
@@ -183,7 +183,7 @@
 func TestRevocationEndsConnections(t *testing.T) {
 	a := newAuthority(t, "valley")
 	node := newParty(t, a, "node/one", io.Discard)
-	c := client(newParty(t, a, "operator/ann", io.Discard).Dial(Node, ""))
+	c := client(newParty(t, a, "operator/ann", io.Discard).ClientConfig(Node, ""))
 	url := startServer(t, node)
 	if _, err := get(c, url); err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 		t.Fatal(err)
 	}
 	list, _ := a.RevocationList()
-	if _, err := node.Learn(list); err != nil {
+	if _, err := node.ReceiveRevocations(list); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := get(c, url); err == nil {
@@ -212,22 +212,22 @@
 		t.Fatal(n, err)
 	}
 	list, _ = a.RevocationList()
-	if newer, err := node.Learn(list); !newer || err != nil {
+	if newer, err := node.ReceiveRevocations(list); !newer || err != nil {
 		t.Fatal(newer, err)
 	}
-	if newer, err := node.Learn(old); newer || err != nil {
+	if newer, err := node.ReceiveRevocations(old); newer || err != nil {
 		t.Error("an older list replaced a newer one", newer, err)
 	}
 	bad := bytes.Clone(list)
 	bad[len(bad)-1] ^= 1
-	if _, err := node.Learn(bad); err == nil {
+	if _, err := node.ReceiveRevocations(bad); err == nil {
 		t.Error("a list with a wrong signature was accepted")
 	}
-	reopened, err := NewKeeper(node.dir, node.log)
+	reopened, err := OpenCredentials(node.dir, node.log)
 	if err != nil || !bytes.Equal(reopened.Revocations(), list) {
 		t.Error("the list of revocations was not written to disk", err)
 	}
-	late := client(newParty(t, a, "operator/cat", io.Discard).Dial(Node, ""))
+	late := client(newParty(t, a, "operator/cat", io.Discard).ClientConfig(Node, ""))
 	late.Transport.(*http.Transport).TLSClientConfig.VerifyConnection = nil
 	if _, err := get(late, url); err != nil {
 		t.Fatal(err)
@@ -259,13 +259,13 @@
 		t.Error("the new certificate is not used")
 	}
 	reissue(Node, "two")
-	if node.own.Load().Leaf.SerialNumber.Cmp(second) != 0 || node.Me().Name != "one" {
+	if node.own.Load().Leaf.SerialNumber.Cmp(second) != 0 || node.Identity().Name != "one" {
 		t.Error("the node uses another party's certificate")
 	}
 	if err := os.Chmod(filepath.Join(node.dir, certFile), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewKeeper(node.dir, node.log); err == nil || !strings.Contains(err.Error(), "0600") {
+	if _, err := OpenCredentials(node.dir, node.log); err == nil || !strings.Contains(err.Error(), "0600") {
 		t.Errorf("a key that others can read was accepted: %v", err)
 	}
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -97,11 +97,11 @@
 		if err := auth.Ensure(identity.Identity{Kind: identity.Customer, Name: "office", Customer: customer(n)}, dir); err != nil {
 			return err
 		}
-		k, err := identity.NewKeeper(dir, log)
+		credentials, err := identity.OpenCredentials(dir, log)
 		if err != nil {
 			return err
 		}
-		readers[customer(n)] = reader.New(k, members, 5*time.Second)
+		readers[customer(n)] = reader.New(credentials, members, 5*time.Second)
 	}
 	complete := map[string]bool{} // attempts that wrote all their lines
 	for _, record := range records {
