--- a/cmd/silvergate/data.go
+++ b/cmd/silvergate/data.go
@@ -229,7 +229,7 @@
 	c := &cobra.Command{
 		Use: "serve --root DIR --listen ADDRESS", Short: "Serve the data sets of a folder", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := proc.Hold(); err != nil {
+			if err := proc.WaitForRelease(); err != nil {
 				return err
 			}
 			if err := os.MkdirAll(root, 0o700); err != nil {
--- a/cmd/silvergate/losses.go
+++ b/cmd/silvergate/losses.go
@@ -102,7 +102,7 @@
 	for _, l := range lines {
 		if !seen[l.Class] {
 			seen[l.Class] = true
-			at, sum, minimum := r.Worst(l.Class, span)
+			at, sum, minimum := r.WorstWindow(l.Class, span)
 			fmt.Fprintf(out, "%s: worst %v from %v on: %.0f task-seconds lost, %.0f with changes and room at once\n", l.Class, span, at, sum, minimum)
 		}
 	}
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -41,7 +41,7 @@
 // stopped: it waits until the starter lets a held process run, and decodes the component's
 // YAML file into cfg, which holds the defaults.
 func startComponent(settings string, cfg any) error {
-	if err := proc.Hold(); err != nil {
+	if err := proc.WaitForRelease(); err != nil {
 		return err
 	}
 	return readSettings(settings, cfg)
@@ -64,12 +64,13 @@
 
 // metricsHandler returns the Extra function of a component that has its own server: it answers
 // GET /metrics and reports whether it has answered a request.
-func metricsHandler(page *metrics.Page, log *slog.Logger, answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
+func metricsHandler(renderer *metrics.Renderer, log *slog.Logger,
+	answer func(id uint64, contentType string, body []byte)) func(id uint64, method, path string) bool {
 	return func(id uint64, method, path string) bool {
 		if path != metrics.Path || method != http.MethodGet {
 			return false
 		}
-		contentType, body, err := page.Render()
+		contentType, body, err := renderer.Render()
 		if err != nil {
 			log.Error("can't render the metrics", "error", err)
 			return false
@@ -99,7 +100,7 @@
 				return err
 			}
 			if cfg.Metrics {
-				p.Extra = metricsHandler(metrics.New("cloud", func() []metrics.Figure { return providerMetrics(p.Stats()) }), log, p.AnswerAs)
+				p.Extra = metricsHandler(metrics.New("cloud", func() []metrics.Metric { return providerMetrics(p.Stats()) }), log, p.AnswerAs)
 			}
 			onStopSignal(p.Stop)
 			return p.Run(nil)
@@ -109,17 +110,17 @@
 	return cmd
 }
 
-func providerMetrics(s provider.Stats) []metrics.Figure {
-	out := []metrics.Figure{
-		{Name: "cloud_requests", Help: "Requests received.", Value: float64(s.Requests), Count: true},
-		{Name: "cloud_refused", Help: "Requests refused because of the rate limit or because no machine was free.", Value: float64(s.Refused), Count: true},
-		{Name: "cloud_rented", Help: "Machines rented.", Value: float64(s.Rented), Count: true},
-		{Name: "cloud_ended", Help: "Machines ended.", Value: float64(s.Ended), Count: true},
-		{Name: "cloud_agent_deaths", Help: "Agents that ended without being told to.", Value: float64(s.Restarted), Count: true},
-		{Name: "cloud_paid", Help: "Cost of all machines since the start, in the price list's money.", Value: s.Paid, Count: true},
+func providerMetrics(s provider.Stats) []metrics.Metric {
+	out := []metrics.Metric{
+		{Name: "cloud_requests", Help: "Requests received.", Value: float64(s.Requests), IsCounter: true},
+		{Name: "cloud_refused", Help: "Requests refused because of the rate limit or because no machine was free.", Value: float64(s.Refused), IsCounter: true},
+		{Name: "cloud_rented", Help: "Machines rented.", Value: float64(s.Rented), IsCounter: true},
+		{Name: "cloud_ended", Help: "Machines ended.", Value: float64(s.Ended), IsCounter: true},
+		{Name: "cloud_agent_deaths", Help: "Agents that ended without being told to.", Value: float64(s.Restarted), IsCounter: true},
+		{Name: "cloud_paid", Help: "Cost of all machines since the start, in the price list's money.", Value: s.Paid, IsCounter: true},
 	}
 	for status, n := range s.Machines {
-		out = append(out, metrics.Figure{Name: "cloud_machines", Help: "Machines by status.", Value: float64(n), Labels: map[string]string{"status": status}})
+		out = append(out, metrics.Metric{Name: "cloud_machines", Help: "Machines by status.", Value: float64(n), Labels: map[string]string{"status": status}})
 	}
 	return out
 }
@@ -144,7 +145,7 @@
 				return err
 			}
 			if cfg.Metrics {
-				a.Extra = metricsHandler(metrics.New("agent", func() []metrics.Figure { return agentMetrics(a.Stats()) }), log, a.AnswerAs)
+				a.Extra = metricsHandler(metrics.New("agent", func() []metrics.Metric { return agentMetrics(a.Stats()) }), log, a.AnswerAs)
 			}
 			onStopSignal(a.Stop)
 			return a.Run()
@@ -160,28 +161,29 @@
 	}}
 }
 
-func agentMetrics(s agent.Stats) []metrics.Figure {
-	out := []metrics.Figure{
-		{Name: "agent_reports", Help: "Reports sent.", Value: float64(s.Heartbeats), Count: true},
-		{Name: "agent_reports_answered", Help: "Reports answered with 200.", Value: float64(s.Answered), Count: true},
-		{Name: "agent_launched", Help: "Programs started.", Value: float64(s.Launched), Count: true},
-		{Name: "agent_sessions", Help: "Sessions begun since the agent started.", Value: float64(s.Epochs), Count: true},
+func agentMetrics(s agent.Stats) []metrics.Metric {
+	out := []metrics.Metric{
+		{Name: "agent_reports", Help: "Reports sent.", Value: float64(s.Heartbeats), IsCounter: true},
+		{Name: "agent_reports_answered", Help: "Reports answered with 200.", Value: float64(s.Answered), IsCounter: true},
+		{Name: "agent_launched", Help: "Programs started.", Value: float64(s.Launched), IsCounter: true},
+		{Name: "agent_sessions", Help: "Sessions begun since the agent started.", Value: float64(s.Epochs), IsCounter: true},
 		{Name: "agent_loads", Help: "Attempts on the machine, including those that are over.", Value: float64(s.Tasks)},
 		{Name: "agent_loads_live", Help: "Attempts that are not over.", Value: float64(s.Live)},
 		{Name: "agent_resident_bytes", Help: "Resident memory of all tasks.", Value: float64(s.Usage.RSS)},
 		{Name: "agent_processes", Help: "Processes of all tasks.", Value: float64(s.Usage.Members)},
 	}
 	if a := s.Archive; a != nil {
-		out = append(out, metrics.Figure{Name: "agent_archive_attempts", Help: "Attempts whose output is being shipped.", Value: float64(a.Attempts)},
-			metrics.Figure{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.UnshippedBytes)},
-			metrics.Figure{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest output that is not yet acknowledged.", Value: float64(a.OldestMS) / 1000},
-			metrics.Figure{Name: "agent_archive_shipped_bytes", Help: "Output that is acknowledged.", Value: float64(a.Shipped), Count: true},
-			metrics.Figure{Name: "agent_archive_given_up_bytes", Help: "Output given up because the spool was full.", Value: float64(a.GivenUp), Count: true},
-			metrics.Figure{Name: "agent_archive_files", Help: "Files kept.", Value: float64(a.Files), Count: true},
-			metrics.Figure{Name: "agent_archive_refused", Help: "Records that nodes refused.", Value: float64(a.Refused), Count: true})
+		out = append(out, metrics.Metric{Name: "agent_archive_attempts", Help: "Attempts whose output is being shipped.", Value: float64(a.Attempts)},
+			metrics.Metric{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.UnshippedBytes)},
+			metrics.Metric{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest output that is not yet acknowledged.", Value: float64(a.OldestMS) / 1000},
+			metrics.Metric{Name: "agent_archive_shipped_bytes", Help: "Output that is acknowledged.", Value: float64(a.Shipped), IsCounter: true},
+			metrics.Metric{Name: "agent_archive_given_up_bytes", Help: "Output given up because the spool was full.", Value: float64(a.GivenUp), IsCounter: true},
+			metrics.Metric{Name: "agent_archive_files", Help: "Files kept.", Value: float64(a.Files), IsCounter: true},
+			metrics.Metric{Name: "agent_archive_refused", Help: "Records that nodes refused.", Value: float64(a.Refused), IsCounter: true})
 	}
 	for cause, n := range s.TaskEnds {
-		out = append(out, metrics.Figure{Name: "agent_endings", Help: "Attempts that are over, by cause.", Value: float64(n), Count: true, Labels: map[string]string{"cause": cause}})
+		out = append(out, metrics.Metric{Name: "agent_endings", Help: "Attempts that are over, by cause.", Value: float64(n),
+			IsCounter: true, Labels: map[string]string{"cause": cause}})
 	}
 	return out
 }
--- a/cmd/silvergate/root.go
+++ b/cmd/silvergate/root.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				return err
 			}
-			if err := proc.Hold(); err != nil {
+			if err := proc.WaitForRelease(); err != nil {
 				return err
 			}
 			return serve(cfg)
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -23,21 +23,21 @@
 
 // controller connects the core to the transport. Its lock mu serializes the inputs of the core.
 type controller struct {
-	mu          sync.Mutex
-	cfg         *config.Settings
-	log         *slog.Logger
-	core        *coordination.Core
-	inputs      inputHandler     // the core, or a recorder in front of it
-	recording   *recorder.Writer // nil: off
-	start       time.Time        // when the process started; also the number of its incarnation
-	server      *transport.Server
-	metricsPage *metrics.Page // nil: off
-	stateCalls  *transport.Pool
-	cloudCalls  *transport.Pool
-	workerCalls *transport.Pool
-	peers       map[string]*transport.OutLink
-	ticks       tickTimer
-	connections connectionWarnings
+	mu              sync.Mutex
+	cfg             *config.Settings
+	log             *slog.Logger
+	core            *coordination.Core
+	inputs          inputHandler     // the core, or a recorder in front of it
+	recording       *recorder.Writer // nil: off
+	start           time.Time        // when the process started; also the number of its incarnation
+	server          *transport.Server
+	metricsRenderer *metrics.Renderer // nil: off
+	stateCalls      *transport.Pool
+	cloudCalls      *transport.Pool
+	workerCalls     *transport.Pool
+	peers           map[string]*transport.OutLink
+	ticks           tickTimer
+	connections     connectionWarnings
 
 	stepBegan   time.Duration // when the current step began, as time since start
 	longestStep time.Duration
@@ -135,7 +135,7 @@
 // listen creates the server and starts the ticks.
 func (n *controller) listen() {
 	if n.cfg.Operator.Metrics {
-		n.metricsPage = metrics.New(n.cfg.Node, n.currentMetrics)
+		n.metricsRenderer = metrics.New(n.cfg.Node, n.currentMetrics)
 	}
 	maxConns := 8 * n.socketTenth()
 	n.server = transport.NewServer(&n.mu, n, requestTimeout, maxConns)
--- a/cmd/silvergate/serve_metrics.go
+++ b/cmd/silvergate/serve_metrics.go
@@ -9,10 +9,10 @@
 // serveMetrics answers a request for the metrics and returns true, or returns false without an
 // answer if metrics are off or can't be rendered. The lock must be held.
 func (n *controller) serveMetrics(id uint64) bool {
-	if n.metricsPage == nil {
+	if n.metricsRenderer == nil {
 		return false
 	}
-	contentType, body, err := n.metricsPage.Render()
+	contentType, body, err := n.metricsRenderer.Render()
 	if err != nil {
 		n.log.Error("can't render the metrics", "error", err)
 		return false
@@ -22,9 +22,9 @@
 }
 
 // currentMetrics returns the controller's metrics with their current values, for GET /metrics.
-func (n *controller) currentMetrics() []metrics.Figure {
+func (n *controller) currentMetrics() []metrics.Metric {
 	s := &n.core.Stats
-	figures := []metrics.Figure{
+	list := []metrics.Metric{
 		gauge("longest_step_seconds", "The longest step so far.", s.LongestStepMS/1000),
 		gauge("uptime_seconds", "Time since the start.", time.Since(n.start).Seconds()),
 		counter("submitted", "Jobs accepted.", s.Submitted),
@@ -41,12 +41,12 @@
 		counter("deleted", "Machines returned.", s.MachinesDeleted),
 		counter("unavailable", "Requests answered with 503.", s.Unavailable),
 	}
-	return append(figures, n.connectionMetrics()...)
+	return append(list, n.connectionMetrics()...)
 }
 
-func (n *controller) connectionMetrics() []metrics.Figure {
+func (n *controller) connectionMetrics() []metrics.Metric {
 	s := n.server.ConnLimiter.Stats()
-	return []metrics.Figure{
+	return []metrics.Metric{
 		gauge("connections", "Connections open for requests.", float64(s.Open)),
 		gauge("connections_workers", "Open connections of workers.", float64(s.Workers)),
 		gauge("connections_limit", "Limit of open connections.", float64(s.Limit)),
@@ -58,10 +58,10 @@
 // metricPrefix is the prefix of the names of a controller's metrics.
 const metricPrefix = "controller_"
 
-func gauge(name, help string, value float64) metrics.Figure {
-	return metrics.Figure{Name: metricPrefix + name, Help: help, Value: value}
+func gauge(name, help string, value float64) metrics.Metric {
+	return metrics.Metric{Name: metricPrefix + name, Help: help, Value: value}
 }
 
-func counter(name, help string, value uint64) metrics.Figure {
-	return metrics.Figure{Name: metricPrefix + name, Help: help, Value: float64(value), Count: true}
+func counter(name, help string, value uint64) metrics.Metric {
+	return metrics.Metric{Name: metricPrefix + name, Help: help, Value: float64(value), IsCounter: true}
 }
--- a/cmd/silvergate/state.go
+++ b/cmd/silvergate/state.go
@@ -35,7 +35,7 @@
 				return err
 			}
 			if cfg.Metrics {
-				s.Extra = metricsHandler(metrics.New("state", func() []metrics.Figure { return stateMetrics(s.Stats()) }), log, s.AnswerAs)
+				s.Extra = metricsHandler(metrics.New("state", func() []metrics.Metric { return stateMetrics(s.Stats()) }), log, s.AnswerAs)
 			}
 			onStopSignal(s.Stop)
 			return s.Run(nil)
@@ -101,13 +101,13 @@
 	return check
 }
 
-func stateMetrics(s statestore.Stats) []metrics.Figure {
-	return []metrics.Figure{
-		{Name: "state_requests", Help: "Requests received.", Value: float64(s.Requests), Count: true},
-		{Name: "state_refused", Help: "Requests refused because of the rate limits or a slow disk.", Value: float64(s.Refused), Count: true},
-		{Name: "state_commits", Help: "Syncs of the file.", Value: float64(s.Commits), Count: true},
-		{Name: "state_commit_seconds", Help: "Time spent in syncs of the file.", Value: s.CommitSeconds, Count: true},
-		{Name: "state_changes", Help: "Changes of keys.", Value: float64(s.Changes), Count: true},
+func stateMetrics(s statestore.Stats) []metrics.Metric {
+	return []metrics.Metric{
+		{Name: "state_requests", Help: "Requests received.", Value: float64(s.Requests), IsCounter: true},
+		{Name: "state_refused", Help: "Requests refused because of the rate limits or a slow disk.", Value: float64(s.Refused), IsCounter: true},
+		{Name: "state_commits", Help: "Syncs of the file.", Value: float64(s.Commits), IsCounter: true},
+		{Name: "state_commit_seconds", Help: "Time spent in syncs of the file.", Value: s.CommitSeconds, IsCounter: true},
+		{Name: "state_changes", Help: "Changes of keys.", Value: float64(s.Changes), IsCounter: true},
 		{Name: "state_ledger", Help: "Revision of the last change.", Value: float64(s.Revision)},
 		{Name: "state_keys", Help: "Keys.", Value: float64(s.Keys)},
 		{Name: "state_grants", Help: "Leases.", Value: float64(s.Leases)},
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -186,7 +186,7 @@
 
 // Run serves until Stop is called or the agent fails.
 func (a *Agent) Run() error {
-	if err := proc.KeepOrphans(); err != nil {
+	if err := proc.BecomeSubreaper(); err != nil {
 		return fmt.Errorf("adopting orphaned task processes: %w", err)
 	}
 	a.runner.clear() // kills the tasks that an earlier agent left
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -46,7 +46,7 @@
 // the process's identity, applies the limits and replaces itself by the program
 // described in the file at path. It returns only if that fails.
 func ExecTask(path string) error {
-	if err := proc.Hold(); err != nil {
+	if err := proc.WaitForRelease(); err != nil {
 		return err
 	}
 	raw, err := os.ReadFile(path)
@@ -72,7 +72,7 @@
 	if err := os.Chdir(p.Dir); err != nil {
 		return err
 	}
-	if err := proc.KeepOrphans(); err != nil {
+	if err := proc.BecomeSubreaper(); err != nil {
 		return fmt.Errorf("adopting orphaned descendants: %w", err)
 	}
 	return fmt.Errorf("%s: %w", p.Argv[0], syscall.Exec(p.Argv[0], p.Argv, p.Env))
@@ -225,7 +225,7 @@
 	if len(r.tasks) == 0 {
 		return total
 	}
-	groups := proc.Groups()
+	groups := proc.UsageByGroup()
 	for k, t := range r.tasks {
 		u := groups[t.id.PID]
 		total.RSS, total.CPU, total.Members = total.RSS+u.RSS, total.CPU+u.CPU, total.Members+u.Members
--- a/internal/agent/watchdog.go
+++ b/internal/agent/watchdog.go
@@ -42,7 +42,7 @@
 // late this process reads it. The agent relies on that: only if it wrote a deadline late
 // does it assume that the tasks have been killed (Agent.extendWatchdog).
 func Watchdog(dir string, deadlines *os.File) error {
-	if err := proc.Hold(); err != nil {
+	if err := proc.WaitForRelease(); err != nil {
 		return err
 	}
 	if err := os.Chdir("/"); err != nil {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -100,7 +100,7 @@
 	} {
 		for _, withOffset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, offset %v", c.name, withOffset), func(t *testing.T) {
-				_, seconds, minSeconds := readExample(t, withOffset).Worst("svc", c.span)
+				_, seconds, minSeconds := readExample(t, withOffset).WorstWindow("svc", c.span)
 				if !near(seconds, c.seconds) {
 					t.Errorf("%v task-seconds lost, want %v", seconds, c.seconds)
 				}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,31 +14,31 @@
 // Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// Figure is one metric of a process with its current value.
-type Figure struct {
-	Name   string // without the prefix silvergate_ and, for counters, the suffix _total
-	Help   string
-	Value  float64
-	Count  bool              // whether it is a counter, which never decreases while the process runs
-	Labels map[string]string // all metrics of the same name must have the same label names
+// Metric is one metric of a process with its current value.
+type Metric struct {
+	Name      string // without the prefix silvergate_ and, for counters, the suffix _total
+	Help      string
+	Value     float64
+	IsCounter bool              // whether it is a counter, which never decreases while the process runs
+	Labels    map[string]string // all metrics of the same name must have the same label names
 }
 
-// Page reads the metrics of a component and renders them.
-type Page struct {
+// Renderer reads the metrics of a component and renders them.
+type Renderer struct {
 	registry *prometheus.Registry
 }
 
-// New returns a Page that calls read each time it is rendered. All metrics get the label
+// New returns a Renderer that calls read each time it renders. All metrics get the label
 // component.
-func New(component string, read func() []Figure) *Page {
+func New(component string, read func() []Metric) *Renderer {
 	r := prometheus.NewPedanticRegistry()
 	r.MustRegister(collector{component, read})
-	return &Page{r}
+	return &Renderer{r}
 }
 
 type collector struct {
 	component string
-	read      func() []Figure
+	read      func() []Metric
 }
 
 // Describe sends no descriptions, because which metrics exist varies while the process runs.
@@ -46,14 +46,14 @@
 
 // Collect sends the metrics with their current values.
 func (c collector) Collect(out chan<- prometheus.Metric) {
-	for _, f := range c.read() {
-		name, kind := "silvergate_"+f.Name, prometheus.GaugeValue
-		if f.Count {
+	for _, metric := range c.read() {
+		name, kind := "silvergate_"+metric.Name, prometheus.GaugeValue
+		if metric.IsCounter {
 			name, kind = name+"_total", prometheus.CounterValue
 		}
-		m, err := prometheus.NewConstMetric(prometheus.NewDesc(name, f.Help, nil, withComponent(f.Labels, c.component)), kind, f.Value)
+		m, err := prometheus.NewConstMetric(prometheus.NewDesc(name, metric.Help, nil, withComponent(metric.Labels, c.component)), kind, metric.Value)
 		if err != nil {
-			m = prometheus.NewInvalidMetric(prometheus.NewDesc(name, f.Help, nil, nil), err)
+			m = prometheus.NewInvalidMetric(prometheus.NewDesc(name, metric.Help, nil, nil), err)
 		}
 		out <- m
 	}
@@ -69,8 +69,8 @@
 }
 
 // Render returns the current metrics in the OpenMetrics format, and their content type.
-func (p *Page) Render() (contentType string, body []byte, err error) {
-	families, err := p.registry.Gather()
+func (r *Renderer) Render() (contentType string, body []byte, err error) {
+	families, err := r.registry.Gather()
 	if err != nil {
 		return "", nil, fmt.Errorf("metrics: %w", err)
 	}
--- a/internal/proc/descendants.go
+++ b/internal/proc/descendants.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// KeepOrphans makes this process a child subreaper: when the parent of one of its
+// BecomeSubreaper makes this process a child subreaper: when the parent of one of its
 // descendants ends, the kernel makes this process the new parent. The setting survives
 // execve. As long as this process lives, each of its descendants can then be found by its
 // parents, whatever process group or environment it has moved to.
-func KeepOrphans() error {
+func BecomeSubreaper() error {
 	return unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0)
 }
 
@@ -86,7 +86,7 @@
 }
 
 // EndOrphans ends the processes that were reparented to this one when their parents ended
-// (KeepOrphans), and returns when they are gone. It leaves alone the children that Start
+// (BecomeSubreaper), and returns when they are gone. It leaves alone the children that Start
 // started and all children in this process's own group.
 func EndOrphans(timeout time.Duration) error {
 	until := time.Now().Add(timeout)
--- a/internal/proc/group.go
+++ b/internal/proc/group.go
@@ -23,8 +23,8 @@
 	Members int
 }
 
-// Groups returns the usage of every process group by its number, from one scan of /proc.
-func Groups() map[int]Usage {
+// UsageByGroup returns the usage of every process group by its number, from one scan of /proc.
+func UsageByGroup() map[int]Usage {
 	out := map[int]Usage{}
 	page := uint64(os.Getpagesize())
 	pids, err := listPIDs()
--- a/internal/proc/helper_test.go
+++ b/internal/proc/helper_test.go
@@ -29,7 +29,7 @@
 func helper(name string) {
 	switch name {
 	case "held":
-		if Hold() != nil {
+		if WaitForRelease() != nil {
 			os.Exit(3)
 		}
 		fmt.Println("ready")
--- a/internal/proc/owner.go
+++ b/internal/proc/owner.go
@@ -20,21 +20,21 @@
 
 // SweepReport counts what a sweep of an owner's processes found and did.
 type SweepReport struct {
-	Leaders   int           // recorded leaders that were alive
-	Members   int           // processes found by their group or their parents
-	Marked    int           // processes found by their mark
-	Undecided int           // processes that the first look could not classify
-	Signalled int           // SIGKILLs sent; a process counts each time it is found
-	Looks     int           // number of times a process was examined
-	Passes    int           // passes over all processes
-	Took      time.Duration // until all processes were gone or the timeout expired
+	Leaders      int           // recorded leaders that were alive
+	Members      int           // processes found by their group or their parents
+	Marked       int           // processes found by their mark
+	Undecided    int           // processes that the first look could not classify
+	Signalled    int           // SIGKILLs sent; a process counts each time it is found
+	Examinations int           // number of times a process was examined
+	Passes       int           // passes over all processes
+	Took         time.Duration // until all processes were gone or the timeout expired
 }
 
 // LogValue returns the figures of a sweep as one group of log attributes.
 func (r SweepReport) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int("leaders", r.Leaders), slog.Int("members", r.Members), slog.Int("marked", r.Marked), slog.Int("undecided", r.Undecided),
-		slog.Int("signalled", r.Signalled), slog.Int("looks", r.Looks), slog.Int("passes", r.Passes), slog.Int64("took_us", r.Took.Microseconds()))
+		slog.Int("signalled", r.Signalled), slog.Int("looks", r.Examinations), slog.Int("passes", r.Passes), slog.Int64("took_us", r.Took.Microseconds()))
 }
 
 // Remaining is a process that is not known to be gone.
@@ -222,14 +222,14 @@
 
 // visitListed examines a process that /proc lists, and ends it if it is the owner's.
 func (s *sweep) visitListed(pid int) {
-	s.report.Looks++
+	s.report.Examinations++
 	s.apply(s.classify(pid))
 }
 
 // visitNewPID examines the process with a number that was just assigned. The number may be a
 // thread's, which is skipped.
 func (s *sweep) visitNewPID(number int) {
-	s.report.Looks++
+	s.report.Examinations++
 	seen := s.classify(number)
 	if seen.class != gone && seen.class != foreign && isThread(number) {
 		return
@@ -287,7 +287,7 @@
 func (s *sweep) examineUntilDecided(seen observation) observation {
 	const first, longest = time.Millisecond, 16 * time.Millisecond
 	for pause := first; seen.class == undecided && time.Now().Before(s.until); pause = min(2*pause, longest) {
-		s.report.Looks++
+		s.report.Examinations++
 		if seen = s.classify(seen.id.PID); seen.class == undecided {
 			seen.id.Await(time.Now().Add(pause))
 		}
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -8,7 +8,7 @@
 //
 // The processes that a process starts belong to the same Owner. They are found by their
 // process group, as long as the group's leader exists; by their parents, as long as the
-// leader runs and adopts its orphans (KeepOrphans); or by a mark in their environment. A
+// leader runs and adopts its orphans (BecomeSubreaper); or by a mark in their environment. A
 // process that outlives its leader is reparented to the leader's starter, if the starter
 // adopts orphans too (EndOrphans).
 //
--- a/internal/proc/proc_test.go
+++ b/internal/proc/proc_test.go
@@ -360,8 +360,8 @@
 	}
 }
 
-// TestStartReportsTheIdentity checks that Start passes the ID of a held process to keep and
-// returns it, and that Start fails if keep can't store the ID.
+// TestStartReportsTheIdentity checks that Start passes the ID of a held process to store and
+// returns it, and that Start fails if store fails.
 func TestStartReportsTheIdentity(t *testing.T) {
 	cmd := helperCommand("held", newMark(t))
 	var kept ID
@@ -370,7 +370,7 @@
 		t.Fatal(err)
 	}
 	if id != kept || !id.Alive() || id.PID != cmd.Process.Pid {
-		t.Errorf("Start returned %+v, keep got %+v, the process is %d", id, kept, cmd.Process.Pid)
+		t.Errorf("Start returned %+v, store got %+v, the process is %d", id, kept, cmd.Process.Pid)
 	}
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		t.Error(err)
--- a/internal/proc/start.go
+++ b/internal/proc/start.go
@@ -15,10 +15,10 @@
 // holdEnv is the environment variable that tells a process that it was started held.
 const holdEnv = "SILVERGATE_HELD"
 
-// Start starts a command held and releases it after keep has stored its identity. If keep
+// Start starts a command held and releases it after store has stored its identity. If store
 // fails, or this process dies before the release, the command ends without having done
-// anything. The command must call Hold first.
-func Start(cmd *exec.Cmd, keep func(ID) error) (ID, error) {
+// anything. The command must call WaitForRelease first.
+func Start(cmd *exec.Cmd, store func(ID) error) (ID, error) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		return ID{}, err
@@ -34,14 +34,14 @@
 	if cmd.Process == nil {
 		return ID{}, err
 	}
-	if err == nil && keep != nil {
-		err = keep(id)
+	if err == nil && store != nil {
+		err = store(id)
 	}
 	if err == nil {
 		_, err = w.Write([]byte{1})
 	}
 	if err != nil {
-		w.Close() // makes Hold fail, so that the command ends
+		w.Close() // makes WaitForRelease fail, so that the command ends
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 		return ID{}, err
@@ -62,9 +62,9 @@
 	return id, err
 }
 
-// Hold blocks until the starter releases this process, if the process was started held by
-// Start; otherwise it returns at once. It returns an error if the starter is gone.
-func Hold() error {
+// WaitForRelease blocks until the starter releases this process, if the process was started held
+// by Start; otherwise it returns at once. It returns an error if the starter is gone.
+func WaitForRelease() error {
 	if os.Getenv(holdEnv) == "" {
 		return nil
 	}
--- a/internal/provider/agents.go
+++ b/internal/provider/agents.go
@@ -91,7 +91,7 @@
 			p.stats.Restarted++
 			p.perform(p.market.AgentDied(now, n))
 		case x.address == "":
-			p.market.Up(n, p.readAddress(n))
+			p.market.AgentUp(n, p.readAddress(n))
 		}
 	}
 	p.perform(p.market.Tick(now))
@@ -229,7 +229,7 @@
 		return
 	}
 	delete(p.agents, name)
-	p.market.Ended(time.Now(), name)
+	p.market.MachineEnded(time.Now(), name)
 	if err := p.store(Effects{}, name); err != nil {
 		p.fail(err)
 		return
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -243,8 +243,8 @@
 	return wait, e
 }
 
-// Ended records that nothing of a machine is left.
-func (m *Market) Ended(now time.Time, name string) {
+// MachineEnded records that nothing of a machine is left.
+func (m *Market) MachineEnded(now time.Time, name string) {
 	if x := m.machines[name]; x != nil {
 		m.paid += m.cost(x, now)
 		delete(m.machines, name)
@@ -320,8 +320,8 @@
 	return out
 }
 
-// Up records that a machine's agent runs; address is empty until it is known.
-func (m *Market) Up(name, address string) {
+// AgentUp records that a machine's agent runs; address is empty until it is known.
+func (m *Market) AgentUp(name, address string) {
 	if x := m.machines[name]; x != nil {
 		x.started, x.address = true, address
 	}
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -190,7 +190,7 @@
 		}
 		if err == nil && id.Alive() {
 			p.agents[n] = id
-			p.market.Up(n, p.readAddress(n))
+			p.market.AgentUp(n, p.readAddress(n))
 			p.log.Info("agent found again", "machine", n, "pid", id.PID)
 		}
 		if x.Ending { // the previous run did not finish ending it
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -34,7 +34,7 @@
 // writes its address and waits, or as a provider that a test can kill.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "agent" {
-		if proc.Hold() != nil {
+		if proc.WaitForRelease() != nil {
 			os.Exit(1)
 		}
 		raw, err := os.ReadFile(os.Args[3])
@@ -145,7 +145,7 @@
 			case 3:
 				for _, n := range all {
 					if ending[n] && rapid.Bool().Draw(t, "gone") {
-						m.Ended(now, n)
+						m.MachineEnded(now, n)
 						delete(machines, n)
 						delete(started, n)
 						delete(ending, n)
@@ -170,7 +170,7 @@
 				}
 				m = NewMarket(types, spot, 5, hs, ms, next, rnd)
 				for n := range started {
-					m.Up(n, "x")
+					m.AgentUp(n, "x")
 				}
 			}
 			store(m.Tick(now))
--- a/internal/scale/cloud.go
+++ b/internal/scale/cloud.go
@@ -147,7 +147,7 @@
 		c.log.Error("machine failed to boot", "machine", m.Name, "error", err)
 		return
 	}
-	c.market.Up(m.Name, address)
+	c.market.AgentUp(m.Name, address)
 }
 
 // delete ends machines at the controllers' request.
@@ -159,7 +159,7 @@
 	_, effects := c.market.Delete(names.Machines)
 	c.remove(effects.End)
 	for _, name := range effects.End {
-		c.market.Ended(now, name)
+		c.market.MachineEnded(now, name)
 	}
 	return http.StatusOK, struct{}{}
 }
@@ -169,6 +169,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		c.market.Ended(time.Now(), name)
+		c.market.MachineEnded(time.Now(), name)
 	}
 }
