--- a/internal/archive/ship/files.go
+++ b/internal/archive/ship/files.go
@@ -23,11 +23,11 @@
 	if err := s.waitForRate(totalFrameSize(records)); err != nil {
 		return err
 	}
-	kept, refused := s.writer.Put(s.ctx, records)
+	stored, refused := s.writer.Put(s.ctx, records)
 	if slices.Contains(refused, true) {
 		return errRefused
 	}
-	if slices.Contains(kept, false) {
+	if slices.Contains(stored, false) {
 		return errors.New("fewer nodes than a quorum stored the records")
 	}
 	return nil
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -114,13 +114,13 @@
 	return fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(text))
 }
 
-// Put sends records to their nodes. kept reports for each record whether a quorum of its
+// Put sends records to their nodes. stored reports for each record whether a quorum of its
 // nodes has it on disk, and refused whether a quorum refuses it for good. Put returns as
 // soon as each record has a quorum either way, without waiting for slow nodes. It logs
-// failures; the caller may put a record again that is neither kept nor refused. Put does
+// failures; the caller may put a record again that is neither stored nor refused. Put does
 // not change the records, and the caller may use them again when it returns.
-func (w *Writer) Put(ctx context.Context, records []archive.Record) (kept, refused []bool) {
-	kept, refused = make([]bool, len(records)), make([]bool, len(records))
+func (w *Writer) Put(ctx context.Context, records []archive.Record) (stored, refused []bool) {
+	stored, refused = make([]bool, len(records)), make([]bool, len(records))
 	accepts, refusals := make([]int, len(records)), make([]int, len(records))
 	replicas := make([][]string, len(records))
 	for i := range records {
@@ -165,14 +165,14 @@
 			}
 		}
 		for i := range records {
-			kept[i], refused[i] = accepts[i] >= quorum, refusals[i] >= quorum
-			all = all && (kept[i] || refused[i])
+			stored[i], refused[i] = accepts[i] >= quorum, refusals[i] >= quorum
+			all = all && (stored[i] || refused[i])
 		}
 		if all {
 			break
 		}
 	}
-	return kept, refused
+	return stored, refused
 }
 
 // get requests a path of the node and returns at most identity.MaxRevocations bytes of
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -281,7 +281,7 @@
 	if s.waitForRate(size) != nil {
 		return false
 	}
-	kept, refused := s.writer.Put(s.ctx, records)
+	stored, refused := s.writer.Put(s.ctx, records)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Packed += int64(size)
@@ -298,7 +298,7 @@
 			delete(s.attempts, r.attempt.attempt)
 			continue
 		}
-		if !kept[i] {
+		if !stored[i] {
 			continue
 		}
 		anyStored = true
--- a/internal/archive/vault/golden_test.go
+++ b/internal/archive/vault/golden_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// requireLabelled checks that the first attempt with the label is the record's.
-func requireLabelled(t *testing.T, v *Vault, record archive.Record) {
+// requireLabel checks that the first attempt with the label is the record's.
+func requireLabel(t *testing.T, v *Vault, record archive.Record) {
 	t.Helper()
 	attempt := record.Key.Attempt.String()
 	if found, _, err := v.FindAttempts("team/office", "", "", 100); err != nil || len(found) == 0 || found[0] != attempt {
@@ -104,7 +104,7 @@
 	if want := string(goldentest.Read(t, "testdata/golden/index.txt")); listed.String() != want {
 		t.Errorf("the index lists\n%s, want\n%s", listed.String(), want)
 	}
-	requireLabelled(t, v, records[0])
+	requireLabel(t, v, records[0])
 	if _, checked, damaged, err := v.Scrub("", 1<<20); err != nil || checked != len(kept) || damaged != 0 {
 		t.Errorf("%d records checked, %d damaged, error %v", checked, damaged, err)
 	}
@@ -124,7 +124,7 @@
 	v := openGoldenVault(t, Config{Dir: dir, VolumeBytes: goldenVolumeBytes, Labels: goldenLabels})
 	records := goldenRecords(t)
 	requireRecords(t, v, records[:len(records)-1])
-	requireLabelled(t, v, records[0])
+	requireLabel(t, v, records[0])
 	if stats := v.Stats(); stats.Damaged != 0 || !stats.Rebuilt {
 		t.Errorf("damaged records: %d, index rebuilt: %v", stats.Damaged, stats.Rebuilt)
 	}
--- a/internal/losses/event.go
+++ b/internal/losses/event.go
@@ -47,15 +47,15 @@
 
 // Event is a log line that marks a step of an attempt.
 type Event struct {
-	At       time.Duration // since the first line, or the offset in front of the line
-	Msg      string
-	Task     string // job/index
-	Attempt  int
-	Class    string
-	Reason   string
-	Done     bool          // the task completed
-	Silent   time.Duration // since the machine's last heartbeat
-	Priority int
+	At             time.Duration // since the first line, or the offset in front of the line
+	Msg            string
+	Task           string // job/index
+	Attempt        int
+	Class          string
+	Reason         string
+	Done           bool          // the task completed
+	SinceHeartbeat time.Duration // since the machine's last heartbeat
+	Priority       int
 }
 
 // maxLine is the length of the longest line that is parsed, in bytes. Longer lines are
@@ -176,6 +176,6 @@
 		e.Priority, _ = strconv.Atoi(value)
 	case "silent_ms", "silentMs":
 		ms, _ := strconv.ParseInt(value, 10, 64)
-		e.Silent = time.Duration(max(0, min(ms, maxSilentMS))) * time.Millisecond
+		e.SinceHeartbeat = time.Duration(max(0, min(ms, maxSilentMS))) * time.Millisecond
 	}
 }
--- a/internal/losses/golden_test.go
+++ b/internal/losses/golden_test.go
@@ -42,7 +42,7 @@
 		if reason == "lease" {
 			silent = 7 * time.Second
 		}
-		end := Event{Task: task, Attempt: 1, Class: "night run", Reason: reason, Done: reason == "done", Silent: silent, Priority: 3}
+		end := Event{Task: task, Attempt: 1, Class: "night run", Reason: reason, Done: reason == "done", SinceHeartbeat: silent, Priority: 3}
 		for _, msg := range []string{"evidence", "ended"} {
 			end.Msg = msg
 			add(end)
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -124,8 +124,8 @@
 	if w := r.recovering[e.Task]; w != nil && w.step == Commit {
 		return // the same evidence again
 	}
-	loss := &Loss{Task: e.Task, Class: e.Class, Reason: e.Reason, Priority: e.Priority, LastHeard: e.At - e.Silent}
-	loss.Took[Detect] = e.Silent
+	loss := &Loss{Task: e.Task, Class: e.Class, Reason: e.Reason, Priority: e.Priority, LastHeard: e.At - e.SinceHeartbeat}
+	loss.Took[Detect] = e.SinceHeartbeat
 	r.lost = append(r.lost, loss)
 	r.recovering[e.Task] = &recovery{loss: loss, step: Commit, stepStart: e.At}
 }
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -127,7 +127,7 @@
 			at := time.Duration(rapid.IntRange(30, 500).Draw(rt, "at")) * time.Second
 			silent := time.Duration(rapid.IntRange(0, 30).Draw(rt, "silent")) * time.Second
 			h := history{from: at - silent}
-			r.Add(Event{At: at, Msg: Evidence, Task: task, Class: "svc", Reason: MachineDeleted, Silent: silent})
+			r.Add(Event{At: at, Msg: Evidence, Task: task, Class: "svc", Reason: MachineDeleted, SinceHeartbeat: silent})
 			for _, msg := range []string{Ended, Placing, Bound, Launch} {
 				at += time.Duration(rapid.IntRange(0, 5000).Draw(rt, "ms")) * time.Millisecond
 				if rapid.Bool().Draw(rt, "logged") {
