--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -174,7 +174,7 @@
 	}
 	if a := s.Archive; a != nil {
 		out = append(out, metrics.Metric{Name: "agent_archive_attempts", Help: "Attempts whose output is being shipped.", Value: float64(a.Attempts)},
-			metrics.Metric{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.UnshippedBytes)},
+			metrics.Metric{Name: "agent_archive_waiting_bytes", Help: "Output that is not yet acknowledged.", Value: float64(a.Left)},
 			metrics.Metric{Name: "agent_archive_oldest_seconds", Help: "Age of the oldest output that is not yet acknowledged.", Value: float64(a.OldestMS) / 1000},
 			metrics.Metric{Name: "agent_archive_shipped_bytes", Help: "Output that is acknowledged.", Value: float64(a.Shipped), IsCounter: true},
 			metrics.Metric{Name: "agent_archive_given_up_bytes", Help: "Output given up because the spool was full.", Value: float64(a.GivenUp), IsCounter: true},
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -358,7 +358,7 @@
 		// The shipper must have observed the files after the last write.
 		time.Sleep(60 * time.Millisecond)
 		stats := m.Stats()
-		if stats.UnshippedBytes == 0 && (!ends || m.UnshippedAttempts() == 0) {
+		if stats.Left == 0 && (!ends || m.UnshippedAttempts() == 0) {
 			return nil
 		}
 	}
--- a/internal/archive/history/history_test.go
+++ b/internal/archive/history/history_test.go
@@ -106,7 +106,7 @@
 	for until := time.Now().Add(waitTimeout); m.Stats().GivenUp == 0 && time.Now().Before(until); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if st := m.Stats(); st.GivenUp != 200_000 || st.UnshippedBytes != 100_000 {
+	if st := m.Stats(); st.GivenUp != 200_000 || st.Left != 100_000 {
 		t.Errorf("shipper stats during the outage: %+v, want 200000 bytes given up and 100000 left", st)
 	}
 	for _, n := range s.Members[:2] {
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -91,14 +91,14 @@
 
 // Stats counts what a shipper follows, and what it has shipped since New.
 type Stats struct {
-	Attempts       int
-	UnshippedBytes int64 // bytes that wait to be shipped
-	Shipped        int64 // bytes of output that a quorum stored
-	Packed         int64 // bytes of records that were sent for this output, to each node
-	Files          int64
-	GivenUp        int64 // bytes of output
-	Refused        int64 // records
-	OldestMS       int64 // age of the oldest output that waits, in milliseconds
+	Attempts int
+	Left     int64 // bytes that wait to be shipped
+	Shipped  int64 // bytes of output that a quorum stored
+	Packed   int64 // bytes of records that were sent for this output, to each node
+	Files    int64
+	GivenUp  int64 // bytes of output
+	Refused  int64 // records
+	OldestMS int64 // age of the oldest output that waits, in milliseconds
 }
 
 // Shipper follows the attempts of a machine. It is safe for concurrent use. Unless a
@@ -303,7 +303,7 @@
 	now := nowMS()
 	for _, f := range s.attempts {
 		for _, follower := range f.streams {
-			stats.UnshippedBytes += follower.unshipped()
+			stats.Left += follower.unshipped()
 			if at := follower.oldestUnshipped(); at > 0 {
 				stats.OldestMS = max(stats.OldestMS, now-at)
 			}
