--- a/cmd/silvergate/artefacts.go
+++ b/cmd/silvergate/artefacts.go
@@ -51,7 +51,7 @@
 			var rows [][]string
 			for _, e := range found {
 				for _, f := range e.Files {
-					rows = append(rows, []string{strconv.Itoa(e.Task), strconv.Itoa(e.Try), e.Machine, fmt.Sprint(f.Size), f.Digest[:16], archive.Visible(f.Path)})
+					rows = append(rows, []string{strconv.Itoa(e.Task), strconv.Itoa(e.Try), e.Machine, fmt.Sprint(f.Size), f.Digest[:16], archive.EscapeForTerminal(f.Path)})
 				}
 			}
 			return k.printList(c, found, "TASK ATTEMPT MACHINE BYTES DIGEST FILE", rows)
@@ -91,11 +91,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	attempts, answered, err := r.Attempts(c.Context(), reader.Query{Job: job, Files: true})
+	attempts, completeness, err := r.Attempts(c.Context(), reader.Query{Job: job, Files: true})
 	if err != nil {
 		return nil, nil, err
 	}
-	warnIfIncomplete(c, answered)
+	warnIfIncomplete(c, completeness)
 	if len(attempts) == 0 {
 		return nil, nil, fmt.Errorf("%s: %w", job, reader.ErrNotFound)
 	}
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -165,11 +165,11 @@
 	if err != nil {
 		return nil, err
 	}
-	keeper, err := identity.NewKeeper(dir, s.Log)
+	credentials, err := identity.OpenCredentials(dir, s.Log)
 	if err != nil {
 		return nil, err
 	}
-	return reader.New(keeper, s.Members, 10*time.Second), nil
+	return reader.New(credentials, s.Members, 10*time.Second), nil
 }
 
 // Machine is a machine with its shipper.
@@ -213,7 +213,7 @@
 	if err := os.MkdirAll(filepath.Join(m.Folder(a), ship.WorkDir, "out"), 0o700); err != nil {
 		return err
 	}
-	return m.Begin(m.grant(a), m.Folder(a))
+	return m.Follow(m.grant(a), m.Folder(a))
 }
 
 // Write appends text to a stream's file, as a program does.
@@ -266,8 +266,8 @@
 		}
 		pos = p.To
 		switch {
-		case p.What != archive.PieceData:
-			if p.What == archive.PieceMissing && p.From < int64(w.Promised) {
+		case p.State != archive.PieceData:
+			if p.State == archive.PieceMissing && p.From < int64(w.Promised) {
 				return fmt.Errorf("%s: bytes %d to %d are missing without a reason; %d are promised", w.Attempt, p.From, p.To, w.Promised)
 			}
 		case p.To > int64(len(w.Output)) || string(p.Data) != w.Output[p.From:p.To]:
@@ -296,12 +296,12 @@
 // ReadAttempt reads an attempt's standard output and files.
 func ReadAttempt(ctx context.Context, c *reader.Client, a archive.Attempt) (*ReadResult, error) {
 	out := &ReadResult{Files: map[string]string{}}
-	attempts, answered, err := c.Attempts(ctx, reader.Query{Job: a.Job, Files: true})
+	attempts, completeness, err := c.Attempts(ctx, reader.Query{Job: a.Job, Files: true})
 	if err != nil {
 		return nil, err
 	}
-	if !answered.Whole {
-		return nil, fmt.Errorf("nodes %v did not answer", answered.Silent)
+	if !completeness.Complete {
+		return nil, fmt.Errorf("nodes %v did not answer", completeness.Unresponsive)
 	}
 	for i := range attempts {
 		if attempts[i].Attempt != a {
@@ -325,7 +325,7 @@
 			return nil, err
 		}
 		out.Output = append(out.Output, p.Pieces...)
-		out.Ended = p.Over
+		out.Ended = p.Ended
 		if !p.More || p.Next <= from {
 			return out, nil
 		}
@@ -358,7 +358,7 @@
 		// The shipper must have observed the files after the last write.
 		time.Sleep(60 * time.Millisecond)
 		stats := m.Stats()
-		if stats.Left == 0 && (!ends || m.Left() == 0) {
+		if stats.Left == 0 && (!ends || m.UnshippedAttempts() == 0) {
 			return nil
 		}
 	}
@@ -375,7 +375,7 @@
 			if name == except {
 				continue
 			}
-			if err := n.Level(context.Background()); err != nil {
+			if err := n.SyncOnce(context.Background()); err != nil {
 				last = err
 			}
 		}
@@ -392,7 +392,7 @@
 }
 
 // Add adds another history's counts.
-func (d *Drawn) Add(o Drawn) {
+func (d *Summary) Add(o Summary) {
 	d.Attempts, d.Bytes, d.Files = d.Attempts+o.Attempts, d.Bytes+o.Bytes, d.Files+o.Files
 	d.NodeStops, d.DisksLost = d.NodeStops+o.NodeStops, d.DisksLost+o.DisksLost
 	d.AgentStops, d.MachinesLost = d.AgentStops+o.AgentStops, d.MachinesLost+o.MachinesLost
--- a/internal/archive/load/bench.go
+++ b/internal/archive/load/bench.go
@@ -257,7 +257,7 @@
 // task's size after each write, and returns how long it took.
 func (b *bench) writeOutput(s *sampler) (time.Duration, error) {
 	start := time.Now()
-	for write := 0; time.Since(start) < b.options.For; write++ {
+	for write := 0; time.Since(start) < b.options.Duration; write++ {
 		for i, f := range b.files {
 			var text strings.Builder
 			for k := range max(1, b.options.Lines/writesPerSecond) {
@@ -388,7 +388,7 @@
 // recordCounts returns, for each node that answers, how many records the node has.
 func recordCounts(ctx context.Context, operator *reader.Client) map[string]int64 {
 	records := map[string]int64{}
-	operator.Each(ctx, http.MethodGet, node.PathStats, nil, func(name string, raw []byte, err error) {
+	operator.EachNode(ctx, http.MethodGet, node.PathStats, nil, func(name string, raw []byte, err error) {
 		var stats node.Stats
 		if err == nil && json.Unmarshal(raw, &stats) == nil {
 			records[name] = stats.Records
--- a/internal/archive/node/derived.go
+++ b/internal/archive/node/derived.go
@@ -38,7 +38,7 @@
 // recordAdded updates the derived state. The vault calls it for each record that it adds or
 // finds when it opens. While it opens, Open has no vault yet, so the keys of expiry records
 // are collected and applied afterwards.
-func (n *Node) recordAdded(i vault.Info) {
+func (n *Node) recordAdded(i vault.RecordInfo) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if i.Key.Kind == archive.KindExpired && n.vault == nil {
@@ -52,14 +52,14 @@
 		n.derived.usage[a] = u
 	}
 	u.bytes, u.records = u.bytes+i.Bytes, u.records+1
-	if i.At.After(u.lastStored) {
-		u.lastStored = i.At
+	if i.StoredAt.After(u.lastStored) {
+		u.lastStored = i.StoredAt
 	}
-	u.ended = u.ended || i.Key.Kind == archive.KindEnd || i.Key.Attempt == archive.Files(i.Key.Attempt.Job)
+	u.ended = u.ended || i.Key.Kind == archive.KindEnd || i.Key.Attempt == archive.FilesAttempt(i.Key.Attempt.Job)
 }
 
 // recordRemoved updates the derived state. The vault calls it for each record that it removes.
-func (n *Node) recordRemoved(i vault.Info) {
+func (n *Node) recordRemoved(i vault.RecordInfo) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.updateTrees(i.Key, false)
@@ -76,8 +76,8 @@
 // removes it from them. If this node should not store the record, it updates the strays
 // instead.
 func (n *Node) updateTrees(k archive.Key, in bool) {
-	unit, key := archive.Unit(k.Attempt), k.String()
-	owners := n.members.Of(unit)
+	unit, key := archive.PlacementUnit(k.Attempt), k.String()
+	owners := n.members.NodesFor(unit)
 	mine := false
 	for _, o := range owners {
 		mine = mine || o == n.cfg.Name
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -33,11 +33,11 @@
 func (n *Node) listSegments(a archive.Attempt, label, stream string, from int64) (SegmentList, error) {
 	out := SegmentList{Keys: []string{}}
 	name := a.String()
-	if !n.vault.Labelled(label, name) {
+	if !n.vault.HasLabel(label, name) {
 		return out, nil
 	}
 	for _, kind := range []archive.Kind{archive.KindGrant, archive.KindEnd, archive.KindExpired, archive.KindGap} {
-		infos, _, err := n.vault.Keys(name+"/"+string(rune(kind))+"/", "", 1000)
+		infos, _, err := n.vault.List(name+"/"+string(rune(kind))+"/", "", 1000)
 		if err != nil {
 			return out, err
 		}
@@ -50,7 +50,7 @@
 	// A segment that begins up to MaxSegment bytes earlier can extend past the offset.
 	begin := max(0, from-archive.MaxSegment)
 	prefix := name + "/s/" + stream + "."
-	infos, more, err := n.vault.Keys(prefix, name+"/s/"+archive.At(stream, begin, 0), segmentsPage)
+	infos, more, err := n.vault.List(prefix, name+"/s/"+archive.FormatPosition(stream, begin, 0), segmentsPage)
 	if err != nil {
 		return out, err
 	}
@@ -102,11 +102,11 @@
 
 // Stream is a page of a stream. Its JSON is the response at PathStream.
 type Stream struct {
-	Answered
+	Completeness
 	Pieces []Piece `json:"pieces"`
 	Next   int64   `json:"next"` // the offset of the next page, in bytes
 	More   bool    `json:"more"` // more of the stream is available now
-	Over   bool    `json:"over"` // the attempt has ended, and this is the last page
+	Ended  bool    `json:"over"` // the attempt has ended, and this is the last page
 }
 
 // gatheredStream is what the nodes that answered have of an attempt's stream, merged.
@@ -115,7 +115,7 @@
 	holders        map[string][]string // nodes that have a segment, by its key
 	missing        map[string][]string // nodes that should have a segment and do not, by its key
 	incompleteFrom int64               // if not -1, some node may have unlisted segments from this offset on
-	answered       Answered
+	completeness   Completeness
 }
 
 // stream responds with a page of a stream. A reader without access gets the same response as
@@ -148,7 +148,7 @@
 // data. If a segment can't be read, the page ends before it; if the page would then be empty,
 // streamPage returns an error.
 func (n *Node) streamPage(ctx context.Context, g *gatheredStream, stream string, from int64) (Stream, error) {
-	out := Stream{Answered: g.answered, Pieces: []Piece{}, Next: from}
+	out := Stream{Completeness: g.completeness, Pieces: []Piece{}, Next: from}
 	parts, keys, more := g.parts()
 	out.More = more
 	total := 0
@@ -161,7 +161,7 @@
 			out.More = true
 			break
 		}
-		if p.What != archive.PieceData {
+		if p.State != archive.PieceData {
 			if g.mayStillArrive(p, parts) {
 				break
 			}
@@ -183,7 +183,7 @@
 		out.Next = p.To
 		total += int(p.To - p.From)
 	}
-	out.Over = g.state.end != nil && !out.More
+	out.Ended = g.state.end != nil && !out.More
 	return out, nil
 }
 
@@ -224,7 +224,7 @@
 // mayStillArrive reports whether a piece is the missing tail of an attempt that is still
 // running, whose segments may not have been shipped yet.
 func (g *gatheredStream) mayStillArrive(p archive.Piece, parts []archive.Part) bool {
-	return p.What == archive.PieceMissing && g.state.end == nil &&
+	return p.State == archive.PieceMissing && g.state.end == nil &&
 		!slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To })
 }
 
@@ -234,11 +234,11 @@
 	q := url.Values{"attempt": {a.String()}, "label": {label}, "stream": {stream}, "from": {strconv.FormatInt(from, 10)}}
 	var answered []string
 	local := func() (SegmentList, error) { return n.listSegments(a, label, stream, from) }
-	g.answered = gather(ctx, n, PathCuts+"?"+q.Encode(), local, func(name string, c SegmentList) {
+	g.completeness = gather(ctx, n, PathCuts+"?"+q.Encode(), local, func(name string, c SegmentList) {
 		answered = append(answered, name)
 		g.add(n, name, c)
 	})
-	g.missing = g.missingAt(answered, n.members.Of(archive.Unit(a)))
+	g.missing = g.missingAt(answered, n.members.NodesFor(archive.PlacementUnit(a)))
 	return g
 }
 
@@ -293,7 +293,7 @@
 		if err == nil {
 			// The node lost the record after listing it and returned none. Without this
 			// error, an empty record would be returned and stored, which once happened.
-			err = fmt.Errorf("%s: %w", name, vault.ErrNotHere)
+			err = fmt.Errorf("%s: %w", name, vault.ErrNotFound)
 		}
 	}
 	return r, err
@@ -349,8 +349,8 @@
 		}
 		var out []byte
 		for _, digest := range f.Chunks[from:min(len(f.Chunks), from+8)] {
-			k := archive.Key{Attempt: archive.Files(a.Job), Kind: archive.KindChunk, Digest: digest}
-			record, err := n.readRecord(r.Context(), k, n.members.Of(archive.Unit(k.Attempt)))
+			k := archive.Key{Attempt: archive.FilesAttempt(a.Job), Kind: archive.KindChunk, Digest: digest}
+			record, err := n.readRecord(r.Context(), k, n.members.NodesFor(archive.PlacementUnit(k.Attempt)))
 			if err != nil {
 				n.log.Error("a chunk can't be read", "key", k.String(), "error", err)
 				writeError(w, http.StatusServiceUnavailable, "a part of it can't be read now")
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -78,7 +78,7 @@
 		if err != nil {
 			continue
 		}
-		unit := archive.Unit(a)
+		unit := archive.PlacementUnit(a)
 		if leaves[archive.Leaf(unit)] && n.members.IsReplica(peer, unit) && n.members.IsReplica(n.cfg.Name, unit) {
 			names = append(names, name)
 		}
@@ -88,7 +88,7 @@
 	keys := []string{}
 	for _, name := range names {
 		for from := ""; ; {
-			infos, more, err := n.vault.Keys(name+"/", from, 1000)
+			infos, more, err := n.vault.List(name+"/", from, 1000)
 			if err != nil {
 				return nil, err
 			}
@@ -118,9 +118,9 @@
 	})
 }
 
-// Level fetches the records that other nodes have and this one lacks, once, and hands over
+// SyncOnce fetches the records that other nodes have and this one lacks, once, and hands over
 // strays. It is for tests and tools. The error joins those of the nodes that failed.
-func (n *Node) Level(ctx context.Context) error {
+func (n *Node) SyncOnce(ctx context.Context) error {
 	var all error
 	for _, p := range n.peers {
 		all = errors.Join(all, n.syncWith(ctx, p))
@@ -296,7 +296,7 @@
 			batch, size = nil, 0
 		}
 		for _, k := range keys {
-			if !n.members.IsReplica(owner, archive.Unit(k.Attempt)) {
+			if !n.members.IsReplica(owner, archive.PlacementUnit(k.Attempt)) {
 				continue
 			}
 			outstanding[k.String()]++
@@ -375,7 +375,7 @@
 		if err != nil || n.hasExpired(k) {
 			continue
 		}
-		r, err := n.readRecord(n.ctx, k, n.members.Of(archive.Unit(k.Attempt)))
+		r, err := n.readRecord(n.ctx, k, n.members.NodesFor(archive.PlacementUnit(k.Attempt)))
 		if err == nil && m.node == n.cfg.Name {
 			err = n.store(n.ctx, []archive.Record{r})
 		} else if err == nil {
--- a/internal/archive/ship/golden_test.go
+++ b/internal/archive/ship/golden_test.go
@@ -86,8 +86,8 @@
 			if err := s.Resume(goldenAttempt, dir); err != nil {
 				t.Fatal(err)
 			}
-			if s.Holds(goldenAttempt) != (test.left == 1) || s.Left() != test.left {
-				t.Errorf("attempt is followed: %v; %d ended attempts are not shipped completely", s.Holds(goldenAttempt), s.Left())
+			if s.Follows(goldenAttempt) != (test.left == 1) || s.UnshippedAttempts() != test.left {
+				t.Errorf("attempt is followed: %v; %d ended attempts are not shipped completely", s.Follows(goldenAttempt), s.UnshippedAttempts())
 			}
 			s.Stop()
 			for _, name := range []string{"archive.json", "grant.json"} {
@@ -127,12 +127,12 @@
 // serveNode serves a node on the listener with the certificate in the folder certs.
 func serveNode(t *testing.T, listener net.Listener, certs string) *memoryNode {
 	t.Helper()
-	keeper, err := identity.NewKeeper(certs, slog.New(slog.DiscardHandler))
+	credentials, err := identity.OpenCredentials(certs, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &memoryNode{records: map[string]archive.Record{}}
-	server := &http.Server{Handler: n, TLSConfig: keeper.Serve()}
+	server := &http.Server{Handler: n, TLSConfig: credentials.ServerConfig()}
 	go func() { _ = server.ServeTLS(listener, "", "") }()
 	t.Cleanup(func() { _ = server.Close() })
 	return n
@@ -176,7 +176,7 @@
 	}
 	s.Start()
 	t.Cleanup(s.Stop)
-	for deadline := time.Now().Add(20 * time.Second); s.Holds(goldenAttempt); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); s.Follows(goldenAttempt); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("not shipped in time; stored so far: %q", stored.summary(t))
 		}
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -43,16 +43,16 @@
 // these from them by itself.
 const maxInFlight = 3
 
-// NewWriter returns a writer that connects with the certificate of k. The caller still
-// owns k.
-func NewWriter(k *identity.Keeper, members []node.Member, replicas int, log *slog.Logger) *Writer {
+// NewWriter returns a writer that connects with the given credentials, which the caller
+// still owns.
+func NewWriter(credentials *identity.Credentials, members []node.Member, replicas int, log *slog.Logger) *Writer {
 	w := &Writer{log: log, members: archive.Members{Replicas: replicas}}
 	for _, m := range members {
 		b := backoff.NewExponentialBackOff()
 		b.InitialInterval, b.MaxInterval = 100*time.Millisecond, 5*time.Second
 		w.members.Names = append(w.members.Names, m.Name)
 		w.nodes = append(w.nodes, &nodeClient{name: m.Name, address: m.Address, backOff: b, http: &http.Client{Timeout: putTimeout,
-			Transport: &http.Transport{TLSClientConfig: k.Dial(identity.Node, m.Name), MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute,
+			Transport: &http.Transport{TLSClientConfig: credentials.ClientConfig(identity.Node, m.Name), MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute,
 				TLSHandshakeTimeout: 3 * time.Second, DisableCompression: true}}})
 	}
 	return w
@@ -114,17 +114,17 @@
 	return fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(text))
 }
 
-// Put sends records to their nodes. kept reports for each record whether a quorum of its
+// Put sends records to their nodes. stored reports for each record whether a quorum of its
 // nodes has it on disk, and refused whether a quorum refuses it for good. Put returns as
 // soon as each record has a quorum either way, without waiting for slow nodes. It logs
-// failures; the caller may put a record again that is neither kept nor refused. Put does
+// failures; the caller may put a record again that is neither stored nor refused. Put does
 // not change the records, and the caller may use them again when it returns.
-func (w *Writer) Put(ctx context.Context, records []archive.Record) (kept, refused []bool) {
-	kept, refused = make([]bool, len(records)), make([]bool, len(records))
+func (w *Writer) Put(ctx context.Context, records []archive.Record) (stored, refused []bool) {
+	stored, refused = make([]bool, len(records)), make([]bool, len(records))
 	accepts, refusals := make([]int, len(records)), make([]int, len(records))
 	replicas := make([][]string, len(records))
 	for i := range records {
-		replicas[i] = w.members.Of(archive.Unit(records[i].Key.Attempt))
+		replicas[i] = w.members.NodesFor(archive.PlacementUnit(records[i].Key.Attempt))
 	}
 	type result struct {
 		indices []int // of the records that the node was sent
@@ -165,14 +165,14 @@
 			}
 		}
 		for i := range records {
-			kept[i], refused[i] = accepts[i] >= quorum, refusals[i] >= quorum
-			all = all && (kept[i] || refused[i])
+			stored[i], refused[i] = accepts[i] >= quorum, refusals[i] >= quorum
+			all = all && (stored[i] || refused[i])
 		}
 		if all {
 			break
 		}
 	}
-	return kept, refused
+	return stored, refused
 }
 
 // get requests a path of the node and returns at most identity.MaxRevocations bytes of
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -105,15 +105,15 @@
 // method says otherwise, calling it on a nil Shipper does nothing. The caller of Start
 // calls Stop.
 type Shipper struct {
-	cfg          Config
-	log          *slog.Logger
-	certificates *identity.Keeper
-	writer       *Writer
-	limit        *rate.Limiter
-	ctx          context.Context
-	stop         context.CancelFunc
-	wait         sync.WaitGroup
-	wakeup       chan struct{}
+	cfg         Config
+	log         *slog.Logger
+	credentials *identity.Credentials
+	writer      *Writer
+	limit       *rate.Limiter
+	ctx         context.Context
+	stop        context.CancelFunc
+	wait        sync.WaitGroup
+	wakeup      chan struct{}
 	// Urgent reports whether inputs of an urgent task are being fetched. It may be
 	// replaced before Start.
 	Urgent func() bool
@@ -129,19 +129,19 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	keeper, err := identity.NewKeeper(cfg.Certs, log)
+	credentials, err := identity.OpenCredentials(cfg.Certs, log)
 	if err != nil {
 		return nil, err
 	}
 	s := &Shipper{
-		cfg:          cfg,
-		log:          log,
-		certificates: keeper,
-		writer:       NewWriter(keeper, cfg.Members, cfg.Replicas, log),
-		limit:        rate.NewLimiter(rate.Inf, batchBytes),
-		wakeup:       make(chan struct{}, 1),
-		attempts:     map[archive.Attempt]*followedAttempt{},
-		Urgent:       func() bool { return false },
+		cfg:         cfg,
+		log:         log,
+		credentials: credentials,
+		writer:      NewWriter(credentials, cfg.Members, cfg.Replicas, log),
+		limit:       rate.NewLimiter(rate.Inf, batchBytes),
+		wakeup:      make(chan struct{}, 1),
+		attempts:    map[archive.Attempt]*followedAttempt{},
+		Urgent:      func() bool { return false },
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s, nil
@@ -179,11 +179,11 @@
 // nowMS returns the present Unix time in milliseconds.
 func nowMS() int64 { return time.Now().UnixMilli() }
 
-// Begin starts following an attempt whose folder exists. The caller calls it before the
-// attempt's program starts. When Begin returns, the grant is on disk, so that all of the
-// program's output can be shipped even if everything is killed at the same time. Begin
+// Follow starts following an attempt whose folder exists. The caller calls it before the
+// attempt's program starts. When Follow returns, the grant is on disk, so that all of the
+// program's output can be shipped even if everything is killed at the same time. Follow
 // returns an error if the attempt is invalid or the grant can't be written.
-func (s *Shipper) Begin(g archive.Grant, dir string) error {
+func (s *Shipper) Follow(g archive.Grant, dir string) error {
 	if s == nil {
 		return nil
 	}
@@ -221,7 +221,7 @@
 	if s.attempts[a] != nil {
 		return nil
 	}
-	if raw, err = os.ReadFile(filepath.Join(dir, AccountFile)); err == nil {
+	if raw, err = os.ReadFile(filepath.Join(dir, ProgressFile)); err == nil {
 		if err := json.Unmarshal(raw, &f.progress); err != nil {
 			// Everything is shipped again, and readers merge the segments.
 			s.log.Error("an attempt's saved progress is damaged; shipping the whole attempt again", "attempt", a.String(), "error", err)
@@ -251,9 +251,9 @@
 	return nil
 }
 
-// Ended records that an attempt's processes have ended, with the cause and the exit code;
+// MarkEnded records that an attempt's processes have ended, with the cause and the exit code;
 // they write nothing more. The attempt is followed until everything is stored.
-func (s *Shipper) Ended(a archive.Attempt, cause string, code int) {
+func (s *Shipper) MarkEnded(a archive.Attempt, cause string, code int) {
 	if s == nil {
 		return
 	}
@@ -269,8 +269,8 @@
 	s.wake()
 }
 
-// Holds reports whether an attempt is still followed and its folder therefore needed.
-func (s *Shipper) Holds(a archive.Attempt) bool {
+// Follows reports whether an attempt is still followed and its folder therefore needed.
+func (s *Shipper) Follows(a archive.Attempt) bool {
 	if s == nil {
 		return false
 	}
@@ -279,8 +279,8 @@
 	return s.attempts[a] != nil
 }
 
-// Left returns how many ended attempts are not shipped completely.
-func (s *Shipper) Left() (n int) {
+// UnshippedAttempts returns how many ended attempts are not shipped completely.
+func (s *Shipper) UnshippedAttempts() (n int) {
 	if s == nil {
 		return 0
 	}
@@ -331,7 +331,7 @@
 		}
 		r := s.writer.nodes[i%len(s.writer.nodes)]
 		if raw, err := r.get(s.ctx, node.PathRevocations); err == nil {
-			if _, err := s.certificates.Learn(raw); err != nil {
+			if _, err := s.credentials.ReceiveRevocations(raw); err != nil {
 				s.log.Error("cannot use a node's list of revocations", "node", r.name, "error", err)
 			}
 		}
--- a/internal/archive/vault/golden_test.go
+++ b/internal/archive/vault/golden_test.go
@@ -75,11 +75,11 @@
 	}
 }
 
-// requireLabelled checks that the first attempt with the label is the record's.
-func requireLabelled(t *testing.T, v *Vault, record archive.Record) {
+// requireLabel checks that the first attempt with the label is the record's.
+func requireLabel(t *testing.T, v *Vault, record archive.Record) {
 	t.Helper()
 	attempt := record.Key.Attempt.String()
-	if found, _, err := v.Find("team/office", "", "", 100); err != nil || len(found) == 0 || found[0] != attempt {
+	if found, _, err := v.FindAttempts("team/office", "", "", 100); err != nil || len(found) == 0 || found[0] != attempt {
 		t.Errorf("attempts with the label: %v, error %v", found, err)
 	}
 }
@@ -93,18 +93,18 @@
 	if v.Has(dropped.Key) {
 		t.Errorf("%s is still listed after it was dropped", dropped.Key)
 	}
-	infos, more, err := v.Keys("", "", 100)
+	infos, more, err := v.List("", "", 100)
 	if err != nil || more {
 		t.Fatalf("Keys reports more records: %v, error %v", more, err)
 	}
 	var listed strings.Builder
 	for _, info := range infos {
-		fmt.Fprintf(&listed, "%s %d %d\n", info.Key, info.Bytes, info.At.UnixMilli())
+		fmt.Fprintf(&listed, "%s %d %d\n", info.Key, info.Bytes, info.StoredAt.UnixMilli())
 	}
 	if want := string(goldentest.Read(t, "testdata/golden/index.txt")); listed.String() != want {
 		t.Errorf("the index lists\n%s, want\n%s", listed.String(), want)
 	}
-	requireLabelled(t, v, records[0])
+	requireLabel(t, v, records[0])
 	if _, checked, damaged, err := v.Scrub("", 1<<20); err != nil || checked != len(kept) || damaged != 0 {
 		t.Errorf("%d records checked, %d damaged, error %v", checked, damaged, err)
 	}
@@ -124,7 +124,7 @@
 	v := openGoldenVault(t, Config{Dir: dir, VolumeBytes: goldenVolumeBytes, Labels: goldenLabels})
 	records := goldenRecords(t)
 	requireRecords(t, v, records[:len(records)-1])
-	requireLabelled(t, v, records[0])
+	requireLabel(t, v, records[0])
 	if stats := v.Stats(); stats.Damaged != 0 || !stats.Rebuilt {
 		t.Errorf("damaged records: %d, index rebuilt: %v", stats.Damaged, stats.Rebuilt)
 	}
--- a/internal/provider/agents.go
+++ b/internal/provider/agents.go
@@ -91,7 +91,7 @@
 			p.stats.Restarted++
 			p.perform(p.market.AgentDied(now, n))
 		case x.address == "":
-			p.market.Up(n, p.readAddress(n))
+			p.market.AgentUp(n, p.readAddress(n))
 		}
 	}
 	p.perform(p.market.Tick(now))
@@ -107,7 +107,7 @@
 	a := c.Agent
 	a.Worker, a.MachineType, a.Zone, a.Spot = x.Name, x.MachineType, x.Zone, x.Spot
 	a.Dir = filepath.Join(c.Dir, machinesDir, x.Name)
-	a.Room = agent.Room{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.MemoryGB}
+	a.Resources = agent.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.MemoryGB}
 	a.LocalGB = t.LocalGB
 	if a.Archive != nil {
 		own := *a.Archive
@@ -229,7 +229,7 @@
 		return
 	}
 	delete(p.agents, name)
-	p.market.Ended(time.Now(), name)
+	p.market.MachineEnded(time.Now(), name)
 	if err := p.store(Effects{}, name); err != nil {
 		p.fail(err)
 		return
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -97,11 +97,11 @@
 		if err := auth.Ensure(identity.Identity{Kind: identity.Customer, Name: "office", Customer: customer(n)}, dir); err != nil {
 			return err
 		}
-		k, err := identity.NewKeeper(dir, log)
+		credentials, err := identity.OpenCredentials(dir, log)
 		if err != nil {
 			return err
 		}
-		readers[customer(n)] = reader.New(k, members, 5*time.Second)
+		readers[customer(n)] = reader.New(credentials, members, 5*time.Second)
 	}
 	complete := map[string]bool{} // attempts that wrote all their lines
 	for _, record := range records {
@@ -136,8 +136,8 @@
 // verifyJobOutput reads a job's output from the archive and returns the first problem, or "".
 func (s *soak) verifyJobOutput(ctx context.Context, r *reader.Client, id string, complete map[string]bool) string {
 	attempts, answered, err := r.Attempts(ctx, reader.Query{Job: id, Files: true})
-	if err != nil || !answered.Whole {
-		return fmt.Sprintf("%v silent: %v", answered.Silent, err)
+	if err != nil || !answered.Complete {
+		return fmt.Sprintf("%v silent: %v", answered.Unresponsive, err)
 	}
 	seen, lines := map[string]bool{}, 0
 	for i := range attempts {
