--- a/internal/coordination/bin_packing.go
+++ b/internal/coordination/bin_packing.go
@@ -206,9 +206,10 @@
 	return max(fit, 1)
 }
 
-// pinZone picks the zone in which n tasks of a one-zone job are packed: the zone where tasks of
-// the job already are, or else the zone where most of the n tasks have room. It returns a copy
-// of the job's specification with that zone, or spec itself if no zone will do.
+// pinZone picks the zone in which n tasks of a one-zone job are packed: a zone where tasks of the
+// job already are, or else the zone whose machines have room for the most of the n tasks. A zone
+// without room for all of them is considered only if more machines can be rented there. pinZone
+// returns a copy of the job's specification with that zone, or spec itself if no zone will do.
 func (p *binPacking) pinZone(spec *job.Spec, n int, zones []string, tasksByZone map[string]int) *job.Spec {
 	best, bestFit := spec, -1
 	for _, zone := range zones {
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -12,7 +12,8 @@
 	"silvergate/internal/stateclient"
 )
 
-// maxCancelRetries is how many times a cancellation is retried after a conflict.
+// maxCancelRetries is how many times a cancellation is retried after the job's record was reread,
+// because the mirror lacked it or a transaction had a conflict or an unknown outcome.
 const maxCancelRetries = 4
 
 // cancel handles a request to cancel a job; retries counts the earlier attempts.
@@ -78,8 +79,8 @@
 	}
 }
 
-// cancelHorizon returns how old the last proof that we know of all cancellations may be while we
-// still answer workers.
+// cancelHorizon returns the cancel horizon: once the latest proof that this controller knows of all
+// cancellations is older than that, it no longer answers workers.
 func (c *Core) cancelHorizon() time.Duration {
 	w := &c.cfg.Facts.Workers
 	return fencing.CancelHorizon(seconds(w.Cancel), seconds(w.Lease))
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -68,8 +68,8 @@
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && (m.claim.Incarnation == c.incarnation || m.adopted)
 }
 
-// ownedByEarlierIncarnation reports whether an earlier incarnation of ours has claimed the
-// machine and no controller has claimed it since.
+// ownedByEarlierIncarnation reports whether an earlier incarnation of ours owns the machine: no
+// controller has become its owner since, and we have not adopted it.
 func (c *Core) ownedByEarlierIncarnation(m *machine) bool {
 	return m.token != 0 && m.claim.Owner == c.cfg.Node && !c.isOwn(m)
 }
@@ -189,7 +189,7 @@
 func (c *Core) claimMachine(m *machine, heartbeat *protocol.Heartbeat, retries int, done func(*machine, bool)) {
 	m.claiming = true
 	c.machines.claimsInFlight++
-	renewal := c.isOwn(m) && c.mirrorComplete(m) // nobody else can have owned the machine since
+	renewal := c.isOwn(m) && c.mirrorComplete(m) // the claim commits only if nobody else has owned the machine since
 	claim := claimRecord{
 		Owner:       c.cfg.Node,
 		Incarnation: c.incarnation,
--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -113,8 +113,9 @@
 	return false
 }
 
-// pageBehind reports whether a page is behind the log for a task: after the changes, it still
-// shows the attempt that the log names, or an earlier one, as not finished.
+// pageBehind reports whether a page is behind the log for a task: after the changes, the page
+// shows the task as not finished and with an earlier attempt than one that has completed
+// according to the log.
 func (w *completionWriter) pageBehind(p *page, index int, changes []pagecodec.Change) bool {
 	task := p.tasks[index]
 	for i := range changes {
@@ -282,7 +283,7 @@
 	if len(logged) == 0 && !jobCompleted {
 		return changes
 	}
-	completed := map[int]bool{} // completed by the log, and bound by the page
+	completed := map[int]bool{} // indexes of tasks that the log shows as completed and the page as bound
 	kept := changes[:0]
 	for _, change := range changes {
 		k := p.taskKey(change.Index)
@@ -307,9 +308,9 @@
 	return kept
 }
 
-// foldCompletions requests writes of pages that have not included a completion of the log for a
-// while. Each controller does so for the jobs that it is responsible for. The leader also
-// deletes the log's empty records.
+// foldCompletions requests a write of each page that still lacks a completion that was added to
+// the log foldAfter heartbeat periods ago or earlier. Each controller does so for the jobs that it
+// is responsible for. The leader also deletes the log's empty records.
 func (c *Core) foldCompletions() {
 	w := &c.writer.completions
 	if w.log.Len() == 0 || c.now < w.nextFoldAt || !c.mirrorFresh() {
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -16,8 +16,8 @@
 // Exception "gathering": the thesis's tasks end by themselves, services do
 // not, and a few of them would keep many machines half empty. While no task is
 // queued, the services of our sparsest machines move to other machines of ours that
-// run more services, have their images and have room; services with a zone constraint stay
-// in their zone. Only a few move at a time: one per heartbeat period, or consolidationShare of
+// run more services, have their images and inputs, and have room; services with a zone constraint
+// stay in their zone. Only a few move at a time: one per heartbeat period, or consolidationShare of
 // the services if that is more.
 func (c *Core) consolidate() {
 	if c.scheduler.queuedTasks > 0 {
@@ -61,7 +61,8 @@
 }
 
 // continueConsolidation moves the next service off a machine, or drains the machine once it is
-// empty, and reports whether the machine is still being emptied.
+// empty and need not be kept for its unshipped output. It reports whether the machine is still
+// being emptied.
 func (c *Core) continueConsolidation(m *machine) bool {
 	switch {
 	case len(m.bound) == 0 && c.scaler.unshipped.mustKeep(m.id):
@@ -137,7 +138,8 @@
 }
 
 // consolidationTarget returns one of our machines to which a service on m is to move, or nil.
-// reserved is what the other services on m will use on each target.
+// reserved holds, by target, the processors and accelerators that services on m for which a target
+// was found before will use there.
 func (c *Core) consolidationTarget(r *jobRecord, m *machine, reserved map[*machine]usage) *machine {
 	for _, target := range c.machines.own {
 		if target == m || c.unschedulable(target) || !holdsMoreServices(target, m) {
@@ -209,8 +211,8 @@
 }
 
 // remainingPull returns how long a task on a machine will still wait for its image, in seconds:
-// estimated from the fetches known to be under way on the machine, or from its pull rate alone if
-// that is longer.
+// the estimate from the fetches known to be under way on the machine, or the one from the
+// machine's pull rate alone if that is longer.
 func (c *Core) remainingPull(r *jobRecord, k taskKey, m *machine) float64 {
 	pullS := r.spec.ImageGB / c.machineTypeOf(m).ImagePullGBPerS
 	waitedS := (c.now - m.boundAt[k].boundAt).Seconds()
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -5,6 +5,9 @@
 // The state service is the source of truth. The core mirrors its records, decides
 // from the mirror, and changes records only by conditional transactions: a stale
 // mirror costs a retry and never breaks an invariant.
+//
+// Scheduling follows the thesis that docs/design.md cites. Comments refer to the steps of its
+// algorithm; "Exception" and a name in quotes mark a departure from it.
 package coordination
 
 import (
@@ -317,6 +320,6 @@
 // between two clocks.
 func (c *Core) leaseExpiry() time.Duration { return seconds(c.cfg.Facts.Workers.Lease * 1.01) }
 
-// tasksPerPage returns how many tasks a page holds. A bound task takes less than 64
-// bytes with the usual names, and four times that never exceeds value_kb.
+// tasksPerPage returns how many tasks a page holds, at 128 bytes of value_kb for each task. A
+// bound task takes less than 64 bytes with the usual names, so a page has room for twice that.
 func (c *Core) tasksPerPage() int { return max(1, int(c.cfg.Facts.State.ValueKB*1024/128)) }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -42,7 +42,7 @@
 				unplaced = append(unplaced, i)
 				continue
 			}
-			if !c.placeOnIdleMachine(r, i) { // step 2
+			if !c.placeOnIdleMachine(r, i) { // step 2 of the thesis
 				noneFits = true
 				unplaced = append(unplaced, i)
 			}
@@ -64,10 +64,10 @@
 	return true
 }
 
-// probe implements steps 3 and 4 of the thesis: it checks the published length of the idle
-// lists of up to d-2 random peers; if all are empty, one more random controller gets the task
-// unchecked. The tasks of a job are not probed for one by one, but split into as many parts
-// as there are controllers.
+// probe implements steps 3 and 4 of the thesis, whose parameter d is the setting Probes: it checks
+// the published length of the idle lists of up to d-2 random peers; if all are empty, one more
+// random peer gets the tasks whatever the length of its idle list. The tasks of a job are not
+// probed for one by one, but split into parts, at most one more than there are members.
 func (c *Core) probe(r *jobRecord, tasks []int) {
 	for parts := 1 + len(c.membership.members); len(tasks) > 0; parts-- {
 		n := (len(tasks) + parts - 1) / max(1, parts)
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -81,7 +81,7 @@
 //
 // Guards against two reasons that keep replacing each other on one machine and use up the state
 // service's rate: a reason only replaces a less severe one, and only while tasks are bound to the
-// machine, for which it makes a difference.
+// machine, because without them the reason makes no difference.
 func (t *machineTable) drainWanted(m *machine, reason string) bool {
 	earlier, drained := t.drains[m.id]
 	if !drained {
--- a/internal/coordination/failover_completions_test.go
+++ b/internal/coordination/failover_completions_test.go
@@ -9,7 +9,7 @@
 	"silvergate/internal/protocol"
 )
 
-// newStaggeredCompletionsSim returns a site without faults with only jobs of two or three tasks that end far apart.
+// newStaggeredCompletionsSim returns a site without faults. Its jobs have two or three tasks each, which end far apart.
 func newStaggeredCompletionsSim(t testing.TB, seed uint64) *sim {
 	s := newSim(t, seed, 0)
 	s.after(time.Second, func() {
@@ -163,7 +163,7 @@
 				s.lastRequestID++
 				s.collect(s.core.Request(s.clock(), s.lastRequestID, "POST", protocol.PathHeartbeat, encode(protocol.Heartbeat{Worker: "i-000001", Address: "10.1.0.1:9000",
 					MachineType: "small", Zone: "a", AgentEpoch: 2, Sequence: 9, FencingToken: 120, Tasks: []protocol.TaskStatus{}})))
-				s.advance(time.Second) // its release is under way
+				s.advance(time.Second) // the release of the task is under way
 			case "under a new token":
 				s.sendHeartbeat(130, 6, running) // as if a peer had answered it: a claim is needed
 				s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 140})
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -212,6 +212,9 @@
 // that the heartbeats of a quarter of all machines are not overdue. The last condition shows that
 // we are not cut off from all workers, as then none would have been heard for so long. Guards
 // against a controller that considers itself cut off when more than half of its machines hang.
+//
+// Without these conditions a machine has failed once it is silent, provided that a quarter of all
+// machines are not silent or that it has been silent for longer than a lease.
 func (c *Core) machineFailed(m *machine, counts *heartbeatCounts) bool {
 	silence := c.now - m.heardAt
 	if silence > seconds(unansweredPeriods*c.cfg.Facts.Workers.Heartbeat) && m.failedProbes > 1 && counts.enoughRecent() {
@@ -220,17 +223,17 @@
 	return silence > c.silenceTimeout() && (counts.enoughHeard() || silence > c.leaseExpiry())
 }
 
-// checkInheritedMachines looks for machines that an earlier incarnation of ours owned and that
-// have found no controller since. A worker that is up finds one within a heartbeat period and a
-// few seconds. A machine that does not reply to probes either, while enough of ours are heard
-// (othersHeard), has failed. After the cancel horizon, when no controller can have answered it any
-// more, any such machine has failed.
+// checkInheritedMachines looks for machines that an earlier incarnation of ours owned and whose
+// workers have found no controller since. A worker that is up finds one within a heartbeat period
+// and a few seconds. A machine that does not reply to probes either has failed, if enough of our
+// machines are heard (othersHeard). After the cancel horizon, when no controller can have answered
+// its worker any more, any such machine has failed.
 //
 // Guards against the deletion of all machines of a site. If at least minUnreachableMachines and
-// more than three quarters of the machines that the earlier incarnation owned are silent, the
+// more than three quarters of the machines that the earlier incarnation owned are missing, the
 // fault is not in single machines: they are unreachable for a while, and continue with their
-// tasks when they are reachable again. Heartbeats of machines that have just started say nothing
-// about them.
+// tasks when they are reachable again. othersHeard does not rule this out, because the machines
+// that are heard may have just started.
 func (c *Core) checkInheritedMachines(othersHeard bool) {
 	missing := c.countInheritedMachines()
 	c.scaler.inheritedMachines = max(c.scaler.inheritedMachines, missing)
@@ -243,8 +246,8 @@
 	}
 }
 
-// countInheritedMachines counts the machines that an earlier incarnation of ours has claimed
-// and that no controller is claiming now.
+// countInheritedMachines counts the machines that an earlier incarnation of ours owns and that
+// this controller is not claiming now.
 func (c *Core) countInheritedMachines() int {
 	count := 0
 	for _, m := range c.machines.byID {
@@ -263,8 +266,8 @@
 	if silence > seconds(unansweredPeriods*period) && !m.probing && c.now >= m.nextProbeAt {
 		c.probeWorker(m)
 	}
-	// In a zone that no controller hears, only the machines of production work are
-	// deleted that early: their tasks are known to be lost by it.
+	// In a zone that no controller hears, only machines with production tasks are drained that
+	// early: their deletion proves that the tasks have ended, so that they can be started again.
 	failed := singleFailures && m.failedProbes > 1 && silence > seconds(inheritedPeriods*period) &&
 		(m.urgent() || !c.zoneUnreachable(m.claim.Zone))
 	if failed || silence > c.cancelHorizon()+seconds(inheritedLostPeriods*period) {
--- a/internal/coordination/failure_history.go
+++ b/internal/coordination/failure_history.go
@@ -59,9 +59,10 @@
 	}
 }
 
-// paused reports whether no task of a job may be started now. A job pauses for a time after a
-// failure; and a job that is suspected to fail everywhere pauses while one of its tasks is bound
-// or reserved to find out. Production jobs and gangs pause only after a failure.
+// paused reports whether no task of a job may be started now. Once a job has failed on several
+// machines, it pauses for a backoff after each failure. A job that is suspected to fail everywhere
+// is tried with one task at a time, so it also pauses while one of its tasks is bound or has room
+// reserved; this does not apply to production jobs and gangs.
 func (c *Core) paused(r *jobRecord) bool {
 	if c.now < r.retryAt {
 		return true
--- a/internal/coordination/fleet_leadership.go
+++ b/internal/coordination/fleet_leadership.go
@@ -20,8 +20,8 @@
 	rentalState
 	deletionState
 
-	// inheritedMachines is the largest number of machines claimed by an earlier incarnation of this
-	// controller that this incarnation has counted since it started.
+	// inheritedMachines is the largest result of countInheritedMachines since this incarnation
+	// started.
 	inheritedMachines int
 	nextPlanAt        time.Duration
 	zoneViews         map[string]zoneView // by controller
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -102,8 +102,9 @@
 	}
 }
 
-// addRentals adds the machines of recorded rentals: those that the cloud has not answered yet, and
-// the machines of answered ones that the cloud does not list yet.
+// addRentals adds the machines of recorded rentals: all machines of a rental that the cloud has not
+// answered yet, and those machines of an answered rental that are neither listed by the cloud nor
+// claimed yet.
 func (p *fleetPlan) addRentals() {
 	for name, r := range p.core.scaler.rentals {
 		for i := 0; i < r.Count; i++ {
--- a/internal/coordination/full_restart_test.go
+++ b/internal/coordination/full_restart_test.go
@@ -112,7 +112,7 @@
 // restartCases are the ways in which all controllers go down and come back.
 var restartCases = []struct {
 	name      string
-	crash     func(s *sim) time.Duration // crashes the controllers, and returns when the first is back
+	crash     func(s *sim) time.Duration // crashes the controllers, and returns the time until the first is back
 	defective bool                       // simulates a defect that must show as duplicate launches
 }{
 	{name: "all for three seconds", crash: func(s *sim) time.Duration {
--- a/internal/coordination/health.go
+++ b/internal/coordination/health.go
@@ -14,9 +14,11 @@
 	}
 }
 
-// isolated reports whether this controller can't reach the state service while its peers can, or
-// is cut off so completely that it can't serve users. In an outage that affects all controllers
-// it does not leave the load balancer's list, which would only delay the return.
+// isolated reports whether this controller can't reach the state service and one of these holds: a
+// peer can reach it, this controller is cut off from all peers too, or its proof that it knows of
+// all cancellations is older than the cancel horizon. In an outage that affects all controllers, a
+// controller with a recent proof thus stays in the load balancer's list: leaving the list would
+// only delay the recovery.
 func (c *Core) isolated() bool {
 	limit := c.state.StaleAfter()
 	if c.now-c.state.FreshAt() < limit {
@@ -32,6 +34,6 @@
 }
 
 // cutOff reports whether the state service has not answered for so long that a status query would
-// fail. Guards against users who time out while we still wait for it: they get a 503 at once and
-// can retry.
+// fail. Guards against users who time out while we still wait for the state service: they get a 503
+// at once and can retry.
 func (c *Core) cutOff() bool { return c.now-c.state.FreshAt() > c.state.StaleAfter() }
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -25,13 +25,13 @@
 	return compareAge(x, y)
 }
 
-// jobSizeWeight is the weight of a job's size in its latest start: the multiple of the time
-// that the whole fleet would need for the job's remaining work by which smaller jobs precede it.
+// jobSizeWeight is the weight of a job's size in its latest start: this multiple of the time that
+// the whole fleet would need for the job's remaining work is added, so that smaller jobs go first.
 const jobSizeWeight = 8
 
-// neverBegunAdvance is subtracted from the latest start of a job that has not begun for too
-// long, in seconds. It is larger than any latest start, so that such a job also precedes jobs
-// whose latest start is not computed yet, and thus 0.
+// neverBegunAdvance, in seconds, is subtracted from the submission time of a job that has waited
+// too long to begin, and the difference is its latest start. It is larger than any submission time,
+// so that such a job also precedes jobs whose latest start is not computed yet, and thus 0.
 const neverBegunAdvance = 1e10
 
 // updateJobOrder computes each open job's latest start, which orders jobs of the same priority,
@@ -183,8 +183,9 @@
 
 // quotaSavingDue reports whether the limit may be saved for a gang now. Other jobs must not wait
 // for long while there is room, and the gang may in fact lack machines rather than quota. So the
-// limit is saved for one period, quotaSavingShare of the time within which jobs are to begin, and
-// for one period again 2, 4, 8, ... periods after each start, until the gang has begun.
+// limit is saved for one period, which is quotaSavingShare of the time within which jobs are to
+// begin. If the gang has not begun, the next such period starts 2 periods after the start of the
+// first, and further ones 4, 8, ... periods after the start of the previous one.
 func (c *Core) quotaSavingDue(r *jobRecord, now float64) bool {
 	within := c.cfg.Operator.BeginWithin.Seconds()
 	periods := (now-float64(r.submittedAtMS)/1000-within)/(quotaSavingShare*within) + 2 // from 2 on, latestStart puts the job first
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -18,8 +18,8 @@
 	open        map[string]*jobRecord // jobs that are neither done nor cancelled
 	openCPUOnly int                   // open jobs without accelerators
 	openByAge   []*jobRecord          // the open jobs, oldest first
-	// openByUrgency holds the open jobs, most urgent first, as of the last sweep; added
-	// holds the jobs that were opened since then.
+	// openByUrgency holds the open jobs, most urgent first, as of the last sweep;
+	// addedSinceSweep holds the jobs that were added to the open jobs since then.
 	openByUrgency   []*jobRecord
 	addedSinceSweep []*jobRecord
 	orphanPages     map[string]orphanPage // pages that were read before their jobs, by name
@@ -88,7 +88,7 @@
 type mirroredJob struct {
 	spec          *job.Spec
 	status        job.Status
-	submittedAtMS int64  // time of submission, milliseconds since the epoch
+	submittedAtMS int64  // time of submission, milliseconds since the Unix epoch
 	owner         string // the controller that accepted the job
 	revision      uint64 // mod revision of the record
 }
@@ -201,7 +201,7 @@
 }
 
 // updateOpenIndex adds a job to the indexes of open jobs or removes it, if its status has
-// changed accordingly. When a job has become final, it stops the job's tasks.
+// changed accordingly. If the job was cancelled, its tasks that have not started are stopped.
 func (c *Core) updateOpenIndex(r *jobRecord) {
 	_, wasOpen := c.jobs.open[r.spec.ID]
 	switch {
