--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -17,8 +17,8 @@
 // not, and a few of them would keep many machines half empty. While no task is
 // queued, the services of our sparsest machines move to other machines of ours that
 // run more services, have their images and inputs, and have room; services with a zone constraint
-// stay in their zone. Only a few move at a time: one per heartbeat period, or consolidationShare of
-// the services if that is more.
+// stay in their zone. Only a few move at a time: one per heartbeat period, or consolidationShare
+// of the services if that is more.
 func (c *Core) consolidate() {
 	if c.scheduler.queuedTasks > 0 {
 		for _, m := range c.machines.own {
--- a/internal/coordination/job_queries.go
+++ b/internal/coordination/job_queries.go
@@ -67,8 +67,8 @@
 // sendStatusQueries answers the queries for which the mirror is known to be fresh. The answer to
 // a watch that was opened after a query arrived proves that at no cost. When the request budget
 // is short, queries wait for such a watch, for up to three times the least time between the
-// openings of two watches. Otherwise one transaction compares the records of a batch of queries with the mirror, and the records
-// that do not match are read.
+// openings of two watches. Otherwise one transaction compares the records of a batch of queries
+// with the mirror, and the records that do not match are read.
 func (c *Core) sendStatusQueries() {
 	v := c.queries
 	c.answerFreshQueries()
