--- a/internal/coordination/bin_packing.go
+++ b/internal/coordination/bin_packing.go
@@ -69,12 +69,12 @@
 }
 
 // addSlot adds an empty machine and returns its slot, or nil if its type is unknown.
-func (p *binPacking) addSlot(id string, where offering) *slot {
-	machineType, ok := p.types[where.machineType]
+func (p *binPacking) addSlot(id string, offer offering) *slot {
+	machineType, ok := p.types[offer.machineType]
 	if !ok {
 		return nil
 	}
-	s := &slot{id: id, offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB}
+	s := &slot{id: id, offering: offer, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB}
 	p.slots = append(p.slots, s)
 	return s
 }
@@ -109,14 +109,14 @@
 			}
 			continue
 		}
-		where, found := p.cheapestOffering(spec, tasksByZone)
+		offer, found := p.cheapestOffering(spec, tasksByZone)
 		if !found {
 			p.unplaceable += n
 			return
 		}
-		p.planMachine(where, spec)
+		p.planMachine(offer, spec)
 		if tasksByZone != nil {
-			tasksByZone[where.zone]++
+			tasksByZone[offer.zone]++
 		}
 	}
 }
@@ -139,13 +139,13 @@
 }
 
 // planMachine adds a machine that is to be rented, with one task of a job on it.
-func (p *binPacking) planMachine(where offering, spec *job.Spec) {
-	machineType := p.types[where.machineType]
-	s := &slot{offering: where, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB, planned: true}
+func (p *binPacking) planMachine(offer offering, spec *job.Spec) {
+	machineType := p.types[offer.machineType]
+	s := &slot{offering: offer, cpus: machineType.CPUs, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB, planned: true}
 	s.add(spec)
 	p.slots = append(p.slots, s)
-	p.toRent[where]++
-	p.urgent[where] = p.urgent[where] || spec.Priority == job.Production
+	p.toRent[offer]++
+	p.urgent[offer] = p.urgent[offer] || spec.Priority == job.Production
 }
 
 // cheapestOffering picks the offering to rent for a task: of those that were not refused a short
@@ -161,16 +161,16 @@
 			continue
 		}
 		perMachine := tasksPerMachine(machineType, spec)
-		for _, where := range offeringsFor(typeName, machineType, spec) {
-			if p.refused(where) || !spreadAllows(spec, tasksByZone, where.zone) {
+		for _, offer := range offeringsFor(typeName, machineType, spec) {
+			if p.refused(offer) || !spreadAllows(spec, tasksByZone, offer.zone) {
 				continue
 			}
-			cost := where.price(machineType) / perMachine
-			load := p.toRent[where] + p.machinesByZone[where.zone]
+			cost := offer.price(machineType) / perMachine
+			load := p.toRent[offer] + p.machinesByZone[offer.zone]
 			cheaper := cost < bestCost*(1-priceTolerance)
 			alike := cost < bestCost*(1+priceTolerance)
 			if !found || cheaper || alike && load < bestLoad {
-				best, bestCost, bestLoad, found = where, cost, load, true
+				best, bestCost, bestLoad, found = offer, cost, load, true
 			}
 		}
 	}
--- a/internal/coordination/bin_packing_test.go
+++ b/internal/coordination/bin_packing_test.go
@@ -104,11 +104,11 @@
 		},
 	} {
 		t.Run(v.name, func(t *testing.T) {
-			refused := func(where offering) bool { return slices.Contains(v.refused, where) }
+			refused := func(offer offering) bool { return slices.Contains(v.refused, offer) }
 			p := newBinPacking(types, refused, true)
 			maps.Copy(p.machinesByZone, v.load)
-			for _, where := range v.present {
-				p.addSlot("m", where)
+			for _, offer := range v.present {
+				p.addSlot("m", offer)
 			}
 			p.sortSlots()
 			p.packTasks(&v.spec, v.tasks, v.tasksByZone)
@@ -137,8 +137,8 @@
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			p := newBinPacking(types, func(offering) bool { return false }, false)
-			for _, where := range v.present {
-				p.addSlot("m", where)
+			for _, offer := range v.present {
+				p.addSlot("m", offer)
 			}
 			pinned := p.pinZone(spec, 2, []string{"a", "b", "c"}, v.tasksByZone)
 			if pinned.Zone != v.zone {
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	found := func() (n int) {
+	countDrained := func() (n int) {
 		for id := range hung {
 			if s.state.drainWrites[keyDrain+id] > 0 {
 				n++
@@ -35,7 +35,7 @@
 		return n
 	}
 	s.run(100*time.Second + seconds(3*s.facts.Workers.Heartbeat))
-	n := found()
+	n := countDrained()
 	t.Logf("%d of %d hung machines were drained, of %d machines in all", n, len(hung), len(c.machines.own))
 	if len(hung) < 20 || n < len(hung)*9/10 {
 		t.Errorf("%d of %d hung machines were drained within three heartbeat periods", n, len(hung))
--- a/internal/coordination/failover_completions_test.go
+++ b/internal/coordination/failover_completions_test.go
@@ -118,16 +118,16 @@
 		}
 		s.run(4 * time.Minute)
 		for _, id := range sortedKeys(s.users) {
-			on := 0
+			running := 0
 			for _, w := range s.workers {
 				for _, l := range w.tasks {
 					if l.jobID == id && l.isActive() {
-						on++
+						running++
 					}
 				}
 			}
-			if on != 2 {
-				t.Errorf("seed %d: %s: %d of 2 tasks run in the end", seed, id, on)
+			if running != 2 {
+				t.Errorf("seed %d: %s: %d of 2 tasks run in the end", seed, id, running)
 			}
 		}
 		s.reportViolations(t)
@@ -220,8 +220,8 @@
 		}
 		s.run(75 * time.Second)
 		drained := 0
-		for _, why := range s.state.drainReasons {
-			if why == drainSilent {
+		for _, reason := range s.state.drainReasons {
+			if reason == drainSilent {
 				drained++
 			}
 		}
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -128,12 +128,12 @@
 // packJobs packs the tasks of the open jobs, most urgent job first.
 func (p *fleetPlan) packJobs() {
 	c := p.core
-	uses := map[string]usage{}
+	usageByTeam := map[string]usage{}
 	for _, r := range c.jobs.openByUrgency {
 		if r.final() {
 			continue
 		}
-		n := p.tasksToPack(r, uses)
+		n := p.tasksToPack(r, usageByTeam)
 		if n == 0 {
 			continue
 		}
@@ -145,15 +145,15 @@
 	}
 }
 
-// tasksToPack returns how many tasks of a job to pack without exceeding its team's limit. uses
-// holds each team's usage including the tasks packed so far in this plan.
-func (p *fleetPlan) tasksToPack(r *jobRecord, uses map[string]usage) (n int) {
+// tasksToPack returns how many tasks of a job to pack without exceeding its team's limit.
+// usageByTeam holds each team's usage including the tasks packed so far in this plan.
+func (p *fleetPlan) tasksToPack(r *jobRecord, usageByTeam map[string]usage) (n int) {
 	c := p.core
 	team := c.jobs.teamOf(r)
 	if team == nil || c.paused(r) { // a paused job is not retried now and needs no machines
 		return 0
 	}
-	used, ok := uses[r.spec.Team]
+	used, ok := usageByTeam[r.spec.Team]
 	if !ok {
 		used = team.charged
 	}
@@ -165,7 +165,7 @@
 	for ; n < pending && team.withinLimit(used.plus(r.spec, 1)); n++ {
 		used = used.plus(r.spec, 1)
 	}
-	uses[r.spec.Team] = used
+	usageByTeam[r.spec.Team] = used
 	return n
 }
 
--- a/internal/coordination/group_failover_test.go
+++ b/internal/coordination/group_failover_test.go
@@ -96,15 +96,15 @@
 	s := newMultipliedSim(t, seed, multiple)
 	s.options.perWorkerFailover = !grouped
 	s.run(120 * time.Second)
-	ending := s.controllers[:1]
+	crashing := s.controllers[:1]
 	downtime := time.Hour
 	if all {
-		ending = s.controllers
+		crashing = s.controllers
 		downtime = 3 * time.Second
 	}
-	lost := s.workersOwnedBy(ending)
+	lost := s.workersOwnedBy(crashing)
 	before := s.faultCounts
-	for _, n := range ending {
+	for _, n := range crashing {
 		n.crash(downtime)
 	}
 	answered := s.measureAnswerTimes(lost)
@@ -280,24 +280,24 @@
 					s.after(at+time.Duration(8*i)*time.Second, func() { n.beforeGroupFailover = legacy; n.crash(2 * time.Second) })
 				}
 			}
-			end := func(at time.Duration, i int) { s.after(at, func() { s.controllers[i].crash(25 * time.Second) }) }
+			crash := func(at time.Duration, i int) { s.after(at, func() { s.controllers[i].crash(25 * time.Second) }) }
 			cut := func(at time.Duration, i int) {
 				s.after(at, func() { s.cutLink(s.controllers[i], "workers", 25*time.Second) })
 			}
-			end(40*time.Second, 0)
+			crash(40*time.Second, 0)
 			roll(70*time.Second, false)
 			cut(80*time.Second, 4)
-			end(95*time.Second, 1)
+			crash(95*time.Second, 1)
 			written := 0 // failover records written while all controllers run this version
 			s.after(112*time.Second, func() { written = s.countFailovers() })
-			end(125*time.Second, 0)
+			crash(125*time.Second, 0)
 			cut(165*time.Second, 3)
 			s.after(215*time.Second, func() { written = s.countFailovers() - written })
 			roll(220*time.Second, true)
-			end(235*time.Second, 2)
+			crash(235*time.Second, 2)
 			s.run(260 * time.Second)
 			before := s.countFailovers()
-			end(270*time.Second-s.now, 3)
+			crash(270*time.Second-s.now, 3)
 			s.run(300 * time.Second)
 			if after := s.countFailovers(); after != before || written == 0 {
 				t.Errorf("%d failovers while all ran this version, want some; %d after the rollback, want none", written, after-before)
