--- a/internal/coordination/completions.go
+++ b/internal/coordination/completions.go
@@ -310,7 +310,8 @@
 
 // foldCompletions requests a write of each page that still lacks a completion that was added to
 // the log foldAfter heartbeat periods ago or earlier. Each controller does so for the jobs that it
-// is responsible for. The leader also deletes the log's empty records.
+// is responsible for. While a peer does not read the log, completions are folded without that
+// delay. The leader also deletes the log's empty records.
 func (c *Core) foldCompletions() {
 	w := &c.writer.completions
 	if w.log.Len() == 0 || c.now < w.nextFoldAt || !c.mirrorFresh() {
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -126,8 +126,8 @@
 	return ""
 }
 
-// deferDispatch records that a task is not to be dispatched before a time, because another
-// controller has it.
+// deferDispatch records that a task is not to be dispatched before a time, because it was handed
+// off to another controller.
 func (r *jobRecord) deferDispatch(i int, until time.Duration) {
 	if r.dispatchAfter == nil {
 		r.dispatchAfter = map[int]time.Duration{}
--- a/internal/coordination/gang_reservation.go
+++ b/internal/coordination/gang_reservation.go
@@ -76,8 +76,8 @@
 	}
 	r := c.jobs.byID[c.gangs.reservation.Job]
 	ofThisIncarnation := c.gangs.reservation.Incarnation == c.incarnation
-	// Guards against a gang that finds no block at all and holds the reservation, while
-	// other gangs wait for it that need fewer machines or another zone.
+	// Guards against a gang that holds the reservation although there is no block for it,
+	// while gangs that need fewer machines or another zone wait for the reservation.
 	noBlock := r != nil && len(r.blockMachines) == 0 && c.now-c.gangs.reservedAt > c.holdTime() &&
 		c.nextWaitingGang(open, func(other *jobRecord) bool { return other != r }) != nil
 	// A gang that has found no room for a long time leaves the reservation to others.
