--- a/internal/coordination/operator_queries.go
+++ b/internal/coordination/operator_queries.go
@@ -181,7 +181,7 @@
 		do(nil)
 		return
 	}
-	decoded := func(data json.RawMessage) {
+	decodeExtra := func(data json.RawMessage) {
 		extra := &job.Extra{}
 		if protocol.Decode(data, extra) != nil {
 			c.log.Error("unreadable record", "key", keyJobExtra+s.ID)
@@ -191,7 +191,7 @@
 		do(extra)
 	}
 	if data, ok := v.extras[s.ID]; ok {
-		decoded(data)
+		decodeExtra(data)
 		return
 	}
 	c.state.ReadUnmirrored(ratelimit.OtherWork, keyJobExtra+s.ID, func(data json.RawMessage, ok bool) {
@@ -200,7 +200,7 @@
 			return
 		}
 		v.cacheExtra(s.ID, data)
-		decoded(data)
+		decodeExtra(data)
 	})
 }
 
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -49,7 +49,7 @@
 // when a zone is cut off: in the first seconds only they were overdue, and they were deleted (34
 // machines of shiftbook-akl-fleet, day zone).
 func TestZoneThatIsCutOffIsSeenAtOnce(t *testing.T) {
-	now, report := 100*time.Second, 8*time.Second
+	now, period := 100*time.Second, 8*time.Second
 	for _, c := range []struct {
 		name string
 		z    zoneHeartbeats
@@ -62,7 +62,7 @@
 		{"three machines, all quiet", zoneHeartbeats{machines: 3, overdue: 3, lastHeartbeat: now - 30*time.Second}, false},
 		{"five machines, all quiet", zoneHeartbeats{machines: 5, overdue: 5, lastHeartbeat: now - 11*time.Second}, true},
 	} {
-		if got := c.z.unreachable(now, report); got != c.cut {
+		if got := c.z.unreachable(now, period); got != c.cut {
 			t.Errorf("%s: the zone counts as unreachable: %v", c.name, got)
 		}
 	}
--- a/internal/coordination/release_evidence_test.go
+++ b/internal/coordination/release_evidence_test.go
@@ -13,7 +13,7 @@
 // carbura-iasi: its release was proposed under one claim and committed under the next claim of the
 // same controller, although a peer had answered the worker between the two claims.
 func TestEvidenceDoesNotOutliveItsClaim(t *testing.T) {
-	for _, again := range []bool{false, true} {
+	for _, claimRenewed := range []bool{false, true} {
 		s := newSim(t, 53, 0)
 		s.submit(&job.Spec{ID: "wk-700000", Class: "svc", Team: "blue", Shape: job.Service, Tasks: 1, Priority: job.Production,
 			CPUs: 1, GPUs: 1, MemoryGB: 1}, 0, 0)
@@ -28,7 +28,7 @@
 					task := *r.task(c, k.index)
 					c.beginStep(n.clock())
 					c.propose(r, k.index, taskTransition{machine: m.id, epoch: task.Epoch, attempt: task.Attempt, proof: fencing.LeaseExpired})
-					if again {
+					if claimRenewed {
 						c.applyChange(keyClaim+m.id, encode(m.claim), c.state.AppliedRevision()+1)
 					}
 					c.flush()
@@ -38,8 +38,8 @@
 							sent++
 						}
 					}
-					if (sent == 0) != again {
-						t.Errorf("claim renewed: %v, %d releases were sent", again, sent)
+					if (sent == 0) != claimRenewed {
+						t.Errorf("claim renewed: %v, %d releases were sent", claimRenewed, sent)
 					}
 				}
 			}
--- a/internal/coordination/scripted_core_test.go
+++ b/internal/coordination/scripted_core_test.go
@@ -103,7 +103,7 @@
 
 // driveToOwnedMachine drives the core to a state in which it owns machine i-000001, which has shown
 // its fencing token, 120, and in which a watch has been answered with the given events.
-func (s *script) driveToOwnedMachine(news ...protocol.WatchEvent) {
+func (s *script) driveToOwnedMachine(events ...protocol.WatchEvent) {
 	s.t.Helper()
 	s.advance(100 * time.Millisecond)
 	s.reply(protocol.PathKeys+"?", "", 200, protocol.KeyValuePage{Revision: 100, KeyValues: []protocol.KeyValue{
@@ -113,7 +113,7 @@
 	s.reply(protocol.PathTxn, keyClaim, 200, protocol.TxnResult{Revision: 120})
 	s.now += 500 * time.Millisecond
 	s.sendHeartbeat(120, 2)
-	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 130, Events: news})
+	s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: 130, Events: events})
 }
 
 // countPageWrites counts the open transactions that write the job's page, and so record the end of its task.
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -263,9 +263,9 @@
 	return true
 }
 
-// claimWritten is called for each record that is written. If a claim gives a machine another owner, its heartbeats
+// recordWritten is called for each record that is written. If a claim gives a machine another owner, its heartbeats
 // that were held back or copied are delivered, and users may cancel jobs.
-func (s *sim) claimWritten(key string, data json.RawMessage) {
+func (s *sim) recordWritten(key string, data json.RawMessage) {
 	if data == nil {
 		return
 	}
--- a/internal/coordination/sim_state_test.go
+++ b/internal/coordination/sim_state_test.go
@@ -34,7 +34,7 @@
 	ignoresCompares    bool              // a defect: transactions are carried out even if a comparison fails
 	eventHistory       int               // number of events that a watch can go back
 	pageSize           int               // in keys
-	readTokens         float64           // left in the token bucket of the rate limit on requests
+	requestTokens      float64           // left in the token bucket of the rate limit on requests
 	writeTokens        float64           // the same, of the limit on writes
 	refilledAt         time.Duration
 	throttled          int // requests that exceeded the rate limits
@@ -46,13 +46,13 @@
 	elapsed := (k.s.now - k.refilledAt).Seconds()
 	k.refilledAt = k.s.now
 	limits := &k.s.facts.State
-	k.readTokens = min(limits.RPS, k.readTokens+elapsed*limits.RPS)
+	k.requestTokens = min(limits.RPS, k.requestTokens+elapsed*limits.RPS)
 	k.writeTokens = min(limits.WriteRPS, k.writeTokens+elapsed*limits.WriteRPS)
-	if k.readTokens < 1 || k.writeTokens < float64(ops) {
+	if k.requestTokens < 1 || k.writeTokens < float64(ops) {
 		k.throttled++
 		return true
 	}
-	k.readTokens, k.writeTokens = k.readTokens-1, k.writeTokens-float64(ops)
+	k.requestTokens, k.writeTokens = k.requestTokens-1, k.writeTokens-float64(ops)
 	return false
 }
 
@@ -124,7 +124,7 @@
 		_ = json.Unmarshal(data, &drain)
 		k.drainReasons[key] = drain.Reason
 	}
-	k.s.claimWritten(key, data)
+	k.s.recordWritten(key, data)
 	if data == nil {
 		delete(k.keys, key)
 		k.events = append(k.events, protocol.WatchEvent{Delete: key, ModRevision: revision})
--- a/internal/coordination/stale_launch_test.go
+++ b/internal/coordination/stale_launch_test.go
@@ -25,7 +25,7 @@
 	for _, v := range []struct {
 		name     string
 		revision uint64 // the revision that the watch reaches
-		news     []protocol.WatchEvent
+		events   []protocol.WatchEvent
 		launches int // launches that should be sent
 	}{
 		{"a watch answered late", 110, []protocol.WatchEvent{page(105, here)}, 0},
@@ -53,7 +53,7 @@
 			if a := s.sendHeartbeat(120, 2); a.FencingToken != 120 || len(a.Commands) > 0 {
 				t.Fatalf("the heartbeat that shows the token was answered with %+v", a)
 			}
-			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: v.revision, Events: v.news})
+			s.reply(protocol.PathWatch, "", 200, protocol.WatchResult{Revision: v.revision, Events: v.events})
 			if n := s.countLaunches(); n != v.launches {
 				t.Errorf("%d launches were sent, want %d", n, v.launches)
 			}
--- a/internal/coordination/startup_test.go
+++ b/internal/coordination/startup_test.go
@@ -119,11 +119,11 @@
 			served = request(http.MethodGet, protocol.PathJobs+"/wk-000001", nil) == http.StatusOK // a job that is over
 		}
 		if healthy && !answered {
-			reply := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
+			heartbeat := protocol.Heartbeat{Worker: "i-000000", Address: "10.1.0.0:9000", MachineType: "large", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 9, FencingToken: 5}
 			for i := range 8 {
-				reply.Tasks = append(reply.Tasks, protocol.TaskStatus{Task: job.TaskName("wk-000000", i), Attempt: 1, Status: protocol.TaskRunning})
+				heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: job.TaskName("wk-000000", i), Attempt: 1, Status: protocol.TaskRunning})
 			}
-			answered = request(http.MethodPost, protocol.PathHeartbeat, encode(reply)) == http.StatusOK
+			answered = request(http.MethodPost, protocol.PathHeartbeat, encode(heartbeat)) == http.StatusOK
 		}
 		if healthy && served && answered {
 			return requests, total, longest
