--- a/internal/coordination/launches.go
+++ b/internal/coordination/launches.go
@@ -69,8 +69,9 @@
 //
 // Guards against late execution: a worker may execute a direct command minutes after this
 // controller gave up on it, as long as token and agent epoch match. Until the reply arrives,
-// the attempt is neither forgotten nor released because a heartbeat does not list it. Without a
-// reply, the machine's launches are in doubt, and its next heartbeat gets a new token.
+// the worker is not told to forget the attempt, and a heartbeat that does not list the attempt is
+// no reason to release it. If no reply arrives, the machine's launches are in doubt, and its next
+// heartbeat is answered with a new token.
 func (c *Core) sendLaunchCall(m *machine, attempts []taskAttempt) {
 	var commands []protocol.Command
 	for _, attempt := range attempts {
@@ -124,7 +125,7 @@
 	}
 }
 
-// queueDeferredLaunches queues deferred launches once the mirror is complete. Otherwise they would
+// queueDeferredLaunches queues deferred launches once the mirror is complete, so that they need not
 // wait for the worker's next heartbeat.
 func (c *Core) queueDeferredLaunches(m *machine) {
 	if len(m.deferredLaunches) == 0 || !c.mirrorComplete(m) {
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -11,8 +11,8 @@
 	"silvergate/internal/stateclient"
 )
 
-// member is the record that a controller publishes about itself under its lease. Other controllers
-// choose the controller for a task by the length of its idle list.
+// member is the record that a controller publishes about itself under its lease. Its peers hand tasks
+// off to it by the published numbers of idle machines and machines, see pickPeer.
 type member struct {
 	Incarnation  int64 `json:"l"`
 	IdleMachines int   `json:"i"`
@@ -54,7 +54,7 @@
 	}
 }
 
-// recordLease stores a lease that was requested at askedAt, from when its lifetime counts.
+// recordLease stores a lease that was requested at askedAt. Its lifetime counts from that time.
 func (s *membership) recordLease(lease uint64, askedAt time.Duration) {
 	s.lease = lease
 	s.leaseRenewedAt = askedAt
--- a/internal/coordination/outage_scenario_test.go
+++ b/internal/coordination/outage_scenario_test.go
@@ -55,11 +55,12 @@
 type outcome struct {
 	confirmed     int
 	longestActive time.Duration // longest time from a confirmation to the end of the job's last task
-	leaseKills    int           // tasks killed by leases, of those on healthy machines of the refused controller whose jobs nobody cancelled
-	survivors     int           // tasks still active at the end, of those on machines of the refused controller whose jobs nobody cancelled
+	leaseKills    int           // tasks killed by lease expiry on healthy machines of the refused controller, although nobody cancelled their jobs
+	survivors     int           // tasks still active at the end on machines of the refused controller, in jobs that nobody cancelled
 }
 
-// newOutageSim returns a simulation without random faults, in which the controllers' clocks drift as far as the protocol allows.
+// newOutageSim returns a simulation without random faults, in which each controller's clock drifts at a random rate within the
+// protocol's limit.
 func newOutageSim(t testing.TB, seed uint64, m outageScenario) *sim {
 	s := newSim(t, seed, 0)
 	for i := 3; i < m.controllers; i++ {
--- a/internal/coordination/page.go
+++ b/internal/coordination/page.go
@@ -25,7 +25,7 @@
 	pending       int        // pending tasks
 	done          int        // number of finished tasks, set when tasks is dropped
 	queue         []taskTransition
-	queuedSince   time.Duration // when the first transition of the queue was proposed
+	queuedSince   time.Duration // when its first transition was queued or, later, when addPage last took transitions from the queue
 	inFlight      bool          // a transaction that writes it has not been answered
 	retryAt       time.Duration // it is not written before this time
 	foldRequested bool          // it is to be written in order to include completions from the log
@@ -67,9 +67,9 @@
 // taskKey returns the key of a task of the page.
 func (p *page) taskKey(index int) taskKey { return taskKey{job: p.jobID, index: p.firstTask + index} }
 
-// reallocateTasks prepares a page whose tasks were dropped for being read again. Guards
-// against a final job status that is read before the watch reports it: the watch then still
-// has to deliver placements that were committed earlier.
+// reallocateTasks allocates the tasks of a page again if they were dropped, so that its record can
+// be applied. Guards against a final job status that is read before the watch reports it: the
+// watch then still has to deliver placements that were committed earlier.
 func (p *page) reallocateTasks() {
 	if p.tasks != nil {
 		return
@@ -138,8 +138,8 @@
 
 // applyTaskChanges applies the changed tasks of a page to the mirror and its indexes.
 func (c *Core) applyTaskChanges(p *page, changes []pagecodec.Change) {
-	// The watch delivers every change of a page, so a new binding is of this revision. A rescan
-	// reads the latest records only.
+	// The watch delivers every change of a page, so a new binding was made at this revision. A rescan
+	// reads only the latest records, so the binding may be older and its revision is unknown.
 	boundRevision := p.revision
 	if c.state.Rescanning() {
 		boundRevision = 0
--- a/internal/coordination/page_draft.go
+++ b/internal/coordination/page_draft.go
@@ -175,7 +175,7 @@
 }
 
 // yieldsToUrgentWork reports whether a placement has to leave its capacity to production work
-// that was queued here after the placement was chosen.
+// that is queued here.
 //
 // Guards against less urgent work that starts first because its machine was chosen earlier:
 // under heavy load its commit may wait for seconds, and urgent work cannot preempt capacity
--- a/internal/coordination/page_writer.go
+++ b/internal/coordination/page_writer.go
@@ -75,8 +75,8 @@
 
 // flush sends transactions for pages that have changes and no transaction in flight, as
 // long as the rate limit allows. A transaction is built only when it can be sent: it then
-// includes the changes proposed meanwhile, and is conditional on the latest mirror. This
-// controller has at most one transaction in flight that writes a team's record.
+// includes the changes proposed meanwhile, and is conditional on the latest mirror. For each
+// team, this controller has at most one transaction in flight that writes the team's record.
 func (c *Core) flush() {
 	c.flushCompletions()
 	w := &c.writer
--- a/internal/coordination/peer_messages.go
+++ b/internal/coordination/peer_messages.go
@@ -108,7 +108,8 @@
 }
 
 // handleForwarded handles a message that a peer forwarded to us, or forwards one to another
-// peer. It forwards a message only if it comes straight from its sender, so it makes one hop.
+// peer. It forwards a message only on behalf of the peer that it came from, so that no message
+// passes through more than one intermediary.
 func (c *Core) handleForwarded(from string, message *peer.ForwardedMessage) {
 	if message.To != c.cfg.Node {
 		if message.From == from {
@@ -167,7 +168,8 @@
 	}
 }
 
-// recordCancellation records that a peer has named a job as cancelled, and stops the job's tasks.
+// recordCancellation records that a peer has named a job as cancelled, and stops those of the job's
+// tasks that are not known to have started.
 func (c *Core) recordCancellation(id string) {
 	record := c.jobs.byID[id]
 	if record == nil {
@@ -181,6 +183,6 @@
 	c.stopUnstartedTasks(record)
 }
 
-// cancellationProof returns the latest time as of which it is proven that no cancellation was
-// acknowledged to a user without this controller knowing of it.
+// cancellationProof returns the latest time for which it is proven that this controller knows all
+// cancellations that had been acknowledged to users by then.
 func (c *Core) cancellationProof() time.Duration { return c.links.CancellationProof(c.state.FreshAt()) }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -45,8 +45,9 @@
 // preemptedForQuota is the reason for stopping a task whose team's limit is saved for a gang.
 const preemptedForQuota = "preempted for its team's limit"
 
-// preemptForQuota stops one task of a team whose limit is saved for a gang: of the tasks of
-// lower priority than the gang, the one that loses least work. It stops only one at a time,
+// preemptForQuota stops one task of a team whose limit is saved for a gang (see
+// saveQuotaForGangs): of the tasks of lower priority than the gang, the one that loses the least
+// work. It stops only one at a time,
 // because every controller does so and learns only from the records what the others have
 // stopped.
 func (c *Core) preemptForQuota(team *team) {
@@ -98,8 +99,9 @@
 // preemptedGang is the reason for stopping a task of a gang, which ends the whole gang.
 const preemptedGang = "preempted with its gang"
 
-// preemptOn stops tasks on a machine to make room for a queued task. Their ends are reported at
-// once; if that fails, another machine is tried after a heartbeat period.
+// preemptOn stops tasks on a machine to make room for a queued task. The worker reports the ends of
+// the stopped tasks at once. If the queued task still has no room after a heartbeat period, another
+// machine is tried.
 func (c *Core) preemptOn(r *jobRecord, queued *queuedTask, m *machine, victims []taskKey) {
 	queued.nextPreemptionAt = c.now + seconds(c.cfg.Facts.Workers.Heartbeat)
 	m.reserveRoom(r.spec.ID, queued.nextPreemptionAt, "")
--- a/internal/coordination/priority_test.go
+++ b/internal/coordination/priority_test.go
@@ -107,7 +107,7 @@
 // that would fit production work that is waiting. To show that the checker can fail, the test also submits production jobs
 // to the controllers as jobs of low priority: the checker must then report a violation.
 func TestUrgentWorkGoesFirst(t *testing.T) {
-	// day plays on the t of the whole test, not that of a subtest: digest lines name days by it.
+	// day uses the t of the whole test, not that of a subtest: the lines with the days' digests begin with its name.
 	day := func(seed uint64, productionAsLow bool) *sim { return simulateScarceDay(t, seed, productionAsLow) }
 	days := uint64(8)
 	if v, err := strconv.Atoi(os.Getenv("SIM_DAYS")); err == nil {
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// cutBusiestAndCancelAll cuts off the controller whose workers have the most tasks from the state service and its
-// peers, but not from its workers, and has every user cancel after 3 s.
+// cutBusiestAndCancelAll finds the controller whose workers have the most tasks and cuts its links to the state service
+// and to its peers, but not those to its workers. 3 s later every user cancels.
 func (s *sim) cutBusiestAndCancelAll() {
 	var busiest *simController
 	most := -1
--- a/internal/coordination/record_formats.go
+++ b/internal/coordination/record_formats.go
@@ -9,8 +9,8 @@
 	latestFormat        = completionLogFormat
 )
 
-// allPeersRead reports whether all peers are known to read a format. A peer is known to once this
-// process has seen a member record of the peer that says so.
+// allPeersRead reports whether all peers are known to read a format. A peer is known to read it if
+// the last member record of the peer that this process has seen names this format or a later one.
 func (c *Core) allPeersRead(format int) bool {
 	for _, p := range c.cfg.Peers {
 		if c.membership.formats[p.Node] < format {
--- a/internal/coordination/recording.go
+++ b/internal/coordination/recording.go
@@ -115,7 +115,7 @@
 }
 
 // Replay passes a recorded input to a core. same reports whether the effects match the recorded
-// digest, or the input has none. An input that can't be decoded is an error.
+// digest; it is also true if the input has no digest. An input that can't be decoded is an error.
 func (c *Core) Replay(in *recorder.Input) (e Effects, same bool, err error) {
 	at := Timestamp{in.Steady, time.Unix(0, in.Wall)}
 	switch in.Kind {
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -126,7 +126,7 @@
 	}
 	// A worker that comes here because its controller did not answer, or that runs urgent work,
 	// is redirected only to a peer that is known to hear its zone, or to its own controller if
-	// that has restarted since.
+	// that has restarted since. This does not apply to peers of a version that can't relay calls.
 	needsProof := m.token != 0 && !c.isOwn(m) || m.urgent()
 	if !needsProof || !peer.Relays || c.isRestartedOwner(name, m) {
 		return true
@@ -185,9 +185,10 @@
 
 // redirectTargetWhileCutOff returns the peer that a worker is redirected to while we can't reach
 // the state service, either directly or through a peer, or "" if there is none. It prefers a peer
-// whose recent heartbeat shows that it can serve the worker. If there is none, and no peer relays
-// for us, it returns a peer that could serve the worker when it was last heard. Workers with
-// urgent work are redirected so first, so that they are claimed there while we may still answer.
+// whose recent heartbeat shows that it can serve the worker. If there is none, it returns a peer
+// that could serve the worker when it was last heard, if that was within leaseExpiry. While we may
+// still answer the worker, the second choice is made for urgent work first, see ShouldRedirect, so
+// that peers claim these workers first.
 func (c *Core) redirectTargetWhileCutOff(heartbeat *protocol.Heartbeat) string {
 	period := seconds(c.cfg.Facts.Workers.Heartbeat)
 	cutOffFor := c.now - c.state.FreshAt() - period
@@ -262,7 +263,7 @@
 // fenceLaunchesOfFinalJobs requires a new token for a worker's next answer while a direct launch
 // for a job in a final state may still be executed on it. Until the call times out, nothing else
 // shows that the launch is late, and an answer under the old token would allow the worker to start
-// the cancelled task for another lease. A launch of an attempt that the worker already lists has
+// the cancelled task and run it for the length of another lease. A launch of an attempt that the worker already lists has
 // arrived, and executing it again does nothing.
 func (c *Core) fenceLaunchesOfFinalJobs(m *machine, heartbeat *protocol.Heartbeat) {
 	if !c.isOwn(m) || m.launchInDoubt {
@@ -291,14 +292,15 @@
 //
 // Guards against two faults. A worker that lost a single answer in an outage let its lease expire
 // while it tried the other controllers, each of which refused its claim only after 3 s. And
-// machines that receive no answers for so long that their leases expire tried every controller,
+// machines that received no answers for so long that their leases expired tried every controller,
 // and each controller wrote a claim.
 //
-// A worker is redirected so at most once per lease. An owner that may no longer answer refuses it
-// at once, and waiting here until the claim is refused keeps the workers of a whole site from
-// moving back and forth. A worker that comes back within the lease was not answered by its owner:
-// when it was redirected each time, it spent its whole lease between a controller whose link to
-// the state service flapped and one that could not hear its zone.
+// A worker is redirected to its owner at most once per lease. An owner that may no longer answer
+// refuses the worker at once. When the worker then comes back, it waits here until its claim is
+// refused, so that the workers of a whole site do not move back and forth. A worker that comes back
+// within the lease was not answered by its owner: when such a worker was redirected each time, it
+// spent its whole lease between a controller whose link to the state service flapped and one that
+// could not hear its zone.
 func (c *Core) shouldRedirectToOwner(m *machine, heartbeat *protocol.Heartbeat) bool {
 	if m.token == 0 || c.isOwn(m) || !c.links.OwnerReachable(m.claim.Owner) {
 		return false
--- a/internal/coordination/rules_checker_test.go
+++ b/internal/coordination/rules_checker_test.go
@@ -245,9 +245,9 @@
 	}
 }
 
-// countDeletionInUse counts the tasks that are on a machine at its deletion and were not given up: the machine was not
-// drained as silent, failed, faulty or preempted, the job is not over, and a controller still binds the attempt to
-// the machine.
+// countDeletionInUse counts the tasks that are on a machine at its deletion and were not given up: the machine is up,
+// does not hang and was not drained as silent, failed, faulty or preempted, the job is neither over nor being
+// cancelled, and a controller still binds the attempt to the machine.
 func (s *sim) countDeletionInUse(w *simWorker) {
 	switch s.state.drainReasons[keyDrain+w.name] {
 	case "", drainIdle, drainStray, drainLost:
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -240,8 +240,9 @@
 		ignoreOutcome)
 }
 
-// settleRental deletes an answered rental's record once each of its machines has sent a heartbeat
-// or been deleted. Machines past their startup deadline are marked for draining as strays.
+// settleRental deletes an answered rental's record once each of its machines has been claimed or its
+// deletion has been requested. Machines that are not claimed by their startup deadline are marked for
+// draining as strays.
 func (c *Core) settleRental(name string, r *rental) {
 	machineType := c.catalogue.types[r.MachineType]
 	if machineType == nil {
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -105,8 +105,9 @@
 	return machineType.CPUs-m.cpus > tolerance && machineType.MemoryGB-m.memoryGB > tolerance
 }
 
-// requeueTask immediately places a task that was stopped or lost on another machine of this
-// controller. If none fits, the controller responsible for its job dispatches the task.
+// requeueTask is called when a task was stopped or lost, and at once places the task on an idle
+// machine of this controller. If none fits, the controller responsible for the task's job
+// dispatches the task.
 func (c *Core) requeueTask(r *jobRecord, index int) {
 	if isGang(r) || !c.placeable(r, index) {
 		return
--- a/internal/coordination/sim_controller_test.go
+++ b/internal/coordination/sim_controller_test.go
@@ -295,7 +295,7 @@
 	}
 }
 
-// serveAndReply has a call carried out and delivers the reply after the same delay as that of a request.
+// serveAndReply has a call carried out and delivers the reply after a random delay of 1 to 5 ms.
 func (n *simController) serveAndReply(call protocol.Call, reply func(status int, body []byte)) {
 	n.serve(call, func(status int, body []byte) {
 		n.s.after(n.s.randomMillis(1, 5), func() { reply(status, body) })
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -71,7 +71,7 @@
 	requestsAtEnd       int            // jobs whose users sent requests at the moment of their end
 	invalidRequests     int
 	lateStarts          int // starts of tasks after the cancellation of their job was confirmed to the user
-	deletedInUse        int // tasks on machines at their deletion that nobody had given up; see countDeletionInUse
+	deletedInUse        int // tasks that were not given up when their machine was deleted; see countDeletionInUse
 }
 
 // controllerFaults are the faults of one controller and its links.
@@ -263,8 +263,8 @@
 	return true
 }
 
-// recordWritten is called for each record that is written. If a claim gives a machine another owner, its heartbeats
-// that were held back or copied are delivered, and users may cancel jobs.
+// recordWritten is called for each record that is written or deleted. If a claim or a failover gives a machine another
+// owner, it has ownerChanged deliver the machine's late heartbeats and cancel jobs.
 func (s *sim) recordWritten(key string, data json.RawMessage) {
 	if data == nil {
 		return
--- a/internal/coordination/sim_test.go
+++ b/internal/coordination/sim_test.go
@@ -162,9 +162,9 @@
 	}
 }
 
-// finish runs the day until the given time, starts the controllers that are down, cancels all services and runs
-// six more minutes without message loss. It fails the test if a job has not ended by then: safety without progress
-// is not enough.
+// finish turns random message loss off, runs the day until the given time, starts the controllers that are down, cancels
+// all services and runs six more minutes. It fails the test if a job has not ended by then: safety without progress is
+// not enough.
 func (s *sim) finish(t *testing.T, until time.Duration) {
 	t.Helper()
 	s.faults.messageLoss = 0
--- a/internal/coordination/staging_announcements.go
+++ b/internal/coordination/staging_announcements.go
@@ -73,9 +73,9 @@
 		})
 }
 
-// announcementMet reports whether the announced work has arrived: the team's tasks that read the
-// version at the announced priority or above, placed or finished, are as many as the machines
-// announced.
+// announcementMet reports whether the announced work has arrived: of the team's tasks that read the
+// version and have at least the announced priority, at least as many are placed or finished as
+// machines were announced.
 func (d *stagingCoordinator) announcementMet(a *announcement) bool {
 	placed, name := 0, dataSetName(a.Set, a.Version)
 	for _, r := range d.core.jobs.byID {
@@ -108,8 +108,8 @@
 	}
 }
 
-// endAnnouncement deletes an announcement's record if this controller is a live member and leads the
-// fleet, unless a deletion is in flight.
+// endAnnouncement deletes an announcement's record if this controller leads the fleet, unless a
+// deletion is in flight.
 func (d *stagingCoordinator) endAnnouncement(name string, a *announcement) {
 	c := d.core
 	if a.deletionInFlight || c.responsibleController(c.cfg.Node) != c.cfg.Node || !c.isLeader() {
--- a/internal/coordination/unshipped.go
+++ b/internal/coordination/unshipped.go
@@ -20,17 +20,17 @@
 // placed on it in the meantime.
 //
 // A machine announces unshipped output in its heartbeats to its own controller. That controller
-// announces the machine in its peer heartbeats to the leader, which deletes machines. If a peer
-// heartbeat is lost, at most the output is lost that the machine's agent can't ship in the seconds
-// that it has when the machine is switched off.
+// announces the machine in its peer heartbeats to the leader, which deletes machines. A lost peer
+// heartbeat costs at most the output that the machine's agent can't ship in the seconds before the
+// machine is switched off.
 type unshippedOutput struct {
 	core  *Core
 	own   map[string]bool               // machines of this controller whose last heartbeat announced unshipped output
 	known map[string]outputAnnouncement // all machines with an announcement, also of other controllers
 }
 
-// outputAnnouncement is since when a machine has had unshipped output, and when that was last
-// announced.
+// outputAnnouncement records since when a machine has had unshipped output, and when the machine was
+// last announced.
 type outputAnnouncement struct{ since, announcedAt time.Duration }
 
 // newUnshippedOutput returns an empty table.
@@ -90,7 +90,7 @@
 }
 
 // mustKeep reports whether a machine without work must be kept because of its unshipped output.
-// Once the deadline has passed, the machine need not be kept, which the controller logs.
+// Once the deadline has passed, the machine need not be kept any longer, and mustKeep logs this.
 func (u *unshippedOutput) mustKeep(id string) bool {
 	archive := u.core.cfg.Operator.Archive
 	entry, known := u.known[id]
--- a/internal/coordination/zone_view.go
+++ b/internal/coordination/zone_view.go
@@ -18,8 +18,9 @@
 // their silence that the zone is unreachable.
 const minMachinesInLostZone = 4
 
-// updateZoneView sets the zone view of a controller, node. A zone is unreachable if none of
-// enough machines there has sent a heartbeat within the timeout.
+// updateZoneView sets the zone view of a controller, node. A zone is unreachable if the controller
+// owns at least minMachinesInLostZone machines there and none of them has sent a heartbeat within
+// the timeout.
 func (f *fleetScaler) updateZoneView(node string, now time.Duration, zones map[string]*zoneHeartbeats,
 	unresponsive []string, timeout time.Duration) {
 	v := zoneView{at: now, unresponsive: unresponsive}
