--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -204,7 +204,8 @@
 }
 
 // addUsage adds the resources of a number of tasks of a job, or subtracts them if the number is
-// negative. The service share counts accelerators, or processors for services without any.
+// negative. The service share counts accelerators; for a service without any, each processor counts
+// as a thousandth of one.
 func (m *machine) addUsage(spec *job.Spec, tasks float64) {
 	m.cpus += tasks * spec.CPUs
 	m.gpus += tasks * spec.GPUs
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -18,8 +18,9 @@
 	nextPreemptionAt time.Duration // tasks were stopped to make room for it: no further preemption before this time
 }
 
-// enqueue puts each task into the queue of a random machine of ours that could hold it. A task
-// from a peer stays there until expiresAt; for a task of our own jobs expiresAt is 0.
+// enqueue puts each task into the queue of a random machine of ours that could hold it. If there is
+// no such machine, tasks of our own jobs are queued without a machine, and tasks from a peer are
+// dropped. A task from a peer stays queued until expiresAt, which is 0 for tasks of our own jobs.
 func (c *Core) enqueue(r *jobRecord, tasks []int, expiresAt time.Duration) {
 	if len(tasks) == 0 {
 		return
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -56,7 +56,8 @@
 }
 
 // deleteMachines deletes drained machines and those that the cloud lists as failed. Machines drained
-// as silent, stray, lost or failed are deleted at once, the others once nothing is bound to them.
+// as silent, stray, lost or failed and unclaimed ones are deleted at once, the others once nothing is
+// bound to them.
 // The cloud's 200 response is the evidence that whatever ran on them has ended.
 //
 // Deletions are fenced: the leader requests the deletion only of machines that the cloud lists as
