--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -96,7 +96,7 @@
 func (c *Core) pickIdleMachine(r *jobRecord) *machine {
 	var pick *machine
 	var bestRank placementRank
-	n, seen := 0, 0
+	ties, seen := 0, 0
 	if len(c.scheduler.idle) == 0 {
 		return nil
 	}
@@ -110,13 +110,13 @@
 		seen++
 		rank := c.rankMachine(r, m)
 		switch {
-		case n == 0 || rank.before(bestRank):
-			bestRank, n = rank, 0
+		case ties == 0 || rank.before(bestRank):
+			bestRank, ties = rank, 0
 		case bestRank.before(rank):
 			continue
 		}
-		n++
-		if c.random.IntN(n) == 0 {
+		ties++
+		if c.random.IntN(ties) == 0 {
 			pick = m
 		}
 	}
--- a/internal/coordination/startup_test.go
+++ b/internal/coordination/startup_test.go
@@ -26,20 +26,20 @@
 	for i := range machines {
 		data[fmt.Sprintf("%si-%06d", keyClaim, i)] = encode(claimRecord{owner, 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), "large", []string{"a", "b"}[i%2], i%2 == 0, 1})
 	}
-	const each = 25
-	for j := range machines * 8 / each * 2 {
-		sp := &job.Spec{ID: fmt.Sprintf("wk-%06d", j), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Low, Tasks: each, CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 4, Spot: true}
+	const tasksPerJob = 25
+	for j := range machines * 8 / tasksPerJob * 2 {
+		sp := &job.Spec{ID: fmt.Sprintf("wk-%06d", j), Class: "arr", Team: "blue", Shape: job.Array, Priority: job.Low, Tasks: tasksPerJob, CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 4, Spot: true}
 		if j%5 == 0 {
 			sp.Class, sp.Shape, sp.Priority = "svc", job.Service, job.Production
 		}
 		rec := storedJob{sp, job.Open, 1_700_000_000_000 + int64(j), owner}
-		tasks := make([]job.Task, each)
+		tasks := make([]job.Task, tasksPerJob)
 		for i := range tasks {
 			if j%2 == 1 {
 				rec.Status = job.Done
 				tasks[i] = job.Task{Phase: job.Finished, Attempt: 1}
 			} else {
-				tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: fmt.Sprintf("i-%06d", (j/2*each+i)/8), Epoch: 1}
+				tasks[i] = job.Task{Phase: job.Bound, Attempt: 1, Machine: fmt.Sprintf("i-%06d", (j/2*tasksPerJob+i)/8), Epoch: 1}
 			}
 		}
 		data[keyJob+sp.ID], data[pageKey(sp.ID, 0)] = encode(rec), writePage(tasks)
