--- a/internal/dataset/manifest.go
+++ b/internal/dataset/manifest.go
@@ -177,11 +177,11 @@
 	if err := json.Unmarshal(raw, m); err != nil {
 		return nil, fmt.Errorf("manifest: %w", err)
 	}
-	again, err := m.Encode()
+	canonical, err := m.Encode()
 	if err != nil {
 		return nil, fmt.Errorf("manifest: %w", err)
 	}
-	if !bytes.Equal(again, raw) {
+	if !bytes.Equal(canonical, raw) {
 		return nil, errors.New("manifest: not in canonical form")
 	}
 	return m, nil
--- a/internal/datastore/evict.go
+++ b/internal/datastore/evict.go
@@ -12,7 +12,7 @@
 
 // trash removes a copy's folder below where: it first moves the folder into the trash
 // folder by one rename, so that a crash leaves no partly removed copy.
-func (s *Store) trash(where string, id dataset.ID) error {
+func (s *Store) trash(folder string, id dataset.ID) error {
 	trash := filepath.Join(s.cfg.Dir, trashDir)
 	if err := os.MkdirAll(trash, 0o700); err != nil {
 		return err
@@ -21,10 +21,10 @@
 	if err != nil {
 		return err
 	}
-	if err := os.Rename(filepath.Join(s.cfg.Dir, where, string(id)), filepath.Join(to, "x")); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Rename(filepath.Join(s.cfg.Dir, folder, string(id)), filepath.Join(to, "x")); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	if where == copiesDir {
+	if folder == copiesDir {
 		_ = os.Remove(s.manifestPath(id))
 	}
 	return os.RemoveAll(to)
--- a/internal/datastore/fetch.go
+++ b/internal/datastore/fetch.go
@@ -372,9 +372,9 @@
 				go s.fetchChunk(ctx, t, chunk, from, results)
 			}
 		}
-		hopeless := f.plan.exhausted()
+		exhausted := f.plan.exhausted()
 		s.mu.Unlock()
-		if hopeless {
+		if exhausted {
 			return fmt.Errorf("no source has all chunks of version %s of data set %s", f.want.Version, f.want.Set)
 		}
 		timer := time.NewTimer(wait)
@@ -389,9 +389,9 @@
 				return r.err
 			}
 			s.mu.Lock()
-			whole := f.plan.finishRequest(r.chunk, r.from, r.outcome)
+			complete := f.plan.finishRequest(r.chunk, r.from, r.outcome)
 			s.mu.Unlock()
-			if whole {
+			if complete {
 				timer.Stop()
 				return nil
 			}
--- a/internal/datastore/golden_test.go
+++ b/internal/datastore/golden_test.go
@@ -123,7 +123,7 @@
 	whole, _ := goldenWant(t, "1")
 	dir := t.TempDir()
 	fetchFromGoldenServer(t, openStore(t, dir), whole)
-	of := func(root string) map[string]string {
+	filesUnder := func(root string) map[string]string {
 		files := map[string]string{}
 		err := fs.WalkDir(os.DirFS(root), ".", func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.Contains(path, string(whole.ID)) {
@@ -138,7 +138,7 @@
 		}
 		return files
 	}
-	if got, want := of(dir), of(goldenStore); !reflect.DeepEqual(got, want) || len(want) != 3 {
+	if got, want := filesUnder(dir), filesUnder(goldenStore); !reflect.DeepEqual(got, want) || len(want) != 3 {
 		t.Errorf("the store wrote\n%q, not\n%q", got, want)
 	}
 }
--- a/internal/datastore/held.go
+++ b/internal/datastore/held.go
@@ -92,10 +92,10 @@
 
 // modTimes returns the modification times of a copy's files. It returns an error unless
 // all files exist and have the sizes of the manifest.
-func (s *Store) modTimes(where string, id dataset.ID, m *dataset.Manifest) ([]time.Time, error) {
+func (s *Store) modTimes(folder string, id dataset.ID, m *dataset.Manifest) ([]time.Time, error) {
 	var out []time.Time
 	for i := range m.Files {
-		info, err := os.Stat(s.filePath(where, id, &m.Files[i]))
+		info, err := os.Stat(s.filePath(folder, id, &m.Files[i]))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/datastore/plan.go
+++ b/internal/datastore/plan.go
@@ -187,10 +187,10 @@
 
 // preferred reports whether the first source is better than the second for a chunk.
 // tried and tried2 are their failures for the chunk.
-func preferred(tried int, s Source, x *source, tried2 int, s2 Source, x2 *source) bool {
+func preferred(failures int, s Source, x *source, failures2 int, s2 Source, x2 *source) bool {
 	switch {
-	case tried != tried2:
-		return tried < tried2
+	case failures != failures2:
+		return failures < failures2
 	case s.Peer != s2.Peer:
 		return s.Peer
 	case x.requests != x2.requests:
--- a/internal/datastore/store.go
+++ b/internal/datastore/store.go
@@ -155,11 +155,11 @@
 }
 
 // newLimiter returns a limiter of perS bytes per second; 0: unbounded.
-func newLimiter(perS float64) *rate.Limiter {
-	if perS <= 0 {
+func newLimiter(bytesPerSecond float64) *rate.Limiter {
+	if bytesPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perS), max(dataset.ChunkSize, int(perS/10)))
+	return rate.NewLimiter(rate.Limit(bytesPerSecond), max(dataset.ChunkSize, int(bytesPerSecond/10)))
 }
 
 // manifestPath returns the path of a copy's manifest.
@@ -168,8 +168,8 @@
 }
 
 // filePath returns the path of a copy's file below where, one of the store's folders.
-func (s *Store) filePath(where string, id dataset.ID, f *dataset.File) string {
-	return filepath.Join(s.cfg.Dir, where, string(id), filepath.FromSlash(f.Path))
+func (s *Store) filePath(folder string, id dataset.ID, f *dataset.File) string {
+	return filepath.Join(s.cfg.Dir, folder, string(id), filepath.FromSlash(f.Path))
 }
 
 // now returns the time since the store was opened.
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -151,7 +151,7 @@
 // and tells the state machine. A gang's task stays registered for GangWait, so that its peers
 // can still learn its state. The caller holds w.mu.
 func (w *worker) exited(now time.Duration, k agent.TaskAttempt, done bool) agent.Effects {
-	if _, here := w.running[k]; !here {
+	if _, running := w.running[k]; !running {
 		return w.state.Tick(now)
 	}
 	delete(w.running, k)
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -110,16 +110,16 @@
 	defer c.cloud.close()
 	defer c.endAgents()
 	c.users = newUsers(c)
-	if err := c.awaitController(); err != nil {
+	if err := c.awaitControllers(); err != nil {
 		return nil, err
 	}
 	c.runScenario(stop)
 	return c.result(), nil
 }
 
-// awaitController waits until every controller is up, and sets the start time from which
+// awaitControllers waits until every controller is up, and sets the start time from which
 // users and faults are scheduled.
-func (c *cell) awaitController() error {
+func (c *cell) awaitControllers() error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	for _, n := range c.layout.controllerAddresses() {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -409,10 +409,10 @@
 			continue
 		}
 		figures := parseMetrics(answer.Body)
-		at := &r.states[i]
+		state := &r.states[i]
 		requests, changes := figures["state_requests"], figures["state_changes"]
-		at.PerS = append(at.PerS, Rates{AtS: time.Since(r.startedAt).Seconds(), Requests: requests - at.Requests, Changes: changes - at.Changes})
-		at.Requests, at.Changes, at.Refused = requests, changes, figures["state_refused"]
+		state.PerS = append(state.PerS, Rates{AtS: time.Since(r.startedAt).Seconds(), Requests: requests - state.Requests, Changes: changes - state.Changes})
+		state.Requests, state.Changes, state.Refused = requests, changes, figures["state_refused"]
 	}
 	pool.Expire(time.Now().Add(time.Hour))
 }
--- a/internal/stagebench/placement.go
+++ b/internal/stagebench/placement.go
@@ -170,10 +170,10 @@
 // machines as its tasks will keep busy.
 func (s *sim) stageAnnounced() {
 	id := staging.ID(fmt.Sprintf("new-%d", s.data.version))
-	by := s.data.published[id] + announceLeadS
+	neededBy := s.data.published[id] + announceLeadS
 	want := int(math.Ceil(stagedPerNeeded * 0.1 * float64(s.options.Machines)))
-	a := staging.Announcement{Copy: id, NeededBy: time.Duration(by * float64(time.Second)), Machines: want}
-	if s.now > by+publishPeriodS/2 || s.nowDuration() < a.FetchStart(copyBytes, machineBps, 2) {
+	a := staging.Announcement{Copy: id, NeededBy: time.Duration(neededBy * float64(time.Second)), Machines: want}
+	if s.now > neededBy+publishPeriodS/2 || s.nowDuration() < a.FetchStart(copyBytes, machineBps, 2) {
 		return
 	}
 	held, coming := s.planner.HolderCounts(id)
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -293,8 +293,8 @@
 
 // assign assigns a task to a machine, whose slot can be used at readyAt, and requests the
 // fetch of its data.
-func (s *sim) assign(t *task, n *node, ready float64) {
-	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, ready, false
+func (s *sim) assign(t *task, n *node, readyAt float64) {
+	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, readyAt, false
 	n.tasks = append(n.tasks, t)
 	s.measured.placements++
 	if _, ok := n.copies[t.copy]; ok || s.strategy == Oracle {
@@ -336,13 +336,13 @@
 	slices.Sort(s.measured.delays)
 	if n := len(s.measured.delays); n > 0 {
 		r.P50, r.P99 = s.measured.delays[n/2], s.measured.delays[n*99/100]
-		in := 0
+		withinGoal := 0
 		for _, d := range s.measured.delays {
 			if d <= startGoalS {
-				in++
+				withinGoal++
 			}
 		}
-		r.Share = float64(in) / float64(n)
+		r.Share = float64(withinGoal) / float64(n)
 	}
 	if s.measured.bytes > 0 {
 		r.FromPeers = s.measured.peerBytes / s.measured.bytes
--- a/internal/stagebench/transfer.go
+++ b/internal/stagebench/transfer.go
@@ -18,24 +18,24 @@
 			}
 		}
 	}
-	srv, in, out := make([]int, s.serverCount()), map[*node]int{}, map[*node]int{}
+	serverTransfers, incoming, outgoing := make([]int, s.serverCount()), map[*node]int{}, map[*node]int{}
 	for _, f := range s.transfers {
-		in[f.node]++
+		incoming[f.node]++
 		if f.peer != nil {
-			out[f.peer]++
+			outgoing[f.peer]++
 		} else {
-			srv[f.server]++
+			serverTransfers[f.server]++
 		}
 	}
 	var done []*transfer
 	rest := s.transfers[:0]
 	for _, f := range s.transfers {
-		rate := machineBps / float64(in[f.node])
+		rate := machineBps / float64(incoming[f.node])
 		if f.peer != nil {
-			rate = min(rate, machineBps/float64(out[f.peer]))
+			rate = min(rate, machineBps/float64(outgoing[f.peer]))
 			s.measured.peerBytes += min(f.remainingBytes, rate*stepS)
 		} else {
-			rate = min(rate, serverBps/float64(srv[f.server]))
+			rate = min(rate, serverBps/float64(serverTransfers[f.server]))
 		}
 		s.measured.bytes += min(f.remainingBytes, rate*stepS)
 		if f.remainingBytes -= rate * stepS; f.remainingBytes <= 0 {
--- a/internal/stagecheck/stagecheck.go
+++ b/internal/stagecheck/stagecheck.go
@@ -42,7 +42,7 @@
 // it takes budget from other fetches at once; so while it runs, no other fetch on
 // its machine may accept a chunk. CheckStarts returns the violations, how many needs
 // it checked, and the longest delay of a fetch.
-func CheckStarts(events []agent.Event, period time.Duration) (wrong []string, judged int, latest time.Duration) {
+func CheckStarts(events []agent.Event, period time.Duration) (wrong []string, checked int, latest time.Duration) {
 	type copyOnMachine struct{ machine, copy string }
 	type need struct {
 		at   time.Time
@@ -65,7 +65,7 @@
 		switch e.Kind {
 		case "needed":
 			if e.Urgent {
-				judged++
+				checked++
 				if !held[p] && !fetchedUrgently[p] {
 					unmet[p] = append(unmet[p], need{e.At, e.Load})
 				}
@@ -97,20 +97,20 @@
 			wrong = append(wrong, fmt.Sprintf("%s on %s: the fetch of %s never began", n.load, p.machine, p.copy))
 		}
 	}
-	return wrong, judged, latest
+	return wrong, checked, latest
 }
 
 // CheckReads compares the data that programs read with the published data. Each line
 // has a version, a file and the hash that was read; want maps "VERSION FILE" to the
 // published hash. CheckReads returns the violations and how many reads it checked.
-func CheckReads(lines []string, want map[string]string) (wrong []string, judged int) {
+func CheckReads(lines []string, want map[string]string) (wrong []string, checked int) {
 	for _, l := range lines {
 		f := strings.Fields(l)
 		if len(f) != 3 {
 			wrong = append(wrong, fmt.Sprintf("not a line with a version, a file and a hash: %q", l))
 			continue
 		}
-		judged++
+		checked++
 		switch h, ok := want[f[0]+" "+f[1]]; {
 		case !ok:
 			wrong = append(wrong, fmt.Sprintf("%s of version %s was never published", f[1], f[0]))
@@ -118,5 +118,5 @@
 			wrong = append(wrong, fmt.Sprintf("%s of version %s was read with the wrong hash %s", f[1], f[0], f[2]))
 		}
 	}
-	return wrong, judged
+	return wrong, checked
 }
