--- a/internal/dataset/manifest.go
+++ b/internal/dataset/manifest.go
@@ -4,8 +4,8 @@
 // fetches a version.
 //
 // A manifest is JSON in a single canonical form, and its hash is the version's
-// digest. A reader that has the digest from the records can verify the manifest,
-// and every chunk by the manifest, so no source needs to be trusted.
+// digest. A reader that has the digest from the controllers' records can verify the
+// manifest, and every chunk by the manifest, so no source needs to be trusted.
 package dataset
 
 import (
--- a/internal/datastore/disk.go
+++ b/internal/datastore/disk.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk does every write of a store, so that tests can simulate a full disk.
+// disk writes a store's chunks and manifests, so that tests can simulate a full disk.
 type disk interface {
 	// WriteAt writes a part of a file of a copy.
 	WriteAt(f *os.File, b []byte, off int64) error
--- a/internal/datastore/evict.go
+++ b/internal/datastore/evict.go
@@ -10,8 +10,8 @@
 	"silvergate/internal/dataset"
 )
 
-// trash removes a copy's folder below where: it first moves the folder into the trash
-// folder by one rename, so that a crash leaves no partly removed copy.
+// trash removes a copy from folder, which is copiesDir or partialDir. It first moves the copy
+// into the trash folder by one rename, so that a crash leaves no partly removed copy.
 func (s *Store) trash(folder string, id dataset.ID) error {
 	trash := filepath.Join(s.cfg.Dir, trashDir)
 	if err := os.MkdirAll(trash, 0o700); err != nil {
--- a/internal/datastore/fetch.go
+++ b/internal/datastore/fetch.go
@@ -98,7 +98,7 @@
 	f.waiters = append(f.waiters, done)
 }
 
-// addUrgent adds d to the number of urgent fetches. The first urgent fetch pauses all
+// addUrgent adds delta to the number of urgent fetches. The first urgent fetch pauses all
 // non-urgent ones at once, and the end of the last one resumes them. The caller holds
 // the lock.
 func (s *Store) addUrgent(delta int) {
--- a/internal/datastore/full_test.go
+++ b/internal/datastore/full_test.go
@@ -17,8 +17,8 @@
 	"silvergate/internal/fakeserver"
 )
 
-// fullDisk is a disk that is full for the fullWrites writes after the first fullFrom
-// ones. A write that fails has written half of its bytes, as on a real disk.
+// fullDisk is a disk that lets the first fullFrom writes pass and is full for the next
+// fullWrites ones. A WriteAt that fails writes half of its bytes, as on a real disk.
 type fullDisk struct {
 	osDisk
 	writes, fullFrom, fullWrites atomic.Int64
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestRealFullDisk guards against the same on a small real file system. It is skipped
-// where this process may not mount one.
+// TestRealFullDisk guards against the same damage as TestDiskFullAtAnyWrite, on a small real
+// file system. It is skipped where this process may not mount one.
 func TestRealFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	if err := unix.Mount("tmpfs", dir, "tmpfs", 0, "size=3m"); err != nil {
--- a/internal/datastore/held.go
+++ b/internal/datastore/held.go
@@ -90,8 +90,8 @@
 	return h, err
 }
 
-// modTimes returns the modification times of a copy's files. It returns an error unless
-// all files exist and have the sizes of the manifest.
+// modTimes returns the modification times of a copy's files. folder is copiesDir or
+// partialDir. It returns an error unless all files exist and have the sizes of the manifest.
 func (s *Store) modTimes(folder string, id dataset.ID, m *dataset.Manifest) ([]time.Time, error) {
 	var out []time.Time
 	for i := range m.Files {
--- a/internal/datastore/plan.go
+++ b/internal/datastore/plan.go
@@ -73,7 +73,7 @@
 // beginRequest records that a request to a source begins.
 func (s *sources) beginRequest(address string) { s.get(address).requests++ }
 
-// endRequest records the outcome of a request, how many bytes it brought and how long
+// endRequest records the outcome of a request, how many bytes it returned and how long
 // it took.
 func (s *sources) endRequest(now time.Duration, address string, o Outcome, bytes int, took time.Duration) {
 	x := s.get(address)
@@ -148,8 +148,8 @@
 		return 0, from, 0, false
 	}
 	chunk = p.missing[len(p.missing)-1]
-	// Many machines share the file servers: don't use them if another peerUsable can
-	// serve the chunk, so that they stay free for machines without such a source.
+	// Many machines share the file servers: don't use them if a peer can probably serve
+	// the chunk, so that they stay free for machines without such a peer.
 	peerUsable := false
 	for _, s := range p.sources {
 		peerUsable = peerUsable || s.Peer && !p.absent[s.Address] && now >= all.get(s.Address).notBefore && p.failures[chunk][s.Address] == 0
@@ -185,8 +185,8 @@
 	return chunk, from, 0, true
 }
 
-// preferred reports whether the first source is better than the second for a chunk.
-// tried and tried2 are their failures for the chunk.
+// preferred reports whether source s is better than source s2 for a chunk. failures and
+// failures2 are their numbers of failed requests for the chunk, x and x2 their states.
 func preferred(failures int, s Source, x *source, failures2 int, s2 Source, x2 *source) bool {
 	switch {
 	case failures != failures2:
@@ -223,8 +223,8 @@
 	return false
 }
 
-// exhausted reports whether chunks are missing although all sources are machines that
-// lack the copy and no request is under way.
+// exhausted reports whether the missing chunks can't be fetched: no request is under way,
+// and every source is a machine that lacks the copy.
 func (p *fetchPlan) exhausted() bool {
 	if len(p.inFlight) > 0 || len(p.missing) == 0 {
 		return false
--- a/internal/datastore/store.go
+++ b/internal/datastore/store.go
@@ -55,7 +55,8 @@
 	Set     string
 	Version string
 	Sources []Source
-	// Urgent fetches go first: the others are paused while one is under way.
+	// Urgent makes the fetch urgent: while any urgent fetch is under way, all others are
+	// paused.
 	Urgent bool
 }
 
@@ -109,7 +110,7 @@
 // Stats counts the store's contents, and its work since it was opened.
 type Stats struct {
 	Fetched, Served, Shared int64 // bytes from sources, to other machines, and from other copies in the store
-	Damaged, Retries        int64 // requests for chunks that returned damaged bytes, or failed
+	Damaged, Retries        int64 // requests for chunks that returned damaged bytes, or no chunk
 	Evicted, Refused        int64 // copies removed, and fetches refused for want of room
 	Copies                  int
 	Bytes, Partial          int64 // bytes of copies, and verified bytes of fetches
@@ -154,7 +155,7 @@
 	return s, s.load()
 }
 
-// newLimiter returns a limiter of perS bytes per second; 0: unbounded.
+// newLimiter returns a limiter of bytesPerSecond; 0: unbounded.
 func newLimiter(bytesPerSecond float64) *rate.Limiter {
 	if bytesPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -167,7 +168,7 @@
 	return filepath.Join(s.cfg.Dir, manifestDir, string(id)+".json")
 }
 
-// filePath returns the path of a copy's file below where, one of the store's folders.
+// filePath returns the path of a copy's file. folder is copiesDir or partialDir.
 func (s *Store) filePath(folder string, id dataset.ID, f *dataset.File) string {
 	return filepath.Join(s.cfg.Dir, folder, string(id), filepath.FromSlash(f.Path))
 }
@@ -278,8 +279,8 @@
 	return int(min(dataset.ChunkSize, f.Size-int64(chunk)*dataset.ChunkSize))
 }
 
-// readChunk reads a chunk of a file. It returns nil if the bytes don't have the hash
-// want: a task may have written to a file that was linked into its folder.
+// readChunk reads a chunk of a file. It returns nil if the chunk can't be read or does not
+// have the hash want: a task may have written to a file that was linked into its folder.
 func readChunk(path string, f *dataset.File, chunk int, want dataset.Hash) []byte {
 	src, err := os.Open(path)
 	if err != nil {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,6 +1,6 @@
 // Package goldentest helps tests to compare data with golden files. An earlier build wrote these
-// files, in the formats that other controllers, records and recordings use. Only tests import
-// the package.
+// files, in the formats of messages between controllers, of stored records and of recordings.
+// Only tests import the package.
 package goldentest
 
 import (
--- a/internal/recorder/reader.go
+++ b/internal/recorder/reader.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// bytesReader is a bytes.Reader without methods other than Read, which the decoder would
-// use.
+// bytesReader is a bytes.Reader that has only the method Read, because the decoder would
+// also use the other methods.
 type bytesReader struct{ rest []byte }
 
 func (r *bytesReader) Read(p []byte) (int, error) {
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -89,7 +89,7 @@
 const realImage = "sleeper"
 
 // RunCell runs one cell of a scenario and returns what it measured. It returns when the
-// users are done, or when stop is closed.
+// users' jobs are over, when the drain time has passed, or when stop is closed.
 func RunCell(settings CellSettings, self string, log *slog.Logger, stop <-chan struct{}) (*CellResult, error) {
 	s := settings.Scenario
 	if err := s.Check(); err != nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-// sample records the cell's state once a second.
+// sample records the cell's state and checks the cancelled jobs, once a second.
 func (c *cell) sample(over <-chan struct{}) {
 	ticker := time.NewTicker(samplePeriod)
 	defer ticker.Stop()
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -90,7 +90,7 @@
 		c.recordViolation(ruleRanTwice, "%s starts on %s while it is on %s", k, m.Name, other)
 	}
 	if j.cancelled && c.now() > j.cancelledAt+c.cancelWithin {
-		c.recordViolation(ruleRanCancelled, "%s starts on %s, %s after its user was told", k, m.Name, c.now()-j.cancelledAt)
+		c.recordViolation(ruleRanCancelled, "%s starts on %s, %s after its user saw that the job is cancelled", k, m.Name, c.now()-j.cancelledAt)
 	}
 	j.runningOn[k.Index] = m.Name
 	j.starts++
@@ -164,12 +164,12 @@
 	case statusDone:
 		// The checker does not see tasks on real agents, so it can't check that they completed.
 		if missing := j.spec.Tasks - len(j.completed); missing > 0 && !j.spec.plan.real {
-			c.recordViolation(ruleNotDone, "%s is called done, and %d of its tasks did not complete", id, missing)
+			c.recordViolation(ruleNotDone, "%s is reported as done, but %d of its tasks did not complete", id, missing)
 		}
 		j.final = status
 	case statusCancelled:
 		if !j.spec.progress.cancelRequested {
-			c.recordViolation(ruleWentBack, "%s is called cancelled, and its user did not cancel it", id)
+			c.recordViolation(ruleWentBack, "%s is reported as cancelled, but its user did not cancel it", id)
 		}
 		if !j.cancelled {
 			j.cancelled, j.cancelledAt = true, c.now()
@@ -186,7 +186,7 @@
 	for id, j := range c.jobs {
 		if j.cancelled && len(j.runningOn) > 0 && c.now() > j.cancelledAt+c.cancelWithin && !j.spec.progress.overdueReported {
 			j.spec.progress.overdueReported = true
-			c.recordViolation(ruleRanCancelled, "%s has %d tasks, %s after its user was told", id, len(j.runningOn), c.now()-j.cancelledAt)
+			c.recordViolation(ruleRanCancelled, "%s still has %d tasks, %s after its user saw that the job is cancelled", id, len(j.runningOn), c.now()-j.cancelledAt)
 		}
 	}
 }
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -80,7 +80,7 @@
 func (t *portAllocator) allocate(requested int) (int, error) {
 	listener, err := net.Listen("tcp4", loopback(requested))
 	if err != nil {
-		return 0, fmt.Errorf("base_port: port %d can't be had: %w", requested, err)
+		return 0, fmt.Errorf("base_port: port %d can't be bound: %w", requested, err)
 	}
 	t.listeners = append(t.listeners, listener)
 	return listener.Addr().(*net.TCPAddr).Port, nil
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -17,7 +17,7 @@
 }
 
 // PeakStarts returns the highest rate of task starts of all cells together, in starts a
-// second, over any span seconds.
+// second, as the mean over span consecutive seconds.
 func (r *Result) PeakStarts(span int) float64 {
 	bySecond := map[int]int{}
 	for _, c := range r.Cells {
@@ -47,7 +47,7 @@
 	s := r.Scenario
 	kind := "whole"
 	if !r.Whole {
-		kind = "broken off"
+		kind = "ended early"
 	}
 	fmt.Fprintf(&b, "%s: %d cells of %d hollow workers, %d controllers and %d real agents, %.0f s (%s), %.1f GB of memory at the most\n",
 		s.Name, s.Cells, s.Workers, s.Controllers, s.RealAgents, r.TookS, kind, r.PeakGB)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -123,7 +123,7 @@
 		maxGB = halfGB
 	}
 	if need := s.EstimatedGB(); maxGB > 0 && need > maxGB {
-		return fmt.Errorf("memory_gb: the scenario is reckoned to take %.1f GB, and %.1f GB is the most (half of the machine's, or what it says)", need, maxGB)
+		return fmt.Errorf("memory_gb: the run is estimated to take %.1f GB, more than the %.1f GB allowed (memory_gb, or half of this machine's memory)", need, maxGB)
 	}
 	r.maxBytes = uint64(maxGB * (1 << 30))
 	var files syscall.Rlimit
@@ -281,7 +281,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return errors.New("the run was broken off")
+			return errors.New("the run was interrupted")
 		case <-ticker.C:
 		}
 		took := time.Since(r.startedAt)
@@ -411,7 +411,8 @@
 		figures := parseMetrics(answer.Body)
 		state := &r.states[i]
 		requests, changes := figures["state_requests"], figures["state_changes"]
-		state.PerS = append(state.PerS, Rates{AtS: time.Since(r.startedAt).Seconds(), Requests: requests - state.Requests, Changes: changes - state.Changes})
+		state.PerS = append(state.PerS, Rates{AtS: time.Since(r.startedAt).Seconds(),
+			Requests: requests - state.Requests, Changes: changes - state.Changes})
 		state.Requests, state.Changes, state.Refused = requests, changes, figures["state_refused"]
 	}
 	pool.Expire(time.Now().Add(time.Hour))
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -277,8 +277,9 @@
 		if _, ok := n.copies[id]; ok {
 			return true
 		}
-		// Each machine that holds a copy passes it on at its full rate, and the
-		// file servers send at their full rate.
+		// Each machine that holds a copy passes it on at its full rate, and the two
+		// file servers send at their full rate. So the number of copies about doubles
+		// in the time that one copy takes. age is in units of that time.
 		age := (s.now - s.data.published[id]) * machineBps / copyBytes
 		if held, _ := s.planner.HolderCounts(id); age < 1 || float64(held) >= 2*serverBps/machineBps*(math.Exp2(age)-1) {
 			return false
@@ -291,8 +292,8 @@
 	return ok
 }
 
-// assign assigns a task to a machine, whose slot can be used at readyAt, and requests the
-// fetch of its data.
+// assign assigns a task to a slot of a machine, which can be used from readyAt on, and
+// requests the fetch of the task's data.
 func (s *sim) assign(t *task, n *node, readyAt float64) {
 	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, readyAt, false
 	n.tasks = append(n.tasks, t)
--- a/internal/stagebench/transfer.go
+++ b/internal/stagebench/transfer.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// addCopy adds a copy to a machine, evicts the least recently used copies that no task
-// uses beyond copiesPerMachine, and tells the planner.
+// addCopy adds a copy to a machine and tells the planner. If the machine then has more than
+// copiesPerMachine, it evicts the least recently used copies that no task uses.
 func (s *sim) addCopy(n *node, id staging.ID) {
 	n.copies[id] = s.now
 	delete(n.requested, id)
--- a/internal/stagecheck/stagecheck_test.go
+++ b/internal/stagecheck/stagecheck_test.go
@@ -7,8 +7,8 @@
 	"silvergate/internal/agent"
 )
 
-// TestCheckersCatchWhatTheyAreFor guards against checkers that miss a violation or report
-// one that is none: it gives both checkers correct input, and input with one fault.
+// TestCheckersCatchWhatTheyAreFor guards against checkers that miss a violation, or report
+// one where there is none: it gives both checkers correct input, and input with one fault.
 func TestCheckersCatchWhatTheyAreFor(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	e := func(ms int, machine, kind, copy string, urgent bool) agent.Event {
--- a/internal/statestore/codec.go
+++ b/internal/statestore/codec.go
@@ -41,7 +41,7 @@
 type header struct {
 	Revision        uint64 // revision of the last change
 	LastLease       uint64 // id of the last lease that was granted
-	CompactRevision uint64 // highest revision whose events were dropped
+	CompactRevision uint64 // highest revision of the dropped events
 	Events          uint64 // number of retained events
 	Leases          uint64 // number of leases
 	Keys            uint64 // number of keys
--- a/internal/statestore/disk.go
+++ b/internal/statestore/disk.go
@@ -178,7 +178,7 @@
 	if size < minPages*int64(os.Getpagesize()) {
 		return d.damaged("it has %d bytes only", size)
 	}
-	// Guards against a panic in bolt.Open, which would leave the file locked.
+	// Stores the opened file in *file, so that open can unlock it if bolt.Open panics.
 	options := boltOptions(readOnly)
 	options.OpenFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 		f, err := os.OpenFile(name, flag, mode)
--- a/internal/statestore/service.go
+++ b/internal/statestore/service.go
@@ -162,8 +162,8 @@
 
 // scheduleTick schedules the next tick for admission's next deadline.
 func (s *Service) scheduleTick() {
-	// A tick that is scheduled already may be moved forward. Otherwise the time between
-	// two calls of advance could exceed maxClockGap once a lease is granted, and
+	// A tick that is scheduled already is moved to an earlier deadline. Otherwise the time
+	// between two calls of advance could exceed maxClockGap once a lease is granted, and
 	// admission would mistake the gap for a pause of the service and extend the lease.
 	if at := s.admission.nextDeadline(); s.nextTickAt == 0 || at < s.nextTickAt {
 		s.nextTickAt = at
--- a/internal/statestore/verify.go
+++ b/internal/statestore/verify.go
@@ -66,7 +66,7 @@
 			return nil
 		}
 		if _, ok := d.ttls[r.lease]; !ok {
-			return d.damaged("key %q hangs on grant %d, which is missing", k, r.lease)
+			return d.damaged("key %q is attached to grant %d, which is missing", k, r.lease)
 		}
 		d.attachKey(r.lease, string(k))
 		return nil
--- a/internal/statestore/verify_test.go
+++ b/internal/statestore/verify_test.go
@@ -43,7 +43,7 @@
 		{"a key's lease is missing", func(tx *bolt.Tx) error {
 			h := header{Revision: 2, LastLease: 2, Leases: 1, Keys: 2, Events: 2}
 			return errors.Join(tx.Bucket(bucketLeases).Delete(encode64(1)), tx.Bucket(bucketHeader).Put(headerKey, h.encode()))
-		}, `key "a" hangs on grant 1, which is missing`},
+		}, `key "a" is attached to grant 1, which is missing`},
 		{"a key is missing", func(tx *bolt.Tx) error { return tx.Bucket(bucketKeys).Delete([]byte("b")) }, "it holds 1 keys where its head says 2"},
 		{"a key has an older record", func(tx *bolt.Tx) error {
 			return putRecord(tx, "b", keyRecord{modRevision: 1, value: []byte("0")})
--- a/internal/statestore/watchers.go
+++ b/internal/statestore/watchers.go
@@ -137,12 +137,14 @@
 	}
 }
 
-// answerCompacted answers a watch with the error that changes in its range were dropped.
+// answerCompacted answers a watch with an error: changes after its revision, of any key, were
+// dropped.
 func (s *Service) answerCompacted(w *watcher) {
 	s.answerError(w.id, http.StatusGone, "changes after %d are not kept any more; read the keys again", w.from)
 }
 
-// eventsSince reads the events of a range. retained is false if some of them were dropped.
+// eventsSince reads the events of a range. retained is false if changes after r.from, of any
+// key, were dropped.
 func (s *Service) eventsSince(r watchRange) (response watchResponse, retained bool, err error) {
 	response.Events = []watchEvent{} // not null in JSON
 	response.Revision, retained, err = s.disk.changes(r.from, func(c changeEvent) {
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -35,7 +35,7 @@
 	var dir string
 	var write bool
 	cmd := &cobra.Command{
-		Use: "capacity [--write]", Short: "Work the tables of docs/CAPACITY.md out of the measured slopes", Args: cobra.NoArgs,
+		Use: "capacity [--write]", Short: "Compute the tables of docs/CAPACITY.md from the measured slopes", Args: cobra.NoArgs,
 		SilenceUsage: true, SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error { return run(dir, write) },
 	}
@@ -69,7 +69,7 @@
 		return nil
 	}
 	if !write {
-		return errors.New(pageFile + " is not as the slopes have it: run tools/capacity --write")
+		return errors.New(pageFile + " does not have the tables computed from the slopes: run tools/capacity --write")
 	}
 	return os.WriteFile(path, want, 0o644)
 }
@@ -79,7 +79,7 @@
 	before, rest, begun := bytes.Cut(page, []byte(beginMarker))
 	_, after, ended := bytes.Cut(rest, []byte(endMarker))
 	if !begun || !ended {
-		return nil, errors.New("the marks of the tables are missing")
+		return nil, errors.New("the markers of the tables are missing")
 	}
 	return bytes.Join([][]byte{before, []byte(beginMarker), []byte(tables), []byte(endMarker), after}, nil), nil
 }
@@ -92,7 +92,7 @@
 	}
 	for name, s := range m.Slopes {
 		if !(s.Median > 0 && s.Min <= s.Median && s.Median <= s.Max) || s.Points < 1 || s.Command == "" {
-			return nil, fmt.Errorf("slopes.%s: a median between least and most, points and a command are wanted", name)
+			return nil, fmt.Errorf("slopes.%s: must have a median between least and most, points and a command", name)
 		}
 	}
 	for _, name := range requiredSlopes {
--- a/tools/regress/main.go
+++ b/tools/regress/main.go
@@ -40,7 +40,7 @@
 	var o options
 	cmd := &cobra.Command{
 		Use:           "regress --kit DIR --why TEXT",
-		Short:         "Run the scores that a change owes and compare them with the journal",
+		Short:         "Run the scores that a change requires and compare them with the journal",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -51,10 +51,10 @@
 	f.StringVar(&o.since, "since", "HEAD", "compare the tree with this commit: the last one that was scored")
 	f.StringVar(&o.why, "why", "", "what was changed, for the journal")
 	f.StringVar(&o.journal, "journal", "journal", "the folder of the journal")
-	f.Float64Var(&o.noise, "noise", 0.03, "a fall of the score up to this is taken for chance")
+	f.Float64Var(&o.noise, "noise", 0.03, "the largest fall of a score that counts as chance")
 	f.BoolVar(&o.full, "full", false, "full scores in place of quick ones")
 	f.BoolVar(&o.all, "all", false, "all sites, whatever was changed")
-	f.BoolVar(&o.dryRun, "dry-run", false, "only tell what is owed")
+	f.BoolVar(&o.dryRun, "dry-run", false, "only print the runs that are required")
 	f.BoolVar(&o.judge, "judge", false, "run nothing: judge the entries that are not committed yet")
 	err := cmd.Execute()
 	var s status
@@ -85,7 +85,7 @@
 		runs = requiredRuns(paths)
 	}
 	if len(runs) == 0 {
-		fmt.Fprintln(out, "nothing that is built has changed: no run is owed")
+		fmt.Fprintln(out, "nothing that is built has changed: no run is required")
 		return nil
 	}
 	var sites []string
@@ -100,7 +100,7 @@
 			}
 			sites = append(sites, found...)
 		}
-		fmt.Fprintf(out, "owed for %s: %s\n", r.Reason, strings.Join(r.Sites, " "))
+		fmt.Fprintf(out, "required for %s: %s\n", r.Reason, strings.Join(r.Sites, " "))
 	}
 	if o.dryRun {
 		return nil
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// committedEntries returns those of all, the entries in the folder dir by file name, whose
-// file is in HEAD. Their content is that of the work tree.
+// committedEntries returns the entries of all whose file in the folder dir is in HEAD. Both
+// maps are by file name. The entries' content is that of the work tree.
 func committedEntries(dir string, all map[string]Entry) (map[string]Entry, error) {
 	names, err := git("ls-tree", "--name-only", "HEAD", dir+"/")
 	if err != nil {
--- a/tools/regress/regress.go
+++ b/tools/regress/regress.go
@@ -126,9 +126,9 @@
 	return slices.ContainsFunc(list, func(prefix string) bool { return strings.HasPrefix(p, prefix) })
 }
 
-// baseline returns the entry to compare e with: of the committed entries with the same
-// site, mode and set of days whose run ended and that did not start after e, the last one
-// that started. It returns false if there is none. It sorts committed by start.
+// baseline returns the entry to compare e with: the last committed one with the same site,
+// mode and set of days. Its run must have ended without an error and must not have started
+// after e. It returns false if there is none. It sorts committed by start.
 func baseline(committed []Entry, e Entry) (Entry, bool) {
 	sort.Slice(committed, func(i, j int) bool { return committed[i].At[0] < committed[j].At[0] })
 	for i := len(committed) - 1; i >= 0; i-- {
