--- a/internal/fakeserver/fileserver.go
+++ b/internal/fakeserver/fileserver.go
@@ -45,7 +45,7 @@
 	faults          Faults
 	random          *rand.Rand
 	unresponsive    bool          // accepts connections and answers nothing
-	bandwidthFreeAt time.Time     // until then, the pieces so far use up BytesPerS
+	bandwidthFreeAt time.Time     // the pieces sent so far use up BytesPerS until this time
 	done            chan struct{} // closed by Close
 
 	// SentBytes is the number of bytes of files that were sent.
--- a/internal/recorder/frames.go
+++ b/internal/recorder/frames.go
@@ -43,8 +43,8 @@
 	s.close()
 }
 
-// newEncoder returns an encoder tuned for speed and low memory use, because it runs beside
-// the core.
+// newEncoder returns an encoder tuned for speed and low memory use, because it runs in the
+// core's process.
 func newEncoder() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil,
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -46,8 +46,7 @@
 		// Sorted by name, segments are in the order of node, incarnation and number.
 		last := len(incarnations) - 1
 		if last < 0 || !incarnations[last].continuedBy(&h) {
-			return nil, fmt.Errorf(
-				"%s: segment %d of %s, life %d, but earlier segments are missing: a life is replayed from its beginning (raise recorder.max_mb to keep more)",
+			return nil, fmt.Errorf("%s: segment %d of %s, life %d, but what came before it is not here: a life is replayed from its beginning (raise recorder.max_mb to keep more)",
 				file, h.Segment, h.Node, h.Life)
 		}
 		incarnations[last].Files = append(incarnations[last].Files, file)
--- a/internal/stagecheck/stagecheck.go
+++ b/internal/stagecheck/stagecheck.go
@@ -16,7 +16,7 @@
 )
 
 // ReadEvents reads the agents' events from files and sorts them by time. It skips lines
-// that are cut off because the agent was killed.
+// that can't be decoded: a line is cut off if the agent was killed while it wrote the line.
 func ReadEvents(files []string) ([]agent.Event, error) {
 	var out []agent.Event
 	for _, path := range files {
--- a/internal/stagecheck/stagecheck_test.go
+++ b/internal/stagecheck/stagecheck_test.go
@@ -23,7 +23,7 @@
 		e(100, "a", "needed", "q", true), e(101, "a", "begin", "q", true), e(110, "a", "quit", "q", false), e(111, "a", "chunk", "z", false),
 	}
 	if wrong, n, latest := CheckStarts(good, time.Second); len(wrong) > 0 || n != 4 || latest != 10*time.Millisecond {
-		t.Fatalf("%v, %d judged", wrong, n)
+		t.Fatalf("%v, %d checked", wrong, n)
 	}
 	for name, bad := range map[string][]agent.Event{
 		"late":          {e(0, "a", "needed", "y", true), e(1500, "a", "begin", "y", true)},
@@ -39,7 +39,7 @@
 	}
 	want := map[string]string{"1 a": "h1", "2 a": "h2"}
 	if wrong, n := CheckReads([]string{"1 a h1", "2 a h2", "1 a h1"}, want); len(wrong) > 0 || n != 3 {
-		t.Fatalf("%v, %d judged", wrong, n)
+		t.Fatalf("%v, %d checked", wrong, n)
 	}
 	for _, bad := range []string{"1 a h2", "1 a e3b0", "3 a h1", "1 b h1", "1 a"} {
 		if wrong, _ := CheckReads([]string{bad}, want); len(wrong) != 1 {
