--- a/internal/dataset/manifest.go
+++ b/internal/dataset/manifest.go
@@ -4,8 +4,8 @@
 // fetches a version.
 //
 // A manifest is JSON in a single canonical form, and its hash is the version's
-// digest. A reader that has the digest from the records can verify the manifest,
-// and every chunk by the manifest, so no source needs to be trusted.
+// digest. A reader that has the digest from the controllers' records can verify the
+// manifest, and every chunk by the manifest, so no source needs to be trusted.
 package dataset
 
 import (
@@ -177,11 +177,11 @@
 	if err := json.Unmarshal(raw, m); err != nil {
 		return nil, fmt.Errorf("manifest: %w", err)
 	}
-	again, err := m.Encode()
+	canonical, err := m.Encode()
 	if err != nil {
 		return nil, fmt.Errorf("manifest: %w", err)
 	}
-	if !bytes.Equal(again, raw) {
+	if !bytes.Equal(canonical, raw) {
 		return nil, errors.New("manifest: not in canonical form")
 	}
 	return m, nil
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -72,7 +72,7 @@
 			return nil, err
 		}
 		if len(segments) == 0 {
-			return nil, fmt.Errorf("%s: no recordings there", path)
+			return nil, fmt.Errorf("%s: the folder has no recordings", path)
 		}
 		files = append(files, segments...)
 	}
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -89,7 +89,7 @@
 const realImage = "sleeper"
 
 // RunCell runs one cell of a scenario and returns what it measured. It returns when the
-// users are done, or when stop is closed.
+// users' jobs are over, when the drain time has passed, or when stop is closed.
 func RunCell(settings CellSettings, executable string, log *slog.Logger, stop <-chan struct{}) (*CellResult, error) {
 	s := settings.Scenario
 	if err := s.Check(); err != nil {
@@ -110,16 +110,16 @@
 	defer c.cloud.close()
 	defer c.endAgents()
 	c.users = newUsers(c)
-	if err := c.awaitController(); err != nil {
+	if err := c.awaitControllers(); err != nil {
 		return nil, err
 	}
 	c.runScenario(stop)
 	return c.result(), nil
 }
 
-// awaitController waits until every controller is up, and sets the start time from which
+// awaitControllers waits until every controller is up, and sets the start time from which
 // users and faults are scheduled.
-func (c *cell) awaitController() error {
+func (c *cell) awaitControllers() error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	for _, n := range c.layout.controllerAddresses() {
@@ -197,7 +197,7 @@
 	}
 }
 
-// sample records the cell's state once a second.
+// sample records the cell's state and checks the cancelled jobs, once a second.
 func (c *cell) sample(over <-chan struct{}) {
 	ticker := time.NewTicker(samplePeriod)
 	defer ticker.Stop()
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -17,7 +17,7 @@
 }
 
 // PeakStarts returns the highest rate of task starts of all cells together, in starts a
-// second, over any span seconds.
+// second, as the mean over span consecutive seconds.
 func (r *Result) PeakStarts(span int) float64 {
 	bySecond := map[int]int{}
 	for _, c := range r.Cells {
--- a/internal/stagebench/stagebench.go
+++ b/internal/stagebench/stagebench.go
@@ -277,8 +277,9 @@
 		if _, ok := n.copies[id]; ok {
 			return true
 		}
-		// Each machine that holds a copy passes it on at its full rate, and the
-		// file servers send at their full rate.
+		// Each machine that holds a copy passes it on at its full rate, and the two
+		// file servers send at their full rate. So the number of copies about doubles
+		// in the time that one copy takes. age is in units of that time.
 		age := (s.now - s.data.published[id]) * machineBps / copyBytes
 		if held, _ := s.planner.HolderCounts(id); age < 1 || float64(held) >= 2*serverBps/machineBps*(math.Exp2(age)-1) {
 			return false
@@ -291,10 +292,10 @@
 	return ok
 }
 
-// assign assigns a task to a machine, whose slot can be used at readyAt, and requests the
-// fetch of its data.
-func (s *sim) assign(t *task, n *node, ready float64) {
-	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, ready, false
+// assign assigns a task to a slot of a machine, which can be used from readyAt on, and
+// requests the fetch of the task's data.
+func (s *sim) assign(t *task, n *node, readyAt float64) {
+	t.node, t.remainingS, t.readyAt, t.started = n, t.runS, readyAt, false
 	n.tasks = append(n.tasks, t)
 	s.measured.placements++
 	if _, ok := n.copies[t.copy]; ok || s.strategy == Oracle {
@@ -336,13 +337,13 @@
 	slices.Sort(s.measured.delays)
 	if n := len(s.measured.delays); n > 0 {
 		r.P50, r.P99 = s.measured.delays[n/2], s.measured.delays[n*99/100]
-		in := 0
+		withinGoal := 0
 		for _, d := range s.measured.delays {
 			if d <= startGoalS {
-				in++
+				withinGoal++
 			}
 		}
-		r.Share = float64(in) / float64(n)
+		r.Share = float64(withinGoal) / float64(n)
 	}
 	if s.measured.bytes > 0 {
 		r.FromPeers = s.measured.peerBytes / s.measured.bytes
