--- a/internal/archive/ship/files.go
+++ b/internal/archive/ship/files.go
@@ -157,7 +157,7 @@
 	}
 	out := &archive.File{Path: name, Size: info.Size(), Mode: uint32(info.Mode().Perm()), At: info.ModTime().UnixMilli()}
 	sum := blake3.New()
-	shared := archive.NewRecord(archive.FilesAttempt(f.attempt.Job), archive.KindGrant, "", f.grantRecord.Payload)
+	filesGrant := archive.NewRecord(archive.FilesAttempt(f.attempt.Job), archive.KindGrant, "", f.grantRecord.Payload)
 	buf := make([]byte, archive.ChunkSize)
 	for left := out.Size; left > 0; {
 		n := min(left, archive.ChunkSize)
@@ -166,7 +166,7 @@
 		}
 		_, _ = sum.Write(buf[:n])
 		chunk := archive.NewRecord(archive.FilesAttempt(f.attempt.Job), archive.KindChunk, "", buf[:n])
-		if err := s.storeTogether([]archive.Record{f.grantRecord, shared, chunk}); err != nil {
+		if err := s.storeTogether([]archive.Record{f.grantRecord, filesGrant, chunk}); err != nil {
 			return nil, err
 		}
 		out.Chunks = append(out.Chunks, chunk.Key.Digest)
--- a/internal/archive/ship/plan_test.go
+++ b/internal/archive/ship/plan_test.go
@@ -88,19 +88,19 @@
 				lastSize = f.File
 			},
 			"": func(t *rapid.T) {
-				cut, given := 0, int64(0)
+				cut, givenUp := 0, int64(0)
 				for _, g := range f.Gaps {
 					if g.Reason == archive.GapCut {
 						cut++
 					} else {
-						given += g.To - g.From
+						givenUp += g.To - g.From
 					}
 				}
 				if cut != lost {
 					t.Fatalf("the file was shortened %d times, but %d gaps say so", lost, cut)
 				}
-				if n := strings.Count(string(stream), "\x00"); int64(n) != given {
-					t.Fatalf("%d bytes were given up, but gaps cover %d", n, given)
+				if n := strings.Count(string(stream), "\x00"); int64(n) != givenUp {
+					t.Fatalf("%d bytes were given up, but gaps cover %d", n, givenUp)
 				}
 			},
 		})
@@ -124,9 +124,9 @@
 		}
 		const now, bound = 1000, 300
 		out := due(all, now, bound)
-		in := map[archive.Attempt]bool{}
+		isDue := map[archive.Attempt]bool{}
 		for i, w := range out {
-			in[w.attempt] = true
+			isDue[w.attempt] = true
 			if i > 0 {
 				p := out[i-1]
 				if w.urgent && !p.urgent || w.urgent == p.urgent && w.oldestAt < p.oldestAt {
@@ -136,8 +136,8 @@
 		}
 		for _, w := range all {
 			must := w.ended || w.unshipped >= archive.MaxSegment || w.unshipped > 0 && now-w.oldestAt >= bound
-			if must != in[w.attempt] {
-				t.Fatalf("%+v is due: %v, want the opposite", w, in[w.attempt])
+			if must != isDue[w.attempt] {
+				t.Fatalf("%+v is due: %v, want the opposite", w, isDue[w.attempt])
 			}
 		}
 		quota := rapid.Int64Range(0, 5*archive.MaxSegment).Draw(t, "quota")
--- a/internal/archive/vault/maintenance.go
+++ b/internal/archive/vault/maintenance.go
@@ -115,11 +115,11 @@
 			return err
 		}
 		now := time.Now().UnixMilli()
-		type found struct {
-			r archive.Record
-			l recordLocation
+		type recoveredRecord struct {
+			record   archive.Record
+			location recordLocation
 		}
-		var all []found
+		var all []recoveredRecord
 		damaged := 0
 		for pos := 0; pos < len(raw); {
 			r, err := archive.ReadFrame(bytes.NewReader(raw[pos:]))
@@ -134,21 +134,21 @@
 			}
 			location := recordLocation{id, int64(pos), int64(archive.FrameSize(&r)), now}
 			r.Payload = bytes.Clone(r.Payload)
-			all = append(all, found{r, location})
+			all = append(all, recoveredRecord{r, location})
 			pos += int(location.size)
 		}
 		if damaged > 0 {
 			v.log.Error("a volume has damaged ranges or an unacknowledged tail; it is kept unchanged", "volume", v.volumePath(id), "places", damaged)
 			v.volumes[id].damaged = true
 		}
-		var fresh []found
+		var fresh []recoveredRecord
 		if err := v.db.Update(func(tx *bolt.Tx) error {
 			fresh = fresh[:0]
 			for i := range all {
-				if tx.Bucket(bucketRecords).Get([]byte(all[i].r.Key.String())) != nil {
+				if tx.Bucket(bucketRecords).Get([]byte(all[i].record.Key.String())) != nil {
 					continue
 				}
-				if err := v.addEntry(tx, &all[i].r, all[i].l); err != nil {
+				if err := v.addEntry(tx, &all[i].record, all[i].location); err != nil {
 					return err
 				}
 				fresh = append(fresh, all[i])
@@ -158,7 +158,7 @@
 			return err
 		}
 		for _, f := range fresh {
-			v.countStored(f.r.Key, f.l)
+			v.countStored(f.record.Key, f.location)
 		}
 	}
 	return nil
--- a/internal/archive/vault/read.go
+++ b/internal/archive/vault/read.go
@@ -47,7 +47,7 @@
 		if err == nil {
 			return r, nil
 		}
-		if again, err2 := v.find(key); err2 == nil && again != location {
+		if current, err2 := v.find(key); err2 == nil && current != location {
 			continue // compaction moved the record during the read
 		}
 		if !errors.Is(err, checksum.ErrDamaged) {
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -92,10 +92,10 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "silvergate authority of " + site, Organization: []string{site}},
+	template := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "silvergate authority of " + site, Organization: []string{site}},
 		NotBefore: now.Add(-ClockSkew), NotAfter: now.Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, pub, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, pub, key)
 	if err != nil {
 		return nil, err
 	}
@@ -221,12 +221,12 @@
 	if err != nil {
 		return err
 	}
-	both := append(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw})...)
+	certAndKey := append(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw})...)
 	for _, f := range []struct {
 		name string
 		data []byte
 		mode fs.FileMode
-	}{{authorityFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), 0o644}, {revokedFile, crl, 0o644}, {certFile, both, 0o600}} {
+	}{{authorityFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), 0o644}, {revokedFile, crl, 0o644}, {certFile, certAndKey, 0o600}} {
 		if err := renameio.WriteFile(filepath.Join(to, f.name), f.data, f.mode); err != nil {
 			return err
 		}
--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -257,7 +257,7 @@
 // whether a verified identity is accepted, and where describes the other end in logs. The
 // library's verification of the certificate chain is not used: it would tell the other end
 // what is wrong with its certificate.
-func (c *Credentials) tlsConfig(check func(Identity) error, where string) *tls.Config {
+func (c *Credentials) tlsConfig(check func(Identity) error, peer string) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		ClientAuth:             tls.RequireAnyClientCert,
@@ -277,7 +277,7 @@
 				err = check(who)
 			}
 			if err != nil {
-				c.log.Warn("connection refused", "with", where, "who", who.String(), "reason", err)
+				c.log.Warn("connection refused", "with", peer, "who", who.String(), "reason", err)
 				return errRefused
 			}
 			return nil
