--- a/internal/archive/history/draw.go
+++ b/internal/archive/history/draw.go
@@ -272,8 +272,8 @@
 	return nil
 }
 
-// killAgent stops a machine's shipper and starts it again, sometimes without its saved
-// progress. The machine's attempts have then ended.
+// killAgent stops a machine's shipper and starts it again, with a probability of 1/3 without
+// its saved progress. It marks all attempts of the machine as ended.
 func (r *randomRun) killAgent() error {
 	names := r.machineNames()
 	name := names[r.random.IntN(len(names))]
@@ -321,7 +321,7 @@
 	for i, a := range attempts {
 		promised[i] = len(a.expected.Output)
 	}
-	// The archive promises output that was written the age bound or longer before the loss.
+	// The archive promises output that was written at least the age bound (BoundS) before the loss.
 	// Shipping may take longer on a busy machine, and its time is not part of the promise,
 	// so wait until everything written up to now is shipped.
 	if err := waitShipped(m, false); err != nil {
@@ -390,7 +390,7 @@
 			return fmt.Errorf("%s: %w", a.expected.Attempt, err)
 		}
 		r.summary.Reads++
-		if r.machines[a.machine] == nil { // the machine was lost, and its end and files may be lost too
+		if r.machines[a.machine] == nil { // the machine was lost, and the attempt's end and files may be lost with it
 			a.expected.Ended = false
 		}
 		if err := CheckRead(a.expected, got); err != nil {
--- a/internal/archive/history/history.go
+++ b/internal/archive/history/history.go
@@ -233,8 +233,9 @@
 	Owner   archive.Owner
 	Output  string            // what the program wrote to its standard output
 	Files   map[string]string // contents of the files to be stored, by path
-	// Promised is how many bytes of Output a reader must get: all of them, unless the
-	// machine was lost with its disk; then those written the age bound or longer before.
+	// Promised is how many bytes of Output a reader must get: all of them or, if the
+	// machine was lost with its disk, those written at least ship.Config.BoundS seconds
+	// before the loss.
 	Promised int
 	// Ended says that the attempt's end and all its files must be stored.
 	Ended bool
@@ -351,8 +352,8 @@
 // waitTimeout bounds how long waitShipped and waitReplicated wait.
 const waitTimeout = 60 * time.Second
 
-// waitShipped waits until a machine has shipped all output, and with ends also the files
-// and the ends of its ended attempts.
+// waitShipped waits until a machine has shipped all output. If ends is true, it also waits
+// until the files and the ends of the machine's ended attempts are shipped.
 func waitShipped(m *Machine, ends bool) error {
 	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		// The shipper must have observed the files after the last write.
@@ -365,7 +366,8 @@
 	return fmt.Errorf("machine %s did not ship everything in time: %+v", m.Name, m.Stats())
 }
 
-// waitReplicated waits until all nodes except one have the same number of records.
+// waitReplicated makes the nodes fetch each other's records until all nodes, except the one
+// named except, have the same number of records.
 func (s *Site) waitReplicated(except string) error {
 	var last error
 	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
--- a/internal/archive/history/history_test.go
+++ b/internal/archive/history/history_test.go
@@ -98,7 +98,7 @@
 	if err := waitShipped(m, false); err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range s.Members[:2] { // the one that is left is no quorum of three
+	for _, n := range s.Members[:2] { // the remaining node is not a quorum of three
 		s.StopNode(n.Name)
 	}
 	write(50_000)
--- a/internal/archive/load/bench.go
+++ b/internal/archive/load/bench.go
@@ -281,8 +281,9 @@
 	return time.Since(start), nil
 }
 
-// measureUsage records the processes' average CPU use over the time took, from the CPU
-// times at its start in before, and their present memory.
+// measureUsage records the average CPU use and the present memory of the shipper, and the
+// maxima of both over the nodes. before holds the processes' CPU times at the start of the
+// writing, and took is how long the writing lasted.
 func (b *bench) measureUsage(before map[string]time.Duration, took time.Duration) {
 	r := &b.result
 	for name, p := range b.processes {
@@ -355,8 +356,8 @@
 	return total, nil
 }
 
-// measureRestoring kills a node, deletes its data, starts it again and measures how long
-// it takes until the node has as many records as another.
+// measureRestoring stops the shipper, kills a node, deletes the node's data and starts the
+// node again. It measures how long it takes until the node has as many records as another.
 func (b *bench) measureRestoring(ctx context.Context) error {
 	lost := b.site.Members[nodeCount-1].Name
 	b.processes[shipperName].stop(syscall.SIGTERM)
--- a/internal/archive/ship/plan.go
+++ b/internal/archive/ship/plan.go
@@ -153,9 +153,9 @@
 }
 
 // bytesToDrop returns how many bytes of each attempt are given up, in the order of all,
-// when the backlog exceeds quota bytes. It takes from ended attempts before running ones;
-// among these from non-urgent attempts before urgent ones, and then from those with the
-// oldest output first.
+// when the backlog exceeds quota bytes. Ended attempts lose output before running ones. In
+// each of these two groups, non-urgent attempts lose output before urgent ones, and
+// attempts of the same urgency in the order of their oldest output.
 func bytesToDrop(all []attemptBacklog, quota int64) []int64 {
 	out := make([]int64, len(all))
 	over := -quota
--- a/internal/archive/ship/plan_test.go
+++ b/internal/archive/ship/plan_test.go
@@ -152,7 +152,7 @@
 			if drops[i] == 0 {
 				continue
 			}
-			for k, o := range all { // no less important attempt may keep output
+			for k, o := range all { // attempts that are less important must have given up all their output
 				lessImportant := o.ended && !w.ended || o.ended == w.ended && !o.urgent && w.urgent
 				if lessImportant && drops[k] < o.unshipped {
 					t.Fatalf("%+v gives up %d bytes while %+v keeps %d", w, drops[i], o, o.unshipped-drops[k])
--- a/internal/archive/ship/put.go
+++ b/internal/archive/ship/put.go
@@ -39,8 +39,8 @@
 }
 
 // maxInFlight bounds the requests in flight to one node. Without a bound, requests to a
-// slow node pile up with records that the other nodes have long stored; the node fetches
-// these from them by itself.
+// slow node pile up with records that the other nodes have long stored. The slow node
+// later fetches the records that it lacks from the other nodes.
 const maxInFlight = 3
 
 // NewWriter returns a writer that connects with the given credentials, which the caller
@@ -70,7 +70,7 @@
 var errRefused = errors.New("refused")
 
 // post sends records to the node to store. It returns errBackingOff, without a request,
-// if the node failed shortly before or has maxInFlight requests.
+// if the node failed shortly before or maxInFlight requests to it are in flight.
 func (r *nodeClient) post(ctx context.Context, body []byte) error {
 	r.mu.Lock()
 	if time.Until(r.notBefore) > 0 || r.inFlight == maxInFlight {
--- a/internal/archive/ship/rounds.go
+++ b/internal/archive/ship/rounds.go
@@ -108,8 +108,8 @@
 // finishRetryInterval is the shortest time between two tries to store an attempt's end.
 const finishRetryInterval = time.Second
 
-// sentRecord says which progress of an attempt to record when a sent record is stored.
-// The zero value stands for a record that is no progress, such as a grant.
+// sentRecord names the stream whose progress send updates when nodes have stored a record.
+// The zero value is for a record that changes no stream's progress, such as a grant.
 type sentRecord struct {
 	attempt *followedAttempt
 	stream  string
@@ -128,8 +128,9 @@
 	gaps       []archive.Gap
 }
 
-// shipBatch ships a batch of the output that is due. It returns false if nothing was due
-// or nothing was stored.
+// shipBatch ships a batch of the output that is due. For ended attempts whose output is
+// shipped completely, it starts finish in the background. It returns false if no output was
+// due or none was stored.
 func (s *Shipper) shipBatch() bool {
 	cuts, ended := s.selectDue()
 	for _, f := range ended {
@@ -243,8 +244,9 @@
 	return buf, nil
 }
 
-// waitForRate waits until the rate limit allows sending size bytes. The limit is lower
-// while inputs of an urgent task are being fetched.
+// waitForRate waits until the rate limit allows sending size bytes. While inputs of an
+// urgent task are being fetched, the limit is Config.UrgentMBPerS if that is lower than
+// Config.RateMBPerS or the latter is 0.
 func (s *Shipper) waitForRate(size int) error {
 	mbPerS := s.cfg.RateMBPerS
 	if s.Urgent() && (mbPerS == 0 || s.cfg.UrgentMBPerS < mbPerS) {
@@ -274,8 +276,8 @@
 }
 
 // send sends records to their nodes and updates the progress of their attempts. It gives
-// up attempts whose records a quorum refused. anyStored reports whether a gap or a segment
-// was stored.
+// up attempts of which a quorum refused a gap or a segment. anyStored reports whether a gap
+// or a segment was stored.
 func (s *Shipper) send(records []archive.Record, sent []sentRecord) (anyStored bool) {
 	size := totalFrameSize(records)
 	if s.waitForRate(size) != nil {
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -28,7 +28,7 @@
 	// Certs is the folder with the agent's certificate.
 	Certs string `yaml:"certs"`
 	// BoundS bounds the age of output that is not shipped, in seconds. If a machine is
-	// lost with its disk, the output written after that bound is lost.
+	// lost with its disk, output that is younger than BoundS may be lost.
 	BoundS float64 `yaml:"bound_s"`
 	// RateMBPerS bounds how much is shipped, in megabytes per second. UrgentMBPerS
 	// bounds it while inputs of an urgent task are being fetched. 0 means no bound.
@@ -94,7 +94,7 @@
 	Attempts int
 	Left     int64 // bytes that wait to be shipped
 	Shipped  int64 // bytes of output that a quorum stored
-	Packed   int64 // bytes of records that were sent for this output, to each node
+	Packed   int64 // bytes of the records sent for this output; each send counts once, not once per node
 	Files    int64
 	GivenUp  int64 // bytes of output
 	Refused  int64 // records
--- a/internal/archive/vault/index.go
+++ b/internal/archive/vault/index.go
@@ -151,8 +151,8 @@
 	})
 }
 
-// createBuckets creates the buckets that an index lacks. fresh reports whether it had
-// no bucket for records.
+// createBuckets creates the buckets that an index lacks. fresh reports whether the index
+// had no bucket for records before.
 func createBuckets(db *bolt.DB) (fresh bool, err error) {
 	err = db.Update(func(tx *bolt.Tx) error {
 		fresh = tx.Bucket(bucketRecords) == nil
@@ -189,8 +189,8 @@
 	return entries, err
 }
 
-// countEntries adds the listed records to the counters, without those whose volume is
-// missing or too short, whose keys it returns.
+// countEntries adds the listed records to the counters. It leaves out records whose
+// volume is missing or too short, and returns their keys.
 func (v *Vault) countEntries(entries []indexEntry) (lost []string) {
 	for _, e := range entries {
 		volume := v.volumes[e.location.volumeID]
@@ -252,8 +252,8 @@
 // viewIndex runs read in a read-only transaction of the index. It turns a panic, which
 // bbolt raises for a page that is damaged while the index is open, into an error.
 //
-// The path comes from the settings and not from bbolt, which clears its own path when it
-// closes: a node that stops may still be answering a reader.
+// The path in the error comes from the settings: bbolt clears its own path when the index
+// is closed, and a node that is stopping may still answer a reader after that.
 func (v *Vault) viewIndex(read func(tx *bolt.Tx) error) error {
 	path := filepath.Join(v.cfg.Dir, indexFile)
 	return checksum.Guard(path, func() error { return v.db.View(read) })
--- a/internal/archive/vault/maintenance.go
+++ b/internal/archive/vault/maintenance.go
@@ -37,7 +37,8 @@
 
 // compact removes volumes without live records. It also moves the records of one volume
 // of which less than a quarter is live to the current volume, so that the next compact
-// can remove it. It runs in the writer's goroutine.
+// can remove it. It skips the current volume and volumes in which a damaged record was
+// found. It runs in the writer's goroutine.
 func (v *Vault) compact() {
 	v.mu.Lock()
 	var sparse uint32
@@ -106,8 +107,9 @@
 }
 
 // rebuild builds the index from the volumes. This also restores records that were never
-// acknowledged and records that were dropped. The former do no harm; the latter are
-// dropped again, as the records that say so are restored too.
+// acknowledged and records that were dropped. The former do no harm; the node drops the
+// latter again: expired records because the Expired records that cover them are restored
+// too, and strays when it next hands them over to other nodes.
 func (v *Vault) rebuild() error {
 	for _, id := range sortedIDs(v.volumes) {
 		raw, err := os.ReadFile(v.volumePath(id))
--- a/internal/archive/vault/read.go
+++ b/internal/archive/vault/read.go
@@ -82,8 +82,8 @@
 	return r, nil
 }
 
-// removeDamaged removes a damaged record from the index and marks its volume, so that
-// the volume is never removed.
+// removeDamaged removes a damaged record from the index and marks its volume as damaged,
+// so that the volume is not removed while the vault is open.
 func (v *Vault) removeDamaged(k archive.Key, location recordLocation, why error) {
 	v.log.Error("a record is damaged; it counts as missing and its volume is kept unchanged",
 		"key", k.String(), "volume", v.volumePath(location.volumeID), "pos", location.offset, "error", why)
--- a/internal/archive/vault/vault.go
+++ b/internal/archive/vault/vault.go
@@ -7,8 +7,8 @@
 // never acknowledged. Changes that arrive during a sync share the next one.
 //
 // A damaged record is logged and removed from the index, so that it counts as missing
-// and is fetched again from another node; its bytes stay on disk unchanged. A damaged
-// index is moved aside and rebuilt from the volumes.
+// and is fetched again from another node; its bytes stay on disk unchanged while the
+// vault is open. A damaged index is moved aside and rebuilt from the volumes.
 package vault
 
 import (
@@ -88,8 +88,8 @@
 type volumeFile struct {
 	file    *os.File
 	size    int64 // offset in bytes of the end of the last record that the index lists
-	live    int64 // bytes of the records that were not dropped
-	damaged bool  // the file has a damaged record, so it is never removed
+	live    int64 // bytes of the records that the index lists
+	damaged bool  // a damaged record was found in the file; it is not removed while the vault is open
 }
 
 // recordLocation is the location of a record's frame: its volume, and its offset and
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -248,9 +248,9 @@
 }
 
 // TestDamagedRecordIsReportedAndVolumeKept guards against a vault that serves a record with
-// a changed byte, or overwrites it: the record must count as missing, it can be stored
-// again, and its volume must stay, also when all of its records are dropped. The test also
-// checks that Open detects a missing volume.
+// a changed byte, or overwrites it. The record must count as missing, and it can be stored
+// again. Its volume must stay even after all records in the volume are dropped. The test
+// also checks that Open detects a missing volume.
 func TestDamagedRecordIsReportedAndVolumeKept(t *testing.T) {
 	h, dir := &listedKeys{}, t.TempDir()
 	v, err := Open(h.config(dir), quiet)
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -43,13 +43,13 @@
 	authorityLifetime = 10 * 365 * 24 * time.Hour
 	// DefaultLifetime is a certificate's lifetime if Issue is called without one.
 	DefaultLifetime = 30 * 24 * time.Hour
-	// ClockSkew is how long before its issue a certificate becomes valid, because clocks
-	// differ.
+	// ClockSkew is the time by which the start of a certificate's validity precedes its
+	// issue, because clocks differ.
 	ClockSkew = 5 * time.Minute
 )
 
-// Authority issues a site's certificates. Nobody but its owner may be able to read its
-// folder: with the key in it one can take any identity of the site.
+// Authority issues a site's certificates. Only the folder's owner may be able to read the
+// folder, because the key in it can sign a certificate for any identity of the site.
 type Authority struct {
 	dir  string
 	cert *x509.Certificate
@@ -234,8 +234,8 @@
 	return nil
 }
 
-// Ensure issues a certificate into a folder, unless the folder has one for the same identity
-// with more than a third of its lifetime left.
+// Ensure issues a certificate into a folder, unless the folder has a certificate that the
+// authority signed for the same identity and that has more than a third of its lifetime left.
 func (a *Authority) Ensure(who Identity, to string) error {
 	who.Site = a.Site()
 	if c, err := readCert(filepath.Join(to, certFile)); err == nil {
@@ -289,7 +289,7 @@
 	out := []IssuedCertificate{}
 	for sc := bufio.NewScanner(bytes.NewReader(raw)); sc.Scan(); {
 		var i IssuedCertificate
-		if json.Unmarshal(sc.Bytes(), &i) == nil { // the certificate of a line that was cut off was never handed out
+		if json.Unmarshal(sc.Bytes(), &i) == nil { // skip a line that was cut off; its certificate was never handed out
 			i.Revoked = revoked[i.Serial]
 			out = append(out, i)
 		}
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -326,7 +326,7 @@
 }
 
 // FuzzIdentity guards against two spellings of one identity: a URI that ParseURI accepts must
-// be the one that the identity is written as.
+// equal the URI of the identity that ParseURI returns.
 func FuzzIdentity(f *testing.F) {
 	for _, s := range []string{"silvergate://a/node/b", "silvergate://a/customer/b/c", "silvergate://a/operator/b?x", "silvergate://u@a/node/b", "silvergate://a/node/b/../c", "silvergate://a/node/%62", "SILVERGATE://a/node/b"} {
 		f.Add(s)
--- a/internal/identity/keeper.go
+++ b/internal/identity/keeper.go
@@ -230,7 +230,7 @@
 	case now.After(certificate.NotAfter):
 		return Identity{}, ErrExpired
 	}
-	// The validity period is checked above, where each side has an error of its own.
+	// The validity period was checked above, to return different errors for its two ends.
 	if _, err := certificate.Verify(x509.VerifyOptions{Roots: c.roots, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}); err != nil {
 		return Identity{}, fmt.Errorf("%w: %w", ErrForeign, err)
 	}
@@ -254,7 +254,7 @@
 }
 
 // tlsConfig returns the TLS configuration that clients and servers share. check decides
-// whether a verified identity is accepted, and where describes the other end in logs. The
+// whether a verified identity is accepted, and peer describes the other end in logs. The
 // library's verification of the certificate chain is not used: it would tell the other end
 // what is wrong with its certificate.
 func (c *Credentials) tlsConfig(check func(Identity) error, peer string) *tls.Config {
