--- a/internal/archive/node/derived.go
+++ b/internal/archive/node/derived.go
@@ -32,7 +32,7 @@
 	records    int
 	lastStored time.Time
 	ended      bool           // its end is on record, or it is the pseudo-attempt of a job's files
-	owner      *archive.Grant // nil: grant not read yet
+	grant      *archive.Grant // nil: grant not read yet
 }
 
 // recordAdded updates the derived state. The vault calls it for each record that it adds or
@@ -75,26 +75,26 @@
 // updateTrees adds a key to the trees of the peers that should store the record, too, or
 // removes it from them. If this node should not store the record, it updates the strays
 // instead.
-func (n *Node) updateTrees(k archive.Key, in bool) {
+func (n *Node) updateTrees(k archive.Key, added bool) {
 	unit, key := archive.PlacementUnit(k.Attempt), k.String()
-	owners := n.members.NodesFor(unit)
+	replicas := n.members.NodesFor(unit)
 	mine := false
-	for _, o := range owners {
+	for _, o := range replicas {
 		mine = mine || o == n.cfg.Name
 	}
 	if !mine {
-		if in {
+		if added {
 			n.derived.strays[key] = true
 		} else {
 			delete(n.derived.strays, key)
 		}
 		return
 	}
-	for _, o := range owners {
+	for _, o := range replicas {
 		t := n.derived.trees[o]
 		switch {
 		case t == nil:
-		case in:
+		case added:
 			t.Add(archive.Leaf(unit), key)
 		default:
 			t.Remove(archive.Leaf(unit), key)
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -117,17 +117,17 @@
 		if err != nil || n.members.NodesFor(archive.PlacementUnit(a))[0] != n.cfg.Name {
 			continue
 		}
-		if e.u.owner == nil {
-			if e.u.owner = n.grantOf(e.name); e.u.owner == nil {
+		if e.u.grant == nil {
+			if e.u.grant = n.grantOf(e.name); e.u.grant == nil {
 				continue // its grant has not arrived yet
 			}
 			n.mu.Lock()
 			if u := n.derived.usage[e.name]; u != nil {
-				u.owner = e.u.owner
+				u.grant = e.u.grant
 			}
 			n.mu.Unlock()
 		}
-		out = append(out, archive.Usage{Attempt: a, Owner: e.u.owner.Owner, Class: e.u.owner.Class, Bytes: e.u.bytes, LastStored: e.u.lastStored, Ended: e.u.ended})
+		out = append(out, archive.Usage{Attempt: a, Owner: e.u.grant.Owner, Class: e.u.grant.Class, Bytes: e.u.bytes, LastStored: e.u.lastStored, Ended: e.u.ended})
 	}
 	return out, nil
 }
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -55,7 +55,7 @@
 	members     archive.Members
 	vault       *vault.Vault
 	peers       map[string]*peer // by name; all members but this one
-	fetchLimit  *rate.Limiter    // bytes per second exchanged with other nodes
+	syncLimiter *rate.Limiter    // bytes per second exchanged with other nodes
 	// Now returns the current time for expiry. It may be replaced before Serve.
 	Now func() time.Time
 
@@ -110,9 +110,9 @@
 		n.peers[m.Name] = newPeer(n.credentials, m)
 		n.derived.trees[m.Name] = &archive.Tree{}
 	}
-	n.fetchLimit = rate.NewLimiter(rate.Inf, 0)
+	n.syncLimiter = rate.NewLimiter(rate.Inf, 0)
 	if cfg.SyncMBPerS > 0 {
-		n.fetchLimit = rate.NewLimiter(rate.Limit(cfg.SyncMBPerS*1e6), 4*archive.MaxPayload)
+		n.syncLimiter = rate.NewLimiter(rate.Limit(cfg.SyncMBPerS*1e6), 4*archive.MaxPayload)
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	if n.vault, err = vault.Open(vault.Config{Dir: filepath.Join(cfg.Dir, "vault"), Labels: grantLabels, Added: n.recordAdded, Removed: n.recordRemoved}, log); err != nil {
--- a/internal/archive/node/node_test.go
+++ b/internal/archive/node/node_test.go
@@ -158,12 +158,12 @@
 	}
 	who = append(who, "operator/ann", "node/one", "agent/m-0", "agent/m-1", "agent/office")
 	type storedAttempt struct {
-		a     archive.Attempt
-		owner archive.Owner
-		gone  bool
+		a       archive.Attempt
+		owner   archive.Owner
+		expired bool
 	}
 	var all []storedAttempt
-	asked, told, denied := 0, 0, 0
+	asked, allowed, denied := 0, 0, 0
 	limit := 3000
 	if v, err := strconv.Atoi(os.Getenv("ACCESS")); err == nil {
 		limit = v
@@ -198,7 +198,7 @@
 					if err := n.store(context.Background(), []archive.Record{record}); err != nil {
 						t.Fatal(err)
 					}
-					x.gone = true
+					x.expired = true
 				default:
 					asked++
 					x := all[rapid.IntRange(0, len(all)-1).Draw(t, "of")]
@@ -207,19 +207,19 @@
 					may := archive.Access(id, archive.Read, x.owner, "")
 					absent := x.a
 					absent.Job = "wk-99999999"
-					var target, nothing string
+					var target, absentTarget string
 					switch rapid.IntRange(0, 6).Draw(t, "request") {
 					case 0:
-						target, nothing = PathAttempts+"?files=true&job="+x.a.Job, PathAttempts+"?files=true&job="+absent.Job
+						target, absentTarget = PathAttempts+"?files=true&job="+x.a.Job, PathAttempts+"?files=true&job="+absent.Job
 					case 1:
 						q := url.Values{"job": {x.a.Job}, "from": {x.a.Job + "/00000000/00000000/a"}}
 						target = PathAttempts + "?" + q.Encode()
 						q.Set("job", absent.Job)
-						nothing = PathAttempts + "?" + q.Encode()
+						absentTarget = PathAttempts + "?" + q.Encode()
 					case 2:
-						target, nothing = PathStream+"?stream=stdout&attempt="+url.QueryEscape(x.a.String()), PathStream+"?stream=stdout&attempt="+url.QueryEscape(absent.String())
+						target, absentTarget = PathStream+"?stream=stdout&attempt="+url.QueryEscape(x.a.String()), PathStream+"?stream=stdout&attempt="+url.QueryEscape(absent.String())
 					case 3:
-						target, nothing = PathFile+"?path=out/result&chunk=0&attempt="+url.QueryEscape(x.a.String()), PathFile+"?path=out/result&chunk=0&attempt="+url.QueryEscape(absent.String())
+						target, absentTarget = PathFile+"?path=out/result&chunk=0&attempt="+url.QueryEscape(x.a.String()), PathFile+"?path=out/result&chunk=0&attempt="+url.QueryEscape(absent.String())
 					case 4: // a list by label, the reader's own or another's
 						target = PathAttempts + "?" + url.Values{pick([]string{"team", "customer", "class", "machine", "day"}, "by"): {pick([]string{x.owner.Team, x.owner.Customer, "forecast", "m-0", "2023-11-14", "all"}, "value")}}.Encode()
 					case 5: // a prefix of a job's name
@@ -228,7 +228,7 @@
 						q := url.Values{"job": {x.a.Job}, "label": {"all"}, "attempt": {x.a.String()}, "stream": {"stdout"}, "leaf": {"1"}}
 						target = pick([]string{PathRows, PathCuts, PathTree, PathLeaf}, "inner") + "?" + q.Encode()
 						if id.Kind != identity.Node {
-							nothing = "/nowhere"
+							absentTarget = "/nowhere"
 							may = false
 						}
 					}
@@ -239,13 +239,13 @@
 						}
 					}
 					switch {
-					case nothing != "" && !may:
+					case absentTarget != "" && !may:
 						denied++
-						if st2, got2 := s.call(h, reader, "GET", nothing, nil); st2 != st || got2 != got {
+						if st2, got2 := s.call(h, reader, "GET", absentTarget, nil); st2 != st || got2 != got {
 							t.Fatalf("%s requests %s: %d %.200s; for something that does not exist: %d %.200s", reader, target, st, got, st2, got2)
 						}
-					case nothing != "" && may && !x.gone:
-						told++
+					case absentTarget != "" && may && !x.expired:
+						allowed++
 						if st != 200 || strings.Contains(target, PathFile) && got != "file of "+text(x.a, x.owner) {
 							t.Fatalf("%s may read %s, but the response to %s is %d %.200s", reader, x.a, target, st, got)
 						}
@@ -254,8 +254,8 @@
 			}
 		})
 	}
-	t.Logf("%d requests for %d attempts: %d allowed, %d denied", asked, len(all), told, denied)
-	if told == 0 || denied == 0 {
+	t.Logf("%d requests for %d attempts: %d allowed, %d denied", asked, len(all), allowed, denied)
+	if allowed == 0 || denied == 0 {
 		t.Error("no request was allowed, or none was denied")
 	}
 }
@@ -274,7 +274,7 @@
 	foreign := archive.Attempt{Job: "wk-000002", Task: 0, Try: 1, Machine: "m-0"}
 	forged := g
 	forged.Customer = "miller"
-	mark := archive.NewRecord(a, archive.KindExpired, "", archive.Encode(archive.Expired{All: true, Reason: "x"}))
+	expiry := archive.NewRecord(a, archive.KindExpired, "", archive.Encode(archive.Expired{All: true, Reason: "x"}))
 	big := make([]byte, MaxPut+1)
 	cut := encodeFrames(good)
 	for _, c := range []struct {
@@ -292,7 +292,7 @@
 		{"another attempt under its grant", "agent/m-0", encodeFrames(append(attemptRecords(other, g, "x")[2:3], good[0])), 403},
 		{"another job's files", "agent/m-0", encodeFrames(append(attemptRecords(foreign, g, "x")[3:4], good[0])), 403},
 		{"a forged grant", "agent/m-0", encodeFrames([]archive.Record{archive.NewRecord(a, archive.KindGrant, "", archive.Encode(forged))}), 403},
-		{"a mark of expiry", "agent/m-0", encodeFrames([]archive.Record{good[0], mark}), 403},
+		{"a mark of expiry", "agent/m-0", encodeFrames([]archive.Record{good[0], expiry}), 403},
 		{"nothing", "agent/m-0", nil, 400},
 		{"cut off", "agent/m-0", cut[:len(cut)-3], 400},
 		{"garbage", "agent/m-0", []byte("hello"), 400},
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -110,7 +110,7 @@
 // any records with valid grants; an agent may write those of attempts whose grants are in
 // the same request.
 func (n *Node) authorizeWrite(who identity.Identity, records []archive.Record) error {
-	node := archive.Access(who, archive.Sync, archive.Owner{}, "")
+	isNode := archive.Access(who, archive.Sync, archive.Owner{}, "")
 	granted, jobs := map[archive.Attempt]bool{}, map[string]bool{}
 	for i := range records {
 		if records[i].Key.Kind != archive.KindGrant {
@@ -120,12 +120,12 @@
 		if err != nil {
 			return err
 		}
-		if !node && !archive.Access(who, archive.Write, g.Owner, g.Machine) {
+		if !isNode && !archive.Access(who, archive.Write, g.Owner, g.Machine) {
 			return fmt.Errorf("the grant of %s is for machine %s", g.Attempt, g.Machine)
 		}
 		granted[g.Attempt], jobs[g.Job] = true, true
 	}
-	if node {
+	if isNode {
 		return nil
 	}
 	for i := range records {
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -70,12 +70,12 @@
 		writeError(w, http.StatusBadRequest, "not a place in a stream")
 		return
 	}
-	cuts, err := n.listSegments(a, r.URL.Query().Get("label"), stream, from)
+	segments, err := n.listSegments(a, r.URL.Query().Get("label"), stream, from)
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
 	}
-	writeJSON(w, cuts)
+	writeJSON(w, segments)
 }
 
 // parseStreamQuery parses the attempt, the stream and the offset of a request. ok reports
@@ -260,15 +260,15 @@
 }
 
 // missingAt returns, by segment, the owners that answered and lack it.
-func (g *gatheredStream) missingAt(answered, owners []string) map[string][]string {
+func (g *gatheredStream) missingAt(answered, replicas []string) map[string][]string {
 	missing := map[string][]string{}
-	for _, owner := range owners {
-		if !slices.Contains(answered, owner) {
+	for _, replica := range replicas {
+		if !slices.Contains(answered, replica) {
 			continue
 		}
 		for key, names := range g.holders {
-			if !slices.Contains(names, owner) {
-				missing[key] = append(missing[key], owner)
+			if !slices.Contains(names, replica) {
+				missing[key] = append(missing[key], replica)
 			}
 		}
 	}
@@ -276,9 +276,9 @@
 }
 
 // readRecord reads a record from the local vault, or else from one of the nodes in has.
-func (n *Node) readRecord(ctx context.Context, k archive.Key, has []string) (archive.Record, error) {
+func (n *Node) readRecord(ctx context.Context, k archive.Key, holders []string) (archive.Record, error) {
 	r, err := n.vault.Get(k)
-	for _, name := range has {
+	for _, name := range holders {
 		if err == nil {
 			break
 		}
@@ -300,8 +300,8 @@
 }
 
 // segmentPieces reads the range of p from a segment and splits it at the segment's write times.
-func (n *Node) segmentPieces(ctx context.Context, k archive.Key, has []string, p archive.Piece) (out []Piece, err error) {
-	r, err := n.readRecord(ctx, k, has)
+func (n *Node) segmentPieces(ctx context.Context, k archive.Key, holders []string, p archive.Piece) (out []Piece, err error) {
+	r, err := n.readRecord(ctx, k, holders)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -17,9 +17,9 @@
 
 // tree responds with digests of the records that both this node and the requesting one
 // should store: those of the branches, or those of the leaves of one branch.
-func (n *Node) tree(w http.ResponseWriter, r *http.Request, who string) {
+func (n *Node) tree(w http.ResponseWriter, r *http.Request, peer string) {
 	n.mu.Lock()
-	t := n.derived.trees[who]
+	t := n.derived.trees[peer]
 	var row []uint64
 	if t != nil {
 		if b := r.URL.Query().Get("branch"); b == "" {
@@ -41,7 +41,7 @@
 
 // leaf responds with a page of the keys in some leaves, after a key, of the records that
 // both nodes should store.
-func (n *Node) leaf(w http.ResponseWriter, r *http.Request, who string) {
+func (n *Node) leaf(w http.ResponseWriter, r *http.Request, peer string) {
 	q := r.URL.Query()
 	leaves := map[int]bool{}
 	for _, s := range strings.Split(q.Get("leaf"), ",") {
@@ -52,11 +52,11 @@
 		}
 		leaves[i] = true
 	}
-	if len(leaves) == 0 || n.derived.trees[who] == nil {
+	if len(leaves) == 0 || n.derived.trees[peer] == nil {
 		notFound(w)
 		return
 	}
-	keys, err := n.leafKeys(who, leaves)
+	keys, err := n.leafKeys(peer, leaves)
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
@@ -257,7 +257,7 @@
 func (n *Node) throttle(ctx context.Context, size int) error {
 	for size > 0 {
 		part := min(size, 2*archive.MaxPayload)
-		if err := n.fetchLimit.WaitN(ctx, part); err != nil {
+		if err := n.syncLimiter.WaitN(ctx, part); err != nil {
 			return err
 		}
 		size -= part
@@ -284,11 +284,11 @@
 		return
 	}
 	outstanding := map[string]int{}
-	for _, owner := range n.members.Names {
+	for _, member := range n.members.Names {
 		var batch []archive.Record
 		size := 0
 		flush := func() {
-			if len(batch) > 0 && n.send(n.ctx, owner, batch) == nil {
+			if len(batch) > 0 && n.send(n.ctx, member, batch) == nil {
 				for i := range batch {
 					outstanding[batch[i].Key.String()]--
 				}
@@ -296,7 +296,7 @@
 			batch, size = nil, 0
 		}
 		for _, k := range keys {
-			if !n.members.IsReplica(owner, archive.PlacementUnit(k.Attempt)) {
+			if !n.members.IsReplica(member, archive.PlacementUnit(k.Attempt)) {
 				continue
 			}
 			outstanding[k.String()]++
--- a/internal/archive/retain.go
+++ b/internal/archive/retain.go
@@ -201,7 +201,7 @@
 }
 
 // Check returns what is wrong with the first invalid rule, or "" if all are valid.
-func (r *Retention) Check() (field string) {
+func (r *Retention) Check() (problem string) {
 	for i := range r.Rules {
 		x := &r.Rules[i]
 		if !(x.KeepS >= 0) || !(x.MaxMB >= 0) {
