--- a/internal/archive/access.go
+++ b/internal/archive/access.go
@@ -10,7 +10,7 @@
 	Read  Verb = "read"  // a job's output, files, index and history
 	Write Verb = "write" // an attempt's records
 	Sync  Verb = "sync"  // synchronization between nodes
-	Admin Verb = "admin" // a node's statistics, scrubs, revocations
+	Admin Verb = "admin" // a node's statistics
 )
 
 // Access reports whether an identity may perform an operation on records that belong to
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -102,10 +102,10 @@
 	}
 }
 
-// TestAssembleStreams draws how an agent cuts a stream into segments, again at other offsets
-// after each time it is killed, which of the segments arrive, which gaps are recorded and
-// how much expired. Each byte must be covered by one piece: data from the right segment, or
-// the right reason why it is absent.
+// TestAssembleStreams draws the segments that an agent cuts a stream into. Each time the agent is
+// killed, it cuts the stream again, at other offsets. The test also draws which segments arrive,
+// which gaps are recorded and how much expired. Each byte must be covered by one piece: data
+// from the right segment, or the right reason why it is absent.
 func TestAssembleStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.Int64Range(0, 200).Draw(t, "size")
@@ -318,9 +318,9 @@
 	}
 }
 
-// TestRetention checks which attempts are dropped: those that are too old and, with random
-// usage of a team above its quota, those of customers above an equal share, oldest first.
-// One customer's output must never displace another's.
+// TestRetention checks which attempts are dropped: those that are too old and, if a team is
+// above its quota, the oldest attempts of the customers above an equal share. The team's usage
+// is random. One customer's output must never displace another's.
 func TestRetention(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	r := Retention{Rules: []Rule{{Class: "chatty", KeepS: 60}, {Team: "office", KeepS: 3600, MaxMB: 1}}}
--- a/internal/archive/grant.go
+++ b/internal/archive/grant.go
@@ -22,10 +22,11 @@
 
 // Grant is a controller's sealed statement that an attempt was bound to a machine and that
 // its job belongs to an owner. An agent can't forge one: both of its seals are made with a
-// key that only controllers and archive nodes share. LaunchSeal comes with the launch, which
-// only the claim's holder sends and only after the commit; TermsSeal comes with the job's
-// description. A grant does not expire: it stays valid while the attempt's output is still
-// to be shipped, even after the agent epoch of the launch has ended.
+// key that only controllers and archive nodes share. LaunchSeal comes with the command that
+// launches the attempt. Only the controller that holds the machine's claim sends this command,
+// and only after the attempt's binding to the machine is committed. TermsSeal comes with the
+// job's description. A grant does not expire: the attempt's output can be shipped even after
+// the agent has lost the lease under which it launched the attempt (its agent epoch has ended).
 type Grant struct {
 	Attempt
 	Terms
@@ -126,7 +127,7 @@
 }
 
 // validOwner reports whether a grant may name the owner. The team may have a name that
-// can't be in a certificate: only operators can read such a team's records.
+// can't be in a certificate: only operators and nodes can read such a team's records.
 func validOwner(o Owner) bool {
 	return o.Team != "" && len(o.Team) <= 200 && (o.Customer == "" || identity.ValidName(o.Customer))
 }
--- a/internal/archive/node/attempts.go
+++ b/internal/archive/node/attempts.go
@@ -60,7 +60,7 @@
 		}
 	case archive.KindEnd:
 		var e archive.End
-		// There can be two, for example after an agent was killed: the later one counts.
+		// An attempt can have two ends, for example after an agent was killed: the later one counts.
 		if json.Unmarshal(payload, &e) == nil && (s.end == nil || e.At > s.end.At) {
 			s.end = &e
 		}
@@ -125,7 +125,7 @@
 			}
 		}
 	})
-	for name := range states { // after the end of the shortest page, states may be incomplete
+	for name := range states { // after the end of the page that ends first, states may be incomplete
 		if last != "" && name > last {
 			delete(states, name)
 		}
--- a/internal/archive/node/config.go
+++ b/internal/archive/node/config.go
@@ -25,7 +25,8 @@
 	// Revocations is the path of the authority's list of revocations, if this machine can
 	// read it.
 	Revocations string `yaml:"revocations"`
-	// SyncS is the time between two comparisons with another node, in seconds;
+	// SyncS is the longest pause between two rounds of comparisons with the other nodes, in
+	// seconds: when it starts, a node draws its pause from between half of SyncS and SyncS.
 	// SyncMBPerS limits the exchange of missing records, in megabytes per second; 0: no
 	// limit.
 	SyncS      float64 `yaml:"sync_s"`
@@ -33,11 +34,12 @@
 	// ScrubMBPerS is the rate at which stored records are read and checked, in
 	// megabytes per second; 0: never.
 	ScrubMBPerS float64 `yaml:"scrub_mb_per_s"`
-	// PendingMB limits the requests whose records are being written at a time, in units of
-	// 1 MiB; requests beyond it get status 503.
+	// PendingMB limits the total body size of the requests whose records are being received
+	// or written, in units of 1 MiB. A request that would exceed it gets status 503.
 	PendingMB float64           `yaml:"pending_mb"`
 	Retention archive.Retention `yaml:"retention"`
-	// TombstoneS is how long the last records of an expired attempt are kept, in seconds.
+	// TombstoneS is how long the remaining records of an expired attempt are kept, in seconds:
+	// its grant, its end and its expiry records.
 	TombstoneS float64 `yaml:"tombstone_s"`
 }
 
--- a/internal/archive/node/derived.go
+++ b/internal/archive/node/derived.go
@@ -9,11 +9,11 @@
 
 // derived is the state that a node derives from the records in its vault.
 type derived struct {
-	trees        map[string]*archive.Tree   // by peer: the records that both nodes should store
+	trees        map[string]*archive.Tree   // by peer: the records stored here that both nodes should store
 	usage        map[string]*attemptUsage   // by attempt
 	expired      map[string]archive.Expired // by attempt
-	strays       map[string]bool            // keys of records that only other nodes should store
-	unreadExpiry []archive.Key              // keys of expiry records read before the vault was open
+	strays       map[string]bool            // keys of records stored here that only other nodes should store
+	unreadExpiry []archive.Key              // keys of expiry records found while the vault opens, to be applied afterwards
 }
 
 // newDerived returns the state for an empty vault.
@@ -72,9 +72,9 @@
 	}
 }
 
-// updateTrees adds a key to the trees of the peers that should store the record, too, or
-// removes it from them. If this node should not store the record, it updates the strays
-// instead.
+// updateTrees adds the key of an added record to the trees of the peers that should store the
+// record, too, or removes that of a removed record from them. If this node should not store the
+// record, it updates the strays instead.
 func (n *Node) updateTrees(k archive.Key, added bool) {
 	unit, key := archive.PlacementUnit(k.Attempt), k.String()
 	replicas := n.members.NodesFor(unit)
--- a/internal/archive/node/expire.go
+++ b/internal/archive/node/expire.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// Expire applies the retention rules, and drops the last records of attempts that expired
+// Expire applies the retention rules, and drops the remaining records of attempts that expired
 // longer ago than Config.TombstoneS. Only the first of an attempt's nodes decides for it: it
 // stores an expiry record, which is replicated like any other record and applied by the
 // other nodes. So two nodes never both drop a record in the belief that the other still has
@@ -97,8 +97,9 @@
 	return nil
 }
 
-// decidableUsage returns the usage of each attempt that this node decides about: those that
-// it is the first node of, that have not expired entirely and whose grant is here.
+// decidableUsage returns the usage of each attempt that this node decides about. It decides
+// about an attempt if it is the first of the attempt's nodes, the attempt has not expired
+// entirely, and the attempt's grant is stored here.
 func (n *Node) decidableUsage() (out []archive.Usage, err error) {
 	type entry struct {
 		name string
@@ -179,7 +180,7 @@
 	return e, nil
 }
 
-// dropTombstones drops the last records of attempts that expired longer ago than
+// dropTombstones drops the remaining records of attempts that expired entirely, longer ago than
 // Config.TombstoneS.
 func (n *Node) dropTombstones(ctx context.Context) error {
 	limit := n.Now().Add(-time.Duration(n.cfg.TombstoneS * float64(time.Second))).UnixMilli()
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -67,7 +67,7 @@
 	mu           sync.Mutex // guards the fields below
 	server       *http.Server
 	derived      derived
-	pendingBytes int64 // total body size of the requests whose records are being written
+	pendingBytes int64 // total body size of the requests whose records are being received or written
 	stats        Stats
 }
 
@@ -142,8 +142,8 @@
 func labelCustomer(team, customer string) string { return "customer\x00" + team + "\x00" + customer }
 func labelDay(t time.Time) string                { return "day\x00" + t.UTC().Format("2006-01-02") }
 
-// Stop closes the connections, waits for the background tasks and closes the vault.
-// It is called once.
+// Stop closes the connections, waits for the background tasks and closes the vault. Further
+// calls do nothing.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	n.stop()
--- a/internal/archive/node/put.go
+++ b/internal/archive/node/put.go
@@ -106,9 +106,10 @@
 	errNodeOnlyKind = errors.New("only nodes may write expiry records")
 )
 
-// authorizeWrite returns an error if the caller may not write the records. A node may write
-// any records with valid grants; an agent may write those of attempts whose grants are in
-// the same request.
+// authorizeWrite returns an error if the caller may not write the records. All grants among
+// them must be valid and, if an agent sends them, for its machine. A node may write any other
+// records. An agent may write those of attempts whose grants are in the same request, and the
+// chunks of these attempts' jobs, but no expiry records.
 func (n *Node) authorizeWrite(who identity.Identity, records []archive.Record) error {
 	isNode := archive.Access(who, archive.Sync, archive.Owner{}, "")
 	granted, jobs := map[archive.Attempt]bool{}, map[string]bool{}
@@ -144,8 +145,8 @@
 	return nil
 }
 
-// store stores the records that have not expired in the vault and applies the expiry records
-// among them.
+// store writes those of the records that have not expired to the vault, and applies the expiry
+// records among them.
 func (n *Node) store(ctx context.Context, records []archive.Record) error {
 	n.mu.Lock()
 	fresh := make([]archive.Record, 0, len(records))
@@ -176,8 +177,8 @@
 	http          *http.Client
 }
 
-// peerTimeout is the timeout of a request to another node; readTimeout applies instead
-// while a reader waits for the answer.
+// peerTimeout is the timeout of a request to another node; readTimeout applies instead when
+// all nodes are asked on behalf of a reader.
 const (
 	peerTimeout = 30 * time.Second
 	readTimeout = 2 * time.Second
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -221,8 +221,8 @@
 	return archive.Assemble(parts, s.gaps[stream], upto, s.expired.Reason, size)
 }
 
-// mayStillArrive reports whether a piece is the missing tail of an attempt that is still
-// running, whose segments may not have been shipped yet.
+// mayStillArrive reports whether a piece is the missing tail of a stream whose attempt is still
+// running: the segments of the tail may not have been shipped yet.
 func (g *gatheredStream) mayStillArrive(p archive.Piece, parts []archive.Part) bool {
 	return p.State == archive.PieceMissing && g.state.end == nil &&
 		!slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To })
@@ -259,7 +259,7 @@
 	}
 }
 
-// missingAt returns, by segment, the owners that answered and lack it.
+// missingAt returns, by the key of a segment, the replicas that answered and lack it.
 func (g *gatheredStream) missingAt(answered, replicas []string) map[string][]string {
 	missing := map[string][]string{}
 	for _, replica := range replicas {
@@ -275,7 +275,7 @@
 	return missing
 }
 
-// readRecord reads a record from the local vault, or else from one of the nodes in has.
+// readRecord reads a record from the local vault, or else from one of the holders.
 func (n *Node) readRecord(ctx context.Context, k archive.Key, holders []string) (archive.Record, error) {
 	r, err := n.vault.Get(k)
 	for _, name := range holders {
@@ -325,7 +325,8 @@
 	return out, nil
 }
 
-// file responds with the bytes of up to 8 whole chunks of an archived file.
+// file responds with the bytes of up to 8 whole chunks of an archived file, from the requested
+// chunk on.
 func (n *Node) file(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	q := r.URL.Query()
 	a, err := archive.ParseAttempt(q.Get("attempt"))
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -39,8 +39,8 @@
 // leafPage is the maximum number of keys on a page.
 const leafPage = 10_000
 
-// leaf responds with a page of the keys in some leaves, after a key, of the records that
-// both nodes should store.
+// leaf responds with a page of the keys of the records that are in the requested leaves and that
+// both nodes should store. The page begins after the requested key.
 func (n *Node) leaf(w http.ResponseWriter, r *http.Request, peer string) {
 	q := r.URL.Query()
 	leaves := map[int]bool{}
@@ -68,8 +68,8 @@
 	writeJSON(w, keys[at:min(len(keys), at+leafPage)])
 }
 
-// leafKeys returns the keys stored here in some leaves, of the records that both nodes should
-// store. It finds the attempts in memory and their records in the vault's index.
+// leafKeys returns the keys of the records stored here that are in the given leaves and that both
+// nodes should store. It finds the attempts in memory and their records in the vault's index.
 func (n *Node) leafKeys(peer string, leaves map[int]bool) ([]string, error) {
 	n.mu.Lock()
 	var names []string
@@ -265,9 +265,9 @@
 	return nil
 }
 
-// handOverStrays sends strays, which are records stored here that only other nodes should
-// store, to all of those nodes, and drops each once all of them have it. Strays arise when
-// the members change.
+// handOverStrays sends up to 1000 strays to all nodes that should store them, and drops each
+// stray once all of these nodes have it. Strays are records stored here that only other nodes
+// should store. They arise when the members change.
 func (n *Node) handOverStrays() {
 	n.mu.Lock()
 	var keys []archive.Key
@@ -325,7 +325,8 @@
 	}
 }
 
-// send sends records to another node, which stores them, at the configured rate.
+// send sends records to another node at the configured rate. It returns nil once the node has
+// stored them.
 func (n *Node) send(ctx context.Context, to string, records []archive.Record) error {
 	p := n.peers[to]
 	if p == nil {
--- a/internal/archive/place.go
+++ b/internal/archive/place.go
@@ -19,7 +19,8 @@
 // that has the record.
 func (m Members) Quorum() int { return m.copies()/2 + 1 }
 
-// copies returns how many nodes store a record: Replicas, but no more than there are nodes.
+// copies returns how many nodes store a record: Replicas, but at least 1 and no more than there
+// are nodes.
 func (m Members) copies() int { return max(1, min(m.Replicas, len(m.Names))) }
 
 // PlacementUnit returns the name of the placement unit of an attempt. All attempts of a task are
@@ -56,9 +57,9 @@
 // IsReplica reports whether a node is one of those that store a unit's records.
 func (m Members) IsReplica(node, unit string) bool { return slices.Contains(m.NodesFor(unit), node) }
 
-// Complete reports whether the nodes that answered, given their number, have together every
-// acknowledged record of every unit. They do if the nodes that did not answer are too few
-// to form a quorum.
+// Complete reports whether, with answered as the number of nodes that answered a request,
+// these nodes together have every acknowledged record of every unit. They do if the nodes that
+// did not answer are too few to form a quorum.
 func (m Members) Complete(answered int) bool {
 	return len(m.Names)-answered < m.Quorum()
 }
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -44,7 +44,7 @@
 
 // Limits on the contents of records.
 const (
-	maxNumber = 99_999_999
+	maxNumber = 99_999_999 // largest task and try: names have 8 digits for each
 	// MaxSegment is the maximum length of a segment's output, in bytes.
 	MaxSegment = 256 << 10
 	// ChunkSize is the length in bytes of the chunks that files are cut into; a file's last
@@ -53,7 +53,7 @@
 	// MaxPayload is the maximum length of a record's payload, in bytes: that of a chunk that
 	// does not compress.
 	MaxPayload = ChunkSize + 64<<10
-	maxKey     = 400
+	maxKey     = 400 // maximum length of a stored key, in bytes
 )
 
 // FilesAttempt returns the pseudo-attempt under which the chunks of a job's files are stored.
@@ -62,7 +62,8 @@
 // reveal that another job already has it.
 func FilesAttempt(job string) Attempt { return Attempt{job, maxNumber, 0, "files"} }
 
-// String returns the attempt's name. Names sort in the order of attempts.
+// String returns the attempt's name. It pads the numbers with zeros, so that the names of a
+// job's attempts sort by task and then by try.
 func (a Attempt) String() string {
 	return fmt.Sprintf("%s/%08d/%08d/%s", a.Job, a.Task, a.Try, a.Machine)
 }
@@ -342,10 +343,10 @@
 	Data       []byte
 }
 
-// WriteTime is when the bytes of a segment from the end of the previous WriteTime up to an
-// offset were written.
+// WriteTime is the time at which a range of a segment's bytes was written. The range begins
+// where that of the previous WriteTime ends.
 type WriteTime struct {
-	To int   // offset in the segment, in bytes
+	To int   // end of the range: its offset in the segment, in bytes
 	At int64 // Unix time in milliseconds, by the machine's clock
 }
 
--- a/internal/archive/retain.go
+++ b/internal/archive/retain.go
@@ -9,8 +9,9 @@
 // bytesPerMB is the number of bytes in a megabyte of the settings.
 const bytesPerMB = 1e6
 
-// Retention configures how long attempts are kept, and how much of their output. The first
-// rule that matches an attempt applies; a zero field of a rule means no limit.
+// Retention configures how long attempts are kept, and how much of their output. For the time,
+// the first rule that matches an attempt applies; for the quota, the first matching rule that
+// sets MaxMB. A zero field of a rule means no limit.
 type Retention struct {
 	Rules []Rule `yaml:"rules"`
 }
@@ -21,8 +22,8 @@
 	Class string `yaml:"class"`
 	// KeepS is how long an attempt is kept after its newest record was stored, in seconds.
 	KeepS float64 `yaml:"keep_s"`
-	// MaxMB is the team's quota on a node, in megabytes; a rule with a class can't
-	// have one.
+	// MaxMB is the team's quota, in megabytes; a rule with a class can't have one. In the
+	// settings it is for all nodes together, in the rules that Decide applies for one node.
 	MaxMB float64 `yaml:"max_mb"`
 }
 
@@ -66,7 +67,7 @@
 	Reason    string
 }
 
-// drop returns the decision to drop everything that is stored of an attempt.
+// drop returns the decision to drop a whole attempt or, if it has not ended, its output so far.
 func (u *Usage) drop(reason string) Drop {
 	d := Drop{Attempt: u.Attempt, Reason: reason}
 	if !u.Ended {
@@ -94,7 +95,7 @@
 }
 
 // Decide returns what to drop at the given time. It drops attempts that are too old first.
-// If a team exceeds its quota, the customers that use more than an equal share of the quota
+// If a team exceeds its quota, the customers that use more than their fair share of the quota
 // lose their oldest attempts first, so one customer's output never displaces another's. A
 // customer's newest attempt loses only its start if that is enough. Decide does not modify
 // all.
--- a/internal/archive/stream.go
+++ b/internal/archive/stream.go
@@ -184,8 +184,8 @@
 }
 
 // EscapeForTerminal makes output safe to print on a terminal. It escapes control characters, except
-// newline and tab, and invisible ones, so that no line can move the cursor, set the title or hide
-// another line.
+// newline and tab, invisible characters and invalid UTF-8, so that no line can move the cursor, set
+// the title or hide another line.
 func EscapeForTerminal(text string) string {
 	ok := true
 	for i := 0; i < len(text); i++ {
@@ -260,8 +260,10 @@
 	return a
 }
 
-// Covers reports whether a record has expired. Grants and expiry records are never covered:
-// they are kept because they tell whose attempt it was.
+// Covers reports whether a record of the attempt has expired. If All is set, all records but the
+// end are covered; otherwise segments that end at or before Upto, and gaps that begin before it.
+// Grants and expiry records are never covered: they are kept because they tell whose attempt it
+// was.
 func (e Expired) Covers(k Key) bool {
 	if e.Reason == "" || k.Kind == KindExpired || k.Kind == KindGrant {
 		return false
