--- a/internal/archive/node/derived.go
+++ b/internal/archive/node/derived.go
@@ -9,11 +9,11 @@
 
 // derived is the state that a node derives from the records in its vault.
 type derived struct {
-	trees        map[string]*archive.Tree   // by peer: the records that both nodes should store
+	trees        map[string]*archive.Tree   // by peer: the records stored here that both nodes should store
 	usage        map[string]*attemptUsage   // by attempt
 	expired      map[string]archive.Expired // by attempt
-	strays       map[string]bool            // keys of records that only other nodes should store
-	unreadExpiry []archive.Key              // keys of expiry records read before the vault was open
+	strays       map[string]bool            // keys of records stored here that only other nodes should store
+	unreadExpiry []archive.Key              // keys of expiry records found while the vault opens, to be applied afterwards
 }
 
 // newDerived returns the state for an empty vault.
@@ -32,7 +32,7 @@
 	records    int
 	lastStored time.Time
 	ended      bool           // its end is on record, or it is the pseudo-attempt of a job's files
-	owner      *archive.Grant // nil: grant not read yet
+	grant      *archive.Grant // nil: grant not read yet
 }
 
 // recordAdded updates the derived state. The vault calls it for each record that it adds or
@@ -72,29 +72,29 @@
 	}
 }
 
-// updateTrees adds a key to the trees of the peers that should store the record, too, or
-// removes it from them. If this node should not store the record, it updates the strays
-// instead.
-func (n *Node) updateTrees(k archive.Key, in bool) {
+// updateTrees adds the key of an added record to the trees of the peers that should store the
+// record, too, or removes that of a removed record from them. If this node should not store the
+// record, it updates the strays instead.
+func (n *Node) updateTrees(k archive.Key, added bool) {
 	unit, key := archive.PlacementUnit(k.Attempt), k.String()
-	owners := n.members.NodesFor(unit)
+	replicas := n.members.NodesFor(unit)
 	mine := false
-	for _, o := range owners {
+	for _, o := range replicas {
 		mine = mine || o == n.cfg.Name
 	}
 	if !mine {
-		if in {
+		if added {
 			n.derived.strays[key] = true
 		} else {
 			delete(n.derived.strays, key)
 		}
 		return
 	}
-	for _, o := range owners {
+	for _, o := range replicas {
 		t := n.derived.trees[o]
 		switch {
 		case t == nil:
-		case in:
+		case added:
 			t.Add(archive.Leaf(unit), key)
 		default:
 			t.Remove(archive.Leaf(unit), key)
--- a/internal/archive/node/node.go
+++ b/internal/archive/node/node.go
@@ -55,7 +55,7 @@
 	members     archive.Members
 	vault       *vault.Vault
 	peers       map[string]*peer // by name; all members but this one
-	fetchLimit  *rate.Limiter    // bytes per second exchanged with other nodes
+	syncLimiter *rate.Limiter    // bytes per second exchanged with other nodes
 	// Now returns the current time for expiry. It may be replaced before Serve.
 	Now func() time.Time
 
@@ -67,7 +67,7 @@
 	mu           sync.Mutex // guards the fields below
 	server       *http.Server
 	derived      derived
-	pendingBytes int64 // total body size of the requests whose records are being written
+	pendingBytes int64 // total body size of the requests whose records are being received or written
 	stats        Stats
 }
 
@@ -110,9 +110,9 @@
 		n.peers[m.Name] = newPeer(n.credentials, m)
 		n.derived.trees[m.Name] = &archive.Tree{}
 	}
-	n.fetchLimit = rate.NewLimiter(rate.Inf, 0)
+	n.syncLimiter = rate.NewLimiter(rate.Inf, 0)
 	if cfg.SyncMBPerS > 0 {
-		n.fetchLimit = rate.NewLimiter(rate.Limit(cfg.SyncMBPerS*1e6), 4*archive.MaxPayload)
+		n.syncLimiter = rate.NewLimiter(rate.Limit(cfg.SyncMBPerS*1e6), 4*archive.MaxPayload)
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	if n.vault, err = vault.Open(vault.Config{Dir: filepath.Join(cfg.Dir, "vault"), Labels: grantLabels, Added: n.recordAdded, Removed: n.recordRemoved}, log); err != nil {
@@ -142,8 +142,8 @@
 func labelCustomer(team, customer string) string { return "customer\x00" + team + "\x00" + customer }
 func labelDay(t time.Time) string                { return "day\x00" + t.UTC().Format("2006-01-02") }
 
-// Stop closes the connections, waits for the background tasks and closes the vault.
-// It is called once.
+// Stop closes the connections, waits for the background tasks and closes the vault. Further
+// calls do nothing.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	n.stop()
--- a/internal/archive/node/stream.go
+++ b/internal/archive/node/stream.go
@@ -70,12 +70,12 @@
 		writeError(w, http.StatusBadRequest, "not a place in a stream")
 		return
 	}
-	cuts, err := n.listSegments(a, r.URL.Query().Get("label"), stream, from)
+	segments, err := n.listSegments(a, r.URL.Query().Get("label"), stream, from)
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
 	}
-	writeJSON(w, cuts)
+	writeJSON(w, segments)
 }
 
 // parseStreamQuery parses the attempt, the stream and the offset of a request. ok reports
@@ -221,8 +221,8 @@
 	return archive.Assemble(parts, s.gaps[stream], upto, s.expired.Reason, size)
 }
 
-// mayStillArrive reports whether a piece is the missing tail of an attempt that is still
-// running, whose segments may not have been shipped yet.
+// mayStillArrive reports whether a piece is the missing tail of a stream whose attempt is still
+// running: the segments of the tail may not have been shipped yet.
 func (g *gatheredStream) mayStillArrive(p archive.Piece, parts []archive.Part) bool {
 	return p.State == archive.PieceMissing && g.state.end == nil &&
 		!slices.ContainsFunc(parts, func(x archive.Part) bool { return x.From >= p.To })
@@ -259,26 +259,26 @@
 	}
 }
 
-// missingAt returns, by segment, the owners that answered and lack it.
-func (g *gatheredStream) missingAt(answered, owners []string) map[string][]string {
+// missingAt returns, by the key of a segment, the replicas that answered and lack it.
+func (g *gatheredStream) missingAt(answered, replicas []string) map[string][]string {
 	missing := map[string][]string{}
-	for _, owner := range owners {
-		if !slices.Contains(answered, owner) {
+	for _, replica := range replicas {
+		if !slices.Contains(answered, replica) {
 			continue
 		}
 		for key, names := range g.holders {
-			if !slices.Contains(names, owner) {
-				missing[key] = append(missing[key], owner)
+			if !slices.Contains(names, replica) {
+				missing[key] = append(missing[key], replica)
 			}
 		}
 	}
 	return missing
 }
 
-// readRecord reads a record from the local vault, or else from one of the nodes in has.
-func (n *Node) readRecord(ctx context.Context, k archive.Key, has []string) (archive.Record, error) {
+// readRecord reads a record from the local vault, or else from one of the holders.
+func (n *Node) readRecord(ctx context.Context, k archive.Key, holders []string) (archive.Record, error) {
 	r, err := n.vault.Get(k)
-	for _, name := range has {
+	for _, name := range holders {
 		if err == nil {
 			break
 		}
@@ -300,8 +300,8 @@
 }
 
 // segmentPieces reads the range of p from a segment and splits it at the segment's write times.
-func (n *Node) segmentPieces(ctx context.Context, k archive.Key, has []string, p archive.Piece) (out []Piece, err error) {
-	r, err := n.readRecord(ctx, k, has)
+func (n *Node) segmentPieces(ctx context.Context, k archive.Key, holders []string, p archive.Piece) (out []Piece, err error) {
+	r, err := n.readRecord(ctx, k, holders)
 	if err != nil {
 		return nil, err
 	}
@@ -325,7 +325,8 @@
 	return out, nil
 }
 
-// file responds with the bytes of up to 8 whole chunks of an archived file.
+// file responds with the bytes of up to 8 whole chunks of an archived file, from the requested
+// chunk on.
 func (n *Node) file(w http.ResponseWriter, r *http.Request, who identity.Identity) {
 	q := r.URL.Query()
 	a, err := archive.ParseAttempt(q.Get("attempt"))
--- a/internal/archive/node/sync.go
+++ b/internal/archive/node/sync.go
@@ -17,9 +17,9 @@
 
 // tree responds with digests of the records that both this node and the requesting one
 // should store: those of the branches, or those of the leaves of one branch.
-func (n *Node) tree(w http.ResponseWriter, r *http.Request, who string) {
+func (n *Node) tree(w http.ResponseWriter, r *http.Request, peer string) {
 	n.mu.Lock()
-	t := n.derived.trees[who]
+	t := n.derived.trees[peer]
 	var row []uint64
 	if t != nil {
 		if b := r.URL.Query().Get("branch"); b == "" {
@@ -39,9 +39,9 @@
 // leafPage is the maximum number of keys on a page.
 const leafPage = 10_000
 
-// leaf responds with a page of the keys in some leaves, after a key, of the records that
-// both nodes should store.
-func (n *Node) leaf(w http.ResponseWriter, r *http.Request, who string) {
+// leaf responds with a page of the keys of the records that are in the requested leaves and that
+// both nodes should store. The page begins after the requested key.
+func (n *Node) leaf(w http.ResponseWriter, r *http.Request, peer string) {
 	q := r.URL.Query()
 	leaves := map[int]bool{}
 	for _, s := range strings.Split(q.Get("leaf"), ",") {
@@ -52,11 +52,11 @@
 		}
 		leaves[i] = true
 	}
-	if len(leaves) == 0 || n.derived.trees[who] == nil {
+	if len(leaves) == 0 || n.derived.trees[peer] == nil {
 		notFound(w)
 		return
 	}
-	keys, err := n.leafKeys(who, leaves)
+	keys, err := n.leafKeys(peer, leaves)
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, "the index can't be read now")
 		return
@@ -68,8 +68,8 @@
 	writeJSON(w, keys[at:min(len(keys), at+leafPage)])
 }
 
-// leafKeys returns the keys stored here in some leaves, of the records that both nodes should
-// store. It finds the attempts in memory and their records in the vault's index.
+// leafKeys returns the keys of the records stored here that are in the given leaves and that both
+// nodes should store. It finds the attempts in memory and their records in the vault's index.
 func (n *Node) leafKeys(peer string, leaves map[int]bool) ([]string, error) {
 	n.mu.Lock()
 	var names []string
@@ -257,7 +257,7 @@
 func (n *Node) throttle(ctx context.Context, size int) error {
 	for size > 0 {
 		part := min(size, 2*archive.MaxPayload)
-		if err := n.fetchLimit.WaitN(ctx, part); err != nil {
+		if err := n.syncLimiter.WaitN(ctx, part); err != nil {
 			return err
 		}
 		size -= part
@@ -265,9 +265,9 @@
 	return nil
 }
 
-// handOverStrays sends strays, which are records stored here that only other nodes should
-// store, to all of those nodes, and drops each once all of them have it. Strays arise when
-// the members change.
+// handOverStrays sends up to 1000 strays to all nodes that should store them, and drops each
+// stray once all of these nodes have it. Strays are records stored here that only other nodes
+// should store. They arise when the members change.
 func (n *Node) handOverStrays() {
 	n.mu.Lock()
 	var keys []archive.Key
@@ -284,11 +284,11 @@
 		return
 	}
 	outstanding := map[string]int{}
-	for _, owner := range n.members.Names {
+	for _, member := range n.members.Names {
 		var batch []archive.Record
 		size := 0
 		flush := func() {
-			if len(batch) > 0 && n.send(n.ctx, owner, batch) == nil {
+			if len(batch) > 0 && n.send(n.ctx, member, batch) == nil {
 				for i := range batch {
 					outstanding[batch[i].Key.String()]--
 				}
@@ -296,7 +296,7 @@
 			batch, size = nil, 0
 		}
 		for _, k := range keys {
-			if !n.members.IsReplica(owner, archive.PlacementUnit(k.Attempt)) {
+			if !n.members.IsReplica(member, archive.PlacementUnit(k.Attempt)) {
 				continue
 			}
 			outstanding[k.String()]++
@@ -325,7 +325,8 @@
 	}
 }
 
-// send sends records to another node, which stores them, at the configured rate.
+// send sends records to another node at the configured rate. It returns nil once the node has
+// stored them.
 func (n *Node) send(ctx context.Context, to string, records []archive.Record) error {
 	p := n.peers[to]
 	if p == nil {
