--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -81,9 +81,9 @@
 // runner owns the processes of a machine's tasks: it starts programs as process
 // groups, enforces their memory limits and kills all processes of a task at its end.
 type runner struct {
-	dir  string // the machine's folder
-	exec []string
-	log  *slog.Logger
+	dir     string // the machine's folder
+	command []string
+	log     *slog.Logger
 	// exited is called when all processes of an attempt are gone.
 	exited func(k TaskAttempt, code int, memoryExceeded bool)
 	// needsFolder reports whether an attempt's folder must not be removed yet; nil: none is needed.
@@ -160,7 +160,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, nil, err
 	}
-	cmd := exec.Command(r.exec[0], append(r.exec[1:len(r.exec):len(r.exec)], path)...)
+	cmd := exec.Command(r.command[0], append(r.command[1:len(r.command):len(r.command)], path)...)
 	cmd.Env = append(os.Environ(), proc.MarkEnv+"="+r.processMarker(k))
 	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, errs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -277,19 +277,19 @@
 		name string
 		at   time.Time
 	}
-	var over []old
+	var removable []old
 	for _, d := range dirs {
 		k, ok := parseTaskAttempt(d.Name())
 		r.mu.Lock()
 		_, live := r.tasks[k]
 		r.mu.Unlock()
 		if info, err := os.Stat(filepath.Join(root, d.Name(), execFile)); ok && !live && err == nil && (r.needsFolder == nil || !r.needsFolder(k)) {
-			over = append(over, old{d.Name(), info.ModTime()})
+			removable = append(removable, old{d.Name(), info.ModTime()})
 		}
 	}
-	sort.Slice(over, func(i, j int) bool { return over[i].at.Before(over[j].at) })
-	for i := 0; i < len(over) && len(dirs)-i > maxKeptFolders; i++ {
-		_ = os.RemoveAll(filepath.Join(root, over[i].name))
+	sort.Slice(removable, func(i, j int) bool { return removable[i].at.Before(removable[j].at) })
+	for i := 0; i < len(removable) && len(dirs)-i > maxKeptFolders; i++ {
+		_ = os.RemoveAll(filepath.Join(root, removable[i].name))
 	}
 }
 
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -53,7 +53,7 @@
 	minHeartbeatInterval = 500 * time.Millisecond // between two heartbeats
 	answerTimeout        = 4 * time.Second        // for the answer to a request, such as a heartbeat
 	controllerRetryDelay = time.Second            // before the next controller is tried
-	maxHeartbeatBytes    = 40 << 10               // for the tasks in a heartbeat, in bytes; a request is limited to 64 KiB, which includes the store report
+	maxTaskListBytes     = 40 << 10               // for the tasks in a heartbeat, in bytes; a request is limited to 64 KiB, which includes the store report
 	maxTaskStatusBytes   = 120                    // upper bound for one task in a heartbeat
 )
 
--- a/internal/proc/owner.go
+++ b/internal/proc/owner.go
@@ -57,9 +57,9 @@
 }
 
 func (e *RemainingError) Error() string {
-	const most = 4
+	const maxListed = 4
 	var parts []string
-	for _, r := range e.Left[:min(len(e.Left), most)] {
+	for _, r := range e.Left[:min(len(e.Left), maxListed)] {
 		parts = append(parts, r.String())
 	}
 	return fmt.Sprintf("%d processes are not known to be gone: %s", len(e.Left), strings.Join(parts, "; "))
--- a/internal/proc/proc_test.go
+++ b/internal/proc/proc_test.go
@@ -364,13 +364,13 @@
 // returns it, and that Start fails if store fails.
 func TestStartReportsTheIdentity(t *testing.T) {
 	cmd := helperCommand("held", newMark(t))
-	var kept ID
-	id, err := Start(cmd, func(id ID) error { kept = id; return nil })
+	var stored ID
+	id, err := Start(cmd, func(id ID) error { stored = id; return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if id != kept || !id.Alive() || id.PID != cmd.Process.Pid {
-		t.Errorf("Start returned %+v, store got %+v, the process is %d", id, kept, cmd.Process.Pid)
+	if id != stored || !id.Alive() || id.PID != cmd.Process.Pid {
+		t.Errorf("Start returned %+v, store got %+v, the process is %d", id, stored, cmd.Process.Pid)
 	}
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		t.Error(err)
--- a/internal/proc/sighting.go
+++ b/internal/proc/sighting.go
@@ -150,8 +150,8 @@
 	return nil, nil
 }
 
-// environmentSize is the size of the first read buffer in bytes; most environments fit into it.
-const environmentSize = 16 << 10
+// environmentBufferSize is the size of the first read buffer in bytes; most environments fit into it.
+const environmentBufferSize = 16 << 10
 
 // readAtOnce reads a file of /proc with a single read. If it were read in pieces, it could end
 // early after any of them without an error: once the process replaces its program, the rest
@@ -162,7 +162,7 @@
 		return nil, err
 	}
 	defer file.Close()
-	for size := environmentSize; ; size *= 4 {
+	for size := environmentBufferSize; ; size *= 4 {
 		buffer := make([]byte, size)
 		n, err := file.ReadAt(buffer, 0)
 		switch {
