--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -86,13 +86,13 @@
 // schedule holds the agent's points in time and the timer of its next tick.
 type schedule struct {
 	startedAt   time.Duration // on the boot clock; the zero point of the worker's clock
-	answeredAt  time.Duration // when a heartbeat was last answered
+	answeredAt  time.Duration // when a heartbeat was last answered with status 200, on the worker's clock
 	lastSweepAt time.Time
 	timer       *time.Timer
 }
 
-// attemptRecords holds what the agent itself records about attempts, until the
-// controllers have them forgotten.
+// attemptRecords holds what the agent itself records about attempts, until the worker
+// forgets them (Effects.Forget).
 type attemptRecords struct {
 	gangMembers     map[TaskAttempt][]protocol.GangMember
 	lastCheckpoints map[TaskAttempt]int // number of the newest checkpoint when the task was asked to stop
@@ -174,7 +174,7 @@
 	}
 }
 
-// fail stops the agent, and the watchdog then kills the agent's tasks: a machine
+// fail stops the agent, and Run then kills the agent's tasks: for example, a machine
 // that can't store its agent epoch must not keep running in that epoch.
 func (a *Agent) fail(err error) {
 	if a.shutdown.err == nil {
--- a/internal/agent/agent_effects.go
+++ b/internal/agent/agent_effects.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// forget deletes the records of attempts whose end the controllers have recorded; the
-// lock is held.
+// forget deletes the agent's records of attempts that the worker has forgotten, and prunes
+// the folders of ended attempts; the lock is held.
 func (a *Agent) forget(attempts []TaskAttempt) {
 	for _, k := range attempts {
 		delete(a.attempts.gangMembers, k)
@@ -97,8 +97,8 @@
 	}
 }
 
-// rescheduleTick sets the timer to the time of the worker's next tick; the lock is
-// held.
+// rescheduleTick sets the timer to the time of the worker's next tick, but at most
+// sweepPeriod or one second from now; the lock is held.
 func (a *Agent) rescheduleTick() {
 	if a.schedule.timer == nil || a.shutdown.begun {
 		return
@@ -107,7 +107,8 @@
 	a.schedule.timer.Reset(max(next, time.Millisecond))
 }
 
-// sweepPeriod returns the time between two checks of memory, inputs and connections.
+// sweepPeriod returns the time between two of the periodic checks in tick: of connections,
+// memory, inputs, unshipped output and the preemption notice.
 func (a *Agent) sweepPeriod() time.Duration { return seconds(a.cfg.Workers.Heartbeat / 6) }
 
 // step passes an event to the worker and carries out its effects.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -239,8 +239,8 @@
 }
 
 // TestNoTaskOutlivesItsAgentOrLease kills an agent, and suspends another one, while
-// a task is running. The task must end at once in the first case, and with the lease
-// in the second.
+// a task is running. The task must end at once in the first case, and when the lease
+// expires in the second.
 func TestNoTaskOutlivesItsAgentOrLease(t *testing.T) {
 	for _, how := range []string{"killed", "hangs"} {
 		t.Run(how, func(t *testing.T) {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -152,6 +152,10 @@
 	return dir, outside, state
 }
 
+// TestGoldenMachineGoesOn runs an agent in copies of the golden folders and launches both jobs
+// again. The agent must begin the next agent epoch with the stored token and port, must not repeat
+// the completed task, must resume the other one from its checkpoint, and must write files with
+// the same fields.
 func TestGoldenMachineGoesOn(t *testing.T) {
 	dir, outside, state := copyGolden(t)
 	if !strings.HasPrefix(state, `{"shift":1,"baton":9,"port":`) {
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// inputStore connects the agent to its store of data sets: it has the inputs of
-// attempts fetched and pinned, carries out staging commands, and reports what the
+// inputStore connects the agent to its store of data sets: it fetches and
+// pins the inputs of attempts, carries out staging commands, and reports what the
 // store holds. A nil inputStore stands for a machine without a store. The agent's
 // lock guards it.
 type inputStore struct {
@@ -62,8 +62,8 @@
 var errNoStore = errors.New("this machine has no store of data sets (staging is off)")
 
 // Limits of the copies and of the fetches that a heartbeat lists: with the tasks they must
-// fit into a request. Further copies are covered by the digest alone, which only costs the
-// controllers a hint.
+// fit into a request. Copies beyond the limit are covered by the digest alone; the
+// controllers only lack the hint that this machine has these copies.
 const (
 	maxListedCopies  = 500
 	maxListedFetches = 32
@@ -167,7 +167,7 @@
 				case err == nil && last, errors.Is(err, datastore.ErrFull):
 					d.reportInputs(k, err)
 				case err != nil:
-					// Sources may become available again; the task waits until it is ended.
+					// Sources may become available again, so the fetch is retried until the attempt ends.
 					time.AfterFunc(pause, func() { fetch(min(2*pause, seconds(d.agent.cfg.Workers.Lease))) })
 				}
 			})
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -35,8 +35,8 @@
 	return archive.Attempt{Job: key.Job, Task: key.Index, Try: key.Attempt, Machine: o.agent.cfg.Worker}
 }
 
-// open starts shipping. It includes the output that an earlier agent left behind, whose
-// tasks' processes are gone by now.
+// open starts shipping. Output that an earlier agent left behind is shipped, too: the
+// processes of its tasks are gone by now.
 func (o *outputShipper) open() {
 	if o == nil {
 		return
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -21,7 +21,7 @@
 	"silvergate/internal/proc"
 )
 
-// Names in a machine's folder.
+// Names in a machine's folder, and a limit on its task folders.
 const (
 	tasksDir       = "tasks"
 	stdout         = "stdout"
@@ -29,7 +29,7 @@
 	workDir        = "work"
 	procFile       = "process.json"
 	execFile       = "exec.json"
-	maxKeptFolders = 200 // folders of ended attempts
+	maxKeptFolders = 200 // folders of attempts; only those of ended attempts are removed
 )
 
 // program describes the process of an attempt: its command, environment, working directory and
@@ -175,8 +175,8 @@
 	if err := proc.AwaitEnd(t.id.PID); err != nil {
 		r.log.Error("waiting for the end of a program failed", "task", k.String(), "error", err)
 	}
-	// The program is reaped only after all its processes are gone, because until then the
-	// number of its process group can't be reused for another group.
+	// The program is reaped only after all its processes are gone: as long as it is not
+	// reaped, the number of its process group can't be reused for another group.
 	log := r.log.With("task", k.String())
 	endUntilGone(proc.Owner{Mark: r.processMarker(k), Leaders: []proc.ID{t.id}, Since: t.id.Start}, log)
 	// A running program adopts its own orphans, so the orphans that the agent has adopted
@@ -217,8 +217,8 @@
 // the attempt are gone.
 func (r *runner) kill(k TaskAttempt) { r.signal(k, syscall.SIGKILL) }
 
-// checkMemory kills the attempts that use more memory than they requested, and returns
-// the usage of all attempts together.
+// checkMemory kills the attempts whose process group uses more memory than they requested,
+// and returns the usage of the process groups of all attempts together.
 func (r *runner) checkMemory() (total proc.Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -266,7 +266,8 @@
 	}
 }
 
-// prune removes the oldest folders of ended attempts until maxKeptFolders are left.
+// prune removes the oldest folders of ended attempts until no more than maxKeptFolders
+// folders are left. It skips folders that the archive still needs.
 func (r *runner) prune() {
 	root := filepath.Join(r.dir, tasksDir)
 	dirs, err := os.ReadDir(root)
--- a/internal/agent/sweep_test.go
+++ b/internal/agent/sweep_test.go
@@ -274,8 +274,8 @@
 
 // An agent is suspended for a moment between the answer to a heartbeat, which extends its
 // lease, and the line that sends the new deadline to the watchdog. The watchdog kills the tasks
-// at the end of the lease that it knows. The agent wakes up within its own lease and continued
-// the epoch: it reported the tasks with cause "error", as if their programs had failed. On a
+// at the end of the lease that it knows. The agent, which woke up within its own lease, continued
+// the epoch and reported the tasks with cause "error", as if their programs had failed. On a
 // loaded machine 2 of 640 runs of TestNoTaskOutlivesItsAgentOrLease failed for this reason: the
 // causes were map[wk-000001/0#1:error], and no new epoch had begun 33 heartbeats later. The test
 // holds the agent's lock at that moment.
@@ -348,9 +348,9 @@
 	checkProcessEndsWithEpoch(t, `(setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid); exec sleep 1000`)
 }
 
-// A task's program ends by itself and leaves such a process behind, while another task is
-// running that has one, too. The first process must be gone when the end of its task is
-// reported; the other one must stay alive.
+// A task's program ends by itself and leaves behind a process that has dropped its group and
+// environment. Another task that is still running has such a process, too. The first process
+// must be gone when the end of its task is reported; the other one must stay alive.
 func TestWhatAnEndedProgramLeavesEnds(t *testing.T) {
 	c := newFakeController(t)
 	const leaves = `(setsid env -i sleep 1000 & echo $! > pid.new; mv pid.new pid)`
--- a/internal/agent/task_program.go
+++ b/internal/agent/task_program.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// taskProgram creates an attempt's folder and returns the program to run in it.
+// taskProgram creates an attempt's folder with its inputs and returns the program to run in it.
 func (a *Agent) taskProgram(k TaskAttempt, d *protocol.JobDescription) (p program, err error) {
 	folder, image, ok := a.images.folder(d.Image)
 	if !ok {
--- a/internal/agent/task_state.go
+++ b/internal/agent/task_state.go
@@ -32,7 +32,7 @@
 	waiting                 // for the other tasks of its gang
 	running
 	finished      // gang: its program has completed, programs of other tasks have not yet
-	checkpointing // asked to stop, and may save a checkpoint before
+	checkpointing // asked to stop; may save a checkpoint first
 	checkpointed  // gang: it has saved a checkpoint, other tasks have not yet
 	ending        // killed; its processes are not all gone yet
 	ended
--- a/internal/agent/watchdog.go
+++ b/internal/agent/watchdog.go
@@ -39,8 +39,8 @@
 // the boot clock, in nanoseconds, one per line.
 //
 // A deadline that was written before the previous one passed always takes effect, however
-// late this process reads it. The agent relies on that: only if it wrote a deadline late
-// does it assume that the tasks have been killed (Agent.extendWatchdog).
+// late this process reads it. The agent relies on that: if it wrote a deadline in time, it does
+// not assume that the tasks have been killed at the previous one (Agent.extendWatchdog).
 func Watchdog(dir string, deadlines *os.File) error {
 	if err := proc.WaitForRelease(); err != nil {
 		return err
@@ -101,8 +101,8 @@
 	return n > 0, err
 }
 
-// read reads from the pipe. The last complete line sets the deadline. It returns false when the
-// agent has closed the pipe.
+// read reads from the pipe. The last complete line sets the deadline. read returns false when the
+// agent has closed the pipe or reading fails.
 func (g *watchdogState) read() (open bool, err error) {
 	chunk := make([]byte, 4096)
 	n, err := unix.Read(g.deadlineFD, chunk)
@@ -142,7 +142,7 @@
 	id       proc.ID
 	pipe     *os.File      // carries the deadlines to the watchdog
 	leaseEnd time.Duration // the lease's end that was sent last, on the worker's clock
-	deadline time.Duration // the corresponding deadline on the boot clock, with the delay; 0: none was sent yet
+	deadline time.Duration // leaseEnd on the boot clock plus a hundredth of the lease; 0: none was sent yet
 	ended    chan struct{} // closed when the process has ended and watchdogEnded has returned
 }
 
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -232,7 +232,7 @@
 	return w.heartbeats.nextAt
 }
 
-// Tick advances the worker's clock to now.
+// Tick advances the worker's clock to now and performs what is due, such as sending a heartbeat.
 func (w *Worker) Tick(now time.Duration) Effects {
 	w.advance(now)
 	return w.takeEffects()
@@ -372,14 +372,15 @@
 	}
 }
 
-// Live reports whether an attempt is on this machine and not over.
+// Live reports whether an attempt is on this machine and neither the attempt nor its agent epoch
+// is over.
 func (w *Worker) Live(k TaskAttempt) bool {
 	task := w.tasks[k]
 	return task != nil && task.phase != ended && !w.epoch.ending
 }
 
 // startIfReady starts an attempt whose image is present, unless inputs are still missing. An
-// attempt of a completed job ends as done, and a gang's waits for the other tasks.
+// attempt of a completed job ends as done, and an attempt of a gang waits for the gang's other tasks.
 func (w *Worker) startIfReady(task *taskState) {
 	switch {
 	case task.needsInputs:
@@ -406,10 +407,12 @@
 // Epoch returns the number of the current agent epoch.
 func (w *Worker) Epoch() uint64 { return w.epoch.number }
 
-// Description returns a job's description, or nil if none of its attempts is on this machine.
+// Description returns a job's description, or nil if it has not been fetched or no attempt of the
+// job is on this machine.
 func (w *Worker) Description(id string) *protocol.JobDescription { return w.jobs.descriptions[id] }
 
-// Descriptions returns, in no order, the jobs that have attempts on this machine.
+// Descriptions returns, in no order, the fetched descriptions of the jobs that have attempts on
+// this machine.
 func (w *Worker) Descriptions() []*protocol.JobDescription {
 	return slices.Collect(maps.Values(w.jobs.descriptions))
 }
--- a/internal/agent/worker_commands.go
+++ b/internal/agent/worker_commands.go
@@ -91,9 +91,9 @@
 
 func (w *Worker) launch(k TaskAttempt, grant string) {
 	if (len(w.tasks)+1)*maxTaskStatusBytes > maxTaskListBytes {
-		// Guards against a heartbeat that exceeds the size of a request: refused
-		// attempts are listed too. The controller repeats the launch of an attempt
-		// that is not listed in a later answer, when others were forgotten.
+		// Guards against a heartbeat that exceeds the size of a request, because
+		// heartbeats list refused attempts, too. The controller repeats the launch of
+		// an unlisted attempt in a later answer, when others were forgotten.
 		return
 	}
 	task := &taskState{id: k, phaseSince: w.now, grant: grant}
--- a/internal/agent/worker_events.go
+++ b/internal/agent/worker_events.go
@@ -45,8 +45,9 @@
 // SetUnshipped sets the number of ended attempts whose output is not yet shipped to the archive.
 func (w *Worker) SetUnshipped(n int) { w.unshipped = n }
 
-// DescriptionFetched records the result of fetching a job's description. If d is nil, unknown
-// reports that no controller knows the job; otherwise the description is requested again.
+// DescriptionFetched records the result of fetching a job's description; d is nil if that failed.
+// If unknown is set, a controller has answered that there is no such job, and the job's attempts
+// end. If it is not, a failed fetch is repeated.
 func (w *Worker) DescriptionFetched(now time.Duration, id string, d *protocol.JobDescription, unknown bool) Effects {
 	w.advance(now)
 	delete(w.jobs.describing, id)
@@ -123,7 +124,7 @@
 		task.checkpointed = x.Saved
 		w.endWithoutProcess(task, protocol.CauseStopped)
 	case task.description.Shape == job.Service || x.Code != 0:
-		w.endWithoutProcess(task, protocol.CauseError) // replicas of a service never end by themselves
+		w.endWithoutProcess(task, protocol.CauseError) // a replica of a service must not end by itself
 	case w.hasGangPeers(task):
 		w.setPhase(task, finished)
 		task.gangCompleteAt, task.nextGangCheckAt = w.now, w.now
--- a/internal/agent/worker_heartbeat.go
+++ b/internal/agent/worker_heartbeat.go
@@ -33,7 +33,7 @@
 		Epoch: w.epoch.number, SentAt: w.now}
 }
 
-// HeartbeatAnswered records the outcome of a heartbeat; status is 0 if no answer came in time.
+// HeartbeatAnswered records the outcome of a heartbeat; status is 0 if there was no answer.
 func (w *Worker) HeartbeatAnswered(now time.Duration, s *HeartbeatSend, status int, body []byte) Effects {
 	w.advance(now)
 	w.heartbeats.inflight = false
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -369,7 +369,7 @@
 			}
 			causes[c]++
 		}
-		// If one task is done, or has saved a checkpoint, all of them must have.
+		// If one task ends as done, all tasks must; the same holds for a saved checkpoint.
 		for _, c := range []string{protocol.CauseDone, "stopped+saved"} {
 			// Other workers may or may not have seen that the program of a lost worker
 			// completed or saved, so this is checked only if no worker is lost.
--- a/internal/proc/descendants.go
+++ b/internal/proc/descendants.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// listOrphans lists the children that this process did not start, including those that have
-// ended and were not waited for.
+// listOrphans lists the children that Start did not start and that are outside this process's own
+// group, including those that have ended and were not waited for.
 func listOrphans() ([]ID, error) {
 	started.Lock()
 	defer started.Unlock()
--- a/internal/proc/helper_test.go
+++ b/internal/proc/helper_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// endSlowly opens inotify instances with a watch each, which the kernel is slow to close: each
-// one waits for a grace period. After a SIGKILL the process stays in state D for up to a
+// endSlowly opens inotify instances with a watch each, which the kernel is slow to close: closing
+// each one waits for a grace period. After a SIGKILL the process stays in state D for up to a
 // second, and its memory, with its environment, is already gone.
 func endSlowly() {
 	for range 60 {
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -18,8 +18,8 @@
 //   - Each process found is awaited until the kernel says that it has ended, with all of
 //     its threads. A signal that was sent is no evidence.
 //   - A leader that runs is stopped first, and ended only after all its descendants.
-//   - A process is undecided if it shows neither a mark nor an environment without one: it
-//     is replacing its program, or ending with its memory already gone. It is examined
+//   - A process is undecided while its environment, and so its mark, can't be seen: it is
+//     replacing its program, or ending with its memory already gone. It is examined
 //     again until it is classified or has ended.
 //   - The last pass found nothing, and it examined every process: first all that /proc
 //     lists, then each number assigned since, until it reached the newest one. At that
@@ -29,7 +29,7 @@
 //     nothing is enough.
 //
 // The argument depends on three conditions: a program that leaves its group and drops its
-// environment does not outlive, unseen, both its leader and the leader's starter; other
+// environment does not outlive both its leader and the leader's starter unnoticed by a sweep; other
 // users' processes are not the owner's; and the kernel reuses a number only after it has
 // assigned all others.
 package proc
--- a/internal/proc/proc_test.go
+++ b/internal/proc/proc_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// sweepTimeout is how long a test lets a sweep take at most.
+// sweepTimeout is the longest time that a test allows a sweep.
 const sweepTimeout = 20 * time.Second
 
 var markCount atomic.Int64
@@ -149,7 +149,7 @@
 	endProgramsThatReplaceThemselves(t, 40)
 }
 
-// endProgramsThatReplaceThemselves starts twelve processes in each round that call execve in a
+// endProgramsThatReplaceThemselves starts, in each round, twelve processes that call execve in a
 // loop, ends them, and checks that none runs on. The given variables precede the mark in their
 // environment.
 func endProgramsThatReplaceThemselves(t *testing.T, rounds int, variables ...string) {
