--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -132,7 +132,7 @@
 			return nil, fmt.Errorf("%s: damaged: %w; return the machine to its provider", filepath.Join(cfg.Dir, stateFile), err)
 		}
 	}
-	a.runner = &runner{dir: cfg.Dir, command: a.taskCommand, log: log, tasks: map[TaskAttempt]*task{}, exited: a.taskExited}
+	a.runner = &runner{dir: cfg.Dir, exec: a.taskCommand, log: log, tasks: map[TaskAttempt]*task{}, exited: a.taskExited}
 	if a.images, err = newImageStore(filepath.Join(cfg.Dir, "images"), int64(cfg.LocalGB*1e9), cfg.Images); err != nil {
 		return nil, err
 	}
--- a/internal/agent/images.go
+++ b/internal/agent/images.go
@@ -187,8 +187,8 @@
 	if err != nil {
 		return "", 0, err
 	}
-	fingerprint := xxhash.Sum64String(fmt.Sprint(m.Path, info.ModTime().UnixNano(), info.Size()))
-	folder = filepath.Join(c.dir, fmt.Sprintf("%s@%016x", name, fingerprint))
+	print := xxhash.Sum64String(fmt.Sprint(m.Path, info.ModTime().UnixNano(), info.Size()))
+	folder = filepath.Join(c.dir, fmt.Sprintf("%s@%016x", name, print))
 	if exists(folder) {
 		return folder, treeSize(folder), nil
 	}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -81,9 +81,9 @@
 // runner owns the processes of a machine's tasks: it starts programs as process
 // groups, enforces their memory limits and kills all processes of a task at its end.
 type runner struct {
-	dir     string // the machine's folder
-	command []string
-	log     *slog.Logger
+	dir  string // the machine's folder
+	exec []string
+	log  *slog.Logger
 	// exited is called when all processes of an attempt are gone.
 	exited func(k TaskAttempt, code int, memoryExceeded bool)
 	// needsFolder reports whether an attempt's folder must not be removed yet; nil: none is needed.
@@ -160,7 +160,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, nil, err
 	}
-	cmd := exec.Command(r.command[0], append(r.command[1:len(r.command):len(r.command)], path)...)
+	cmd := exec.Command(r.exec[0], append(r.exec[1:len(r.exec):len(r.exec)], path)...)
 	cmd.Env = append(os.Environ(), proc.MarkEnv+"="+r.processMarker(k))
 	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, errs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
--- a/internal/agent/sweep_test.go
+++ b/internal/agent/sweep_test.go
@@ -206,7 +206,7 @@
 	dir := t.TempDir()
 	pidFile := filepath.Join(dir, "pid")
 	exited := make(chan string, 1)
-	r := &runner{dir: dir, command: []string{os.Args[0], "task-exec"}, log: discardLog, tasks: map[TaskAttempt]*task{}}
+	r := &runner{dir: dir, exec: []string{os.Args[0], "task-exec"}, log: discardLog, tasks: map[TaskAttempt]*task{}}
 	r.exited = func(TaskAttempt, int, bool) {
 		raw, _ := os.ReadFile(pidFile)
 		pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -29,7 +29,7 @@
 	alive               map[TaskAttempt]bool // attempts whose processes are running
 	fetches             map[string]bool
 	descriptionRequests []string
-	endingTasks         bool
+	clear               bool
 	started             map[TaskAttempt]int // in this agent epoch
 	fail                func(format string, args ...any)
 }
@@ -46,13 +46,13 @@
 		if b.heartbeat != nil {
 			b.fail("two heartbeats in flight")
 		}
-		if b.endingTasks {
+		if b.clear {
 			b.fail("a heartbeat while the tasks of the last epoch are being killed")
 		}
 		b.heartbeat = e.Heartbeat
 	}
 	if e.EndAll {
-		b.endingTasks = true
+		b.clear = true
 	}
 	for _, k := range e.Start {
 		if b.alive[k] || b.started[k] > 0 && b.worker.tasks[k] != nil && b.started[k] > 1 {
@@ -68,7 +68,7 @@
 	}
 	for _, k := range e.Forget {
 		delete(b.started, k)
-		if b.alive[k] && !b.endingTasks {
+		if b.alive[k] && !b.clear {
 			b.fail("%v forgotten while its processes run", k)
 		}
 	}
@@ -151,7 +151,7 @@
 				switch accepted := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= answerTimeout && !b.worker.epoch.ending; {
 				case accepted:
 					highest, answeredAt = token, max(answeredAt, r.SentAt)
-				case fmt.Sprint(b.worker.Count()) != before && !b.endingTasks:
+				case fmt.Sprint(b.worker.Count()) != before && !b.clear:
 					t.Fatalf("an answer with token %d was carried out, while the highest token is %d", token, highest)
 				}
 			case 4:
@@ -200,10 +200,10 @@
 					b.apply(b.worker.Exited(b.now, k, Exit{Code: rapid.IntRange(0, 1).Draw(t, "code"), Saved: rapid.Bool().Draw(t, "saved")}))
 				}
 			case 9:
-				if b.endingTasks {
+				if b.clear {
 					clear(b.alive)
 					clear(b.started)
-					b.endingTasks = false
+					b.clear = false
 					currentEpoch++
 					b.apply(b.worker.EpochEnded(b.now))
 					answeredAt = b.now
@@ -231,7 +231,7 @@
 		t.Fatal("the task was not started")
 	}
 	b.tick(19 * time.Second)
-	if !b.endingTasks {
+	if !b.clear {
 		t.Fatal("the lease did not expire")
 	}
 	if _, _, err := b.worker.Status(b.now); err == nil {
@@ -243,7 +243,7 @@
 	b.heartbeat = nil
 	b.tick(time.Minute) // the harness fails on a heartbeat
 	clear(b.alive)
-	b.endingTasks = false
+	b.clear = false
 	b.apply(b.worker.EpochEnded(b.now))
 	b.tick(0)
 	var r protocol.Heartbeat
@@ -261,10 +261,10 @@
 	b.tick(17 * time.Second)
 	late := b.heartbeat
 	b.tick(1100 * time.Millisecond)
-	if late == nil || !b.endingTasks {
+	if late == nil || !b.clear {
 		t.Fatal("no heartbeat in flight at the end of the lease")
 	}
-	b.endingTasks = false
+	b.clear = false
 	b.apply(b.worker.EpochEnded(b.now))
 	b.answer(200, protocol.HeartbeatResponse{FencingToken: 6, Commands: []protocol.Command{{Verb: "launch", Task: "wk-000001/0", Attempt: 1}}})
 	if all, _ := b.worker.Count(); all != 0 || b.worker.fencingToken != 5 {
