--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -148,8 +148,8 @@
 				r, epoch := b.heartbeat, b.worker.Epoch()
 				o := commands()
 				b.answer(200, protocol.HeartbeatResponse{FencingToken: token, Commands: o})
-				switch taken := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= answerTimeout && !b.worker.epoch.ending; {
-				case taken:
+				switch accepted := token > 0 && token >= highest && r.Epoch == epoch && b.now-r.SentAt <= answerTimeout && !b.worker.epoch.ending; {
+				case accepted:
 					highest, answeredAt = token, max(answeredAt, r.SentAt)
 				case fmt.Sprint(b.worker.Count()) != before && !b.clear:
 					t.Fatalf("an answer with token %d was carried out, while the highest token is %d", token, highest)
@@ -209,8 +209,8 @@
 					answeredAt = b.now
 				}
 			}
-			if over := b.now - answeredAt; over > b.worker.lease() != b.worker.epoch.ending && over > b.worker.lease() {
-				t.Fatalf("the lease expired %v ago and the epoch has not ended", over-b.worker.lease())
+			if sinceAnswer := b.now - answeredAt; sinceAnswer > b.worker.lease() != b.worker.epoch.ending && sinceAnswer > b.worker.lease() {
+				t.Fatalf("the lease expired %v ago and the epoch has not ended", sinceAnswer-b.worker.lease())
 			}
 			if b.worker.Epoch() != currentEpoch {
 				t.Fatalf("epoch %d, expected %d", b.worker.Epoch(), currentEpoch)
@@ -369,7 +369,7 @@
 			}
 			causes[c]++
 		}
-		// If one task is done, or has saved a checkpoint, all of them must have.
+		// If one task ends as done, all tasks must; the same holds for a saved checkpoint.
 		for _, c := range []string{protocol.CauseDone, "stopped+saved"} {
 			// Other workers may or may not have seen that the program of a lost worker
 			// completed or saved, so this is checked only if no worker is lost.
--- a/internal/proc/proc_test.go
+++ b/internal/proc/proc_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// sweepTimeout is how long a test lets a sweep take at most.
+// sweepTimeout is the longest time that a test allows a sweep.
 const sweepTimeout = 20 * time.Second
 
 var markCount atomic.Int64
@@ -149,7 +149,7 @@
 	endProgramsThatReplaceThemselves(t, 40)
 }
 
-// endProgramsThatReplaceThemselves starts twelve processes in each round that call execve in a
+// endProgramsThatReplaceThemselves starts, in each round, twelve processes that call execve in a
 // loop, ends them, and checks that none runs on. The given variables precede the mark in their
 // environment.
 func endProgramsThatReplaceThemselves(t *testing.T, rounds int, variables ...string) {
@@ -364,13 +364,13 @@
 // returns it, and that Start fails if store fails.
 func TestStartReportsTheIdentity(t *testing.T) {
 	cmd := helperCommand("held", newMark(t))
-	var kept ID
-	id, err := Start(cmd, func(id ID) error { kept = id; return nil })
+	var stored ID
+	id, err := Start(cmd, func(id ID) error { stored = id; return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if id != kept || !id.Alive() || id.PID != cmd.Process.Pid {
-		t.Errorf("Start returned %+v, store got %+v, the process is %d", id, kept, cmd.Process.Pid)
+	if id != stored || !id.Alive() || id.PID != cmd.Process.Pid {
+		t.Errorf("Start returned %+v, store got %+v, the process is %d", id, stored, cmd.Process.Pid)
 	}
 	if err := id.Signal(syscall.SIGKILL); err != nil {
 		t.Error(err)
