--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -238,15 +238,15 @@
 }
 
 // wait polls a job's state until the job is over or limit has passed (0: no limit), and calls
-// each with every state that it reads.
-func (k *client) wait(ref string, limit time.Duration, each func(protocol.JobState)) (protocol.JobState, error) {
+// onState with every state that it reads.
+func (k *client) wait(ref string, limit time.Duration, onState func(protocol.JobState)) (protocol.JobState, error) {
 	begin := time.Now()
 	for {
 		var s protocol.JobState
 		err := k.get(protocol.PathJobs+"/"+ref, &s)
 		switch {
 		case err == nil:
-			each(s)
+			onState(s)
 			if s.Status == "done" || s.Status == "cancelled" {
 				return s, nil
 			}
--- a/cmd/silvergate/replay.go
+++ b/cmd/silvergate/replay.go
@@ -77,35 +77,35 @@
 	if !o.At.IsZero() && len(f.names) == 0 {
 		return errors.New("--at: needs --explain with the task, job or machine to show")
 	}
-	results, stories := []replay.Result{}, [][]replay.Event{}
+	results, histories := []replay.Result{}, [][]replay.Event{}
 	for i := range incarnations {
 		r, err := incarnations[i].Replay(o)
 		if err != nil {
 			return err
 		}
-		results, stories = append(results, r), append(stories, r.Events)
+		results, histories = append(results, r), append(histories, r.Events)
 	}
-	return printReplay(c.OutOrStdout(), f.output, results, replay.Merge(stories...))
+	return printReplay(c.OutOrStdout(), f.output, results, replay.Merge(histories...))
 }
 
-func printReplay(out io.Writer, output string, results []replay.Result, story []replay.Event) error {
+func printReplay(out io.Writer, output string, results []replay.Result, history []replay.Event) error {
 	differing := 0
 	for _, r := range results {
 		differing += r.Different
 	}
 	if output == "json" {
-		if story == nil {
-			story = []replay.Event{}
+		if history == nil {
+			history = []replay.Event{}
 		}
 		err := json.NewEncoder(out).Encode(struct {
 			Incarnations []replay.Result `json:"incarnations"`
 			Story        []replay.Event  `json:"story"`
-		}{results, story})
+		}{results, history})
 		if err != nil {
 			return err
 		}
 	} else {
-		for _, event := range story {
+		for _, event := range history {
 			fmt.Fprintln(out, event)
 		}
 		for _, r := range results {
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -30,14 +30,14 @@
 			if err != nil {
 				return err
 			}
-			story, err := jobStory(c.Context(), k, r, job, task, address)
+			history, err := jobHistory(c.Context(), k, r, job, task, address)
 			if err != nil {
 				return err
 			}
 			if k.format == "json" {
-				return json.NewEncoder(c.OutOrStdout()).Encode(story)
+				return json.NewEncoder(c.OutOrStdout()).Encode(history)
 			}
-			for _, e := range story {
+			for _, e := range history {
 				at := "                   "
 				if !e.At.IsZero() {
 					at = e.At.Format("2006-01-02 15:04:05")
@@ -58,8 +58,8 @@
 	Text string    `json:"text"`
 }
 
-// jobStory returns a job's history, from the archive's records and the answers of controllers.
-func jobStory(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
+// jobHistory returns a job's history, from the archive's records and the answers of controllers.
+func jobHistory(ctx context.Context, k *archiveClient, r *reader.Client, job string, task int, address string) ([]Event, error) {
 	attempts, completeness, err := r.Attempts(ctx, reader.Query{Job: job, Files: true})
 	if err != nil {
 		return nil, err
@@ -67,9 +67,9 @@
 	if len(attempts) == 0 {
 		return nil, fmt.Errorf("%s: %w", job, reader.ErrNotFound)
 	}
-	story := []Event{{Text: jobHeading(job, &attempts[0])}}
+	history := []Event{{Text: jobHeading(job, &attempts[0])}}
 	if !completeness.Complete {
-		story = append(story, Event{Text: strings.Join(completeness.Unresponsive, ", ") + " silent: something may be missing"})
+		history = append(history, Event{Text: strings.Join(completeness.Unresponsive, ", ") + " silent: something may be missing"})
 	}
 	var events []Event
 	for i := range attempts {
@@ -78,8 +78,8 @@
 		}
 	}
 	slices.SortStableFunc(events, compareEvents)
-	story = append(story, events...)
-	return append(story, currentState(k, job, address)...), nil
+	history = append(history, events...)
+	return append(history, currentState(k, job, address)...), nil
 }
 
 // jobHeading returns a line with a job's class, urgency, team and customer.
--- a/internal/provider/provider_test.go
+++ b/internal/provider/provider_test.go
@@ -174,9 +174,9 @@
 				}
 			}
 			store(m.Tick(now))
-			for z, room := range types[0].Zones {
-				if n := m.occupied("t", z); n > room {
-					t.Fatalf("%d machines in zone %s, which has capacity for %d", n, z, room)
+			for z, capacity := range types[0].Zones {
+				if n := m.occupied("t", z); n > capacity {
+					t.Fatalf("%d machines in zone %s, which has capacity for %d", n, z, capacity)
 				}
 			}
 			for n, x := range machines {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -212,10 +212,10 @@
 
 // request sends a request and returns the status and body of the answer; 0 if there is none.
 func (s *soak) request(addr, method, path string, body []byte) (int, []byte) {
-	const patience = 2 * time.Second
-	stop := time.AfterFunc(patience, func() { s.pool.Expire(time.Now().Add(patience)) })
+	const timeout = 2 * time.Second
+	stop := time.AfterFunc(timeout, func() { s.pool.Expire(time.Now().Add(timeout)) })
 	defer stop.Stop()
-	r, _, err := s.pool.Do(addr, method, path, body, patience)
+	r, _, err := s.pool.Do(addr, method, path, body, timeout)
 	if err != nil {
 		return 0, nil
 	}
