--- a/cmd/silvergate/archive_client.go
+++ b/cmd/silvergate/archive_client.go
@@ -19,7 +19,7 @@
 // archiveClient reads the archive as the identity of a certificate.
 type archiveClient struct {
 	*client
-	certs string   // the folder with the certificate; with --site that of the site's operator by default
+	certs string   // the folder with the certificate; default with --site: that of the site's operator
 	nodes []string // archive nodes as NAME=IP:PORT, besides those of the site
 }
 
--- a/cmd/silvergate/client.go
+++ b/cmd/silvergate/client.go
@@ -66,8 +66,8 @@
 // errUnavailable marks a failure after which a request may succeed at another controller or later.
 var errUnavailable = errors.New("no answer")
 
-// do sends a request to one controller after the other until one answers it with anything but
-// 429 or 5xx, and returns the last error if none does.
+// do sends a request to one address after the other until one answers with anything but 429 or
+// 5xx. If none does, it returns the last error. A status other than 200 and 201 is an error.
 func (k *client) do(method, path string, body []byte) (*transport.Response, error) {
 	if k.format != "" && k.format != "text" && k.format != "json" {
 		return nil, fmt.Errorf("--output: must be text or json")
@@ -218,8 +218,8 @@
 	return body, err
 }
 
-// submit submits a job as the protocol asks of users: it repeats the same request
-// for up to a minute while no controller accepts it.
+// submit submits a job as the protocol asks of users: with --site it repeats the same request
+// for up to a minute while no controller of the site is available.
 func (k *client) submit(body []byte) (protocol.JobState, error) {
 	var s protocol.JobState
 	until := time.Now().Add(time.Minute)
@@ -327,6 +327,8 @@
 	return line
 }
 
+// jobRequestCommand returns a command that sends one request for a job and prints the job's state.
+// suffix is appended to the job's path.
 func (k *client) jobRequestCommand(use, short, method, suffix string) *cobra.Command {
 	c := &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
@@ -359,7 +361,7 @@
 	return t.Flush()
 }
 
-// maxPages is the largest number of pages that are read of a list.
+// maxPages is the most pages of a list that readList reads.
 const maxPages = 10_000
 
 // readList reads a list page by page. path ends with the query parameter for the name of the last
--- a/cmd/silvergate/logs.go
+++ b/cmd/silvergate/logs.go
@@ -86,7 +86,7 @@
 	cursors       map[string]*reader.Cursor
 	lastAttempt   map[int]archive.Attempt // by task: the attempt of the line printed last
 	found         int                     // attempts found, over all polls
-	complete      bool                    // no answer has been incomplete so far; the first that is prints a warning
+	complete      bool                    // whether all answers so far were complete; a warning is printed at the first that is not
 }
 
 // followInterval is the time between two polls for more output.
--- a/cmd/silvergate/parts.go
+++ b/cmd/silvergate/parts.go
@@ -37,9 +37,9 @@
 	return nil
 }
 
-// startComponent prepares the process of a component of the platform that runs until it is
-// stopped: it waits until the starter lets a held process run, and decodes the component's
-// YAML file into cfg, which holds the defaults.
+// startComponent is the first step of every command that runs a component until it is stopped. If
+// the process was started held, it waits for its release (see proc.Start). Then it decodes the
+// component's YAML file into cfg, which holds the defaults.
 func startComponent(settings string, cfg any) error {
 	if err := proc.WaitForRelease(); err != nil {
 		return err
--- a/cmd/silvergate/root_test.go
+++ b/cmd/silvergate/root_test.go
@@ -16,7 +16,8 @@
 	"silvergate/internal/site"
 )
 
-// runCommand runs the program's commands in this process. It returns their standard output and error.
+// runCommand runs the program in this process with the given arguments. It returns what the command
+// printed to standard output and standard error, and the error that it returned.
 func runCommand(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := rootCommand()
--- a/cmd/silvergate/scale_test.go
+++ b/cmd/silvergate/scale_test.go
@@ -29,8 +29,8 @@
 }
 
 // checkNothingLeft fails the test if a process that a run started still exists two seconds after the
-// run. All of them inherit the mark of the run. They get this time because an agent's watchdog ends
-// just after its agent.
+// run. It knows these processes by the run's mark, the value of proc.MarkEnv, which they inherit in
+// their environment. They get two seconds because an agent's watchdog ends just after its agent.
 func checkNothingLeft(t *testing.T, mark string) {
 	t.Helper()
 	for until := time.Now().Add(2 * time.Second); proc.CountMarked(mark) > 0; time.Sleep(10 * time.Millisecond) {
--- a/cmd/silvergate/serve.go
+++ b/cmd/silvergate/serve.go
@@ -185,9 +185,9 @@
 	return connlimit.Operator
 }
 
-// warnAboutConnections logs, at most once a minute, that the site has more workers than its
-// controllers have sockets for: connections were refused since the last warning, or the
-// connections of workers are near their limit.
+// warnAboutConnections logs a warning, at most once a minute, if connections were refused since the
+// last warning or the workers' connections are near their limit: the site then has more workers
+// than its controllers have sockets for.
 func (n *controller) warnAboutConnections(now time.Duration) {
 	s := n.server.ConnLimiter.Stats()
 	if (s.Refused == n.connections.refused && !n.server.ConnLimiter.WorkersNearLimit()) || n.connections.warnedAt > 0 && now-n.connections.warnedAt < time.Minute {
--- a/cmd/silvergate/up.go
+++ b/cmd/silvergate/up.go
@@ -19,7 +19,8 @@
 	"silvergate/internal/site"
 )
 
-// demoLimit is how long the start of a site may take, and then the job of a demonstration.
+// demoLimit is the longest time that a site may take to start, and then the longest time that a
+// demonstration's job may take.
 const demoLimit = 2 * time.Minute
 
 // upFlags holds the flags of the up command.
--- a/cmd/silvergate/why.go
+++ b/cmd/silvergate/why.go
@@ -181,8 +181,8 @@
 	return cause
 }
 
-// lastLine returns the last line that is not blank of an attempt's stderr, or of its stdout if there
-// is none.
+// lastLine returns the last line of an attempt's stderr that is not blank, or of its stdout if
+// stderr has none. It cuts the line to 200 bytes, and returns "" if there is none at all.
 func lastLine(ctx context.Context, r *reader.Client, a archive.Attempt) (last string) {
 	for _, s := range []string{archive.Stderr, archive.Stdout} {
 		u := r.Open(a, s)
--- a/internal/losses/event.go
+++ b/internal/losses/event.go
@@ -21,7 +21,8 @@
 	Began    = "began"    // the first heartbeat shows the task running
 )
 
-// Reasons of an end that workers don't report: the proofs of internal/fencing.
+// Reasons of an end that controllers prove without a worker's report: the proofs of
+// internal/fencing.
 const (
 	LeaseExpired   = "lease"   // the lease expired after the controller's last answer
 	NewerEpoch     = "session" // the machine reports a later epoch
@@ -62,8 +63,8 @@
 // skipped.
 const maxLine = 1 << 20
 
-// Read reads a log and adds its events. It skips other lines. It returns read errors of in
-// with the number of the line.
+// Read reads a log and adds its events. It skips other lines. If in can't be read, the error gives
+// the number of lines read so far, over all logs that r has read.
 func (r *Reader) Read(in io.Reader) error {
 	buffered := bufio.NewReaderSize(in, 64<<10)
 	for {
@@ -153,7 +154,8 @@
 	return offset, record, ok
 }
 
-// maxSilentMS is the longest silence that a line may give, in milliseconds.
+// maxSilentMS bounds the time since the machine's last heartbeat that a line gives, in
+// milliseconds. A larger number is cut to it.
 const maxSilentMS = 1e9
 
 // setAttribute sets the field for an attribute of a line. It also knows the attribute names
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -61,6 +61,8 @@
 	return r
 }
 
+// TestReportTellsStepsOfLosses guards against a report that counts time in the wrong step, or that
+// counts attempts that completed, were stopped, or whose end was never committed.
 func TestReportTellsStepsOfLosses(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -147,6 +149,8 @@
 	})
 }
 
+// FuzzRead guards against malformed logs that make the reader fail, and against losses that end
+// before they begin.
 func FuzzRead(f *testing.F) {
 	f.Add(logLine(1000, true, `msg=evidence load=wk-000001/2 try=1 class=svc urgency=3 why=cloud silentMs=4000`))
 	f.Add(logLine(2000, false, `msg="began" load=wk-000001/2`))
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -61,9 +61,10 @@
 	return s
 }
 
-// WorstWindow finds the time window of length span in which a class lost the most task-seconds. It
-// returns the window's start, the task-seconds lost in it, and minSeconds, those that would have
-// been lost in it with the earliest possible restarts (see Loss.EarliestRestart).
+// WorstWindow finds the time window of length span in which a class lost the most task-seconds,
+// among the windows that start at a whole second. It returns the window's start, the task-seconds
+// lost in it, and minSeconds, those that would have been lost in it with the earliest possible
+// restarts (see Loss.EarliestRestart).
 func (r *Reader) WorstWindow(class string, span time.Duration) (from time.Duration, seconds, minSeconds float64) {
 	for at := time.Duration(0); at <= r.lastEvent; at += time.Second {
 		lost, minLost := r.lostWithin(class, at, at+span)
--- a/internal/provider/agents.go
+++ b/internal/provider/agents.go
@@ -72,8 +72,9 @@
 // checkPeriod is the time between two checks of the agents.
 const checkPeriod = 250 * time.Millisecond
 
-// tick notes agents that have died or have an address now, and carries out what the market
-// wants done at this time.
+// tick runs every checkPeriod. It tells the market which agents have died and which have written
+// their address, and carries out the effects that are due. Once an hour it starts a renewal of
+// the machines' certificates.
 func (p *Provider) tick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/provider/database.go
+++ b/internal/provider/database.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// load reads the records and makes the market of them.
+// load reads the records and creates the market from them.
 func (p *Provider) load(path string) error {
 	var rentals []*RentalRecord
 	var machines []*Machine
--- a/internal/provider/market.go
+++ b/internal/provider/market.go
@@ -68,8 +68,8 @@
 	minPaidS  = 60
 )
 
-// A machine fails when its agent dies deathLimit times within deathWindow. Before that the
-// agent is started again, each time after a pause twice as long.
+// A machine fails when its agent dies deathLimit times within deathWindow. Until then the agent
+// is started again after a pause: initialBackoff, doubled once for each death within deathWindow.
 const (
 	deathLimit     = 5
 	deathWindow    = time.Minute
@@ -82,7 +82,7 @@
 	Rental *RentalRecord
 	Start  []string // machines whose agent is to be started
 	Notice []string // machines that get notice of their end
-	End    []string // machines to be ended with all their tasks; Ended is called then
+	End    []string // machines to be ended with all their tasks; MachineEnded must be called after that
 }
 
 // Market decides on rentals. It owns the machines' records and does no I/O; the
@@ -251,7 +251,8 @@
 	}
 }
 
-// cost is what a machine has cost so far. At least minPaidS is charged; a failed machine is free.
+// cost is what a machine has cost so far. At least minPaidS seconds are
+// charged; a failed machine is free.
 func (m *Market) cost(x *Machine, now time.Time) float64 {
 	if x.Failed {
 		return 0
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -6,8 +6,9 @@
 // Market decides and owns the records; Provider stores them in a file (bbolt)
 // before it answers, and does all other I/O. A request's name is stored for
 // ever, so a repeated request rents nothing, even after a restart. After a
-// restart, agents are found again by PID and start time; an agent that can't be
-// found is ended with all its tasks before another takes its place.
+// restart, agents are found again by PID and start time. In place of an agent
+// that is gone another one is started, which kills the tasks that the earlier
+// agent left before it begins a new agent epoch.
 package provider
 
 import (
@@ -95,7 +96,8 @@
 	log        *slog.Logger
 	db         *bolt.DB
 	server     *transport.Server
-	// Extra answers paths that are not the protocol's, such as /metrics.
+	// Extra answers paths that are not the protocol's, such as /metrics. It reports whether it
+	// has answered the request.
 	Extra func(id uint64, method, path string) bool
 
 	mu      sync.Mutex
@@ -153,8 +155,8 @@
 	}
 }
 
-// perform stores and carries out effects. It returns false if they could not be stored, so that
-// the request must not be answered. The lock is held.
+// perform stores and carries out effects. It returns false if they could not be stored; the
+// request that caused them must not be answered then. The lock is held.
 func (p *Provider) perform(e Effects) bool {
 	if err := p.store(e); err != nil {
 		p.fail(err)
--- a/internal/site/certs.go
+++ b/internal/site/certs.go
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// renewCerts renews the certificates of the site's own parts every hour until ctx ends.
+// renewCerts checks every hour, until ctx ends, which certificates of the site's own parts must be
+// renewed, and renews them.
 func (s *Site) renewCerts(ctx context.Context) {
 	for {
 		select {
--- a/internal/site/outside.go
+++ b/internal/site/outside.go
@@ -25,7 +25,8 @@
 	// removalPrefix starts the name of a folder that is being removed, so that the next
 	// sweep continues a removal that was interrupted.
 	removalPrefix = ".gone-"
-	// minOutsideKeep is the shortest time to keep them: commands may come minutes late.
+	// minOutsideKeep is the shortest time for which these files may be kept: a launch command
+	// may come minutes late.
 	minOutsideKeep = 10 * time.Minute
 	// maxFoldersPerSweep is the most jobs whose state one sweep asks for.
 	maxFoldersPerSweep = 200
@@ -91,8 +92,8 @@
 	return at, err
 }
 
-// sweepOutsideRegularly runs sweepOutside every 20th part of the time to keep, but at most once
-// a minute, until ctx ends. It does nothing if results are kept for ever.
+// sweepOutsideRegularly runs sweepOutside until ctx ends, at intervals of a twentieth of the time
+// for which files are kept, but at most once a minute. It does nothing if they are kept for ever.
 func (s *Site) sweepOutsideRegularly(ctx context.Context) {
 	keep := time.Duration(s.cfg.OutsideKeepS * float64(time.Second))
 	if keep <= 0 {
--- a/internal/site/up.go
+++ b/internal/site/up.go
@@ -107,8 +107,8 @@
 	return s, s.writeConfigs()
 }
 
-// endLeftovers ends the parts that an earlier run left, as their records identify them.
-// Machines have no records here: the provider finds them itself.
+// endLeftovers ends the parts of an earlier run that still exist. It finds them by their records
+// in the run folder. Machines have no records there: the provider finds them itself.
 func (s *Site) endLeftovers() error {
 	old, err := os.ReadDir(filepath.Join(s.Dir, runDir))
 	if err != nil {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -78,9 +78,10 @@
 
 func customer(n int) string { return fmt.Sprint("customer-", n%3) }
 
-// verifyOutput checks that its customer can read everything that each completed attempt wrote,
-// and that another customer can read none of it. For an attempt that was killed half-way, the
-// archive must have the beginning of its lines, or nothing.
+// verifyOutput checks that each job's customer can read from the archive everything that the job's
+// completed attempts wrote, and that another customer can read none of it. records are the lines
+// of the trace, one for each attempt that wrote all its lines. Of an attempt that was killed
+// half-way, the archive must have the beginning of its lines, or nothing.
 func (s *soak) verifyOutput(records []string) error {
 	members, _, err := site.ReadArchive(s.options.Dir)
 	if err != nil {
