--- a/internal/site/outside_test.go
+++ b/internal/site/outside_test.go
@@ -13,7 +13,7 @@
 // including those of jobs whose state is not known.
 func TestResultsOfFinishedJobsAreRemoved(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	makeFolder := func(name string, age time.Duration) {
+	make := func(name string, age time.Duration) {
 		file := filepath.Join(dir, name, "0", "done")
 		if err := os.MkdirAll(filepath.Dir(file), 0o700); err != nil {
 			t.Fatal(err)
@@ -27,12 +27,12 @@
 			}
 		}
 	}
-	makeFolder("wk-000001", 2*time.Hour)     // finished
-	makeFolder("wk-000002", 2*time.Hour)     // running
-	makeFolder("wk-000003", 5*time.Minute)   // finished, but not long ago
-	makeFolder("wk-000004", 2*time.Hour)     // state not known
-	makeFolder(removalPrefix+"wk-000005", 0) // left by an interrupted removal
-	makeFolder("notes", 2*time.Hour)         // not a job's folder
+	make("wk-000001", 2*time.Hour)     // finished
+	make("wk-000002", 2*time.Hour)     // running
+	make("wk-000003", 5*time.Minute)   // finished, but not long ago
+	make("wk-000004", 2*time.Hour)     // state not known
+	make(removalPrefix+"wk-000005", 0) // left by an interrupted removal
+	make("notes", 2*time.Hour)         // not a job's folder
 	asked := map[string]bool{}
 	removed, err := sweepOutside(dir, time.Hour, now, func(jobID string) bool {
 		asked[jobID] = true
