--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -51,7 +51,7 @@
 				o.agent.log.Error("the output of an earlier task can't be archived", "task", key.TaskName(), "attempt", key.Attempt, "error", err)
 				continue
 			}
-			o.shipper.MarkEnded(o.attempt(key), "lost with its agent", -1)
+			o.shipper.RecordEnd(o.attempt(key), "lost with its agent", -1)
 		}
 	}
 	o.shipper.Start()
@@ -86,7 +86,7 @@
 // ended tells the shipper that an attempt's processes are gone.
 func (o *outputShipper) ended(key TaskAttempt, cause string, code int) {
 	if o != nil {
-		o.shipper.MarkEnded(o.attempt(key), cause, code)
+		o.shipper.RecordEnd(o.attempt(key), cause, code)
 	}
 }
 
--- a/internal/archive/history/history_test.go
+++ b/internal/archive/history/history_test.go
@@ -114,7 +114,7 @@
 			t.Fatal(err)
 		}
 	}
-	m.MarkEnded(w.Attempt, "done", 0)
+	m.RecordEnd(w.Attempt, "done", 0)
 	if err := waitShipped(m, true); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/archive/history/random.go
+++ b/internal/archive/history/random.go
@@ -202,7 +202,7 @@
 		r.summary.Files++
 	}
 	a.running, a.expected.Ended = false, true
-	m.MarkEnded(a.expected.Attempt, "done", 0)
+	m.RecordEnd(a.expected.Attempt, "done", 0)
 	names := r.machineNames()
 	if r.random.IntN(3) != 0 {
 		return nil
@@ -293,7 +293,7 @@
 			return err
 		}
 		a.running, a.expected.Ended = false, true
-		m.MarkEnded(a.expected.Attempt, "lost with its agent", -1)
+		m.RecordEnd(a.expected.Attempt, "lost with its agent", -1)
 	}
 	return nil
 }
@@ -358,7 +358,7 @@
 		a.expected.Promised = len(a.expected.Output)
 		if a.running {
 			a.running, a.expected.Ended = false, true
-			m.MarkEnded(a.expected.Attempt, "done", 0)
+			m.RecordEnd(a.expected.Attempt, "done", 0)
 		}
 	}
 	for _, name := range r.machineNames() {
--- a/internal/archive/ship/ship.go
+++ b/internal/archive/ship/ship.go
@@ -251,9 +251,9 @@
 	return nil
 }
 
-// MarkEnded records that an attempt's processes have ended, with the cause and the exit code;
+// RecordEnd records that an attempt's processes have ended, with the cause and the exit code;
 // they write nothing more. The attempt is followed until everything is stored.
-func (s *Shipper) MarkEnded(a archive.Attempt, cause string, code int) {
+func (s *Shipper) RecordEnd(a archive.Attempt, cause string, code int) {
 	if s == nil {
 		return
 	}
--- a/internal/coordination/fault_days_controllers_test.go
+++ b/internal/coordination/fault_days_controllers_test.go
@@ -152,8 +152,8 @@
 		workload:    submitLongJobs(16),
 		duration:    130 * time.Second,
 		setup:       func(s *sim) { s.faults.queryEverywhere = true },
-		inject:      func(s *sim) { s.crashLeaderRepeatedly(); s.submitMixedJobs(120 * time.Second) },
-		occurrences: func(s *sim) int { return s.faultCounts.leaderCrashes / 10 },
+		inject:      func(s *sim) { s.crashBusiestRepeatedly(); s.submitMixedJobs(120 * time.Second) },
+		occurrences: func(s *sim) int { return s.faultCounts.busiestCrashes / 10 },
 		defect:      func(s *sim) { s.defects.readOnlyComparesHold = true },
 		violation:   "",
 	}
@@ -165,11 +165,11 @@
 		workload: submitLongJobs(16),
 		duration: 150 * time.Second,
 		inject: func(s *sim) {
-			s.crashLeaderRepeatedly()
+			s.crashBusiestRepeatedly()
 			s.after(20*time.Second, func() { s.state.downUntil = s.now + 70*time.Second })
 			s.after(30*time.Second, func() { s.cancelShare(0.3, 40*time.Second, nil) })
 		},
-		occurrences: func(s *sim) int { return s.faultCounts.leaderCrashes / 10 },
+		occurrences: func(s *sim) int { return s.faultCounts.busiestCrashes / 10 },
 		defect:      func(s *sim) { s.advertised.Workers.Lease = 2 },
 		violation:   "ran_twice",
 	}
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -54,7 +54,7 @@
 // faultCounts counts the effects of faults, so that a test can fail if a fault had none.
 type faultCounts struct {
 	affected            int // tasks, machines or jobs that the day's fault affected; see each faultDay
-	leaderCrashes       int
+	busiestCrashes      int
 	hungAtCancel        int            // machines that hang when their jobs are cancelled
 	directWhileIsolated int            // direct commands and queries to machines that reach no controller
 	delayedCommands     int            // direct requests delayed by a link or a hung machine
@@ -191,12 +191,12 @@
 	}
 }
 
-// crashLeaderRepeatedly crashes the busiest controller eleven times, every eleven seconds. Each time the
-// controller is down for up to nine seconds.
-func (s *sim) crashLeaderRepeatedly() {
+// crashBusiestRepeatedly crashes the busiest controller eleven times, every eleven seconds. Each
+// time the controller is down for up to nine seconds.
+func (s *sim) crashBusiestRepeatedly() {
 	for i := range 11 {
 		s.after(time.Duration(11*i)*time.Second, func() {
-			s.faultCounts.leaderCrashes++
+			s.faultCounts.busiestCrashes++
 			s.busiestController().crash(s.randomMillis(300, 9000))
 		})
 	}
