--- a/internal/proc/owner.go
+++ b/internal/proc/owner.go
@@ -44,6 +44,7 @@
 	Err    error // with ReasonUnreadable
 }
 
+// String returns the process's number, why it is not known to be gone, and the error if there is one.
 func (r Remaining) String() string {
 	if r.Err != nil {
 		return fmt.Sprintf("process %d: %s: %v", r.ID.PID, r.Reason, r.Err)
@@ -56,6 +57,7 @@
 	Left []Remaining
 }
 
+// Error returns the number of remaining processes and describes the first few of them.
 func (e *RemainingError) Error() string {
 	const most = 4
 	var parts []string
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -1,16 +1,14 @@
-// Package staging decides which machine fetches which data, from which source
-// and when. It is a state machine without I/O: its inputs are the machines'
-// reports and the versions' records, each with the current time, and its outputs
-// are fetch orders and expected times.
+// Package staging decides which machine fetches which data, from which source and when. It is
+// a state machine without I/O: its inputs are the machines' reports and the versions' records,
+// each with the current time, and its outputs are fetch orders and expected times.
 //
-// It keeps track of which machines hold which copies, and of the budgets of
-// their sources. This is soft state: a controller that takes over rebuilds it
-// from reports, and a machine without orders fetches the inputs of its tasks by
-// itself. An order is only a hint of when to fetch and from which source.
+// It keeps track of which machines hold which copies, and of the budgets of their sources.
+// This is soft state: a controller that takes over rebuilds it from reports, and a machine
+// without orders fetches the inputs of its tasks by itself. An order is only a hint of when to
+// fetch and from which source.
 //
-// Urgent fetches go first and take budget from the others at once. Within a
-// class, teams take turns by the bytes that were granted to them, so that none
-// starves another.
+// Urgent fetches go first and take budget from the others at once. Within a class, teams take
+// turns by the bytes that were granted to them, so that none starves another.
 package staging
 
 import (
@@ -349,9 +347,8 @@
 	p.dispatch(now)
 }
 
-// Prefetch requests that a machine fetches a copy for work that is announced for
-// the time by. The fetch has the lowest class until just enough time is left, and
-// then rises to the class of the work.
+// Prefetch requests that a machine fetches a copy for work that is announced for the time by.
+// The fetch has the lowest class until just enough time is left, then rises to the work's class.
 func (p *Planner) Prefetch(now time.Duration, id string, c ID, deadlineClass Class, team string, by time.Duration) {
 	p.RequestFetch(now, id, c, Prefetch, team, by)
 	if m, d := p.machines[id], p.copies[c]; m != nil && d != nil {
@@ -379,9 +376,8 @@
 	p.dispatch(now)
 }
 
-// Tick advances the planner's time: it restarts fetches that their machine no
-// longer reports, raises those that would miss their deadline, and starts those
-// whose pause is over.
+// Tick advances the planner's time: it restarts fetches that their machine no longer reports,
+// raises those that would miss their deadline, and starts those whose pause is over.
 func (p *Planner) Tick(now time.Duration) {
 	for _, m := range p.machineList {
 		if len(m.pulls) == 0 {
@@ -431,9 +427,8 @@
 	return out
 }
 
-// ExpectedTime returns the expected time until a machine holds all of the copies: the
-// time to fetch their remaining bytes at the machine's rate, one copy after the
-// other.
+// ExpectedTime returns the expected time until a machine holds all of the copies: the time to
+// fetch their remaining bytes at the machine's rate, one copy after the other.
 func (p *Planner) ExpectedTime(now time.Duration, id string, copies []ID) time.Duration {
 	if len(copies) == 0 {
 		return 0
