--- a/internal/archive/vault/golden_test.go
+++ b/internal/archive/vault/golden_test.go
@@ -95,7 +95,7 @@
 	}
 	infos, more, err := v.List("", "", 100)
 	if err != nil || more {
-		t.Fatalf("Keys reports more records: %v, error %v", more, err)
+		t.Fatalf("List reports more records: %v, error %v", more, err)
 	}
 	var listed strings.Builder
 	for _, info := range infos {
--- a/internal/archive/vault/vault_test.go
+++ b/internal/archive/vault/vault_test.go
@@ -282,7 +282,7 @@
 		t.Fatal(last, checked, damaged, err)
 	}
 	if _, err := v.Get(records[2].Key); !errors.Is(err, ErrNotFound) || h.keys[records[2].Key.String()] {
-		t.Errorf("Get of a damaged record returned %v, want ErrNotHere and a call of Removed", err)
+		t.Errorf("Get of a damaged record returned %v, want ErrNotFound and a call of Removed", err)
 	}
 	if err := v.Put(context.Background(), records[2:3]); err != nil {
 		t.Fatal(err)
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	if _, err := v.Get(records[0].Key); !errors.Is(err, ErrNotFound) || v.Stats().Damaged == 0 {
-		t.Errorf("Get of a record whose volume is missing returned %v, want ErrNotHere and a damaged count above 0", err)
+		t.Errorf("Get of a record whose volume is missing returned %v, want ErrNotFound and a damaged count above 0", err)
 	}
 	if _, err := v.read(records[0].Key.String(), location); !errors.Is(err, checksum.ErrDamaged) {
 		t.Error(err)
@@ -380,7 +380,7 @@
 	}
 	found, more, err := v.FindAttempts("team/office", "", "", 100)
 	if len(found) != 7 || more || err != nil {
-		t.Errorf("Find returned %d attempts, want 7: %v", len(found), err)
+		t.Errorf("FindAttempts returned %d attempts, want 7: %v", len(found), err)
 	}
 	for _, i := range []int{0, 8, 32} {
 		if _, err := v.Get(segment(i, i, 1500).Key); err != nil {
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	if newer, err := credentials.ReceiveRevocations(revocations); err != nil || !newer {
-		t.Errorf("Learn of the new list returned %v, %v", newer, err)
+		t.Errorf("ReceiveRevocations of the new list returned %v, %v", newer, err)
 	}
 	if _, err := credentials.Verify(goldenCertificate(t, goldenNode)); !errors.Is(err, ErrRevoked) {
 		t.Errorf("Verify of a certificate that is now revoked returned %v", err)
@@ -150,7 +150,7 @@
 		t.Errorf("before the revocation is known Verify returned %s, %v", who, err)
 	}
 	if newer, err := credentials.ReceiveRevocations(goldentest.Read(t, goldenAuthority+"/revoked.crl")); err != nil || !newer {
-		t.Errorf("Learn of the authority's list returned %v, %v", newer, err)
+		t.Errorf("ReceiveRevocations of the authority's list returned %v, %v", newer, err)
 	}
 	if _, err := credentials.Verify(revoked); !errors.Is(err, ErrRevoked) {
 		t.Errorf("when the revocation is known Verify returned %v", err)
