--- a/internal/coordination/failover_completions_test.go
+++ b/internal/coordination/failover_completions_test.go
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestMachinesThatHearNobodyWhenTheirLeaderEnds crashes the leader for good while its machines are
-// unresponsive, for longer than their leases. The tasks bound there count as bound until there is
-// proof that they have ended, so that no team exceeds its limit and no task runs twice (the rules
-// checker verifies that). Then they are released without the cloud's help while the machines are
-// still unresponsive, and they run in the end.
+// TestMachinesThatHearNobodyWhenTheirLeaderEnds crashes the controller with the most machines for
+// good while its machines are unresponsive, for longer than their leases. The tasks bound there
+// count as bound until there is proof that they have ended, so that no team exceeds its limit and no
+// task runs twice (the rules checker verifies that). Then they are released without the cloud's help
+// while the machines are still unresponsive, and they run in the end.
 func TestMachinesThatHearNobodyWhenTheirLeaderEnds(t *testing.T) {
 	for seed := uint64(43_100); seed < 43_106; seed++ {
 		s := newSim(t, seed, 0)
--- a/internal/coordination/fault_days_controllers_test.go
+++ b/internal/coordination/fault_days_controllers_test.go
@@ -112,7 +112,7 @@
 			leader := s.busiestController()
 			long := seconds(1.4 * s.facts.Workers.Cancel)
 			leader.unreachableUntil["state"], leader.unreachableUntil["peers"] = s.now+long, s.now+long
-			for _, o := range s.otherControllers(leader) { // so that the leader's workers can't switch to another controller
+			for _, o := range s.otherControllers(leader) { // so that the busiest controller's workers can't switch to another one
 				o.unreachableUntil["workers"] = s.now + long
 			}
 			s.faultCounts.affected = s.countRunning(func(w *simWorker, _ *simUser) bool { return leader.owns(w) })
