--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -155,7 +155,7 @@
 	cfg.Dir, cfg.SharedDir = filepath.Join(t.TempDir(), "m"), t.TempDir()
 	cfg.Controllers = []Controller{{"n", c.srv.Listener.Addr().String()}}
 	cfg.Workers = Periods{Heartbeat: 0.6, Lease: 3, GangWait: 5, GangPeer: 1}
-	cfg.Resources = Resources{CPUs: 8, RAM: 8}
+	cfg.Resources = Room{CPUs: 8, RAM: 8}
 	cfg.Images = []Image{{Name: "sh", Command: []string{"/bin/true"}}}
 	return cfg
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -23,7 +23,7 @@
 	Dir         string       `yaml:"dir"`
 	Controllers []Controller `yaml:"controllers"`
 	Workers     Periods      `yaml:"workers"`
-	Resources   Resources    `yaml:"room"`
+	Resources   Room         `yaml:"room"`
 	LocalGB     float64      `yaml:"localGb"` // disk space for images
 	Images      []Image      `yaml:"images"`
 	SharedDir   string       `yaml:"outside"` // folder that all machines share
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -30,8 +30,9 @@
 	Address string `yaml:"address"`
 }
 
-// Resources is the capacity of a machine: processors, accelerators and memory in GB.
-type Resources struct {
+// Room is the capacity of a machine: processors, accelerators and memory in GB. It is named like its
+// setting, because errors of the YAML decoder show the type's name.
+type Room struct {
 	CPUs float64 `yaml:"cpus"`
 	GPUs float64 `yaml:"accelerators"`
 	RAM  float64 `yaml:"ramGb"`
@@ -89,7 +90,7 @@
 // its machine.
 type Worker struct {
 	identity    protocol.Heartbeat // the heartbeat fields that never change
-	resources   Resources
+	resources   Room
 	periods     Periods
 	controllers []Controller
 	random      *rand.Rand
@@ -151,7 +152,7 @@
 
 // NewWorker returns a worker that begins the given agent epoch. fencingToken is the
 // highest token that an earlier process on this machine has persisted.
-func NewWorker(identity protocol.Heartbeat, resources Resources, p Periods, controllers []Controller, epoch, fencingToken uint64, random *rand.Rand) *Worker {
+func NewWorker(identity protocol.Heartbeat, resources Room, p Periods, controllers []Controller, epoch, fencingToken uint64, random *rand.Rand) *Worker {
 	identity.Tasks = nil
 	return &Worker{
 		identity: identity, resources: resources, periods: p, controllers: controllers, random: random,
@@ -344,10 +345,10 @@
 		w.endWithoutProcess(task, protocol.CauseUnknown)
 		return
 	}
-	used := Resources{}
+	used := Room{}
 	for _, o := range w.tasks {
 		if o.description != nil && o.phase != ended {
-			used = Resources{used.CPUs + o.description.CPUs, used.GPUs + o.description.GPUs, used.RAM + o.description.MemoryGB}
+			used = Room{used.CPUs + o.description.CPUs, used.GPUs + o.description.GPUs, used.RAM + o.description.MemoryGB}
 		}
 	}
 	const tolerance = 1e-6 // for rounding errors in sums of decimal amounts
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -18,7 +18,7 @@
 var (
 	testPeriods     = Periods{Heartbeat: 3, Lease: 18, GangWait: 35, GangPeer: 4}
 	testControllers = []Controller{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}
-	testResources   = Resources{CPUs: 4, GPUs: 0, RAM: 3}
+	testResources   = Room{CPUs: 4, GPUs: 0, RAM: 3}
 )
 
 // workerHarness drives a worker as an agent would; the tests draw the events at random.
@@ -82,7 +82,7 @@
 		delete(b.fetches, n)
 	}
 	b.descriptionRequests = append(b.descriptionRequests, e.FetchDescriptions...)
-	used := Resources{}
+	used := Room{}
 	for k, task := range b.worker.tasks {
 		if task.phase == ended && b.alive[k] {
 			b.fail("%v reported as ended (%s) while its processes run", k, task.cause)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,13 +19,13 @@
 
 // Settings holds the platform's settings file. Unknown fields are ignored.
 type Settings struct {
-	Node       string   `json:"node_name"`
-	Zone       string   `json:"site"`
-	Listen     string   `json:"bind"` // address for HTTP
-	PeerListen string   `json:"back"` // address for peer links
-	Peers      []Peer   `json:"peers"`
-	Services   Services `json:"outside"`
-	Facts      Facts    `json:"facts"`
+	Node       string  `json:"node_name"`
+	Zone       string  `json:"site"`
+	Listen     string  `json:"bind"` // address for HTTP
+	PeerListen string  `json:"back"` // address for peer links
+	Peers      []Peer  `json:"peers"`
+	Services   Outside `json:"outside"`
+	Facts      Facts   `json:"facts"`
 
 	Operator Operator `json:"-"`
 }
@@ -37,8 +37,9 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Services holds the addresses of the cloud and of the state service.
-type Services struct {
+// Outside holds the addresses of the cloud and of the state service. It is named like its setting,
+// because errors of the JSON decoder show the type's name.
+type Outside struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -27,7 +27,7 @@
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
-	Resources        agent.Resources
+	Resources        agent.Room
 	// PullGBPerS is how fast the machine fetches images, in GB a second.
 	PullGBPerS float64
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -99,7 +99,7 @@
 	defer controller.Close()
 	f := NewFleet([]agent.Controller{{Name: "stoker-0", Address: controller.Listener.Addr().String()}}, agent.Periods{Heartbeat: 0.2, Lease: 1.5, GangWait: 5, GangPeer: 1}, "127.0.0.1", 8, s)
 	defer f.Close()
-	if err := f.Add(Machine{Name: "i-1", Type: "hollow", Zone: "a", Resources: agent.Resources{CPUs: 4, RAM: 4}, PullGBPerS: 1}, 1); err != nil {
+	if err := f.Add(Machine{Name: "i-1", Type: "hollow", Zone: "a", Resources: agent.Room{CPUs: 4, RAM: 4}, PullGBPerS: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
 	s.eventually(t, "two tasks start, one completes", func() bool { return s.started == 2 && s.done == 1 })
--- a/internal/provider/agents.go
+++ b/internal/provider/agents.go
@@ -108,7 +108,7 @@
 	a := c.Agent
 	a.Worker, a.MachineType, a.Zone, a.Spot = x.Name, x.MachineType, x.Zone, x.Spot
 	a.Dir = filepath.Join(c.Dir, machinesDir, x.Name)
-	a.Resources = agent.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.MemoryGB}
+	a.Resources = agent.Room{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.MemoryGB}
 	a.LocalGB = t.LocalGB
 	if a.Archive != nil {
 		own := *a.Archive
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -290,7 +290,7 @@
 	}
 	s := c.scenario
 	err := c.fleet.Add(hollow.Machine{Name: m.Name, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, PullGBPerS: s.Machine.PullGBPerS,
-		Resources: agent.Resources{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}}, s.Seed^uint64(m.RentedMS))
+		Resources: agent.Room{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}}, s.Seed^uint64(m.RentedMS))
 	return c.fleet.Address(m.Name), err
 }
 
@@ -308,7 +308,7 @@
 	cfg.Worker, cfg.MachineType, cfg.Zone, cfg.Spot, cfg.Listen = m.Name, m.MachineType, m.Zone, m.Spot, loopback(port)
 	cfg.Dir = filepath.Join(c.dir, "agents", m.Name)
 	cfg.Controllers, cfg.Workers = c.layout.controllerAddresses(), c.layout.periods()
-	cfg.Resources = agent.Resources{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}
+	cfg.Resources = agent.Room{CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, RAM: s.Machine.RAM}
 	image := filepath.Join(c.dir, "image") // an empty folder: sleep is the system's own program
 	if err := os.MkdirAll(image, 0o700); err != nil {
 		return "", err
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -111,7 +111,7 @@
 func (c *cellLayout) controllerSettings(i int) ([]byte, error) {
 	s := c.scenario
 	settings := &config.Settings{Node: controllerName(i), Zone: c.controllerZone(i), Listen: loopback(c.controllerPorts[i]), PeerListen: loopback(c.peerPorts[i]),
-		Services: config.Services{Cloud: loopback(c.cloudPort), State: loopback(c.statePort)},
+		Services: config.Outside{Cloud: loopback(c.cloudPort), State: loopback(c.statePort)},
 		Facts: config.Facts{Count: s.Controllers, Zones: s.Zones, Teams: s.teams(), Workers: s.Periods, State: s.State, Cloud: s.Cloud,
 			Limits: s.Controller, TimeBoundMS: 1}}
 	for k := range c.controllerPorts {
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -372,7 +372,7 @@
 func (l layout) controller(c *Config, i int) *config.Settings {
 	zone := func(i int) string { return c.Zones[i%len(c.Zones)] }
 	s := &config.Settings{Node: nodeName(i), Zone: zone(i), Listen: address(l.ports.Controllers[i]), PeerListen: address(l.ports.Back[i]),
-		Services: config.Services{Cloud: address(l.ports.Provider), State: address(l.ports.State)},
+		Services: config.Outside{Cloud: address(l.ports.Provider), State: address(l.ports.State)},
 		Facts: config.Facts{Count: c.Controllers, Zones: c.Zones, Teams: c.Teams, Objectives: c.Objectives, Workers: c.Workers, State: c.State, Cloud: c.Cloud,
 			Limits: config.Limits{CPU: c.Controller.CPU, RAMMB: c.Controller.RAMMB, MaxSockets: c.Controller.MaxSockets}, TimeBoundMS: 1}}
 	for k := range c.Controllers {
